--- a/benchmarks/costs.py
+++ b/benchmarks/costs.py
@@ -1,6 +1,6 @@
 """What the fleet's parts cost a head: CPU and memory of real processes, as ratios of one run's, and bytes.
 
-    python -m benchmarks.costs [SEEDS]        writes benchmarks/results/costs.md
+python -m benchmarks.costs [SEEDS]        writes benchmarks/results/costs.md
 """
 
 from __future__ import annotations
@@ -18,7 +18,9 @@
 RESULTS = pathlib.Path(__file__).parent / "results" / "costs.md"
 BASE = Experiment("costs", 1, 4, 4, 15 * SECOND, Load(volumes=6, rate=200.0, lead=0.6), fleet=False)
 VARIANTS: dict[str, dict[str, Any]] = {
-    "without": {}, "verdicts and bans": {"fleet": True}, "and budgets": {"fleet": True, "budgets": True},
+    "without": {},
+    "verdicts and bans": {"fleet": True},
+    "and budgets": {"fleet": True, "budgets": True},
     "and heads that find each other": {"fleet": True, "budgets": True, "group": 2},
     "and the audit": {"fleet": True, "budgets": True, "group": 2, "audit": True},
     "and subsets": {"fleet": True, "budgets": True, "group": 2, "audit": True, "choices": {"subset": 2}},
@@ -37,14 +39,20 @@
             memory[name] += sum(c["memory_mb"] for c in costs) / len(costs) / seeds
             messages[name] += found.fates.get("arrived", 0) / BASE.heads / (BASE.length_us / SECOND) / seeds
     first = next(iter(VARIANTS))
-    lines = ["# What the fleet's parts cost a head", "",
-             f"`python -m benchmarks.costs {seeds}`: four real heads, 200 requests a second, {seeds} seeds; "
-             "start and histories included in all.", "",
-             "| on | CPU, beside without | memory, MB | beside without | messages a head a second |",
-             "| --- " * 5 + "|"]
+    lines = [
+        "# What the fleet's parts cost a head",
+        "",
+        f"`python -m benchmarks.costs {seeds}`: four real heads, 200 requests a second, {seeds} seeds; "
+        "start and histories included in all.",
+        "",
+        "| on | CPU, beside without | memory, MB | beside without | messages a head a second |",
+        "| --- " * 5 + "|",
+    ]
     for name in VARIANTS:
-        lines.append(f"| {name} | {cpu[name] / cpu[first]:.2f} | {memory[name]:.1f} "
-                     f"| {memory[name] / memory[first]:.2f} | {messages[name]:.0f} |")
+        lines.append(
+            f"| {name} | {cpu[name] / cpu[first]:.2f} | {memory[name]:.1f} "
+            f"| {memory[name] / memory[first]:.2f} | {messages[name]:.0f} |"
+        )
     RESULTS.write_text("\n".join(lines) + "\n")
     print("\n".join(lines))
 
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -1,6 +1,6 @@
 """Charts of recorded results: reads the tables under benchmarks/results and draws them beside.
 
-    python -m benchmarks.figures
+python -m benchmarks.figures
 """
 
 from __future__ import annotations
@@ -58,8 +58,12 @@
     heads = tables((RESULTS / "verdicts.md").read_text())[0]
     figure, axes = pyplot.subplots(1, 2, figsize=(11, 3.5))
     count = [int(row["heads"]) for row in heads]
-    axes[0].plot(count, [float(row["ratio"]) for row in heads], marker="o",
-                 label="sent to a silent server, told / untold")
+    axes[0].plot(
+        count,
+        [float(row["ratio"]) for row in heads],
+        marker="o",
+        label="sent to a silent server, told / untold",
+    )
     for column in ("s until under a tenth, untold", "s until under a tenth, told"):
         axes[1].plot(count, [float(row[column]) for row in heads], marker="o", label=column)
     for one in axes:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -28,10 +28,12 @@
 
 def row(kind: str, heads: int, tallies: list[Tally]) -> str:
     n = len(tallies)
-    return (f"| {kind} | {heads} | {sum(t.served for t in tallies) / n:.3f} "
-            f"| {sum(t.calls for t in tallies) / n:.0f} | {sum(t.calls_failed for t in tallies) / n:.0f} "
-            f"| {sum(t.handshakes for t in tallies) / n:.0f} | {max(t.cold_peak for t in tallies):.2f} "
-            f"| {max(t.worst_queue for t in tallies)} |")
+    return (
+        f"| {kind} | {heads} | {sum(t.served for t in tallies) / n:.3f} "
+        f"| {sum(t.calls for t in tallies) / n:.0f} | {sum(t.calls_failed for t in tallies) / n:.0f} "
+        f"| {sum(t.handshakes for t in tallies) / n:.0f} | {max(t.cold_peak for t in tallies):.2f} "
+        f"| {max(t.worst_queue for t in tallies)} |"
+    )
 
 
 @click.command()
--- a/benchmarks/lab_runs.py
+++ b/benchmarks/lab_runs.py
@@ -22,23 +22,35 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 RESULTS = ROOT / "benchmarks" / "results" / "lab.md"
-HEADER = ("| experiment | runs | asked | served | refused | failed | unanswered, its head killed or stopped "
-          "| most over a limit, units | share of the limits used | greatest sum of parts "
-          "| greatest sum of even parts | of what a cold brick bears, sent at most "
-          "| servers doubted, of them sound ones | rules broken |\n"
-          "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+HEADER = (
+    "| experiment | runs | asked | served | refused | failed | unanswered, its head killed or stopped "
+    "| most over a limit, units | share of the limits used | greatest sum of parts "
+    "| greatest sum of even parts | of what a cold brick bears, sent at most "
+    "| servers doubted, of them sound ones | rules broken |\n"
+    "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
+)
 
 
 def row(name: str, found: list[Findings]) -> str:
     def total(outcome: str) -> int:
         return sum(f.outcomes[outcome] for f in found)
+
     cells: list[object] = [
-        name, len(found), sum(f.asked for f in found), total("served"), total("refused"), total("failed"),
-        total("lost") + total("none"), f"{max(f.over for f in found):.2f}",
-        f"{sum(f.used for f in found) / len(found):.2f}", f"{max(f.parts_most for f in found):.3f}",
-        f"{max(f.evens_most for f in found):.3f}", f"{max(f.cold_most for f in found):.2f}",
+        name,
+        len(found),
+        sum(f.asked for f in found),
+        total("served"),
+        total("refused"),
+        total("failed"),
+        total("lost") + total("none"),
+        f"{max(f.over for f in found):.2f}",
+        f"{sum(f.used for f in found) / len(found):.2f}",
+        f"{max(f.parts_most for f in found):.3f}",
+        f"{max(f.evens_most for f in found):.3f}",
+        f"{max(f.cold_most for f in found):.2f}",
         f"{sum(f.doubts for f in found)}, {sum(f.doubts_unfounded for f in found)}",
-        sum(len(f.broken) for f in found)]
+        sum(len(f.broken) for f in found),
+    ]
     return f"| {' | '.join(map(str, cells))} |"
 
 
@@ -87,4 +99,4 @@
 
 if __name__ == "__main__":
     given = [int(word) for word in sys.argv[1:3]]
-    sys.exit(main(*(given + [3, 1][len(given):]), sys.argv[3:]))
+    sys.exit(main(*(given + [3, 1][len(given) :]), sys.argv[3:]))
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -18,14 +18,18 @@
 from garnetlanding.emulator.lease_net import SECOND, Net, Run
 
 NETS = {
-    "3 heads, 2 hosts": Net(), "3 heads, 3 hosts": Net(hosts=3), "8 heads, 3 hosts": Net(heads=8, hosts=3),
-    "3 heads, half is lost": Net(loss=0.5), "3 heads, 12 faults": Net(faults=12),
+    "3 heads, 2 hosts": Net(),
+    "3 heads, 3 hosts": Net(hosts=3),
+    "8 heads, 3 hosts": Net(heads=8, hosts=3),
+    "3 heads, half is lost": Net(loss=0.5),
+    "3 heads, 12 faults": Net(faults=12),
     "3 heads, messages 2 s late": Net(late_us=2 * SECOND),
     "40 heads, 3 hosts": Net(heads=40, hosts=3, length_us=6 * SECOND),
 }
 STEADY = Net(calm=True, rest=0.0, shift_us=600 * SECOND, length_us=60 * SECOND)
 USE = {
-    "one head has all the traffic, 3 heads": STEADY, "the same, 8 heads": replace(STEADY, heads=8, hosts=3),
+    "one head has all the traffic, 3 heads": STEADY,
+    "the same, 8 heads": replace(STEADY, heads=8, hosts=3),
     "the busiest changes every 12 s": replace(STEADY, shift_us=12 * SECOND),
     "the same, a tenth is lost": replace(STEADY, shift_us=12 * SECOND, calm=False, faults=0),
 }
@@ -42,17 +46,25 @@
         states = len(set().union(*(s.states for s in seen)))
         size = sum(s.bytes for s in seen) / count / net.heads / (net.length_us / SECOND)
         lines.append(f"| {name} | {count} | {max(s.most for s in seen):.4f} | {states} | {size:.0f} |")
-    lines += ["", "| share of a bought limit that the busiest head can use | fixed parts | leases |",
-              "| --- | --- | --- |"]
+    lines += [
+        "",
+        "| share of a bought limit that the busiest head can use | fixed parts | leases |",
+        "| --- | --- | --- |",
+    ]
     for name, net in USE.items():
         seen = [Run(replace(net, seed=seed)).run() for seed in range(5)]
         lines.append(f"| {name} | {1 / net.hosts:.2f} | {sum(s.usable for s in seen) / 5:.3f} |")
-    lines += ["", "| explored whole, 3 heads | steps | starts | states | moves | greatest sum of parts |",
-              "| --- | --- | --- | --- | --- | --- |"]
+    lines += [
+        "",
+        "| explored whole, 3 heads | steps | starts | states | moves | greatest sum of parts |",
+        "| --- | --- | --- | --- | --- | --- |",
+    ]
     for scope in track(SCOPES, "every course"):
         found = explore(scope)
-        lines.append(f"| {scope.hosts} hosts{'' if found.whole else ', given up'} | {scope.steps} "
-                     f"| {scope.starts} | {found.states} | {found.moves} | {found.most:.4f} |")
+        lines.append(
+            f"| {scope.hosts} hosts{'' if found.whole else ', given up'} | {scope.steps} "
+            f"| {scope.starts} | {found.states} | {found.moves} | {found.most:.4f} |"
+        )
     text = "\n".join(lines) + "\n"
     print(text)
     pathlib.Path(__file__).with_name("results").joinpath("leases.md").write_text("# Leases\n\n" + text)
--- a/benchmarks/ninep_chaos.py
+++ b/benchmarks/ninep_chaos.py
@@ -52,10 +52,16 @@
                 failed.append((seed, why))
                 console.print(f"seed {seed}: {why}")
     rows = sorted(total.items())
-    lines = ["# Random fault schedules for 9P", "",
-             f"{seeds} schedules from seed {first} on, {steps} steps each ({seeds * steps} in all), "
-             f"{spent:.0f} s of one core; {len(failed)} broke a rule.", "",
-             "| request and answer | count |", "| --- | ---: |", *(f"| {k} | {n} |" for k, n in rows)]
+    lines = [
+        "# Random fault schedules for 9P",
+        "",
+        f"{seeds} schedules from seed {first} on, {steps} steps each ({seeds * steps} in all), "
+        f"{spent:.0f} s of one core; {len(failed)} broke a rule.",
+        "",
+        "| request and answer | count |",
+        "| --- | ---: |",
+        *(f"| {k} | {n} |" for k, n in rows),
+    ]
     lines += ["", *(f"- seed {seed}: {why}" for seed, why in failed)] if failed else []
     RESULTS.write_text("\n".join(lines) + "\n")
     console.print(f"{seeds * steps} steps, {len(failed)} schedules failed; see {RESULTS.name}")
--- a/benchmarks/ninep_codec.py
+++ b/benchmarks/ninep_codec.py
@@ -14,8 +14,13 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 RESULTS = pathlib.Path(__file__).parent / "results" / "ninep-codec.md"
-MESSAGES = {"Twrite": (5, 10, b"x" * 4096), "Rread": (b"y" * 8192,), "Twalk": (1, 2, ("a", "bb", "ccc")),
-            "Tread": (1, 2, 3), "Tclunk": (4,)}
+MESSAGES = {
+    "Twrite": (5, 10, b"x" * 4096),
+    "Rread": (b"y" * 8192,),
+    "Twalk": (1, 2, ("a", "bb", "ccc")),
+    "Tread": (1, 2, 3),
+    "Tclunk": (4,),
+}
 
 
 @click.command()
@@ -23,13 +28,22 @@
 @click.option("--count", default=5000, show_default=True, help="Messages of each kind, three times.")
 def main(base: str, count: int) -> None:
     """Encode and decode each message in both, in turn; the best of three."""
-    source = subprocess.run(["git", "show", f"{base}:garnetlanding/ninep/codec.py"], cwd=ROOT, check=True,
-                            capture_output=True, text=True).stdout
+    source = subprocess.run(
+        ["git", "show", f"{base}:garnetlanding/ninep/codec.py"],
+        cwd=ROOT,
+        check=True,
+        capture_output=True,
+        text=True,
+    ).stdout
     old = types.ModuleType("old_codec")
     sys.modules["old_codec"] = old
     exec(compile(source, "old_codec", "exec"), old.__dict__)
-    lines = [f"# Codec time per message, {base} against this tree", "",
-             "| message | before, us | after, us | ratio |", "| --- | ---: | ---: | ---: |"]
+    lines = [
+        f"# Codec time per message, {base} against this tree",
+        "",
+        "| message | before, us | after, us | ratio |",
+        "| --- | ---: | ---: | ---: |",
+    ]
     for name, fields in MESSAGES.items():
         best = []
         for module in (old, codec):
--- a/benchmarks/ninep_cost.py
+++ b/benchmarks/ninep_cost.py
@@ -79,14 +79,28 @@
         listen = f"127.0.0.1:{free_port()}"
         lines = ["[ninep]", f'listen = "{listen}"', "clients = 520"]
         for volume in VOLUMES:
-            lines += ["[[ninep.export]]"] + [f"{key} = {json.dumps(value)}" for key, value in (
-                operator | {"name": volume, "volume": f"00000000000000{volume}0"}).items()]
+            lines += ["[[ninep.export]]"] + [
+                f"{key} = {json.dumps(value)}"
+                for key, value in (operator | {"name": volume, "volume": f"00000000000000{volume}0"}).items()
+            ]
         paths = pathlib.Path(folder, "c.json"), pathlib.Path(folder, "o.toml")
         paths[0].write_text(json.dumps(config))
         paths[1].write_text("\n".join(lines))
         process = subprocess.Popen(
-            [sys.executable, "-m", "garnetlanding", "serve", "--config", str(paths[0]), "--operator",
-             str(paths[1]), "--log-level", "error"], cwd=ROOT)
+            [
+                sys.executable,
+                "-m",
+                "garnetlanding",
+                "serve",
+                "--config",
+                str(paths[0]),
+                "--operator",
+                str(paths[1]),
+                "--log-level",
+                "error",
+            ],
+            cwd=ROOT,
+        )
         try:
             for _ in range(200):
                 try:
@@ -201,13 +215,17 @@
 
 def latency(address: str, seconds: float, *beside: object) -> list[float]:
     mine, theirs = multiprocessing.Pipe()
-    others = [multiprocessing.Process(target=body, args=(address, seconds + 1.5), daemon=True)  # type: ignore[arg-type]
-              for body in beside]
+    others = [
+        multiprocessing.Process(target=body, args=(address, seconds + 1.5), daemon=True)  # type: ignore[arg-type]
+        for body in beside
+    ]
     for other in others:
         other.start()
     time.sleep(0.5 if others else 0)
-    readers = [multiprocessing.Process(target=steady, args=(address, seconds, theirs), daemon=True)
-               for _ in range(STEADY)]
+    readers = [
+        multiprocessing.Process(target=steady, args=(address, seconds, theirs), daemon=True)
+        for _ in range(STEADY)
+    ]
     for reader in readers:
         reader.start()
     took: list[float] = [one for _ in readers for one in mine.recv()]
@@ -266,7 +284,9 @@
             "p50 ms": statistics.median(percentile(took, 0.5) for took in runs),
             "p99 ms": statistics.median(percentile(took, 0.99) for took in runs),
             "p99 to alone": statistics.median(
-                percentile(took, 0.99) / base for took, base in zip(runs, alone, strict=True))}
+                percentile(took, 0.99) / base for took, base in zip(runs, alone, strict=True)
+            ),
+        }
     keep(results, series)
     table = Table("what", "figure", "value", box=None)
     for what, values in results.items():
@@ -277,14 +297,18 @@
 
 def keep(results: dict[str, dict[str, float]], series: dict[str, list[list[float]]]) -> None:
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     RESULTS.mkdir(exist_ok=True)
     (RESULTS / "ninep-cost.json").write_text(json.dumps(results, indent=1) + "\n")
     lines = ["# What 9P costs a head", "", "| what | figure | value |", "| --- | --- | ---: |"]
-    lines += [f"| {what} | {name} | {value:.2f} |"
-              for what, values in results.items() for name, value in values.items()]
+    lines += [
+        f"| {what} | {name} | {value:.2f} |"
+        for what, values in results.items()
+        for name, value in values.items()
+    ]
     (RESULTS / "ninep-cost.md").write_text("\n".join(lines) + "\n\n![latency](ninep-cost.png)\n")
     figure, axes = pyplot.subplots(figsize=(8, 4.5))
     for name, runs in series.items():
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -1,6 +1,6 @@
 """Ways to give heads subsets of servers, side by side; and the loop of the weight's step.
 
-    python -m benchmarks.subsets        writes benchmarks/results/subsets.md and subsets.png
+python -m benchmarks.subsets        writes benchmarks/results/subsets.md and subsets.png
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     for i, head in enumerate(heads):
         shuffled = list(servers)
         random.Random(i // each).shuffle(shuffled)
-        found[head] = set(shuffled[i % each * k:i % each * k + k])
+        found[head] = set(shuffled[i % each * k : i % each * k + k])
     return found
 
 
@@ -59,8 +59,13 @@
     return subsets(heads, dict.fromkeys(servers, ""), k)
 
 
-WAYS: dict[str, Way] = {"random": at_random, "shuffled rounds": in_rounds, "highest weight": by_weight,
-                        "ring, bounded loads": on_a_ring, "highest weight with quotas": with_quotas}
+WAYS: dict[str, Way] = {
+    "random": at_random,
+    "shuffled rounds": in_rounds,
+    "highest weight": by_weight,
+    "ring, bounded loads": on_a_ring,
+    "highest weight with quotas": with_quotas,
+}
 SIZES = [(10, 30, 6), (100, 100, 20), (200, 120, 20), (1000, 120, 20), (10_000, 60, 20)]
 
 
@@ -81,9 +86,11 @@
     fewer = moved(now, way(numbers, [n for n in names if n != "s3"], k))
     least = (k, heads * k // (servers + 1), per["s3"])
     jain = sum(loads) ** 2 / (len(loads) * sum(load * load for load in loads))
-    return (f"| {heads} x {servers}, {k} each | {name} | {min(loads)} to {max(loads)} | {jain:.4f} "
-            f"| {joined} ({least[0]}) | {more} ({least[1]}) | {fewer} ({least[2]}) | {took * 1000:.0f} |",
-            max(loads) / (sum(loads) / len(loads)))
+    return (
+        f"| {heads} x {servers}, {k} each | {name} | {min(loads)} to {max(loads)} | {jain:.4f} "
+        f"| {joined} ({least[0]}) | {more} ({least[1]}) | {fewer} ({least[2]}) | {took * 1000:.0f} |",
+        max(loads) / (sum(loads) / len(loads)),
+    )
 
 
 def steered(gain: float, delay_s: float, heads: int, seconds: int = 120) -> tuple[float, float]:
@@ -124,10 +131,15 @@
 
 
 def main() -> None:
-    lines = ["# Subsets, and the weight's step", "",
-             "`python -m benchmarks.subsets`. Pairs that a change makes anew, beside the least possible.", "",
-             "| heads x servers | way | heads at a server | Jain's index | a head more | a server more "
-             "| a server less | ms |", "| --- " * 8 + "|"]
+    lines = [
+        "# Subsets, and the weight's step",
+        "",
+        "`python -m benchmarks.subsets`. Pairs that a change makes anew, beside the least possible.",
+        "",
+        "| heads x servers | way | heads at a server | Jain's index | a head more | a server more "
+        "| a server less | ms |",
+        "| --- " * 8 + "|",
+    ]
     spread: dict[str, list[tuple[int, float]]] = {}
     for heads, servers, k in SIZES:
         for name, way in WAYS.items():
@@ -136,10 +148,14 @@
             spread.setdefault(name, []).append((heads, most))
             print(line, flush=True)
     draw(spread)
-    lines += ["", f"The weight's step every {WEIGHT_EVERY / 1e6:g} s; as built the gain is {WEIGHT_GAIN:g}. "
-              "Overshoot of the first error, and seconds until a tenth is left ('-': not in 120 s).", "",
-              "| figure late by | heads | " + " | ".join(f"gain {gain}" for gain in (1.0, 0.5, 0.25)) + " |",
-              "| --- " * 5 + "|"]
+    lines += [
+        "",
+        f"The weight's step every {WEIGHT_EVERY / 1e6:g} s; as built the gain is {WEIGHT_GAIN:g}. "
+        "Overshoot of the first error, and seconds until a tenth is left ('-': not in 120 s).",
+        "",
+        "| figure late by | heads | " + " | ".join(f"gain {gain}" for gain in (1.0, 0.5, 0.25)) + " |",
+        "| --- " * 5 + "|",
+    ]
     for delay in (0.2, 1, 2.5, 5, 8.3):
         for heads in (1, 3, 10, 100):
             cells = []
--- a/example/client.py
+++ b/example/client.py
@@ -24,8 +24,10 @@
 def over_resp(head: tuple[str, int]) -> None:
     with socket.create_connection(head, timeout=5) as sock:
         decoder = resp.Decoder(POOL, Limits())
-        for verb, kind, id, *body in (("BLK.WRITE", "draft-save", "1", b"a translation memory"),
-                                      ("BLK.READ", "segment-read", "2")):
+        for verb, kind, id, *body in (
+            ("BLK.WRITE", "draft-save", "1", b"a translation memory"),
+            ("BLK.READ", "segment-read", "2"),
+        ):
             pairs = f"c={kind},t=standard,d=1000,volume=0000000000000001,units=2,shard=0,hosts=1"
             words = [verb, "00000000000000aa", id, pairs]
             sock.sendall(resp.command([*(w.encode() for w in words), *body]))
@@ -38,10 +40,18 @@
 def over_9p() -> None:
     with socket.create_connection(HEAD_9P, timeout=5) as sock:
         framer = p9.Framer(POOL, 1 << 16)
-        for reply in talk(sock, framer, [
-                p9.Tversion(8192, p9.VERSION), p9.Tattach(0, p9.NOFID, "toy", "glossaries"),
-                p9.Twalk(0, 1, ("sv", "law.tsv")), p9.Topen(1, p9.OREAD), p9.Tread(1, 0, 4096),
-                p9.Tclunk(1)]):
+        for reply in talk(
+            sock,
+            framer,
+            [
+                p9.Tversion(8192, p9.VERSION),
+                p9.Tattach(0, p9.NOFID, "toy", "glossaries"),
+                p9.Twalk(0, 1, ("sv", "law.tsv")),
+                p9.Topen(1, p9.OREAD),
+                p9.Tread(1, 0, 4096),
+                p9.Tclunk(1),
+            ],
+        ):
             print("9P ->", reply)
 
 
--- a/garnetlanding/audit/files.py
+++ b/garnetlanding/audit/files.py
@@ -34,8 +34,16 @@
 class AuditFiles:
     """One writer. Where writing fails while the head serves, the log says so, once, and serving goes on."""
 
-    def __init__(self, folder: str, head: str, life: int, limits: AuditLimits, sync: bool, now: int,
-                 wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000) -> None:
+    def __init__(
+        self,
+        folder: str,
+        head: str,
+        life: int,
+        limits: AuditLimits,
+        sync: bool,
+        now: int,
+        wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
+    ) -> None:
         """Raises OSError. What earlier lives left is not touched."""
         self._folder, self._head, self._life = folder, head, life
         self._limits, self._sync, self._wall_ms = limits, sync, wall_ms
@@ -45,8 +53,15 @@
         self._broken = False
         follows, torn = self._earlier()
         self._begin()
-        self.keep({"t": now, "kind": "start", "follows": follows, "torn": torn,
-                   "checkpoint_us": limits.checkpoint_us})
+        self.keep(
+            {
+                "t": now,
+                "kind": "start",
+                "follows": follows,
+                "torn": torn,
+                "checkpoint_us": limits.checkpoint_us,
+            }
+        )
 
     def _mine(self) -> Lives:
         return names(self._folder).get(self._begins_with.removesuffix("-audit"), {})
--- a/garnetlanding/audit/merge.py
+++ b/garnetlanding/audit/merge.py
@@ -52,9 +52,17 @@
         lives[segment.head, segment.life].append(segment)
     heads = sorted({head for head, _ in lives})
     for head in heads:
-        dropped = max(((r["up_to"][0], r["up_to"][1]) for (who, _), some in lives.items() if who == head
-                       for segment in some for r in segment.records if r["kind"] == "dropped"),
-                      default=(0, 0))
+        dropped = max(
+            (
+                (r["up_to"][0], r["up_to"][1])
+                for (who, _), some in lives.items()
+                if who == head
+                for segment in some
+                for r in segment.records
+                if r["kind"] == "dropped"
+            ),
+            default=(0, 0),
+        )
         for key in sorted(key for key in lives if key[0] == head):
             _life(sorted(lives[key], key=lambda s: s.number), set(lives), dropped, limits, fleet)
     fleet.problems += [f"{head}: no files" for head in sorted(set(missing) - set(heads))]
@@ -63,8 +71,13 @@
     return fleet
 
 
-def _life(segments: list[Segment], lives: set[tuple[str, int]], dropped: tuple[int, int],
-          limits: AuditLimits, fleet: Fleet) -> None:
+def _life(
+    segments: list[Segment],
+    lives: set[tuple[str, int]],
+    dropped: tuple[int, int],
+    limits: AuditLimits,
+    fleet: Fleet,
+) -> None:
     """`dropped`: life and number of the last segment that was dropped for size or age."""
     head, life = segments[0].head, segments[0].life
     checkpoint_us = limits.checkpoint_us
@@ -76,11 +89,15 @@
         if gap:
             fleet.problems.append(f"{head}: segments {gap[0]} to {gap[-1]} of life {life} are missing")
         elif last and segment.number == first and segment.before != last.last:
-            fleet.problems.append(f"{head}: segment {segment.number} of life {life} does not follow on "
-                                  "the one before: exchanged, or cut")
+            fleet.problems.append(
+                f"{head}: segment {segment.number} of life {life} does not follow on "
+                "the one before: exchanged, or cut"
+            )
         if segment.torn_at >= 0:
-            fleet.problems.append(f"{head}: life {life} was cut short at offset {segment.torn_at} of segment "
-                                  f"{segment.number}")
+            fleet.problems.append(
+                f"{head}: life {life} was cut short at offset {segment.torn_at} of segment "
+                f"{segment.number}"
+            )
         for record in segment.records:
             if record["kind"] == "start":
                 checkpoint_us = record["checkpoint_us"]
@@ -97,8 +114,9 @@
         now.how = how
 
 
-def _record(head: str, life: int, r: dict[str, Any], now: Span | None, gap_us: float,
-            fleet: Fleet) -> Span | None:
+def _record(
+    head: str, life: int, r: dict[str, Any], now: Span | None, gap_us: float, fleet: Fleet
+) -> Span | None:
     wall, kind = r["wall"], r["kind"]
     if kind == "refused":
         fleet.refused.append((head, wall, r["component"], r["why"]))
@@ -117,8 +135,20 @@
         now.taken = r["taken"] - now.first
     if kind == "change":
         _close(now, "changed")
-        now = Span(head, life, wall, wall, r["t"], r["t"], dict(r["vector"]), list(r["changed"]),
-                   list(r["heard"]), r["me"], r["said"], r["taken"])
+        now = Span(
+            head,
+            life,
+            wall,
+            wall,
+            r["t"],
+            r["t"],
+            dict(r["vector"]),
+            list(r["changed"]),
+            list(r["heard"]),
+            r["me"],
+            r["said"],
+            r["taken"],
+        )
         fleet.spans.append(now)
     elif kind == "end":
         _close(now, "ended in order")
@@ -203,15 +233,27 @@
         if last is None:
             found.append(Lag(component, version, begun.head, begun.since, "", begun.since, heads, ""))
         else:
-            found.append(Lag(component, version, begun.head, begun.since, last.head,
-                             begun.since + (last.ended - begun.began) // MS, heads, _why(fleet, last)))
+            found.append(
+                Lag(
+                    component,
+                    version,
+                    begun.head,
+                    begun.since,
+                    last.head,
+                    begun.since + (last.ended - begun.began) // MS,
+                    heads,
+                    _why(fleet, last),
+                )
+            )
     return found
 
 
 def _why(fleet: Fleet, span: Span) -> str:
     """What its files say of why a head acted on a version to the last."""
-    if any(head == span.head and abs(wall - span.until) <= span.until - span.since
-           for head, wall, *_ in fleet.refused):
+    if any(
+        head == span.head and abs(wall - span.until) <= span.until - span.since
+        for head, wall, *_ in fleet.refused
+    ):
         return "refused the change"
     if span.stalled:
         return "stood still"
@@ -228,9 +270,11 @@
 def before(one: Span, other: Span) -> bool | None:
     """Whether one head's span began before another's, by a message of the first that the other had heard by
     then; None: neither, the two are concurrent."""
+
     def heard(a: Span, b: Span) -> bool:
         told = [a.me, a.life]
         return len(b.heard) == 3 and b.heard[:2] == told and b.heard[2] > a.said
+
     if one.head == other.head and one.life == other.life:
         return one.began <= other.began
     return True if heard(one, other) else False if heard(other, one) else None
--- a/garnetlanding/audit/recorder.py
+++ b/garnetlanding/audit/recorder.py
@@ -16,9 +16,16 @@
 
 
 class Recorder:
-    def __init__(self, limits: AuditLimits, sources: Mapping[str, Callable[[], str]],
-                 me: Callable[[], int], counts: Callable[[], tuple[int, int]], said: Callable[[], int],
-                 heard: Callable[[], list[int]], keep: Callable[[Record], None]) -> None:
+    def __init__(
+        self,
+        limits: AuditLimits,
+        sources: Mapping[str, Callable[[], str]],
+        me: Callable[[], int],
+        counts: Callable[[], tuple[int, int]],
+        said: Callable[[], int],
+        heard: Callable[[], list[int]],
+        keep: Callable[[Record], None],
+    ) -> None:
         """`sources`: by component, the version that holds now. `counts`: requests taken and answered so far;
         `said`: the number of this head's last message to others; `heard`: head, life and number of the
         last one heard, empty where none was. `keep` is given each record."""
@@ -47,5 +54,15 @@
 
     def _write(self, now: int, kind: str, **more: Any) -> None:
         taken, answered = self._counts()
-        self._keep({"t": now, "kind": kind, "vector": self.vector, "taken": taken, "answered": answered,
-                    "me": self._me(), "said": self._said(), **more})
+        self._keep(
+            {
+                "t": now,
+                "kind": kind,
+                "vector": self.vector,
+                "taken": taken,
+                "answered": answered,
+                "me": self._me(),
+                "said": self._said(),
+                **more,
+            }
+        )
--- a/garnetlanding/audit/report.py
+++ b/garnetlanding/audit/report.py
@@ -59,8 +59,19 @@
 
 
 def _rows(spans: Iterable[Span]) -> list[dict[str, Any]]:
-    return [{"head": s.head, "from": clock(s.since), "until": clock(s.until), "how": s.how,
-             **s.vector, "changed": ",".join(s.changed), "by": _by(s), "taken": s.taken} for s in spans]
+    return [
+        {
+            "head": s.head,
+            "from": clock(s.since),
+            "until": clock(s.until),
+            "how": s.how,
+            **s.vector,
+            "changed": ",".join(s.changed),
+            "by": _by(s),
+            "taken": s.taken,
+        }
+        for s in spans
+    ]
 
 
 def _by(span: Span) -> str:
@@ -126,10 +137,18 @@
 
 def lag(places: Sequence[str], component: str, as_json: bool) -> int:
     fleet = _read(places)
-    rows = [{"version": found.version, "first": found.first, "at": clock(found.since), "heads": found.heads,
-             "last to leave the one before": found.last, "why": found.why,
-             "after s": round((found.until - found.since) / 1000, 3)}
-            for found in merging.lags(fleet, component)]
+    rows = [
+        {
+            "version": found.version,
+            "first": found.first,
+            "at": clock(found.since),
+            "heads": found.heads,
+            "last to leave the one before": found.last,
+            "why": found.why,
+            "after s": round((found.until - found.since) / 1000, 3),
+        }
+        for found in merging.lags(fleet, component)
+    ]
     _show(rows, as_json, problems=fleet.problems)
     return 0
 
@@ -142,8 +161,10 @@
     else:
         for problem in fleet.problems:
             print(f"problem: {problem}")
-        print(f"{len({s.head for s in fleet.spans})} heads, {len(fleet.spans)} spans, "
-              f"{len(fleet.problems)} problems")
+        print(
+            f"{len({s.head for s in fleet.spans})} heads, {len(fleet.spans)} spans, "
+            f"{len(fleet.problems)} problems"
+        )
     return 1 if fleet.problems else 0
 
 
@@ -161,9 +182,14 @@
     first = min(s.since for s in fleet.spans)
     figure, axes = pyplot.subplots(figsize=(9, 1 + 0.4 * len(heads)))
     for span in fleet.spans:
-        axes.barh(heads.index(span.head), (span.until - span.since) / 1000, left=(span.since - first) / 1000,
-                  color=f"C{versions.index(span.vector.get('settings', '')) % 10}",
-                  alpha=0.35 if span.vector.get("out") else 1.0, edgecolor="white")
+        axes.barh(
+            heads.index(span.head),
+            (span.until - span.since) / 1000,
+            left=(span.since - first) / 1000,
+            color=f"C{versions.index(span.vector.get('settings', '')) % 10}",
+            alpha=0.35 if span.vector.get("out") else 1.0,
+            edgecolor="white",
+        )
     axes.set_yticks(range(len(heads)), heads)
     axes.set_xlabel(f"s after {clock(first)}; a colour a revision of the settings, pale: does not act")
     figure.tight_layout()
--- a/garnetlanding/audit/segments.py
+++ b/garnetlanding/audit/segments.py
@@ -71,8 +71,9 @@
         raise Damage(f"{name}: offset {at}: the header is cut short")
     try:
         told = json.loads(body)
-        found = Segment(str(told["head"]), int(told["life"]), int(told["segment"]),
-                        bytes.fromhex(told["before"]))
+        found = Segment(
+            str(told["head"]), int(told["life"]), int(told["segment"]), bytes.fromhex(told["before"])
+        )
     except (ValueError, KeyError, TypeError):
         raise Damage(f"{name}: offset {len(MAGIC)}: the header makes no sense") from None
     found.last = found.before
@@ -113,7 +114,7 @@
         return None, at
     length, total = HEAD.unpack_from(data, at)
     end = at + HEAD.size + length
-    body = data[at + HEAD.size:end]
+    body = data[at + HEAD.size : end]
     if end <= len(data) and crc32c(body) == total:
         return body, end
     if length > limits.record_bytes:
@@ -129,4 +130,4 @@
 def _whole(data: bytes, at: int) -> bool:
     length, total = HEAD.unpack_from(data, at)
     end = at + HEAD.size + length
-    return length > HASH and end <= len(data) and bool(crc32c(data[at + HEAD.size:end]) == total)
+    return length > HASH and end <= len(data) and bool(crc32c(data[at + HEAD.size : end]) == total)
--- a/garnetlanding/audit/setup.py
+++ b/garnetlanding/audit/setup.py
@@ -23,8 +23,15 @@
     sync = section.raw("sync") if section.has("sync") else False
     if not isinstance(sync, bool):
         raise ConfigError(f"key {section.name('sync')}: expected true or false, found {sync!r:.40}")
-    return AuditSetup(section.text("folder"), sync, AuditLimits(
-        checkpoint_us=int(section.number("checkpoint_s", 0.1, LIMITS.checkpoint_us / SECOND, 3600) * SECOND),
-        segment_bytes=int(section.number("segment_kb", 1, LIMITS.segment_bytes >> 10, 1 << 20)) << 10,
-        total_bytes=int(section.number("total_mb", 1, LIMITS.total_bytes >> 20, 1 << 20)) << 20,
-        age_us=int(section.number("age_days", 1 / 1440, LIMITS.age_us / DAY_US, 3650) * DAY_US)))
+    return AuditSetup(
+        section.text("folder"),
+        sync,
+        AuditLimits(
+            checkpoint_us=int(
+                section.number("checkpoint_s", 0.1, LIMITS.checkpoint_us / SECOND, 3600) * SECOND
+            ),
+            segment_bytes=int(section.number("segment_kb", 1, LIMITS.segment_bytes >> 10, 1 << 20)) << 10,
+            total_bytes=int(section.number("total_mb", 1, LIMITS.total_bytes >> 20, 1 << 20)) << 20,
+            age_us=int(section.number("age_days", 1 / 1440, LIMITS.age_us / DAY_US, 3650) * DAY_US),
+        ),
+    )
--- a/garnetlanding/audit/start.py
+++ b/garnetlanding/audit/start.py
@@ -21,8 +21,15 @@
     def said(self) -> int: ...
 
 
-def start(setup: AuditSetup, core: Core, sources: Mapping[str, Callable[[], str]], name: str, life: int,
-          wall_ms: Callable[[], int], talk: Callable[[], Talking | None]) -> tuple[Recorder, AuditFiles]:
+def start(
+    setup: AuditSetup,
+    core: Core,
+    sources: Mapping[str, Callable[[], str]],
+    name: str,
+    life: int,
+    wall_ms: Callable[[], int],
+    talk: Callable[[], Talking | None],
+) -> tuple[Recorder, AuditFiles]:
     """Raises OSError and segments.Damage: a head whose audit cannot be written does not start, so that
     nobody finds out when it is needed."""
     files = AuditFiles(setup.folder, name, life, setup.limits, setup.sync, core.now, wall_ms)
@@ -36,7 +43,13 @@
         return found.last_heard if found else []
 
     recorder = Recorder(
-        setup.limits, sources, lambda: core.settings.me,
-        lambda: (core.figures.taken, core.figures.taken - core.open), said, heard, files.keep)
+        setup.limits,
+        sources,
+        lambda: core.settings.me,
+        lambda: (core.figures.taken, core.figures.taken - core.open),
+        said,
+        heard,
+        files.keep,
+    )
     core.module = Audited(core.module, recorder)
     return recorder, files
--- a/garnetlanding/choices/setup.py
+++ b/garnetlanding/choices/setup.py
@@ -23,8 +23,12 @@
         """With the budget of further attempts, where the settings have none of their own."""
         if settings.budget_span_us or not (self.resend_share or self.resend_free):
             return settings
-        return replace(settings, budget_share=self.resend_share, budget_free=self.resend_free,
-                       budget_span_us=self.resend_span_us)
+        return replace(
+            settings,
+            budget_share=self.resend_share,
+            budget_free=self.resend_free,
+            budget_span_us=self.resend_span_us,
+        )
 
 
 def read(data: object) -> ChoicesSetup:
@@ -34,6 +38,9 @@
     if subset != int(subset):
         raise ConfigError(f"key {section.name('subset')}: expected a whole number, found {subset!r:.40}")
     return ChoicesSetup(
-        int(subset), int(section.number("idle_s", 0.05, 1, LONGEST_S) * SECOND),
-        section.number("resend_share", 0, 0, MOST_SERVERS), section.number("resend_free", 0, 0, MOST_SERVERS),
-        int(section.number("resend_span_s", 0.1, 10, LONGEST_S) * SECOND))
+        int(subset),
+        int(section.number("idle_s", 0.05, 1, LONGEST_S) * SECOND),
+        section.number("resend_share", 0, 0, MOST_SERVERS),
+        section.number("resend_free", 0, 0, MOST_SERVERS),
+        int(section.number("resend_span_s", 0.1, 10, LONGEST_S) * SECOND),
+    )
--- a/garnetlanding/choices/subsets.py
+++ b/garnetlanding/choices/subsets.py
@@ -32,7 +32,8 @@
         rest = k * len(zones[zone]) / total - found[zone]
         draw = (weight(head, f"zone {zone}") + 1) / (1 << 64)
         return float(draw ** (1 / rest)) if rest else -1.0
-    for zone in sorted(zones, key=lambda zone: (-lot(zone), zone))[:k - sum(found.values())]:
+
+    for zone in sorted(zones, key=lambda zone: (-lot(zone), zone))[: k - sum(found.values())]:
         found[zone] += 1
     return found
 
@@ -82,8 +83,9 @@
     found[head].add(lacking[0])
 
 
-def subsets(heads: Collection[int], servers: Mapping[str, str], k: int,
-            slack: int = 0) -> dict[int, set[str]]:
+def subsets(
+    heads: Collection[int], servers: Mapping[str, str], k: int, slack: int = 0
+) -> dict[int, set[str]]:
     """By head, its servers. `servers`: the zone of each; `slack`: heads that a server takes over its share:
     fewer pairs move at a change, and heads are spread less evenly."""
     zones: dict[str, list[str]] = defaultdict(list)
--- a/garnetlanding/cli.py
+++ b/garnetlanding/cli.py
@@ -21,8 +21,13 @@
 def configured(command: Callable[..., Any]) -> Callable[..., Any]:
     """The options of every command that reads the configuration."""
     for option in (
-        click.option("--log-level", default="info", show_default=True,
-                     type=click.Choice(["debug", "info", "warning", "error"]), help="Least level logged."),
+        click.option(
+            "--log-level",
+            default="info",
+            show_default=True,
+            type=click.Choice(["debug", "info", "warning", "error"]),
+            help="Least level logged.",
+        ),
         click.option("--operator", metavar="FILE", help="TOML file that turns on 9P and the like."),
         click.option("--config", metavar="FILE", help="JSON file.  [default: $RELAY_CONFIG]"),
     ):
@@ -85,23 +90,61 @@
 
 @conform.command("9p")
 @click.option("--address", metavar="HOST:PORT", required=True, help="Where the server listens.")
-@click.option("--dialect", type=click.Choice(["9P2000", "9P2000.L", "both"]), default="both",
-              show_default=True, help="Which to speak.")
+@click.option(
+    "--dialect",
+    type=click.Choice(["9P2000", "9P2000.L", "both"]),
+    default="both",
+    show_default=True,
+    help="Which to speak.",
+)
 @click.option("--aname", default="", metavar="NAME", help="The tree to attach; it must be writable.")
 @click.option("--uname", default="conform", show_default=True, help="The user to attach as.")
-@click.option("--uid", default=1000, show_default=True, type=click.IntRange(0, 0xFFFFFFFE),
-              help="The user's number, for 9P2000.L.")
-@click.option("--msize", default=8192, show_default=True, type=click.IntRange(1024, 1 << 20),
-              help="Bytes of the largest message.")
-@click.option("--wait", "wait_s", default=5.0, show_default=True, type=click.FloatRange(0.01, 600.0),
-              help="Seconds that one answer may take.")
-@click.option("--quiet", "quiet_s", default=0.1, show_default=True, type=click.FloatRange(0.001, 60.0),
-              help="Seconds without anything after which no more is expected.")
+@click.option(
+    "--uid",
+    default=1000,
+    show_default=True,
+    type=click.IntRange(0, 0xFFFFFFFE),
+    help="The user's number, for 9P2000.L.",
+)
+@click.option(
+    "--msize",
+    default=8192,
+    show_default=True,
+    type=click.IntRange(1024, 1 << 20),
+    help="Bytes of the largest message.",
+)
+@click.option(
+    "--wait",
+    "wait_s",
+    default=5.0,
+    show_default=True,
+    type=click.FloatRange(0.01, 600.0),
+    help="Seconds that one answer may take.",
+)
+@click.option(
+    "--quiet",
+    "quiet_s",
+    default=0.1,
+    show_default=True,
+    type=click.FloatRange(0.001, 60.0),
+    help="Seconds without anything after which no more is expected.",
+)
 @click.option("--only", default="", metavar="REGEX", help="Run the cases whose names match.")
 @click.option("--list", "list_only", is_flag=True, help="Show the cases and their rules, and run none.")
 @click.option("--json", "json_file", metavar="FILE", help="Write the results there ('-': standard output).")
-def conform_9p(address: str, dialect: str, aname: str, uname: str, uid: int, msize: int, wait_s: float,
-               quiet_s: float, only: str, list_only: bool, json_file: str | None) -> int:
+def conform_9p(
+    address: str,
+    dialect: str,
+    aname: str,
+    uname: str,
+    uid: int,
+    msize: int,
+    wait_s: float,
+    quiet_s: float,
+    only: str,
+    list_only: bool,
+    json_file: str | None,
+) -> int:
     """Run the 9P suite against a server, or against a head before one.
 
     Each case works in a directory of its own at the top of the tree and removes it again. The exit code is
@@ -136,7 +179,7 @@
     "fleet/verdicts": "Show what is believed of each server, from which heads, and how old it is.",
     "fleet/bans": "Show the servers that an operator of any head has put out or back.",
     "fleet/forget": "Take a head that has stopped for good out of the group: its part becomes the others'. "
-                    "Not one that may still run: both would use that part.",
+    "Not one that may still run: both would use that part.",
     "fleet/shut-out": "Have a head act no more: it refuses at once, sends nothing, until it is let in.",
     "fleet/let-in": "Let a head act again that was shut out.",
 }
@@ -167,10 +210,22 @@
         command = click.argument("brick", metavar="HEAD", type=click.IntRange(0, 65535))(command)
     for option in (
         click.option("--json", "as_json", is_flag=True, help="Answer as one JSON object."),
-        click.option("--wait", "wait_s", default=2.0, show_default=True, type=click.FloatRange(0.01, 600.0),
-                     help="Seconds that the answer may take; a head owes it within 1."),
-        click.option("--address", metavar="HOST:PORT", required=True, envvar="RELAY_OPS", show_envvar=True,
-                     help="The head's address for operators (`ops` in its configuration)."),
+        click.option(
+            "--wait",
+            "wait_s",
+            default=2.0,
+            show_default=True,
+            type=click.FloatRange(0.01, 600.0),
+            help="Seconds that the answer may take; a head owes it within 1.",
+        ),
+        click.option(
+            "--address",
+            metavar="HOST:PORT",
+            required=True,
+            envvar="RELAY_OPS",
+            show_envvar=True,
+            help="The head's address for operators (`ops` in its configuration).",
+        ),
     ):
         command = option(command)
     group, _, name = what.rpartition("/")
@@ -197,8 +252,11 @@
 
 @lab.command("run")
 @click.argument("experiment", type=click.Path())
-@click.option("--out", metavar="DIR", help="Where histories and result go; new or empty.  [default: "
-              "lab-runs/NAME-SEED-TIME]")
+@click.option(
+    "--out",
+    metavar="DIR",
+    help="Where histories and result go; new or empty.  [default: " "lab-runs/NAME-SEED-TIME]",
+)
 @click.option("--seed", type=click.IntRange(0), help="In place of the file's.")
 @click.option("--json", "as_json", is_flag=True, help="The result as one JSON object.")
 def lab_run(experiment: str, out: str | None, seed: int | None, as_json: bool) -> int:
@@ -315,8 +373,9 @@
 def main(argv: Sequence[str] | None = None) -> int:
     """Runs one command; returns its exit code, also for a call that is wrong (2)."""
     try:
-        code = commands.main(list(sys.argv[1:] if argv is None else argv), "garnetlanding",
-                             standalone_mode=False)
+        code = commands.main(
+            list(sys.argv[1:] if argv is None else argv), "garnetlanding", standalone_mode=False
+        )
     except click.ClickException as problem:
         problem.show()
         return problem.exit_code
--- a/garnetlanding/config/__init__.py
+++ b/garnetlanding/config/__init__.py
@@ -5,5 +5,13 @@
 from garnetlanding.config.section import ConfigError, Section
 
 __all__ = [
-    "Config", "ConfigError", "Operator", "Section", "flatten", "load", "read", "read_settings", "reload",
+    "Config",
+    "ConfigError",
+    "Operator",
+    "Section",
+    "flatten",
+    "load",
+    "read",
+    "read_settings",
+    "reload",
 ]
--- a/garnetlanding/config/platform.py
+++ b/garnetlanding/config/platform.py
@@ -24,8 +24,7 @@
 # What a reload cannot change.
 FIXED = ("name", "listen", "ops", "limits", "operator")
 # The platform's variables, and the keys that they stand above.
-ABOVE = {"name": "RELAY_NAME", "listen": "RELAY_LISTEN", "discovery": "RELAY_DISCOVERY",
-         "ops": "RELAY_OPS"}
+ABOVE = {"name": "RELAY_NAME", "listen": "RELAY_LISTEN", "discovery": "RELAY_DISCOVERY", "ops": "RELAY_OPS"}
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +76,8 @@
     if left < limits.client_conns // 5:
         raise ConfigError(
             f"key ninep.clients: {clients} and {servers} server connections leave {left} of "
-            f"{limits.client_conns} to other clients, at least {limits.client_conns // 5} are needed")
+            f"{limits.client_conns} to other clients, at least {limits.client_conns // 5} are needed"
+        )
     return replace(limits, ninep_conns=clients, client_conns=left, ninep_server_conns=servers)
 
 
@@ -131,10 +131,18 @@
 
         peers = peers_setup.read(top, settings.me)
     return Config(
-        name=top.text("name"), listen=top.address("listen"), discovery=top.address("discovery"),
-        file_discovery=file_discovery, seed=seed, settings=settings, raw_settings=raw_settings,
-        limits=limits, known=known, operator=extras,
-        ops=top.address("ops") if top.raw("ops") is not None else "", peers=peers,
+        name=top.text("name"),
+        listen=top.address("listen"),
+        discovery=top.address("discovery"),
+        file_discovery=file_discovery,
+        seed=seed,
+        settings=settings,
+        raw_settings=raw_settings,
+        limits=limits,
+        known=known,
+        operator=extras,
+        ops=top.address("ops") if top.raw("ops") is not None else "",
+        peers=peers,
     )
 
 
@@ -143,8 +151,9 @@
     path = path or env.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("key RELAY_CONFIG: not set, and no --config given")
-    return read(_parse(path, json.loads, "JSON"),
-                _parse(operator, tomllib.loads, "TOML") if operator else None, env)
+    return read(
+        _parse(path, json.loads, "JSON"), _parse(operator, tomllib.loads, "TOML") if operator else None, env
+    )
 
 
 def reload(old: Config, new: Config) -> tuple[Config, list[str]]:
@@ -157,8 +166,14 @@
     except (ValueError, AttributeError) as problem:
         raise ConfigError(f"key discovery: {problem}") from None
     fixed = [key for key in FIXED if getattr(old, key) != getattr(new, key)]
-    return replace(old, discovery=discovery, file_discovery=new.file_discovery, settings=new.settings,
-                   raw_settings=new.raw_settings, peers=new.peers), fixed
+    return replace(
+        old,
+        discovery=discovery,
+        file_discovery=new.file_discovery,
+        settings=new.settings,
+        raw_settings=new.raw_settings,
+        peers=new.peers,
+    ), fixed
 
 
 def _parse(path: str, parse: Callable[[str], Any], form: str) -> Any:
--- a/garnetlanding/config/section.py
+++ b/garnetlanding/config/section.py
@@ -56,6 +56,7 @@
     def number(self, key: str, least: float, absent: float | None = None, most: float = 1e12) -> float:
         value = self.data.get(key, absent)
         if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-            raise ConfigError(f"key {self.name(key)}: expected a number from {least:g} to {most:g}, "
-                              f"found {value!r:.40}")
+            raise ConfigError(
+                f"key {self.name(key)}: expected a number from {least:g} to {most:g}, " f"found {value!r:.40}"
+            )
         return float(value)
--- a/garnetlanding/conform/cases/data.py
+++ b/garnetlanding/conform/cases/data.py
@@ -159,7 +159,7 @@
     for tag, offset in tags.items():
         c.send(p9.Tread(fid, offset, 40), tag)
     for tag, offset in tags.items():
-        check(c.expect(p9.Rread, c.wait(tag)).data == TEXT[offset:offset + 40], f"other bytes at {offset}")
+        check(c.expect(p9.Rread, c.wait(tag)).data == TEXT[offset : offset + 40], f"other bytes at {offset}")
 
 
 @case("intro(5): many writes may be out at once")
--- a/garnetlanding/conform/cases/sessions.py
+++ b/garnetlanding/conform/cases/sessions.py
@@ -50,8 +50,10 @@
     c.send(p9.Tversion(10, c.options.version), p9.NOTAG)
     c.quiet()
     for reply in c.answers(p9.NOTAG):
-        check(not isinstance(reply, p9.Rversion) or reply.msize <= 10 or reply.version == "unknown",
-              "an msize above the client's was agreed on")
+        check(
+            not isinstance(reply, p9.Rversion) or reply.msize <= 10 or reply.version == "unknown",
+            "an msize above the client's was agreed on",
+        )
 
 
 @case("version(5): Tversion comes first", bare=True)
--- a/garnetlanding/conform/client.py
+++ b/garnetlanding/conform/client.py
@@ -67,12 +67,26 @@
         raise Failure(why)
 
 
-def wstat(name: str = "", mode: int = KEEP4, mtime: int = KEEP4, length: int = KEEP8, gid: str = "",
-          uid: str = "", muid: str = "", atime: int = KEEP4, type: int = 0xFFFF, dev: int = KEEP4) -> bytes:
+def wstat(
+    name: str = "",
+    mode: int = KEEP4,
+    mtime: int = KEEP4,
+    length: int = KEEP8,
+    gid: str = "",
+    uid: str = "",
+    muid: str = "",
+    atime: int = KEEP4,
+    type: int = 0xFFFF,
+    dev: int = KEEP4,
+) -> bytes:
     """A stat that leaves alone whatever is not given."""
     texts = b"".join(p9.pack("s", text) for text in (name, uid, gid, muid))
-    return STAT_HEAD.pack(STAT_HEAD.size - 2 + len(texts), type, dev, 0xFF, KEEP4, KEEP8, mode, atime,
-                          mtime, length) + texts
+    return (
+        STAT_HEAD.pack(
+            STAT_HEAD.size - 2 + len(texts), type, dev, 0xFF, KEEP4, KEEP8, mode, atime, mtime, length
+        )
+        + texts
+    )
 
 
 class Client:
@@ -86,8 +100,9 @@
         self.ended = False
         self.got: list[tuple[int, p9.Message]] = []  # all that came, in order
         # Until a version is agreed on, errors have the base dialect's form.
-        self._framer = p9.Framer(BufferPool(BUFFER_BYTES, 4, BUFFERS), FRAME_MOST,
-                                 p9.PLAIN | p9l.LINUX if self.linux else p9.PLAIN)
+        self._framer = p9.Framer(
+            BufferPool(BUFFER_BYTES, 4, BUFFERS), FRAME_MOST, p9.PLAIN | p9l.LINUX if self.linux else p9.PLAIN
+        )
         self._taken: set[int] = set()  # of what came, what some wait has had
         self._fid = FIRST_FID
         self._tag = 0
@@ -129,8 +144,11 @@
                     self._taken.add(i)
                     return message
             if not self._more(self.options.wait_s):
-                raise Failure("the connection ended in place of an answer" if self.ended else
-                              f"no answer to tag {tag} within {self.options.wait_s:g} s")
+                raise Failure(
+                    "the connection ended in place of an answer"
+                    if self.ended
+                    else f"no answer to tag {tag} within {self.options.wait_s:g} s"
+                )
 
     def ask(self, message: p9.Message, tag: int | None = None) -> p9.Message:
         return self.wait(self.send(message, tag))
@@ -169,8 +187,9 @@
         if problem is None:
             raise Failure(f"an error expected, found {type(reply).__name__}")
         if self.linux and numbers and problem.number not in numbers:
-            raise Failure(f"error {problem.number} ({problem.text}), expected one of "
-                          f"{', '.join(map(str, numbers))}")
+            raise Failure(
+                f"error {problem.number} ({problem.text}), expected one of " f"{', '.join(map(str, numbers))}"
+            )
 
     def supported(self, reply: p9.Message) -> p9.Message:
         problem = self.problem(reply)
@@ -216,7 +235,7 @@
         """A new fid for what lies there below the case's own directory."""
         fid, source, path = self.new_fid(), ROOT, (self.scratch, *names)
         for at in range(0, len(path), p9.MAX_WALK):
-            part = path[at:at + p9.MAX_WALK]
+            part = path[at : at + p9.MAX_WALK]
             walked = self.must(p9.Rwalk, p9.Twalk(source, fid, part))
             check(len(walked.qids) == len(part), f"a walk to {'/'.join(names)} came only part of the way")
             source = fid
@@ -236,8 +255,9 @@
             return p9l.Tlcreate(fid, name, access | p9l.L_CREATE | p9l.L_EXCL, perm, p9l.NOGID)
         return p9.Tcreate(fid, name, perm, access)
 
-    def make(self, name: str, data: bytes = b"", perm: int = 0o644, *below: str,
-             access: int = p9.ORDWR) -> int:
+    def make(
+        self, name: str, data: bytes = b"", perm: int = 0o644, *below: str, access: int = p9.ORDWR
+    ) -> int:
         """A new file, open, with this in it."""
         fid = self.at(*below)
         reply = self.ask(self.create_message(fid, name, perm, access))
@@ -258,7 +278,7 @@
         room = self.msize - p9.READ_OVERHEAD
         done = 0
         while done < len(data):
-            part = data[done:done + room]
+            part = data[done : done + room]
             count = self.must(p9.Rwrite, p9.Twrite(fid, offset + done, part)).count
             check(0 < count <= len(part), f"{count} bytes written of {len(part)}")
             done += count
@@ -304,8 +324,11 @@
 
     def listing(self, fid: int, count: int = 0) -> list[tuple[str, p9.Qid]]:
         """Names and qids of an open directory, without `.` and `..`."""
-        return [(e.name, e.qid) for e in self.entries(fid, count or self.msize - p9.READ_OVERHEAD)
-                if e.name not in (".", "..")]
+        return [
+            (e.name, e.qid)
+            for e in self.entries(fid, count or self.msize - p9.READ_OVERHEAD)
+            if e.name not in (".", "..")
+        ]
 
     def entries(self, fid: int, count: int) -> list[Entry]:
         out: list[Entry] = []
--- a/garnetlanding/conform/report.py
+++ b/garnetlanding/conform/report.py
@@ -78,8 +78,16 @@
 
 
 def _show(console: Console, options: Options, results: list[Result]) -> None:
-    table = Table("verdict", "case", "rule", "what was seen", box=None, header_style="bold",
-                  title=f"{options.version}", title_justify="left")
+    table = Table(
+        "verdict",
+        "case",
+        "rule",
+        "what was seen",
+        box=None,
+        header_style="bold",
+        title=f"{options.version}",
+        title_justify="left",
+    )
     for r in results:
         if r.verdict != PASS:
             table.add_row(f"[{COLOURS[r.verdict]}]{r.verdict}[/]", r.name, r.rule, r.why)
@@ -88,8 +96,11 @@
         console.print(table)
     slowest = max(results, key=lambda r: r.took_s)
     told = ", ".join(f"{n} {verdict}" for verdict, n in counts.items() if n or verdict == PASS)
-    console.print(f"{options.version}: {told}; {sum(r.took_s for r in results):.1f} s, "
-                  f"the longest {slowest.name} {slowest.took_s:.2f} s", highlight=False)
+    console.print(
+        f"{options.version}: {told}; {sum(r.took_s for r in results):.1f} s, "
+        f"the longest {slowest.name} {slowest.took_s:.2f} s",
+        highlight=False,
+    )
 
 
 def _write(path: str, out: list[dict[str, Any]]) -> None:
--- a/garnetlanding/conform/suite.py
+++ b/garnetlanding/conform/suite.py
@@ -16,8 +16,21 @@
 
 PASS, FAIL, UNSUPPORTED, BROKEN = "pass", "fail", "unsupported", "broken"
 BOTH = (p9.VERSION, p9l.VERSION)
-MODULES = ("framing", "sessions", "walks", "opens", "data", "creates", "removes", "flushes", "stats",
-           "directories", "linux_attributes", "linux_names", "linux_locks")
+MODULES = (
+    "framing",
+    "sessions",
+    "walks",
+    "opens",
+    "data",
+    "creates",
+    "removes",
+    "flushes",
+    "stats",
+    "directories",
+    "linux_attributes",
+    "linux_names",
+    "linux_locks",
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,15 +54,18 @@
 CASES: dict[str, Case] = {}
 
 
-def case(rule: str, versions: tuple[str, ...] = BOTH, bare: bool = False) -> Callable[
-        [Callable[[Client], None]], Callable[[Client], None]]:
+def case(
+    rule: str, versions: tuple[str, ...] = BOTH, bare: bool = False
+) -> Callable[[Callable[[Client], None]], Callable[[Client], None]]:
     """Names a case after its function; `rule` begins with the page that says so."""
+
     def register(body: Callable[[Client], None]) -> Callable[[Client], None]:
         name = body.__name__.strip("_").replace("_", "-")
         if name in CASES:
             raise ValueError(f"two cases are named {name}")
         CASES[name] = Case(name, rule, versions, body, bare)
         return body
+
     return register
 
 
@@ -65,8 +81,13 @@
     return [c for c in CASES.values() if version in c.versions and wanted.search(c.name)]
 
 
-def run(chosen: Iterable[Case], dial: Callable[[], Wire], options: Options, label: str = "conform",
-        clock: Callable[[], float] = time.monotonic) -> Iterator[Result]:
+def run(
+    chosen: Iterable[Case],
+    dial: Callable[[], Wire],
+    options: Options,
+    label: str = "conform",
+    clock: Callable[[], float] = time.monotonic,
+) -> Iterator[Result]:
     """Each on a connection and in a directory of its own, which it leaves as it found it if it can."""
     for at, one in enumerate(chosen):
         began = clock()
@@ -139,7 +160,12 @@
 
 
 def as_json(results: list[Result], options: Options, target: str) -> dict[str, object]:
-    counts = {verdict: sum(r.verdict == verdict for r in results)
-              for verdict in (PASS, FAIL, UNSUPPORTED, BROKEN)}
-    return {"target": target, "options": asdict(options), "counts": counts,
-            "results": [asdict(r) for r in results]}
+    counts = {
+        verdict: sum(r.verdict == verdict for r in results) for verdict in (PASS, FAIL, UNSUPPORTED, BROKEN)
+    }
+    return {
+        "target": target,
+        "options": asdict(options),
+        "counts": counts,
+        "results": [asdict(r) for r in results],
+    }
--- a/garnetlanding/core/core.py
+++ b/garnetlanding/core/core.py
@@ -41,8 +41,18 @@
 class Attempt:
     """One try of an item at one server. It ends once; what is said of it later is ignored."""
 
-    __slots__ = ("_core", "item", "number", "node", "until_us", "sent_at", "ended_at", "outcome",
-                 "_whole", "_heard_at")
+    __slots__ = (
+        "_core",
+        "item",
+        "number",
+        "node",
+        "until_us",
+        "sent_at",
+        "ended_at",
+        "outcome",
+        "_whole",
+        "_heard_at",
+    )
 
     def __init__(self, core: Core, item: Item, number: int, node: str, until_us: int, now: int) -> None:
         self._core, self.item, self.number, self.node = core, item, number, node
@@ -75,16 +85,26 @@
         if self._heard_at is None:
             self._heard_at = self._core.now
 
-    def ended(self, outcome: api.Outcome, value: Any = None, used: int = 0,
-              report: dict[str, float] | None = None) -> None:
+    def ended(
+        self, outcome: api.Outcome, value: Any = None, used: int = 0, report: dict[str, float] | None = None
+    ) -> None:
         if self.outcome is None:
             self.outcome = outcome
             self._core.attempt_ended(self, outcome, value, used, report or {})
 
 
 class Item:
-    __slots__ = ("ticket", "ask", "backend", "answered", "began_at", "until_us", "attempts", "answer",
-                 "timer")
+    __slots__ = (
+        "ticket",
+        "ask",
+        "backend",
+        "answered",
+        "began_at",
+        "until_us",
+        "attempts",
+        "answer",
+        "timer",
+    )
 
     def __init__(self, ticket: str, ask: Ask, backend: Backend, answered: Answered, now: int) -> None:
         self.ticket, self.ask, self.backend, self.answered = ticket, ask, backend, answered
@@ -142,9 +162,21 @@
             self._finish(item, Refused(self._settings.max_hold_off_us))
         else:
             item.timer = self._timers.call_at(item.until_us, lambda: self._deadline(item))
-            self._events.append(api.Arrival(
-                item.ticket, ask.cls, ask.plan, ask.volume, ask.key, ask.units, ask.cell, item.until_us,
-                ask.volume_hosts, ask.is_retry, ask.is_write))
+            self._events.append(
+                api.Arrival(
+                    item.ticket,
+                    ask.cls,
+                    ask.plan,
+                    ask.volume,
+                    ask.key,
+                    ask.units,
+                    ask.cell,
+                    item.until_us,
+                    ask.volume_hosts,
+                    ask.is_retry,
+                    ask.is_write,
+                )
+            )
         return item.ticket
 
     @property
@@ -215,17 +247,27 @@
 
     # From backends
 
-    def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, value: Any, used: int,
-                      report: dict[str, float]) -> None:
+    def attempt_ended(
+        self, attempt: Attempt, outcome: api.Outcome, value: Any, used: int, report: dict[str, float]
+    ) -> None:
         item, now = attempt.item, self._timers.now
         attempt.ended_at = now
         if outcome is api.Outcome.SERVED and item.answer is None:
             self._finish(item, Served(value))
         elif isinstance(value, Body):
             value.end(False)  # nobody waits for it any more
-        self._events.append(api.Result(
-            item.ticket, attempt.number, attempt.node, outcome, attempt.took_us,
-            item.answer is not None, used, report))
+        self._events.append(
+            api.Result(
+                item.ticket,
+                attempt.number,
+                attempt.node,
+                outcome,
+                attempt.took_us,
+                item.answer is not None,
+                used,
+                report,
+            )
+        )
         self._drop_settled(item)
 
     # The turn
@@ -260,10 +302,14 @@
             for item in [i for i in self._items.values() if i.answer is None and not i.out()]:
                 # What has not run, or may run again, can be had elsewhere; what is out is finished.
                 cls = self._settings.classes.get(item.ask.cls)
-                harmless = (cls is not None and cls.effect is api.Effect.SAFE
-                            or all(a.outcome in NEVER_RAN for a in item.attempts))
-                self._finish(item, Refused(self._settings.max_hold_off_us) if harmless
-                             else Failed("not current"))
+                harmless = (
+                    cls is not None
+                    and cls.effect is api.Effect.SAFE
+                    or all(a.outcome in NEVER_RAN for a in item.attempts)
+                )
+                self._finish(
+                    item, Refused(self._settings.max_hold_off_us) if harmless else Failed("not current")
+                )
                 self._events.append(api.ClientLeft(item.ticket))
         for told in self.on_out:
             told(out)
@@ -273,7 +319,7 @@
         cls = self._settings.classes.get(attempt.item.ask.cls)
         if not attempt.number or cls is None or cls.effect is api.Effect.SAFE:
             return True
-        ran = [a for a in attempt.item.attempts[:attempt.number] if a.outcome not in NEVER_RAN]
+        ran = [a for a in attempt.item.attempts[: attempt.number] if a.outcome not in NEVER_RAN]
         return not ran or cls.effect is api.Effect.KEYED and self._timers.now < ran[0].sent_at + cls.window_us
 
     def _perform(self, action: api.Action) -> None:
@@ -290,8 +336,9 @@
                     self._stop(item.attempts[action.attempt], api.Outcome.CANCELLED)
             case api.WakeAfter():
                 token = action.token
-                self._timers.call_at(self._timers.now + action.span_us,
-                                     lambda: self._events.append(api.WokeUp(token)))
+                self._timers.call_at(
+                    self._timers.now + action.span_us, lambda: self._events.append(api.WokeUp(token))
+                )
             case api.Subscribe():
                 if self.subscriptions:
                     self.subscriptions.subscribe()
@@ -314,8 +361,14 @@
         busy = len(item.out()) >= most
         item.attempts.append(attempt)
         # Never more at once than is allowed, never past the last attempt, never to a server that drains.
-        if (busy or self.out or item.answer is not None or now >= until or attempt.endpoint() is None
-                or attempt.number >= self._settings.max_attempts):
+        if (
+            busy
+            or self.out
+            or item.answer is not None
+            or now >= until
+            or attempt.endpoint() is None
+            or attempt.number >= self._settings.max_attempts
+        ):
             attempt.ended(api.Outcome.MOOT)
             return
         if until < item.until_us:
@@ -333,7 +386,8 @@
         if item.answer is None:
             # From now on: after a stall both times have passed, and the controller is to have its turn first.
             item.timer = self._timers.call_at(
-                self._timers.now + DEADLINE_GRACE_US, lambda: self._overdue(item))
+                self._timers.now + DEADLINE_GRACE_US, lambda: self._overdue(item)
+            )
 
     def _overdue(self, item: Item) -> None:
         """Guards the one rule no defect may break: an accepted item gets its answer."""
@@ -353,15 +407,18 @@
         if isinstance(answer, Served) and isinstance(answer.value, Body):
             # Its last byte is its end; from the first on nothing else can be answered.
             answer.value.on_end.append(
-                lambda whole: self._ended(item, answer if whole else Failed("cut short")))
+                lambda whole: self._ended(item, answer if whole else Failed("cut short"))
+            )
         else:
             self._ended(item, answer)
         if item.timer and not item.out():
             item.timer.cancel()
         item.answered(answer)
         if self.observers:
-            trail = [(a.node, a.outcome.value if a.outcome else "out", a.sent_at, a.ended_at)
-                     for a in item.attempts]
+            trail = [
+                (a.node, a.outcome.value if a.outcome else "out", a.sent_at, a.ended_at)
+                for a in item.attempts
+            ]
             for observer in self.observers:
                 observer.item_ended(item.ask, answer, item.began_at, self._timers.now, trail)
         self._drop_settled(item)
--- a/garnetlanding/core/figures.py
+++ b/garnetlanding/core/figures.py
@@ -30,20 +30,32 @@
         return self.success.total() + self.overload.total() + self.error.total()
 
     def end(self, cls: str, answer: Answer) -> None:
-        counts = (self.success if isinstance(answer, Served) else self.overload if isinstance(answer, Refused)
-                  else self.error)
+        counts = (
+            self.success
+            if isinstance(answer, Served)
+            else self.overload
+            if isinstance(answer, Refused)
+            else self.error
+        )
         counts[cls] += 1
 
 
 def encode(figures: Figures, concurrent: int, targets: int, disabled: int) -> str:
     """A line for each figure: `app.NAME:VALUE|c` for a count, `|g` for what goes up and down."""
-    lines = [f"app.{name}.{cls}:{counts[cls]}|c"
-             for cls in figures.classes
-             for name, counts in (("success", figures.success), ("overload", figures.overload),
-                                  ("error", figures.error))]
+    lines = [
+        f"app.{name}.{cls}:{counts[cls]}|c"
+        for cls in figures.classes
+        for name, counts in (
+            ("success", figures.success),
+            ("overload", figures.overload),
+            ("error", figures.error),
+        )
+    ]
     lines.append(f"app.dispatches:{figures.dispatches}|c")
-    lines += [f"app.{name}:{value}|g" for name, value in (
-        ("concurrent", concurrent), ("targets", targets), ("targets_disabled", disabled))]
+    lines += [
+        f"app.{name}:{value}|g"
+        for name, value in (("concurrent", concurrent), ("targets", targets), ("targets_disabled", disabled))
+    ]
     return "\n".join(lines) + "\n"
 
 
--- a/garnetlanding/core/ports.py
+++ b/garnetlanding/core/ports.py
@@ -94,8 +94,9 @@
     def answering(self) -> None:
         """The first byte of the server's answer has come; later calls change nothing."""
 
-    def ended(self, outcome: Outcome, value: Any = None, used: int = 0,
-              report: dict[str, float] | None = None) -> None:
+    def ended(
+        self, outcome: Outcome, value: Any = None, used: int = 0, report: dict[str, float] | None = None
+    ) -> None:
         """The one end of the attempt; later calls change nothing."""
 
 
@@ -128,5 +129,11 @@
 class Observer(Protocol):
     """Told of what has ended; must return at once."""
 
-    def item_ended(self, ask: Ask, answer: Answer, began_us: int, ended_us: int,
-                   attempts: list[tuple[str, str, int, int]]) -> None: ...
+    def item_ended(
+        self,
+        ask: Ask,
+        answer: Answer,
+        began_us: int,
+        ended_us: int,
+        attempts: list[tuple[str, str, int, int]],
+    ) -> None: ...
--- a/garnetlanding/daemon.py
+++ b/garnetlanding/daemon.py
@@ -54,8 +54,12 @@
 
 
 class Daemon:
-    def __init__(self, config: Config, clock: Callable[[], int] = monotonic_us,
-                 read_again: Callable[[], Config] | None = None) -> None:
+    def __init__(
+        self,
+        config: Config,
+        clock: Callable[[], int] = monotonic_us,
+        read_again: Callable[[], Config] | None = None,
+    ) -> None:
         """`read_again` reads and checks the whole configuration anew, for a reload."""
         self.config, self._read_again, self._clock = config, read_again, clock
         limits = self.limits = config.limits
@@ -82,9 +86,17 @@
         version, listing = read_list(known, lambda us: us - offset, whole=True, at_start=True)
         own = BufferPool(limits.buffer_bytes, limits.discovery_buffers, limits.discovery_buffers)
         self.watch = self.core.subscriptions = Watch(
-            self.scheduler, config.discovery, own, limits, lambda us: us - offset,
-            self.core.listed, self.core.list_failed, lambda data: keep_list(self.store, data), version,
-            lambda: not self.core.settings.ask_for_list)
+            self.scheduler,
+            config.discovery,
+            own,
+            limits,
+            lambda us: us - offset,
+            self.core.listed,
+            self.core.list_failed,
+            lambda data: keep_list(self.store, data),
+            version,
+            lambda: not self.core.settings.ask_for_list,
+        )
         self.core.listed(listing)
         self.watch.hold()
         self.link: PeerLink | None = None
@@ -119,8 +131,7 @@
         if config.operator.history:
             from garnetlanding.history.writer import History
 
-            self.history = History(config.operator.history.file, config.name, self.life,
-                                   self._clock)
+            self.history = History(config.operator.history.file, config.name, self.life, self._clock)
             self.core.observers.append(self.history)
         if config.operator.fleet and config.peers:
             self._start_fleet(config.operator.fleet, config.peers)
@@ -131,9 +142,21 @@
         if (chosen := config.operator.choices) and chosen.subset:
             self._keep_some(chosen)
         ids: set[bytes] = set()
-        front = self._listen("RESP2", config.listen, limits.client_conns, lambda write: RespMachine(
-            self.core, self.bricks, self.pool, limits, ids, write,
-            lambda: self.desk is None or self.desk.takes), bool(config.ops))
+        front = self._listen(
+            "RESP2",
+            config.listen,
+            limits.client_conns,
+            lambda write: RespMachine(
+                self.core,
+                self.bricks,
+                self.pool,
+                limits,
+                ids,
+                write,
+                lambda: self.desk is None or self.desk.takes,
+            ),
+            bool(config.ops),
+        )
         # Clients and bricks share descriptors: what bricks do not need takes clients.
         front.lent = lambda: max(0, self.bricks.count - self.bricks.kept)
         self.bricks.borrow = front.lend
@@ -164,8 +187,9 @@
             from garnetlanding.peers.members import Members
 
             here = on.advertise or peers.listen
-            members = Members(peers.limits, self.core.settings.me, self.life, here, on.seeds,
-                              self.scheduler.now)
+            members = Members(
+                peers.limits, self.core.settings.me, self.life, here, on.seeds, self.scheduler.now
+            )
             self.group = Group(peers.limits, members, note)
         if on.budgets:
             from garnetlanding.peers.budgets import Budgets
@@ -175,8 +199,12 @@
         if on.server_connections:
             from garnetlanding.peers.places import Places
 
-            self.bricks.places = Places(on.server_connections, self._longest_us, lambda: self.scheduler.now,
-                                        lambda: self.talk.shared() if self.talk else None)
+            self.bricks.places = Places(
+                on.server_connections,
+                self._longest_us,
+                lambda: self.scheduler.now,
+                lambda: self.talk.shared() if self.talk else None,
+            )
 
     @property
     def _longest_us(self) -> int:
@@ -189,8 +217,10 @@
         kept, core = Kept(chosen.subset), self.core
         self.bricks.outside_idle_us = chosen.idle_us
         self.bricks.keeps = lambda: kept.look(
-            core.settings.me, self.group.members.entitled if self.group else range(core.settings.hosts),
-            core.directory.zones())
+            core.settings.me,
+            self.group.members.entitled if self.group else range(core.settings.hosts),
+            core.directory.zones(),
+        )
 
     def _hear_bans(self, fleet: Fleet) -> None:
         """Where no operator is heard: what other heads' operators said, for as long as this process lives."""
@@ -198,8 +228,14 @@
         if fleet.merge():
             self.core.ban(fleet.bans.banned)
 
-    def _listen(self, what: str, address: str, most: int, make: Callable[[Client], ClientMachine],
-                shared: bool = False) -> Listener:
+    def _listen(
+        self,
+        what: str,
+        address: str,
+        most: int,
+        make: Callable[[Client], ClientMachine],
+        shared: bool = False,
+    ) -> Listener:
         listener = Listener(self.scheduler, address, self.pool, self.limits, most, make, shared)
         self.listeners.append(listener)
         log.info("listening", extra={"kv": {"name": self.config.name, "for": what, "at": listener.address}})
@@ -223,16 +259,27 @@
         from garnetlanding.store.replica import Follower, WriterMachine
 
         if setup.role == "writer":
-            self._listen("followers", setup.address, self.limits.store_followers,
-                         lambda write: WriterMachine(self.store, self.scheduler, self.limits, write))
+            self._listen(
+                "followers",
+                setup.address,
+                self.limits.store_followers,
+                lambda write: WriterMachine(self.store, self.scheduler, self.limits, write),
+            )
             return
         if setup.current_us:
             from garnetlanding.store.currency import Currency
 
             self.currency = Currency(setup.current_us, setup.drift, self.scheduler.now)
         s = self.core.settings
-        Follower(self.scheduler, setup.address, self.store, self.pool, self.limits, self.currency,
-                 turn(s.me, s.hosts, "store"))
+        Follower(
+            self.scheduler,
+            setup.address,
+            self.store,
+            self.pool,
+            self.limits,
+            self.currency,
+            turn(s.me, s.hosts, "store"),
+        )
 
     def _may_act(self, now: int) -> bool:
         """Whether this head is current, as far as it has to be, and no operator has shut it out."""
@@ -251,23 +298,29 @@
 
         core = self.core
         sources: dict[str, Callable[[], str]] = {
-            "code": lambda: __version__, "settings": lambda: self.settings_version,
-            "list": lambda: str(self.watch.version), "bans": lambda: core.directory.bans_digest,
-            "out": lambda: ("" if not core.out else "shut out"
-                            if core.directory.shut(core.settings.me) else "not current")}
+            "code": lambda: __version__,
+            "settings": lambda: self.settings_version,
+            "list": lambda: str(self.watch.version),
+            "bans": lambda: core.directory.bans_digest,
+            "out": lambda: (
+                "" if not core.out else "shut out" if core.directory.shut(core.settings.me) else "not current"
+            ),
+        }
         if self.group:
             members = self.group.members
             sources["heads"] = lambda: members.digest.hex()
         self.audit, self.audit_files = start(
-            setup, core, sources, self.config.name, self.life, self._wall_ms, lambda: self.talk)
+            setup, core, sources, self.config.name, self.life, self._wall_ms, lambda: self.talk
+        )
 
     def _start_ninep(self, ninep: Ninep) -> None:
         from garnetlanding.ninep.client import file_servers
         from garnetlanding.ninep.front import ClientMachine as NinepMachine
         from garnetlanding.ninep.shared import Front
 
-        servers = file_servers(self.scheduler, self.pool, self.limits, ninep.server_port,
-                               ninep.server_dialect)
+        servers = file_servers(
+            self.scheduler, self.pool, self.limits, ninep.server_port, ninep.server_dialect
+        )
         front = Front(self.core, servers, ninep.exports, self.pool, self.limits, self.scheduler)
         self._listen("9P", ninep.listen, self.limits.ninep_conns, lambda write: NinepMachine(front, write))
 
@@ -278,16 +331,34 @@
 
         limits, known_by = self.limits, self.scheduler.now + self.limits.ops_list_us
         desk = self.desk = Desk(
-            self.scheduler, self.core, clients, StateFile(tempfile.gettempdir(), self.config.name), limits,
-            lambda: self.watch.told or self.scheduler.now >= known_by, lambda: self._share(clients),
+            self.scheduler,
+            self.core,
+            clients,
+            StateFile(tempfile.gettempdir(), self.config.name),
+            limits,
+            lambda: self.watch.told or self.scheduler.now >= known_by,
+            lambda: self._share(clients),
             lambda what: self.talk.known(what, self.scheduler.now) if self.talk else None,
-            self._shared_bans(), lambda head: self.group.members.forget(head) if self.group else None)
+            self._shared_bans(),
+            lambda head: self.group.members.forget(head) if self.group else None,
+        )
         self._keep_to(clients, self.part)
         # Places and times of its own: operators are heard however many clients, or half calls, there are.
-        own = replace(limits, new_us=limits.ops_new_us, idle_us=limits.ops_new_us,
-                      idle_clients=limits.ops_conns, linger_conns=limits.ops_linger_conns)
-        at = self.ops = Listener(self.scheduler, self.config.ops, self.pool, own, limits.ops_conns,
-                                 lambda write: CallMachine(desk, self.pool, limits, write))
+        own = replace(
+            limits,
+            new_us=limits.ops_new_us,
+            idle_us=limits.ops_new_us,
+            idle_clients=limits.ops_conns,
+            linger_conns=limits.ops_linger_conns,
+        )
+        at = self.ops = Listener(
+            self.scheduler,
+            self.config.ops,
+            self.pool,
+            own,
+            limits.ops_conns,
+            lambda write: CallMachine(desk, self.pool, limits, write),
+        )
         log.info("listening", extra={"kv": {"name": self.config.name, "for": "operators", "at": at.address}})
 
     def _shared_bans(self) -> SharedBans | None:
@@ -314,8 +385,9 @@
         part = self.lives.look(used, self.ending)
         if part != self.part:
             self._keep_to(clients, part)
-            self.core.settings_changed(self._as_used(read_settings(
-                self.store.get(SETTINGS, self.config.raw_settings))))
+            self.core.settings_changed(
+                self._as_used(read_settings(self.store.get(SETTINGS, self.config.raw_settings)))
+            )
         # Said once it is kept to: the other process counts on it.
         self.lives.keep(part)
 
@@ -338,8 +410,17 @@
 
         if self.talk is None:
             believed = self.history.believed if self.history else None
-            talk = self.talk = Talk(self.core.module, self.life, setup.limits, self._dropped, believed,
-                                    False, self.fleet, self.group, self._budgets)
+            talk = self.talk = Talk(
+                self.core.module,
+                self.life,
+                setup.limits,
+                self._dropped,
+                believed,
+                False,
+                self.fleet,
+                self.group,
+                self._budgets,
+            )
             self.core.module = talk
         try:
             self.link = PeerLink(self.scheduler, setup, self.core.told, self._dropped, self.group)
@@ -351,8 +432,10 @@
             return
         self.talk.take_over(self.scheduler.now)
         self.core.tell = self.link.tell
-        log.info("listening", extra={"kv": {"name": self.config.name, "for": "other heads",
-                                            "at": self.link.address}})
+        log.info(
+            "listening",
+            extra={"kv": {"name": self.config.name, "for": "other heads", "at": self.link.address}},
+        )
 
     def _place_link_again(self) -> None:
         self._link_retry = False
@@ -363,8 +446,13 @@
 
         assert self.config.operator.telemetry
         exporter = self.exporter = Exporter(
-            self.scheduler, self.config.operator.telemetry, self.config.name, self.config.seed, self.pool,
-            self.limits)
+            self.scheduler,
+            self.config.operator.telemetry,
+            self.config.name,
+            self.config.seed,
+            self.pool,
+            self.limits,
+        )
         self.core.observers.append(exporter)
         exporter.gauges = {
             "requests.open": lambda: self.core.open,
@@ -398,8 +486,13 @@
         digest = zlib.crc32(json.dumps(raw, sort_keys=True).encode())
         self.settings_version = f"{self.store.epoch}.{self.store.revision}#{digest:08x}"
         if self.history:
-            self.history.note("settings", epoch=self.store.epoch, revision=self.store.revision, digest=digest,
-                              at=self.scheduler.now)
+            self.history.note(
+                "settings",
+                epoch=self.store.epoch,
+                revision=self.store.revision,
+                digest=digest,
+                at=self.scheduler.now,
+            )
 
     def _store_changed(self, entry: Entry | None) -> None:
         """The store says which settings hold: those of a reload here, or of the writer's."""
@@ -430,8 +523,10 @@
             log.error("reload turned away, the old configuration stands", extra={"kv": {"why": problem}})
             return
         old, self.config = self.config, config
-        log.info("reloaded", extra={"kv": {"discovery": config.discovery,
-                                           "for_a_restart": ",".join(fixed) or "nothing"}})
+        log.info(
+            "reloaded",
+            extra={"kv": {"discovery": config.discovery, "for_a_restart": ",".join(fixed) or "nothing"}},
+        )
         if self.store.writable:
             self.store.put(SETTINGS, config.raw_settings)
         self._place_link()
@@ -449,9 +544,15 @@
         self.ending = True
         try:
             # Beside a newer process its clients have somewhere to go: they need not wait here.
-            Shutdown(self.scheduler, self.limits, self.core, self.listeners, self._hand_over).run([
-                ("operators", self._end_ops), ("telemetry", self._end_telemetry), ("link", self._leave),
-                ("audit", self._end_audit), ("life", self._end_life)])
+            Shutdown(self.scheduler, self.limits, self.core, self.listeners, self._hand_over).run(
+                [
+                    ("operators", self._end_ops),
+                    ("telemetry", self._end_telemetry),
+                    ("link", self._leave),
+                    ("audit", self._end_audit),
+                    ("life", self._end_life),
+                ]
+            )
         finally:
             self.scheduler.stop()
 
--- a/garnetlanding/decision/interface.py
+++ b/garnetlanding/decision/interface.py
@@ -224,8 +224,19 @@
     doubted: dict[str, int]
 
 
-Event = (NewSettings | NodeList | Arrival | StreamStarted | Result | ClientLeft | WokeUp | ProbeResult
-         | PeerMessage | Parts | Hearsay)
+Event = (
+    NewSettings
+    | NodeList
+    | Arrival
+    | StreamStarted
+    | Result
+    | ClientLeft
+    | WokeUp
+    | ProbeResult
+    | PeerMessage
+    | Parts
+    | Hearsay
+)
 
 
 # Actions
--- a/garnetlanding/discovery/listing.py
+++ b/garnetlanding/discovery/listing.py
@@ -39,8 +39,9 @@
     ), _get(entry, "hostPort", (str,), "")
 
 
-def read_list(data: object, to_monotonic: Callable[[int], int], whole: bool | None = None,
-              at_start: bool = False) -> tuple[int, Listing]:
+def read_list(
+    data: object, to_monotonic: Callable[[int], int], whole: bool | None = None, at_start: bool = False
+) -> tuple[int, Listing]:
     """The version and the listing; `whole` overrides what the list says of itself."""
     if not isinstance(data, dict):
         raise ListError("not an object")
@@ -50,4 +51,5 @@
     read = [read_entry(e, to_monotonic) for e in instances]
     whole = bool(data.get("reset")) if whole is None else whole
     return int(_get(data, "generation", (int,), 0)), Listing(
-        tuple(e for e, _ in read), {e.node: endpoint for e, endpoint in read}, whole, at_start)
+        tuple(e for e, _ in read), {e.node: endpoint for e, endpoint in read}, whole, at_start
+    )
--- a/garnetlanding/discovery/watch.py
+++ b/garnetlanding/discovery/watch.py
@@ -21,8 +21,13 @@
 class WatchMachine:
     """Fed a watch's bytes; tells of each list in it. One JSON object a line, empty lines in between."""
 
-    def __init__(self, pool: BufferPool, limits: Limits, to_monotonic: Callable[[int], int],
-                 tell: Callable[[int, Listing, dict[str, Any]], None]) -> None:
+    def __init__(
+        self,
+        pool: BufferPool,
+        limits: Limits,
+        to_monotonic: Callable[[int], int],
+        tell: Callable[[int, Listing, dict[str, Any]], None],
+    ) -> None:
         self._http, self._limits = ResponseParser(pool, limits), limits
         self._to_monotonic, self._tell = to_monotonic, tell
         self._line = b""
@@ -67,10 +72,19 @@
     the agent on this machine holds counts as told, so the watch stands from the start and is taken up again
     by itself."""
 
-    def __init__(self, scheduler: Scheduler, address: str, pool: BufferPool, limits: Limits,
-                 to_monotonic: Callable[[int], int], listed: Callable[[Listing], None],
-                 failed: Callable[[bool, int], None], keep: Callable[[dict[str, Any]], None], version: int,
-                 pushed: Callable[[], bool] = lambda: False) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        address: str,
+        pool: BufferPool,
+        limits: Limits,
+        to_monotonic: Callable[[int], int],
+        listed: Callable[[Listing], None],
+        failed: Callable[[bool, int], None],
+        keep: Callable[[dict[str, Any]], None],
+        version: int,
+        pushed: Callable[[], bool] = lambda: False,
+    ) -> None:
         """`keep` gets each list as discovery wrote it, to be known after a restart; `pushed` tells whether
         the settings in force say that lists are pushed."""
         self._scheduler, self._address, self._pool, self._limits = scheduler, address, pool, limits
@@ -119,8 +133,10 @@
             raise ListError(f"field generation: {version} after {known}")
         self._version, self.told, self._failing = version, True, False
         self._keep(data)
-        log.info("list", extra={"kv": {"version": version, "entries": len(listing.entries),
-                                       "whole": listing.whole}})
+        log.info(
+            "list",
+            extra={"kv": {"version": version, "entries": len(listing.entries), "whole": listing.whole}},
+        )
         self._listed(listing)
 
     def _follow(self, call: int) -> None:
@@ -136,8 +152,10 @@
             if call != self._calls:
                 return  # given up while it connected: what it says is of another time, or another discovery
             self._stream = stream
-            stream.write(b"GET /v1/servers?follow=1&since=%d HTTP/1.1\r\nHost: %s\r\n"
-                         b"Accept: application/json\r\n\r\n" % (self._version, self._address.encode()))
+            stream.write(
+                b"GET /v1/servers?follow=1&since=%d HTTP/1.1\r\nHost: %s\r\n"
+                b"Accept: application/json\r\n\r\n" % (self._version, self._address.encode())
+            )
             lines = 0
             while stream.read(machine.feed, until):
                 if machine.lines > lines:
--- a/garnetlanding/emulator/base.py
+++ b/garnetlanding/emulator/base.py
@@ -29,8 +29,14 @@
 class Server:
     """A listener, on a free port unless told otherwise, with the machine of its protocol."""
 
-    def __init__(self, scheduler: Scheduler, pool: BufferPool, limits: Limits, address: str = "127.0.0.1:0",
-                 machine: type[Conn] | None = None) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        pool: BufferPool,
+        limits: Limits,
+        address: str = "127.0.0.1:0",
+        machine: type[Conn] | None = None,
+    ) -> None:
         self.scheduler, self.pool, self.limits = scheduler, pool, limits
         self.conns: list[Conn] = []
         self.accepted = 0
--- a/garnetlanding/emulator/budget_net.py
+++ b/garnetlanding/emulator/budget_net.py
@@ -34,8 +34,14 @@
 
     def _start(self, me: int, clock: Callable[[int], int], down_until: int) -> Head:
         self._lives += 1
-        leases = Leases(self.limits, me, self.net.heads, 1000 + self._lives, clock(max(self.now, down_until)),
-                        window_us=self.window_us)
+        leases = Leases(
+            self.limits,
+            me,
+            self.net.heads,
+            1000 + self._lives,
+            clock(max(self.now, down_until)),
+            window_us=self.window_us,
+        )
         return Head(clock, leases, 0.0, down_until=down_until)
 
     def run(self) -> Seen:
--- a/garnetlanding/emulator/discovery.py
+++ b/garnetlanding/emulator/discovery.py
@@ -41,8 +41,17 @@
     extra: dict[str, Any] = field(default_factory=dict)
 
     def entry(self) -> dict[str, Any]:
-        return {"instanceId": self.name, "hostPort": self.address, "zone": "a", "machineType": "emulated",
-                "cell": self.cell, "lifecycle": self.state, "weight": 1.0, "startedAtMs": 0, **self.extra}
+        return {
+            "instanceId": self.name,
+            "hostPort": self.address,
+            "zone": "a",
+            "machineType": "emulated",
+            "cell": self.cell,
+            "lifecycle": self.state,
+            "weight": 1.0,
+            "startedAtMs": 0,
+            **self.extra,
+        }
 
 
 class Discovery(Server):
--- a/garnetlanding/emulator/disk.py
+++ b/garnetlanding/emulator/disk.py
@@ -56,8 +56,9 @@
 
 
 class Disk:
-    def __init__(self, tree: Tree | None = None, capacity: int = 1 << 30,
-                 clock: Callable[[], int] = lambda: 0) -> None:
+    def __init__(
+        self, tree: Tree | None = None, capacity: int = 1 << 30, clock: Callable[[], int] = lambda: 0
+    ) -> None:
         """`clock`: microseconds."""
         self.capacity, self._clock = capacity, clock
         self._numbers = 0
@@ -113,9 +114,21 @@
 
     def attr(self, node: Inode, salt: int = 0) -> Attr:
         length = len(node.target.encode()) if node.is_link else len(node.data)
-        return Attr(self.qid(node, salt), node.mode, node.flags, node.uid, node.gid, node.muid, length,
-                    node.atime, node.mtime, node.ctime, nlink=node.nlink, rdev=node.rdev,
-                    blocks=-(-length // BLOCK))
+        return Attr(
+            self.qid(node, salt),
+            node.mode,
+            node.flags,
+            node.uid,
+            node.gid,
+            node.muid,
+            length,
+            node.atime,
+            node.mtime,
+            node.ctime,
+            nlink=node.nlink,
+            rdev=node.rdev,
+            blocks=-(-length // BLOCK),
+        )
 
     def entries(self, at: Inode) -> Iterator[tuple[str, Inode, int]]:
         """Names in the order they came, each with its cookie."""
@@ -144,8 +157,17 @@
         if self.used + more > self.capacity:
             raise DiskError(problems.ENOSPC)
 
-    def make(self, at: Inode, name: str, mode: int, user: str, gid: str = "", flags: int = 0,
-             target: str = "", rdev: int = 0) -> Inode:
+    def make(
+        self,
+        at: Inode,
+        name: str,
+        mode: int,
+        user: str,
+        gid: str = "",
+        flags: int = 0,
+        target: str = "",
+        rdev: int = 0,
+    ) -> Inode:
         if name in at.names:
             raise DiskError(problems.EEXIST)
         self._room(BLOCK)
--- a/garnetlanding/emulator/files_linux.py
+++ b/garnetlanding/emulator/files_linux.py
@@ -136,8 +136,10 @@
         count = min(count, conn.msize - p9.READ_OVERHEAD)
         assert at.node.parent
         entries = [Entry(".", conn.qid(at.node), 1, 4), Entry("..", conn.qid(at.node.parent), 2, 4)]
-        entries += [Entry(name, conn.qid(node), cookie, d_type(conn.qid(node)))
-                    for name, node, cookie in conn.server.disk.entries(at.node)]
+        entries += [
+            Entry(name, conn.qid(node), cookie, d_type(conn.qid(node)))
+            for name, node, cookie in conn.server.disk.entries(at.node)
+        ]
         out, room, left = [], count, [e for e in entries if e.cookie > offset]
         for entry in left:
             packed = pack_entry(entry)
@@ -154,16 +156,27 @@
         match message:
             case p9l.Tmkdir(dfid, name, mode, gid):
                 at = self._writable(conn, dfid, name)
-                return p9l.Rmkdir(conn.qid(disk.make(
-                    at.node, name, stat.S_IFDIR | mode & PERM, at.user, self._gid(gid, at))))
+                return p9l.Rmkdir(
+                    conn.qid(
+                        disk.make(at.node, name, stat.S_IFDIR | mode & PERM, at.user, self._gid(gid, at))
+                    )
+                )
             case p9l.Tmknod(dfid, name, mode, major, minor, gid):
                 at = self._writable(conn, dfid, name)
-                return p9l.Rmknod(conn.qid(disk.make(
-                    at.node, name, mode, at.user, self._gid(gid, at), rdev=major << 8 | minor)))
+                return p9l.Rmknod(
+                    conn.qid(
+                        disk.make(at.node, name, mode, at.user, self._gid(gid, at), rdev=major << 8 | minor)
+                    )
+                )
             case p9l.Tsymlink(dfid, name, target, gid):
                 at = self._writable(conn, dfid, name)
-                return p9l.Rsymlink(conn.qid(disk.make(
-                    at.node, name, stat.S_IFLNK | 0o777, at.user, self._gid(gid, at), target=target)))
+                return p9l.Rsymlink(
+                    conn.qid(
+                        disk.make(
+                            at.node, name, stat.S_IFLNK | 0o777, at.user, self._gid(gid, at), target=target
+                        )
+                    )
+                )
             case p9l.Tlink(dfid, fid, name):
                 at, to = self._writable(conn, dfid, name), conn.fid(fid)
                 if to.node.is_dir:
@@ -216,8 +229,9 @@
                 conn.fid(fid)
                 disk = conn.server.disk
                 free = max(0, disk.capacity - disk.used) // BLOCK
-                return p9l.Rstatfs(FS_MAGIC, BLOCK, disk.capacity // BLOCK, free, free, 1 << 20, 1 << 19, 1,
-                                   255)
+                return p9l.Rstatfs(
+                    FS_MAGIC, BLOCK, disk.capacity // BLOCK, free, free, 1 << 20, 1 << 19, 1, 255
+                )
             case p9l.Txattrwalk(fid) | p9l.Txattrcreate(fid):
                 conn.fid(fid)
                 raise DiskError(problems.EOPNOTSUPP)
@@ -241,11 +255,16 @@
         if isinstance(message, p9l.Tgetlock):
             held = locks.conflict(file, wanted)
             if held is None:
-                return p9l.Rgetlock(p9l.LOCK_NONE, message.start, message.length, message.proc_id,
-                                    message.client_id)
-            return p9l.Rgetlock(p9l.LOCK_WRITE if held.write else p9l.LOCK_READ, held.start,
-                                0 if held.end == END else held.end - held.start, held.owner.proc_id,
-                                held.owner.client_id)
+                return p9l.Rgetlock(
+                    p9l.LOCK_NONE, message.start, message.length, message.proc_id, message.client_id
+                )
+            return p9l.Rgetlock(
+                p9l.LOCK_WRITE if held.write else p9l.LOCK_READ,
+                held.start,
+                0 if held.end == END else held.end - held.start,
+                held.owner.proc_id,
+                held.owner.client_id,
+            )
         if message.type == p9l.LOCK_NONE:
             locks.release(file, owner, start, end)
             return p9l.Rlock(p9l.LOCK_DONE)
--- a/garnetlanding/emulator/files_plain.py
+++ b/garnetlanding/emulator/files_plain.py
@@ -142,8 +142,9 @@
     disk = conn.server.disk
     if offset == 0:
         at.dir_at = 0
-        at.listing = [pack_stat(name, disk.attr(node, conn.server.salt))
-                      for name, node, _ in disk.entries(at.node)]
+        at.listing = [
+            pack_stat(name, disk.attr(node, conn.server.salt)) for name, node, _ in disk.entries(at.node)
+        ]
     if offset != at.dir_at or at.listing is None:
         raise DiskError(problems.EINVAL, "bad offset in directory read")
     out: list[bytes] = []
--- a/garnetlanding/emulator/fileserver.py
+++ b/garnetlanding/emulator/fileserver.py
@@ -113,7 +113,7 @@
                 self._say(tag, self._error(Problem(rule.number)))
             case Fault.HALF:
                 whole = p9.encode(tag, self.run(message))
-                self.write(whole[:len(whole) // 2])
+                self.write(whole[: len(whole) // 2])
             case Fault.WRONG_TAG:
                 self._say(tag + 1, self.run(message))
             case Fault.WRONG_TYPE:
@@ -136,7 +136,7 @@
     @staticmethod
     def _miscount(message: p9.Message, reply: p9.Message) -> p9.Message:
         match message, reply:
-            case (p9.Tread(count=count) | p9l.Treaddir(count=count)), p9.Rread(_):
+            case ((p9.Tread(count=count) | p9l.Treaddir(count=count)), p9.Rread(_)):
                 return p9.Rread(b"\xff" * (count + 1))
             case p9l.Treaddir(count=count), _:
                 return p9l.Rreaddir(b"\xff" * (count + 1))
@@ -293,7 +293,7 @@
             return self.read_dir(at, offset, count)
         if offset + count > SIGNED_END:
             raise DiskError(problems.EINVAL, "illegal offset")
-        return p9.Rread(bytes(at.node.data[offset:offset + count]))
+        return p9.Rread(bytes(at.node.data[offset : offset + count]))
 
     def read_dir(self, at: OpenFid, offset: int, count: int) -> p9.Message:
         from garnetlanding.emulator.files_plain import read_dir
@@ -318,8 +318,11 @@
         writes = access in (p9.OWRITE, p9.ORDWR)
         if node.is_dir and (writes or truncate):
             raise DiskError(problems.EISDIR)
-        want = (4 if access in (p9.OREAD, p9.ORDWR) else 0) | (2 if writes or truncate else 0) | (
-            1 if access == p9.OEXEC else 0)
+        want = (
+            (4 if access in (p9.OREAD, p9.ORDWR) else 0)
+            | (2 if writes or truncate else 0)
+            | (1 if access == p9.OEXEC else 0)
+        )
         disk.need(node, at.user, want)
         self.exclude(fid, node)
         if truncate and not self.qid(node).type & p9.QTAPPEND:
@@ -329,7 +332,8 @@
 
     def exclude(self, fid: int, node: Inode) -> None:
         if self.qid(node).type & p9.QTEXCL and not self.server.exclusive.open(
-                ("", node.number), self.id, fid):
+            ("", node.number), self.id, fid
+        ):
             raise DiskError(problems.EBUSY)
 
     def clunk(self, fid: int, removed: bool = False) -> None:
@@ -356,8 +360,14 @@
 class FileServer(Server):
     machine = FileConn
 
-    def __init__(self, *args: Any, tree: Tree | None = None, disk: Disk | None = None,
-                 versions: tuple[str, ...] = (p9.VERSION, p9l.VERSION), **kwargs: Any) -> None:
+    def __init__(
+        self,
+        *args: Any,
+        tree: Tree | None = None,
+        disk: Disk | None = None,
+        versions: tuple[str, ...] = (p9.VERSION, p9l.VERSION),
+        **kwargs: Any,
+    ) -> None:
         from garnetlanding.emulator.files_linux import LinuxDialect
         from garnetlanding.emulator.files_plain import PlainDialect
 
--- a/garnetlanding/emulator/fleet.py
+++ b/garnetlanding/emulator/fleet.py
@@ -18,8 +18,10 @@
 MS, SECOND = 1_000, 1_000_000
 READ = api.ClassSpec("read", 2.0, 0.15, 550 * MS, 2640 * MS, api.Effect.SAFE)
 WRITE = api.ClassSpec("write", 2.0, 0.2, 880 * MS, 4400 * MS, api.Effect.SAFE)
-PLANS = {"standard": api.PlanSpec("standard", 1.0, 1.2, 0.6, price=0.72),
-         "priority": api.PlanSpec("priority", 1.0, 1.9, 2.3, price=1.2)}
+PLANS = {
+    "standard": api.PlanSpec("standard", 1.0, 1.2, 0.6, price=0.72),
+    "priority": api.PlanSpec("priority", 1.0, 1.9, 2.3, price=1.2),
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,14 +141,36 @@
         day = self.day
         self.lives[me] += 1
         self.items[me] = {}
-        self.heads[me] = Controller(api.Settings(
-            hosts=day.heads, me=me, tick_us=MS, classes={"read": READ, "write": WRITE}, plans=PLANS,
-            ask_for_list=not day.pushed, max_attempts=4, parallel_attempts=False, may_cancel=True,
-            may_probe=False, heeds_hold_off=True, max_hold_off_us=2 * SECOND, cold_from=day.cold_from,
-            cold_us=day.cold_us,
-            cold_units=day.cold_units, fall_multiple=day.fall_multiple, fall_us=day.fall_us, order_rest_us=0,
-            budget_share=0.0, budget_free=0.0, budget_span_us=0, share_worth=0.4, spare_worth=0.08,
-            most_units=6.0, cells=day.bricks), seed=day.seed * 1000 + me * 10 + self.lives[me])
+        self.heads[me] = Controller(
+            api.Settings(
+                hosts=day.heads,
+                me=me,
+                tick_us=MS,
+                classes={"read": READ, "write": WRITE},
+                plans=PLANS,
+                ask_for_list=not day.pushed,
+                max_attempts=4,
+                parallel_attempts=False,
+                may_cancel=True,
+                may_probe=False,
+                heeds_hold_off=True,
+                max_hold_off_us=2 * SECOND,
+                cold_from=day.cold_from,
+                cold_us=day.cold_us,
+                cold_units=day.cold_units,
+                fall_multiple=day.fall_multiple,
+                fall_us=day.fall_us,
+                order_rest_us=0,
+                budget_share=0.0,
+                budget_free=0.0,
+                budget_span_us=0,
+                share_worth=0.4,
+                spare_worth=0.08,
+                most_units=6.0,
+                cells=day.bricks,
+            ),
+            seed=day.seed * 1000 + me * 10 + self.lives[me],
+        )
         self._tell(me, api.NodeList(known, whole=True, at_start=True))
 
     def _tell(self, me: int, event: api.Event) -> None:
@@ -168,8 +192,9 @@
                     item = self.items[me].get(action.request)
                     if item and item.out == action.attempt:
                         item.out = None
-                        self._at(self.now, self._result(me, life, item, action.attempt,
-                                                        api.Outcome.CANCELLED))
+                        self._at(
+                            self.now, self._result(me, life, item, action.attempt, api.Outcome.CANCELLED)
+                        )
 
     def _alive(self, me: int, life: int, event: api.Event) -> None:
         if self.lives[me] == life:
@@ -181,8 +206,9 @@
         item.answered = True
         self.tally.earned += item.worth * share
 
-    def _result(self, me: int, life: int, item: Item, attempt: int,
-                outcome: api.Outcome) -> Callable[[], None]:
+    def _result(
+        self, me: int, life: int, item: Item, attempt: int, outcome: api.Outcome
+    ) -> Callable[[], None]:
         sent = self.now
 
         def end() -> None:
@@ -197,6 +223,7 @@
                 in_time = self.now - item.came <= cls.aim_us
                 self._answer(me, item.ask.request, 1.0 if in_time else cls.late_worth)
             self._tell(me, api.Result(item.ask.request, attempt, "", outcome, self.now - sent, item.answered))
+
         return end
 
     # Bricks
@@ -229,7 +256,8 @@
                 self.tally.worst_queue = max(self.tally.worst_queue, b.held)
                 spread = self.rng.expovariate(1.0)
                 b.free_at = max(b.free_at, self.now) + int(
-                    item.ask.units / day.rate / self._warmth(b) * SECOND * spread)
+                    item.ask.units / day.rate / self._warmth(b) * SECOND * spread
+                )
                 until = b.free_at
                 self._at(until, lambda: self._done(b))
         if not b.silent or outcome is api.Outcome.UNREACHABLE:
@@ -281,8 +309,10 @@
         if self.day.pushed:
             lives = list(self.lives)
             for me in range(self.day.heads):
-                self._at(self.now + self.day.late_us,
-                         lambda me=me: self._alive(me, lives[me], api.NodeList(entries)))  # type: ignore[misc]
+                self._at(
+                    self.now + self.day.late_us,
+                    lambda me=me: self._alive(me, lives[me], api.NodeList(entries)),  # type: ignore[misc]
+                )
         for me in sorted(self.watching):
             self._tell(me, api.NodeList(entries))
 
@@ -311,8 +341,9 @@
                 cell = -1 if write else rng.choice(cells)
                 self._at(int(at), self._arrival(rng.choice(hosts), f"v{n}", plan, units, cell, len(hosts)))
 
-    def _arrival(self, me: int, volume: str, plan: api.PlanSpec, units: int, cell: int,
-                 hosts: int) -> Callable[[], None]:
+    def _arrival(
+        self, me: int, volume: str, plan: api.PlanSpec, units: int, cell: int, hosts: int
+    ) -> Callable[[], None]:
         def come() -> None:
             cls = WRITE if cell < 0 else READ
             worth = cls.worth * plan.price * units
@@ -320,10 +351,21 @@
             if self.heads[me] is None:
                 return  # lost to its client
             self._count += 1
-            ask = api.Arrival(f"r{self._count}", cls.name, plan.name, volume, "", units, cell,
-                              self.now + cls.deadline_us, hosts, is_write=cell < 0)
+            ask = api.Arrival(
+                f"r{self._count}",
+                cls.name,
+                plan.name,
+                volume,
+                "",
+                units,
+                cell,
+                self.now + cls.deadline_us,
+                hosts,
+                is_write=cell < 0,
+            )
             self.items[me][ask.request] = Item(ask, self.now, worth)
             self._tell(me, ask)
+
         return come
 
     # Troubles
@@ -362,6 +404,7 @@
                 old = self.bricks[name]
                 self.bricks[name] = Brick(name, old.cell, started_us=self.now)
                 self._changed(self._entry(self.bricks[name]))
+
         self._at(day.begins_us, lose)
         self._at(day.begins_us + day.gap_us, back)
 
@@ -380,6 +423,7 @@
         def again() -> None:
             for me in killed:
                 self._start(me, first)
+
         self._at(day.begins_us - 5 * SECOND, self._watches_end)
         self._replace(self.rng.sample(range(day.bricks), int(day.part * day.bricks)))
         self._at(day.begins_us + 2 * SECOND, kill)
--- a/garnetlanding/emulator/group_model.py
+++ b/garnetlanding/emulator/group_model.py
@@ -61,14 +61,23 @@
 
 
 def key(s: State) -> object:
-    heads = tuple(None if m is None else (
-        tuple(sorted(m.records.values())), tuple(sorted(m._known_by)), m._sponsored, m._joined,
-        m._begins_at > 0) for m in s.heads)
+    heads = tuple(
+        None
+        if m is None
+        else (
+            tuple(sorted(m.records.values())),
+            tuple(sorted(m._known_by)),
+            m._sponsored,
+            m._joined,
+            m._begins_at > 0,
+        )
+        for m in s.heads
+    )
     return heads, tuple(sorted((a, b, w.digest, w.joined) for a, b, w in s.mail)), s.starts
 
 
 def _with(s: State, head: int, new: Members | None) -> tuple[Members | None, ...]:
-    return (*s.heads[:head], new, *s.heads[head + 1:])
+    return (*s.heads[:head], new, *s.heads[head + 1 :])
 
 
 def moves(s: State, scope: Scope) -> Iterator[State]:
@@ -85,7 +94,7 @@
         yield from _looks(s, me, members)
         others = [m for i, m in enumerate(s.heads) if i != me]
         # As the law asks: not all seeds are down at once.
-        if me >= scope.seeds or any(m is not None for m in others[:scope.seeds - 1]):
+        if me >= scope.seeds or any(m is not None for m in others[: scope.seeds - 1]):
             yield replace(s, heads=_with(s, me, None))
             yield from _leaves(s, me, members, scope)
     for sender, receiver, word in s.mail:
--- a/garnetlanding/emulator/group_net.py
+++ b/garnetlanding/emulator/group_net.py
@@ -52,7 +52,6 @@
     bytes: int = 0
 
 
-
 def address(head: int) -> str:
     return f"127.1.{head // 250}.{head % 250 + 1}:7946"
 
@@ -69,8 +68,9 @@
         for head in range(net.heads if net.all_at_once else net.seeds):
             self._start(head)
         last = net.length_us - net.calm_us
-        self._events = sorted((self.rng.randrange(max(1, last)), self.rng.randrange(1 << 30))
-                              for _ in range(net.events))
+        self._events = sorted(
+            (self.rng.randrange(max(1, last)), self.rng.randrange(1 << 30)) for _ in range(net.events)
+        )
 
     def _start(self, head: int) -> None:
         self._lives += 1
--- a/garnetlanding/emulator/lease_model.py
+++ b/garnetlanding/emulator/lease_model.py
@@ -67,8 +67,10 @@
         new.own[name] = replace(own, rate=rate, others=dict(own.others))
     new._sent, new._parts = dict(leases._sent), dict(leases._parts)
     new._held = {volume: dict(givers) for volume, givers in leases._held.items()}
-    new._given = {volume: {who: list(given) for who, given in takers.items()}
-                  for volume, takers in leases._given.items()}
+    new._given = {
+        volume: {who: list(given) for who, given in takers.items()}
+        for volume, takers in leases._given.items()
+    }
     return new
 
 
@@ -84,28 +86,53 @@
 
     heads = []
     for h in s.heads:
-        peers = tuple((
-            who, p.life == s.heads[who].life, sent(who, p.life, p.number), now - p.heard_at,
-            tuple((share, now - at) for share, _, at in p.asks.values() if now - at <= LIMITS.stale_us))
-            for who, p in sorted(h.peers.items()) if now - p.heard_at <= LIMITS.stale_us)
+        peers = tuple(
+            (
+                who,
+                p.life == s.heads[who].life,
+                sent(who, p.life, p.number),
+                now - p.heard_at,
+                tuple((share, now - at) for share, _, at in p.asks.values() if now - at <= LIMITS.stale_us),
+            )
+            for who, p in sorted(h.peers.items())
+            if now - p.heard_at <= LIMITS.stale_us
+        )
         own = tuple((o.wants(now, LIMITS), tuple(sorted(o.others))) for o in h.own.values())
-        held = tuple((who, share, until - now) for givers in h._held.values()
-                     for who, (share, until) in sorted(givers.items()) if until > now)
-        given = tuple((who, tuple(sorted((share, until - now) for share, until in lent if until > now)))
-                      for takers in h._given.values() for who, lent in sorted(takers.items())
-                      if any(until > now for _, until in lent))
+        held = tuple(
+            (who, share, until - now)
+            for givers in h._held.values()
+            for who, (share, until) in sorted(givers.items())
+            if until > now
+        )
+        given = tuple(
+            (who, tuple(sorted((share, until - now) for share, until in lent if until > now)))
+            for takers in h._given.values()
+            for who, lent in sorted(takers.items())
+            if any(until > now for _, until in lent)
+        )
         heads.append((max(0, h.back_at - now), peers, own, held, given))
-    mail = tuple(sorted(
-        (a, b, now - at, m.life == s.heads[a].life, sent(a, m.life, m.number),
-         sent(b, m.re_life, m.re_number),
-         tuple(m.asks.values()), tuple(m.grants.values())) for a, b, at, m in s.mail))
+    mail = tuple(
+        sorted(
+            (
+                a,
+                b,
+                now - at,
+                m.life == s.heads[a].life,
+                sent(a, m.life, m.number),
+                sent(b, m.re_life, m.re_number),
+                tuple(m.asks.values()),
+                tuple(m.grants.values()),
+            )
+            for a, b, at, m in s.mail
+        )
+    )
     return (now, s.turn, tuple(heads), mail, s.starts)
 
 
 def parts(s: State, scope: Scope) -> tuple[float, ...]:
     """What each of the volume's heads would use if it sent now."""
     found = []
-    for head in s.heads[:scope.hosts]:
+    for head in s.heads[: scope.hosts]:
         looking = clone(head)
         if NAME not in looking.own:
             looking.own[NAME] = Own(VOLUME, scope.hosts, LIMIT)
@@ -114,7 +141,7 @@
 
 
 def _with(s: State, me: int, head: Leases) -> tuple[Leases, ...]:
-    return (*s.heads[:me], head, *s.heads[me + 1:])
+    return (*s.heads[:me], head, *s.heads[me + 1 :])
 
 
 def moves(s: State, scope: Scope, kind: type[Leases]) -> Iterator[State]:
@@ -146,13 +173,19 @@
         yield kind(LIMITS, me, scope.heads, head.life + 1, s.now), s.starts + 1
 
 
-def _say(head: Leases, me: int, now: int, mail: tuple[tuple[int, int, int, Message], ...],
-         ) -> tuple[Leases, tuple[tuple[int, int, int, Message], ...]]:
+def _say(
+    head: Leases,
+    me: int,
+    now: int,
+    mail: tuple[tuple[int, int, int, Message], ...],
+) -> tuple[Leases, tuple[tuple[int, int, int, Message], ...]]:
     new = clone(head)
     told = new.say(now)
     number = new.sending(now)
-    fresh = [(me, who, now, Message(new.life, number, *new.last_heard(who), asks, grants))
-             for who, (asks, grants) in told.items()]
+    fresh = [
+        (me, who, now, Message(new.life, number, *new.last_heard(who), asks, grants))
+        for who, (asks, grants) in told.items()
+    ]
     new.parts(now)
     return new, (*(m for m in mail if m[0] != me or m[1] not in told), *fresh)
 
@@ -160,8 +193,9 @@
 def explore(scope: Scope, kind: type[Leases] = Leases) -> Explored:
     """Ends at the first state whose parts add up to more than 1."""
     # Heads that have run for long: what an earlier life had given has ended.
-    start = State(0, 0, tuple(kind(LIMITS, me, scope.heads, 1, -LIMITS.lease_us)
-                              for me in range(scope.heads)), (), 0)
+    start = State(
+        0, 0, tuple(kind(LIMITS, me, scope.heads, 1, -LIMITS.lease_us) for me in range(scope.heads)), (), 0
+    )
     found = Explored()
     walk = Walk(start, key, lambda s: moves(s, scope, kind) if s.now < scope.steps else (), scope.most)
     for state in walk:
--- a/garnetlanding/emulator/lease_net.py
+++ b/garnetlanding/emulator/lease_net.py
@@ -71,10 +71,19 @@
         self._count = 0
         self._cut: dict[tuple[int, int], int] = {}  # until when
         self.heads = [self._start(i, self._clock(), 0) for i in range(net.heads)]
-        self._faults = [] if net.calm else sorted(
-            (self.rng.randrange(SECOND, net.length_us), self.rng.choice(("crash", "stall", "cut", "split")),
-             self.rng.randrange(net.heads), self.rng.randrange(200 * MS, 4 * SECOND))
-            for _ in range(net.faults))
+        self._faults = (
+            []
+            if net.calm
+            else sorted(
+                (
+                    self.rng.randrange(SECOND, net.length_us),
+                    self.rng.choice(("crash", "stall", "cut", "split")),
+                    self.rng.randrange(net.heads),
+                    self.rng.randrange(200 * MS, 4 * SECOND),
+                )
+                for _ in range(net.faults)
+            )
+        )
 
     def _clock(self) -> Callable[[int], int]:
         pace = 1 + self.rng.uniform(-self.net.drift, self.net.drift)
@@ -108,7 +117,7 @@
     def _add_up(self) -> None:
         """A head that is down or stands still sends nothing."""
         up = []
-        for head in self.heads[:self.net.hosts]:
+        for head in self.heads[: self.net.hosts]:
             if self.now >= max(head.down_until, head.stalled_until):
                 self._look(head)
                 up.append(head.part)
@@ -152,8 +161,9 @@
         mail = []
         number = leases.sending(now)
         for who, (asks, grants) in leases.say(now).items():
-            mail.append((who, codec.encode(codec.Message(
-                leases.life, number, *leases.last_heard(who), asks, grants))))
+            mail.append(
+                (who, codec.encode(codec.Message(leases.life, number, *leases.last_heard(who), asks, grants)))
+            )
         return mail
 
     def _post(self, sender: int, receiver: int, data: bytes) -> None:
--- a/garnetlanding/emulator/verdict_model.py
+++ b/garnetlanding/emulator/verdict_model.py
@@ -75,14 +75,28 @@
 def key(s: State) -> object:
     def head(h: Head) -> object:
         sight = h.seen.servers[NODE]
-        claims = {who: (c.kind, s.now - c.latest, c.until - s.now, c.answered_at - s.now)
-                  for who, c in h.verdicts._claims.get(NODE, {}).items()}
+        claims = {
+            who: (c.kind, s.now - c.latest, c.until - s.now, c.answered_at - s.now)
+            for who, c in h.verdicts._claims.get(NODE, {}).items()
+        }
         credit = tuple(round(h.verdicts.credit(who, s.now), 2) for who in range(len(s.heads)))
-        return (s.now - sight.heard_at if sight.heard_at > -STEP else None, sight.refused,
-                s.now - sight.refused_at if sight.refused else None, sight.back_at > -STEP,
-                tuple(sorted(claims.items())), credit, tuple(sorted(h.heard_at.items())), h.last_seen)
-    return s.now, s.turn, tuple(map(head, s.heads)), tuple(sorted(
-        (a, b, w.re_sent_at, w.sent_at, w.evidence) for a, b, w in s.mail))
+        return (
+            s.now - sight.heard_at if sight.heard_at > -STEP else None,
+            sight.refused,
+            s.now - sight.refused_at if sight.refused else None,
+            sight.back_at > -STEP,
+            tuple(sorted(claims.items())),
+            credit,
+            tuple(sorted(h.heard_at.items())),
+            h.last_seen,
+        )
+
+    return (
+        s.now,
+        s.turn,
+        tuple(map(head, s.heads)),
+        tuple(sorted((a, b, w.re_sent_at, w.sent_at, w.evidence) for a, b, w in s.mail)),
+    )
 
 
 def wrong(s: State) -> str:
@@ -124,9 +138,12 @@
                 head.last_seen = s.now
             evidence = tuple(e for _, e in head.seen.evidence(s.now, AIM))
             rest = [m for m in s.mail if m not in heard and m[0] != me]
-            told = [(me, you, Word(evidence, head.heard_at.get(you, -1), s.now))
-                    for you in range(scope.heads) if you != me]
-            heads = (*s.heads[:me], head, *s.heads[me + 1:])
+            told = [
+                (me, you, Word(evidence, head.heard_at.get(you, -1), s.now))
+                for you in range(scope.heads)
+                if you != me
+            ]
+            heads = (*s.heads[:me], head, *s.heads[me + 1 :])
             yield State(s.now + STEP if last else s.now, 0 if last else me + 1, heads, (*rest, *told))
 
 
--- a/garnetlanding/emulator/verdict_net.py
+++ b/garnetlanding/emulator/verdict_net.py
@@ -55,11 +55,32 @@
 
 def settings(net: Net, me: int) -> api.Settings:
     return api.Settings(
-        hosts=net.heads, me=me, tick_us=MS, classes={"read": READ}, plans={"plan": PLAN}, ask_for_list=False,
-        max_attempts=2, parallel_attempts=False, may_cancel=True, may_probe=False, heeds_hold_off=True,
-        max_hold_off_us=SECOND, cold_from=0.2, cold_us=0, cold_units=10.0, fall_multiple=2.0,
-        fall_us=2 * SECOND, order_rest_us=SECOND, budget_share=0.0, budget_free=0.0, budget_span_us=0,
-        share_worth=0.4, spare_worth=0.08, most_units=8.0, may_tell=True)
+        hosts=net.heads,
+        me=me,
+        tick_us=MS,
+        classes={"read": READ},
+        plans={"plan": PLAN},
+        ask_for_list=False,
+        max_attempts=2,
+        parallel_attempts=False,
+        may_cancel=True,
+        may_probe=False,
+        heeds_hold_off=True,
+        max_hold_off_us=SECOND,
+        cold_from=0.2,
+        cold_us=0,
+        cold_units=10.0,
+        fall_multiple=2.0,
+        fall_us=2 * SECOND,
+        order_rest_us=SECOND,
+        budget_share=0.0,
+        budget_free=0.0,
+        budget_span_us=0,
+        share_worth=0.4,
+        spare_worth=0.08,
+        most_units=8.0,
+        may_tell=True,
+    )
 
 
 class Run:
@@ -67,8 +88,15 @@
         self.net, self.rng, self.seen, limits = net, random.Random(net.seed), Seen(), limits or PeerLimits()
         self._mail: list[tuple[int, int, int, api.Event]] = []
         self._count = 0
-        self.heads = [Talk(Controller(settings(net, me), me), life=1, limits=limits,
-                           fleet=Fleet(limits) if net.told else None) for me in range(net.heads)]
+        self.heads = [
+            Talk(
+                Controller(settings(net, me), me),
+                life=1,
+                limits=limits,
+                fleet=Fleet(limits) if net.told else None,
+            )
+            for me in range(net.heads)
+        ]
         entries = tuple(api.NodeEntry(f"n{i}", i, "z", api.NodeState.UP) for i in range(net.nodes))
         self._asked: dict[str, int] = {}
         for me in range(net.heads):
@@ -76,9 +104,21 @@
         at, number = 0.0, 0
         while (at := at + self.rng.expovariate(net.rate * net.nodes) * SECOND) < net.length_us:
             number += 1
-            self._post(int(at), self.rng.randrange(net.heads), api.Arrival(
-                f"r{number}", "read", "plan", "v", "", 1.0, self.rng.randrange(net.nodes),
-                int(at) + READ.deadline_us, net.heads))
+            self._post(
+                int(at),
+                self.rng.randrange(net.heads),
+                api.Arrival(
+                    f"r{number}",
+                    "read",
+                    "plan",
+                    "v",
+                    "",
+                    1.0,
+                    self.rng.randrange(net.nodes),
+                    int(at) + READ.deadline_us,
+                    net.heads,
+                ),
+            )
 
     def _post(self, when: int, head: int, event: api.Event) -> None:
         self._count += 1
@@ -125,8 +165,9 @@
             took, outcome = READ.deadline_us, Outcome.TIMEOUT
         elif struck:
             took, outcome = MS, Outcome.UNREACHABLE
-        self._post(now + took, me, api.Result(
-            request, attempt, node, outcome, took, over=outcome is Outcome.SERVED))
+        self._post(
+            now + took, me, api.Result(request, attempt, node, outcome, took, over=outcome is Outcome.SERVED)
+        )
 
 
 def until_left(net: Net, seen: Seen, part: float = 0.1, window_us: int = 500 * MS) -> int:
@@ -136,7 +177,7 @@
     times = [when - net.strikes_us for when, _ in seen.sends]
     last = 0
     for i, when in enumerate(times):
-        within = sum(1 for other in times[i:i + int(usual) + 1] if other < when + window_us)
+        within = sum(1 for other in times[i : i + int(usual) + 1] if other < when + window_us)
         if within >= part * usual:
             last = when
     return last
--- a/garnetlanding/emulator/walk.py
+++ b/garnetlanding/emulator/walk.py
@@ -12,8 +12,14 @@
     """Yields the states; afterwards tells how many there were, how many moves led to them, and whether
     none was left out. States that have one key count as one."""
 
-    def __init__(self, start: S, key: Callable[[S], object], moves: Callable[[S], Iterable[S]], most: int,
-                 waves: int | None = None) -> None:
+    def __init__(
+        self,
+        start: S,
+        key: Callable[[S], object],
+        moves: Callable[[S], Iterable[S]],
+        most: int,
+        waves: int | None = None,
+    ) -> None:
         """`most`: states, after which the walk is given up. `waves`: moves one after another, at most."""
         self._start, self._key, self._moves, self._most, self._waves = start, key, moves, most, waves
         self.states = self.moves = 0
--- a/garnetlanding/history/writer.py
+++ b/garnetlanding/history/writer.py
@@ -33,11 +33,24 @@
         again before it sends past `until`."""
         self.note(what, until=until, parts={name: round(part, 4) for name, part in parts.items()})
 
-    def item_ended(self, ask: Ask, answer: Answer, began_us: int, ended_us: int,
-                   attempts: list[tuple[str, str, int, int]]) -> None:
+    def item_ended(
+        self,
+        ask: Ask,
+        answer: Answer,
+        began_us: int,
+        ended_us: int,
+        attempts: list[tuple[str, str, int, int]],
+    ) -> None:
         outcome = {Refused: "refused", Failed: "failed"}.get(type(answer), "served")
-        self.note("answered", id=_id(ask), volume=ask.volume, units=ask.units, began=began_us,
-                  outcome=outcome, attempts=[[node, ended, sent] for node, ended, sent, _ in attempts])
+        self.note(
+            "answered",
+            id=_id(ask),
+            volume=ask.volume,
+            units=ask.units,
+            began=began_us,
+            outcome=outcome,
+            attempts=[[node, ended, sent] for node, ended, sent, _ in attempts],
+        )
 
 
 def _id(ask: Ask) -> str:
--- a/garnetlanding/lab/audits.py
+++ b/garnetlanding/lab/audits.py
@@ -36,7 +36,8 @@
             found.audited += 1
             if mine != its:
                 found.broken.append(
-                    f"audit: {line['id']} was sent by {key[0]} on {mine}, the audit says {its}")
+                    f"audit: {line['id']} was sent by {key[0]} on {mine}, the audit says {its}"
+                )
 
 
 def _at(steps: list[tuple[int, str]], when: int) -> str:
--- a/garnetlanding/lab/checks.py
+++ b/garnetlanding/lab/checks.py
@@ -56,8 +56,14 @@
 def _ups(lines: list[Line], by_id: dict[str, Request]) -> dict[int, list[int]]:
     """When each head's processes could be used, after the clients began: each asks at its time or later."""
     found = defaultdict[int, list[int]](list)
-    first = min((line["t"] - by_id[line["id"]].at_us for line in lines if line["what"] == "asked"
-                 and line["id"] in by_id), default=0)
+    first = min(
+        (
+            line["t"] - by_id[line["id"]].at_us
+            for line in lines
+            if line["what"] == "asked" and line["id"] in by_id
+        ),
+        default=0,
+    )
     for line in lines:
         if line["what"] == "up":
             found[int(line["who"][1:])].append(line["t"] - first)
@@ -185,17 +191,24 @@
         found.broken.append(f"limits: a volume's store fell {found.over:.1f} units below 0")
 
 
-def _sum(experiment: Experiment, parts: dict[tuple[str, str, int], tuple[float, int]], volume: str,
-         now: int) -> float:
+def _sum(
+    experiment: Experiment, parts: dict[tuple[str, str, int], tuple[float, int]], volume: str, now: int
+) -> float:
     """A head that has said nothing of a volume has not been asked for it, and sends nothing; nor does one
     that has not looked since what it believed came to its end, as one that stands still."""
     hosts = {f"n{head}" for head in hosts_of(experiment, int(volume, 16))}
-    return sum(part for (who, of, _), (part, until) in parts.items()
-               if who in hosts and of == volume and until > now)
-
-
-def _answers(experiment: Experiment, by_id: dict[str, Request], answers: dict[str, list[str]],
-             up: dict[int, list[int]], found: Findings) -> None:
+    return sum(
+        part for (who, of, _), (part, until) in parts.items() if who in hosts and of == volume and until > now
+    )
+
+
+def _answers(
+    experiment: Experiment,
+    by_id: dict[str, Request],
+    answers: dict[str, list[str]],
+    up: dict[int, list[int]],
+    found: Findings,
+) -> None:
     for name, request in by_id.items():
         got = answers.get(name, [])
         outcome = got[0] if got else "never noted"
--- a/garnetlanding/lab/clients.py
+++ b/garnetlanding/lab/clients.py
@@ -51,11 +51,20 @@
     def _asking(self, request: dict[str, Any]) -> Callable[[], None]:
         def begin() -> None:
             self.scheduler.spawn(lambda: self._ask(request))
+
         return begin
 
     def _note(self, what: str, request: dict[str, Any], **more: Any) -> None:
-        line = {"t": monotonic_us(), "who": "clients", "what": what, "id": request["id"],
-                "head": request["head"], "volume": request["volume"], "units": request["units"], **more}
+        line = {
+            "t": monotonic_us(),
+            "who": "clients",
+            "what": what,
+            "id": request["id"],
+            "head": request["head"],
+            "volume": request["volume"],
+            "units": request["units"],
+            **more,
+        }
         os.write(self._history, json.dumps(line, separators=(",", ":")).encode() + b"\n")
 
     def _ask(self, request: dict[str, Any]) -> None:
@@ -77,8 +86,12 @@
             used = conn is not None
             if conn is None or conn.stream.ended():
                 used = False
-                conn = Connection(self, Stream.connect(
-                    self.scheduler, self._heads[request["head"]], self.pool, self.limits, until))
+                conn = Connection(
+                    self,
+                    Stream.connect(
+                        self.scheduler, self._heads[request["head"]], self.pool, self.limits, until
+                    ),
+                )
             if self._exchange(conn, request, until):
                 break
             if not used:
@@ -98,8 +111,10 @@
 
     def _exchange(self, conn: Connection, request: dict[str, Any], until: int) -> bool:
         """Whether an answer came before the connection ended."""
-        pairs = (f"c=read,t=gold,d={request['wait_us'] // 1000},volume={request['volume']},"
-                 f"units={request['units']},shard={request['cell']},hosts={request['hosts']}")
+        pairs = (
+            f"c=read,t=gold,d={request['wait_us'] // 1000},volume={request['volume']},"
+            f"units={request['units']},shard={request['cell']},hosts={request['hosts']}"
+        )
         name = request["id"].encode()
         conn.stream.write(codec.command([b"BLK.READ", name, name, pairs.encode()]))
         try:
--- a/garnetlanding/lab/experiment.py
+++ b/garnetlanding/lab/experiment.py
@@ -50,8 +50,11 @@
     span_us: int = 0  # a delay, and how far apart the copies of a doubled one are
 
     def strikes(self, sender: int, receiver: int, now: int) -> bool:
-        return (self.at_us <= now < self.until_us and self.sender in (-1, sender)
-                and self.receiver in (-1, receiver))
+        return (
+            self.at_us <= now < self.until_us
+            and self.sender in (-1, sender)
+            and self.receiver in (-1, receiver)
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,8 +101,19 @@
 
 
 def _fault(section: Section, heads: int, bricks: int, length_us: int) -> Fault:
-    kind = section.one_of("kind", PROCESS_FAULTS + LINK_FAULTS + BRICK_FAULTS + CALLS + LIES + UPGRADES
-                          + RELOADS + STREAM_FAULTS + COMINGS + CLOCKS)
+    kind = section.one_of(
+        "kind",
+        PROCESS_FAULTS
+        + LINK_FAULTS
+        + BRICK_FAULTS
+        + CALLS
+        + LIES
+        + UPGRADES
+        + RELOADS
+        + STREAM_FAULTS
+        + COMINGS
+        + CLOCKS,
+    )
     at_us = int(section.number("at_s", 0, most=length_us / SECOND) * SECOND)
     until_us = int(section.number("until_s", 0, length_us / SECOND) * SECOND)
     if kind in CALLS + RELOADS + COMINGS + CLOCKS and section.has("until_s"):
@@ -131,30 +145,53 @@
     else:
         sender, receiver = _head(section, "from", heads), _head(section, "to", heads)
     alias = _head(section, "as", heads) if kind == "twin" else -1
-    return Fault(kind, at_us, until_us, who, brick, link, how, wall_s, alias, newer, sender, receiver,
-                 section.number("share", 0, 1.0, 1.0), section.number("weight", 0.01, 1.0, 100.0),
-                 int(section.number("span_ms", 0, 0, 60_000) * 1000))
+    return Fault(
+        kind,
+        at_us,
+        until_us,
+        who,
+        brick,
+        link,
+        how,
+        wall_s,
+        alias,
+        newer,
+        sender,
+        receiver,
+        section.number("share", 0, 1.0, 1.0),
+        section.number("weight", 0.01, 1.0, 100.0),
+        int(section.number("span_ms", 0, 0, 60_000) * 1000),
+    )
 
 
 def read(data: object) -> Experiment:
     """Raises ConfigError, which names the key."""
-    top = Section(data, "", "name seed heads bricks length_s load settings fault fleet group budgets "
-                  "server_connections store choices audit current_s")
+    top = Section(
+        data,
+        "",
+        "name seed heads bricks length_s load settings fault fleet group budgets "
+        "server_connections store choices audit current_s",
+    )
     heads = int(top.number("heads", 1, 3, LIMITS.heads))
     bricks = int(top.number("bricks", 1, 2, 64))
     length_us = int(top.number("length_s", 0.5, 6, 3600) * SECOND)
     given = Section(top.raw("load") or {}, "load", "volumes rate units hosts lead shift_s wait_s")
     load = Load(
-        int(given.number("volumes", 1, 4, 200)), given.number("rate", 0.1, 60, 2000),
-        int(given.number("units", 1, 2, 8)), int(given.number("hosts", 1, min(2, heads), heads)),
-        given.number("lead", 0, 1, 1), int(given.number("shift_s", 0, 0) * SECOND),
-        int(given.number("wait_s", 0.05, 1.5, 60) * SECOND))
+        int(given.number("volumes", 1, 4, 200)),
+        given.number("rate", 0.1, 60, 2000),
+        int(given.number("units", 1, 2, 8)),
+        int(given.number("hosts", 1, min(2, heads), heads)),
+        given.number("lead", 0, 1, 1),
+        int(given.number("shift_s", 0, 0) * SECOND),
+        int(given.number("wait_s", 0.05, 1.5, 60) * SECOND),
+    )
     listed = top.raw("fault") or []
     if not isinstance(listed, list):
         raise ConfigError("key fault: expected [[fault]] tables")
     known = "kind at_s until_s who as head brick link how wall_s newer from to share weight span_ms"
-    faults = tuple(_fault(Section(one, f"fault.{i}", known), heads, bricks, length_us)
-                   for i, one in enumerate(listed))
+    faults = tuple(
+        _fault(Section(one, f"fault.{i}", known), heads, bricks, length_us) for i, one in enumerate(listed)
+    )
     settings = Section(top.raw("settings") or {}, "settings").data
     flags = {"fleet": True, "budgets": False, "store": False, "audit": False}
     flags |= {key: top.raw(key) for key in flags if top.has(key)}
@@ -167,9 +204,21 @@
     places = int(top.number("server_connections", 0, 0, LIMITS.brick_conns))
     if places and not flags["budgets"]:
         raise ConfigError("key server_connections: only with budgets = true")
-    return Experiment(top.text("name"), int(top.number("seed", 0, 1)), heads, bricks, length_us, load,
-                      settings, faults, group=group, server_connections=places,
-                      current_s=_current_s(top), choices=_choices(top), **flags)
+    return Experiment(
+        top.text("name"),
+        int(top.number("seed", 0, 1)),
+        heads,
+        bricks,
+        length_us,
+        load,
+        settings,
+        faults,
+        group=group,
+        server_connections=places,
+        current_s=_current_s(top),
+        choices=_choices(top),
+        **flags,
+    )
 
 
 def _choices(top: Section) -> dict[str, Any]:
--- a/garnetlanding/lab/figures.py
+++ b/garnetlanding/lab/figures.py
@@ -22,9 +22,15 @@
     faults: list[str] = field(default_factory=list)
 
     def as_row(self) -> dict[str, object]:
-        return {"second": self.number, **{name: self.outcomes[name] for name in ANSWERS},
-                "p50_ms": percentile(self.took_us, 0.5), "p99_ms": percentile(self.took_us, 0.99),
-                "attempts": self.attempts, "doubted": self.doubted, "faults": "; ".join(self.faults)}
+        return {
+            "second": self.number,
+            **{name: self.outcomes[name] for name in ANSWERS},
+            "p50_ms": percentile(self.took_us, 0.5),
+            "p99_ms": percentile(self.took_us, 0.99),
+            "attempts": self.attempts,
+            "doubted": self.doubted,
+            "faults": "; ".join(self.faults),
+        }
 
 
 ANSWERS = ("served", "refused", "failed", "lost", "none")
--- a/garnetlanding/lab/fleet_checks.py
+++ b/garnetlanding/lab/fleet_checks.py
@@ -37,8 +37,10 @@
             found.broken.append(f"heads: n{head} and n{other} both use the part of one number")
     for head in sorted(here):
         if known.get(f"n{head}") != here:
-            found.broken.append(f"heads: n{head} knows {sorted(known.get(f'n{head}', ()))} at the end, "
-                                f"there are {sorted(here)}")
+            found.broken.append(
+                f"heads: n{head} knows {sorted(known.get(f'n{head}', ()))} at the end, "
+                f"there are {sorted(here)}"
+            )
 
 
 def budgets_held(experiment: Experiment, lines: list[Line], found: Findings) -> None:
@@ -50,8 +52,9 @@
     down: dict[int, bool] = {}
     for line in lines:
         if line["what"] == "fault" and line["kind"] == "down":
-            down[line["which"]] = any(f.kind == "restart" and f.who == line["which"]
-                                      for f in experiment.faults)
+            down[line["which"]] = any(
+                f.kind == "restart" and f.who == line["which"] for f in experiment.faults
+            )
         elif line["what"] == "fault" and line["kind"] == "up" and down.get(line["which"]):
             cold[line["which"]] = line["t"] + plan["Rules"]["ColdUs"]
         elif cold and line["what"] == "ran" and cold.get(line["brick"], 0) > line["t"]:
@@ -102,8 +105,10 @@
     ran = Counter(line["id"] for line in lines if line["what"] == "ran")
     further, lives = sum(times - 1 for times in ran.values()), sum(found.lives.values())
     if further > share * found.asked + free * lives * spans:
-        found.broken.append(f"attempts: {further} further ones, the budgets allow "
-                            f"{share * found.asked + free * lives * spans:.0f}")
+        found.broken.append(
+            f"attempts: {further} further ones, the budgets allow "
+            f"{share * found.asked + free * lives * spans:.0f}"
+        )
 
 
 def current_held(experiment: Experiment, lines: list[Line], found: Findings) -> None:
--- a/garnetlanding/lab/heads.py
+++ b/garnetlanding/lab/heads.py
@@ -8,13 +8,38 @@
 from garnetlanding.lab.experiment import Experiment
 
 SETTINGS: dict[str, Any] = {
-    "TickUs": 2000, "MembershipMode": "pushed",
-    "Classes": [{"Name": "read", "Credit": 2.0, "LateValue": 0.2, "PromiseUs": 300_000, "GiveUpUs": 1_500_000,
-                 "Effect": "free"}],
-    "Contracts": [{"Name": "gold", "Weight": 1.0, "UsualRate": 40.0, "Guaranteed": 40.0, "NeverOver": 40.0,
-                   "LimitBurst": 64.0}],
-    "Limits": {"MaxAttempts": 3, "Cancel": True, "RetryAfter": True, "MaxRetryAfterUs": 2_000_000,
-               "ConnIdleUs": 30_000_000, "DialTimeoutUs": 250_000, "ParallelTries": True, "MayTell": True},
+    "TickUs": 2000,
+    "MembershipMode": "pushed",
+    "Classes": [
+        {
+            "Name": "read",
+            "Credit": 2.0,
+            "LateValue": 0.2,
+            "PromiseUs": 300_000,
+            "GiveUpUs": 1_500_000,
+            "Effect": "free",
+        }
+    ],
+    "Contracts": [
+        {
+            "Name": "gold",
+            "Weight": 1.0,
+            "UsualRate": 40.0,
+            "Guaranteed": 40.0,
+            "NeverOver": 40.0,
+            "LimitBurst": 64.0,
+        }
+    ],
+    "Limits": {
+        "MaxAttempts": 3,
+        "Cancel": True,
+        "RetryAfter": True,
+        "MaxRetryAfterUs": 2_000_000,
+        "ConnIdleUs": 30_000_000,
+        "DialTimeoutUs": 250_000,
+        "ParallelTries": True,
+        "MayTell": True,
+    },
     "Rules": {"ColdFrom": 0.2, "ColdUs": 14_000_000, "FallMultiple": 2.0, "FallUs": 2_000_000},
     "FamilyInfo": {"ColdBears": 10.0, "Largest": 8, "ShareWorth": 0.4, "IdleWorth": 0.08},
 }
@@ -22,25 +47,41 @@
 
 def above(base: dict[str, Any], more: dict[str, Any]) -> dict[str, Any]:
     """The base with what `more` says above it, table by table."""
-    return base | {key: above(base[key], value) if isinstance(value, dict) and isinstance(base.get(key), dict)
-                   else value for key, value in more.items()}
+    return base | {
+        key: above(base[key], value) if isinstance(value, dict) and isinstance(base.get(key), dict) else value
+        for key, value in more.items()
+    }
 
 
-def configuration(experiment: Experiment, me: int, listen: str, ops: str, discovery: str, peer_listen: str,
-                  peers: list[str]) -> dict[str, Any]:
+def configuration(
+    experiment: Experiment, me: int, listen: str, ops: str, discovery: str, peer_listen: str, peers: list[str]
+) -> dict[str, Any]:
     number = next((f.alias for f in experiment.faults if f.kind == "twin" and f.who == me), me)
     settings = above(SETTINGS, experiment.settings) | {"Balancers": experiment.heads, "Me": number}
     return {
-        "name": f"n{me}", "listen": listen, "ops": ops, "discovery": discovery,
+        "name": f"n{me}",
+        "listen": listen,
+        "ops": ops,
+        "discovery": discovery,
         "seed": f"{experiment.seed + me:x}",
-        "peer_listen": peer_listen, "peers": peers,
+        "peer_listen": peer_listen,
+        "peers": peers,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"generation": 0, "reset": True, "instances": []}, "settings": settings,
+        "known": {"generation": 0, "reset": True, "instances": []},
+        "settings": settings,
     }
 
 
-def operators_file(experiment: Experiment, history: str, wall: str, seeds: list[str],
-                   routes: dict[str, str], store: str, writes: bool, audit: str) -> str:
+def operators_file(
+    experiment: Experiment,
+    history: str,
+    wall: str,
+    seeds: list[str],
+    routes: dict[str, str],
+    store: str,
+    writes: bool,
+    audit: str,
+) -> str:
     """`wall`: a file that says how far the head's wall clock is off; `store`: where the writer listens, or is
     reached."""
     lines = ["[history]", f"file = {json.dumps(history)}", f"wall_file = {json.dumps(wall)}"]
--- a/garnetlanding/lab/lies.py
+++ b/garnetlanding/lab/lies.py
@@ -24,8 +24,10 @@
         return data
     if how == "well":
         bricks = []
-    evidence = tuple(words.Evidence(words.Kind.DEAD, words.tag(name), words.LONG_AGO, words.MOST_COUNT, 0)
-                     for name in bricks)
+    evidence = tuple(
+        words.Evidence(words.Kind.DEAD, words.tag(name), words.LONG_AGO, words.MOST_COUNT, 0)
+        for name in bricks
+    )
     most, _ = words.fit(evidence, (), limits.datagram_bytes)
     forged = words.Words(told.digest, evidence[:most])
     return codec.seal(words.envelope(forged, e.life, e.number, e.re_life, e.re_number))
--- a/garnetlanding/lab/plan.py
+++ b/garnetlanding/lab/plan.py
@@ -45,7 +45,16 @@
         hosts, first = hosts_of(experiment, volume), leader(experiment, volume, int(at))
         others = [head for head in hosts if head != first]
         head = first if not others or rng.random() < load.lead else rng.choice(others)
-        requests.append(Request(
-            int(at), f"r{len(requests):06d}", head, volume_name(volume), volume % experiment.bricks,
-            load.units, load.hosts, load.wait_us))
+        requests.append(
+            Request(
+                int(at),
+                f"r{len(requests):06d}",
+                head,
+                volume_name(volume),
+                volume % experiment.bricks,
+                load.units,
+                load.hosts,
+                load.wait_us,
+            )
+        )
     return requests
--- a/garnetlanding/lab/processes.py
+++ b/garnetlanding/lab/processes.py
@@ -31,8 +31,13 @@
         env["PYTHONPATH"] = str(PACKAGE)
         env["TMPDIR"] = str(self._log.parent / "tmp")
         with open(self._log, "ab") as log:
-            self._child = subprocess.Popen([sys.executable, "-m", *self._arguments], stdout=log, stderr=log,
-                                           stdin=subprocess.DEVNULL, env=env)
+            self._child = subprocess.Popen(
+                [sys.executable, "-m", *self._arguments],
+                stdout=log,
+                stderr=log,
+                stdin=subprocess.DEVNULL,
+                env=env,
+            )
 
     @property
     def id(self) -> int:
@@ -52,8 +57,10 @@
         except OSError:
             return {}
         ticks, page = os.sysconf("SC_CLK_TCK"), os.sysconf("SC_PAGE_SIZE")
-        return {"cpu_s": (int(stat[11]) + int(stat[12])) / ticks,
-                "memory_mb": round(int(size[1]) * page / (1 << 20), 1)}
+        return {
+            "cpu_s": (int(stat[11]) + int(stat[12])) / ticks,
+            "memory_mb": round(int(size[1]) * page / (1 << 20), 1),
+        }
 
     def signal(self, number: int) -> None:
         if self._child and self._child.poll() is None:
--- a/garnetlanding/lab/proxy.py
+++ b/garnetlanding/lab/proxy.py
@@ -22,8 +22,14 @@
 
 
 class Links:
-    def __init__(self, scheduler: Scheduler, host: str, weather: Weather,
-                 reach: list[tuple[str, int]], bricks: list[str]) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        host: str,
+        weather: Weather,
+        reach: list[tuple[str, int]],
+        bricks: list[str],
+    ) -> None:
         """`reach`: where each head hears others; `bricks`: the names that a lie is about."""
         self._bricks = bricks
         self._scheduler, self._weather, self._reach = scheduler, weather, reach
@@ -55,8 +61,10 @@
             if how := self._weather.lies(sender, now):
                 data = lie(data, self._bricks, how)
             for delay in self._weather.fate(sender, receiver, now):
-                self._scheduler.call_at(self._scheduler.now + delay,
-                                        lambda data=data: self._pass(back, data, receiver))  # type: ignore[misc]
+                self._scheduler.call_at(
+                    self._scheduler.now + delay,
+                    lambda data=data: self._pass(back, data, receiver),  # type: ignore[misc]
+                )
 
     def _pass(self, sock: socket.socket, data: bytes, receiver: int) -> None:
         try:
--- a/garnetlanding/lab/report.py
+++ b/garnetlanding/lab/report.py
@@ -23,8 +23,19 @@
 from garnetlanding.lab.run import run as carry_out
 
 __all__ = ["LabError", "compare", "report", "run"]
-COLUMNS = ("asked", "served", "refused", "failed", "lost", "none", "attempts", "over", "used", "parts_most",
-           "sound")
+COLUMNS = (
+    "asked",
+    "served",
+    "refused",
+    "failed",
+    "lost",
+    "none",
+    "attempts",
+    "over",
+    "used",
+    "parts_most",
+    "sound",
+)
 
 
 def run(path: str, out: str | None, seed: int | None, as_json: bool) -> int:
--- a/garnetlanding/lab/run.py
+++ b/garnetlanding/lab/run.py
@@ -54,15 +54,29 @@
 
     def as_json(self) -> dict[str, object]:
         f = self.findings
-        return {"name": self.experiment.name, "seed": self.experiment.seed, "sound": f.sound,
-                "asked": f.asked, "outcomes": dict(f.outcomes), "attempts": f.attempts,
-                "over": round(f.over, 2), "used": round(f.used, 3),
-                "parts_most": round(f.parts_most, 3), "evens_most": round(f.evens_most, 3),
-                "cold_most": round(f.cold_most, 3), "places_most": f.places_most, "kept": f.kept,
-                "old_us": f.old_us, "audited": f.audited,
-                "lives": f.lives,
-                "doubts": f.doubts, "doubts_unfounded": f.doubts_unfounded,
-                "links": self.fates, "costs": self.costs, "broken": f.broken}
+        return {
+            "name": self.experiment.name,
+            "seed": self.experiment.seed,
+            "sound": f.sound,
+            "asked": f.asked,
+            "outcomes": dict(f.outcomes),
+            "attempts": f.attempts,
+            "over": round(f.over, 2),
+            "used": round(f.used, 3),
+            "parts_most": round(f.parts_most, 3),
+            "evens_most": round(f.evens_most, 3),
+            "cold_most": round(f.cold_most, 3),
+            "places_most": f.places_most,
+            "kept": f.kept,
+            "old_us": f.old_us,
+            "audited": f.audited,
+            "lives": f.lives,
+            "doubts": f.doubts,
+            "doubts_unfounded": f.doubts_unfounded,
+            "links": self.fates,
+            "costs": self.costs,
+            "broken": f.broken,
+        }
 
 
 class Lab:
@@ -77,12 +91,21 @@
         self._streams = Streams(experiment, LIMITS.trickle_bytes)
         self._tcp = TcpLinks(self._scheduler, self._streams, self._since)
         self._world = Surroundings(
-            self._scheduler, f"{self._net}.1", experiment.heads, experiment.bricks, self._note,
-            lambda head, brick, at: self._tcp.place(Link("brick", head, brick), f"{self._net}.1", at))
+            self._scheduler,
+            f"{self._net}.1",
+            experiment.heads,
+            experiment.bricks,
+            self._note,
+            lambda head, brick, at: self._tcp.place(Link("brick", head, brick), f"{self._net}.1", at),
+        )
         self._weather = Weather(experiment)
-        self._links = Links(self._scheduler, f"{self._net}.1", self._weather,
-                            [(self._at(i), LIMITS.peer_port) for i in range(experiment.heads)],
-                            [f"b{brick.number}" for brick in self._world.bricks])
+        self._links = Links(
+            self._scheduler,
+            f"{self._net}.1",
+            self._weather,
+            [(self._at(i), LIMITS.peer_port) for i in range(experiment.heads)],
+            [f"b{brick.number}" for brick in self._world.bricks],
+        )
         self._heads: list[Process] = []
         self._late = {fault.who for fault in experiment.faults if fault.kind in ("join", "twin")}
         self._listed_at: dict[int, str] = {}  # discovery's address, by head
@@ -133,8 +156,11 @@
             audits.check(self._folder / "audit", lines, findings)
         for log in sorted(self._folder.glob("n*.log")):
             # What a head catches costs it what it was at, and shows in no history.
-            findings.broken += [f"defect: {log.name}: {line[:LIMITS.line_shown]}"
-                                for line in log.read_text(errors="replace").splitlines() if "trace=" in line]
+            findings.broken += [
+                f"defect: {log.name}: {line[:LIMITS.line_shown]}"
+                for line in log.read_text(errors="replace").splitlines()
+                if "trace=" in line
+            ]
         fates = {**self._weather.fates, "connections": self._tcp.passed}
         return Result(e, findings, lines, began, fates, costs, self._folder)
 
@@ -143,8 +169,14 @@
         has a port of its own for operators."""
         e, name = self._experiment, f"n{me}-newer" if newer else f"n{me}"
         config = heads.configuration(
-            e, me, f"{self._at(me)}:{LIMITS.port}", f"{self._at(me)}:{LIMITS.ops_port + newer}", discovery,
-            f"{self._at(me)}:{LIMITS.peer_port}", self._links.peers(me))
+            e,
+            me,
+            f"{self._at(me)}:{LIMITS.port}",
+            f"{self._at(me)}:{LIMITS.ops_port + newer}",
+            discovery,
+            f"{self._at(me)}:{LIMITS.peer_port}",
+            self._links.peers(me),
+        )
         (self._folder / f"{name}.json").write_text(json.dumps(config, indent=1))
         if not (wall := self._folder / f"n{me}.wall").exists():
             wall.write_text("0")
@@ -153,22 +185,35 @@
         store = f"{self._at(0)}:{LIMITS.store_port}"
         if e.store and me and me not in self._store_at:
             self._store_at[me] = self._tcp.place(Link("store", me), f"{self._net}.1", store)
-        (self._folder / f"{name}.toml").write_text(heads.operators_file(
-            e, str(self._folder / f"n{me}.history"), str(wall), own[:e.group], routes,
-            self._store_at.get(me, store), me == 0, str(self._folder / "audit")))
+        (self._folder / f"{name}.toml").write_text(
+            heads.operators_file(
+                e,
+                str(self._folder / f"n{me}.history"),
+                str(wall),
+                own[: e.group],
+                routes,
+                self._store_at.get(me, store),
+                me == 0,
+                str(self._folder / "audit"),
+            )
+        )
         return name
 
     def _discovery(self, me: int) -> str:
         """Where a head finds it: one address for all its processes."""
         if me not in self._listed_at:
-            self._listed_at[me] = self._tcp.place(Link("discovery", me), f"{self._net}.1",
-                                              self._world.discoveries[me].address)
+            self._listed_at[me] = self._tcp.place(
+                Link("discovery", me), f"{self._net}.1", self._world.discoveries[me].address
+            )
         return self._listed_at[me]
 
     def _launch(self, name: str, begins: bool = True) -> Process:
         files = self._folder / f"{name}.json", self._folder / f"{name}.toml"
-        return Process(["garnetlanding", "serve", "--config", str(files[0]), "--operator", str(files[1])],
-                       self._folder / f"{name}.log", begins)
+        return Process(
+            ["garnetlanding", "serve", "--config", str(files[0]), "--operator", str(files[1])],
+            self._folder / f"{name}.log",
+            begins,
+        )
 
     def _start_heads(self) -> None:
         e = self._experiment
@@ -195,8 +240,13 @@
         world, scheduler = self._world.bricks[0], self._scheduler
         while me in waiting and scheduler.now < last:
             try:
-                stream = Stream.connect(scheduler, f"{self._at(me)}:{LIMITS.port}", world.pool, world.limits,
-                                        scheduler.now + SECOND)
+                stream = Stream.connect(
+                    scheduler,
+                    f"{self._at(me)}:{LIMITS.port}",
+                    world.pool,
+                    world.limits,
+                    scheduler.now + SECOND,
+                )
             except (OSError, Expired):
                 scheduler.sleep(LIMITS.greet_us)
                 continue
@@ -210,10 +260,11 @@
                 stream.close()
 
     def _start_clients(self, requests: list[plan.Request], began: int) -> None:
-        at = [self._tcp.place(Link("client", i), f"{self._net}.1", f"{self._at(i)}:{LIMITS.port}")
-              for i in range(self._experiment.heads)]
-        told = {"heads": at, "begins": began,
-                "requests": [asdict(r) for r in requests]}
+        at = [
+            self._tcp.place(Link("client", i), f"{self._net}.1", f"{self._at(i)}:{LIMITS.port}")
+            for i in range(self._experiment.heads)
+        ]
+        told = {"heads": at, "begins": began, "requests": [asdict(r) for r in requests]}
         (self._folder / "plan.json").write_text(json.dumps(told))
         files = [str(self._folder / "plan.json"), str(self._folder / "clients.history")]
         self._clients = Process(["garnetlanding.lab.clients", *files], self._folder / "clients.log")
@@ -223,6 +274,7 @@
             def happen() -> None:
                 self._note("fault", kind=what, which=fault.who)
                 act()
+
             self._scheduler.call_at(began + when, happen)
 
         if fault.kind == "silent":
@@ -239,8 +291,11 @@
             at(fault.until_us, "up", lambda: self._world.started(brick))
         elif fault.kind in COMINGS:
             head = self._heads[fault.who]
-            at(fault.at_us, fault.kind, (lambda: head.signal(signal.SIGTERM)) if fault.kind == "leave"
-               else head.start)
+            at(
+                fault.at_us,
+                fault.kind,
+                (lambda: head.signal(signal.SIGTERM)) if fault.kind == "leave" else head.start,
+            )
         elif fault.kind in CLOCKS:
             at(fault.at_us, fault.kind, lambda: self._step(fault))
         elif fault.kind in UPGRADES:
@@ -282,8 +337,9 @@
         older.signal(SIGNALS[fault.how])
         if fault.how == "stop":
             # As whoever supervises it would, once it has not ended in time.
-            self._scheduler.call_at(self._scheduler.now + LIMITS.supervise_us,
-                                    lambda: older.signal(signal.SIGKILL))
+            self._scheduler.call_at(
+                self._scheduler.now + LIMITS.supervise_us, lambda: older.signal(signal.SIGKILL)
+            )
         self._older.append(older)
         self._heads[fault.who] = self._newer.pop(fault.who)
 
@@ -321,8 +377,13 @@
         except (OSError, Expired):
             pass
         status = answer.split(b" ")[1:2]
-        self._note("called", kind=fault.kind, which=fault.who, brick=fault.brick,
-                   status=int(status[0]) if status else 0)
+        self._note(
+            "called",
+            kind=fault.kind,
+            which=fault.who,
+            brick=fault.brick,
+            status=int(status[0]) if status else 0,
+        )
 
     def _end(self) -> None:
         """Every process by its own id, also after a failure: one that stands still has to go on to end."""
@@ -349,6 +410,7 @@
 @contextlib.contextmanager
 def ended_by_signals() -> Iterator[None]:
     """SIGTERM and SIGHUP end a run as Ctrl-C does: by default they would leave its processes behind."""
+
     def end(number: int, _: object) -> None:
         raise Interrupted(f"ended by {signal.Signals(number).name}")
 
@@ -363,8 +425,9 @@
             signal.signal(number, handler)
 
 
-def run(experiment: Experiment, folder: pathlib.Path,
-        progress: Callable[[float], None] = lambda done: None) -> Result:
+def run(
+    experiment: Experiment, folder: pathlib.Path, progress: Callable[[float], None] = lambda done: None
+) -> Result:
     """Raises LabError where it could not be carried through. The folder must be new or empty."""
     folder.mkdir(parents=True, exist_ok=True)
     if any(folder.iterdir()):
--- a/garnetlanding/lab/streams.py
+++ b/garnetlanding/lab/streams.py
@@ -37,8 +37,14 @@
         return any(f.link == kind for f in self._faults)
 
     def _striking(self, link: Link, now: int) -> list[Fault]:
-        return [f for f in self._faults if f.link == link.kind and f.who in (-1, link.head)
-                and f.brick in (-1, link.brick) and f.at_us <= now < f.until_us]
+        return [
+            f
+            for f in self._faults
+            if f.link == link.kind
+            and f.who in (-1, link.head)
+            and f.brick in (-1, link.brick)
+            and f.at_us <= now < f.until_us
+        ]
 
     def refuses(self, link: Link, now: int) -> bool:
         """Whether a connection is reset as soon as it comes."""
--- a/garnetlanding/lab/tcp.py
+++ b/garnetlanding/lab/tcp.py
@@ -112,7 +112,7 @@
                     break
                 step = passage.piece or len(data)
                 for at in range(0, len(data), step):
-                    self._send(sink, data[at:at + step])
+                    self._send(sink, data[at : at + step])
                     if passage.apart_us:
                         self._scheduler.sleep(passage.apart_us)
             sink.shutdown(socket.SHUT_WR)
@@ -125,7 +125,7 @@
     def _send(self, sink: socket.socket, data: bytes) -> None:
         while data:
             try:
-                data = data[sink.send(data):]
+                data = data[sink.send(data) :]
             except BlockingIOError:
                 self._scheduler.wait(sink.fileno(), WRITE)
 
--- a/garnetlanding/lab/weather.py
+++ b/garnetlanding/lab/weather.py
@@ -15,8 +15,11 @@
     def __init__(self, experiment: Experiment) -> None:
         self._faults = experiment.faults
         self._links = [fault for fault in self._faults if fault.kind in LINK_FAULTS]
-        self._draws = {(a, b): random.Random(f"{experiment.seed} {a} {b}")
-                       for a in range(experiment.heads) for b in range(experiment.heads)}
+        self._draws = {
+            (a, b): random.Random(f"{experiment.seed} {a} {b}")
+            for a in range(experiment.heads)
+            for b in range(experiment.heads)
+        }
         self.fates: Counter[str] = Counter()
 
     def lies(self, sender: int, now: int) -> str:
--- a/garnetlanding/lab/world.py
+++ b/garnetlanding/lab/world.py
@@ -47,30 +47,39 @@
         answer = b"*3\r\n" + resp.bulk(words[1]) + b"$-1\r\n$-1\r\n"
         self.scheduler.call_at(self._free_at, lambda: None if conn.ended else conn.write(answer))
 
-
     def fall(self) -> None:
         """Refuses connections from now on; the list goes on naming it."""
         self.listener.stop_accepting()
         self.drop()
 
     def rise(self) -> None:
-        self.listener = Listener(self.scheduler, self.address, self.pool, self.limits, LIMITS.brick_conns,
-                                 self._make)
+        self.listener = Listener(
+            self.scheduler, self.address, self.pool, self.limits, LIMITS.brick_conns, self._make
+        )
 
 
 class Surroundings:
-    def __init__(self, scheduler: Scheduler, host: str, heads: int, bricks: int, note: Callable[..., None],
-                 reach: Callable[[int, int, str], str]) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        host: str,
+        heads: int,
+        bricks: int,
+        note: Callable[..., None],
+        reach: Callable[[int, int, str], str],
+    ) -> None:
         """`reach`: the address at which a head reaches a brick of that number and address."""
         limits = Limits()
         pool = BufferPool(limits.buffer_bytes, limits.pool_keep, limits.pool_most)
-        self.bricks = [LabBrick(scheduler, pool, limits, f"{host}:0", note=note, number=i)
-                       for i in range(bricks)]
+        self.bricks = [
+            LabBrick(scheduler, pool, limits, f"{host}:0", note=note, number=i) for i in range(bricks)
+        ]
         self.discoveries = [Discovery(scheduler, pool, limits, f"{host}:0") for _ in range(heads)]
         self.spare = Discovery(scheduler, pool, limits, f"{host}:0")  # to which a head may be moved
         for head, discovery in enumerate(self.discoveries):
-            discovery.boxes = [Box(f"b{b.number}", reach(head, b.number, b.address), b.number)
-                               for b in self.bricks]
+            discovery.boxes = [
+                Box(f"b{b.number}", reach(head, b.number, b.address), b.number) for b in self.bricks
+            ]
         self.spare.boxes = [Box(f"b{b.number}", b.address, b.number) for b in self.bricks]
         self._scheduler = scheduler
         scheduler.spawn(self._beat)
--- a/garnetlanding/limits.py
+++ b/garnetlanding/limits.py
@@ -161,12 +161,16 @@
         buffers = min(self.pool_most, room // 4 // self.buffer_bytes) - (programs - 1) * self.pool_start
         kept = sockets // 6
         return replace(
-            self, brick_conns=sockets // 3, brick_conns_kept=kept,
+            self,
+            brick_conns=sockets // 3,
+            brick_conns_kept=kept,
             client_conns=sockets - kept - self.spare_sockets - (self.ops_sockets if ops else 0),
             idle_clients=kept,
-            pool_most=buffers, pool_keep=min(self.pool_keep, buffers // 4),
+            pool_most=buffers,
+            pool_keep=min(self.pool_keep, buffers // 4),
             out_bytes=min(self.out_bytes, room // 8),
             open_bytes=min(self.open_bytes, room // 4),
             open_items=min(self.open_items, room // 4 // self.item_bytes),
             store_log_entries=min(self.store_log_entries, room // 16 // self.record_bytes),
-            telemetry_queue=min(self.telemetry_queue, room // 16 // self.record_bytes))
+            telemetry_queue=min(self.telemetry_queue, room // 16 // self.record_bytes),
+        )
--- a/garnetlanding/logs.py
+++ b/garnetlanding/logs.py
@@ -22,8 +22,10 @@
 
     def format(self, record: logging.LogRecord) -> str:
         pairs: dict[str, object] = {
-            "time": self.formatTime(record), "level": record.levelname.lower(),
-            "logger": record.name, "msg": record.getMessage(),
+            "time": self.formatTime(record),
+            "level": record.levelname.lower(),
+            "logger": record.name,
+            "msg": record.getMessage(),
         }
         pairs |= getattr(record, "kv", {})
         if record.exc_info:
--- a/garnetlanding/ninep/client.py
+++ b/garnetlanding/ninep/client.py
@@ -19,16 +19,27 @@
 
 TAG = 1  # one message of an attempt is out at a time
 CLUNK_TAGS = range(2, 0xFFFF)  # of clunks, which nothing waits for
-OFFERS = {"auto": (linux.VERSION, codec.VERSION), codec.VERSION: (codec.VERSION,),
-          linux.VERSION: (linux.VERSION,)}
+OFFERS = {
+    "auto": (linux.VERSION, codec.VERSION),
+    codec.VERSION: (codec.VERSION,),
+    linux.VERSION: (linux.VERSION,),
+}
 
 
 class ServerMachine:
-    def __init__(self, work: Work, pool: BufferPool, limits: Limits, offer: tuple[str, ...],
-                 write: Callable[[bytes], None], done: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        work: Work,
+        pool: BufferPool,
+        limits: Limits,
+        offer: tuple[str, ...],
+        write: Callable[[bytes], None],
+        done: Callable[[], None],
+    ) -> None:
         self._write, self._done = write, done
-        self._session = Session(work.who, limits.ninep_msize, limits.ninep_least_msize,
-                                limits.ninep_keep_open, offer)
+        self._session = Session(
+            work.who, limits.ninep_msize, limits.ninep_least_msize, limits.ninep_keep_open, offer
+        )
         self._framer = codec.Framer(pool, limits.ninep_msize)
         self._trial: Trial | None = None
         self._work: Work | None = None
@@ -120,14 +131,21 @@
         self._framer.close()
 
 
-def file_servers(scheduler: Scheduler, pool: BufferPool, limits: Limits, port: int,
-                 dialect: str = "auto") -> Upstream:
+def file_servers(
+    scheduler: Scheduler, pool: BufferPool, limits: Limits, port: int, dialect: str = "auto"
+) -> Upstream:
     """`port`: where file servers listen on the machines that discovery names; 0: at the address it gives.
     `dialect`: the one to offer them, or auto: the richer first."""
+
     def place(endpoint: str) -> str:
         return f"{parse_address(endpoint)[0]}:{port}" if port else endpoint
 
     return Upstream(
-        scheduler, pool, limits, limits.ninep_server_conns,
+        scheduler,
+        pool,
+        limits,
+        limits.ninep_server_conns,
         lambda trial, write, done: ServerMachine(trial.work, pool, limits, OFFERS[dialect], write, done),
-        place, lambda trial: f"{trial.work.who.uname}\0{trial.work.who.n_uname}\0{trial.work.who.aname}")
+        place,
+        lambda trial: f"{trial.work.who.uname}\0{trial.work.who.n_uname}\0{trial.work.who.aname}",
+    )
--- a/garnetlanding/ninep/codec.py
+++ b/garnetlanding/ninep/codec.py
@@ -204,8 +204,13 @@
 
 
 QID = struct.Struct("<BIQ")
-COUNTS = {"s": struct.Struct("<H"), "n": struct.Struct("<H"), "d": struct.Struct("<I"),
-          "S": struct.Struct("<H"), "Q": struct.Struct("<H")}
+COUNTS = {
+    "s": struct.Struct("<H"),
+    "n": struct.Struct("<H"),
+    "d": struct.Struct("<I"),
+    "S": struct.Struct("<H"),
+    "Q": struct.Struct("<H"),
+}
 FIXED = {"1": "B", "2": "H", "4": "I", "8": "Q"}
 
 
@@ -234,7 +239,7 @@
         if self._at + n > len(self._data):
             raise ValueError("message cut short")
         self._at += n
-        return self._data[self._at - n:self._at]
+        return self._data[self._at - n : self._at]
 
     def number(self, size: int) -> int:
         return int.from_bytes(self.raw(size), "little")
@@ -283,18 +288,18 @@
         self._get = attrgetter(*names) if names else lambda message: ()
         self._single = len(names) == 1
         self._lead = next((i for i, kind in enumerate(kinds) if kind not in FIXED), len(kinds))
-        lead = "".join(FIXED[kind] for kind in kinds[:self._lead])
+        lead = "".join(FIXED[kind] for kind in kinds[: self._lead])
         self._head, self._body = struct.Struct("<IBH" + lead), struct.Struct("<" + lead)
-        self._rest = kinds[self._lead:]
+        self._rest = kinds[self._lead :]
 
     def encode(self, tag: int, message: Message) -> bytes:
         values = self._get(message)
         if self._single:
             values = (values,)
-        rest = b"".join([pack(kind, value)
-                         for kind, value in zip(self._rest, values[self._lead:], strict=True)])
-        return self._head.pack(
-            self._head.size + len(rest), self.number, tag, *values[:self._lead]) + rest
+        rest = b"".join(
+            [pack(kind, value) for kind, value in zip(self._rest, values[self._lead :], strict=True)]
+        )
+        return self._head.pack(self._head.size + len(rest), self.number, tag, *values[: self._lead]) + rest
 
     def decode(self, body: bytes) -> Message | Malformed:
         size = self._body.size
@@ -324,17 +329,41 @@
 
 
 # What both dialects have.
-SHARED = table({
-    100: (Tversion, "4s"), 101: (Rversion, "4s"), 103: (Rauth, "q"), 105: (Rattach, "q"),
-    108: (Tflush, "2"), 109: (Rflush, ""), 110: (Twalk, "44S"), 111: (Rwalk, "Q"), 116: (Tread, "484"),
-    117: (Rread, "d"), 118: (Twrite, "48d"), 119: (Rwrite, "4"), 120: (Tclunk, "4"), 121: (Rclunk, ""),
-    122: (Tremove, "4"), 123: (Rremove, ""),
-})
-PLAIN = SHARED | table({
-    102: (Tauth, "4ss"), 104: (Tattach, "44ss"), 107: (Rerror, "s"), 112: (Topen, "41"), 113: (Ropen, "q4"),
-    114: (Tcreate, "4s41"), 115: (Rcreate, "q4"), 124: (Tstat, "4"), 125: (Rstat, "n"), 126: (Twstat, "4n"),
-    127: (Rwstat, ""),
-})
+SHARED = table(
+    {
+        100: (Tversion, "4s"),
+        101: (Rversion, "4s"),
+        103: (Rauth, "q"),
+        105: (Rattach, "q"),
+        108: (Tflush, "2"),
+        109: (Rflush, ""),
+        110: (Twalk, "44S"),
+        111: (Rwalk, "Q"),
+        116: (Tread, "484"),
+        117: (Rread, "d"),
+        118: (Twrite, "48d"),
+        119: (Rwrite, "4"),
+        120: (Tclunk, "4"),
+        121: (Rclunk, ""),
+        122: (Tremove, "4"),
+        123: (Rremove, ""),
+    }
+)
+PLAIN = SHARED | table(
+    {
+        102: (Tauth, "4ss"),
+        104: (Tattach, "44ss"),
+        107: (Rerror, "s"),
+        112: (Topen, "41"),
+        113: (Ropen, "q4"),
+        114: (Tcreate, "4s41"),
+        115: (Rcreate, "q4"),
+        124: (Tstat, "4"),
+        125: (Rstat, "n"),
+        126: (Twstat, "4n"),
+        127: (Rwstat, ""),
+    }
+)
 
 
 def encode(tag: int, message: Message) -> bytes:
--- a/garnetlanding/ninep/front.py
+++ b/garnetlanding/ninep/front.py
@@ -224,8 +224,7 @@
 
     def bounded(self, path: Path) -> None:
         """Raises Refusal for a path that is longer than a fid may have."""
-        if (len(path) > self.limits.ninep_path_names
-                or sum(map(len, path)) > self.limits.ninep_path_bytes):
+        if len(path) > self.limits.ninep_path_names or sum(map(len, path)) > self.limits.ninep_path_bytes:
             raise Refusal(problems.ENAMETOOLONG, "path too long")
 
     def opened(self, fid: int) -> tuple[Fid, How]:
@@ -287,14 +286,23 @@
                 self.fids[newfid] = Fid(at.export, at.who, path, qids[-1])
             return codec.Rwalk(qids)
 
-        self.ask(tag, Pending(message.fid, Walk(at.who, at.path, at.qid, message.names),
-                              None if newfid == message.fid else newfid, alone=newfid == message.fid),
-                 at, told)
+        self.ask(
+            tag,
+            Pending(
+                message.fid,
+                Walk(at.who, at.path, at.qid, message.names),
+                None if newfid == message.fid else newfid,
+                alone=newfid == message.fid,
+            ),
+            at,
+            told,
+        )
 
     def take_open(self, fid: int, at: Fid, file: OpenFile, how: How) -> int:
         """The fid is open now; returns the iounit to tell. Raises Refusal for an exclusive file in use."""
         if file.qid.type & QTEXCL and not self.front.exclusive.open(
-                (at.export.name, file.qid.path), self.id, fid):
+            (at.export.name, file.qid.path), self.id, fid
+        ):
             raise Refusal(problems.EBUSY)
         at.qid, at.how = file.qid, how
         most = self.msize - READ_OVERHEAD
@@ -312,8 +320,13 @@
         self.good_offset(offset, count)
         if not count:
             return self.say(tag, codec.Rread(b""))
-        self.ask(tag, Pending(fid, Read(at.who, at.path, at.qid, how, offset, count)), at,
-                 lambda data: codec.Rread(data), count)
+        self.ask(
+            tag,
+            Pending(fid, Read(at.who, at.path, at.qid, how, offset, count)),
+            at,
+            lambda data: codec.Rread(data),
+            count,
+        )
 
     def good_offset(self, offset: int, count: int) -> None:
         if offset + count > OFFSET_END:
@@ -328,8 +341,13 @@
             self.good_offset(offset, len(data))
         if not data:
             return self.say(tag, codec.Rwrite(0))
-        self.ask(tag, Pending(fid, Write(at.who, at.path, at.qid, how, offset, data, append)), at,
-                 lambda count: codec.Rwrite(count), len(data))
+        self.ask(
+            tag,
+            Pending(fid, Write(at.who, at.path, at.qid, how, offset, data, append)),
+            at,
+            lambda count: codec.Rwrite(count),
+            len(data),
+        )
 
     # The end of a fid
 
@@ -381,8 +399,7 @@
 
     # Items
 
-    def ask(self, tag: int, pending: Pending, at: Fid, told: Callable[[Any], Message],
-            size: int = 0) -> None:
+    def ask(self, tag: int, pending: Pending, at: Fid, told: Callable[[Any], Message], size: int = 0) -> None:
         """One item for what a message asks; `told` makes the answer of what comes back. `size`: bytes."""
         if len(self._pending) >= self.limits.ninep_tags:
             raise Refusal(problems.EAGAIN, "too many requests in flight")
@@ -416,8 +433,7 @@
         self._items -= 1
         self._send_queued()
 
-    def _enter(self, tag: int, pending: Pending, at: Fid, told: Callable[[Any], Message],
-               units: int) -> None:
+    def _enter(self, tag: int, pending: Pending, at: Fid, told: Callable[[Any], Message], units: int) -> None:
         """A change takes its place behind those it must not overtake; its time runs from now on."""
         work = pending.work
         assert work
@@ -431,13 +447,13 @@
                 pending.work = work.under(path, at.path)
             self._admit(pending, lambda: self._send(tag, pending, at, told, units, until))
 
-        pending.order, free = self.front.enter(
-            self.id, at, tuple((export.name, p) for p in work.paths), go)
+        pending.order, free = self.front.enter(self.id, at, tuple((export.name, p) for p in work.paths), go)
         if free:
             go()
 
-    def _send(self, tag: int, pending: Pending, at: Fid, told: Callable[[Any], Message], units: int,
-              until: int) -> None:
+    def _send(
+        self, tag: int, pending: Pending, at: Fid, told: Callable[[Any], Message], units: int, until: int
+    ) -> None:
         export, work, core = at.export, pending.work, self.front.core
         assert work
         # One whose time went by while it waited still goes to the module, which turns it away.
@@ -452,10 +468,23 @@
         cls = class_for(work.op, export.cls, export.change_cls or export.cls, core.settings.classes)
         try:
             pending.ticket = core.accept(
-                Ask(cls, export.plan, export.volume, "/" + "/".join(work.path), float(units), export.cell,
-                    wait_us, export.hosts, work, is_write=work.spec.change, size=self._bytes(work),
-                    copies=False),  # what it keeps of its attempts is for one at a time
-                self.front.backend, answered)
+                Ask(
+                    cls,
+                    export.plan,
+                    export.volume,
+                    "/" + "/".join(work.path),
+                    float(units),
+                    export.cell,
+                    wait_us,
+                    export.hosts,
+                    work,
+                    is_write=work.spec.change,
+                    size=self._bytes(work),
+                    copies=False,
+                ),  # what it keeps of its attempts is for one at a time
+                self.front.backend,
+                answered,
+            )
         except Unfit as problem:  # the operator's export and the settings do not go together
             answered(Served(Problem(problems.EINVAL, str(problem))))
 
@@ -500,8 +529,7 @@
             self.say(flush, codec.Rflush())
 
     def fail(self, tag: int, problem: Problem) -> None:
-        self.say(tag, self.speaker.error(problem, self.msize) if self.speaker
-                 else codec.Rerror(problem.text))
+        self.say(tag, self.speaker.error(problem, self.msize) if self.speaker else codec.Rerror(problem.text))
 
     def say(self, tag: int, message: Message) -> None:
         self._write(codec.encode(tag, message))
--- a/garnetlanding/ninep/locks.py
+++ b/garnetlanding/ninep/locks.py
@@ -48,8 +48,9 @@
 
     def conflict(self, file: File, wanted: Range) -> Range | None:
         """The first range that stands in its way."""
-        return next((r for r in sorted(self._held.get(file, ()), key=lambda r: r.start)
-                     if r.conflicts(wanted)), None)
+        return next(
+            (r for r in sorted(self._held.get(file, ()), key=lambda r: r.start) if r.conflicts(wanted)), None
+        )
 
     def take(self, file: File, wanted: Range) -> bool:
         """False when another owner's range stands in the way. Raises OverflowError past the bound."""
--- a/garnetlanding/ninep/model.py
+++ b/garnetlanding/ninep/model.py
@@ -135,10 +135,21 @@
     """A 9P2000 stat with its size in front. Times past 2106 are cut to what 32 bits hold."""
     texts = b"".join(pack("s", text) for text in (name, attr.uid, attr.gid, attr.muid))
     qid = plain_qid(attr.qid)
-    return STAT_HEAD.pack(
-        STAT_HEAD.size - 2 + len(texts), 0, 0, qid.type, qid.version, qid.path, dm_mode(attr),
-        min(attr.atime.s, KEEP4 - 1), min(attr.mtime.s, KEEP4 - 1),
-        0 if qid.type & QTDIR else attr.length) + texts
+    return (
+        STAT_HEAD.pack(
+            STAT_HEAD.size - 2 + len(texts),
+            0,
+            0,
+            qid.type,
+            qid.version,
+            qid.path,
+            dm_mode(attr),
+            min(attr.atime.s, KEEP4 - 1),
+            min(attr.mtime.s, KEEP4 - 1),
+            0 if qid.type & QTDIR else attr.length,
+        )
+        + texts
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -180,23 +191,46 @@
 def raw_attr(raw: RawStat) -> Attr:
     kind = stat.S_IFDIR if raw.mode & DMDIR else stat.S_IFREG
     mtime = Time(raw.mtime)
-    return Attr(raw.qid, kind | raw.mode & PERM, raw.mode & DM_FLAGS, raw.uid, raw.gid, raw.muid, raw.length,
-                Time(raw.atime), mtime, ctime=mtime, nlink=2 if raw.mode & DMDIR else 1,
-                blocks=-(-raw.length // 512))
+    return Attr(
+        raw.qid,
+        kind | raw.mode & PERM,
+        raw.mode & DM_FLAGS,
+        raw.uid,
+        raw.gid,
+        raw.muid,
+        raw.length,
+        Time(raw.atime),
+        mtime,
+        ctime=mtime,
+        nlink=2 if raw.mode & DMDIR else 1,
+        blocks=-(-raw.length // 512),
+    )
 
 
 def raw_changes(raw: RawStat) -> Changes:
     """What a wstat asks for. Only name, mode, length, mtime and gid may change (stat(5))."""
-    odd = [field for field, kept in (
-        ("type", raw.type == 0xFFFF), ("dev", raw.dev == KEEP4),
-        ("qid", raw.qid == Qid(0xFF, KEEP4, KEEP8)), ("atime", raw.atime == KEEP4), ("uid", not raw.uid),
-        ("muid", not raw.muid)) if not kept]
+    odd = [
+        field
+        for field, kept in (
+            ("type", raw.type == 0xFFFF),
+            ("dev", raw.dev == KEEP4),
+            ("qid", raw.qid == Qid(0xFF, KEEP4, KEEP8)),
+            ("atime", raw.atime == KEEP4),
+            ("uid", not raw.uid),
+            ("muid", not raw.muid),
+        )
+        if not kept
+    ]
     keep_mode = raw.mode == KEEP4
     return Changes(
-        name=raw.name or None, perm=None if keep_mode else raw.mode & PERM,
-        flags=None if keep_mode else raw.mode & (DM_FLAGS | DMDIR), gid=raw.gid or None,
+        name=raw.name or None,
+        perm=None if keep_mode else raw.mode & PERM,
+        flags=None if keep_mode else raw.mode & (DM_FLAGS | DMDIR),
+        gid=raw.gid or None,
         length=None if raw.length == KEEP8 else raw.length,
-        mtime=None if raw.mtime == KEEP4 else Time(raw.mtime), odd=tuple(odd))
+        mtime=None if raw.mtime == KEEP4 else Time(raw.mtime),
+        odd=tuple(odd),
+    )
 
 
 def pack_changes(changes: Changes, is_dir: bool) -> bytes:
@@ -205,25 +239,69 @@
     if changes.perm is not None:
         mode = changes.perm & PERM | (changes.flags or 0) | (DMDIR if is_dir else 0)
     texts = b"".join(pack("s", text) for text in (changes.name or "", "", changes.gid or "", ""))
-    return STAT_HEAD.pack(
-        STAT_HEAD.size - 2 + len(texts), 0xFFFF, KEEP4, 0xFF, KEEP4, KEEP8, mode, KEEP4,
-        KEEP4 if changes.mtime is None else changes.mtime.s,
-        KEEP8 if changes.length is None else changes.length) + texts
+    return (
+        STAT_HEAD.pack(
+            STAT_HEAD.size - 2 + len(texts),
+            0xFFFF,
+            KEEP4,
+            0xFF,
+            KEEP4,
+            KEEP8,
+            mode,
+            KEEP4,
+            KEEP4 if changes.mtime is None else changes.mtime.s,
+            KEEP8 if changes.length is None else changes.length,
+        )
+        + texts
+    )
 
 
 def getattr_reply(attr: Attr) -> linux.Rgetattr:
     return linux.Rgetattr(
-        attr.valid, attr.qid, attr.mode, user_number(attr.uid), user_number(attr.gid), attr.nlink, attr.rdev,
-        attr.length, attr.blksize, attr.blocks, attr.atime.s, attr.atime.ns, attr.mtime.s, attr.mtime.ns,
-        attr.ctime.s, attr.ctime.ns, attr.btime.s, attr.btime.ns, attr.gen, attr.data_version)
+        attr.valid,
+        attr.qid,
+        attr.mode,
+        user_number(attr.uid),
+        user_number(attr.gid),
+        attr.nlink,
+        attr.rdev,
+        attr.length,
+        attr.blksize,
+        attr.blocks,
+        attr.atime.s,
+        attr.atime.ns,
+        attr.mtime.s,
+        attr.mtime.ns,
+        attr.ctime.s,
+        attr.ctime.ns,
+        attr.btime.s,
+        attr.btime.ns,
+        attr.gen,
+        attr.data_version,
+    )
 
 
 def getattr_attr(reply: linux.Rgetattr) -> Attr:
     return Attr(
-        reply.qid, reply.mode, 0, str(reply.uid), str(reply.gid), str(reply.uid), reply.size,
-        Time(reply.atime_s, reply.atime_ns), Time(reply.mtime_s, reply.mtime_ns),
-        Time(reply.ctime_s, reply.ctime_ns), Time(reply.btime_s, reply.btime_ns), reply.nlink, reply.rdev,
-        reply.blksize, reply.blocks, reply.gen, reply.data_version, reply.valid)
+        reply.qid,
+        reply.mode,
+        0,
+        str(reply.uid),
+        str(reply.gid),
+        str(reply.uid),
+        reply.size,
+        Time(reply.atime_s, reply.atime_ns),
+        Time(reply.mtime_s, reply.mtime_ns),
+        Time(reply.ctime_s, reply.ctime_ns),
+        Time(reply.btime_s, reply.btime_ns),
+        reply.nlink,
+        reply.rdev,
+        reply.blksize,
+        reply.blocks,
+        reply.gen,
+        reply.data_version,
+        reply.valid,
+    )
 
 
 ENTRY_HEAD = struct.Struct("<BIQQBH")  # qid, offset of the next entry, type, length of the name
@@ -233,8 +311,10 @@
     """An entry as a Treaddir's answer has it."""
     raw = entry.name.encode()
     qid = entry.qid
-    return ENTRY_HEAD.pack(qid.type, qid.version, qid.path, entry.cookie, entry.kind or d_type(qid),
-                           len(raw)) + raw
+    return (
+        ENTRY_HEAD.pack(qid.type, qid.version, qid.path, entry.cookie, entry.kind or d_type(qid), len(raw))
+        + raw
+    )
 
 
 def read_entries(data: bytes) -> list[Entry]:
--- a/garnetlanding/ninep/ops.py
+++ b/garnetlanding/ninep/ops.py
@@ -51,14 +51,29 @@
 
 
 TABLE: dict[Op, Spec] = {
-    Op.ATTACH: READS, Op.WALK: READS, Op.OPEN: READS, Op.READ: READS, Op.READ_DIRECTORY: READS,
-    Op.STAT: READS, Op.READ_LINK: READS, Op.STAT_FS: READS,
+    Op.ATTACH: READS,
+    Op.WALK: READS,
+    Op.OPEN: READS,
+    Op.READ: READS,
+    Op.READ_DIRECTORY: READS,
+    Op.STAT: READS,
+    Op.READ_LINK: READS,
+    Op.STAT_FS: READS,
     # A place is given with each of these: what a second run writes is there already.
-    Op.WRITE: SETS, Op.SET_ATTRIBUTES: SETS, Op.SYNC: SETS, Op.OPEN_TRUNCATE: SETS,
+    Op.WRITE: SETS,
+    Op.SET_ATTRIBUTES: SETS,
+    Op.SYNC: SETS,
+    Op.OPEN_TRUNCATE: SETS,
     Op.CREATE: SETS,  # opens the file that is there
     # A second run adds again, fails on its own first run, or hits what came in between.
-    Op.APPEND: ONCE, Op.CREATE_EXCLUSIVE: ONCE, Op.MAKE_DIRECTORY: ONCE, Op.MAKE_NODE: ONCE,
-    Op.SYMLINK: ONCE, Op.LINK: ONCE, Op.RENAME: ONCE, Op.REMOVE: ONCE,
+    Op.APPEND: ONCE,
+    Op.CREATE_EXCLUSIVE: ONCE,
+    Op.MAKE_DIRECTORY: ONCE,
+    Op.MAKE_NODE: ONCE,
+    Op.SYMLINK: ONCE,
+    Op.LINK: ONCE,
+    Op.RENAME: ONCE,
+    Op.REMOVE: ONCE,
 }
 
 
--- a/garnetlanding/ninep/order.py
+++ b/garnetlanding/ninep/order.py
@@ -25,8 +25,8 @@
 
 def moved(path: tuple[str, Path], old: tuple[str, Path], new: Path) -> tuple[str, Path]:
     """Where a path lies once `old` is called `new`."""
-    if path[0] == old[0] and path[1][:len(old[1])] == old[1]:
-        return path[0], new + path[1][len(old[1]):]
+    if path[0] == old[0] and path[1][: len(old[1])] == old[1]:
+        return path[0], new + path[1][len(old[1]) :]
     return path
 
 
@@ -68,8 +68,10 @@
         return not any(other.touches(entry.paths) for other in ahead) and not self._rests_on(entry, now)
 
     def _rests_on(self, entry: Entry, now: int) -> bool:
-        return any(until > now and any(touch(path, mine) for mine in entry.paths)
-                   for path, until in self._rests.items())
+        return any(
+            until > now and any(touch(path, mine) for mine in entry.paths)
+            for path, until in self._rests.items()
+        )
 
     def ended(self, client: int, ticket: int, now: int, unsure: bool) -> list[int]:
         """The change is over, or was given up before it went. Returns the tickets that may go now."""
--- a/garnetlanding/ninep/problems.py
+++ b/garnetlanding/ninep/problems.py
@@ -16,8 +16,16 @@
 # The first text of a number is how it is told in 9P2000; the others are understood as well.
 TEXTS: tuple[tuple[int, tuple[str, ...]], ...] = (
     (EPERM, ("operation not permitted", "not owner", "wstat prohibited")),
-    (ENOENT, ("file does not exist", "no such file or directory", "file not found", "not found",
-              "directory entry not found")),
+    (
+        ENOENT,
+        (
+            "file does not exist",
+            "no such file or directory",
+            "file not found",
+            "not found",
+            "directory entry not found",
+        ),
+    ),
     (EIO, ("i/o error", "input/output error")),
     (EBADF, ("unknown fid", "bad file descriptor", "fid not open", "bad use of fid", "file not open")),
     (EAGAIN, ("busy", "resource temporarily unavailable")),
@@ -29,8 +37,17 @@
     (ENODEV, ("no such device",)),
     (ENOTDIR, ("not a directory",)),
     (EISDIR, ("file is a directory", "is a directory")),
-    (EINVAL, ("invalid argument", "bad arg in system call", "bad offset in directory read", "illegal offset",
-              "illegal name", "negative i/o offset")),
+    (
+        EINVAL,
+        (
+            "invalid argument",
+            "bad arg in system call",
+            "bad offset in directory read",
+            "illegal offset",
+            "illegal name",
+            "negative i/o offset",
+        ),
+    ),
     (EFBIG, ("file too large", "file too big")),
     (ENOSPC, ("no space left on device", "file system full", "disk full")),
     (EROFS, ("read-only file system", "file system read only", "file is read only")),
--- a/garnetlanding/ninep/session.py
+++ b/garnetlanding/ninep/session.py
@@ -70,8 +70,9 @@
 class Session:
     """Bound to one user and tree; `offer`: the versions to offer, the best first."""
 
-    def __init__(self, who: Who, msize: int, least_msize: int, keep_open: int,
-                 offer: tuple[str, ...]) -> None:
+    def __init__(
+        self, who: Who, msize: int, least_msize: int, keep_open: int, offer: tuple[str, ...]
+    ) -> None:
         self.who, self.msize, self.least_msize = who, msize, least_msize
         self.keep_open, self.offer = keep_open, offer
         self.root: Qid | None = None
@@ -155,7 +156,7 @@
     fid, source = session.new_fid(), ROOT
     qids: list[Qid] = []
     for at in range(0, max(1, len(path)), MAX_WALK):
-        part = path[at:at + MAX_WALK]
+        part = path[at : at + MAX_WALK]
         reply = yield codec.Twalk(source, fid, part)
         if qids and not isinstance(reply, codec.Rwalk):
             try:
--- a/garnetlanding/ninep/setup.py
+++ b/garnetlanding/ninep/setup.py
@@ -44,8 +44,9 @@
 
 
 DIALECTS = ("auto", "9P2000", "9P2000.L")
-KEYS = ("name volume plan class change_class cell deadline_ms change_deadline_ms hosts aname unit_bytes "
-        "access")
+KEYS = (
+    "name volume plan class change_class cell deadline_ms change_deadline_ms hosts aname unit_bytes " "access"
+)
 
 
 def read(data: object, settings: api.Settings) -> Ninep:
@@ -62,22 +63,34 @@
             raise ConfigError(f"key {one.name('name')}: {name!r:.40} is there twice")
         exports[name] = _export(one, name, settings)
     dialect = section.one_of("server_dialect", DIALECTS) if section.has("server_dialect") else "auto"
-    return Ninep(section.address("listen"), int(section.number("server_port", 0, 0, 65535)), exports,
-                 dialect, int(section.number("clients", 0, 0, 100_000)),
-                 int(section.number("server_connections", 0, 0, 100_000)))
+    return Ninep(
+        section.address("listen"),
+        int(section.number("server_port", 0, 0, 65535)),
+        exports,
+        dialect,
+        int(section.number("clients", 0, 0, 100_000)),
+        int(section.number("server_connections", 0, 0, 100_000)),
+    )
 
 
 def _export(one: Section, name: str, settings: api.Settings) -> Export:
     access = one.one_of("access", ("ro", "rw")) if one.has("access") else "ro"
     for key in ("change_class", "change_deadline_ms"):
         if access == "ro" and one.has(key):
-            raise ConfigError(f"key {one.name(key)}: nothing changes in an export with access \"ro\"")
+            raise ConfigError(f'key {one.name(key)}: nothing changes in an export with access "ro"')
     cls = one.one_of("class", settings.classes)
     deadline = one.number("deadline_ms", 1, most=60_000)
     return Export(
-        name=name, volume=one.text("volume"), plan=one.one_of("plan", settings.plans), cls=cls,
-        cell=int(one.number("cell", 0)), deadline_us=int(deadline * MS),
-        hosts=int(one.number("hosts", 1, 1)), aname=one.text("aname", ""),
-        unit_bytes=int(one.number("unit_bytes", 1, 65536)), access=access,
+        name=name,
+        volume=one.text("volume"),
+        plan=one.one_of("plan", settings.plans),
+        cls=cls,
+        cell=int(one.number("cell", 0)),
+        deadline_us=int(deadline * MS),
+        hosts=int(one.number("hosts", 1, 1)),
+        aname=one.text("aname", ""),
+        unit_bytes=int(one.number("unit_bytes", 1, 65536)),
+        access=access,
         change_cls=one.one_of("change_class", settings.classes) if one.has("change_class") else cls,
-        change_deadline_us=int(one.number("change_deadline_ms", 1, deadline, 60_000) * MS))
+        change_deadline_us=int(one.number("change_deadline_ms", 1, deadline, 60_000) * MS),
+    )
