--- a/garnetlanding/ninep/shared.py
+++ b/garnetlanding/ninep/shared.py
@@ -24,8 +24,15 @@
 class Front:
     """One for all connections; the machines find what is common to them here."""
 
-    def __init__(self, core: Core, backend: Backend, exports: dict[str, Export], pool: BufferPool,
-                 limits: Limits, timers: Timers) -> None:
+    def __init__(
+        self,
+        core: Core,
+        backend: Backend,
+        exports: dict[str, Export],
+        pool: BufferPool,
+        limits: Limits,
+        timers: Timers,
+    ) -> None:
         self.core, self.backend, self.exports = core, backend, exports
         self.pool, self.limits, self.timers = pool, limits, timers
         self.order = Order(limits.ninep_rest_us, limits.ninep_rests)
@@ -94,5 +101,5 @@
         self.order.moved((export, old), new)
         fids = [at for machine in self.clients.values() for at in machine.fids.values()]
         for at in {id(at): at for at in (*fids, *self._held.values())}.values():
-            if at.export.name == export and at.path[:len(old)] == old:
-                at.path = new + at.path[len(old):]
+            if at.export.name == export and at.path[: len(old)] == old:
+                at.path = new + at.path[len(old) :]
--- a/garnetlanding/ninep/speak_linux.py
+++ b/garnetlanding/ninep/speak_linux.py
@@ -69,8 +69,14 @@
                 self._lock(tag, message)
             case linux.Tstatfs(fid):
                 at = self._m.fid(fid)
-                self._m.ask(tag, Pending(fid, StatFs(at.who, at.path, at.qid)), at, lambda s: linux.Rstatfs(
-                    s.type, s.bsize, s.blocks, s.bfree, s.bavail, s.files, s.ffree, s.fsid, s.namelen))
+                self._m.ask(
+                    tag,
+                    Pending(fid, StatFs(at.who, at.path, at.qid)),
+                    at,
+                    lambda s: linux.Rstatfs(
+                        s.type, s.bsize, s.blocks, s.bfree, s.bavail, s.files, s.ffree, s.fsid, s.namelen
+                    ),
+                )
             case linux.Txattrwalk(fid) | linux.Txattrcreate(fid):
                 self._m.fid(fid)
                 raise Refusal(problems.EOPNOTSUPP)
@@ -85,29 +91,46 @@
         match message:
             case linux.Tmkdir(dfid, name, mode, gid):
                 at = self._m.directory(dfid, name)
-                self._make(tag, dfid, at, MakeDirectory(
-                    at.who, at.path, at.qid, name, New(mode & PERM, gid=gid)), linux.Rmkdir)
+                self._make(
+                    tag,
+                    dfid,
+                    at,
+                    MakeDirectory(at.who, at.path, at.qid, name, New(mode & PERM, gid=gid)),
+                    linux.Rmkdir,
+                )
             case linux.Tmknod(dfid, name, mode, major, minor, gid):
                 at = self._m.directory(dfid, name)
-                self._make(tag, dfid, at, MakeNode(
-                    at.who, at.path, at.qid, name, New(mode, gid=gid), major, minor), linux.Rmknod)
+                self._make(
+                    tag,
+                    dfid,
+                    at,
+                    MakeNode(at.who, at.path, at.qid, name, New(mode, gid=gid), major, minor),
+                    linux.Rmknod,
+                )
             case linux.Tsymlink(dfid, name, target, gid):
                 at = self._m.directory(dfid, name)
-                self._make(tag, dfid, at, Symlink(at.who, at.path, at.qid, name, target, gid),
-                           linux.Rsymlink)
+                self._make(tag, dfid, at, Symlink(at.who, at.path, at.qid, name, target, gid), linux.Rsymlink)
             case linux.Tlink(dfid, fid, name):
                 at, to = self._m.directory(dfid, name), self._m.fid(fid)
                 self._same(at, to)
                 if to.is_dir:
                     raise Refusal(problems.EPERM)
-                self._m.ask(tag, Pending(dfid, Link(at.who, at.path, at.qid, name, to.path, to.qid)), at,
-                            lambda _: linux.Rlink())
+                self._m.ask(
+                    tag,
+                    Pending(dfid, Link(at.who, at.path, at.qid, name, to.path, to.qid)),
+                    at,
+                    lambda _: linux.Rlink(),
+                )
             case linux.Tunlinkat(dfid, name, flags):
                 at = self._m.directory(dfid, name)
                 if flags & ~linux.AT_REMOVEDIR:
                     raise Refusal(problems.EINVAL)
-                self._m.ask(tag, Pending(dfid, Unlink(at.who, at.path, at.qid, name, bool(flags))), at,
-                            lambda _: linux.Runlinkat())
+                self._m.ask(
+                    tag,
+                    Pending(dfid, Unlink(at.who, at.path, at.qid, name, bool(flags))),
+                    at,
+                    lambda _: linux.Runlinkat(),
+                )
             case linux.Trename(fid, dfid, name):
                 at, to = self._m.fid(fid), self._m.directory(dfid, name)
                 self._rename(tag, fid, at, at.path, to, name, at, linux.Rrename())
@@ -125,13 +148,22 @@
         if a.export is not b.export or a.who != b.who:
             raise Refusal(problems.EXDEV)
 
-    def _rename(self, tag: int, fid: int, at: Fid, old: tuple[str, ...], to: Fid, name: str,
-                file: Fid | None, reply: Message) -> None:
+    def _rename(
+        self,
+        tag: int,
+        fid: int,
+        at: Fid,
+        old: tuple[str, ...],
+        to: Fid,
+        name: str,
+        file: Fid | None,
+        reply: Message,
+    ) -> None:
         self._same(at, to)
         new = (*to.path, name)
         if not old:
             raise Refusal(problems.EBUSY, "cannot rename the root")
-        if new[:len(old)] == old and new != old:
+        if new[: len(old)] == old and new != old:
             raise Refusal(problems.EINVAL, "a directory cannot move below itself")
 
         def told(_: Any) -> Message:
@@ -160,16 +192,24 @@
             raise Refusal(problems.EISDIR)
         if flags & linux.L_DIRECTORY and not at.is_dir:
             raise Refusal(problems.ENOTDIR)
-        self._m.ask(tag, Pending(fid, Open(at.who, at.path, at.qid, how, truncate), alone=True), at,
-                    lambda file: linux.Rlopen(file.qid, self._m.take_open(fid, at, file, how)))
+        self._m.ask(
+            tag,
+            Pending(fid, Open(at.who, at.path, at.qid, how, truncate), alone=True),
+            at,
+            lambda file: linux.Rlopen(file.qid, self._m.take_open(fid, at, file, how)),
+        )
 
     def _create(self, tag: int, message: linux.Tlcreate) -> None:
         self._m.unopened(message.fid)
         at = self._m.directory(message.fid, message.name)
         how = self._how(at, message.flags)
         path = (*at.path, message.name)
-        new = New(message.mode & PERM, gid=message.gid, exclusive=bool(message.flags & linux.L_EXCL),
-                  truncate=bool(message.flags & linux.L_TRUNC))
+        new = New(
+            message.mode & PERM,
+            gid=message.gid,
+            exclusive=bool(message.flags & linux.L_EXCL),
+            truncate=bool(message.flags & linux.L_TRUNC),
+        )
 
         def told(file: Any) -> Message:
             at.path, at.qid = path, file.qid
@@ -201,12 +241,17 @@
             gid=str(message.gid) if valid & linux.SET_GID else None,
             length=message.size if valid & linux.SET_SIZE else None,
             atime=time(linux.SET_ATIME, linux.SET_ATIME_TO, message.atime_s, message.atime_ns),
-            mtime=time(linux.SET_MTIME, linux.SET_MTIME_TO, message.mtime_s, message.mtime_ns))
+            mtime=time(linux.SET_MTIME, linux.SET_MTIME_TO, message.mtime_s, message.mtime_ns),
+        )
         if changes.nothing:
             # The time of the last change of attributes is the server's own to set.
             return self._m.say(tag, linux.Rsetattr())
-        self._m.ask(tag, Pending(message.fid, Change(at.who, at.path, at.qid, changes)), at,
-                    lambda _: linux.Rsetattr())
+        self._m.ask(
+            tag,
+            Pending(message.fid, Change(at.who, at.path, at.qid, changes)),
+            at,
+            lambda _: linux.Rsetattr(),
+        )
 
     # Directories and links
 
@@ -251,8 +296,10 @@
         self._m.good_offset(message.start, 0)
         start, end = span(message.start, message.length)
         owner = Owner(self._m.id, message.proc_id, message.client_id)
-        locks, wanted = self._m.front.locks, Range(
-            owner, message.fid, message.type == linux.LOCK_WRITE, start, end)
+        locks, wanted = (
+            self._m.front.locks,
+            Range(owner, message.fid, message.type == linux.LOCK_WRITE, start, end),
+        )
         if isinstance(message, linux.Tgetlock):
             if message.type not in (linux.LOCK_READ, linux.LOCK_WRITE):
                 raise Refusal(problems.EINVAL)
@@ -276,5 +323,9 @@
         if held is None:
             return linux.Rgetlock(linux.LOCK_NONE, asked.start, asked.length, asked.proc_id, asked.client_id)
         return linux.Rgetlock(
-            linux.LOCK_WRITE if held.write else linux.LOCK_READ, held.start,
-            0 if held.end == END else held.end - held.start, held.owner.proc_id, held.owner.client_id)
+            linux.LOCK_WRITE if held.write else linux.LOCK_READ,
+            held.start,
+            0 if held.end == END else held.end - held.start,
+            held.owner.proc_id,
+            held.owner.client_id,
+        )
--- a/garnetlanding/ninep/speak_plain.py
+++ b/garnetlanding/ninep/speak_plain.py
@@ -46,8 +46,12 @@
                 self._create(tag, message)
             case codec.Tstat(fid):
                 at = self._m.fid(fid)
-                self._m.ask(tag, Pending(fid, Stat(at.who, at.path, at.qid)), at,
-                            lambda attr: self._stat_told(at, attr))
+                self._m.ask(
+                    tag,
+                    Pending(fid, Stat(at.who, at.path, at.qid)),
+                    at,
+                    lambda attr: self._stat_told(at, attr),
+                )
             case codec.Twstat(fid, stat):
                 self._wstat(tag, fid, stat)
             case _:
@@ -55,7 +59,7 @@
 
     def error(self, problem: Problem, msize: int) -> Message:
         # An error text is cut rather than break the agreed size.
-        return codec.Rerror(problem.text.encode()[:msize - ERROR_FRAME].decode(errors="ignore"))
+        return codec.Rerror(problem.text.encode()[: msize - ERROR_FRAME].decode(errors="ignore"))
 
     def _stat_told(self, at: Fid, attr: Attr) -> Message:
         stat = pack_stat(at.path[-1] if at.path else "/", attr)
@@ -183,5 +187,3 @@
                 room -= len(stat)
             cookie = entry.cookie
         return b"".join(out), cookie
-
-
--- a/garnetlanding/ninep/talk.py
+++ b/garnetlanding/ninep/talk.py
@@ -35,15 +35,29 @@
 
     def move(self, session: Session, old: Path, new: Path, qid: Qid | None) -> Steps[None]: ...
 
-    def entries(self, session: Session, path: Path, how: How, qid: Qid, cookie: int, count: int,
-                ) -> Steps[list[Entry]]: ...
+    def entries(
+        self,
+        session: Session,
+        path: Path,
+        how: How,
+        qid: Qid,
+        cookie: int,
+        count: int,
+    ) -> Steps[list[Entry]]: ...
 
     def sync(self, session: Session, path: Path, qid: Qid, how: How, data_only: bool) -> Steps[None]: ...
 
     def make_dir(self, session: Session, fid: int, name: str, new: New) -> Steps[Qid]: ...
 
-    def make_node(self, session: Session, fid: int, name: str, new: New, major: int, minor: int,
-                  ) -> Steps[Qid]: ...
+    def make_node(
+        self,
+        session: Session,
+        fid: int,
+        name: str,
+        new: New,
+        major: int,
+        minor: int,
+    ) -> Steps[Qid]: ...
 
     def symlink(self, session: Session, fid: int, name: str, target: str, gid: int) -> Steps[Qid]: ...
 
@@ -57,9 +71,21 @@
 
 
 CHANGING = (
-    codec.Tcreate, codec.Twrite, codec.Tremove, codec.Twstat, linux.Tlcreate, linux.Tsymlink, linux.Tmknod,
-    linux.Trename, linux.Tsetattr, linux.Tfsync, linux.Tlink, linux.Tmkdir, linux.Trenameat,
-    linux.Tunlinkat)
+    codec.Tcreate,
+    codec.Twrite,
+    codec.Tremove,
+    codec.Twstat,
+    linux.Tlcreate,
+    linux.Tsymlink,
+    linux.Tmknod,
+    linux.Trename,
+    linux.Tsetattr,
+    linux.Tfsync,
+    linux.Tlink,
+    linux.Tmkdir,
+    linux.Trenameat,
+    linux.Tunlinkat,
+)
 
 
 class New:
@@ -67,8 +93,14 @@
 
     __slots__ = ("perm", "flags", "gid", "exclusive", "truncate")
 
-    def __init__(self, perm: int, flags: int = 0, gid: int = linux.NOGID, exclusive: bool = True,
-                 truncate: bool = False) -> None:
+    def __init__(
+        self,
+        perm: int,
+        flags: int = 0,
+        gid: int = linux.NOGID,
+        exclusive: bool = True,
+        truncate: bool = False,
+    ) -> None:
         self.perm, self.flags, self.gid = perm, flags, gid
         self.exclusive, self.truncate = exclusive, truncate
 
--- a/garnetlanding/ninep/talk_linux.py
+++ b/garnetlanding/ninep/talk_linux.py
@@ -45,8 +45,12 @@
         if new.flags & DM_FLAGS:
             raise cannot("an append-only or exclusive-use file", linux.VERSION)
         fid, _ = yield from walk(session, parent, None)
-        flags = linux.L_CREATE | lopen_flags(how) | (linux.L_EXCL if new.exclusive else 0) | (
-            linux.L_TRUNC if new.truncate else 0)
+        flags = (
+            linux.L_CREATE
+            | lopen_flags(how)
+            | (linux.L_EXCL if new.exclusive else 0)
+            | (linux.L_TRUNC if new.truncate else 0)
+        )
         mode = posix.S_IFREG | new.perm & 0o7777
         reply = expect((yield linux.Tlcreate(fid, name, flags, mode, new.gid)), linux.Rlcreate)
         session.tidy.remove(fid)
@@ -68,12 +72,17 @@
             return
         valid, values = 0, [0] * 8  # mode uid gid size atime mtime
         for bit, at, value in (
-                (linux.SET_MODE, 0, changes.perm), (linux.SET_UID, 1, self._user(changes.uid)),
-                (linux.SET_GID, 2, self._user(changes.gid)), (linux.SET_SIZE, 3, changes.length)):
+            (linux.SET_MODE, 0, changes.perm),
+            (linux.SET_UID, 1, self._user(changes.uid)),
+            (linux.SET_GID, 2, self._user(changes.gid)),
+            (linux.SET_SIZE, 3, changes.length),
+        ):
             if value is not None:
                 valid, values[at] = valid | bit, value
-        for bits, at, time in ((linux.SET_ATIME | linux.SET_ATIME_TO, 4, changes.atime),
-                               (linux.SET_MTIME | linux.SET_MTIME_TO, 6, changes.mtime)):
+        for bits, at, time in (
+            (linux.SET_ATIME | linux.SET_ATIME_TO, 4, changes.atime),
+            (linux.SET_MTIME | linux.SET_MTIME_TO, 6, changes.mtime),
+        ):
             if time is not None:
                 valid |= bits
                 values[at], values[at + 1] = time.s, time.ns
@@ -94,8 +103,15 @@
             target, _ = yield from walk(session, new[:-1], None)
         expect((yield linux.Trenameat(source, old[-1], target, new[-1])), linux.Rrenameat)
 
-    def entries(self, session: Session, path: Path, how: How, qid: Qid, cookie: int, count: int,
-                ) -> Steps[list[Entry]]:
+    def entries(
+        self,
+        session: Session,
+        path: Path,
+        how: How,
+        qid: Qid,
+        cookie: int,
+        count: int,
+    ) -> Steps[list[Entry]]:
         file = yield from open_file(session, path, how, qid)
         ask = min(count, session.room)
         data = expect((yield linux.Treaddir(file.fid, cookie, ask)), linux.Rreaddir).data
@@ -106,8 +122,9 @@
         except ValueError as problem:
             raise PeerFault(f"bad directory entry: {problem}") from None
 
-    def with_attributes(self, session: Session, path: Path, entries: list[Entry],
-                        room: int) -> Steps[list[Entry]]:
+    def with_attributes(
+        self, session: Session, path: Path, entries: list[Entry], room: int
+    ) -> Steps[list[Entry]]:
         """A 9P2000 client gets attributes with the names: each is asked for, as far as there is room. What
         has gone meanwhile is left out; `.` and `..` are not among a 9P2000 directory's entries."""
         known: list[Entry] = []
@@ -137,8 +154,15 @@
         reply = yield linux.Tmkdir(fid, name, new.perm & 0o7777, new.gid)
         return expect(reply, linux.Rmkdir).qid
 
-    def make_node(self, session: Session, fid: int, name: str, new: New, major: int, minor: int,
-                  ) -> Steps[Qid]:
+    def make_node(
+        self,
+        session: Session,
+        fid: int,
+        name: str,
+        new: New,
+        major: int,
+        minor: int,
+    ) -> Steps[Qid]:
         reply = yield linux.Tmknod(fid, name, new.perm, major, minor, new.gid)
         return expect(reply, linux.Rmknod).qid
 
@@ -158,5 +182,14 @@
 
     def stat_fs(self, session: Session, fid: int) -> Steps[Space]:
         reply = expect((yield linux.Tstatfs(fid)), linux.Rstatfs)
-        return Space(reply.type, reply.bsize, reply.blocks, reply.bfree, reply.bavail, reply.files,
-                     reply.ffree, reply.fsid, reply.namelen)
+        return Space(
+            reply.type,
+            reply.bsize,
+            reply.blocks,
+            reply.bfree,
+            reply.bavail,
+            reply.files,
+            reply.ffree,
+            reply.fsid,
+            reply.namelen,
+        )
--- a/garnetlanding/ninep/talk_plain.py
+++ b/garnetlanding/ninep/talk_plain.py
@@ -87,8 +87,9 @@
         if changes.perm is not None and changes.flags is None:
             # The mode goes as a whole: what it says beside the permissions stays as it is.
             attr = yield from self.stat(session, fid)
-            changes = Changes(changes.name, changes.perm, attr.flags, None, changes.gid, changes.length,
-                              None, changes.mtime)
+            changes = Changes(
+                changes.name, changes.perm, attr.flags, None, changes.gid, changes.length, None, changes.mtime
+            )
         expect((yield codec.Twstat(fid, pack_changes(changes, bool(qid.type & codec.QTDIR)))), codec.Rwstat)
 
     def move(self, session: Session, old: Path, new: Path, qid: Qid | None) -> Steps[None]:
@@ -97,8 +98,15 @@
         fid, found = yield from walk(session, old, qid)
         yield from self.change(session, fid, found, Changes(name=new[-1]))
 
-    def entries(self, session: Session, path: Path, how: How, qid: Qid, cookie: int, count: int,
-                ) -> Steps[list[Entry]]:
+    def entries(
+        self,
+        session: Session,
+        path: Path,
+        how: How,
+        qid: Qid,
+        cookie: int,
+        count: int,
+    ) -> Steps[list[Entry]]:
         """A directory is read from its start on. On a fid that stands elsewhere (another attempt opened it)
         the entries before the cookie, which is a byte offset here, are read again and dropped."""
         file = yield from open_file(session, path, how, qid)
@@ -138,8 +146,15 @@
         perm = DMDIR | new.perm & PERM
         return expect((yield codec.Tcreate(fid, name, perm, codec.OREAD)), codec.Rcreate).qid
 
-    def make_node(self, session: Session, fid: int, name: str, new: New, major: int, minor: int,
-                  ) -> Steps[Qid]:
+    def make_node(
+        self,
+        session: Session,
+        fid: int,
+        name: str,
+        new: New,
+        major: int,
+        minor: int,
+    ) -> Steps[Qid]:
         if not posix.S_ISREG(new.perm):
             raise cannot("a device or pipe", codec.VERSION)
         reply = expect((yield codec.Tcreate(fid, name, new.perm & PERM, codec.OREAD)), codec.Rcreate)
--- a/garnetlanding/ninep/work.py
+++ b/garnetlanding/ninep/work.py
@@ -38,7 +38,7 @@
 
 def moved(path: Path, old: Path, new: Path) -> Path:
     """Where a path leads once `old` is called `new`."""
-    return new + path[len(old):] if path[:len(old)] == old else path
+    return new + path[len(old) :] if path[: len(old)] == old else path
 
 
 @dataclass(slots=True)
@@ -191,8 +191,13 @@
         cookie = self.cookie
         while True:
             entries = yield from talk.entries(
-                session, self.path, self.how, self.qid, cookie,
-                max(self.count, ROOM_FOR_ENTRIES) if self.attributes else self.count)
+                session,
+                self.path,
+                self.how,
+                self.qid,
+                cookie,
+                max(self.count, ROOM_FOR_ENTRIES) if self.attributes else self.count,
+            )
             if not self.attributes or not isinstance(talk, LinuxTalk):
                 return entries
             entries = yield from talk.with_attributes(session, self.path, entries, self.count)
@@ -219,7 +224,7 @@
         room = min(session.room, file.iounit or session.room)
         done = 0
         while True:
-            part = self.data[done:done + room]
+            part = self.data[done : done + room]
             reply = yield codec.Twrite(file.fid, self.offset + done, part)
             try:
                 count = expect(reply, codec.Rwrite).count
@@ -372,8 +377,9 @@
         return ((*self.path, self.name), self.target)
 
     def under(self, old: Path, new: Path) -> Work:
-        return replace(self, path=moved(self.path, old, new), target=moved(self.target, old, new),
-                       trace=self.trace)
+        return replace(
+            self, path=moved(self.path, old, new), target=moved(self.target, old, new), trace=self.trace
+        )
 
     def steps(self, session: Session, talk: Talk) -> Steps[None]:
         fid, _ = yield from walk(session, self.target, self.target_qid)
@@ -393,8 +399,7 @@
         return (self.path, self.new)
 
     def under(self, old: Path, new: Path) -> Work:
-        return replace(self, path=moved(self.path, old, new), new=moved(self.new, old, new),
-                       trace=self.trace)
+        return replace(self, path=moved(self.path, old, new), new=moved(self.new, old, new), trace=self.trace)
 
     def steps(self, session: Session, talk: Talk) -> Steps[None]:
         yield from talk.move(session, self.path, self.new, self.qid)
--- a/garnetlanding/ops/caller.py
+++ b/garnetlanding/ops/caller.py
@@ -106,7 +106,13 @@
 def _cell(value: object) -> str:
     """What others have of a part, each as `n2 0.8 for 900 ms`, or say, each as `n2 dead 310 ms ago (1)`."""
     if isinstance(value, list):
-        return ", ".join(f"n{one['head']} {one['says']} {one['age_ms']} ms ago ({one['credit']:g})"
-                         if "says" in one else f"n{one['head']} {one['share']:g} for {one['for_ms']} ms"
-                         for one in value) or "-"
+        return (
+            ", ".join(
+                f"n{one['head']} {one['says']} {one['age_ms']} ms ago ({one['credit']:g})"
+                if "says" in one
+                else f"n{one['head']} {one['share']:g} for {one['for_ms']} ms"
+                for one in value
+            )
+            or "-"
+        )
     return "-" if value is None else str(value)
--- a/garnetlanding/ops/desk.py
+++ b/garnetlanding/ops/desk.py
@@ -23,11 +23,19 @@
 class Desk:
     """Implements the front's Operable for one process of a head."""
 
-    def __init__(self, scheduler: Scheduler, core: Core, clients: Listener, file: StateFile, limits: Limits,
-                 told: Callable[[], bool], share: Callable[[], None] = lambda: None,
-                 fleet: Callable[[str], list[dict[str, object]] | None] = lambda what: None,
-                 shared: SharedBans | None = None,
-                 forget: Callable[[int], bool | None] = lambda head: None) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        core: Core,
+        clients: Listener,
+        file: StateFile,
+        limits: Limits,
+        told: Callable[[], bool],
+        share: Callable[[], None] = lambda: None,
+        fleet: Callable[[str], list[dict[str, object]] | None] = lambda what: None,
+        shared: SharedBans | None = None,
+        forget: Callable[[int], bool | None] = lambda head: None,
+    ) -> None:
         """`told` says whether the list of servers is known; `share` looks what the head's other process
         leaves to this one; `fleet` tells of the other heads, None where they aren't heard; `shared` makes
         bans the whole fleet's; `forget` takes a head out of the group."""
@@ -45,8 +53,7 @@
         return not self._state.draining
 
     def ready(self) -> bool:
-        return (self._told() and self._clients.accepting and self._clients.part > 0
-                and not self._core.out)
+        return self._told() and self._clients.accepting and self._clients.part > 0 and not self._core.out
 
     def metrics(self) -> str:
         return self._core.metrics()
@@ -104,7 +111,8 @@
         if shared and (records := shared.take()):
             self._take_up(self._file.change(lambda state: shared.hear(state, records)))
         if self._drained_at is not None and (
-                self._scheduler.now >= self._drained_at + self._limits.drain_serve_us):
+            self._scheduler.now >= self._drained_at + self._limits.drain_serve_us
+        ):
             self._clients.close_idle()
 
     def _take_up(self, state: OpsState) -> None:
--- a/garnetlanding/ops/front.py
+++ b/garnetlanding/ops/front.py
@@ -18,9 +18,17 @@
 BRICK = re.compile(r"/-/bricks/([^/]+)/(disable|enable)")
 HEAD = re.compile(r"/-/fleet/heads/(\d{1,5})/(forget|shut-out|let-in)")
 FLEET = {f"/-/fleet/{what}": what for what in ("limits", "members", "verdicts", "bans")}
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-           411: "Length Required", 413: "Content Too Large", 431: "Request Header Fields Too Large",
-           500: "Internal Server Error", 503: "Service Unavailable"}
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    411: "Length Required",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+}
 
 
 class Operable(Protocol):
@@ -54,8 +62,9 @@
 
     waiting = session = False
 
-    def __init__(self, desk: Operable, pool: BufferPool, limits: Limits,
-                 write: Callable[[bytes], None]) -> None:
+    def __init__(
+        self, desk: Operable, pool: BufferPool, limits: Limits, write: Callable[[bytes], None]
+    ) -> None:
         self._desk, self._write = desk, write
         self._parser = RequestParser(pool, limits)
         self._name_bytes = limits.name_bytes
@@ -83,8 +92,11 @@
         self.taken, self.ended = 1, True
         body = text.encode()
         allow = "Allow: %s\r\n" % ("GET" if self._parser.method != "GET" else "POST") if status == 405 else ""
-        self._write(f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n"
-                    f"Content-Length: {len(body)}\r\n{allow}Connection: close\r\n\r\n".encode() + body)
+        self._write(
+            f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n"
+            f"Content-Length: {len(body)}\r\n{allow}Connection: close\r\n\r\n".encode()
+            + body
+        )
 
     def _call(self, method: str, path: str) -> tuple[int, str]:
         desk = self._desk
--- a/garnetlanding/ops/share.py
+++ b/garnetlanding/ops/share.py
@@ -41,8 +41,12 @@
     if check != b"%08x" % zlib.crc32(body):
         return None
     match json.loads(body):
-        case {"version": int() as version, "name": str() as head, "started": int() as started,
-              "part": int() | float() as part} if version == VERSION and head == name and 0 <= part <= 1:
+        case {
+            "version": int() as version,
+            "name": str() as head,
+            "started": int() as started,
+            "part": int() | float() as part,
+        } if version == VERSION and head == name and 0 <= part <= 1:
             return Word(started, part)
     return None
 
--- a/garnetlanding/ops/state.py
+++ b/garnetlanding/ops/state.py
@@ -40,8 +40,9 @@
     """One JSON object and, on a line of its own, the CRC-32 of that line."""
     # An older process of the head reads what it knows of, and keeps the rest out.
     more = {"records": state.records} if state.records else {}
-    body = json.dumps({"version": VERSION, "name": name, "banned": sorted(state.banned),
-                       "draining": state.draining, **more}).encode()
+    body = json.dumps(
+        {"version": VERSION, "name": name, "banned": sorted(state.banned), "draining": state.draining, **more}
+    ).encode()
     return b"%s\n%08x\n" % (body, zlib.crc32(body))
 
 
--- a/garnetlanding/peers/bans.py
+++ b/garnetlanding/peers/bans.py
@@ -50,8 +50,9 @@
     def digest(self) -> bytes:
         """The same for the same table, whatever way it came about."""
         if self._digest is None:
-            text = "\n".join(f"{r.server} {r.version} {r.by} {r.out:d}"
-                             for r in sorted(self.records.values()))
+            text = "\n".join(
+                f"{r.server} {r.version} {r.by} {r.out:d}" for r in sorted(self.records.values())
+            )
             self._digest = blake2b(text.encode(), digest_size=DIGEST).digest() if text else NOTHING
         return self._digest
 
--- a/garnetlanding/peers/budgets.py
+++ b/garnetlanding/peers/budgets.py
@@ -28,8 +28,9 @@
         for event in events:
             match event:
                 case api.NodeList(failed=True):
-                    self.leases.asked(api.LIST_CALLS, hosts, self._limits.list_calls, 1, now,
-                                      self._limits.list_window_us)
+                    self.leases.asked(
+                        api.LIST_CALLS, hosts, self._limits.list_calls, 1, now, self._limits.list_window_us
+                    )
                 case api.NodeList():
                     self._listed(event, now, s)
                 case api.Arrival() if event.cell in self._cold and s.cold_units:
@@ -38,8 +39,9 @@
                         del self._cold[event.cell]
                         continue
                     self._units[event.request] = event.units
-                    self.leases.asked(api.cold(node), hosts, s.cold_units * SECOND / s.fall_us, event.units,
-                                      now, s.fall_us)
+                    self.leases.asked(
+                        api.cold(node), hosts, s.cold_units * SECOND / s.fall_us, event.units, now, s.fall_us
+                    )
                 case api.ClientLeft():
                     self._over(event.request)
                 case api.Result():
--- a/garnetlanding/peers/codec.py
+++ b/garnetlanding/peers/codec.py
@@ -67,8 +67,11 @@
     return zlib.crc32(volume.encode())
 
 
-def pages(asks: dict[int, tuple[float, int]], grants: dict[int, float], size: int,
-          ) -> Iterator[tuple[dict[int, tuple[float, int]], dict[int, float]]]:
+def pages(
+    asks: dict[int, tuple[float, int]],
+    grants: dict[int, float],
+    size: int,
+) -> Iterator[tuple[dict[int, tuple[float, int]], dict[int, float]]]:
     """What is to be told, in as many datagrams of that size as it takes, in the order given."""
     room, page = 0, (dict[int, tuple[float, int]](), dict[int, float]())
     for entry, kind in [(a, ASK) for a in asks] + [(g, GRANT) for g in grants]:
@@ -86,8 +89,15 @@
 
 
 def seal(e: Envelope) -> bytes:
-    head = HEAD.pack(VERSION, e.kind, e.life.to_bytes(6, "big"), e.number, e.re_life.to_bytes(6, "big"),
-                     e.re_number, *e.counts)
+    head = HEAD.pack(
+        VERSION,
+        e.kind,
+        e.life.to_bytes(6, "big"),
+        e.number,
+        e.re_life.to_bytes(6, "big"),
+        e.re_number,
+        *e.counts,
+    )
     return head + e.body + SUM.pack(zlib.crc32(head + e.body))
 
 
@@ -103,17 +113,29 @@
     end = len(data) - SUM.size
     if SUM.unpack_from(data, end)[0] != zlib.crc32(data[:end]):
         raise BadMessage("torn")
-    return Envelope(kind, int.from_bytes(life, "big"), number, int.from_bytes(re_life, "big"), re_number,
-                    (counts[0], counts[1]), data[HEAD.size:end])
+    return Envelope(
+        kind,
+        int.from_bytes(life, "big"),
+        number,
+        int.from_bytes(re_life, "big"),
+        re_number,
+        (counts[0], counts[1]),
+        data[HEAD.size : end],
+    )
 
 
 def encode(m: Message, kind: int = LEASES) -> bytes:
     """Wants are rounded up and grants down: what is given is never more than was meant."""
-    parts = [ASK.pack(volume, min(WHOLE, -int(-share * WHOLE // 1)), hosts)
-             for volume, (share, hosts) in m.asks.items()]
+    parts = [
+        ASK.pack(volume, min(WHOLE, -int(-share * WHOLE // 1)), hosts)
+        for volume, (share, hosts) in m.asks.items()
+    ]
     parts += [GRANT.pack(v, int(share * WHOLE + 1e-9)) for v, share in m.grants.items()]
-    return seal(Envelope(kind, m.life, m.number, m.re_life, m.re_number, (len(m.asks), len(m.grants)),
-                         b"".join(parts)))
+    return seal(
+        Envelope(
+            kind, m.life, m.number, m.re_life, m.re_number, (len(m.asks), len(m.grants)), b"".join(parts)
+        )
+    )
 
 
 def decode(data: bytes, longest: int) -> Message:
@@ -133,6 +155,11 @@
     given = [GRANT.unpack_from(e.body, first + i * GRANT.size) for i in range(grants)]
     if any(share > WHOLE or not hosts for _, share, hosts in asked) or any(s > WHOLE for _, s in given):
         raise BadMessage("no share")
-    return Message(e.life, e.number, e.re_life, e.re_number,
-                   {volume: (share / WHOLE, hosts) for volume, share, hosts in asked},
-                   {volume: share / WHOLE for volume, share in given})
+    return Message(
+        e.life,
+        e.number,
+        e.re_life,
+        e.re_number,
+        {volume: (share / WHOLE, hosts) for volume, share, hosts in asked},
+        {volume: share / WHOLE for volume, share in given},
+    )
--- a/garnetlanding/peers/fleet.py
+++ b/garnetlanding/peers/fleet.py
@@ -17,8 +17,13 @@
 
 
 class Fleet:
-    def __init__(self, limits: PeerLimits, verdicts: bool = True, bans: bool = True,
-                 note: Callable[..., None] | None = None) -> None:
+    def __init__(
+        self,
+        limits: PeerLimits,
+        verdicts: bool = True,
+        bans: bool = True,
+        note: Callable[..., None] | None = None,
+    ) -> None:
         """Of `verdicts` and `bans`, what is off is neither told nor heard. `note` writes a history's line."""
         self.limits, self._verdicts_on, self._bans_on = limits, verdicts, bans
         self.sightings, self.verdicts = Sightings(limits), Verdicts(limits)
@@ -55,7 +60,8 @@
         for record in words.records if self._bans_on else ():
             known = [r.rank for table in (self.bans.records, self._heard) if (r := table.get(record.server))]
             if record.rank > max(known, default=(-1, 0, False)) and (
-                    record.server in self._heard or len(self._heard) < self.limits.bans):
+                record.server in self._heard or len(self._heard) < self.limits.bans
+            ):
                 self._heard[record.server] = record
         evidence = words.evidence if self._verdicts_on else ()
         return self.verdicts.heard(sender, evidence, sent_at, now, self.sightings)
@@ -70,8 +76,9 @@
             self._note("doubted", servers=doubted)
         return api.Hearsay(doubted)
 
-    def say(self, heads: dict[int, tuple[int, int]], life: int, number: int, now: int,
-            tightest_us: int) -> list[tuple[int, Envelope]]:
+    def say(
+        self, heads: dict[int, tuple[int, int]], life: int, number: int, now: int, tightest_us: int
+    ) -> list[tuple[int, Envelope]]:
         """One message to each of these heads: all of the evidence that one datagram holds, and records where
         its table differs. `heads`: life and number of the last message heard from each."""
         seen = self.sightings.evidence(now, tightest_us) if self._verdicts_on else []
@@ -94,5 +101,7 @@
         """The `verdicts` on each listed server, or the `bans`, for operators."""
         if what == "verdicts":
             return self.verdicts.known(now, self.sightings, tightest_us)
-        return [{"server": r.server, "out": r.out, "head": r.by, "version": r.version}
-                for r in sorted(self.bans.records.values())]
+        return [
+            {"server": r.server, "out": r.out, "head": r.by, "version": r.version}
+            for r in sorted(self.bans.records.values())
+        ]
--- a/garnetlanding/peers/group.py
+++ b/garnetlanding/peers/group.py
@@ -65,8 +65,9 @@
             log.info("joined", extra={"kv": {"heads": len(self.members.entitled)}})
             self._say_so()
 
-    def say(self, heads: dict[int, tuple[int, int]], life: int,
-            sending: Callable[[], int]) -> list[tuple[int, Envelope]]:
+    def say(
+        self, heads: dict[int, tuple[int, int]], life: int, sending: Callable[[], int]
+    ) -> list[tuple[int, Envelope]]:
         """One message to each, or a few. `heads`: life and number of the last message heard from each;
         `sending` gives the number of another message."""
         members, told, limits = self.members, list[tuple[int, Envelope]](), self.limits
--- a/garnetlanding/peers/leases.py
+++ b/garnetlanding/peers/leases.py
@@ -64,8 +64,16 @@
 
 
 class Leases:
-    def __init__(self, limits: PeerLimits, me: int, heads: int, life: int, now: int,
-                 earlier: Leases | None = None, window_us: int = 0) -> None:
+    def __init__(
+        self,
+        limits: PeerLimits,
+        me: int,
+        heads: int,
+        life: int,
+        now: int,
+        earlier: Leases | None = None,
+        window_us: int = 0,
+    ) -> None:
         """`earlier`: under other numbers of the same life; what the module was told goes on from there.
         With `window_us`, what is divided are budgets of windows up to that long."""
         self._limits, self.me, self.heads, self.life = limits, me, heads, life
@@ -107,8 +115,9 @@
 
     # What is told and heard
 
-    def asked(self, volume: str, hosts: int, limit: float, units: float, now: int,
-              window_us: int = 0) -> None:
+    def asked(
+        self, volume: str, hosts: int, limit: float, units: float, now: int, window_us: int = 0
+    ) -> None:
         """`limit`: units a second. `window_us`: of a budget, in which so many seconds' worth may be spent."""
         if hosts < 2 or limit <= 0:
             return
@@ -116,8 +125,15 @@
         own = self.own.get(name)
         if own is None or (own.hosts, own.limit) != (hosts, limit):
             spent = own.spent if own else Recent(self.window_us) if self.window_us else None
-            own = self.own[name] = Own(volume, hosts, limit, own.rate if own else Rate(), window_us=window_us,
-                                       spent=spent, held=own.held if own else 0.0)
+            own = self.own[name] = Own(
+                volume,
+                hosts,
+                limit,
+                own.rate if own else Rate(),
+                window_us=window_us,
+                spent=spent,
+                held=own.held if own else 0.0,
+            )
             self.look_at = now
         own.rate.add(now, units, self._limits.span_us)
 
@@ -172,18 +188,28 @@
 
     def partners(self, now: int) -> list[int]:
         """The heads that lately asked for something, or may leave something of what is asked for here."""
-        ours = {who for own in self.own.values() for who, at in own.others.items()
-                if now - at <= self._limits.known_us}
+        ours = {
+            who
+            for own in self.own.values()
+            for who, at in own.others.items()
+            if now - at <= self._limits.known_us
+        }
         ask = {who for who, p in self.peers.items() if p.asks and now - p.heard_at <= self._limits.stale_us}
         return sorted(ours | ask)
 
-    def say(self, now: int, to: Iterable[int] | None = None,
-            ) -> dict[int, tuple[dict[int, tuple[float, int]], dict[int, float]]]:
+    def say(
+        self,
+        now: int,
+        to: Iterable[int] | None = None,
+    ) -> dict[int, tuple[dict[int, tuple[float, int]], dict[int, float]]]:
         """What to tell each head now (`to`: these alone): this one's asks, busiest first, and what it gives,
         which counts as gone from here on. A head that is to be told nothing is left out."""
         wants = sorted(((own.wants(now, self._limits), name) for name, own in self.own.items()), reverse=True)
-        asks = {volume: (share, self.own[volume].hosts) for share, volume in wants[:self._limits.say_volumes]
-                if share > 0}
+        asks = {
+            volume: (share, self.own[volume].hosts)
+            for share, volume in wants[: self._limits.say_volumes]
+            if share > 0
+        }
         told = {}
         for who in sorted(self.group) if to is None else to:
             grants = self._grants(who, now)
@@ -232,12 +258,16 @@
         much each asker lacks; never what it has left to others already."""
         own = self.own.get(volume)
         mine = own.wants(now, self._limits) if own else 0.0
-        askers = [(peer, p.asks[volume][0]) for peer, p in sorted(self.peers.items())
-                  if volume in p.asks and now - p.asks[volume][2] <= self._limits.stale_us]
+        askers = [
+            (peer, p.asks[volume][0])
+            for peer, p in sorted(self.peers.items())
+            if volume in p.asks and now - p.asks[volume][2] <= self._limits.stale_us
+        ]
         idle = max(0, hosts - 1 - len(askers))
         targets = fill(1.0, [mine, *(want for _, want in askers)] + [0.0] * idle)
-        lacks = {peer: max(0.0, target - 1 / hosts)
-                 for (peer, _), target in zip(askers, targets[1:], strict=False)}
+        lacks = {
+            peer: max(0.0, target - 1 / hosts) for (peer, _), target in zip(askers, targets[1:], strict=False)
+        }
         if not lacks.get(who):
             return 0.0
         spare = max(0.0, 1 - targets[0] * hosts) * lacks[who] / sum(lacks.values())
@@ -260,14 +290,17 @@
         is not known, the least of the other heads' shares counts.
         """
         own = self.own[volume]
-        lent = 1.0 if now < self.back_at else sum(
-            self._lent(volume, taker, now) for taker in self._given.get(volume, {}))
+        lent = (
+            1.0
+            if now < self.back_at
+            else sum(self._lent(volume, taker, now) for taker in self._given.get(volume, {}))
+        )
         held = {who: share for who, (share, until) in self._held.get(volume, {}).items() if until > now}
         known = [who for who, at in own.others.items() if now - at <= self._limits.known_us]
         known = known if len(known) < own.hosts else []  # its heads have changed: nothing is known of them
         unknown = self._found and not self.window_us  # of a budget, every head is one of its hosts
         rest = [] if unknown else sorted(held.get(who, 0.0) for who in self.group if who not in known)
-        shares = [held.get(who, 0.0) for who in known] + rest[:own.hosts - 1 - len(known)]
+        shares = [held.get(who, 0.0) for who in known] + rest[: own.hosts - 1 - len(known)]
         return (max(0.0, 1 - lent) + sum(shares)) / own.hosts
 
     def parts(self, now: int) -> dict[str, float]:
@@ -316,21 +349,38 @@
 
     def limits(self, now: int) -> list[dict[str, object]]:
         """Of each limited volume asked for here: this head's part, and who has what of whose until when."""
-        return [{
-            "volume": own.name, "hosts": own.hosts, "part": round(self.part(volume, now), 4),
-            "wants": round(own.wants(now, self._limits), 4),
-            "left": [{"head": who, "share": share, "for_ms": (until - now) // 1000}
-                     for who, given in sorted(self._given.get(volume, {}).items())
-                     for share, until in given[-1:] if until > now],
-            "had": [{"head": who, "share": share, "for_ms": (until - now) // 1000}
-                    for who, (share, until) in sorted(self._held.get(volume, {}).items()) if until > now],
-        } for volume, own in sorted(self.own.items(), key=lambda item: item[1].name)]
+        return [
+            {
+                "volume": own.name,
+                "hosts": own.hosts,
+                "part": round(self.part(volume, now), 4),
+                "wants": round(own.wants(now, self._limits), 4),
+                "left": [
+                    {"head": who, "share": share, "for_ms": (until - now) // 1000}
+                    for who, given in sorted(self._given.get(volume, {}).items())
+                    for share, until in given[-1:]
+                    if until > now
+                ],
+                "had": [
+                    {"head": who, "share": share, "for_ms": (until - now) // 1000}
+                    for who, (share, until) in sorted(self._held.get(volume, {}).items())
+                    if until > now
+                ],
+            }
+            for volume, own in sorted(self.own.items(), key=lambda item: item[1].name)
+        ]
 
     def members(self, now: int) -> list[dict[str, object]]:
         """Each head of the tier: which life of it was heard last, and how long ago."""
         wanted = sum(own.wants(now, self._limits) > 0 for own in self.own.values())
-        return [{"head": who, "me": who == self.me,
-                 "life": self.life if who == self.me else peer.life if peer else None,
-                 "heard_ms": 0 if who == self.me else (now - peer.heard_at) // 1000 if peer else None,
-                 "asks": wanted if who == self.me else len(peer.asks) if peer else 0}
-                for who in sorted(self.group | {self.me}) for peer in [self.peers.get(who)]]
+        return [
+            {
+                "head": who,
+                "me": who == self.me,
+                "life": self.life if who == self.me else peer.life if peer else None,
+                "heard_ms": 0 if who == self.me else (now - peer.heard_at) // 1000 if peer else None,
+                "asks": wanted if who == self.me else len(peer.asks) if peer else 0,
+            }
+            for who in sorted(self.group | {self.me})
+            for peer in [self.peers.get(who)]
+        ]
--- a/garnetlanding/peers/link.py
+++ b/garnetlanding/peers/link.py
@@ -21,8 +21,14 @@
 class PeerLink:
     """Hears at one address, tells one or all. A message lost, late or doubled is nobody's error here."""
 
-    def __init__(self, scheduler: Scheduler, setup: PeerSetup, heard: Callable[[int, bytes], None],
-                 dropped: Counter[str], group: Group | None = None) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        setup: PeerSetup,
+        heard: Callable[[int, bytes], None],
+        dropped: Counter[str],
+        group: Group | None = None,
+    ) -> None:
         """Raises OSError where the address cannot be had. `heard` gets the sender's number and the bytes;
         `dropped` counts by cause, and is logged and emptied every so often. `group`: heads are found, in
         place of those that the setup names."""
@@ -54,8 +60,10 @@
             return
         self._scheduler.call_at(self._scheduler.now + self._limits.count_every_us, self._count)
         if self.dropped:
-            log.warning("messages of heads dropped", extra={"kv": {
-                "count": self.dropped.total(), "mostly": self.dropped.most_common(1)[0][0]}})
+            log.warning(
+                "messages of heads dropped",
+                extra={"kv": {"count": self.dropped.total(), "mostly": self.dropped.most_common(1)[0][0]}},
+            )
             self.dropped.clear()
 
     def tell(self, payload: bytes, to: int = -1) -> None:
--- a/garnetlanding/peers/members.py
+++ b/garnetlanding/peers/members.py
@@ -30,8 +30,9 @@
 
 
 class Members:
-    def __init__(self, limits: PeerLimits, me: int, life: int, address: str, seeds: Iterable[str],
-                 now: int) -> None:
+    def __init__(
+        self, limits: PeerLimits, me: int, life: int, address: str, seeds: Iterable[str], now: int
+    ) -> None:
         """`address`: where this head is heard. `seeds`: the same at every head, a few that run for long."""
         self._limits, self.me = limits, me
         self._begins_at = now + limits.begin_us
@@ -52,8 +53,9 @@
     def digest(self) -> bytes:
         """The same for the same table, whatever way it came about."""
         if self._digest is None:
-            text = "\n".join(f"{r.head} {r.life} {r.gone:d} {r.address}"
-                             for r in sorted(self.records.values()))
+            text = "\n".join(
+                f"{r.head} {r.life} {r.gone:d} {r.address}" for r in sorted(self.records.values())
+            )
             self._digest = blake2b(text.encode(), digest_size=DIGEST).digest()
         return self._digest
 
@@ -115,8 +117,11 @@
         """Who is told beside the others: seeds that nobody is known at, under numbers of their own, and heads
         that speak though they are gone by their record: they have to learn that."""
         known = {r.address for r in self.here}
-        gone = [r.head for r in self.records.values() if r.gone and r.head != self.me
-                and now - self._heard.get(r.head, -NEVER) <= self._limits.stale_us]
+        gone = [
+            r.head
+            for r in self.records.values()
+            if r.gone and r.head != self.me and now - self._heard.get(r.head, -NEVER) <= self._limits.stale_us
+        ]
         return [seed for seed, at in self._seeds.items() if at not in known] + gone
 
     def reach(self, who: int) -> str:
@@ -186,7 +191,14 @@
 
     def known(self, now: int) -> list[dict[str, object]]:
         """For operators: each head, and since when this one has not heard it."""
-        return [{"head": r.head, "state": self.state(r.head, now), "life": r.life, "address": r.address,
-                 "heard_ms": (now - self._heard[r.head]) // 1000 if r.head in self._heard else None,
-                 "part": round(self.even, 4) if r.head == self.me else None}
-                for r in sorted(self.records.values())]
+        return [
+            {
+                "head": r.head,
+                "state": self.state(r.head, now),
+                "life": r.life,
+                "address": r.address,
+                "heard_ms": (now - self._heard[r.head]) // 1000 if r.head in self._heard else None,
+                "part": round(self.even, 4) if r.head == self.me else None,
+            }
+            for r in sorted(self.records.values())
+        ]
--- a/garnetlanding/peers/places.py
+++ b/garnetlanding/peers/places.py
@@ -14,8 +14,13 @@
 
 
 class Places:
-    def __init__(self, each: int, longest_us: int, now: Callable[[], int],
-                 leases: Callable[[], tuple[Leases, int] | None]) -> None:
+    def __init__(
+        self,
+        each: int,
+        longest_us: int,
+        now: Callable[[], int],
+        leases: Callable[[], tuple[Leases, int] | None],
+    ) -> None:
         """`each`: connections at one server, of all heads. `longest_us`: an attempt lasts no longer; by then
         a place that was left to another head is free again. `leases`: what divides them, and among how many
         heads; None where other heads are not heard yet."""
@@ -30,8 +35,9 @@
         name = tag(_name(server))
         if name not in leases.own:
             # First of all it is asked for: what this head may have left to others unasked is counted by that.
-            leases.asked(_name(server), hosts, self.each * SECOND / self._longest_us, 0, self._now(),
-                         self._longest_us)
+            leases.asked(
+                _name(server), hosts, self.each * SECOND / self._longest_us, 0, self._now(), self._longest_us
+            )
         if name not in leases.own:
             return self.each  # this head is the only one
         return int(leases.part(name, self._now()) * self.each + 1e-9)
@@ -40,6 +46,12 @@
         """So many are open there now. `lacking`: one more was wanted, and there was no place."""
         if found := self._leases():
             leases, hosts = found
-            leases.asked(_name(server), hosts, self.each * SECOND / self._longest_us, float(lacking),
-                         self._now(), self._longest_us)
+            leases.asked(
+                _name(server),
+                hosts,
+                self.each * SECOND / self._longest_us,
+                float(lacking),
+                self._now(),
+                self._longest_us,
+            )
             leases.hold(_name(server), count)
--- a/garnetlanding/peers/roll.py
+++ b/garnetlanding/peers/roll.py
@@ -54,10 +54,12 @@
     for record in told.records:
         host, port = parse_address(record.address)
         packed = ipaddress.ip_address(host).packed
-        parts.append(RECORD.pack(record.head, record.life.to_bytes(6, "big"), record.gone, len(packed))
-                     + packed + PORT.pack(port))
-    return Envelope(ROLL, life, number, re_life, re_number, (len(told.records), told.joined),
-                    b"".join(parts))
+        parts.append(
+            RECORD.pack(record.head, record.life.to_bytes(6, "big"), record.gone, len(packed))
+            + packed
+            + PORT.pack(port)
+        )
+    return Envelope(ROLL, life, number, re_life, re_number, (len(told.records), told.joined), b"".join(parts))
 
 
 def read(e: Envelope) -> Roll:
@@ -70,13 +72,19 @@
             raise BadMessage("torn")
         head, life, gone, length = RECORD.unpack_from(e.body, at)
         at += RECORD.size
-        packed, end = e.body[at:at + length], at + length + PORT.size
+        packed, end = e.body[at : at + length], at + length + PORT.size
         if length not in (4, LONGEST_ADDRESS) or len(e.body) < end or gone > 1:
             raise BadMessage("no record")
         host = str(ipaddress.ip_address(packed))
         port = PORT.unpack_from(e.body, at + length)[0]
-        records.append(Record(head, int.from_bytes(life, "big"), bool(gone),
-                              f"[{host}]:{port}" if length > 4 else f"{host}:{port}"))
+        records.append(
+            Record(
+                head,
+                int.from_bytes(life, "big"),
+                bool(gone),
+                f"[{host}]:{port}" if length > 4 else f"{host}:{port}",
+            )
+        )
         at = end
     if at != len(e.body) or not records or e.counts[1] > 1:
         raise BadMessage("torn")
--- a/garnetlanding/peers/setup.py
+++ b/garnetlanding/peers/setup.py
@@ -61,8 +61,11 @@
     for key, value in flags.items():
         if not isinstance(value, bool):
             raise ConfigError(f"key {section.name(key)}: expected true or false, found {value!r:.40}")
-    most = int(section.number("server_connections", 0, 0, MOST_CONNECTIONS)
-               if section.has("server_connections") else 0)
+    most = int(
+        section.number("server_connections", 0, 0, MOST_CONNECTIONS)
+        if section.has("server_connections")
+        else 0
+    )
     if most and not flags.get("budgets"):
         raise ConfigError(f"key {section.name('server_connections')}: only with budgets = true")
     listed = section.raw("seeds") or []
@@ -74,9 +77,12 @@
         if section.has(key) and not listed:
             raise ConfigError(f"key {section.name(key)}: only with seeds")
     return FleetSetup(
-        **flags, server_connections=most, seeds=tuple(_numeric(named, str(i)) for i in range(len(listed))),
+        **flags,
+        server_connections=most,
+        seeds=tuple(_numeric(named, str(i)) for i in range(len(listed))),
         advertise=_numeric(section, "advertise") if section.has("advertise") else "",
-        routes={_checked(routes, at): _numeric(routes, at) for at in routes.data})
+        routes={_checked(routes, at): _numeric(routes, at) for at in routes.data},
+    )
 
 
 def _numeric(section: Section, key: str) -> str:
--- a/garnetlanding/peers/talk.py
+++ b/garnetlanding/peers/talk.py
@@ -27,11 +27,18 @@
 class Talk:
     """Stands where the module stood. `life` must be greater at each start of this head."""
 
-    def __init__(self, module: Module, life: int, limits: PeerLimits | None = None,
-                 dropped: Counter[str] | None = None,
-                 believed: Callable[[str, dict[str, float], int], None] | None = None,
-                 speaks: bool = True, fleet: Fleet | None = None, group: Group | None = None,
-                 budgets: Callable[[api.Settings, int, int], Budgets] | None = None) -> None:
+    def __init__(
+        self,
+        module: Module,
+        life: int,
+        limits: PeerLimits | None = None,
+        dropped: Counter[str] | None = None,
+        believed: Callable[[str, dict[str, float], int], None] | None = None,
+        speaks: bool = True,
+        fleet: Fleet | None = None,
+        group: Group | None = None,
+        budgets: Callable[[api.Settings, int, int], Budgets] | None = None,
+    ) -> None:
         """`dropped` counts messages by cause; `believed` is told what the module has of `parts` or `shares`,
         and until when at most. Not `speaks`: another process of this head does so for it, and uses its parts.
         `fleet` tells and hears of servers, `group` of heads; `budgets` makes what divides those of all."""
@@ -198,8 +205,9 @@
             elif e.kind == codec.WORDS and self.fleet:
                 why = leases.contact(message.sender, e.life, e.number, now)
                 if not why:
-                    self.dropped.update(self.fleet.heard(
-                        message.sender, e, leases.sent_at(e.re_life, e.re_number), now))
+                    self.dropped.update(
+                        self.fleet.heard(message.sender, e, leases.sent_at(e.re_life, e.re_number), now)
+                    )
             elif e.kind == codec.BUDGETS and self.budgets:
                 why = self.budgets.heard(message.sender, codec.leases(e), now)
             elif e.kind == codec.BUDGETS:
@@ -244,8 +252,10 @@
         if self.group:
             self.group.look(now)
             heads = {who: leases.last_heard(who) for who in [*to, *self.group.members.unmet(now)]}
-            texts += [api.Tell(codec.seal(e), who)
-                      for who, e in self.group.say(heads, self.life, lambda: leases.sending(now))]
+            texts += [
+                api.Tell(codec.seal(e), who)
+                for who, e in self.group.say(heads, self.life, lambda: leases.sending(now))
+            ]
         return texts
 
     def _pages(self, leases: Leases, kind: int, to: list[int], now: int) -> list[api.Action]:
--- a/garnetlanding/peers/turns.py
+++ b/garnetlanding/peers/turns.py
@@ -23,5 +23,5 @@
         count = min(self._limits.near, len(near))
         chosen = [near[(self._next + i) % len(near)] for i in range(count)]
         self._next += count
-        some = [who for who in partners if who in others][:self._limits.partners]
+        some = [who for who in partners if who in others][: self._limits.partners]
         return list(dict.fromkeys([*chosen, *some]))
--- a/garnetlanding/peers/verdicts.py
+++ b/garnetlanding/peers/verdicts.py
@@ -39,8 +39,9 @@
         value, at = self._credit.get(head, (1.0, now))
         return min(1.0, value + (now - at) / self._limits.recover_us)
 
-    def heard(self, sender: int, evidence: Iterable[Evidence], sent_at: int | None, now: int,
-              seen: Sightings) -> Counter[str]:
+    def heard(
+        self, sender: int, evidence: Iterable[Evidence], sent_at: int | None, now: int, seen: Sightings
+    ) -> Counter[str]:
         """All that a head has to say at this moment; what it said before and does not repeat is withdrawn.
         `sent_at`: when this head sent the last message the sender had heard by then, by this head's clock.
         Gives back how many words were dropped, by cause."""
@@ -112,12 +113,23 @@
     def known(self, now: int, seen: Sightings, tightest_us: int) -> list[dict[str, object]]:
         """For operators: what is believed of each server, from whom, how old at most."""
         own, doubted = dict(seen.evidence(now, tightest_us)), self.doubted(now, seen)
-        return [{
-            "server": node, "own": own[node].kind.name.lower() if node in own else "",
-            "own_ms": own[node].age_ms if node in own else None,
-            "doubted_ms": (doubted[node] - now) // MS if node in doubted else None,
-            "words": [{"head": who, "says": c.kind.name.lower(), "count": c.count,
-                       "age_ms": (now - c.until + self._limits.word_us) // MS,
-                       "credit": round(self.credit(who, now), 2)}
-                      for who, c in sorted(self._claims.get(node, {}).items()) if c.until > now],
-        } for node in sorted(seen.servers)]
+        return [
+            {
+                "server": node,
+                "own": own[node].kind.name.lower() if node in own else "",
+                "own_ms": own[node].age_ms if node in own else None,
+                "doubted_ms": (doubted[node] - now) // MS if node in doubted else None,
+                "words": [
+                    {
+                        "head": who,
+                        "says": c.kind.name.lower(),
+                        "count": c.count,
+                        "age_ms": (now - c.until + self._limits.word_us) // MS,
+                        "credit": round(self.credit(who, now), 2),
+                    }
+                    for who, c in sorted(self._claims.get(node, {}).items())
+                    if c.until > now
+                ],
+            }
+            for node in sorted(seen.servers)
+        ]
--- a/garnetlanding/peers/words.py
+++ b/garnetlanding/peers/words.py
@@ -71,13 +71,16 @@
 
 def envelope(words: Words, life: int, number: int, re_life: int, re_number: int) -> Envelope:
     parts = [words.digest]
-    parts += [EVIDENCE.pack(e.kind, e.server, e.life, min(e.count, MOST_COUNT), min(e.age_ms, MOST_AGE))
-              for e in words.evidence]
+    parts += [
+        EVIDENCE.pack(e.kind, e.server, e.life, min(e.count, MOST_COUNT), min(e.age_ms, MOST_AGE))
+        for e in words.evidence
+    ]
     for record in words.records:
         name = record.server.encode()
         parts.append(BAN.pack(record.version.to_bytes(6, "big"), record.by, record.out, len(name)) + name)
-    return Envelope(WORDS, life, number, re_life, re_number, (len(words.evidence), len(words.records)),
-                    b"".join(parts))
+    return Envelope(
+        WORDS, life, number, re_life, re_number, (len(words.evidence), len(words.records)), b"".join(parts)
+    )
 
 
 def read(e: Envelope) -> Words:
@@ -97,7 +100,7 @@
         if len(e.body) < at + BAN.size:
             raise BadMessage("torn")
         version, by, out, length = BAN.unpack_from(e.body, at)
-        name = e.body[at + BAN.size:at + BAN.size + length]
+        name = e.body[at + BAN.size : at + BAN.size + length]
         at += BAN.size + length
         if len(name) != length or not name.isascii() or not name or out > 1:
             raise BadMessage("no ban")
--- a/garnetlanding/resp/brick.py
+++ b/garnetlanding/resp/brick.py
@@ -71,8 +71,14 @@
 class BrickMachine:
     """Fed a brick's bytes; matches each answer to the one attempt that is out."""
 
-    def __init__(self, scheduler: Timers, pool: BufferPool, limits: Limits, write: Callable[[bytes], None],
-                 done: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        scheduler: Timers,
+        pool: BufferPool,
+        limits: Limits,
+        write: Callable[[bytes], None],
+        done: Callable[[], None],
+    ) -> None:
         self._timers, self._write, self._done = scheduler, write, done
         self._decoder, self._most_use = codec.Decoder(pool, limits), limits.use_percent
         self._trial: Trial | None = None
@@ -136,5 +142,10 @@
 
 
 def bricks(scheduler: Scheduler, pool: BufferPool, limits: Limits) -> Upstream:
-    return Upstream(scheduler, pool, limits, limits.brick_conns,
-                    lambda _, write, done: BrickMachine(scheduler, pool, limits, write, done))
+    return Upstream(
+        scheduler,
+        pool,
+        limits,
+        limits.brick_conns,
+        lambda _, write, done: BrickMachine(scheduler, pool, limits, write, done),
+    )
--- a/garnetlanding/resp/front.py
+++ b/garnetlanding/resp/front.py
@@ -33,8 +33,16 @@
 
     waiting = False  # all that is fed is taken at once
 
-    def __init__(self, core: Core, backend: Backend, pool: BufferPool, limits: Limits, ids: set[bytes],
-                 write: Sink, takes: Callable[[], bool] = lambda: True) -> None:
+    def __init__(
+        self,
+        core: Core,
+        backend: Backend,
+        pool: BufferPool,
+        limits: Limits,
+        ids: set[bytes],
+        write: Sink,
+        takes: Callable[[], bool] = lambda: True,
+    ) -> None:
         """`ids` are those of the requests open on all connections of this front; `takes` tells whether
         clients are to come here, which is what they ask by PING."""
         self._core, self._backend, self._limits, self._write = core, backend, limits, write
--- a/garnetlanding/resp/request.py
+++ b/garnetlanding/resp/request.py
@@ -78,8 +78,10 @@
         if not pairs.get(name):
             raise BadRequest(f"field {name}: missing")
     return Ask(
-        cls=pairs["c"], plan=pairs["t"],
-        volume=_name(pairs.get("volume", "").encode(), "field volume", limits), key=key,
+        cls=pairs["c"],
+        plan=pairs["t"],
+        volume=_name(pairs.get("volume", "").encode(), "field volume", limits),
+        key=key,
         units=_number(pairs, "units"),
         cell=_whole(pairs, "shard", -1),
         wait_us=min(_whole(pairs, "d", 0) * MS, limits.client_wait_us),
--- a/garnetlanding/runtime/buffers.py
+++ b/garnetlanding/runtime/buffers.py
@@ -63,7 +63,7 @@
                 self._parts.append(self._pool.take())
                 self._end = 0
             n = min(left, self._pool.size - self._end)
-            self._parts[-1][self._end:self._end + n] = data[at:at + n]
+            self._parts[-1][self._end : self._end + n] = data[at : at + n]
             self._end += n
             self.length += n
             at, left = at + n, left - n
@@ -75,7 +75,7 @@
         for part in self._parts:
             if len(out) >= n:
                 break
-            out += part[start:start + n - len(out)]
+            out += part[start : start + n - len(out)]
             start = 0
         return bytes(out)
 
--- a/garnetlanding/runtime/closing.py
+++ b/garnetlanding/runtime/closing.py
@@ -28,11 +28,17 @@
 
 TO: dict[State, dict[Event, State]] = {
     State.SERVING: {
-        Event.BAD: State.PAUSED, Event.NO_MORE: State.FINISHING, Event.LATE: State.LINGERING,
-        Event.LET_GO: State.LINGERING},
+        Event.BAD: State.PAUSED,
+        Event.NO_MORE: State.FINISHING,
+        Event.LATE: State.LINGERING,
+        Event.LET_GO: State.LINGERING,
+    },
     State.PAUSED: {
-        Event.PAUSE_OVER: State.SERVING, Event.NO_MORE: State.FINISHING, Event.LATE: State.LINGERING,
-        Event.LET_GO: State.LINGERING},
+        Event.PAUSE_OVER: State.SERVING,
+        Event.NO_MORE: State.FINISHING,
+        Event.LATE: State.LINGERING,
+        Event.LET_GO: State.LINGERING,
+    },
     State.FINISHING: {Event.SENT: State.LINGERING},
     State.LINGERING: {Event.SPENT: State.CLOSED},
     State.CLOSED: {},
--- a/garnetlanding/runtime/listener.py
+++ b/garnetlanding/runtime/listener.py
@@ -228,8 +228,16 @@
 class Listener:
     """One listening address and the connections it has accepted."""
 
-    def __init__(self, scheduler: Scheduler, address: str, pool: BufferPool, limits: Limits, most: int,
-                 make: Callable[[Client], ClientMachine], shared: bool = False) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        address: str,
+        pool: BufferPool,
+        limits: Limits,
+        most: int,
+        make: Callable[[Client], ClientMachine],
+        shared: bool = False,
+    ) -> None:
         self.scheduler, self.pool, self.limits, self.make = scheduler, pool, limits, make
         self._most = most
         self.lent: Callable[[], int] = lambda: 0  # how many of its places others have at present
@@ -327,8 +335,11 @@
         """Between requests a head may let a connection go: first those that never asked for anything, of
         these the longest idle, unless a request has come on them that is not read yet."""
         now = self.scheduler.now
-        spare = [(c.machine.asked > 0, at, c) for c in self._clients
-                 if (at := c.spare_from) is not None and at <= now]
+        spare = [
+            (c.machine.asked > 0, at, c)
+            for c in self._clients
+            if (at := c.spare_from) is not None and at <= now
+        ]
         made = 0
         for _, _, victim in sorted(spare, key=lambda one: one[:2]):
             if made >= places:
--- a/garnetlanding/runtime/scheduler.py
+++ b/garnetlanding/runtime/scheduler.py
@@ -244,5 +244,3 @@
                 self._current = task
                 task._glet.switch()
                 self._current = None
-
-
--- a/garnetlanding/runtime/signals.py
+++ b/garnetlanding/runtime/signals.py
@@ -21,8 +21,9 @@
 
 
 class Signals:
-    def __init__(self, scheduler: Scheduler, most: int, reload: Callable[[], None],
-                 end: Callable[[], None]) -> None:
+    def __init__(
+        self, scheduler: Scheduler, most: int, reload: Callable[[], None], end: Callable[[], None]
+    ) -> None:
         """`most`: how many are read at once. `end` is called for the first signal that ends."""
         self._scheduler, self._most, self._reload, self._end = scheduler, most, reload, end
         self._ending = False
--- a/garnetlanding/runtime/stream.py
+++ b/garnetlanding/runtime/stream.py
@@ -55,8 +55,9 @@
         self.on_broken: Callable[[], None] | None = None  # a write failed and nobody was reading
 
     @classmethod
-    def connect(cls, scheduler: Scheduler, address: str, pool: BufferPool, limits: Limits,
-                deadline: int) -> Stream:
+    def connect(
+        cls, scheduler: Scheduler, address: str, pool: BufferPool, limits: Limits, deadline: int
+    ) -> Stream:
         """Raises OSError when it is refused, Expired when it is not up in time."""
         host, port = parse_address(address)
         sock = _socket(host)
@@ -130,8 +131,9 @@
     def _write_rest(self) -> None:
         try:
             while self._out.length and not self.closed:
-                self._scheduler.wait(self._sock.fileno(), WRITE,
-                                     self._scheduler.now + self._limits.write_stall_us)
+                self._scheduler.wait(
+                    self._sock.fileno(), WRITE, self._scheduler.now + self._limits.write_stall_us
+                )
                 self._out.skip(self._sock.send(self._out.peek(self._pool.size)))
         except BlockingIOError:
             pass
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -85,7 +85,8 @@
         deadline = min(upstream.scheduler.now + upstream.limits.dial_us, trial.until_us)
         try:
             self._stream = Stream.connect(
-                upstream.scheduler, self.key[0], upstream.pool, upstream.limits, deadline)
+                upstream.scheduler, self.key[0], upstream.pool, upstream.limits, deadline
+            )
             self._stream.on_broken = self.close
             self.begin(trial)
             whole_by: int | None = None
@@ -175,9 +176,16 @@
     bound to besides that address.
     """
 
-    def __init__(self, scheduler: Scheduler, pool: BufferPool, limits: Limits, most: int, make: MakeMachine,
-                 place: Callable[[str], str] = lambda endpoint: endpoint,
-                 bind: Callable[[Trial], str] = lambda trial: "") -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        pool: BufferPool,
+        limits: Limits,
+        most: int,
+        make: MakeMachine,
+        place: Callable[[str], str] = lambda endpoint: endpoint,
+        bind: Callable[[Trial], str] = lambda trial: "",
+    ) -> None:
         self.scheduler, self.pool, self.limits, self.make = scheduler, pool, limits, make
         self._most, self._place, self._bind = most, place, bind
         self._conns: dict[Key, set[Connection]] = {}
@@ -298,8 +306,10 @@
         self.scheduler.call_at(self.scheduler.now + self.limits.sweep_us, self._sweep)
         if self.faults:
             server, why = self.faults.most_common(1)[0][0]
-            log.warning("server connections given up", extra={"kv": {
-                "count": self.faults.total(), "most_at": server, "mostly": why}})
+            log.warning(
+                "server connections given up",
+                extra={"kv": {"count": self.faults.total(), "most_at": server, "mostly": why}},
+            )
             self.faults.clear()
         stuck = self.scheduler.now - self.limits.client_wait_us - self.limits.sweep_us
         for conn in [c for conns in self._conns.values() for c in conns if c.began_at <= stuck]:
@@ -311,8 +321,9 @@
         keeps = self.keeps() if self.keeps else None
         other = self.scheduler.now - self.outside_idle_us
         for conns in list(self._idle.values()):
-            for conn in [c for c in conns if c.idle_since <= (
-                    old if keeps is None or c.node in keeps else other)]:
+            for conn in [
+                c for c in conns if c.idle_since <= (old if keeps is None or c.node in keeps else other)
+            ]:
                 conn.close()
         for key in [k for k, conns in self._conns.items() if not conns]:
             del self._conns[key]
--- a/garnetlanding/shutdown.py
+++ b/garnetlanding/shutdown.py
@@ -44,13 +44,15 @@
     def next(self, phase: Phase, age_us: int, connections: int, open_items: int, relieved: bool) -> Phase:
         """The phase after one look. It never goes back. `relieved`: a newer process has taken over, so that
         clients need not wait here."""
-        if phase is Phase.SERVING and (relieved or age_us >= self.serve_us
-                                       or age_us >= self.least_us and not connections):
+        if phase is Phase.SERVING and (
+            relieved or age_us >= self.serve_us or age_us >= self.least_us and not connections
+        ):
             phase = Phase.CLOSING
         if phase is Phase.CLOSING and age_us >= self.last_us:
             phase = Phase.TURNING_AWAY
         if phase in (Phase.CLOSING, Phase.TURNING_AWAY) and (
-                age_us >= self.leave_us or not connections and not open_items):
+            age_us >= self.leave_us or not connections and not open_items
+        ):
             phase = Phase.LEAVING
         return phase
 
@@ -58,8 +60,14 @@
 class Shutdown:
     """Takes a process through the phases, and then ends its parts, each by itself."""
 
-    def __init__(self, scheduler: Scheduler, limits: Limits, core: Core, listeners: Iterable[Listener],
-                 relieved: Callable[[], bool]) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        limits: Limits,
+        core: Core,
+        listeners: Iterable[Listener],
+        relieved: Callable[[], bool],
+    ) -> None:
         self._scheduler, self._limits, self._core = scheduler, limits, core
         self._listeners, self._relieved = list(listeners), relieved
 
@@ -73,13 +81,13 @@
 
     def _clients(self) -> None:
         began, phase = self._scheduler.now, Phase.SERVING
-        schedule = Schedule.of(
-            self._limits, max(c.deadline_us for c in self._core.settings.classes.values()))
+        schedule = Schedule.of(self._limits, max(c.deadline_us for c in self._core.settings.classes.values()))
         try:
             while True:
                 connections = sum(map(len, self._listeners))
-                phase = schedule.next(phase, self._scheduler.now - began, connections, self._core.open,
-                                      self._relieved())
+                phase = schedule.next(
+                    phase, self._scheduler.now - began, connections, self._core.open, self._relieved()
+                )
                 if phase is Phase.LEAVING:
                     return
                 if phase >= Phase.CLOSING:
--- a/garnetlanding/store/known.py
+++ b/garnetlanding/store/known.py
@@ -23,8 +23,11 @@
 
 
 def known_list(store: Store) -> dict[str, Any]:
-    return {"generation": store.get(GENERATION, 0), "reset": True,
-            "instances": list(store.under(SERVERS).values())}
+    return {
+        "generation": store.get(GENERATION, 0),
+        "reset": True,
+        "instances": list(store.under(SERVERS).values()),
+    }
 
 
 def newer_list(store: Store, given: dict[str, Any]) -> dict[str, Any]:
--- a/garnetlanding/store/replica.py
+++ b/garnetlanding/store/replica.py
@@ -161,7 +161,6 @@
             case _:
                 raise ReplicaError("unknown message")
 
-
     def _check(self, revision: int) -> None:
         store = self._store
         if (self._epoch, revision) != (store.epoch, store.revision):
@@ -171,8 +170,16 @@
 class Follower:
     """Keeps a follower connected: resumes by revision, and asks for a snapshot after a gap."""
 
-    def __init__(self, scheduler: Scheduler, address: str, store: Store, pool: BufferPool,
-                 limits: Limits, currency: Currency | None = None, turn: float = 0.5) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        address: str,
+        store: Store,
+        pool: BufferPool,
+        limits: Limits,
+        currency: Currency | None = None,
+        turn: float = 0.5,
+    ) -> None:
         """`turn`: this head's place in `[0, 1)` among those that the same signal wakes: a writer that
         comes back is not met by all of them at once."""
         self._scheduler, self._address, self._store = scheduler, address, store
@@ -188,9 +195,16 @@
             why = self._follow(afresh)
             self.connected = False
             again, afresh = afresh, isinstance(why, Gap)
-            log.warning("store not followed", extra={"kv": {
-                "writer": self._address, "why": f"{type(why).__name__}: {why}",
-                "revision": self._store.revision}})
+            log.warning(
+                "store not followed",
+                extra={
+                    "kv": {
+                        "writer": self._address,
+                        "why": f"{type(why).__name__}: {why}",
+                        "revision": self._store.revision,
+                    }
+                },
+            )
             if again or not afresh:  # one new snapshot at once; a gap after that is no passing thing
                 self._scheduler.sleep(self._retry_us)
 
@@ -199,8 +213,9 @@
         scheduler, limits = self._scheduler, self._limits
         stream: Stream | None = None
         try:
-            stream = Stream.connect(scheduler, self._address, self._pool, limits,
-                                    scheduler.now + limits.store_quiet_us)
+            stream = Stream.connect(
+                scheduler, self._address, self._pool, limits, scheduler.now + limits.store_quiet_us
+            )
             machine = FollowerMachine(self._store, limits, self._currency)
             stream.write(machine.hello(afresh))
             if self._currency:
--- a/garnetlanding/store/setup.py
+++ b/garnetlanding/store/setup.py
@@ -29,12 +29,15 @@
         return StoreSetup(role, name, file=section.text("file", ""))
     writer = section.text("writer")
     if (writer == name) != (role == "writer"):
-        raise ConfigError(f"key {section.name('writer')}: {writer!r:.40} does not go with the role {role} "
-                          f"of {name!r:.40}")
+        raise ConfigError(
+            f"key {section.name('writer')}: {writer!r:.40} does not go with the role {role} "
+            f"of {name!r:.40}"
+        )
     current_s = section.number("current_s", 0, 0, LONGEST_S)
     if current_s and role != "follower":
         raise ConfigError(f"key {section.name('current_s')}: only of a follower")
     if current_s and current_s < SHORTEST_S:
         raise ConfigError(f"key {section.name('current_s')}: at least {SHORTEST_S:g}, or 0")
-    return StoreSetup(role, writer, section.address("address"), section.text("file", ""),
-                      int(current_s * 1_000_000))
+    return StoreSetup(
+        role, writer, section.address("address"), section.text("file", ""), int(current_s * 1_000_000)
+    )
--- a/garnetlanding/telemetry/exporter.py
+++ b/garnetlanding/telemetry/exporter.py
@@ -57,8 +57,16 @@
 class Exporter:
     """Implements the core's Observer port."""
 
-    def __init__(self, scheduler: Scheduler, collector: Collector, name: str, seed: int, pool: BufferPool,
-                 limits: Limits, wall_ns: Callable[[], int] = time.time_ns) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        collector: Collector,
+        name: str,
+        seed: int,
+        pool: BufferPool,
+        limits: Limits,
+        wall_ns: Callable[[], int] = time.time_ns,
+    ) -> None:
         self._scheduler, self._collector, self._pool, self._limits = scheduler, collector, pool, limits
         self._service = {"service.name": collector.service, "service.instance.id": name}
         self._rng = random.Random(seed)
@@ -77,8 +85,14 @@
 
     # From the core
 
-    def item_ended(self, ask: Ask, answer: Answer, began_us: int, ended_us: int,
-                   attempts: list[tuple[str, str, int, int]]) -> None:
+    def item_ended(
+        self,
+        ask: Ask,
+        answer: Answer,
+        began_us: int,
+        ended_us: int,
+        attempts: list[tuple[str, str, int, int]],
+    ) -> None:
         outcome = OUTCOMES.get(type(answer), "served")
         self._requests[("class", ask.cls), ("plan", ask.plan), ("outcome", outcome)] += 1
         for _, result, _, _ in attempts:
@@ -112,8 +126,9 @@
 
     def _round(self) -> None:
         while self._queue:
-            batch = [self._queue.popleft()
-                     for _ in range(min(len(self._queue), self._limits.telemetry_batch))]
+            batch = [
+                self._queue.popleft() for _ in range(min(len(self._queue), self._limits.telemetry_batch))
+            ]
             spans = [span for one in batch for span in self._spans(one)]
             if not self._post("/v1/traces", otlp.traces(self._service, __version__, spans)):
                 self.dropped += len(batch)
@@ -126,16 +141,39 @@
 
     def _spans(self, one: Ended) -> list[dict[str, Any]]:
         trace, root = self._id(32), self._id(16)
-        spans = [otlp.span(
-            trace, root, "", f"request {one.ask.cls}", otlp.SERVER, self._ns(one.began_us),
-            self._ns(one.ended_us),
-            {"volume": one.ask.volume, "plan": one.ask.plan, "cell": one.ask.cell, "outcome": one.outcome,
-             "attempts": len(one.attempts)}, "" if one.outcome == "served" else one.outcome)]
-        spans += [otlp.span(
-            trace, self._id(16), root, "attempt", otlp.CLIENT, self._ns(sent),
-            self._ns(ended or one.ended_us), {"server": node, "outcome": outcome},
-            "" if outcome == "served" else outcome)
-            for node, outcome, sent, ended in one.attempts]
+        spans = [
+            otlp.span(
+                trace,
+                root,
+                "",
+                f"request {one.ask.cls}",
+                otlp.SERVER,
+                self._ns(one.began_us),
+                self._ns(one.ended_us),
+                {
+                    "volume": one.ask.volume,
+                    "plan": one.ask.plan,
+                    "cell": one.ask.cell,
+                    "outcome": one.outcome,
+                    "attempts": len(one.attempts),
+                },
+                "" if one.outcome == "served" else one.outcome,
+            )
+        ]
+        spans += [
+            otlp.span(
+                trace,
+                self._id(16),
+                root,
+                "attempt",
+                otlp.CLIENT,
+                self._ns(sent),
+                self._ns(ended or one.ended_us),
+                {"server": node, "outcome": outcome},
+                "" if outcome == "served" else outcome,
+            )
+            for node, outcome, sent, ended in one.attempts
+        ]
         return spans
 
     def _ns(self, at_us: int) -> int:
@@ -147,8 +185,11 @@
             otlp.counter("garnetlanding.requests", "{request}", self._requests, start, now),
             otlp.counter("garnetlanding.attempts", "{attempt}", self._attempts, start, now),
             otlp.counter("garnetlanding.telemetry.dropped", "{request}", {(): self.dropped}, start, now),
-            otlp.histogram("garnetlanding.request.duration", "s", [
-                h.point({"class": cls}, start, now) for cls, h in self._durations.items()]),
+            otlp.histogram(
+                "garnetlanding.request.duration",
+                "s",
+                [h.point({"class": cls}, start, now) for cls, h in self._durations.items()],
+            ),
             *(otlp.gauge(f"garnetlanding.{name}", "1", read(), now) for name, read in self.gauges.items()),
         ]
 
@@ -165,8 +206,9 @@
             except (OSError, Expired, Closed, HttpError, PoolEmpty) as problem:
                 self._hang_up()
                 status, headers, answer = 0, {}, b""
-                log.warning("collector not reached", extra={"kv": {
-                    "why": f"{type(problem).__name__}: {problem}"}})
+                log.warning(
+                    "collector not reached", extra={"kv": {"why": f"{type(problem).__name__}: {problem}"}}
+                )
             if 200 <= status < 300:
                 self.dropped += _rejected(answer)
                 return True
@@ -174,8 +216,10 @@
                 log.warning("collector refuses", extra={"kv": {"path": path, "status": status}})
                 return False
             told = retry_after_us(headers.get("retry-after", ""), self._wall_ns() / 1e9)
-            wait = min(told if told is not None else int(pause * self._rng.uniform(0.5, 1.5)),
-                       self._limits.telemetry_pause_most_us)
+            wait = min(
+                told if told is not None else int(pause * self._rng.uniform(0.5, 1.5)),
+                self._limits.telemetry_pause_most_us,
+            )
             pause *= 2
         return False
 
@@ -187,8 +231,10 @@
         stream, parser = self._stream, ResponseParser(self._pool, limits)
         answer: list[bytes] = []
         try:
-            head = (f"POST {self._collector.path}{path} HTTP/1.1\r\nHost: {self._collector.address}\r\n"
-                    f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n")
+            head = (
+                f"POST {self._collector.path}{path} HTTP/1.1\r\nHost: {self._collector.address}\r\n"
+                f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
+            )
             stream.write(head.encode() + body)
             while not parser.done:
                 if not stream.read(lambda data: answer.extend(parser.feed(data)), deadline):
--- a/garnetlanding/telemetry/otlp.py
+++ b/garnetlanding/telemetry/otlp.py
@@ -22,14 +22,29 @@
             case float():
                 return {"doubleValue": v}
         return {"stringValue": v}
+
     return [{"key": k, "value": value(v)} for k, v in pairs.items()]
 
 
-def span(trace: str, id: str, parent: str, name: str, kind: int, start_ns: int, end_ns: int,
-         pairs: Mapping[str, str | int], error: str = "") -> Json:
+def span(
+    trace: str,
+    id: str,
+    parent: str,
+    name: str,
+    kind: int,
+    start_ns: int,
+    end_ns: int,
+    pairs: Mapping[str, str | int],
+    error: str = "",
+) -> Json:
     out: Json = {
-        "traceId": trace, "spanId": id, "name": name, "kind": kind, "startTimeUnixNano": str(start_ns),
-        "endTimeUnixNano": str(end_ns), "attributes": attributes(pairs),
+        "traceId": trace,
+        "spanId": id,
+        "name": name,
+        "kind": kind,
+        "startTimeUnixNano": str(start_ns),
+        "endTimeUnixNano": str(end_ns),
+        "attributes": attributes(pairs),
     }
     if parent:
         out["parentSpanId"] = parent
@@ -38,17 +53,34 @@
     return out
 
 
-def counter(name: str, unit: str, points: Mapping[tuple[tuple[str, str], ...], int], start_ns: int,
-            now_ns: int) -> Json:
-    return {"name": name, "unit": unit, "sum": {
-        "aggregationTemporality": CUMULATIVE, "isMonotonic": True,
-        "dataPoints": [{"attributes": attributes(dict(pairs)), "startTimeUnixNano": str(start_ns),
-                        "timeUnixNano": str(now_ns), "asInt": str(n)} for pairs, n in points.items()]}}
+def counter(
+    name: str, unit: str, points: Mapping[tuple[tuple[str, str], ...], int], start_ns: int, now_ns: int
+) -> Json:
+    return {
+        "name": name,
+        "unit": unit,
+        "sum": {
+            "aggregationTemporality": CUMULATIVE,
+            "isMonotonic": True,
+            "dataPoints": [
+                {
+                    "attributes": attributes(dict(pairs)),
+                    "startTimeUnixNano": str(start_ns),
+                    "timeUnixNano": str(now_ns),
+                    "asInt": str(n),
+                }
+                for pairs, n in points.items()
+            ],
+        },
+    }
 
 
 def gauge(name: str, unit: str, value: int, now_ns: int) -> Json:
-    return {"name": name, "unit": unit, "gauge": {
-        "dataPoints": [{"timeUnixNano": str(now_ns), "asInt": str(value)}]}}
+    return {
+        "name": name,
+        "unit": unit,
+        "gauge": {"dataPoints": [{"timeUnixNano": str(now_ns), "asInt": str(value)}]},
+    }
 
 
 class Histogram:
@@ -65,21 +97,36 @@
         self.sum += value
 
     def point(self, pairs: Mapping[str, str], start_ns: int, now_ns: int) -> Json:
-        return {"attributes": attributes(pairs), "startTimeUnixNano": str(start_ns),
-                "timeUnixNano": str(now_ns), "count": str(sum(self.counts)), "sum": self.sum,
-                "bucketCounts": [str(n) for n in self.counts], "explicitBounds": list(self.bounds)}
+        return {
+            "attributes": attributes(pairs),
+            "startTimeUnixNano": str(start_ns),
+            "timeUnixNano": str(now_ns),
+            "count": str(sum(self.counts)),
+            "sum": self.sum,
+            "bucketCounts": [str(n) for n in self.counts],
+            "explicitBounds": list(self.bounds),
+        }
 
 
 def histogram(name: str, unit: str, points: list[Json]) -> Json:
-    return {"name": name, "unit": unit,
-            "histogram": {"aggregationTemporality": CUMULATIVE, "dataPoints": points}}
+    return {
+        "name": name,
+        "unit": unit,
+        "histogram": {"aggregationTemporality": CUMULATIVE, "dataPoints": points},
+    }
 
 
 def _wrap(signal: str, service: Mapping[str, str], version: str, items: Iterable[Json]) -> Json:
-    return {f"resource{signal}": [{
-        "resource": {"attributes": attributes(service)},
-        f"scope{signal}": [{"scope": {"name": "garnetlanding", "version": version},
-                            signal.lower(): list(items)}]}]}
+    return {
+        f"resource{signal}": [
+            {
+                "resource": {"attributes": attributes(service)},
+                f"scope{signal}": [
+                    {"scope": {"name": "garnetlanding", "version": version}, signal.lower(): list(items)}
+                ],
+            }
+        ]
+    }
 
 
 def traces(service: Mapping[str, str], version: str, spans: Iterable[Json]) -> Json:
--- a/garnetlanding/telemetry/setup.py
+++ b/garnetlanding/telemetry/setup.py
@@ -31,5 +31,9 @@
         parse_address(host)
     except ValueError as problem:
         raise ConfigError(f"key {section.name('endpoint')}: {problem}") from None
-    return Collector(host, (slash + path).rstrip("/"), section.text("service", "garnetlanding"),
-                     int(section.number("every_s", 0.1, 10, 3600) * SECOND))
+    return Collector(
+        host,
+        (slash + path).rstrip("/"),
+        section.text("service", "garnetlanding"),
+        int(section.number("every_s", 0.1, 10, 3600) * SECOND),
+    )
--- a/garnetlanding/wire.py
+++ b/garnetlanding/wire.py
@@ -197,7 +197,11 @@
     key = f.take("Item", str, "")
     until = f.take("NotAfterUs", _integer)
     return api.Arrival(
-        request=request, cls=cls, plan=plan, key=key, until_us=until,
+        request=request,
+        cls=cls,
+        plan=plan,
+        key=key,
+        until_us=until,
         volume=f.take("Owner", str, ""),
         units=f.take("Units", _number, 1.0),
         cell=f.take("GroupNo", _integer, -1),
--- a/tests/broken.py
+++ b/tests/broken.py
@@ -23,6 +23,7 @@
         if isinstance(reply, p9.Rwalk) and len(reply.qids) < len(names):
             self.fids[newfid] = replace(self.fids[fid])
         return reply  # type: ignore[no-any-return]
+
     return walk
 
 
@@ -31,6 +32,7 @@
         if newfid != fid:
             self.fids.pop(newfid, None)
         return real(self, fid, newfid, names)  # type: ignore[no-any-return]
+
     return walk
 
 
@@ -42,8 +44,9 @@
     def read(self: FileConn, fid: int, offset: int, count: int) -> p9.Message:
         at = self.fids.get(fid)
         if at and at.access == p9.OWRITE:
-            return p9.Rread(bytes(at.node.data[offset:offset + count]))
+            return p9.Rread(bytes(at.node.data[offset : offset + count]))
         return real(self, fid, offset, count)  # type: ignore[no-any-return]
+
     return read
 
 
@@ -51,6 +54,7 @@
     def clunk(self: FileConn, fid: int, removed: bool = False) -> None:
         if not removed:
             real(self, fid, removed)
+
     return clunk
 
 
@@ -59,6 +63,7 @@
         if fid in self.fids:
             self.fids[fid].remove_on_close = False
         real(self, fid, removed)
+
     return clunk
 
 
@@ -78,6 +83,7 @@
     def version(self: FileConn, message: p9.Tversion) -> p9.Message:
         reply = real(self, message)
         return replace(reply, msize=reply.msize + 1) if isinstance(reply, p9.Rversion) else reply
+
     return version
 
 
@@ -91,6 +97,7 @@
         if self.qid(at.node).type & p9.QTAPPEND:
             return p9.Rwrite(self.server.disk.write(at.node, offset, data, at.user))
         return real(self, fid, offset, data)  # type: ignore[no-any-return]
+
     return write
 
 
@@ -102,6 +109,7 @@
     def unlink(self: Disk, at: Inode, name: str, user: str) -> None:
         self.child(at, name).names.clear()
         real(self, at, name, user)
+
     return unlink
 
 
@@ -111,6 +119,7 @@
         if raw.length < 1 << 32 and not at.node.is_dir:
             conn.server.disk.truncate(at.node, raw.length, at.user)
         real(self, conn, at, data)
+
     return wstat
 
 
@@ -122,6 +131,7 @@
     def read_dir(conn: FileConn, at: OpenFid, offset: int, count: int) -> p9.Message:
         at.dir_at = offset
         return real(conn, at, offset, count)  # type: ignore[no-any-return]
+
     return read_dir
 
 
@@ -134,6 +144,7 @@
         if new in to.names and replace:
             raise DiskError(1)
         real(self, at, name, to, new, user, replace)
+
     return rename
 
 
@@ -152,6 +163,7 @@
 def _unlink_ignores_flag(real: Any) -> Any:
     def unlink(conn: FileConn, at: OpenFid, name: str, flags: int) -> None:
         conn.server.disk.unlink(at.node, name, at.user)
+
     return staticmethod(unlink)
 
 
@@ -161,6 +173,7 @@
             self._say(message.oldtag, p9.Rread(b""))
             self._say(message.oldtag, p9.Rread(b""))
         return real(self, message)  # type: ignore[no-any-return]
+
     return shared
 
 
@@ -168,11 +181,26 @@
 VARIANTS: dict[str, tuple[Any, str, Callable[..., Any], str, str]] = {
     "a partial walk makes a fid": (FileConn, "_walk", _partial_walk_makes_fid, p9.VERSION, "walk-partial"),
     "a fid in use is taken over": (
-        FileConn, "_walk", _walk_ignores_newfid_in_use, p9.VERSION, "walk-newfid-in-use"),
+        FileConn,
+        "_walk",
+        _walk_ignores_newfid_in_use,
+        p9.VERSION,
+        "walk-newfid-in-use",
+    ),
     "a read gives more than asked for": (
-        FileConn, "_read", _read_gives_more, p9.VERSION, "read-no-more-than-asked"),
+        FileConn,
+        "_read",
+        _read_gives_more,
+        p9.VERSION,
+        "read-no-more-than-asked",
+    ),
     "a file open for writing is read": (
-        FileConn, "_read", _read_ignores_access, p9l.VERSION, "open-for-writing-not-read"),
+        FileConn,
+        "_read",
+        _read_ignores_access,
+        p9l.VERSION,
+        "open-for-writing-not-read",
+    ),
     "a remove keeps its fid": (FileConn, "clunk", _remove_keeps_fid, p9.VERSION, "remove-clunks"),
     "ORCLOSE is forgotten": (FileConn, "clunk", _orclose_forgotten, p9.VERSION, "orclose-removes-at-clunk"),
     "truncation is forgotten": (FileConn, "open", _truncate_forgotten, p9l.VERSION, "open-truncates"),
@@ -180,28 +208,73 @@
     "qid paths are shared": (Disk, "qid", _qid_reused, p9l.VERSION, "qid-differs"),
     "msize is raised": (FileConn, "_version", _version_raises_msize, p9.VERSION, "version-msize-not-raised"),
     "a new version keeps the old fids": (
-        FileConn, "reset", _version_keeps_fids, p9.VERSION, "version-drops-fids"),
+        FileConn,
+        "reset",
+        _version_keeps_fids,
+        p9.VERSION,
+        "version-drops-fids",
+    ),
     "append-only files are written anywhere": (
-        FileConn, "_write", _append_at_offset, p9.VERSION, "append-only"),
+        FileConn,
+        "_write",
+        _append_at_offset,
+        p9.VERSION,
+        "append-only",
+    ),
     "exclusive use is not kept": (FileConn, "exclude", _exclusive_forgotten, p9.VERSION, "exclusive-use"),
     "a full directory is removed": (
-        Disk, "unlink", _full_directory_removed, p9l.VERSION, "remove-full-directory"),
+        Disk,
+        "unlink",
+        _full_directory_removed,
+        p9l.VERSION,
+        "remove-full-directory",
+    ),
     "a wstat is done by halves": (
-        files_plain.PlainDialect, "_wstat", _wstat_in_two_halves, p9.VERSION, "wstat-all-or-nothing"),
+        files_plain.PlainDialect,
+        "_wstat",
+        _wstat_in_two_halves,
+        p9.VERSION,
+        "wstat-all-or-nothing",
+    ),
     "a stat tells half the length": (files_plain, "pack_stat", _stat_cut, p9.VERSION, "stat-fields"),
     "a directory is read from anywhere": (
-        files_plain, "read_dir", _directory_seek_allowed, p9.VERSION, "directory-seek"),
+        files_plain,
+        "read_dir",
+        _directory_seek_allowed,
+        p9.VERSION,
+        "directory-seek",
+    ),
     "a rename leaves its fids behind": (
-        FileServer, "renamed", _rename_by_fid_leaves_fid, p9.VERSION, "wstat-name"),
+        FileServer,
+        "renamed",
+        _rename_by_fid_leaves_fid,
+        p9.VERSION,
+        "wstat-name",
+    ),
     "a rename does not replace": (Disk, "rename", _rename_does_not_replace, p9l.VERSION, "renameat-replaces"),
     "all errors are one": (files_linux.LinuxDialect, "error", _errors_are_one, p9l.VERSION, "mkdir-existing"),
     "locks do not exclude": (Locks, "conflict", _locks_overlap, p9l.VERSION, "lock-excludes"),
     "readdir repeats entries": (
-        files_linux.LinuxDialect, "_readdir", _readdir_repeats, p9l.VERSION, "readdir-any-offset"),
+        files_linux.LinuxDialect,
+        "_readdir",
+        _readdir_repeats,
+        p9l.VERSION,
+        "readdir-any-offset",
+    ),
     "unlinkat ignores its flag": (
-        files_linux.LinuxDialect, "_unlink", _unlink_ignores_flag, p9l.VERSION, "unlinkat-directory"),
+        files_linux.LinuxDialect,
+        "_unlink",
+        _unlink_ignores_flag,
+        p9l.VERSION,
+        "unlinkat-directory",
+    ),
     "a flushed request is answered": (
-        FileConn, "_shared", _flush_answers_twice, p9l.VERSION, "flush-is-last"),
+        FileConn,
+        "_shared",
+        _flush_answers_twice,
+        p9l.VERSION,
+        "flush-is-last",
+    ),
 }
 
 
--- a/tests/chaos.py
+++ b/tests/chaos.py
@@ -22,8 +22,17 @@
 
 BLOCK, BLOCKS, FILES = 64, 2, 2  # few places, so that changes meet
 FAULTS = list(Fault)
-FAULTY = (p9.Twrite, p9.Tread, p9.Twalk, p9.Topen, p9l.Tlopen, p9.Tcreate, p9l.Tlcreate, p9.Tremove,
-          p9l.Tmkdir)
+FAULTY = (
+    p9.Twrite,
+    p9.Tread,
+    p9.Twalk,
+    p9.Topen,
+    p9l.Tlopen,
+    p9.Tcreate,
+    p9l.Tlcreate,
+    p9.Tremove,
+    p9l.Tmkdir,
+)
 CHANGES = (p9.Twrite, p9.Twrite, p9.Tcreate, p9l.Tlcreate, p9l.Tmkdir)
 ANYWHERE = (Fault.STALL, Fault.RESET_BEFORE, Fault.REFUSE, Fault.WRONG_TAG, Fault.WRONG_TYPE)
 UNKNOWN = "may have happened"
@@ -45,7 +54,8 @@
     def over(self, other: Write) -> bool:
         """Known to have run after the other: begun after that one's end, or behind it in its session."""
         return self.acknowledged and (
-            self.began > other.end or (self.who == other.who and self.began > other.began))
+            self.began > other.end or (self.who == other.who and self.began > other.began)
+        )
 
 
 @dataclass
@@ -90,8 +100,11 @@
         self.open: set[int] = set()
         self.chaos.sessions += 1
         self.session = self.chaos.sessions
-        hello = (p9l.Tlattach(0, p9.NOFID, "u", "glossaries", self.number) if self.linux
-                 else p9.Tattach(0, p9.NOFID, str(self.number), "glossaries"))
+        hello = (
+            p9l.Tlattach(0, p9.NOFID, "u", "glossaries", self.number)
+            if self.linux
+            else p9.Tattach(0, p9.NOFID, str(self.number), "glossaries")
+        )
         self.tool.say(p9.encode(p9.NOTAG, p9.Tversion(8192, self.version)))
         self.tool._framer.among = p9.PLAIN | p9l.LINUX
         self.say(hello, Out("attach"))
@@ -109,7 +122,7 @@
 
     def hear(self) -> None:
         """Takes what has come: each tag that is out, once."""
-        new = self.tool.answers[self.seen:]
+        new = self.tool.answers[self.seen :]
         self.seen = len(self.tool.answers)
         for tag, message in new:
             if tag == p9.NOTAG:
@@ -128,13 +141,15 @@
     def __init__(self, seed: int, servers: int = 2, clients: int = 3, offer: str = "") -> None:
         self.random = random.Random(seed)
         tree: Tree = {f"f{i}": bytes(BLOCK * BLOCKS) for i in range(FILES)}
-        self.world = NineWorld(servers, access="rw", offer=offer or ("auto" if seed % 2 else p9.VERSION),
-                               tree=tree)
+        self.world = NineWorld(
+            servers, access="rw", offer=offer or ("auto" if seed % 2 else p9.VERSION), tree=tree
+        )
         disk = self.world.disk
         disk.make(disk.root, "log", 0o100666, "root", flags=DMAPPEND)
         self.world.list(*self.world.boxes[:1])
         self.places: dict[tuple[int, int], Place] = {
-            (f, b): Place() for f in range(FILES) for b in range(BLOCKS)}
+            (f, b): Place() for f in range(FILES) for b in range(BLOCKS)
+        }
         self.count = self.clock = self.sessions = 0
         self.once: Counter[str] = Counter()
         self.told = Counter[str]()
@@ -147,9 +162,21 @@
         if not client.open and not client.out:
             self.prepare(client)
         what = self.random.choices(
-            ["write", "read", "create", "mkdir", "append", "remove", "flush", "fault", "server", "idle",
-             "hang up"],
-            [36, 16, 8, 5, 8, 5, 10, 16, 3, 6, 1])[0]
+            [
+                "write",
+                "read",
+                "create",
+                "mkdir",
+                "append",
+                "remove",
+                "flush",
+                "fault",
+                "server",
+                "idle",
+                "hang up",
+            ],
+            [36, 16, 8, 5, 8, 5, 10, 16, 3, 6, 1],
+        )[0]
         getattr(self, what.replace(" ", "_"))(client)
         for one in self.clients:
             one.hear()
@@ -190,8 +217,11 @@
     def create(self, client: Client) -> None:
         name, fid = self.fresh("new"), 1000 + self.count
         client.say(p9.Twalk(0, fid, ()), Out("walk"))
-        message = (p9l.Tlcreate(fid, name, p9.ORDWR | p9l.L_CREATE | p9l.L_EXCL, 0o666, p9l.NOGID)
-                   if client.linux else p9.Tcreate(fid, name, 0o666, p9.ORDWR))
+        message = (
+            p9l.Tlcreate(fid, name, p9.ORDWR | p9l.L_CREATE | p9l.L_EXCL, 0o666, p9l.NOGID)
+            if client.linux
+            else p9.Tcreate(fid, name, 0o666, p9.ORDWR)
+        )
         client.say(message, Out("create", name=name))
         client.say(p9.Tclunk(fid), Out("clunk"))
 
@@ -241,8 +271,13 @@
     def fault(self, client: Client) -> None:
         fault = self.random.choice(FAULTS)
         kind = self.random.choice(FAULTY if fault in ANYWHERE else CHANGES)
-        rule = Rule(kind, fault, delay_us=self.random.choice([20, 100, 400]) * MS, number=28,
-                    after=self.random.randrange(2))
+        rule = Rule(
+            kind,
+            fault,
+            delay_us=self.random.choice([20, 100, 400]) * MS,
+            number=28,
+            after=self.random.randrange(2),
+        )
         for server in self.world.files:  # at whichever of them it comes to
             server.script.add(rule)
             server.script.rules[:] = [r for r in server.script.rules if r.times][-3:]
@@ -272,8 +307,13 @@
     # What the answers must be
 
     def answered(self, client: Client, out: Out, message: p9.Message) -> None:
-        problem = (from_text(message.ename) if isinstance(message, p9.Rerror) else
-                   from_number(message.ecode) if isinstance(message, p9l.Rlerror) else None)
+        problem = (
+            from_text(message.ename)
+            if isinstance(message, p9.Rerror)
+            else from_number(message.ecode)
+            if isinstance(message, p9l.Rlerror)
+            else None
+        )
         # A Linux client hears numbers: EIO may have happened.
         unknown = problem is not None and (UNKNOWN in problem.text or problem.number == 5)
         self.told[f"{out.kind} {'ok' if problem is None else 'unknown' if unknown else 'refused'}"] += 1
@@ -291,8 +331,9 @@
             case "read" if problem is None:
                 assert isinstance(message, p9.Rread)
                 place = self.places[out.place]
-                assert message.data in out.may | place.may or self.later(out.place, message.data), (
-                    f"bytes that were never written there: {message.data[:24]!r}")
+                assert message.data in out.may | place.may or self.later(
+                    out.place, message.data
+                ), f"bytes that were never written there: {message.data[:24]!r}"
             case "create" | "mkdir" | "append":
                 # Each name is new: who finds it taken has run before.
                 assert problem is None or problem.number != EEXIST, f"{out.kind} {out.name} ran twice"
@@ -307,8 +348,10 @@
     def later(self, place: tuple[int, int], data: bytes) -> bool:
         """Written there at some time while the read was out."""
         node = self.world.disk.find(f"f{place[0]}")
-        return any(r[0] == "write" and r[1] == node.number and r[2] == place[1] * BLOCK and r[3] == data
-                   for r in self.world.disk.ran)
+        return any(
+            r[0] == "write" and r[1] == node.number and r[2] == place[1] * BLOCK and r[3] == data
+            for r in self.world.disk.ran
+        )
 
     def unknown(self, out: Out) -> None:
         if out.kind == "write":
@@ -329,9 +372,10 @@
             assert not client.out, f"never answered: {client.out}"
         assert self.world.core.open == 0 and len(self.world.front_9p.order) == 0
         for (f, b), place in self.places.items():
-            there = self.world.disk.read(f"f{f}")[b * BLOCK:(b + 1) * BLOCK]
-            assert there in place.may, (
-                f"file {f}, block {b}: {there[:24]!r}, acknowledged {[m[:24] for m in place.may]}")
+            there = self.world.disk.read(f"f{f}")[b * BLOCK : (b + 1) * BLOCK]
+            assert (
+                there in place.may
+            ), f"file {f}, block {b}: {there[:24]!r}, acknowledged {[m[:24] for m in place.may]}"
         made = Counter(r[1] for r in self.world.disk.ran if r[0] == "make")
         assert all(count == 1 for name, count in made.items() if name != "log"), made.most_common(3)
         assert all(made[name] == 1 for name, n in self.once.items() if n and not name.startswith("t"))
@@ -364,5 +408,3 @@
         logger.removeHandler(errors)
     assert not errors.seen, errors.seen[:3]
     return chaos
-
-
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -46,11 +46,29 @@
 
 def settings(**changes: object) -> api.Settings:
     base: dict[str, object] = dict(
-        hosts=3, me=0, tick_us=2 * MS, classes={"read": READ, "write": WRITE},
-        plans={"gold": GOLD, "tin": TIN}, ask_for_list=False, max_attempts=3, parallel_attempts=True,
-        may_cancel=True, may_probe=False, heeds_hold_off=True, max_hold_off_us=SECOND, cold_from=0.2,
-        cold_us=16 * SECOND, cold_units=9.0, fall_multiple=2.0, fall_us=2 * SECOND, order_rest_us=0,
-        budget_share=0.0, budget_free=0.0, budget_span_us=0, share_worth=0.4, spare_worth=0.05,
+        hosts=3,
+        me=0,
+        tick_us=2 * MS,
+        classes={"read": READ, "write": WRITE},
+        plans={"gold": GOLD, "tin": TIN},
+        ask_for_list=False,
+        max_attempts=3,
+        parallel_attempts=True,
+        may_cancel=True,
+        may_probe=False,
+        heeds_hold_off=True,
+        max_hold_off_us=SECOND,
+        cold_from=0.2,
+        cold_us=16 * SECOND,
+        cold_units=9.0,
+        fall_multiple=2.0,
+        fall_us=2 * SECOND,
+        order_rest_us=0,
+        budget_share=0.0,
+        budget_free=0.0,
+        budget_span_us=0,
+        share_worth=0.4,
+        spare_worth=0.05,
         most_units=6.0,
     )
     return api.Settings(**(base | changes))  # type: ignore[arg-type]
@@ -86,15 +104,34 @@
         self.now = end
         return [a for _, a in self.log[seen:]]
 
-    def ask(self, name: str, volume: str = "v", cell: int = 0, units: float = 2, plan: str = "gold",
-            cls: str = "read", key: str = "", hosts: int = 1,
-            patience: int | None = None) -> list[api.Action]:
+    def ask(
+        self,
+        name: str,
+        volume: str = "v",
+        cell: int = 0,
+        units: float = 2,
+        plan: str = "gold",
+        cls: str = "read",
+        key: str = "",
+        hosts: int = 1,
+        patience: int | None = None,
+    ) -> list[api.Action]:
         spec = self.c.s.classes[cls]
-        return self.tell(api.Arrival(name, cls, plan, volume, key, units, cell,
-                                     self.now + (patience or spec.deadline_us), hosts))
-
-    def end(self, name: str, outcome: api.Outcome = api.Outcome.SERVED, attempt: int = 0, took: int = 20 * MS,
-            over: bool | None = None, used: int = 0) -> list[api.Action]:
+        return self.tell(
+            api.Arrival(
+                name, cls, plan, volume, key, units, cell, self.now + (patience or spec.deadline_us), hosts
+            )
+        )
+
+    def end(
+        self,
+        name: str,
+        outcome: api.Outcome = api.Outcome.SERVED,
+        attempt: int = 0,
+        took: int = 20 * MS,
+        over: bool | None = None,
+        used: int = 0,
+    ) -> list[api.Action]:
         over = outcome is api.Outcome.SERVED if over is None else over
         return self.tell(api.Result(name, attempt, "", outcome, took, over, used))
 
@@ -189,7 +226,9 @@
         self.pool = BufferPool(self.limits.buffer_bytes, 64, 4096)
         self.core = CheckedCore(
             Controller(config or settings(parallel_attempts=False, max_attempts=4), 1),
-            self.scheduler, self.limits)
+            self.scheduler,
+            self.limits,
+        )
         self.core.starts, self.core.finals = [], []
         self.scheduler.turn_end.append(self.core.turn)
         self.bricks = bricks(self.scheduler, self.pool, self.limits)
@@ -199,9 +238,16 @@
 
     def front(self) -> Listener:
         ids: set[bytes] = set()
-        return Listener(self.scheduler, "127.0.0.1:0", self.pool, self.limits, self.limits.client_conns,
-                        lambda write: resp_front.ClientMachine(
-                            self.core, self.bricks, self.pool, self.limits, ids, write))
+        return Listener(
+            self.scheduler,
+            "127.0.0.1:0",
+            self.pool,
+            self.limits,
+            self.limits.client_conns,
+            lambda write: resp_front.ClientMachine(
+                self.core, self.bricks, self.pool, self.limits, ids, write
+            ),
+        )
 
     def list(self, *boxes: Box, whole: bool = True) -> None:
         data = {"generation": 1, "reset": whole, "instances": [b.entry() for b in boxes]}
@@ -271,10 +317,22 @@
         self.world.settle()
 
 
-def read_command(id: str = "r1", cls: str = "read", d: int = 1000, cell: int = 0, volume: str = "v",
-                 key: str = "k", verb: str = "BLK.READ", body: bytes | None = None) -> bytes:
-    words = [verb.encode(), key.encode(), id.encode(),
-             f"c={cls},t=gold,d={d},volume={volume},units=2,shard={cell},hosts=1".encode()]
+def read_command(
+    id: str = "r1",
+    cls: str = "read",
+    d: int = 1000,
+    cell: int = 0,
+    volume: str = "v",
+    key: str = "k",
+    verb: str = "BLK.READ",
+    body: bytes | None = None,
+) -> bytes:
+    words = [
+        verb.encode(),
+        key.encode(),
+        id.encode(),
+        f"c={cls},t=gold,d={d},volume={volume},units=2,shard={cell},hosts=1".encode(),
+    ]
     return resp.command(words + ([] if body is None else [body]))
 
 
@@ -287,16 +345,25 @@
 class Tool(Peer):
     """An editing tool: speaks 9P and knows which answers it still waits for."""
 
-    def __init__(self, world: NineWorld, msize: int = 8192, attach: bool = True, version: str = p9.VERSION,
-                 address: str = "") -> None:
+    def __init__(
+        self,
+        world: NineWorld,
+        msize: int = 8192,
+        attach: bool = True,
+        version: str = p9.VERSION,
+        address: str = "",
+    ) -> None:
         super().__init__(world, address or world.listener.address)
         self.linux = version == linux.VERSION
         self._framer = p9.Framer(world.pool, 1 << 20)
         self.answers: list[tuple[int, p9.Message]] = []
         if attach:
             assert self.ask(p9.Tversion(msize, version), p9.NOTAG) == p9.Rversion(msize, version)
-            hello = (linux.Tlattach(0, p9.NOFID, "ann", "glossaries", 1000) if self.linux
-                     else p9.Tattach(0, p9.NOFID, "ann", "glossaries"))
+            hello = (
+                linux.Tlattach(0, p9.NOFID, "ann", "glossaries", 1000)
+                if self.linux
+                else p9.Tattach(0, p9.NOFID, "ann", "glossaries")
+            )
             assert isinstance(self.ask(hello), p9.Rattach)
 
     def _feed(self, data: memoryview) -> None:
@@ -328,22 +395,39 @@
 class NineWorld(World):
     """A 9P front before file servers that share one disk."""
 
-    def __init__(self, servers: int = 1, cells: tuple[int, ...] = (0, 0), access: str = "ro",
-                 offer: str = p9.VERSION, tree: Tree | None = None, config: api.Settings | None = None,
-                 **limits: int) -> None:
-        super().__init__(with_twins(config or settings(parallel_attempts=False, max_attempts=4), ["read"]),
-                         **limits)
+    def __init__(
+        self,
+        servers: int = 1,
+        cells: tuple[int, ...] = (0, 0),
+        access: str = "ro",
+        offer: str = p9.VERSION,
+        tree: Tree | None = None,
+        config: api.Settings | None = None,
+        **limits: int,
+    ) -> None:
+        super().__init__(
+            with_twins(config or settings(parallel_attempts=False, max_attempts=4), ["read"]), **limits
+        )
         self.disk = Disk(TREE if tree is None else tree, clock=lambda: self.time)
         self.files = [self.server(FileServer, disk=self.disk) for _ in range(servers)]
-        self.boxes = [Box(f"f{i}", s.address, cells[i], extra={"startedAtMs": 0})
-                      for i, s in enumerate(self.files)]
+        self.boxes = [
+            Box(f"f{i}", s.address, cells[i], extra={"startedAtMs": 0}) for i, s in enumerate(self.files)
+        ]
         self.nine = file_servers(self.scheduler, self.pool, self.limits, 0, offer)
-        exports = {"glossaries": Export("glossaries", "v", "gold", "read", 0, 1500 * MS,
-                                        access=access, change_cls="read")}
+        exports = {
+            "glossaries": Export(
+                "glossaries", "v", "gold", "read", 0, 1500 * MS, access=access, change_cls="read"
+            )
+        }
         self.front_9p = Front(self.core, self.nine, exports, self.pool, self.limits, self.scheduler)
         self.listener = Listener(
-            self.scheduler, "127.0.0.1:0", self.pool, self.limits, 64,
-            lambda write: ClientMachine(self.front_9p, write))
+            self.scheduler,
+            "127.0.0.1:0",
+            self.pool,
+            self.limits,
+            64,
+            lambda write: ClientMachine(self.front_9p, write),
+        )
         self.list(self.boxes[0])
 
     def drained(self, index: int) -> None:
@@ -385,7 +469,7 @@
             if len(peer.got) == self._had and not peer.closed:
                 world.settle()
             if len(peer.got) > self._had:
-                data, self._had = peer.got[self._had:], len(peer.got)
+                data, self._had = peer.got[self._had :], len(peer.got)
                 return data
             if peer.closed:
                 return b""
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -26,8 +26,11 @@
 from tests.helpers import SECOND
 
 ROOT = pathlib.Path(__file__).parent.parent
-PAYLOADS = st.lists(st.dictionaries(st.text(max_size=5), st.integers() | st.text(max_size=9), max_size=4),
-                    min_size=1, max_size=6)
+PAYLOADS = st.lists(
+    st.dictionaries(st.text(max_size=5), st.integers() | st.text(max_size=9), max_size=4),
+    min_size=1,
+    max_size=6,
+)
 
 
 def built(payloads: list[dict[str, Any]], before: bytes = segments.FIRST, number: int = 1) -> bytes:
@@ -40,6 +43,7 @@
 
 # The form
 
+
 @given(PAYLOADS)
 def test_what_is_recorded_is_read(payloads: list[dict[str, Any]]) -> None:
     found = segments.read("f", built(payloads), False)
@@ -84,7 +88,7 @@
     payloads = [{"n": n} for n in range(3)]
     ends = [len(built(payloads[:n])) for n in range(4)]
     whole = built(payloads)
-    without = whole[:ends[1]] + whole[ends[2]:]
+    without = whole[: ends[1]] + whole[ends[2] :]
     with pytest.raises(Damage, match="does not follow"):
         segments.read("f", without, True)
 
@@ -155,6 +159,7 @@
 
     def fail(*args: Any) -> int:
         raise OSError(errno.ENOSPC, "No space left on device")
+
     monkeypatch.setattr(os, failing, fail)
     for n in range(30):
         audit.keep({"kind": "checkpoint", "n": n, "text": "x" * 60})
@@ -164,10 +169,11 @@
     assert not problems, "what was written before it reads"
 
 
-def test_a_disk_that_takes_half_a_record_leaves_a_torn_tail(tmp_path: pathlib.Path,
-                                                            monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_disk_that_takes_half_a_record_leaves_a_torn_tail(
+    tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     audit, real = opened(tmp_path), os.write
-    monkeypatch.setattr(os, "write", lambda fd, data: real(fd, data[:len(data) // 2]))
+    monkeypatch.setattr(os, "write", lambda fd, data: real(fd, data[: len(data) // 2]))
     audit.keep({"kind": "checkpoint"})
     audit.keep({"kind": "checkpoint"})
     monkeypatch.undo()
@@ -177,11 +183,19 @@
 
 # The recorder
 
+
 def test_a_change_is_recorded_before_anything_is_decided_by_it_and_nothing_else_is() -> None:
     now, kept = {"settings": "1.1#a", "list": "1"}, list[dict[str, Any]]()
     heard: list[int] = []
-    recorder = Recorder(AuditLimits(checkpoint_us=100), {name: lambda name=name: now[name] for name in now},
-                        lambda: 3, lambda: (7, 5), lambda: 9, lambda: heard, kept.append)
+    recorder = Recorder(
+        AuditLimits(checkpoint_us=100),
+        {name: lambda name=name: now[name] for name in now},
+        lambda: 3,
+        lambda: (7, 5),
+        lambda: 9,
+        lambda: heard,
+        kept.append,
+    )
     recorder.look(0)
     for t in range(1, 50):
         recorder.look(t)
@@ -192,21 +206,39 @@
     recorder.refused(160, "settings", "key x")
     recorder.refused(161, "settings", "key x")
     recorder.end(170)
-    assert [(r["t"], r["kind"]) for r in kept] == [(0, "change"), (50, "change"), (150, "checkpoint"),
-                                                   (160, "refused"), (170, "end")]
+    assert [(r["t"], r["kind"]) for r in kept] == [
+        (0, "change"),
+        (50, "change"),
+        (150, "checkpoint"),
+        (160, "refused"),
+        (170, "end"),
+    ]
     assert kept[1]["changed"] == ["settings"] and kept[1]["heard"] == [2, 8, 4] and kept[1]["me"] == 3
     assert kept[0]["vector"]["settings"] == "1.1#a" and kept[1]["vector"]["list"] == "1"
 
 
 # Many heads
 
+
 def life(head: str, number: int, *records: dict[str, Any], me: int = 0, wall: int = 0) -> Segment:
     """Records at the times given, in seconds; the wall clock shows the same, `wall` off."""
     told = [{"kind": "start", "t": 0, "wall": wall, "follows": 0, "torn": "", "checkpoint_us": SECOND}]
     for r in records:
         t = r.pop("at")
-        told.append({"kind": "change", "t": int(t * SECOND), "wall": int(t * 1000) + wall, "taken": 0,
-                     "said": 0, "heard": [], "changed": [], "me": me, "vector": {}, **r})
+        told.append(
+            {
+                "kind": "change",
+                "t": int(t * SECOND),
+                "wall": int(t * 1000) + wall,
+                "taken": 0,
+                "said": 0,
+                "heard": [],
+                "changed": [],
+                "me": me,
+                "vector": {},
+                **r,
+            }
+        )
     return Segment(head, number, 1, segments.FIRST, told)
 
 
@@ -242,18 +274,26 @@
     assert fleet.problems == ["n2: nothing for 8.5 s before 9000: it stood still"]
     assert {s.head for s in merge.on(fleet, "settings", "1.2")} == {"n0", "n1", "n2"}
     assert {(s.head, s.vector["settings"]) for s in merge.at(fleet, 300)} == {
-        ("n0", "1.1#a"), ("n2", "1.1#a"), ("n1", "1.2#b")}, "each by its own clock"
-
-
-@pytest.mark.parametrize("more, why", [
-    ([on(1.5, "1.1#a", vector={"settings": "1.1#a", "out": "not current"}), on(3, "1.2#b")], "stopped"),
-    ([on(1.5, "1.1#a", vector={"settings": "1.1#a", "out": "shut out"})], "was shut out"),
-    ([{"at": 1.5, "kind": "end"}], "ended in order"),
-    ([{"at": 1.2, "kind": "refused", "component": "settings", "why": "key x"}, still(2, "1.1#a")],
-     "refused the change"),
-    ([still(2, "1.1#a"), still(3, "1.1#a")], "acts on it still"),
-    ([still(1.5, "1.1#a"), on(9, "1.2#b")], "stood still"),
-])
+        ("n0", "1.1#a"),
+        ("n2", "1.1#a"),
+        ("n1", "1.2#b"),
+    }, "each by its own clock"
+
+
+@pytest.mark.parametrize(
+    "more, why",
+    [
+        ([on(1.5, "1.1#a", vector={"settings": "1.1#a", "out": "not current"}), on(3, "1.2#b")], "stopped"),
+        ([on(1.5, "1.1#a", vector={"settings": "1.1#a", "out": "shut out"})], "was shut out"),
+        ([{"at": 1.5, "kind": "end"}], "ended in order"),
+        (
+            [{"at": 1.2, "kind": "refused", "component": "settings", "why": "key x"}, still(2, "1.1#a")],
+            "refused the change",
+        ),
+        ([still(2, "1.1#a"), still(3, "1.1#a")], "acts on it still"),
+        ([still(1.5, "1.1#a"), on(9, "1.2#b")], "stood still"),
+    ],
+)
 def test_why_the_last_was_late(more: list[dict[str, Any]], why: str) -> None:
     late = life("n3", 1, on(0, "1.1#a"), still(1, "1.1#a"), *[dict(r) for r in more], me=3)
     first = life("n0", 1, on(0, "1.1#a"), on(0.9, "1.2#b"))
@@ -282,12 +322,24 @@
 
 # The command line
 
-def test_the_command_line_reads_what_heads_wrote(tmp_path: pathlib.Path,
-                                                 capsys: pytest.CaptureFixture[str]) -> None:
+
+def test_the_command_line_reads_what_heads_wrote(
+    tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     audit = opened(tmp_path, wall=1_700_000_000_000)
     for t, version in ((1, "1.1#a"), (2, "1.2#b")):
-        audit.keep({"kind": "change", "t": t * SECOND, "vector": {"settings": version, "out": ""},
-                    "changed": ["settings"], "heard": [], "me": 0, "said": 0, "taken": 0})
+        audit.keep(
+            {
+                "kind": "change",
+                "t": t * SECOND,
+                "vector": {"settings": version, "out": ""},
+                "changed": ["settings"],
+                "heard": [],
+                "me": 0,
+                "said": 0,
+                "taken": 0,
+            }
+        )
     audit.close()
     place = str(tmp_path)
     assert cli.main(["audit", "verify", place]) == 0
@@ -297,8 +349,11 @@
     assert cli.main(["audit", "who", place]) == cli.main(["audit", "who", place, "--version", "x"]) == 2
     assert cli.main(["audit", "who", place, "--at", "2023-11-14T22:13:20Z"]) == 0
     assert cli.main(["audit", "who", place, "--at", "yesterday"]) == 2
-    assert cli.main(["audit", "lag", place]) == cli.main(["audit", "show", place, "--chart",
-                                                          str(tmp_path / "c.png")]) == 0
+    assert (
+        cli.main(["audit", "lag", place])
+        == cli.main(["audit", "show", place, "--chart", str(tmp_path / "c.png")])
+        == 0
+    )
     assert cli.main(["audit", "merge", place, "--out", str(tmp_path / "all")]) == 0
     empty = tmp_path / "empty"
     empty.mkdir()
@@ -311,10 +366,15 @@
     assert files.names(place)
 
 
-@pytest.mark.parametrize("data, key", [
-    ({}, "key audit.folder"), ({"folder": "x", "sync": 1}, "key audit.sync"),
-    ({"folder": "x", "checkpoint_s": 0}, "key audit.checkpoint_s"), ({"folder": "x", "y": 1}, "key audit.y"),
-])
+@pytest.mark.parametrize(
+    "data, key",
+    [
+        ({}, "key audit.folder"),
+        ({"folder": "x", "sync": 1}, "key audit.sync"),
+        ({"folder": "x", "checkpoint_s": 0}, "key audit.checkpoint_s"),
+        ({"folder": "x", "y": 1}, "key audit.y"),
+    ],
+)
 def test_a_fault_in_the_section_names_its_key(data: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
         read_setup(data)
@@ -395,24 +455,34 @@
 
 
 def test_an_operator_shuts_a_head_out_from_another_and_lets_it_in_from_a_third(
-    tmp_path: pathlib.Path
+    tmp_path: pathlib.Path,
 ) -> None:
     result = run(load(str(ROOT / "experiments" / "shut-out.toml")), tmp_path / "run")
     assert result.findings.sound, result.findings.broken
     called = [(line["kind"], line["status"]) for line in result.lines if line["what"] == "called"]
-    assert called == [("shut-out", 200), ("shut-out", 200), ("shut-out", 400),
-                      ("let-in", 200), ("let-in", 200)]
+    assert called == [
+        ("shut-out", 200),
+        ("shut-out", 200),
+        ("shut-out", 400),
+        ("let-in", 200),
+        ("let-in", 200),
+    ]
     words = [(line["who"], line["out"]) for line in result.lines if line["what"] == "current"]
     assert ("n1", True) in words and ("n3", True) in words and not any(who == "n0" for who, _ in words)
     last = {line["who"]: line["out"] for line in result.lines if line["what"] == "current"}
     assert last == {"n1": False, "n3": False}
     late = result.began + 9 * SECOND
-    assert any(line["what"] == "answered" and line["who"] == "n1" and line["outcome"] == "served"
-               and line["t"] > late for line in result.lines)
+    assert any(
+        line["what"] == "answered"
+        and line["who"] == "n1"
+        and line["outcome"] == "served"
+        and line["t"] > late
+        for line in result.lines
+    )
 
 
 def test_stragglers_among_real_processes_stop_in_time_and_the_audit_says_who_used_what(
-    tmp_path: pathlib.Path
+    tmp_path: pathlib.Path,
 ) -> None:
     result = run(load(str(ROOT / "experiments" / "stragglers.toml")), tmp_path / "run")
     assert result.findings.sound, result.findings.broken
--- a/tests/test_body.py
+++ b/tests/test_body.py
@@ -98,7 +98,7 @@
     [conn] = w.brick.conns
     for at in range(20_000, 60_000, 10_000):
         w.run(w.limits.pass_stall_us - 100 * MS, step_us=100 * MS)
-        conn.write(answer(value)[at:at + 10_000])
+        conn.write(answer(value)[at : at + 10_000])
         w.settle()
     assert not client.closed
     w.run(w.limits.pass_stall_us + 100 * MS, step_us=100 * MS)
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -27,8 +27,9 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 FLEETS = st.sets(st.integers(0, 60), min_size=1, max_size=24)
-SERVERS = st.dictionaries(st.integers(0, 60).map("s{}".format), st.sampled_from("abc"), min_size=1,
-                          max_size=24)
+SERVERS = st.dictionaries(
+    st.integers(0, 60).map("s{}".format), st.sampled_from("abc"), min_size=1, max_size=24
+)
 
 
 def laws(heads: set[int], servers: dict[str, str], k: int) -> str:
@@ -47,9 +48,9 @@
 
 @settings(max_examples=300)
 @given(FLEETS, SERVERS, st.integers(1, 12))
-def test_every_head_has_its_servers_and_every_server_its_part_of_the_heads(heads: set[int],
-                                                                          servers: dict[str, str],
-                                                                          k: int) -> None:
+def test_every_head_has_its_servers_and_every_server_its_part_of_the_heads(
+    heads: set[int], servers: dict[str, str], k: int
+) -> None:
     assert laws(heads, servers, k) == ""
 
 
@@ -74,6 +75,7 @@
 
     def moved(after: dict[int, set[str]]) -> int:
         return sum(len(some - before.get(head, set())) for head, some in after.items())
+
     assert moved(subsets(range(heads + 1), servers, k)) <= 6 * k + 6
     assert moved(subsets(range(heads), servers | {"new": ""}, k)) <= 6 * (heads * k // (count + 1) + 1) + 6
     assert subsets(range(heads), servers, k) == before
@@ -88,8 +90,9 @@
 
 @given(FLEETS, SERVERS, st.sets(st.integers(0, 60), max_size=2))
 @settings(max_examples=60)
-def test_heads_with_different_lists_stay_near(heads: set[int], servers: dict[str, str],
-                                              gone: set[int]) -> None:
+def test_heads_with_different_lists_stay_near(
+    heads: set[int], servers: dict[str, str], gone: set[int]
+) -> None:
     """Half of them know some servers less: a server is taken by each half up to that half's own quota."""
     k, less = 3, {s: z for s, z in servers.items() if int(s[1:]) not in gone}
     old, new = subsets(heads, servers, k), subsets(heads, less, k)
@@ -107,7 +110,8 @@
     match name:
         case "the first server is left out":
             return "match", lambda wanted, quotas: real_match(
-                wanted, {s: q for s, q in quotas.items() if s != min(quotas) or len(quotas) == 1})
+                wanted, {s: q for s, q in quotas.items() if s != min(quotas) or len(quotas) == 1}
+            )
         case "weights differ by process":
             salt = iter(range(10**9))
             return "weight", lambda head, server: real_weight(head, server) * (2 * next(salt) + 1) % (1 << 64)
@@ -117,19 +121,24 @@
             return "match", lambda wanted, quotas: real_match(wanted, {s: q + 1 for s, q in quotas.items()})
         case "one server too few":
             return "match", lambda wanted, quotas: real_match(
-                {h: max(0, n - 1) for h, n in wanted.items()}, quotas)
+                {h: max(0, n - 1) for h, n in wanted.items()}, quotas
+            )
         case "all in one zone":
-            return "shares", lambda head, zones, k: {z: min(k, len(m)) if z == min(zones) else 0
-                                                     for z, m in zones.items()}
+            return "shares", lambda head, zones, k: {
+                z: min(k, len(m)) if z == min(zones) else 0 for z, m in zones.items()
+            }
         case "what does not divide goes nowhere":
-            return "shares", lambda head, zones, k: {z: n - (n > 0 and z == max(zones))
-                                                     for z, n in real_shares(head, zones, k).items()}
+            return "shares", lambda head, zones, k: {
+                z: n - (n > 0 and z == max(zones)) for z, n in real_shares(head, zones, k).items()
+            }
         case "who is turned away over the quota":
             return "_make_room", lambda head, ranked, found, room: found[head].add(
-                next(s for s in ranked if s not in found[head]))
+                next(s for s in ranked if s not in found[head])
+            )
         case "who is turned away gives up":
             return "_make_room", lambda head, ranked, found, room: None
         case "in the order of arrival":
+
             def first_come(wanted: dict[int, int], quotas: dict[str, int]) -> dict[int, set[str]]:
                 left, found = dict(quotas), {}
                 for head, count in wanted.items():
@@ -137,24 +146,42 @@
                     for server in found[head]:
                         left[server] -= 1
                 return found
+
             return "match", first_come
     raise AssertionError(name)
 
 
-@pytest.mark.parametrize("bug", [
-    "the first server is left out", "weights differ by process", "no quota", "quotas one too large",
-    "one server too few", "all in one zone", "what does not divide goes nowhere",
-    "who is turned away over the quota", "who is turned away gives up", "in the order of arrival"])
+@pytest.mark.parametrize(
+    "bug",
+    [
+        "the first server is left out",
+        "weights differ by process",
+        "no quota",
+        "quotas one too large",
+        "one server too few",
+        "all in one zone",
+        "what does not divide goes nowhere",
+        "who is turned away over the quota",
+        "who is turned away gives up",
+        "in the order of arrival",
+    ],
+)
 def test_a_variant_that_is_broken_on_purpose_is_caught(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
     name, instead = swapped(bug)
     monkeypatch.setattr(module, name, instead)
-    fleets = [(set(range(h)), {f"s{i}": "abc"[i % z] for i in range(n)}, k)
-              for h in (3, 7, 16) for n in (4, 9, 20) for z in (1, 3) for k in (2, 3, 5, 7)]
+    fleets = [
+        (set(range(h)), {f"s{i}": "abc"[i % z] for i in range(n)}, k)
+        for h in (3, 7, 16)
+        for n in (4, 9, 20)
+        for z in (1, 3)
+        for k in (2, 3, 5, 7)
+    ]
     assert any(laws(*fleet) for fleet in fleets)
 
 
 # Turns
 
+
 @given(st.integers(1, 300), st.text(max_size=9))
 def test_turns_are_evenly_spaced_and_no_head_is_always_last(heads: int, signal: str) -> None:
     places = sorted(turn(number, heads, signal) for number in range(heads))
@@ -171,6 +198,7 @@
 
 # In the head
 
+
 def test_the_kept_servers_are_looked_up_again_only_when_something_has_changed() -> None:
     kept, servers = Kept(2), {f"s{i}": "a" for i in range(6)}
     first = kept.look(1, range(4), servers)
@@ -192,11 +220,16 @@
     assert peer.say(read_command("r2")).startswith(b"$")
 
 
-@pytest.mark.parametrize("data, key", [
-    ({"subset": 1.5}, "key choices.subset: expected a whole"), ({"subset": -1}, "key choices.subset"),
-    ({"idle_s": 0}, "key choices.idle_s"), ({"resend_share": "x"}, "key choices.resend_share"),
-    ({"turns": 1}, "key choices.turns: not known"),
-])
+@pytest.mark.parametrize(
+    "data, key",
+    [
+        ({"subset": 1.5}, "key choices.subset: expected a whole"),
+        ({"subset": -1}, "key choices.subset"),
+        ({"idle_s": 0}, "key choices.idle_s"),
+        ({"resend_share": "x"}, "key choices.resend_share"),
+        ({"turns": 1}, "key choices.turns: not known"),
+    ],
+)
 def test_a_fault_in_the_section_names_its_key(data: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
         read(data)
@@ -213,6 +246,7 @@
 
 # Processes
 
+
 @pytest.mark.parametrize("name", ["subset", "resend-budget"])
 def test_choices_of_real_processes_add_up(name: str, tmp_path: pathlib.Path) -> None:
     """Eight heads, of which one joins, one leaves and one is cut off; six whose connections break."""
--- a/tests/test_conform.py
+++ b/tests/test_conform.py
@@ -21,10 +21,17 @@
 
 
 def verdicts(world: NineWorld, address: str, version: str, pattern: str = "") -> list[Result]:
-    options = Options(version=version, aname="glossaries" if address == world.listener.address else "",
-                      quiet_s=0.05)
-    return list(suite.run(suite.cases(version, pattern), lambda: WorldWire(world, address), options,
-                          clock=lambda: world.time / 1e6))
+    options = Options(
+        version=version, aname="glossaries" if address == world.listener.address else "", quiet_s=0.05
+    )
+    return list(
+        suite.run(
+            suite.cases(version, pattern),
+            lambda: WorldWire(world, address),
+            options,
+            clock=lambda: world.time / 1e6,
+        )
+    )
 
 
 @pytest.mark.parametrize("version", BOTH)
@@ -70,7 +77,8 @@
 
 
 def test_the_command_tells_verdicts_by_table_json_and_exit_code(
-        capsys: pytest.CaptureFixture[str], tmp_path: pathlib.Path) -> None:
+    capsys: pytest.CaptureFixture[str], tmp_path: pathlib.Path
+) -> None:
     w = NineWorld(access="rw", tree={})
     quick = ["--address", w.files[0].address, "--quiet", "0.01", "--only", "^remove-(clunks|file)$"]
     file = tmp_path / "out.json"
@@ -84,13 +92,19 @@
     assert called(w, *quick, "--json", str(tmp_path / "no" / "out.json")) == 2
 
 
-@pytest.mark.parametrize("words, told", [
-    (["--address", "nowhere"], "--address"), (["--address", "x:1", "--only", "("], "--only"),
-    (["--address", "x:1", "--only", "^none$"], "no case"), (["--address", "x:1", "--msize", "5"], "--msize"),
-    ([], "--address"),
-])
+@pytest.mark.parametrize(
+    "words, told",
+    [
+        (["--address", "nowhere"], "--address"),
+        (["--address", "x:1", "--only", "("], "--only"),
+        (["--address", "x:1", "--only", "^none$"], "no case"),
+        (["--address", "x:1", "--msize", "5"], "--msize"),
+        ([], "--address"),
+    ],
+)
 def test_a_wrong_call_is_told_with_exit_code_2(
-        words: list[str], told: str, capsys: pytest.CaptureFixture[str]) -> None:
+    words: list[str], told: str, capsys: pytest.CaptureFixture[str]
+) -> None:
     assert cli.main(["conform", "9p", *words]) == 2 and told in capsys.readouterr().err
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -41,11 +41,20 @@
         self.core.listed(Listing((entry,), {node: "x:1"}, whole, at_start=whole))
         self.settle()
 
-    def ask(self, name: str, wait_us: int = SECOND, cls: str = "read", size: int = 0,
-            volume: str = "v", copies: bool = True) -> str:
+    def ask(
+        self,
+        name: str,
+        wait_us: int = SECOND,
+        cls: str = "read",
+        size: int = 0,
+        volume: str = "v",
+        copies: bool = True,
+    ) -> str:
         ticket = self.core.accept(
-            Ask(cls, "gold", volume, "k", 2, 0, wait_us, 1, name, size=size, copies=copies), self.backend,
-            lambda answer: self.answers.__setitem__(name, answer))
+            Ask(cls, "gold", volume, "k", 2, 0, wait_us, 1, name, size=size, copies=copies),
+            self.backend,
+            lambda answer: self.answers.__setitem__(name, answer),
+        )
         self.settle()
         return ticket
 
@@ -188,7 +197,7 @@
 
 
 def test_an_attempt_still_out_at_the_deadline_is_stopped_and_counts_as_timed_out(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     w = CoreWorld()
     ticket = w.ask("a", wait_us=100 * MS)
@@ -215,8 +224,13 @@
 def test_an_attempt_may_have_a_time_of_its_own(monkeypatch: pytest.MonkeyPatch) -> None:
     w = CoreWorld()
     handle = w.core.module.handle
-    monkeypatch.setattr(w.core.module, "handle", lambda now, events: [
-        replace(a, until_us=now + 50 * MS) if isinstance(a, api.Send) else a for a in handle(now, events)])
+    monkeypatch.setattr(
+        w.core.module,
+        "handle",
+        lambda now, events: [
+            replace(a, until_us=now + 50 * MS) if isinstance(a, api.Send) else a for a in handle(now, events)
+        ],
+    )
     w.ask("a", wait_us=300 * MS)
     w.run(50 * MS)
     assert w.core.starts[0].outcome is Outcome.TIMEOUT and "a" not in w.answers
@@ -224,9 +238,14 @@
     assert len(w.core.starts) == 2, "the old attempt is off before the next goes out"
 
 
-STEPS = st.lists(st.tuples(
-    st.sampled_from(["ask", "end", "leave", "drain", "up", "gone", "restart", "pass", "fail"]),
-    st.integers(0, 7), st.sampled_from([o for o in Outcome if o is not Outcome.MOOT])), max_size=40)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["ask", "end", "leave", "drain", "up", "gone", "restart", "pass", "fail"]),
+        st.integers(0, 7),
+        st.sampled_from([o for o in Outcome if o is not Outcome.MOOT]),
+    ),
+    max_size=40,
+)
 
 
 @given(STEPS)
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -34,18 +34,41 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 SETTINGS: dict[str, Any] = {
-    "Balancers": 2, "Me": 0, "TickUs": 2000, "MembershipMode": "on_request",
-    "Classes": [{"Name": "read", "Credit": 2.0, "LateValue": 0.1, "PromiseUs": 300_000, "GiveUpUs": 1_500_000,
-                 "Effect": "free"}],
+    "Balancers": 2,
+    "Me": 0,
+    "TickUs": 2000,
+    "MembershipMode": "on_request",
+    "Classes": [
+        {
+            "Name": "read",
+            "Credit": 2.0,
+            "LateValue": 0.1,
+            "PromiseUs": 300_000,
+            "GiveUpUs": 1_500_000,
+            "Effect": "free",
+        }
+    ],
     "Contracts": [{"Name": "gold", "Weight": 1.0, "UsualRate": 9.0, "Guaranteed": 9.0}],
-    "Limits": {"MaxAttempts": 4, "Cancel": True, "RetryAfter": True, "MaxRetryAfterUs": 2_000_000,
-               "ConnIdleUs": 20_000_000, "DialTimeoutUs": 300_000},
+    "Limits": {
+        "MaxAttempts": 4,
+        "Cancel": True,
+        "RetryAfter": True,
+        "MaxRetryAfterUs": 2_000_000,
+        "ConnIdleUs": 20_000_000,
+        "DialTimeoutUs": 300_000,
+    },
     "Rules": {"ColdFrom": 0.2, "ColdUs": 14_000_000, "FallMultiple": 2.5, "FallUs": 1_500_000},
-    "FamilyInfo": {"ChangesData": [False], "ColdBears": 8.0, "Largest": 6}, "Zones": ["a", "b"], "Off": None,
+    "FamilyInfo": {"ChangesData": [False], "ColdBears": 8.0, "Largest": 6},
+    "Zones": ["a", "b"],
+    "Off": None,
 }
 BASE: dict[str, Any] = {
-    "name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
-    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": SETTINGS,
+    "name": "n1",
+    "listen": "127.0.0.1:0",
+    "discovery": "127.0.0.1:9",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+    "settings": SETTINGS,
     "known": {"generation": 4, "reset": True, "instances": [Box("b0", "127.0.0.1:9", 0).entry()]},
 }
 EXPORT = {"name": "x", "volume": "v", "plan": "gold", "class": "read", "cell": 0, "deadline_ms": 1000}
@@ -73,7 +96,7 @@
 
 def test_the_platforms_configuration_is_read_with_its_limits() -> None:
     c = config.read(BASE)
-    assert (c.name, c.seed, c.settings.max_attempts) == ("n1", 0x8c1f30d27a5be964, 4)
+    assert (c.name, c.seed, c.settings.max_attempts) == ("n1", 0x8C1F30D27A5BE964, 4)
     assert c.settings.may_cancel and c.settings.ask_for_list and c.settings.classes["read"].aim_us == 300_000
     assert (c.limits.brick_idle_us, c.limits.dial_us) == (16 * SECOND, 300 * MS)
     assert (c.limits.client_conns, c.limits.brick_conns, c.limits.brick_conns_kept) == (822, 341, 170)
@@ -82,36 +105,50 @@
     assert c.operator == config.Operator(store=StoreSetup(writer="n1")), "all else is off"
 
 
-@pytest.mark.parametrize("change, key", [
-    ({"name": ""}, "key name"), ({"listen": "nowhere"}, "key listen"), ({"seed": "xyz"}, "key seed"),
-    ({"settings": None}, "key settings"),
-    ({"settings": SETTINGS | {"Me": "zero"}}, "key settings: setting Me"),
-    ({"limits": {"sockets": 5}}, "key limits.sockets"), ({"limits": {"memory_mb": "x"}}, "limits.memory_mb"),
-    ({"known": {"instances": [{}]}}, "key known: field lifecycle"), ({"limits": 7}, "key limits"),
-])
+@pytest.mark.parametrize(
+    "change, key",
+    [
+        ({"name": ""}, "key name"),
+        ({"listen": "nowhere"}, "key listen"),
+        ({"seed": "xyz"}, "key seed"),
+        ({"settings": None}, "key settings"),
+        ({"settings": SETTINGS | {"Me": "zero"}}, "key settings: setting Me"),
+        ({"limits": {"sockets": 5}}, "key limits.sockets"),
+        ({"limits": {"memory_mb": "x"}}, "limits.memory_mb"),
+        ({"known": {"instances": [{}]}}, "key known: field lifecycle"),
+        ({"limits": 7}, "key limits"),
+    ],
+)
 def test_a_fault_in_the_configuration_names_its_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
         config.read(BASE | change)
 
 
-@pytest.mark.parametrize("operator, key", [
-    ({"nine": {}}, "key nine: not known"), ({"ninep": {"listen": "x:1"}}, "key ninep.export"),
-    ({"ninep": NINEP | {"listen": "x"}}, "key ninep.listen"),
-    ({"ninep": NINEP | {"server_port": 70000}}, "key ninep.server_port"),
-    ({"ninep": NINEP | {"export": [EXPORT, EXPORT]}}, "key ninep.export.1.name"),
-    (one_export(plan="x"), "ninep.export.0.plan"),
-    ({"ninep": NINEP | {"clients": 700}}, "key ninep.clients: 700 and 68 server connections leave 54 of 822"),
-    ({"ninep": NINEP | {"server_dialect": "9P3"}}, "key ninep.server_dialect"),
-    (one_export(access="rwx"), "ninep.export.0.access"),
-    (one_export(change_class="read"), "ninep.export.0.change_class: nothing changes"),
-    (one_export(access="rw", change_class="x"), "ninep.export.0.change_class"),
-    (one_export(access="rw", change_deadline_ms=0), "ninep.export.0.change_deadline_ms"),
-    (one_export(unit_bytes=0), "ninep.export.0.unit_bytes"),
-    ({"telemetry": {"endpoint": "https://x:1"}}, "key telemetry.endpoint"),
-    ({"telemetry": {"endpoint": "http://x"}}, "key telemetry.endpoint"),
-    ({"store": {"role": "leader"}}, "key store.role"),
-    ({"store": {"role": "writer", "writer": "n2", "address": "x:1"}}, "key store.writer"),
-])
+@pytest.mark.parametrize(
+    "operator, key",
+    [
+        ({"nine": {}}, "key nine: not known"),
+        ({"ninep": {"listen": "x:1"}}, "key ninep.export"),
+        ({"ninep": NINEP | {"listen": "x"}}, "key ninep.listen"),
+        ({"ninep": NINEP | {"server_port": 70000}}, "key ninep.server_port"),
+        ({"ninep": NINEP | {"export": [EXPORT, EXPORT]}}, "key ninep.export.1.name"),
+        (one_export(plan="x"), "ninep.export.0.plan"),
+        (
+            {"ninep": NINEP | {"clients": 700}},
+            "key ninep.clients: 700 and 68 server connections leave 54 of 822",
+        ),
+        ({"ninep": NINEP | {"server_dialect": "9P3"}}, "key ninep.server_dialect"),
+        (one_export(access="rwx"), "ninep.export.0.access"),
+        (one_export(change_class="read"), "ninep.export.0.change_class: nothing changes"),
+        (one_export(access="rw", change_class="x"), "ninep.export.0.change_class"),
+        (one_export(access="rw", change_deadline_ms=0), "ninep.export.0.change_deadline_ms"),
+        (one_export(unit_bytes=0), "ninep.export.0.unit_bytes"),
+        ({"telemetry": {"endpoint": "https://x:1"}}, "key telemetry.endpoint"),
+        ({"telemetry": {"endpoint": "http://x"}}, "key telemetry.endpoint"),
+        ({"store": {"role": "leader"}}, "key store.role"),
+        ({"store": {"role": "writer", "writer": "n2", "address": "x:1"}}, "key store.writer"),
+    ],
+)
 def test_a_fault_in_an_operators_file_names_its_key(operator: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
         config.read(BASE, operator)
@@ -122,9 +159,13 @@
     small = config.read(BASE | {"limits": {"memory_mb": 32, "sockets": 256}}).limits
     assert small.client_conns + small.brick_conns_kept + small.spare_sockets == 256
     assert small.client_conns >= 256 // 3
-    assert (small.program_bytes + small.pool_most * small.buffer_bytes + small.open_bytes
-            + small.open_items * small.item_bytes + small.record_bytes * (
-                small.store_log_entries + small.telemetry_queue)) <= 32 << 20
+    assert (
+        small.program_bytes
+        + small.pool_most * small.buffer_bytes
+        + small.open_bytes
+        + small.open_items * small.item_bytes
+        + small.record_bytes * (small.store_log_entries + small.telemetry_queue)
+    ) <= 32 << 20
     busy = small.linger_conns + small.ops_linger_conns + 8  # standard streams, listeners, signals, discovery
     assert busy <= small.spare_sockets
     assert small.open_items >= small.client_conns and small.out_bytes > 2 * small.value_bytes
@@ -135,9 +176,10 @@
 def test_the_operators_file_that_is_delivered_is_sound() -> None:
     text = (ROOT / "deploy/operator.toml").read_text().replace("#[", "[")
     lines = [line[1:] if line[:1] == "#" and " = " in line else line for line in text.splitlines()]
-    settings = SETTINGS | {"Classes": [SETTINGS["Classes"][0] | {"Name": name}
-                                       for name in ("segment-read", "draft-save")],
-                           "Contracts": [SETTINGS["Contracts"][0] | {"Name": "standard"}]}
+    settings = SETTINGS | {
+        "Classes": [SETTINGS["Classes"][0] | {"Name": name} for name in ("segment-read", "draft-save")],
+        "Contracts": [SETTINGS["Contracts"][0] | {"Name": "standard"}],
+    }
     parsed = tomllib.loads("\n".join(lines))
     c = config.read(BASE | {"name": "n2", "settings": settings}, parsed)
     assert c.operator.ninep and c.operator.telemetry and c.operator.store.role == "follower"
@@ -183,8 +225,9 @@
 class Head(World):
     """A whole daemon, with discovery and servers, on the world's clock."""
 
-    def __init__(self, operator: dict[str, Any] | None = None, settings: dict[str, Any] = SETTINGS,
-                 **more: Any) -> None:
+    def __init__(
+        self, operator: dict[str, Any] | None = None, settings: dict[str, Any] = SETTINGS, **more: Any
+    ) -> None:
         super().__init__()
         self.discovery, self.brick = self.server(Discovery), self.server(Brick)
         self.files = self.server(FileServer, tree={"doc": b"text"})
@@ -325,8 +368,10 @@
 
 def test_a_reload_takes_up_new_settings_through_the_store() -> None:
     h = Head()
-    h.file = h.file | {"listen": "127.0.0.1:1", "settings": SETTINGS | {"Classes": [
-        SETTINGS["Classes"][0] | {"Name": "scan"}]}}
+    h.file = h.file | {
+        "listen": "127.0.0.1:1",
+        "settings": SETTINGS | {"Classes": [SETTINGS["Classes"][0] | {"Name": "scan"}]},
+    }
     h.daemon.reload()
     h.settle()
     assert h.client().say(read_command(cls="scan")) == b"$0\r\n\r\n"
@@ -334,10 +379,14 @@
     assert h.daemon.store.get(SETTINGS_KEY)["Classes"][0]["Name"] == "scan"
 
 
-@pytest.mark.parametrize("change, key", [
-    ({"discovery": "nowhere"}, "key discovery"), ({"settings": {}}, "key settings"),
-    ({"seed": "x"}, "key seed"),
-])
+@pytest.mark.parametrize(
+    "change, key",
+    [
+        ({"discovery": "nowhere"}, "key discovery"),
+        ({"settings": {}}, "key settings"),
+        ({"seed": "x"}, "key seed"),
+    ],
+)
 def test_a_bad_file_is_logged_and_the_old_stands(
     change: dict[str, Any], key: str, caplog: pytest.LogCaptureFixture
 ) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -44,12 +44,19 @@
     assert (got, http.status, http.done) == (body, 200, True)
 
 
-@pytest.mark.parametrize("data", [
-    b"SSH-2.0\r\n", b"HTTP/1.1 OK 200\r\n", b"HTTP/1.1 200 OK\r\nno colon\r\n", b"x" * 9000,
-    b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 65,
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
-])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"SSH-2.0\r\n",
+        b"HTTP/1.1 OK 200\r\n",
+        b"HTTP/1.1 200 OK\r\nno colon\r\n",
+        b"x" * 9000,
+        b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 65,
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
+    ],
+)
 def test_what_is_not_http_is_an_error(data: bytes) -> None:
     with pytest.raises(HttpError):
         list(parser().feed(data))
@@ -67,8 +74,9 @@
 
 def test_an_entry_in_the_cores_terms() -> None:
     entry = ENTRY | {"startedAtMs": 1_700_000_000_000, "lifecycle": "DRAINING"}
-    version, listing = read_list({"generation": 41, "reset": True, "instances": [entry]},
-                                 lambda us: us - 1_699_999_999_000_000)
+    version, listing = read_list(
+        {"generation": 41, "reset": True, "instances": [entry]}, lambda us: us - 1_699_999_999_000_000
+    )
     assert (version, listing.whole, listing.endpoints) == (41, True, {"s-1": "10.1.0.18:6379"})
     [told] = listing.entries
     assert (told.state, told.cell, told.started_us) == (NodeState.DRAINING, 3, SECOND)
@@ -76,10 +84,17 @@
     assert long_ago.started_us == 0, "0 means long ago on any clock"
 
 
-@pytest.mark.parametrize("change, field", [
-    ({"lifecycle": "ASLEEP"}, "lifecycle"), ({"cell": "x"}, "cell"), ({"cell": True}, "cell"),
-    ({"instanceId": None}, "instanceId"), ({"hostPort": 5}, "hostPort"), ({"startedAtMs": []}, "startedAtMs"),
-])
+@pytest.mark.parametrize(
+    "change, field",
+    [
+        ({"lifecycle": "ASLEEP"}, "lifecycle"),
+        ({"cell": "x"}, "cell"),
+        ({"cell": True}, "cell"),
+        ({"instanceId": None}, "instanceId"),
+        ({"hostPort": 5}, "hostPort"),
+        ({"startedAtMs": []}, "startedAtMs"),
+    ],
+)
 def test_a_bad_entry_names_its_field(change: dict[str, Any], field: str) -> None:
     with pytest.raises(ListError, match=field):
         read_list({"instances": [ENTRY | change]}, lambda us: us)
@@ -93,10 +108,17 @@
         self.discovery.boxes = [Box("b0", "127.0.0.1:9", 0)]
         self.heard: list[str] = []
         self.watch = Watch(
-            self.scheduler, self.discovery.address, self.pool, self.limits, lambda us: us,
+            self.scheduler,
+            self.discovery.address,
+            self.pool,
+            self.limits,
+            lambda us: us,
             lambda listing: self.heard.extend(e.node + ":" + e.state.value for e in listing.entries),
-            lambda queued, unheard: self.failed(queued, unheard), lambda data: None, 41,
-            lambda: self.pushed)
+            lambda queued, unheard: self.failed(queued, unheard),
+            lambda data: None,
+            41,
+            lambda: self.pushed,
+        )
         self.unheard: list[int] = []
         if pushed:
             self.watch.hold()
@@ -117,8 +139,16 @@
         self.discovery = self.server(Discovery)
         self.discovery.boxes = [Box("b0", "127.0.0.1:9", 0)]
         self.watch = self.core.subscriptions = Watch(
-            self.scheduler, self.discovery.address, self.pool, self.limits, lambda us: us,
-            self.core.listed, self.core.list_failed, lambda data: None, 0)
+            self.scheduler,
+            self.discovery.address,
+            self.pool,
+            self.limits,
+            lambda us: us,
+            self.core.listed,
+            self.core.list_failed,
+            lambda data: None,
+            0,
+        )
         self.list(*self.discovery.boxes)
 
 
@@ -147,9 +177,16 @@
     assert w.unheard == [w.limits.discovery_quiet_us]
 
 
-@pytest.mark.parametrize("say", [
-    b"0\r\n\r\n", b"2\r\n{\n\r\n", b"zz\r\n", b"3\r\n[]\n\r\n", b"3\r\n{}\n\r\n",
-])
+@pytest.mark.parametrize(
+    "say",
+    [
+        b"0\r\n\r\n",
+        b"2\r\n{\n\r\n",
+        b"zz\r\n",
+        b"3\r\n[]\n\r\n",
+        b"3\r\n{}\n\r\n",
+    ],
+)
 def test_a_watch_that_ends_or_says_nonsense_has_failed_once(say: bytes) -> None:
     w = WatchWorld()
     w.discovery.conns[0].write(say)
@@ -288,7 +325,7 @@
     @staticmethod
     def part_of_a_line(discovery: Discovery, conn: DiscoveryConn) -> None:
         Silence.a_head_alone(discovery, conn)
-        conn.write(b"9\r\n{\"genera\r\n")
+        conn.write(b'9\r\n{"genera\r\n')
 
 
 @pytest.mark.parametrize("way", [Silence.nothing, Silence.a_head_alone, Silence.part_of_a_line])
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -77,7 +77,10 @@
 
 
 LEAVE: dict[str, Callable[[Raw], None]] = {
-    "fin": Raw.fin, "reset": Raw.abort, "fin behind bytes": Raw.fin_behind_bytes}
+    "fin": Raw.fin,
+    "reset": Raw.abort,
+    "fin behind bytes": Raw.fin_behind_bytes,
+}
 
 
 class Waiting(World):
@@ -135,7 +138,7 @@
 
 
 def test_a_client_that_leaves_while_its_connection_comes_up_is_not_sent_on(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     w = Waiting()
     w.appear()
@@ -304,16 +307,25 @@
     assert longest_us < 3 * SECOND or s.last_us == limits.term_last_us
 
 
-@given(st.lists(st.tuples(st.integers(0, 500 * MS), st.integers(0, 2), st.integers(0, 2), st.booleans()),
-                min_size=30, max_size=60))
+@given(
+    st.lists(
+        st.tuples(st.integers(0, 500 * MS), st.integers(0, 2), st.integers(0, 2), st.booleans()),
+        min_size=30,
+        max_size=60,
+    )
+)
 def test_phases_only_go_on_and_leave_in_time(looks: list[tuple[int, int, int, bool]]) -> None:
     s, age, phase = Schedule.of(Limits(), SECOND), 0, Phase.SERVING
     for step, connections, open_items, relieved in looks:
         age += step + 10 * MS
         after = s.next(phase, age, connections, open_items, relieved)
         assert after >= phase
-        assert after is phase or after is not Phase.LEAVING or age >= s.leave_us or not (
-            connections or open_items)
+        assert (
+            after is phase
+            or after is not Phase.LEAVING
+            or age >= s.leave_us
+            or not (connections or open_items)
+        )
         phase = after
         assert age < s.leave_us or phase is Phase.LEAVING
 
@@ -438,8 +450,10 @@
     assert client.sock.recv(100) == b"$0\r\n\r\n" and w.brick.accepted == 2
 
 
-@pytest.mark.parametrize("effect, window, repeats", [
-    (api.Effect.KEYED, 300 * MS, 0), (api.Effect.KEYED, 900 * MS, 1), (api.Effect.SAFE, 0, 1)])
+@pytest.mark.parametrize(
+    "effect, window, repeats",
+    [(api.Effect.KEYED, 300 * MS, 0), (api.Effect.KEYED, 900 * MS, 1), (api.Effect.SAFE, 0, 1)],
+)
 def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_sent(
     effect: api.Effect, window: int, repeats: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -80,8 +80,9 @@
     assert served(silent) > 0.85 * served(days("zone"))
 
 
-PUSHED: dict[str, Any] = dict(pushed=True, cold_from=0.15, fall_multiple=2.0, fall_us=2 * SECOND,
-                              cold_units=10.0, rate=40.0)
+PUSHED: dict[str, Any] = dict(
+    pushed=True, cold_from=0.15, fall_multiple=2.0, fall_us=2 * SECOND, cold_units=10.0, rate=40.0
+)
 
 
 @pytest.mark.parametrize("heads", [3, 5, 8])
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -30,22 +30,43 @@
 
 # Files
 
-@pytest.mark.parametrize("change, key", [
-    ({"name": ""}, "key name"), ({"heads": 99}, "key heads"), ({"extra": 1}, "key extra: not known"),
-    ({"load": {"rate": 0}}, "key load.rate"), ({"load": {"hosts": 4}}, "key load.hosts"),
-    ({"fault": [{"kind": "rain"}]}, "key fault.0.kind"),
-    ({"fault": [{"kind": "kill", "at_s": 1, "until_s": 2}]}, "key fault.0.who: which head"),
-    ({"fault": [{"kind": "kill", "who": "n3", "at_s": 1, "until_s": 2}]}, "key fault.0.who: 'n3' is none of"),
-    ({"fault": [{"kind": "cut", "at_s": 2, "until_s": 2}]}, "key fault.0.until_s: not after"),
-    ({"fault": [{"kind": "cut", "at_s": 9, "until_s": 10}]}, "key fault.0.at_s"),
-    ({"fault": [{"kind": "loss", "at_s": 1, "until_s": 2, "share": 2}]}, "key fault.0.share"),
-    ({"fleet": False, "group": 2}, "key group: only with"), ({"budgets": 1}, "key budgets: expected"),
-    ({"fault": [{"kind": "join", "who": "n1", "at_s": 1, "until_s": 2}]}, "fault.0.until_s: join has one"),
-    ({"fault": {"kind": "cut"}}, "key fault: expected"), ({"fleet": 1}, "key fleet: expected"),
-    ({"fault": [{"kind": "upgrade", "who": "n1", "at_s": 1, "until_s": 2, "how": "x"}]}, "key fault.0.how"),
-    ({"fault": [{"kind": "lag", "at_s": 1, "until_s": 2}]}, "key fault.0.link"),
-    ({"fault": [{"kind": "drain", "who": "n1", "at_s": 1, "until_s": 2}]}, "fault.0.until_s: drain has one"),
-])
+
+@pytest.mark.parametrize(
+    "change, key",
+    [
+        ({"name": ""}, "key name"),
+        ({"heads": 99}, "key heads"),
+        ({"extra": 1}, "key extra: not known"),
+        ({"load": {"rate": 0}}, "key load.rate"),
+        ({"load": {"hosts": 4}}, "key load.hosts"),
+        ({"fault": [{"kind": "rain"}]}, "key fault.0.kind"),
+        ({"fault": [{"kind": "kill", "at_s": 1, "until_s": 2}]}, "key fault.0.who: which head"),
+        (
+            {"fault": [{"kind": "kill", "who": "n3", "at_s": 1, "until_s": 2}]},
+            "key fault.0.who: 'n3' is none of",
+        ),
+        ({"fault": [{"kind": "cut", "at_s": 2, "until_s": 2}]}, "key fault.0.until_s: not after"),
+        ({"fault": [{"kind": "cut", "at_s": 9, "until_s": 10}]}, "key fault.0.at_s"),
+        ({"fault": [{"kind": "loss", "at_s": 1, "until_s": 2, "share": 2}]}, "key fault.0.share"),
+        ({"fleet": False, "group": 2}, "key group: only with"),
+        ({"budgets": 1}, "key budgets: expected"),
+        (
+            {"fault": [{"kind": "join", "who": "n1", "at_s": 1, "until_s": 2}]},
+            "fault.0.until_s: join has one",
+        ),
+        ({"fault": {"kind": "cut"}}, "key fault: expected"),
+        ({"fleet": 1}, "key fleet: expected"),
+        (
+            {"fault": [{"kind": "upgrade", "who": "n1", "at_s": 1, "until_s": 2, "how": "x"}]},
+            "key fault.0.how",
+        ),
+        ({"fault": [{"kind": "lag", "at_s": 1, "until_s": 2}]}, "key fault.0.link"),
+        (
+            {"fault": [{"kind": "drain", "who": "n1", "at_s": 1, "until_s": 2}]},
+            "fault.0.until_s: drain has one",
+        ),
+    ],
+)
 def test_a_fault_in_an_experiments_file_names_its_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigError, match=key):
         read({"name": "x"} | change)
@@ -56,8 +77,9 @@
     assert len(files) >= 5 and all(load(str(path)).name == path.stem for path in files)
 
 
-def test_the_command_line_says_what_is_wrong(tmp_path: pathlib.Path,
-                                             capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_command_line_says_what_is_wrong(
+    tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     assert cli.main(["lab", "run", str(tmp_path / "none.toml")]) == 2
     bad = tmp_path / "bad.toml"
     bad.write_text("name = 'x'\nheads = 0\n")
@@ -71,6 +93,7 @@
 
 # Decisions
 
+
 def test_the_same_seed_asks_the_same_and_has_the_same_weather() -> None:
     half = dict(share=0.5, span_us=9)
     storm = replace(CALM, faults=(fault("loss", 0, 4, **half), fault("double", 0, 4, **half)))
@@ -90,8 +113,11 @@
 
 def test_a_stream_fares_as_its_link_and_its_time_say() -> None:
     faults = (
-        fault("lag", 1, 2, link="brick", who=0, brick=1, span_us=9), fault("freeze", 1, 2, link="client"),
-        fault("trickle", 0, 4, link="discovery", who=1, span_us=5), fault("reset", 3, 4, link="brick"))
+        fault("lag", 1, 2, link="brick", who=0, brick=1, span_us=9),
+        fault("freeze", 1, 2, link="client"),
+        fault("trickle", 0, 4, link="discovery", who=1, span_us=5),
+        fault("reset", 3, 4, link="brick"),
+    )
     streams = Streams(replace(CALM, faults=faults), 32)
     at = SECOND
     assert streams.passage(Link("brick", 0, 1), at) == Passage(9)
@@ -110,6 +136,7 @@
 
 # Checks: each finds what it is there for
 
+
 def answered(requests: list[plan.Request], outcome: str = "served") -> list[dict[str, Any]]:
     lines: list[dict[str, Any]] = []
     for r in requests:
@@ -135,8 +162,10 @@
     ran = {"t": 9, "who": "bricks", "what": "ran", "id": first.id, "volume": first.volume}
     assert "ran 4 times" in found(*[ran] * 3)
     assert "more behind" in found({"t": 9, "who": "clients", "what": "extra", "id": first.id, "count": 1})
-    parts = [{"t": 9, "what": "parts", "who": f"n{n}", "life": 1, "until": 99,
-              "parts": {plan.volume_name(0): 0.7}} for n in (0, 1)]
+    parts = [
+        {"t": 9, "what": "parts", "who": f"n{n}", "life": 1, "until": 99, "parts": {plan.volume_name(0): 0.7}}
+        for n in (0, 1)
+    ]
     assert "add up to 1.400" in found(*parts) and not found(parts[0])
     assert not found(parts[0] | {"until": 9}, parts[1]), "that head looks again before it sends"
     seen = {"t": 5, "what": "seen", "who": "n1", "servers": {"b0": ["dead", 5]}}
@@ -173,12 +202,16 @@
 
 def test_a_runs_figures_second_by_second() -> None:
     lines: list[dict[str, Any]] = [
-        {"t": 5 * SECOND + at, "who": who, "what": what, **more} for at, who, what, more in (
-            (0, "clients", "asked", {}), (9, "bricks", "ran", {}),
+        {"t": 5 * SECOND + at, "who": who, "what": what, **more}
+        for at, who, what, more in (
+            (0, "clients", "asked", {}),
+            (9, "bricks", "ran", {}),
             (10, "clients", "answer", {"outcome": "served", "took": 2000}),
             (11, "n0", "doubted", {"servers": {"b1": 9}}),
             (12, "bricks", "fault", {"kind": "cut", "which": -1}),
-            (2 * SECOND, "clients", "answer", {"outcome": "refused", "took": 1}))]
+            (2 * SECOND, "clients", "answer", {"outcome": "refused", "took": 1}),
+        )
+    ]
     rows = [row.as_row() for row in figures.seconds(lines, figures.began(lines))]
     assert [row["served"] for row in rows] == [1, 0, 0] and rows[2]["refused"] == 1
     assert (rows[0]["p50_ms"], rows[0]["doubted"], rows[0]["faults"]) == (2.0, 1, "cut all")
@@ -186,8 +219,9 @@
 
 
 def test_latencies_add_up_over_runs() -> None:
-    lines: list[dict[str, Any]] = [{"what": "answer", "outcome": "served", "took": n * 1000}
-                                   for n in range(1, 101)]
+    lines: list[dict[str, Any]] = [
+        {"what": "answer", "outcome": "served", "took": n * 1000} for n in range(1, 101)
+    ]
     one = latency.histogram([*lines, {"what": "answer", "outcome": "refused", "took": 9 * SECOND}])
     told = latency.milliseconds(one)
     assert told["count"] == 100 and told["max"] == pytest.approx(100, rel=0.01)
@@ -208,6 +242,7 @@
 
 # Processes. Judged by counts and histories.
 
+
 def play(tmp_path: pathlib.Path, experiment: Experiment) -> Result:
     result = run(experiment, tmp_path / "run")
     assert result.findings.sound, result.findings.broken
@@ -218,8 +253,11 @@
 def believed(result: Result, head: int, volume: int = 0) -> list[tuple[float, float]]:
     """The parts of a volume that a head has believed its own: seconds after the clients began, and which."""
     name = plan.volume_name(volume)
-    return [((line["t"] - result.began) / SECOND, line["parts"][name]) for line in result.lines
-            if line["what"] == "parts" and line["who"] == f"n{head}" and name in line["parts"]]
+    return [
+        ((line["t"] - result.began) / SECOND, line["parts"][name])
+        for line in result.lines
+        if line["what"] == "parts" and line["who"] == f"n{head}" and name in line["parts"]
+    ]
 
 
 ONE_HEAD = Load(volumes=3, rate=90.0, lead=1.0)  # each volume's requests come through its first head alone
@@ -237,8 +275,9 @@
 
 
 @pytest.mark.parametrize("how", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
-def test_whatever_ends_the_lab_ends_every_process_that_it_started(how: signal.Signals,
-                                                                  tmp_path: pathlib.Path) -> None:
+def test_whatever_ends_the_lab_ends_every_process_that_it_started(
+    how: signal.Signals, tmp_path: pathlib.Path
+) -> None:
     def interrupt(done: float) -> None:
         os.kill(os.getpid(), how)
 
@@ -270,8 +309,11 @@
     assert result.findings.lives["n0"] == 2
     lives = [line["life"] for line in result.lines if line["what"] == "start" and line["who"] == "n0"]
     assert lives == sorted(lives)
-    first = next(line for line in result.lines
-                 if line["what"] == "parts" and line["life"] == lives[1] and line["parts"])
+    first = next(
+        line
+        for line in result.lines
+        if line["what"] == "parts" and line["life"] == lives[1] and line["parts"]
+    )
     assert set(first["parts"].values()) == {0.0}, "until what it may have left to others has ended"
     assert any(part >= 0.5 for at, part in believed(result, 0) if at > 2.5)
 
@@ -285,10 +327,15 @@
 
 
 def test_lost_doubled_late_and_overtaken_messages_between_processes(tmp_path: pathlib.Path) -> None:
-    storm = tuple(fault(kind, 0, 5, share=0.3, span_us=60_000)
-                  for kind in ("loss", "double", "delay", "reorder"))
-    result = play(tmp_path, replace(CALM, length_us=5 * SECOND, faults=storm,
-                                    load=replace(ONE_HEAD, lead=0.5, shift_us=2 * SECOND)))
+    storm = tuple(
+        fault(kind, 0, 5, share=0.3, span_us=60_000) for kind in ("loss", "double", "delay", "reorder")
+    )
+    result = play(
+        tmp_path,
+        replace(
+            CALM, length_us=5 * SECOND, faults=storm, load=replace(ONE_HEAD, lead=0.5, shift_us=2 * SECOND)
+        ),
+    )
     assert all(result.fates[kind] for kind in ("loss", "double", "delay", "reorder"))
 
 
@@ -303,8 +350,12 @@
 
 def test_a_ban_said_at_one_process_holds_at_all_and_is_lifted_at_another(tmp_path: pathlib.Path) -> None:
     """One head is cut off meanwhile, and one is killed: it comes back with what it had on disk."""
-    calls = (fault("disable", 0.5, 6, who=0, brick=1), fault("cut", 0.2, 1.5, receiver=2),
-             fault("kill", 1.6, 2.0, who=1), fault("enable", 3.6, 6, who=2, brick=1))
+    calls = (
+        fault("disable", 0.5, 6, who=0, brick=1),
+        fault("cut", 0.2, 1.5, receiver=2),
+        fault("kill", 1.6, 2.0, who=1),
+        fault("enable", 3.6, 6, who=2, brick=1),
+    )
     result = play(tmp_path, replace(CALM, length_us=6 * SECOND, faults=calls))
     called = [line["status"] for line in result.lines if line["what"] == "called"]
     assert called == [200, 200]
@@ -328,8 +379,11 @@
     result = play(tmp_path, replace(CALM, faults=lie))
     assert result.fates["lie"] and result.findings.doubts
     served = {line["id"] for line in result.lines if line["what"] == "answer" and line["outcome"] == "served"}
-    ran = {line["brick"] for line in result.lines
-           if line["what"] == "ran" and line["id"] in served and line["t"] > result.began + 2 * SECOND}
+    ran = {
+        line["brick"]
+        for line in result.lines
+        if line["what"] == "ran" and line["id"] in served and line["t"] > result.began + 2 * SECOND
+    }
     assert ran == {0, 1, 2}
 
 
@@ -344,8 +398,9 @@
 
 
 @pytest.mark.parametrize("name", ["split-group", "twin", "clock-steps"])
-def test_processes_that_come_and_go_at_sides_that_do_not_hear_each_other(name: str,
-                                                                        tmp_path: pathlib.Path) -> None:
+def test_processes_that_come_and_go_at_sides_that_do_not_hear_each_other(
+    name: str, tmp_path: pathlib.Path
+) -> None:
     """Heads found from seeds join on both sides of a cut; a second process has a head's number; wall clocks
     step around bans."""
     result = play(tmp_path, load(str(ROOT / "experiments" / f"{name}.toml")))
@@ -354,8 +409,11 @@
         first = min(line["t"] for line in evens if line["who"] in ("n4", "n5"))
         assert (first - result.began) / SECOND > 10, "neither uses a part before the cut has healed"
     if name == "twin":
-        parts = [line["parts"] for line in result.lines
-                 if line["what"] == "parts" and line["who"] == "n1" and line["parts"]]
+        parts = [
+            line["parts"]
+            for line in result.lines
+            if line["what"] == "parts" and line["who"] == "n1" and line["parts"]
+        ]
         assert any(max(part.values()) > 0 for part in parts) and not any(parts[-1].values()), "stood back"
 
 
@@ -368,8 +426,11 @@
 
 def test_streams_that_stand_open_drip_or_break_cost_no_answer(tmp_path: pathlib.Path) -> None:
     broken = (
-        fault("freeze", 1, 2.5, link="brick", who=0, brick=0), fault("reset", 3, 3.3, link="brick"),
-        fault("trickle", 1, 3, link="brick", who=1, span_us=2000), fault("reset", 1, 2, link="discovery"))
+        fault("freeze", 1, 2.5, link="brick", who=0, brick=0),
+        fault("reset", 3, 3.3, link="brick"),
+        fault("trickle", 1, 3, link="brick", who=1, span_us=2000),
+        fault("reset", 1, 2, link="discovery"),
+    )
     result = play(tmp_path, replace(CALM, length_us=5 * SECOND, faults=broken))
     assert result.fates["connections"] > 9
     late = result.began + 4 * SECOND
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -23,8 +23,15 @@
 NAMES = st.integers(0, 2**32 - 1)
 ASKS = st.dictionaries(NAMES, st.tuples(SHARES, st.integers(1, 255)), max_size=15)
 GRANTS = st.dictionaries(NAMES, SHARES, max_size=15)
-MESSAGES = st.builds(Message, st.integers(0, 2**48 - 1), st.integers(0, 2**32 - 1), st.integers(0, 2**48 - 1),
-                     st.integers(0, 2**32 - 1), ASKS, GRANTS)
+MESSAGES = st.builds(
+    Message,
+    st.integers(0, 2**48 - 1),
+    st.integers(0, 2**32 - 1),
+    st.integers(0, 2**48 - 1),
+    st.integers(0, 2**32 - 1),
+    ASKS,
+    GRANTS,
+)
 
 
 @given(MESSAGES)
@@ -38,15 +45,18 @@
     whole = codec.encode(message)
     cut = data.draw(st.integers(0, len(whole) - 1))
     at, flip = data.draw(st.integers(0, len(whole) - 1)), data.draw(st.integers(1, 255))
-    for bad in (whole[:cut], whole[:at] + bytes([whole[at] ^ flip]) + whole[at + 1:], whole + b"x" * 257):
+    for bad in (whole[:cut], whole[:at] + bytes([whole[at] ^ flip]) + whole[at + 1 :], whole + b"x" * 257):
         with pytest.raises(BadMessage):
             codec.decode(bad, LIMITS.datagram_bytes)
 
 
-@given(st.dictionaries(NAMES, st.tuples(SHARES, st.integers(1, 255)), max_size=300),
-       st.dictionaries(NAMES, SHARES, max_size=300))
-def test_pages_hold_everything_once_and_fit(asks: dict[int, tuple[float, int]],
-                                            grants: dict[int, float]) -> None:
+@given(
+    st.dictionaries(NAMES, st.tuples(SHARES, st.integers(1, 255)), max_size=300),
+    st.dictionaries(NAMES, SHARES, max_size=300),
+)
+def test_pages_hold_everything_once_and_fit(
+    asks: dict[int, tuple[float, int]], grants: dict[int, float]
+) -> None:
     pages = list(codec.pages(asks, grants, LIMITS.datagram_bytes))
     assert [a for p in pages for a in p[0].items()] == list(asks.items())
     assert [g for p in pages for g in p[1].items()] == list(grants.items())
@@ -54,8 +64,9 @@
 
 
 @given(st.floats(0.1, 100), st.lists(st.floats(0, 100), min_size=1, max_size=6))
-def test_shares_add_up_and_nobody_has_more_than_it_asks_while_another_lacks(supply: float,
-                                                                            demands: list[float]) -> None:
+def test_shares_add_up_and_nobody_has_more_than_it_asks_while_another_lacks(
+    supply: float, demands: list[float]
+) -> None:
     shares = fill(supply, demands)
     assert sum(shares) == pytest.approx(supply)
     if sum(demands) <= supply:
@@ -65,9 +76,13 @@
 
 
 NETS = {
-    "two of three": Net(), "all of three": Net(hosts=3), "two of eight": Net(heads=8),
+    "two of three": Net(),
+    "all of three": Net(hosts=3),
+    "two of eight": Net(heads=8),
     "five of five": Net(5, 5, 5),
-    "clocks far apart": Net(drift=0.0099), "half is lost": Net(loss=0.5), "many crashes": Net(faults=12),
+    "clocks far apart": Net(drift=0.0099),
+    "half is lost": Net(loss=0.5),
+    "many crashes": Net(faults=12),
 }
 
 
@@ -240,7 +255,7 @@
     own, self.own[volume].others = self.own[volume], {}
     held = sorted((s for s, until in self._held.get(volume, {}).values() if until > now), reverse=True)
     lent = 1.0 if now < self.back_at else sum(self._lent(volume, t, now) for t in self._given.get(volume, {}))
-    return (max(0.0, 1 - lent) + sum(held[:own.hosts - 1])) / own.hosts
+    return (max(0.0, 1 - lent) + sum(held[: own.hosts - 1])) / own.hosts
 
 
 def last_grant_only(self: Leases, volume: int, taker: int, now: int) -> float:
@@ -337,9 +352,16 @@
     assert explore(Scope(steps=2)).most <= 1 + 1e-9
 
 
-@pytest.mark.parametrize("bug", [
-    "a lease counts from when it came", "what is lent is used all the same",
-    "what is given is not counted as gone", "every head's share counts", "what was given is forgotten"])
+@pytest.mark.parametrize(
+    "bug",
+    [
+        "a lease counts from when it came",
+        "what is lent is used all the same",
+        "what is given is not counted as gone",
+        "every head's share counts",
+        "what was given is forgotten",
+    ],
+)
 def test_some_course_shows_a_bug_put_in_on_purpose(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
     where, name, instead = BUGS[bug]
     monkeypatch.setattr(where, name, instead)
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -23,8 +23,12 @@
 PING = b"*1\r\n$4\r\nPING\r\n"
 
 
-@given(st.lists(st.tuples(st.sampled_from(["born", "look", "end", "gone"]), st.integers(0, 3),
-                          st.floats(0, 1)), max_size=60))
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(["born", "look", "end", "gone"]), st.integers(0, 3), st.floats(0, 1)),
+        max_size=60,
+    )
+)
 def test_the_parts_never_add_up_to_more_than_the_whole(steps: list[tuple[str, int, float]]) -> None:
     words: dict[int, Word] = {0: Word(0, 1.0)}
     ending: set[int] = set()
@@ -52,14 +56,23 @@
     assert next_part(newer, [], 0, False) == 1
 
 
-@pytest.mark.parametrize("data", [b"", b"x" * 300, encode("n2", Word(1, 0.5)), encode("n1", Word(1, 0.5))[3:],
-                                  encode("n1", Word(1, 0.5)).replace(b"0.5", b"0.6")])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"",
+        b"x" * 300,
+        encode("n2", Word(1, 0.5)),
+        encode("n1", Word(1, 0.5))[3:],
+        encode("n1", Word(1, 0.5)).replace(b"0.5", b"0.6"),
+    ],
+)
 def test_a_word_that_cannot_be_read_is_none(data: bytes) -> None:
     assert decode("n1", data) is None and decode("n1", encode("n1", Word(7, 0.25))) == Word(7, 0.25)
 
 
 def test_processes_hear_each_other_and_that_one_is_gone(
-        tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture) -> None:
+    tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
+) -> None:
     stale = tmp_path / (file_name("n1", "life-") + "1-1")
     stale.write_bytes(encode("n1", Word(1, 1.0)))
     elder = Lives(str(tmp_path), "n1")
@@ -76,7 +89,8 @@
 
 
 def test_a_process_that_lives_and_is_not_understood_counts_as_half(
-        tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture) -> None:
+    tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
+) -> None:
     elder, newer = Lives(str(tmp_path), "n1"), Lives(str(tmp_path), "n1")
     pathlib.Path(elder._path).write_bytes(b"half a wor")
     assert newer.look(0, False) == 1 - UNREADABLE.part and "not understood" in caplog.text
@@ -84,6 +98,7 @@
 
 # In the module.
 
+
 def test_a_part_holds_for_depth_at_once_and_grows_for_cold_bricks_one_window_later() -> None:
     config = settings(hosts=1, parallel_attempts=False)
     b = Bench(config, [up("n0", 0)])
@@ -132,6 +147,7 @@
 
 # A whole upgrade, two daemons on one clock.
 
+
 class Upgrade(World):
     def __init__(self, folder: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
         super().__init__()
@@ -144,10 +160,21 @@
         self.daemons: list[Daemon] = []
 
     def start_daemon(self) -> Daemon:
-        daemon = Daemon(config.read(BASE | {
-            "listen": self.address, "ops": "127.0.0.1:0",
-            "known": {"generation": 4, "reset": True,
-                      "instances": [Box("b0", self.brick.address, 0).entry()]}}), clock=lambda: self.time)
+        daemon = Daemon(
+            config.read(
+                BASE
+                | {
+                    "listen": self.address,
+                    "ops": "127.0.0.1:0",
+                    "known": {
+                        "generation": 4,
+                        "reset": True,
+                        "instances": [Box("b0", self.brick.address, 0).entry()],
+                    },
+                }
+            ),
+            clock=lambda: self.time,
+        )
         daemon.start()
         self.daemons.append(daemon)
         self.settle()
--- a/tests/test_many_hosts.py
+++ b/tests/test_many_hosts.py
@@ -134,8 +134,9 @@
     It does so many calls a second in turn and fails what has waited for 2 s, which uses its turn up all
     the same; while it is away, calls fail after 2 s too."""
     takes, patience = int(SECOND / per_s), 2 * SECOND
-    benches = [Bench(settings(hosts=hosts, me=me, ask_for_list=True), [up("n0", 0)], seed=me)
-               for me in range(hosts)]
+    benches = [
+        Bench(settings(hosts=hosts, me=me, ask_for_list=True), [up("n0", 0)], seed=me) for me in range(hosts)
+    ]
     waiting: list[tuple[int, int]] = []  # when it came, whose it is
     answered: dict[int, float] = {}
     back = free_at = T0 + outage_s * SECOND
@@ -145,7 +146,7 @@
     for now in range(T0, back + most_s * SECOND, 50 * MS):
         for me, b in enumerate(benches):
             b.run(now - b.now)
-            calls = sum(isinstance(a, api.Subscribe) for _, a in b.log[seen[me]:])
+            calls = sum(isinstance(a, api.Subscribe) for _, a in b.log[seen[me] :])
             seen[me] = len(b.log)
             waiting += [(now, me)] * calls
         while waiting and (free_at <= now if now >= back else waiting[0][0] + patience < now):
@@ -164,8 +165,10 @@
     assert len(list_calls(40, per_s=3, outage_s=0, most_s=85)) == 40
 
 
-@pytest.mark.parametrize("hosts, per_s, outage_s", [
-    (3, 2, 8), (5, 3, 20), (20, 12, 8), (40, 24, 20), (200, 118, 8), (200, 62, 8), (200, 62, 20)])
+@pytest.mark.parametrize(
+    "hosts, per_s, outage_s",
+    [(3, 2, 8), (5, 3, 20), (20, 12, 8), (40, 24, 20), (200, 118, 8), (200, 62, 8), (200, 62, 20)],
+)
 def test_after_an_outage_all_hosts_have_the_list_within_6_s(hosts: int, per_s: float, outage_s: int) -> None:
     """What fails after 2 s may be a queue or an outage: taken for a queue, 66 of 220 heads paused for 33 s
     and more (variant of the first site, herd+mass), and before that for up to 37 s."""
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -34,9 +34,13 @@
 
 LIMITS = PeerLimits()
 RECORDS = st.builds(
-    Record, st.integers(0, 65535), st.integers(0, 2**48 - 1), st.booleans(),
+    Record,
+    st.integers(0, 65535),
+    st.integers(0, 2**48 - 1),
+    st.booleans(),
     st.builds(lambda host, port: f"{host}:{port}", st.ip_addresses(v=4), st.integers(0, 65535))
-    | st.builds(lambda host, port: f"[{host}]:{port}", st.ip_addresses(v=6), st.integers(0, 65535)))
+    | st.builds(lambda host, port: f"[{host}]:{port}", st.ip_addresses(v=6), st.integers(0, 65535)),
+)
 
 
 def at(head: int) -> str:
@@ -49,9 +53,11 @@
 
 # The form
 
+
 @given(st.binary(min_size=8, max_size=8), st.lists(RECORDS, min_size=1, max_size=8), st.booleans())
-def test_words_about_heads_are_heard_as_told_and_fit(digest: bytes, records: list[Record],
-                                                     joined: bool) -> None:
+def test_words_about_heads_are_heard_as_told_and_fit(
+    digest: bytes, records: list[Record], joined: bool
+) -> None:
     pages = roll.pages(records, LIMITS.datagram_bytes, 9)
     assert [r for page in pages for r in page[1:]] == records[1:]
     for page in pages:
@@ -74,9 +80,14 @@
 
 # The table
 
+
 def test_tables_of_heads_merge_to_the_same_one_in_any_order() -> None:
-    words = [Record(1, 5, False, at(1)), Record(1, 5, True, at(1)), Record(1, 6, False, at(2)),
-             Record(2, 3, False, at(3))]
+    words = [
+        Record(1, 5, False, at(1)),
+        Record(1, 5, True, at(1)),
+        Record(1, 6, False, at(2)),
+        Record(2, 3, False, at(3)),
+    ]
     digests = set()
     for order in permutations(words):
         table = one(0)
@@ -149,8 +160,11 @@
     assert seen == others and turns.round((), (1,)) == []
 
 
-NETS = {"six": GroupNet(), "twelve": GroupNet(heads=12, events=30),
-        "a storm": GroupNet(events=40, loss=0.4, length_us=30 * SECOND)}
+NETS = {
+    "six": GroupNet(),
+    "twelve": GroupNet(heads=12, events=30),
+    "a storm": GroupNet(events=40, loss=0.4, length_us=30 * SECOND),
+}
 
 
 @pytest.mark.parametrize("name", NETS)
@@ -225,8 +239,13 @@
 
 # Budgets
 
-BUDGETS = {"three": BudgetNet(), "eight": BudgetNet(heads=8), "half is lost": BudgetNet(loss=0.5),
-           "many faults": BudgetNet(faults=12), "late": BudgetNet(heads=4, late_us=2 * SECOND, faults=8)}
+BUDGETS = {
+    "three": BudgetNet(),
+    "eight": BudgetNet(heads=8),
+    "half is lost": BudgetNet(loss=0.5),
+    "many faults": BudgetNet(faults=12),
+    "late": BudgetNet(heads=4, late_us=2 * SECOND, faults=8),
+}
 
 
 @pytest.mark.parametrize("name", BUDGETS)
@@ -249,10 +268,12 @@
     return 0.0
 
 
-@pytest.mark.parametrize("where, name, instead", [
-    (Leases, "_gone_us", property(lease_alone)), (Own, "locked", nothing_locked)])
-def test_a_bug_put_into_budgets_on_purpose_is_found(where: object, name: str, instead: Callable[..., Any],
-                                                    monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    "where, name, instead", [(Leases, "_gone_us", property(lease_alone)), (Own, "locked", nothing_locked)]
+)
+def test_a_bug_put_into_budgets_on_purpose_is_found(
+    where: object, name: str, instead: Callable[..., Any], monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(where, name, instead)
     nets = [BudgetNet(shift_us=SECOND), BudgetNet(window_us=6 * SECOND, shift_us=2 * SECOND)]
     assert any(BudgetRun(replace(nets[seed % 2], seed=seed)).run().most > 1 + 1e-9 for seed in range(60))
@@ -265,8 +286,9 @@
     budgets = Budgets(LIMITS, COLD, 1, T0)
     node = replace(up("n0", 0), started_us=T0 - SECOND)
     ask = api.Arrival("r1", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1)
-    budgets.see(T0, [api.NodeList((node, up("n1", 1)), whole=True), ask, replace(ask, request="r2", cell=1)],
-                COLD, 3)
+    budgets.see(
+        T0, [api.NodeList((node, up("n1", 1)), whole=True), ask, replace(ask, request="r2", cell=1)], COLD, 3
+    )
     assert budgets.shares(T0, 3) == {"cold:n0": 0.0}, "a head that starts waits for its earlier life's window"
     later = T0 + 4 * SECOND
     budgets.see(later, [ask], COLD, 3)
@@ -290,10 +312,13 @@
     for share in (0.0, 1.0, 3.0):
         module = Controller(replace(COLD, fall_multiple=0.0), 1)
         node = replace(up("n0", 0), started_us=T0)
-        asks: list[api.Event] = [api.Arrival(f"r{i}", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1)
-                                 for i in range(40)]
-        told: list[api.Event] = [api.NodeList((node,), whole=True, at_start=True),
-                                 api.Parts({}, {"cold:n0": share})]
+        asks: list[api.Event] = [
+            api.Arrival(f"r{i}", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1) for i in range(40)
+        ]
+        told: list[api.Event] = [
+            api.NodeList((node,), whole=True, at_start=True),
+            api.Parts({}, {"cold:n0": share}),
+        ]
         actions = module.handle(T0, told + asks)
         sent[share] = sum(isinstance(a, api.Send) for a in actions)
     assert sent[0.0] == 0 and 0 < sent[1.0] <= sent[3.0]
@@ -376,8 +401,9 @@
 def test_a_head_that_does_not_act_has_no_part_until_it_acts_again() -> None:
     """In a group that it has joined, its part of the budgets came back with the next message."""
     group = Group(LIMITS, one(0, seeds=1))
-    talk = Talk(Controller(COLD, 1), life=1, group=group,
-                budgets=lambda s, life, now: Budgets(LIMITS, s, life, now))
+    talk = Talk(
+        Controller(COLD, 1), life=1, group=group, budgets=lambda s, life, now: Budgets(LIMITS, s, life, now)
+    )
     now = T0
     talk.handle(now, [])
     group.look(now + LIMITS.begin_us)
@@ -396,13 +422,20 @@
 
 # Configuration
 
-@pytest.mark.parametrize("data, key", [
-    ({"budgets": 1}, "key fleet.budgets"), ({"server_connections": 9}, "server_connections: only with"),
-    ({"seeds": "x"}, "key fleet.seeds: expected a list"),
-    ({"seeds": ["nowhere"]}, "key fleet.seeds.0"), ({"seeds": ["host:7"]}, "names no machine by number"),
-    ({"advertise": "127.0.0.1:7"}, "key fleet.advertise: only with seeds"), ({"other": 1}, "key fleet.other"),
-    ({"seeds": ["127.0.0.1:7"], "routes": {"127.0.0.1:7": 5}}, "key fleet.routes.127.0.0.1:7"),
-])
+
+@pytest.mark.parametrize(
+    "data, key",
+    [
+        ({"budgets": 1}, "key fleet.budgets"),
+        ({"server_connections": 9}, "server_connections: only with"),
+        ({"seeds": "x"}, "key fleet.seeds: expected a list"),
+        ({"seeds": ["nowhere"]}, "key fleet.seeds.0"),
+        ({"seeds": ["host:7"]}, "names no machine by number"),
+        ({"advertise": "127.0.0.1:7"}, "key fleet.advertise: only with seeds"),
+        ({"other": 1}, "key fleet.other"),
+        ({"seeds": ["127.0.0.1:7"], "routes": {"127.0.0.1:7": 5}}, "key fleet.routes.127.0.0.1:7"),
+    ],
+)
 def test_a_fault_in_the_operators_section_names_its_key(data: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
         read_fleet(data)
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -19,8 +19,10 @@
 from tests.helpers import MS, SECOND, Peer, World, read_command
 
 HELLO = p9.encode(p9.NOTAG, p9.Tversion(8192, "9P2000")) + p9.encode(1, p9.Tattach(0, p9.NOFID, "a", ""))
-STEPS = st.lists(st.sampled_from(
-    ["read", "walk", "hold", "release", "drop", "drain", "back", "flush", "leave", "pass"]), max_size=25)
+STEPS = st.lists(
+    st.sampled_from(["read", "walk", "hold", "release", "drop", "drain", "back", "flush", "leave", "pass"]),
+    max_size=25,
+)
 
 
 class MixedWorld(World):
@@ -42,8 +44,13 @@
         exports = {"": Export("", "v9", "gold", "read", 0, SECOND)}
         front = Front(self.core, nine, exports, self.pool, self.limits, self.scheduler)
         self.nine_front = Listener(
-            self.scheduler, "127.0.0.1:0", self.pool, self.limits, 64,
-            lambda write: ClientMachine(front, write))
+            self.scheduler,
+            "127.0.0.1:0",
+            self.pool,
+            self.limits,
+            64,
+            lambda write: ClientMachine(front, write),
+        )
         self.resp_front = self.front()
         self.list(*self.boxes)
 
--- a/tests/test_ninep.py
+++ b/tests/test_ninep.py
@@ -74,15 +74,25 @@
     assert isinstance(up, p9.Rwalk) and len(up.qids) == 4
 
 
-@pytest.mark.parametrize("message, words", [
-    (p9.Twalk(0, 0, ("a/b",)), "bad name"), (p9.Twalk(9, 5, ("sv",)), "unknown fid"),
-    (p9.Tattach(0, p9.NOFID, "ann", "glossaries"), "already in use"),
-    (p9.Tattach(7, p9.NOFID, "ann", "other"), "no such export"),
-    (p9.Tattach(7, 3, "ann", "glossaries"), "authentication"), (p9.Tauth(7, "a", "b"), "authentication"),
-    (p9.Topen(0, 1), "read-only"), (p9.Topen(0, 16), "read-only"), (p9.Twrite(0, 0, b"x"), "not open"),
-    (p9.Tcreate(0, "x", 0, 0), "read-only"), (p9.Twstat(0, b""), "read-only"),
-    (p9.Tremove(0), "read-only"), (p9.Tread(0, 0, 10), "not open"), (p9.Rclunk(), "not a request"),
-])
+@pytest.mark.parametrize(
+    "message, words",
+    [
+        (p9.Twalk(0, 0, ("a/b",)), "bad name"),
+        (p9.Twalk(9, 5, ("sv",)), "unknown fid"),
+        (p9.Tattach(0, p9.NOFID, "ann", "glossaries"), "already in use"),
+        (p9.Tattach(7, p9.NOFID, "ann", "other"), "no such export"),
+        (p9.Tattach(7, 3, "ann", "glossaries"), "authentication"),
+        (p9.Tauth(7, "a", "b"), "authentication"),
+        (p9.Topen(0, 1), "read-only"),
+        (p9.Topen(0, 16), "read-only"),
+        (p9.Twrite(0, 0, b"x"), "not open"),
+        (p9.Tcreate(0, "x", 0, 0), "read-only"),
+        (p9.Twstat(0, b""), "read-only"),
+        (p9.Tremove(0), "read-only"),
+        (p9.Tread(0, 0, 10), "not open"),
+        (p9.Rclunk(), "not a request"),
+    ],
+)
 def test_what_cannot_be_done_gets_an_error(message: p9.Message, words: str) -> None:
     w = NineWorld()
     assert words in error(Tool(w).ask(message))
@@ -307,11 +317,15 @@
     assert isinstance(tool.ask(p9.Tread(5, 0, 9)), p9.Rread)
 
 
-@pytest.mark.parametrize("spoil", [
-    lambda conn, tag: conn.write(b"\0\0\0\0"), lambda conn, tag: conn.write(p9.encode(55, p9.Rread(b""))),
-    lambda conn, tag: conn.write(p9.encode(tag, p9.Rclunk())),
-    lambda conn, tag: conn.write(p9.encode(tag, p9.Rread(b"x" * 101))),
-])
+@pytest.mark.parametrize(
+    "spoil",
+    [
+        lambda conn, tag: conn.write(b"\0\0\0\0"),
+        lambda conn, tag: conn.write(p9.encode(55, p9.Rread(b""))),
+        lambda conn, tag: conn.write(p9.encode(tag, p9.Rclunk())),
+        lambda conn, tag: conn.write(p9.encode(tag, p9.Rread(b"x" * 101))),
+    ],
+)
 def test_a_server_that_breaks_the_protocol_is_left(spoil: Callable[[Any, int], None]) -> None:
     w = NineWorld()
     tool = Tool(w)
--- a/tests/test_ninep_chaos.py
+++ b/tests/test_ninep_chaos.py
@@ -24,18 +24,22 @@
 
 
 def repeated(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(front, "class_for", lambda op, reads, changes, classes:
-                  changes if TABLE[op].change else reads)
+    patch.setattr(
+        front, "class_for", lambda op, reads, changes, classes: changes if TABLE[op].change else reads
+    )
 
 
 def flushed_while_it_runs(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Pending, "must_end", property(lambda self: self.stays))
 
 
-@pytest.mark.parametrize("broken, seeds", [
-    (out_of_order, (6, 8, 2, 3, 4)), (repeated, (1, 2, 6, 3)), (flushed_while_it_runs, (1, 2, 4, 3))])
+@pytest.mark.parametrize(
+    "broken, seeds",
+    [(out_of_order, (6, 8, 2, 3, 4)), (repeated, (1, 2, 6, 3)), (flushed_while_it_runs, (1, 2, 4, 3))],
+)
 def test_the_checker_sees_a_head_that_breaks_the_rules(
-        broken: Callable[[pytest.MonkeyPatch], None], seeds: tuple[int, ...]) -> None:
+    broken: Callable[[pytest.MonkeyPatch], None], seeds: tuple[int, ...]
+) -> None:
     """A checker that cannot fail proves nothing: each of these was not seen by its first form."""
     caught = 0
     for seed in seeds:
--- a/tests/test_ninep_library.py
+++ b/tests/test_ninep_library.py
@@ -18,8 +18,9 @@
     data = bytes(range(256)) * 400
 
     def session() -> None:
-        fs = p9fs.P9FileSystem("127.0.0.1", port, "1000", version=version, aname="glossaries",
-                               skip_instance_cache=True)
+        fs = p9fs.P9FileSystem(
+            "127.0.0.1", port, "1000", version=version, aname="glossaries", skip_instance_cache=True
+        )
         assert sorted(name.strip("/") for name in fs.ls("", detail=False)) == ["readme", "sv"]
         assert fs.cat("sv/notes") == b"draft"
         fs.mkdir("made")
