--- a/tests/test_ninep_model.py
+++ b/tests/test_ninep_model.py
@@ -49,15 +49,18 @@
     def write(self, data: bytes) -> None:
         self.got += self.out.feed(data)
 
-    def say(self, tag: int, message: p9.Message, want: p9.Message | None,
-            *before: tuple[int, p9.Message]) -> None:
+    def say(
+        self, tag: int, message: p9.Message, want: p9.Message | None, *before: tuple[int, p9.Message]
+    ) -> None:
         """Sends it in two pieces; what must come at once is checked to be all that comes."""
         data, self.got = p9.encode(tag, message), []
         self.machine.feed(data[:5])
         self.machine.feed(data[5:])
         answers = [*before, *([(tag, want)] if want else [])]
-        assert [(t, m if not isinstance(m, p9.Rerror) or m in dict(answers).values() else p9.Rerror(""))
-                for t, m in self.got] == answers
+        assert [
+            (t, m if not isinstance(m, p9.Rerror) or m in dict(answers).values() else p9.Rerror(""))
+            for t, m in self.got
+        ] == answers
 
     def ask(self, tag: int, message: p9.Message, fine: bool, at_once: p9.Message | None = None) -> None:
         """A message that is turned away, answered at once, or becomes one item."""
@@ -73,12 +76,14 @@
     def free(self, fid: int) -> bool:
         return fid not in self.fids and all(
             getattr(m, "newfid", None) != fid and not (isinstance(m, p9.Tattach) and m.fid == fid)
-            for _, m in self.flying.values())
+            for _, m in self.flying.values()
+        )
 
     def usable(self, fid: int) -> bool:
         return fid in self.fids and not any(
             isinstance(m, p9.Topen) and m.fid == fid or isinstance(m, p9.Twalk) and m.fid == m.newfid == fid
-            for _, m in self.flying.values())
+            for _, m in self.flying.values()
+        )
 
     @rule(tag=TAGS, fid=FIDS)
     def attach(self, tag: int, fid: int) -> None:
@@ -112,10 +117,14 @@
         if tag in self.flying or fid not in self.fids:
             self.say(tag, message, p9.Rerror(""))
             return
-        on_it = [t for t, (_, m) in self.flying.items() if getattr(m, "fid", None) == fid
-                 and not isinstance(m, p9.Tattach) and not (isinstance(m, p9.Twalk) and m.newfid != fid)]
-        self.say(tag, message, p9.Rerror("") if remove else p9.Rclunk(),
-                 *((t, p9.Rerror("")) for t in on_it))
+        on_it = [
+            t
+            for t, (_, m) in self.flying.items()
+            if getattr(m, "fid", None) == fid
+            and not isinstance(m, p9.Tattach)
+            and not (isinstance(m, p9.Twalk) and m.newfid != fid)
+        ]
+        self.say(tag, message, p9.Rerror("") if remove else p9.Rclunk(), *((t, p9.Rerror("")) for t in on_it))
         for t in on_it:
             self.gone.append(self.flying.pop(t)[0])
         del self.fids[fid]
--- a/tests/test_ninep_parts.py
+++ b/tests/test_ninep_parts.py
@@ -27,11 +27,18 @@
 def field_values(plan: p9.Plan) -> list[st.SearchStrategy[object]]:
     """What may stand in each field, by the struct and kinds of its plan."""
     lead = [{"B": 8, "H": 16, "I": 32, "Q": 64}[c] for c in plan._body.format[1:]]
-    rest = {"s": TEXT, "q": QIDS, "d": st.binary(max_size=50), "n": st.binary(max_size=50),
-            "S": st.lists(TEXT, max_size=16).map(tuple), "Q": st.lists(QIDS, max_size=16).map(tuple)}
+    rest = {
+        "s": TEXT,
+        "q": QIDS,
+        "d": st.binary(max_size=50),
+        "n": st.binary(max_size=50),
+        "S": st.lists(TEXT, max_size=16).map(tuple),
+        "Q": st.lists(QIDS, max_size=16).map(tuple),
+    }
     ints = {"1": 8, "2": 16, "4": 32, "8": 64}
     return [st.integers(0, 2**bits - 1) for bits in lead] + [
-        rest[k] if k in rest else st.integers(0, 2**ints[k] - 1) for k in plan._rest]
+        rest[k] if k in rest else st.integers(0, 2 ** ints[k] - 1) for k in plan._rest
+    ]
 
 
 @pytest.mark.parametrize("dialect", DIALECTS)
@@ -60,7 +67,8 @@
 @pytest.mark.parametrize("dialect", DIALECTS)
 @given(pieces=st.lists(st.binary(min_size=1, max_size=300), max_size=20), most=st.integers(7, 400))
 def test_a_framer_never_holds_more_than_the_largest_message(
-        dialect: str, pieces: list[bytes], most: int) -> None:
+    dialect: str, pieces: list[bytes], most: int
+) -> None:
     pool = BufferPool(64, 4, 1 << 12)
     framer = p9.Framer(pool, most, DIALECTS[dialect])
     try:
@@ -117,15 +125,20 @@
 # The order of changes.
 
 PATHS = st.lists(st.sampled_from(["a", "b", "c"]), min_size=0, max_size=3).map(tuple)
-MOVES = st.lists(st.one_of(
-    st.tuples(st.just("enter"), st.integers(0, 2), st.lists(PATHS, min_size=1, max_size=2)),
-    st.tuples(st.just("end"), st.integers(0, 30), st.booleans()),
-    st.tuples(st.just("pass"), st.integers(1, 60))), max_size=60)
+MOVES = st.lists(
+    st.one_of(
+        st.tuples(st.just("enter"), st.integers(0, 2), st.lists(PATHS, min_size=1, max_size=2)),
+        st.tuples(st.just("end"), st.integers(0, 30), st.booleans()),
+        st.tuples(st.just("pass"), st.integers(1, 60)),
+    ),
+    max_size=60,
+)
 
 
 @given(MOVES)
 def test_changes_that_touch_go_one_by_one_in_their_order_and_none_is_forgotten(
-        moves: list[tuple[object, ...]]) -> None:
+    moves: list[tuple[object, ...]],
+) -> None:
     """Against a plain model: what is out never touches what is out before it, of one client, or a rest."""
     order, now = Order(100, 1000), 0
     entered: dict[int, tuple[int, list[tuple[str, ...]]]] = {}
@@ -134,13 +147,14 @@
     rests: list[tuple[tuple[str, ...], int]] = []
 
     def touch(a: tuple[str, ...], b: tuple[str, ...]) -> bool:
-        return a[:len(b)] == b or b[:len(a)] == a
+        return a[: len(b)] == b or b[: len(a)] == a
 
     def may_go(ticket: int) -> bool:
         client, paths = entered[ticket]
         before = [t for t in (*out, *waiting) if t < ticket and entered[t][0] == client]
         return not any(touch(p, q) for t in before for p in entered[t][1] for q in paths) and not any(
-            until > now and touch(p, q) for p, until in rests for q in paths)
+            until > now and touch(p, q) for p, until in rests for q in paths
+        )
 
     def release(tickets: list[int]) -> None:
         for ticket in tickets:
@@ -216,8 +230,12 @@
 # Locks.
 
 
-@given(st.lists(st.tuples(st.integers(0, 2), st.sampled_from("rwu"), st.integers(0, 12), st.integers(1, 6)),
-                max_size=40))
+@given(
+    st.lists(
+        st.tuples(st.integers(0, 2), st.sampled_from("rwu"), st.integers(0, 12), st.integers(1, 6)),
+        max_size=40,
+    )
+)
 def test_locks_against_a_map_of_single_bytes(steps: list[tuple[int, str, int, int]]) -> None:
     locks, held = Locks(1000), [dict[int, bool]() for _ in range(20)]  # by byte: owner to whether it writes
     for who, kind, start, length in steps:
@@ -228,8 +246,9 @@
                 held[byte].pop(who, None)
             continue
         write = kind == "w"
-        blocked = any(other != who and (write or theirs)
-                      for byte in span for other, theirs in held[byte].items())
+        blocked = any(
+            other != who and (write or theirs) for byte in span for other, theirs in held[byte].items()
+        )
         assert locks.take(("e", 1), Range(owner, 1, write, start, start + length)) is not blocked
         if not blocked:
             for byte in span:
--- a/tests/test_ninep_write.py
+++ b/tests/test_ninep_write.py
@@ -27,11 +27,22 @@
 BOTH = [PLAIN, LINUX]
 
 
-def wstat(name: str = "", mode: int = KEEP4, mtime: int = KEEP4, length: int = KEEP8, gid: str = "",
-          uid: str = "", atime: int = KEEP4) -> bytes:
+def wstat(
+    name: str = "",
+    mode: int = KEEP4,
+    mtime: int = KEEP4,
+    length: int = KEEP8,
+    gid: str = "",
+    uid: str = "",
+    atime: int = KEEP4,
+) -> bytes:
     texts = b"".join(p9.pack("s", text) for text in (name, uid, gid, ""))
-    return STAT_HEAD.pack(STAT_HEAD.size - 2 + len(texts), 0xFFFF, KEEP4, 0xFF, KEEP4, KEEP8, mode, atime,
-                          mtime, length) + texts
+    return (
+        STAT_HEAD.pack(
+            STAT_HEAD.size - 2 + len(texts), 0xFFFF, KEEP4, 0xFF, KEEP4, KEEP8, mode, atime, mtime, length
+        )
+        + texts
+    )
 
 
 def rw(client: str = PLAIN, server: str = PLAIN, servers: int = 1, **more: object) -> tuple[NineWorld, Tool]:
@@ -76,8 +87,12 @@
         assert tool.ask(p9.Twstat(5, wstat(**change))) == p9.Rwstat()  # type: ignore[arg-type]
         after = w.disk.attr(node)
         kept = {"mode": after.mode & 0o777, "length": after.length, "mtime": after.mtime.s, "gid": after.gid}
-        was = {"mode": before.mode & 0o777, "length": before.length, "mtime": before.mtime.s,
-               "gid": before.gid}
+        was = {
+            "mode": before.mode & 0o777,
+            "length": before.length,
+            "mtime": before.mtime.s,
+            "gid": before.gid,
+        }
         wanted = was | {k: v for k, v in change.items() if k != "name"}
         kept.pop("mtime" if "length" in change else "none", None)
         assert all(wanted[key] == value for key, value in kept.items()), change
@@ -239,7 +254,8 @@
     assert tool.ask(take) == p9l.Rlock(p9l.LOCK_DONE)
     assert other.ask(replace(take, start=25, client_id="b")) == p9l.Rlock(p9l.LOCK_BLOCKED)
     assert other.ask(p9l.Tgetlock(5, p9l.LOCK_READ, 0, 0, 8, "b")) == p9l.Rgetlock(
-        p9l.LOCK_WRITE, 10, 20, 7, "a")
+        p9l.LOCK_WRITE, 10, 20, 7, "a"
+    )
     assert tool.ask(p9l.Tlock(5, p9l.LOCK_NONE, 0, 15, 5, 7, "a")) == p9l.Rlock(p9l.LOCK_DONE)
     assert other.ask(replace(take, start=15, length=5, client_id="b")) == p9l.Rlock(p9l.LOCK_DONE)
     assert other.ask(replace(take, start=20, length=5, client_id="b")) == p9l.Rlock(p9l.LOCK_BLOCKED)
@@ -290,10 +306,15 @@
     assert w.disk.read("se", "notes") == b"DRAFT"
 
 
-@pytest.mark.parametrize("fault, ran, words", [
-    (Fault.RESET_AFTER, 1, "may have happened"), (Fault.HALF, 1, "may have happened"),
-    (Fault.WRONG_TAG, 1, "may have happened"), (Fault.RESET_BEFORE, 0, "may have happened"),
-])
+@pytest.mark.parametrize(
+    "fault, ran, words",
+    [
+        (Fault.RESET_AFTER, 1, "may have happened"),
+        (Fault.HALF, 1, "may have happened"),
+        (Fault.WRONG_TAG, 1, "may have happened"),
+        (Fault.RESET_BEFORE, 0, "may have happened"),
+    ],
+)
 def test_what_may_not_run_twice_is_not_sent_twice(fault: Fault, ran: int, words: str) -> None:
     w, tool = rw(servers=2)
     tool.walk(6)
@@ -367,8 +388,15 @@
     assert not heard(w, p9.Topen, 0) and len(heard(w, p9.Topen, 1)) == 1
 
 
-@pytest.mark.parametrize("message", [
-    p9.Twalk(0, 9, ("sv",)), p9.Tcreate(6, "made", 0o644, 1), p9.Tread(7, 0, 200), p9.Twrite(5, 0, b"HELLO")])
+@pytest.mark.parametrize(
+    "message",
+    [
+        p9.Twalk(0, 9, ("sv",)),
+        p9.Tcreate(6, "made", 0o644, 1),
+        p9.Tread(7, 0, 200),
+        p9.Twrite(5, 0, b"HELLO"),
+    ],
+)
 @pytest.mark.parametrize("end", ["flush", "clunk"])
 def test_a_flush_or_a_clunk_in_the_middle_leaves_one_answer_a_tag(message: p9.Message, end: str) -> None:
     w, tool = rw()
@@ -381,8 +409,9 @@
     tool.send(p9.Tflush(71) if end == "flush" else p9.Tclunk(fid), tag=72)
     w.run(SECOND)
     tags = [tag for tag, _ in tool.answers]
-    assert tags.count(72) == 1 and tags.count(71) == (0 if end == "flush" and isinstance(
-        message, p9.Twalk | p9.Tread) else 1)
+    assert tags.count(72) == 1 and tags.count(71) == (
+        0 if end == "flush" and isinstance(message, p9.Twalk | p9.Tread) else 1
+    )
     assert tags[-1] == 72 or isinstance(message, p9.Twalk), "what it ends is answered first, or not at all"
     assert w.core.open == 0 and len(w.front_9p.order) == 0
 
@@ -426,8 +455,15 @@
     assert w.disk.read("readme") == b"HuLLO"
 
 
-@pytest.mark.parametrize("message", [
-    p9.Twrite(5, 0, b"HELLO"), p9.Tcreate(6, "made", 0o644, 1), p9.Twalk(0, 9, ("sv",)), p9.Tread(7, 0, 200)])
+@pytest.mark.parametrize(
+    "message",
+    [
+        p9.Twrite(5, 0, b"HELLO"),
+        p9.Tcreate(6, "made", 0o644, 1),
+        p9.Twalk(0, 9, ("sv",)),
+        p9.Tread(7, 0, 200),
+    ],
+)
 def test_a_client_that_hangs_up_half_way_leaves_nothing_behind(message: p9.Message) -> None:
     w, tool = rw()
     tool.open(5, "readme", mode=p9.OWRITE)
@@ -563,8 +599,10 @@
 # Servers that do wrong.
 
 
-@pytest.mark.parametrize("fault", [Fault.WRONG_COUNT, Fault.WRONG_TYPE, Fault.WRONG_TAG, Fault.HALF,
-                                   Fault.RESET_AFTER, Fault.RESET_BEFORE])
+@pytest.mark.parametrize(
+    "fault",
+    [Fault.WRONG_COUNT, Fault.WRONG_TYPE, Fault.WRONG_TAG, Fault.HALF, Fault.RESET_AFTER, Fault.RESET_BEFORE],
+)
 def test_a_write_whose_answer_is_spoilt_is_sent_again_and_is_there(fault: Fault) -> None:
     w, tool = rw()
     tool.open(5, "readme", mode=p9.OWRITE)
@@ -575,8 +613,7 @@
 
 
 @pytest.mark.parametrize("client, code", [(PLAIN, "no space left on device"), (LINUX, problems.ENOSPC)])
-def test_a_full_disk_and_a_denied_permission_are_told_in_the_clients_words(
-        client: str, code: object) -> None:
+def test_a_full_disk_and_a_denied_permission_are_told_in_the_clients_words(client: str, code: object) -> None:
     w, tool = rw(client, PLAIN)
     tool.open(5, "readme", mode=p9.OWRITE)
     w.disk.capacity = w.disk.used
@@ -585,17 +622,22 @@
     w.disk.find("sv").mode = stat.S_IFDIR | 0o500
     tool.walk(7, "sv")
     w.disk.find("sv", "notes").mode = stat.S_IFREG | 0o400
-    denied = tool.ask(p9l.Tlcreate(7, "x", p9l.L_CREATE, 0o644, 0) if tool.linux else p9.Tcreate(
-        7, "x", 0o644, p9.OWRITE))
+    denied = tool.ask(
+        p9l.Tlcreate(7, "x", p9l.L_CREATE, 0o644, 0) if tool.linux else p9.Tcreate(7, "x", 0o644, p9.OWRITE)
+    )
     assert (number(denied) if tool.linux else error(denied)) == (
-        problems.EACCES if tool.linux else "permission denied")
+        problems.EACCES if tool.linux else "permission denied"
+    )
 
 
 def test_offsets_past_what_a_server_can_hold() -> None:
     w, tool = rw()
     tool.open(5, "readme", mode=p9.ORDWR)
-    for message in (p9.Tread(5, 1 << 63, 9), p9.Twrite(5, (1 << 64) - 1, b"x"),
-                    p9.Tread(5, (1 << 63) - 4, 9)):
+    for message in (
+        p9.Tread(5, 1 << 63, 9),
+        p9.Twrite(5, (1 << 64) - 1, b"x"),
+        p9.Tread(5, (1 << 63) - 4, 9),
+    ):
         assert error(tool.ask(message)) == "illegal offset"
     assert tool.ask(p9.Tread(5, 1 << 62, 9)) == p9.Rread(b"")
 
@@ -605,9 +647,15 @@
     tool = Tool(w, version=LINUX)
     tool.open(5, "readme")
     heard_before = len(w.files[0].heard)
-    for message in (p9l.Tlcreate(0, "x", 1, 0, 0), p9l.Tmkdir(0, "x", 0, 0), p9l.Tunlinkat(0, "readme", 0),
-                    p9l.Trenameat(0, "readme", 0, "x"), p9l.Tsymlink(0, "x", "y", 0),
-                    p9l.Tsetattr(5, 1, 0, 0, 0, 0, 0, 0, 0, 0), p9l.Tlink(0, 5, "x")):
+    for message in (
+        p9l.Tlcreate(0, "x", 1, 0, 0),
+        p9l.Tmkdir(0, "x", 0, 0),
+        p9l.Tunlinkat(0, "readme", 0),
+        p9l.Trenameat(0, "readme", 0, "x"),
+        p9l.Tsymlink(0, "x", "y", 0),
+        p9l.Tsetattr(5, 1, 0, 0, 0, 0, 0, 0, 0, 0),
+        p9l.Tlink(0, 5, "x"),
+    ):
         assert number(tool.ask(message)) == problems.EROFS, message
     assert tool.ask(p9l.Tfsync(5, 0)) == p9l.Rfsync()
     assert len(w.files[0].heard) == heard_before
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -38,13 +38,32 @@
         self.boxes = [Box("b0", self.brick.address, 0), Box("b1", self.brick.address, 1)]
         self.told = True
         self.clients = Listener(
-            self.scheduler, "127.0.0.1:0", self.pool, self.limits, self.limits.client_conns,
-            lambda write: ClientMachine(self.core, self.bricks, self.pool, self.limits, set(), write,
-                                        lambda: self.desk.takes), True)
-        self.desk = Desk(self.scheduler, self.core, self.clients, StateFile(str(folder), "n1"), self.limits,
-                         lambda: self.told)
-        self.ops = Listener(self.scheduler, "127.0.0.1:0", self.pool, self.limits, self.limits.ops_conns,
-                            lambda write: CallMachine(self.desk, self.pool, self.limits, write))
+            self.scheduler,
+            "127.0.0.1:0",
+            self.pool,
+            self.limits,
+            self.limits.client_conns,
+            lambda write: ClientMachine(
+                self.core, self.bricks, self.pool, self.limits, set(), write, lambda: self.desk.takes
+            ),
+            True,
+        )
+        self.desk = Desk(
+            self.scheduler,
+            self.core,
+            self.clients,
+            StateFile(str(folder), "n1"),
+            self.limits,
+            lambda: self.told,
+        )
+        self.ops = Listener(
+            self.scheduler,
+            "127.0.0.1:0",
+            self.pool,
+            self.limits,
+            self.limits.ops_conns,
+            lambda write: CallMachine(self.desk, self.pool, self.limits, write),
+        )
         self.list(*self.boxes)
 
     def call(self, what: str, method: str = "POST") -> tuple[int, str]:
@@ -76,23 +95,32 @@
     m, said = machine()
     at = 0
     for size in [*sizes, len(call)]:
-        m.feed(call[at:at + size])
+        m.feed(call[at : at + size])
         at += size
     assert m.ended and len(said) == 1 and said[0].startswith(b"HTTP/1.1 404 "), "one call, one answer"
 
 
-@pytest.mark.parametrize("call, status", [
-    (b"HELLO\r\n", 400), (b"GET ready HTTP/1.1\r\n", 400), (b"GET / HTTP/2\r\n", 400),
-    (b"GET / HTTP/1.1\r\nbad header\r\n", 400), (b"GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", 413), (b"GET /" + b"x" * 9000, 431),
-    (b"GET / HTTP/1.1\r\n" + b"a: b\r\n" * 65, 431),
-    (b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 411),
-    (b"GET /-/drain HTTP/1.1\r\n\r\n", 405), (b"POST /-/ready HTTP/1.1\r\n\r\n", 405),
-    (b"GET /-/bricks/b0/disable HTTP/1.1\r\n\r\n", 405),
-    (b"POST /-/bricks/a%20b/disable HTTP/1.1\r\n\r\n", 400),
-    (b"POST /-/bricks/b%FF/enable HTTP/1.1\r\n\r\n", 400), (b"POST /-/bricks//enable HTTP/1.1\r\n\r\n", 404),
-    (b"POST /-/bricks/" + b"b" * 65 + b"/enable HTTP/1.1\r\n\r\n", 400),
-])
+@pytest.mark.parametrize(
+    "call, status",
+    [
+        (b"HELLO\r\n", 400),
+        (b"GET ready HTTP/1.1\r\n", 400),
+        (b"GET / HTTP/2\r\n", 400),
+        (b"GET / HTTP/1.1\r\nbad header\r\n", 400),
+        (b"GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", 413),
+        (b"GET /" + b"x" * 9000, 431),
+        (b"GET / HTTP/1.1\r\n" + b"a: b\r\n" * 65, 431),
+        (b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 411),
+        (b"GET /-/drain HTTP/1.1\r\n\r\n", 405),
+        (b"POST /-/ready HTTP/1.1\r\n\r\n", 405),
+        (b"GET /-/bricks/b0/disable HTTP/1.1\r\n\r\n", 405),
+        (b"POST /-/bricks/a%20b/disable HTTP/1.1\r\n\r\n", 400),
+        (b"POST /-/bricks/b%FF/enable HTTP/1.1\r\n\r\n", 400),
+        (b"POST /-/bricks//enable HTTP/1.1\r\n\r\n", 404),
+        (b"POST /-/bricks/" + b"b" * 65 + b"/enable HTTP/1.1\r\n\r\n", 400),
+    ],
+)
 def test_what_is_no_call_gets_its_own_no(call: bytes, status: int) -> None:
     m, said = machine()
     m.feed(call)
@@ -133,6 +161,7 @@
 
 # Bans.
 
+
 def test_a_brick_taken_out_gets_nothing_until_put_back_whatever_lists_say(office: Office) -> None:
     client = office.peer(office.clients.address)
     assert client.say(read_command(id="r1")).startswith(b"$")
@@ -209,6 +238,7 @@
 
 # What outlasts a process.
 
+
 def test_bans_and_drain_outlast_the_process_and_reach_the_other_one(tmp_path: pathlib.Path) -> None:
     w = Office(tmp_path)
     w.call("/-/bricks/b0/disable")
@@ -227,13 +257,21 @@
     return b"%s\n%08x\n" % (body, zlib.crc32(body))
 
 
-@pytest.mark.parametrize("data, why", [
-    (b"", "checksum"), (sealed()[:-5], "checksum"), (sealed().replace(b"n1", b"n2"), "checksum"),
-    (sealed(version=0), "version 0"), (sealed(name="n2"), "head 'n2'"), (sealed(banned=[3]), "a field"),
-    (sealed(draining="no"), "a field"),
-])
+@pytest.mark.parametrize(
+    "data, why",
+    [
+        (b"", "checksum"),
+        (sealed()[:-5], "checksum"),
+        (sealed().replace(b"n1", b"n2"), "checksum"),
+        (sealed(version=0), "version 0"),
+        (sealed(name="n2"), "head 'n2'"),
+        (sealed(banned=[3]), "a field"),
+        (sealed(draining="no"), "a field"),
+    ],
+)
 def test_a_state_that_cannot_be_used_is_named_and_the_head_starts(
-        data: bytes, why: str, tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture) -> None:
+    data: bytes, why: str, tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
+) -> None:
     with pytest.raises(StateError, match=why):
         decode("n1", data)
     (tmp_path / "garnetlanding-n1-operators.json").write_bytes(data)
@@ -260,6 +298,7 @@
 
 # Drain.
 
+
 def test_drained_clients_are_served_where_they_are_and_then_sent_away(office: Office) -> None:
     idle, used, busy = (office.peer(office.clients.address) for _ in range(3))
     assert used.say(b"*1\r\n$4\r\nPING\r\n") == b"+PONG\r\n"
@@ -300,6 +339,7 @@
 
 # Figures.
 
+
 def test_the_text_names_every_class_from_the_start() -> None:
     figures = Figures(["read", "save"])
     for answer in (Served(b""), Refused(), Failed("x"), Failed("y")):
@@ -307,7 +347,8 @@
     assert encode(figures, 7, 3, 1) == (
         "app.success.read:1|c\napp.overload.read:1|c\napp.error.read:2|c\n"
         "app.success.save:0|c\napp.overload.save:0|c\napp.error.save:0|c\n"
-        "app.dispatches:0|c\napp.concurrent:7|g\napp.targets:3|g\napp.targets_disabled:1|g\n")
+        "app.dispatches:0|c\napp.concurrent:7|g\napp.targets:3|g\napp.targets_disabled:1|g\n"
+    )
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -340,6 +381,7 @@
 
 # The command line's side.
 
+
 def test_what_a_call_is_and_how_its_answer_is_shown() -> None:
     assert caller.path_of("ready") == ("GET", "/-/ready")
     assert caller.path_of("disable", "a/b c") == ("POST", "/-/bricks/a%2Fb%20c/disable")
@@ -357,7 +399,8 @@
 
 
 def test_the_command_s_exit_code_says_yes_no_or_wrong(
-        office: Office, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> None:
+    office: Office, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     def call(address: str, what: str, brick: str = "", wait_s: float = 2.0) -> caller.Reply:
         method, path = caller.path_of(what, brick)
         return caller.Reply(*office.call(path, method))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -118,8 +118,9 @@
 def test_forged_bytes_are_counted_by_cause_and_change_nothing() -> None:
     talk = Talk(Controller(settings(may_tell=True), 1), life=1)
     whole = codec.encode(Message(1, 1, 0, 0, {codec.tag("v"): (1.0, 2)}, {codec.tag("v"): 1.0}))
-    talk.handle(T0, [api.PeerMessage(1, p) for p in (b"", whole[:-1], whole + b"x", b"\x09" + whole[1:],
-                                                     bytes(300))])
+    talk.handle(
+        T0, [api.PeerMessage(1, p) for p in (b"", whole[:-1], whole + b"x", b"\x09" + whole[1:], bytes(300))]
+    )
     assert talk.dropped == {"torn": 3, "other version": 1, "too long": 1}
     assert talk.leases and not talk.leases.peers
 
@@ -157,8 +158,11 @@
 # The daemon
 
 LIMIT = {"NeverOver": 40.0, "LimitBurst": 60.0}
-TELLS = SETTINGS | {"Limits": SETTINGS["Limits"] | {"MayTell": True}, "Balancers": 3,
-                    "Contracts": [SETTINGS["Contracts"][0] | LIMIT]}
+TELLS = SETTINGS | {
+    "Limits": SETTINGS["Limits"] | {"MayTell": True},
+    "Balancers": 3,
+    "Contracts": [SETTINGS["Contracts"][0] | LIMIT],
+}
 
 
 class TalkingHead(Head):
@@ -236,8 +240,9 @@
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     monkeypatch.setattr(tempfile, "tempdir", None)
     for config_used, status in ((TELLS, b"200 OK"), (SETTINGS, b"404")):
-        h = Head(settings=config_used, ops="127.0.0.1:0", peer_listen="127.0.0.1:0",
-                 peers=["127.0.0.1:9"] * 3)
+        h = Head(
+            settings=config_used, ops="127.0.0.1:0", peer_listen="127.0.0.1:0", peers=["127.0.0.1:9"] * 3
+        )
         assert h.daemon.ops is not None
         got = h.peer(h.daemon.ops.address).say(b"GET /-/fleet/members HTTP/1.1\r\nHost: x\r\n\r\n")
         assert got.startswith(b"HTTP/1.1 " + status)
@@ -265,12 +270,15 @@
     h = TalkingHead(SETTINGS)
     assert h.daemon.config.peers is None and h.daemon.link is None
     assert not isinstance(h.daemon.core.module, Talk)
-    program = ("import json, sys; from garnetlanding import config; from garnetlanding.daemon import Daemon;"
-               "Daemon(config.read(json.loads(sys.argv[1]))); "
-               "print([m for m in sys.modules if m.startswith('garnetlanding.peers')])")
+    program = (
+        "import json, sys; from garnetlanding import config; from garnetlanding.daemon import Daemon;"
+        "Daemon(config.read(json.loads(sys.argv[1]))); "
+        "print([m for m in sys.modules if m.startswith('garnetlanding.peers')])"
+    )
     told = {"peer_listen": "127.0.0.1:0", "peers": ["127.0.0.1:9"]}
-    out = subprocess.run([sys.executable, "-c", program, json.dumps(BASE | told)], capture_output=True,
-                         text=True, check=True)
+    out = subprocess.run(
+        [sys.executable, "-c", program, json.dumps(BASE | told)], capture_output=True, text=True, check=True
+    )
     assert out.stdout.strip() == "[]"
 
 
@@ -315,10 +323,15 @@
     assert link.closed and h.talk.leases and h.talk.leases.part(codec.tag("v"), h.time) == 0.0
 
 
-@pytest.mark.parametrize("change, key", [
-    ({"peer_listen": "nowhere"}, "key peer_listen"), ({"peers": "x:1"}, "key peers: expected a list"),
-    ({"peers": ["127.0.0.1:9", 7]}, "key peers.1"), ({"peers_all": "x"}, "key peers_all"),
-])
+@pytest.mark.parametrize(
+    "change, key",
+    [
+        ({"peer_listen": "nowhere"}, "key peer_listen"),
+        ({"peers": "x:1"}, "key peers: expected a list"),
+        ({"peers": ["127.0.0.1:9", 7]}, "key peers.1"),
+        ({"peers_all": "x"}, "key peers_all"),
+    ],
+)
 def test_a_fault_in_the_keys_of_the_link_names_its_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
         config.read(BASE | {"settings": TELLS, "peer_listen": "127.0.0.1:0"} | change)
--- a/tests/test_processes_end.py
+++ b/tests/test_processes_end.py
@@ -44,7 +44,11 @@
         with open(self.folder / "log", "ab") as log:
             child = subprocess.Popen(
                 [sys.executable, "-m", "garnetlanding", "serve", "--config", str(config)],
-                stdout=log, stderr=log, stdin=subprocess.DEVNULL, env=env)
+                stdout=log,
+                stderr=log,
+                stdin=subprocess.DEVNULL,
+                env=env,
+            )
         self.running.append(child)
         return child
 
@@ -157,11 +161,19 @@
     children = []
     for n, port in enumerate(ports):
         file = heads.folder / f"n{n}.json"
-        file.write_text(json.dumps(BASE | {
-            "name": f"n{n}", "listen": f"127.0.0.1:{port}", "discovery": discovery.address,
-            "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 128}, "known": {
-                "generation": 0, "reset": True, "instances": [discovery.boxes[0].entry()]},
-            "settings": SETTINGS | {"Balancers": 3, "Me": n}}))
+        file.write_text(
+            json.dumps(
+                BASE
+                | {
+                    "name": f"n{n}",
+                    "listen": f"127.0.0.1:{port}",
+                    "discovery": discovery.address,
+                    "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 128},
+                    "known": {"generation": 0, "reset": True, "instances": [discovery.boxes[0].entry()]},
+                    "settings": SETTINGS | {"Balancers": 3, "Me": n},
+                }
+            )
+        )
         children.append(heads.start(file))
 
     def turns(until: Callable[[], bool], span_s: float) -> bool:
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -49,14 +49,33 @@
 def test_replies_of_every_kind() -> None:
     data = b"+OK\r\n-ERR x\r\n:-7\r\n$-1\r\n*-1\r\n*0\r\n*2\r\n*1\r\n:1\r\n$2\r\nab\r\n"
     assert list(codec.Decoder(pool(), LIMITS).feed(data)) == [
-        codec.Simple(b"OK"), codec.Error(b"ERR x"), -7, None, None, [], [[1], b"ab"]]
-
-
-@pytest.mark.parametrize("data", [
-    b"GET x\r\n", b"*x\r\n", b"*-2\r\n", b"*99\r\n", b"*1\r\n:1\r\n", b"*1\r\n$70000\r\n", b"*1\r\n$-1\r\n",
-    b"*1\r\n$1\r\nabc", b"*" + b"1" * 600, b"*1\r\n$99999999999999999999\r\n", b"*1\r\n*1\r\n",
-    b"*1\r\n$-5\r\n",
-])
+        codec.Simple(b"OK"),
+        codec.Error(b"ERR x"),
+        -7,
+        None,
+        None,
+        [],
+        [[1], b"ab"],
+    ]
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"GET x\r\n",
+        b"*x\r\n",
+        b"*-2\r\n",
+        b"*99\r\n",
+        b"*1\r\n:1\r\n",
+        b"*1\r\n$70000\r\n",
+        b"*1\r\n$-1\r\n",
+        b"*1\r\n$1\r\nabc",
+        b"*" + b"1" * 600,
+        b"*1\r\n$99999999999999999999\r\n",
+        b"*1\r\n*1\r\n",
+        b"*1\r\n$-5\r\n",
+    ],
+)
 def test_lost_framing_gets_an_error_and_a_closed_connection(data: bytes) -> None:
     w = World()
     peer = w.peer(w.front().address)
@@ -64,17 +83,28 @@
     assert peer.closed and w.core.open == 0
 
 
-@pytest.mark.parametrize("change, words", [
-    (("c=read,", ""), "field c"), (("units=2", "units=nan"), "field units"),
-    (("units=2", "units=0"), "field units"), (("shard=0", "shard=x"), "field shard"),
-    (("d=1000", "d=-5"), "field d"), (("hosts=1", "hosts=0"), "field hosts"),
-    (("c=read", "c=other"), "unknown class"), (("t=gold", "t=lead"), "unknown plan"),
-    (("d=1000", "d=1_000"), "field d"), (("d=1000", "d=soon"), "field d"),
-    (("units=2", "units=7"), "more units"), (("shard=0", "shard=9"), "unknown shard"),
-    (("hosts=1", "hosts=4"), "more hosts"),
-    (("volume=v", "volume="), "field volume"), (("volume=v", "volume=" + "v" * 99), "field volume"),
-    (("hosts=1", "hosts=1,c=read"), "field c: there twice"), (("v,", "v" * 600 + ","), "fields: too long"),
-])
+@pytest.mark.parametrize(
+    "change, words",
+    [
+        (("c=read,", ""), "field c"),
+        (("units=2", "units=nan"), "field units"),
+        (("units=2", "units=0"), "field units"),
+        (("shard=0", "shard=x"), "field shard"),
+        (("d=1000", "d=-5"), "field d"),
+        (("hosts=1", "hosts=0"), "field hosts"),
+        (("c=read", "c=other"), "unknown class"),
+        (("t=gold", "t=lead"), "unknown plan"),
+        (("d=1000", "d=1_000"), "field d"),
+        (("d=1000", "d=soon"), "field d"),
+        (("units=2", "units=7"), "more units"),
+        (("shard=0", "shard=9"), "unknown shard"),
+        (("hosts=1", "hosts=4"), "more hosts"),
+        (("volume=v", "volume="), "field volume"),
+        (("volume=v", "volume=" + "v" * 99), "field volume"),
+        (("hosts=1", "hosts=1,c=read"), "field c: there twice"),
+        (("v,", "v" * 600 + ","), "fields: too long"),
+    ],
+)
 def test_a_command_that_cannot_be_taken_names_its_field(change: tuple[str, str], words: str) -> None:
     w = World(settings(cells=9))
     peer = w.peer(w.front().address)
@@ -161,7 +191,7 @@
     good.say(PING)
     busy.say(read_command("b", d=1400) + b"*1")
     for i in range(12):
-        drip.say(b"*1\r\n$4\r\nPING"[i:i + 1])
+        drip.say(b"*1\r\n$4\r\nPING"[i : i + 1])
         w.run(100 * MS)
     assert silent.closed and half.closed and drip.closed and not good.closed
     assert busy.got == b"" and not busy.closed
@@ -204,43 +234,90 @@
     assert write_answer(Failed("a\r\nb")) == b"-ERR a b\r\n"
 
 
-@pytest.mark.parametrize("reply, meaning", [
-    ([b"v", b"used=37,cost=4", None], (Outcome.SERVED, b"v", 38)),
-    ([b"v", None, None], (Outcome.SERVED, b"v", 0)), ([b"v", b"cost=4", None], (Outcome.SERVED, b"v", 0)),
-    (codec.Error(b"ERR failed used=5"), (Outcome.ERROR, None, 6)),
-    (codec.Error(b"ERR failed used=5 latency_ms=9"), (Outcome.ERROR, None, 6)),
-    (codec.Error(b"BUSY"), (Outcome.FULL, None, 0)), (codec.Error(b"SYNTAX"), (Outcome.ERROR, None, 0)),
-    # A figure that cannot be read fails only itself: it must not steer weights.
-    *(([b"v", use, None], (Outcome.SERVED, b"v", 0)) for use in (
-        b"used=x", b"used=nan", b"used=-5", b"used=1e9", b"used=999999", b"used=" + b"9" * 5000,
-        b"used=1,used=2", b"\xff", 7, [b"used=3"])),
-    ([b"v", b"used=8", b"\xff{"], (Outcome.SERVED, b"v", 9)),
-])
+@pytest.mark.parametrize(
+    "reply, meaning",
+    [
+        ([b"v", b"used=37,cost=4", None], (Outcome.SERVED, b"v", 38)),
+        ([b"v", None, None], (Outcome.SERVED, b"v", 0)),
+        ([b"v", b"cost=4", None], (Outcome.SERVED, b"v", 0)),
+        (codec.Error(b"ERR failed used=5"), (Outcome.ERROR, None, 6)),
+        (codec.Error(b"ERR failed used=5 latency_ms=9"), (Outcome.ERROR, None, 6)),
+        (codec.Error(b"BUSY"), (Outcome.FULL, None, 0)),
+        (codec.Error(b"SYNTAX"), (Outcome.ERROR, None, 0)),
+        # A figure that cannot be read fails only itself: it must not steer weights.
+        *(
+            ([b"v", use, None], (Outcome.SERVED, b"v", 0))
+            for use in (
+                b"used=x",
+                b"used=nan",
+                b"used=-5",
+                b"used=1e9",
+                b"used=999999",
+                b"used=" + b"9" * 5000,
+                b"used=1,used=2",
+                b"\xff",
+                7,
+                [b"used=3"],
+            )
+        ),
+        ([b"v", b"used=8", b"\xff{"], (Outcome.SERVED, b"v", 9)),
+    ],
+)
 def test_what_a_brick_says_and_what_it_means(
     reply: codec.Value, meaning: tuple[Outcome, bytes | None, int]
 ) -> None:
     assert read_reply(reply, LIMITS.use_percent)[:3] == meaning
 
 
-@pytest.mark.parametrize("reply, report", [
-    ([b"v", None, b"latency_ms=31.5"], {"latency_ms": 31.5}),
-    ([b"v", b"used=3", b"inflight=7,queue=2,util=0.61"], {"inflight": 7.0, "queue": 2.0, "util": 0.61}),
-    (codec.Error(b"ERR failed used=5 latency_ms=9"), {"latency_ms": 9.0}),
-    (codec.Error(b"ERR failed latency_ms=9"), {"latency_ms": 9.0}), (codec.Error(b"ERR failed used=5"), {}),
-    (codec.Error(b"BUSY"), {}),
-    *(([b"v", None, odd], {}) for odd in (
-        b"latency_ms=nan", b"latency_ms=-1", b"latency_ms=1e9", b"latency_ms=", b"other=1", b"\xff", 7,
-        b"latency_ms=1,queue=x", b"latency_ms=" + b"9" * 400)),
-])
+@pytest.mark.parametrize(
+    "reply, report",
+    [
+        ([b"v", None, b"latency_ms=31.5"], {"latency_ms": 31.5}),
+        ([b"v", b"used=3", b"inflight=7,queue=2,util=0.61"], {"inflight": 7.0, "queue": 2.0, "util": 0.61}),
+        (codec.Error(b"ERR failed used=5 latency_ms=9"), {"latency_ms": 9.0}),
+        (codec.Error(b"ERR failed latency_ms=9"), {"latency_ms": 9.0}),
+        (codec.Error(b"ERR failed used=5"), {}),
+        (codec.Error(b"BUSY"), {}),
+        *(
+            ([b"v", None, odd], {})
+            for odd in (
+                b"latency_ms=nan",
+                b"latency_ms=-1",
+                b"latency_ms=1e9",
+                b"latency_ms=",
+                b"other=1",
+                b"\xff",
+                7,
+                b"latency_ms=1,queue=x",
+                b"latency_ms=" + b"9" * 400,
+            )
+        ),
+    ],
+)
 def test_the_load_report_of_an_answer(reply: codec.Value, report: dict[str, float]) -> None:
     assert read_reply(reply, LIMITS.use_percent)[3] == report
 
 
-@pytest.mark.parametrize("spoilt", [
-    b"+j`\x8d\r\n", b":5\r\n", b"$-1\r\n", b"-\r\n", b"-noise\r\n", b"*1\r\n$1\r\nv\r\n", b"*-1\r\n",
-    b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", b"*3\r\n$9\r\nv\r\n$-1\r\n$-1\r\n", b"*3\r\n$-7\r\n", b"?!\r\n",
-    b"*3\r\n$3221225472\r\nvvv", b"+" + b"x" * 600, b"*3\r\n$5\r\nv\r\n", b"-ERR no end",
-])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"+j`\x8d\r\n",
+        b":5\r\n",
+        b"$-1\r\n",
+        b"-\r\n",
+        b"-noise\r\n",
+        b"*1\r\n$1\r\nv\r\n",
+        b"*-1\r\n",
+        b"*3\r\n$-1\r\n$-1\r\n$-1\r\n",
+        b"*3\r\n$9\r\nv\r\n$-1\r\n$-1\r\n",
+        b"*3\r\n$-7\r\n",
+        b"?!\r\n",
+        b"*3\r\n$3221225472\r\nvvv",
+        b"+" + b"x" * 600,
+        b"*3\r\n$5\r\nv\r\n",
+        b"-ERR no end",
+    ],
+)
 def test_a_spoilt_answer_may_have_run_and_its_connection_is_not_used_again(spoilt: bytes) -> None:
     """Some are still being sent, or wait for what never comes: they must not hold the attempt for good."""
     w = World()
@@ -357,8 +434,12 @@
     w = World(client_conns=2)
     front = w.front()
     silent, late = w.peer(front.address), w.peer(front.address)
-    head_end = min(front._clients, key=lambda c: c.used_at if c.stream._sock.getpeername() == (
-        late.stream and late.stream._sock.getsockname()) else 1 << 60)
+    head_end = min(
+        front._clients,
+        key=lambda c: c.used_at
+        if c.stream._sock.getpeername() == (late.stream and late.stream._sock.getsockname())
+        else 1 << 60,
+    )
     w.mute(head_end.stream._sock.fileno())
     late.say(PING)
     third = w.peer(front.address)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -150,8 +150,13 @@
 
 def test_odd_but_legal_events_are_passed_over() -> None:
     b = one()
-    b.tell(api.ClientLeft("nobody"), api.Result("nobody", 0, "n0", ERROR, 5, False),
-           api.ProbeResult("n0", ERROR, 5), api.PeerMessage(1, b"x"), api.StreamStarted("nobody", 0))
+    b.tell(
+        api.ClientLeft("nobody"),
+        api.Result("nobody", 0, "n0", ERROR, 5, False),
+        api.ProbeResult("n0", ERROR, 5),
+        api.PeerMessage(1, b"x"),
+        api.StreamStarted("nobody", 0),
+    )
     b.ask("a")
     b.tell(api.NodeList((), whole=True))  # the list drops a node with an attempt out
     b.end("a")
@@ -164,10 +169,17 @@
 def test_random_days_keep_the_rules(seed: int) -> None:
     rng = random.Random(seed)
     config = settings(
-        classes=CLASSES, plans=PLANS, hosts=rng.choice([1, 3]), parallel_attempts=rng.random() < 0.5,
-        may_cancel=rng.random() < 0.5, order_rest_us=200 * MS, ask_for_list=rng.random() < 0.5,
-        budget_free=rng.choice([1.0, 3.0]), budget_share=0.15,
-        budget_span_us=5 * SECOND if seed % 2 else 0, max_attempts=rng.choice([1, 3, 4]),
+        classes=CLASSES,
+        plans=PLANS,
+        hosts=rng.choice([1, 3]),
+        parallel_attempts=rng.random() < 0.5,
+        may_cancel=rng.random() < 0.5,
+        order_rest_us=200 * MS,
+        ask_for_list=rng.random() < 0.5,
+        budget_free=rng.choice([1.0, 3.0]),
+        budget_share=0.15,
+        budget_span_us=5 * SECOND if seed % 2 else 0,
+        max_attempts=rng.choice([1, 3, 4]),
     )
     cells = rng.choice([1, 4])
     bench = Bench(config, [up(f"n{c}", c, zone=f"z{c % 2}") for c in range(cells)], seed)
@@ -201,13 +213,23 @@
         assert set(self.over) == set(self.asked)
 
     def step(self, n: int) -> None:
-        roll, out = self.rng.random(), [(r, i) for r, ts in self.tries.items()
-                                        for i, t in enumerate(ts) if t[2] is None]
+        roll, out = (
+            self.rng.random(),
+            [(r, i) for r, ts in self.tries.items() for i, t in enumerate(ts) if t[2] is None],
+        )
         if roll < 0.5:
             name, cls = f"r{n}", self.rng.choice(sorted(CLASSES))
-            e = api.Arrival(name, cls, self.rng.choice(sorted(PLANS)), "", self.rng.choice(["", "k1", "k2"]),
-                            self.rng.choice([0.5, 1, 2, 6]), self.rng.randrange(-1, self.cells),
-                            self.b.now + CLASSES[cls].deadline_us, 2)
+            e = api.Arrival(
+                name,
+                cls,
+                self.rng.choice(sorted(PLANS)),
+                "",
+                self.rng.choice(["", "k1", "k2"]),
+                self.rng.choice([0.5, 1, 2, 6]),
+                self.rng.randrange(-1, self.cells),
+                self.b.now + CLASSES[cls].deadline_us,
+                2,
+            )
             e = replace(e, volume=f"v{self.rng.randrange(4)}" + e.plan)
             self.asked[name] = e
             self.took.append(self.b.now)
@@ -303,5 +325,9 @@
         tries.append([a.node, at, None])
 
     def ordered_rest(self, key: str, before: list[str]) -> int:
-        return self.rest.get(key, 0) if any(CLASSES[self.asked[o].cls].in_order for o in before) and all(
-            CLASSES[self.asked[o].cls].in_order for o in self.keys[key] if o in self.tries) else 0
+        return (
+            self.rest.get(key, 0)
+            if any(CLASSES[self.asked[o].cls].in_order for o in before)
+            and all(CLASSES[self.asked[o].cls].in_order for o in self.keys[key] if o in self.tries)
+            else 0
+        )
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -167,7 +167,7 @@
 
 
 def test_an_attempt_stopped_before_its_connection_began_leaves_nothing(
-    caplog: pytest.LogCaptureFixture
+    caplog: pytest.LogCaptureFixture,
 ) -> None:
     w = BrickWorld()
     start = w.bricks.start
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -112,8 +112,13 @@
 
     def serve(self, address: str) -> None:
         self.listener = Listener(
-            self.scheduler, address, self.pool, self.limits, 8,
-            lambda write: WriterMachine(self.store, self.scheduler, self.limits, write))
+            self.scheduler,
+            address,
+            self.pool,
+            self.limits,
+            8,
+            lambda write: WriterMachine(self.store, self.scheduler, self.limits, write),
+        )
 
     def cut(self) -> None:
         self.listener.stop_accepting()
@@ -170,7 +175,7 @@
 
 
 def test_a_restarted_writer_has_a_new_epoch_and_an_older_one_is_rejected(
-    caplog: pytest.LogCaptureFixture
+    caplog: pytest.LogCaptureFixture,
 ) -> None:
     w = Pair()
     w.store.put("a", 1)
@@ -205,9 +210,16 @@
     assert w.alike()
 
 
-@pytest.mark.parametrize("lines", [
-    b"{\n", b"[]\n", b'{"entry": [1, "a", 1]}\n', b'{"writer": ["w", 1]}\n{"what": 1}\n', b"x" * (2 << 20),
-])
+@pytest.mark.parametrize(
+    "lines",
+    [
+        b"{\n",
+        b"[]\n",
+        b'{"entry": [1, "a", 1]}\n',
+        b'{"writer": ["w", 1]}\n{"what": 1}\n',
+        b"x" * (2 << 20),
+    ],
+)
 def test_a_follower_leaves_a_writer_that_speaks_otherwise(lines: bytes) -> None:
     machine = FollowerMachine(Store("w", False, 4), World().limits)
     assert json.loads(machine.hello(True)) == {"follow": [0, -1]}
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -57,13 +57,24 @@
         self.collector = self.server(Collector)
         self.wall = 1_800_000_000 * 10**9
         self.exporter = Exporter(
-            self.scheduler, Setup(self.collector.address, "/otlp", every_us=SECOND), "n1", 7, self.pool,
-            self.limits, lambda: self.wall)
+            self.scheduler,
+            Setup(self.collector.address, "/otlp", every_us=SECOND),
+            "n1",
+            7,
+            self.pool,
+            self.limits,
+            lambda: self.wall,
+        )
 
     def ended(self, count: int = 1) -> None:
         for _ in range(count):
-            self.exporter.item_ended(ASK, Served(b"v"), BEGAN, BEGAN + 30 * MS, [
-                ("b0", "reset", BEGAN, BEGAN + MS), ("b1", "served", BEGAN + 2 * MS, BEGAN + 30 * MS)])
+            self.exporter.item_ended(
+                ASK,
+                Served(b"v"),
+                BEGAN,
+                BEGAN + 30 * MS,
+                [("b0", "reset", BEGAN, BEGAN + MS), ("b1", "served", BEGAN + 2 * MS, BEGAN + 30 * MS)],
+            )
 
     def paths(self) -> list[str]:
         return [path for path, _ in self.collector.calls]
@@ -90,7 +101,9 @@
     metrics = {m["name"]: m for m in scope["metrics"]}
     points = metrics["garnetlanding.requests"]["sum"]["dataPoints"]
     assert sorted((p["attributes"][2]["value"]["stringValue"], p["asInt"]) for p in points) == [
-        ("refused", "1"), ("served", "1")]
+        ("refused", "1"),
+        ("served", "1"),
+    ]
     [spread] = metrics["garnetlanding.request.duration"]["histogram"]["dataPoints"]
     assert spread["count"] == "2" and spread["bucketCounts"][3] == "1" and spread["bucketCounts"][-1] == "1"
     assert metrics["garnetlanding.clients"]["gauge"]["dataPoints"][0]["asInt"] == "4"
@@ -98,8 +111,10 @@
 
 def test_values_and_buckets() -> None:
     assert attributes({"a": True, "b": 2, "c": 0.5}) == [
-        {"key": "a", "value": {"boolValue": True}}, {"key": "b", "value": {"intValue": "2"}},
-        {"key": "c", "value": {"doubleValue": 0.5}}]
+        {"key": "a", "value": {"boolValue": True}},
+        {"key": "b", "value": {"intValue": "2"}},
+        {"key": "c", "value": {"doubleValue": 0.5}},
+    ]
     spread = Histogram((1.0, 2.0))
     for value in (1.0, 1.1, 9.0):
         spread.add(value)
@@ -157,9 +172,15 @@
     assert len(w.collector.conns) <= 1, "one connection serves all"
 
 
-@pytest.mark.parametrize("text, want", [
-    ("5", 5 * SECOND), ("", None), ("soon", None), ("Thu, 01 Jan 1970 00:01:40 GMT", 90 * SECOND),
-    ("Thu, 01 Jan 1970 00:00:01 GMT", 0),
-])
+@pytest.mark.parametrize(
+    "text, want",
+    [
+        ("5", 5 * SECOND),
+        ("", None),
+        ("soon", None),
+        ("Thu, 01 Jan 1970 00:01:40 GMT", 90 * SECOND),
+        ("Thu, 01 Jan 1970 00:00:01 GMT", 0),
+    ],
+)
 def test_retry_after(text: str, want: int | None) -> None:
     assert retry_after_us(text, 10.0) == want
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -55,10 +55,15 @@
 
 # What is seen
 
+
 def test_each_verdict_rests_on_what_this_head_saw_and_an_answer_ends_it() -> None:
-    seen = sightings(*[result("n0", REFUSED)] * 3, *[result("n1", REFUSED)] * 2,
-                     *[result("n2", Outcome.FULL)] * 3, *[result("n3", SERVED, 300 * MS)] * 4,
-                     *[result("n4", Outcome.TIMEOUT)] * 2)
+    seen = sightings(
+        *[result("n0", REFUSED)] * 3,
+        *[result("n1", REFUSED)] * 2,
+        *[result("n2", Outcome.FULL)] * 3,
+        *[result("n3", SERVED, 300 * MS)] * 4,
+        *[result("n4", Outcome.TIMEOUT)] * 2,
+    )
     assert told(seen) == {"n0": "DEAD", "n2": "FULL", "n3": "SLOW", "n4": "SILENT"}
     later = T0 + 100 * MS
     seen.see(later, [result(n, SERVED) for n in ("n0", "n2", "n4")] + [result("n3", SERVED)] * 4, AIM)
@@ -79,6 +84,7 @@
 
 # What a word counts for
 
+
 def dead(node: str = "n0", age_ms: int = 0, life: int = LONG_AGO, kind: Kind = Kind.DEAD) -> Evidence:
     return Evidence(kind, tag(node), life, 3, age_ms)
 
@@ -170,14 +176,17 @@
 
 # Heads in one process
 
+
 class Heads:
     """Three heads before two nodes; what they tell arrives at once, unless a test cuts it."""
 
     def __init__(self) -> None:
         self.now = T0
         self.fleets = [Fleet(LIMITS) for _ in range(3)]
-        self.talks = [Talk(Controller(settings(may_tell=True, me=me), 1), life=1, fleet=fleet)
-                      for me, fleet in enumerate(self.fleets)]
+        self.talks = [
+            Talk(Controller(settings(may_tell=True, me=me), 1), life=1, fleet=fleet)
+            for me, fleet in enumerate(self.fleets)
+        ]
         self.inbox: list[list[api.Event]] = [[api.NodeList(SIX, whole=True, at_start=True)] for _ in range(3)]
         self.sends: list[list[str]] = [[], [], []]
 
@@ -238,8 +247,9 @@
     assert found.whole and not found.wrong and found.states > 5000 and found.doubts > 500
 
 
-def from_when_it_came(self: Verdicts, sender: int, evidence: Any, sent_at: int | None, now: int,
-                      seen: Sightings) -> Any:
+def from_when_it_came(
+    self: Verdicts, sender: int, evidence: Any, sent_at: int | None, now: int, seen: Sightings
+) -> Any:
     return real_heard(self, sender, evidence, None if sent_at is None else now, now, seen)
 
 
@@ -254,19 +264,29 @@
 real_heard, real_take = Verdicts.heard, Verdicts._take
 
 
-@pytest.mark.parametrize("where, name, instead", [
-    (Verdicts, "heard", from_when_it_came), (Verdicts, "_take", claims_for_good),
-    (Sight, "proof_at", own_answers_do_not_count)])
-def test_some_course_of_words_shows_a_bug(where: type, name: str, instead: Any,
-                                          monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    "where, name, instead",
+    [
+        (Verdicts, "heard", from_when_it_came),
+        (Verdicts, "_take", claims_for_good),
+        (Sight, "proof_at", own_answers_do_not_count),
+    ],
+)
+def test_some_course_of_words_shows_a_bug(
+    where: type, name: str, instead: Any, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(where, name, instead)
     assert explore(Scope(heads=2, steps=4)).wrong
 
 
 # Bans
 
-RECORDS = [Record("a", 5, 0, True), Record("a", 5, 1, False), Record("b", 7, 2, True),
-           Record("a", 4, 9, True)]
+RECORDS = [
+    Record("a", 5, 0, True),
+    Record("a", 5, 1, False),
+    Record("b", 7, 2, True),
+    Record("a", 4, 9, True),
+]
 
 
 def test_tables_merge_to_the_same_one_in_any_order() -> None:
@@ -327,10 +347,28 @@
 
 # Bytes
 
-@given(st.lists(st.tuples(st.sampled_from(Kind), st.integers(0, 2**32 - 1), st.integers(0, LONG_AGO),
-                          st.integers(0, 255), st.integers(0, 65535)), max_size=30),
-       st.lists(st.tuples(st.text("abc-09", min_size=1, max_size=40), st.integers(0, 2**48 - 1),
-                          st.integers(0, 65535), st.booleans()), max_size=8))
+
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(Kind),
+            st.integers(0, 2**32 - 1),
+            st.integers(0, LONG_AGO),
+            st.integers(0, 255),
+            st.integers(0, 65535),
+        ),
+        max_size=30,
+    ),
+    st.lists(
+        st.tuples(
+            st.text("abc-09", min_size=1, max_size=40),
+            st.integers(0, 2**48 - 1),
+            st.integers(0, 65535),
+            st.booleans(),
+        ),
+        max_size=8,
+    ),
+)
 def test_what_fits_is_read_back_and_torn_bytes_are_refused(seen: list[Any], said: list[Any]) -> None:
     evidence, records = [Evidence(*e) for e in seen], [Record(*r) for r in said]
     some, more = fit(evidence, records, LIMITS.datagram_bytes)
@@ -349,7 +387,7 @@
     f = Heads()
     f.run(10)
     good = envelope(Words(NOTHING, (dead(),)), 1, 999, 0, 0)
-    strange = replace(good, number=1000, body=good.body[:DIGEST] + b"\x09" + good.body[DIGEST + 1:])
+    strange = replace(good, number=1000, body=good.body[:DIGEST] + b"\x09" + good.body[DIGEST + 1 :])
     f.run(1, (0, api.PeerMessage(1, codec.seal(good))), (0, api.PeerMessage(1, codec.seal(strange))))
     assert f.talks[0].dropped == {"word too old": 1, "no such verdict": 1}
     off = Talk(Controller(settings(may_tell=True), 1), life=1)
@@ -357,9 +395,14 @@
     assert off.dropped == {"other kind": 1} and off.known("verdicts", T0) == []
 
 
-@pytest.mark.parametrize("section, key", [
-    ({"verdict": True}, "fleet.verdict: not known"), (7, "fleet: missing"),
-    ({"bans": 1}, "fleet.bans: expected true or false")])
+@pytest.mark.parametrize(
+    "section, key",
+    [
+        ({"verdict": True}, "fleet.verdict: not known"),
+        (7, "fleet: missing"),
+        ({"bans": 1}, "fleet.bans: expected true or false"),
+    ],
+)
 def test_a_fault_in_the_section_names_its_key(section: object, key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
         read_fleet(section)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -17,8 +17,10 @@
     "Classes.0.GiveUpUs=1500000 Classes.0.Effect=free "
     "Contracts.count=1 Contracts.0.Name=gold Contracts.0.Weight=1.0 Contracts.0.UsualRate=2.0"
 )
-START = f"BATCH 1000\nSELECT 3\nLAUNCH 42 {SETTINGS}\nDIRECTORY_UPDATE disk 1 1\n" \
+START = (
+    f"BATCH 1000\nSELECT 3\nLAUNCH 42 {SETTINGS}\nDIRECTORY_UPDATE disk 1 1\n"
     "BRICK std 0 10.0.0.1:9 1 - dc in_service\nEND\n"
+)
 ASK = "BATCH 2000\nSELECT 3\nACCEPT a read gold k 1502000 v 2 0 1 0 0 extra\nEND\n"
 
 
@@ -40,15 +42,18 @@
     assert talk(START + ASK + again + late)[-1] == "FINISHED"
 
 
-@pytest.mark.parametrize("text, words", [
-    ("HELLO\n", "line 1.*BATCH"),
-    (START.replace("Me=0", "Me=zero"), "line 3.*setting Me"),
-    (START + "BATCH 5\nSELECT 4\nLEFT a\nEND\n", "HostId"),
-    (START + "BATCH 5\nSELECT 3\nLEFT\nEND\n", "line 9.*Ticket"),
-    (START + ASK.replace(" 1502000 ", " soon "), "line 9.*NotAfterUs"),
-    (START + "BATCH 5\nSELECT 3\n", "ended inside"),
-    (START.replace("in_service", "asleep"), "line 5.*Phase"),
-])
+@pytest.mark.parametrize(
+    "text, words",
+    [
+        ("HELLO\n", "line 1.*BATCH"),
+        (START.replace("Me=0", "Me=zero"), "line 3.*setting Me"),
+        (START + "BATCH 5\nSELECT 4\nLEFT a\nEND\n", "HostId"),
+        (START + "BATCH 5\nSELECT 3\nLEFT\nEND\n", "line 9.*Ticket"),
+        (START + ASK.replace(" 1502000 ", " soon "), "line 9.*NotAfterUs"),
+        (START + "BATCH 5\nSELECT 3\n", "ended inside"),
+        (START.replace("in_service", "asleep"), "line 5.*Phase"),
+    ],
+)
 def test_bad_input_ends_with_one_plain_line(
     text: str, words: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
