--- a/garnetlanding/audit/audited.py
+++ b/garnetlanding/audit/audited_module.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from garnetlanding.audit.recorder import Recorder
-from garnetlanding.core.ports import Module
+from garnetlanding.core.ports import DecisionModule
 from garnetlanding.decision import interface as api
 
 
-class Audited:
+class AuditedModule:
     """Stands where the module stood."""
 
-    def __init__(self, module: Module, recorder: Recorder) -> None:
+    def __init__(self, module: DecisionModule, recorder: Recorder) -> None:
         self.module, self.recorder = module, recorder
 
     @property
--- a/garnetlanding/audit/files.py
+++ b/garnetlanding/audit/files.py
@@ -18,12 +18,12 @@
 
 log = logging.getLogger(__name__)
 SEGMENT = re.compile(r"(.+)-audit-(\d+)\.(\d{8})")
-Lives = dict[int, list[tuple[int, str]]]  # by life: number and path of each segment, in order
+ProcessRegistry = dict[int, list[tuple[int, str]]]  # by life: number and path of each segment, in order
 
 
-def names(folder: str) -> dict[str, Lives]:
+def names(folder: str) -> dict[str, ProcessRegistry]:
     """By what the files of a head begin with. Raises OSError."""
-    found: dict[str, Lives] = {}
+    found: dict[str, ProcessRegistry] = {}
     for name in sorted(os.listdir(folder)):
         if match := SEGMENT.fullmatch(name):
             lives = found.setdefault(match[1], {})
@@ -63,7 +63,7 @@
             }
         )
 
-    def _mine(self) -> Lives:
+    def _mine(self) -> ProcessRegistry:
         return names(self._folder).get(self._begins_with.removesuffix("-audit"), {})
 
     def _earlier(self) -> tuple[int, str]:
@@ -76,7 +76,7 @@
         try:
             with open(path, "rb") as file:
                 found = segments.read(os.path.basename(path), file.read(), True, self._limits)
-        except (OSError, segments.Damage) as problem:
+        except (OSError, segments.CorruptSegmentError) as problem:
             return max(lives), str(problem)
         return max(lives), f"cut short at offset {found.torn_at}" if found.torn_at >= 0 else ""
 
--- a/garnetlanding/audit/merge.py
+++ b/garnetlanding/audit/merge.py
@@ -39,15 +39,15 @@
 
 
 @dataclass(slots=True)
-class Fleet:
+class FleetTimeline:
     spans: list[Span] = field(default_factory=list)
     problems: list[str] = field(default_factory=list)  # what is missing, contradicts itself, or stood still
     refused: list[tuple[str, int, str, str]] = field(default_factory=list)  # head, wall, component, why
 
 
-def merge(segments: Iterable[Segment], limits: AuditLimits, missing: Sequence[str] = ()) -> Fleet:
+def merge(segments: Iterable[Segment], limits: AuditLimits, missing: Sequence[str] = ()) -> FleetTimeline:
     """`missing`: heads that should have files and have none."""
-    fleet, lives = Fleet(), defaultdict[tuple[str, int], list[Segment]](list)
+    fleet, lives = FleetTimeline(), defaultdict[tuple[str, int], list[Segment]](list)
     for segment in segments:
         lives[segment.head, segment.life].append(segment)
     heads = sorted({head for head, _ in lives})
@@ -76,7 +76,7 @@
     lives: set[tuple[str, int]],
     dropped: tuple[int, int],
     limits: AuditLimits,
-    fleet: Fleet,
+    fleet: FleetTimeline,
 ) -> None:
     """`dropped`: life and number of the last segment that was dropped for size or age."""
     head, life = segments[0].head, segments[0].life
@@ -115,7 +115,7 @@
 
 
 def _record(
-    head: str, life: int, r: dict[str, Any], now: Span | None, gap_us: float, fleet: Fleet
+    head: str, life: int, r: dict[str, Any], now: Span | None, gap_us: float, fleet: FleetTimeline
 ) -> Span | None:
     wall, kind = r["wall"], r["kind"]
     if kind == "refused":
@@ -156,7 +156,7 @@
     return now
 
 
-def _contradictions(fleet: Fleet) -> None:
+def _contradictions(fleet: FleetTimeline) -> None:
     digests: dict[str, dict[str, str]] = defaultdict(dict)  # by revision: digest, and who has it
     for span in fleet.spans:
         revision, _, digest = span.vector.get("settings", "").rpartition("#")
@@ -182,12 +182,12 @@
             fleet.problems.append(f"number {number} is that of {' and '.join(sorted(heads))}")
 
 
-def at(fleet: Fleet, wall: int) -> list[Span]:
+def at(fleet: FleetTimeline, wall: int) -> list[Span]:
     """Who acted on what at that time, each by its own clock."""
     return [span for span in fleet.spans if span.since <= wall and (wall < span.until or span.how == "holds")]
 
 
-def on(fleet: Fleet, component: str, version: str) -> list[Span]:
+def on(fleet: FleetTimeline, component: str, version: str) -> list[Span]:
     """All that acted on a version of a component."""
     return [span for span in fleet.spans if _version(span, component) == version]
 
@@ -214,7 +214,7 @@
     why: str  # the last was late
 
 
-def lags(fleet: Fleet, component: str) -> list[Lag]:
+def lags(fleet: FleetTimeline, component: str) -> list[Lag]:
     """Of each version of a component, in the order in which heads first acted on them. A head that is
     out does not act, whatever it holds."""
     first: dict[str, Span] = {}
@@ -248,7 +248,7 @@
     return found
 
 
-def _why(fleet: Fleet, span: Span) -> str:
+def _why(fleet: FleetTimeline, span: Span) -> str:
     """What its files say of why a head acted on a version to the last."""
     if any(
         head == span.head and abs(wall - span.until) <= span.until - span.since
--- a/garnetlanding/audit/reading.py
+++ b/garnetlanding/audit/reading.py
@@ -7,7 +7,7 @@
 
 from garnetlanding.audit import files, segments
 from garnetlanding.audit.limits import LIMITS
-from garnetlanding.audit.segments import Damage, Segment
+from garnetlanding.audit.segments import CorruptSegmentError, Segment
 
 
 def read(places: Iterable[str]) -> tuple[list[Segment], list[str]]:
@@ -23,7 +23,7 @@
                     data = file.read()
                 try:
                     told.append(segments.read(os.path.basename(path), data, last, LIMITS))
-                except Damage as problem:
+                except CorruptSegmentError as problem:
                     problems.append(str(problem))
                     told += problem.before
     return told, problems
--- a/garnetlanding/audit/report.py
+++ b/garnetlanding/audit/report.py
@@ -19,16 +19,16 @@
 from garnetlanding.audit import merge as merging
 from garnetlanding.audit import reading
 from garnetlanding.audit.limits import LIMITS
-from garnetlanding.audit.merge import Fleet, Span
+from garnetlanding.audit.merge import FleetTimeline, Span
 
 COLUMNS = 140  # of a table that goes to no terminal
 
 
-class Nothing(ValueError):
+class NoRecordsError(ValueError):
     """There is nothing to read; the text says where."""
 
 
-def _read(places: Sequence[str], missing: Sequence[str] = ()) -> Fleet:
+def _read(places: Sequence[str], missing: Sequence[str] = ()) -> FleetTimeline:
     """Raises OSError and Nothing."""
     with Progress(console=Console(stderr=True), disable=not sys.stderr.isatty()) as bar:
         task = bar.add_task("reading", total=len(places))
@@ -39,7 +39,7 @@
             problems += bad
             bar.advance(task)
     if not segments:
-        raise Nothing(f"no audit in {', '.join(places)}")
+        raise NoRecordsError(f"no audit in {', '.join(places)}")
     fleet = merging.merge({(s.head, s.life, s.number): s for s in segments}.values(), LIMITS, missing)
     fleet.problems = sorted({*problems, *fleet.problems})
     return fleet
@@ -168,12 +168,12 @@
     return 1 if fleet.problems else 0
 
 
-def draw(fleet: Fleet, path: pathlib.Path) -> None:
+def draw(fleet: FleetTimeline, path: pathlib.Path) -> None:
     """Versions of the settings by head over time. Raises Nothing without matplotlib."""
     try:
         import matplotlib
     except ImportError as problem:
-        raise Nothing(f"charts need the extra `lab`: {problem}") from None
+        raise NoRecordsError(f"charts need the extra `lab`: {problem}") from None
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
--- a/garnetlanding/audit/segments.py
+++ b/garnetlanding/audit/segments.py
@@ -19,7 +19,7 @@
 FIRST = bytes(HASH)  # before a head's first record
 
 
-class Damage(ValueError):
+class CorruptSegmentError(ValueError):
     """What cannot be read though it stands whole in the file; the text names file and offset. `before`: what
     stands before it."""
 
@@ -64,22 +64,22 @@
     """`name`: of the file, for what is said of it. `last`: of its head; only there may a record be cut short.
     Raises Damage."""
     if not data.startswith(MAGIC):
-        raise Damage(f"{name}: offset 0: not a segment of an audit")
+        raise CorruptSegmentError(f"{name}: offset 0: not a segment of an audit")
     at = len(MAGIC)
     body, at = _body(name, data, at, limits)
     if body is None:
-        raise Damage(f"{name}: offset {at}: the header is cut short")
+        raise CorruptSegmentError(f"{name}: offset {at}: the header is cut short")
     try:
         told = json.loads(body)
         found = Segment(
             str(told["head"]), int(told["life"]), int(told["segment"]), bytes.fromhex(told["before"])
         )
     except (ValueError, KeyError, TypeError):
-        raise Damage(f"{name}: offset {len(MAGIC)}: the header makes no sense") from None
+        raise CorruptSegmentError(f"{name}: offset {len(MAGIC)}: the header makes no sense") from None
     found.last = found.before
     try:
         _records(name, data, at, last, limits, found)
-    except Damage as problem:
+    except CorruptSegmentError as problem:
         problem.before = (found,)
         raise
     return found
@@ -91,18 +91,18 @@
         body, at = _body(name, data, at, limits)
         if body is None:
             if not last:
-                raise Damage(f"{name}: offset {begins}: cut short, and another segment follows")
+                raise CorruptSegmentError(f"{name}: offset {begins}: cut short, and another segment follows")
             found.torn_at = begins
             return
         own, text = body[:HASH], body[HASH:]
         if len(own) < HASH or chain(found.last, text) != own:
-            raise Damage(f"{name}: offset {begins}: does not follow on the record before it")
+            raise CorruptSegmentError(f"{name}: offset {begins}: does not follow on the record before it")
         try:
             payload = json.loads(text)
         except ValueError:
-            raise Damage(f"{name}: offset {begins}: no JSON") from None
+            raise CorruptSegmentError(f"{name}: offset {begins}: no JSON") from None
         if not isinstance(payload, dict):
-            raise Damage(f"{name}: offset {begins}: no record")
+            raise CorruptSegmentError(f"{name}: offset {begins}: no record")
         found.records.append(payload)
         found.last = own
 
@@ -118,12 +118,12 @@
     if end <= len(data) and crc32c(body) == total:
         return body, end
     if length > limits.record_bytes:
-        raise Damage(f"{name}: offset {at}: a length of {length}")
+        raise CorruptSegmentError(f"{name}: offset {at}: a length of {length}")
     if end <= len(data):
-        raise Damage(f"{name}: offset {at}: the sum does not hold")
+        raise CorruptSegmentError(f"{name}: offset {at}: the sum does not hold")
     # Its end is missing, or its length is wrong: then records that are whole stand behind it.
     if any(_whole(data, later) for later in range(at + 1, len(data) - HEAD.size)):
-        raise Damage(f"{name}: offset {at}: does not read, and records stand behind it")
+        raise CorruptSegmentError(f"{name}: offset {at}: does not read, and records stand behind it")
     return None, at
 
 
--- a/garnetlanding/audit/start.py
+++ b/garnetlanding/audit/start.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from garnetlanding.audit.audited import Audited
+from garnetlanding.audit.audited_module import AuditedModule
 from garnetlanding.audit.files import AuditFiles
 from garnetlanding.audit.recorder import Recorder
 from garnetlanding.audit.setup import AuditSetup
-from garnetlanding.core.core import Core
+from garnetlanding.core.engine import RequestEngine
 
 
 class Talking(Protocol):
@@ -23,7 +23,7 @@
 
 def start(
     setup: AuditSetup,
-    core: Core,
+    core: RequestEngine,
     sources: Mapping[str, Callable[[], str]],
     name: str,
     life: int,
@@ -51,5 +51,5 @@
         heard,
         files.keep,
     )
-    core.module = Audited(core.module, recorder)
+    core.module = AuditedModule(core.module, recorder)
     return recorder, files
--- a/garnetlanding/choices/setup.py
+++ b/garnetlanding/choices/setup.py
@@ -21,13 +21,13 @@
 
     def used(self, settings: api.Settings) -> api.Settings:
         """With the budget of further attempts, where the settings have none of their own."""
-        if settings.budget_span_us or not (self.resend_share or self.resend_free):
+        if settings.retry_budget_window_us or not (self.resend_share or self.resend_free):
             return settings
         return replace(
             settings,
-            budget_share=self.resend_share,
-            budget_free=self.resend_free,
-            budget_span_us=self.resend_span_us,
+            retry_budget_ratio=self.resend_share,
+            retry_budget_floor=self.resend_free,
+            retry_budget_window_us=self.resend_span_us,
         )
 
 
--- a/garnetlanding/choices/kept.py
+++ b/garnetlanding/choices/subset_tracker.py
@@ -7,7 +7,7 @@
 from garnetlanding.choices.subsets import subsets
 
 
-class Kept:
+class SubsetTracker:
     """Computed anew only when a head or a server has come or gone."""
 
     def __init__(self, k: int) -> None:
--- a/garnetlanding/cli.py
+++ b/garnetlanding/cli.py
@@ -52,11 +52,11 @@
     except configuration.ConfigError as problem:
         return _say(WRONG, str(problem))
     from garnetlanding.daemon import Daemon
-    from garnetlanding.store.store import FileError
+    from garnetlanding.store.store import StoreFileError
 
     try:
         return Daemon(settings, read_again=read).run()
-    except (OSError, FileError) as problem:
+    except (OSError, StoreFileError) as problem:
         return _say(FAILED, f"cannot serve: {problem}")
 
 
@@ -192,12 +192,12 @@
 
 def _ops_command(what: str, help_text: str) -> None:
     def run(address: str, wait_s: float, as_json: bool, brick: str = "") -> int:
-        from garnetlanding.ops import caller
+        from garnetlanding.ops import admin_client
 
         try:
-            reply = caller.call(address, what, brick, wait_s)
-            click.echo((caller.as_json if as_json else caller.as_text)(what, reply))
-        except caller.Unreachable as problem:
+            reply = admin_client.call(address, what, brick, wait_s)
+            click.echo((admin_client.as_json if as_json else admin_client.as_text)(what, reply))
+        except admin_client.InstanceUnreachableError as problem:
             return _say(FAILED, str(problem))
         except ValueError as problem:
             return _say(WRONG, str(problem))
--- a/garnetlanding/config/platform.py
+++ b/garnetlanding/config/platform.py
@@ -126,7 +126,7 @@
     if extras.ninep:
         limits = _share_with_ninep(limits, extras.ninep)
     peers = None
-    if settings.may_tell:  # what the settings forbid is not imported
+    if settings.may_message_peers:  # what the settings forbid is not imported
         from garnetlanding.peers import setup as peers_setup
 
         peers = peers_setup.read(top, settings.me)
--- a/garnetlanding/core/directory.py
+++ b/garnetlanding/core/endpoint_registry.py
@@ -5,21 +5,21 @@
 import zlib
 from dataclasses import replace
 
-from garnetlanding.core.ports import Listing
-from garnetlanding.decision.interface import NodeEntry, NodeState
+from garnetlanding.core.ports import EndpointListing
+from garnetlanding.decision.interface import Endpoint, EndpointState
 
 
-class Directory:
+class EndpointRegistry:
     """The list as told, and above it the servers that an operator has taken out: these count as draining
     until put back, whatever lists say of them meanwhile, and as just started from then on."""
 
     def __init__(self) -> None:
-        self._entries: dict[str, NodeEntry] = {}  # as listed
+        self._entries: dict[str, Endpoint] = {}  # as listed
         self._endpoint: dict[str, str] = {}
         self.banned: frozenset[str] = frozenset()
         self._back_us: dict[str, int] = {}  # when those once taken out were put back
 
-    def apply(self, listing: Listing) -> list[str]:
+    def apply(self, listing: EndpointListing) -> list[str]:
         """Takes a listing up. What is odd in it, entry by entry, is returned for the log: it can be read, and
         what a list says of a server counts as told, so it holds all the same, the last word on each server
         above the ones before it."""
@@ -29,7 +29,7 @@
             self._entries.clear()
             self._endpoint.clear()
         for entry in listing.entries:
-            if entry.state is NodeState.GONE:
+            if entry.state is EndpointState.GONE:
                 # Replaced servers come back under other names: kept, these would grow without end.
                 self._entries.pop(entry.node, None)
                 self._endpoint.pop(entry.node, None)
@@ -40,7 +40,7 @@
             self._back_us = {node: at for node, at in self._back_us.items() if node in self._entries}
         return odd
 
-    def _odd(self, listing: Listing) -> list[str]:
+    def _odd(self, listing: EndpointListing) -> list[str]:
         if listing.whole and not listing.entries and self._entries:
             return [f"whole list is empty, {len(self._entries)} servers were known"]
         odd: list[str] = []
@@ -50,20 +50,20 @@
                 odd.append(f"{entry.node} is named twice")
             named.add(entry.node)
             known = self._entries.get(entry.node, entry)
-            if known.cell != entry.cell and entry.state is not NodeState.GONE:
+            if known.cell != entry.cell and entry.state is not EndpointState.GONE:
                 # A server that restarts or is replaced keeps its cell: what is held for either goes astray.
                 odd.append(f"{entry.node} moved from cell {known.cell} to {entry.cell}")
         return odd
 
-    def as_used(self, entry: NodeEntry) -> NodeEntry:
+    def as_used(self, entry: Endpoint) -> Endpoint:
         """The entry with what an operator has said of that server above what the list says."""
-        if entry.node in self.banned and entry.state is NodeState.UP:
-            return replace(entry, state=NodeState.DRAINING, by_hand=True)
+        if entry.node in self.banned and entry.state is EndpointState.UP:
+            return replace(entry, state=EndpointState.DRAINING, admin_disabled=True)
         # While it was out it was restarted, which the list may tell late: it comes back cold.
         back = self._back_us.get(entry.node, 0)
         return replace(entry, started_us=back) if back > entry.started_us else entry
 
-    def ban(self, banned: frozenset[str], now: int) -> list[NodeEntry]:
+    def ban(self, banned: frozenset[str], now: int) -> list[Endpoint]:
         """Takes up who is out from now on; gives back the listed entries that this changes."""
         changed = sorted(banned ^ self.banned)
         self._back_us |= {node: now for node in changed if node not in banned}
@@ -97,5 +97,5 @@
     def endpoint(self, node: str) -> str | None:
         """None for a server that drains, is gone or was never named: it may not be sent anything."""
         entry = self._entries.get(node)
-        up = entry and entry.state is NodeState.UP and node not in self.banned
+        up = entry and entry.state is EndpointState.UP and node not in self.banned
         return self._endpoint[node] if up else None
--- a/garnetlanding/core/core.py
+++ b/garnetlanding/core/engine.py
@@ -11,23 +11,23 @@
 from typing import Any
 
 from garnetlanding.core.body import Body
-from garnetlanding.core.directory import Directory
-from garnetlanding.core.figures import Figures, encode
+from garnetlanding.core.endpoint_registry import EndpointRegistry
+from garnetlanding.core.metrics import RequestMetrics, encode
 from garnetlanding.core.ports import (
     Answer,
-    Answered,
-    Ask,
     Backend,
+    DecisionModule,
+    EndpointListing,
     Failed,
-    Listing,
-    Module,
+    InvalidRequestError,
     Observer,
-    Refused,
+    Rejected,
+    RequestSpec,
+    ResponseCallback,
     Served,
     Subscriptions,
     Timer,
     Timers,
-    Unfit,
 )
 from garnetlanding.decision import interface as api
 from garnetlanding.limits import Limits
@@ -54,7 +54,9 @@
         "_heard_at",
     )
 
-    def __init__(self, core: Core, item: Item, number: int, node: str, until_us: int, now: int) -> None:
+    def __init__(
+        self, core: RequestEngine, item: Request, number: int, node: str, until_us: int, now: int
+    ) -> None:
         self._core, self.item, self.number, self.node = core, item, number, node
         self.until_us, self.sent_at, self.ended_at = until_us, now, 0
         self.outcome: api.Outcome | None = None
@@ -93,7 +95,7 @@
             self._core.attempt_ended(self, outcome, value, used, report or {})
 
 
-class Item:
+class Request:
     __slots__ = (
         "ticket",
         "ask",
@@ -106,7 +108,9 @@
         "timer",
     )
 
-    def __init__(self, ticket: str, ask: Ask, backend: Backend, answered: Answered, now: int) -> None:
+    def __init__(
+        self, ticket: str, ask: RequestSpec, backend: Backend, answered: ResponseCallback, now: int
+    ) -> None:
         self.ticket, self.ask, self.backend, self.answered = ticket, ask, backend, answered
         self.began_at, self.until_us = now, now + ask.wait_us
         self.attempts: list[Attempt] = []
@@ -117,17 +121,17 @@
         return [a for a in self.attempts if a.outcome is None]
 
 
-class Core:
-    def __init__(self, module: Module, timers: Timers, limits: Limits) -> None:
+class RequestEngine:
+    def __init__(self, module: DecisionModule, timers: Timers, limits: Limits) -> None:
         """`module`: what is fed the events, which may be put into something else later."""
         self.module, self._timers, self._limits = module, timers, limits
         self._settings = module.s
-        self.directory = Directory()
-        self.figures = Figures(module.s.classes)
+        self.directory = EndpointRegistry()
+        self.figures = RequestMetrics(module.s.classes)
         self.subscriptions: Subscriptions | None = None
         self.observers: list[Observer] = []
         self.tell: Callable[[bytes, int], None] | None = None  # where heads may send each other messages
-        self._items: dict[str, Item] = {}
+        self._items: dict[str, Request] = {}
         self._events: list[api.Event] = []
         self._open_bytes = 0
         self.open = 0  # items not yet answered
@@ -147,19 +151,19 @@
 
     # From fronts
 
-    def accept(self, ask: Ask, backend: Backend, answered: Answered) -> str:
+    def accept(self, ask: RequestSpec, backend: Backend, answered: ResponseCallback) -> str:
         """Takes an item; `answered` is called exactly once, unless the client leaves first. Raises Unfit
         for what the settings have no place for: it would spoil what the module keeps for others."""
         if why := self._unfit(ask):
-            raise Unfit(why)
+            raise InvalidRequestError(why)
         self.figures.taken += 1
-        item = Item(f"i{self.figures.taken}", ask, backend, answered, self._timers.now)
+        item = Request(f"i{self.figures.taken}", ask, backend, answered, self._timers.now)
         self.open += 1
         self._open_bytes += ask.size
         self._items[item.ticket] = item
         if self.used > self.part or self.out:
             # The head's own room, not a server's: the one refusal that is not the controller's.
-            self._finish(item, Refused(self._settings.max_hold_off_us))
+            self._finish(item, Rejected(self._settings.max_retry_after_us))
         else:
             item.timer = self._timers.call_at(item.until_us, lambda: self._deadline(item))
             self._events.append(
@@ -184,7 +188,7 @@
         """What part of the head's own room is taken."""
         return max(self.open / self._limits.open_items, self._open_bytes / self._limits.open_bytes)
 
-    def _unfit(self, ask: Ask) -> str:
+    def _unfit(self, ask: RequestSpec) -> str:
         settings = self._settings
         if ask.cls not in settings.classes:
             return "unknown class"
@@ -192,7 +196,7 @@
             return "unknown plan"
         if settings.cells and ask.cell >= settings.cells:
             return "unknown shard"
-        if ask.units > settings.most_units:
+        if ask.units > settings.max_units:
             return "more units than the largest request has"
         return "more hosts than there are" if ask.volume_hosts > settings.hosts else ""
 
@@ -223,7 +227,7 @@
     def ban(self, banned: frozenset[str]) -> None:
         """These servers are sent nothing from now on; those put back may be again, as if just started."""
         if changed := self.directory.ban(banned, self._timers.now):
-            self._events.append(api.NodeList(tuple(changed)))
+            self._events.append(api.EndpointListUpdate(tuple(changed)))
 
     def metrics(self) -> str:
         """The figures as text, true at this moment."""
@@ -231,14 +235,14 @@
 
     # From the directory
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: EndpointListing) -> None:
         if odd := self.directory.apply(listing):
             log.warning("odd list", extra={"kv": {"first": odd[0], "count": len(odd)}})
         entries = tuple(map(self.directory.as_used, listing.entries))
-        self._events.append(api.NodeList(entries, listing.whole, at_start=listing.at_start))
+        self._events.append(api.EndpointListUpdate(entries, listing.whole, at_start=listing.at_start))
 
     def list_failed(self, queued: bool = False, unheard_us: int = 0) -> None:
-        self._events.append(api.NodeList(failed=True, queued=queued, unheard_us=unheard_us))
+        self._events.append(api.EndpointListUpdate(failed=True, queued=queued, unheard_us=unheard_us))
 
     # From other heads
 
@@ -308,7 +312,7 @@
                     or all(a.outcome in NEVER_RAN for a in item.attempts)
                 )
                 self._finish(
-                    item, Refused(self._settings.max_hold_off_us) if harmless else Failed("not current")
+                    item, Rejected(self._settings.max_retry_after_us) if harmless else Failed("not current")
                 )
                 self._events.append(api.ClientLeft(item.ticket))
         for told in self.on_out:
@@ -326,8 +330,8 @@
         match action:
             case api.Send():
                 self._send(action)
-            case api.Refuse():
-                self._final(action.request, Refused(action.hold_off_us))
+            case api.Reject():
+                self._final(action.request, Rejected(action.retry_after_us))
             case api.Fail():
                 self._final(action.request, Failed("gave up"))
             case api.Cancel():
@@ -337,12 +341,12 @@
             case api.WakeAfter():
                 token = action.token
                 self._timers.call_at(
-                    self._timers.now + action.span_us, lambda: self._events.append(api.WokeUp(token))
+                    self._timers.now + action.span_us, lambda: self._events.append(api.TimerFired(token))
                 )
             case api.Subscribe():
                 if self.subscriptions:
                     self.subscriptions.subscribe()
-            case api.Tell():
+            case api.SendPeerMessage():
                 if self.tell:
                     self.tell(action.payload, action.to)
             case api.Log():
@@ -380,7 +384,7 @@
             attempt.item.backend.stop(attempt)
             attempt.ended(outcome)
 
-    def _deadline(self, item: Item) -> None:
+    def _deadline(self, item: Request) -> None:
         for attempt in item.out():
             self._stop(attempt, api.Outcome.TIMEOUT)
         if item.answer is None:
@@ -389,7 +393,7 @@
                 self._timers.now + DEADLINE_GRACE_US, lambda: self._overdue(item)
             )
 
-    def _overdue(self, item: Item) -> None:
+    def _overdue(self, item: Request) -> None:
         """Guards the one rule no defect may break: an accepted item gets its answer."""
         if item.answer is None:
             log.error("controller gave no answer in time", extra={"kv": {"item": item.ticket}})
@@ -401,7 +405,7 @@
         if item and item.answer is None:
             self._finish(item, answer)
 
-    def _finish(self, item: Item, answer: Answer) -> None:
+    def _finish(self, item: Request, answer: Answer) -> None:
         item.answer = answer
         self._open_bytes -= item.ask.size
         if isinstance(answer, Served) and isinstance(answer.value, Body):
@@ -423,10 +427,10 @@
                 observer.item_ended(item.ask, answer, item.began_at, self._timers.now, trail)
         self._drop_settled(item)
 
-    def _ended(self, item: Item, answer: Answer) -> None:
+    def _ended(self, item: Request, answer: Answer) -> None:
         self.figures.end(item.ask.cls, answer)
         self.open -= 1
 
-    def _drop_settled(self, item: Item) -> None:
+    def _drop_settled(self, item: Request) -> None:
         if item.answer is not None and not item.out():
             self._items.pop(item.ticket, None)
--- a/garnetlanding/core/figures.py
+++ b/garnetlanding/core/metrics.py
@@ -6,10 +6,10 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from garnetlanding.core.ports import Answer, Refused, Served
+from garnetlanding.core.ports import Answer, Rejected, Served
 
 
-class Figures:
+class RequestMetrics:
     """Counts since the process began. taken = ended + open, at every moment."""
 
     def __init__(self, classes: Iterable[str]) -> None:
@@ -34,13 +34,13 @@
             self.success
             if isinstance(answer, Served)
             else self.overload
-            if isinstance(answer, Refused)
+            if isinstance(answer, Rejected)
             else self.error
         )
         counts[cls] += 1
 
 
-def encode(figures: Figures, concurrent: int, targets: int, disabled: int) -> str:
+def encode(figures: RequestMetrics, concurrent: int, targets: int, disabled: int) -> str:
     """A line for each figure: `app.NAME:VALUE|c` for a count, `|g` for what goes up and down."""
     lines = [
         f"app.{name}.{cls}:{counts[cls]}|c"
--- a/garnetlanding/core/ports.py
+++ b/garnetlanding/core/ports.py
@@ -7,11 +7,11 @@
 from typing import Any, Protocol
 
 from garnetlanding.decision import interface as api
-from garnetlanding.decision.interface import NodeEntry, Outcome
+from garnetlanding.decision.interface import Endpoint, Outcome
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class RequestSpec:
     """One request as a front read it; `work` is for the backend alone."""
 
     cls: str
@@ -29,7 +29,7 @@
     copies: bool = True  # a second attempt may be out beside the first, where the settings allow it
 
 
-class Unfit(ValueError):
+class InvalidRequestError(ValueError):
     """A request that can never be taken; the text says why."""
 
 
@@ -39,10 +39,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class Rejected:
     """Trying again is harmless; after hold_off_us, if that is not 0."""
 
-    hold_off_us: int = 0
+    retry_after_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,21 +50,21 @@
     why: str
 
 
-Answer = Served | Refused | Failed
-Answered = Callable[[Answer], None]
+Answer = Served | Rejected | Failed
+ResponseCallback = Callable[[Answer], None]
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class EndpointListing:
     """The server list or its changes; `endpoints` tells where each server named listens."""
 
-    entries: tuple[NodeEntry, ...]
+    entries: tuple[Endpoint, ...]
     endpoints: dict[str, str]
     whole: bool
     at_start: bool = False
 
 
-class Module(Protocol):
+class DecisionModule(Protocol):
     """The decision module, or what stands around it."""
 
     @property
@@ -73,7 +73,7 @@
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]: ...
 
 
-class Trial(Protocol):
+class AttemptHandle(Protocol):
     """One attempt, as a backend sees it."""
 
     @property
@@ -103,9 +103,9 @@
 class Backend(Protocol):
     """Carries attempts to servers over one protocol."""
 
-    def start(self, trial: Trial) -> None: ...
+    def start(self, trial: AttemptHandle) -> None: ...
 
-    def stop(self, trial: Trial) -> None:
+    def stop(self, trial: AttemptHandle) -> None:
         """On return the attempt is off: the server no longer owes it anything."""
 
 
@@ -131,7 +131,7 @@
 
     def item_ended(
         self,
-        ask: Ask,
+        ask: RequestSpec,
         answer: Answer,
         began_us: int,
         ended_us: int,
--- a/garnetlanding/daemon.py
+++ b/garnetlanding/daemon.py
@@ -15,7 +15,7 @@
 
 from garnetlanding import __version__
 from garnetlanding.config import Config, ConfigError, read_settings, reload
-from garnetlanding.core.core import Core
+from garnetlanding.core.engine import RequestEngine
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.discovery.listing import read_list
@@ -27,7 +27,7 @@
 from garnetlanding.runtime.scheduler import Scheduler, monotonic_us
 from garnetlanding.runtime.signals import Signals
 from garnetlanding.shutdown import Shutdown
-from garnetlanding.store.known import SETTINGS, keep_list, newer_list
+from garnetlanding.store.cached_endpoints import SETTINGS, keep_list, newer_list
 from garnetlanding.store.setup import StoreSetup
 from garnetlanding.store.store import Entry, Store
 
@@ -38,16 +38,16 @@
     from garnetlanding.choices.setup import ChoicesSetup
     from garnetlanding.history.writer import History
     from garnetlanding.ninep.setup import Ninep
-    from garnetlanding.ops.desk import Desk
-    from garnetlanding.ops.lives import Lives
-    from garnetlanding.ops.shared import SharedBans
-    from garnetlanding.peers.budgets import Budgets
-    from garnetlanding.peers.fleet import Fleet
-    from garnetlanding.peers.group import Group
+    from garnetlanding.ops.admin_service import AdminService
+    from garnetlanding.ops.process_registry import ProcessRegistry
+    from garnetlanding.ops.replicated_disables import ReplicatedDisables
+    from garnetlanding.peers.coordinator import PeerCoordinator
+    from garnetlanding.peers.failure_detector import FailureDetector
     from garnetlanding.peers.link import PeerLink
+    from garnetlanding.peers.membership_protocol import MembershipProtocol
     from garnetlanding.peers.setup import FleetSetup, PeerSetup
-    from garnetlanding.peers.talk import Talk
-    from garnetlanding.store.currency import Currency
+    from garnetlanding.peers.shared_budgets import SharedBudgets
+    from garnetlanding.store.staleness_guard import StalenessGuard
     from garnetlanding.telemetry.exporter import Exporter
 
 log = logging.getLogger(__name__)
@@ -68,15 +68,15 @@
         self.listeners: list[Listener] = []
         self.store = self._open_store(config.operator.store)
         self.part = 1.0  # of the head's bounds
-        self.lives: Lives | None = None
+        self.lives: ProcessRegistry | None = None
         self.ending = False
         if config.ops:
-            from garnetlanding.ops.lives import Lives
+            from garnetlanding.ops.process_registry import ProcessRegistry
 
-            self.lives = Lives(tempfile.gettempdir(), config.name)
+            self.lives = ProcessRegistry(tempfile.gettempdir(), config.name)
             self.part = self.lives.look(0.0, False)
         settings = read_settings(self.store.get(SETTINGS, config.raw_settings))
-        self.core = Core(Controller(self._as_used(settings), config.seed), self.scheduler, limits)
+        self.core = RequestEngine(Controller(self._as_used(settings), config.seed), self.scheduler, limits)
         self.scheduler.turn_end.append(self.core.turn)
         self.bricks = bricks(self.scheduler, self.pool, limits)
         # One offset for good: were it read anew, a server's start time would seem to move.
@@ -95,7 +95,7 @@
             self.core.list_failed,
             lambda data: keep_list(self.store, data),
             version,
-            lambda: not self.core.settings.ask_for_list,
+            lambda: not self.core.settings.poll_endpoints,
         )
         self.core.listed(listing)
         self.watch.hold()
@@ -103,17 +103,17 @@
         self.audit: Recorder | None = None
         self.audit_files: AuditFiles | None = None
         self.settings_version = ""
-        self.currency: Currency | None = None
+        self.currency: StalenessGuard | None = None
         self.life = self._wall_ms()  # greater at each start, whatever the monotonic clock says
         self.history: History | None = None
         self._dropped: Counter[str] = Counter()  # messages of other heads, by cause
-        self.talk: Talk | None = None
-        self.fleet: Fleet | None = None
-        self.group: Group | None = None
-        self._budgets: Callable[[api.Settings, int, int], Budgets] | None = None
+        self.talk: PeerCoordinator | None = None
+        self.fleet: FailureDetector | None = None
+        self.group: MembershipProtocol | None = None
+        self._budgets: Callable[[api.Settings, int, int], SharedBudgets] | None = None
         self._link_retry = False  # a try to open it is planned
         self.exporter: Exporter | None = None
-        self.desk: Desk | None = None
+        self.desk: AdminService | None = None
         self.ops: Listener | None = None
 
     def run(self) -> int:
@@ -178,28 +178,28 @@
             self.history.note("up")
 
     def _start_fleet(self, on: FleetSetup, peers: PeerSetup) -> None:
-        from garnetlanding.peers.fleet import Fleet
+        from garnetlanding.peers.failure_detector import FailureDetector
 
         note = self.history.note if self.history else None
-        self.fleet = Fleet(peers.limits, on.verdicts, on.bans, note)
+        self.fleet = FailureDetector(peers.limits, on.verdicts, on.bans, note)
         if on.seeds:
-            from garnetlanding.peers.group import Group
-            from garnetlanding.peers.members import Members
+            from garnetlanding.peers.membership import Membership
+            from garnetlanding.peers.membership_protocol import MembershipProtocol
 
             here = on.advertise or peers.listen
-            members = Members(
+            members = Membership(
                 peers.limits, self.core.settings.me, self.life, here, on.seeds, self.scheduler.now
             )
-            self.group = Group(peers.limits, members, note)
+            self.group = MembershipProtocol(peers.limits, members, note)
         if on.budgets:
-            from garnetlanding.peers.budgets import Budgets
+            from garnetlanding.peers.shared_budgets import SharedBudgets
 
             longest = self._longest_us if on.server_connections else 0
-            self._budgets = lambda s, life, now: Budgets(peers.limits, s, life, now, longest)
+            self._budgets = lambda s, life, now: SharedBudgets(peers.limits, s, life, now, longest)
         if on.server_connections:
-            from garnetlanding.peers.places import Places
+            from garnetlanding.peers.connection_quota import ConnectionQuota
 
-            self.bricks.places = Places(
+            self.bricks.places = ConnectionQuota(
                 on.server_connections,
                 self._longest_us,
                 lambda: self.scheduler.now,
@@ -212,9 +212,9 @@
         return self.limits.sweep_us + max(c.deadline_us for c in self.core.settings.classes.values())
 
     def _keep_some(self, chosen: ChoicesSetup) -> None:
-        from garnetlanding.choices.kept import Kept
+        from garnetlanding.choices.subset_tracker import SubsetTracker
 
-        kept, core = Kept(chosen.subset), self.core
+        kept, core = SubsetTracker(chosen.subset), self.core
         self.bricks.outside_idle_us = chosen.idle_us
         self.bricks.keeps = lambda: kept.look(
             core.settings.me,
@@ -222,7 +222,7 @@
             core.directory.zones(),
         )
 
-    def _hear_bans(self, fleet: Fleet) -> None:
+    def _hear_bans(self, fleet: FailureDetector) -> None:
         """Where no operator is heard: what other heads' operators said, for as long as this process lives."""
         self.scheduler.call_at(self.scheduler.now + fleet.limits.look_us, lambda: self._hear_bans(fleet))
         if fleet.merge():
@@ -255,7 +255,7 @@
         return with_twins(settings, (e.change_cls for e in ninep.exports.values() if e.writable))
 
     def _replicate(self, setup: StoreSetup) -> None:
-        from garnetlanding.choices.turns import turn
+        from garnetlanding.choices.stagger import turn
         from garnetlanding.store.replica import Follower, WriterMachine
 
         if setup.role == "writer":
@@ -267,9 +267,9 @@
             )
             return
         if setup.current_us:
-            from garnetlanding.store.currency import Currency
+            from garnetlanding.store.staleness_guard import StalenessGuard
 
-            self.currency = Currency(setup.current_us, setup.drift, self.scheduler.now)
+            self.currency = StalenessGuard(setup.current_us, setup.drift, self.scheduler.now)
         s = self.core.settings
         Follower(
             self.scheduler,
@@ -325,12 +325,12 @@
         self._listen("9P", ninep.listen, self.limits.ninep_conns, lambda write: NinepMachine(front, write))
 
     def _start_ops(self, clients: Listener) -> None:
-        from garnetlanding.ops.desk import Desk
+        from garnetlanding.ops.admin_service import AdminService
         from garnetlanding.ops.file import StateFile
-        from garnetlanding.ops.front import CallMachine
+        from garnetlanding.ops.front import AdminConnection
 
         limits, known_by = self.limits, self.scheduler.now + self.limits.ops_list_us
-        desk = self.desk = Desk(
+        desk = self.desk = AdminService(
             self.scheduler,
             self.core,
             clients,
@@ -357,17 +357,17 @@
             self.pool,
             own,
             limits.ops_conns,
-            lambda write: CallMachine(desk, self.pool, limits, write),
+            lambda write: AdminConnection(desk, self.pool, limits, write),
         )
         log.info("listening", extra={"kv": {"name": self.config.name, "for": "operators", "at": at.address}})
 
-    def _shared_bans(self) -> SharedBans | None:
+    def _shared_bans(self) -> ReplicatedDisables | None:
         on = self.config.operator.fleet
         if not (self.fleet and on and on.bans):
             return None
-        from garnetlanding.ops.shared import SharedBans
+        from garnetlanding.ops.replicated_disables import ReplicatedDisables
 
-        return SharedBans(self.fleet, lambda: self.core.settings.me, self._wall_ms)
+        return ReplicatedDisables(self.fleet, lambda: self.core.settings.me, self._wall_ms)
 
     def _wall_ms(self) -> int:
         history = self.config.operator.history
@@ -375,7 +375,7 @@
 
     def _share(self, clients: Listener) -> None:
         """Looks what the head's other process leaves to this one, and makes room for a newer one."""
-        from garnetlanding.ops.share import HALF
+        from garnetlanding.ops.process_quota import HALF
 
         assert self.lives
         if self.lives.newer:
@@ -397,7 +397,7 @@
 
     def _place_link(self) -> None:
         """Opens, moves or closes the link to other heads, as settings and configuration say by now."""
-        setup = self.config.peers if self.core.settings.may_tell else None
+        setup = self.config.peers if self.core.settings.may_message_peers else None
         if setup and self.config.operator.fleet:
             setup = self.config.operator.fleet.place(setup)
         if self.link and self.link.setup != setup:
@@ -405,12 +405,12 @@
             self.link = self.core.tell = None
         if setup is None or self.link or self._link_retry:
             return
+        from garnetlanding.peers.coordinator import PeerCoordinator
         from garnetlanding.peers.link import PeerLink
-        from garnetlanding.peers.talk import Talk
 
         if self.talk is None:
             believed = self.history.believed if self.history else None
-            talk = self.talk = Talk(
+            talk = self.talk = PeerCoordinator(
                 self.core.module,
                 self.life,
                 setup.limits,
@@ -469,9 +469,9 @@
         store = Store(setup.writer, setup.role != "follower", log_entries)
         keeper = None
         if setup.file:
-            from garnetlanding.store.file import Keeper
+            from garnetlanding.store.persister import StorePersister
 
-            keeper = Keeper(self.scheduler, store, setup.file, self.limits.store_save_us)
+            keeper = StorePersister(self.scheduler, store, setup.file, self.limits.store_save_us)
         if store.writable:
             # Each life of the writer has a greater epoch, also when its file is lost.
             store.epoch = max(store.epoch + 1, time.time_ns() // 1_000_000)
--- a/garnetlanding/decision/control.py
+++ b/garnetlanding/decision/control.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from garnetlanding.decision import interface as api
-from garnetlanding.decision.interface import Effect, Group, Outcome
+from garnetlanding.decision.interface import DeduplicationScope, Effect, Outcome
 from garnetlanding.decision.state import (
     SECOND,
     UNLIMITED,
@@ -54,7 +54,6 @@
 FORGET = 60 * SECOND  # a volume not asked for in so long; no request lasts longer
 LOG_LINES = 200  # per life
 UNSURE = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # the work may still go on
-NEVER_RAN = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.MOOT)  # proof that an attempt had no effect
 UNSEEN, NEVER = (Outcome.UNREACHABLE, Outcome.MOOT), 1 << 62  # proof that no node has had it whole; no time
 
 
@@ -69,20 +68,11 @@
             r.finish = previous = r.start + r.told.units / weight
 
 
-def maybe_ran(r: Request) -> list[Attempt]:
-    return [a for a in r.attempts if a.outcome not in NEVER_RAN]
-
-
-def larger(r: Request, h: Health) -> float:
-    """By how much it is over the usual size there: a large one takes long anywhere."""
-    return max(1.0, r.told.units / h.units) if h.units else 1.0
-
-
 class Controller(Host):
     """One host. Feed it every event in order; do what it returns, in order."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        super().__init__(LOG_LINES, settings.budget_span_us)
+        super().__init__(LOG_LINES, settings.retry_budget_window_us)
         self.rng = random.Random(seed)
         self.cold_part = settings.part  # of a cold node's budget
         self._follow(settings)
@@ -91,9 +81,10 @@
         self.list_backoff, self.born = self.list_floor, 0
         self.shares: dict[str, float] = {}  # of budgets of all hosts, in even parts; one not named is even
         self.handlers: dict[type, Callable[[Any], None]] = {
-            api.NodeList: self._on_list, api.Arrival: self._on_arrival, api.Result: self._on_result,
+            api.EndpointListUpdate: self._on_list, api.Arrival: self._on_arrival, api.Result: self._on_result,
             api.ClientLeft: self._on_left, api.StreamStarted: self._on_stream,
-            api.NewSettings: self._on_settings, api.Parts: self._on_parts, api.Hearsay: self._on_hearsay,
+            api.NewSettings: self._on_settings, api.QuotaShares: self._on_parts,
+            api.PeerSuspicions: self._on_hearsay,
         }
 
     def _follow(self, settings: api.Settings) -> None:
@@ -101,9 +92,9 @@
         # What is given up holds at once; what is gained, once the other's sends have left the fall window.
         self.cold_part = min(self.cold_part, settings.part)
         if settings.part > self.cold_part:
-            self.at(self.now + settings.fall_us, self._grow_cold_part, settings.part)
-        self.tightest = min(c.aim_us for c in settings.classes.values())
-        self.dearest = max(c.worth for c in settings.classes.values()) * max(
+            self.at(self.now + settings.overload_window_us, self._grow_cold_part, settings.part)
+        self.tightest = min(c.latency_objective_us for c in settings.classes.values())
+        self.dearest = max(c.priority_weight for c in settings.classes.values()) * max(
             p.price for p in settings.plans.values())
         self.list_floor = max(LIST_BACKOFF, min(LIST_MOST, settings.hosts * LIST_EACH))
         self.crowd = max(0.0, 1 - DEPTH_FLOOR / max(1, settings.hosts))  # how far depths can't hold a node
@@ -135,7 +126,7 @@
             if changed:
                 self._reweigh(name, volume, plan.weight)
 
-    def _on_list(self, e: api.NodeList) -> None:
+    def _on_list(self, e: api.EndpointListUpdate) -> None:
         if e.failed:
             # Always ask again, in time for what counts as told after 6 s; a queue that goes on failing, less.
             grown = min(self.s.hosts * LIST_QUEUE_EACH, self.list_backoff / LIST_PATIENCE) if e.queued else 0
@@ -148,24 +139,25 @@
         if e.at_start:
             self.born = self.now
             self.at(self.now + WEIGHT_EVERY, self._steer, None)
-            if self.s.ask_for_list:
+            if self.s.poll_endpoints:
                 self.act(api.Subscribe())
         known = ({} if e.whole else self.entries) | {entry.node: entry for entry in e.entries}
-        self.entries = {name: entry for name, entry in known.items() if entry.state is not api.NodeState.GONE}
-        self.by_hand = {entry.cell for entry in self.entries.values() if entry.by_hand}
+        gone = api.EndpointState.GONE
+        self.entries = {name: entry for name, entry in known.items() if entry.state is not gone}
+        self.admin_disabled = {entry.cell for entry in self.entries.values() if entry.admin_disabled}
         up = self.newest_up()
         for cell in [*up, *(c for c in self.nodes if c not in up)]:
             self._serve_cell(self.nodes.setdefault(cell, Node(cell)), up.get(cell))
 
-    def _serve_cell(self, node: Node, entry: api.NodeEntry | None) -> None:
+    def _serve_cell(self, node: Node, entry: api.Endpoint | None) -> None:
         old = node.health.entry if node.health else None
         self.news[node.cell] = node
         if entry is None:
             node.health = None
         elif old is None or (old.node, old.started_us) != (entry.node, entry.started_us):
             since = entry.started_us or -NEVER
-            node.health = Health(entry, since, Recent(RATE_SPAN), Recent(self.s.fall_us))
-            if self.now < since + self.s.cold_us:
+            node.health = Health(entry, since, Recent(RATE_SPAN), Recent(self.s.overload_window_us))
+            if self.now < since + self.s.warmup_us:
                 self.log(f"node {entry.node} is cold")
 
     def _on_arrival(self, e: api.Arrival) -> None:
@@ -176,10 +168,11 @@
         patience = self.patience[e.cls] = max(self.patience.get(e.cls, 0), e.until_us - self.now)
         volume = self.volumes.get(e.volume) or self._new_volume(e, plan)
         self.count += 1
-        r = Request(e, cls, volume, self.count, min(self.now, e.until_us - patience) + cls.aim_us,
-                    e.until_us - MARGIN_TICKS * self.s.tick_us, cls.worth * plan.price)
+        aim_at = min(self.now, e.until_us - patience) + cls.latency_objective_us
+        r = Request(e, cls, volume, self.count, aim_at, e.until_us - MARGIN_TICKS * self.s.tick_us,
+                    cls.priority_weight * plan.price)
         if volume.reserve.has(self.now) < e.units:
-            r.value *= self.s.share_worth
+            r.value *= self.s.over_quota_value_share
         else:
             volume.reserve.level -= e.units
             r.reserved = e.units
@@ -203,18 +196,18 @@
 
     def _plan_volume(self, volume: Volume, plan: api.PlanSpec) -> None:
         # A restarted host can't know what its earlier life spent: it starts with one request's worth.
-        level = self.s.most_units if plan.limit_rate else UNLIMITED
+        level = self.s.max_units if plan.limit_rate else UNLIMITED
         volume.plan, volume.limit = plan, Bucket(0.0, NEVER, self.now, level)
         volume.reserve = Bucket(0.0, NEVER, self.now, NEVER)
         volume.share(self.now, self.s)
 
-    def _on_parts(self, e: api.Parts) -> None:
+    def _on_parts(self, e: api.QuotaShares) -> None:
         for name, part in e.parts.items():
             self.volumes[name].part = part
             self.volumes[name].share(self.now, self.s)
         self.shares = self.shares if e.shares is None else e.shares
 
-    def _on_hearsay(self, e: api.Hearsay) -> None:
+    def _on_hearsay(self, e: api.PeerSuspicions) -> None:
         for h in (node.health for node in self.nodes.values() if node.health):
             h.doubted = e.doubted.get(h.entry.node, 0)
 
@@ -230,10 +223,10 @@
         """The final answer, unless one may yet come: a refusal where a retry is harmless, or a failure."""
         if r.over or (r.out() and self.now < r.answer_by):
             return self._unhold(r)
-        everywhere = r.cls.effect is Effect.KEYED and r.cls.group is Group.ALL
-        harmless = r.cls.effect is Effect.SAFE or everywhere or not maybe_ran(r)
-        hold_off = self.s.max_hold_off_us if self.s.heeds_hold_off else 0
-        self.act(api.Refuse(r.told.request, hold_off) if harmless else api.Fail(r.told.request))
+        everywhere = r.cls.effect is Effect.KEYED and r.cls.group is DeduplicationScope.ALL
+        harmless = r.cls.effect is Effect.SAFE or everywhere or not r.attempts_that_may_have_run()
+        hold_off = self.s.max_retry_after_us if self.s.honors_retry_after else 0
+        self.act(api.Reject(r.told.request, hold_off) if harmless else api.Fail(r.told.request))
         self._finish(r)
 
     def _give_up_unsent(self, r: Request) -> None:
@@ -354,12 +347,12 @@
     def _bearable(self, r: Request) -> float:
         """The dearer its worth per unit, the longer a wait at the node a request still joins."""
         rank = min(1.0, r.value / self.dearest)
-        price = self.tightest / r.cls.aim_us * (LATE_SHARE + (1 - LATE_SHARE) * rank)
-        return r.cls.aim_us * float(price**self.crowd)
+        price = self.tightest / r.cls.latency_objective_us * (LATE_SHARE + (1 - LATE_SHARE) * rank)
+        return r.cls.latency_objective_us * float(price**self.crowd)
 
     def _pump(self, node: Node) -> None:
         h = node.health
-        if node.held and h is None and node.cell in self.by_hand:
+        if node.held and h is None and node.cell in self.admin_disabled:
             for held in [r for flow in node.flows.values() for r in flow.held]:
                 self._end(held)  # nothing else serves the cell, and nobody knows for how long
         if not node.held or h is None:
@@ -389,7 +382,7 @@
         h.sent.add(self.now, r.told.units)
         self.act(api.Send(r.told.request, h.entry.node))
         if self.s.parallel_attempts:
-            self.at(self.now + int(larger(r, h) * max(self.overdue, h.latency)), self._copy, r)
+            self.at(self.now + int(r.relative_size(h) * max(self.overdue, h.latency)), self._copy, r)
 
     def _shed(self, node: Node, h: Health) -> None:
         """Refuses what can't be on time behind what is held before it, cheapest worth first."""
@@ -403,8 +396,8 @@
         kept: list[tuple[float, float, int, Request]] = []
         for r in sorted((r for f in node.flows.values() for r in f.held), key=Request.tag):
             alone = self.now + pace * r.told.units
-            worth = r.value * (r.cls.late_worth if alone > r.aim_at else 1.0)
-            heapq.heappush(kept, (worth, -r.start, -r.seq, r))
+            priority_weight = r.value * (r.cls.late_value_share if alone > r.aim_at else 1.0)
+            heapq.heappush(kept, (priority_weight, -r.start, -r.seq, r))
             while r.node and max(
                     alone + pace * max(0.0, ahead - (free - 1) * h.units) / depth,
                     self.now + cold_pace * (ahead + r.told.units - spare)) > r.aim_at:
@@ -422,7 +415,7 @@
         self._learn(a, r, e)
         r.volume.used = e.used - 1 if e.used > 0 else r.volume.used
         if e.outcome in UNSURE and r.told.key in self.turns:
-            self.turns[r.told.key].rest_until = self.now + self.s.order_rest_us + self.s.tick_us
+            self.turns[r.told.key].rest_until = self.now + self.s.ordered_key_rest_us + self.s.tick_us
         if e.over and not r.over:
             self._finish(r)
         elif not r.over and not r.out() and r.node is None:
@@ -437,7 +430,8 @@
             self._hold(r)
 
     def _again(self, r: Request) -> None:
-        pause = int(r.cls.aim_us * RETRY_AIMS * 2 ** (len(r.attempts) - 1) * self.rng.uniform(0.5, 1.5))
+        pause = r.cls.latency_objective_us * RETRY_AIMS * 2 ** (len(r.attempts) - 1)
+        pause = int(pause * self.rng.uniform(0.5, 1.5))
         late = self.now + pause + r.attempts[-1].health.latency > r.answer_by
         if late or len(r.attempts) >= self.s.max_attempts:
             self._end(r)
@@ -448,27 +442,27 @@
         """Whether the class's effect, the attempt budget and the client's time let it go there now."""
         if self.now >= r.answer_by or (r.attempts and not self._budget_left()):
             return False
-        ran = maybe_ran(r)
+        ran = r.attempts_that_may_have_run()
         if not ran or (r.out() and not self.s.parallel_attempts) or r.cls.effect is Effect.UNSAFE:
             return not ran
         if r.cls.effect is Effect.SAFE:
             return True
         if self.now >= min(a.sent_at for a in ran) + r.cls.window_us:
             return False
-        if r.cls.group is Group.ZONE:
+        if r.cls.group is DeduplicationScope.ZONE:
             return all(a.health.entry.zone == h.entry.zone for a in ran)
-        return r.cls.group is Group.ALL or all(a.cell == node.cell for a in ran)
+        return r.cls.group is DeduplicationScope.ALL or all(a.cell == node.cell for a in ran)
 
     def _budget_left(self) -> bool:
-        since, tick = self.now - self.s.budget_span_us, self.s.tick_us
-        free = self.s.budget_free * self.s.part * self.shares.get(api.RESENDS, 1.0)
-        earned = free + self.s.budget_share * self.taken.total(since + tick)
-        return self.s.budget_span_us == 0 or self.extra.total(since - tick) + 1 <= earned
+        since, tick = self.now - self.s.retry_budget_window_us, self.s.tick_us
+        free = self.s.retry_budget_floor * self.s.part * self.shares.get(api.RESENDS, 1.0)
+        earned = free + self.s.retry_budget_ratio * self.taken.total(since + tick)
+        return self.s.retry_budget_window_us == 0 or self.extra.total(since - tick) + 1 <= earned
 
     def _learn(self, a: Attempt, r: Request, e: api.Result) -> None:
         h, node = a.health, self.nodes[a.cell]
         self.news[node.cell] = node
-        took, sick = e.took_us / larger(r, h), self._sick(h)
+        took, sick = e.took_us / r.relative_size(h), self._sick(h)
         a.write_off()
         if e.outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.FULL):
             h.heard_at, h.unreached = self.now, 0
@@ -483,7 +477,7 @@
             h.served.add(self.now)
             h.turned_away = 0
             self.usual_latency += (took - self.usual_latency) * POOL_GAIN
-            if self.now >= h.cold_since + self.s.cold_us:
+            if self.now >= h.cold_since + self.s.warmup_us:
                 node.usual.add(self.now, r.told.units, USUAL_SPAN)
             self._learn_pace(h, r.told.units, took)
         elif e.outcome is Outcome.TIMEOUT:
@@ -514,17 +508,18 @@
         """A cold node's budget, this host's part of every fall window, with resends and an earlier life: what
         may go now, and how long another unit takes to earn. A larger request waits as long as it takes up."""
         age = self.now - h.cold_since
-        if age >= self.s.cold_us:
+        if age >= self.s.warmup_us:
             return NEVER, 0.0
-        warmth = self.s.cold_from + (1 - self.s.cold_from) * max(0, age) / self.s.cold_us
+        cold, window = self.s.warmup_initial_share, self.s.overload_window_us
+        warmth = cold + (1 - cold) * max(0, age) / self.s.warmup_us
         usual = max(node.usual.rate, self._told_rate(node))
-        learnt = usual * self.s.fall_us / SECOND * self.s.fall_multiple * warmth * COLD_SAFETY
-        borne = self.s.cold_units / max(1, self.s.hosts) * self.shares.get(api.cold(h.entry.node), 1.0)
+        learnt = usual * window / SECOND * self.s.overload_multiple * warmth * COLD_SAFETY
+        borne = self.s.warmup_units / max(1, self.s.hosts) * self.shares.get(api.cold(h.entry.node), 1.0)
         budget = max(max(borne, learnt) * self.cold_part, 1e-9)
-        idle = (self.now - max(h.sent.last, h.cold_since, self.born)) * budget / self.s.fall_us
-        spent = h.sent.total(self.now - self.s.fall_us)
-        lived = 1.0 if h.cold_since >= self.born else min(1.0, (self.now - self.born) / self.s.fall_us)
-        return idle if idle > budget else budget * lived - spent, self.s.fall_us / budget
+        idle = (self.now - max(h.sent.last, h.cold_since, self.born)) * budget / window
+        spent = h.sent.total(self.now - window)
+        lived = 1.0 if h.cold_since >= self.born else min(1.0, (self.now - self.born) / window)
+        return idle if idle > budget else budget * lived - spent, window / budget
 
     def _told_rate(self, node: Node) -> float:
         """Units a second that the plans lead this host to expect there, by where volumes' requests go."""
@@ -540,7 +535,7 @@
             heard = float(0.5 ** ((self.now - h.heard_at) / FADE)) if h.latency else 0.0
             wait = self.usual_latency + (h.latency - self.usual_latency) * heard
             wait *= (1 + (h.out + node.held) / self._depth(h)) * self.rng.uniform(0.9, 1.1)
-            return self.now < h.cold_since + self.s.cold_us, wait / max(0.05, 1 - h.errors) ** 2
+            return self.now < h.cold_since + self.s.warmup_us, wait / max(0.05, 1 - h.errors) ** 2
 
         free = [n for n in self.nodes.values() if n.health and self._may_send(r, n.health, n)]
         return min(free, key=score) if free else None
--- a/garnetlanding/decision/interface.py
+++ b/garnetlanding/decision/interface.py
@@ -17,7 +17,7 @@
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which nodes drop a repeat of a keyed request."""
 
     ALL = "all"
@@ -38,7 +38,7 @@
     MOOT = "moot"
 
 
-class NodeState(Enum):
+class EndpointState(Enum):
     UP = "up"
     DRAINING = "draining"
     GONE = "gone"
@@ -47,12 +47,12 @@
 @dataclass(slots=True, frozen=True)
 class ClassSpec:
     name: str
-    worth: float
-    late_worth: float  # share of the worth that an answer after the aim still earns
-    aim_us: int
+    priority_weight: float
+    late_value_share: float  # share of the worth that an answer after the aim still earns
+    latency_objective_us: int
     deadline_us: int
     effect: Effect
-    group: Group = Group.ALL
+    group: DeduplicationScope = DeduplicationScope.ALL
     window_us: int = 0  # how long a group remembers a keyed request
     in_order: bool = False
 
@@ -75,42 +75,42 @@
     tick_us: int
     classes: dict[str, ClassSpec]
     plans: dict[str, PlanSpec]
-    ask_for_list: bool
+    poll_endpoints: bool
     max_attempts: int
     parallel_attempts: bool
     may_cancel: bool
     may_probe: bool
-    heeds_hold_off: bool
-    max_hold_off_us: int
-    cold_from: float
-    cold_us: int
-    cold_units: float  # units a cold node always bears from all hosts within fall_us
-    fall_multiple: float
-    fall_us: int
-    order_rest_us: int
-    budget_share: float  # further attempts earned by a request taken; 0 with span 0: no budget
-    budget_free: float
-    budget_span_us: int  # 0: no budget
-    share_worth: float
-    spare_worth: float
-    most_units: float
+    honors_retry_after: bool
+    max_retry_after_us: int
+    warmup_initial_share: float
+    warmup_us: int
+    warmup_units: float  # units a cold node always bears from all hosts within fall_us
+    overload_multiple: float
+    overload_window_us: int
+    ordered_key_rest_us: int
+    retry_budget_ratio: float  # further attempts earned by a request taken; 0 with span 0: no budget
+    retry_budget_floor: float
+    retry_budget_window_us: int  # 0: no budget
+    over_quota_value_share: float
+    idle_value_share: float
+    max_units: float
     cells: int = 0  # how many there are; 0: not told
-    may_tell: bool = False  # hosts may send each other short messages
+    may_message_peers: bool = False  # hosts may send each other short messages
     part: float = 1.0  # of what is this host's: less while another process of it is at work too
 
 
 @dataclass(slots=True, frozen=True)
-class NodeEntry:
+class Endpoint:
     node: str
     cell: int
     zone: str
-    state: NodeState
+    state: EndpointState
     started_us: int = 0  # 0: long ago
     size: float = 1.0
-    by_hand: bool = False  # an operator has taken it out: it stays away until put back
+    admin_disabled: bool = False  # an operator has taken it out: it stays away until put back
 
 
-# Budgets that all hosts have in common, by name: `Parts.shares`
+# Budgets that all hosts have in common, by name: `QuotaShares.shares`
 
 LIST_CALLS, RESENDS = "list-calls", "resends"
 
@@ -136,12 +136,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class NodeList:
+class EndpointListUpdate:
     """The list or its changes; failed: a call or the subscription broke, the old list stands. queued: the
     call was turned down after it had waited its turn: discovery has more calls than it can answer.
     unheard_us: for so long before the failure discovery may have had something that could not be heard."""
 
-    entries: tuple[NodeEntry, ...] = ()
+    entries: tuple[Endpoint, ...] = ()
     whole: bool = False
     failed: bool = False
     queued: bool = False
@@ -188,7 +188,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class WokeUp:
+class TimerFired:
     token: str
 
 
@@ -207,7 +207,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Parts:
+class QuotaShares:
     """What part of its plan's limit and reserve a volume has at this host, from now on; one not named has
     1 / its hosts. `shares`: of each budget of all hosts, this one's as a multiple of 1 / hosts; all of them,
     one not named is 1; None: as they were."""
@@ -217,7 +217,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Hearsay:
+class PeerSuspicions:
     """The nodes that other hosts have seen in trouble and this one has not heard since, each until when that
     may be believed. All of them: one that was named and is not any more is as good as its own answers."""
 
@@ -226,16 +226,16 @@
 
 Event = (
     NewSettings
-    | NodeList
+    | EndpointListUpdate
     | Arrival
     | StreamStarted
     | Result
     | ClientLeft
-    | WokeUp
+    | TimerFired
     | ProbeResult
     | PeerMessage
-    | Parts
-    | Hearsay
+    | QuotaShares
+    | PeerSuspicions
 )
 
 
@@ -250,11 +250,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Refuse:
+class Reject:
     """Final: a retry does no harm."""
 
     request: str
-    hold_off_us: int = 0
+    retry_after_us: int = 0
 
 
 @dataclass(slots=True, frozen=True)
@@ -292,11 +292,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class SendPeerMessage:
     """A short message to one other host, or (-1) to all of them; it may be late or lost."""
 
     payload: bytes
     to: int = -1
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | Subscribe | WakeAfter | Log | Tell
+Action = Send | Reject | Fail | Cancel | Probe | Subscribe | WakeAfter | Log | SendPeerMessage
--- a/garnetlanding/decision/state.py
+++ b/garnetlanding/decision/state.py
@@ -11,6 +11,7 @@
 from garnetlanding.decision import interface as api
 
 SECOND = 1_000_000
+NEVER_RAN = (api.Outcome.FULL, api.Outcome.UNREACHABLE, api.Outcome.MOOT)  # proof that it had no effect
 UNLIMITED = 1e12  # units a second, and at once, of a plan without a limit
 
 
@@ -70,7 +71,7 @@
 class Health:
     """What this host has seen of one process: a restart or a replacement starts afresh."""
 
-    entry: api.NodeEntry
+    entry: api.Endpoint
     cold_since: int
     served: Recent
     sent: Recent  # units
@@ -122,7 +123,7 @@
         """Refits both stores to the part; one without a limit has all it can ask for."""
         part, plan = self.part * settings.part, self.plan
         rate = plan.reserve_rate * part
-        self.reserve.refit(now, rate, rate + settings.most_units)
+        self.reserve.refit(now, rate, rate + settings.max_units)
         self.limit.refit(now, (plan.limit_rate or UNLIMITED) * part, (plan.limit_burst or UNLIMITED) * part)
 
 
@@ -144,6 +145,14 @@
     paid: bool = False  # a resend keeps the tag it has paid for
     over: bool = False
 
+    def relative_size(self, health: Health) -> float:
+        """Return its size as a multiple of the mean request there, at least 1."""
+        return max(1.0, self.told.units / health.units) if health.units else 1.0
+
+    def attempts_that_may_have_run(self) -> list[Attempt]:
+        """Return the attempts whose outcome does not prove that they had no effect."""
+        return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
+
     def tag(self) -> tuple[float, int]:
         return self.start, self.seq
 
@@ -199,8 +208,8 @@
         self.actions: list[api.Action] = []
         self.requests: dict[str, Request] = {}
         self.volumes: dict[str, Volume] = {}
-        self.entries: dict[str, api.NodeEntry] = {}
-        self.by_hand: set[int] = set()  # cells of which an operator has taken a process out
+        self.entries: dict[str, api.Endpoint] = {}
+        self.admin_disabled: set[int] = set()  # cells of which an operator has taken a process out
         self.nodes: dict[int, Node] = {}
         self.turns: dict[str, Turn] = {}
         self.news: dict[int, Node] = {}  # cells to look at in this call
@@ -227,12 +236,12 @@
             _, _, step, what = heapq.heappop(self._due)
             step(what)
 
-    def newest_up(self) -> dict[int, api.NodeEntry]:
+    def newest_up(self) -> dict[int, api.Endpoint]:
         """Of each cell, the listed process that is up; of several, the last to start."""
-        up: dict[int, api.NodeEntry] = {}
+        up: dict[int, api.Endpoint] = {}
         for entry in self.entries.values():
             best = up.get(entry.cell)
-            if entry.state is api.NodeState.UP and (best is None or best.started_us < entry.started_us):
+            if entry.state is api.EndpointState.UP and (best is None or best.started_us < entry.started_us):
                 up[entry.cell] = entry
         return up
 
--- a/garnetlanding/discovery/listing.py
+++ b/garnetlanding/discovery/listing.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from garnetlanding.core.ports import Listing
-from garnetlanding.decision.interface import NodeEntry, NodeState
+from garnetlanding.core.ports import EndpointListing
+from garnetlanding.decision.interface import Endpoint, EndpointState
 
-STATES = {"SERVING": NodeState.UP, "DRAINING": NodeState.DRAINING, "DELETED": NodeState.GONE}
+STATES = {"SERVING": EndpointState.UP, "DRAINING": EndpointState.DRAINING, "DELETED": EndpointState.GONE}
 
 
 class ListError(ValueError):
@@ -22,14 +22,14 @@
     return value
 
 
-def read_entry(entry: object, to_monotonic: Callable[[int], int]) -> tuple[NodeEntry, str]:
+def read_entry(entry: object, to_monotonic: Callable[[int], int]) -> tuple[Endpoint, str]:
     if not isinstance(entry, dict):
         raise ListError("field instances: not an object")
     state = _get(entry, "lifecycle", (str,))
     if state not in STATES:
         raise ListError(f"field lifecycle: cannot read {state!r:.40}")
     started_ms = _get(entry, "startedAtMs", (int, float), 0)
-    return NodeEntry(
+    return Endpoint(
         node=_get(entry, "instanceId", (str,)),
         cell=_get(entry, "cell", (int,), -1),
         zone=_get(entry, "zone", (str,), ""),
@@ -41,7 +41,7 @@
 
 def read_list(
     data: object, to_monotonic: Callable[[int], int], whole: bool | None = None, at_start: bool = False
-) -> tuple[int, Listing]:
+) -> tuple[int, EndpointListing]:
     """The version and the listing; `whole` overrides what the list says of itself."""
     if not isinstance(data, dict):
         raise ListError("not an object")
@@ -50,6 +50,6 @@
         raise ListError("field instances: not a list")
     read = [read_entry(e, to_monotonic) for e in instances]
     whole = bool(data.get("reset")) if whole is None else whole
-    return int(_get(data, "generation", (int,), 0)), Listing(
+    return int(_get(data, "generation", (int,), 0)), EndpointListing(
         tuple(e for e, _ in read), {e.node: endpoint for e, endpoint in read}, whole, at_start
     )
--- a/garnetlanding/discovery/watch.py
+++ b/garnetlanding/discovery/watch.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from garnetlanding.core.ports import Listing
+from garnetlanding.core.ports import EndpointListing
 from garnetlanding.discovery.listing import ListError, read_list
 from garnetlanding.http.response import HttpError, ResponseParser
 from garnetlanding.limits import Limits
@@ -26,7 +26,7 @@
         pool: BufferPool,
         limits: Limits,
         to_monotonic: Callable[[int], int],
-        tell: Callable[[int, Listing, dict[str, Any]], None],
+        tell: Callable[[int, EndpointListing, dict[str, Any]], None],
     ) -> None:
         self._http, self._limits = ResponseParser(pool, limits), limits
         self._to_monotonic, self._tell = to_monotonic, tell
@@ -79,7 +79,7 @@
         pool: BufferPool,
         limits: Limits,
         to_monotonic: Callable[[int], int],
-        listed: Callable[[Listing], None],
+        listed: Callable[[EndpointListing], None],
         failed: Callable[[bool, int], None],
         keep: Callable[[dict[str, Any]], None],
         version: int,
@@ -125,7 +125,7 @@
         """Of the list that stands."""
         return self._version
 
-    def _tell(self, version: int, listing: Listing, data: dict[str, Any]) -> None:
+    def _tell(self, version: int, listing: EndpointListing, data: dict[str, Any]) -> None:
         if version < self._version and listing.entries and not listing.whole:
             # Changes of an older list than the one that stands would bring back what is gone. The old list
             # stands, and the next call asks for the whole of it.
--- a/garnetlanding/emulator/fleet.py
+++ b/garnetlanding/emulator/fleet.py
@@ -38,11 +38,11 @@
     rate: float = 18.0  # of a brick, warm
     queue: int = 60  # requests a brick holds
     connections: int = 200  # a brick takes, one for each head that has sent to it
-    cold_from: float = 0.2
-    cold_us: int = 14 * SECOND
-    cold_units: float = 2.0
-    fall_multiple: float = 2.5
-    fall_us: int = 1500 * MS
+    warmup_initial_share: float = 0.2
+    warmup_us: int = 14 * SECOND
+    warmup_units: float = 2.0
+    overload_multiple: float = 2.5
+    overload_window_us: int = 1500 * MS
     pushed: bool = False  # lists come unasked, `late_us` late
     late_us: int = 3 * SECOND
     list_calls: float = 100.0  # a second that discovery does
@@ -137,7 +137,7 @@
 
     # Heads
 
-    def _start(self, me: int, known: tuple[api.NodeEntry, ...]) -> None:
+    def _start(self, me: int, known: tuple[api.Endpoint, ...]) -> None:
         day = self.day
         self.lives[me] += 1
         self.items[me] = {}
@@ -148,30 +148,30 @@
                 tick_us=MS,
                 classes={"read": READ, "write": WRITE},
                 plans=PLANS,
-                ask_for_list=not day.pushed,
+                poll_endpoints=not day.pushed,
                 max_attempts=4,
                 parallel_attempts=False,
                 may_cancel=True,
                 may_probe=False,
-                heeds_hold_off=True,
-                max_hold_off_us=2 * SECOND,
-                cold_from=day.cold_from,
-                cold_us=day.cold_us,
-                cold_units=day.cold_units,
-                fall_multiple=day.fall_multiple,
-                fall_us=day.fall_us,
-                order_rest_us=0,
-                budget_share=0.0,
-                budget_free=0.0,
-                budget_span_us=0,
-                share_worth=0.4,
-                spare_worth=0.08,
-                most_units=6.0,
+                honors_retry_after=True,
+                max_retry_after_us=2 * SECOND,
+                warmup_initial_share=day.warmup_initial_share,
+                warmup_us=day.warmup_us,
+                warmup_units=day.warmup_units,
+                overload_multiple=day.overload_multiple,
+                overload_window_us=day.overload_window_us,
+                ordered_key_rest_us=0,
+                retry_budget_ratio=0.0,
+                retry_budget_floor=0.0,
+                retry_budget_window_us=0,
+                over_quota_value_share=0.4,
+                idle_value_share=0.08,
+                max_units=6.0,
                 cells=day.bricks,
             ),
             seed=day.seed * 1000 + me * 10 + self.lives[me],
         )
-        self._tell(me, api.NodeList(known, whole=True, at_start=True))
+        self._tell(me, api.EndpointListUpdate(known, whole=True, at_start=True))
 
     def _tell(self, me: int, event: api.Event) -> None:
         head, life = self.heads[me], self.lives[me]
@@ -181,10 +181,10 @@
             match action:
                 case api.Send():
                     self._send(me, action)
-                case api.Refuse() | api.Fail():
+                case api.Reject() | api.Fail():
                     self._answer(me, action.request, 0.0)
                 case api.WakeAfter():
-                    self._at(self.now + action.span_us, lambda: self._alive(me, life, api.WokeUp("look")))
+                    self._at(self.now + action.span_us, lambda: self._alive(me, life, api.TimerFired("look")))
                 case api.Subscribe():
                     self.tally.calls += 1
                     self._call(me, life)
@@ -220,8 +220,8 @@
                 item.out = None
             if outcome is api.Outcome.SERVED and not item.answered:
                 cls = WRITE if item.ask.is_write else READ
-                in_time = self.now - item.came <= cls.aim_us
-                self._answer(me, item.ask.request, 1.0 if in_time else cls.late_worth)
+                in_time = self.now - item.came <= cls.latency_objective_us
+                self._answer(me, item.ask.request, 1.0 if in_time else cls.late_value_share)
             self._tell(me, api.Result(item.ask.request, attempt, "", outcome, self.now - sent, item.answered))
 
         return end
@@ -229,14 +229,20 @@
     # Bricks
 
     @staticmethod
-    def _entry(b: Brick, gone: bool = False) -> api.NodeEntry:
-        state = api.NodeState.GONE if gone else api.NodeState.DRAINING if b.draining else api.NodeState.UP
-        return api.NodeEntry(b.name, b.cell, "z", state, b.started_us)
+    def _entry(b: Brick, gone: bool = False) -> api.Endpoint:
+        state = (
+            api.EndpointState.GONE
+            if gone
+            else api.EndpointState.DRAINING
+            if b.draining
+            else api.EndpointState.UP
+        )
+        return api.Endpoint(b.name, b.cell, "z", state, b.started_us)
 
     def _warmth(self, b: Brick) -> float:
         day = self.day
-        age = min(1.0, (self.now - b.started_us) / day.cold_us) if b.started_us else 1.0
-        return day.cold_from + (1 - day.cold_from) * age
+        age = min(1.0, (self.now - b.started_us) / day.warmup_us) if b.started_us else 1.0
+        return day.warmup_initial_share + (1 - day.warmup_initial_share) * age
 
     def _send(self, me: int, send: api.Send) -> None:
         item, b, day = self.items[me][send.request], self.bricks[send.node], self.day
@@ -271,13 +277,16 @@
     def _press(self, b: Brick, units: float) -> None:
         """Adds to what a cold brick was sent in the window, against what the rule allows it."""
         day = self.day
-        if not b.started_us or self.now >= b.started_us + day.cold_us:
+        if not b.started_us or self.now >= b.started_us + day.warmup_us:
             return
         b.sent.append((self.now, units))
         b.window += units
-        while b.sent[0][0] <= self.now - day.fall_us:
+        while b.sent[0][0] <= self.now - day.overload_window_us:
             b.window -= b.sent.popleft()[1]
-        allowed = max(day.cold_units, day.fall_multiple * self._warmth(b) * day.rate * day.fall_us / SECOND)
+        allowed = max(
+            day.warmup_units,
+            day.overload_multiple * self._warmth(b) * day.rate * day.overload_window_us / SECOND,
+        )
         self.tally.cold_peak = max(self.tally.cold_peak, b.window / allowed)
 
     # Discovery: calls in turn; a watch tells changes until discovery goes down
@@ -298,30 +307,30 @@
         if begins <= self.now < begins + self.day.down_us or self.now - came > self.day.list_patience_us:
             self.tally.calls_failed += 1
             queued = self.now - came > self.day.list_patience_us
-            self._alive(me, life, api.NodeList(failed=True, queued=queued))
+            self._alive(me, life, api.EndpointListUpdate(failed=True, queued=queued))
         elif self.lives[me] == life:
             self.watching.add(me)
             up = tuple(self._entry(b) for b in self.bricks.values() if b.up)
-            self._tell(me, api.NodeList(up, whole=True))
+            self._tell(me, api.EndpointListUpdate(up, whole=True))
         self._next_call()
 
-    def _changed(self, *entries: api.NodeEntry) -> None:
+    def _changed(self, *entries: api.Endpoint) -> None:
         if self.day.pushed:
             lives = list(self.lives)
             for me in range(self.day.heads):
                 self._at(
                     self.now + self.day.late_us,
-                    lambda me=me: self._alive(me, lives[me], api.NodeList(entries)),  # type: ignore[misc]
+                    lambda me=me: self._alive(me, lives[me], api.EndpointListUpdate(entries)),  # type: ignore[misc]
                 )
         for me in sorted(self.watching):
-            self._tell(me, api.NodeList(entries))
+            self._tell(me, api.EndpointListUpdate(entries))
 
     def _watches_end(self) -> None:
         if self.day.kind == "herd":
             self.list_calls = self.day.overbooked_calls
         ended, self.watching = sorted(self.watching), set()
         for me in ended:
-            self._tell(me, api.NodeList(failed=True))
+            self._tell(me, api.EndpointListUpdate(failed=True))
 
     # The day's load
 
@@ -346,7 +355,7 @@
     ) -> Callable[[], None]:
         def come() -> None:
             cls = WRITE if cell < 0 else READ
-            worth = cls.worth * plan.price * units
+            worth = cls.priority_weight * plan.price * units
             self.tally.asked += worth
             if self.heads[me] is None:
                 return  # lost to its client
--- a/garnetlanding/emulator/group_model.py
+++ b/garnetlanding/emulator/group_model.py
@@ -13,7 +13,7 @@
 
 from garnetlanding.emulator.walk import Walk
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.members import Members, Record
+from garnetlanding.peers.membership import Membership, Record
 
 LIMITS = PeerLimits(begin_us=0)
 
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    heads: tuple[Members | None, ...]  # None: does not run
+    heads: tuple[Membership | None, ...]  # None: does not run
     mail: tuple[tuple[int, int, Word], ...]  # from, to: the last on each link
     starts: int
 
@@ -56,8 +56,8 @@
     return f"127.0.0.{head + 1}:7946"
 
 
-def begun(scope: Scope, head: int, life: int) -> Members:
-    return Members(LIMITS, head, life, at(head), [at(seed) for seed in range(scope.seeds)], 0)
+def begun(scope: Scope, head: int, life: int) -> Membership:
+    return Membership(LIMITS, head, life, at(head), [at(seed) for seed in range(scope.seeds)], 0)
 
 
 def key(s: State) -> object:
@@ -76,7 +76,7 @@
     return heads, tuple(sorted((a, b, w.digest, w.joined) for a, b, w in s.mail)), s.starts
 
 
-def _with(s: State, head: int, new: Members | None) -> tuple[Members | None, ...]:
+def _with(s: State, head: int, new: Membership | None) -> tuple[Membership | None, ...]:
     return (*s.heads[:head], new, *s.heads[head + 1 :])
 
 
@@ -106,14 +106,14 @@
             yield replace(s, heads=_with(s, receiver, new), mail=rest)
 
 
-def _looks(s: State, me: int, members: Members) -> Iterator[State]:
+def _looks(s: State, me: int, members: Membership) -> Iterator[State]:
     new = copy.deepcopy(members)
     new.look(0)
     if new.joined != members.joined:
         yield replace(s, heads=_with(s, me, new))
 
 
-def _leaves(s: State, me: int, members: Members, scope: Scope) -> Iterator[State]:
+def _leaves(s: State, me: int, members: Membership, scope: Scope) -> Iterator[State]:
     """It has stopped; its last word is on its way to all."""
     last = copy.deepcopy(members)
     last.leave()
--- a/garnetlanding/emulator/group_net.py
+++ b/garnetlanding/emulator/group_net.py
@@ -10,10 +10,10 @@
 
 from garnetlanding.peers import codec
 from garnetlanding.peers.codec import Envelope
-from garnetlanding.peers.group import Group
+from garnetlanding.peers.gossip_schedule import GossipSchedule
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.members import FIRST_SEED, Members
-from garnetlanding.peers.turns import Turns
+from garnetlanding.peers.membership import FIRST_SEED, Membership
+from garnetlanding.peers.membership_protocol import MembershipProtocol
 
 MS, SECOND = 1_000, 1_000_000
 
@@ -36,8 +36,8 @@
 
 @dataclass(slots=True)
 class Node:
-    group: Group
-    turns: Turns
+    group: MembershipProtocol
+    turns: GossipSchedule
     life: int
 
 
@@ -77,8 +77,10 @@
         # Some starts have the wall clock set back: their lives are no greater than the ones before.
         life = 1000 + self._lives if self.rng.random() < 0.8 else 900 + self._lives
         seeds = [address(seed) for seed in range(self.net.seeds)]
-        members = Members(self.limits, head, life, address(head), seeds, self.now)
-        self.nodes[head] = Node(Group(self.limits, members), Turns(self.limits, head), life)
+        members = Membership(self.limits, head, life, address(head), seeds, self.now)
+        self.nodes[head] = Node(
+            MembershipProtocol(self.limits, members), GossipSchedule(self.limits, head), life
+        )
         self.seen.joins += 1
         self._new.append((self.now, head, members.records[head].life))
 
--- a/garnetlanding/emulator/verdict_model.py
+++ b/garnetlanding/emulator/verdict_model.py
@@ -16,14 +16,14 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.interface import Outcome
 from garnetlanding.emulator.walk import Walk
+from garnetlanding.peers.gossip_message import Evidence
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.sightings import Sightings
-from garnetlanding.peers.verdicts import Verdicts
-from garnetlanding.peers.words import Evidence
+from garnetlanding.peers.local_observations import LocalObservations
+from garnetlanding.peers.suspicions import SuspicionTable
 
 STEP, AIM, NODE = 1000, 100, "n0"  # microseconds
 LIMITS = PeerLimits(word_us=3 * STEP, persist_us=STEP, recover_us=1000 * STEP)
-LISTED = api.NodeList((api.NodeEntry(NODE, 0, "z", api.NodeState.UP),), whole=True)
+LISTED = api.EndpointListUpdate((api.Endpoint(NODE, 0, "z", api.EndpointState.UP),), whole=True)
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,8 +35,8 @@
 
 @dataclass(slots=True)
 class Head:
-    seen: Sightings
-    verdicts: Verdicts
+    seen: LocalObservations
+    verdicts: SuspicionTable
     heard_at: dict[int, int]  # of each other head, when the message was sent to it that it had heard last
     last_seen: int = -1  # when this head last saw the server refuse, or come back; -1: never
     answered: int = -1
@@ -67,9 +67,9 @@
 
 
 def begun() -> Head:
-    seen = Sightings(LIMITS)
+    seen = LocalObservations(LIMITS)
     seen.see(0, [LISTED], AIM)
-    return Head(seen, Verdicts(LIMITS), {})
+    return Head(seen, SuspicionTable(LIMITS), {})
 
 
 def key(s: State) -> object:
--- a/garnetlanding/emulator/verdict_net.py
+++ b/garnetlanding/emulator/verdict_net.py
@@ -14,9 +14,9 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.decision.interface import Outcome
-from garnetlanding.peers.fleet import Fleet
+from garnetlanding.peers.coordinator import PeerCoordinator
+from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.talk import Talk
 
 MS, SECOND = 1_000, 1_000_000
 READ = api.ClassSpec("read", 2.0, 0.2, 200 * MS, SECOND, api.Effect.SAFE)
@@ -60,26 +60,26 @@
         tick_us=MS,
         classes={"read": READ},
         plans={"plan": PLAN},
-        ask_for_list=False,
+        poll_endpoints=False,
         max_attempts=2,
         parallel_attempts=False,
         may_cancel=True,
         may_probe=False,
-        heeds_hold_off=True,
-        max_hold_off_us=SECOND,
-        cold_from=0.2,
-        cold_us=0,
-        cold_units=10.0,
-        fall_multiple=2.0,
-        fall_us=2 * SECOND,
-        order_rest_us=SECOND,
-        budget_share=0.0,
-        budget_free=0.0,
-        budget_span_us=0,
-        share_worth=0.4,
-        spare_worth=0.08,
-        most_units=8.0,
-        may_tell=True,
+        honors_retry_after=True,
+        max_retry_after_us=SECOND,
+        warmup_initial_share=0.2,
+        warmup_us=0,
+        warmup_units=10.0,
+        overload_multiple=2.0,
+        overload_window_us=2 * SECOND,
+        ordered_key_rest_us=SECOND,
+        retry_budget_ratio=0.0,
+        retry_budget_floor=0.0,
+        retry_budget_window_us=0,
+        over_quota_value_share=0.4,
+        idle_value_share=0.08,
+        max_units=8.0,
+        may_message_peers=True,
     )
 
 
@@ -89,18 +89,18 @@
         self._mail: list[tuple[int, int, int, api.Event]] = []
         self._count = 0
         self.heads = [
-            Talk(
+            PeerCoordinator(
                 Controller(settings(net, me), me),
                 life=1,
                 limits=limits,
-                fleet=Fleet(limits) if net.told else None,
+                fleet=FailureDetector(limits) if net.told else None,
             )
             for me in range(net.heads)
         ]
-        entries = tuple(api.NodeEntry(f"n{i}", i, "z", api.NodeState.UP) for i in range(net.nodes))
+        entries = tuple(api.Endpoint(f"n{i}", i, "z", api.EndpointState.UP) for i in range(net.nodes))
         self._asked: dict[str, int] = {}
         for me in range(net.heads):
-            self._post(0, me, api.NodeList(entries, whole=True, at_start=True))
+            self._post(0, me, api.EndpointListUpdate(entries, whole=True, at_start=True))
         at, number = 0.0, 0
         while (at := at + self.rng.expovariate(net.rate * net.nodes) * SECOND) < net.length_us:
             number += 1
@@ -139,11 +139,11 @@
             for action in self.heads[me].handle(now, [event]):
                 match action:
                     case api.WakeAfter(span_us=span, token=token):
-                        self._post(now + max(1, span), me, api.WokeUp(token))
+                        self._post(now + max(1, span), me, api.TimerFired(token))
                     case api.Send(request=request, node=node):
                         tries[me, request] += 1
                         self._send(now, me, request, tries[me, request] - 1, node)
-                    case api.Tell(payload=payload, to=to):
+                    case api.SendPeerMessage(payload=payload, to=to):
                         self.seen.bytes += len(payload)
                         if self.rng.random() >= self.net.loss:
                             delay = self.rng.randrange(self.net.delay_us // 5, 2 * self.net.delay_us)
--- a/garnetlanding/history/writer.py
+++ b/garnetlanding/history/writer.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from garnetlanding.core.ports import Answer, Ask, Failed, Refused
+from garnetlanding.core.ports import Answer, Failed, Rejected, RequestSpec
 
 
 class History:
@@ -35,13 +35,13 @@
 
     def item_ended(
         self,
-        ask: Ask,
+        ask: RequestSpec,
         answer: Answer,
         began_us: int,
         ended_us: int,
         attempts: list[tuple[str, str, int, int]],
     ) -> None:
-        outcome = {Refused: "refused", Failed: "failed"}.get(type(answer), "served")
+        outcome = {Rejected: "refused", Failed: "failed"}.get(type(answer), "served")
         self.note(
             "answered",
             id=_id(ask),
@@ -53,6 +53,6 @@
         )
 
 
-def _id(ask: Ask) -> str:
+def _id(ask: RequestSpec) -> str:
     words: tuple[bytes, ...] = getattr(ask.work, "words", ())
     return words[2].decode("ascii", "replace") if len(words) > 2 else ""
--- a/garnetlanding/lab/lies.py
+++ b/garnetlanding/lab/lies.py
@@ -6,7 +6,7 @@
 
 from dataclasses import replace
 
-from garnetlanding.peers import codec, words
+from garnetlanding.peers import codec, gossip_message
 from garnetlanding.peers.limits import PeerLimits
 
 
@@ -19,18 +19,24 @@
             return _greedy(e) if e.kind == codec.LEASES else data
         if e.kind != codec.WORDS:
             return data
-        told = words.read(e)
-    except codec.BadMessage:
+        told = gossip_message.read(e)
+    except codec.MessageError:
         return data
     if how == "well":
         bricks = []
     evidence = tuple(
-        words.Evidence(words.Kind.DEAD, words.tag(name), words.LONG_AGO, words.MOST_COUNT, 0)
+        gossip_message.Evidence(
+            gossip_message.Kind.DEAD,
+            gossip_message.tag(name),
+            gossip_message.LONG_AGO,
+            gossip_message.MOST_COUNT,
+            0,
+        )
         for name in bricks
     )
-    most, _ = words.fit(evidence, (), limits.datagram_bytes)
-    forged = words.Words(told.digest, evidence[:most])
-    return codec.seal(words.envelope(forged, e.life, e.number, e.re_life, e.re_number))
+    most, _ = gossip_message.fit(evidence, (), limits.datagram_bytes)
+    forged = gossip_message.GossipMessage(told.digest, evidence[:most])
+    return codec.seal(gossip_message.envelope(forged, e.life, e.number, e.re_life, e.re_number))
 
 
 def _greedy(e: codec.Envelope) -> bytes:
--- a/garnetlanding/lab/run.py
+++ b/garnetlanding/lab/run.py
@@ -31,7 +31,7 @@
 from garnetlanding.lab.tcp import TcpLinks
 from garnetlanding.lab.weather import Weather
 from garnetlanding.lab.world import Surroundings
-from garnetlanding.ops.caller import path_of
+from garnetlanding.ops.admin_client import path_of
 from garnetlanding.runtime.scheduler import Expired, Scheduler, monotonic_us
 from garnetlanding.runtime.stream import Stream
 
--- a/garnetlanding/ninep/client.py
+++ b/garnetlanding/ninep/client.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from garnetlanding.core.ports import Trial
+from garnetlanding.core.ports import AttemptHandle
 from garnetlanding.decision.interface import Outcome
 from garnetlanding.limits import Limits
 from garnetlanding.ninep import codec, linux
@@ -41,7 +41,7 @@
             work.who, limits.ninep_msize, limits.ninep_least_msize, limits.ninep_keep_open, offer
         )
         self._framer = codec.Framer(pool, limits.ninep_msize)
-        self._trial: Trial | None = None
+        self._trial: AttemptHandle | None = None
         self._work: Work | None = None
         self._program: Steps[Any] | None = None
         self._clunks: set[int] = set()  # tags of those out
@@ -49,7 +49,7 @@
         self.exposed = False
         self.body = None  # what file servers send is bounded by msize
 
-    def begin(self, trial: Trial) -> None:
+    def begin(self, trial: AttemptHandle) -> None:
         self._trial, self._work = trial, trial.work
         self.exposed = False
         self._program = trial.work.program(self._session)
@@ -123,7 +123,7 @@
     def midway(self) -> bool:
         return self._framer.midway
 
-    def suits(self, trial: Trial) -> bool:
+    def suits(self, trial: AttemptHandle) -> bool:
         work = trial.work
         return isinstance(work, Read | ReadDirectory | Write) and (work.path, work.how) in self._session.open
 
--- a/garnetlanding/ninep/front.py
+++ b/garnetlanding/ninep/front.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from garnetlanding.core.ports import Answer, Ask, Failed, Refused, Served, Unfit
+from garnetlanding.core.ports import Answer, Failed, InvalidRequestError, Rejected, RequestSpec, Served
 from garnetlanding.limits import MS
 from garnetlanding.ninep import codec, linux, problems
 from garnetlanding.ninep.codec import NOFID, QTEXCL, READ_OVERHEAD, Message, Qid
@@ -468,7 +468,7 @@
         cls = class_for(work.op, export.cls, export.change_cls or export.cls, core.settings.classes)
         try:
             pending.ticket = core.accept(
-                Ask(
+                RequestSpec(
                     cls,
                     export.plan,
                     export.volume,
@@ -485,7 +485,7 @@
                 self.front.backend,
                 answered,
             )
-        except Unfit as problem:  # the operator's export and the settings do not go together
+        except InvalidRequestError as problem:  # the operator's export and the settings do not go together
             answered(Served(Problem(problems.EINVAL, str(problem))))
 
     @staticmethod
@@ -507,8 +507,8 @@
                     return told(value)
                 except Refusal as refusal:
                     return refusal.problem
-            case Refused(hold_off_us) if not unknown:
-                wait = f"; come again after {-(-hold_off_us // MS)} ms" if hold_off_us else ""
+            case Rejected(retry_after_us) if not unknown:
+                wait = f"; come again after {-(-retry_after_us // MS)} ms" if retry_after_us else ""
                 return Problem(problems.EAGAIN, "busy" + wait)
             case Failed(why) if not work.spec.change:
                 return Problem(problems.EIO, why)
--- a/garnetlanding/ninep/shared.py
+++ b/garnetlanding/ninep/shared.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from garnetlanding.core.core import Core
+from garnetlanding.core.engine import RequestEngine
 from garnetlanding.core.ports import Backend, Timer, Timers
 from garnetlanding.limits import Limits
 from garnetlanding.ninep.fids import Fid
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        core: Core,
+        core: RequestEngine,
         backend: Backend,
         exports: dict[str, Export],
         pool: BufferPool,
--- a/garnetlanding/ops/caller.py
+++ b/garnetlanding/ops/admin_client.py
@@ -10,7 +10,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from garnetlanding.core.figures import by_class, decode
+from garnetlanding.core.metrics import by_class, decode
 from garnetlanding.runtime.stream import parse_address
 
 SHOWN = tuple(f"fleet/{what}" for what in ("limits", "members", "verdicts", "bans"))  # as tables
@@ -19,7 +19,7 @@
 TABLE_COLUMNS = 100
 
 
-class Unreachable(Exception):
+class InstanceUnreachableError(Exception):
     """No answer was had; the text says why."""
 
 
@@ -52,7 +52,7 @@
         answer = connection.getresponse()
         return Reply(answer.status, answer.read().decode("utf-8", "replace"))
     except (OSError, http.client.HTTPException) as problem:
-        raise Unreachable(f"{address}: {problem or type(problem).__name__}") from None
+        raise InstanceUnreachableError(f"{address}: {problem or type(problem).__name__}") from None
     finally:
         connection.close()
 
--- a/garnetlanding/ops/desk.py
+++ b/garnetlanding/ops/admin_service.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from garnetlanding.core.core import Core
+from garnetlanding.core.engine import RequestEngine
 from garnetlanding.limits import Limits
 from garnetlanding.ops.file import StateFile
 from garnetlanding.ops.state import OpsState
@@ -15,25 +15,25 @@
 from garnetlanding.runtime.scheduler import Scheduler
 
 if TYPE_CHECKING:  # what is off is not imported
-    from garnetlanding.ops.shared import SharedBans
+    from garnetlanding.ops.replicated_disables import ReplicatedDisables
 
 log = logging.getLogger(__name__)
 
 
-class Desk:
+class AdminService:
     """Implements the front's Operable for one process of a head."""
 
     def __init__(
         self,
         scheduler: Scheduler,
-        core: Core,
+        core: RequestEngine,
         clients: Listener,
         file: StateFile,
         limits: Limits,
         told: Callable[[], bool],
         share: Callable[[], None] = lambda: None,
         fleet: Callable[[str], list[dict[str, object]] | None] = lambda what: None,
-        shared: SharedBans | None = None,
+        shared: ReplicatedDisables | None = None,
         forget: Callable[[int], bool | None] = lambda head: None,
     ) -> None:
         """`told` says whether the list of servers is known; `share` looks what the head's other process
--- a/garnetlanding/ops/front.py
+++ b/garnetlanding/ops/front.py
@@ -31,7 +31,7 @@
 }
 
 
-class Operable(Protocol):
+class AdminTarget(Protocol):
     """What operators may ask of a head. Its answers are whether it could be done."""
 
     def ready(self) -> bool: ...
@@ -57,13 +57,13 @@
         HttpError where too many would be out."""
 
 
-class CallMachine:
+class AdminConnection:
     """Fed one connection's bytes; answers the call in it and ends."""
 
     waiting = session = False
 
     def __init__(
-        self, desk: Operable, pool: BufferPool, limits: Limits, write: Callable[[bytes], None]
+        self, desk: AdminTarget, pool: BufferPool, limits: Limits, write: Callable[[bytes], None]
     ) -> None:
         self._desk, self._write = desk, write
         self._parser = RequestParser(pool, limits)
--- a/garnetlanding/ops/share.py
+++ b/garnetlanding/ops/process_quota.py
@@ -19,22 +19,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class ProcessRecord:
     """What one process has said: when it started (ns, monotonic, one clock for all) and its part."""
 
     started: int
     part: float
 
 
-UNREADABLE = Word(0, HALF)  # of a process that lives, whatever its version: an elder that has come down
+UNREADABLE = ProcessRecord(
+    0, HALF
+)  # of a process that lives, whatever its version: an elder that has come down
 
 
-def encode(name: str, word: Word) -> bytes:
+def encode(name: str, word: ProcessRecord) -> bytes:
     body = json.dumps({"version": VERSION, "name": name, "started": word.started, "part": word.part}).encode()
     return (b"%08x %s" % (zlib.crc32(body), body)).ljust(WORD_BYTES - 1) + b"\n"
 
 
-def decode(name: str, data: bytes) -> Word | None:
+def decode(name: str, data: bytes) -> ProcessRecord | None:
     """None for what cannot be read, or is another head's."""
     check, _, rest = data.partition(b" ")
     body = rest.strip()
@@ -47,11 +49,11 @@
             "started": int() as started,
             "part": int() | float() as part,
         } if version == VERSION and head == name and 0 <= part <= 1:
-            return Word(started, part)
+            return ProcessRecord(started, part)
     return None
 
 
-def next_part(mine: Word, others: Iterable[Word], used: float, ending: bool) -> float:
+def next_part(mine: ProcessRecord, others: Iterable[ProcessRecord], used: float, ending: bool) -> float:
     """The part to keep to from now on; `used` is the part of the bounds in use."""
     others = list(others)
     elders = sum(word.part for word in others if word.started < mine.started)
--- a/garnetlanding/ops/lives.py
+++ b/garnetlanding/ops/process_registry.py
@@ -7,22 +7,22 @@
 import os
 import time
 
-from garnetlanding.ops.share import UNREADABLE, WORD_BYTES, Word, decode, encode, next_part
+from garnetlanding.ops.process_quota import UNREADABLE, WORD_BYTES, ProcessRecord, decode, encode, next_part
 from garnetlanding.runtime.files import file_name
 
 log = logging.getLogger(__name__)
 
 
-class Lives:
+class ProcessRegistry:
     """This process's life among the others'. A lock ends with its process, however that ends."""
 
     def __init__(self, folder: str, name: str) -> None:
         self._folder, self._name = folder, name
         self._prefix = file_name(name, "life-")
         started = time.monotonic_ns()
-        self._others: dict[str, Word] = {}
+        self._others: dict[str, ProcessRecord] = {}
         self._path = os.path.join(folder, f"{self._prefix}{os.getpid()}-{started}")
-        self.word = Word(started, 0.0)
+        self.word = ProcessRecord(started, 0.0)
         # It gets its name once it is locked: unlocked, it would be taken for that of a process that is gone.
         beside = os.path.join(folder, f"{file_name(name, 'new')}-{os.getpid()}-{started}")
         self._fd = os.open(beside, os.O_RDWR | os.O_CREAT, 0o600)
@@ -43,7 +43,7 @@
     def keep(self, part: float) -> None:
         """Says that this process keeps to that part."""
         if part != self.word.part:
-            self.word = Word(self.word.started, part)
+            self.word = ProcessRecord(self.word.started, part)
             self._say()
 
     def close(self) -> None:
@@ -53,8 +53,8 @@
     def _say(self) -> None:
         os.pwrite(self._fd, encode(self._name, self.word), 0)
 
-    def _hear(self) -> dict[str, Word]:
-        heard: dict[str, Word] = {}
+    def _hear(self) -> dict[str, ProcessRecord]:
+        heard: dict[str, ProcessRecord] = {}
         for file in os.listdir(self._folder):
             path = os.path.join(self._folder, file)
             if not file.startswith(self._prefix) or path == self._path:
--- a/garnetlanding/ops/shared.py
+++ b/garnetlanding/ops/replicated_disables.py
@@ -10,14 +10,14 @@
 
 from garnetlanding.http.head import HttpError
 from garnetlanding.ops.state import OpsState
-from garnetlanding.peers.bans import HEADS, BanError, Bans, Record
-from garnetlanding.peers.fleet import Fleet
+from garnetlanding.peers.disabled_backends import HEADS, DisabledBackendError, DisabledBackends, Record
+from garnetlanding.peers.failure_detector import FailureDetector
 
 log = logging.getLogger(__name__)
 
 
-class SharedBans:
-    def __init__(self, fleet: Fleet, me: Callable[[], int], wall_ms: Callable[[], int]) -> None:
+class ReplicatedDisables:
+    def __init__(self, fleet: FailureDetector, me: Callable[[], int], wall_ms: Callable[[], int]) -> None:
         """`me`: this head's number."""
         self._fleet, self._me, self._wall_ms = fleet, me, wall_ms
 
@@ -28,7 +28,7 @@
         bans = self.table(state)
         try:
             bans.say(brick, out, self._me(), self._wall_ms())
-        except BanError as problem:
+        except DisabledBackendError as problem:
             raise HttpError(str(problem), 400) from None
         return self._kept(state, bans)
 
@@ -51,14 +51,14 @@
         """From now on other heads are told of this."""
         self._fleet.keep(self.table(state))
 
-    def table(self, state: OpsState) -> Bans:
+    def table(self, state: OpsState) -> DisabledBackends:
         """The records of a state. What was said while bans were this head's alone, or by an older process,
         has none yet: it counts as said by it just now."""
-        bans = Bans(self._fleet.limits, (Record(*record) for record in state.records))
+        bans = DisabledBackends(self._fleet.limits, (Record(*record) for record in state.records))
         for brick in sorted(state.banned ^ bans.banned):
             bans.say(brick, brick in state.banned, self._me(), self._wall_ms())
         return bans
 
     @staticmethod
-    def _kept(state: OpsState, bans: Bans) -> OpsState:
+    def _kept(state: OpsState, bans: DisabledBackends) -> OpsState:
         return replace(state, banned=bans.banned, records=tuple(sorted(bans.records.values())))
--- a/garnetlanding/peers/codec.py
+++ b/garnetlanding/peers/codec.py
@@ -32,7 +32,7 @@
 MOST = 255  # asks, or grants, of one message; hosts of one volume
 
 
-class BadMessage(ValueError):
+class MessageError(ValueError):
     """A datagram that cannot be read; the text is its cause, one of a few, to be counted by."""
 
 
@@ -104,15 +104,15 @@
 def unseal(data: bytes, longest: int) -> Envelope:
     """Raises BadMessage."""
     if len(data) > longest:
-        raise BadMessage("too long")
+        raise MessageError("too long")
     if len(data) < HEAD.size + SUM.size:
-        raise BadMessage("torn")
+        raise MessageError("torn")
     version, kind, life, number, re_life, re_number, *counts = HEAD.unpack_from(data)
     if version != VERSION:
-        raise BadMessage("other version")
+        raise MessageError("other version")
     end = len(data) - SUM.size
     if SUM.unpack_from(data, end)[0] != zlib.crc32(data[:end]):
-        raise BadMessage("torn")
+        raise MessageError("torn")
     return Envelope(
         kind,
         int.from_bytes(life, "big"),
@@ -148,13 +148,13 @@
     asks, grants = e.counts
     first = asks * ASK.size
     if e.kind not in (LEASES, BUDGETS):
-        raise BadMessage("other kind")
+        raise MessageError("other kind")
     if len(e.body) != first + grants * GRANT.size:
-        raise BadMessage("torn")
+        raise MessageError("torn")
     asked = [ASK.unpack_from(e.body, i * ASK.size) for i in range(asks)]
     given = [GRANT.unpack_from(e.body, first + i * GRANT.size) for i in range(grants)]
     if any(share > WHOLE or not hosts for _, share, hosts in asked) or any(s > WHOLE for _, s in given):
-        raise BadMessage("no share")
+        raise MessageError("no share")
     return Message(
         e.life,
         e.number,
--- a/garnetlanding/peers/places.py
+++ b/garnetlanding/peers/connection_quota.py
@@ -13,7 +13,7 @@
 from garnetlanding.peers.limits import SECOND
 
 
-class Places:
+class ConnectionQuota:
     def __init__(
         self,
         each: int,
--- a/garnetlanding/peers/talk.py
+++ b/garnetlanding/peers/coordinator.py
@@ -9,35 +9,35 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from garnetlanding.choices.turns import turn
-from garnetlanding.core.ports import Module
+from garnetlanding.choices.stagger import turn
+from garnetlanding.core.ports import DecisionModule
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import NEVER
 from garnetlanding.peers import codec
+from garnetlanding.peers.gossip_schedule import GossipSchedule
 from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.turns import Turns
 
 if TYPE_CHECKING:  # what is off is not imported
-    from garnetlanding.peers.budgets import Budgets
-    from garnetlanding.peers.fleet import Fleet
-    from garnetlanding.peers.group import Group
+    from garnetlanding.peers.failure_detector import FailureDetector
+    from garnetlanding.peers.membership_protocol import MembershipProtocol
+    from garnetlanding.peers.shared_budgets import SharedBudgets
 
 
-class Talk:
+class PeerCoordinator:
     """Stands where the module stood. `life` must be greater at each start of this head."""
 
     def __init__(
         self,
-        module: Module,
+        module: DecisionModule,
         life: int,
         limits: PeerLimits | None = None,
         dropped: Counter[str] | None = None,
         believed: Callable[[str, dict[str, float], int], None] | None = None,
         speaks: bool = True,
-        fleet: Fleet | None = None,
-        group: Group | None = None,
-        budgets: Callable[[api.Settings, int, int], Budgets] | None = None,
+        fleet: FailureDetector | None = None,
+        group: MembershipProtocol | None = None,
+        budgets: Callable[[api.Settings, int, int], SharedBudgets] | None = None,
     ) -> None:
         """`dropped` counts messages by cause; `believed` is told what the module has of `parts` or `shares`,
         and until when at most. Not `speaks`: another process of this head does so for it, and uses its parts.
@@ -50,7 +50,7 @@
         self._speaks = speaks
         self.fleet, self.group = fleet, group
         self._make_budgets, self.budgets = budgets, None if budgets is None else budgets(self.s, life, 0)
-        self._turns = Turns(self.limits, module.s.me)
+        self._turns = GossipSchedule(self.limits, module.s.me)
         self.last_heard: list[int] = []  # head, life and number of the last message that was taken up
         self._out = False  # stands back: it has been put out, or replaced
         self._held_back = False  # the head does not act: it is not current, or shut out
@@ -113,7 +113,7 @@
             self.budgets.see(now, rest, self.s, 1 + len(self._others))
         if now >= self._say_at:
             self._wake(told, now, self.limits.say_every_us)
-            if self.s.may_tell and self._speaks:
+            if self.s.may_message_peers and self._speaks:
                 told += self._texts(leases, now)
         if self.fleet:
             self.fleet.sightings.see(now, rest, self._tightest_us)
@@ -162,7 +162,7 @@
             self._stand_back(NEVER, now)
             self.group.say_out(members.out)
 
-    def _parts(self, leases: Leases, now: int) -> api.Parts | None:
+    def _parts(self, leases: Leases, now: int) -> api.QuotaShares | None:
         looks = now >= leases.look_at
         parts = leases.parts(now)
         if looks and self._believed:
@@ -171,7 +171,7 @@
         if shares is not None and self._believed and self.budgets:
             budgets = self.budgets.leases
             self._believed("shares", budgets.believed(), budgets.look_at)
-        return api.Parts(parts, shares) if parts or shares is not None else None
+        return api.QuotaShares(parts, shares) if parts or shares is not None else None
 
     def shared(self) -> tuple[Leases, int] | None:
         """What divides budgets, and among how many heads; None before the first turn, or while this process
@@ -182,7 +182,7 @@
 
     @property
     def _tightest_us(self) -> int:
-        return min(c.aim_us for c in self.s.classes.values())
+        return min(c.latency_objective_us for c in self.s.classes.values())
 
     @property
     def _others(self) -> frozenset[int]:
@@ -214,7 +214,7 @@
                 why = "other kind"
             else:
                 why = leases.heard(message.sender, codec.leases(e), now)
-        except codec.BadMessage as problem:
+        except codec.MessageError as problem:
             why = str(problem)
         if why:
             self.dropped[why] += 1
@@ -248,12 +248,12 @@
         if self.fleet:
             heads = {who: leases.last_heard(who) for who in to}
             words = self.fleet.say(heads, self.life, leases.sending(now), now, self._tightest_us)
-            texts += [api.Tell(codec.seal(e), who) for who, e in words]
+            texts += [api.SendPeerMessage(codec.seal(e), who) for who, e in words]
         if self.group:
             self.group.look(now)
             heads = {who: leases.last_heard(who) for who in [*to, *self.group.members.unmet(now)]}
             texts += [
-                api.Tell(codec.seal(e), who)
+                api.SendPeerMessage(codec.seal(e), who)
                 for who, e in self.group.say(heads, self.life, lambda: leases.sending(now))
             ]
         return texts
@@ -266,5 +266,5 @@
                 if i == len(numbers):
                     numbers.append(leases.sending(now))
                 message = codec.Message(self.life, numbers[i], *leases.last_heard(who), *page)
-                texts.append(api.Tell(codec.encode(message, kind), who))
+                texts.append(api.SendPeerMessage(codec.encode(message, kind), who))
         return texts
--- a/garnetlanding/peers/bans.py
+++ b/garnetlanding/peers/disabled_backends.py
@@ -16,7 +16,7 @@
 HEADS = "head/"  # and its number: a head that is shut out; no server is named so
 
 
-class BanError(ValueError):
+class DisabledBackendError(ValueError):
     """A ban that cannot be taken; the text says why."""
 
 
@@ -34,7 +34,7 @@
         return self.version, self.by, self.out
 
 
-class Bans:
+class DisabledBackends:
     def __init__(self, limits: PeerLimits, records: Iterable[Record] = ()) -> None:
         self._limits = limits
         self.records: dict[str, Record] = {}
@@ -63,10 +63,10 @@
     def say(self, server: str, out: bool, by: int, wall_ms: int) -> Record:
         """An operator's word here: later than any that this head knows of. Raises BanError."""
         if len(server.encode()) > self._limits.ban_name:
-            raise BanError(f"name of more than {self._limits.ban_name} bytes")
+            raise DisabledBackendError(f"name of more than {self._limits.ban_name} bytes")
         record = Record(server, max(wall_ms, self._highest + 1), by, out)
         if not self._take(record):
-            raise BanError(f"{self._limits.bans} servers are out already")
+            raise DisabledBackendError(f"{self._limits.bans} servers are out already")
         return record
 
     def hear(self, records: Iterable[Record]) -> tuple[list[Record], int]:
--- a/garnetlanding/peers/fleet.py
+++ b/garnetlanding/peers/failure_detector.py
@@ -1,5 +1,5 @@
 """One head's side of verdicts and bans: what it has seen, what it hears, what it has to tell. No clock, no
-socket; `Talk` carries its messages.
+socket; `PeerCoordinator` carries its messages.
 """
 
 from __future__ import annotations
@@ -8,15 +8,15 @@
 from collections.abc import Callable
 
 from garnetlanding.decision import interface as api
-from garnetlanding.peers.bans import NOTHING, Bans, Record
 from garnetlanding.peers.codec import Envelope
+from garnetlanding.peers.disabled_backends import NOTHING, DisabledBackends, Record
+from garnetlanding.peers.gossip_message import GossipMessage, envelope, fit, read
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.sightings import Sightings
-from garnetlanding.peers.verdicts import MS, Verdicts
-from garnetlanding.peers.words import Words, envelope, fit, read
+from garnetlanding.peers.local_observations import LocalObservations
+from garnetlanding.peers.suspicions import MS, SuspicionTable
 
 
-class Fleet:
+class FailureDetector:
     def __init__(
         self,
         limits: PeerLimits,
@@ -26,15 +26,15 @@
     ) -> None:
         """Of `verdicts` and `bans`, what is off is neither told nor heard. `note` writes a history's line."""
         self.limits, self._verdicts_on, self._bans_on = limits, verdicts, bans
-        self.sightings, self.verdicts = Sightings(limits), Verdicts(limits)
-        self.bans = Bans(limits)
+        self.sightings, self.verdicts = LocalObservations(limits), SuspicionTable(limits)
+        self.bans = DisabledBackends(limits)
         self._digests: dict[int, tuple[int, bytes]] = {}  # of each head: its life, and its table as last told
         self._turn: Counter[int] = Counter()  # of the records told to each head
         self._heard: dict[str, Record] = {}
         self._told: dict[str, int] = {}  # as the module has it
         self._note = note
 
-    def keep(self, bans: Bans) -> None:
+    def keep(self, bans: DisabledBackends) -> None:
         """The table as it stands from now on."""
         if self._note and bans.banned != self.bans.banned:
             self._note("bans", out=sorted(bans.banned))
@@ -47,7 +47,7 @@
 
     def merge(self) -> bool:
         """Takes up what others have told, in memory alone; whether anything was news."""
-        bans = Bans(self.limits, self.bans.records.values())
+        bans = DisabledBackends(self.limits, self.bans.records.values())
         news, _ = bans.hear(self.take())
         if news:
             self.keep(bans)
@@ -66,7 +66,7 @@
         evidence = words.evidence if self._verdicts_on else ()
         return self.verdicts.heard(sender, evidence, sent_at, now, self.sightings)
 
-    def hearsay(self, now: int) -> api.Hearsay | None:
+    def hearsay(self, now: int) -> api.PeerSuspicions | None:
         """What the module is to be told, where it differs from what it was told."""
         doubted = self.verdicts.doubted(now, self.sightings)
         if doubted == self._told or not (doubted or self._told):
@@ -74,7 +74,7 @@
         self._told = doubted
         if self._note:
             self._note("doubted", servers=doubted)
-        return api.Hearsay(doubted)
+        return api.PeerSuspicions(doubted)
 
     def say(
         self, heads: dict[int, tuple[int, int]], life: int, number: int, now: int, tightest_us: int
@@ -93,7 +93,7 @@
             records = [] if same else table[turn:] + table[:turn]
             some, more = fit(evidence, records, self.limits.datagram_bytes)
             self._turn[who] += more
-            words = Words(self.bans.digest, tuple(evidence[:some]), tuple(records[:more]))
+            words = GossipMessage(self.bans.digest, tuple(evidence[:some]), tuple(records[:more]))
             told.append((who, envelope(words, life, number, its_life, its_number)))
         return told
 
--- a/garnetlanding/peers/words.py
+++ b/garnetlanding/peers/gossip_message.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from garnetlanding.peers.bans import DIGEST, Record
-from garnetlanding.peers.codec import HEAD, SUM, WORDS, BadMessage, Envelope
+from garnetlanding.peers.codec import HEAD, SUM, WORDS, Envelope, MessageError
+from garnetlanding.peers.disabled_backends import DIGEST, Record
 
 EVIDENCE, BAN = struct.Struct(">BIHBH"), struct.Struct(">6sHBB")
 LONG_AGO = 0xFFFF  # a life that began longer ago than can be told
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Words:
+class GossipMessage:
     digest: bytes
     evidence: tuple[Evidence, ...] = ()
     records: tuple[Record, ...] = ()
@@ -69,7 +69,7 @@
     return seen, told
 
 
-def envelope(words: Words, life: int, number: int, re_life: int, re_number: int) -> Envelope:
+def envelope(words: GossipMessage, life: int, number: int, re_life: int, re_number: int) -> Envelope:
     parts = [words.digest]
     parts += [
         EVIDENCE.pack(e.kind, e.server, e.life, min(e.count, MOST_COUNT), min(e.age_ms, MOST_AGE))
@@ -83,28 +83,28 @@
     )
 
 
-def read(e: Envelope) -> Words:
+def read(e: Envelope) -> GossipMessage:
     """Raises BadMessage."""
     seen, told = e.counts
     at = DIGEST + seen * EVIDENCE.size
     if len(e.body) < at:
-        raise BadMessage("torn")
+        raise MessageError("torn")
     evidence = []
     for i in range(seen):
         kind, server, life, count, age = EVIDENCE.unpack_from(e.body, DIGEST + i * EVIDENCE.size)
         if not Kind.DEAD <= kind <= Kind.COLD:
-            raise BadMessage("no such verdict")
+            raise MessageError("no such verdict")
         evidence.append(Evidence(Kind(kind), server, life, count, age))
     records = []
     for _ in range(told):
         if len(e.body) < at + BAN.size:
-            raise BadMessage("torn")
+            raise MessageError("torn")
         version, by, out, length = BAN.unpack_from(e.body, at)
         name = e.body[at + BAN.size : at + BAN.size + length]
         at += BAN.size + length
         if len(name) != length or not name.isascii() or not name or out > 1:
-            raise BadMessage("no ban")
+            raise MessageError("no ban")
         records.append(Record(name.decode(), int.from_bytes(version, "big"), by, bool(out)))
     if at != len(e.body):
-        raise BadMessage("torn")
-    return Words(e.body[:DIGEST], tuple(evidence), tuple(records))
+        raise MessageError("torn")
+    return GossipMessage(e.body[:DIGEST], tuple(evidence), tuple(records))
--- a/garnetlanding/peers/turns.py
+++ b/garnetlanding/peers/gossip_schedule.py
@@ -9,7 +9,7 @@
 from garnetlanding.peers.limits import PeerLimits
 
 
-class Turns:
+class GossipSchedule:
     def __init__(self, limits: PeerLimits, me: int) -> None:
         self._limits = limits
         # Heads that start together would all turn to the same one first.
--- a/garnetlanding/peers/link.py
+++ b/garnetlanding/peers/link.py
@@ -13,7 +13,7 @@
 from garnetlanding.runtime.stream import parse_address
 
 if TYPE_CHECKING:  # what is off is not imported
-    from garnetlanding.peers.group import Group
+    from garnetlanding.peers.membership_protocol import MembershipProtocol
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
         setup: PeerSetup,
         heard: Callable[[int, bytes], None],
         dropped: Counter[str],
-        group: Group | None = None,
+        group: MembershipProtocol | None = None,
     ) -> None:
         """Raises OSError where the address cannot be had. `heard` gets the sender's number and the bytes;
         `dropped` counts by cause, and is logged and emptied every so often. `group`: heads are found, in
--- a/garnetlanding/peers/sightings.py
+++ b/garnetlanding/peers/local_observations.py
@@ -9,8 +9,8 @@
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.interface import Outcome
+from garnetlanding.peers.gossip_message import LONG_AGO, Evidence, Kind, tag
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.words import LONG_AGO, Evidence, Kind, tag
 
 TENTH = 100_000
 NEVER = -(1 << 62)
@@ -18,10 +18,10 @@
 
 
 @dataclass(slots=True)
-class Sight:
+class Observation:
     """Of one life of one server. Times are those of the last such observation."""
 
-    entry: api.NodeEntry
+    entry: api.Endpoint
     heard_at: int = NEVER  # any answer
     served_at: int = NEVER
     quick_at: int = NEVER  # served within the tightest aim
@@ -43,17 +43,17 @@
         return self.served_at if kind is Kind.FULL else self.quick_at
 
 
-class Sightings:
+class LocalObservations:
     def __init__(self, limits: PeerLimits) -> None:
         self._limits = limits
-        self.servers: dict[str, Sight] = {}
+        self.servers: dict[str, Observation] = {}
         self.names: dict[int, str] = {}  # by tag
 
     def see(self, now: int, events: Iterable[api.Event], tightest_us: int) -> None:
         """Before the module is told of them."""
         for event in events:
             match event:
-                case api.NodeList():
+                case api.EndpointListUpdate():
                     self._listed(event)
                 case api.Result():
                     if sight := self.servers.get(event.node):
@@ -64,7 +64,7 @@
             if isinstance(action, api.Send) and (sight := self.servers.get(action.node)):
                 sight.out.setdefault(action.request, now)
 
-    def _listed(self, event: api.NodeList) -> None:
+    def _listed(self, event: api.EndpointListUpdate) -> None:
         if event.failed:
             return
         told = {e.node: e for e in event.entries}
@@ -73,17 +73,17 @@
                 self._drop(node)
         for node, entry in told.items():
             known = self.servers.get(node)
-            if entry.state is not api.NodeState.UP or entry.by_hand:
+            if entry.state is not api.EndpointState.UP or entry.admin_disabled:
                 self._drop(node)
             elif known is None or known.entry.started_us != entry.started_us:
-                self.servers[node] = Sight(entry)
+                self.servers[node] = Observation(entry)
                 self.names[tag(node)] = node
 
     def _drop(self, node: str) -> None:
         if self.servers.pop(node, None):
             self.names.pop(tag(node), None)
 
-    def _ended(self, sight: Sight, e: api.Result, now: int, tightest_us: int) -> None:
+    def _ended(self, sight: Observation, e: api.Result, now: int, tightest_us: int) -> None:
         if e.outcome in SPOKE and (was := self._verdict(sight, now, tightest_us)):
             sight.back_at = now if was[0] in (Kind.DEAD, Kind.SILENT) else sight.back_at
         sight.out.pop(e.request, None)
@@ -114,7 +114,7 @@
                     found.append((node, Evidence(kind, tag(node), life_of(sight.entry, now), count, age)))
         return sorted(found, key=lambda one: one[1].age_ms)
 
-    def _verdict(self, s: Sight, now: int, tightest_us: int) -> tuple[Kind, int, int] | None:
+    def _verdict(self, s: Observation, now: int, tightest_us: int) -> tuple[Kind, int, int] | None:
         """Kind, count, and when last seen."""
         limits = self._limits
         if s.refused >= limits.refused_row:
@@ -132,6 +132,6 @@
         return None
 
 
-def life_of(entry: api.NodeEntry, now: int) -> int:
+def life_of(entry: api.Endpoint, now: int) -> int:
     """How long ago a server's process started, as it is told."""
     return min(LONG_AGO, max(0, now - entry.started_us) // TENTH) if entry.started_us else LONG_AGO
--- a/garnetlanding/peers/members.py
+++ b/garnetlanding/peers/membership.py
@@ -9,7 +9,7 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from garnetlanding.peers.bans import DIGEST
+from garnetlanding.peers.disabled_backends import DIGEST
 from garnetlanding.peers.limits import PeerLimits
 
 NEVER = 1 << 62
@@ -29,7 +29,7 @@
         return self.life, self.gone, self.address
 
 
-class Members:
+class Membership:
     def __init__(
         self, limits: PeerLimits, me: int, life: int, address: str, seeds: Iterable[str], now: int
     ) -> None:
--- a/garnetlanding/peers/roll.py
+++ b/garnetlanding/peers/membership_message.py
@@ -14,9 +14,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from garnetlanding.peers.bans import DIGEST
-from garnetlanding.peers.codec import HEAD, ROLL, SUM, BadMessage, Envelope
-from garnetlanding.peers.members import Record
+from garnetlanding.peers.codec import HEAD, ROLL, SUM, Envelope, MessageError
+from garnetlanding.peers.disabled_backends import DIGEST
+from garnetlanding.peers.membership import Record
 from garnetlanding.runtime.stream import parse_address
 
 RECORD, PORT = struct.Struct(">H6sBB"), struct.Struct(">H")
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Roll:
+class MembershipMessage:
     digest: bytes
     records: tuple[Record, ...]
     joined: bool
@@ -49,7 +49,7 @@
     return RECORD.size + (LONGEST_ADDRESS if record.address.startswith("[") else 4) + PORT.size
 
 
-def envelope(told: Roll, life: int, number: int, re_life: int, re_number: int) -> Envelope:
+def envelope(told: MembershipMessage, life: int, number: int, re_life: int, re_number: int) -> Envelope:
     parts = [told.digest]
     for record in told.records:
         host, port = parse_address(record.address)
@@ -62,19 +62,19 @@
     return Envelope(ROLL, life, number, re_life, re_number, (len(told.records), told.joined), b"".join(parts))
 
 
-def read(e: Envelope) -> Roll:
+def read(e: Envelope) -> MembershipMessage:
     """Raises BadMessage."""
     if e.kind != ROLL:
-        raise BadMessage("other kind")
+        raise MessageError("other kind")
     at, records = DIGEST, []
     for _ in range(e.counts[0]):
         if len(e.body) < at + RECORD.size:
-            raise BadMessage("torn")
+            raise MessageError("torn")
         head, life, gone, length = RECORD.unpack_from(e.body, at)
         at += RECORD.size
         packed, end = e.body[at : at + length], at + length + PORT.size
         if length not in (4, LONGEST_ADDRESS) or len(e.body) < end or gone > 1:
-            raise BadMessage("no record")
+            raise MessageError("no record")
         host = str(ipaddress.ip_address(packed))
         port = PORT.unpack_from(e.body, at + length)[0]
         records.append(
@@ -87,5 +87,5 @@
         )
         at = end
     if at != len(e.body) or not records or e.counts[1] > 1:
-        raise BadMessage("torn")
-    return Roll(e.body[:DIGEST], tuple(records), bool(e.counts[1]))
+        raise MessageError("torn")
+    return MembershipMessage(e.body[:DIGEST], tuple(records), bool(e.counts[1]))
--- a/garnetlanding/peers/group.py
+++ b/garnetlanding/peers/membership_protocol.py
@@ -1,5 +1,5 @@
 """One head's side of finding the others: its table of heads, and what it tells of it. No clock, no socket;
-`Talk` carries its messages.
+`PeerCoordinator` carries its messages.
 """
 
 from __future__ import annotations
@@ -7,16 +7,18 @@
 import logging
 from collections.abc import Callable
 
-from garnetlanding.peers import codec, roll
-from garnetlanding.peers.codec import BadMessage, Envelope
+from garnetlanding.peers import codec, membership_message
+from garnetlanding.peers.codec import Envelope, MessageError
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.members import Members
+from garnetlanding.peers.membership import Membership
 
 log = logging.getLogger(__name__)
 
 
-class Group:
-    def __init__(self, limits: PeerLimits, members: Members, note: Callable[..., None] | None = None) -> None:
+class MembershipProtocol:
+    def __init__(
+        self, limits: PeerLimits, members: Membership, note: Callable[..., None] | None = None
+    ) -> None:
         """`note` writes a history's line."""
         self.limits, self.members, self._note = limits, members, note
         self._digests: dict[int, bytes] = {}  # of each head, as last heard from it
@@ -24,14 +26,14 @@
     def introduce(self, address: str, data: bytes) -> int | None:
         """Who sends from an address that nobody is known at: its own record says so, and names that one."""
         try:
-            first = roll.read(codec.unseal(data, self.limits.datagram_bytes)).records[0]
-        except BadMessage:
+            first = membership_message.read(codec.unseal(data, self.limits.datagram_bytes)).records[0]
+        except MessageError:
             return None
         return first.head if first.address == address and not first.gone else None
 
-    def learn(self, e: Envelope) -> roll.Roll:
+    def learn(self, e: Envelope) -> membership_message.MembershipMessage:
         """Raises BadMessage."""
-        told = roll.read(e)
+        told = membership_message.read(e)
         before = self.members.digest
         self.members.learn(told.records)
         if self.members.digest != before:
@@ -47,7 +49,7 @@
         if self._note:
             self._note("heads", entitled=sorted(self.members.entitled), even=self.members.even)
 
-    def heard(self, sender: int, told: roll.Roll, now: int) -> None:
+    def heard(self, sender: int, told: membership_message.MembershipMessage, now: int) -> None:
         """A head's own, new word."""
         joined = self.members.joined
         self._digests[sender] = told.digest
@@ -74,11 +76,13 @@
         numbers: list[int] = []  # of the first message to each head, of the second, and so on
         for who, heard in heads.items():
             records = members.tell(who, self._digests.get(who))
-            for i, page in enumerate(roll.pages(records, limits.datagram_bytes, limits.roll_pages)):
+            for i, page in enumerate(
+                membership_message.pages(records, limits.datagram_bytes, limits.roll_pages)
+            ):
                 if i == len(numbers):
                     numbers.append(sending())
-                said = roll.Roll(members.digest, tuple(page), members.joined)
-                told.append((who, roll.envelope(said, life, numbers[i], *heard)))
+                said = membership_message.MembershipMessage(members.digest, tuple(page), members.joined)
+                told.append((who, membership_message.envelope(said, life, numbers[i], *heard)))
         return told
 
     def say_out(self, why: str) -> None:
--- a/garnetlanding/peers/budgets.py
+++ b/garnetlanding/peers/shared_budgets.py
@@ -13,11 +13,11 @@
 from garnetlanding.peers.limits import SECOND, PeerLimits
 
 
-class Budgets:
+class SharedBudgets:
     def __init__(self, limits: PeerLimits, s: api.Settings, life: int, now: int, longest_us: int = 0) -> None:
         """`longest_us`: a window beside those of the settings."""
         self._limits = limits
-        longest = max(s.fall_us, s.budget_span_us, limits.list_window_us, longest_us)
+        longest = max(s.overload_window_us, s.retry_budget_window_us, limits.list_window_us, longest_us)
         self.leases = Leases(limits, s.me, s.hosts, life, now, window_us=longest)
         self._cold: dict[int, tuple[str, int]] = {}  # by cell: the server that is cold, until when
         self._units: dict[str, float] = {}  # of requests that may go to one of them
@@ -27,36 +27,45 @@
         """Before the module is told of them. `hosts`: the heads that share everything."""
         for event in events:
             match event:
-                case api.NodeList(failed=True):
+                case api.EndpointListUpdate(failed=True):
                     self.leases.asked(
                         api.LIST_CALLS, hosts, self._limits.list_calls, 1, now, self._limits.list_window_us
                     )
-                case api.NodeList():
+                case api.EndpointListUpdate():
                     self._listed(event, now, s)
-                case api.Arrival() if event.cell in self._cold and s.cold_units:
+                case api.Arrival() if event.cell in self._cold and s.warmup_units:
                     node, until = self._cold[event.cell]
                     if now >= until:
                         del self._cold[event.cell]
                         continue
                     self._units[event.request] = event.units
                     self.leases.asked(
-                        api.cold(node), hosts, s.cold_units * SECOND / s.fall_us, event.units, now, s.fall_us
+                        api.cold(node),
+                        hosts,
+                        s.warmup_units * SECOND / s.overload_window_us,
+                        event.units,
+                        now,
+                        s.overload_window_us,
                     )
                 case api.ClientLeft():
                     self._over(event.request)
                 case api.Result():
-                    if s.budget_span_us and s.budget_free and event.outcome is not api.Outcome.SERVED:
-                        pace = s.budget_free * hosts * SECOND / s.budget_span_us
-                        self.leases.asked(api.RESENDS, hosts, pace, 1, now, s.budget_span_us)
+                    if (
+                        s.retry_budget_window_us
+                        and s.retry_budget_floor
+                        and event.outcome is not api.Outcome.SERVED
+                    ):
+                        pace = s.retry_budget_floor * hosts * SECOND / s.retry_budget_window_us
+                        self.leases.asked(api.RESENDS, hosts, pace, 1, now, s.retry_budget_window_us)
                     if event.over:
                         self._over(event.request)
 
-    def _listed(self, event: api.NodeList, now: int, s: api.Settings) -> None:
+    def _listed(self, event: api.EndpointListUpdate, now: int, s: api.Settings) -> None:
         if event.whole:
             self._cold.clear()
         for entry in event.entries:
-            until = entry.started_us + s.cold_us
-            if entry.state is api.NodeState.UP and entry.started_us and now < until:
+            until = entry.started_us + s.warmup_us
+            if entry.state is api.EndpointState.UP and entry.started_us and now < until:
                 self._cold[entry.cell] = entry.node, until
             elif self._cold.get(entry.cell, ("", 0))[0] == entry.node:
                 del self._cold[entry.cell]
@@ -72,13 +81,13 @@
                 case api.Send():
                     if units := self._units.get(action.request):
                         self.leases.spend(api.cold(action.node), units, now)
-                    if s.budget_span_us:
+                    if s.retry_budget_window_us:
                         if action.request in self._sent:
                             self.leases.spend(api.RESENDS, 1, now)
                         self._sent.add(action.request)
                 case api.Subscribe():
                     self.leases.spend(api.LIST_CALLS, 1, now)
-                case api.Refuse() | api.Fail():
+                case api.Reject() | api.Fail():
                     self._over(action.request)
 
     def shares(self, now: int, hosts: int) -> dict[str, float] | None:
--- a/garnetlanding/peers/verdicts.py
+++ b/garnetlanding/peers/suspicions.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from garnetlanding.peers.gossip_message import LONG_AGO, Evidence, Kind
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.sightings import NEVER, TENTH, Sightings, life_of
-from garnetlanding.peers.words import LONG_AGO, Evidence, Kind
+from garnetlanding.peers.local_observations import NEVER, TENTH, LocalObservations, life_of
 
 MS = 1000
 
@@ -28,7 +28,7 @@
     answered_at: int = NEVER  # this head's first proof of the contrary since the word, or the one before
 
 
-class Verdicts:
+class SuspicionTable:
     def __init__(self, limits: PeerLimits) -> None:
         self._limits = limits
         self._claims: dict[str, dict[int, Claim]] = {}  # by server and head
@@ -40,7 +40,12 @@
         return min(1.0, value + (now - at) / self._limits.recover_us)
 
     def heard(
-        self, sender: int, evidence: Iterable[Evidence], sent_at: int | None, now: int, seen: Sightings
+        self,
+        sender: int,
+        evidence: Iterable[Evidence],
+        sent_at: int | None,
+        now: int,
+        seen: LocalObservations,
     ) -> Counter[str]:
         """All that a head has to say at this moment; what it said before and does not repeat is withdrawn.
         `sent_at`: when this head sent the last message the sender had heard by then, by this head's clock.
@@ -72,7 +77,7 @@
             return told == known or min(told, known) > LONG_AGO - self._limits.life_slack_us // TENTH
         return abs(told - known) <= self._limits.life_slack_us // TENTH
 
-    def _take(self, node: str, sender: int, claim: Claim, now: int, seen: Sightings) -> None:
+    def _take(self, node: str, sender: int, claim: Claim, now: int, seen: LocalObservations) -> None:
         """A head that goes on saying what this one's traffic speaks against loses credit, or that says it
         once more; one that was merely not quick to hear of the change does not."""
         claims = self._claims.setdefault(node, {})
@@ -90,7 +95,7 @@
             claim.answered_at = answered
         claims[sender] = claim
 
-    def doubted(self, now: int, seen: Sightings) -> dict[str, int]:
+    def doubted(self, now: int, seen: LocalObservations) -> dict[str, int]:
         """The servers with whom to be careful on others' word alone, and until when at most."""
         weights: list[tuple[float, str, int]] = []
         for node, claims in list(self._claims.items()):
@@ -110,7 +115,7 @@
         chosen = sorted(weights, key=lambda one: (-one[0], one[1]))[:most]
         return {node: until for _, node, until in chosen}
 
-    def known(self, now: int, seen: Sightings, tightest_us: int) -> list[dict[str, object]]:
+    def known(self, now: int, seen: LocalObservations, tightest_us: int) -> list[dict[str, object]]:
         """For operators: what is believed of each server, from whom, how old at most."""
         own, doubted = dict(seen.evidence(now, tightest_us)), self.doubted(now, seen)
         return [
--- a/garnetlanding/resp/brick.py
+++ b/garnetlanding/resp/brick.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from garnetlanding.core.body import Body
-from garnetlanding.core.ports import Timers, Trial
+from garnetlanding.core.ports import AttemptHandle, Timers
 from garnetlanding.decision.interface import Outcome
 from garnetlanding.limits import Limits
 from garnetlanding.resp import codec
@@ -81,7 +81,7 @@
     ) -> None:
         self._timers, self._write, self._done = scheduler, write, done
         self._decoder, self._most_use = codec.Decoder(pool, limits), limits.use_percent
-        self._trial: Trial | None = None
+        self._trial: AttemptHandle | None = None
         self.body: Body | None = None  # the value that is being passed on
         self.exposed = True  # a command is one message: whole at the brick, it may have run
 
@@ -89,7 +89,7 @@
     def midway(self) -> bool:
         return self._decoder.midway
 
-    def begin(self, trial: Trial) -> None:
+    def begin(self, trial: AttemptHandle) -> None:
         self._trial = trial
         self._write(trial.work.for_brick(trial.until_us - self._timers.now))
 
@@ -132,7 +132,7 @@
             return False
         return True
 
-    def suits(self, trial: Trial) -> bool:
+    def suits(self, trial: AttemptHandle) -> bool:
         return True
 
     def close(self) -> None:
--- a/garnetlanding/resp/front.py
+++ b/garnetlanding/resp/front.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from garnetlanding.core.body import Body, Sink
-from garnetlanding.core.core import Core
-from garnetlanding.core.ports import Answer, Backend, Refused, Served, Unfit
+from garnetlanding.core.engine import RequestEngine
+from garnetlanding.core.ports import Answer, Backend, InvalidRequestError, Rejected, Served
 from garnetlanding.limits import MS, Limits
 from garnetlanding.resp import codec
 from garnetlanding.resp.request import BadRequest, read_request
@@ -20,8 +20,8 @@
             return body
         case Served(value):
             return codec.bulk(value)
-        case Refused(hold_off_us):
-            return b"-BUSY %d\r\n" % -(-hold_off_us // MS) if hold_off_us else b"-BUSY\r\n"
+        case Rejected(retry_after_us):
+            return b"-BUSY %d\r\n" % -(-retry_after_us // MS) if retry_after_us else b"-BUSY\r\n"
     return codec.error("ERR " + answer.why)
 
 
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        core: Core,
+        core: RequestEngine,
         backend: Backend,
         pool: BufferPool,
         limits: Limits,
@@ -111,7 +111,7 @@
             # The core may answer before it returns: then there is no open item to note.
             self.asked += 1
             ticket = self._core.accept(ask, self._backend, lambda a: self._settle(slot, write_answer(a)))
-        except (BadRequest, Unfit) as problem:
+        except (BadRequest, InvalidRequestError) as problem:
             self._spoilt(slot, str(problem))
             return
         if slot[0] is None:
--- a/garnetlanding/resp/request.py
+++ b/garnetlanding/resp/request.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass
 
-from garnetlanding.core.ports import Ask
+from garnetlanding.core.ports import RequestSpec
 from garnetlanding.limits import MS, Limits
 from garnetlanding.resp import codec
 
@@ -68,7 +68,7 @@
     return pairs
 
 
-def read_request(words: list[bytes], limits: Limits) -> Ask:
+def read_request(words: list[bytes], limits: Limits) -> RequestSpec:
     is_write = words[0].upper() == b"BLK.WRITE"
     if len(words) != (5 if is_write else 4):
         raise BadRequest("wrong number of arguments")
@@ -77,7 +77,7 @@
     for name in ("c", "t"):
         if not pairs.get(name):
             raise BadRequest(f"field {name}: missing")
-    return Ask(
+    return RequestSpec(
         cls=pairs["c"],
         plan=pairs["t"],
         volume=_name(pairs.get("volume", "").encode(), "field volume", limits),
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from garnetlanding.core.body import Body
-from garnetlanding.core.ports import Trial
+from garnetlanding.core.ports import AttemptHandle
 from garnetlanding.decision.interface import Outcome
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.buffers import BufferPool
@@ -22,7 +22,7 @@
 log = logging.getLogger(__name__)
 
 
-class Places(Protocol):
+class ConnectionQuota(Protocol):
     """Of the connections that all heads together may have at a server, this head's."""
 
     def most(self, server: str) -> int: ...
@@ -40,7 +40,7 @@
 class ServerMachine(Protocol):
     """One server connection's protocol. It ends the attempt, and calls `done` when free for the next."""
 
-    def begin(self, trial: Trial) -> None: ...
+    def begin(self, trial: AttemptHandle) -> None: ...
 
     def feed(self, data: bytes | memoryview) -> None: ...
 
@@ -56,19 +56,19 @@
     def body(self) -> Body | None:
         """The value that is being passed on."""
 
-    def suits(self, trial: Trial) -> bool:
+    def suits(self, trial: AttemptHandle) -> bool:
         """Whether this connection, of several that are free, would serve the attempt better."""
 
     def close(self) -> None: ...
 
 
-MakeMachine = Callable[[Trial, Callable[[bytes], None], Callable[[], None]], ServerMachine]
+MakeMachine = Callable[[AttemptHandle, Callable[[bytes], None], Callable[[], None]], ServerMachine]
 
 
 class Connection:
-    def __init__(self, upstream: Upstream, key: Key, trial: Trial) -> None:
+    def __init__(self, upstream: Upstream, key: Key, trial: AttemptHandle) -> None:
         self._upstream, self.key, self.node = upstream, key, trial.node
-        self.trial: Trial | None = trial
+        self.trial: AttemptHandle | None = trial
         self.machine = upstream.make(trial, self._write, self._done)
         self.began_at = self.idle_since = upstream.scheduler.now
         self.closed = False
@@ -127,7 +127,7 @@
     def quiet(self) -> bool:
         return self._stream is not None and self._stream.quiet()
 
-    def begin(self, trial: Trial) -> None:
+    def begin(self, trial: AttemptHandle) -> None:
         """Starts the attempt. The drain rule counts a send from its first byte, so this is where it is
         checked, also for one that has waited for the connection."""
         self.trial, self._written = trial, False
@@ -184,16 +184,16 @@
         most: int,
         make: MakeMachine,
         place: Callable[[str], str] = lambda endpoint: endpoint,
-        bind: Callable[[Trial], str] = lambda trial: "",
+        bind: Callable[[AttemptHandle], str] = lambda trial: "",
     ) -> None:
         self.scheduler, self.pool, self.limits, self.make = scheduler, pool, limits, make
         self._most, self._place, self._bind = most, place, bind
         self._conns: dict[Key, set[Connection]] = {}
         self._idle: dict[Key, list[Connection]] = {}
-        self._busy: dict[Trial, Connection] = {}
+        self._busy: dict[AttemptHandle, Connection] = {}
         self.count = 0
         self.part = 1.0  # of the connections, to be kept to while another process has the rest
-        self.places: Places | None = None  # where all heads together have so many at one server
+        self.places: ConnectionQuota | None = None  # where all heads together have so many at one server
         # Where idle connections are kept to some servers only: which, and for how long to others.
         self.keeps: Callable[[], frozenset[str]] | None = None
         self.outside_idle_us = limits.brick_idle_us
@@ -201,12 +201,12 @@
         self.faults: Counter[tuple[str, str]] = Counter()  # by server and cause, since the last sweep
         scheduler.call_at(scheduler.now + limits.sweep_us, self._sweep)
 
-    def allows(self, trial: Trial, key: Key) -> bool:
+    def allows(self, trial: AttemptHandle, key: Key) -> bool:
         """Whether its server may still be sent the attempt, and still listens where this goes."""
         endpoint = trial.endpoint()
         return endpoint is not None and self._place(endpoint) == key[0]
 
-    def start(self, trial: Trial) -> None:
+    def start(self, trial: AttemptHandle) -> None:
         endpoint = trial.endpoint()
         if endpoint is None:
             trial.ended(Outcome.UNREACHABLE)
@@ -243,7 +243,7 @@
         if self.places:
             self.places.open(conn.node, len(self._conns[conn.key]))
 
-    def stop(self, trial: Trial) -> None:
+    def stop(self, trial: AttemptHandle) -> None:
         conn = self._busy.pop(trial, None)
         if conn:
             conn.trial = None
--- a/garnetlanding/shutdown.py
+++ b/garnetlanding/shutdown.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from garnetlanding.core.core import Core
+from garnetlanding.core.engine import RequestEngine
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.listener import Listener
 from garnetlanding.runtime.scheduler import Scheduler
@@ -64,7 +64,7 @@
         self,
         scheduler: Scheduler,
         limits: Limits,
-        core: Core,
+        core: RequestEngine,
         listeners: Iterable[Listener],
         relieved: Callable[[], bool],
     ) -> None:
--- a/garnetlanding/store/file.py
+++ b/garnetlanding/store/persister.py
@@ -8,7 +8,7 @@
 
 from garnetlanding.runtime.files import replace_whole
 from garnetlanding.runtime.scheduler import Scheduler
-from garnetlanding.store.store import Entry, FileError, Snapshot, Store
+from garnetlanding.store.store import Entry, Snapshot, Store, StoreFileError
 
 log = logging.getLogger(__name__)
 
@@ -20,11 +20,11 @@
     except FileNotFoundError:
         return None
     except (OSError, ValueError) as problem:
-        raise FileError(f"{path}: {problem}") from None
+        raise StoreFileError(f"{path}: {problem}") from None
     match data:
         case {"epoch": int() as epoch, "revision": int() as revision, "values": dict() as values}:
             return Snapshot(epoch, revision, values)
-    raise FileError(f"{path}: not a store's file")
+    raise StoreFileError(f"{path}: not a store's file")
 
 
 def save(path: str, snapshot: Snapshot) -> None:
@@ -32,7 +32,7 @@
     replace_whole(path, text.encode())
 
 
-class Keeper:
+class StorePersister:
     """Starts a store from its file, and writes it out a moment after it has changed."""
 
     def __init__(self, scheduler: Scheduler, store: Store, path: str, pause_us: int) -> None:
--- a/garnetlanding/store/replica.py
+++ b/garnetlanding/store/replica.py
@@ -18,8 +18,8 @@
 from garnetlanding.runtime.buffers import BufferPool, PoolEmpty
 from garnetlanding.runtime.scheduler import Expired, Scheduler, Timer
 from garnetlanding.runtime.stream import Closed, Stream
-from garnetlanding.store.currency import Currency
-from garnetlanding.store.store import Entry, Gap, Snapshot, Stale, Store
+from garnetlanding.store.staleness_guard import StalenessGuard
+from garnetlanding.store.store import Entry, LogGapError, Snapshot, StaleEpochError, Store
 
 log = logging.getLogger(__name__)
 
@@ -124,7 +124,7 @@
 class FollowerMachine:
     """The follower's end. Raises what makes its connection useless."""
 
-    def __init__(self, store: Store, limits: Limits, currency: Currency | None = None) -> None:
+    def __init__(self, store: Store, limits: Limits, currency: StalenessGuard | None = None) -> None:
         self._store, self._currency = store, currency
         self._lines = _Lines(limits.store_line_bytes)
         self._epoch = -1  # of the writer on this connection, once it has said so
@@ -164,7 +164,7 @@
     def _check(self, revision: int) -> None:
         store = self._store
         if (self._epoch, revision) != (store.epoch, store.revision):
-            raise Gap(f"the writer is at {revision}, this store at {store.revision}")
+            raise LogGapError(f"the writer is at {revision}, this store at {store.revision}")
 
 
 class Follower:
@@ -177,7 +177,7 @@
         store: Store,
         pool: BufferPool,
         limits: Limits,
-        currency: Currency | None = None,
+        currency: StalenessGuard | None = None,
         turn: float = 0.5,
     ) -> None:
         """`turn`: this head's place in `[0, 1)` among those that the same signal wakes: a writer that
@@ -194,7 +194,7 @@
         while True:
             why = self._follow(afresh)
             self.connected = False
-            again, afresh = afresh, isinstance(why, Gap)
+            again, afresh = afresh, isinstance(why, LogGapError)
             log.warning(
                 "store not followed",
                 extra={
@@ -223,7 +223,7 @@
             while stream.read(machine.feed, scheduler.now + limits.store_quiet_us):
                 self.connected = True
             return Closed("ended")
-        except (OSError, Expired, Closed, PoolEmpty, ReplicaError, Gap, Stale) as problem:
+        except (OSError, Expired, Closed, PoolEmpty, ReplicaError, LogGapError, StaleEpochError) as problem:
             return problem
         finally:
             if self._asking:
@@ -231,7 +231,7 @@
             if stream:
                 stream.close()
 
-    def _ask(self, stream: Stream, currency: Currency) -> None:
+    def _ask(self, stream: Stream, currency: StalenessGuard) -> None:
         now = self._scheduler.now
         stream.write(FollowerMachine.ask(currency.ask(now)))
         self._asking = self._scheduler.call_at(now + currency.every_us, lambda: self._ask(stream, currency))
--- a/garnetlanding/store/currency.py
+++ b/garnetlanding/store/staleness_guard.py
@@ -5,7 +5,7 @@
 from __future__ import annotations
 
 
-class Currency:
+class StalenessGuard:
     def __init__(self, current_us: int, drift: float, now: int) -> None:
         """`current_us`: no change is older than that to a head that acts. It starts as current as its
         settings: it has not heard of any."""
--- a/garnetlanding/store/store.py
+++ b/garnetlanding/store/store.py
@@ -12,19 +12,19 @@
 from typing import Any
 
 
-class NotWriter(Exception):
+class NotWriterError(Exception):
     """Only the writer's store takes writes."""
 
 
-class Gap(Exception):
+class LogGapError(Exception):
     """An entry does not follow on what is held: a new snapshot is needed."""
 
 
-class Stale(Exception):
+class StaleEpochError(Exception):
     """What claims to be the writer is not, or no longer."""
 
 
-class FileError(ValueError):
+class StoreFileError(ValueError):
     """A file that is there and is not a store's."""
 
 
@@ -75,7 +75,7 @@
     def put(self, key: str, value: Any) -> None:
         """None deletes. Writing what is there already is no change and takes no revision."""
         if not self.writable:
-            raise NotWriter(f"{self.writer} is the writer")
+            raise NotWriterError(f"{self.writer} is the writer")
         if self._values.get(key) != value:
             self._add(Entry(self.revision + 1, key, value))
 
@@ -84,11 +84,11 @@
     def accept_writer(self, name: str, epoch: int) -> None:
         """Checks who speaks before anything is taken from it."""
         if self.writable:
-            raise Stale(f"{name} claims to be the writer, which is this store")
+            raise StaleEpochError(f"{name} claims to be the writer, which is this store")
         if name != self.writer:
-            raise Stale(f"{name} is not the configured writer {self.writer}")
+            raise StaleEpochError(f"{name} is not the configured writer {self.writer}")
         if epoch < self.epoch:
-            raise Stale(f"epoch {epoch} of {name} has been followed by {self.epoch}")
+            raise StaleEpochError(f"epoch {epoch} of {name} has been followed by {self.epoch}")
 
     def restore(self, snapshot: Snapshot) -> None:
         self.epoch, self.revision = snapshot.epoch, snapshot.revision
@@ -98,7 +98,9 @@
 
     def apply(self, epoch: int, entry: Entry) -> None:
         if epoch != self.epoch or entry.revision != self.revision + 1:
-            raise Gap(f"entry {entry.revision} of epoch {epoch} after {self.revision} of {self.epoch}")
+            raise LogGapError(
+                f"entry {entry.revision} of epoch {epoch} after {self.revision} of {self.epoch}"
+            )
         self._add(entry)
 
     def _add(self, entry: Entry) -> None:
--- a/garnetlanding/telemetry/exporter.py
+++ b/garnetlanding/telemetry/exporter.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from garnetlanding import __version__
-from garnetlanding.core.ports import Answer, Ask, Failed, Refused
+from garnetlanding.core.ports import Answer, Failed, Rejected, RequestSpec
 from garnetlanding.http.response import HttpError, ResponseParser
 from garnetlanding.limits import SECOND, Limits
 from garnetlanding.runtime.buffers import BufferPool, PoolEmpty
@@ -30,14 +30,14 @@
 
 RETRY = (429, 502, 503, 504)  # the protocol's statuses that ask for another try
 BOUNDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0)  # seconds
-OUTCOMES = {Refused: "refused", Failed: "failed"}
+OUTCOMES = {Rejected: "refused", Failed: "failed"}
 
 
 @dataclass(frozen=True, slots=True)
 class Ended:
     """One item that has ended, kept as it was told until its turn to be encoded."""
 
-    ask: Ask
+    ask: RequestSpec
     outcome: str
     began_us: int
     ended_us: int
@@ -87,7 +87,7 @@
 
     def item_ended(
         self,
-        ask: Ask,
+        ask: RequestSpec,
         answer: Answer,
         began_us: int,
         ended_us: int,
--- a/garnetlanding/wire.py
+++ b/garnetlanding/wire.py
@@ -20,11 +20,15 @@
     "unused": api.Outcome.MOOT,
 }
 EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
-GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
+GROUPS = {
+    "all": api.DeduplicationScope.ALL,
+    "zone": api.DeduplicationScope.ZONE,
+    "cell": api.DeduplicationScope.CELL,
+}
 STATES = {
-    "in_service": api.NodeState.UP,
-    "terminating": api.NodeState.DRAINING,
-    "terminated": api.NodeState.GONE,
+    "in_service": api.EndpointState.UP,
+    "terminating": api.EndpointState.DRAINING,
+    "terminated": api.EndpointState.GONE,
 }
 LIST_KINDS = ("diff", "snapshot", "disk", "error")
 
@@ -110,12 +114,12 @@
         p = f"Classes.{i}."
         spec = api.ClassSpec(
             name=get(p + "Name", str),
-            worth=get(p + "Credit", _number),
-            late_worth=get(p + "LateValue", _number, 0.0),
-            aim_us=get(p + "PromiseUs", _integer),
+            priority_weight=get(p + "Credit", _number),
+            late_value_share=get(p + "LateValue", _number, 0.0),
+            latency_objective_us=get(p + "PromiseUs", _integer),
             deadline_us=get(p + "GiveUpUs", _integer),
             effect=get(p + "Effect", EFFECTS.__getitem__),
-            group=get(p + "Group", GROUPS.__getitem__, api.Group.ALL),
+            group=get(p + "Group", GROUPS.__getitem__, api.DeduplicationScope.ALL),
             window_us=get(p + "RepeatWindowUs", _integer, 0),
             in_order=get(p + "KeepOrder", _flag, False),
         )
@@ -139,31 +143,31 @@
         tick_us=get("TickUs", _integer),
         classes=classes,
         plans=plans,
-        ask_for_list=get("MembershipMode", str) == "on_request",
+        poll_endpoints=get("MembershipMode", str) == "on_request",
         max_attempts=get("Limits.MaxAttempts", _integer),
         parallel_attempts=get("Limits.ParallelTries", _flag, False),
         may_cancel=get("Limits.Cancel", _flag, False),
         may_probe=get("Limits.Probes", _flag, False),
-        heeds_hold_off=get("Limits.RetryAfter", _flag, False),
-        max_hold_off_us=get("Limits.MaxRetryAfterUs", _integer, 0),
-        cold_from=get("Rules.ColdFrom", _number, 1.0),
-        cold_us=get("Rules.ColdUs", _integer, 0),
-        cold_units=get("FamilyInfo.ColdBears", _number, 0.0),
-        fall_multiple=get("Rules.FallMultiple", _number, 1.0),
-        fall_us=get("Rules.FallUs", _integer, 0),
-        order_rest_us=get("Rules.TurnGapUs", _integer, 0),
-        budget_share=get("Rules.FurtherRatio", _number, 0.0),
-        budget_free=get("Rules.FreeResends", _number, 0.0),
-        budget_span_us=get("Rules.RatioSpanUs", _integer, 0),
-        share_worth=get("FamilyInfo.ShareWorth", _number, 1.0),
-        spare_worth=get("FamilyInfo.IdleWorth", _number, 1.0),
-        most_units=get("FamilyInfo.Largest", _number, 1.0),
+        honors_retry_after=get("Limits.RetryAfter", _flag, False),
+        max_retry_after_us=get("Limits.MaxRetryAfterUs", _integer, 0),
+        warmup_initial_share=get("Rules.ColdFrom", _number, 1.0),
+        warmup_us=get("Rules.ColdUs", _integer, 0),
+        warmup_units=get("FamilyInfo.ColdBears", _number, 0.0),
+        overload_multiple=get("Rules.FallMultiple", _number, 1.0),
+        overload_window_us=get("Rules.FallUs", _integer, 0),
+        ordered_key_rest_us=get("Rules.TurnGapUs", _integer, 0),
+        retry_budget_ratio=get("Rules.FurtherRatio", _number, 0.0),
+        retry_budget_floor=get("Rules.FreeResends", _number, 0.0),
+        retry_budget_window_us=get("Rules.RatioSpanUs", _integer, 0),
+        over_quota_value_share=get("FamilyInfo.ShareWorth", _number, 1.0),
+        idle_value_share=get("FamilyInfo.IdleWorth", _number, 1.0),
+        max_units=get("FamilyInfo.Largest", _number, 1.0),
         cells=get("FamilyInfo.Shards", _integer, 0),
-        may_tell=get("Limits.MayTell", _flag, False),
+        may_message_peers=get("Limits.MayTell", _flag, False),
     )
 
 
-def read_entry(line: str) -> api.NodeEntry:
+def read_entry(line: str) -> api.Endpoint:
     """One `BRICK` line of a list."""
     parts = line.split(" ")
     if parts[0] != "BRICK":
@@ -176,7 +180,7 @@
     started = f.take("BornUs", _integer, 0)
     zone = f.take("Hall", str, "")
     state = f.take("Phase", STATES.__getitem__)
-    return api.NodeEntry(node, cell, zone, state, started, size)
+    return api.Endpoint(node, cell, zone, state, started, size)
 
 
 def list_header(line: str) -> tuple[str, int]:
@@ -238,7 +242,7 @@
     "OPENED": _opened,
     "REPLY": _reply,
     "LEFT": lambda f: api.ClientLeft(f.take("Ticket", str)),
-    "TIMER": lambda f: api.WokeUp(f.take("Nonce", str)),
+    "TIMER": lambda f: api.TimerFired(f.take("Nonce", str)),
     "PROBED": _probed,
     "PEER": _peer,
 }
@@ -260,8 +264,8 @@
                 lines.append(f"DELIVER {a.request} {a.until_us} {a.node}")
             case api.WakeAfter():
                 lines.append(f"WAKE_AT {a.span_us} {a.token}")
-            case api.Refuse():
-                lines.append(f"DECLINE {a.request} {a.hold_off_us}")
+            case api.Reject():
+                lines.append(f"DECLINE {a.request} {a.retry_after_us}")
             case api.Fail():
                 lines.append(f"FAIL {a.request}")
             case api.Cancel():
@@ -270,7 +274,7 @@
                 lines.append(f"CHECK {a.node}")
             case api.Subscribe():
                 lines.append("LISTEN 1")
-            case api.Tell():
+            case api.SendPeerMessage():
                 lines.append(f"POST {'*' if a.to < 0 else a.to} {a.payload.hex()}")
             case api.Log():
                 lines.append("JOURNAL_LINE " + " ".join(a.text.split()))
--- a/garnetlanding/wirehost.py
+++ b/garnetlanding/wirehost.py
@@ -15,14 +15,14 @@
 from garnetlanding.decision.control import Controller
 
 if TYPE_CHECKING:
-    from garnetlanding.peers.talk import Talk
+    from garnetlanding.peers.coordinator import PeerCoordinator
 
 
 class Host:
     """The instances of this process; `reply` answers one batch."""
 
     def __init__(self) -> None:
-        self.controllers: dict[int, Controller | Talk] = {}
+        self.controllers: dict[int, Controller | PeerCoordinator] = {}
         self.line_no = 0
 
     def run(self, source: TextIO, sink: TextIO) -> None:
@@ -76,14 +76,14 @@
         pending[who] = []
         try:
             self.controllers[who] = host = Controller(settings, seed)
-            if settings.may_tell:  # what the settings forbid is not imported
-                from garnetlanding.peers.talk import Talk
+            if settings.may_message_peers:  # what the settings forbid is not imported
+                from garnetlanding.peers.coordinator import PeerCoordinator
 
-                self.controllers[who] = Talk(host, life=now)
+                self.controllers[who] = PeerCoordinator(host, life=now)
         except Exception as defect:
             faults[who] = f"{type(defect).__name__}: {defect}"
 
-    def _list(self, line: str, lines: Iterator[str]) -> api.NodeList:
+    def _list(self, line: str, lines: Iterator[str]) -> api.EndpointListUpdate:
         kind, count = wire.list_header(line)
         entries = []
         for _ in range(count):
@@ -92,7 +92,7 @@
                 raise wire.WireError("field Hosts: input ended inside a list")
             entries.append(wire.read_entry(entry))
         whole = kind in ("snapshot", "disk")
-        return api.NodeList(tuple(entries), whole, failed=kind == "error", at_start=kind == "disk")
+        return api.EndpointListUpdate(tuple(entries), whole, failed=kind == "error", at_start=kind == "disk")
 
     def _act(self, now: int, pending: dict[int, list[api.Event]], faults: dict[int, str]) -> list[str]:
         out: list[str] = []
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,8 +7,8 @@
 from dataclasses import replace
 from typing import Any, TypeVar
 
-from garnetlanding.core.core import Attempt, Core
-from garnetlanding.core.ports import Answer, Answered, Ask, Backend, Failed, Trial
+from garnetlanding.core.engine import Attempt, RequestEngine
+from garnetlanding.core.ports import Answer, AttemptHandle, Backend, Failed, RequestSpec, ResponseCallback
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.discovery.listing import read_list
@@ -39,7 +39,9 @@
 T0 = 50 * SECOND
 
 READ = api.ClassSpec("read", 2.0, 0.1, 300 * MS, 1500 * MS, api.Effect.SAFE)
-WRITE = api.ClassSpec("write", 2.0, 0.1, 500 * MS, 2500 * MS, api.Effect.KEYED, api.Group.CELL, 2000 * MS)
+WRITE = api.ClassSpec(
+    "write", 2.0, 0.1, 500 * MS, 2500 * MS, api.Effect.KEYED, api.DeduplicationScope.CELL, 2000 * MS
+)
 GOLD = api.PlanSpec("gold", weight=4.0, usual_rate=10.0, reserve_rate=8.0)
 TIN = api.PlanSpec("tin", weight=1.0, usual_rate=2.0, reserve_rate=1.0)
 
@@ -51,42 +53,42 @@
         tick_us=2 * MS,
         classes={"read": READ, "write": WRITE},
         plans={"gold": GOLD, "tin": TIN},
-        ask_for_list=False,
+        poll_endpoints=False,
         max_attempts=3,
         parallel_attempts=True,
         may_cancel=True,
         may_probe=False,
-        heeds_hold_off=True,
-        max_hold_off_us=SECOND,
-        cold_from=0.2,
-        cold_us=16 * SECOND,
-        cold_units=9.0,
-        fall_multiple=2.0,
-        fall_us=2 * SECOND,
-        order_rest_us=0,
-        budget_share=0.0,
-        budget_free=0.0,
-        budget_span_us=0,
-        share_worth=0.4,
-        spare_worth=0.05,
-        most_units=6.0,
+        honors_retry_after=True,
+        max_retry_after_us=SECOND,
+        warmup_initial_share=0.2,
+        warmup_us=16 * SECOND,
+        warmup_units=9.0,
+        overload_multiple=2.0,
+        overload_window_us=2 * SECOND,
+        ordered_key_rest_us=0,
+        retry_budget_ratio=0.0,
+        retry_budget_floor=0.0,
+        retry_budget_window_us=0,
+        over_quota_value_share=0.4,
+        idle_value_share=0.05,
+        max_units=6.0,
     )
     return api.Settings(**(base | changes))  # type: ignore[arg-type]
 
 
-def up(node: str, cell: int, started: int = 0, zone: str = "z") -> api.NodeEntry:
-    return api.NodeEntry(node, cell, zone, api.NodeState.UP, started)
+def up(node: str, cell: int, started: int = 0, zone: str = "z") -> api.Endpoint:
+    return api.Endpoint(node, cell, zone, api.EndpointState.UP, started)
 
 
 class Bench:
     """One host on a fake clock; keeps every action with its time."""
 
-    def __init__(self, config: api.Settings, entries: list[api.NodeEntry], seed: int = 1) -> None:
+    def __init__(self, config: api.Settings, entries: list[api.Endpoint], seed: int = 1) -> None:
         self.c = Controller(config, seed)
         self.now = T0
         self.log: list[tuple[int, api.Action]] = []
         self.wakes: list[int] = []
-        self.tell(api.NodeList(tuple(entries), whole=True, at_start=True))
+        self.tell(api.EndpointListUpdate(tuple(entries), whole=True, at_start=True))
 
     def tell(self, *events: api.Event) -> list[api.Action]:
         actions = self.c.handle(self.now, list(events))
@@ -100,7 +102,7 @@
         while self.wakes and min(self.wakes) <= end:
             self.now = max(self.now, min(self.wakes))
             self.wakes = [w for w in self.wakes if w > self.now]
-            self.tell(api.WokeUp("look"))
+            self.tell(api.TimerFired("look"))
         self.now = end
         return [a for _, a in self.log[seen:]]
 
@@ -139,7 +141,7 @@
         return [a for _, a in self.log if isinstance(a, api.Send) and name in (None, a.request)]
 
     def answers(self, name: str) -> list[api.Action]:
-        return [a for _, a in self.log if isinstance(a, api.Refuse | api.Fail) and a.request == name]
+        return [a for _, a in self.log if isinstance(a, api.Reject | api.Fail) and a.request == name]
 
 
 def names(actions: list[api.Action]) -> list[str]:
@@ -155,7 +157,7 @@
     def __init__(self, inner: Backend, core: CheckedCore) -> None:
         self.inner, self.core = inner, core
 
-    def start(self, trial: Trial) -> None:
+    def start(self, trial: AttemptHandle) -> None:
         assert isinstance(trial, Attempt)
         attempts = trial.item.attempts
         out = [a for a in attempts if a.outcome is None]
@@ -167,17 +169,17 @@
         self.core.starts.append(trial)
         self.inner.start(trial)
 
-    def stop(self, trial: Trial) -> None:
+    def stop(self, trial: AttemptHandle) -> None:
         self.inner.stop(trial)
 
 
-class CheckedCore(Core):
+class CheckedCore(RequestEngine):
     """A core that fails a test when it breaks a rule."""
 
     starts: list[Attempt]
     finals: list[list[Answer]]
 
-    def accept(self, ask: Ask, backend: Backend, answered: Answered) -> str:
+    def accept(self, ask: RequestSpec, backend: Backend, answered: ResponseCallback) -> str:
         finals: list[Answer] = []
         self.finals.append(finals)
 
@@ -193,12 +195,12 @@
     """Takes items from a front and answers when told to."""
 
     def __init__(self) -> None:
-        self.items: dict[str, tuple[Ask, Answered]] = {}
+        self.items: dict[str, tuple[RequestSpec, ResponseCallback]] = {}
         self.gone: list[str] = []
         self.last, self._count = "", 0
         self.settings = settings()
 
-    def accept(self, ask: Ask, backend: Backend, answered: Answered) -> str:
+    def accept(self, ask: RequestSpec, backend: Backend, answered: ResponseCallback) -> str:
         self._count += 1
         self.last = f"i{self._count}"
         self.items[self.last] = ask, answered
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -18,11 +18,11 @@
 from garnetlanding.audit.files import AuditFiles
 from garnetlanding.audit.limits import LIMITS, AuditLimits
 from garnetlanding.audit.recorder import Recorder
-from garnetlanding.audit.segments import Damage, Segment
+from garnetlanding.audit.segments import CorruptSegmentError, Segment
 from garnetlanding.audit.setup import read as read_setup
 from garnetlanding.lab.experiment import load
 from garnetlanding.lab.run import run
-from garnetlanding.store.currency import Currency
+from garnetlanding.store.staleness_guard import StalenessGuard
 from tests.helpers import SECOND
 
 ROOT = pathlib.Path(__file__).parent.parent
@@ -60,10 +60,10 @@
         assert found.records == payloads[:kept]
         assert found.torn_at == (-1 if cut == ends[kept] else ends[kept])
         if cut != ends[kept]:
-            with pytest.raises(Damage, match=f"f: offset {ends[kept]}: cut short"):
+            with pytest.raises(CorruptSegmentError, match=f"f: offset {ends[kept]}: cut short"):
                 segments.read("f", whole[:cut], False)
     for cut in range(ends[0]):
-        with pytest.raises(Damage, match="f: offset"):
+        with pytest.raises(CorruptSegmentError, match="f: offset"):
             segments.read("f", whole[:cut], True)
 
 
@@ -76,7 +76,7 @@
         bad[bit // 8] ^= 1 << bit % 8
         try:
             found = segments.read("f", bytes(bad), True)
-        except Damage as problem:
+        except CorruptSegmentError as problem:
             assert "f: offset" in str(problem)
             assert all(p in payloads for s in problem.before for p in s.records), "nothing is guessed"
         else:
@@ -89,7 +89,7 @@
     ends = [len(built(payloads[:n])) for n in range(4)]
     whole = built(payloads)
     without = whole[: ends[1]] + whole[ends[2] :]
-    with pytest.raises(Damage, match="does not follow"):
+    with pytest.raises(CorruptSegmentError, match="does not follow"):
         segments.read("f", without, True)
 
 
@@ -385,7 +385,7 @@
 DRIFT = 0.01
 
 
-def acting_late(seed: int, currency: type[Currency]) -> float:
+def acting_late(seed: int, currency: type[StalenessGuard]) -> float:
     """One follower whose clock runs apart and whose messages are late or lost, and that stands still at
     times; a change at the writer each second. How long after a change it last acted on less, beside the
     bound."""
@@ -418,11 +418,11 @@
 
 
 def test_no_head_acts_on_what_is_older_than_it_may_be_behind() -> None:
-    worst = max(acting_late(seed, Currency) for seed in range(300))
+    worst = max(acting_late(seed, StalenessGuard) for seed in range(300))
     assert 0.5 < worst < 1.0
 
 
-class FromWhenItCame(Currency):
+class FromWhenItCame(StalenessGuard):
     """A bug: an answer counts from when it came."""
 
     now = 0
@@ -435,14 +435,14 @@
         self.until = self.now + self._lasts_us
 
 
-class AnyAnswer(Currency):
+class AnyAnswer(StalenessGuard):
     """A bug: an answer to whatever question counts as one to the last."""
 
     def answered(self, number: int) -> None:
         super().answered(self._number)
 
 
-class NoEnd(Currency):
+class NoEnd(StalenessGuard):
     """A bug: once current, always current."""
 
     def current(self, now: int) -> bool:
@@ -450,7 +450,7 @@
 
 
 @pytest.mark.parametrize("bug", [FromWhenItCame, AnyAnswer, NoEnd])
-def test_a_bug_put_in_on_purpose_is_found(bug: type[Currency]) -> None:
+def test_a_bug_put_in_on_purpose_is_found(bug: type[StalenessGuard]) -> None:
     assert any(acting_late(seed, bug) >= 1.0 for seed in range(60))
 
 
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -14,10 +14,10 @@
 
 from garnetlanding import config
 from garnetlanding.choices import subsets as module
-from garnetlanding.choices.kept import Kept
 from garnetlanding.choices.setup import ChoicesSetup, read
+from garnetlanding.choices.stagger import turn
+from garnetlanding.choices.subset_tracker import SubsetTracker
 from garnetlanding.choices.subsets import subsets
-from garnetlanding.choices.turns import turn
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box
 from garnetlanding.lab.experiment import load
@@ -200,7 +200,7 @@
 
 
 def test_the_kept_servers_are_looked_up_again_only_when_something_has_changed() -> None:
-    kept, servers = Kept(2), {f"s{i}": "a" for i in range(6)}
+    kept, servers = SubsetTracker(2), {f"s{i}": "a" for i in range(6)}
     first = kept.look(1, range(4), servers)
     assert len(first) == 2 and kept.look(1, [3, 2, 1, 0], dict(servers)) == first and kept.changes == 1
     assert len(kept.look(1, range(4), servers | {"s9": "b"})) == 2 and kept.changes == 2
@@ -239,8 +239,12 @@
     plain = helpers.settings()
     chosen = ChoicesSetup(resend_share=0.1, resend_free=3, resend_span_us=5 * SECOND)
     used = chosen.used(plain)
-    assert (used.budget_share, used.budget_free, used.budget_span_us) == (0.1, 3, 5 * SECOND)
-    theirs = replace(plain, budget_share=0.5, budget_span_us=SECOND)
+    assert (used.retry_budget_ratio, used.retry_budget_floor, used.retry_budget_window_us) == (
+        0.1,
+        3,
+        5 * SECOND,
+    )
+    theirs = replace(plain, retry_budget_ratio=0.5, retry_budget_window_us=SECOND)
     assert chosen.used(theirs) == theirs and ChoicesSetup().used(plain) == plain
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -9,9 +9,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from garnetlanding.core.ports import Answer, Ask, Failed, Listing, Refused, Served, Trial
+from garnetlanding.core.ports import (
+    Answer,
+    AttemptHandle,
+    EndpointListing,
+    Failed,
+    Rejected,
+    RequestSpec,
+    Served,
+)
 from garnetlanding.decision import interface as api
-from garnetlanding.decision.interface import NodeState, Outcome
+from garnetlanding.decision.interface import EndpointState, Outcome
 from tests.helpers import MS, SECOND, World, settings
 
 
@@ -19,13 +27,13 @@
     """A backend that does nothing by itself."""
 
     def __init__(self) -> None:
-        self.out: list[Trial] = []
-        self.stopped: list[Trial] = []
+        self.out: list[AttemptHandle] = []
+        self.stopped: list[AttemptHandle] = []
 
-    def start(self, trial: Trial) -> None:
+    def start(self, trial: AttemptHandle) -> None:
         self.out.append(trial)
 
-    def stop(self, trial: Trial) -> None:
+    def stop(self, trial: AttemptHandle) -> None:
         self.out.remove(trial)
         self.stopped.append(trial)
 
@@ -34,11 +42,11 @@
     def __init__(self, config: api.Settings | None = None, **limits: int) -> None:
         super().__init__(config, **limits)
         self.backend, self.answers = Script(), {}
-        self.say("n0", NodeState.UP, whole=True)
+        self.say("n0", EndpointState.UP, whole=True)
 
-    def say(self, node: str, state: NodeState, whole: bool = False, started: int = 0) -> None:
-        entry = api.NodeEntry(node, 0, "z", state, started)
-        self.core.listed(Listing((entry,), {node: "x:1"}, whole, at_start=whole))
+    def say(self, node: str, state: EndpointState, whole: bool = False, started: int = 0) -> None:
+        entry = api.Endpoint(node, 0, "z", state, started)
+        self.core.listed(EndpointListing((entry,), {node: "x:1"}, whole, at_start=whole))
         self.settle()
 
     def ask(
@@ -51,14 +59,14 @@
         copies: bool = True,
     ) -> str:
         ticket = self.core.accept(
-            Ask(cls, "gold", volume, "k", 2, 0, wait_us, 1, name, size=size, copies=copies),
+            RequestSpec(cls, "gold", volume, "k", 2, 0, wait_us, 1, name, size=size, copies=copies),
             self.backend,
             lambda answer: self.answers.__setitem__(name, answer),
         )
         self.settle()
         return ticket
 
-    def end(self, outcome: Outcome, value: bytes | None = None) -> Trial:
+    def end(self, outcome: Outcome, value: bytes | None = None) -> AttemptHandle:
         trial = self.backend.out.pop(0)
         trial.ended(outcome, value)
         self.settle()
@@ -84,7 +92,7 @@
     for _ in range(4):
         w.run(2 * SECOND, 100 * MS)
         w.end(Outcome.RESET)
-    assert w.answers == {"a": Refused(SECOND)}, "not held back until its deadline"
+    assert w.answers == {"a": Rejected(SECOND)}, "not held back until its deadline"
     assert [t.number for t in w.core.starts] == [0, 1, 2, 3]
 
 
@@ -127,19 +135,21 @@
 
 def test_no_attempt_goes_to_a_server_that_began_to_drain_in_the_same_turn() -> None:
     w = CoreWorld()
-    w.core.directory.apply(Listing((api.NodeEntry("n0", 0, "z", NodeState.DRAINING),), {"n0": "x:1"}, False))
+    w.core.directory.apply(
+        EndpointListing((api.Endpoint("n0", 0, "z", EndpointState.DRAINING),), {"n0": "x:1"}, False)
+    )
     w.ask("a", wait_us=300 * MS)
     assert not w.backend.out
     w.run(300 * MS)
-    assert w.answers == {"a": Refused(SECOND)}
+    assert w.answers == {"a": Rejected(SECOND)}
 
 
 def test_replaced_servers_and_volumes_no_longer_asked_for_leave_nothing_behind() -> None:
     """On a long day all of these grew with every replacement and every name."""
     w = CoreWorld()
     for i in range(30):
-        w.say(f"n{i}", NodeState.GONE)
-        w.say(f"n{i + 1}", NodeState.UP, started=w.time)
+        w.say(f"n{i}", EndpointState.GONE)
+        w.say(f"n{i + 1}", EndpointState.UP, started=w.time)
         w.ask(f"a{i}", volume=f"v{i}")
         w.end(Outcome.SERVED, b"")
         w.run(3 * SECOND, SECOND)
@@ -151,7 +161,7 @@
 
 def test_a_whole_list_forgets_what_it_leaves_out() -> None:
     w = CoreWorld()
-    w.core.listed(Listing((api.NodeEntry("n1", 1, "z", NodeState.UP),), {"n1": "y:1"}, True))
+    w.core.listed(EndpointListing((api.Endpoint("n1", 1, "z", EndpointState.UP),), {"n1": "y:1"}, True))
     w.settle()
     assert w.core.directory.endpoint("n0") is None and w.core.directory.endpoint("n1") == "y:1"
     w.core.list_failed()
@@ -164,10 +174,10 @@
     w.ask("a")
     w.ask("b", size=60)
     w.ask("c")
-    assert w.answers == {"c": Refused(SECOND)}
+    assert w.answers == {"c": Rejected(SECOND)}
     w.end(Outcome.SERVED, b"")
     w.ask("d", size=60)
-    assert w.answers["d"] == Refused(SECOND)
+    assert w.answers["d"] == Rejected(SECOND)
     w.ask("e", size=40)
     assert "e" not in w.answers
 
@@ -189,11 +199,11 @@
 def test_after_a_stall_the_controller_still_has_its_turn_before_the_core_answers() -> None:
     """Its wake-up and both of the core's times have passed by then: the core used to answer first."""
     w = CoreWorld()
-    w.core.listed(Listing((), {}, True))
+    w.core.listed(EndpointListing((), {}, True))
     w.ask("a", wait_us=100 * MS)
     w.time += 500 * MS
     w.settle()
-    assert w.answers == {"a": Refused(SECOND)}
+    assert w.answers == {"a": Rejected(SECOND)}
 
 
 def test_an_attempt_still_out_at_the_deadline_is_stopped_and_counts_as_timed_out(
@@ -218,7 +228,7 @@
     assert [t.work for t in w.backend.out] == ["good"] and "action failed" in caplog.text
     monkeypatch.setattr(w.backend, "stop", lambda trial: None)
     w.run(110 * MS)
-    assert isinstance(w.answers["bad"], Refused), "it still gets its answer"
+    assert isinstance(w.answers["bad"], Rejected), "it still gets its answer"
 
 
 def test_an_attempt_may_have_a_time_of_its_own(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -269,10 +279,12 @@
                     left.add(name)
                 w.core.left(tickets[name])
             case "drain" | "gone" | "up":
-                state = {"drain": NodeState.DRAINING, "gone": NodeState.GONE, "up": NodeState.UP}[step]
+                state = {"drain": EndpointState.DRAINING, "gone": EndpointState.GONE, "up": EndpointState.UP}[
+                    step
+                ]
                 w.say(f"n{pick % 2}", state)
             case "restart":
-                w.say("n0", NodeState.UP, started=w.time)
+                w.say("n0", EndpointState.UP, started=w.time)
             case "pass":
                 w.run((pick + 1) * 25 * MS, 25 * MS)
             case "fail":
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -25,9 +25,9 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import linux
 from garnetlanding.runtime.signals import HEARD
-from garnetlanding.store.file import load
-from garnetlanding.store.known import SERVERS
-from garnetlanding.store.known import SETTINGS as SETTINGS_KEY
+from garnetlanding.store.cached_endpoints import SERVERS
+from garnetlanding.store.cached_endpoints import SETTINGS as SETTINGS_KEY
+from garnetlanding.store.persister import load
 from garnetlanding.store.setup import StoreSetup
 from garnetlanding.store.store import Entry, Snapshot
 from tests.helpers import MS, SECOND, T0, Peer, World, read_command
@@ -97,7 +97,11 @@
 def test_the_platforms_configuration_is_read_with_its_limits() -> None:
     c = config.read(BASE)
     assert (c.name, c.seed, c.settings.max_attempts) == ("n1", 0x8C1F30D27A5BE964, 4)
-    assert c.settings.may_cancel and c.settings.ask_for_list and c.settings.classes["read"].aim_us == 300_000
+    assert (
+        c.settings.may_cancel
+        and c.settings.poll_endpoints
+        and c.settings.classes["read"].latency_objective_us == 300_000
+    )
     assert (c.limits.brick_idle_us, c.limits.dial_us) == (16 * SECOND, 300 * MS)
     assert (c.limits.client_conns, c.limits.brick_conns, c.limits.brick_conns_kept) == (822, 341, 170)
     both = config.read(BASE, {"ninep": NINEP}).limits
@@ -190,7 +194,7 @@
     assert c.operator.ninep and c.operator.ninep.server_port == int(example.FILES.rpartition(":")[2])
     assert c.discovery == example.DISCOVERY
     pair = [config.load(str(ROOT / f"example/pushed-{me}.json"), env={}) for me in (0, 1)]
-    assert [c.settings.me for c in pair] == [0, 1] and not any(c.settings.ask_for_list for c in pair)
+    assert [c.settings.me for c in pair] == [0, 1] and not any(c.settings.poll_endpoints for c in pair)
     for c, other in zip(pair, reversed(pair), strict=True):
         assert c.peers and other.peers and list(c.peers.peers.values()) == [other.peers.listen]
         assert c.discovery == example.DISCOVERY
@@ -460,7 +464,10 @@
     operator = one_export(access="rw", change_deadline_ms=2000)
     daemon = Daemon(config.read(BASE, operator), lambda: T0)
     twin = daemon.core.settings.classes["read/once"]
-    assert twin.effect is Effect.UNSAFE and twin.worth == daemon.core.settings.classes["read"].worth
+    assert (
+        twin.effect is Effect.UNSAFE
+        and twin.priority_weight == daemon.core.settings.classes["read"].priority_weight
+    )
     assert "read/once" not in Daemon(config.read(BASE, one_export()), lambda: T0).core.settings.classes
     daemon.store.put(SETTINGS_KEY, SETTINGS)
     daemon.core.turn()
