--- a/tests/test_decision_digest.py
+++ b/tests/test_decision_digest.py
@@ -41,14 +41,15 @@
     return "{" + " ".join(f"{name}={value!r}" for name, value in sorted(pairs.items())) + "}"
 
 
-def entry_text(e: api.NodeEntry) -> str:
-    return f"({e.node} {e.cell} {e.zone} {e.state.value} {e.started_us} {e.size!r} {e.by_hand})"
+def entry_text(e: api.Endpoint) -> str:
+    return f"({e.node} {e.cell} {e.zone} {e.state.value} {e.started_us} {e.size!r} {e.admin_disabled})"
 
 
 def settings_text(s: api.Settings) -> str:
     """Of the settings, what the scenarios change while a Controller runs, and what tells them apart."""
     classes = " ".join(
-        f"({c.name} {c.worth!r} {c.late_worth!r} {c.aim_us} {c.deadline_us} {c.effect.value} {c.group.value} "
+        f"({c.name} {c.priority_weight!r} {c.late_value_share!r} {c.latency_objective_us} "
+        f"{c.deadline_us} {c.effect.value} {c.group.value} "
         f"{c.window_us} {c.in_order})"
         for c in s.classes.values()
     )
@@ -64,7 +65,7 @@
     match event:
         case api.NewSettings(settings):
             return f"settings {settings_text(settings)}"
-        case api.NodeList() as e:
+        case api.EndpointListUpdate() as e:
             entries = " ".join(entry_text(entry) for entry in e.entries)
             return f"list {e.whole} {e.failed} {e.queued} {e.unheard_us} {e.at_start} {entries}"
         case api.Arrival() as e:
@@ -81,15 +82,15 @@
             )
         case api.ClientLeft(request):
             return f"left {request}"
-        case api.WokeUp(token):
+        case api.TimerFired(token):
             return f"woke {token}"
         case api.ProbeResult() as e:
             return f"probed {e.node} {e.outcome.value} {e.took_us} {pairs_text(e.report)}"
         case api.PeerMessage(sender, payload):
             return f"peer {sender} {payload.hex()}"
-        case api.Parts(parts, shares):
+        case api.QuotaShares(parts, shares):
             return f"parts {pairs_text(parts)} {'-' if shares is None else pairs_text(shares)}"
-        case api.Hearsay(doubted):
+        case api.PeerSuspicions(doubted):
             return f"hearsay {pairs_text(doubted)}"
     raise AssertionError(f"an event of an unknown kind: {event!r}")
 
@@ -158,13 +159,22 @@
     """One plan with a limit, and a budget of further attempts."""
     plan = replace(settings.plans["priority"], limit_rate=2.5, limit_burst=14.0)
     plans = settings.plans | {"priority": plan}
-    return replace(settings, plans=plans, budget_share=0.1, budget_free=5.0, budget_span_us=5 * SECOND)
+    return replace(
+        settings,
+        plans=plans,
+        retry_budget_ratio=0.1,
+        retry_budget_floor=5.0,
+        retry_budget_window_us=5 * SECOND,
+    )
 
 
 def keyed(settings: api.Settings) -> api.Settings:
     """Writes that nodes of one cell know again for a while; failures tell clients how long to hold off."""
     write = replace(
-        settings.classes["write"], effect=api.Effect.KEYED, group=api.Group.CELL, window_us=2 * SECOND
+        settings.classes["write"],
+        effect=api.Effect.KEYED,
+        group=api.DeduplicationScope.CELL,
+        window_us=2 * SECOND,
     )
     return replace(settings, classes=settings.classes | {"write": write})
 
@@ -173,7 +183,9 @@
     return replace(settings, parallel_attempts=True)
 
 
-PUSHED: dict[str, Any] = dict(pushed=True, cold_from=0.15, fall_multiple=2.0, cold_units=10.0, rate=40.0)
+PUSHED: dict[str, Any] = dict(
+    pushed=True, warmup_initial_share=0.15, overload_multiple=2.0, warmup_units=10.0, rate=40.0
+)
 
 FLEETS: dict[str, tuple[str, int, Change, dict[str, Any]]] = {
     "calm": ("zone", 3, as_it_is, dict(part=0.0, bricks=10)),
@@ -207,9 +219,15 @@
 CLASSES = (
     api.ClassSpec("read", 2.0, 0.1, 300 * MS, 1500 * MS, api.Effect.SAFE),
     api.ClassSpec("slow", 0.5, 0.3, 900 * MS, 4000 * MS, api.Effect.SAFE),
-    api.ClassSpec("cell", 2.0, 0.1, 500 * MS, 2500 * MS, api.Effect.KEYED, api.Group.CELL, 250 * MS),
-    api.ClassSpec("zone", 1.5, 0.1, 500 * MS, 2500 * MS, api.Effect.KEYED, api.Group.ZONE, 2000 * MS),
-    api.ClassSpec("all", 1.0, 0.0, 500 * MS, 2500 * MS, api.Effect.KEYED, api.Group.ALL, 2000 * MS),
+    api.ClassSpec(
+        "cell", 2.0, 0.1, 500 * MS, 2500 * MS, api.Effect.KEYED, api.DeduplicationScope.CELL, 250 * MS
+    ),
+    api.ClassSpec(
+        "zone", 1.5, 0.1, 500 * MS, 2500 * MS, api.Effect.KEYED, api.DeduplicationScope.ZONE, 2000 * MS
+    ),
+    api.ClassSpec(
+        "all", 1.0, 0.0, 500 * MS, 2500 * MS, api.Effect.KEYED, api.DeduplicationScope.ALL, 2000 * MS
+    ),
     api.ClassSpec("once", 3.0, 0.2, 600 * MS, 2500 * MS, api.Effect.UNSAFE),
     api.ClassSpec("turn", 1.0, 0.2, 600 * MS, 3000 * MS, api.Effect.SAFE, in_order=True),
 )
@@ -224,30 +242,33 @@
     tick_us=2 * MS,
     classes={c.name: c for c in CLASSES},
     plans={p.name: p for p in PLANS},
-    ask_for_list=True,
+    poll_endpoints=True,
     max_attempts=4,
     parallel_attempts=True,
     may_cancel=True,
     may_probe=False,
-    heeds_hold_off=True,
-    max_hold_off_us=SECOND,
-    cold_from=0.2,
-    cold_us=8 * SECOND,
-    cold_units=9.0,
-    fall_multiple=2.0,
-    fall_us=2 * SECOND,
-    order_rest_us=20 * MS,
-    budget_share=0.2,
-    budget_free=4.0,
-    budget_span_us=5 * SECOND,
-    share_worth=0.4,
-    spare_worth=0.05,
-    most_units=6.0,
+    honors_retry_after=True,
+    max_retry_after_us=SECOND,
+    warmup_initial_share=0.2,
+    warmup_us=8 * SECOND,
+    warmup_units=9.0,
+    overload_multiple=2.0,
+    overload_window_us=2 * SECOND,
+    ordered_key_rest_us=20 * MS,
+    retry_budget_ratio=0.2,
+    retry_budget_floor=4.0,
+    retry_budget_window_us=5 * SECOND,
+    over_quota_value_share=0.4,
+    idle_value_share=0.05,
+    max_units=6.0,
 )
 SCRIPTS: dict[str, tuple[int, api.Settings]] = {
     "parallel": (1, BASE),
-    "one-at-a-time": (2, replace(BASE, parallel_attempts=False, may_cancel=False, heeds_hold_off=False)),
-    "one-of-many": (3, replace(BASE, hosts=30, me=17, ask_for_list=False, budget_span_us=0, cold_units=40.0)),
+    "one-at-a-time": (2, replace(BASE, parallel_attempts=False, may_cancel=False, honors_retry_after=False)),
+    "one-of-many": (
+        3,
+        replace(BASE, hosts=30, me=17, poll_endpoints=False, retry_budget_window_us=0, warmup_units=40.0),
+    ),
 }
 CELLS = 5
 USUAL = (api.Outcome.SERVED,) * 12 + (
@@ -286,7 +307,7 @@
         self.asked: dict[str, Asked] = {}
         self.moods = {f"n{cell}": "well" for cell in range(CELLS)}
         self.entries = {
-            f"n{cell}": api.NodeEntry(f"n{cell}", cell, "ab"[cell % 2], api.NodeState.UP)
+            f"n{cell}": api.Endpoint(f"n{cell}", cell, "ab"[cell % 2], api.EndpointState.UP)
             for cell in range(CELLS)
         }
 
@@ -301,10 +322,10 @@
                     self._sent(action)
                 case api.Cancel(request, attempt):
                     self.later(self.rng.randint(1, 30 * MS), self._result(request, attempt, "cancelled"))
-                case api.Refuse(request) | api.Fail(request):
+                case api.Reject(request) | api.Fail(request):
                     self.asked[request].over = True
                 case api.WakeAfter(span_us, token):
-                    self.later(span_us, partial(api.WokeUp, token))
+                    self.later(span_us, partial(api.TimerFired, token))
                 case api.Subscribe():
                     self.later(self.rng.randint(1, 400 * MS), self._answer_to_call)
 
@@ -333,7 +354,7 @@
         """Discovery has a queue that goes on turning this host's calls down."""
         for _ in range(count):
             self.now += 50 * MS
-            self.tell([api.NodeList(failed=True, queued=True)])
+            self.tell([api.EndpointListUpdate(failed=True, queued=True)])
         self.rest(30 * SECOND)
 
     def comes_again(self, idle_us: int) -> None:
@@ -353,8 +374,8 @@
         node = min(self.entries)
         for _ in range(count):
             self.now += 10 * MS
-            restarted = replace(self.entries[node], state=api.NodeState.UP, started_us=self.now)
-            self.tell([api.NodeList((restarted,))])
+            restarted = replace(self.entries[node], state=api.EndpointState.UP, started_us=self.now)
+            self.tell([api.EndpointListUpdate((restarted,))])
 
     def _come_due(self) -> list[api.Event]:
         events: list[api.Event] = []
@@ -415,8 +436,10 @@
     def _answer_to_call(self) -> api.Event:
         rng = self.rng
         if rng.random() < 0.4:
-            return api.NodeList(failed=True, queued=rng.random() < 0.4, unheard_us=rng.choice((0, 300 * MS)))
-        return api.NodeList(tuple(self.entries.values()), whole=True)
+            return api.EndpointListUpdate(
+                failed=True, queued=rng.random() < 0.4, unheard_us=rng.choice((0, 300 * MS))
+            )
+        return api.EndpointListUpdate(tuple(self.entries.values()), whole=True)
 
     def _anything(self) -> api.Event:
         rng = self.rng
@@ -428,9 +451,9 @@
         return rng.choice(
             (
                 lambda: self._left(request),
-                lambda: api.Hearsay({node: self.now + rng.randint(0, 2 * SECOND)}),
-                lambda: api.Hearsay({}),
-                lambda: api.NodeList(failed=True, unheard_us=rng.choice((0, SECOND))),
+                lambda: api.PeerSuspicions({node: self.now + rng.randint(0, 2 * SECOND)}),
+                lambda: api.PeerSuspicions({}),
+                lambda: api.EndpointListUpdate(failed=True, unheard_us=rng.choice((0, SECOND))),
                 lambda: api.Result(request, rng.choice((-1, 0, 9)), node, api.Outcome.SERVED, MS, False),
                 lambda: api.Result("unknown", 0, node, api.Outcome.FULL, MS, False),
                 lambda: api.StreamStarted("unknown", 0),
@@ -452,7 +475,7 @@
     def _mood(self) -> api.Event:
         node = self.rng.choice(sorted(self.entries))
         self.moods[node] = self.rng.choice((*["well"] * 6, *MOODS))
-        return api.WokeUp("look")
+        return api.TimerFired("look")
 
     def _parts(self) -> api.Event:
         """Of a volume that the Controller knows, since it is told of no other."""
@@ -463,7 +486,7 @@
             api.LIST_CALLS: self.rng.choice((0.5, 2.0)), api.RESENDS: self.rng.choice((0.0, 1.5)),
             api.cold(node): self.rng.choice((0.3, 3.0)), api.places(node): self.rng.choice((1, 3, 40)),
         }  # fmt: skip
-        return api.Parts(parts, self.rng.choice((None, {}, shares)))
+        return api.QuotaShares(parts, self.rng.choice((None, {}, shares)))
 
     def _new_settings(self) -> api.Event:
         """Another part of what is this host's, or another plan, or back to what was at first."""
@@ -482,31 +505,33 @@
         """One node drains, goes, is taken out by hand, restarts, or is replaced, or the list comes whole."""
         rng = self.rng
         old = self.entries[rng.choice(sorted(self.entries))]
-        up = api.NodeState.UP
+        up = api.EndpointState.UP
         change = rng.choice(
             ("drain", "gone", "by-hand", "restart", "restart", "replace", "back", "back", "whole")
         )
         if change == "drain":
-            changed = [replace(old, state=api.NodeState.DRAINING)]
+            changed = [replace(old, state=api.EndpointState.DRAINING)]
         elif change == "by-hand":
-            changed = [replace(old, state=api.NodeState.DRAINING, by_hand=True)]
+            changed = [replace(old, state=api.EndpointState.DRAINING, admin_disabled=True)]
         elif change == "restart":
-            changed = [replace(old, state=up, started_us=self.now - rng.choice((0, SECOND)), by_hand=False)]
+            changed = [
+                replace(old, state=up, started_us=self.now - rng.choice((0, SECOND)), admin_disabled=False)
+            ]
         elif change == "back":
-            changed = [replace(e, state=up, by_hand=False) for e in self.entries.values()]
+            changed = [replace(e, state=up, admin_disabled=False) for e in self.entries.values()]
         elif change in ("gone", "replace"):
-            new = replace(old, node=f"{old.node}x", state=up, started_us=self.now, by_hand=False)
-            gone = replace(old, state=api.NodeState.GONE)
+            new = replace(old, node=f"{old.node}x", state=up, started_us=self.now, admin_disabled=False)
+            gone = replace(old, state=api.EndpointState.GONE)
             changed = [gone, new] if change == "replace" or len(self.entries) > CELLS else [gone]
         else:
-            return api.NodeList(tuple(self.entries.values()), whole=True)
+            return api.EndpointListUpdate(tuple(self.entries.values()), whole=True)
         for entry in changed:
             self.entries[entry.node] = entry
-        told = api.NodeList(tuple(changed))
+        told = api.EndpointListUpdate(tuple(changed))
         if change == "replace":
             del self.entries[old.node]
         elif change == "gone":
-            self.entries[old.node] = replace(old, state=api.NodeState.DRAINING)
+            self.entries[old.node] = replace(old, state=api.EndpointState.DRAINING)
         return told
 
 
@@ -515,7 +540,7 @@
     seed, settings = SCRIPTS[name]
     record = Record()
     world = World(record, seed, settings)
-    world.tell([api.NodeList(tuple(world.entries.values()), whole=True, at_start=True)])
+    world.tell([api.EndpointListUpdate(tuple(world.entries.values()), whole=True, at_start=True)])
     for load in (0.05, 0.2, 0.1, 0.05, 1.0, 0.1):
         world.run(15 * SECOND, load)
         world.rest(3 * SECOND)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,10 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from garnetlanding.core.directory import Directory
-from garnetlanding.core.ports import Listing
+from garnetlanding.core.endpoint_registry import EndpointRegistry
+from garnetlanding.core.ports import EndpointListing
 from garnetlanding.decision import interface as api
-from garnetlanding.decision.interface import NodeEntry, NodeState
+from garnetlanding.decision.interface import Endpoint, EndpointState
 from garnetlanding.discovery.listing import ListError, read_list
 from garnetlanding.discovery.watch import Watch
 from garnetlanding.emulator.discovery import Box, Discovery, DiscoveryConn
@@ -79,7 +79,7 @@
     )
     assert (version, listing.whole, listing.endpoints) == (41, True, {"s-1": "10.1.0.18:6379"})
     [told] = listing.entries
-    assert (told.state, told.cell, told.started_us) == (NodeState.DRAINING, 3, SECOND)
+    assert (told.state, told.cell, told.started_us) == (EndpointState.DRAINING, 3, SECOND)
     long_ago = read_list({"instances": [ENTRY]}, lambda us: us - 5)[1].entries[0]
     assert long_ago.started_us == 0, "0 means long ago on any clock"
 
@@ -135,7 +135,7 @@
     """A watch with the core and the module behind it, which say when to call again."""
 
     def __init__(self, hosts: int = 6) -> None:
-        super().__init__(settings(hosts=hosts, ask_for_list=True))
+        super().__init__(settings(hosts=hosts, poll_endpoints=True))
         self.discovery = self.server(Discovery)
         self.discovery.boxes = [Box("b0", "127.0.0.1:9", 0)]
         self.watch = self.core.subscriptions = Watch(
@@ -209,13 +209,13 @@
 
 
 def test_odd_entries_are_named_and_the_last_word_on_a_server_holds() -> None:
-    directory = Directory()
+    directory = EndpointRegistry()
 
-    def listing(*entries: NodeEntry, whole: bool = True) -> Listing:
-        return Listing(entries, {e.node: "10.0.0.1:1" for e in entries}, whole)
+    def listing(*entries: Endpoint, whole: bool = True) -> EndpointListing:
+        return EndpointListing(entries, {e.node: "10.0.0.1:1" for e in entries}, whole)
 
     assert directory.apply(listing(up("a", 0), up("b", 1))) == []
-    drains = NodeEntry("a", 0, "z", NodeState.DRAINING)
+    drains = Endpoint("a", 0, "z", EndpointState.DRAINING)
     assert directory.apply(listing(up("a", 0), drains, whole=False)) == ["a is named twice"]
     assert directory.endpoint("a") is None and directory.endpoint("b")
     assert directory.apply(listing(up("b", 7), whole=False)) == ["b moved from cell 1 to 7"]
@@ -389,10 +389,10 @@
     hosts: int, unheard_us: int
 ) -> None:
     """It grew with the number of heads, to 50 s for 200, and to 6 s for 3."""
-    bench = Bench(settings(hosts=hosts, ask_for_list=True), [up("n0", 0)])
+    bench = Bench(settings(hosts=hosts, poll_endpoints=True), [up("n0", 0)])
     pauses = []
     for _ in range(60):
-        bench.tell(api.NodeList(failed=True, unheard_us=unheard_us))
+        bench.tell(api.EndpointListUpdate(failed=True, unheard_us=unheard_us))
         began, calls = bench.now, len([a for _, a in bench.log if isinstance(a, api.Subscribe)])
         while len([a for _, a in bench.log if isinstance(a, api.Subscribe)]) == calls:
             bench.run(10 * MS)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -458,7 +458,7 @@
     effect: api.Effect, window: int, repeats: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The window was looked at before the connection was begun, which takes up to 0.25 s."""
-    cls = api.ClassSpec("read", 2.0, 0.1, 300 * MS, 1500 * MS, effect, api.Group.ALL, window)
+    cls = api.ClassSpec("read", 2.0, 0.1, 300 * MS, 1500 * MS, effect, api.DeduplicationScope.ALL, window)
     w = World(settings(parallel_attempts=False, max_attempts=2, hosts=1, classes={"read": cls}))
     brick = w.server(Brick)
     brick.script = [None]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -81,7 +81,12 @@
 
 
 PUSHED: dict[str, Any] = dict(
-    pushed=True, cold_from=0.15, fall_multiple=2.0, fall_us=2 * SECOND, cold_units=10.0, rate=40.0
+    pushed=True,
+    warmup_initial_share=0.15,
+    overload_multiple=2.0,
+    overload_window_us=2 * SECOND,
+    warmup_units=10.0,
+    rate=40.0,
 )
 
 
--- a/tests/test_golden_protocols.py
+++ b/tests/test_golden_protocols.py
@@ -37,9 +37,9 @@
 from garnetlanding.config import load as load_config
 from garnetlanding.config import read as read_config
 from garnetlanding.core.body import Body
-from garnetlanding.core.figures import Figures
-from garnetlanding.core.figures import encode as encode_figures
-from garnetlanding.core.ports import Ask, Failed, Refused, Served
+from garnetlanding.core.metrics import RequestMetrics
+from garnetlanding.core.metrics import encode as encode_figures
+from garnetlanding.core.ports import Failed, Rejected, RequestSpec, Served
 from garnetlanding.decision import interface as api
 from garnetlanding.discovery.listing import ListError, read_list
 from garnetlanding.discovery.watch import Watch
@@ -54,9 +54,9 @@
 from garnetlanding.ninep.front import ClientMachine as NinepClient
 from garnetlanding.ninep.setup import Export
 from garnetlanding.ninep.shared import Front as NinepFront
-from garnetlanding.ops.caller import call as call_head
-from garnetlanding.ops.caller import path_of
-from garnetlanding.ops.front import CallMachine
+from garnetlanding.ops.admin_client import call as call_head
+from garnetlanding.ops.admin_client import path_of
+from garnetlanding.ops.front import AdminConnection
 from garnetlanding.peers import codec as peers_codec
 from garnetlanding.resp import codec as resp
 from garnetlanding.resp.brick import BrickMachine
@@ -144,7 +144,7 @@
         self.machine.feed(data)
         self.note(f"> {shown(data)}")
 
-    def answer(self, ticket: str, answer: Served | Refused | Failed, what: str) -> None:
+    def answer(self, ticket: str, answer: Served | Rejected | Failed, what: str) -> None:
         self.core.items.pop(ticket)[1](answer)
         self.note(f"core answers {ticket}: {what}")
 
@@ -173,8 +173,8 @@
     s.say(blk_read(1)[20:])
     s.answer("i1", Served(b"value one"), "served")
     s.say(blk_read(2) + blk_read(3) + blk_read(4) + blk_write(5, b"w" * 65536) + blk_read(6))
-    s.answer("i3", Refused(1500), "refused, hold off 1500 us")
-    s.answer("i4", Refused(0), "refused")
+    s.answer("i3", Rejected(1500), "refused, hold off 1500 us")
+    s.answer("i4", Rejected(0), "refused")
     s.answer("i5", Failed("no answer\r\nfrom \u00e4 server"), "failed")
     s.answer("i2", Served(b""), "served, empty")
     s.answer("i6", Served(b"L" * 70000), "served, 70000 bytes")
@@ -701,7 +701,7 @@
     linux = version == p9l.VERSION
     lines: list[str] = []
 
-    def ask(message: p9.Message, answer: Served | Refused | Failed | None = None) -> None:
+    def ask(message: p9.Message, answer: Served | Rejected | Failed | None = None) -> None:
         raw = p9.encode(1, message)
         client.feed(raw)
         lines.append(f"> {raw.hex()}")
@@ -718,15 +718,15 @@
 
     ask(p9.Tversion(8192, version))
     attach = p9l.Tlattach(0, p9.NOFID, "ann", "tree", 1) if linux else p9.Tattach(0, p9.NOFID, "ann", "tree")
-    ask(attach, Refused(30 * MS + 1))
-    ask(attach, Refused(0))
+    ask(attach, Rejected(30 * MS + 1))
+    ask(attach, Rejected(0))
     ask(attach, Failed("no server"))
     ask(attach, Served(problems.Problem(problems.ENOENT)))
     ask(attach, Served(problems.Problem(problems.EIO, "disk on fire")))
     ask(attach, Served(QID))
     ask(p9.Twalk(0, 1, ("a", "b")), Served((QID, FILE)))
     ask(p9.Twalk(0, 2, ("a", "b")), Served((QID,)))
-    ask(p9.Tremove(1), Refused(2 * MS))
+    ask(p9.Tremove(1), Rejected(2 * MS))
     client.close()
     check(f"{dialect}_refusals.txt", lines)
 
@@ -767,10 +767,14 @@
     {"instanceId": "b1", "hostPort": "10.0.0.2:1", "lifecycle": "DRAINING", "weight": 2, "startedAtMs": 1.5},
     {"instanceId": "b2", "lifecycle": "DELETED"},
 ]
-STATE_LABELS = {api.NodeState.UP: "up", api.NodeState.DRAINING: "draining", api.NodeState.GONE: "gone"}
+STATE_LABELS = {
+    api.EndpointState.UP: "up",
+    api.EndpointState.DRAINING: "draining",
+    api.EndpointState.GONE: "gone",
+}
 
 
-def entry_form(entry: api.NodeEntry) -> str:
+def entry_form(entry: api.Endpoint) -> str:
     return (
         f"{entry.node} cell {entry.cell} zone {entry.zone or '-'} state {STATE_LABELS[entry.state]} "
         f"started {entry.started_us} size {entry.size!r}"
@@ -843,9 +847,9 @@
         return self.is_ready
 
     def metrics(self) -> str:
-        figures = Figures(["read", "write"])
+        figures = RequestMetrics(["read", "write"])
         figures.end("read", Served(b""))
-        figures.end("read", Refused(0))
+        figures.end("read", Rejected(0))
         figures.end("write", Failed("x"))
         figures.dispatches = 4
         return encode_figures(figures, 5, 6, 7)
@@ -926,7 +930,7 @@
         for call in calls:
             desk, sink = FakeDesk(), Sink()
             desk.is_ready, desk.knows_fleet = is_ready, knows_fleet
-            CallMachine(desk, buffers(), Limits(), sink).feed(call)
+            AdminConnection(desk, buffers(), Limits(), sink).feed(call)
             lines += [f"> {shown(call)}", *desk.lines, *(f"< {shown(data)}" for data in sink.written)]
     check("http_ops.txt", lines)
 
@@ -972,8 +976,8 @@
     )
     exporter.gauges = {"clients": lambda: 4}
     began = 60 * SECOND
-    for cls, answer in (("read", Served(b"v")), ("read", Refused(5)), ("write", Failed("x"))):
-        ask = Ask(cls, "gold", "vol-1", "k", 2, 3, SECOND, 1, None)
+    for cls, answer in (("read", Served(b"v")), ("read", Rejected(5)), ("write", Failed("x"))):
+        ask = RequestSpec(cls, "gold", "vol-1", "k", 2, 3, SECOND, 1, None)
         attempts = [("b0", "reset", began, began + MS), ("b1", "served", began + 2 * MS, 0)]
         exporter.item_ended(ask, answer, began, began + 30 * MS, attempts)
     world.run(SECOND, 100 * MS)
@@ -1170,14 +1174,14 @@
         api.Send("r1", "10.0.0.1:9"),
         api.Send("r1", "10.0.0.1:9", 5000),
         api.WakeAfter(2000, "look"),
-        api.Refuse("r2"),
-        api.Refuse("r2", 30),
+        api.Reject("r2"),
+        api.Reject("r2", 30),
         api.Fail("r3"),
         api.Cancel("r4", 2),
         api.Probe("10.0.0.2:9"),
         api.Subscribe(),
-        api.Tell(b"\x00\xff"),
-        api.Tell(b"", 3),
+        api.SendPeerMessage(b"\x00\xff"),
+        api.SendPeerMessage(b"", 3),
         api.Log("two\nlines  of text"),
     ]
     check("wire_actions.txt", wire.write_actions(actions))
@@ -1242,7 +1246,11 @@
 # 5. Configuration.
 
 EFFECT_LABELS = {api.Effect.SAFE: "safe", api.Effect.KEYED: "keyed", api.Effect.UNSAFE: "unsafe"}
-GROUP_LABELS = {api.Group.ALL: "all", api.Group.ZONE: "zone", api.Group.CELL: "cell"}
+GROUP_LABELS = {
+    api.DeduplicationScope.ALL: "all",
+    api.DeduplicationScope.ZONE: "zone",
+    api.DeduplicationScope.CELL: "cell",
+}
 
 
 def settings_form(s: api.Settings) -> list[str]:
@@ -1250,32 +1258,33 @@
         f"heads: {s.hosts}",
         f"this head: {s.me}",
         f"tick: {s.tick_us}",
-        f"list is asked for: {s.ask_for_list}",
+        f"list is asked for: {s.poll_endpoints}",
         f"most attempts: {s.max_attempts}",
         f"parallel attempts: {s.parallel_attempts}",
         f"cancel: {s.may_cancel}",
         f"probe: {s.may_probe}",
-        f"hold-off is heeded: {s.heeds_hold_off}",
-        f"longest hold-off: {s.max_hold_off_us}",
-        f"cold from: {s.cold_from!r}",
-        f"cold time: {s.cold_us}",
-        f"cold units: {s.cold_units!r}",
-        f"fall multiple: {s.fall_multiple!r}",
-        f"fall time: {s.fall_us}",
-        f"rest between ordered: {s.order_rest_us}",
-        f"budget share: {s.budget_share!r}",
-        f"budget free: {s.budget_free!r}",
-        f"budget span: {s.budget_span_us}",
-        f"worth of a share: {s.share_worth!r}",
-        f"worth of the spare: {s.spare_worth!r}",
-        f"most units: {s.most_units!r}",
+        f"hold-off is heeded: {s.honors_retry_after}",
+        f"longest hold-off: {s.max_retry_after_us}",
+        f"cold from: {s.warmup_initial_share!r}",
+        f"cold time: {s.warmup_us}",
+        f"cold units: {s.warmup_units!r}",
+        f"fall multiple: {s.overload_multiple!r}",
+        f"fall time: {s.overload_window_us}",
+        f"rest between ordered: {s.ordered_key_rest_us}",
+        f"budget share: {s.retry_budget_ratio!r}",
+        f"budget free: {s.retry_budget_floor!r}",
+        f"budget span: {s.retry_budget_window_us}",
+        f"worth of a share: {s.over_quota_value_share!r}",
+        f"worth of the spare: {s.idle_value_share!r}",
+        f"most units: {s.max_units!r}",
         f"cells: {s.cells}",
-        f"heads may tell: {s.may_tell}",
+        f"heads may tell: {s.may_message_peers}",
         f"part: {s.part!r}",
     ]
     for key, c in s.classes.items():
         lines.append(
-            f"class {key}: name {c.name}, worth {c.worth!r}, late {c.late_worth!r}, aim {c.aim_us}, "
+            f"class {key}: name {c.name}, worth {c.priority_weight!r}, late {c.late_value_share!r}, "
+            f"aim {c.latency_objective_us}, "
             f"deadline {c.deadline_us}, effect {EFFECT_LABELS[c.effect]}, group {GROUP_LABELS[c.group]}, "
             f"window {c.window_us}, in order {c.in_order}"
         )
--- a/tests/test_golden_records.py
+++ b/tests/test_golden_records.py
@@ -37,7 +37,7 @@
 from garnetlanding.audit.limits import LIMITS as AUDIT_LIMITS
 from garnetlanding.audit.reading import read as read_audits
 from garnetlanding.audit.recorder import Recorder
-from garnetlanding.core.ports import Answer, Ask, Failed, Refused, Served
+from garnetlanding.core.ports import Answer, Failed, Rejected, RequestSpec, Served
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.emulator import budget_net, group_net, lease_net, verdict_net
@@ -45,16 +45,16 @@
 from garnetlanding.history.writer import History
 from garnetlanding.lab.history import BadHistory
 from garnetlanding.lab.history import read as read_history
-from garnetlanding.peers import codec, roll, words
-from garnetlanding.peers.bans import Bans
-from garnetlanding.peers.bans import Record as Ban
-from garnetlanding.peers.budgets import Budgets
-from garnetlanding.peers.fleet import Fleet
-from garnetlanding.peers.group import Group
+from garnetlanding.peers import codec, gossip_message, membership_message
+from garnetlanding.peers.coordinator import PeerCoordinator
+from garnetlanding.peers.disabled_backends import DisabledBackends
+from garnetlanding.peers.disabled_backends import Record as Ban
+from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.members import FIRST_SEED, Members
-from garnetlanding.peers.members import Record as Member
-from garnetlanding.peers.talk import Talk
+from garnetlanding.peers.membership import FIRST_SEED, Membership
+from garnetlanding.peers.membership import Record as Member
+from garnetlanding.peers.membership_protocol import MembershipProtocol
+from garnetlanding.peers.shared_budgets import SharedBudgets
 from garnetlanding.telemetry.exporter import Exporter
 from garnetlanding.telemetry.setup import Collector
 from tests.helpers import MS, SECOND, World, read_command
@@ -190,7 +190,7 @@
     """What reading a segment comes to, in words."""
     try:
         found = segments.read(name, data, last)
-    except segments.Damage as problem:
+    except segments.CorruptSegmentError as problem:
         kept = [len(segment.records) for segment in problem.before]
         return f"refused: {problem} (records before it: {kept})"
     return f"read: {len(found.records)} records, torn at {found.torn_at}"
@@ -301,7 +301,7 @@
 # The history
 
 
-ENDED = Ask("read", "gold", "vol-1", "k", 2.5, 3, SECOND, 1, None)
+ENDED = RequestSpec("read", "gold", "vol-1", "k", 2.5, 3, SECOND, 1, None)
 
 
 @dataclass
@@ -346,14 +346,14 @@
 
 
 def test_history_lines_are_written_byte_for_byte_and_read_back(tmp_path: pathlib.Path) -> None:
-    """Every kind of line that the writer has, and the daemon's, as bytes. Those of `Talk`, `Fleet` and
-    `Group` are written by themselves in the conversation below."""
+    """Every kind of line that the writer has, and the daemon's, as bytes. Those of the peers' classes are
+    written by themselves in the conversation below."""
     path, times = tmp_path / "n0.history", iter(range(1000, 9000, 7))
     history = History(str(path), "n0", 3, lambda: next(times))
     history.note("settings", epoch=5, revision=2, digest=0x0A0B0C0D, at=990)
     history.note("up")
     history.note("current", out=True, at=1010)
-    answers: list[Answer] = [Served(b"v"), Refused(50), Failed("no server")]
+    answers: list[Answer] = [Served(b"v"), Rejected(50), Failed("no server")]
     for i, answer in enumerate(answers):
         work = Work((b"RUN", b"1", b"id-%d\xff" % i)) if i else None
         attempts = [("b0", "reset", 900, 950), ("b1", "served", 960, 990)][: 2 - i]
@@ -386,23 +386,29 @@
 VOLUME, OTHER = codec.tag("vol-1"), codec.tag("vol-2")
 LEASES = codec.Message(*HEADER, {VOLUME: (0.5, 3), OTHER: (1.0, 255)}, {VOLUME: 0.252, 9: 0.0})
 BUDGETS = codec.Message(*HEADER, {codec.tag(api.cold("n0")): (0.004, 4)}, {codec.tag(api.LIST_CALLS): 1.0})
-BANS = Bans(PEER_LIMITS, [Ban("n1", 1_764_640_800_000, 2, True), Ban("head/3", 9, 65535, False)])
-EVIDENCE = tuple(words.Evidence(kind, words.tag(f"n{kind}"), 10 * kind, kind, 7) for kind in words.Kind)
-TOLD = words.Words(BANS.digest, EVIDENCE, tuple(BANS.records.values()))
-MOST = words.Words(bytes(8), (words.Evidence(words.Kind.DEAD, 0xFFFFFFFF, words.LONG_AGO, 255, 0xFFFF),))
-
-
-def members() -> Members:
-    table = Members(PEER_LIMITS, 0, 100, "127.1.0.1:7946", ["127.1.0.1:7946", "127.1.0.2:7946"], 0)
+BANS = DisabledBackends(PEER_LIMITS, [Ban("n1", 1_764_640_800_000, 2, True), Ban("head/3", 9, 65535, False)])
+EVIDENCE = tuple(
+    gossip_message.Evidence(kind, gossip_message.tag(f"n{kind}"), 10 * kind, kind, 7)
+    for kind in gossip_message.Kind
+)
+TOLD = gossip_message.GossipMessage(BANS.digest, EVIDENCE, tuple(BANS.records.values()))
+MOST = gossip_message.GossipMessage(
+    bytes(8),
+    (gossip_message.Evidence(gossip_message.Kind.DEAD, 0xFFFFFFFF, gossip_message.LONG_AGO, 255, 0xFFFF),),
+)
+
+
+def members() -> Membership:
+    table = Membership(PEER_LIMITS, 0, 100, "127.1.0.1:7946", ["127.1.0.1:7946", "127.1.0.2:7946"], 0)
     table.learn([Member(1, 90, True, "127.1.0.2:7946"), Member(65535, 1 << 40, False, "[fe80::1]:65535")])
     return table
 
 
-def rolls() -> dict[str, roll.Roll]:
+def rolls() -> dict[str, membership_message.MembershipMessage]:
     records = tuple(members().records.values())
     return {
-        "roll": roll.Roll(members().digest, records, True),
-        "roll-one": roll.Roll(bytes(8), records[:1], False),
+        "roll": membership_message.MembershipMessage(members().digest, records, True),
+        "roll-one": membership_message.MembershipMessage(bytes(8), records[:1], False),
     }
 
 
@@ -416,25 +422,27 @@
         ),
         "leases-rounded": codec.encode(codec.Message(1, 2, 0, 0, {1: (0.0011, 1)}, {1: 0.0079})),
         "budgets": codec.encode(BUDGETS, codec.BUDGETS),
-        "words": codec.seal(words.envelope(TOLD, *HEADER)),
-        "words-greatest": codec.seal(words.envelope(MOST, *HEADER)),
-        "words-empty": codec.seal(words.envelope(words.Words(bytes(8)), *HEADER)),
+        "words": codec.seal(gossip_message.envelope(TOLD, *HEADER)),
+        "words-greatest": codec.seal(gossip_message.envelope(MOST, *HEADER)),
+        "words-empty": codec.seal(gossip_message.envelope(gossip_message.GossipMessage(bytes(8)), *HEADER)),
+    }
+    return found | {
+        name: codec.seal(membership_message.envelope(told, *HEADER)) for name, told in rolls().items()
     }
-    return found | {name: codec.seal(roll.envelope(told, *HEADER)) for name, told in rolls().items()}
 
 
 def read_datagram(data: bytes) -> object:
-    """As `Talk` does: by the kind of its envelope."""
+    """As `PeerCoordinator` does: by the kind of its envelope."""
     e = codec.unseal(data, PEER_LIMITS.datagram_bytes)
     if e.kind == codec.ROLL:
-        return roll.read(e)
-    return words.read(e) if e.kind == codec.WORDS else codec.leases(e)
+        return membership_message.read(e)
+    return gossip_message.read(e) if e.kind == codec.WORDS else codec.leases(e)
 
 
 def datagram_outcome(data: bytes) -> str:
     try:
         return f"read: state {digest_of(read_datagram(data))[:16]}"
-    except codec.BadMessage as problem:
+    except codec.MessageError as problem:
         return f"refused: {problem}"
 
 
@@ -447,7 +455,7 @@
     assert (read["leases"], read["budgets"]) == (LEASES, BUDGETS)
     assert (read["words"], read["words-greatest"]) == (TOLD, MOST)
     assert (read["roll"], read["roll-one"]) == (rolls()["roll"], rolls()["roll-one"])
-    assert read["words-empty"] == words.Words(bytes(8))
+    assert read["words-empty"] == gossip_message.GossipMessage(bytes(8))
     assert read["leases-empty"] == codec.Message(1, 1)
     assert read["leases-rounded"] == codec.Message(1, 2, 0, 0, {1: (0.004, 1)}, {1: 0.004})
     assert read["leases-greatest"] == codec.Message(
@@ -487,12 +495,18 @@
     grants = {i * 104729: (i % 251) / 250 for i in range(300)}
     paged = [codec.encode(codec.Message(1, 1, 0, 0, *page)) for page in codec.pages(asks, grants, 1200)]
     records = [Member(i, 5 + i, i % 3 == 0, f"10.0.{i // 250}.{i % 250}:1{i:04}") for i in range(300)]
-    for page in roll.pages(records, 1200, 3):
-        paged.append(codec.seal(roll.envelope(roll.Roll(bytes(8), tuple(page), True), 1, 1, 0, 0)))
+    for page in membership_message.pages(records, 1200, 3):
+        paged.append(
+            codec.seal(
+                membership_message.envelope(
+                    membership_message.MembershipMessage(bytes(8), tuple(page), True), 1, 1, 0, 0
+                )
+            )
+        )
     bans = [Ban(f"server-{i}", i, 1, True) for i in range(100)]
-    seen, told = words.fit(EVIDENCE * 20, bans, 1200)
-    message = words.Words(bytes(8), (EVIDENCE * 20)[:seen], tuple(bans[:told]))
-    paged.append(codec.seal(words.envelope(message, 1, 1, 0, 0)))
+    seen, told = gossip_message.fit(EVIDENCE * 20, bans, 1200)
+    message = gossip_message.GossipMessage(bytes(8), (EVIDENCE * 20)[:seen], tuple(bans[:told]))
+    paged.append(codec.seal(gossip_message.envelope(message, 1, 1, 0, 0)))
     text = "".join(f"{len(data)} {hashlib.sha256(data).hexdigest()}\n" for data in paged)
     golden("datagrams-paged.txt", text.encode())
 
@@ -509,7 +523,11 @@
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.now, self.rng, self.sent = 0, random.Random(11), list[tuple[int, int, int, bytes]]()
-        self.folder, self.talks, self.fleets = folder, dict[int, Talk](), dict[int, Fleet]()
+        self.folder, self.talks, self.fleets = (
+            folder,
+            dict[int, PeerCoordinator](),
+            dict[int, FailureDetector](),
+        )
         self._mail: list[tuple[int, int, int, api.Event]] = []
         self._tries: Counter[tuple[int, str]] = Counter()
         self._posted = 0
@@ -520,28 +538,28 @@
         s = replace(
             verdict_net.settings(net, me),
             plans={"plan": plan},
-            cold_us=4 * SECOND,
-            budget_share=0.2,
-            budget_free=4.0,
-            budget_span_us=SECOND,
+            warmup_us=4 * SECOND,
+            retry_budget_ratio=0.2,
+            retry_budget_floor=4.0,
+            retry_budget_window_us=SECOND,
         )
         history = History(str(self.folder / f"n{me}.history"), f"n{me}", 1, lambda: self.now)
         seeds = [address(seed) for seed in range(3)]
-        table = Members(PEER_LIMITS, me, 100 + me, address(me), seeds, self.now)
-        self.fleets[me] = Fleet(PEER_LIMITS, note=history.note)
-        self.talks[me] = Talk(
+        table = Membership(PEER_LIMITS, me, 100 + me, address(me), seeds, self.now)
+        self.fleets[me] = FailureDetector(PEER_LIMITS, note=history.note)
+        self.talks[me] = PeerCoordinator(
             Controller(s, me),
             life=100 + me,
             believed=history.believed,
             fleet=self.fleets[me],
-            group=Group(PEER_LIMITS, table, history.note),
-            budgets=lambda s, life, now: Budgets(PEER_LIMITS, s, life, now),
+            group=MembershipProtocol(PEER_LIMITS, table, history.note),
+            budgets=lambda s, life, now: SharedBudgets(PEER_LIMITS, s, life, now),
         )
         entries = tuple(
-            api.NodeEntry(f"n{i}", i, "z", api.NodeState.UP, started_us=self.now + 1 if i == 4 else 0)
+            api.Endpoint(f"n{i}", i, "z", api.EndpointState.UP, started_us=self.now + 1 if i == 4 else 0)
             for i in range(SERVERS)
         )
-        self.post(self.now, me, api.NodeList(entries, whole=True, at_start=True))
+        self.post(self.now, me, api.EndpointListUpdate(entries, whole=True, at_start=True))
 
     def post(self, when: int, to: int, event: api.Event) -> None:
         self._posted += 1
@@ -578,7 +596,7 @@
                 self.fleets[me].merge()
 
     def ban(self, server: str) -> None:
-        bans = Bans(PEER_LIMITS, self.fleets[0].bans.records.values())
+        bans = DisabledBackends(PEER_LIMITS, self.fleets[0].bans.records.values())
         for i in range(60):  # more than one datagram holds: they are told in turn
             bans.say(f"server-{i}-that-was-put-back-long-ago", False, 0, WALL_MS - 1000 + i)
         bans.say(server, True, 0, WALL_MS)
@@ -587,14 +605,14 @@
     def act(self, me: int, action: api.Action) -> None:
         match action:
             case api.WakeAfter(span_us=span, token=token):
-                self.post(self.now + max(1, span), me, api.WokeUp(token))
+                self.post(self.now + max(1, span), me, api.TimerFired(token))
             case api.Send(request=request, node=node):
                 attempt = self._tries[me, request]
                 self._tries[me, request] += 1
                 outcome, took = self.answer(node)
                 over = outcome is api.Outcome.SERVED
                 self.post(self.now + took, me, api.Result(request, attempt, node, outcome, took, over=over))
-            case api.Tell(payload=payload, to=to):
+            case api.SendPeerMessage(payload=payload, to=to):
                 self.tell(me, to, payload)
 
     def answer(self, node: str) -> tuple[api.Outcome, int]:
@@ -716,7 +734,7 @@
     began = w.scheduler.now
     attempts = [("b0", "reset", began, began + MS), ("b1", "served", began + 2 * MS, 0)]
     exporter.item_ended(ENDED, Served(b"v"), began, began + 30 * MS, attempts)
-    exporter.item_ended(ENDED, Refused(0), began, began + 20 * SECOND, [])
+    exporter.item_ended(ENDED, Rejected(0), began, began + 20 * SECOND, [])
     exporter.item_ended(
         replace(ENDED, cls="write", cell=-1), Failed("é"), began, began + 5 * MS, attempts[:1]
     )
--- a/tests/test_golden_storage.py
+++ b/tests/test_golden_storage.py
@@ -28,27 +28,27 @@
 from click.testing import CliRunner
 
 from garnetlanding import cli
-from garnetlanding.core.figures import Figures
-from garnetlanding.core.ports import Failed, Refused, Served
+from garnetlanding.core.metrics import RequestMetrics
+from garnetlanding.core.ports import Failed, Rejected, Served
 from garnetlanding.emulator.discovery import Box
-from garnetlanding.ops import caller
-from garnetlanding.ops.desk import Desk
+from garnetlanding.ops import admin_client
+from garnetlanding.ops.admin_service import AdminService
 from garnetlanding.ops.file import StateFile
-from garnetlanding.ops.front import CallMachine
-from garnetlanding.ops.lives import Lives
-from garnetlanding.ops.share import Word
-from garnetlanding.ops.share import decode as decode_word
-from garnetlanding.ops.shared import SharedBans
+from garnetlanding.ops.front import AdminConnection
+from garnetlanding.ops.process_quota import ProcessRecord
+from garnetlanding.ops.process_quota import decode as decode_word
+from garnetlanding.ops.process_registry import ProcessRegistry
+from garnetlanding.ops.replicated_disables import ReplicatedDisables
 from garnetlanding.ops.state import OpsState, StateError
 from garnetlanding.ops.state import decode as decode_state
-from garnetlanding.peers.fleet import Fleet
+from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.resp.front import ClientMachine
 from garnetlanding.runtime.listener import Listener
-from garnetlanding.store.currency import Currency
-from garnetlanding.store.file import Keeper
+from garnetlanding.store.persister import StorePersister
 from garnetlanding.store.replica import FollowerMachine, ReplicaError, WriterMachine
-from garnetlanding.store.store import FileError, Gap, Snapshot, Stale, Store
+from garnetlanding.store.staleness_guard import StalenessGuard
+from garnetlanding.store.store import LogGapError, Snapshot, StaleEpochError, Store, StoreFileError
 from tests.helpers import MS, SECOND, World
 
 FOLDER = pathlib.Path(__file__).parent / "golden" / "storage"
@@ -100,8 +100,8 @@
     return store
 
 
-def keeper(world: World, store: Store, path: pathlib.Path) -> Keeper:
-    return Keeper(world.scheduler, store, str(path), 200 * MS)
+def keeper(world: World, store: Store, path: pathlib.Path) -> StorePersister:
+    return StorePersister(world.scheduler, store, str(path), 200 * MS)
 
 
 @pytest.mark.parametrize("name", ["store-filled.json", "store-empty.json"])
@@ -138,7 +138,7 @@
     for length in range(len(committed)):
         path.write_bytes(committed[:length])
         store = Store("w", True, 50, epoch=7)
-        with pytest.raises(FileError) as caught:
+        with pytest.raises(StoreFileError) as caught:
             keeper(world, store, path)
         assert str(caught.value).startswith(f"{path}: "), f"cut to {length} bytes"
         assert store.snapshot() == Snapshot(7, 0, {}) and path.read_bytes() == committed[:length]
@@ -158,7 +158,7 @@
 def test_store_file_refused_with_its_reason(text: str, why: str, tmp_path: pathlib.Path) -> None:
     path = tmp_path / "store.json"
     path.write_text(text)
-    with pytest.raises(FileError) as caught:
+    with pytest.raises(StoreFileError) as caught:
         keeper(World(), Store("w", True, 50), path)
     assert str(caught.value) == f"{path}: {why}"
 
@@ -198,7 +198,7 @@
 
 
 def ask_first(world: World) -> bytes:
-    return FollowerMachine.ask(Currency(SECOND, 0.01, world.time).ask(world.time))
+    return FollowerMachine.ask(StalenessGuard(SECOND, 0.01, world.time).ask(world.time))
 
 
 FOLLOWER_LINES: dict[str, Callable[[World], bytes]] = {
@@ -242,7 +242,7 @@
     assert all(line.endswith(b"\n") and line.count(b"\n") == 1 for line in said), "a write is a line"
 
     for size in (len(committed), 1, 7):
-        copy, currency = copy_of(), Currency(SECOND, 0.01, world.time)
+        copy, currency = copy_of(), StalenessGuard(SECOND, 0.01, world.time)
         currency.ask(world.time)
         reader = FollowerMachine(copy, world.limits, currency)
         for at in range(0, len(committed), size):
@@ -261,7 +261,7 @@
             (cut, committed[:length]),
             (whole, committed[: committed.rfind(b"\n", 0, length) + 1]),
         ):
-            FollowerMachine(store, world.limits, Currency(SECOND, 0.01, world.time)).feed(data)
+            FollowerMachine(store, world.limits, StalenessGuard(SECOND, 0.01, world.time)).feed(data)
         assert cut.snapshot() == whole.snapshot(), f"cut to {length} bytes"
 
 
@@ -304,9 +304,9 @@
     "lines, problem, why",
     [
         (b'{"at": 0}\n', ReplicaError, "the writer has not named itself"),
-        (b'{"writer": ["x", 1]}\n', Stale, "x is not the configured writer w"),
-        (b'{"writer": ["w", 1]}\n{"entry": [2, "a", 1]}\n', Gap, "entry 2 of epoch 1 after 0 of 0"),
-        (b'{"writer": ["w", 0]}\n{"at": 3}\n', Gap, "the writer is at 3, this store at 0"),
+        (b'{"writer": ["x", 1]}\n', StaleEpochError, "x is not the configured writer w"),
+        (b'{"writer": ["w", 1]}\n{"entry": [2, "a", 1]}\n', LogGapError, "entry 2 of epoch 1 after 0 of 0"),
+        (b'{"writer": ["w", 0]}\n{"at": 3}\n', LogGapError, "the writer is at 3, this store at 0"),
         (b'{"writer": ["w", 0]}\n{"re": [1, 0]}\n', ReplicaError, "unknown message"),
         (b'{"writer": ["w", 0]}\n{"snapshot": [1]}\n', ReplicaError, "unknown message"),
         (b'{"writer": ["w"\n', ReplicaError, "not JSON"),
@@ -378,34 +378,34 @@
 ELDER = "garnetlanding-n%201%2F%C3%A4-life-4101-1000000000"
 NEWER = "garnetlanding-n%201%2F%C3%A4-life-4102-2000000007"
 WORDS = {
-    "elder-born": Word(1_000_000_000, 0.0),
-    "elder-alone": Word(1_000_000_000, 1.0),
-    "newer-born": Word(2_000_000_007, 0.0),
-    "elder-busy": Word(1_000_000_000, 0.6 * 1.25),
-    "newer-quarter": Word(2_000_000_007, 0.25),
-    "elder-half": Word(1_000_000_000, 0.5),
-    "elder-ending": Word(1_000_000_000, 0.125),
-    "newer-most": Word(2_000_000_007, 0.875),
-    "newer-alone": Word(2_000_000_007, 1.0),
+    "elder-born": ProcessRecord(1_000_000_000, 0.0),
+    "elder-alone": ProcessRecord(1_000_000_000, 1.0),
+    "newer-born": ProcessRecord(2_000_000_007, 0.0),
+    "elder-busy": ProcessRecord(1_000_000_000, 0.6 * 1.25),
+    "newer-quarter": ProcessRecord(2_000_000_007, 0.25),
+    "elder-half": ProcessRecord(1_000_000_000, 0.5),
+    "elder-ending": ProcessRecord(1_000_000_000, 0.125),
+    "newer-most": ProcessRecord(2_000_000_007, 0.875),
+    "newer-alone": ProcessRecord(2_000_000_007, 1.0),
 }
 
 
-def born(folder: pathlib.Path, pid: int, started: int, monkeypatch: pytest.MonkeyPatch) -> Lives:
+def born(folder: pathlib.Path, pid: int, started: int, monkeypatch: pytest.MonkeyPatch) -> ProcessRegistry:
     with monkeypatch.context() as patch:
         patch.setattr("os.getpid", lambda: pid)
         patch.setattr("time.monotonic_ns", lambda: started)
-        return Lives(str(folder), HEAD)
+        return ProcessRegistry(str(folder), HEAD)
 
 
 def test_process_records_of_an_upgrade(tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Each record that both processes write, from the elder's birth until the newer one is alone."""
     wrote: list[str] = []
 
-    def look(life: Lives, name: str, used: float = 0.0, ending: bool = False) -> None:
+    def look(life: ProcessRegistry, name: str, used: float = 0.0, ending: bool = False) -> None:
         life.keep(life.look(used, ending))
         check(life, name)
 
-    def check(life: Lives, name: str) -> None:
+    def check(life: ProcessRegistry, name: str) -> None:
         wrote.append(name)
         file = tmp_path / (ELDER if name.startswith("elder") else NEWER)
         committed = golden(f"lives/{name}.word", file.read_bytes())
@@ -531,8 +531,8 @@
             self.limits.client_conns,
             lambda write: ClientMachine(self.core, self.bricks, self.pool, self.limits, set(), write),
         )
-        peers = Fleet(PeerLimits())
-        shared = SharedBans(peers, lambda: 1, lambda: 1764640899000) if fleet else None
+        peers = FailureDetector(PeerLimits())
+        shared = ReplicatedDisables(peers, lambda: 1, lambda: 1764640899000) if fleet else None
 
         def known(what: str) -> list[dict[str, object]] | None:
             return peers.known(what, self.time, SECOND) if what == "bans" else FLEET_ROWS[what]
@@ -542,15 +542,15 @@
 
         state = StateFile(str(folder), "n1")
         args = (self.scheduler, self.core, self.clients, state, self.limits, lambda: True, lambda: None)
-        self.desk = Desk(*args, known, shared, forget) if fleet else Desk(*args)
+        self.desk = AdminService(*args, known, shared, forget) if fleet else AdminService(*args)
         self.list(Box("b0", "127.0.0.1:1", 0), Box("b1", "127.0.0.1:1", 1))
-        self.core.figures = Figures(["read", "write", "save.big"])
-        for cls, answer in (("read", Served(b"")), ("read", Failed("x")), ("save.big", Refused())):
+        self.core.figures = RequestMetrics(["read", "write", "save.big"])
+        for cls, answer in (("read", Served(b"")), ("read", Failed("x")), ("save.big", Rejected())):
             self.core.figures.end(cls, answer)
 
     def call(self, request: bytes) -> bytes:
         said: list[bytes] = []
-        machine = CallMachine(self.desk, self.pool, self.limits, said.append)
+        machine = AdminConnection(self.desk, self.pool, self.limits, said.append)
         machine.feed(request)
         assert machine.ended and len(said) == 1, "one call, one answer, one write"
         return said[0]
@@ -763,12 +763,12 @@
     head_bytes, _, body = committed.partition(b"\r\n\r\n")
     status = int(head_bytes.split(b" ")[1])
     with Scripted(committed) as head:
-        reply = caller.call(head.address, "ready", wait_s=10)
-    assert reply == caller.Reply(status, body.decode()) and reply.yes == (status == 200)
+        reply = admin_client.call(head.address, "ready", wait_s=10)
+    assert reply == admin_client.Reply(status, body.decode()) and reply.yes == (status == 200)
     cut = f"IncompleteRead({len(body) - 1} bytes read, 1 more expected)"
     for data, why in ((committed[:-1], cut), (committed[:5], "HTTP/"), (b"", "Remote end closed connection")):
-        with Scripted(data) as head, pytest.raises(caller.Unreachable) as caught:
-            caller.call(head.address, "ready", wait_s=10)
+        with Scripted(data) as head, pytest.raises(admin_client.InstanceUnreachableError) as caught:
+            admin_client.call(head.address, "ready", wait_s=10)
         assert str(caught.value).startswith(f"{head.address}: {why}")
 
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -25,7 +25,7 @@
         b.run(10 * MS)
         b.end(f"r{i}", api.Outcome.RESET if i % 3 else api.Outcome.SERVED, over=i % 3 == 0)
     h = b.c.nodes[0].health
-    assert h is not None and h.cold_since < b.now - b.c.s.cold_us
+    assert h is not None and h.cold_since < b.now - b.c.s.warmup_us
 
 
 def test_a_node_whose_attempts_time_out_gets_no_cheap_work_until_that_fades() -> None:
@@ -161,7 +161,7 @@
 def test_all_hosts_together_keep_the_cold_budget() -> None:
     """Each host takes its part of what a cold node always bears, in every window."""
     b = Bench(settings(), [])
-    b.tell(api.NodeList((up("n0", 0, started=b.now),), whole=True))
+    b.tell(api.EndpointListUpdate((up("n0", 0, started=b.now),), whole=True))
     for i in range(60):
         b.ask(f"c{i}", volume=f"v{i % 3}", units=1, plan="tin", hosts=3)
         if b.sends(f"c{i}"):
@@ -198,12 +198,12 @@
 
 
 def test_what_a_cold_nodes_budget_cannot_cover_in_time_is_refused_at_once_cheapest_first() -> None:
-    b = Bench(settings(cold_units=3.0), [])
-    b.tell(api.NodeList((up("n0", 0, started=b.now),), whole=True))
+    b = Bench(settings(warmup_units=3.0), [])
+    b.tell(api.EndpointListUpdate((up("n0", 0, started=b.now),), whole=True))
     for i in range(8):
         b.ask(f"cheap{i}", volume="c", units=1, plan="tin", hosts=3)
     b.ask("dear", volume="d", units=1, hosts=3)
-    refused = [a.request for _, a in b.log if isinstance(a, api.Refuse)]
+    refused = [a.request for _, a in b.log if isinstance(a, api.Reject)]
     assert refused and all(name.startswith("cheap") for name in refused)
     b.run(300 * MS)
     assert b.sends("dear") and not b.answers("dear")
@@ -211,10 +211,10 @@
 
 def test_held_work_waits_for_the_node_that_replaces_a_draining_one() -> None:
     b = Bench(settings(), [up("n0", 0)])
-    b.tell(api.NodeList((api.NodeEntry("n0", 0, "z", api.NodeState.DRAINING),)))
+    b.tell(api.EndpointListUpdate((api.Endpoint("n0", 0, "z", api.EndpointState.DRAINING),)))
     b.ask("a", units=1)
     assert not b.sends()
-    b.tell(api.NodeList((up("n9", 0),)))
+    b.tell(api.EndpointListUpdate((up("n9", 0),)))
     assert [s.node for s in b.sends("a")] == ["n9"]
 
 
@@ -231,9 +231,9 @@
 
 def test_list_calls_after_many_errors_stay_close_enough_to_hear_of_a_drain_in_time() -> None:
     """What discovery has to tell counts as told after 6 s, also to a host that waits to ask again."""
-    b = Bench(settings(ask_for_list=True), [up("n0", 0)])
+    b = Bench(settings(poll_endpoints=True), [up("n0", 0)])
     for _ in range(30):
         failed_at = b.now
-        b.tell(api.NodeList(failed=True))
+        b.tell(api.EndpointListUpdate(failed=True))
         b.run(6 * SECOND)
         assert [t for t, a in b.log if isinstance(a, api.Subscribe) and t >= failed_at]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -13,7 +13,7 @@
 from garnetlanding.emulator.lease_model import Scope, explore
 from garnetlanding.emulator.lease_net import SECOND, Net, Run, Seen
 from garnetlanding.peers import codec, leases
-from garnetlanding.peers.codec import BadMessage, Message
+from garnetlanding.peers.codec import Message, MessageError
 from garnetlanding.peers.leases import Leases, fill
 from garnetlanding.peers.limits import PeerLimits
 
@@ -46,7 +46,7 @@
     cut = data.draw(st.integers(0, len(whole) - 1))
     at, flip = data.draw(st.integers(0, len(whole) - 1)), data.draw(st.integers(1, 255))
     for bad in (whole[:cut], whole[:at] + bytes([whole[at] ^ flip]) + whole[at + 1 :], whole + b"x" * 257):
-        with pytest.raises(BadMessage):
+        with pytest.raises(MessageError):
             codec.decode(bad, LIMITS.datagram_bytes)
 
 
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -14,8 +14,8 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box
-from garnetlanding.ops.lives import Lives
-from garnetlanding.ops.share import LEAST, UNREADABLE, Word, decode, encode, next_part
+from garnetlanding.ops.process_quota import LEAST, UNREADABLE, ProcessRecord, decode, encode, next_part
+from garnetlanding.ops.process_registry import ProcessRegistry
 from garnetlanding.runtime.files import file_name
 from tests.helpers import MS, SECOND, T0, Bench, Peer, World, read_command, settings, up
 from tests.test_daemon import BASE
@@ -30,12 +30,12 @@
     )
 )
 def test_the_parts_never_add_up_to_more_than_the_whole(steps: list[tuple[str, int, float]]) -> None:
-    words: dict[int, Word] = {0: Word(0, 1.0)}
+    words: dict[int, ProcessRecord] = {0: ProcessRecord(0, 1.0)}
     ending: set[int] = set()
     for n, (what, which, share) in enumerate(steps, 1):
         who = sorted(words)[which % len(words)] if words else None
         if what == "born" and len(words) < 4:
-            words[n] = Word(n, 0.0)
+            words[n] = ProcessRecord(n, 0.0)
         elif who is not None and what == "gone":
             del words[who]
         elif who is not None:
@@ -48,7 +48,7 @@
 
 
 def test_an_elder_comes_down_to_half_or_what_it_uses_and_at_its_end_to_little() -> None:
-    elder, newer = Word(1, 1.0), Word(2, 0.0)
+    elder, newer = ProcessRecord(1, 1.0), ProcessRecord(2, 0.0)
     assert next_part(newer, [elder], 0, False) == 0, "nothing until the elder has come down"
     assert next_part(elder, [newer], 0.1, False) == 0.5 and next_part(elder, [newer], 0.6, False) == 0.75
     assert next_part(elder, [newer], 0.01, True) == LEAST
@@ -61,24 +61,26 @@
     [
         b"",
         b"x" * 300,
-        encode("n2", Word(1, 0.5)),
-        encode("n1", Word(1, 0.5))[3:],
-        encode("n1", Word(1, 0.5)).replace(b"0.5", b"0.6"),
+        encode("n2", ProcessRecord(1, 0.5)),
+        encode("n1", ProcessRecord(1, 0.5))[3:],
+        encode("n1", ProcessRecord(1, 0.5)).replace(b"0.5", b"0.6"),
     ],
 )
 def test_a_word_that_cannot_be_read_is_none(data: bytes) -> None:
-    assert decode("n1", data) is None and decode("n1", encode("n1", Word(7, 0.25))) == Word(7, 0.25)
+    assert decode("n1", data) is None and decode("n1", encode("n1", ProcessRecord(7, 0.25))) == ProcessRecord(
+        7, 0.25
+    )
 
 
 def test_processes_hear_each_other_and_that_one_is_gone(
     tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     stale = tmp_path / (file_name("n1", "life-") + "1-1")
-    stale.write_bytes(encode("n1", Word(1, 1.0)))
-    elder = Lives(str(tmp_path), "n1")
+    stale.write_bytes(encode("n1", ProcessRecord(1, 1.0)))
+    elder = ProcessRegistry(str(tmp_path), "n1")
     elder.keep(elder.look(0, False))
     assert elder.word.part == 1 and not stale.exists() and "is gone" in caplog.text
-    newer, stranger = Lives(str(tmp_path), "n1"), Lives(str(tmp_path), "n2")
+    newer, stranger = ProcessRegistry(str(tmp_path), "n1"), ProcessRegistry(str(tmp_path), "n2")
     assert newer.look(0, False) == 0 and stranger.look(0, False) == 1
     assert elder.look(0, False) == 0.5 and elder.newer and not newer.newer
     assert newer.look(0, False) == 0, "looked at, not kept to yet"
@@ -91,7 +93,7 @@
 def test_a_process_that_lives_and_is_not_understood_counts_as_half(
     tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    elder, newer = Lives(str(tmp_path), "n1"), Lives(str(tmp_path), "n1")
+    elder, newer = ProcessRegistry(str(tmp_path), "n1"), ProcessRegistry(str(tmp_path), "n1")
     pathlib.Path(elder._path).write_bytes(b"half a wor")
     assert newer.look(0, False) == 1 - UNREADABLE.part and "not understood" in caplog.text
 
@@ -111,7 +113,7 @@
     assert b.c.volumes["v"].weight == 9, "what was learnt of a volume is not forgotten"
     b.tell(api.NewSettings(replace(config, part=1.0)))
     assert b.c._depth(h) == 4 and b.c.cold_part == 0.5
-    b.run(config.fall_us - 10 * MS)
+    b.run(config.overload_window_us - 10 * MS)
     b.tell()
     assert b.c.cold_part == 0.5
     b.run(20 * MS)
@@ -124,7 +126,7 @@
     sent: list[int] = []
     benches = [Bench(replace(config, part=part[0]), []) for part in parts]
     for bench in benches:
-        bench.tell(api.NodeList((up("n0", 0, started=T0),), whole=True))
+        bench.tell(api.EndpointListUpdate((up("n0", 0, started=T0),), whole=True))
     for step in range(600):
         for bench, part in zip(benches, parts, strict=True):
             bench.now = max(bench.now, T0 + step * 10 * MS)
@@ -134,12 +136,12 @@
             for send in [a for a in done if isinstance(a, api.Send)]:
                 sent.append(bench.now)
                 bench.end(send.request, took=0)
-    return max(sum(end - config.fall_us < at <= end for at in sent) for end in sent)
+    return max(sum(end - config.overload_window_us < at <= end for at in sent) for end in sent)
 
 
 def test_two_processes_send_a_cold_brick_no_more_than_one_may_in_any_window() -> None:
     """The elder is alone, halves, and ends; the newer one has nothing, a half, and all."""
-    config = settings(hosts=1, parallel_attempts=False, cold_units=9.0)
+    config = settings(hosts=1, parallel_attempts=False, warmup_units=9.0)
     most = fullest_window(config, {0: 1.0})
     assert most >= 9
     assert fullest_window(config, {0: 1.0, 100: 0.5, 300: 0.0}, {0: 0.0, 100: 0.5, 300: 1.0}) <= most
--- a/tests/test_many_hosts.py
+++ b/tests/test_many_hosts.py
@@ -15,10 +15,14 @@
 
 def test_150_hosts_together_never_push_a_cold_node_over() -> None:
     """A node is back at the least of its capacity; every host asks for it all at once, with retries."""
-    capacity, cold_from, fall = 60.0, 0.2, 2 * SECOND
+    capacity, warmup_initial_share, fall = 60.0, 0.2, 2 * SECOND
     sent: list[tuple[int, float]] = []
     for me in range(HOSTS):
-        b = Bench(settings(hosts=HOSTS, me=me, cold_from=cold_from), [up("n0", 0, started=T0)], seed=me)
+        b = Bench(
+            settings(hosts=HOSTS, me=me, warmup_initial_share=warmup_initial_share),
+            [up("n0", 0, started=T0)],
+            seed=me,
+        )
         for i in range(12):
             # The plans' rates count over all hosts, so the volumes say how many those are.
             b.ask(f"r{i}", volume=f"v{i % 3}", units=2, hosts=HOSTS)
@@ -26,7 +30,7 @@
             for attempt, _ in enumerate(b.sends(f"r{i}")):
                 b.end(f"r{i}", api.Outcome.SERVED, attempt)
         sent += [(t, 2.0) for t, a in b.log if isinstance(a, api.Send)]
-    allowed = 2.0 * capacity * cold_from * fall / SECOND
+    allowed = 2.0 * capacity * warmup_initial_share * fall / SECOND
     for at, _ in sent:
         assert sum(units for t, units in sent if at <= t < at + fall) <= allowed
 
@@ -59,7 +63,7 @@
     done = [api.Result(f"a{i}", 0, "", api.Outcome.SERVED, 1450 * MS, True) for i in range(8)]
     b.tell(*done, *late)
     b.run(50 * MS)
-    at = {a.request: t for t, a in b.log if isinstance(a, api.Refuse | api.Fail)}
+    at = {a.request: t for t, a in b.log if isinstance(a, api.Reject | api.Fail)}
     assert all(at[e.request] <= until for e in late)
     assert not [a for t, a in b.log if isinstance(a, api.Send) and t >= until]
 
@@ -86,7 +90,7 @@
 def restarted(asked: int, hosts: int = 40, seed: int = 0) -> tuple[list[tuple[int, float]], int]:
     """A host new to everything, before a node that has just come up: what it sends there of one volume's
     `asked` requests in 12 s, the volume being usual for 2 units a second over two hosts; and the rest."""
-    b = Bench(settings(hosts=hosts, me=seed % hosts, cold_units=2.0), [up("n0", 0, started=T0)], seed=seed)
+    b = Bench(settings(hosts=hosts, me=seed % hosts, warmup_units=2.0), [up("n0", 0, started=T0)], seed=seed)
     for i in range(asked):
         b.ask(f"r{i}", volume="v", units=1, plan="tin", hosts=2)
         b.run(12 * SECOND // asked)
@@ -105,7 +109,7 @@
 @pytest.mark.parametrize("hosts", [1, 3])
 def test_a_restart_in_the_ramp_does_not_spend_the_window_twice(hosts: int) -> None:
     """What the life before it had sent was forgotten: both lives' budgets went out within one window."""
-    config, life_us = settings(hosts=hosts, cold_units=12.0), 500 * MS
+    config, life_us = settings(hosts=hosts, warmup_units=12.0), 500 * MS
     sent: list[int] = []
     for life in range(4):
         b = Bench(config, [up("n0", 0, started=T0 - 4 * SECOND - life * life_us)], seed=life)
@@ -116,16 +120,19 @@
                 if b.sends(f"r{n}"):
                     b.end(f"r{n}")
         sent += [t + life * life_us for t, a in b.log if isinstance(a, api.Send)]
-    assert sent and max(sum(t <= at < t + config.fall_us for at in sent) for t in sent) <= 12.0 / hosts + 1
+    assert (
+        sent
+        and max(sum(t <= at < t + config.overload_window_us for at in sent) for t in sent) <= 12.0 / hosts + 1
+    )
 
 
 def test_a_surge_at_a_cold_node_gets_no_more_than_the_usual_rate_allows() -> None:
     """Twenty restarted hosts of ten volumes that are usual for 20 units a second, at a node of 40, all in a
     surge of ten times that: together under the rule's multiple of what it can do, in every window."""
-    fall, cold_from, cold = 2 * SECOND, 0.2, 16 * SECOND
+    fall, warmup_initial_share, cold = 2 * SECOND, 0.2, 16 * SECOND
     sent = sorted(s for seed in range(20) for s in restarted(asked=120, seed=seed)[0])
     for at, _ in sent:
-        warmth = cold_from + (1 - cold_from) * (at - T0) / cold
+        warmth = warmup_initial_share + (1 - warmup_initial_share) * (at - T0) / cold
         assert sum(units for t, units in sent if at <= t < at + fall) <= 2.0 * 40 * warmth * fall / SECOND
 
 
@@ -135,14 +142,15 @@
     the same; while it is away, calls fail after 2 s too."""
     takes, patience = int(SECOND / per_s), 2 * SECOND
     benches = [
-        Bench(settings(hosts=hosts, me=me, ask_for_list=True), [up("n0", 0)], seed=me) for me in range(hosts)
+        Bench(settings(hosts=hosts, me=me, poll_endpoints=True), [up("n0", 0)], seed=me)
+        for me in range(hosts)
     ]
     waiting: list[tuple[int, int]] = []  # when it came, whose it is
     answered: dict[int, float] = {}
     back = free_at = T0 + outage_s * SECOND
     seen = [len(b.log) for b in benches]
     for b in benches:
-        b.tell(api.NodeList(failed=True))
+        b.tell(api.EndpointListUpdate(failed=True))
     for now in range(T0, back + most_s * SECOND, 50 * MS):
         for me, b in enumerate(benches):
             b.run(now - b.now)
@@ -154,9 +162,9 @@
             free_at = max(free_at, came + takes, free_at + takes) if now >= back else free_at
             if now >= back and free_at - came <= patience:
                 answered.setdefault(me, (free_at - back) / SECOND)
-                benches[me].tell(api.NodeList((up("n0", 0),), whole=True))
+                benches[me].tell(api.EndpointListUpdate((up("n0", 0),), whole=True))
             else:
-                benches[me].tell(api.NodeList(failed=True, queued=True))
+                benches[me].tell(api.EndpointListUpdate(failed=True, queued=True))
     return sorted(answered.values())
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -19,17 +19,17 @@
 from garnetlanding.emulator.discovery import Box
 from garnetlanding.emulator.group_model import Scope, explore
 from garnetlanding.emulator.group_net import SECOND, GroupNet, GroupRun
-from garnetlanding.peers import codec, roll
-from garnetlanding.peers.budgets import Budgets
-from garnetlanding.peers.codec import BadMessage
-from garnetlanding.peers.group import Group
+from garnetlanding.peers import codec, membership_message
+from garnetlanding.peers.codec import MessageError
+from garnetlanding.peers.connection_quota import ConnectionQuota
+from garnetlanding.peers.coordinator import PeerCoordinator
+from garnetlanding.peers.gossip_schedule import GossipSchedule
 from garnetlanding.peers.leases import Leases, Own
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.members import Members, Record
-from garnetlanding.peers.places import Places
+from garnetlanding.peers.membership import Membership, Record
+from garnetlanding.peers.membership_protocol import MembershipProtocol
 from garnetlanding.peers.setup import FleetSetup, read_fleet
-from garnetlanding.peers.talk import Talk
-from garnetlanding.peers.turns import Turns
+from garnetlanding.peers.shared_budgets import SharedBudgets
 from tests.helpers import T0, Peer, World, read_command, settings, up
 
 LIMITS = PeerLimits()
@@ -47,8 +47,8 @@
     return f"127.0.0.{head + 1}:7946"
 
 
-def one(head: int, life: int = 5, seeds: int = 2) -> Members:
-    return Members(LIMITS, head, life, at(head), [at(n) for n in range(seeds)], 0)
+def one(head: int, life: int = 5, seeds: int = 2) -> Membership:
+    return Membership(LIMITS, head, life, at(head), [at(n) for n in range(seeds)], 0)
 
 
 # The form
@@ -58,22 +58,22 @@
 def test_words_about_heads_are_heard_as_told_and_fit(
     digest: bytes, records: list[Record], joined: bool
 ) -> None:
-    pages = roll.pages(records, LIMITS.datagram_bytes, 9)
+    pages = membership_message.pages(records, LIMITS.datagram_bytes, 9)
     assert [r for page in pages for r in page[1:]] == records[1:]
     for page in pages:
-        told = roll.Roll(digest, tuple(page), joined)
-        data = codec.seal(roll.envelope(told, 1, 2, 3, 4))
+        told = membership_message.MembershipMessage(digest, tuple(page), joined)
+        data = codec.seal(membership_message.envelope(told, 1, 2, 3, 4))
         assert len(data) <= LIMITS.datagram_bytes
-        assert roll.read(codec.unseal(data, LIMITS.datagram_bytes)) == told
-    assert len(roll.pages(records * 9, LIMITS.datagram_bytes, 2)) <= 2
+        assert membership_message.read(codec.unseal(data, LIMITS.datagram_bytes)) == told
+    assert len(membership_message.pages(records * 9, LIMITS.datagram_bytes, 2)) <= 2
 
 
 @given(st.binary(max_size=60), st.tuples(st.integers(0, 5), st.integers(0, 3)))
 def test_words_about_heads_that_make_no_sense_are_bad(body: bytes, counts: tuple[int, int]) -> None:
     e = codec.Envelope(codec.ROLL, 1, 1, 0, 0, counts, body)
     try:
-        told = roll.read(e)
-    except BadMessage:
+        told = membership_message.read(e)
+    except MessageError:
         return
     assert len(told.records) == counts[0] > 0
 
@@ -145,13 +145,13 @@
     a.heard(1, b"", True, 0)
     assert a.suspect_us == 2 * LIMITS.stale_us and len(a.entitled) == 9
     assert [a.state(1, when) for when in (a.suspect_us, a.suspect_us + 1)] == ["up", "suspect"]
-    full = Members(replace(LIMITS, heads=1), 0, 5, at(0), [at(0)], 0)
+    full = Membership(replace(LIMITS, heads=1), 0, 5, at(0), [at(0)], 0)
     assert full.learn([Record(1, 1, False, at(1))]) == 1
 
 
 @given(st.integers(2, 300), st.integers(0, 20), st.integers(0, 500))
 def test_a_round_has_a_bounded_cost_and_everybody_has_a_turn(heads: int, partners: int, me: int) -> None:
-    turns, others = Turns(LIMITS, me), set(range(1, heads))
+    turns, others = GossipSchedule(LIMITS, me), set(range(1, heads))
     seen: set[int] = set()
     for _ in range(-(-heads // LIMITS.near)):
         chosen = turns.round(others, range(1, partners + 1))
@@ -177,26 +177,26 @@
 
 # Bugs put in on purpose
 
-real_learn, real_look = Members.learn, Members.look
+real_learn, real_look = Membership.learn, Membership.look
 
 
-def at_once(self: Members, now: int) -> None:
+def at_once(self: Membership, now: int) -> None:
     self._joined = self._joined or len(self.records) > 1
 
 
-def one_is_enough(self: Members, now: int) -> None:
+def one_is_enough(self: Membership, now: int) -> None:
     self._joined = self._joined or (bool(self._known_by) and (self._sponsored or now > self._begins_at))
 
 
-def without_a_sponsor(self: Members, now: int) -> None:
+def without_a_sponsor(self: Membership, now: int) -> None:
     self._joined = self._joined or (bool(self._known_by) and self._known_by >= self.entitled - {self.me})
 
 
-def heard_only(self: Members) -> set[int]:
+def heard_only(self: Membership) -> set[int]:
     return {self.me} | {who for who in self._heard if who in self.records and not self.records[who].gone}
 
 
-def older_stands(self: Members, records: Any) -> int:
+def older_stands(self: Membership, records: Any) -> int:
     for record in records:
         self.records.setdefault(record.head, record)
     self._digest = None
@@ -215,7 +215,7 @@
 @pytest.mark.parametrize("bug", GROUP_BUGS)
 def test_a_bug_put_into_membership_on_purpose_is_found(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
     name, instead = GROUP_BUGS[bug]
-    monkeypatch.setattr(Members, name, instead)
+    monkeypatch.setattr(Membership, name, instead)
     nets = [*NETS.values(), GroupNet(seeds=1, events=20), GroupNet(heads=4, seeds=2, events=40)]
     for seed in range(60):
         seen = GroupRun(replace(nets[seed % len(nets)], seed=seed)).run()
@@ -233,7 +233,7 @@
 @pytest.mark.parametrize("bug", ["a newcomer uses its part at once", "only who is heard counts"])
 def test_some_course_of_a_small_group_shows_a_bug(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
     name, instead = GROUP_BUGS[bug]
-    monkeypatch.setattr(Members, name, instead)
+    monkeypatch.setattr(Membership, name, instead)
     assert explore(Scope(seeds=1, moves=9)).most > 1.1
 
 
@@ -279,24 +279,29 @@
     assert any(BudgetRun(replace(nets[seed % 2], seed=seed)).run().most > 1 + 1e-9 for seed in range(60))
 
 
-COLD = settings(may_tell=True, hosts=3, cold_units=30.0, fall_us=2 * SECOND, cold_us=14 * SECOND)
+COLD = settings(
+    may_message_peers=True, hosts=3, warmup_units=30.0, overload_window_us=2 * SECOND, warmup_us=14 * SECOND
+)
 
 
 def test_a_head_asks_for_the_budget_of_a_cold_server_and_counts_what_it_sends() -> None:
-    budgets = Budgets(LIMITS, COLD, 1, T0)
+    budgets = SharedBudgets(LIMITS, COLD, 1, T0)
     node = replace(up("n0", 0), started_us=T0 - SECOND)
     ask = api.Arrival("r1", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1)
     budgets.see(
-        T0, [api.NodeList((node, up("n1", 1)), whole=True), ask, replace(ask, request="r2", cell=1)], COLD, 3
+        T0,
+        [api.EndpointListUpdate((node, up("n1", 1)), whole=True), ask, replace(ask, request="r2", cell=1)],
+        COLD,
+        3,
     )
     assert budgets.shares(T0, 3) == {"cold:n0": 0.0}, "a head that starts waits for its earlier life's window"
     later = T0 + 4 * SECOND
     budgets.see(later, [ask], COLD, 3)
     assert budgets.shares(later, 3) == {"cold:n0": pytest.approx(1.0)} and budgets.shares(later, 3) is None
-    budgets.acted(later, [api.Send("r1", "n0"), api.Send("r2", "n1"), api.Refuse("r2")], COLD)
+    budgets.acted(later, [api.Send("r1", "n0"), api.Send("r2", "n1"), api.Reject("r2")], COLD)
     own = budgets.leases.own[codec.tag("cold:n0")]
     assert own.locked(later, budgets.leases.window_us) == pytest.approx(2 / 30)
-    budgets.see(later, [api.NodeList(failed=True), api.NodeList((up("n0", 0),))], COLD, 3)
+    budgets.see(later, [api.EndpointListUpdate(failed=True), api.EndpointListUpdate((up("n0", 0),))], COLD, 3)
     budgets.acted(later, [api.Subscribe()], COLD)
     told = budgets.shares(later, 3)
     assert told and told[api.LIST_CALLS] >= LIMITS.list_least
@@ -310,14 +315,14 @@
 def test_the_module_sends_a_cold_server_what_its_share_allows() -> None:
     sent = {}
     for share in (0.0, 1.0, 3.0):
-        module = Controller(replace(COLD, fall_multiple=0.0), 1)
+        module = Controller(replace(COLD, overload_multiple=0.0), 1)
         node = replace(up("n0", 0), started_us=T0)
         asks: list[api.Event] = [
             api.Arrival(f"r{i}", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1) for i in range(40)
         ]
         told: list[api.Event] = [
-            api.NodeList((node,), whole=True, at_start=True),
-            api.Parts({}, {"cold:n0": share}),
+            api.EndpointListUpdate((node,), whole=True, at_start=True),
+            api.QuotaShares({}, {"cold:n0": share}),
         ]
         actions = module.handle(T0, told + asks)
         sent[share] = sum(isinstance(a, api.Send) for a in actions)
@@ -330,7 +335,7 @@
     def __init__(self) -> None:
         self.now, window = T0, 2 * SECOND
         self.heads = [Leases(LIMITS, me, 2, 7, T0 - SECOND, window_us=window) for me in range(2)]
-        self.places = Places(8, window, lambda: self.now, lambda: (self.heads[0], 2))
+        self.places = ConnectionQuota(8, window, lambda: self.now, lambda: (self.heads[0], 2))
 
     def talk(self, seconds: float, mine: int = 0, theirs: int = 0, lacking: bool = False) -> None:
         """Each head has so many connections open; the first, where it is `lacking`, wants one more."""
@@ -360,11 +365,11 @@
     more.talk(3)
     more.talk(3, mine=4, theirs=4, lacking=True)
     assert more.places.most("n0") == 4, "none that the other has open"
-    nobody = Places(8, SECOND, lambda: T0, lambda: None)
+    nobody = ConnectionQuota(8, SECOND, lambda: T0, lambda: None)
     nobody.open("n0", 1)
     assert nobody.most("n0") == 0
     alone = Leases(LIMITS, 0, 1, 7, T0, window_us=SECOND)
-    assert Places(8, SECOND, lambda: T0, lambda: (alone, 1)).most("n0") == 8
+    assert ConnectionQuota(8, SECOND, lambda: T0, lambda: (alone, 1)).most("n0") == 8
 
 
 class Few:
@@ -400,9 +405,12 @@
 
 def test_a_head_that_does_not_act_has_no_part_until_it_acts_again() -> None:
     """In a group that it has joined, its part of the budgets came back with the next message."""
-    group = Group(LIMITS, one(0, seeds=1))
-    talk = Talk(
-        Controller(COLD, 1), life=1, group=group, budgets=lambda s, life, now: Budgets(LIMITS, s, life, now)
+    group = MembershipProtocol(LIMITS, one(0, seeds=1))
+    talk = PeerCoordinator(
+        Controller(COLD, 1),
+        life=1,
+        group=group,
+        budgets=lambda s, life, now: SharedBudgets(LIMITS, s, life, now),
     )
     now = T0
     talk.handle(now, [])
--- a/tests/test_ninep.py
+++ b/tests/test_ninep.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from garnetlanding.core.ports import Refused
+from garnetlanding.core.ports import Rejected
 from garnetlanding.decision.interface import Outcome
 from garnetlanding.ninep import codec as p9
 from tests.helpers import GLOSSARY, MS, SECOND, NineWorld, Tool, error, heard
@@ -282,7 +282,7 @@
     assert tool.send(p9.Tread(5, 0, 100), tag=2) == []
     w.run(1500 * MS)
     assert error(tool.answers[-1][1]) == "busy; come again after 1000 ms"
-    assert isinstance(w.core.finals[-1][0], Refused)
+    assert isinstance(w.core.finals[-1][0], Rejected)
 
 
 def test_a_silent_server_costs_no_more_than_the_deadline() -> None:
--- a/tests/test_ninep_model.py
+++ b/tests/test_ninep_model.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from garnetlanding.core.ports import Answer, Failed, Refused, Served
+from garnetlanding.core.ports import Answer, Failed, Rejected, Served
 from garnetlanding.limits import MS, Limits
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep.fids import normal
@@ -24,7 +24,7 @@
 FIDS, TAGS = st.integers(0, 2), st.integers(0, 4)
 NAMES = st.lists(st.sampled_from(["a", "b", ".."]), max_size=3).map(tuple)
 QID, DIR = p9.Qid(0, 0, 1), p9.Qid(p9.QTDIR, 0, 2)
-REFUSED = Refused(250 * MS), p9.Rerror("busy; come again after 250 ms")
+REFUSED = Rejected(250 * MS), p9.Rerror("busy; come again after 250 ms")
 
 
 class SessionModel(RuleBasedStateMachine):
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -13,15 +13,15 @@
 from hypothesis import strategies as st
 
 from garnetlanding import cli, config
-from garnetlanding.core.figures import Figures, encode
-from garnetlanding.core.ports import Failed, Refused, Served
+from garnetlanding.core.metrics import RequestMetrics, encode
+from garnetlanding.core.ports import Failed, Rejected, Served
 from garnetlanding.decision import interface as api
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box
-from garnetlanding.ops import caller
-from garnetlanding.ops.desk import Desk
+from garnetlanding.ops import admin_client
+from garnetlanding.ops.admin_service import AdminService
 from garnetlanding.ops.file import StateFile
-from garnetlanding.ops.front import CallMachine
+from garnetlanding.ops.front import AdminConnection
 from garnetlanding.ops.state import OpsState, StateError, decode
 from garnetlanding.resp.front import ClientMachine
 from garnetlanding.runtime.listener import Listener
@@ -48,7 +48,7 @@
             ),
             True,
         )
-        self.desk = Desk(
+        self.desk = AdminService(
             self.scheduler,
             self.core,
             self.clients,
@@ -62,7 +62,7 @@
             self.pool,
             self.limits,
             self.limits.ops_conns,
-            lambda write: CallMachine(self.desk, self.pool, self.limits, write),
+            lambda write: AdminConnection(self.desk, self.pool, self.limits, write),
         )
         self.list(*self.boxes)
 
@@ -84,9 +84,9 @@
     return Office(tmp_path)
 
 
-def machine(desk: Any = None) -> tuple[CallMachine, list[bytes]]:
+def machine(desk: Any = None) -> tuple[AdminConnection, list[bytes]]:
     w, said = World(), []
-    return CallMachine(desk, w.pool, w.limits, said.append), said
+    return AdminConnection(desk, w.pool, w.limits, said.append), said
 
 
 @given(st.lists(st.integers(1, 9), max_size=8))
@@ -208,19 +208,19 @@
 
 
 def test_a_brick_put_back_is_cold_though_the_list_does_not_tell_of_its_restart(office: Office) -> None:
-    told: list[api.NodeEntry] = []
+    told: list[api.Endpoint] = []
     handle = office.core.module.handle
 
     def listen(now: int, events: list[api.Event]) -> list[api.Action]:
-        told.extend(e for event in events if isinstance(event, api.NodeList) for e in event.entries)
+        told.extend(e for event in events if isinstance(event, api.EndpointListUpdate) for e in event.entries)
         return handle(now, events)
 
     office.core.module.handle = listen  # type: ignore[method-assign]
     office.call("/-/bricks/b0/disable")
-    assert told[-1].state is api.NodeState.DRAINING
+    assert told[-1].state is api.EndpointState.DRAINING
     office.run(SECOND)
     office.call("/-/bricks/b0/enable")
-    assert told[-1].state is api.NodeState.UP and told[-1].started_us == T0 + SECOND
+    assert told[-1].state is api.EndpointState.UP and told[-1].started_us == T0 + SECOND
     office.list(*office.boxes)
     assert next(e for e in told[::-1] if e.node == "b0").started_us == T0 + SECOND, "and stays so"
 
@@ -341,8 +341,8 @@
 
 
 def test_the_text_names_every_class_from_the_start() -> None:
-    figures = Figures(["read", "save"])
-    for answer in (Served(b""), Refused(), Failed("x"), Failed("y")):
+    figures = RequestMetrics(["read", "save"])
+    for answer in (Served(b""), Rejected(), Failed("x"), Failed("y")):
         figures.end("read", answer)
     assert encode(figures, 7, 3, 1) == (
         "app.success.read:1|c\napp.overload.read:1|c\napp.error.read:2|c\n"
@@ -383,31 +383,33 @@
 
 
 def test_what_a_call_is_and_how_its_answer_is_shown() -> None:
-    assert caller.path_of("ready") == ("GET", "/-/ready")
-    assert caller.path_of("disable", "a/b c") == ("POST", "/-/bricks/a%2Fb%20c/disable")
-    figures = Figures(["read", "save.big"])
-    figures.end("save.big", Refused())
-    reply = caller.Reply(200, encode(figures, 7, 3, 1))
-    lines = caller.as_text("metrics", reply).splitlines()
+    assert admin_client.path_of("ready") == ("GET", "/-/ready")
+    assert admin_client.path_of("disable", "a/b c") == ("POST", "/-/bricks/a%2Fb%20c/disable")
+    figures = RequestMetrics(["read", "save.big"])
+    figures.end("save.big", Rejected())
+    reply = admin_client.Reply(200, encode(figures, 7, 3, 1))
+    lines = admin_client.as_text("metrics", reply).splitlines()
     assert lines[0].split() == ["class", "success", "overload", "error"]
     assert lines[2].split() == ["save.big", "0", "1", "0"] and "concurrent: 7" in lines
-    shown = json.loads(caller.as_json("metrics", reply))
+    shown = json.loads(admin_client.as_json("metrics", reply))
     assert shown["yes"] and shown["figures"]["app.overload.save.big"] == 1
-    assert json.loads(caller.as_json("drain", caller.Reply(500, "failed\n")))["answer"] == "failed"
+    assert (
+        json.loads(admin_client.as_json("drain", admin_client.Reply(500, "failed\n")))["answer"] == "failed"
+    )
     with pytest.raises(ValueError, match="not a figure: 'app.x:1'"):
-        caller.as_text("metrics", caller.Reply(200, "app.x:1\n"))
+        admin_client.as_text("metrics", admin_client.Reply(200, "app.x:1\n"))
 
 
 def test_the_command_s_exit_code_says_yes_no_or_wrong(
     office: Office, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def call(address: str, what: str, brick: str = "", wait_s: float = 2.0) -> caller.Reply:
-        method, path = caller.path_of(what, brick)
-        return caller.Reply(*office.call(path, method))
+    def call(address: str, what: str, brick: str = "", wait_s: float = 2.0) -> admin_client.Reply:
+        method, path = admin_client.path_of(what, brick)
+        return admin_client.Reply(*office.call(path, method))
 
     unheard = cli.main(["ops", "ready", "--address", "127.0.0.1:1", "--wait", "0.2"])
     wrong = cli.main(["ops", "ready", "--address", "nowhere"])
-    monkeypatch.setattr(caller, "call", call)
+    monkeypatch.setattr(admin_client, "call", call)
     to = ["--address", office.ops.address]
     assert (unheard, wrong) == (1, 2) and "127.0.0.1:1: " in capsys.readouterr().err
     assert cli.main(["ops", "disable", "b0", *to]) == 0 and cli.main(["ops", "disable", "b9", *to]) == 1
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -18,37 +18,37 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.decision.state import Volume
-from garnetlanding.ops import caller
+from garnetlanding.ops import admin_client
 from garnetlanding.peers import codec
 from garnetlanding.peers.codec import Message
+from garnetlanding.peers.coordinator import PeerCoordinator
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.link import PeerLink
 from garnetlanding.peers.setup import PeerSetup
-from garnetlanding.peers.talk import Talk
 from tests.helpers import MS, SECOND, T0, World, read_command, settings, up
 from tests.test_daemon import BASE, SETTINGS, Head
 
 LIMITS = PeerLimits()
 PLAN = api.PlanSpec("gold", weight=4.0, usual_rate=10.0, reserve_rate=8.0, limit_rate=40.0, limit_burst=60.0)
-LIMITED = settings(may_tell=True, plans={"gold": PLAN})
+LIMITED = settings(may_message_peers=True, plans={"gold": PLAN})
 
 
-def volume(talk: Talk) -> Volume:
+def volume(talk: PeerCoordinator) -> Volume:
     module = talk.module
     assert isinstance(module, Controller)
     return module.volumes["v"]
 
 
-class Fleet:
+class FailureDetector:
     """Three heads with their modules; a test says which messages arrive."""
 
     def __init__(self) -> None:
         self.now = T0
-        self.talks = [Talk(Controller(replace(LIMITED, me=me), 1), life=1) for me in range(3)]
+        self.talks = [PeerCoordinator(Controller(replace(LIMITED, me=me), 1), life=1) for me in range(3)]
         self.inbox: list[list[api.Event]] = [[] for _ in self.talks]
         self.sent: list[list[str]] = [[] for _ in self.talks]
         for talk in self.talks:
-            talk.handle(T0, [api.NodeList((up("n0", 0),), whole=True, at_start=True)])
+            talk.handle(T0, [api.EndpointListUpdate((up("n0", 0),), whole=True, at_start=True)])
 
     def run(self, seconds: float, asked: tuple[int, ...] = (0,), cut: tuple[int, ...] = ()) -> None:
         """Each head that is asked gets 50 units a second, and a node answers at once."""
@@ -63,7 +63,7 @@
 
     def _act(self, me: int, actions: list[api.Action], cut: tuple[int, ...]) -> None:
         for action in actions:
-            if isinstance(action, api.Tell) and not {me, action.to} & set(cut):
+            if isinstance(action, api.SendPeerMessage) and not {me, action.to} & set(cut):
                 self.inbox[action.to].append(api.PeerMessage(me, action.payload))
             elif isinstance(action, api.Send):
                 self.sent[me].append(action.request)
@@ -71,7 +71,7 @@
 
 
 def test_the_module_sends_what_its_part_of_the_limit_allows_and_no_more() -> None:
-    f = Fleet()
+    f = FailureDetector()
     f.run(4)
     assert volume(f.talks[0]).part == pytest.approx(1.0)
     assert volume(f.talks[0]).limit.rate == pytest.approx(40)
@@ -87,7 +87,7 @@
 
 def test_a_volume_with_another_part_than_an_even_one_is_not_forgotten() -> None:
     """Were it, it would come back with an even part, though the rest has been left to another head."""
-    f = Fleet()
+    f = FailureDetector()
     f.run(3, asked=(0, 1))
     f.run(70)
     assert volume(f.talks[1]).part < 0.1 and volume(f.talks[0]).part > 0.9
@@ -96,16 +96,16 @@
 
 
 def test_without_limits_nothing_is_told() -> None:
-    talk = Talk(Controller(settings(may_tell=True), 1), life=1)
+    talk = PeerCoordinator(Controller(settings(may_message_peers=True), 1), life=1)
     for i in range(40):
         now = T0 + i * 100 * MS
         actions = talk.handle(now, [api.Arrival(f"r{i}", "read", "gold", "v", "k", 1, 0, now + SECOND, 2)])
-        assert not [a for a in actions if isinstance(a, api.Tell)]
+        assert not [a for a in actions if isinstance(a, api.SendPeerMessage)]
 
 
 def test_another_number_of_heads_is_like_a_start() -> None:
     """What was given under the old numbers may still be in use."""
-    f = Fleet()
+    f = FailureDetector()
     f.run(4)
     talk = f.talks[0]
     talk.handle(f.now, [api.NewSettings(replace(LIMITED, hosts=4))])
@@ -116,7 +116,7 @@
 
 
 def test_forged_bytes_are_counted_by_cause_and_change_nothing() -> None:
-    talk = Talk(Controller(settings(may_tell=True), 1), life=1)
+    talk = PeerCoordinator(Controller(settings(may_message_peers=True), 1), life=1)
     whole = codec.encode(Message(1, 1, 0, 0, {codec.tag("v"): (1.0, 2)}, {codec.tag("v"): 1.0}))
     talk.handle(
         T0, [api.PeerMessage(1, p) for p in (b"", whole[:-1], whole + b"x", b"\x09" + whole[1:], bytes(300))]
@@ -177,9 +177,9 @@
         super().__init__(settings=config, peer_listen="127.0.0.1:0", peers=["127.0.0.1:9", *at])
 
     @property
-    def talk(self) -> Talk:
+    def talk(self) -> PeerCoordinator:
         talk = self.daemon.core.module
-        assert isinstance(talk, Talk)
+        assert isinstance(talk, PeerCoordinator)
         return talk
 
     def ask(self) -> None:
@@ -228,10 +228,15 @@
     assert row["had"] == [{"head": 1, "share": 0.6, "for_ms": row["had"][0]["for_ms"]}]  # type: ignore[index]
     rows = h.talk.known("members", h.time)
     assert [(r["head"], r["life"]) for r in rows] == [(0, h.talk.life), (1, 1), (2, None)]
-    shown = caller.as_text("fleet/limits", caller.Reply(200, json.dumps([row])))
+    shown = admin_client.as_text("fleet/limits", admin_client.Reply(200, json.dumps([row])))
     assert "n1 0.6 for" in shown and "volume" in shown
-    assert json.loads(caller.as_json("fleet/members", caller.Reply(200, json.dumps(rows))))["members"] == rows
-    assert caller.path_of("fleet/limits") == ("GET", "/-/fleet/limits")
+    assert (
+        json.loads(admin_client.as_json("fleet/members", admin_client.Reply(200, json.dumps(rows))))[
+            "members"
+        ]
+        == rows
+    )
+    assert admin_client.path_of("fleet/limits") == ("GET", "/-/fleet/limits")
 
 
 def test_the_call_on_the_fleet_is_known_only_where_heads_hear_each_other(
@@ -269,7 +274,7 @@
 def test_where_messages_are_forbidden_no_socket_is_opened_and_nothing_is_imported() -> None:
     h = TalkingHead(SETTINGS)
     assert h.daemon.config.peers is None and h.daemon.link is None
-    assert not isinstance(h.daemon.core.module, Talk)
+    assert not isinstance(h.daemon.core.module, PeerCoordinator)
     program = (
         "import json, sys; from garnetlanding import config; from garnetlanding.daemon import Daemon;"
         "Daemon(config.read(json.loads(sys.argv[1]))); "
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from garnetlanding.core.ports import Answer, Failed, Refused, Served
+from garnetlanding.core.ports import Answer, Failed, Rejected, Served
 from garnetlanding.decision.interface import Outcome
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box
@@ -229,8 +229,8 @@
 
 def test_answers_as_the_protocol_words_them() -> None:
     assert write_answer(Served(b"")) == b"$0\r\n\r\n"
-    assert write_answer(Refused()) == b"-BUSY\r\n"
-    assert write_answer(Refused(1500)) == b"-BUSY 2\r\n", "never sooner than meant"
+    assert write_answer(Rejected()) == b"-BUSY\r\n"
+    assert write_answer(Rejected(1500)) == b"-BUSY 2\r\n", "never sooner than meant"
     assert write_answer(Failed("a\r\nb")) == b"-ERR a b\r\n"
 
 
@@ -526,7 +526,7 @@
         self.put(b"*1\r\n$4\r\nPING\r\n", 1 << 20)
 
     @precondition(lambda self: not self.over and bool(self.core.items))
-    @rule(data=st.data(), answer=st.sampled_from([Served(b"v"), Refused(250_000), Failed("gave up")]))
+    @rule(data=st.data(), answer=st.sampled_from([Served(b"v"), Rejected(250_000), Failed("gave up")]))
     def answer(self, data: st.DataObject, answer: Answer) -> None:
         self.flush()
         ask, answered = self.core.items.pop(data.draw(st.sampled_from(sorted(self.core.items))))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,8 +14,8 @@
 UNREACHABLE = api.Outcome.UNREACHABLE
 ORDERED = replace(WRITE, name="ordered", in_order=True)
 UNSAFE = replace(WRITE, name="unsafe", effect=api.Effect.UNSAFE)
-EVERYWHERE = replace(WRITE, name="everywhere", group=api.Group.ALL)
-ZONED = replace(WRITE, name="zoned", group=api.Group.ZONE)
+EVERYWHERE = replace(WRITE, name="everywhere", group=api.DeduplicationScope.ALL)
+ZONED = replace(WRITE, name="zoned", group=api.DeduplicationScope.ZONE)
 CLASSES = {c.name: c for c in (READ, WRITE, ORDERED, UNSAFE, EVERYWHERE, ZONED)}
 LIMITED = api.PlanSpec("limited", 1.0, 2.0, 1.0, limit_rate=8.0, limit_burst=36.0)
 PLANS = {"gold": GOLD, "tin": TIN, "limited": LIMITED}
@@ -33,7 +33,7 @@
     at = next(t for t, x in b.log if x in b.answers("a"))
     assert at < 50 * SECOND + WRITE.deadline_us
     late = b.end("a", over=True)  # a late reply sends and answers nothing
-    assert not [x for x in late if isinstance(x, api.Send | api.Refuse | api.Fail)]
+    assert not [x for x in late if isinstance(x, api.Send | api.Reject | api.Fail)]
     assert len(b.answers("a")) == 1 and len(b.sends("a")) <= 2  # one copy of an overdue attempt
 
 
@@ -41,7 +41,7 @@
     b = one()
     b.ask("a", cell=7)
     b.run(2 * SECOND)
-    assert [type(x) for x in b.answers("a")] == [api.Refuse]
+    assert [type(x) for x in b.answers("a")] == [api.Reject]
 
 
 def test_keyed_request_that_may_have_run_is_failed_never_refused() -> None:
@@ -55,7 +55,7 @@
     b = one(max_attempts=1)
     b.ask("a", cls="write")
     b.end("a", FULL)
-    assert [type(x) for x in b.answers("a")] == [api.Refuse]
+    assert [type(x) for x in b.answers("a")] == [api.Reject]
 
 
 def test_keyed_new_object_is_resent_in_its_cell_within_the_window() -> None:
@@ -88,7 +88,7 @@
     b = one()
     for i in range(6):
         b.ask(f"r{i}")
-    b.tell(api.NodeList((api.NodeEntry("n0", 0, "z", api.NodeState.DRAINING),)))
+    b.tell(api.EndpointListUpdate((api.Endpoint("n0", 0, "z", api.EndpointState.DRAINING),)))
     before = len(b.sends())
     b.end("r0")
     b.run(SECOND)
@@ -96,7 +96,7 @@
 
 
 def test_order_waits_for_attempts_still_out_and_then_rests() -> None:
-    b = one(order_rest_us=200 * MS)
+    b = one(ordered_key_rest_us=200 * MS)
     b.ask("a", cls="ordered", key="k")
     b.ask("b", cls="ordered", key="k")
     b.ask("other", cls="ordered", key="k2")
@@ -111,7 +111,7 @@
 
 
 def test_budget_counts_every_further_attempt_in_a_sliding_window() -> None:
-    b = one(budget_free=2.0, budget_share=0.1, budget_span_us=5 * SECOND)
+    b = one(retry_budget_floor=2.0, retry_budget_ratio=0.1, retry_budget_window_us=5 * SECOND)
     for i in range(20):
         b.ask(f"r{i}")
         b.end(f"r{i}", UNREACHABLE if i % 2 else ERROR)
@@ -141,10 +141,10 @@
 
 
 def test_a_failed_list_call_is_asked_again_with_backoff() -> None:
-    b = Bench(settings(ask_for_list=True), [up("n0", 0)])
+    b = Bench(settings(poll_endpoints=True), [up("n0", 0)])
     assert sum(isinstance(a, api.Subscribe) for _, a in b.log) == 1
     for _ in range(3):
-        b.tell(api.NodeList(failed=True))
+        b.tell(api.EndpointListUpdate(failed=True))
         assert any(isinstance(a, api.Subscribe) for a in b.run(6 * SECOND))
 
 
@@ -158,10 +158,10 @@
         api.StreamStarted("nobody", 0),
     )
     b.ask("a")
-    b.tell(api.NodeList((), whole=True))  # the list drops a node with an attempt out
+    b.tell(api.EndpointListUpdate((), whole=True))  # the list drops a node with an attempt out
     b.end("a")
-    b.tell(api.NodeList((up("n0", 0, started=b.now),)))
-    b.tell(api.NodeList((up("n0", 0, started=b.now + 1),)))
+    b.tell(api.EndpointListUpdate((up("n0", 0, started=b.now),)))
+    b.tell(api.EndpointListUpdate((up("n0", 0, started=b.now + 1),)))
     b.ask("z", units=0)
 
 
@@ -174,11 +174,11 @@
         hosts=rng.choice([1, 3]),
         parallel_attempts=rng.random() < 0.5,
         may_cancel=rng.random() < 0.5,
-        order_rest_us=200 * MS,
-        ask_for_list=rng.random() < 0.5,
-        budget_free=rng.choice([1.0, 3.0]),
-        budget_share=0.15,
-        budget_span_us=5 * SECOND if seed % 2 else 0,
+        ordered_key_rest_us=200 * MS,
+        poll_endpoints=rng.random() < 0.5,
+        retry_budget_floor=rng.choice([1.0, 3.0]),
+        retry_budget_ratio=0.15,
+        retry_budget_window_us=5 * SECOND if seed % 2 else 0,
         max_attempts=rng.choice([1, 3, 4]),
     )
     cells = rng.choice([1, 4])
@@ -254,27 +254,29 @@
                 self.b.tell(api.ClientLeft(name))
         elif roll < 0.97:
             cell = self.rng.randrange(self.cells)
-            state = self.rng.choice(list(api.NodeState) + [api.NodeState.UP] * 2)
-            if state is api.NodeState.UP:
+            state = self.rng.choice(list(api.EndpointState) + [api.EndpointState.UP] * 2)
+            if state is api.EndpointState.UP:
                 self.barred.pop(f"n{cell}", None)
             else:
                 self.barred[f"n{cell}"] = self.b.now
             started = self.rng.choice([0, self.b.now])
-            self.b.tell(api.NodeList((api.NodeEntry(f"n{cell}", cell, f"z{cell % 2}", state, started),)))
+            self.b.tell(
+                api.EndpointListUpdate((api.Endpoint(f"n{cell}", cell, f"z{cell % 2}", state, started),))
+            )
         else:
-            self.b.tell(api.NodeList(failed=True))
+            self.b.tell(api.EndpointListUpdate(failed=True))
 
     def check(self) -> None:
         log, self.b.log = self.b.log, []
         for at, action in log:
             if isinstance(action, api.Send):
                 self.check_send(at, action)
-            elif isinstance(action, api.Refuse | api.Fail):
+            elif isinstance(action, api.Reject | api.Fail):
                 name = action.request
                 assert name not in self.over, "answered twice"
                 assert at <= self.asked[name].until_us
                 self.over[name] = at
-                if isinstance(action, api.Refuse):
+                if isinstance(action, api.Reject):
                     self.check_refusal(name)
             elif isinstance(action, api.Cancel):
                 assert self.b.c.s.may_cancel and action.attempt < len(self.tries[action.request])
@@ -286,7 +288,9 @@
 
     def check_refusal(self, name: str) -> None:
         cls = CLASSES[self.asked[name].cls]
-        if cls.effect is api.Effect.SAFE or (cls.effect is api.Effect.KEYED and cls.group is api.Group.ALL):
+        if cls.effect is api.Effect.SAFE or (
+            cls.effect is api.Effect.KEYED and cls.group is api.DeduplicationScope.ALL
+        ):
             return
         assert not self.ran(name), "refused though it may have run"
 
@@ -301,9 +305,9 @@
         if ran and cls.effect is not api.Effect.SAFE:
             assert cls.effect is api.Effect.KEYED
             assert at < min(int(str(t[1])) for t in ran) + cls.window_us
-            if cls.group is api.Group.CELL:
+            if cls.group is api.DeduplicationScope.CELL:
                 assert all(t[0] == a.node for t in ran)
-            if cls.group is api.Group.ZONE:
+            if cls.group is api.DeduplicationScope.ZONE:
                 assert all(int(str(t[0])[1:]) % 2 == cell % 2 for t in ran)
         if cls.in_order and e.key:
             before = self.keys[e.key][: self.keys[e.key].index(a.request)]
@@ -312,11 +316,11 @@
                 assert all(t[2] is not None for t in self.tries.get(other, []))
             if not tries:
                 assert at >= self.ordered_rest(e.key, before)
-        if tries and s.budget_span_us:
+        if tries and s.retry_budget_window_us:
             self.extra.append(at)
-            spent = sum(1 for t in self.extra if t > at - s.budget_span_us)
-            earned = sum(1 for t in self.took if at >= t > at - s.budget_span_us)
-            assert spent <= s.budget_free + s.budget_share * earned
+            spent = sum(1 for t in self.extra if t > at - s.retry_budget_window_us)
+            earned = sum(1 for t in self.took if at >= t > at - s.retry_budget_window_us)
+            assert spent <= s.retry_budget_floor + s.retry_budget_ratio * earned
         if not tries and e.plan == "limited":
             level, since = self.limit.get(e.volume, (18.0, 50 * SECOND))
             level = min(18.0, level + 4.0 * (at - since) / SECOND) - e.units
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from garnetlanding.core.ports import Trial
+from garnetlanding.core.ports import AttemptHandle
 from garnetlanding.decision.interface import Outcome
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box
@@ -172,7 +172,7 @@
     w = BrickWorld()
     start = w.bricks.start
 
-    def start_and_stop(trial: Trial) -> None:
+    def start_and_stop(trial: AttemptHandle) -> None:
         start(trial)
         w.bricks.stop(trial)
         trial.ended(Outcome.CANCELLED)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from garnetlanding.runtime.listener import Listener
-from garnetlanding.store.file import FileError, Keeper, load, save
-from garnetlanding.store.known import SERVERS, keep_list, known_list, newer_list
+from garnetlanding.store.cached_endpoints import SERVERS, keep_list, known_list, newer_list
+from garnetlanding.store.persister import StoreFileError, StorePersister, load, save
 from garnetlanding.store.replica import Follower, FollowerMachine, WriterMachine
-from garnetlanding.store.store import Entry, Gap, NotWriter, Snapshot, Stale, Store
+from garnetlanding.store.store import Entry, LogGapError, NotWriterError, Snapshot, StaleEpochError, Store
 from tests.helpers import MS, SECOND, World
 
 KEYS = st.sampled_from(["a", "b", "c"])
@@ -46,16 +46,16 @@
 
 def test_only_the_writer_writes_and_only_the_next_entry_fits() -> None:
     copy = Store("w", False, 5, epoch=3)
-    with pytest.raises(NotWriter):
+    with pytest.raises(NotWriterError):
         copy.put("a", 1)
-    with pytest.raises(Gap):
+    with pytest.raises(LogGapError):
         copy.apply(3, Entry(2, "a", 1))
-    with pytest.raises(Gap):
+    with pytest.raises(LogGapError):
         copy.apply(4, Entry(1, "a", 1))
     for name, epoch in (("x", 9), ("w", 2)):
-        with pytest.raises(Stale):
+        with pytest.raises(StaleEpochError):
             copy.accept_writer(name, epoch)
-    with pytest.raises(Stale):
+    with pytest.raises(StaleEpochError):
         Store("w", True, 5).accept_writer("w", 9)
 
 
@@ -66,7 +66,7 @@
     assert load(path) == Snapshot(2, 7, {"a": [1]}) and [p.name for p in tmp_path.iterdir()] == ["store.json"]
     for text in ("{", '{"epoch": 1}'):
         pathlib.Path(path).write_text(text)
-        with pytest.raises(FileError, match="store.json"):
+        with pytest.raises(StoreFileError, match="store.json"):
             load(path)
 
 
@@ -78,7 +78,7 @@
 
     w, path = World(), str(tmp_path / "store.json")
     store = Store("w", True, 5)
-    Keeper(w.scheduler, store, path, 100 * MS)
+    StorePersister(w.scheduler, store, path, 100 * MS)
     store.put("a", 1)
     w.run(100 * MS)
     monkeypatch.setattr("os.fsync", full)
@@ -191,7 +191,7 @@
     w.store.put("a", 9)
     w.serve(w.listener.address)
     w.run(2 * w.limits.store_retry_us, 100 * MS)
-    assert w.copy.snapshot().values == {"b": 2} and said(caplog).startswith("Stale: epoch 10")
+    assert w.copy.snapshot().values == {"b": 2} and said(caplog).startswith("StaleEpochError: epoch 10")
     w.cut()
     w.store = Store("other", True, 4, epoch=99)  # a second writer
     w.serve(w.listener.address)
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from garnetlanding.core.ports import Ask, Refused, Served
+from garnetlanding.core.ports import Rejected, RequestSpec, Served
 from garnetlanding.emulator.base import Conn, Server
 from garnetlanding.telemetry.exporter import Collector as Setup
 from garnetlanding.telemetry.exporter import Exporter, retry_after_us
 from garnetlanding.telemetry.otlp import Histogram, attributes
 from tests.helpers import MS, SECOND, World
 
-ASK = Ask("read", "gold", "vol-1", "k", 2, 3, SECOND, 1, None)
+ASK = RequestSpec("read", "gold", "vol-1", "k", 2, 3, SECOND, 1, None)
 BEGAN = 60 * SECOND
 
 
@@ -83,7 +83,7 @@
 def test_spans_and_metrics_in_the_collectors_encoding() -> None:
     w = TelemetryWorld()
     w.ended()
-    w.exporter.item_ended(ASK, Refused(0), BEGAN, BEGAN + 20 * SECOND, [])
+    w.exporter.item_ended(ASK, Rejected(0), BEGAN, BEGAN + 20 * SECOND, [])
     w.exporter.gauges = {"clients": lambda: 4}
     w.run(SECOND, 100 * MS)
     assert w.paths() == ["/otlp/v1/traces", "/otlp/v1/metrics"]
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -19,18 +19,33 @@
 from garnetlanding.emulator.verdict_model import Scope, explore
 from garnetlanding.http.head import HttpError
 from garnetlanding.ops.file import StateFile
-from garnetlanding.ops.shared import SharedBans
+from garnetlanding.ops.replicated_disables import ReplicatedDisables
 from garnetlanding.ops.state import OpsState, StateError, decode, encode
 from garnetlanding.peers import codec
-from garnetlanding.peers.bans import DIGEST, NOTHING, BanError, Bans, Record
-from garnetlanding.peers.codec import BadMessage
-from garnetlanding.peers.fleet import Fleet
+from garnetlanding.peers.codec import MessageError
+from garnetlanding.peers.coordinator import PeerCoordinator
+from garnetlanding.peers.disabled_backends import (
+    DIGEST,
+    NOTHING,
+    DisabledBackendError,
+    DisabledBackends,
+    Record,
+)
+from garnetlanding.peers.failure_detector import FailureDetector
+from garnetlanding.peers.gossip_message import (
+    LONG_AGO,
+    Evidence,
+    GossipMessage,
+    Kind,
+    envelope,
+    fit,
+    read,
+    tag,
+)
 from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.local_observations import LocalObservations, Observation
 from garnetlanding.peers.setup import read_fleet
-from garnetlanding.peers.sightings import Sight, Sightings
-from garnetlanding.peers.talk import Talk
-from garnetlanding.peers.verdicts import Claim, Verdicts
-from garnetlanding.peers.words import LONG_AGO, Evidence, Kind, Words, envelope, fit, read, tag
+from garnetlanding.peers.suspicions import Claim, SuspicionTable
 from tests.helpers import MS, SECOND, T0, settings, up
 
 LIMITS = PeerLimits()
@@ -43,13 +58,13 @@
     return api.Result(request, 0, node, outcome, took, False)
 
 
-def sightings(*events: api.Event, now: int = T0) -> Sightings:
-    seen = Sightings(LIMITS)
-    seen.see(now, [api.NodeList(SIX, whole=True), *events], AIM)
+def sightings(*events: api.Event, now: int = T0) -> LocalObservations:
+    seen = LocalObservations(LIMITS)
+    seen.see(now, [api.EndpointListUpdate(SIX, whole=True), *events], AIM)
     return seen
 
 
-def told(seen: Sightings, now: int = T0) -> dict[str, str]:
+def told(seen: LocalObservations, now: int = T0) -> dict[str, str]:
     return {node: e.kind.name for node, e in seen.evidence(now, AIM)}
 
 
@@ -78,7 +93,9 @@
     assert told(seen, T0 + 2 * AIM) == {"n0": "SILENT"}
     seen.see(T0 + 2 * AIM, [result("n0", SERVED, request="a")], AIM)
     assert told(seen, T0 + 2 * AIM) == {"n0": "COLD"}
-    seen.see(T0 + 2 * AIM, [api.NodeList((replace(SIX[0], state=api.NodeState.DRAINING),))], AIM)
+    seen.see(
+        T0 + 2 * AIM, [api.EndpointListUpdate((replace(SIX[0], state=api.EndpointState.DRAINING),))], AIM
+    )
     assert "n0" not in seen.servers, "told of by the list: nothing is said about it"
 
 
@@ -90,7 +107,7 @@
 
 
 def test_a_word_is_believed_until_its_greatest_possible_age_and_not_without_an_exchange() -> None:
-    seen, v = sightings(), Verdicts(LIMITS)
+    seen, v = sightings(), SuspicionTable(LIMITS)
     assert v.heard(1, [dead()], None, T0, seen) == {"word too old": 1}
     assert v.heard(1, [dead(age_ms=500)], T0 - 300 * MS, T0, seen) == {}
     until = T0 - 800 * MS + LIMITS.word_us
@@ -102,14 +119,14 @@
 
 
 def test_lives_are_compared_by_how_long_ago_they_began() -> None:
-    seen = Sightings(LIMITS)
-    seen.see(T0, [api.NodeList((replace(SIX[0], started_us=T0 - 40 * SECOND),), whole=True)], AIM)
+    seen = LocalObservations(LIMITS)
+    seen.see(T0, [api.EndpointListUpdate((replace(SIX[0], started_us=T0 - 40 * SECOND),), whole=True)], AIM)
     for life, same in ((400, True), (385, True), (430, False), (20, False), (LONG_AGO, False)):
-        assert (Verdicts(LIMITS).heard(1, [dead(life=life)], T0, T0, seen) == {}) is same
+        assert (SuspicionTable(LIMITS).heard(1, [dead(life=life)], T0, T0, seen) == {}) is same
 
 
 def test_own_evidence_beats_hearsay() -> None:
-    seen, v = sightings(), Verdicts(LIMITS)
+    seen, v = sightings(), SuspicionTable(LIMITS)
     v.heard(1, [dead()], T0, T0, seen)
     seen.see(T0 + MS, [result("n0", Outcome.ERROR)], AIM)
     assert not v.doubted(T0 + MS, seen)
@@ -121,7 +138,7 @@
 
 
 def test_one_head_counts_once_and_one_that_is_refuted_again_and_again_counts_less() -> None:
-    seen, v = sightings(), Verdicts(LIMITS)
+    seen, v = sightings(), SuspicionTable(LIMITS)
     now = T0
     for _ in range(24):  # six seconds of rounds: it says that a server is dead which answers all the time
         now += 250 * MS
@@ -140,7 +157,7 @@
 
 
 def test_a_head_that_takes_its_word_back_and_says_it_again_counts_less_too() -> None:
-    seen, v = sightings(), Verdicts(LIMITS)
+    seen, v = sightings(), SuspicionTable(LIMITS)
     now = T0
     for _ in range(4):
         v.heard(1, [dead()], now, now, seen)
@@ -148,7 +165,7 @@
         v.heard(1, [], now + 2 * MS, now + 2 * MS, seen)
         now += 500 * MS
     assert v.credit(1, now) < LIMITS.trust
-    other, slow = Verdicts(LIMITS), T0 + 60 * SECOND
+    other, slow = SuspicionTable(LIMITS), T0 + 60 * SECOND
     for _ in range(4):  # a server that really comes and goes, at some distance
         other.heard(1, [dead()], slow, slow, seen)
         seen.see(slow + MS, [result("n0", SERVED)], AIM)
@@ -158,7 +175,7 @@
 
 
 def test_a_head_that_was_right_keeps_its_credit_when_the_server_comes_back() -> None:
-    seen, v = sightings(), Verdicts(LIMITS)
+    seen, v = sightings(), SuspicionTable(LIMITS)
     for now in range(T0, T0 + 3 * SECOND, 250 * MS):
         v.heard(1, [dead(age_ms=(now - T0) // MS % 1000)], now, now, seen)
     seen.see(now, [result("n0", SERVED)], AIM)
@@ -168,7 +185,7 @@
 
 
 def test_a_set_share_of_the_servers_is_doubted_at_most() -> None:
-    seen, v = sightings(), Verdicts(LIMITS)
+    seen, v = sightings(), SuspicionTable(LIMITS)
     v.heard(1, [dead(f"n{i}") for i in range(6)], T0, T0, seen)
     v.heard(2, [dead("n5")], T0, T0, seen)
     assert len(v.doubted(T0, seen)) == 2 and "n5" in v.doubted(T0, seen)
@@ -182,12 +199,14 @@
 
     def __init__(self) -> None:
         self.now = T0
-        self.fleets = [Fleet(LIMITS) for _ in range(3)]
+        self.fleets = [FailureDetector(LIMITS) for _ in range(3)]
         self.talks = [
-            Talk(Controller(settings(may_tell=True, me=me), 1), life=1, fleet=fleet)
+            PeerCoordinator(Controller(settings(may_message_peers=True, me=me), 1), life=1, fleet=fleet)
             for me, fleet in enumerate(self.fleets)
         ]
-        self.inbox: list[list[api.Event]] = [[api.NodeList(SIX, whole=True, at_start=True)] for _ in range(3)]
+        self.inbox: list[list[api.Event]] = [
+            [api.EndpointListUpdate(SIX, whole=True, at_start=True)] for _ in range(3)
+        ]
         self.sends: list[list[str]] = [[], [], []]
 
     def run(self, rounds: int, *given: tuple[int, api.Event]) -> None:
@@ -198,7 +217,7 @@
             for me, talk in enumerate(self.talks):
                 events, self.inbox[me] = self.inbox[me], []
                 for action in talk.handle(self.now, events):
-                    if isinstance(action, api.Tell):
+                    if isinstance(action, api.SendPeerMessage):
                         assert len(action.payload) <= LIMITS.datagram_bytes
                         self.inbox[action.to].append(api.PeerMessage(me, action.payload))
                     elif isinstance(action, api.Send):
@@ -224,16 +243,16 @@
 def test_a_ban_reaches_all_and_is_lifted_from_any() -> None:
     f = Heads()
     f.run(10)
-    said = Bans(LIMITS)
+    said = DisabledBackends(LIMITS)
     said.say("n1", True, 0, 1000)
     f.fleets[0].keep(said)
     f.run(10)
     for fleet in f.fleets[1:]:
         assert [r.server for r in fleet.take()] == ["n1"] and not fleet.take()
-        fleet.keep(Bans(LIMITS, said.records.values()))
+        fleet.keep(DisabledBackends(LIMITS, said.records.values()))
     f.run(10)
     assert not any(fleet.take() for fleet in f.fleets), "alike: nothing more is told"
-    lifted = Bans(LIMITS, said.records.values())
+    lifted = DisabledBackends(LIMITS, said.records.values())
     lifted.say("n1", False, 2, 500)
     f.fleets[2].keep(lifted)
     f.run(10)
@@ -248,28 +267,30 @@
 
 
 def from_when_it_came(
-    self: Verdicts, sender: int, evidence: Any, sent_at: int | None, now: int, seen: Sightings
+    self: SuspicionTable, sender: int, evidence: Any, sent_at: int | None, now: int, seen: LocalObservations
 ) -> Any:
     return real_heard(self, sender, evidence, None if sent_at is None else now, now, seen)
 
 
-def claims_for_good(self: Verdicts, node: str, sender: int, claim: Claim, now: int, seen: Sightings) -> None:
+def claims_for_good(
+    self: SuspicionTable, node: str, sender: int, claim: Claim, now: int, seen: LocalObservations
+) -> None:
     real_take(self, node, sender, replace(claim, until=claim.until + SECOND), now, seen)
 
 
-def own_answers_do_not_count(self: Sight, kind: Kind) -> int:
+def own_answers_do_not_count(self: Observation, kind: Kind) -> int:
     return -(1 << 62)
 
 
-real_heard, real_take = Verdicts.heard, Verdicts._take
+real_heard, real_take = SuspicionTable.heard, SuspicionTable._take
 
 
 @pytest.mark.parametrize(
     "where, name, instead",
     [
-        (Verdicts, "heard", from_when_it_came),
-        (Verdicts, "_take", claims_for_good),
-        (Sight, "proof_at", own_answers_do_not_count),
+        (SuspicionTable, "heard", from_when_it_came),
+        (SuspicionTable, "_take", claims_for_good),
+        (Observation, "proof_at", own_answers_do_not_count),
     ],
 )
 def test_some_course_of_words_shows_a_bug(
@@ -292,7 +313,7 @@
 def test_tables_merge_to_the_same_one_in_any_order() -> None:
     tables = []
     for order in permutations(RECORDS):
-        bans = Bans(LIMITS)
+        bans = DisabledBackends(LIMITS)
         for record in order:
             bans.hear([record])
         tables.append((bans.digest, bans.banned))
@@ -300,34 +321,34 @@
 
 
 def test_a_version_that_could_not_be_outbid_and_one_ban_too_many_are_not_taken() -> None:
-    bans = Bans(replace(LIMITS, bans=2), [Record("a", 1, 0, True), Record("b", 2, 0, False)])
+    bans = DisabledBackends(replace(LIMITS, bans=2), [Record("a", 1, 0, True), Record("b", 2, 0, False)])
     most = LIMITS.ban_version
     assert bans.hear([Record("c", most + 1, 0, True)]) == ([], 1)
     assert bans.say("c", True, 0, 0).version == 3 and set(bans.records) == {"a", "c"}, "the oldest back went"
-    with pytest.raises(BanError, match="2 servers are out"):
+    with pytest.raises(DisabledBackendError, match="2 servers are out"):
         bans.say("d", True, 0, 0)
-    with pytest.raises(BanError, match="bytes"):
+    with pytest.raises(DisabledBackendError, match="bytes"):
         bans.say("x" * 181, True, 0, 0)
     assert bans.hear([Record("d", 9, 0, True)]) == ([], 1) and bans.banned == {"a", "c"}
     assert bans.hear([Record("a", most, 9, True)])[1] == 0 and bans.say("a", False, 0, 0).version == most + 1
-    other = Bans(LIMITS, [Record("a", most, 9, True)])
+    other = DisabledBackends(LIMITS, [Record("a", most, 9, True)])
     assert other.hear([bans.records["a"]])[0] and not other.banned, "what a liar says last is outbid"
 
 
 def test_a_head_whose_clock_is_behind_takes_bans_all_the_same() -> None:
     """It dropped every version more than an hour ahead of its own clock: a ban never held there."""
-    fleet = Fleet(LIMITS)
-    fleet.keep(Bans(LIMITS))
+    fleet = FailureDetector(LIMITS)
+    fleet.keep(DisabledBackends(LIMITS))
     state = shared(fleet).hear(OpsState(), [Record("b1", 1_900_000_000_000, 2, True)])
     assert state.banned == {"b1"}, "its clock says 1000 ms"
 
 
-def shared(fleet: Fleet, me: int = 0) -> SharedBans:
-    return SharedBans(fleet, lambda: me, lambda: 1000)
+def shared(fleet: FailureDetector, me: int = 0) -> ReplicatedDisables:
+    return ReplicatedDisables(fleet, lambda: me, lambda: 1000)
 
 
 def test_bans_are_kept_on_disk_with_their_versions(tmp_path: pathlib.Path) -> None:
-    fleet, file = Fleet(LIMITS), StateFile(str(tmp_path), "n1")
+    fleet, file = FailureDetector(LIMITS), StateFile(str(tmp_path), "n1")
     desk = shared(fleet)
     state = file.change(lambda s: desk.say(s, "b1", True))
     assert state.banned == {"b1"} and file.load() == state
@@ -372,25 +393,25 @@
 def test_what_fits_is_read_back_and_torn_bytes_are_refused(seen: list[Any], said: list[Any]) -> None:
     evidence, records = [Evidence(*e) for e in seen], [Record(*r) for r in said]
     some, more = fit(evidence, records, LIMITS.datagram_bytes)
-    told = Words(b"digest 8", tuple(evidence[:some]), tuple(records[:more]))
+    told = GossipMessage(b"digest 8", tuple(evidence[:some]), tuple(records[:more]))
     data = codec.seal(envelope(told, 9, 8, 7, 6))
     assert len(data) <= LIMITS.datagram_bytes
     assert (some, more) == (len(evidence), len(records)) or len(data) > 200 - 40 * (more < len(records))
     e = codec.unseal(data, LIMITS.datagram_bytes)
     assert read(e) == told and (e.life, e.number, e.re_life, e.re_number) == (9, 8, 7, 6)
     for body in (e.body[:-1], e.body + b"x"):
-        with pytest.raises(BadMessage):
+        with pytest.raises(MessageError):
             read(replace(e, body=body))
 
 
 def test_forged_words_are_counted_by_cause() -> None:
     f = Heads()
     f.run(10)
-    good = envelope(Words(NOTHING, (dead(),)), 1, 999, 0, 0)
+    good = envelope(GossipMessage(NOTHING, (dead(),)), 1, 999, 0, 0)
     strange = replace(good, number=1000, body=good.body[:DIGEST] + b"\x09" + good.body[DIGEST + 1 :])
     f.run(1, (0, api.PeerMessage(1, codec.seal(good))), (0, api.PeerMessage(1, codec.seal(strange))))
     assert f.talks[0].dropped == {"word too old": 1, "no such verdict": 1}
-    off = Talk(Controller(settings(may_tell=True), 1), life=1)
+    off = PeerCoordinator(Controller(settings(may_message_peers=True), 1), life=1)
     off.handle(T0, [api.PeerMessage(1, codec.seal(good))])
     assert off.dropped == {"other kind": 1} and off.known("verdicts", T0) == []
 
