--- a/garnetlanding/audit/setup.py
+++ b/garnetlanding/audit/setup.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from garnetlanding.audit.limits import LIMITS, SECOND, AuditLimits
-from garnetlanding.config.section import ConfigError, Section
+from garnetlanding.config.section import Section
 
 DAY_US = 24 * 3600 * SECOND
 
@@ -22,7 +22,7 @@
     section = Section(data, "audit", "folder sync checkpoint_s segment_kb total_mb age_days")
     sync = section.raw("sync") if section.has("sync") else False
     if not isinstance(sync, bool):
-        raise ConfigError(f"key {section.name('sync')}: expected true or false, found {sync!r:.40}")
+        raise section.error("sync", f"expected true or false, found {sync!r:.40}")
     return AuditSetup(
         section.text("folder"),
         sync,
--- a/garnetlanding/choices/setup.py
+++ b/garnetlanding/choices/setup.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, replace
 
-from garnetlanding.config.section import ConfigError, Section
+from garnetlanding.config.section import Section
 from garnetlanding.decision import interface as api
 
 SECOND = 1_000_000
@@ -36,7 +36,7 @@
     section = Section(data, "choices", "subset idle_s resend_share resend_free resend_span_s")
     subset = section.number("subset", 0, 0, MOST_SERVERS)
     if subset != int(subset):
-        raise ConfigError(f"key {section.name('subset')}: expected a whole number, found {subset!r:.40}")
+        raise section.error("subset", f"expected a whole number, found {subset!r:.40}")
     return ChoicesSetup(
         int(subset),
         int(section.number("idle_s", 0.05, 1, LONGEST_S) * SECOND),
--- a/garnetlanding/config/__init__.py
+++ b/garnetlanding/config/__init__.py
@@ -1,13 +1,13 @@
 """Configuration, read and checked at start and at reload: the platform's JSON and an operator's TOML."""
 
-from garnetlanding.config.operator import Operator
+from garnetlanding.config.operator import OperatorConfig
 from garnetlanding.config.platform import Config, flatten, load, read, read_settings, reload
 from garnetlanding.config.section import ConfigError, Section
 
 __all__ = [
     "Config",
     "ConfigError",
-    "Operator",
+    "OperatorConfig",
     "Section",
     "flatten",
     "load",
--- a/garnetlanding/config/operator.py
+++ b/garnetlanding/config/operator.py
@@ -1,4 +1,7 @@
-"""The operator's file (TOML): what it turns on. A subsystem that it leaves out is not even imported."""
+"""The operator's file (TOML): which optional subsystems it turns on, and their settings.
+
+A subsystem that the file leaves out is not even imported; so each reader is imported where it is needed.
+"""
 
 from __future__ import annotations
 
@@ -17,10 +20,12 @@
     from garnetlanding.peers.setup import FleetSetup
     from garnetlanding.telemetry.setup import Collector
 
+SECTIONS = "ninep telemetry store history fleet choices audit"
+
 
 @dataclass(frozen=True, slots=True)
-class Operator:
-    """What an operator's file turns on; the platform has none."""
+class OperatorConfig:
+    """The settings of each optional subsystem; None where it is off. The platform's own file has none."""
 
     ninep: Ninep | None = None
     telemetry: Collector | None = None
@@ -31,40 +36,61 @@
     audit: AuditSetup | None = None
 
 
-def read_operator(data: object, settings: api.Settings, name: str) -> Operator:
-    """Checks an operator's file; each subsystem reads its own section. Raises ConfigError."""
-    top = Section(data, "", "ninep telemetry store history fleet choices audit")
-    ninep, telemetry, store = None, None, StoreSetup(writer=name)
-    if top.has("ninep"):
-        from garnetlanding.ninep import setup as ninep_setup
+def read_operator(data: object, settings: api.Settings, name: str) -> OperatorConfig:
+    """Check an operator's file and return what it turns on. Each subsystem reads its own section.
+
+    `settings` are the platform's, whose classes and plans the sections may name; `name` is this instance's.
+    The first faulty section, in the order of the fields, raises ConfigError.
+    """
+    top = Section(data, "", SECTIONS)
+    return OperatorConfig(
+        ninep=_read_ninep(top.raw("ninep"), settings) if top.has("ninep") else None,
+        telemetry=_read_telemetry(top.raw("telemetry")) if top.has("telemetry") else None,
+        store=_read_store(top.raw("store"), name) if top.has("store") else StoreSetup(writer=name),
+        history=_read_history(top.raw("history")) if top.has("history") else None,
+        fleet=_read_fleet(top.raw("fleet")) if top.has("fleet") else None,
+        choices=_read_choices(top.raw("choices")) if top.has("choices") else None,
+        audit=_read_audit(top.raw("audit")) if top.has("audit") else None,
+    )
+
+
+def _read_ninep(data: object, settings: api.Settings) -> Ninep:
+    from garnetlanding.ninep import setup
+
+    return setup.read(data, settings)
+
+
+def _read_telemetry(data: object) -> Collector:
+    from garnetlanding.telemetry import setup
+
+    return setup.read(data)
+
+
+def _read_store(data: object, name: str) -> StoreSetup:
+    from garnetlanding.store import setup
+
+    return setup.read(data, name)
+
+
+def _read_history(data: object) -> HistorySetup:
+    from garnetlanding.history import setup
+
+    return setup.read(data)
+
+
+def _read_fleet(data: object) -> FleetSetup:
+    from garnetlanding.peers import setup
 
-        ninep = ninep_setup.read(top.raw("ninep"), settings)
-    if top.has("telemetry"):
-        from garnetlanding.telemetry import setup as telemetry_setup
+    return setup.read_fleet(data)
 
-        telemetry = telemetry_setup.read(top.raw("telemetry"))
-    if top.has("store"):
-        from garnetlanding.store import setup as store_setup
 
-        store = store_setup.read(top.raw("store"), name)
-    history = None
-    if top.has("history"):
-        from garnetlanding.history import setup as history_setup
+def _read_choices(data: object) -> ChoicesSetup:
+    from garnetlanding.choices import setup
 
-        history = history_setup.read(top.raw("history"))
-    fleet = None
-    if top.has("fleet"):
-        from garnetlanding.peers import setup as peers_setup
+    return setup.read(data)
 
-        fleet = peers_setup.read_fleet(top.raw("fleet"))
-    choices = None
-    if top.has("choices"):
-        from garnetlanding.choices import setup as choices_setup
 
-        choices = choices_setup.read(top.raw("choices"))
-    audit = None
-    if top.has("audit"):
-        from garnetlanding.audit import setup as audit_setup
+def _read_audit(data: object) -> AuditSetup:
+    from garnetlanding.audit import setup
 
-        audit = audit_setup.read(top.raw("audit"))
-    return Operator(ninep, telemetry, store, history, fleet, choices, audit)
+    return setup.read(data)
--- a/garnetlanding/history/setup.py
+++ b/garnetlanding/history/setup.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from garnetlanding.config.section import ConfigError, Section
+from garnetlanding.config.section import Section
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,5 +27,5 @@
     try:
         setup.wall_s()
     except (OSError, ValueError) as problem:
-        raise ConfigError(f"key {section.name('wall_file')}: {problem}") from None
+        raise section.error("wall_file", problem) from None
     return setup
--- a/garnetlanding/lab/experiment.py
+++ b/garnetlanding/lab/experiment.py
@@ -96,7 +96,7 @@
     if text == "*":
         return -1
     if text[:1] != "n" or not text[1:].isdigit() or int(text[1:]) >= heads:
-        raise ConfigError(f"key {section.name(key)}: {text!r:.40} is none of n0 to n{heads - 1}, nor *")
+        raise section.error(key, f"{text!r:.40} is none of n0 to n{heads - 1}, nor *")
     return int(text[1:])
 
 
@@ -117,9 +117,9 @@
     at_us = int(section.number("at_s", 0, most=length_us / SECOND) * SECOND)
     until_us = int(section.number("until_s", 0, length_us / SECOND) * SECOND)
     if kind in CALLS + RELOADS + COMINGS + CLOCKS and section.has("until_s"):
-        raise ConfigError(f"key {section.name('until_s')}: {kind} has one time, at_s")
+        raise section.error("until_s", f"{kind} has one time, at_s")
     if until_us <= at_us:
-        raise ConfigError(f"key {section.name('until_s')}: not after at_s")
+        raise section.error("until_s", "not after at_s")
     who = sender = receiver = brick = -1
     link = ""
     hows = LIED if kind in LIES else PROCESS_FAULTS
@@ -127,11 +127,11 @@
     wall_s = int(section.number("wall_s", -1e9, 0, 1e9))
     newer = section.raw("newer") or False
     if not isinstance(newer, bool):
-        raise ConfigError(f"key {section.name('newer')}: expected true or false")
+        raise section.error("newer", "expected true or false")
     if kind in PROCESS_FAULTS + CALLS + LIES + UPGRADES + RELOADS + COMINGS + CLOCKS:
         who = _head(section, "who", heads)
         if who < 0:
-            raise ConfigError(f"key {section.name('who')}: which head?")
+            raise section.error("who", "which head?")
         if kind in ("disable", "enable"):
             brick = int(section.number("brick", 0, most=bricks - 1))
         if kind in ("shut-out", "let-in"):
--- a/garnetlanding/ninep/setup.py
+++ b/garnetlanding/ninep/setup.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from garnetlanding.config.section import ConfigError, Section
+from garnetlanding.config.section import Section
 from garnetlanding.decision import interface as api
 from garnetlanding.limits import MS
 
@@ -54,13 +54,13 @@
     section = Section(data, "ninep", "listen server_port server_dialect clients server_connections export")
     listed = section.raw("export")
     if not isinstance(listed, list) or not listed:
-        raise ConfigError(f"key {section.name('export')}: missing or empty")
+        raise section.error("export", "missing or empty")
     exports: dict[str, Export] = {}
     for i, value in enumerate(listed):
         one = Section(value, section.name(f"export.{i}"), KEYS)
         name = one.text("name")
         if name in exports:
-            raise ConfigError(f"key {one.name('name')}: {name!r:.40} is there twice")
+            raise one.error("name", f"{name!r:.40} is there twice")
         exports[name] = _export(one, name, settings)
     dialect = section.one_of("server_dialect", DIALECTS) if section.has("server_dialect") else "auto"
     return Ninep(
@@ -77,7 +77,7 @@
     access = one.one_of("access", ("ro", "rw")) if one.has("access") else "ro"
     for key in ("change_class", "change_deadline_ms"):
         if access == "ro" and one.has(key):
-            raise ConfigError(f'key {one.name(key)}: nothing changes in an export with access "ro"')
+            raise one.error(key, 'nothing changes in an export with access "ro"')
     cls = one.one_of("class", settings.classes)
     deadline = one.number("deadline_ms", 1, most=60_000)
     return Export(
--- a/garnetlanding/peers/setup.py
+++ b/garnetlanding/peers/setup.py
@@ -60,22 +60,22 @@
     flags = {key: section.raw(key) for key in ("verdicts", "bans", "budgets") if section.has(key)}
     for key, value in flags.items():
         if not isinstance(value, bool):
-            raise ConfigError(f"key {section.name(key)}: expected true or false, found {value!r:.40}")
+            raise section.error(key, f"expected true or false, found {value!r:.40}")
     most = int(
         section.number("server_connections", 0, 0, MOST_CONNECTIONS)
         if section.has("server_connections")
         else 0
     )
     if most and not flags.get("budgets"):
-        raise ConfigError(f"key {section.name('server_connections')}: only with budgets = true")
+        raise section.error("server_connections", "only with budgets = true")
     listed = section.raw("seeds") or []
     if not isinstance(listed, list):
-        raise ConfigError(f"key {section.name('seeds')}: expected a list of addresses")
+        raise section.error("seeds", "expected a list of addresses")
     named = Section({str(i): address for i, address in enumerate(listed)}, section.name("seeds"))
     routes = Section(section.raw("routes") or {}, section.name("routes"))
     for key in ("advertise", "routes"):
         if section.has(key) and not listed:
-            raise ConfigError(f"key {section.name(key)}: only with seeds")
+            raise section.error(key, "only with seeds")
     return FleetSetup(
         **flags,
         server_connections=most,
@@ -91,7 +91,7 @@
     try:
         ipaddress.ip_address(parse_address(text)[0])
     except ValueError:
-        raise ConfigError(f"key {section.name(key)}: {text!r:.60} names no machine by number") from None
+        raise section.error(key, f"{text!r:.60} names no machine by number") from None
     return text
 
 
--- a/garnetlanding/store/setup.py
+++ b/garnetlanding/store/setup.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from garnetlanding.config.section import ConfigError, Section
+from garnetlanding.config.section import Section
 
 SHORTEST_S, LONGEST_S = 0.5, 3600.0  # of `current_s`: several questions and answers fit
 
@@ -29,15 +29,12 @@
         return StoreSetup(role, name, file=section.text("file", ""))
     writer = section.text("writer")
     if (writer == name) != (role == "writer"):
-        raise ConfigError(
-            f"key {section.name('writer')}: {writer!r:.40} does not go with the role {role} "
-            f"of {name!r:.40}"
-        )
+        raise section.error("writer", f"{writer!r:.40} does not go with the role {role} " f"of {name!r:.40}")
     current_s = section.number("current_s", 0, 0, LONGEST_S)
     if current_s and role != "follower":
-        raise ConfigError(f"key {section.name('current_s')}: only of a follower")
+        raise section.error("current_s", "only of a follower")
     if current_s and current_s < SHORTEST_S:
-        raise ConfigError(f"key {section.name('current_s')}: at least {SHORTEST_S:g}, or 0")
+        raise section.error("current_s", f"at least {SHORTEST_S:g}, or 0")
     return StoreSetup(
         role, writer, section.address("address"), section.text("file", ""), int(current_s * 1_000_000)
     )
--- a/garnetlanding/telemetry/setup.py
+++ b/garnetlanding/telemetry/setup.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from garnetlanding.config.section import ConfigError, Section
+from garnetlanding.config.section import Section
 from garnetlanding.limits import SECOND
 from garnetlanding.runtime.stream import parse_address
 
@@ -26,11 +26,11 @@
     scheme, _, rest = url.partition("://")
     host, slash, path = rest.partition("/")
     if scheme != "http":
-        raise ConfigError(f"key {section.name('endpoint')}: expected http://HOST:PORT, found {url!r:.80}")
+        raise section.error("endpoint", f"expected http://HOST:PORT, found {url!r:.80}")
     try:
         parse_address(host)
     except ValueError as problem:
-        raise ConfigError(f"key {section.name('endpoint')}: {problem}") from None
+        raise section.error("endpoint", problem) from None
     return Collector(
         host,
         (slash + path).rstrip("/"),
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -106,7 +106,7 @@
     assert (c.limits.client_conns, c.limits.brick_conns, c.limits.brick_conns_kept) == (822, 341, 170)
     both = config.read(BASE, {"ninep": NINEP}).limits
     assert both.client_conns + both.ninep_conns + both.ninep_server_conns == c.limits.client_conns
-    assert c.operator == config.Operator(store=StoreSetup(writer="n1")), "all else is off"
+    assert c.operator == config.OperatorConfig(store=StoreSetup(writer="n1")), "all else is off"
 
 
 @pytest.mark.parametrize(
