--- a/garnetlanding/peers/codec.py
+++ b/garnetlanding/peers/codec.py
@@ -25,6 +25,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
+from garnetlanding.peers.errors import PeersError
+
 VERSION, LEASES, WORDS, ROLL, BUDGETS = 1, 1, 2, 3, 4
 HEAD = struct.Struct(">BB6sI6sIBB")
 ASK, GRANT, SUM = struct.Struct(">IBB"), struct.Struct(">IB"), struct.Struct(">I")
@@ -32,7 +34,7 @@
 MOST = 255  # asks, or grants, of one message; hosts of one volume
 
 
-class MessageError(ValueError):
+class MessageError(PeersError, ValueError):
     """A datagram that cannot be read; the text is its cause, one of a few, to be counted by."""
 
 
