--- a/benchmarks/ninep_chaos.py
+++ b/benchmarks/ninep_chaos.py
@@ -16,7 +16,7 @@
 from rich.console import Console
 from rich.progress import track
 
-from tests import chaos
+from tests.ninep import random_fault_schedules as chaos
 
 RESULTS = pathlib.Path(__file__).parent / "results" / "ninep-chaos.md"
 
--- a/tests/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -25,7 +25,7 @@
 from garnetlanding.store.staleness_guard import StalenessGuard
 from tests.helpers import SECOND
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parents[2]
 PAYLOADS = st.lists(
     st.dictionaries(st.text(max_size=5), st.integers() | st.text(max_size=9), max_size=4),
     min_size=1,
--- a/tests/test_choices.py
+++ b/tests/choices/test_subsets.py
@@ -25,7 +25,7 @@
 from tests import helpers
 from tests.helpers import SECOND, Peer, World, read_command
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parents[2]
 FLEETS = st.sets(st.integers(0, 60), min_size=1, max_size=24)
 SERVERS = st.dictionaries(
     st.integers(0, 60).map("s{}".format), st.sampled_from("abc"), min_size=1, max_size=24
--- a/tests/test_conform.py
+++ b/tests/conform/test_conformance_suite.py
@@ -14,7 +14,7 @@
 from garnetlanding.emulator.faults import Fault, Rule
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import linux as p9l
-from tests.broken import VARIANTS, broken
+from tests.conform.seeded_faults import VARIANTS, broken
 from tests.helpers import NineWorld, WorldWire, beside
 
 BOTH = [p9.VERSION, p9l.VERSION]
--- a/tests/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -32,7 +32,7 @@
 from garnetlanding.store.store import Entry, Snapshot
 from tests.helpers import MS, SECOND, T0, Peer, World, read_command
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parents[2]
 SETTINGS: dict[str, Any] = {
     "Balancers": 2,
     "Me": 0,
--- a/tests/test_endings.py
+++ b/tests/daemon/test_graceful_shutdown.py
@@ -25,8 +25,8 @@
 from garnetlanding.runtime.closing import TO, Closing, Event, State
 from garnetlanding.runtime.stream import Stream, parse_address
 from garnetlanding.shutdown import Phase, Schedule
+from tests.daemon.test_daemon import SETTINGS, SLOW, Head, handlers_put_back
 from tests.helpers import MS, SECOND, NineWorld, Tool, World, heard, read_command, settings
-from tests.test_daemon import SETTINGS, SLOW, Head, handlers_put_back
 
 PING = codec.command([b"PING"])
 BAD = codec.command([b"NO"])
--- a/tests/test_decision_digest.py
+++ b/tests/golden/test_decision_digest.py
@@ -7,7 +7,7 @@
 
 A change that is meant to change decisions writes the digests anew, and its commit says so:
 
-    GOLDEN_WRITE=1 python -m pytest tests/test_decision_digest.py
+    GOLDEN_WRITE=1 python -m pytest tests/golden/test_decision_digest.py
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from garnetlanding.emulator import fleet
 
 MS, SECOND = 1_000, 1_000_000
-GOLDEN = Path(__file__).parent / "golden" / "decisions.json"
+GOLDEN = Path(__file__).parent / "decisions.json"
 
 
 # What is written down
--- a/tests/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -5,7 +5,7 @@
 compares exact bytes with one of them. To write them anew instead of comparing (only when a change of
 behaviour is intended):
 
-    GOLDEN_WRITE=1 python -m pytest tests/test_golden_protocols.py
+    GOLDEN_WRITE=1 python -m pytest tests/golden/test_golden_protocols.py
 
 Notation in the files: `>` is what was fed and `<` what was written in answer, both as Python bytes literals;
 a run of 64 or more equal bytes stands as `{byte*count}`. 9P messages are in hexadecimal. Parsed values are
@@ -68,8 +68,8 @@
 from garnetlanding.telemetry.setup import Collector
 from tests.helpers import MS, SECOND, FakeCore, NineWorld, Peer, World
 
-ROOT = Path(__file__).parent.parent
-GOLDEN = Path(__file__).parent / "golden" / "protocols"
+ROOT = Path(__file__).parents[2]
+GOLDEN = Path(__file__).parent / "protocols"
 LONG_RUN = re.compile(rb"(.)\1{63,}", re.DOTALL)
 
 
--- a/tests/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -7,7 +7,7 @@
 
 To write the files anew instead of comparing, after a change of a form that is meant:
 
-    GOLDEN_WRITE=1 python -m pytest tests/test_golden_records.py
+    GOLDEN_WRITE=1 python -m pytest tests/golden/test_golden_records.py
 
 Run it without the variable afterwards: only then is anything compared.
 """
@@ -57,11 +57,11 @@
 from garnetlanding.peers.shared_budgets import SharedBudgets
 from garnetlanding.telemetry.exporter import Exporter
 from garnetlanding.telemetry.setup import Collector
+from tests.daemon.test_daemon import Head
 from tests.helpers import MS, SECOND, World, read_command
-from tests.test_daemon import Head
-from tests.test_peers import TELLS
+from tests.peers.test_coordinator import TELLS
 
-GOLDEN = pathlib.Path(__file__).parent / "golden" / "records"
+GOLDEN = pathlib.Path(__file__).parent / "records"
 AUDITS = GOLDEN / "audit"
 WRITE = os.environ.get("GOLDEN_WRITE") == "1"
 WALL_MS = 1_764_640_800_000  # 2025-12-02T02:00:00Z
--- a/tests/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -6,7 +6,7 @@
 
 To write the files instead of comparing them, after a change of a format that is meant:
 
-    GOLDEN_WRITE=1 python -m pytest tests/test_golden_storage.py
+    GOLDEN_WRITE=1 python -m pytest tests/golden/test_golden_storage.py
 
 Read the difference before committing it. Help texts and error messages are partly click's, tables are
 rich's, and the text of a JSON error is Python's: the versions are those of requirements.txt.
@@ -51,7 +51,7 @@
 from garnetlanding.store.store import LogGapError, Snapshot, StaleEpochError, Store, StoreFileError
 from tests.helpers import MS, SECOND, World
 
-FOLDER = pathlib.Path(__file__).parent / "golden" / "storage"
+FOLDER = pathlib.Path(__file__).parent / "storage"
 WRITE = os.environ.get("GOLDEN_WRITE") == "1"
 
 
--- a/tests/test_processes_end.py
+++ b/tests/integration/test_process_signals.py
@@ -18,10 +18,10 @@
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box, Discovery, DiscoveryConn
 from garnetlanding.resp import codec
+from tests.daemon.test_daemon import BASE, SETTINGS
 from tests.helpers import World
-from tests.test_daemon import BASE, SETTINGS
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parents[2]
 PING = codec.command([b"PING"])
 LONGEST_S = 30.0  # a busy machine is no fault: what must hold is asserted by order, not by this
 
--- a/tests/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -20,7 +20,7 @@
 from garnetlanding.lab.streams import Link, Passage, Streams
 from garnetlanding.lab.weather import Weather
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parents[2]
 CALM = Experiment("calm", 5, 3, 3, 4 * SECOND, Load(volumes=3, rate=90.0))
 
 
--- a/tests/test_ninep_chaos.py
+++ b/tests/ninep/test_random_fault_schedules.py
@@ -10,7 +10,7 @@
 from garnetlanding.ninep.fids import Pending
 from garnetlanding.ninep.ops import TABLE
 from garnetlanding.ninep.order import Order
-from tests.chaos import run
+from tests.ninep.random_fault_schedules import run
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/test_ops.py
+++ b/tests/ops/test_admin_service.py
@@ -25,8 +25,8 @@
 from garnetlanding.ops.state import OpsState, StateError, decode
 from garnetlanding.resp.front import ClientMachine
 from garnetlanding.runtime.listener import Listener
+from tests.daemon.test_daemon import BASE
 from tests.helpers import MS, SECOND, T0, Peer, World, read_command
-from tests.test_daemon import BASE
 
 
 class Office(World):
--- a/tests/test_lives.py
+++ b/tests/ops/test_process_registry.py
@@ -17,8 +17,8 @@
 from garnetlanding.ops.process_quota import LEAST, UNREADABLE, ProcessRecord, decode, encode, next_part
 from garnetlanding.ops.process_registry import ProcessRegistry
 from garnetlanding.runtime.files import file_name
+from tests.daemon.test_daemon import BASE
 from tests.helpers import MS, SECOND, T0, Bench, Peer, World, read_command, settings, up
-from tests.test_daemon import BASE
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -77,7 +77,7 @@
 
 
 def test_the_readme_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
-    readme = pathlib.Path(__file__).parent.parent.joinpath("README.md").read_text()
+    readme = pathlib.Path(__file__).parents[1].joinpath("README.md").read_text()
     code = readme.split("```python\n")[1].split("```")[0]
     exec(code, {})
     assert capsys.readouterr().out.strip() == code.rsplit("# ", 1)[1].strip()
