--- a/garnetlanding/audit/start.py
+++ b/garnetlanding/audit/start.py
@@ -46,7 +46,7 @@
         setup.limits,
         sources,
         lambda: core.settings.me,
-        lambda: (core.figures.taken, core.figures.taken - core.open),
+        lambda: (core.metrics.accepted, core.metrics.accepted - core.open_requests),
         said,
         heard,
         files.keep,
--- a/garnetlanding/choices/setup.py
+++ b/garnetlanding/choices/setup.py
@@ -13,21 +13,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ChoicesSetup:
-    subset: int = 0  # servers to which idle connections are kept; 0: to all
-    idle_us: int = SECOND  # one to another server is closed once it has stood idle for so long
-    resend_share: float = 0.0  # further attempts for each first try, over the span; 0 with free 0: no budget
-    resend_free: float = 0.0  # and so many more
-    resend_span_us: int = 10 * SECOND
+    subset_size: int = 0  # servers to which idle connections are kept; 0: to all
+    idle_timeout_us: int = SECOND  # one to another server is closed once it has stood idle for so long
+    retry_budget_ratio: float = (
+        0.0  # further attempts for each first try, over the span; 0 with free 0: no budget
+    )
+    retry_budget_floor: float = 0.0  # and so many more
+    retry_budget_window_us: int = 10 * SECOND
 
-    def used(self, settings: api.Settings) -> api.Settings:
+    def with_retry_budget(self, settings: api.Settings) -> api.Settings:
         """With the budget of further attempts, where the settings have none of their own."""
-        if settings.retry_budget_window_us or not (self.resend_share or self.resend_free):
+        if settings.retry_budget_window_us or not (self.retry_budget_ratio or self.retry_budget_floor):
             return settings
         return replace(
             settings,
-            retry_budget_ratio=self.resend_share,
-            retry_budget_floor=self.resend_free,
-            retry_budget_window_us=self.resend_span_us,
+            retry_budget_ratio=self.retry_budget_ratio,
+            retry_budget_floor=self.retry_budget_floor,
+            retry_budget_window_us=self.retry_budget_window_us,
         )
 
 
--- a/garnetlanding/choices/stagger.py
+++ b/garnetlanding/choices/stagger.py
@@ -5,7 +5,7 @@
 import zlib
 
 
-def turn(number: int, heads: int, signal: str = "") -> float:
+def stagger_offset(number: int, heads: int, signal: str = "") -> float:
     """The place of head `number` of so many in `[0, 1)`: evenly spaced, in an order that the signal turns, so
     that no head is always the last. A head that is wrong about their number has another place and holds up
     nobody."""
--- a/garnetlanding/choices/subset_tracker.py
+++ b/garnetlanding/choices/subset_tracker.py
@@ -16,7 +16,7 @@
         self._kept: frozenset[str] = frozenset()
         self.changes = 0
 
-    def look(self, me: int, heads: Collection[int], servers: Mapping[str, str]) -> frozenset[str]:
+    def update(self, me: int, heads: Collection[int], servers: Mapping[str, str]) -> frozenset[str]:
         """`servers`: the zone of each that may be sent anything. A head that is not among the heads, as one
         that has been put out, keeps nothing."""
         now = me, frozenset(heads), dict(servers)
--- a/garnetlanding/core/body.py
+++ b/garnetlanding/core/body.py
@@ -15,7 +15,7 @@
     def full(self) -> bool:
         """The client leaves too much unread: nothing more is to be written for now."""
 
-    def when_room(self, call: Callable[[], None]) -> None:
+    def when_writable(self, call: Callable[[], None]) -> None:
         """Calls once, when the client has taken all."""
 
     def cut(self) -> None:
@@ -33,44 +33,44 @@
         self.length = length
         self._held: list[bytes] = []
         self._sink: Sink | None = None
-        self.over = False
+        self.ended = False
         self.on_end: list[Callable[[bool], None]] = []  # told whether it is whole
-        self.on_room: Callable[[], None] = lambda: None  # the server may be read again
+        self.on_writable: Callable[[], None] = lambda: None  # the server may be read again
 
     @property
     def blocked(self) -> bool:
         """The server is not to be read further for now."""
-        return not self.over and (self._sink is None or self._sink.full)
+        return not self.ended and (self._sink is None or self._sink.full)
 
     def feed(self, data: bytes) -> None:
         """From the server's side: the next bytes."""
-        if self.over:
+        if self.ended:
             return
         if self._sink is None:
             self._held.append(data)
             return
         self._sink(data)
         if self._sink.full:
-            self._sink.when_room(self.on_room)
+            self._sink.when_writable(self.on_writable)
 
-    def flow_to(self, sink: Sink) -> None:
+    def attach_sink(self, sink: Sink) -> None:
         """From the client's side: its turn has come."""
         self._sink, held = sink, self._held
         self._held = []
         if held:
             sink(b"".join(held))
         if sink.full:
-            sink.when_room(self.on_room)
+            sink.when_writable(self.on_writable)
         else:
-            self.on_room()
+            self.on_writable()
 
     def end(self, whole: bool) -> None:
         """From either side; what is said after the first time changes nothing."""
-        if self.over:
+        if self.ended:
             return
-        self.over = True
+        self.ended = True
         if not whole:
             self._held.clear()
         for call in self.on_end:
             call(whole)
-        self.on_room()
+        self.on_writable()
--- a/garnetlanding/core/endpoint_registry.py
+++ b/garnetlanding/core/endpoint_registry.py
@@ -15,8 +15,8 @@
 
     def __init__(self) -> None:
         self._entries: dict[str, Endpoint] = {}  # as listed
-        self._endpoint: dict[str, str] = {}
-        self.banned: frozenset[str] = frozenset()
+        self._addresses: dict[str, str] = {}
+        self.disabled: frozenset[str] = frozenset()
         self._back_us: dict[str, int] = {}  # when those once taken out were put back
 
     def apply(self, listing: EndpointListing) -> list[str]:
@@ -24,24 +24,24 @@
         what a list says of a server counts as told, so it holds all the same, the last word on each server
         above the ones before it."""
         odd = self._odd(listing)
-        if listing.whole:
+        if listing.complete:
             # What a whole list leaves out is gone; its endpoint is forgotten with it.
             self._entries.clear()
-            self._endpoint.clear()
+            self._addresses.clear()
         for entry in listing.entries:
             if entry.state is EndpointState.GONE:
                 # Replaced servers come back under other names: kept, these would grow without end.
                 self._entries.pop(entry.node, None)
-                self._endpoint.pop(entry.node, None)
+                self._addresses.pop(entry.node, None)
             else:
                 self._entries[entry.node] = entry
-                self._endpoint[entry.node] = listing.endpoints[entry.node]
-        if listing.whole:
+                self._addresses[entry.node] = listing.addresses[entry.node]
+        if listing.complete:
             self._back_us = {node: at for node, at in self._back_us.items() if node in self._entries}
         return odd
 
     def _odd(self, listing: EndpointListing) -> list[str]:
-        if listing.whole and not listing.entries and self._entries:
+        if listing.complete and not listing.entries and self._entries:
             return [f"whole list is empty, {len(self._entries)} servers were known"]
         odd: list[str] = []
         named: set[str] = set()
@@ -55,47 +55,47 @@
                 odd.append(f"{entry.node} moved from cell {known.cell} to {entry.cell}")
         return odd
 
-    def as_used(self, entry: Endpoint) -> Endpoint:
+    def effective_entry(self, entry: Endpoint) -> Endpoint:
         """The entry with what an operator has said of that server above what the list says."""
-        if entry.node in self.banned and entry.state is EndpointState.UP:
+        if entry.node in self.disabled and entry.state is EndpointState.UP:
             return replace(entry, state=EndpointState.DRAINING, admin_disabled=True)
         # While it was out it was restarted, which the list may tell late: it comes back cold.
         back = self._back_us.get(entry.node, 0)
         return replace(entry, started_us=back) if back > entry.started_us else entry
 
-    def ban(self, banned: frozenset[str], now: int) -> list[Endpoint]:
+    def set_disabled(self, disabled: frozenset[str], now: int) -> list[Endpoint]:
         """Takes up who is out from now on; gives back the listed entries that this changes."""
-        changed = sorted(banned ^ self.banned)
-        self._back_us |= {node: now for node in changed if node not in banned}
-        self.banned = banned
-        return [self.as_used(self._entries[node]) for node in changed if node in self._entries]
+        changed = sorted(disabled ^ self.disabled)
+        self._back_us |= {node: now for node in changed if node not in disabled}
+        self.disabled = disabled
+        return [self.effective_entry(self._entries[node]) for node in changed if node in self._entries]
 
-    def shut(self, head: int) -> bool:
+    def instance_disabled(self, head: int) -> bool:
         """Whether operators have taken this head itself out."""
-        return f"head/{head}" in self.banned
+        return f"head/{head}" in self.disabled
 
     @property
-    def bans_digest(self) -> str:
+    def disabled_digest(self) -> str:
         """The same for the same servers taken out; empty where none is."""
-        return f"{zlib.crc32(' '.join(sorted(self.banned)).encode()):08x}" if self.banned else ""
+        return f"{zlib.crc32(' '.join(sorted(self.disabled)).encode()):08x}" if self.disabled else ""
 
-    def knows(self, node: str) -> bool:
-        return node in self._entries or node in self.banned
+    def is_known(self, node: str) -> bool:
+        return node in self._entries or node in self.disabled
 
     def __len__(self) -> int:
         return len(self._entries)
 
     @property
-    def avoided(self) -> int:
+    def unavailable(self) -> int:
         """Listed servers that are sent nothing."""
-        return sum(self.endpoint(node) is None for node in self._entries)
+        return sum(self.address_of(node) is None for node in self._entries)
 
     def zones(self) -> dict[str, str]:
         """The zone of each server that may be sent something."""
-        return {node: entry.zone for node, entry in self._entries.items() if self.endpoint(node)}
+        return {node: entry.zone for node, entry in self._entries.items() if self.address_of(node)}
 
-    def endpoint(self, node: str) -> str | None:
+    def address_of(self, node: str) -> str | None:
         """None for a server that drains, is gone or was never named: it may not be sent anything."""
         entry = self._entries.get(node)
-        up = entry and entry.state is EndpointState.UP and node not in self.banned
-        return self._endpoint[node] if up else None
+        up = entry and entry.state is EndpointState.UP and node not in self.disabled
+        return self._addresses[node] if up else None
--- a/garnetlanding/core/engine.py
+++ b/garnetlanding/core/engine.py
@@ -1,6 +1,6 @@
 """Feeds the controller with events and carries out its actions.
 
-Owns the single final answer of each item and the life of each attempt. Events that one loop turn
+Owns the single final answer of each request and the life of each attempt. Events that one loop turn
 brought go to the controller together, under one reading of the clock.
 """
 
@@ -39,11 +39,11 @@
 
 
 class Attempt:
-    """One try of an item at one server. It ends once; what is said of it later is ignored."""
+    """One try of a request at one server. It ends once; what is said of it later is ignored."""
 
     __slots__ = (
         "_core",
-        "item",
+        "request",
         "number",
         "node",
         "until_us",
@@ -55,9 +55,9 @@
     )
 
     def __init__(
-        self, core: RequestEngine, item: Request, number: int, node: str, until_us: int, now: int
+        self, core: RequestEngine, request: Request, number: int, node: str, until_us: int, now: int
     ) -> None:
-        self._core, self.item, self.number, self.node = core, item, number, node
+        self._core, self.request, self.number, self.node = core, request, number, node
         self.until_us, self.sent_at, self.ended_at = until_us, now, 0
         self.outcome: api.Outcome | None = None
         self._whole = False
@@ -71,23 +71,23 @@
 
     @property
     def work(self) -> Any:
-        return self.item.ask.work
+        return self.request.spec.work
 
-    def endpoint(self) -> str | None:
-        if self.outcome is not None or self.item.answer is not None or not self._core.may_repeat(self):
+    def address(self) -> str | None:
+        if self.outcome is not None or self.request.answer is not None or not self._core.may_repeat(self):
             return None
-        return self._core.directory.endpoint(self.node)
+        return self._core.endpoints.address_of(self.node)
 
-    def written(self) -> None:
+    def request_written(self) -> None:
         if not self._whole:
             self._whole = True
-            self._core.figures.dispatches += 1
+            self._core.metrics.dispatches += 1
 
-    def answering(self) -> None:
+    def response_started(self) -> None:
         if self._heard_at is None:
             self._heard_at = self._core.now
 
-    def ended(
+    def finish(
         self, outcome: api.Outcome, value: Any = None, used: int = 0, report: dict[str, float] | None = None
     ) -> None:
         if self.outcome is None:
@@ -98,9 +98,9 @@
 class Request:
     __slots__ = (
         "ticket",
-        "ask",
+        "spec",
         "backend",
-        "answered",
+        "on_answer",
         "began_at",
         "until_us",
         "attempts",
@@ -109,15 +109,15 @@
     )
 
     def __init__(
-        self, ticket: str, ask: RequestSpec, backend: Backend, answered: ResponseCallback, now: int
+        self, ticket: str, spec: RequestSpec, backend: Backend, on_answer: ResponseCallback, now: int
     ) -> None:
-        self.ticket, self.ask, self.backend, self.answered = ticket, ask, backend, answered
-        self.began_at, self.until_us = now, now + ask.wait_us
+        self.ticket, self.spec, self.backend, self.on_answer = ticket, spec, backend, on_answer
+        self.began_at, self.until_us = now, now + spec.timeout_us
         self.attempts: list[Attempt] = []
         self.answer: Answer | None = None
         self.timer: Timer | None = None
 
-    def out(self) -> list[Attempt]:
+    def in_flight(self) -> list[Attempt]:
         return [a for a in self.attempts if a.outcome is None]
 
 
@@ -126,19 +126,21 @@
         """`module`: what is fed the events, which may be put into something else later."""
         self.module, self._timers, self._limits = module, timers, limits
         self._settings = module.s
-        self.directory = EndpointRegistry()
-        self.figures = RequestMetrics(module.s.classes)
+        self.endpoints = EndpointRegistry()
+        self.metrics = RequestMetrics(module.s.classes)
         self.subscriptions: Subscriptions | None = None
         self.observers: list[Observer] = []
-        self.tell: Callable[[bytes, int], None] | None = None  # where heads may send each other messages
-        self._items: dict[str, Request] = {}
+        self.send_to_peer: Callable[[bytes, int], None] | None = (
+            None  # where heads may send each other messages
+        )
+        self._requests: dict[str, Request] = {}
         self._events: list[api.Event] = []
         self._open_bytes = 0
-        self.open = 0  # items not yet answered
-        self.part = 1.0  # of the head's room, to be kept to while another process has the rest
+        self.open_requests = 0  # requests not yet answered
+        self.capacity_share = 1.0  # of the head's room, to be kept to while another process has the rest
         self.may_act: Callable[[int], bool] | None = None  # where it has to show that it is current
-        self.out = False  # it can't: nothing is sent
-        self.on_out: list[Callable[[bool], None]] = []
+        self.fenced = False  # it can't: nothing is sent
+        self.on_fence_change: list[Callable[[bool], None]] = []
 
     @property
     def now(self) -> int:
@@ -151,102 +153,102 @@
 
     # From fronts
 
-    def accept(self, ask: RequestSpec, backend: Backend, answered: ResponseCallback) -> str:
-        """Takes an item; `answered` is called exactly once, unless the client leaves first. Raises Unfit
+    def submit(self, spec: RequestSpec, backend: Backend, on_answer: ResponseCallback) -> str:
+        """Takes a request; `on_answer` is called exactly once, unless the client leaves first. Raises Unfit
         for what the settings have no place for: it would spoil what the module keeps for others."""
-        if why := self._unfit(ask):
+        if why := self._unfit(spec):
             raise InvalidRequestError(why)
-        self.figures.taken += 1
-        item = Request(f"i{self.figures.taken}", ask, backend, answered, self._timers.now)
-        self.open += 1
-        self._open_bytes += ask.size
-        self._items[item.ticket] = item
-        if self.used > self.part or self.out:
+        self.metrics.accepted += 1
+        request = Request(f"i{self.metrics.accepted}", spec, backend, on_answer, self._timers.now)
+        self.open_requests += 1
+        self._open_bytes += spec.held_bytes
+        self._requests[request.ticket] = request
+        if self.capacity_used > self.capacity_share or self.fenced:
             # The head's own room, not a server's: the one refusal that is not the controller's.
-            self._finish(item, Rejected(self._settings.max_retry_after_us))
+            self._finish(request, Rejected(self._settings.max_retry_after_us))
         else:
-            item.timer = self._timers.call_at(item.until_us, lambda: self._deadline(item))
+            request.timer = self._timers.call_at(request.until_us, lambda: self._deadline(request))
             self._events.append(
                 api.Arrival(
-                    item.ticket,
-                    ask.cls,
-                    ask.plan,
-                    ask.volume,
-                    ask.key,
-                    ask.units,
-                    ask.cell,
-                    item.until_us,
-                    ask.volume_hosts,
-                    ask.is_retry,
-                    ask.is_write,
+                    request.ticket,
+                    spec.cls,
+                    spec.plan,
+                    spec.volume,
+                    spec.key,
+                    spec.units,
+                    spec.cell,
+                    request.until_us,
+                    spec.volume_hosts,
+                    spec.is_retry,
+                    spec.is_write,
                 )
             )
-        return item.ticket
+        return request.ticket
 
     @property
-    def used(self) -> float:
+    def capacity_used(self) -> float:
         """What part of the head's own room is taken."""
-        return max(self.open / self._limits.open_items, self._open_bytes / self._limits.open_bytes)
+        return max(self.open_requests / self._limits.open_items, self._open_bytes / self._limits.open_bytes)
 
-    def _unfit(self, ask: RequestSpec) -> str:
+    def _unfit(self, spec: RequestSpec) -> str:
         settings = self._settings
-        if ask.cls not in settings.classes:
+        if spec.cls not in settings.classes:
             return "unknown class"
-        if ask.plan not in settings.plans:
+        if spec.plan not in settings.plans:
             return "unknown plan"
-        if settings.cells and ask.cell >= settings.cells:
+        if settings.cells and spec.cell >= settings.cells:
             return "unknown shard"
-        if ask.units > settings.max_units:
+        if spec.units > settings.max_units:
             return "more units than the largest request has"
-        return "more hosts than there are" if ask.volume_hosts > settings.hosts else ""
+        return "more hosts than there are" if spec.volume_hosts > settings.hosts else ""
 
-    def turn_away(self, ticket: str, why: str) -> None:
+    def abort(self, ticket: str, why: str) -> None:
         """The client is told at once that this is not done, whatever is out for it."""
-        item = self._items.get(ticket)
-        if item and item.answer is None:
-            self._finish(item, Failed(why))
+        request = self._requests.get(ticket)
+        if request and request.answer is None:
+            self._finish(request, Failed(why))
             self._events.append(api.ClientLeft(ticket))
 
-    def turn_away_all(self, why: str) -> None:
-        for ticket in list(self._items):
-            self.turn_away(ticket, why)
+    def abort_all(self, why: str) -> None:
+        for ticket in list(self._requests):
+            self.abort(ticket, why)
 
-    def left(self, ticket: str) -> None:
+    def client_disconnected(self, ticket: str) -> None:
         """The client has gone away: nobody is owed an answer any more."""
-        if item := self._items.get(ticket):
-            item.answered = lambda _: None
-        self.turn_away(ticket, "client left")
+        if request := self._requests.get(ticket):
+            request.on_answer = lambda _: None
+        self.abort(ticket, "client left")
 
     # From the operator
 
-    def settings_changed(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         self._settings = settings
-        self.figures.know(settings.classes)
+        self.metrics.add_classes(settings.classes)
         self._events.append(api.NewSettings(settings))
 
-    def ban(self, banned: frozenset[str]) -> None:
+    def set_disabled(self, disabled: frozenset[str]) -> None:
         """These servers are sent nothing from now on; those put back may be again, as if just started."""
-        if changed := self.directory.ban(banned, self._timers.now):
+        if changed := self.endpoints.set_disabled(disabled, self._timers.now):
             self._events.append(api.EndpointListUpdate(tuple(changed)))
 
-    def metrics(self) -> str:
+    def metrics_text(self) -> str:
         """The figures as text, true at this moment."""
-        return encode(self.figures, self.open, len(self.directory), self.directory.avoided)
+        return encode(self.metrics, self.open_requests, len(self.endpoints), self.endpoints.unavailable)
 
     # From the directory
 
-    def listed(self, listing: EndpointListing) -> None:
-        if odd := self.directory.apply(listing):
+    def update_endpoints(self, listing: EndpointListing) -> None:
+        if odd := self.endpoints.apply(listing):
             log.warning("odd list", extra={"kv": {"first": odd[0], "count": len(odd)}})
-        entries = tuple(map(self.directory.as_used, listing.entries))
-        self._events.append(api.EndpointListUpdate(entries, listing.whole, at_start=listing.at_start))
+        entries = tuple(map(self.endpoints.effective_entry, listing.entries))
+        self._events.append(api.EndpointListUpdate(entries, listing.complete, at_start=listing.at_start))
 
-    def list_failed(self, queued: bool = False, unheard_us: int = 0) -> None:
+    def endpoint_update_failed(self, queued: bool = False, unheard_us: int = 0) -> None:
         self._events.append(api.EndpointListUpdate(failed=True, queued=queued, unheard_us=unheard_us))
 
     # From other heads
 
-    def told(self, sender: int, payload: bytes) -> None:
+    def receive_peer_message(self, sender: int, payload: bytes) -> None:
         self._events.append(api.PeerMessage(sender, payload))
 
     # From backends
@@ -254,29 +256,29 @@
     def attempt_ended(
         self, attempt: Attempt, outcome: api.Outcome, value: Any, used: int, report: dict[str, float]
     ) -> None:
-        item, now = attempt.item, self._timers.now
+        request, now = attempt.request, self._timers.now
         attempt.ended_at = now
-        if outcome is api.Outcome.SERVED and item.answer is None:
-            self._finish(item, Served(value))
+        if outcome is api.Outcome.SERVED and request.answer is None:
+            self._finish(request, Served(value))
         elif isinstance(value, Body):
             value.end(False)  # nobody waits for it any more
         self._events.append(
             api.Result(
-                item.ticket,
+                request.ticket,
                 attempt.number,
                 attempt.node,
                 outcome,
                 attempt.took_us,
-                item.answer is not None,
+                request.answer is not None,
                 used,
                 report,
             )
         )
-        self._drop_settled(item)
+        self._drop_settled(request)
 
     # The turn
 
-    def turn(self) -> None:
+    def run_iteration(self) -> None:
         """Gives the controller what has come in and does what it says, until nothing is left."""
         if self.may_act:
             self._look_out(self.may_act)
@@ -298,32 +300,33 @@
     def _look_out(self, may_act: Callable[[int], bool]) -> None:
         """Before anything is sent in this turn: a head that wakes after a stall finds that it may not act."""
         out = not may_act(self._timers.now)
-        if out == self.out:
+        if out == self.fenced:
             return
-        self.out = out
-        log.warning("out" if out else "acts again", extra={"kv": {"open": self.open}})
+        self.fenced = out
+        log.warning("out" if out else "acts again", extra={"kv": {"open": self.open_requests}})
         if out:
-            for item in [i for i in self._items.values() if i.answer is None and not i.out()]:
+            for request in [i for i in self._requests.values() if i.answer is None and not i.in_flight()]:
                 # What has not run, or may run again, can be had elsewhere; what is out is finished.
-                cls = self._settings.classes.get(item.ask.cls)
+                cls = self._settings.classes.get(request.spec.cls)
                 harmless = (
                     cls is not None
                     and cls.effect is api.Effect.SAFE
-                    or all(a.outcome in NEVER_RAN for a in item.attempts)
+                    or all(a.outcome in NEVER_RAN for a in request.attempts)
                 )
                 self._finish(
-                    item, Rejected(self._settings.max_retry_after_us) if harmless else Failed("not current")
+                    request,
+                    Rejected(self._settings.max_retry_after_us) if harmless else Failed("not current"),
                 )
-                self._events.append(api.ClientLeft(item.ticket))
-        for told in self.on_out:
+                self._events.append(api.ClientLeft(request.ticket))
+        for told in self.on_fence_change:
             told(out)
 
     def may_repeat(self, attempt: Attempt) -> bool:
         """Asked again at the first byte: while a connection comes up, the window for repeats may pass."""
-        cls = self._settings.classes.get(attempt.item.ask.cls)
+        cls = self._settings.classes.get(attempt.request.spec.cls)
         if not attempt.number or cls is None or cls.effect is api.Effect.SAFE:
             return True
-        ran = [a for a in attempt.item.attempts[: attempt.number] if a.outcome not in NEVER_RAN]
+        ran = [a for a in attempt.request.attempts[: attempt.number] if a.outcome not in NEVER_RAN]
         return not ran or cls.effect is api.Effect.KEYED and self._timers.now < ran[0].sent_at + cls.window_us
 
     def _perform(self, action: api.Action) -> None:
@@ -335,9 +338,9 @@
             case api.Fail():
                 self._final(action.request, Failed("gave up"))
             case api.Cancel():
-                item = self._items.get(action.request)
-                if item and action.attempt < len(item.attempts):
-                    self._stop(item.attempts[action.attempt], api.Outcome.CANCELLED)
+                request = self._requests.get(action.request)
+                if request and action.attempt < len(request.attempts):
+                    self._stop(request.attempts[action.attempt], api.Outcome.CANCELLED)
             case api.WakeAfter():
                 token = action.token
                 self._timers.call_at(
@@ -347,90 +350,90 @@
                 if self.subscriptions:
                     self.subscriptions.subscribe()
             case api.SendPeerMessage():
-                if self.tell:
-                    self.tell(action.payload, action.to)
+                if self.send_to_peer:
+                    self.send_to_peer(action.payload, action.to)
             case api.Log():
                 log.info("decision", extra={"kv": {"note": action.text}})
             case api.Probe():
                 log.error("probe asked for, none is allowed", extra={"kv": {"node": action.node}})
 
     def _send(self, send: api.Send) -> None:
-        item = self._items.get(send.request)
-        if item is None:
+        request = self._requests.get(send.request)
+        if request is None:
             return
         now = self._timers.now
-        until = min(send.until_us or item.until_us, item.until_us)
-        attempt = Attempt(self, item, len(item.attempts), send.node, until, now)
-        most = self._limits.copies if self._settings.parallel_attempts and item.ask.copies else 1
-        busy = len(item.out()) >= most
-        item.attempts.append(attempt)
+        until = min(send.until_us or request.until_us, request.until_us)
+        attempt = Attempt(self, request, len(request.attempts), send.node, until, now)
+        most = self._limits.copies if self._settings.parallel_attempts and request.spec.allow_hedging else 1
+        busy = len(request.in_flight()) >= most
+        request.attempts.append(attempt)
         # Never more at once than is allowed, never past the last attempt, never to a server that drains.
         if (
             busy
-            or self.out
-            or item.answer is not None
+            or self.fenced
+            or request.answer is not None
             or now >= until
-            or attempt.endpoint() is None
+            or attempt.address() is None
             or attempt.number >= self._settings.max_attempts
         ):
-            attempt.ended(api.Outcome.MOOT)
+            attempt.finish(api.Outcome.MOOT)
             return
-        if until < item.until_us:
+        if until < request.until_us:
             self._timers.call_at(until, lambda: self._stop(attempt, api.Outcome.TIMEOUT))
-        item.backend.start(attempt)
+        request.backend.start(attempt)
 
     def _stop(self, attempt: Attempt, outcome: api.Outcome) -> None:
         if attempt.outcome is None:
-            attempt.item.backend.stop(attempt)
-            attempt.ended(outcome)
+            attempt.request.backend.stop(attempt)
+            attempt.finish(outcome)
 
-    def _deadline(self, item: Request) -> None:
-        for attempt in item.out():
+    def _deadline(self, request: Request) -> None:
+        for attempt in request.in_flight():
             self._stop(attempt, api.Outcome.TIMEOUT)
-        if item.answer is None:
+        if request.answer is None:
             # From now on: after a stall both times have passed, and the controller is to have its turn first.
-            item.timer = self._timers.call_at(
-                self._timers.now + DEADLINE_GRACE_US, lambda: self._overdue(item)
+            request.timer = self._timers.call_at(
+                self._timers.now + DEADLINE_GRACE_US, lambda: self._overdue(request)
             )
 
-    def _overdue(self, item: Request) -> None:
-        """Guards the one rule no defect may break: an accepted item gets its answer."""
-        if item.answer is None:
-            log.error("controller gave no answer in time", extra={"kv": {"item": item.ticket}})
-            self._finish(item, Failed("deadline passed"))
-            self._events.append(api.ClientLeft(item.ticket))
+    def _overdue(self, request: Request) -> None:
+        """Guards the one rule no defect may break: an accepted request gets its answer."""
+        if request.answer is None:
+            log.error("controller gave no answer in time", extra={"kv": {"request": request.ticket}})
+            self._finish(request, Failed("deadline passed"))
+            self._events.append(api.ClientLeft(request.ticket))
 
     def _final(self, ticket: str, answer: Answer) -> None:
-        item = self._items.get(ticket)
-        if item and item.answer is None:
-            self._finish(item, answer)
+        request = self._requests.get(ticket)
+        if request and request.answer is None:
+            self._finish(request, answer)
 
-    def _finish(self, item: Request, answer: Answer) -> None:
-        item.answer = answer
-        self._open_bytes -= item.ask.size
+    def _finish(self, request: Request, answer: Answer) -> None:
+        request.answer = answer
+        self._open_bytes -= request.spec.held_bytes
         if isinstance(answer, Served) and isinstance(answer.value, Body):
             # Its last byte is its end; from the first on nothing else can be answered.
             answer.value.on_end.append(
-                lambda whole: self._ended(item, answer if whole else Failed("cut short"))
+                lambda whole: self._ended(request, answer if whole else Failed("cut short"))
             )
         else:
-            self._ended(item, answer)
-        if item.timer and not item.out():
-            item.timer.cancel()
-        item.answered(answer)
+            self._ended(request, answer)
+        if request.timer and not request.in_flight():
+            request.timer.cancel()
+        request.on_answer(answer)
         if self.observers:
             trail = [
                 (a.node, a.outcome.value if a.outcome else "out", a.sent_at, a.ended_at)
-                for a in item.attempts
+                for a in request.attempts
             ]
             for observer in self.observers:
-                observer.item_ended(item.ask, answer, item.began_at, self._timers.now, trail)
-        self._drop_settled(item)
+                observer.request_ended(request.spec, answer, request.began_at, self._timers.now, trail)
+        self._drop_settled(request)
 
-    def _ended(self, item: Request, answer: Answer) -> None:
-        self.figures.end(item.ask.cls, answer)
-        self.open -= 1
+    def _ended(self, request: Request, answer: Answer) -> None:
+        self.metrics.record(request.spec.cls, answer)
+        self.open_requests -= 1
 
-    def _drop_settled(self, item: Request) -> None:
-        if item.answer is not None and not item.out():
-            self._items.pop(item.ticket, None)
+    def _drop_settled(self, request: Request) -> None:
+        if request.answer is not None and not request.in_flight():
+            self._requests.pop(request.ticket, None)
--- a/garnetlanding/core/metrics.py
+++ b/garnetlanding/core/metrics.py
@@ -10,7 +10,7 @@
 
 
 class RequestMetrics:
-    """Counts since the process began. taken = ended + open, at every moment."""
+    """Counts since the process began. accepted = ended + open, at every moment."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.success: Counter[str] = Counter()
@@ -18,10 +18,10 @@
         self.error: Counter[str] = Counter()
         self.classes: dict[str, None] = {}
         self.dispatches = 0  # attempts whose last byte is with the kernel
-        self.taken = 0
-        self.know(classes)
+        self.accepted = 0
+        self.add_classes(classes)
 
-    def know(self, classes: Iterable[str]) -> None:
+    def add_classes(self, classes: Iterable[str]) -> None:
         """Classes are told of from the moment they are in the settings, with 0."""
         self.classes |= dict.fromkeys(classes)
 
@@ -29,7 +29,7 @@
     def ended(self) -> int:
         return self.success.total() + self.overload.total() + self.error.total()
 
-    def end(self, cls: str, answer: Answer) -> None:
+    def record(self, cls: str, answer: Answer) -> None:
         counts = (
             self.success
             if isinstance(answer, Served)
--- a/garnetlanding/core/ports.py
+++ b/garnetlanding/core/ports.py
@@ -20,13 +20,13 @@
     key: str
     units: float
     cell: int  # -1: a new object
-    wait_us: int  # how long the client waits from now on
+    timeout_us: int  # how long the client waits from now on
     volume_hosts: int
     work: Any
     is_retry: bool = False
     is_write: bool = False
-    size: int = 0  # bytes held while it is open
-    copies: bool = True  # a second attempt may be out beside the first, where the settings allow it
+    held_bytes: int = 0  # bytes held while it is open
+    allow_hedging: bool = True  # a second attempt may be out beside the first, where the settings allow it
 
 
 class InvalidRequestError(ValueError):
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    why: str
+    reason: str
 
 
 Answer = Served | Rejected | Failed
@@ -56,11 +56,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListing:
-    """The server list or its changes; `endpoints` tells where each server named listens."""
+    """The server list or its changes; `addresses` tells where each server named listens."""
 
     entries: tuple[Endpoint, ...]
-    endpoints: dict[str, str]
-    whole: bool
+    addresses: dict[str, str]
+    complete: bool
     at_start: bool = False
 
 
@@ -85,16 +85,16 @@
     @property
     def until_us(self) -> int: ...
 
-    def endpoint(self) -> str | None:
+    def address(self) -> str | None:
         """Where the server listens; None: it may not be sent anything (any more)."""
 
-    def written(self) -> None:
+    def request_written(self) -> None:
         """Its last byte is with the kernel; later calls change nothing."""
 
-    def answering(self) -> None:
+    def response_started(self) -> None:
         """The first byte of the server's answer has come; later calls change nothing."""
 
-    def ended(
+    def finish(
         self, outcome: Outcome, value: Any = None, used: int = 0, report: dict[str, float] | None = None
     ) -> None:
         """The one end of the attempt; later calls change nothing."""
@@ -103,9 +103,9 @@
 class Backend(Protocol):
     """Carries attempts to servers over one protocol."""
 
-    def start(self, trial: AttemptHandle) -> None: ...
+    def start(self, attempt: AttemptHandle) -> None: ...
 
-    def stop(self, trial: AttemptHandle) -> None:
+    def stop(self, attempt: AttemptHandle) -> None:
         """On return the attempt is off: the server no longer owes it anything."""
 
 
@@ -129,7 +129,7 @@
 class Observer(Protocol):
     """Told of what has ended; must return at once."""
 
-    def item_ended(
+    def request_ended(
         self,
         ask: RequestSpec,
         answer: Answer,
--- a/garnetlanding/daemon.py
+++ b/garnetlanding/daemon.py
@@ -77,13 +77,13 @@
             self.part = self.lives.look(0.0, False)
         settings = read_settings(self.store.get(SETTINGS, config.raw_settings))
         self.core = RequestEngine(Controller(self._as_used(settings), config.seed), self.scheduler, limits)
-        self.scheduler.turn_end.append(self.core.turn)
+        self.scheduler.turn_end.append(self.core.run_iteration)
         self.bricks = bricks(self.scheduler, self.pool, limits)
         # One offset for good: were it read anew, a server's start time would seem to move.
         offset = time.time_ns() // 1000 - clock()
         known = newer_list(self.store, config.known)
         keep_list(self.store, known)
-        version, listing = read_list(known, lambda us: us - offset, whole=True, at_start=True)
+        version, listing = read_list(known, lambda us: us - offset, complete=True, at_start=True)
         own = BufferPool(limits.buffer_bytes, limits.discovery_buffers, limits.discovery_buffers)
         self.watch = self.core.subscriptions = Watch(
             self.scheduler,
@@ -91,14 +91,14 @@
             own,
             limits,
             lambda us: us - offset,
-            self.core.listed,
-            self.core.list_failed,
+            self.core.update_endpoints,
+            self.core.endpoint_update_failed,
             lambda data: keep_list(self.store, data),
             version,
             lambda: not self.core.settings.poll_endpoints,
         )
-        self.core.listed(listing)
-        self.watch.hold()
+        self.core.update_endpoints(listing)
+        self.watch.keep_open()
         self.link: PeerLink | None = None
         self.audit: Recorder | None = None
         self.audit_files: AuditFiles | None = None
@@ -139,7 +139,7 @@
             self._note_settings(self.store.get(SETTINGS, config.raw_settings))
         if config.operator.audit:
             self._start_audit(config.operator.audit)
-        if (chosen := config.operator.choices) and chosen.subset:
+        if (chosen := config.operator.choices) and chosen.subset_size:
             self._keep_some(chosen)
         ids: set[bytes] = set()
         front = self._listen(
@@ -172,7 +172,7 @@
             self._hear_bans(self.fleet)
         if self.fleet or self.currency:
             self.core.may_act = self._may_act
-            self.core.on_out.append(self._stand_back)
+            self.core.on_fence_change.append(self._stand_back)
         self._place_link()
         if self.history:
             self.history.note("up")
@@ -214,19 +214,19 @@
     def _keep_some(self, chosen: ChoicesSetup) -> None:
         from garnetlanding.choices.subset_tracker import SubsetTracker
 
-        kept, core = SubsetTracker(chosen.subset), self.core
-        self.bricks.outside_idle_us = chosen.idle_us
-        self.bricks.keeps = lambda: kept.look(
+        subset, core = SubsetTracker(chosen.subset_size), self.core
+        self.bricks.outside_idle_us = chosen.idle_timeout_us
+        self.bricks.keeps = lambda: subset.update(
             core.settings.me,
             self.group.members.entitled if self.group else range(core.settings.hosts),
-            core.directory.zones(),
+            core.endpoints.zones(),
         )
 
     def _hear_bans(self, fleet: FailureDetector) -> None:
         """Where no operator is heard: what other heads' operators said, for as long as this process lives."""
         self.scheduler.call_at(self.scheduler.now + fleet.limits.look_us, lambda: self._hear_bans(fleet))
         if fleet.merge():
-            self.core.ban(fleet.bans.banned)
+            self.core.set_disabled(fleet.bans.banned)
 
     def _listen(
         self,
@@ -246,7 +246,7 @@
         # A writer's settings hold at every head, but for the number of each.
         settings = replace(settings, part=self.part, me=self.config.settings.me)
         if self.config.operator.choices:
-            settings = self.config.operator.choices.used(settings)
+            settings = self.config.operator.choices.with_retry_budget(settings)
         ninep = self.config.operator.ninep
         if not ninep or not any(export.writable for export in ninep.exports.values()):
             return settings
@@ -255,7 +255,7 @@
         return with_twins(settings, (e.change_cls for e in ninep.exports.values() if e.writable))
 
     def _replicate(self, setup: StoreSetup) -> None:
-        from garnetlanding.choices.stagger import turn
+        from garnetlanding.choices.stagger import stagger_offset
         from garnetlanding.store.replica import Follower, WriterMachine
 
         if setup.role == "writer":
@@ -278,12 +278,12 @@
             self.pool,
             self.limits,
             self.currency,
-            turn(s.me, s.hosts, "store"),
+            stagger_offset(s.me, s.hosts, "store"),
         )
 
     def _may_act(self, now: int) -> bool:
         """Whether this head is current, as far as it has to be, and no operator has shut it out."""
-        shut = self.fleet is not None and self.core.directory.shut(self.core.settings.me)
+        shut = self.fleet is not None and self.core.endpoints.instance_disabled(self.core.settings.me)
         return not shut and (self.currency is None or self.currency.current(now))
 
     def _stand_back(self, out: bool) -> None:
@@ -301,9 +301,13 @@
             "code": lambda: __version__,
             "settings": lambda: self.settings_version,
             "list": lambda: str(self.watch.version),
-            "bans": lambda: core.directory.bans_digest,
+            "bans": lambda: core.endpoints.disabled_digest,
             "out": lambda: (
-                "" if not core.out else "shut out" if core.directory.shut(core.settings.me) else "not current"
+                ""
+                if not core.fenced
+                else "shut out"
+                if core.endpoints.instance_disabled(core.settings.me)
+                else "not current"
             ),
         }
         if self.group:
@@ -336,7 +340,7 @@
             clients,
             StateFile(tempfile.gettempdir(), self.config.name),
             limits,
-            lambda: self.watch.told or self.scheduler.now >= known_by,
+            lambda: self.watch.is_synced or self.scheduler.now >= known_by,
             lambda: self._share(clients),
             lambda what: self.talk.known(what, self.scheduler.now) if self.talk else None,
             self._shared_bans(),
@@ -381,18 +385,18 @@
         if self.lives.newer:
             clients.shed(int(self.limits.client_conns * HALF))
             self.bricks.shed(int(self.limits.brick_conns * HALF))
-        used = max(clients.used, self.bricks.used, self.pool.used, self.core.used)
+        used = max(clients.used, self.bricks.used, self.pool.used, self.core.capacity_used)
         part = self.lives.look(used, self.ending)
         if part != self.part:
             self._keep_to(clients, part)
-            self.core.settings_changed(
+            self.core.apply_settings(
                 self._as_used(read_settings(self.store.get(SETTINGS, self.config.raw_settings)))
             )
         # Said once it is kept to: the other process counts on it.
         self.lives.keep(part)
 
     def _keep_to(self, clients: Listener, part: float) -> None:
-        self.part = clients.part = self.bricks.part = self.pool.part = self.core.part = part
+        self.part = clients.part = self.bricks.part = self.pool.part = self.core.capacity_share = part
         log.info("part of the bounds", extra={"kv": {"part": round(part, 3)}})
 
     def _place_link(self) -> None:
@@ -402,7 +406,7 @@
             setup = self.config.operator.fleet.place(setup)
         if self.link and self.link.setup != setup:
             self.link.close()
-            self.link = self.core.tell = None
+            self.link = self.core.send_to_peer = None
         if setup is None or self.link or self._link_retry:
             return
         from garnetlanding.peers.coordinator import PeerCoordinator
@@ -423,7 +427,9 @@
             )
             self.core.module = talk
         try:
-            self.link = PeerLink(self.scheduler, setup, self.core.told, self._dropped, self.group)
+            self.link = PeerLink(
+                self.scheduler, setup, self.core.receive_peer_message, self._dropped, self.group
+            )
         except OSError as problem:
             # The older process of an upgrade has it, and speaks for this head, until its end.
             log.warning("no link to other heads", extra={"kv": {"at": setup.listen, "why": problem.strerror}})
@@ -431,7 +437,7 @@
             self.scheduler.call_at(self.scheduler.now + setup.limits.open_retry_us, self._place_link_again)
             return
         self.talk.take_over(self.scheduler.now)
-        self.core.tell = self.link.tell
+        self.core.send_to_peer = self.link.tell
         log.info(
             "listening",
             extra={"kv": {"name": self.config.name, "for": "other heads", "at": self.link.address}},
@@ -455,7 +461,7 @@
         )
         self.core.observers.append(exporter)
         exporter.gauges = {
-            "requests.open": lambda: self.core.open,
+            "requests.open": lambda: self.core.open_requests,
             "clients": lambda: sum(map(len, self.listeners)),
             "server.connections": lambda: self.bricks.count,
             "buffers.used": lambda: self.pool.in_use,
@@ -500,7 +506,7 @@
         if raw is None or (entry and entry.key != SETTINGS):
             return
         try:
-            self.core.settings_changed(self._as_used(read_settings(raw)))
+            self.core.apply_settings(self._as_used(read_settings(raw)))
         except ConfigError as problem:
             log.error("settings not taken, the old ones stand", extra={"kv": {"why": problem}})
             if self.audit:
@@ -508,7 +514,7 @@
         else:
             log.info("settings taken")
             self._note_settings(raw)
-            self.watch.hold()
+            self.watch.keep_open()
             self._place_link()
 
     # Signals
@@ -532,7 +538,7 @@
         self._place_link()
         if config.discovery != old.discovery:
             # Not at the module's next asking: what the new discovery has to tell counts as told soon.
-            self.watch.move(config.discovery)
+            self.watch.switch_to(config.discovery)
 
     def _catch_signals(self) -> None:
         Signals(self.scheduler, self.limits.signal_bytes, self.reload, self.end)
@@ -540,7 +546,7 @@
     def end(self) -> None:
         """Goes on serving for a while, as clients use the connections they have for as long as those stay
         open and have nobody else to ask; then finishes what was taken, ends its parts, and stops."""
-        log.info("ending", extra={"kv": {"open": self.core.open}})
+        log.info("ending", extra={"kv": {"open": self.core.open_requests}})
         self.ending = True
         try:
             # Beside a newer process its clients have somewhere to go: they need not wait here.
@@ -563,7 +569,7 @@
         if newer and self.link and self.talk:
             self.talk.retire(self.scheduler.now)
             self.link.close()
-            self.link = self.core.tell = None
+            self.link = self.core.send_to_peer = None
         return newer
 
     def _wait_for(self, done: Callable[[], bool], span_us: int) -> None:
--- a/garnetlanding/discovery/listing.py
+++ b/garnetlanding/discovery/listing.py
@@ -40,16 +40,16 @@
 
 
 def read_list(
-    data: object, to_monotonic: Callable[[int], int], whole: bool | None = None, at_start: bool = False
+    data: object, to_monotonic: Callable[[int], int], complete: bool | None = None, at_start: bool = False
 ) -> tuple[int, EndpointListing]:
-    """The version and the listing; `whole` overrides what the list says of itself."""
+    """The version and the listing; `complete` overrides what the list says of itself."""
     if not isinstance(data, dict):
         raise ListError("not an object")
     instances = data.get("instances")
     if not isinstance(instances, list):
         raise ListError("field instances: not a list")
     read = [read_entry(e, to_monotonic) for e in instances]
-    whole = bool(data.get("reset")) if whole is None else whole
+    complete = bool(data.get("reset")) if complete is None else complete
     return int(_get(data, "generation", (int,), 0)), EndpointListing(
-        tuple(e for e, _ in read), {e.node: endpoint for e, endpoint in read}, whole, at_start
+        tuple(e for e, _ in read), {e.node: endpoint for e, endpoint in read}, complete, at_start
     )
--- a/garnetlanding/discovery/watch.py
+++ b/garnetlanding/discovery/watch.py
@@ -34,7 +34,7 @@
         self.lines = 0  # whole ones, also those that say that nothing has changed
 
     @property
-    def turned_down(self) -> bool:
+    def rejected(self) -> bool:
         return self._http.status not in (0, 200)
 
     def feed(self, data: bytes | memoryview) -> None:
@@ -94,14 +94,14 @@
         self._calls = 0
         self._following = False  # a call is out, or its watch stands
         self._failing = False  # where lists are pushed: it has failed, and no list has come since
-        self.told = False  # discovery has said something since the start
+        self.is_synced = False  # discovery has said something since the start
 
-    def move(self, address: str) -> None:
+    def switch_to(self, address: str) -> None:
         """Follows another discovery from now on. What one counted as versions means nothing to the next."""
         self._address, self._version = address, 0
         self.subscribe()
 
-    def hold(self) -> None:
+    def keep_open(self) -> None:
         """At the start, after a failure, after new settings: a list that is pushed is followed from now on.
         Where new settings say that it is asked for, the core decides when to."""
         if self._following:
@@ -126,16 +126,16 @@
         return self._version
 
     def _tell(self, version: int, listing: EndpointListing, data: dict[str, Any]) -> None:
-        if version < self._version and listing.entries and not listing.whole:
+        if version < self._version and listing.entries and not listing.complete:
             # Changes of an older list than the one that stands would bring back what is gone. The old list
             # stands, and the next call asks for the whole of it.
             known, self._version = self._version, 0
             raise ListError(f"field generation: {version} after {known}")
-        self._version, self.told, self._failing = version, True, False
+        self._version, self.is_synced, self._failing = version, True, False
         self._keep(data)
         log.info(
             "list",
-            extra={"kv": {"version": version, "entries": len(listing.entries), "whole": listing.whole}},
+            extra={"kv": {"version": version, "entries": len(listing.entries), "whole": listing.complete}},
         )
         self._listed(listing)
 
@@ -176,7 +176,7 @@
             # A newer call answers for itself; this one has ended and is told once.
             self._stream, self._following = None, False
             reason = f"{type(why).__name__}: {why}"
-            queued = machine.turned_down and scheduler.now - began >= limits.discovery_queued_us
+            queued = machine.rejected and scheduler.now - began >= limits.discovery_queued_us
             # A reset or an answer tells at once; silence only when it is over.
             unheard = scheduler.now - heard if isinstance(why, Expired) else 0
             if not self._pushed():
@@ -186,4 +186,4 @@
                 # One line for all the calls that fail until it stands again.
                 log.warning("watch failed", extra={"kv": {"why": reason}})
             self._failing = True
-            scheduler.call_at(scheduler.now + limits.agent_retry_us, self.hold)
+            scheduler.call_at(scheduler.now + limits.agent_retry_us, self.keep_open)
--- a/garnetlanding/history/writer.py
+++ b/garnetlanding/history/writer.py
@@ -33,7 +33,7 @@
         again before it sends past `until`."""
         self.note(what, until=until, parts={name: round(part, 4) for name, part in parts.items()})
 
-    def item_ended(
+    def request_ended(
         self,
         ask: RequestSpec,
         answer: Answer,
--- a/garnetlanding/ninep/client.py
+++ b/garnetlanding/ninep/client.py
@@ -64,7 +64,7 @@
             self._end(end.value)
             return
         # Each message of a longer program is new work for the server: it may have begun to drain.
-        if self._trial and self._trial.endpoint() is None:
+        if self._trial and self._trial.address() is None:
             raise PeerFault("server drains")
         self._expose(message)
         self._framer.among = self._session.among
@@ -90,9 +90,9 @@
             self._work = None
             if self._session.free_first:
                 self._program = tidy_up(self._session)
-                trial.ended(Outcome.SERVED, answer)
+                trial.finish(Outcome.SERVED, answer)
                 return self._step(None)
-            trial.ended(Outcome.SERVED, answer)
+            trial.finish(Outcome.SERVED, answer)
         self._program = None
         self._clunk()
         self._done()
--- a/garnetlanding/ninep/front.py
+++ b/garnetlanding/ninep/front.py
@@ -118,7 +118,7 @@
         del self._pending[tag]
         pending.settled = pending.dropped = True
         if pending.ticket:
-            self.front.core.left(pending.ticket)
+            self.front.core.client_disconnected(pending.ticket)
             self._item_ended()
         if pending.order:
             self.front.ended(self.id, pending.order, unsure=False)
@@ -467,7 +467,7 @@
 
         cls = class_for(work.op, export.cls, export.change_cls or export.cls, core.settings.classes)
         try:
-            pending.ticket = core.accept(
+            pending.ticket = core.submit(
                 RequestSpec(
                     cls,
                     export.plan,
@@ -479,8 +479,8 @@
                     export.hosts,
                     work,
                     is_write=work.spec.change,
-                    size=self._bytes(work),
-                    copies=False,
+                    held_bytes=self._bytes(work),
+                    allow_hedging=False,
                 ),  # what it keeps of its attempts is for one at a time
                 self.front.backend,
                 answered,
--- a/garnetlanding/ops/admin_service.py
+++ b/garnetlanding/ops/admin_service.py
@@ -53,10 +53,10 @@
         return not self._state.draining
 
     def ready(self) -> bool:
-        return self._told() and self._clients.accepting and self._clients.part > 0 and not self._core.out
+        return self._told() and self._clients.accepting and self._clients.part > 0 and not self._core.fenced
 
     def metrics(self) -> str:
-        return self._core.metrics()
+        return self._core.metrics_text()
 
     def disable(self, brick: str) -> bool:
         return self._put("disabled", brick, True)
@@ -65,7 +65,7 @@
         return self._put("enabled", brick, False)
 
     def _put(self, what: str, brick: str, out: bool) -> bool:
-        shared, known = self._shared, self._core.directory.knows(brick)
+        shared, known = self._shared, self._core.endpoints.is_known(brick)
         if known and shared:
             self._change(what, lambda state: shared.say(state, brick, out), brick)
         elif known:
@@ -118,7 +118,7 @@
     def _take_up(self, state: OpsState) -> None:
         old, self._state = self._state, state
         if state.banned != old.banned:
-            self._core.ban(state.banned)
+            self._core.set_disabled(state.banned)
         if self._shared:
             self._shared.tell(state)
         if state.draining and self._drained_at is None:
--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from garnetlanding.choices.stagger import turn
+from garnetlanding.choices.stagger import stagger_offset
 from garnetlanding.core.ports import DecisionModule
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import NEVER
@@ -142,7 +142,7 @@
         if not self._may_use:
             self._stand_back(NEVER, now)
         # Heads that start together would all speak at once: each has its own turn in the first round.
-        self._wake(told, now, 1 + int(self.limits.say_every_us * turn(s.me, s.hosts, "say")))
+        self._wake(told, now, 1 + int(self.limits.say_every_us * stagger_offset(s.me, s.hosts, "say")))
         return leases
 
     def _regroup(self, leases: Leases, now: int) -> None:
--- a/garnetlanding/resp/brick.py
+++ b/garnetlanding/resp/brick.py
@@ -99,7 +99,7 @@
             if self._trial is None and self.body is None:
                 raise PeerFault("answer to nothing")
             if self._trial:
-                self._trial.answering()
+                self._trial.response_started()
             for reply in self._decoder.feed(data):
                 if self._part(reply):
                     continue
@@ -110,7 +110,7 @@
                 body, self.body = self.body, None
                 # A whole answer counts whatever stands behind it: with one attempt out, it is that one's.
                 if trial:
-                    trial.ended(*meaning)
+                    trial.finish(*meaning)
                 elif body:
                     body.end(True)
                 if self._decoder.midway:
@@ -125,7 +125,7 @@
         if isinstance(reply, codec.Begun) and self._trial:
             trial, self._trial = self._trial, None
             self.body = Body(reply.length)
-            trial.ended(Outcome.SERVED, self.body)
+            trial.finish(Outcome.SERVED, self.body)
         elif isinstance(reply, codec.Piece) and self.body:
             self.body.feed(reply.data)
         else:
--- a/garnetlanding/resp/front.py
+++ b/garnetlanding/resp/front.py
@@ -22,7 +22,7 @@
             return codec.bulk(value)
         case Rejected(retry_after_us):
             return b"-BUSY %d\r\n" % -(-retry_after_us // MS) if retry_after_us else b"-BUSY\r\n"
-    return codec.error("ERR " + answer.why)
+    return codec.error("ERR " + answer.reason)
 
 
 Slot = list[bytes | Body | None]  # of one command: its answer, once there is one
@@ -110,7 +110,7 @@
                 raise BadRequest("id: of a request that is open")
             # The core may answer before it returns: then there is no open item to note.
             self.asked += 1
-            ticket = self._core.accept(ask, self._backend, lambda a: self._settle(slot, write_answer(a)))
+            ticket = self._core.submit(ask, self._backend, lambda a: self._settle(slot, write_answer(a)))
         except (BadRequest, InvalidRequestError) as problem:
             self._spoilt(slot, str(problem))
             return
@@ -128,7 +128,7 @@
         """Such a client is owed an error and a close soon: what it has open does not hold them up."""
         self.ended = True
         for ticket, _ in list(self._open.values()):
-            self._core.turn_away(ticket, why)
+            self._core.abort(ticket, why)
         self._settle(self._slot(), codec.error("ERR " + why))
 
     def _slot(self) -> Slot:
@@ -150,8 +150,8 @@
         while not self._passing and self._slots and (answer := self._slots[0][0]) is not None:
             if isinstance(answer, Body):
                 self._write(b"".join([*ready, b"$%d\r\n" % answer.length]))
-                answer.flow_to(self._write)
-                if not answer.over:
+                answer.attach_sink(self._write)
+                if not answer.ended:
                     self._passing = True
                     return
                 ready, answer = [], b"\r\n"
@@ -183,5 +183,5 @@
         self._decoder.close()
         for ticket, request in self._open.values():
             self._ids.discard(request)
-            self._core.left(ticket)
+            self._core.client_disconnected(ticket)
         self._open.clear()
--- a/garnetlanding/resp/request.py
+++ b/garnetlanding/resp/request.py
@@ -84,10 +84,10 @@
         key=key,
         units=_number(pairs, "units"),
         cell=_whole(pairs, "shard", -1),
-        wait_us=min(_whole(pairs, "d", 0) * MS, limits.client_wait_us),
+        timeout_us=min(_whole(pairs, "d", 0) * MS, limits.client_wait_us),
         volume_hosts=_whole(pairs, "hosts", 1),
         work=Command(tuple(words)),
         is_retry=pairs.get("r") == "1",
         is_write=is_write,
-        size=sum(map(len, words)),
+        held_bytes=sum(map(len, words)),
     )
--- a/garnetlanding/runtime/listener.py
+++ b/garnetlanding/runtime/listener.py
@@ -93,7 +93,7 @@
         most = 0 if listener.pool.scarce else listener.limits.pass_window
         return not self.stream.closed and self.stream.unsent > most
 
-    def when_room(self, call: Callable[[], None]) -> None:
+    def when_writable(self, call: Callable[[], None]) -> None:
         self.stream.on_flushed = call
 
     def cut(self) -> None:
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -115,7 +115,7 @@
         scheduler = self._upstream.scheduler
         if self._passing is not body:
             self._passing = body
-            body.on_room = lambda: scheduler.wake(self._task)
+            body.on_writable = lambda: scheduler.wake(self._task)
             body.on_end.append(lambda whole: None if whole else self.close())
         self._read += 1
         if self._read * self._upstream.pool.size >= self._upstream.limits.pass_window:
@@ -133,7 +133,7 @@
         self.trial, self._written = trial, False
         self.began_at = self._upstream.scheduler.now
         if not self._upstream.allows(trial, self.key):
-            trial.ended(Outcome.UNREACHABLE)
+            trial.finish(Outcome.UNREACHABLE)
             self._done()
             return
         self.machine.begin(trial)
@@ -146,7 +146,7 @@
     def _flushed(self) -> None:
         self._written = self.machine.exposed
         if self._written and self.trial:
-            self.trial.written()
+            self.trial.request_written()
 
     def _done(self) -> None:
         self.idle_since = self._upstream.scheduler.now
@@ -166,7 +166,7 @@
         self._upstream.gone(self)
         trial, self.trial = self.trial, None
         if trial:
-            trial.ended(Outcome.RESET if self._written else Outcome.UNREACHABLE)
+            trial.finish(Outcome.RESET if self._written else Outcome.UNREACHABLE)
 
 
 class Upstream:
@@ -203,13 +203,13 @@
 
     def allows(self, trial: AttemptHandle, key: Key) -> bool:
         """Whether its server may still be sent the attempt, and still listens where this goes."""
-        endpoint = trial.endpoint()
+        endpoint = trial.address()
         return endpoint is not None and self._place(endpoint) == key[0]
 
     def start(self, trial: AttemptHandle) -> None:
-        endpoint = trial.endpoint()
+        endpoint = trial.address()
         if endpoint is None:
-            trial.ended(Outcome.UNREACHABLE)
+            trial.finish(Outcome.UNREACHABLE)
             return
         key = self._place(endpoint), self._bind(trial)
         idle = self._idle.get(key, [])
@@ -229,10 +229,10 @@
         if self.places and len(conns) >= self.places.most(trial.node):
             # The place is lacking, not the server: nothing is to be learnt of it.
             self.places.open(trial.node, len(conns), lacking=True)
-            trial.ended(Outcome.MOOT)
+            trial.finish(Outcome.MOOT)
             return
         if len(conns) >= self.limits.brick_conns_each or not self._room():
-            trial.ended(Outcome.UNREACHABLE)
+            trial.finish(Outcome.UNREACHABLE)
             return
         self.count += 1
         conn = self._busy[trial] = Connection(self, key, trial)
--- a/garnetlanding/shutdown.py
+++ b/garnetlanding/shutdown.py
@@ -86,7 +86,11 @@
             while True:
                 connections = sum(map(len, self._listeners))
                 phase = schedule.next(
-                    phase, self._scheduler.now - began, connections, self._core.open, self._relieved()
+                    phase,
+                    self._scheduler.now - began,
+                    connections,
+                    self._core.open_requests,
+                    self._relieved(),
                 )
                 if phase is Phase.LEAVING:
                     return
@@ -94,7 +98,7 @@
                     self._close()
                 if phase is Phase.TURNING_AWAY:
                     # SIGKILL is near, and would lose whatever it finds unanswered.
-                    self._core.turn_away_all("ending")
+                    self._core.abort_all("ending")
                 self._scheduler.sleep(self._limits.term_look_us)
         finally:
             for listener in self._listeners:
--- a/garnetlanding/telemetry/exporter.py
+++ b/garnetlanding/telemetry/exporter.py
@@ -85,7 +85,7 @@
 
     # From the core
 
-    def item_ended(
+    def request_ended(
         self,
         ask: RequestSpec,
         answer: Answer,
--- a/tests/choices/test_subsets.py
+++ b/tests/choices/test_subsets.py
@@ -15,7 +15,7 @@
 from garnetlanding import config
 from garnetlanding.choices import subsets as module
 from garnetlanding.choices.setup import ChoicesSetup, read
-from garnetlanding.choices.stagger import turn
+from garnetlanding.choices.stagger import stagger_offset
 from garnetlanding.choices.subset_tracker import SubsetTracker
 from garnetlanding.choices.subsets import subsets
 from garnetlanding.emulator.brick import Brick
@@ -184,16 +184,16 @@
 
 @given(st.integers(1, 300), st.text(max_size=9))
 def test_turns_are_evenly_spaced_and_no_head_is_always_last(heads: int, signal: str) -> None:
-    places = sorted(turn(number, heads, signal) for number in range(heads))
+    places = sorted(stagger_offset(number, heads, signal) for number in range(heads))
     assert all(0 <= place < 1 for place in places)
     assert all(b - a == pytest.approx(1 / heads) for a, b in pairwise(places))
-    wrong = [turn(number, 2 * heads, signal) for number in range(heads)]
+    wrong = [stagger_offset(number, 2 * heads, signal) for number in range(heads)]
     assert len(set(wrong)) == heads, "wrong by a factor of two: half of the span, one after another"
 
 
 def test_the_order_of_turns_changes_with_the_signal() -> None:
-    last = {max(range(10), key=lambda n: turn(n, 10, f"signal {i}")) for i in range(60)}
-    assert len(last) >= 8 and turn(3, 0) == 0.0
+    last = {max(range(10), key=lambda n: stagger_offset(n, 10, f"signal {i}")) for i in range(60)}
+    assert len(last) >= 8 and stagger_offset(3, 0) == 0.0
 
 
 # In the head
@@ -201,10 +201,10 @@
 
 def test_the_kept_servers_are_looked_up_again_only_when_something_has_changed() -> None:
     kept, servers = SubsetTracker(2), {f"s{i}": "a" for i in range(6)}
-    first = kept.look(1, range(4), servers)
-    assert len(first) == 2 and kept.look(1, [3, 2, 1, 0], dict(servers)) == first and kept.changes == 1
-    assert len(kept.look(1, range(4), servers | {"s9": "b"})) == 2 and kept.changes == 2
-    assert kept.look(9, range(4), servers) == frozenset(), "it has been put out"
+    first = kept.update(1, range(4), servers)
+    assert len(first) == 2 and kept.update(1, [3, 2, 1, 0], dict(servers)) == first and kept.changes == 1
+    assert len(kept.update(1, range(4), servers | {"s9": "b"})) == 2 and kept.changes == 2
+    assert kept.update(9, range(4), servers) == frozenset(), "it has been put out"
 
 
 def test_idle_connections_are_kept_to_some_servers_only() -> None:
@@ -237,15 +237,15 @@
 
 def test_a_budget_of_further_attempts_is_the_operators_where_the_settings_have_none() -> None:
     plain = helpers.settings()
-    chosen = ChoicesSetup(resend_share=0.1, resend_free=3, resend_span_us=5 * SECOND)
-    used = chosen.used(plain)
+    chosen = ChoicesSetup(retry_budget_ratio=0.1, retry_budget_floor=3, retry_budget_window_us=5 * SECOND)
+    used = chosen.with_retry_budget(plain)
     assert (used.retry_budget_ratio, used.retry_budget_floor, used.retry_budget_window_us) == (
         0.1,
         3,
         5 * SECOND,
     )
     theirs = replace(plain, retry_budget_ratio=0.5, retry_budget_window_us=SECOND)
-    assert chosen.used(theirs) == theirs and ChoicesSetup().used(plain) == plain
+    assert chosen.with_retry_budget(theirs) == theirs and ChoicesSetup().with_retry_budget(plain) == plain
 
 
 # Processes
--- a/tests/core/test_request_engine.py
+++ b/tests/core/test_request_engine.py
@@ -46,7 +46,7 @@
 
     def say(self, node: str, state: EndpointState, whole: bool = False, started: int = 0) -> None:
         entry = api.Endpoint(node, 0, "z", state, started)
-        self.core.listed(EndpointListing((entry,), {node: "x:1"}, whole, at_start=whole))
+        self.core.update_endpoints(EndpointListing((entry,), {node: "x:1"}, whole, at_start=whole))
         self.settle()
 
     def ask(
@@ -58,8 +58,10 @@
         volume: str = "v",
         copies: bool = True,
     ) -> str:
-        ticket = self.core.accept(
-            RequestSpec(cls, "gold", volume, "k", 2, 0, wait_us, 1, name, size=size, copies=copies),
+        ticket = self.core.submit(
+            RequestSpec(
+                cls, "gold", volume, "k", 2, 0, wait_us, 1, name, held_bytes=size, allow_hedging=copies
+            ),
             self.backend,
             lambda answer: self.answers.__setitem__(name, answer),
         )
@@ -68,7 +70,7 @@
 
     def end(self, outcome: Outcome, value: bytes | None = None) -> AttemptHandle:
         trial = self.backend.out.pop(0)
-        trial.ended(outcome, value)
+        trial.finish(outcome, value)
         self.settle()
         return trial
 
@@ -79,11 +81,11 @@
     w = CoreWorld()
     w.ask("a")
     trial = w.backend.out.pop()
-    trial.ended(Outcome.SERVED, b"v")
+    trial.finish(Outcome.SERVED, b"v")
     assert w.answers == {"a": Served(b"v")}, "before the turn ends"
-    trial.ended(Outcome.RESET)
+    trial.finish(Outcome.RESET)
     w.settle()
-    assert not w.core._items and w.core.open == 0
+    assert not w.core._requests and w.core.open_requests == 0
 
 
 def test_at_most_four_attempts_and_the_refusal_comes_at_once() -> None:
@@ -108,21 +110,21 @@
     w = CoreWorld(settings())
     with_copy(w)
     first, second = w.backend.out
-    second.ended(Outcome.SERVED, b"second")
-    first.ended(Outcome.SERVED, b"first")  # in the same turn
+    second.finish(Outcome.SERVED, b"second")
+    first.finish(Outcome.SERVED, b"first")  # in the same turn
     assert w.answers == {"a": Served(b"second")}
     w.settle()
-    assert not w.core._items and w.core.open == 0 and w.core.figures.ended == 1
+    assert not w.core._requests and w.core.open_requests == 0 and w.core.metrics.ended == 1
     with_copy(w := CoreWorld(settings()))
     w.end(Outcome.SERVED, b"first")
-    assert w.answers == {"a": Served(b"first")} and len(w.backend.stopped) == 1 and not w.core._items
+    assert w.answers == {"a": Served(b"first")} and len(w.backend.stopped) == 1 and not w.core._requests
 
 
 def test_at_the_deadline_both_copies_are_stopped() -> None:
     w = CoreWorld(settings())
     with_copy(w, wait_us=SECOND)
     w.run(SECOND)
-    assert len(w.backend.stopped) == 2 and list(w.answers) == ["a"] and not w.core._items
+    assert len(w.backend.stopped) == 2 and list(w.answers) == ["a"] and not w.core._requests
 
 
 @pytest.mark.parametrize("config, copies", [(settings(parallel_attempts=False), True), (settings(), False)])
@@ -135,7 +137,7 @@
 
 def test_no_attempt_goes_to_a_server_that_began_to_drain_in_the_same_turn() -> None:
     w = CoreWorld()
-    w.core.directory.apply(
+    w.core.endpoints.apply(
         EndpointListing((api.Endpoint("n0", 0, "z", EndpointState.DRAINING),), {"n0": "x:1"}, False)
     )
     w.ask("a", wait_us=300 * MS)
@@ -153,7 +155,7 @@
         w.ask(f"a{i}", volume=f"v{i}")
         w.end(Outcome.SERVED, b"")
         w.run(3 * SECOND, SECOND)
-    assert list(w.core.directory._entries) == list(w.core.directory._endpoint) == ["n30"]
+    assert list(w.core.endpoints._entries) == list(w.core.endpoints._addresses) == ["n30"]
     module = w.core.module
     assert list(module.entries) == ["n30"] and len(module.volumes) <= 21
     assert all(set(node.flows) <= set(module.volumes) for node in module.nodes.values())
@@ -161,12 +163,14 @@
 
 def test_a_whole_list_forgets_what_it_leaves_out() -> None:
     w = CoreWorld()
-    w.core.listed(EndpointListing((api.Endpoint("n1", 1, "z", EndpointState.UP),), {"n1": "y:1"}, True))
+    w.core.update_endpoints(
+        EndpointListing((api.Endpoint("n1", 1, "z", EndpointState.UP),), {"n1": "y:1"}, True)
+    )
     w.settle()
-    assert w.core.directory.endpoint("n0") is None and w.core.directory.endpoint("n1") == "y:1"
-    w.core.list_failed()
+    assert w.core.endpoints.address_of("n0") is None and w.core.endpoints.address_of("n1") == "y:1"
+    w.core.endpoint_update_failed()
     w.settle()
-    assert w.core.directory.endpoint("n1") == "y:1", "after a failure the old list stands"
+    assert w.core.endpoints.address_of("n1") == "y:1", "after a failure the old list stands"
 
 
 def test_the_head_has_room_of_its_own_and_turns_away_what_exceeds_it() -> None:
@@ -199,7 +203,7 @@
 def test_after_a_stall_the_controller_still_has_its_turn_before_the_core_answers() -> None:
     """Its wake-up and both of the core's times have passed by then: the core used to answer first."""
     w = CoreWorld()
-    w.core.listed(EndpointListing((), {}, True))
+    w.core.update_endpoints(EndpointListing((), {}, True))
     w.ask("a", wait_us=100 * MS)
     w.time += 500 * MS
     w.settle()
@@ -213,7 +217,7 @@
     ticket = w.ask("a", wait_us=100 * MS)
     monkeypatch.setattr(w.core.module, "handle", lambda now, events: [])
     w.run(110 * MS)
-    assert [t.node for t in w.backend.stopped] == ["n0"] and ticket not in w.core._items
+    assert [t.node for t in w.backend.stopped] == ["n0"] and ticket not in w.core._requests
     assert w.core.starts[0].outcome is Outcome.TIMEOUT and isinstance(w.answers["a"], Failed)
 
 
@@ -272,12 +276,12 @@
                 tickets[f"a{n}"] = w.ask(f"a{n}", wait_us=(pick + 1) * 100 * MS)
             case "end" if w.backend.out:
                 trial = w.backend.out.pop(pick % len(w.backend.out))
-                trial.ended(outcome, b"v" if outcome is Outcome.SERVED else None)
+                trial.finish(outcome, b"v" if outcome is Outcome.SERVED else None)
             case "leave" if tickets:
                 name = sorted(tickets)[pick % len(tickets)]
                 if name not in w.answers:
                     left.add(name)
-                w.core.left(tickets[name])
+                w.core.client_disconnected(tickets[name])
             case "drain" | "gone" | "up":
                 state = {"drain": EndpointState.DRAINING, "gone": EndpointState.GONE, "up": EndpointState.UP}[
                     step
@@ -288,8 +292,8 @@
             case "pass":
                 w.run((pick + 1) * 25 * MS, 25 * MS)
             case "fail":
-                w.core.list_failed()
+                w.core.endpoint_update_failed()
         w.settle()
         assert all(w.time < due[name] + 8 * MS for name in due if name not in w.answers and name not in left)
     w.run(900 * MS, 25 * MS)
-    assert set(w.answers) == set(due) - left and not w.core._items and w.core.open == 0
+    assert set(w.answers) == set(due) - left and not w.core._requests and w.core.open_requests == 0
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -60,12 +60,14 @@
     w, value = Store(), bytes(range(256)) * 256
     client = w.begun(value, 30_000)
     assert client.got.startswith(b"$65536\r\n") and 20_000 < len(client.got) < 30_000
-    assert len(w.core.finals[0]) == 1 and w.core.open == 1, "answered, and open to its last byte"
+    assert len(w.core.finals[0]) == 1 and w.core.open_requests == 1, "answered, and open to its last byte"
     assert [a.outcome for a in w.core.starts] == [api.Outcome.SERVED]
     [conn] = w.brick.conns
     conn.write(answer(value)[30_000:])
     w.settle()
-    assert client.got == codec.bulk(value) and w.core.open == 0 and w.core.figures.success["read"] == 1
+    assert (
+        client.got == codec.bulk(value) and w.core.open_requests == 0 and w.core.metrics.success["read"] == 1
+    )
     assert client.say(read_command("r2")) == b"$0\r\n\r\n" and len(w.brick.conns) == 1, "both are used again"
 
 
@@ -89,7 +91,7 @@
     w.brick.drop()
     w.settle()
     assert client.closed and MIB - 100 <= len(client.got) <= MIB
-    assert len(w.core.starts) == 1 and w.core.figures.error["read"] == 1 and w.core.open == 0
+    assert len(w.core.starts) == 1 and w.core.metrics.error["read"] == 1 and w.core.open_requests == 0
 
 
 def test_a_brick_that_stops_in_the_middle_has_broken_off_and_a_slow_one_has_not() -> None:
@@ -133,7 +135,7 @@
     w = Store()
     client = w.begun(b"v" * MIB, 30_000)
     client.close()
-    assert not w.brick.conns and w.core.open == 0 and len(w.listener) == 0
+    assert not w.brick.conns and w.core.open_requests == 0 and len(w.listener) == 0
 
 
 def test_a_value_waits_for_the_answers_before_it_and_those_behind_it_wait_for_it() -> None:
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -361,7 +361,7 @@
     h.daemon.reload()
     h.settle()
     assert second.calls == ["/v1/servers?follow=1&since=0"], "another's versions mean nothing here"
-    assert not h.discovery.conns and h.daemon.core.directory.endpoint("b1")
+    assert not h.discovery.conns and h.daemon.core.endpoints.address_of("b1")
     h.brick.release()
     h.settle()
     assert client.got == b"$0\r\n\r\n" and not client.closed
@@ -439,10 +439,10 @@
     kept = load(path)
     assert kept and SERVERS + "b9" in kept.values
     second = Daemon(config.read(BASE, operator), lambda: T0)
-    assert second.core.directory.endpoint("b9") is None, "the list of the configuration is newer"
+    assert second.core.endpoints.address_of("b9") is None, "the list of the configuration is newer"
     older = BASE | {"known": BASE["known"] | {"generation": 1}}
     third = Daemon(config.read(older, operator), lambda: T0)
-    assert third.core.directory.endpoint("b9") and third.store.epoch > kept.epoch
+    assert third.core.endpoints.address_of("b9") and third.store.epoch > kept.epoch
 
 
 def test_a_follower_takes_its_writers_settings(tmp_path: pathlib.Path) -> None:
@@ -470,7 +470,7 @@
     )
     assert "read/once" not in Daemon(config.read(BASE, one_export()), lambda: T0).core.settings.classes
     daemon.store.put(SETTINGS_KEY, SETTINGS)
-    daemon.core.turn()
+    daemon.core.run_iteration()
     assert "read/once" in daemon.core.settings.classes, "also after a reload"
 
 
--- a/tests/daemon/test_graceful_shutdown.py
+++ b/tests/daemon/test_graceful_shutdown.py
@@ -121,7 +121,7 @@
     w.run(100 * MS)
     w.appear()
     w.run(SECOND, 50 * MS)
-    assert not w.brick.heard and w.core.open == 0
+    assert not w.brick.heard and w.core.open_requests == 0
 
 
 @pytest.mark.parametrize("how", LEAVE)
@@ -134,7 +134,7 @@
     assert len(w.brick.heard) == 1
     LEAVE[how](client)
     w.run(SECOND)
-    assert len(w.brick.heard) == 1 and w.core.open == 0
+    assert len(w.brick.heard) == 1 and w.core.open_requests == 0
 
 
 def test_a_client_that_leaves_while_its_connection_comes_up_is_not_sent_on(
@@ -160,7 +160,7 @@
         client.fin()
     w.appear()
     w.run(SECOND)
-    assert not w.brick.heard and w.core.open == 0 and len(w.listener) == 0
+    assert not w.brick.heard and w.core.open_requests == 0 and len(w.listener) == 0
 
 
 def test_where_buffers_have_run_out_a_leaver_is_seen_and_what_is_owed_is_answered() -> None:
@@ -174,9 +174,12 @@
             w.pool.take()
     leaver.fin()
     w.settle()
-    assert w.core.open == 1
+    assert w.core.open_requests == 1
     stays.say(read_command("r3")[:-9])
-    assert stays.read().startswith(b"-ERR out of buffers\r\n-ERR out of buffers\r\n") and w.core.open == 0
+    assert (
+        stays.read().startswith(b"-ERR out of buffers\r\n-ERR out of buffers\r\n")
+        and w.core.open_requests == 0
+    )
 
 
 def test_messages_that_wait_behind_others_are_dropped_with_their_client() -> None:
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -77,7 +77,7 @@
     version, listing = read_list(
         {"generation": 41, "reset": True, "instances": [entry]}, lambda us: us - 1_699_999_999_000_000
     )
-    assert (version, listing.whole, listing.endpoints) == (41, True, {"s-1": "10.1.0.18:6379"})
+    assert (version, listing.complete, listing.addresses) == (41, True, {"s-1": "10.1.0.18:6379"})
     [told] = listing.entries
     assert (told.state, told.cell, told.started_us) == (EndpointState.DRAINING, 3, SECOND)
     long_ago = read_list({"instances": [ENTRY]}, lambda us: us - 5)[1].entries[0]
@@ -121,7 +121,7 @@
         )
         self.unheard: list[int] = []
         if pushed:
-            self.watch.hold()
+            self.watch.keep_open()
         else:
             self.watch.subscribe()
         self.settle()
@@ -144,8 +144,8 @@
             self.pool,
             self.limits,
             lambda us: us,
-            self.core.listed,
-            self.core.list_failed,
+            self.core.update_endpoints,
+            self.core.endpoint_update_failed,
             lambda data: None,
             0,
         )
@@ -217,10 +217,10 @@
     assert directory.apply(listing(up("a", 0), up("b", 1))) == []
     drains = Endpoint("a", 0, "z", EndpointState.DRAINING)
     assert directory.apply(listing(up("a", 0), drains, whole=False)) == ["a is named twice"]
-    assert directory.endpoint("a") is None and directory.endpoint("b")
+    assert directory.address_of("a") is None and directory.address_of("b")
     assert directory.apply(listing(up("b", 7), whole=False)) == ["b moved from cell 1 to 7"]
     assert directory.apply(listing()) == ["whole list is empty, 2 servers were known"]
-    assert directory.endpoint("b") is None
+    assert directory.address_of("b") is None
 
 
 def test_a_call_that_fails_is_told_and_the_next_may_succeed() -> None:
@@ -275,7 +275,7 @@
     """Where lists are pushed the core asks for none, so nobody followed the list: drains went unheard."""
     w = WatchWorld(pushed=True)
     assert w.heard == ["b0:up"]
-    w.watch.hold()  # new settings of the same form: the watch that stands goes on
+    w.watch.keep_open()  # new settings of the same form: the watch that stands goes on
     w.settle()
     assert len(w.discovery.calls) == 1
     w.discovery.boxes[0].state = "DRAINING"
@@ -306,7 +306,7 @@
     assert w.heard == ["b0:up", "failed"]
     w.pushed = True
     w.discovery.down = False
-    w.watch.hold()
+    w.watch.keep_open()
     w.settle()
     assert w.heard[-1] == "b0:up"
 
@@ -344,7 +344,7 @@
     monkeypatch.setattr(Discovery, "answer", answer)
     silent_from = w.time
     w.discovery.boxes[0].state = "DRAINING"
-    while w.core.directory.endpoint("b0"):
+    while w.core.endpoints.address_of("b0"):
         if drips and w.discovery.conns and len(w.discovery.calls) == 2:
             w.discovery.conns[-1].write(b"1\r\n \r\n")
         w.run(50 * MS)
@@ -363,7 +363,7 @@
         w.scheduler.turn(0)
         if w.watch._stream is None or w.watch._stream.closed:
             break  # it is on its way, and not yet up
-    w.watch.move(other.address)
+    w.watch.switch_to(other.address)
     w.settle()
     assert len(old.calls) == 1 and not old.conns, "nobody follows the old one"
     old.tell(Box("b0", "127.0.0.1:9", 0, "DRAINING"))
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -120,7 +120,7 @@
     def __call__(self, data: bytes) -> None:
         self.written.append(bytes(data))
 
-    def when_room(self, call: Callable[[], None]) -> None:
+    def when_writable(self, call: Callable[[], None]) -> None:
         raise AssertionError("this sink is never full")
 
     def cut(self) -> None:
@@ -276,8 +276,8 @@
         lines += [
             f"# {what}",
             f"class {ask.cls}, plan {ask.plan}, volume {ask.volume}, key {ask.key}, units {ask.units!r}, "
-            f"cell {ask.cell}, wait {ask.wait_us} us, hosts {ask.volume_hosts}, retry {ask.is_retry}, "
-            f"write {ask.is_write}, size {ask.size}, copies {ask.copies}",
+            f"cell {ask.cell}, wait {ask.timeout_us} us, hosts {ask.volume_hosts}, retry {ask.is_retry}, "
+            f"write {ask.is_write}, size {ask.held_bytes}, copies {ask.allow_hedging}",
         ]
         lines += [f"left {left} us: {shown(ask.work.for_brick(left))}" for left in (1, 999_999, 2_500_000)]
     with pytest.raises(BadRequest) as problem:
@@ -295,22 +295,22 @@
         self.work = read_request(REQUESTS["read"], Limits()).work
         self.lines = lines
 
-    def endpoint(self) -> str | None:
+    def address(self) -> str | None:
         return None
 
-    def written(self) -> None:
+    def request_written(self) -> None:
         self.lines.append("written")
 
-    def answering(self) -> None:
+    def response_started(self) -> None:
         self.lines.append("answering")
 
-    def ended(
+    def finish(
         self, outcome: api.Outcome, value: Any = None, used: int = 0, report: dict[str, float] | None = None
     ) -> None:
         told = f"body of {value.length}" if isinstance(value, Body) else repr(value)
         if isinstance(value, Body):
             value.on_end.append(lambda whole: self.lines.append(f"body ended, whole: {whole}"))
-            value.flow_to(BodySink(self.lines))
+            value.attach_sink(BodySink(self.lines))
         self.lines.append(f"ended {OUTCOME_LABELS[outcome]}, value {told}, used {used}, report {report}")
 
 
@@ -709,8 +709,8 @@
             asked, answered = core.items.pop(core.last)
             lines.append(
                 f"asked class {asked.cls}, plan {asked.plan}, volume {asked.volume}, key {asked.key}, "
-                f"units {asked.units!r}, cell {asked.cell}, wait {asked.wait_us}, "
-                f"hosts {asked.volume_hosts}, write {asked.is_write}, size {asked.size}"
+                f"units {asked.units!r}, cell {asked.cell}, wait {asked.timeout_us}, "
+                f"hosts {asked.volume_hosts}, write {asked.is_write}, size {asked.held_bytes}"
             )
             answered(answer)
         lines.extend(f"< {data.hex()}" for data in sink.written)
@@ -796,8 +796,8 @@
         world.limits,
         lambda us: us + 100,
         lambda listing: lines.extend(
-            [f"whole {listing.whole}, at start {listing.at_start}"]
-            + [f"{entry_form(e)} at {listing.endpoints[e.node] or '-'}" for e in listing.entries]
+            [f"whole {listing.complete}, at start {listing.at_start}"]
+            + [f"{entry_form(e)} at {listing.addresses[e.node] or '-'}" for e in listing.entries]
         ),
         lambda queued, unheard: lines.append(f"failed, queued {queued}, unheard {unheard}"),
         lambda data: lines.append(f"kept {json.dumps(data)}"),
@@ -848,9 +848,9 @@
 
     def metrics(self) -> str:
         figures = RequestMetrics(["read", "write"])
-        figures.end("read", Served(b""))
-        figures.end("read", Rejected(0))
-        figures.end("write", Failed("x"))
+        figures.record("read", Served(b""))
+        figures.record("read", Rejected(0))
+        figures.record("write", Failed("x"))
         figures.dispatches = 4
         return encode_figures(figures, 5, 6, 7)
 
@@ -979,7 +979,7 @@
     for cls, answer in (("read", Served(b"v")), ("read", Rejected(5)), ("write", Failed("x"))):
         ask = RequestSpec(cls, "gold", "vol-1", "k", 2, 3, SECOND, 1, None)
         attempts = [("b0", "reset", began, began + MS), ("b1", "served", began + 2 * MS, 0)]
-        exporter.item_ended(ask, answer, began, began + 30 * MS, attempts)
+        exporter.request_ended(ask, answer, began, began + 30 * MS, attempts)
     world.run(SECOND, 100 * MS)
     exporter.finish()
     world.settle()
@@ -1330,9 +1330,9 @@
         )
     if choices := config.operator.choices:
         lines.append(
-            f"choices: subset {choices.subset}, idle {choices.idle_us}, "
-            f"resend share {choices.resend_share!r}, resend free {choices.resend_free!r}, "
-            f"resend span {choices.resend_span_us}"
+            f"choices: subset {choices.subset_size}, idle {choices.idle_timeout_us}, "
+            f"resend share {choices.retry_budget_ratio!r}, resend free {choices.retry_budget_floor!r}, "
+            f"resend span {choices.retry_budget_window_us}"
         )
     if audit := config.operator.audit:
         a = audit.limits
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -319,9 +319,9 @@
     h = Head(operator, TELLS, peer_listen="127.0.0.1:0", peers=["127.0.0.1:9", "127.0.0.1:9", "127.0.0.1:9"])
     h.client().say(read_command())
     for out in (True, False):
-        for told in h.daemon.core.on_out:
+        for told in h.daemon.core.on_fence_change:
             told(out)
-    h.daemon.core.turn()
+    h.daemon.core.run_iteration()
     h.settle()
     lines = [json.loads(line) for line in file.read_text().splitlines()]
     for line in lines:
@@ -357,7 +357,7 @@
     for i, answer in enumerate(answers):
         work = Work((b"RUN", b"1", b"id-%d\xff" % i)) if i else None
         attempts = [("b0", "reset", 900, 950), ("b1", "served", 960, 990)][: 2 - i]
-        history.item_ended(replace(ENDED, work=work), answer, 890, 995, attempts)
+        history.request_ended(replace(ENDED, work=work), answer, 890, 995, attempts)
     history.believed("parts", {"vol-1": 0.123456, "vol-2": 1.0}, 2000)
     history.believed("shares", {"cold:n0": 1 / 3}, 2100)
     History(str(path), "n0", 4, lambda: 5)
@@ -733,9 +733,9 @@
     exporter = Exporter(w.scheduler, setup, "n1", 7, w.pool, w.limits, lambda: wall_ns)
     began = w.scheduler.now
     attempts = [("b0", "reset", began, began + MS), ("b1", "served", began + 2 * MS, 0)]
-    exporter.item_ended(ENDED, Served(b"v"), began, began + 30 * MS, attempts)
-    exporter.item_ended(ENDED, Rejected(0), began, began + 20 * SECOND, [])
-    exporter.item_ended(
+    exporter.request_ended(ENDED, Served(b"v"), began, began + 30 * MS, attempts)
+    exporter.request_ended(ENDED, Rejected(0), began, began + 20 * SECOND, [])
+    exporter.request_ended(
         replace(ENDED, cls="write", cell=-1), Failed("é"), began, began + 5 * MS, attempts[:1]
     )
     exporter.gauges = {"clients": lambda: 4, "store.revision": lambda: 0}
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -544,9 +544,9 @@
         args = (self.scheduler, self.core, self.clients, state, self.limits, lambda: True, lambda: None)
         self.desk = AdminService(*args, known, shared, forget) if fleet else AdminService(*args)
         self.list(Box("b0", "127.0.0.1:1", 0), Box("b1", "127.0.0.1:1", 1))
-        self.core.figures = RequestMetrics(["read", "write", "save.big"])
+        self.core.metrics = RequestMetrics(["read", "write", "save.big"])
         for cls, answer in (("read", Served(b"")), ("read", Failed("x")), ("save.big", Rejected())):
-            self.core.figures.end(cls, answer)
+            self.core.metrics.record(cls, answer)
 
     def call(self, request: bytes) -> bytes:
         said: list[bytes] = []
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -159,13 +159,15 @@
 
     def start(self, trial: AttemptHandle) -> None:
         assert isinstance(trial, Attempt)
-        attempts = trial.item.attempts
+        attempts = trial.request.attempts
         out = [a for a in attempts if a.outcome is None]
-        assert len(out) <= (2 if self.core._settings.parallel_attempts and trial.item.ask.copies else 1)
+        assert len(out) <= (
+            2 if self.core._settings.parallel_attempts and trial.request.spec.allow_hedging else 1
+        )
         assert out[-1] is trial
         assert len(attempts) <= self.core._settings.max_attempts
-        assert trial.item.answer is None, "sent after the final answer"
-        assert self.core.directory.endpoint(trial.node), "sent to a server that drains or is gone"
+        assert trial.request.answer is None, "sent after the final answer"
+        assert self.core.endpoints.address_of(trial.node), "sent to a server that drains or is gone"
         self.core.starts.append(trial)
         self.inner.start(trial)
 
@@ -179,7 +181,7 @@
     starts: list[Attempt]
     finals: list[list[Answer]]
 
-    def accept(self, ask: RequestSpec, backend: Backend, answered: ResponseCallback) -> str:
+    def submit(self, ask: RequestSpec, backend: Backend, answered: ResponseCallback) -> str:
         finals: list[Answer] = []
         self.finals.append(finals)
 
@@ -188,7 +190,7 @@
             assert len(finals) == 1, "two final answers"
             answered(answer)
 
-        return super().accept(ask, CheckedBackend(backend, self), once)
+        return super().submit(ask, CheckedBackend(backend, self), once)
 
 
 class FakeCore:
@@ -200,16 +202,16 @@
         self.last, self._count = "", 0
         self.settings = settings()
 
-    def accept(self, ask: RequestSpec, backend: Backend, answered: ResponseCallback) -> str:
+    def submit(self, ask: RequestSpec, backend: Backend, answered: ResponseCallback) -> str:
         self._count += 1
         self.last = f"i{self._count}"
         self.items[self.last] = ask, answered
         return self.last
 
-    def left(self, ticket: str) -> None:
+    def client_disconnected(self, ticket: str) -> None:
         self.gone.append(ticket)
 
-    def turn_away(self, ticket: str, why: str) -> None:
+    def abort(self, ticket: str, why: str) -> None:
         self.items.pop(ticket)[1](Failed(why))
 
 
@@ -232,7 +234,7 @@
             self.limits,
         )
         self.core.starts, self.core.finals = [], []
-        self.scheduler.turn_end.append(self.core.turn)
+        self.scheduler.turn_end.append(self.core.run_iteration)
         self.bricks = bricks(self.scheduler, self.pool, self.limits)
 
     def server(self, kind: type[S], **more: Any) -> S:
@@ -253,7 +255,7 @@
 
     def list(self, *boxes: Box, whole: bool = True) -> None:
         data = {"generation": 1, "reset": whole, "instances": [b.entry() for b in boxes]}
-        self.core.listed(read_list(data, lambda us: us, at_start=whole)[1])
+        self.core.update_endpoints(read_list(data, lambda us: us, at_start=whole)[1])
         self.settle()
 
     def settle(self) -> None:
--- a/tests/ninep/random_fault_schedules.py
+++ b/tests/ninep/random_fault_schedules.py
@@ -370,7 +370,7 @@
         for client in self.clients:
             client.hear()
             assert not client.out, f"never answered: {client.out}"
-        assert self.world.core.open == 0 and len(self.world.front_9p.order) == 0
+        assert self.world.core.open_requests == 0 and len(self.world.front_9p.order) == 0
         for (f, b), place in self.places.items():
             there = self.world.disk.read(f"f{f}")[b * BLOCK : (b + 1) * BLOCK]
             assert (
--- a/tests/ninep/test_client_library.py
+++ b/tests/ninep/test_client_library.py
@@ -32,4 +32,4 @@
             fs.info("made/file")
 
     beside(w, session)
-    assert not w.disk.find("made").names and w.core.open == 0
+    assert not w.disk.find("made").names and w.core.open_requests == 0
--- a/tests/ninep/test_session_changes.py
+++ b/tests/ninep/test_session_changes.py
@@ -132,7 +132,7 @@
     create(tool, 6, "temp", mode=p9.ORDWR | p9.ORCLOSE)
     tool.close()
     w.run(100 * MS)
-    assert "temp" not in w.disk.root.names and w.core.open == 0
+    assert "temp" not in w.disk.root.names and w.core.open_requests == 0
 
 
 def test_append_only_files_take_each_write_once_at_their_end() -> None:
@@ -413,7 +413,7 @@
         0 if end == "flush" and isinstance(message, p9.Twalk | p9.Tread) else 1
     )
     assert tags[-1] == 72 or isinstance(message, p9.Twalk), "what it ends is answered first, or not at all"
-    assert w.core.open == 0 and len(w.front_9p.order) == 0
+    assert w.core.open_requests == 0 and len(w.front_9p.order) == 0
 
 
 # Flush, clunk, hang up.
@@ -473,7 +473,7 @@
     tool.send(message, tag=1)
     tool.close()
     w.run(2 * SECOND)
-    assert w.core.open == 0 and len(w.front_9p.order) == 0 and not w.front_9p.clients
+    assert w.core.open_requests == 0 and len(w.front_9p.order) == 0 and not w.front_9p.clients
     if isinstance(message, p9.Twrite):
         assert w.disk.read("readme") == b"HELLO", "what was sent whole runs to its end"
 
@@ -532,19 +532,19 @@
     w.files[0].script.add(Rule(p9.Tread, Fault.SLOW, times=-1, delay_us=10 * MS))
     w.run(200 * MS)
     tool.say(b"".join(p9.encode(tag, p9.Tread(5, 0, 9)) for tag in range(10, 40)))
-    assert w.core.open == 3
+    assert w.core.open_requests == 3
     tool.say(p9.encode(99, p9.Tflush(39)))
     assert tool.answers[-1] == (99, p9.Rflush()), "also what waits can be flushed"
     other.send(p9.Tread(5, 0, 9), tag=1)
-    assert w.core.open == 4
+    assert w.core.open_requests == 4
     w.run(10 * MS)
-    assert w.core.open == 1, "beside another client it has its part"
+    assert w.core.open_requests == 1, "beside another client it has its part"
     w.run(800 * MS)
     assert sorted(tag for tag, _ in tool.answers if 10 <= tag < 40) == list(range(10, 39))
     tool.say(b"".join(p9.encode(tag, p9.Tread(5, 0, 9)) for tag in range(10, 40)))
     tool.close()
     w.run(SECOND)
-    assert w.core.open == 0
+    assert w.core.open_requests == 0
 
 
 # Files that are no longer what they were.
--- a/tests/ninep/test_session_reads.py
+++ b/tests/ninep/test_session_reads.py
@@ -165,7 +165,7 @@
     w.hold(p9.Tread)
     tool.send(p9.Tread(5, 0, 100), tag=2)
     tool.close()
-    assert w.core.open == 0 and not w.core._items and len(w.files[0].conns) == 0
+    assert w.core.open_requests == 0 and not w.core._requests and len(w.files[0].conns) == 0
 
 
 def test_a_new_version_ends_the_session() -> None:
@@ -175,7 +175,7 @@
     w.hold(p9.Tread)
     tool.send(p9.Tread(5, 0, 100), tag=2)
     assert tool.ask(p9.Tversion(4096, "9P2000.u"), p9.NOTAG) == p9.Rversion(4096, "9P2000")
-    assert w.core.open == 0
+    assert w.core.open_requests == 0
     assert error(tool.ask(p9.Tstat(5))) == "unknown fid"
     assert tool.ask(p9.Tversion(4096, "8P"), p9.NOTAG) == p9.Rversion(4096, "unknown")
     assert error(tool.ask(p9.Tstat(5))) == "no version agreed"
@@ -293,7 +293,7 @@
     tool.send(p9.Tread(5, 0, 100), tag=2)
     w.run(1500 * MS)
     assert tool.answers[-1][0] == 2 and error(tool.answers[-1][1]).startswith("busy")
-    assert w.core.open == 0 and len(w.files[0].conns) == 0
+    assert w.core.open_requests == 0 and len(w.files[0].conns) == 0
 
 
 def test_fids_and_tags_are_bounded() -> None:
--- a/tests/ops/test_admin_service.py
+++ b/tests/ops/test_admin_service.py
@@ -200,11 +200,11 @@
     office.list(office.boxes[1])
     assert office.figures()["targets_disabled"] == 0, "only listed ones count"
     office.list(*office.boxes)
-    assert office.core.directory.endpoint("b0") is None
+    assert office.core.endpoints.address_of("b0") is None
     office.list(office.boxes[1])
     assert office.call("/-/bricks/b0/enable")[0] == 200, "known, as it is out"
     office.list(*office.boxes)
-    assert office.core.directory.endpoint("b0")
+    assert office.core.endpoints.address_of("b0")
 
 
 def test_a_brick_put_back_is_cold_though_the_list_does_not_tell_of_its_restart(office: Office) -> None:
@@ -246,7 +246,7 @@
     assert other.load() == OpsState(frozenset({"b0"}))
     other.change(lambda state: state.ban("b1").drained(True))
     w.run(w.limits.ops_look_us + 10 * MS)
-    assert w.core.directory.banned == {"b0", "b1"} and not w.desk.takes
+    assert w.core.endpoints.disabled == {"b0", "b1"} and not w.desk.takes
     w.call("/-/resume")
     assert other.news() == OpsState(frozenset({"b0", "b1"})), "neither undoes what the other said"
     assert other.news() is None
@@ -286,7 +286,7 @@
     w = Office(tmp_path)
     (tmp_path / "garnetlanding-n1-operators.json.new").mkdir()
     assert w.call("/-/bricks/b0/disable")[0] == 500
-    assert w.core.directory.endpoint("b0"), "a yes is owed only for what outlasts the process"
+    assert w.core.endpoints.address_of("b0"), "a yes is owed only for what outlasts the process"
 
 
 def test_a_wrong_address_for_operators_is_named() -> None:
@@ -343,7 +343,7 @@
 def test_the_text_names_every_class_from_the_start() -> None:
     figures = RequestMetrics(["read", "save"])
     for answer in (Served(b""), Rejected(), Failed("x"), Failed("y")):
-        figures.end("read", answer)
+        figures.record("read", answer)
     assert encode(figures, 7, 3, 1) == (
         "app.success.read:1|c\napp.overload.read:1|c\napp.error.read:2|c\n"
         "app.success.save:0|c\napp.overload.save:0|c\napp.error.save:0|c\n"
@@ -372,8 +372,8 @@
                 gone = rng.randrange(len(peers))
                 peers[gone].close()
                 peers[gone] = w.peer(w.clients.address)
-        told, figures = w.figures(), w.core.figures
-        assert figures.taken == sent == figures.ended + told["concurrent"]
+        told, figures = w.figures(), w.core.metrics
+        assert figures.accepted == sent == figures.ended + told["concurrent"]
         assert told["dispatches"] == len(w.brick.heard) == figures.dispatches
     w.run(SECOND)
     assert w.figures()["concurrent"] == 0
@@ -386,7 +386,7 @@
     assert admin_client.path_of("ready") == ("GET", "/-/ready")
     assert admin_client.path_of("disable", "a/b c") == ("POST", "/-/bricks/a%2Fb%20c/disable")
     figures = RequestMetrics(["read", "save.big"])
-    figures.end("save.big", Rejected())
+    figures.record("save.big", Rejected())
     reply = admin_client.Reply(200, encode(figures, 7, 3, 1))
     lines = admin_client.as_text("metrics", reply).splitlines()
     assert lines[0].split() == ["class", "success", "overload", "error"]
--- a/tests/ops/test_process_registry.py
+++ b/tests/ops/test_process_registry.py
@@ -235,10 +235,10 @@
     w.call(old, "/-/bricks/b0/disable")
     w.call(old, "/-/drain")
     new = w.start_daemon()
-    assert new.core.directory.banned == {"b0"} and new.desk and not new.desk.takes
+    assert new.core.endpoints.disabled == {"b0"} and new.desk and not new.desk.takes
     assert w.call(new, "/-/resume") == "200" and w.call(new, "/-/bricks/b0/enable") == "200"
     w.run(200 * MS)
-    assert not old.core.directory.banned and old.desk and old.desk.takes
+    assert not old.core.endpoints.disabled and old.desk and old.desk.takes
 
 
 def test_a_new_process_that_fails_its_start_leaves_the_old_one_serving(upgrade: Upgrade) -> None:
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -206,7 +206,7 @@
     assert len(told[0]) == len(told[1]) >= 3 and told[0][-1].asks[codec.tag("v")][1] == 2
     assert {use.life for use in told[0]} == {h.talk.life} and h.talk.life > 10**12
     link = h.daemon.link
-    assert link and h.daemon.core.tell
+    assert link and h.daemon.core.send_to_peer
     host, port = link.address.split(":")
     h.others[1].sendto(codec.encode(Message(1, 1)), (host, int(port)))
     h.settle()
--- a/tests/resp/test_resp_front.py
+++ b/tests/resp/test_resp_front.py
@@ -80,7 +80,7 @@
     w = World()
     peer = w.peer(w.front().address)
     assert peer.say(b"*1\r\n$4\r\nPING\r\n" + data).startswith(b"+PONG\r\n-ERR Protocol error")
-    assert peer.closed and w.core.open == 0
+    assert peer.closed and w.core.open_requests == 0
 
 
 @pytest.mark.parametrize(
@@ -149,7 +149,7 @@
     many.say(b"".join(read_command(f"r{i}") for i in range(300)))
     assert many.got == b"-ERR too many commands at once\r\n" * 5 and many.closed
     w.run(w.limits.linger_us)
-    assert w.core.open == 0 and not brick.conns and all(len(f) == 1 for f in w.core.finals)
+    assert w.core.open_requests == 0 and not brick.conns and all(len(f) == 1 for f in w.core.finals)
     rude.say(codec.command([b"NO"]) * 300)
     w.run(w.limits.linger_us)
     assert rude.got == b"-ERR unknown command\r\n" * 8 + b"-ERR too many errors\r\n" and rude.closed
@@ -163,7 +163,7 @@
     brick.script = [None]
     peer = w.peer(w.front().address)
     peer.say(read_command(d=1400) + b"?\r\n")
-    assert peer.got.count(b"-ERR Protocol error") == 2 and w.core.open == 0
+    assert peer.got.count(b"-ERR Protocol error") == 2 and w.core.open_requests == 0
 
 
 def test_what_a_client_still_sends_after_its_error_does_not_reset_the_connection() -> None:
@@ -219,7 +219,7 @@
 def test_a_brick_gets_the_command_unchanged_but_for_the_time_left() -> None:
     words = [b"BLK.WRITE", b"key", b"id", b"c=w,t=g,d=480,volume=v,units=2,shard=-1,hosts=3,k=ab", b"BODY"]
     ask = read_request(words, LIMITS)
-    assert (ask.cell, ask.wait_us, ask.is_write) == (-1, 480 * MS, True)
+    assert (ask.cell, ask.timeout_us, ask.is_write) == (-1, 480 * MS, True)
     [sent] = codec.Decoder(pool(), LIMITS).feed(ask.work.for_brick(123_456))
     assert sent == [*words[:3], words[3].replace(b"d=480", b"d=123"), b"BODY"]
     assert b"d=1," in ask.work.for_brick(-5)
@@ -380,7 +380,7 @@
     peer.say(read_command())
     assert len(brick.held) == 1
     peer.close()
-    assert w.core.open == 0 and not brick.conns and w.core.finals == [[]]
+    assert w.core.open_requests == 0 and not brick.conns and w.core.finals == [[]]
 
 
 def test_a_client_that_sends_half_a_command_or_reads_nothing_is_cut_off() -> None:
--- a/tests/runtime/test_runtime.py
+++ b/tests/runtime/test_runtime.py
@@ -175,7 +175,7 @@
     def start_and_stop(trial: AttemptHandle) -> None:
         start(trial)
         w.bricks.stop(trial)
-        trial.ended(Outcome.CANCELLED)
+        trial.finish(Outcome.CANCELLED)
 
     w.bricks.start = start_and_stop  # type: ignore[method-assign]
     w.client.say(read_command())
@@ -245,7 +245,7 @@
     w.client.stream.write(read_command(d=900))
     while not w.core.starts:
         w.scheduler.turn(1)
-    w.core.directory._endpoint["b0"] = moved.address
+    w.core.endpoints._addresses["b0"] = moved.address
     w.settle()
     assert not w.brick.heard and w.outcomes() == [Outcome.UNREACHABLE.value]
     w.run(200 * MS)
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -68,7 +68,7 @@
 
     def ended(self, count: int = 1) -> None:
         for _ in range(count):
-            self.exporter.item_ended(
+            self.exporter.request_ended(
                 ASK,
                 Served(b"v"),
                 BEGAN,
@@ -83,7 +83,7 @@
 def test_spans_and_metrics_in_the_collectors_encoding() -> None:
     w = TelemetryWorld()
     w.ended()
-    w.exporter.item_ended(ASK, Rejected(0), BEGAN, BEGAN + 20 * SECOND, [])
+    w.exporter.request_ended(ASK, Rejected(0), BEGAN, BEGAN + 20 * SECOND, [])
     w.exporter.gauges = {"clients": lambda: 4}
     w.run(SECOND, 100 * MS)
     assert w.paths() == ["/otlp/v1/traces", "/otlp/v1/metrics"]
