--- a/garnetlanding/limits.py
+++ b/garnetlanding/limits.py
@@ -145,11 +145,13 @@
     # SIGKILL comes after the longest deadline, 3 s at most, and 0.7 s more, at the earliest.
     term_deadline_us: int = 3 * SECOND
     term_kill_us: int = 700 * MS
-    term_leave_us: int = 250 * MS  # before it the process leaves; as long before that, last answers are given
+    term_margin_us: int = (
+        250 * MS
+    )  # before it the process leaves; as long before that, last answers are given
     term_look_us: int = 10 * MS
-    term_least_us: int = 450 * MS
+    term_accept_us: int = 450 * MS
     term_serve_us: int = 1500 * MS
-    term_last_us: int = 3200 * MS  # what is still open then gets its final answer
+    term_reject_us: int = 3200 * MS  # what is still open then gets its final answer
 
     def fit(self, memory_bytes: int, sockets: int, ops: bool = False) -> Limits:
         """These limits on a machine of that size. Of the memory that the program leaves, a quarter each is
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -338,14 +338,14 @@
     h.daemon.scheduler.spawn(h.daemon.end)
     h.run(SECOND)
     slow.say(read_command(d=60_000))
-    h.run(h.daemon.limits.term_last_us - SECOND + 50 * MS)
+    h.run(h.daemon.limits.term_reject_us - SECOND + 50 * MS)
     assert slow.got == b"-ERR ending\r\n" and slow.closed and h.daemon.scheduler._stopped
 
 
 def test_a_head_that_nobody_uses_ends_soon() -> None:
     h = Head()
     h.daemon.scheduler.spawn(h.daemon.end)
-    h.run(h.daemon.limits.term_least_us + 50 * MS)
+    h.run(h.daemon.limits.term_accept_us + 50 * MS)
     assert h.daemon.scheduler._stopped
 
 
--- a/tests/daemon/test_graceful_shutdown.py
+++ b/tests/daemon/test_graceful_shutdown.py
@@ -301,13 +301,19 @@
 
 
 @given(st.integers(10 * MS, 20 * SECOND))
-def test_a_schedule_is_over_before_sigkill_comes(longest_us: int) -> None:
+def test_schedule_terminates_before_sigkill_for_any_longest_deadline(longest_us: int) -> None:
     limits = Limits()
-    s = Schedule.of(limits, longest_us)
+    schedule = Schedule.for_deadline(limits, longest_us)
     killed = min(longest_us, 3 * SECOND) + 700 * MS
-    assert s.least_us <= s.serve_us <= s.last_us <= s.leave_us <= killed - 200 * MS
-    assert s.serve_us >= 400 * MS, "until then new connections come"
-    assert longest_us < 3 * SECOND or s.last_us == limits.term_last_us
+    assert (
+        schedule.accepting_us
+        <= schedule.draining_us
+        <= schedule.rejecting_us
+        <= schedule.terminating_us
+        <= killed - 200 * MS
+    )
+    assert schedule.draining_us >= 400 * MS, "until then new connections come"
+    assert longest_us < 3 * SECOND or schedule.rejecting_us == limits.term_reject_us
 
 
 @given(
@@ -317,20 +323,21 @@
         max_size=60,
     )
 )
-def test_phases_only_go_on_and_leave_in_time(looks: list[tuple[int, int, int, bool]]) -> None:
-    s, age, phase = Schedule.of(Limits(), SECOND), 0, Phase.SERVING
-    for step, connections, open_items, relieved in looks:
+def test_phases_never_go_back_and_terminate_in_time(looks: list[tuple[int, int, int, bool]]) -> None:
+    schedule = Schedule.for_deadline(Limits(), SECOND)
+    age, phase = 0, Phase.SERVING
+    for step, connections, open_requests, superseded in looks:
         age += step + 10 * MS
-        after = s.next(phase, age, connections, open_items, relieved)
+        after = schedule.next(phase, age, connections, open_requests, superseded)
         assert after >= phase
         assert (
             after is phase
-            or after is not Phase.LEAVING
-            or age >= s.leave_us
-            or not (connections or open_items)
+            or after is not Phase.TERMINATING
+            or age >= schedule.terminating_us
+            or not (connections or open_requests)
         )
         phase = after
-        assert age < s.leave_us or phase is Phase.LEAVING
+        assert age < schedule.terminating_us or phase is Phase.TERMINATING
 
 
 def ended_within(h: Head, span_us: int) -> bool:
@@ -386,7 +393,7 @@
     for name in ("_end_ops", "_end_telemetry", "_leave", "_end_audit", "_end_life"):
         monkeypatch.setattr(h.daemon, name, lambda name=name: 1 / 0 if name == part else ended.append(name))
     assert ended_within(h, SECOND)
-    assert len(ended) == 4 and "not ended in an orderly way" in caplog.text
+    assert len(ended) == 4 and "subsystem failed to stop" in caplog.text
 
 
 def test_signals_that_come_while_it_ends_change_nothing(caplog: pytest.LogCaptureFixture) -> None:
