--- a/garnetlanding/daemon.py
+++ b/garnetlanding/daemon.py
@@ -225,8 +225,8 @@
     def _hear_bans(self, fleet: FailureDetector) -> None:
         """Where no operator is heard: what other heads' operators said, for as long as this process lives."""
         self.scheduler.call_at(self.scheduler.now + fleet.limits.look_us, lambda: self._hear_bans(fleet))
-        if fleet.merge():
-            self.core.set_disabled(fleet.bans.banned)
+        if fleet.merge_received():
+            self.core.set_disabled(fleet.disabled.disabled_names)
 
     def _listen(
         self,
--- a/garnetlanding/emulator/budget_net.py
+++ b/garnetlanding/emulator/budget_net.py
@@ -58,13 +58,15 @@
         busy = me == self.now // self.net.shift_us % self.net.heads
         rate = BUDGET / (self.window_us / SECOND) * (2 if busy else self.net.rest)
         if self.rng.random() < rate * self.net.step_us / SECOND:
-            leases.asked(NAME, self.net.heads, BUDGET * SECOND / self.window_us, 1, now, self.window_us)
+            leases.record_demand(
+                NAME, self.net.heads, BUDGET * SECOND / self.window_us, 1, now, self.window_us
+            )
             wanted = 1
         mail: list[tuple[int, bytes]] = []
         if now >= head.say_at:
             head.say_at = now + self.limits.say_every_us
             mail = self._say(leases, now)
-        leases.parts(now)
+        leases.changed_shares(now)
         if wanted:
             self._spend(leases, now)
         for receiver, data in mail:
@@ -72,10 +74,10 @@
 
     def _spend(self, leases: Leases, now: int) -> None:
         """As the module does: what its share leaves of what it spent within the window, by its own clock."""
-        own = leases.own[TAG]
+        own = leases.demands[TAG]
         assert own.spent
-        if own.spent.total(now - self.window_us) + 1 <= leases.part(TAG, now) * BUDGET + 1e-9:
-            leases.spend(NAME, 1, now)
+        if own.spent.total(now - self.window_us) + 1 <= leases.usable_share(TAG, now) * BUDGET + 1e-9:
+            leases.record_spent(NAME, 1, now)
             self._spent.append((self.now, 1))
 
     def _add_up(self) -> None:
--- a/garnetlanding/emulator/lease_model.py
+++ b/garnetlanding/emulator/lease_model.py
@@ -59,17 +59,19 @@
 def clone(leases: Leases) -> Leases:
     new = object.__new__(type(leases))
     new.__dict__.update(leases.__dict__)
-    new.peers = {who: Peer(p.life, p.number, p.heard_at, dict(p.asks)) for who, p in leases.peers.items()}
-    new.own = {}
-    for name, own in leases.own.items():
+    new.contacts = {
+        who: Peer(p.life, p.number, p.heard_at, dict(p.asks)) for who, p in leases.contacts.items()
+    }
+    new.demands = {}
+    for name, own in leases.demands.items():
         rate = Rate()
         rate.rate, rate.at = own.rate.rate, own.rate.at
-        new.own[name] = replace(own, rate=rate, others=dict(own.others))
-    new._sent, new._parts = dict(leases._sent), dict(leases._parts)
-    new._held = {volume: dict(givers) for volume, givers in leases._held.items()}
-    new._given = {
+        new.demands[name] = replace(own, rate=rate, others=dict(own.others))
+    new._sent, new._shares = dict(leases._sent), dict(leases._shares)
+    new._received = {volume: dict(givers) for volume, givers in leases._received.items()}
+    new._granted = {
         volume: {who: list(given) for who, given in takers.items()}
-        for volume, takers in leases._given.items()
+        for volume, takers in leases._granted.items()
     }
     return new
 
@@ -94,23 +96,25 @@
                 now - p.heard_at,
                 tuple((share, now - at) for share, _, at in p.asks.values() if now - at <= LIMITS.stale_us),
             )
-            for who, p in sorted(h.peers.items())
+            for who, p in sorted(h.contacts.items())
             if now - p.heard_at <= LIMITS.stale_us
         )
-        own = tuple((o.wants(now, LIMITS), tuple(sorted(o.others))) for o in h.own.values())
+        own = tuple((o.wants(now, LIMITS), tuple(sorted(o.others))) for o in h.demands.values())
         held = tuple(
             (who, share, until - now)
-            for givers in h._held.values()
+            for givers in h._received.values()
             for who, (share, until) in sorted(givers.items())
             if until > now
         )
         given = tuple(
             (who, tuple(sorted((share, until - now) for share, until in lent if until > now)))
-            for takers in h._given.values()
+            for takers in h._granted.values()
             for who, lent in sorted(takers.items())
             if any(until > now for _, until in lent)
         )
-        heads.append((max(0, h.back_at - now), peers, own, held, given))
+        heads.append(
+            (max(0, h.resumes_at - now) if h.resumes_at is not None else None, peers, own, held, given)
+        )
     mail = tuple(
         sorted(
             (
@@ -129,14 +133,14 @@
     return (now, s.turn, tuple(heads), mail, s.starts)
 
 
-def parts(s: State, scope: Scope) -> tuple[float, ...]:
+def usable_shares(s: State, scope: Scope) -> tuple[float, ...]:
     """What each of the volume's heads would use if it sent now."""
     found = []
     for head in s.heads[: scope.hosts]:
         looking = clone(head)
-        if NAME not in looking.own:
-            looking.own[NAME] = Own(VOLUME, scope.hosts, LIMIT)
-        found.append(looking.part(NAME, s.now))
+        if NAME not in looking.demands:
+            looking.demands[NAME] = Own(VOLUME, scope.hosts, LIMIT)
+        found.append(looking.usable_share(NAME, s.now))
     return tuple(found)
 
 
@@ -154,8 +158,8 @@
         heard = [m for i, m in enumerate(mine) if pick >> i & 1]
         head = clone(s.heads[me])
         for sender, _, _, message in heard:
-            head.heard(sender, message, s.now)
-        head.parts(s.now)
+            head.receive(sender, message, s.now)
+        head.changed_shares(s.now)
         rest = tuple(m for m in s.mail if m not in heard)
         for one, starts in _asked(s, scope, me, head, kind):
             new, mail = _say(one, me, s.now, rest)
@@ -166,8 +170,8 @@
     yield head, s.starts
     if me < scope.hosts:
         asked = clone(head)
-        asked.asked(VOLUME, scope.hosts, LIMIT, 1, s.now)
-        asked.parts(s.now)
+        asked.record_demand(VOLUME, scope.hosts, LIMIT, 1, s.now)
+        asked.changed_shares(s.now)
         yield asked, s.starts
     if s.starts < scope.starts:
         yield kind(LIMITS, me, scope.heads, head.life + 1, s.now), s.starts + 1
@@ -180,13 +184,13 @@
     mail: tuple[tuple[int, int, int, Message], ...],
 ) -> tuple[Leases, tuple[tuple[int, int, int, Message], ...]]:
     new = clone(head)
-    told = new.say(now)
-    number = new.sending(now)
+    told = new.compose(now)
+    number = new.next_number(now)
     fresh = [
-        (me, who, now, Message(new.life, number, *new.last_heard(who), asks, grants))
+        (me, who, now, Message(new.life, number, *new.last_received(who), asks, grants))
         for who, (asks, grants) in told.items()
     ]
-    new.parts(now)
+    new.changed_shares(now)
     return new, (*(m for m in mail if m[0] != me or m[1] not in told), *fresh)
 
 
@@ -199,7 +203,7 @@
     found = Explored()
     walk = Walk(start, key, lambda s: moves(s, scope, kind) if s.now < scope.steps else (), scope.most)
     for state in walk:
-        sums = parts(state, scope)
+        sums = usable_shares(state, scope)
         found.parts.add(sums)
         found.most = max(found.most, sum(sums))
         if found.most > 1 + 1e-9:
--- a/garnetlanding/emulator/lease_net.py
+++ b/garnetlanding/emulator/lease_net.py
@@ -132,7 +132,7 @@
         if me < self.net.hosts:
             rate = LIMIT * (1.5 if me == lead else self.net.rest)
             if self.rng.random() < rate / 2 * self.net.step_us / SECOND:
-                leases.asked(VOLUME, self.net.hosts, LIMIT, 2, now)
+                leases.record_demand(VOLUME, self.net.hosts, LIMIT, 2, now)
         mail: list[tuple[int, bytes]] = []
         if now >= head.say_at:
             head.say_at = now + self.limits.say_every_us
@@ -143,26 +143,31 @@
 
     def _hear(self, head: Head, now: int) -> None:
         for sender, data in head.inbox:
-            head.leases.heard(sender, codec.decode(data, self.limits.datagram_bytes), now)
+            head.leases.receive(sender, codec.decode(data, self.limits.datagram_bytes), now)
         head.inbox.clear()
 
     def _look(self, head: Head) -> None:
         """What the module would be told before it may send."""
         now = head.clock(self.now)
-        head.part = head.leases.parts(now).get(VOLUME, head.part)
-        if codec.tag(VOLUME) not in head.leases.own:
+        head.part = head.leases.changed_shares(now).get(VOLUME, head.part)
+        if codec.tag(VOLUME) not in head.leases.demands:
             # Its first request would bring the volume up, and its part with it.
             known = Own(VOLUME, self.net.hosts, LIMIT)
-            head.leases.own[codec.tag(VOLUME)] = known
-            head.part = head.leases.part(codec.tag(VOLUME), now)
-            del head.leases.own[codec.tag(VOLUME)]
+            head.leases.demands[codec.tag(VOLUME)] = known
+            head.part = head.leases.usable_share(codec.tag(VOLUME), now)
+            del head.leases.demands[codec.tag(VOLUME)]
 
     def _say(self, leases: Leases, now: int) -> list[tuple[int, bytes]]:
         mail = []
-        number = leases.sending(now)
-        for who, (asks, grants) in leases.say(now).items():
+        number = leases.next_number(now)
+        for who, (asks, grants) in leases.compose(now).items():
             mail.append(
-                (who, codec.encode(codec.Message(leases.life, number, *leases.last_heard(who), asks, grants)))
+                (
+                    who,
+                    codec.encode(
+                        codec.Message(leases.life, number, *leases.last_received(who), asks, grants)
+                    ),
+                )
             )
         return mail
 
--- a/garnetlanding/emulator/verdict_model.py
+++ b/garnetlanding/emulator/verdict_model.py
@@ -68,13 +68,13 @@
 
 def begun() -> Head:
     seen = LocalObservations(LIMITS)
-    seen.see(0, [LISTED], AIM)
+    seen.observe_events(0, [LISTED], AIM)
     return Head(seen, SuspicionTable(LIMITS), {})
 
 
 def key(s: State) -> object:
     def head(h: Head) -> object:
-        sight = h.seen.servers[NODE]
+        sight = h.seen.backends[NODE]
         claims = {
             who: (c.kind, s.now - c.latest, c.until - s.now, c.answered_at - s.now)
             for who, c in h.verdicts._claims.get(NODE, {}).items()
@@ -102,7 +102,7 @@
 def wrong(s: State) -> str:
     """What a head believes that it may not."""
     for me, head in enumerate(s.heads):
-        if not copy.deepcopy(head.verdicts).doubted(s.now, head.seen):
+        if not copy.deepcopy(head.verdicts).suspected(s.now, head.seen):
             continue
         others = [h.last_seen for you, h in enumerate(s.heads) if you != me and h.last_seen >= 0]
         if not others:
@@ -125,16 +125,18 @@
             head = copy.deepcopy(s.heads[me])
             for sender, _, word in heard:
                 sent_at = None if word.re_sent_at < 0 else word.re_sent_at
-                head.verdicts.heard(sender, word.evidence, sent_at, s.now, head.seen)
+                head.verdicts.receive(sender, word.evidence, sent_at, s.now, head.seen)
                 head.heard_at[sender] = word.sent_at
             if what is Outcome.SERVED:
                 head.answered = s.now
-                if head.seen.servers[NODE].refused:
+                if head.seen.backends[NODE].refused:
                     head.last_seen = s.now  # that it is back, and cold
-                head.seen.see(s.now, [api.Result("r", 0, NODE, what, AIM // 2, True)], AIM)
+                head.seen.observe_events(s.now, [api.Result("r", 0, NODE, what, AIM // 2, True)], AIM)
             elif what is not None:
                 # As many in a row as make a verdict.
-                head.seen.see(s.now, [api.Result("r", 0, NODE, what, 1, False)] * LIMITS.refused_row, AIM)
+                head.seen.observe_events(
+                    s.now, [api.Result("r", 0, NODE, what, 1, False)] * LIMITS.refused_row, AIM
+                )
                 head.last_seen = s.now
             evidence = tuple(e for _, e in head.seen.evidence(s.now, AIM))
             rest = [m for m in s.mail if m not in heard and m[0] != me]
@@ -153,7 +155,7 @@
     found = Explored()
     walk = Walk(start, key, lambda s: moves(s, scope) if s.now <= scope.steps * STEP else (), scope.most)
     for state in walk:
-        found.doubts += any(copy.deepcopy(h.verdicts).doubted(state.now, h.seen) for h in state.heads)
+        found.doubts += any(copy.deepcopy(h.verdicts).suspected(state.now, h.seen) for h in state.heads)
         found.wrong = wrong(state)
         if found.wrong:
             break
--- a/garnetlanding/emulator/verdict_net.py
+++ b/garnetlanding/emulator/verdict_net.py
@@ -149,7 +149,9 @@
                             delay = self.rng.randrange(self.net.delay_us // 5, 2 * self.net.delay_us)
                             self._post(now + delay, to, api.PeerMessage(me, payload))
             if (fleet := self.heads[me].fleet) and now < self.net.strikes_us:
-                self.seen.doubts |= {(me, node) for node in fleet.verdicts.doubted(now, fleet.sightings)}
+                self.seen.doubts |= {
+                    (me, node) for node in fleet.suspicions.suspected(now, fleet.observations)
+                }
         return self.seen
 
     def _send(self, now: int, me: int, request: str, attempt: int, node: str) -> None:
--- a/garnetlanding/ops/replicated_disables.py
+++ b/garnetlanding/ops/replicated_disables.py
@@ -22,12 +22,12 @@
         self._fleet, self._me, self._wall_ms = fleet, me, wall_ms
 
     def take(self) -> list[Record]:
-        return self._fleet.take()
+        return self._fleet.take_received()
 
     def say(self, state: OpsState, brick: str, out: bool) -> OpsState:
         bans = self.table(state)
         try:
-            bans.say(brick, out, self._me(), self._wall_ms())
+            bans.set_disabled(brick, out, self._me(), self._wall_ms())
         except DisabledBackendError as problem:
             raise HttpError(str(problem), 400) from None
         return self._kept(state, bans)
@@ -42,23 +42,23 @@
 
     def hear(self, state: OpsState, records: list[Record]) -> OpsState:
         bans = self.table(state)
-        news, bad = bans.hear(records)
+        news, bad = bans.merge(records)
         if news or bad:
             log.info("bans heard", extra={"kv": {"count": len(news), "dropped": bad}})
         return self._kept(state, bans)
 
     def tell(self, state: OpsState) -> None:
         """From now on other heads are told of this."""
-        self._fleet.keep(self.table(state))
+        self._fleet.replace_disabled(self.table(state))
 
     def table(self, state: OpsState) -> DisabledBackends:
         """The records of a state. What was said while bans were this head's alone, or by an older process,
         has none yet: it counts as said by it just now."""
         bans = DisabledBackends(self._fleet.limits, (Record(*record) for record in state.records))
-        for brick in sorted(state.banned ^ bans.banned):
-            bans.say(brick, brick in state.banned, self._me(), self._wall_ms())
+        for brick in sorted(state.banned ^ bans.disabled_names):
+            bans.set_disabled(brick, brick in state.banned, self._me(), self._wall_ms())
         return bans
 
     @staticmethod
     def _kept(state: OpsState, bans: DisabledBackends) -> OpsState:
-        return replace(state, banned=bans.banned, records=tuple(sorted(bans.records.values())))
+        return replace(state, banned=bans.disabled_names, records=tuple(sorted(bans.records.values())))
--- a/garnetlanding/peers/connection_quota.py
+++ b/garnetlanding/peers/connection_quota.py
@@ -33,20 +33,20 @@
             return 0
         leases, hosts = found
         name = tag(_name(server))
-        if name not in leases.own:
+        if name not in leases.demands:
             # First of all it is asked for: what this head may have left to others unasked is counted by that.
-            leases.asked(
+            leases.record_demand(
                 _name(server), hosts, self.each * SECOND / self._longest_us, 0, self._now(), self._longest_us
             )
-        if name not in leases.own:
+        if name not in leases.demands:
             return self.each  # this head is the only one
-        return int(leases.part(name, self._now()) * self.each + 1e-9)
+        return int(leases.usable_share(name, self._now()) * self.each + 1e-9)
 
     def open(self, server: str, count: int, lacking: bool = False) -> None:
         """So many are open there now. `lacking`: one more was wanted, and there was no place."""
         if found := self._leases():
             leases, hosts = found
-            leases.asked(
+            leases.record_demand(
                 _name(server),
                 hosts,
                 self.each * SECOND / self._longest_us,
@@ -54,4 +54,4 @@
                 self._now(),
                 self._longest_us,
             )
-            leases.hold(_name(server), count)
+            leases.set_in_use(_name(server), count)
--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -12,7 +12,6 @@
 from garnetlanding.choices.stagger import stagger_offset
 from garnetlanding.core.ports import DecisionModule
 from garnetlanding.decision import interface as api
-from garnetlanding.decision.control import NEVER
 from garnetlanding.peers import codec
 from garnetlanding.peers.gossip_schedule import GossipSchedule
 from garnetlanding.peers.leases import Leases
@@ -59,12 +58,12 @@
         """The head's other process speaks no more: this one does, as after a start."""
         self._speaks = True
         if self._may_use:
-            self._stand_back(None, now)
+            self._resume(now)
 
     def retire(self, now: int) -> None:
         """Another process of this head takes over: no part of anything is this one's from now on."""
         self._speaks = False
-        self._stand_back(NEVER, now)
+        self._suspend(now)
 
     def leave(self, now: int, tell: Callable[[bytes, int], None]) -> None:
         """This head ends: it uses nothing from now on, and tells every other where the group was found."""
@@ -72,14 +71,19 @@
         if self.group and self.leases:
             self.group.leave()
             leases = self.leases
-            heads = {who: leases.last_heard(who) for who in leases.group}
-            for who, e in self.group.say(heads, self.life, lambda: leases.sending(now)):
+            heads = {who: leases.last_received(who) for who in leases.peer_numbers}
+            for who, e in self.group.say(heads, self.life, lambda: leases.next_number(now)):
                 tell(codec.seal(e), who)
 
-    def _stand_back(self, until: int | None, now: int) -> None:
+    def _suspend(self, now: int) -> None:
         for leases in (self.leases, self.budgets and self.budgets.leases):
             if leases:
-                leases.stand_back(until, now)
+                leases.suspend(now)
+
+    def _resume(self, now: int) -> None:
+        for leases in (self.leases, self.budgets and self.budgets.leases):
+            if leases:
+                leases.resume(now)
 
     @property
     def s(self) -> api.Settings:
@@ -92,8 +96,8 @@
         if what in ("verdicts", "bans"):
             return self.fleet.known(what, now, self._tightest_us) if self.fleet else []
         if what == "members":
-            return self.group.members.known(now) if self.group else self.leases.members(now)
-        return self.leases.limits(now) + (self.budgets.leases.limits(now) if self.budgets else [])
+            return self.group.members.known(now) if self.group else self.leases.member_rows(now)
+        return self.leases.limit_rows(now) + (self.budgets.leases.limit_rows(now) if self.budgets else [])
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         told: list[api.Action] = []
@@ -105,19 +109,19 @@
                 continue
             if isinstance(event, api.Arrival):
                 limit = self.s.plans[event.plan].limit_rate
-                leases.asked(event.volume, event.volume_hosts, limit, event.units, now)
+                leases.record_demand(event.volume, event.volume_hosts, limit, event.units, now)
             rest.append(event)
         if self.group:
             self._regroup(leases, now)
         if self.budgets:
-            self.budgets.see(now, rest, self.s, 1 + len(self._others))
+            self.budgets.observe_events(now, rest, self.s, 1 + len(self._others))
         if now >= self._say_at:
             self._wake(told, now, self.limits.say_every_us)
             if self.s.may_message_peers and self._speaks:
                 told += self._texts(leases, now)
         if self.fleet:
-            self.fleet.sightings.see(now, rest, self._tightest_us)
-            if (hearsay := self.fleet.hearsay(now)) is not None:
+            self.fleet.observations.observe_events(now, rest, self._tightest_us)
+            if (hearsay := self.fleet.changed_suspicions(now)) is not None:
                 rest.append(hearsay)
         if (mine := self._parts(leases, now)) is not None:
             # In the same call as all that came: the module sends only once it has heard everything, so what
@@ -125,22 +129,22 @@
             rest.append(mine)
         actions = self.module.handle(now, rest)
         if self.fleet:
-            self.fleet.sightings.acted(now, actions)
+            self.fleet.observations.observe_actions(now, actions)
         if self.budgets:
-            self.budgets.acted(now, actions, self.s)
+            self.budgets.observe_actions(now, actions, self.s)
         return actions + told
 
     def _follow(self, now: int, told: list[api.Action]) -> Leases:
         """The leases among the heads that the settings name now."""
         leases, s = self.leases, self.s
-        if leases is not None and leases.me == s.me and (self.group or leases.heads == s.hosts):
+        if leases is not None and leases.me == s.me and (self.group or leases.instances == s.hosts):
             return leases
         # Another fleet: as after a start, since what was given under the old numbers may still be in use.
         leases = self.leases = Leases(self.limits, s.me, s.hosts, self.life, now, leases)
         if self._make_budgets:
             self.budgets = self._make_budgets(s, self.life, now)
         if not self._may_use:
-            self._stand_back(NEVER, now)
+            self._suspend(now)
         # Heads that start together would all speak at once: each has its own turn in the first round.
         self._wake(told, now, 1 + int(self.limits.say_every_us * stagger_offset(s.me, s.hosts, "say")))
         return leases
@@ -150,27 +154,27 @@
         assert self.group
         members = self.group.members
         others = frozenset(members.entitled - {members.me})
-        leases.regroup(others)
+        leases.set_peers(others)
         if self.budgets:
-            self.budgets.leases.regroup(others)
+            self.budgets.leases.set_peers(others)
             if not members.joined:
-                self.budgets.leases.stand_back(NEVER, now)
-            elif self.budgets.leases.back_at == NEVER and self._may_use:
-                self.budgets.leases.stand_back(None, now)
+                self.budgets.leases.suspend(now)
+            elif self.budgets.leases.resumes_at is None and self._may_use:
+                self.budgets.leases.resume(now)
         if members.out and not self._out:
             self._out = True
-            self._stand_back(NEVER, now)
+            self._suspend(now)
             self.group.say_out(members.out)
 
     def _parts(self, leases: Leases, now: int) -> api.QuotaShares | None:
-        looks = now >= leases.look_at
-        parts = leases.parts(now)
+        looks = now >= leases.recheck_at
+        parts = leases.changed_shares(now)
         if looks and self._believed:
-            self._believed("parts", leases.believed() | parts, leases.look_at)
-        shares = self.budgets.shares(now, self.s.hosts) if self.budgets else None
+            self._believed("parts", leases.current_shares() | parts, leases.recheck_at)
+        shares = self.budgets.changed_shares(now, self.s.hosts) if self.budgets else None
         if shares is not None and self._believed and self.budgets:
             budgets = self.budgets.leases
-            self._believed("shares", budgets.believed(), budgets.look_at)
+            self._believed("shares", budgets.current_shares(), budgets.recheck_at)
         return api.QuotaShares(parts, shares) if parts or shares is not None else None
 
     def shared(self) -> tuple[Leases, int] | None:
@@ -187,7 +191,7 @@
     @property
     def _others(self) -> frozenset[int]:
         assert self.leases
-        return self.leases.group
+        return self.leases.peer_numbers
 
     def _wake(self, told: list[api.Action], now: int, span: int) -> None:
         self._say_at = now + span
@@ -199,21 +203,21 @@
             if e.kind == codec.ROLL and self.group:
                 roll = self.group.learn(e)
                 self._regroup(leases, now)
-                why = leases.contact(message.sender, e.life, e.number, now)
+                why = leases.accept_contact(message.sender, e.life, e.number, now)
                 if not why:
                     self.group.heard(message.sender, roll, now)
             elif e.kind == codec.WORDS and self.fleet:
-                why = leases.contact(message.sender, e.life, e.number, now)
+                why = leases.accept_contact(message.sender, e.life, e.number, now)
                 if not why:
                     self.dropped.update(
-                        self.fleet.heard(message.sender, e, leases.sent_at(e.re_life, e.re_number), now)
+                        self.fleet.receive(message.sender, e, leases.sent_at(e.re_life, e.re_number), now)
                     )
             elif e.kind == codec.BUDGETS and self.budgets:
-                why = self.budgets.heard(message.sender, codec.leases(e), now)
+                why = self.budgets.receive(message.sender, codec.leases(e), now)
             elif e.kind == codec.BUDGETS:
                 why = "other kind"
             else:
-                why = leases.heard(message.sender, codec.leases(e), now)
+                why = leases.receive(message.sender, codec.leases(e), now)
         except codec.MessageError as problem:
             why = str(problem)
         if why:
@@ -224,7 +228,10 @@
     def stand_back(self, out: bool, now: int) -> None:
         """This head is not current, or is again: while it is not, no part of anything is its own."""
         self._held_back = out
-        self._stand_back(None if self._may_use else NEVER, now)
+        if self._may_use:
+            self._resume(now)
+        else:
+            self._suspend(now)
 
     @property
     def _may_use(self) -> bool:
@@ -234,37 +241,37 @@
     @property
     def said(self) -> int:
         """The number of this head's last message."""
-        return self.leases.number if self.leases else 0
+        return self.leases.last_number if self.leases else 0
 
     def _texts(self, leases: Leases, now: int) -> list[api.Action]:
         divided = [(leases, codec.LEASES)]
         if self.budgets:
             divided.append((self.budgets.leases, codec.BUDGETS))
-        partners = dict.fromkeys(who for one, _ in divided for who in one.partners(now))
+        partners = dict.fromkeys(who for one, _ in divided for who in one.active_peers(now))
         to = self._turns.round(self._others, partners)
         texts: list[api.Action] = []
         for one, kind in divided:
             texts += self._pages(one, kind, to, now)
         if self.fleet:
-            heads = {who: leases.last_heard(who) for who in to}
-            words = self.fleet.say(heads, self.life, leases.sending(now), now, self._tightest_us)
+            heads = {who: leases.last_received(who) for who in to}
+            words = self.fleet.compose(heads, self.life, leases.next_number(now), now, self._tightest_us)
             texts += [api.SendPeerMessage(codec.seal(e), who) for who, e in words]
         if self.group:
             self.group.look(now)
-            heads = {who: leases.last_heard(who) for who in [*to, *self.group.members.unmet(now)]}
+            heads = {who: leases.last_received(who) for who in [*to, *self.group.members.unmet(now)]}
             texts += [
                 api.SendPeerMessage(codec.seal(e), who)
-                for who, e in self.group.say(heads, self.life, lambda: leases.sending(now))
+                for who, e in self.group.say(heads, self.life, lambda: leases.next_number(now))
             ]
         return texts
 
     def _pages(self, leases: Leases, kind: int, to: list[int], now: int) -> list[api.Action]:
         texts: list[api.Action] = []
         numbers: list[int] = []  # of the first message to each head, of the second, and so on
-        for who, (asks, grants) in leases.say(now, to).items():
+        for who, (asks, grants) in leases.compose(now, to).items():
             for i, page in enumerate(codec.pages(asks, grants, self.limits.datagram_bytes)):
                 if i == len(numbers):
-                    numbers.append(leases.sending(now))
-                message = codec.Message(self.life, numbers[i], *leases.last_heard(who), *page)
+                    numbers.append(leases.next_number(now))
+                message = codec.Message(self.life, numbers[i], *leases.last_received(who), *page)
                 texts.append(api.SendPeerMessage(codec.encode(message, kind), who))
         return texts
--- a/garnetlanding/peers/disabled_backends.py
+++ b/garnetlanding/peers/disabled_backends.py
@@ -43,7 +43,7 @@
             self._take(record)
 
     @property
-    def banned(self) -> frozenset[str]:
+    def disabled_names(self) -> frozenset[str]:
         return frozenset(r.server for r in self.records.values() if r.out)
 
     @property
@@ -60,7 +60,7 @@
     def _highest(self) -> int:
         return max((r.version for r in self.records.values()), default=0)
 
-    def say(self, server: str, out: bool, by: int, wall_ms: int) -> Record:
+    def set_disabled(self, server: str, out: bool, by: int, wall_ms: int) -> Record:
         """An operator's word here: later than any that this head knows of. Raises BanError."""
         if len(server.encode()) > self._limits.ban_name:
             raise DisabledBackendError(f"name of more than {self._limits.ban_name} bytes")
@@ -69,7 +69,7 @@
             raise DisabledBackendError(f"{self._limits.bans} servers are out already")
         return record
 
-    def hear(self, records: Iterable[Record]) -> tuple[list[Record], int]:
+    def merge(self, records: Iterable[Record]) -> tuple[list[Record], int]:
         """Others' words: those that were news, and how many could not be taken. This head's own clock says
         nothing against a version: one that is behind would keep every ban from it."""
         news, bad = [], 0
--- a/garnetlanding/peers/leases.py
+++ b/garnetlanding/peers/leases.py
@@ -15,6 +15,9 @@
 from garnetlanding.peers.codec import Message, tag
 from garnetlanding.peers.limits import PeerLimits
 
+# `recheck_at` of leases that are suspended: no share changes by itself.
+NEVER_US = 1 << 62
+
 
 def fill(supply: float, demands: list[float]) -> list[float]:
     """Max-min fair shares of a supply: nobody gets more than it asks for while another lacks; what nobody
@@ -76,56 +79,66 @@
     ) -> None:
         """`earlier`: under other numbers of the same life; what the module was told goes on from there.
         With `window_us`, what is divided are budgets of windows up to that long."""
-        self._limits, self.me, self.heads, self.life = limits, me, heads, life
+        self._limits, self.me, self.instances, self.life = limits, me, heads, life
         self.window_us = window_us
-        self.group = frozenset(range(heads)) - {me}  # the other heads
+        self.peer_numbers = frozenset(range(heads)) - {me}  # the other heads
         self._found = False  # whether the group was found: a volume may come through a head not yet known
-        self.peers: dict[int, Peer] = {}
-        self.own: dict[int, Own] = {} if earlier is None else earlier.own
+        self.contacts: dict[int, Peer] = {}
+        self.demands: dict[int, Own] = {} if earlier is None else earlier.demands
         self._sent: dict[int, int] = {}  # when this head's last messages were sent, by their numbers
         self._number: int = 0 if earlier is None else earlier._number
-        self._held: dict[int, dict[int, tuple[float, int]]] = {}  # by volume and giver: share, until when
-        self._given: dict[int, dict[int, list[tuple[float, int]]]] = {}  # by volume and taker: the same
+        self._received: dict[int, dict[int, tuple[float, int]]] = {}  # by volume and giver: share, until when
+        self._granted: dict[int, dict[int, list[tuple[float, int]]]] = {}  # by volume and taker: the same
         # What an earlier life of this head may have left to others has ended by then.
-        self.back_at = now + self._gone_us
+        self.resumes_at: int | None = now + self._quarantine_us  # None: not until `resume`
         # As last told to the module.
-        self._parts: dict[int, float] = {} if earlier is None else earlier._parts
-        self.look_at = now  # the next time at which a part changes by itself
+        self._shares: dict[int, float] = {} if earlier is None else earlier._shares
+        self.recheck_at = now  # the next time at which a part changes by itself
 
-    def regroup(self, others: frozenset[int]) -> None:
+    def set_peers(self, others: frozenset[int]) -> None:
         """The other heads that have been found by now; what one that is gone has left is nothing."""
         self._found = True
-        if others != self.group:
-            for givers in self._held.values():
-                for who in self.group - others:
+        if others != self.peer_numbers:
+            for givers in self._received.values():
+                for who in self.peer_numbers - others:
                     givers.pop(who, None)
-            self.group, self.look_at = others, 0
+            self.peer_numbers, self.recheck_at = others, 0
+
+    def suspend(self, now: int) -> None:
+        """Use and grant nothing until `resume`."""
+        self.resumes_at = None
+        self._received.clear()
+        self.recheck_at = now
+
+    def resume(self, now: int) -> None:
+        """Use and grant shares again, as after a start: once what was granted before must have expired."""
+        self.resumes_at = now + self._quarantine_us
+        self._received.clear()
+        self.recheck_at = now
 
-    def stand_back(self, until: int | None, now: int) -> None:
-        """Uses and gives nothing until then; None: as after a start."""
-        self.back_at = now + self._gone_us if until is None else until
-        self._held.clear()
-        self.look_at = now
+    def quarantined(self, now: int) -> bool:
+        """Whether this instance may neither use nor grant anything at this moment."""
+        return self.resumes_at is None or now < self.resumes_at
 
     @property
-    def _gone_us(self) -> int:
+    def _quarantine_us(self) -> int:
         """For so long what was given counts as gone: the taker's clock may be slower, and what it spends of a
         budget at the last moment is spent until its window has passed."""
         return int((self._limits.lease_us + self.window_us) * (1 + self._limits.drift))
 
     # What is told and heard
 
-    def asked(
+    def record_demand(
         self, volume: str, hosts: int, limit: float, units: float, now: int, window_us: int = 0
     ) -> None:
         """`limit`: units a second. `window_us`: of a budget, in which so many seconds' worth may be spent."""
         if hosts < 2 or limit <= 0:
             return
         name = tag(volume)
-        own = self.own.get(name)
+        own = self.demands.get(name)
         if own is None or (own.hosts, own.limit) != (hosts, limit):
             spent = own.spent if own else Recent(self.window_us) if self.window_us else None
-            own = self.own[name] = Own(
+            own = self.demands[name] = Own(
                 volume,
                 hosts,
                 limit,
@@ -134,50 +147,50 @@
                 spent=spent,
                 held=own.held if own else 0.0,
             )
-            self.look_at = now
+            self.recheck_at = now
         own.rate.add(now, units, self._limits.span_us)
 
-    def spend(self, budget: str, units: float, now: int) -> None:
+    def record_spent(self, budget: str, units: float, now: int) -> None:
         """So much of a budget that was asked for has been spent now."""
-        own = self.own.get(tag(budget))
+        own = self.demands.get(tag(budget))
         if own and own.spent:
             own.spent.add(now, units)
 
-    def hold(self, budget: str, units: float) -> None:
+    def set_in_use(self, budget: str, units: float) -> None:
         """So much of a budget that was asked for is in use, until it is said to be less."""
-        if own := self.own.get(tag(budget)):
+        if own := self.demands.get(tag(budget)):
             own.held = units
 
-    def heard(self, sender: int, m: Message, now: int) -> str:
+    def receive(self, sender: int, m: Message, now: int) -> str:
         """Takes a head's word up; returns why not, if not."""
-        if why := self.contact(sender, m.life, m.number, now):
+        if why := self.accept_contact(sender, m.life, m.number, now):
             return why
-        peer = self.peers[sender]
+        peer = self.contacts[sender]
         for volume, (share, hosts) in m.asks.items():
             if volume in peer.asks or len(peer.asks) < self._limits.volumes:
                 peer.asks[volume] = share, hosts, now
-            if volume in self.own:
-                self.own[volume].others[sender] = now
+            if volume in self.demands:
+                self.demands[volume].others[sender] = now
         sent_at = self.sent_at(m.re_life, m.re_number)
         if sent_at is not None:
             for volume, share in m.grants.items():
                 # Only what this head asked for: anything else would be kept for nothing.
-                if volume in self.own:
-                    self._held.setdefault(volume, {})[sender] = share, sent_at + self._limits.lease_us
-            self.look_at = now
+                if volume in self.demands:
+                    self._received.setdefault(volume, {})[sender] = share, sent_at + self._limits.lease_us
+            self.recheck_at = now
         return ""
 
-    def contact(self, sender: int, life: int, number: int, now: int) -> str:
+    def accept_contact(self, sender: int, life: int, number: int, now: int) -> str:
         """Any message of a head; returns why it is not taken up, if not."""
-        if sender not in self.group:
+        if sender not in self.peer_numbers:
             return "no peer"
-        peer = self.peers.get(sender)
+        peer = self.contacts.get(sender)
         if peer and now - peer.heard_at > self._limits.stale_us:
             peer = None  # its clock may have been set back: what it says is new by its own reckoning
         if peer and (life, number) <= (peer.life, peer.number):
             return "old"
         if peer is None or life != peer.life:
-            peer = self.peers[sender] = Peer(life, number, now)
+            peer = self.contacts[sender] = Peer(life, number, now)
         peer.number, peer.heard_at = number, now
         return ""
 
@@ -186,38 +199,42 @@
         life."""
         return self._sent.get(number) if life == self.life else None
 
-    def partners(self, now: int) -> list[int]:
+    def active_peers(self, now: int) -> list[int]:
         """The heads that lately asked for something, or may leave something of what is asked for here."""
         ours = {
             who
-            for own in self.own.values()
+            for own in self.demands.values()
             for who, at in own.others.items()
             if now - at <= self._limits.known_us
         }
-        ask = {who for who, p in self.peers.items() if p.asks and now - p.heard_at <= self._limits.stale_us}
+        ask = {
+            who for who, p in self.contacts.items() if p.asks and now - p.heard_at <= self._limits.stale_us
+        }
         return sorted(ours | ask)
 
-    def say(
+    def compose(
         self,
         now: int,
         to: Iterable[int] | None = None,
     ) -> dict[int, tuple[dict[int, tuple[float, int]], dict[int, float]]]:
         """What to tell each head now (`to`: these alone): this one's asks, busiest first, and what it gives,
         which counts as gone from here on. A head that is to be told nothing is left out."""
-        wants = sorted(((own.wants(now, self._limits), name) for name, own in self.own.items()), reverse=True)
+        wants = sorted(
+            ((own.wants(now, self._limits), name) for name, own in self.demands.items()), reverse=True
+        )
         asks = {
-            volume: (share, self.own[volume].hosts)
+            volume: (share, self.demands[volume].hosts)
             for share, volume in wants[: self._limits.say_volumes]
             if share > 0
         }
         told = {}
-        for who in sorted(self.group) if to is None else to:
-            grants = self._grants(who, now)
+        for who in sorted(self.peer_numbers) if to is None else to:
+            grants = self._make_grants(who, now)
             if asks or grants:
                 told[who] = asks, grants
         return told
 
-    def sending(self, now: int) -> int:
+    def next_number(self, now: int) -> int:
         """The number of a message that is sent now."""
         self._number += 1
         self._sent[self._number] = now
@@ -226,41 +243,43 @@
         return self._number
 
     @property
-    def number(self) -> int:
+    def last_number(self) -> int:
         """Of the last message."""
         return self._number
 
-    def last_heard(self, who: int) -> tuple[int, int]:
+    def last_received(self, who: int) -> tuple[int, int]:
         """Life and number of the last message heard from a head."""
-        peer = self.peers.get(who)
+        peer = self.contacts.get(who)
         return (peer.life, peer.number) if peer else (0, 0)
 
     # What is given
 
-    def _grants(self, who: int, now: int) -> dict[int, float]:
-        peer = self.peers.get(who)
-        if peer is None or now < self.back_at:
+    def _make_grants(self, who: int, now: int) -> dict[int, float]:
+        peer = self.contacts.get(who)
+        if peer is None or self.quarantined(now):
             return {}
         grants = {}
         for volume, (_, hosts, at) in list(peer.asks.items()):
             if now - at > self._limits.stale_us:
                 del peer.asks[volume]
                 continue
-            share = self._share(volume, hosts, who, now)
+            share = self._grantable_share(volume, hosts, who, now)
             if share > 0:
                 grants[volume] = share
-                self._given.setdefault(volume, {}).setdefault(who, []).append((share, now + self._gone_us))
-                self.look_at = now
+                self._granted.setdefault(volume, {}).setdefault(who, []).append(
+                    (share, now + self._quarantine_us)
+                )
+                self.recheck_at = now
         return grants
 
-    def _share(self, volume: int, hosts: int, who: int, now: int) -> float:
+    def _grantable_share(self, volume: int, hosts: int, who: int, now: int) -> float:
         """What of this head's even part it can leave to that one: of what it does not want for itself, by how
         much each asker lacks; never what it has left to others already."""
-        own = self.own.get(volume)
+        own = self.demands.get(volume)
         mine = own.wants(now, self._limits) if own else 0.0
         askers = [
             (peer, p.asks[volume][0])
-            for peer, p in sorted(self.peers.items())
+            for peer, p in sorted(self.contacts.items())
             if volume in p.asks and now - p.asks[volume][2] <= self._limits.stale_us
         ]
         idle = max(0, hosts - 1 - len(askers))
@@ -271,108 +290,112 @@
         if not lacks.get(who):
             return 0.0
         spare = max(0.0, 1 - targets[0] * hosts) * lacks[who] / sum(lacks.values())
-        others = sum(self._lent(volume, taker, now) for taker in self._given.get(volume, {}) if taker != who)
+        others = sum(
+            self._granted_share(volume, taker, now) for taker in self._granted.get(volume, {}) if taker != who
+        )
         locked = own.locked(now, self.window_us) * hosts if own else 0.0
         return max(0, int(min(spare, 1 - others - locked) * self._limits.steps)) / self._limits.steps
 
-    def _lent(self, volume: int, taker: int, now: int) -> float:
+    def _granted_share(self, volume: int, taker: int, now: int) -> float:
         """The most that a head may still have of this one's part: each grant until it must have ended."""
-        given = self._given[volume][taker] = [g for g in self._given[volume][taker] if g[1] > now]
+        given = self._granted[volume][taker] = [g for g in self._granted[volume][taker] if g[1] > now]
         return max((share for share, _ in given), default=0.0)
 
     # What is this head's
 
-    def part(self, volume: int, now: int) -> float:
+    def usable_share(self, volume: int, now: int) -> float:
         """Of the limit, at this moment: what is left of its even part, and what others must have left to it.
 
         Which heads are the volume's others is not told: those that have asked for it are known. A head that
         does not know the volume leaves its even part all the same, but it may be none of them: for each that
         is not known, the least of the other heads' shares counts.
         """
-        own = self.own[volume]
+        own = self.demands[volume]
         lent = (
             1.0
-            if now < self.back_at
-            else sum(self._lent(volume, taker, now) for taker in self._given.get(volume, {}))
+            if self.quarantined(now)
+            else sum(self._granted_share(volume, taker, now) for taker in self._granted.get(volume, {}))
         )
-        held = {who: share for who, (share, until) in self._held.get(volume, {}).items() if until > now}
+        held = {who: share for who, (share, until) in self._received.get(volume, {}).items() if until > now}
         known = [who for who, at in own.others.items() if now - at <= self._limits.known_us]
         known = known if len(known) < own.hosts else []  # its heads have changed: nothing is known of them
         unknown = self._found and not self.window_us  # of a budget, every head is one of its hosts
-        rest = [] if unknown else sorted(held.get(who, 0.0) for who in self.group if who not in known)
+        rest = [] if unknown else sorted(held.get(who, 0.0) for who in self.peer_numbers if who not in known)
         shares = [held.get(who, 0.0) for who in known] + rest[: own.hosts - 1 - len(known)]
         return (max(0.0, 1 - lent) + sum(shares)) / own.hosts
 
-    def parts(self, now: int) -> dict[str, float]:
+    def changed_shares(self, now: int) -> dict[str, float]:
         """The parts that have changed since they were last told; a call at each turn of the loop costs
         nothing while none can have. A lease that ran out while the process stood still is seen here, before
         the module may send."""
-        if now < self.look_at:
+        if now < self.recheck_at:
             return {}
         changed: dict[str, float] = {}
-        for volume, own in list(self.own.items()):
-            part = self.part(volume, now)
-            if part != self._parts.get(volume):
-                self._parts[volume] = changed[own.name] = part
+        for volume, own in list(self.demands.items()):
+            part = self.usable_share(volume, now)
+            if part != self._shares.get(volume):
+                self._shares[volume] = changed[own.name] = part
             # What is held of it at the module outlasts what is wanted: until then it must hear what is given.
             if now - own.rate.at > self._limits.known_us and part == 1 / own.hosts and not own.held:
-                del self.own[volume]
-                self._held.pop(volume, None)
-                self._parts.pop(volume, None)
-        self._forget(now)
+                del self.demands[volume]
+                self._received.pop(volume, None)
+                self._shares.pop(volume, None)
+        self._drop_expired(now)
         return changed
 
-    def _forget(self, now: int) -> None:
+    def _drop_expired(self, now: int) -> None:
         """Drops what has ended, and finds out when the next thing does."""
-        ends = [self.back_at] if self.back_at > now else []
-        for volume, givers in list(self._held.items()):
+        ends = []
+        if self.quarantined(now):
+            ends.append(NEVER_US if self.resumes_at is None else self.resumes_at)
+        for volume, givers in list(self._received.items()):
             for who in [who for who, (_, until) in givers.items() if until <= now]:
                 del givers[who]
             ends += [until for _, until in givers.values()]
             if not givers:
-                del self._held[volume]
-        for volume, takers in list(self._given.items()):
+                del self._received[volume]
+        for volume, takers in list(self._granted.items()):
             for who in list(takers):
-                self._lent(volume, who, now)
+                self._granted_share(volume, who, now)
                 ends += [until for _, until in takers[who]]
                 if not takers[who]:
                     del takers[who]
             if not takers:
-                del self._given[volume]
-        self.look_at = min(ends, default=now + self._limits.lease_us)
+                del self._granted[volume]
+        self.recheck_at = min(ends, default=now + self._limits.lease_us)
 
-    def believed(self) -> dict[str, float]:
+    def current_shares(self) -> dict[str, float]:
         """The parts as the module has them; they hold until `look_at` at most."""
-        return {own.name: self._parts[volume] for volume, own in self.own.items()}
+        return {own.name: self._shares[volume] for volume, own in self.demands.items()}
 
     # For operators
 
-    def limits(self, now: int) -> list[dict[str, object]]:
+    def limit_rows(self, now: int) -> list[dict[str, object]]:
         """Of each limited volume asked for here: this head's part, and who has what of whose until when."""
         return [
             {
                 "volume": own.name,
                 "hosts": own.hosts,
-                "part": round(self.part(volume, now), 4),
+                "part": round(self.usable_share(volume, now), 4),
                 "wants": round(own.wants(now, self._limits), 4),
                 "left": [
                     {"head": who, "share": share, "for_ms": (until - now) // 1000}
-                    for who, given in sorted(self._given.get(volume, {}).items())
+                    for who, given in sorted(self._granted.get(volume, {}).items())
                     for share, until in given[-1:]
                     if until > now
                 ],
                 "had": [
                     {"head": who, "share": share, "for_ms": (until - now) // 1000}
-                    for who, (share, until) in sorted(self._held.get(volume, {}).items())
+                    for who, (share, until) in sorted(self._received.get(volume, {}).items())
                     if until > now
                 ],
             }
-            for volume, own in sorted(self.own.items(), key=lambda item: item[1].name)
+            for volume, own in sorted(self.demands.items(), key=lambda item: item[1].name)
         ]
 
-    def members(self, now: int) -> list[dict[str, object]]:
+    def member_rows(self, now: int) -> list[dict[str, object]]:
         """Each head of the tier: which life of it was heard last, and how long ago."""
-        wanted = sum(own.wants(now, self._limits) > 0 for own in self.own.values())
+        wanted = sum(own.wants(now, self._limits) > 0 for own in self.demands.values())
         return [
             {
                 "head": who,
@@ -381,6 +404,6 @@
                 "heard_ms": 0 if who == self.me else (now - peer.heard_at) // 1000 if peer else None,
                 "asks": wanted if who == self.me else len(peer.asks) if peer else 0,
             }
-            for who in sorted(self.group | {self.me})
-            for peer in [self.peers.get(who)]
+            for who in sorted(self.peer_numbers | {self.me})
+            for peer in [self.contacts.get(who)]
         ]
--- a/garnetlanding/peers/local_observations.py
+++ b/garnetlanding/peers/local_observations.py
@@ -46,22 +46,22 @@
 class LocalObservations:
     def __init__(self, limits: PeerLimits) -> None:
         self._limits = limits
-        self.servers: dict[str, Observation] = {}
-        self.names: dict[int, str] = {}  # by tag
+        self.backends: dict[str, Observation] = {}
+        self.names_by_tag: dict[int, str] = {}  # by tag
 
-    def see(self, now: int, events: Iterable[api.Event], tightest_us: int) -> None:
+    def observe_events(self, now: int, events: Iterable[api.Event], tightest_us: int) -> None:
         """Before the module is told of them."""
         for event in events:
             match event:
                 case api.EndpointListUpdate():
                     self._listed(event)
                 case api.Result():
-                    if sight := self.servers.get(event.node):
+                    if sight := self.backends.get(event.node):
                         self._ended(sight, event, now, tightest_us)
 
-    def acted(self, now: int, actions: Iterable[api.Action]) -> None:
+    def observe_actions(self, now: int, actions: Iterable[api.Action]) -> None:
         for action in actions:
-            if isinstance(action, api.Send) and (sight := self.servers.get(action.node)):
+            if isinstance(action, api.Send) and (sight := self.backends.get(action.node)):
                 sight.out.setdefault(action.request, now)
 
     def _listed(self, event: api.EndpointListUpdate) -> None:
@@ -69,19 +69,19 @@
             return
         told = {e.node: e for e in event.entries}
         if event.whole:
-            for node in set(self.servers) - set(told):
+            for node in set(self.backends) - set(told):
                 self._drop(node)
         for node, entry in told.items():
-            known = self.servers.get(node)
+            known = self.backends.get(node)
             if entry.state is not api.EndpointState.UP or entry.admin_disabled:
                 self._drop(node)
             elif known is None or known.entry.started_us != entry.started_us:
-                self.servers[node] = Observation(entry)
-                self.names[tag(node)] = node
+                self.backends[node] = Observation(entry)
+                self.names_by_tag[tag(node)] = node
 
     def _drop(self, node: str) -> None:
-        if self.servers.pop(node, None):
-            self.names.pop(tag(node), None)
+        if self.backends.pop(node, None):
+            self.names_by_tag.pop(tag(node), None)
 
     def _ended(self, sight: Observation, e: api.Result, now: int, tightest_us: int) -> None:
         if e.outcome in SPOKE and (was := self._verdict(sight, now, tightest_us)):
@@ -106,7 +106,7 @@
     def evidence(self, now: int, tightest_us: int) -> list[tuple[str, Evidence]]:
         """What is to be told, the freshest first: by server, one verdict each."""
         found: list[tuple[str, Evidence]] = []
-        for node, sight in self.servers.items():
+        for node, sight in self.backends.items():
             if seen := self._verdict(sight, now, tightest_us):
                 kind, count, at = seen
                 if now - at <= self._limits.word_us:
--- a/garnetlanding/peers/shared_budgets.py
+++ b/garnetlanding/peers/shared_budgets.py
@@ -23,12 +23,12 @@
         self._units: dict[str, float] = {}  # of requests that may go to one of them
         self._sent: set[str] = set()  # requests with an attempt, where further ones have a budget
 
-    def see(self, now: int, events: Iterable[api.Event], s: api.Settings, hosts: int) -> None:
+    def observe_events(self, now: int, events: Iterable[api.Event], s: api.Settings, hosts: int) -> None:
         """Before the module is told of them. `hosts`: the heads that share everything."""
         for event in events:
             match event:
                 case api.EndpointListUpdate(failed=True):
-                    self.leases.asked(
+                    self.leases.record_demand(
                         api.LIST_CALLS, hosts, self._limits.list_calls, 1, now, self._limits.list_window_us
                     )
                 case api.EndpointListUpdate():
@@ -39,7 +39,7 @@
                         del self._cold[event.cell]
                         continue
                     self._units[event.request] = event.units
-                    self.leases.asked(
+                    self.leases.record_demand(
                         api.cold(node),
                         hosts,
                         s.warmup_units * SECOND / s.overload_window_us,
@@ -56,7 +56,7 @@
                         and event.outcome is not api.Outcome.SERVED
                     ):
                         pace = s.retry_budget_floor * hosts * SECOND / s.retry_budget_window_us
-                        self.leases.asked(api.RESENDS, hosts, pace, 1, now, s.retry_budget_window_us)
+                        self.leases.record_demand(api.RESENDS, hosts, pace, 1, now, s.retry_budget_window_us)
                     if event.over:
                         self._over(event.request)
 
@@ -74,25 +74,25 @@
         self._units.pop(request, None)
         self._sent.discard(request)
 
-    def acted(self, now: int, actions: Iterable[api.Action], s: api.Settings) -> None:
+    def observe_actions(self, now: int, actions: Iterable[api.Action], s: api.Settings) -> None:
         """After the module has decided: what it spends."""
         for action in actions:
             match action:
                 case api.Send():
                     if units := self._units.get(action.request):
-                        self.leases.spend(api.cold(action.node), units, now)
+                        self.leases.record_spent(api.cold(action.node), units, now)
                     if s.retry_budget_window_us:
                         if action.request in self._sent:
-                            self.leases.spend(api.RESENDS, 1, now)
+                            self.leases.record_spent(api.RESENDS, 1, now)
                         self._sent.add(action.request)
                 case api.Subscribe():
-                    self.leases.spend(api.LIST_CALLS, 1, now)
+                    self.leases.record_spent(api.LIST_CALLS, 1, now)
                 case api.Reject() | api.Fail():
                     self._over(action.request)
 
-    def shares(self, now: int, hosts: int) -> dict[str, float] | None:
+    def changed_shares(self, now: int, hosts: int) -> dict[str, float] | None:
         """Of each budget that is asked for, this head's share as a multiple of 1 / hosts; None: as told."""
-        if not self.leases.parts(now):
+        if not self.leases.changed_shares(now):
             return None
         shares = {name: share * (whole or hosts) for name, share, whole in self._believed()}
         if api.LIST_CALLS in shares:
@@ -102,11 +102,11 @@
 
     def _believed(self) -> Iterator[tuple[str, float, float]]:
         """Name and share of each budget, and how much the whole of it is, of what is told by number."""
-        believed = self.leases.believed()
-        for own in self.leases.own.values():
+        believed = self.leases.current_shares()
+        for own in self.leases.demands.values():
             counted = own.name.startswith(api.places(""))
             yield own.name, believed[own.name], own.limit * own.window_us / SECOND if counted else 0.0
 
-    def heard(self, sender: int, message: Message, now: int) -> str:
+    def receive(self, sender: int, message: Message, now: int) -> str:
         """Takes a head's word up; returns why not, if not."""
-        return self.leases.heard(sender, message, now)
+        return self.leases.receive(sender, message, now)
--- a/garnetlanding/peers/suspicions.py
+++ b/garnetlanding/peers/suspicions.py
@@ -39,7 +39,7 @@
         value, at = self._credit.get(head, (1.0, now))
         return min(1.0, value + (now - at) / self._limits.recover_us)
 
-    def heard(
+    def receive(
         self,
         sender: int,
         evidence: Iterable[Evidence],
@@ -53,8 +53,8 @@
         dropped: Counter[str] = Counter()
         told: set[str] = set()
         for e in evidence:
-            node = seen.names.get(e.server)
-            sight = seen.servers.get(node) if node else None
+            node = seen.names_by_tag.get(e.server)
+            sight = seen.backends.get(node) if node else None
             if node is None or sight is None:
                 dropped["no such server"] += 1
             elif not self._same_life(e.life, life_of(sight.entry, now)):
@@ -82,12 +82,12 @@
         once more; one that was merely not quick to hear of the change does not."""
         claims = self._claims.setdefault(node, {})
         old, before = claims.get(sender), self._withdrawn.pop((node, sender), None)
-        proved = seen.servers[node].proof_at(before.kind) if before else NEVER
+        proved = seen.backends[node].proof_at(before.kind) if before else NEVER
         if before and max(before.latest, claim.latest - self._limits.word_us) < proved < claim.latest:
             # Said, refuted, withdrawn and soon said again: as good as gone on saying.
             self._credit[sender] = self.credit(sender, now) * self._limits.refuted, now
         if old and old.kind is claim.kind:
-            proof = seen.servers[node].proof_at(claim.kind)
+            proof = seen.backends[node].proof_at(claim.kind)
             answered = old.answered_at if old.answered_at > NEVER else proof if proof > old.latest else NEVER
             if NEVER < answered < claim.latest - self._limits.persist_us:
                 self._credit[sender] = self.credit(sender, now) * self._limits.refuted, now
@@ -95,11 +95,11 @@
             claim.answered_at = answered
         claims[sender] = claim
 
-    def doubted(self, now: int, seen: LocalObservations) -> dict[str, int]:
+    def suspected(self, now: int, seen: LocalObservations) -> dict[str, int]:
         """The servers with whom to be careful on others' word alone, and until when at most."""
         weights: list[tuple[float, str, int]] = []
         for node, claims in list(self._claims.items()):
-            sight = seen.servers.get(node)
+            sight = seen.backends.get(node)
             for sender in [who for who, claim in claims.items() if claim.until <= now]:
                 del claims[sender]
             if sight is None or not claims:
@@ -111,13 +111,13 @@
             weight = sum(self.credit(who, now) for who, _ in valid)
             if weight >= self._limits.trust:
                 weights.append((weight, node, max(c.until for _, c in valid)))
-        most = max(1, int(self._limits.doubted_share * len(seen.servers)))
+        most = max(1, int(self._limits.doubted_share * len(seen.backends)))
         chosen = sorted(weights, key=lambda one: (-one[0], one[1]))[:most]
         return {node: until for _, node, until in chosen}
 
     def known(self, now: int, seen: LocalObservations, tightest_us: int) -> list[dict[str, object]]:
         """For operators: what is believed of each server, from whom, how old at most."""
-        own, doubted = dict(seen.evidence(now, tightest_us)), self.doubted(now, seen)
+        own, doubted = dict(seen.evidence(now, tightest_us)), self.suspected(now, seen)
         return [
             {
                 "server": node,
@@ -136,5 +136,5 @@
                     if c.until > now
                 ],
             }
-            for node in sorted(seen.servers)
+            for node in sorted(seen.backends)
         ]
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -593,14 +593,14 @@
             if me in self.talks:
                 for action in self.talks[me].handle(when, [event]):
                     self.act(me, action)
-                self.fleets[me].merge()
+                self.fleets[me].merge_received()
 
     def ban(self, server: str) -> None:
-        bans = DisabledBackends(PEER_LIMITS, self.fleets[0].bans.records.values())
+        bans = DisabledBackends(PEER_LIMITS, self.fleets[0].disabled.records.values())
         for i in range(60):  # more than one datagram holds: they are told in turn
-            bans.say(f"server-{i}-that-was-put-back-long-ago", False, 0, WALL_MS - 1000 + i)
-        bans.say(server, True, 0, WALL_MS)
-        self.fleets[0].keep(bans)
+            bans.set_disabled(f"server-{i}-that-was-put-back-long-ago", False, 0, WALL_MS - 1000 + i)
+        bans.set_disabled(server, True, 0, WALL_MS)
+        self.fleets[0].replace_disabled(bans)
 
     def act(self, me: int, action: api.Action) -> None:
         match action:
@@ -650,7 +650,9 @@
     talk.run()
     kinds = {data[1] for *_, data in talk.sent}
     assert kinds == {codec.LEASES, codec.WORDS, codec.ROLL, codec.BUDGETS}
-    assert all(fleet.bans.banned == {"n2"} for fleet in talk.fleets.values()), "all heard of the ban"
+    assert all(
+        fleet.disabled.disabled_names == {"n2"} for fleet in talk.fleets.values()
+    ), "all heard of the ban"
     text = "".join(told_so_far(talk.sent))
     for me, one in talk.talks.items():
         text += f"head {me}: dropped {sorted(one.dropped.items())}, heard {one.last_heard}, said {one.said}\n"
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -122,7 +122,7 @@
         T0, [api.PeerMessage(1, p) for p in (b"", whole[:-1], whole + b"x", b"\x09" + whole[1:], bytes(300))]
     )
     assert talk.dropped == {"torn": 3, "other version": 1, "too long": 1}
-    assert talk.leases and not talk.leases.peers
+    assert talk.leases and not talk.leases.contacts
 
 
 def test_the_link_hears_its_peers_alone(caplog: pytest.LogCaptureFixture) -> None:
@@ -210,7 +210,7 @@
     host, port = link.address.split(":")
     h.others[1].sendto(codec.encode(Message(1, 1)), (host, int(port)))
     h.settle()
-    assert h.talk.leases and list(h.talk.leases.peers) == [2]
+    assert h.talk.leases and list(h.talk.leases.contacts) == [2]
 
 
 def test_operators_see_who_has_which_part_until_when() -> None:
@@ -325,7 +325,7 @@
     h.daemon.lives = Newer()  # type: ignore[assignment]
     h.daemon.scheduler.spawn(h.daemon.end)
     h.settle()
-    assert link.closed and h.talk.leases and h.talk.leases.part(codec.tag("v"), h.time) == 0.0
+    assert link.closed and h.talk.leases and h.talk.leases.usable_share(codec.tag("v"), h.time) == 0.0
 
 
 @pytest.mark.parametrize(
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -113,15 +113,15 @@
     """Requests that came before may be held for tokens still, and would go out on a part that is gone."""
     one, other, third = meet()
     start = LIMITS.lease_us * 2
-    one.asked("v", 2, 40.0, 2, start)
-    assert one.parts(start) == {"v": 0.5}
+    one.record_demand("v", 2, 40.0, 2, start)
+    assert one.changed_shares(start) == {"v": 0.5}
     later = start + LIMITS.span_us + 200_000
-    assert one.parts(later) == {}
+    assert one.changed_shares(later) == {}
     for now in range(later, later + 600_000, 100_000):
-        other.asked("v", 2, 40.0, 8, now)
+        other.record_demand("v", 2, 40.0, 8, now)
         talk([one, other, third], now)
-        told = one.parts(now)
-        assert told.get("v", 0.5) == one.part(TAG, now)
+        told = one.changed_shares(now)
+        assert told.get("v", 0.5) == one.usable_share(TAG, now)
         if told:
             break
     assert told["v"] < 0.5
@@ -129,17 +129,19 @@
 
 def talk(group: list[Leases], now: int, silent: tuple[int, ...] = ()) -> None:
     for sender in group:
-        number = sender.sending(now)
-        for who, page in sender.say(now).items():
+        number = sender.next_number(now)
+        for who, page in sender.compose(now).items():
             if sender.me not in silent and who not in silent:
-                group[who].heard(sender.me, Message(sender.life, number, *sender.last_heard(who), *page), now)
+                group[who].receive(
+                    sender.me, Message(sender.life, number, *sender.last_received(who), *page), now
+                )
 
 
 def lead(group: list[Leases], start: int, seconds: float, silent: tuple[int, ...] = ()) -> int:
     """Head 0 is asked for all that the volume may have."""
     now = start
     for now in range(start, start + int(seconds * SECOND), SECOND // 10):
-        group[0].asked("v", 2, 40.0, 4, now)
+        group[0].record_demand("v", 2, 40.0, 4, now)
         if now % (SECOND // 5) == 0:
             talk(group, now, silent)
     return now
@@ -148,67 +150,76 @@
 def test_a_head_that_is_cut_off_goes_back_to_its_even_part_and_on_again_when_it_is_heard() -> None:
     group = meet()
     now = lead(group, 0, 4)
-    assert group[0].part(TAG, now) == pytest.approx(1.0)
+    assert group[0].usable_share(TAG, now) == pytest.approx(1.0)
     now = lead(group, now, 2, silent=(0,))
-    assert group[0].part(TAG, now) == 0.5
+    assert group[0].usable_share(TAG, now) == 0.5
     now = lead(group, now, 1)
-    assert group[0].part(TAG, now) == pytest.approx(1.0)
+    assert group[0].usable_share(TAG, now) == pytest.approx(1.0)
 
 
 def test_a_head_of_another_volume_that_is_cut_off_takes_nothing_once_the_volumes_heads_are_known() -> None:
     group = meet()
     now = lead(group, 0, 3, silent=(2,))
-    assert group[0].part(TAG, now) == 0.5, "head 2 may be the volume's other one, and sends for itself"
-    group[1].asked("v", 2, 40.0, 1, now)
+    assert (
+        group[0].usable_share(TAG, now) == 0.5
+    ), "head 2 may be the volume's other one, and sends for itself"
+    group[1].record_demand("v", 2, 40.0, 1, now)
     now = lead(group, now, 1, silent=(2,))
-    assert group[0].part(TAG, now) > 0.9, "it is head 1"
+    assert group[0].usable_share(TAG, now) > 0.9, "it is head 1"
 
 
 def test_a_head_that_has_just_started_uses_nothing_until_its_earlier_life_can_have_left_nothing() -> None:
     group = meet()
-    group[1].asked("v", 2, 40.0, 1, 0)
-    assert group[1].part(TAG, 0) == 0.0 and group[1].parts(0) == {"v": 0.0}
-    at = group[1].back_at
-    assert group[1].part(TAG, at) == 0.5 and group[1].parts(at) == {"v": 0.5}
+    group[1].record_demand("v", 2, 40.0, 1, 0)
+    assert group[1].usable_share(TAG, 0) == 0.0 and group[1].changed_shares(0) == {"v": 0.0}
+    at = group[1].resumes_at
+    assert at is not None
+    assert group[1].usable_share(TAG, at) == 0.5 and group[1].changed_shares(at) == {"v": 0.5}
 
 
 def test_a_number_of_hosts_that_changes_changes_the_even_part_of_a_head_that_hears_nobody() -> None:
     """It was taken for what the module had anyway, and the module went on with the part of before."""
     one = Leases(LIMITS, 0, 3, 7, 0)
-    now = one.back_at
-    one.asked("v", 2, 40.0, 1, now)
-    assert one.parts(now) == {"v": 0.5}
-    one.asked("v", 3, 40.0, 1, now + 1)
-    assert one.parts(now + 1) == {"v": pytest.approx(1 / 3)}
+    assert one.resumes_at is not None
+    now = one.resumes_at
+    one.record_demand("v", 2, 40.0, 1, now)
+    assert one.changed_shares(now) == {"v": 0.5}
+    one.record_demand("v", 3, 40.0, 1, now + 1)
+    assert one.changed_shares(now + 1) == {"v": pytest.approx(1 / 3)}
 
 
 def test_a_stalled_heads_lease_has_ended_before_it_may_send_again() -> None:
     group = meet()
     now = lead(group, 0, 4)
-    assert group[0].parts(now) == {"v": pytest.approx(1.0)}
+    assert group[0].changed_shares(now) == {"v": pytest.approx(1.0)}
     late = now + LIMITS.lease_us + 1
-    group[0].asked("v", 2, 40.0, 4, late)
-    assert group[0].parts(late) == {"v": 0.5}
+    group[0].record_demand("v", 2, 40.0, 4, late)
+    assert group[0].changed_shares(late) == {"v": 0.5}
 
 
 def test_words_of_no_peer_and_too_many_volumes_are_not_kept() -> None:
     one = Leases(PeerLimits(volumes=5), 0, 3, 1, 0)
-    assert [one.heard(who, Message(1, 1), 0) for who in (0, 3, -1, 2)] == ["no peer"] * 3 + [""]
-    one.heard(1, Message(1, 1, 0, 0, {v: (1.0, 2) for v in range(30)}), 0)
-    assert len(one.peers[1].asks) == 5
-    one.heard(1, Message(1, 2, 1, 1, {}, {v: 1.0 for v in range(30)}), 0)
-    assert not one._held, "nothing is kept that was not asked for"
+    assert [one.receive(who, Message(1, 1), 0) for who in (0, 3, -1, 2)] == ["no peer"] * 3 + [""]
+    one.receive(1, Message(1, 1, 0, 0, {v: (1.0, 2) for v in range(30)}), 0)
+    assert len(one.contacts[1].asks) == 5
+    one.receive(1, Message(1, 2, 1, 1, {}, {v: 1.0 for v in range(30)}), 0)
+    assert not one._received, "nothing is kept that was not asked for"
 
 
 def test_a_restarted_head_is_heard_at_once_and_its_earlier_life_no_more() -> None:
     one = Leases(LIMITS, 0, 3, 1, 0)
-    assert [one.heard(1, Message(*m), 0) for m in ((5, 9), (6, 1), (5, 10), (6, 1))] == ["", "", "old", "old"]
-    assert one.heard(1, Message(5, 11), LIMITS.stale_us + 1) == "", "its clock was set back: heard later"
+    assert [one.receive(1, Message(*m), 0) for m in ((5, 9), (6, 1), (5, 10), (6, 1))] == [
+        "",
+        "",
+        "old",
+        "old",
+    ]
+    assert one.receive(1, Message(5, 11), LIMITS.stale_us + 1) == "", "its clock was set back: heard later"
 
 
 # Bugs put in on purpose
 
-real_heard, real_part, real_grants = Leases.heard, Leases.part, Leases._grants
+real_heard, real_part, real_grants = Leases.receive, Leases.usable_share, Leases._make_grants
 
 
 def from_when_it_came(self: Leases, sender: int, m: Message, now: int) -> str:
@@ -223,14 +234,14 @@
 
 
 def lent_is_kept(self: Leases, volume: int, now: int) -> float:
-    given, self._given = self._given, {}
+    given, self._granted = self._granted, {}
     part = real_part(self, volume, now)
-    self._given = given
+    self._granted = given
     return part
 
 
 def never_ends(self: Leases, volume: int, now: int) -> float:
-    for givers in self._held.values():
+    for givers in self._received.values():
         for who, (share, _) in givers.items():
             givers[who] = share, now + SECOND
     return real_part(self, volume, now)
@@ -239,27 +250,31 @@
 def not_counted(self: Leases, who: int, now: int) -> dict[int, float]:
     grants = real_grants(self, who, now)
     for volume in grants:
-        self._given[volume][who].pop()
+        self._granted[volume][who].pop()
     return grants
 
 
 def every_head_counts(self: Leases, volume: int, now: int) -> float:
-    own = self.own[volume]
-    held = [share for share, until in self._held.get(volume, {}).values() if until > now]
+    own = self.demands[volume]
+    held = [share for share, until in self._received.get(volume, {}).values() if until > now]
     alone = real_part(self, volume, now)
-    return max(alone, min(1.0, (1 / own.hosts + sum(held) / own.hosts) if now >= self.back_at else 0.0))
+    return max(alone, min(1.0, (1 / own.hosts + sum(held) / own.hosts) if not self.quarantined(now) else 0.0))
 
 
 def greatest(self: Leases, volume: int, now: int) -> float:
     """As if a head that is none of the volume's left something of it."""
-    own, self.own[volume].others = self.own[volume], {}
-    held = sorted((s for s, until in self._held.get(volume, {}).values() if until > now), reverse=True)
-    lent = 1.0 if now < self.back_at else sum(self._lent(volume, t, now) for t in self._given.get(volume, {}))
+    own, self.demands[volume].others = self.demands[volume], {}
+    held = sorted((s for s, until in self._received.get(volume, {}).values() if until > now), reverse=True)
+    lent = (
+        1.0
+        if self.quarantined(now)
+        else sum(self._granted_share(volume, t, now) for t in self._granted.get(volume, {}))
+    )
     return (max(0.0, 1 - lent) + sum(held[: own.hosts - 1])) / own.hosts
 
 
 def last_grant_only(self: Leases, volume: int, taker: int, now: int) -> float:
-    given = self._given[volume][taker] = [g for g in self._given[volume][taker] if g[1] > now]
+    given = self._granted[volume][taker] = [g for g in self._granted[volume][taker] if g[1] > now]
     return given[-1][0] if given else 0.0
 
 
@@ -269,7 +284,7 @@
 
 def no_look(self: Leases, now: int) -> dict[str, float]:
     changed = real_parts(self, now)
-    self.look_at = now + SECOND
+    self.recheck_at = now + SECOND
     return changed
 
 
@@ -279,12 +294,12 @@
 
 def no_quarantine(self: Leases, *args: Any) -> None:
     real_init(self, *args)
-    self.back_at = args[4]
+    self.resumes_at = args[4]
 
 
 def forgetful(self: Leases, now: int) -> None:
     real_forget(self, now)
-    self._given.clear()
+    self._granted.clear()
 
 
 def rounded_up(m: Message) -> bytes:
@@ -292,7 +307,7 @@
 
 
 def lent_to_one(self: Leases, volume: int, now: int) -> float:
-    takers = self._given.get(volume, {})
+    takers = self._granted.get(volume, {})
     kept = {t: takers[t] for t in list(takers)[1:]}
     for taker in kept:
         del takers[taker]
@@ -305,25 +320,30 @@
     real_asked(self, volume, max(2, hosts - 1), limit, units, now)
 
 
-real_parts, real_init, real_forget, real_encode = Leases.parts, Leases.__init__, Leases._forget, codec.encode
-real_asked = Leases.asked
+real_parts, real_init, real_forget, real_encode = (
+    Leases.changed_shares,
+    Leases.__init__,
+    Leases._drop_expired,
+    codec.encode,
+)
+real_asked = Leases.record_demand
 BUGS: dict[str, tuple[object, str, Callable[..., Any]]] = {
-    "a lease counts from when it came": (Leases, "heard", from_when_it_came),
-    "a lease is twice as long at its taker": (Leases, "heard", twice_as_long),
-    "what is lent is used all the same": (Leases, "part", lent_is_kept),
-    "a lease never ends at its taker": (Leases, "part", never_ends),
-    "what is given is not counted as gone": (Leases, "_grants", not_counted),
-    "every head's share counts": (Leases, "part", every_head_counts),
-    "the greatest shares count, not the least": (Leases, "part", greatest),
-    "only the last grant counts as gone": (Leases, "_lent", last_grant_only),
-    "given parts come back before the lease ends": (Leases, "_gone_us", property(gone_too_soon)),
-    "parts are looked at only now and then": (Leases, "parts", no_look),
-    "the whole part is given to each that asks": (Leases, "_share", all_to_each),
+    "a lease counts from when it came": (Leases, "receive", from_when_it_came),
+    "a lease is twice as long at its taker": (Leases, "receive", twice_as_long),
+    "what is lent is used all the same": (Leases, "usable_share", lent_is_kept),
+    "a lease never ends at its taker": (Leases, "usable_share", never_ends),
+    "what is given is not counted as gone": (Leases, "_make_grants", not_counted),
+    "every head's share counts": (Leases, "usable_share", every_head_counts),
+    "the greatest shares count, not the least": (Leases, "usable_share", greatest),
+    "only the last grant counts as gone": (Leases, "_granted_share", last_grant_only),
+    "given parts come back before the lease ends": (Leases, "_quarantine_us", property(gone_too_soon)),
+    "parts are looked at only now and then": (Leases, "changed_shares", no_look),
+    "the whole part is given to each that asks": (Leases, "_grantable_share", all_to_each),
     "a started head uses its part at once": (Leases, "__init__", no_quarantine),
-    "what was given is forgotten": (Leases, "_forget", forgetful),
+    "what was given is forgotten": (Leases, "_drop_expired", forgetful),
     "shares are rounded up on the way": (codec, "encode", rounded_up),
-    "what is lent to a second head is not counted": (Leases, "part", lent_to_one),
-    "one host too few": (Leases, "asked", half_of_hosts),
+    "what is lent to a second head is not counted": (Leases, "usable_share", lent_to_one),
+    "one host too few": (Leases, "record_demand", half_of_hosts),
 }
 
 
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -13,7 +13,7 @@
 
 from garnetlanding import config
 from garnetlanding.decision import interface as api
-from garnetlanding.decision.control import NEVER, Controller
+from garnetlanding.decision.control import Controller
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.budget_net import BudgetNet, BudgetRun
 from garnetlanding.emulator.discovery import Box
@@ -269,7 +269,8 @@
 
 
 @pytest.mark.parametrize(
-    "where, name, instead", [(Leases, "_gone_us", property(lease_alone)), (Own, "locked", nothing_locked)]
+    "where, name, instead",
+    [(Leases, "_quarantine_us", property(lease_alone)), (Own, "locked", nothing_locked)],
 )
 def test_a_bug_put_into_budgets_on_purpose_is_found(
     where: object, name: str, instead: Callable[..., Any], monkeypatch: pytest.MonkeyPatch
@@ -288,27 +289,34 @@
     budgets = SharedBudgets(LIMITS, COLD, 1, T0)
     node = replace(up("n0", 0), started_us=T0 - SECOND)
     ask = api.Arrival("r1", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1)
-    budgets.see(
+    budgets.observe_events(
         T0,
         [api.EndpointListUpdate((node, up("n1", 1)), whole=True), ask, replace(ask, request="r2", cell=1)],
         COLD,
         3,
     )
-    assert budgets.shares(T0, 3) == {"cold:n0": 0.0}, "a head that starts waits for its earlier life's window"
+    assert budgets.changed_shares(T0, 3) == {
+        "cold:n0": 0.0
+    }, "a head that starts waits for its earlier life's window"
     later = T0 + 4 * SECOND
-    budgets.see(later, [ask], COLD, 3)
-    assert budgets.shares(later, 3) == {"cold:n0": pytest.approx(1.0)} and budgets.shares(later, 3) is None
-    budgets.acted(later, [api.Send("r1", "n0"), api.Send("r2", "n1"), api.Reject("r2")], COLD)
-    own = budgets.leases.own[codec.tag("cold:n0")]
+    budgets.observe_events(later, [ask], COLD, 3)
+    assert (
+        budgets.changed_shares(later, 3) == {"cold:n0": pytest.approx(1.0)}
+        and budgets.changed_shares(later, 3) is None
+    )
+    budgets.observe_actions(later, [api.Send("r1", "n0"), api.Send("r2", "n1"), api.Reject("r2")], COLD)
+    own = budgets.leases.demands[codec.tag("cold:n0")]
     assert own.locked(later, budgets.leases.window_us) == pytest.approx(2 / 30)
-    budgets.see(later, [api.EndpointListUpdate(failed=True), api.EndpointListUpdate((up("n0", 0),))], COLD, 3)
-    budgets.acted(later, [api.Subscribe()], COLD)
-    told = budgets.shares(later, 3)
+    budgets.observe_events(
+        later, [api.EndpointListUpdate(failed=True), api.EndpointListUpdate((up("n0", 0),))], COLD, 3
+    )
+    budgets.observe_actions(later, [api.Subscribe()], COLD)
+    told = budgets.changed_shares(later, 3)
     assert told and told[api.LIST_CALLS] >= LIMITS.list_least
     assert "r1" in budgets._units
-    budgets.see(later, [api.ClientLeft("r1")], COLD, 3)
+    budgets.observe_events(later, [api.ClientLeft("r1")], COLD, 3)
     assert not budgets._units, "nobody waits for it any more"
-    budgets.see(later, [replace(ask, request="r3")], COLD, 3)
+    budgets.observe_events(later, [replace(ask, request="r3")], COLD, 3)
     assert "r3" not in budgets._units, "it is warm"
 
 
@@ -342,16 +350,16 @@
         for _ in range(int(seconds * 4)):
             self.now += SECOND // 4
             self.places.open("n0", mine, lacking)
-            self.heads[1].asked("places:n0", 2, 4.0, 0, self.now, 2 * SECOND)
-            self.heads[1].hold("places:n0", theirs)
+            self.heads[1].record_demand("places:n0", 2, 4.0, 0, self.now, 2 * SECOND)
+            self.heads[1].set_in_use("places:n0", theirs)
             for sender, receiver in ((0, 1), (1, 0)):
-                number = self.heads[sender].sending(self.now)
-                for page in self.heads[sender].say(self.now).values():
-                    heard = self.heads[sender].last_heard(receiver)
-                    self.heads[receiver].heard(sender, codec.Message(7, number, *heard, *page), self.now)
+                number = self.heads[sender].next_number(self.now)
+                for page in self.heads[sender].compose(self.now).values():
+                    heard = self.heads[sender].last_received(receiver)
+                    self.heads[receiver].receive(sender, codec.Message(7, number, *heard, *page), self.now)
 
     def others(self) -> int:
-        return int(self.heads[1].part(codec.tag("places:n0"), self.now) * 8 + 1e-9)
+        return int(self.heads[1].usable_share(codec.tag("places:n0"), self.now) * 8 + 1e-9)
 
 
 def test_places_at_a_server_move_to_the_head_that_lacks_them_and_never_add_up_to_more() -> None:
@@ -417,15 +425,15 @@
     group.look(now + LIMITS.begin_us)
     talk.handle(now, [])
     budgets = talk.budgets
-    assert group.members.joined and budgets and budgets.leases.back_at < NEVER
+    assert group.members.joined and budgets and budgets.leases.resumes_at is not None
     talk.stand_back(True, now)
     talk.handle(now + SECOND, [])
     talk.take_over(now + SECOND)
     talk.handle(now + SECOND, [])
-    assert budgets.leases.back_at == NEVER and talk.leases and talk.leases.back_at == NEVER
+    assert budgets.leases.resumes_at is None and talk.leases and talk.leases.resumes_at is None
     talk.stand_back(False, now + SECOND)
     talk.handle(now + SECOND, [])
-    assert budgets.leases.back_at < NEVER and talk.leases.back_at < NEVER, "as after a start"
+    assert budgets.leases.resumes_at is not None and talk.leases.resumes_at is not None, "as after a start"
 
 
 # Configuration
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -60,7 +60,7 @@
 
 def sightings(*events: api.Event, now: int = T0) -> LocalObservations:
     seen = LocalObservations(LIMITS)
-    seen.see(now, [api.EndpointListUpdate(SIX, whole=True), *events], AIM)
+    seen.observe_events(now, [api.EndpointListUpdate(SIX, whole=True), *events], AIM)
     return seen
 
 
@@ -81,22 +81,24 @@
     )
     assert told(seen) == {"n0": "DEAD", "n2": "FULL", "n3": "SLOW", "n4": "SILENT"}
     later = T0 + 100 * MS
-    seen.see(later, [result(n, SERVED) for n in ("n0", "n2", "n4")] + [result("n3", SERVED)] * 4, AIM)
+    seen.observe_events(
+        later, [result(n, SERVED) for n in ("n0", "n2", "n4")] + [result("n3", SERVED)] * 4, AIM
+    )
     assert told(seen, later) == {"n0": "COLD", "n4": "COLD"}, "back, and perhaps cold"
     assert told(seen, later + LIMITS.word_us + 1) == {}
 
 
 def test_silence_is_seen_while_requests_are_out_and_one_heavy_request_is_none() -> None:
     seen = sightings(result("n0", SERVED))
-    seen.acted(T0, [api.Send("a", "n0"), api.Send("b", "n0"), api.Send("c", "n1")])
+    seen.observe_actions(T0, [api.Send("a", "n0"), api.Send("b", "n0"), api.Send("c", "n1")])
     assert not told(seen, T0 + 2 * AIM - 1)
     assert told(seen, T0 + 2 * AIM) == {"n0": "SILENT"}
-    seen.see(T0 + 2 * AIM, [result("n0", SERVED, request="a")], AIM)
+    seen.observe_events(T0 + 2 * AIM, [result("n0", SERVED, request="a")], AIM)
     assert told(seen, T0 + 2 * AIM) == {"n0": "COLD"}
-    seen.see(
+    seen.observe_events(
         T0 + 2 * AIM, [api.EndpointListUpdate((replace(SIX[0], state=api.EndpointState.DRAINING),))], AIM
     )
-    assert "n0" not in seen.servers, "told of by the list: nothing is said about it"
+    assert "n0" not in seen.backends, "told of by the list: nothing is said about it"
 
 
 # What a word counts for
@@ -108,33 +110,38 @@
 
 def test_a_word_is_believed_until_its_greatest_possible_age_and_not_without_an_exchange() -> None:
     seen, v = sightings(), SuspicionTable(LIMITS)
-    assert v.heard(1, [dead()], None, T0, seen) == {"word too old": 1}
-    assert v.heard(1, [dead(age_ms=500)], T0 - 300 * MS, T0, seen) == {}
+    assert v.receive(1, [dead()], None, T0, seen) == {"word too old": 1}
+    assert v.receive(1, [dead(age_ms=500)], T0 - 300 * MS, T0, seen) == {}
     until = T0 - 800 * MS + LIMITS.word_us
-    assert v.doubted(T0, seen) == {"n0": until} and not v.doubted(until, seen)
+    assert v.suspected(T0, seen) == {"n0": until} and not v.suspected(until, seen)
     late = T0 - LIMITS.word_us
-    assert v.heard(1, [dead()], late, T0, seen) == {"word too old": 1}
-    assert v.heard(1, [dead("x"), dead("n1", life=7)], T0, T0, seen) == {"no such server": 1, "other life": 1}
-    assert v.heard(1, [], T0, T0, seen) == {} and not v.doubted(T0, seen), "not repeated: withdrawn"
+    assert v.receive(1, [dead()], late, T0, seen) == {"word too old": 1}
+    assert v.receive(1, [dead("x"), dead("n1", life=7)], T0, T0, seen) == {
+        "no such server": 1,
+        "other life": 1,
+    }
+    assert v.receive(1, [], T0, T0, seen) == {} and not v.suspected(T0, seen), "not repeated: withdrawn"
 
 
 def test_lives_are_compared_by_how_long_ago_they_began() -> None:
     seen = LocalObservations(LIMITS)
-    seen.see(T0, [api.EndpointListUpdate((replace(SIX[0], started_us=T0 - 40 * SECOND),), whole=True)], AIM)
+    seen.observe_events(
+        T0, [api.EndpointListUpdate((replace(SIX[0], started_us=T0 - 40 * SECOND),), whole=True)], AIM
+    )
     for life, same in ((400, True), (385, True), (430, False), (20, False), (LONG_AGO, False)):
-        assert (SuspicionTable(LIMITS).heard(1, [dead(life=life)], T0, T0, seen) == {}) is same
+        assert (SuspicionTable(LIMITS).receive(1, [dead(life=life)], T0, T0, seen) == {}) is same
 
 
 def test_own_evidence_beats_hearsay() -> None:
     seen, v = sightings(), SuspicionTable(LIMITS)
-    v.heard(1, [dead()], T0, T0, seen)
-    seen.see(T0 + MS, [result("n0", Outcome.ERROR)], AIM)
-    assert not v.doubted(T0 + MS, seen)
-    v.heard(1, [dead("n1", kind=Kind.SLOW)], T0 + MS, T0 + MS, seen)
-    seen.see(T0 + 2 * MS, [result("n1", SERVED, 2 * AIM)], AIM)
-    assert v.doubted(T0 + 2 * MS, seen), "a late answer does not speak against slow"
-    seen.see(T0 + 3 * MS, [result("n1", SERVED)], AIM)
-    assert not v.doubted(T0 + 3 * MS, seen)
+    v.receive(1, [dead()], T0, T0, seen)
+    seen.observe_events(T0 + MS, [result("n0", Outcome.ERROR)], AIM)
+    assert not v.suspected(T0 + MS, seen)
+    v.receive(1, [dead("n1", kind=Kind.SLOW)], T0 + MS, T0 + MS, seen)
+    seen.observe_events(T0 + 2 * MS, [result("n1", SERVED, 2 * AIM)], AIM)
+    assert v.suspected(T0 + 2 * MS, seen), "a late answer does not speak against slow"
+    seen.observe_events(T0 + 3 * MS, [result("n1", SERVED)], AIM)
+    assert not v.suspected(T0 + 3 * MS, seen)
 
 
 def test_one_head_counts_once_and_one_that_is_refuted_again_and_again_counts_less() -> None:
@@ -142,17 +149,17 @@
     now = T0
     for _ in range(24):  # six seconds of rounds: it says that a server is dead which answers all the time
         now += 250 * MS
-        v.heard(1, [dead()], now, now, seen)
+        v.receive(1, [dead()], now, now, seen)
         now += MS
-        seen.see(now, [result("n0", SERVED)], AIM)
+        seen.observe_events(now, [result("n0", SERVED)], AIM)
     assert v.credit(1, now) < LIMITS.trust
-    v.heard(1, [dead("n1")], now, now, seen)
-    assert not v.doubted(now, seen), "nor is it believed of others"
-    v.heard(2, [dead("n1")], now, now, seen)
-    assert v.doubted(now, seen)
-    v.heard(1, [dead("n1")] * 5, now, now, seen)
-    v.heard(2, [], now, now, seen)
-    assert not v.doubted(now, seen), "saying it five times is saying it once"
+    v.receive(1, [dead("n1")], now, now, seen)
+    assert not v.suspected(now, seen), "nor is it believed of others"
+    v.receive(2, [dead("n1")], now, now, seen)
+    assert v.suspected(now, seen)
+    v.receive(1, [dead("n1")] * 5, now, now, seen)
+    v.receive(2, [], now, now, seen)
+    assert not v.suspected(now, seen), "saying it five times is saying it once"
     assert v.credit(1, now + LIMITS.recover_us) == 1
 
 
@@ -160,16 +167,16 @@
     seen, v = sightings(), SuspicionTable(LIMITS)
     now = T0
     for _ in range(4):
-        v.heard(1, [dead()], now, now, seen)
-        seen.see(now + MS, [result("n0", SERVED)], AIM)
-        v.heard(1, [], now + 2 * MS, now + 2 * MS, seen)
+        v.receive(1, [dead()], now, now, seen)
+        seen.observe_events(now + MS, [result("n0", SERVED)], AIM)
+        v.receive(1, [], now + 2 * MS, now + 2 * MS, seen)
         now += 500 * MS
     assert v.credit(1, now) < LIMITS.trust
     other, slow = SuspicionTable(LIMITS), T0 + 60 * SECOND
     for _ in range(4):  # a server that really comes and goes, at some distance
-        other.heard(1, [dead()], slow, slow, seen)
-        seen.see(slow + MS, [result("n0", SERVED)], AIM)
-        other.heard(1, [], slow + 2 * MS, slow + 2 * MS, seen)
+        other.receive(1, [dead()], slow, slow, seen)
+        seen.observe_events(slow + MS, [result("n0", SERVED)], AIM)
+        other.receive(1, [], slow + 2 * MS, slow + 2 * MS, seen)
         slow += 2 * LIMITS.word_us
     assert other.credit(1, slow) == 1
 
@@ -177,18 +184,18 @@
 def test_a_head_that_was_right_keeps_its_credit_when_the_server_comes_back() -> None:
     seen, v = sightings(), SuspicionTable(LIMITS)
     for now in range(T0, T0 + 3 * SECOND, 250 * MS):
-        v.heard(1, [dead(age_ms=(now - T0) // MS % 1000)], now, now, seen)
-    seen.see(now, [result("n0", SERVED)], AIM)
+        v.receive(1, [dead(age_ms=(now - T0) // MS % 1000)], now, now, seen)
+    seen.observe_events(now, [result("n0", SERVED)], AIM)
     for age in range(250, 1500, 250):  # it goes on telling what it saw before, as old as that is
-        v.heard(1, [dead(age_ms=age)], now + age * MS, now + age * MS, seen)
+        v.receive(1, [dead(age_ms=age)], now + age * MS, now + age * MS, seen)
     assert v.credit(1, now) == 1
 
 
 def test_a_set_share_of_the_servers_is_doubted_at_most() -> None:
     seen, v = sightings(), SuspicionTable(LIMITS)
-    v.heard(1, [dead(f"n{i}") for i in range(6)], T0, T0, seen)
-    v.heard(2, [dead("n5")], T0, T0, seen)
-    assert len(v.doubted(T0, seen)) == 2 and "n5" in v.doubted(T0, seen)
+    v.receive(1, [dead(f"n{i}") for i in range(6)], T0, T0, seen)
+    v.receive(2, [dead("n5")], T0, T0, seen)
+    assert len(v.suspected(T0, seen)) == 2 and "n5" in v.suspected(T0, seen)
 
 
 # Heads in one process
@@ -244,19 +251,21 @@
     f = Heads()
     f.run(10)
     said = DisabledBackends(LIMITS)
-    said.say("n1", True, 0, 1000)
-    f.fleets[0].keep(said)
+    said.set_disabled("n1", True, 0, 1000)
+    f.fleets[0].replace_disabled(said)
     f.run(10)
     for fleet in f.fleets[1:]:
-        assert [r.server for r in fleet.take()] == ["n1"] and not fleet.take()
-        fleet.keep(DisabledBackends(LIMITS, said.records.values()))
+        assert [r.server for r in fleet.take_received()] == ["n1"] and not fleet.take_received()
+        fleet.replace_disabled(DisabledBackends(LIMITS, said.records.values()))
     f.run(10)
-    assert not any(fleet.take() for fleet in f.fleets), "alike: nothing more is told"
+    assert not any(fleet.take_received() for fleet in f.fleets), "alike: nothing more is told"
     lifted = DisabledBackends(LIMITS, said.records.values())
-    lifted.say("n1", False, 2, 500)
-    f.fleets[2].keep(lifted)
+    lifted.set_disabled("n1", False, 2, 500)
+    f.fleets[2].replace_disabled(lifted)
     f.run(10)
-    assert [r.out for r in f.fleets[0].take()] == [False], "a clock that is behind does not keep it from that"
+    assert [r.out for r in f.fleets[0].take_received()] == [
+        False
+    ], "a clock that is behind does not keep it from that"
     assert f.talks[0].known("bans", f.now)[0]["out"] is True
 
 
@@ -282,13 +291,13 @@
     return -(1 << 62)
 
 
-real_heard, real_take = SuspicionTable.heard, SuspicionTable._take
+real_heard, real_take = SuspicionTable.receive, SuspicionTable._take
 
 
 @pytest.mark.parametrize(
     "where, name, instead",
     [
-        (SuspicionTable, "heard", from_when_it_came),
+        (SuspicionTable, "receive", from_when_it_came),
         (SuspicionTable, "_take", claims_for_good),
         (Observation, "proof_at", own_answers_do_not_count),
     ],
@@ -315,30 +324,36 @@
     for order in permutations(RECORDS):
         bans = DisabledBackends(LIMITS)
         for record in order:
-            bans.hear([record])
-        tables.append((bans.digest, bans.banned))
+            bans.merge([record])
+        tables.append((bans.digest, bans.disabled_names))
     assert set(tables) == {(tables[0][0], frozenset({"b"}))} and tables[0][0] != NOTHING
 
 
 def test_a_version_that_could_not_be_outbid_and_one_ban_too_many_are_not_taken() -> None:
     bans = DisabledBackends(replace(LIMITS, bans=2), [Record("a", 1, 0, True), Record("b", 2, 0, False)])
     most = LIMITS.ban_version
-    assert bans.hear([Record("c", most + 1, 0, True)]) == ([], 1)
-    assert bans.say("c", True, 0, 0).version == 3 and set(bans.records) == {"a", "c"}, "the oldest back went"
+    assert bans.merge([Record("c", most + 1, 0, True)]) == ([], 1)
+    assert bans.set_disabled("c", True, 0, 0).version == 3 and set(bans.records) == {
+        "a",
+        "c",
+    }, "the oldest back went"
     with pytest.raises(DisabledBackendError, match="2 servers are out"):
-        bans.say("d", True, 0, 0)
+        bans.set_disabled("d", True, 0, 0)
     with pytest.raises(DisabledBackendError, match="bytes"):
-        bans.say("x" * 181, True, 0, 0)
-    assert bans.hear([Record("d", 9, 0, True)]) == ([], 1) and bans.banned == {"a", "c"}
-    assert bans.hear([Record("a", most, 9, True)])[1] == 0 and bans.say("a", False, 0, 0).version == most + 1
+        bans.set_disabled("x" * 181, True, 0, 0)
+    assert bans.merge([Record("d", 9, 0, True)]) == ([], 1) and bans.disabled_names == {"a", "c"}
+    assert (
+        bans.merge([Record("a", most, 9, True)])[1] == 0
+        and bans.set_disabled("a", False, 0, 0).version == most + 1
+    )
     other = DisabledBackends(LIMITS, [Record("a", most, 9, True)])
-    assert other.hear([bans.records["a"]])[0] and not other.banned, "what a liar says last is outbid"
+    assert other.merge([bans.records["a"]])[0] and not other.disabled_names, "what a liar says last is outbid"
 
 
 def test_a_head_whose_clock_is_behind_takes_bans_all_the_same() -> None:
     """It dropped every version more than an hour ahead of its own clock: a ban never held there."""
     fleet = FailureDetector(LIMITS)
-    fleet.keep(DisabledBackends(LIMITS))
+    fleet.replace_disabled(DisabledBackends(LIMITS))
     state = shared(fleet).hear(OpsState(), [Record("b1", 1_900_000_000_000, 2, True)])
     assert state.banned == {"b1"}, "its clock says 1000 ms"
 
@@ -353,13 +368,13 @@
     state = file.change(lambda s: desk.say(s, "b1", True))
     assert state.banned == {"b1"} and file.load() == state
     desk.tell(state)
-    assert fleet.bans.records["b1"] == Record("b1", 1000, 0, True)
+    assert fleet.disabled.records["b1"] == Record("b1", 1000, 0, True)
     later = Record("b1", 2000, 1, False)
     state = file.change(lambda s: desk.hear(s, [later]))
     assert not state.banned and state.records == (later,)
     assert desk.hear(state, [Record("b1", 1500, 2, True)]) == state, "last week's word"
     older = decode("n1", encode("n1", OpsState(frozenset({"b2"}), records=(later,))))
-    assert desk.table(older).banned == {"b2"}, "put out by a process that had no versions"
+    assert desk.table(older).disabled_names == {"b2"}, "put out by a process that had no versions"
     with pytest.raises(HttpError, match="bytes"):
         desk.say(state, "x" * 200, True)
     with pytest.raises(StateError, match="record"):
