--- a/garnetlanding/audit/audited_module.py
+++ b/garnetlanding/audit/audited_module.py
@@ -14,8 +14,8 @@
         self.module, self.recorder = module, recorder
 
     @property
-    def s(self) -> api.Settings:
-        return self.module.s
+    def settings(self) -> api.Settings:
+        return self.module.settings
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         self.recorder.look(now)
--- a/garnetlanding/audit/start.py
+++ b/garnetlanding/audit/start.py
@@ -45,7 +45,7 @@
     recorder = Recorder(
         setup.limits,
         sources,
-        lambda: core.settings.me,
+        lambda: core.settings.instance_id,
         lambda: (core.metrics.accepted, core.metrics.accepted - core.open_requests),
         said,
         heard,
--- a/garnetlanding/config/platform.py
+++ b/garnetlanding/config/platform.py
@@ -148,7 +148,7 @@
         return None  # what the settings forbid is not imported
     from garnetlanding.peers import setup
 
-    return setup.read(top, settings.me)
+    return setup.read(top, settings.instance_id)
 
 
 def read(data: object, operator: object = None, env: Mapping[str, str] | None = None) -> Config:
--- a/garnetlanding/core/engine.py
+++ b/garnetlanding/core/engine.py
@@ -34,7 +34,7 @@
 
 log = logging.getLogger(__name__)
 
-NEVER_RAN = (api.Outcome.FULL, api.Outcome.UNREACHABLE, api.Outcome.MOOT)
+NEVER_RAN = (api.Outcome.FULL, api.Outcome.UNREACHABLE, api.Outcome.NEVER_DISPATCHED)
 DEADLINE_GRACE_US = 2_000  # the controller answers a time-out first; after this the core does
 
 
@@ -125,9 +125,9 @@
     def __init__(self, module: DecisionModule, timers: Timers, limits: Limits) -> None:
         """`module`: what is fed the events, which may be put into something else later."""
         self.module, self._timers, self._limits = module, timers, limits
-        self._settings = module.s
+        self._settings = module.settings
         self.endpoints = EndpointRegistry()
-        self.metrics = RequestMetrics(module.s.classes)
+        self.metrics = RequestMetrics(module.settings.classes)
         self.subscriptions: Subscriptions | None = None
         self.observers: list[Observer] = []
         self.send_to_peer: Callable[[bytes, int], None] | None = (
@@ -200,7 +200,7 @@
             return "unknown shard"
         if spec.units > settings.max_units:
             return "more units than the largest request has"
-        return "more hosts than there are" if spec.volume_hosts > settings.hosts else ""
+        return "more hosts than there are" if spec.volume_hosts > settings.instances else ""
 
     def abort(self, ticket: str, why: str) -> None:
         """The client is told at once that this is not done, whatever is out for it."""
@@ -376,7 +376,7 @@
             or attempt.address() is None
             or attempt.number >= self._settings.max_attempts
         ):
-            attempt.finish(api.Outcome.MOOT)
+            attempt.finish(api.Outcome.NEVER_DISPATCHED)
             return
         if until < request.until_us:
             self._timers.call_at(until, lambda: self._stop(attempt, api.Outcome.TIMEOUT))
--- a/garnetlanding/daemon.py
+++ b/garnetlanding/daemon.py
@@ -188,7 +188,7 @@
 
             here = on.advertise or peers.listen
             members = Membership(
-                peers.limits, self.core.settings.me, self.life, here, on.seeds, self.scheduler.now
+                peers.limits, self.core.settings.instance_id, self.life, here, on.seeds, self.scheduler.now
             )
             self.group = MembershipProtocol(peers.limits, members, note)
         if on.budgets:
@@ -217,8 +217,8 @@
         subset, core = SubsetTracker(chosen.subset_size), self.core
         self.bricks.outside_idle_us = chosen.idle_timeout_us
         self.bricks.keeps = lambda: subset.update(
-            core.settings.me,
-            self.group.members.entitled if self.group else range(core.settings.hosts),
+            core.settings.instance_id,
+            self.group.members.entitled if self.group else range(core.settings.instances),
             core.endpoints.zones(),
         )
 
@@ -244,7 +244,7 @@
     def _as_used(self, settings: api.Settings) -> api.Settings:
         """With the classes that exports derive from those of the settings, and this process's part."""
         # A writer's settings hold at every head, but for the number of each.
-        settings = replace(settings, part=self.part, me=self.config.settings.me)
+        settings = replace(settings, part=self.part, instance_id=self.config.settings.instance_id)
         if self.config.operator.choices:
             settings = self.config.operator.choices.with_retry_budget(settings)
         ninep = self.config.operator.ninep
@@ -278,12 +278,14 @@
             self.pool,
             self.limits,
             self.currency,
-            stagger_offset(s.me, s.hosts, "store"),
+            stagger_offset(s.instance_id, s.instances, "store"),
         )
 
     def _may_act(self, now: int) -> bool:
         """Whether this head is current, as far as it has to be, and no operator has shut it out."""
-        shut = self.fleet is not None and self.core.endpoints.instance_disabled(self.core.settings.me)
+        shut = self.fleet is not None and self.core.endpoints.instance_disabled(
+            self.core.settings.instance_id
+        )
         return not shut and (self.currency is None or self.currency.current(now))
 
     def _stand_back(self, out: bool) -> None:
@@ -306,7 +308,7 @@
                 ""
                 if not core.fenced
                 else "shut out"
-                if core.endpoints.instance_disabled(core.settings.me)
+                if core.endpoints.instance_disabled(core.settings.instance_id)
                 else "not current"
             ),
         }
@@ -371,7 +373,7 @@
             return None
         from garnetlanding.ops.replicated_disables import ReplicatedDisables
 
-        return ReplicatedDisables(self.fleet, lambda: self.core.settings.me, self._wall_ms)
+        return ReplicatedDisables(self.fleet, lambda: self.core.settings.instance_id, self._wall_ms)
 
     def _wall_ms(self) -> int:
         history = self.config.operator.history
--- a/garnetlanding/decision/control.py
+++ b/garnetlanding/decision/control.py
@@ -21,10 +21,11 @@
     Health,
     Host,
     Node,
-    Recent,
     Request,
+    SlidingWindowSum,
     Turn,
     Volume,
+    retag,
 )
 
 DEPTH_FLOOR, DEPTH_CEILING = 4, 32  # requests out per node; the design's bounds
@@ -54,18 +55,8 @@
 FORGET = 60 * SECOND  # a volume not asked for in so long; no request lasts longer
 LOG_LINES = 200  # per life
 UNSURE = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)  # the work may still go on
-UNSEEN, NEVER = (Outcome.UNREACHABLE, Outcome.MOOT), 1 << 62  # proof that no node has had it whole; no time
-
-
-def retag(flow: Flow, v: float | None, weight: float) -> None:
-    """With v: the retag of a weight change. Without: closes the gap of a request that left unsent."""
-    if v is not None:
-        flow.finish = flow.last_start + flow.last_units / weight
-    previous = flow.finish
-    for r in flow.held:
-        if not r.paid:
-            r.start = max(r.floor if v is None else v, previous)
-            r.finish = previous = r.start + r.told.units / weight
+UNSEEN = (Outcome.UNREACHABLE, Outcome.NEVER_DISPATCHED)  # proof that no node has had it whole
+NEVER = 1 << 62
 
 
 class Controller(Host):
@@ -88,7 +79,7 @@
         }
 
     def _follow(self, settings: api.Settings) -> None:
-        self.s = settings
+        self.settings = settings
         # What is given up holds at once; what is gained, once the other's sends have left the fall window.
         self.cold_part = min(self.cold_part, settings.part)
         if settings.part > self.cold_part:
@@ -96,8 +87,8 @@
         self.tightest = min(c.latency_objective_us for c in settings.classes.values())
         self.dearest = max(c.priority_weight for c in settings.classes.values()) * max(
             p.price for p in settings.plans.values())
-        self.list_floor = max(LIST_BACKOFF, min(LIST_MOST, settings.hosts * LIST_EACH))
-        self.crowd = max(0.0, 1 - DEPTH_FLOOR / max(1, settings.hosts))  # how far depths can't hold a node
+        self.list_floor = max(LIST_BACKOFF, min(LIST_MOST, settings.instances * LIST_EACH))
+        self.crowd = max(0.0, 1 - DEPTH_FLOOR / max(1, settings.instances))  # what depths can't hold
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         self.begin(now)
@@ -112,16 +103,16 @@
         return self.finish()
 
     def _grow_cold_part(self, part: float) -> None:
-        self.cold_part = max(self.cold_part, min(part, self.s.part))
+        self.cold_part = max(self.cold_part, min(part, self.settings.part))
 
     def _on_settings(self, e: api.NewSettings) -> None:
         """A volume whose plan has changed starts from its new figures; its tags move with its weight."""
-        old_part = self.s.part
+        old_part = self.settings.part
         self._follow(e.settings)
         for name, volume in self.volumes.items():
-            plan = self.s.plans.get(volume.plan.name, volume.plan)
+            plan = self.settings.plans.get(volume.plan.name, volume.plan)
             changed = plan != volume.plan
-            if changed or old_part != self.s.part:
+            if changed or old_part != self.settings.part:
                 self._plan_volume(volume, plan)
             if changed:
                 self._reweigh(name, volume, plan.weight)
@@ -129,7 +120,9 @@
     def _on_list(self, e: api.EndpointListUpdate) -> None:
         if e.failed:
             # Always ask again, in time for what counts as told after 6 s; a queue that goes on failing, less.
-            grown = min(self.s.hosts * LIST_QUEUE_EACH, self.list_backoff / LIST_PATIENCE) if e.queued else 0
+            grown = 0.0
+            if e.queued:
+                grown = min(self.settings.instances * LIST_QUEUE_EACH, self.list_backoff / LIST_PATIENCE)
             soon = min(LIST_MOST - e.unheard_us, self.list_backoff / self.shares.get(api.LIST_CALLS, 1))
             pause = max(soon, grown) * self.rng.uniform(0.5 if e.queued else 0.1, 1.0)
             self.at(self.now + int(pause), self.act, api.Subscribe())
@@ -139,7 +132,7 @@
         if e.at_start:
             self.born = self.now
             self.at(self.now + WEIGHT_EVERY, self._steer, None)
-            if self.s.poll_endpoints:
+            if self.settings.poll_endpoints:
                 self.act(api.Subscribe())
         known = ({} if e.whole else self.entries) | {entry.node: entry for entry in e.entries}
         gone = api.EndpointState.GONE
@@ -156,12 +149,13 @@
             node.health = None
         elif old is None or (old.node, old.started_us) != (entry.node, entry.started_us):
             since = entry.started_us or -NEVER
-            node.health = Health(entry, since, Recent(RATE_SPAN), Recent(self.s.overload_window_us))
-            if self.now < since + self.s.warmup_us:
+            sent = SlidingWindowSum(self.settings.overload_window_us)
+            node.health = Health(entry, since, SlidingWindowSum(RATE_SPAN), sent)
+            if self.now < since + self.settings.warmup_us:
                 self.log(f"node {entry.node} is cold")
 
     def _on_arrival(self, e: api.Arrival) -> None:
-        cls, plan = self.s.classes[e.cls], self.s.plans[e.plan]
+        cls, plan = self.settings.classes[e.cls], self.settings.plans[e.plan]
         self.taken.add(self.now)
         self.copies = min(COPY_MOST, self.copies + min(COPY_EARNED, self.lost_share))
         # A retry is judged by its first try: the longest time a client gave tells when that came.
@@ -169,10 +163,10 @@
         volume = self.volumes.get(e.volume) or self._new_volume(e, plan)
         self.count += 1
         aim_at = min(self.now, e.until_us - patience) + cls.latency_objective_us
-        r = Request(e, cls, volume, self.count, aim_at, e.until_us - MARGIN_TICKS * self.s.tick_us,
+        r = Request(e, cls, volume, self.count, aim_at, e.until_us - MARGIN_TICKS * self.settings.tick_us,
                     cls.priority_weight * plan.price)
         if volume.reserve.has(self.now) < e.units:
-            r.value *= self.s.over_quota_value_share
+            r.value *= self.settings.over_quota_value_share
         else:
             volume.reserve.level -= e.units
             r.reserved = e.units
@@ -196,15 +190,15 @@
 
     def _plan_volume(self, volume: Volume, plan: api.PlanSpec) -> None:
         # A restarted host can't know what its earlier life spent: it starts with one request's worth.
-        level = self.s.max_units if plan.limit_rate else UNLIMITED
+        level = self.settings.max_units if plan.limit_rate else UNLIMITED
         volume.plan, volume.limit = plan, Bucket(0.0, NEVER, self.now, level)
         volume.reserve = Bucket(0.0, NEVER, self.now, NEVER)
-        volume.share(self.now, self.s)
+        volume.share(self.now, self.settings)
 
     def _on_parts(self, e: api.QuotaShares) -> None:
         for name, part in e.parts.items():
             self.volumes[name].part = part
-            self.volumes[name].share(self.now, self.s)
+            self.volumes[name].share(self.now, self.settings)
         self.shares = self.shares if e.shares is None else e.shares
 
     def _on_hearsay(self, e: api.PeerSuspicions) -> None:
@@ -225,7 +219,7 @@
             return self._unhold(r)
         everywhere = r.cls.effect is Effect.KEYED and r.cls.group is DeduplicationScope.ALL
         harmless = r.cls.effect is Effect.SAFE or everywhere or not r.attempts_that_may_have_run()
-        hold_off = self.s.max_retry_after_us if self.s.honors_retry_after else 0
+        hold_off = self.settings.max_retry_after_us if self.settings.honors_retry_after else 0
         self.act(api.Reject(r.told.request, hold_off) if harmless else api.Fail(r.told.request))
         self._finish(r)
 
@@ -239,7 +233,7 @@
         self._unhold(r)
         r.volume.reserve.level += 0 if r.attempts else r.reserved
         for i, a in enumerate(r.attempts):
-            if a.outcome is None and self.s.may_cancel:
+            if a.outcome is None and self.settings.may_cancel:
                 self.act(api.Cancel(r.told.request, i))
         self._settle(r)
 
@@ -267,7 +261,7 @@
             del self.turns[key]
 
     def _hold(self, r: Request) -> None:
-        if r.over or r.node or (r.out() and not self.s.parallel_attempts):
+        if r.over or r.node or (r.out() and not self.settings.parallel_attempts):
             return
         node = self._place(r) if r.told.cell < 0 else self.nodes.setdefault(r.told.cell, Node(r.told.cell))
         if node is None:
@@ -322,8 +316,9 @@
     def _depth(self, h: Health) -> float:
         """Little's law on completions; slow answers narrow it below the floor (a departure), doubts to 1."""
         little = h.served.total(self.now - RATE_SPAN) / RATE_SPAN * self.tightest
-        part, narrow = self.s.part, h.narrow if self.now >= h.doubted else 0.0
-        most = self.shares.get(api.places(h.entry.node), DEPTH_CEILING) if self.shares else DEPTH_CEILING
+        part, narrow = self.settings.part, h.narrow if self.now >= h.doubted else 0.0
+        name = api.concurrency_budget(h.entry.node)
+        most = self.shares.get(name, DEPTH_CEILING) if self.shares else DEPTH_CEILING
         return max(1.0, narrow * min(most, DEPTH_CEILING * part, max(DEPTH_FLOOR * part, little)))
 
     def _next(self, node: Node, h: Health) -> Request | None:
@@ -381,7 +376,7 @@
         h.out += 1
         h.sent.add(self.now, r.told.units)
         self.act(api.Send(r.told.request, h.entry.node))
-        if self.s.parallel_attempts:
+        if self.settings.parallel_attempts:
             self.at(self.now + int(r.relative_size(h) * max(self.overdue, h.latency)), self._copy, r)
 
     def _shed(self, node: Node, h: Health) -> None:
@@ -415,7 +410,8 @@
         self._learn(a, r, e)
         r.volume.used = e.used - 1 if e.used > 0 else r.volume.used
         if e.outcome in UNSURE and r.told.key in self.turns:
-            self.turns[r.told.key].rest_until = self.now + self.s.ordered_key_rest_us + self.s.tick_us
+            rest = self.settings.ordered_key_rest_us + self.settings.tick_us
+            self.turns[r.told.key].rest_until = self.now + rest
         if e.over and not r.over:
             self._finish(r)
         elif not r.over and not r.out() and r.node is None:
@@ -425,7 +421,7 @@
     def _copy(self, r: Request) -> None:
         """Lost answers: a second copy once the first is overdue; wrong guesses use up what is earned."""
         useful = r.out() and not r.over and not r.node and self.now < r.aim_at
-        if useful and self.copies >= 1 and len(r.attempts) < self.s.max_attempts:
+        if useful and self.copies >= 1 and len(r.attempts) < self.settings.max_attempts:
             self.copies -= 1
             self._hold(r)
 
@@ -433,7 +429,7 @@
         pause = r.cls.latency_objective_us * RETRY_AIMS * 2 ** (len(r.attempts) - 1)
         pause = int(pause * self.rng.uniform(0.5, 1.5))
         late = self.now + pause + r.attempts[-1].health.latency > r.answer_by
-        if late or len(r.attempts) >= self.s.max_attempts:
+        if late or len(r.attempts) >= self.settings.max_attempts:
             self._end(r)
         else:
             self.at(self.now + pause, self._hold, r)
@@ -443,7 +439,7 @@
         if self.now >= r.answer_by or (r.attempts and not self._budget_left()):
             return False
         ran = r.attempts_that_may_have_run()
-        if not ran or (r.out() and not self.s.parallel_attempts) or r.cls.effect is Effect.UNSAFE:
+        if not ran or (r.out() and not self.settings.parallel_attempts) or r.cls.effect is Effect.UNSAFE:
             return not ran
         if r.cls.effect is Effect.SAFE:
             return True
@@ -454,10 +450,10 @@
         return r.cls.group is DeduplicationScope.ALL or all(a.cell == node.cell for a in ran)
 
     def _budget_left(self) -> bool:
-        since, tick = self.now - self.s.retry_budget_window_us, self.s.tick_us
-        free = self.s.retry_budget_floor * self.s.part * self.shares.get(api.RESENDS, 1.0)
-        earned = free + self.s.retry_budget_ratio * self.taken.total(since + tick)
-        return self.s.retry_budget_window_us == 0 or self.extra.total(since - tick) + 1 <= earned
+        since, tick = self.now - self.settings.retry_budget_window_us, self.settings.tick_us
+        free = self.settings.retry_budget_floor * self.settings.part * self.shares.get(api.RESENDS, 1.0)
+        earned = free + self.settings.retry_budget_ratio * self.taken.total(since + tick)
+        return self.settings.retry_budget_window_us == 0 or self.extra.total(since - tick) + 1 <= earned
 
     def _learn(self, a: Attempt, r: Request, e: api.Result) -> None:
         h, node = a.health, self.nodes[a.cell]
@@ -477,7 +473,7 @@
             h.served.add(self.now)
             h.turned_away = 0
             self.usual_latency += (took - self.usual_latency) * POOL_GAIN
-            if self.now >= h.cold_since + self.s.warmup_us:
+            if self.now >= h.cold_since + self.settings.warmup_us:
                 node.usual.add(self.now, r.told.units, USUAL_SPAN)
             self._learn_pace(h, r.told.units, took)
         elif e.outcome is Outcome.TIMEOUT:
@@ -508,13 +504,14 @@
         """A cold node's budget, this host's part of every fall window, with resends and an earlier life: what
         may go now, and how long another unit takes to earn. A larger request waits as long as it takes up."""
         age = self.now - h.cold_since
-        if age >= self.s.warmup_us:
+        if age >= self.settings.warmup_us:
             return NEVER, 0.0
-        cold, window = self.s.warmup_initial_share, self.s.overload_window_us
-        warmth = cold + (1 - cold) * max(0, age) / self.s.warmup_us
+        cold, window = self.settings.warmup_initial_share, self.settings.overload_window_us
+        warmth = cold + (1 - cold) * max(0, age) / self.settings.warmup_us
         usual = max(node.usual.rate, self._told_rate(node))
-        learnt = usual * window / SECOND * self.s.overload_multiple * warmth * COLD_SAFETY
-        borne = self.s.warmup_units / max(1, self.s.hosts) * self.shares.get(api.cold(h.entry.node), 1.0)
+        learnt = usual * window / SECOND * self.settings.overload_multiple * warmth * COLD_SAFETY
+        share = self.shares.get(api.warmup_budget(h.entry.node), 1.0)
+        borne = self.settings.warmup_units / max(1, self.settings.instances) * share
         budget = max(max(borne, learnt) * self.cold_part, 1e-9)
         idle = (self.now - max(h.sent.last, h.cold_since, self.born)) * budget / window
         spent = h.sent.total(self.now - window)
@@ -535,7 +532,7 @@
             heard = float(0.5 ** ((self.now - h.heard_at) / FADE)) if h.latency else 0.0
             wait = self.usual_latency + (h.latency - self.usual_latency) * heard
             wait *= (1 + (h.out + node.held) / self._depth(h)) * self.rng.uniform(0.9, 1.1)
-            return self.now < h.cold_since + self.s.warmup_us, wait / max(0.05, 1 - h.errors) ** 2
+            return self.now < h.cold_since + self.settings.warmup_us, wait / max(0.05, 1 - h.errors) ** 2
 
         free = [n for n in self.nodes.values() if n.health and self._may_send(r, n.health, n)]
         return min(free, key=score) if free else None
--- a/garnetlanding/decision/interface.py
+++ b/garnetlanding/decision/interface.py
@@ -26,7 +26,7 @@
 
 
 class Outcome(Enum):
-    """How one attempt ended. FULL, UNREACHABLE and MOOT prove that it never ran."""
+    """How one attempt ended. FULL, UNREACHABLE and NEVER_DISPATCHED prove that it never ran."""
 
     SERVED = "served"
     ERROR = "error"
@@ -35,7 +35,7 @@
     UNREACHABLE = "unreachable"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NEVER_DISPATCHED = "moot"
 
 
 class EndpointState(Enum):
@@ -70,8 +70,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    hosts: int
-    me: int
+    instances: int
+    instance_id: int
     tick_us: int
     classes: dict[str, ClassSpec]
     plans: dict[str, PlanSpec]
@@ -115,12 +115,12 @@
 LIST_CALLS, RESENDS = "list-calls", "resends"
 
 
-def cold(node: str) -> str:
+def warmup_budget(node: str) -> str:
     """The units that a node which has just started bears from all hosts."""
     return f"cold:{node}"
 
 
-def places(node: str) -> str:
+def concurrency_budget(node: str) -> str:
     """Attempts at that node at once: told as their number."""
     return f"places:{node}"
 
--- a/garnetlanding/decision/state.py
+++ b/garnetlanding/decision/state.py
@@ -11,7 +11,11 @@
 from garnetlanding.decision import interface as api
 
 SECOND = 1_000_000
-NEVER_RAN = (api.Outcome.FULL, api.Outcome.UNREACHABLE, api.Outcome.MOOT)  # proof that it had no effect
+NEVER_RAN = (
+    api.Outcome.FULL,
+    api.Outcome.UNREACHABLE,
+    api.Outcome.NEVER_DISPATCHED,
+)  # proof that it had no effect
 UNLIMITED = 1e12  # units a second, and at once, of a plan without a limit
 
 
@@ -33,7 +37,7 @@
         self.level = min(self.level, most)
 
 
-class Recent:
+class SlidingWindowSum:
     """Amounts by time; a total forgets what is older than it was asked for."""
 
     def __init__(self, keep: int) -> None:
@@ -56,7 +60,7 @@
         return self._sum
 
 
-class Rate:
+class EwmaRate:
     """A mean amount a second, over about `span`."""
 
     def __init__(self) -> None:
@@ -73,8 +77,8 @@
 
     entry: api.Endpoint
     cold_since: int
-    served: Recent
-    sent: Recent  # units
+    served: SlidingWindowSum
+    sent: SlidingWindowSum  # units
     out: int = 0
     latency: float = 0.0  # 0: unheard
     heard_at: int = 0
@@ -171,6 +175,17 @@
     came: float = 0.0  # units ever held here
 
 
+def retag(flow: Flow, v: float | None, weight: float) -> None:
+    """With v: the retag of a weight change. Without: closes the gap of a request that left unsent."""
+    if v is not None:
+        flow.finish = flow.last_start + flow.last_units / weight
+    previous = flow.finish
+    for r in flow.held:
+        if not r.paid:
+            r.start = max(r.floor if v is None else v, previous)
+            r.finish = previous = r.start + r.told.units / weight
+
+
 @dataclass(slots=True, eq=False)
 class Node:
     """One cell: its queue outlives the process that serves it."""
@@ -181,7 +196,7 @@
     v: float = 0.0  # virtual time: the start tag last sent
     held: int = 0
     look_at: int = 1 << 62  # next planned look
-    usual: Rate = field(default_factory=Rate)  # units a second served to this host while warm
+    usual: EwmaRate = field(default_factory=EwmaRate)  # units a second served to this host while warm
 
     def leave(self, r: Request) -> Flow:
         flow = self.flows[r.told.volume]
@@ -214,8 +229,8 @@
         self.turns: dict[str, Turn] = {}
         self.news: dict[int, Node] = {}  # cells to look at in this call
         self.patience: dict[str, int] = {}  # longest time a client gave, by class
-        self.taken = Recent(2 * budget_span)  # arrivals
-        self.extra = Recent(2 * budget_span)  # attempts beyond a request's first
+        self.taken = SlidingWindowSum(2 * budget_span)  # arrivals
+        self.extra = SlidingWindowSum(2 * budget_span)  # attempts beyond a request's first
         self.count = 0
         self._due: list[tuple[int, int, Callable[[Any], None], Any]] = []
         self._wake_at: int | None = None
--- a/garnetlanding/emulator/fleet.py
+++ b/garnetlanding/emulator/fleet.py
@@ -143,8 +143,8 @@
         self.items[me] = {}
         self.heads[me] = Controller(
             api.Settings(
-                hosts=day.heads,
-                me=me,
+                instances=day.heads,
+                instance_id=me,
                 tick_us=MS,
                 classes={"read": READ, "write": WRITE},
                 plans=PLANS,
--- a/garnetlanding/emulator/lease_model.py
+++ b/garnetlanding/emulator/lease_model.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field, replace
 
-from garnetlanding.decision.state import Rate
+from garnetlanding.decision.state import EwmaRate
 from garnetlanding.emulator.walk import Walk
 from garnetlanding.peers.codec import Message, tag
 from garnetlanding.peers.leases import Leases, Own, Peer
@@ -64,7 +64,7 @@
     }
     new.demands = {}
     for name, own in leases.demands.items():
-        rate = Rate()
+        rate = EwmaRate()
         rate.rate, rate.at = own.rate.rate, own.rate.at
         new.demands[name] = replace(own, rate=rate, others=dict(own.others))
     new._sent, new._shares = dict(leases._sent), dict(leases._shares)
--- a/garnetlanding/emulator/verdict_net.py
+++ b/garnetlanding/emulator/verdict_net.py
@@ -55,8 +55,8 @@
 
 def settings(net: Net, me: int) -> api.Settings:
     return api.Settings(
-        hosts=net.heads,
-        me=me,
+        instances=net.heads,
+        instance_id=me,
         tick_us=MS,
         classes={"read": READ},
         plans={"plan": PLAN},
--- a/garnetlanding/ops/admin_service.py
+++ b/garnetlanding/ops/admin_service.py
@@ -89,7 +89,7 @@
         return known
 
     def shut(self, head: int, out: bool) -> bool | None:
-        shared, hosts = self._shared, self._core.settings.hosts
+        shared, hosts = self._shared, self._core.settings.instances
         if shared is None:
             return None
         if head < hosts:
--- a/garnetlanding/peers/connection_quota.py
+++ b/garnetlanding/peers/connection_quota.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable
 
-from garnetlanding.decision.interface import places as _name
+from garnetlanding.decision.interface import concurrency_budget as _name
 from garnetlanding.peers.codec import tag
 from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import SECOND
--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -48,8 +48,11 @@
         self._say_at = 0
         self._speaks = speaks
         self.fleet, self.group = fleet, group
-        self._make_budgets, self.budgets = budgets, None if budgets is None else budgets(self.s, life, 0)
-        self._turns = GossipSchedule(self.limits, module.s.me)
+        self._make_budgets, self.budgets = (
+            budgets,
+            None if budgets is None else budgets(self.settings, life, 0),
+        )
+        self._turns = GossipSchedule(self.limits, module.settings.instance_id)
         self.last_heard: list[int] = []  # head, life and number of the last message that was taken up
         self._out = False  # stands back: it has been put out, or replaced
         self._held_back = False  # the head does not act: it is not current, or shut out
@@ -86,8 +89,8 @@
                 leases.resume(now)
 
     @property
-    def s(self) -> api.Settings:
-        return self.module.s
+    def settings(self) -> api.Settings:
+        return self.module.settings
 
     def known(self, what: str, now: int) -> list[dict[str, object]]:
         """The `limits`, the `members`, the `verdicts` or the `bans`, for operators."""
@@ -108,16 +111,16 @@
                 self._hear(leases, event, now)
                 continue
             if isinstance(event, api.Arrival):
-                limit = self.s.plans[event.plan].limit_rate
+                limit = self.settings.plans[event.plan].limit_rate
                 leases.record_demand(event.volume, event.volume_hosts, limit, event.units, now)
             rest.append(event)
         if self.group:
             self._regroup(leases, now)
         if self.budgets:
-            self.budgets.observe_events(now, rest, self.s, 1 + len(self._others))
+            self.budgets.observe_events(now, rest, self.settings, 1 + len(self._others))
         if now >= self._say_at:
             self._wake(told, now, self.limits.say_every_us)
-            if self.s.may_message_peers and self._speaks:
+            if self.settings.may_message_peers and self._speaks:
                 told += self._texts(leases, now)
         if self.fleet:
             self.fleet.observations.observe_events(now, rest, self._tightest_us)
@@ -131,22 +134,28 @@
         if self.fleet:
             self.fleet.observations.observe_actions(now, actions)
         if self.budgets:
-            self.budgets.observe_actions(now, actions, self.s)
+            self.budgets.observe_actions(now, actions, self.settings)
         return actions + told
 
     def _follow(self, now: int, told: list[api.Action]) -> Leases:
         """The leases among the heads that the settings name now."""
-        leases, s = self.leases, self.s
-        if leases is not None and leases.me == s.me and (self.group or leases.instances == s.hosts):
+        leases, s = self.leases, self.settings
+        if (
+            leases is not None
+            and leases.me == s.instance_id
+            and (self.group or leases.instances == s.instances)
+        ):
             return leases
         # Another fleet: as after a start, since what was given under the old numbers may still be in use.
-        leases = self.leases = Leases(self.limits, s.me, s.hosts, self.life, now, leases)
+        leases = self.leases = Leases(self.limits, s.instance_id, s.instances, self.life, now, leases)
         if self._make_budgets:
             self.budgets = self._make_budgets(s, self.life, now)
         if not self._may_use:
             self._suspend(now)
         # Heads that start together would all speak at once: each has its own turn in the first round.
-        self._wake(told, now, 1 + int(self.limits.say_every_us * stagger_offset(s.me, s.hosts, "say")))
+        self._wake(
+            told, now, 1 + int(self.limits.say_every_us * stagger_offset(s.instance_id, s.instances, "say"))
+        )
         return leases
 
     def _regroup(self, leases: Leases, now: int) -> None:
@@ -171,7 +180,7 @@
         parts = leases.changed_shares(now)
         if looks and self._believed:
             self._believed("parts", leases.current_shares() | parts, leases.recheck_at)
-        shares = self.budgets.changed_shares(now, self.s.hosts) if self.budgets else None
+        shares = self.budgets.changed_shares(now, self.settings.instances) if self.budgets else None
         if shares is not None and self._believed and self.budgets:
             budgets = self.budgets.leases
             self._believed("shares", budgets.current_shares(), budgets.recheck_at)
@@ -186,7 +195,7 @@
 
     @property
     def _tightest_us(self) -> int:
-        return min(c.latency_objective_us for c in self.s.classes.values())
+        return min(c.latency_objective_us for c in self.settings.classes.values())
 
     @property
     def _others(self) -> frozenset[int]:
--- a/garnetlanding/peers/leases.py
+++ b/garnetlanding/peers/leases.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from garnetlanding.decision.state import SECOND, Rate, Recent
+from garnetlanding.decision.state import SECOND, EwmaRate, SlidingWindowSum
 from garnetlanding.peers.codec import Message, tag
 from garnetlanding.peers.limits import PeerLimits
 
@@ -47,10 +47,10 @@
     name: str
     hosts: int
     limit: float  # units a second, over all heads
-    rate: Rate = field(default_factory=Rate)
+    rate: EwmaRate = field(default_factory=EwmaRate)
     others: dict[int, int] = field(default_factory=dict)  # heads that have asked for it too, and when last
     window_us: int = 0  # of a budget: so much of it may be spent within any such span
-    spent: Recent | None = None  # of it
+    spent: SlidingWindowSum | None = None  # of it
     held: float = 0.0  # of it, for as long as it is not given back
 
     def locked(self, now: int, longest_us: int) -> float:
@@ -137,12 +137,12 @@
         name = tag(volume)
         own = self.demands.get(name)
         if own is None or (own.hosts, own.limit) != (hosts, limit):
-            spent = own.spent if own else Recent(self.window_us) if self.window_us else None
+            spent = own.spent if own else SlidingWindowSum(self.window_us) if self.window_us else None
             own = self.demands[name] = Own(
                 volume,
                 hosts,
                 limit,
-                own.rate if own else Rate(),
+                own.rate if own else EwmaRate(),
                 window_us=window_us,
                 spent=spent,
                 held=own.held if own else 0.0,
--- a/garnetlanding/peers/shared_budgets.py
+++ b/garnetlanding/peers/shared_budgets.py
@@ -18,7 +18,7 @@
         """`longest_us`: a window beside those of the settings."""
         self._limits = limits
         longest = max(s.overload_window_us, s.retry_budget_window_us, limits.list_window_us, longest_us)
-        self.leases = Leases(limits, s.me, s.hosts, life, now, window_us=longest)
+        self.leases = Leases(limits, s.instance_id, s.instances, life, now, window_us=longest)
         self._cold: dict[int, tuple[str, int]] = {}  # by cell: the server that is cold, until when
         self._units: dict[str, float] = {}  # of requests that may go to one of them
         self._sent: set[str] = set()  # requests with an attempt, where further ones have a budget
@@ -40,7 +40,7 @@
                         continue
                     self._units[event.request] = event.units
                     self.leases.record_demand(
-                        api.cold(node),
+                        api.warmup_budget(node),
                         hosts,
                         s.warmup_units * SECOND / s.overload_window_us,
                         event.units,
@@ -80,7 +80,7 @@
             match action:
                 case api.Send():
                     if units := self._units.get(action.request):
-                        self.leases.record_spent(api.cold(action.node), units, now)
+                        self.leases.record_spent(api.warmup_budget(action.node), units, now)
                     if s.retry_budget_window_us:
                         if action.request in self._sent:
                             self.leases.record_spent(api.RESENDS, 1, now)
@@ -104,7 +104,7 @@
         """Name and share of each budget, and how much the whole of it is, of what is told by number."""
         believed = self.leases.current_shares()
         for own in self.leases.demands.values():
-            counted = own.name.startswith(api.places(""))
+            counted = own.name.startswith(api.concurrency_budget(""))
             yield own.name, believed[own.name], own.limit * own.window_us / SECOND if counted else 0.0
 
     def receive(self, sender: int, message: Message, now: int) -> str:
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -229,7 +229,7 @@
         if self.places and len(conns) >= self.places.most(trial.node):
             # The place is lacking, not the server: nothing is to be learnt of it.
             self.places.open(trial.node, len(conns), lacking=True)
-            trial.finish(Outcome.MOOT)
+            trial.finish(Outcome.NEVER_DISPATCHED)
             return
         if len(conns) >= self.limits.brick_conns_each or not self._room():
             trial.finish(Outcome.UNREACHABLE)
--- a/garnetlanding/wire.py
+++ b/garnetlanding/wire.py
@@ -17,7 +17,7 @@
     "dial_failed": api.Outcome.UNREACHABLE,
     "dropped": api.Outcome.RESET,
     "revoked": api.Outcome.CANCELLED,
-    "unused": api.Outcome.MOOT,
+    "unused": api.Outcome.NEVER_DISPATCHED,
 }
 EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
 GROUPS = {
@@ -138,8 +138,8 @@
         )
         plans[plan.name] = plan
     return api.Settings(
-        hosts=get("Balancers", _integer),
-        me=get("Me", _integer),
+        instances=get("Balancers", _integer),
+        instance_id=get("Me", _integer),
         tick_us=get("TickUs", _integer),
         classes=classes,
         plans=plans,
--- a/tests/core/test_request_engine.py
+++ b/tests/core/test_request_engine.py
@@ -256,7 +256,7 @@
     st.tuples(
         st.sampled_from(["ask", "end", "leave", "drain", "up", "gone", "restart", "pass", "fail"]),
         st.integers(0, 7),
-        st.sampled_from([o for o in Outcome if o is not Outcome.MOOT]),
+        st.sampled_from([o for o in Outcome if o is not Outcome.NEVER_DISPATCHED]),
     ),
     max_size=40,
 )
@@ -265,7 +265,7 @@
 @given(STEPS)
 def test_every_item_ends_once_under_the_rules(steps: list[tuple[str, int, Outcome]]) -> None:
     """CheckedCore checks each start; here: every item is answered, by its deadline, once."""
-    w = CoreWorld(settings(parallel_attempts=False, max_attempts=4, hosts=2))
+    w = CoreWorld(settings(parallel_attempts=False, max_attempts=4, instances=2))
     tickets: dict[str, str] = {}
     due: dict[str, int] = {}
     left = set()
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -194,7 +194,9 @@
     assert c.operator.ninep and c.operator.ninep.server_port == int(example.FILES.rpartition(":")[2])
     assert c.discovery == example.DISCOVERY
     pair = [config.load(str(ROOT / f"example/pushed-{me}.json"), env={}) for me in (0, 1)]
-    assert [c.settings.me for c in pair] == [0, 1] and not any(c.settings.poll_endpoints for c in pair)
+    assert [c.settings.instance_id for c in pair] == [0, 1] and not any(
+        c.settings.poll_endpoints for c in pair
+    )
     for c, other in zip(pair, reversed(pair), strict=True):
         assert c.peers and other.peers and list(c.peers.peers.values()) == [other.peers.listen]
         assert c.discovery == example.DISCOVERY
@@ -425,7 +427,9 @@
     theirs = SETTINGS | {"Limits": SETTINGS["Limits"] | {"MaxAttempts": 2}, "Balancers": 3, "Me": 2}
     h.daemon.store.restore(Snapshot(5, 1, {SETTINGS_KEY: theirs}))
     assert h.daemon.core._settings.max_attempts == 2
-    assert h.daemon.core.settings.me == 0, "the writer's number is the writer's: heads would all be one"
+    assert (
+        h.daemon.core.settings.instance_id == 0
+    ), "the writer's number is the writer's: heads would all be one"
     h.daemon.store.apply(5, Entry(2, SETTINGS_KEY, {}))
     assert h.daemon.core._settings.max_attempts == 2 and "settings not taken" in caplog.text
 
--- a/tests/daemon/test_graceful_shutdown.py
+++ b/tests/daemon/test_graceful_shutdown.py
@@ -87,7 +87,7 @@
     """A head whose only brick is not listed yet: requests wait for their first attempt."""
 
     def __init__(self, **limits: int) -> None:
-        super().__init__(settings(parallel_attempts=False, max_attempts=4, hosts=1), **limits)
+        super().__init__(settings(parallel_attempts=False, max_attempts=4, instances=1), **limits)
         self.brick = self.server(Brick)
         self.listener = self.front()
         self.list()
@@ -469,7 +469,7 @@
 ) -> None:
     """The window was looked at before the connection was begun, which takes up to 0.25 s."""
     cls = api.ClassSpec("read", 2.0, 0.1, 300 * MS, 1500 * MS, effect, api.DeduplicationScope.ALL, window)
-    w = World(settings(parallel_attempts=False, max_attempts=2, hosts=1, classes={"read": cls}))
+    w = World(settings(parallel_attempts=False, max_attempts=2, instances=1, classes={"read": cls}))
     brick = w.server(Brick)
     brick.script = [None]
     w.list(Box("b0", brick.address, 0))
--- a/tests/decision/test_backend_health.py
+++ b/tests/decision/test_backend_health.py
@@ -10,7 +10,7 @@
 
 def busy(hosts: int, latency: int, answers: int = 12) -> Bench:
     """A host whose node has answered so often, each time after `latency`."""
-    b = Bench(settings(hosts=hosts), [up("n0", 0)])
+    b = Bench(settings(instances=hosts), [up("n0", 0)])
     for i in range(answers):
         b.ask(f"b{i}", volume=f"b{i}", cls="write", units=1)
         b.run(latency)
@@ -25,7 +25,7 @@
         b.run(10 * MS)
         b.end(f"r{i}", api.Outcome.RESET if i % 3 else api.Outcome.SERVED, over=i % 3 == 0)
     h = b.c.nodes[0].health
-    assert h is not None and h.cold_since < b.now - b.c.s.warmup_us
+    assert h is not None and h.cold_since < b.now - b.c.settings.warmup_us
 
 
 def test_a_node_whose_attempts_time_out_gets_no_cheap_work_until_that_fades() -> None:
--- a/tests/decision/test_decision_rules.py
+++ b/tests/decision/test_decision_rules.py
@@ -171,7 +171,7 @@
     config = settings(
         classes=CLASSES,
         plans=PLANS,
-        hosts=rng.choice([1, 3]),
+        instances=rng.choice([1, 3]),
         parallel_attempts=rng.random() < 0.5,
         may_cancel=rng.random() < 0.5,
         ordered_key_rest_us=200 * MS,
@@ -279,11 +279,11 @@
                 if isinstance(action, api.Reject):
                     self.check_refusal(name)
             elif isinstance(action, api.Cancel):
-                assert self.b.c.s.may_cancel and action.attempt < len(self.tries[action.request])
+                assert self.b.c.settings.may_cancel and action.attempt < len(self.tries[action.request])
         assert all(self.b.now <= self.asked[n].until_us for n in self.asked if n not in self.over)
 
     def ran(self, name: str) -> list[list[object]]:
-        never = (FULL, api.Outcome.UNREACHABLE, api.Outcome.MOOT)
+        never = (FULL, api.Outcome.UNREACHABLE, api.Outcome.NEVER_DISPATCHED)
         return [t for t in self.tries.get(name, []) if t[2] not in never]
 
     def check_refusal(self, name: str) -> None:
@@ -295,7 +295,7 @@
         assert not self.ran(name), "refused though it may have run"
 
     def check_send(self, at: int, a: api.Send) -> None:
-        e, tries, s = self.asked[a.request], self.tries.setdefault(a.request, []), self.b.c.s
+        e, tries, s = self.asked[a.request], self.tries.setdefault(a.request, []), self.b.c.settings
         cls, ran, cell = CLASSES[e.cls], self.ran(a.request), int(a.node[1:])
         assert a.request not in self.over and at < e.until_us and len(tries) < s.max_attempts
         assert a.node not in self.barred
--- a/tests/decision/test_fair_queueing.py
+++ b/tests/decision/test_fair_queueing.py
@@ -47,8 +47,8 @@
     b = filled()
     for name in ("g0", "g1", "t0", "t1"):
         b.ask(name, volume=name[0], plan={"g": "gold", "t": "tin"}[name[0]], units=2)
-    plans = b.c.s.plans | {"tin": replace(b.c.s.plans["tin"], weight=8.0)}
-    b.tell(api.NewSettings(replace(b.c.s, plans=plans)))
+    plans = b.c.settings.plans | {"tin": replace(b.c.settings.plans["tin"], weight=8.0)}
+    b.tell(api.NewSettings(replace(b.c.settings, plans=plans)))
     # t: 0.75, 1.0 where 0.75, 2.75 were; g stays at 0.75, 1.25.
     assert drain(b, 4) == ["g0", "t0", "t1", "g1"]
 
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -135,7 +135,7 @@
     """A watch with the core and the module behind it, which say when to call again."""
 
     def __init__(self, hosts: int = 6) -> None:
-        super().__init__(settings(hosts=hosts, poll_endpoints=True))
+        super().__init__(settings(instances=hosts, poll_endpoints=True))
         self.discovery = self.server(Discovery)
         self.discovery.boxes = [Box("b0", "127.0.0.1:9", 0)]
         self.watch = self.core.subscriptions = Watch(
@@ -389,7 +389,7 @@
     hosts: int, unheard_us: int
 ) -> None:
     """It grew with the number of heads, to 50 s for 200, and to 6 s for 3."""
-    bench = Bench(settings(hosts=hosts, poll_endpoints=True), [up("n0", 0)])
+    bench = Bench(settings(instances=hosts, poll_endpoints=True), [up("n0", 0)])
     pauses = []
     for _ in range(60):
         bench.tell(api.EndpointListUpdate(failed=True, unheard_us=unheard_us))
--- a/tests/golden/test_decision_digest.py
+++ b/tests/golden/test_decision_digest.py
@@ -58,7 +58,9 @@
         f"{p.price!r})"
         for p in s.plans.values()
     )
-    return f"{s.hosts} {s.me} {s.max_attempts} {s.parallel_attempts} {s.part!r} {classes} {plans}"
+    return (
+        f"{s.instances} {s.instance_id} {s.max_attempts} {s.parallel_attempts} {s.part!r} {classes} {plans}"
+    )
 
 
 def event_text(event: api.Event) -> str:
@@ -120,7 +122,7 @@
     """A Controller whose every call is written down."""
 
     def __init__(self, record: Record, settings: api.Settings, seed: int) -> None:
-        self.record, self.name = record, f"{settings.me}/{seed}"
+        self.record, self.name = record, f"{settings.instance_id}/{seed}"
         self.controller = Controller(settings, seed)
         record.write("=", f"start {self.name} {settings_text(settings)}")
 
@@ -237,8 +239,8 @@
     api.PlanSpec("capped", 1.0, 4.0, 2.0, limit_rate=6.0, limit_burst=24.0),
 )
 BASE = api.Settings(
-    hosts=3,
-    me=1,
+    instances=3,
+    instance_id=1,
     tick_us=2 * MS,
     classes={c.name: c for c in CLASSES},
     plans={p.name: p for p in PLANS},
@@ -267,12 +269,20 @@
     "one-at-a-time": (2, replace(BASE, parallel_attempts=False, may_cancel=False, honors_retry_after=False)),
     "one-of-many": (
         3,
-        replace(BASE, hosts=30, me=17, poll_endpoints=False, retry_budget_window_us=0, warmup_units=40.0),
+        replace(
+            BASE,
+            instances=30,
+            instance_id=17,
+            poll_endpoints=False,
+            retry_budget_window_us=0,
+            warmup_units=40.0,
+        ),
     ),
 }
 CELLS = 5
 USUAL = (api.Outcome.SERVED,) * 12 + (
-    api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.RESET, api.Outcome.UNREACHABLE, api.Outcome.MOOT,
+    api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.RESET, api.Outcome.UNREACHABLE,
+    api.Outcome.NEVER_DISPATCHED,
 )  # fmt: skip
 MOODS: dict[str, tuple[tuple[api.Outcome, ...], tuple[int, int]]] = {  # outcomes and what they take
     "well": (USUAL, (5 * MS, 90 * MS)),
@@ -484,7 +494,8 @@
         node = self.rng.choice(sorted(self.entries))
         shares = {
             api.LIST_CALLS: self.rng.choice((0.5, 2.0)), api.RESENDS: self.rng.choice((0.0, 1.5)),
-            api.cold(node): self.rng.choice((0.3, 3.0)), api.places(node): self.rng.choice((1, 3, 40)),
+            api.warmup_budget(node): self.rng.choice((0.3, 3.0)),
+            api.concurrency_budget(node): self.rng.choice((1, 3, 40)),
         }  # fmt: skip
         return api.QuotaShares(parts, self.rng.choice((None, {}, shares)))
 
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -331,7 +331,7 @@
     api.Outcome.UNREACHABLE: "unreachable",
     api.Outcome.RESET: "reset",
     api.Outcome.CANCELLED: "cancelled",
-    api.Outcome.MOOT: "moot",
+    api.Outcome.NEVER_DISPATCHED: "moot",
 }
 
 ANSWERS = [
@@ -1255,8 +1255,8 @@
 
 def settings_form(s: api.Settings) -> list[str]:
     lines = [
-        f"heads: {s.hosts}",
-        f"this head: {s.me}",
+        f"heads: {s.instances}",
+        f"this head: {s.instance_id}",
         f"tick: {s.tick_us}",
         f"list is asked for: {s.poll_endpoints}",
         f"most attempts: {s.max_attempts}",
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -385,7 +385,9 @@
 HEADER = (7_000_000_001, 12, 6_000_000_009, 3)  # life and number, and those answered
 VOLUME, OTHER = codec.tag("vol-1"), codec.tag("vol-2")
 LEASES = codec.Message(*HEADER, {VOLUME: (0.5, 3), OTHER: (1.0, 255)}, {VOLUME: 0.252, 9: 0.0})
-BUDGETS = codec.Message(*HEADER, {codec.tag(api.cold("n0")): (0.004, 4)}, {codec.tag(api.LIST_CALLS): 1.0})
+BUDGETS = codec.Message(
+    *HEADER, {codec.tag(api.warmup_budget("n0")): (0.004, 4)}, {codec.tag(api.LIST_CALLS): 1.0}
+)
 BANS = DisabledBackends(PEER_LIMITS, [Ban("n1", 1_764_640_800_000, 2, True), Ban("head/3", 9, 65535, False)])
 EVIDENCE = tuple(
     gossip_message.Evidence(kind, gossip_message.tag(f"n{kind}"), 10 * kind, kind, 7)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -48,8 +48,8 @@
 
 def settings(**changes: object) -> api.Settings:
     base: dict[str, object] = dict(
-        hosts=3,
-        me=0,
+        instances=3,
+        instance_id=0,
         tick_us=2 * MS,
         classes={"read": READ, "write": WRITE},
         plans={"gold": GOLD, "tin": TIN},
@@ -118,7 +118,7 @@
         hosts: int = 1,
         patience: int | None = None,
     ) -> list[api.Action]:
-        spec = self.c.s.classes[cls]
+        spec = self.c.settings.classes[cls]
         return self.tell(
             api.Arrival(
                 name, cls, plan, volume, key, units, cell, self.now + (patience or spec.deadline_us), hosts
--- a/tests/ops/test_process_registry.py
+++ b/tests/ops/test_process_registry.py
@@ -102,7 +102,7 @@
 
 
 def test_a_part_holds_for_depth_at_once_and_grows_for_cold_bricks_one_window_later() -> None:
-    config = settings(hosts=1, parallel_attempts=False)
+    config = settings(instances=1, parallel_attempts=False)
     b = Bench(config, [up("n0", 0)])
     h = b.c.nodes[0].health
     assert h and b.c._depth(h) == 4
@@ -141,7 +141,7 @@
 
 def test_two_processes_send_a_cold_brick_no_more_than_one_may_in_any_window() -> None:
     """The elder is alone, halves, and ends; the newer one has nothing, a half, and all."""
-    config = settings(hosts=1, parallel_attempts=False, warmup_units=9.0)
+    config = settings(instances=1, parallel_attempts=False, warmup_units=9.0)
     most = fullest_window(config, {0: 1.0})
     assert most >= 9
     assert fullest_window(config, {0: 1.0, 100: 0.5, 300: 0.0}, {0: 0.0, 100: 0.5, 300: 1.0}) <= most
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -44,7 +44,9 @@
 
     def __init__(self) -> None:
         self.now = T0
-        self.talks = [PeerCoordinator(Controller(replace(LIMITED, me=me), 1), life=1) for me in range(3)]
+        self.talks = [
+            PeerCoordinator(Controller(replace(LIMITED, instance_id=me), 1), life=1) for me in range(3)
+        ]
         self.inbox: list[list[api.Event]] = [[] for _ in self.talks]
         self.sent: list[list[str]] = [[] for _ in self.talks]
         for talk in self.talks:
@@ -108,7 +110,7 @@
     f = FailureDetector()
     f.run(4)
     talk = f.talks[0]
-    talk.handle(f.now, [api.NewSettings(replace(LIMITED, hosts=4))])
+    talk.handle(f.now, [api.NewSettings(replace(LIMITED, instances=4))])
     f.run(0.08, cut=(0, 1, 2))
     assert volume(talk).part == 0.0
     f.run(1.5, cut=(0, 1, 2))
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -281,7 +281,11 @@
 
 
 COLD = settings(
-    may_message_peers=True, hosts=3, warmup_units=30.0, overload_window_us=2 * SECOND, warmup_us=14 * SECOND
+    may_message_peers=True,
+    instances=3,
+    warmup_units=30.0,
+    overload_window_us=2 * SECOND,
+    warmup_us=14 * SECOND,
 )
 
 
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -208,7 +208,9 @@
         self.now = T0
         self.fleets = [FailureDetector(LIMITS) for _ in range(3)]
         self.talks = [
-            PeerCoordinator(Controller(settings(may_message_peers=True, me=me), 1), life=1, fleet=fleet)
+            PeerCoordinator(
+                Controller(settings(may_message_peers=True, instance_id=me), 1), life=1, fleet=fleet
+            )
             for me, fleet in enumerate(self.fleets)
         ]
         self.inbox: list[list[api.Event]] = [
--- a/tests/resp/test_resp_front.py
+++ b/tests/resp/test_resp_front.py
@@ -470,7 +470,9 @@
 
 def test_clients_have_the_places_that_bricks_do_not_need_and_give_them_back() -> None:
     """A fixed share left connections waiting that had been answered for within a moment."""
-    w = World(settings(max_attempts=4, parallel_attempts=False, hosts=1), brick_conns_kept=1, client_conns=4)
+    w = World(
+        settings(max_attempts=4, parallel_attempts=False, instances=1), brick_conns_kept=1, client_conns=4
+    )
     boxes = [w.server(Brick) for _ in range(4)]
     for brick in boxes:
         brick.script = [None]
--- a/tests/runtime/test_runtime.py
+++ b/tests/runtime/test_runtime.py
@@ -109,7 +109,7 @@
 
 class BrickWorld(World):
     def __init__(self, **limits: int) -> None:
-        super().__init__(settings(parallel_attempts=False, max_attempts=4, hosts=1), **limits)
+        super().__init__(settings(parallel_attempts=False, max_attempts=4, instances=1), **limits)
         self.brick = self.server(Brick)
         self.list(Box("b0", self.brick.address, 0))
         self.client = self.peer(self.front().address)
