--- a/garnetlanding/audit/__init__.py
+++ b/garnetlanding/audit/__init__.py
@@ -1,3 +1,4 @@
-"""What each head acted on, from when to when: recorded where it changes, kept in files, read over many
-heads.
+"""Which versions each instance acted on, from when to when.
+
+Recorded where a version changes, kept in segment files, and read together over many instances.
 """
--- a/garnetlanding/audit/audited_module.py
+++ b/garnetlanding/audit/audited_module.py
@@ -1,4 +1,4 @@
-"""The decision module with the audit before it: what holds is recorded before the module decides by it."""
+"""The decision module with the audit in front: versions are recorded before the module decides by them."""
 
 from __future__ import annotations
 
@@ -8,15 +8,18 @@
 
 
 class AuditedModule:
-    """Stands where the module stood."""
+    """A `DecisionModule` that lets the recorder observe, then passes the events on unchanged."""
 
     def __init__(self, module: DecisionModule, recorder: Recorder) -> None:
-        self.module, self.recorder = module, recorder
+        self.module = module
+        self.recorder = recorder
 
     @property
     def settings(self) -> api.Settings:
+        """Settings of the module behind."""
         return self.module.settings
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
-        self.recorder.look(now)
+        """Return the actions of the module behind; `now` is monotonic time in microseconds."""
+        self.recorder.observe(now)
         return self.module.handle(now, events)
--- a/garnetlanding/audit/limits.py
+++ b/garnetlanding/audit/limits.py
@@ -4,19 +4,28 @@
 
 from dataclasses import dataclass
 
-MS, SECOND = 1_000, 1_000_000
+MS = 1_000
+"""A millisecond in microseconds."""
+SECOND = 1_000_000
+"""A second in microseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class AuditLimits:
-    """Times are microseconds, sizes bytes."""
-
-    checkpoint_us: int = 10 * SECOND  # between records while nothing changes
-    segment_bytes: int = 1 << 20  # after which another one is begun
-    total_bytes: int = 64 << 20  # of all segments; the oldest are dropped first
-    age_us: int = 30 * 24 * 3600 * SECOND  # and those whose last record is older, by the wall clock
-    record_bytes: int = 64 << 10  # a longer one is damage
-    gap_checkpoints: float = 2.5  # a head silent for so many checkpoints stood still, or was not there
+    """Times are in microseconds, sizes in bytes."""
+
+    checkpoint_us: int = 10 * SECOND
+    """Interval between records while no version changes."""
+    segment_bytes: int = 1 << 20
+    """Size from which on a new segment is begun."""
+    total_bytes: int = 64 << 20
+    """Size of all segments of an instance; beyond it the oldest are deleted."""
+    age_us: int = 30 * 24 * 3600 * SECOND
+    """Age by the wall clock from which on a segment is deleted, counted from its last record."""
+    record_bytes: int = 64 << 10
+    """Size beyond which a record is corrupt."""
+    gap_checkpoints: float = 2.5
+    """Checkpoint intervals without a record after which an instance counts as having stalled."""
 
 
 LIMITS = AuditLimits()
--- a/garnetlanding/audit/merge.py
+++ b/garnetlanding/audit/merge.py
@@ -49,7 +49,7 @@
     """`missing`: heads that should have files and have none."""
     fleet, lives = FleetTimeline(), defaultdict[tuple[str, int], list[Segment]](list)
     for segment in segments:
-        lives[segment.head, segment.life].append(segment)
+        lives[segment.instance, segment.incarnation].append(segment)
     heads = sorted({head for head, _ in lives})
     for head in heads:
         dropped = max(
@@ -79,7 +79,7 @@
     fleet: FleetTimeline,
 ) -> None:
     """`dropped`: life and number of the last segment that was dropped for size or age."""
-    head, life = segments[0].head, segments[0].life
+    head, life = segments[0].instance, segments[0].incarnation
     checkpoint_us = limits.checkpoint_us
     now: Span | None = None
     last: Segment | None = None
@@ -88,12 +88,12 @@
         gap = [n for n in range(first, segment.number) if (life, n) > dropped]
         if gap:
             fleet.problems.append(f"{head}: segments {gap[0]} to {gap[-1]} of life {life} are missing")
-        elif last and segment.number == first and segment.before != last.last:
+        elif last and segment.number == first and segment.previous_hash != last.last_hash:
             fleet.problems.append(
                 f"{head}: segment {segment.number} of life {life} does not follow on "
                 "the one before: exchanged, or cut"
             )
-        if segment.torn_at >= 0:
+        if segment.torn_at is not None:
             fleet.problems.append(
                 f"{head}: life {life} was cut short at offset {segment.torn_at} of segment "
                 f"{segment.number}"
--- a/garnetlanding/audit/recorder.py
+++ b/garnetlanding/audit/recorder.py
@@ -1,68 +1,71 @@
-"""What a head acts on, as one vector of versions: a record where it changes, and now and then that it still
-holds. No I/O, no clock of its own.
+"""Records which versions an instance acts on: each change, and at intervals that they still hold.
 
-Each turn of the loop is decided under the vector of the last record before it: whoever decides looks here
-first.
+No I/O and no clock of its own. Each event-loop iteration is decided under the versions of the last record
+before it, because whoever calls the decision module calls `Recorder.observe` first.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
-from typing import Any
 
 from garnetlanding.audit.limits import AuditLimits
+from garnetlanding.audit.records import (
+    InstanceState,
+    Payload,
+    RecordKind,
+    observation_fields,
+    rejection_fields,
+    state_record,
+)
 
-Record = dict[str, Any]
+VersionSource = Callable[[], str]
+"""Returns the version of one component that is in force now; empty where there is none."""
 
 
 class Recorder:
+    """Turns versions and the instance's state into records; knows nothing of files.
+
+    `sources` gives the version of each component by the component's name, `read_state` the state that goes
+    into a record, and `write` takes each record. `versions` are those of the last record.
+    """
+
     def __init__(
         self,
         limits: AuditLimits,
-        sources: Mapping[str, Callable[[], str]],
-        me: Callable[[], int],
-        counts: Callable[[], tuple[int, int]],
-        said: Callable[[], int],
-        heard: Callable[[], list[int]],
-        keep: Callable[[Record], None],
+        sources: Mapping[str, VersionSource],
+        read_state: Callable[[], InstanceState],
+        write: Callable[[Payload], None],
     ) -> None:
-        """`sources`: by component, the version that holds now. `counts`: requests taken and answered so far;
-        `said`: the number of this head's last message to others; `heard`: head, life and number of the
-        last one heard, empty where none was. `keep` is given each record."""
-        self._limits, self._sources, self._me, self._counts = limits, sources, me, counts
-        self._said, self._heard, self._keep = said, heard, keep
-        self.vector: dict[str, str] = {}
-        self._next = 0
-        self._refused: dict[str, str] = {}
+        self._limits = limits
+        self._sources = sources
+        self._read_state = read_state
+        self._write = write
+        self.versions: dict[str, str] = {}
+        self._next_checkpoint = 0
+        self._rejections: dict[str, str] = {}
 
-    def look(self, now: int) -> None:
-        """Before anything is decided in this turn."""
-        vector = {name: source() for name, source in self._sources.items()}
-        changed = [name for name, version in vector.items() if self.vector.get(name) != version]
-        if changed or now >= self._next:
-            self.vector, self._next = vector, now + self._limits.checkpoint_us
-            self._write(now, "change" if changed else "checkpoint", changed=changed, heard=self._heard())
+    def observe(self, now: int) -> None:
+        """Record the versions if they changed or a checkpoint is due; called before anything is decided."""
+        versions = {name: source() for name, source in self._sources.items()}
+        changed = [name for name, version in versions.items() if self.versions.get(name) != version]
+        if not changed and now < self._next_checkpoint:
+            return
+        self.versions = versions
+        self._next_checkpoint = now + self._limits.checkpoint_us
+        kind = RecordKind.CHANGE if changed else RecordKind.CHECKPOINT
+        state = self._read_state()
+        self._write(
+            state_record(kind, now, self.versions, state) | observation_fields(changed, state.last_received)
+        )
 
-    def refused(self, now: int, component: str, why: str) -> None:
-        """A change that was told and not taken: the version before it stands."""
-        if self._refused.get(component) != why:
-            self._refused[component] = why
-            self._write(now, "refused", component=component, why=why)
+    def change_rejected(self, now: int, component: str, reason: str) -> None:
+        """Record that a new version was received and rejected; repetitions of one reason are left out."""
+        if self._rejections.get(component) == reason:
+            return
+        self._rejections[component] = reason
+        record = state_record(RecordKind.REJECTED, now, self.versions, self._read_state())
+        self._write(record | rejection_fields(component, reason))
 
     def end(self, now: int) -> None:
-        self._write(now, "end")
-
-    def _write(self, now: int, kind: str, **more: Any) -> None:
-        taken, answered = self._counts()
-        self._keep(
-            {
-                "t": now,
-                "kind": kind,
-                "vector": self.vector,
-                "taken": taken,
-                "answered": answered,
-                "me": self._me(),
-                "said": self._said(),
-                **more,
-            }
-        )
+        """Record that the process ends in order."""
+        self._write(state_record(RecordKind.END, now, self.versions, self._read_state()))
--- a/garnetlanding/audit/report.py
+++ b/garnetlanding/audit/report.py
@@ -17,31 +17,28 @@
 from rich.table import Table
 
 from garnetlanding.audit import merge as merging
-from garnetlanding.audit import reading
+from garnetlanding.audit.errors import ChartUnavailableError, InvalidQueryError, NoRecordsError
 from garnetlanding.audit.limits import LIMITS
 from garnetlanding.audit.merge import FleetTimeline, Span
+from garnetlanding.audit.segment_reader import SegmentsRead, read_segments
 
 COLUMNS = 140  # of a table that goes to no terminal
 
 
-class NoRecordsError(ValueError):
-    """There is nothing to read; the text says where."""
-
-
 def _read(places: Sequence[str], missing: Sequence[str] = ()) -> FleetTimeline:
     """Raises OSError and Nothing."""
     with Progress(console=Console(stderr=True), disable=not sys.stderr.isatty()) as bar:
         task = bar.add_task("reading", total=len(places))
-        segments, problems = [], []
+        found = SegmentsRead()
         for place in places:
-            some, bad = reading.read([place])
-            segments += some
-            problems += bad
+            found.add(read_segments([place]))
             bar.advance(task)
-    if not segments:
+    if not found.segments:
         raise NoRecordsError(f"no audit in {', '.join(places)}")
-    fleet = merging.merge({(s.head, s.life, s.number): s for s in segments}.values(), LIMITS, missing)
-    fleet.problems = sorted({*problems, *fleet.problems})
+    fleet = merging.merge(
+        {(s.instance, s.incarnation, s.number): s for s in found.segments}.values(), LIMITS, missing
+    )
+    fleet.problems = sorted({*found.problems, *fleet.problems})
     return fleet
 
 
@@ -129,7 +126,7 @@
     else:
         component, sign, wanted = (version or "").partition("=")
         if not sign:
-            raise ValueError(f"not COMPONENT=VERSION: {version!r:.40}")
+            raise InvalidQueryError(f"not COMPONENT=VERSION: {version!r:.40}")
         spans = merging.on(fleet, component, wanted)
     _show(_rows(spans), as_json, problems=fleet.problems)
     return 0 if spans else 1
@@ -173,7 +170,7 @@
     try:
         import matplotlib
     except ImportError as problem:
-        raise NoRecordsError(f"charts need the extra `lab`: {problem}") from None
+        raise ChartUnavailableError(f"charts need the extra `lab`: {problem}") from problem
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
--- a/garnetlanding/audit/segments.py
+++ b/garnetlanding/audit/segments.py
@@ -1,133 +1,185 @@
-"""The form of the audit's files, built and read as bytes (docs/design/audit.md): no file is touched here."""
+"""The on-disk format of audit segments, encoded and decoded as bytes; no file is touched here.
+
+A segment is eight magic bytes and a sequence of frames (docs/design/audit.md)::
+
+    segment = "GLAUDIT1" frame(header) frame(record)*
+    frame   = length (4 bytes) | CRC32C of the body (4 bytes) | body     both numbers big-endian
+    header  = JSON {"head": instance, "life": incarnation, "segment": number, "before": hash, hexadecimal}
+    record  = hash (16 bytes) | payload, a JSON object
+
+A record's hash is BLAKE2b over the hash before it and its own payload, so that a record that was taken out or
+exchanged breaks the chain. The header carries the hash of the last record of the segment before, which is 16
+zero bytes for the first segment of an incarnation.
+
+A frame that the file ends within is a torn tail: a process or its machine stopped while writing it. It may
+stand only at the end of an incarnation's last segment. Everything else that cannot be decoded is corruption.
+"""
 
 from __future__ import annotations
 
 import json
 import struct
-from collections.abc import Sequence
 from dataclasses import dataclass, field
 from hashlib import blake2b
-from typing import Any
 
 from crc32c import crc32c
 
+from garnetlanding.audit.errors import CorruptSegmentError
 from garnetlanding.audit.limits import LIMITS, AuditLimits
+from garnetlanding.audit.records import Payload
 
 MAGIC = b"GLAUDIT1"
-HEAD = struct.Struct(">II")  # length of what follows, and its CRC32C
-HASH = 16  # bytes
-FIRST = bytes(HASH)  # before a head's first record
-
+HASH_BYTES = 16
+FIRST_HASH = bytes(HASH_BYTES)
+"""Stands for the hash of the record before an incarnation's first one."""
 
-class CorruptSegmentError(ValueError):
-    """What cannot be read though it stands whole in the file; the text names file and offset. `before`: what
-    stands before it."""
-
-    before: Sequence[Segment] = ()
+_FRAME_PREFIX = struct.Struct(">II")
 
 
 @dataclass(slots=True)
 class Segment:
-    """What one file holds. `torn_at`: where a record begins that was cut short at the end; -1: none was."""
+    """What one segment file holds."""
 
-    head: str
-    life: int
+    instance: str
+    incarnation: int
     number: int
-    before: bytes  # hash of the last record of the segment before
-    records: list[dict[str, Any]] = field(default_factory=list)
-    last: bytes = FIRST  # hash of the last record
-    torn_at: int = -1
+    previous_hash: bytes
+    """Hash of the last record of the segment before."""
+    records: list[Payload] = field(default_factory=list)
+    last_hash: bytes = FIRST_HASH
+    """Hash of the last record."""
+    torn_at: int | None = None
+    """Offset of a record that is cut short by the end of the file; `None` where the file ends well."""
+
 
+def encode_header(instance: str, incarnation: int, number: int, previous_hash: bytes) -> bytes:
+    """Return the first bytes of a segment: magic and header."""
+    header = {"head": instance, "life": incarnation, "segment": number, "before": previous_hash.hex()}
+    return MAGIC + _frame(json.dumps(header, sort_keys=True).encode())
 
-def chain(before: bytes, payload: bytes) -> bytes:
-    return blake2b(before + payload, digest_size=HASH).digest()
 
+def encode_record(previous_hash: bytes, payload: Payload) -> tuple[bytes, bytes]:
+    """Return a record's bytes, and its hash for the record after it."""
+    text = json.dumps(payload, sort_keys=True, separators=(",", ":")).encode()
+    record_hash = _chained_hash(previous_hash, text)
+    return _frame(record_hash + text), record_hash
 
-def _framed(body: bytes) -> bytes:
-    return HEAD.pack(len(body), crc32c(body)) + body
 
+def read_segment(file: str, data: bytes, is_last: bool, limits: AuditLimits = LIMITS) -> Segment:
+    """Decode the contents of a segment file.
 
-def begin(head: str, life: int, number: int, before: bytes) -> bytes:
-    """A segment's first bytes."""
-    told = {"head": head, "life": life, "segment": number, "before": before.hex()}
-    return MAGIC + _framed(json.dumps(told, sort_keys=True).encode())
+    `file` is the name used in errors. Only where `is_last` says that no segment of the incarnation follows
+    may a record be cut short. Raises `CorruptSegmentError`, which carries what precedes the corruption.
+    """
+    return _Decoder(file, data, is_last, limits).decode()
 
 
-def record(before: bytes, payload: dict[str, Any]) -> tuple[bytes, bytes]:
-    """A record's bytes, and its hash."""
-    text = json.dumps(payload, sort_keys=True, separators=(",", ":")).encode()
-    own = chain(before, text)
-    return _framed(own + text), own
-
-
-def read(name: str, data: bytes, last: bool, limits: AuditLimits = LIMITS) -> Segment:
-    """`name`: of the file, for what is said of it. `last`: of its head; only there may a record be cut short.
-    Raises Damage."""
-    if not data.startswith(MAGIC):
-        raise CorruptSegmentError(f"{name}: offset 0: not a segment of an audit")
-    at = len(MAGIC)
-    body, at = _body(name, data, at, limits)
-    if body is None:
-        raise CorruptSegmentError(f"{name}: offset {at}: the header is cut short")
-    try:
-        told = json.loads(body)
-        found = Segment(
-            str(told["head"]), int(told["life"]), int(told["segment"]), bytes.fromhex(told["before"])
-        )
-    except (ValueError, KeyError, TypeError):
-        raise CorruptSegmentError(f"{name}: offset {len(MAGIC)}: the header makes no sense") from None
-    found.last = found.before
-    try:
-        _records(name, data, at, last, limits, found)
-    except CorruptSegmentError as problem:
-        problem.before = (found,)
-        raise
-    return found
-
-
-def _records(name: str, data: bytes, at: int, last: bool, limits: AuditLimits, found: Segment) -> None:
-    while at < len(data):
-        begins = at
-        body, at = _body(name, data, at, limits)
+def _chained_hash(previous_hash: bytes, text: bytes) -> bytes:
+    return blake2b(previous_hash + text, digest_size=HASH_BYTES).digest()
+
+
+def _frame(body: bytes) -> bytes:
+    return _FRAME_PREFIX.pack(len(body), crc32c(body)) + body
+
+
+class _Decoder:
+    """Decodes one segment; `_offset` is where the next frame begins."""
+
+    def __init__(self, file: str, data: bytes, is_last: bool, limits: AuditLimits) -> None:
+        self._file = file
+        self._data = data
+        self._is_last = is_last
+        self._limits = limits
+        self._offset = 0
+
+    def decode(self) -> Segment:
+        if not self._data.startswith(MAGIC):
+            raise self._corrupt(0, "not a segment of an audit")
+        self._offset = len(MAGIC)
+        segment = self._header()
+        try:
+            self._records(segment)
+        except CorruptSegmentError as error:
+            error.intact = segment
+            raise
+        return segment
+
+    def _corrupt(self, offset: int, reason: str) -> CorruptSegmentError:
+        return CorruptSegmentError(self._file, offset, reason)
+
+    def _header(self) -> Segment:
+        begin = self._offset
+        body = self._next_frame()
         if body is None:
-            if not last:
-                raise CorruptSegmentError(f"{name}: offset {begins}: cut short, and another segment follows")
-            found.torn_at = begins
-            return
-        own, text = body[:HASH], body[HASH:]
-        if len(own) < HASH or chain(found.last, text) != own:
-            raise CorruptSegmentError(f"{name}: offset {begins}: does not follow on the record before it")
+            raise self._corrupt(begin, "the header is cut short")
+        try:
+            header = json.loads(body)
+            segment = Segment(
+                instance=str(header["head"]),
+                incarnation=int(header["life"]),
+                number=int(header["segment"]),
+                previous_hash=bytes.fromhex(header["before"]),
+            )
+        except (ValueError, KeyError, TypeError) as error:
+            raise self._corrupt(begin, "the header makes no sense") from error
+        segment.last_hash = segment.previous_hash
+        return segment
+
+    def _records(self, segment: Segment) -> None:
+        """Decode records into the segment one by one, so that those before a corruption are kept."""
+        while self._offset < len(self._data):
+            begin = self._offset
+            body = self._next_frame()
+            if body is None:
+                if not self._is_last:
+                    raise self._corrupt(begin, "cut short, and another segment follows")
+                segment.torn_at = begin
+                return
+            record_hash, text = body[:HASH_BYTES], body[HASH_BYTES:]
+            if len(record_hash) < HASH_BYTES or _chained_hash(segment.last_hash, text) != record_hash:
+                raise self._corrupt(begin, "does not follow on the record before it")
+            segment.records.append(self._payload(begin, text))
+            segment.last_hash = record_hash
+
+    def _payload(self, begin: int, text: bytes) -> Payload:
         try:
             payload = json.loads(text)
-        except ValueError:
-            raise CorruptSegmentError(f"{name}: offset {begins}: no JSON") from None
+        except ValueError as error:
+            raise self._corrupt(begin, "no JSON") from error
         if not isinstance(payload, dict):
-            raise CorruptSegmentError(f"{name}: offset {begins}: no record")
-        found.records.append(payload)
-        found.last = own
-
-
-def _body(name: str, data: bytes, at: int, limits: AuditLimits) -> tuple[bytes | None, int]:
-    """The bytes of the frame that begins there, and where the next one does; None where the file ends in
-    it."""
-    if len(data) < at + HEAD.size:
-        return None, at
-    length, total = HEAD.unpack_from(data, at)
-    end = at + HEAD.size + length
-    body = data[at + HEAD.size : end]
-    if end <= len(data) and crc32c(body) == total:
-        return body, end
-    if length > limits.record_bytes:
-        raise CorruptSegmentError(f"{name}: offset {at}: a length of {length}")
-    if end <= len(data):
-        raise CorruptSegmentError(f"{name}: offset {at}: the sum does not hold")
-    # Its end is missing, or its length is wrong: then records that are whole stand behind it.
-    if any(_whole(data, later) for later in range(at + 1, len(data) - HEAD.size)):
-        raise CorruptSegmentError(f"{name}: offset {at}: does not read, and records stand behind it")
-    return None, at
-
-
-def _whole(data: bytes, at: int) -> bool:
-    length, total = HEAD.unpack_from(data, at)
-    end = at + HEAD.size + length
-    return length > HASH and end <= len(data) and bool(crc32c(data[at + HEAD.size : end]) == total)
+            raise self._corrupt(begin, "no record")
+        return payload
+
+    def _next_frame(self) -> bytes | None:
+        """Return the body of the frame at the offset and step over it; `None` where the file ends within it.
+
+        A wrong length looks like a file that ends too early. It is told apart by what follows: where a whole
+        frame can be found anywhere behind, the file goes on, and the length is what is corrupt.
+        """
+        begin = self._offset
+        if len(self._data) < begin + _FRAME_PREFIX.size:
+            return None
+        length, checksum = _FRAME_PREFIX.unpack_from(self._data, begin)
+        end = begin + _FRAME_PREFIX.size + length
+        body = self._data[begin + _FRAME_PREFIX.size : end]
+        if end <= len(self._data) and crc32c(body) == checksum:
+            self._offset = end
+            return body
+        if length > self._limits.record_bytes:
+            raise self._corrupt(begin, f"a length of {length}")
+        if end <= len(self._data):
+            raise self._corrupt(begin, "the sum does not hold")
+        if any(self._whole_record_at(later) for later in self._later_offsets(begin)):
+            raise self._corrupt(begin, "does not read, and records stand behind it")
+        return None
+
+    def _later_offsets(self, begin: int) -> range:
+        return range(begin + 1, len(self._data) - _FRAME_PREFIX.size)
+
+    def _whole_record_at(self, offset: int) -> bool:
+        length, checksum = _FRAME_PREFIX.unpack_from(self._data, offset)
+        begin = offset + _FRAME_PREFIX.size
+        end = begin + length
+        if length <= HASH_BYTES or end > len(self._data):
+            return False
+        return bool(crc32c(self._data[begin:end]) == checksum)
--- a/garnetlanding/daemon.py
+++ b/garnetlanding/daemon.py
@@ -32,8 +32,7 @@
 from garnetlanding.store.store import Entry, Store
 
 if TYPE_CHECKING:  # what is off is not imported
-    from garnetlanding.audit.files import AuditFiles
-    from garnetlanding.audit.recorder import Recorder
+    from garnetlanding.audit.assembly import AuditTrail
     from garnetlanding.audit.setup import AuditSetup
     from garnetlanding.choices.setup import ChoicesSetup
     from garnetlanding.history.writer import History
@@ -100,8 +99,7 @@
         self.core.update_endpoints(listing)
         self.watch.keep_open()
         self.link: PeerLink | None = None
-        self.audit: Recorder | None = None
-        self.audit_files: AuditFiles | None = None
+        self.audit: AuditTrail | None = None
         self.settings_version = ""
         self.currency: StalenessGuard | None = None
         self.life = self._wall_ms()  # greater at each start, whatever the monotonic clock says
@@ -296,7 +294,8 @@
 
     def _start_audit(self, setup: AuditSetup) -> None:
         """Before anything else stands round the module: it sees what the module decides by."""
-        from garnetlanding.audit.start import start
+        from garnetlanding.audit.assembly import start_audit
+        from garnetlanding.audit.records import Incarnation
 
         core = self.core
         sources: dict[str, Callable[[], str]] = {
@@ -315,9 +314,8 @@
         if self.group:
             members = self.group.members
             sources["heads"] = lambda: members.digest.hex()
-        self.audit, self.audit_files = start(
-            setup, core, sources, self.config.name, self.life, self._wall_ms, lambda: self.talk
-        )
+        incarnation = Incarnation(self.config.name, self.life)
+        self.audit = start_audit(setup, core, incarnation, sources, lambda: self.talk, self._wall_ms)
 
     def _start_ninep(self, ninep: Ninep) -> None:
         from garnetlanding.ninep.client import file_servers
@@ -512,7 +510,7 @@
         except ConfigError as problem:
             log.error("settings not taken, the old ones stand", extra={"kv": {"why": problem}})
             if self.audit:
-                self.audit.refused(self.scheduler.now, "settings", str(problem))
+                self.audit.change_rejected(self.scheduler.now, "settings", str(problem))
         else:
             log.info("settings taken")
             self._note_settings(raw)
@@ -597,11 +595,8 @@
             self.talk.leave(self.scheduler.now, self.link.tell)
 
     def _end_audit(self) -> None:
-        if self.audit and self.audit_files:
-            try:
-                self.audit.end(self.scheduler.now)
-            finally:
-                self.audit_files.close()
+        if self.audit:
+            self.audit.stop(self.scheduler.now)
 
     def _end_life(self) -> None:
         if self.lives:
--- a/garnetlanding/lab/audits.py
+++ b/garnetlanding/lab/audits.py
@@ -5,9 +5,9 @@
 import pathlib
 from bisect import bisect_right
 
-from garnetlanding.audit import reading
 from garnetlanding.audit.limits import LIMITS
 from garnetlanding.audit.merge import merge
+from garnetlanding.audit.segment_reader import read_segments
 from garnetlanding.lab.findings import Findings
 from garnetlanding.lab.history import Line
 
@@ -16,9 +16,9 @@
 
 def check(folder: pathlib.Path, lines: list[Line], found: Findings) -> None:
     """Every attempt of every head was sent under the settings that the audit names for that moment."""
-    told, problems = reading.read([str(folder)])
-    fleet = merge(told, LIMITS)
-    found.broken += [f"audit: {problem}" for problem in problems]
+    read = read_segments([str(folder)])
+    fleet = merge(read.segments, LIMITS)
+    found.broken += [f"audit: {problem}" for problem in read.problems]
     audited: Steps = {}
     for span in sorted(fleet.spans, key=lambda span: span.began):
         audited.setdefault((span.head, span.life), []).append((span.began, span.vector["settings"]))
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -14,11 +14,16 @@
 from hypothesis import strategies as st
 
 from garnetlanding import cli, config
-from garnetlanding.audit import files, merge, reading, report, segments
-from garnetlanding.audit.files import AuditFiles
+from garnetlanding.audit import merge, report, segments
+from garnetlanding.audit.errors import CorruptSegmentError
 from garnetlanding.audit.limits import LIMITS, AuditLimits
 from garnetlanding.audit.recorder import Recorder
-from garnetlanding.audit.segments import CorruptSegmentError, Segment
+from garnetlanding.audit.records import Incarnation, InstanceState, MessageId
+from garnetlanding.audit.segment_files import list_segments
+from garnetlanding.audit.segment_reader import read_segments
+from garnetlanding.audit.segment_writer import SegmentWriter
+from garnetlanding.audit.segments import Segment
+from garnetlanding.audit.setup import AuditSetup
 from garnetlanding.audit.setup import read as read_setup
 from garnetlanding.lab.experiment import load
 from garnetlanding.lab.run import run
@@ -33,10 +38,10 @@
 )
 
 
-def built(payloads: list[dict[str, Any]], before: bytes = segments.FIRST, number: int = 1) -> bytes:
-    data, last = segments.begin("n0", 7, number, before), before
+def built(payloads: list[dict[str, Any]], before: bytes = segments.FIRST_HASH, number: int = 1) -> bytes:
+    data, last = segments.encode_header("n0", 7, number, before), before
     for payload in payloads:
-        more, last = segments.record(last, payload)
+        more, last = segments.encode_record(last, payload)
         data += more
     return data
 
@@ -46,8 +51,8 @@
 
 @given(PAYLOADS)
 def test_what_is_recorded_is_read(payloads: list[dict[str, Any]]) -> None:
-    found = segments.read("f", built(payloads), False)
-    assert (found.head, found.life, found.number, found.records) == ("n0", 7, 1, payloads)
+    found = segments.read_segment("f", built(payloads), False)
+    assert (found.instance, found.incarnation, found.number, found.records) == ("n0", 7, 1, payloads)
 
 
 def test_a_segment_cut_at_any_byte_is_torn_there_and_nothing_before_it_is_lost() -> None:
@@ -55,16 +60,16 @@
     whole = built(payloads)
     ends = [len(built(payloads[:n])) for n in range(5)]
     for cut in range(ends[0], len(whole)):
-        found = segments.read("f", whole[:cut], True)
+        found = segments.read_segment("f", whole[:cut], True)
         kept = max(n for n in range(5) if ends[n] <= cut)
         assert found.records == payloads[:kept]
-        assert found.torn_at == (-1 if cut == ends[kept] else ends[kept])
+        assert found.torn_at == (None if cut == ends[kept] else ends[kept])
         if cut != ends[kept]:
             with pytest.raises(CorruptSegmentError, match=f"f: offset {ends[kept]}: cut short"):
-                segments.read("f", whole[:cut], False)
+                segments.read_segment("f", whole[:cut], False)
     for cut in range(ends[0]):
         with pytest.raises(CorruptSegmentError, match="f: offset"):
-            segments.read("f", whole[:cut], True)
+            segments.read_segment("f", whole[:cut], True)
 
 
 def test_a_bit_changed_anywhere_is_found() -> None:
@@ -75,10 +80,12 @@
         bad = bytearray(whole)
         bad[bit // 8] ^= 1 << bit % 8
         try:
-            found = segments.read("f", bytes(bad), True)
+            found = segments.read_segment("f", bytes(bad), True)
         except CorruptSegmentError as problem:
             assert "f: offset" in str(problem)
-            assert all(p in payloads for s in problem.before for p in s.records), "nothing is guessed"
+            assert problem.intact is None or all(
+                p in payloads for p in problem.intact.records
+            ), "nothing is guessed"
         else:
             # The last record's length says that it goes on: as good as a torn tail, and said so.
             assert found.torn_at == last and found.records == payloads[:2] and bit // 8 < last + 4
@@ -90,7 +97,7 @@
     whole = built(payloads)
     without = whole[: ends[1]] + whole[ends[2] :]
     with pytest.raises(CorruptSegmentError, match="does not follow"):
-        segments.read("f", without, True)
+        segments.read_segment("f", without, True)
 
 
 # Files
@@ -98,18 +105,21 @@
 SMALL = AuditLimits(segment_bytes=600, total_bytes=2000)
 
 
-def opened(folder: pathlib.Path, life: int = 1, limits: AuditLimits = LIMITS, wall: int = 1000) -> AuditFiles:
-    return AuditFiles(str(folder), "n0", life, limits, False, 5, lambda: wall)
+def opened(
+    folder: pathlib.Path, life: int = 1, limits: AuditLimits = LIMITS, wall: int = 1000
+) -> SegmentWriter:
+    return SegmentWriter(AuditSetup(str(folder), False, limits), Incarnation("n0", life), 5, lambda: wall)
 
 
 def read_all(folder: pathlib.Path) -> tuple[list[Segment], list[str]]:
-    return reading.read([str(folder)])
+    found = read_segments([str(folder)])
+    return found.segments, found.problems
 
 
 def test_segments_are_begun_anew_and_the_oldest_dropped_and_named(tmp_path: pathlib.Path) -> None:
     audit = opened(tmp_path, limits=SMALL, wall=2_000_000_000_000 - 10**12)
     for n in range(40):
-        audit.keep({"kind": "checkpoint", "n": n, "text": "x" * 100})
+        audit.write({"kind": "checkpoint", "n": n, "text": "x" * 100})
     audit.close()
     told, problems = read_all(tmp_path)
     assert not problems and sum(map(len, map(json.dumps, (s.records for s in told)))) < 4000
@@ -122,18 +132,18 @@
 def test_what_is_missing_or_exchanged_is_seen(tmp_path: pathlib.Path) -> None:
     audit = opened(tmp_path, limits=AuditLimits(segment_bytes=300))
     for n in range(9):
-        audit.keep({"kind": "checkpoint", "n": n, "text": "x" * 60, "t": n, "taken": 0, "vector": {}})
+        audit.write({"kind": "checkpoint", "n": n, "text": "x" * 60, "t": n, "taken": 0, "vector": {}})
     audit.close()
     told, _ = read_all(tmp_path)
     assert len(told) > 3
     assert merge.merge(told[:1] + told[2:], LIMITS).problems == ["n0: segments 2 to 2 of life 1 are missing"]
-    forged = Segment("n0", 1, 2, bytes(16), told[1].records, told[1].last)
+    forged = Segment("n0", 1, 2, bytes(16), told[1].records, told[1].last_hash)
     assert "does not follow" in merge.merge([told[0], forged, *told[2:]], LIMITS).problems[0]
 
 
 def test_a_new_life_says_how_the_one_before_it_ended(tmp_path: pathlib.Path) -> None:
     audit = opened(tmp_path)
-    audit.keep({"kind": "checkpoint", "t": 1, "taken": 0, "vector": {}})
+    audit.write({"kind": "checkpoint", "t": 1, "taken": 0, "vector": {}})
     audit.close()
     path = next(tmp_path.iterdir())
     path.write_bytes(path.read_bytes()[:-3])
@@ -155,30 +165,47 @@
     failing: str, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     limits = AuditLimits(segment_bytes=300, total_bytes=900)
-    audit = AuditFiles(str(tmp_path), "n0", 1, limits, True, 5, lambda: 1000)
+    audit = SegmentWriter(AuditSetup(str(tmp_path), True, limits), Incarnation("n0", 1), 5, lambda: 1000)
 
     def fail(*args: Any) -> int:
         raise OSError(errno.ENOSPC, "No space left on device")
 
     monkeypatch.setattr(os, failing, fail)
     for n in range(30):
-        audit.keep({"kind": "checkpoint", "n": n, "text": "x" * 60})
+        audit.write({"kind": "checkpoint", "n": n, "text": "x" * 60})
     monkeypatch.undo()
-    assert caplog.text.count("audit ends here") == 1
+    assert caplog.text.count("audit recording stopped") == 1
     told, problems = read_all(tmp_path)
     assert not problems, "what was written before it reads"
 
 
+def test_a_new_segment_that_cannot_be_opened_leaves_nothing_to_close(
+    tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    audit = opened(tmp_path, limits=AuditLimits(segment_bytes=1))
+
+    def fail(*args: Any) -> int:
+        raise OSError(errno.EMFILE, "Too many open files")
+
+    with monkeypatch.context() as patched:
+        patched.setattr(os, "open", fail)
+        audit.write({"kind": "checkpoint"})
+    with open(tmp_path / "other", "wb") as other:  # takes the number of the descriptor that was closed
+        audit.close()
+        other.write(b"still open")
+    assert (tmp_path / "other").read_bytes() == b"still open"
+
+
 def test_a_disk_that_takes_half_a_record_leaves_a_torn_tail(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     audit, real = opened(tmp_path), os.write
     monkeypatch.setattr(os, "write", lambda fd, data: real(fd, data[: len(data) // 2]))
-    audit.keep({"kind": "checkpoint"})
-    audit.keep({"kind": "checkpoint"})
+    audit.write({"kind": "checkpoint"})
+    audit.write({"kind": "checkpoint"})
     monkeypatch.undo()
     told, problems = read_all(tmp_path)
-    assert not problems and told[0].torn_at > 0 and len(told[0].records) == 1
+    assert not problems and told[0].torn_at and len(told[0].records) == 1
 
 
 # The recorder
@@ -186,25 +213,22 @@
 
 def test_a_change_is_recorded_before_anything_is_decided_by_it_and_nothing_else_is() -> None:
     now, kept = {"settings": "1.1#a", "list": "1"}, list[dict[str, Any]]()
-    heard: list[int] = []
+    received: MessageId | None = None
     recorder = Recorder(
         AuditLimits(checkpoint_us=100),
         {name: lambda name=name: now[name] for name in now},
-        lambda: 3,
-        lambda: (7, 5),
-        lambda: 9,
-        lambda: heard,
+        lambda: InstanceState(3, 7, 5, 9, received),
         kept.append,
     )
-    recorder.look(0)
+    recorder.observe(0)
     for t in range(1, 50):
-        recorder.look(t)
-    now["settings"], heard = "1.2#b", [2, 8, 4]
-    recorder.look(50)
-    recorder.look(149)
-    recorder.look(150)
-    recorder.refused(160, "settings", "key x")
-    recorder.refused(161, "settings", "key x")
+        recorder.observe(t)
+    now["settings"], received = "1.2#b", MessageId(2, 8, 4)
+    recorder.observe(50)
+    recorder.observe(149)
+    recorder.observe(150)
+    recorder.change_rejected(160, "settings", "key x")
+    recorder.change_rejected(161, "settings", "key x")
     recorder.end(170)
     assert [(r["t"], r["kind"]) for r in kept] == [
         (0, "change"),
@@ -239,7 +263,7 @@
                 **r,
             }
         )
-    return Segment(head, number, 1, segments.FIRST, told)
+    return Segment(head, number, 1, segments.FIRST_HASH, told)
 
 
 def on(at: float, version: str, **more: Any) -> dict[str, Any]:
@@ -328,7 +352,7 @@
 ) -> None:
     audit = opened(tmp_path, wall=1_700_000_000_000)
     for t, version in ((1, "1.1#a"), (2, "1.2#b")):
-        audit.keep(
+        audit.write(
             {
                 "kind": "change",
                 "t": t * SECOND,
@@ -363,7 +387,7 @@
     assert len((tmp_path / "all").read_text().splitlines()) == 2
     assert (tmp_path / "c.png").stat().st_size > 1000
     assert report.milliseconds("2023-11-14T22:13:20") == 1_700_000_000_000
-    assert files.names(place)
+    assert list_segments(place)
 
 
 @pytest.mark.parametrize(
@@ -489,6 +513,6 @@
     assert result.findings.audited > 500 and result.findings.outcomes["served"] > 500
     outs = [line for line in result.lines if line["what"] == "current" and line["out"]]
     assert {"n1", "n2", "n3"} <= {line["who"] for line in outs}
-    fleet = merge.merge(reading.read([str(tmp_path / "run" / "audit")])[0], LIMITS)
+    fleet = merge.merge(read_segments([str(tmp_path / "run" / "audit")]).segments, LIMITS)
     assert [p for p in fleet.problems if ": nothing for" not in p] == []
     assert any(p.startswith("n3: nothing for") for p in fleet.problems), "it stood still for 3.5 s"
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -33,10 +33,13 @@
 
 from garnetlanding import __version__, cli
 from garnetlanding.audit import segments
-from garnetlanding.audit.files import AuditFiles
+from garnetlanding.audit.errors import CorruptSegmentError
 from garnetlanding.audit.limits import LIMITS as AUDIT_LIMITS
-from garnetlanding.audit.reading import read as read_audits
 from garnetlanding.audit.recorder import Recorder
+from garnetlanding.audit.records import Incarnation, InstanceState, MessageId
+from garnetlanding.audit.segment_reader import read_segments
+from garnetlanding.audit.segment_writer import SegmentWriter
+from garnetlanding.audit.setup import AuditSetup
 from garnetlanding.core.ports import Answer, Failed, Rejected, RequestSpec, Served
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
@@ -117,20 +120,19 @@
     """One life of a head that writes its audit, on a clock that a script moves."""
 
     def __init__(self, folder: pathlib.Path, name: str, me: int, life: int, **limits: int) -> None:
-        self.now, self.taken, self.said, self.heard = 1000 * SECOND + life * 100 * SECOND, 0, 0, list[int]()
+        self.now, self.taken, self.said = 1000 * SECOND + life * 100 * SECOND, 0, 0
+        self.heard: MessageId | None = None
         self.vector = {"settings": "5.1#0a0b0c0d", "list": "41", "bans": "", "heads": "", "code": "1.0"}
         self.vector["out"] = ""
         # Files are dropped for their size alone: their age would be that of this run.
         mine = replace(AUDIT_LIMITS, checkpoint_us=10 * SECOND, age_us=1 << 60, **limits)
-        self.files = AuditFiles(str(folder), name, life, mine, False, self.now, self._wall_ms)
+        setup = AuditSetup(str(folder), False, mine)
+        self.files = SegmentWriter(setup, Incarnation(name, life), self.now, self._wall_ms)
         self.recorder = Recorder(
             mine,
             {name: lambda name=name: self.vector[name] for name in self.vector},  # type: ignore[misc]
-            lambda: me,
-            lambda: (self.taken, max(0, self.taken - 1)),
-            lambda: self.said,
-            lambda: self.heard,
-            self.files.keep,
+            lambda: InstanceState(me, self.taken, max(0, self.taken - 1), self.said, self.heard),
+            self.files.write,
         )
 
     def _wall_ms(self) -> int:
@@ -141,7 +143,7 @@
         self.now += int(after_s * SECOND)
         self.taken, self.said = self.taken + 3, self.said + 4
         self.vector |= versions
-        self.recorder.look(self.now)
+        self.recorder.observe(self.now)
 
     def end(self) -> None:
         self.now += SECOND
@@ -156,10 +158,10 @@
     n0 = AuditedHead(folder, "n0", 0, 1, segment_bytes=900)
     n0.look(0)
     n0.look(10)
-    n0.heard = [1, 1, 7]
+    n0.heard = MessageId(1, 1, 7)
     n0.look(2, settings="5.2#11111111")
-    n0.recorder.refused(n0.now, "settings", "key max_attempts: expected a number, found 'é'")
-    n0.recorder.refused(n0.now, "settings", "key max_attempts: expected a number, found 'é'")
+    n0.recorder.change_rejected(n0.now, "settings", "key max_attempts: expected a number, found 'é'")
+    n0.recorder.change_rejected(n0.now, "settings", "key max_attempts: expected a number, found 'é'")
     n0.look(3, list="42", bans="8c736521")
     n0.end()
     n0 = AuditedHead(folder, "n0", 0, 2)
@@ -174,7 +176,7 @@
     path = next(folder.glob("garnetlanding-n1-audit-1.*"))
     os.truncate(path, path.stat().st_size - 20)
     n1 = AuditedHead(folder, "n1", 1, 2)
-    n1.heard = [0, 1, 12]
+    n1.heard = MessageId(0, 1, 12)
     n1.look(0, settings="5.2#11111111", heads="00aa00bb")
     n1.end()
 
@@ -186,14 +188,19 @@
     n2.files.close()
 
 
+def offset(torn_at: int | None) -> int:
+    """As the committed files write it: -1 for a segment that ends well."""
+    return -1 if torn_at is None else torn_at
+
+
 def shown(name: str, data: bytes, last: bool) -> str:
     """What reading a segment comes to, in words."""
     try:
-        found = segments.read(name, data, last)
-    except segments.CorruptSegmentError as problem:
-        kept = [len(segment.records) for segment in problem.before]
+        found = segments.read_segment(name, data, last)
+    except CorruptSegmentError as problem:
+        kept = [] if problem.intact is None else [len(problem.intact.records)]
         return f"refused: {problem} (records before it: {kept})"
-    return f"read: {len(found.records)} records, torn at {found.torn_at}"
+    return f"read: {len(found.records)} records, torn at {offset(found.torn_at)}"
 
 
 def test_audit_segments_are_written_byte_for_byte(tmp_path: pathlib.Path) -> None:
@@ -207,23 +214,32 @@
 
 
 def test_audit_segments_read_back() -> None:
-    found, problems = read_audits([str(AUDITS)])
-    state = [[s.head, s.life, s.number, s.before.hex(), s.records, s.last.hex(), s.torn_at] for s in found]
+    read = read_segments([str(AUDITS)])
+    found, problems = read.segments, read.problems
+    state = [
+        [
+            *[s.instance, s.incarnation, s.number, s.previous_hash.hex()],
+            *[s.records, s.last_hash.hex(), offset(s.torn_at)],
+        ]
+        for s in found
+    ]
     kinds = {record["kind"] for segment in found for record in segment.records}
     assert kinds == {"start", "change", "checkpoint", "refused", "end", "dropped"}
     assert sum(segment.number > 1 for segment in found) >= 2, "rotated segments are among them"
     golden("audit-read.json", json.dumps([state, problems], indent=1, sort_keys=True).encode())
     for segment in found:
-        rebuilt = segments.begin(segment.head, segment.life, segment.number, segment.before)
-        last = segment.before
+        rebuilt = segments.encode_header(
+            segment.instance, segment.incarnation, segment.number, segment.previous_hash
+        )
+        last = segment.previous_hash
         for payload in segment.records:
-            data, last = segments.record(last, payload)
+            data, last = segments.encode_record(last, payload)
             rebuilt += data
         [committed] = [
             path.read_bytes() for path in AUDITS.iterdir() if path.read_bytes().startswith(rebuilt)
         ]
-        assert last == segment.last
-        assert len(rebuilt) == (len(committed) if segment.torn_at < 0 else segment.torn_at)
+        assert last == segment.last_hash
+        assert len(rebuilt) == (len(committed) if segment.torn_at is None else segment.torn_at)
 
 
 def test_cut_and_corrupted_segments_are_read_or_refused_as_recorded() -> None:
@@ -334,8 +350,9 @@
     assert kinds == {"start", "settings", "up", "parts", "answered", "current"}
     golden("head.history", "".join(json.dumps(line) + "\n" for line in lines).encode())
 
-    [segment], problems = read_audits([str(folder)])
-    assert problems == [] and segment.life == h.daemon.life
+    read = read_segments([str(folder)])
+    [segment], problems = read.segments, read.problems
+    assert problems == [] and segment.incarnation == h.daemon.life
     for record in segment.records:
         assert isinstance(record.pop("wall"), int)
         if "vector" in record:
