--- a/garnetlanding/__main__.py
+++ b/garnetlanding/__main__.py
@@ -1,6 +1,9 @@
+"""Entry point of `python -m garnetlanding`."""
+
 import sys
 
 if sys.argv[1:2] == ["serve"]:
+    # Before all else: signals may come while the rest is imported, and are heeded once the instance runs.
     from garnetlanding.runtime.signals import hold_back
 
     hold_back()
--- /dev/null
+++ b/garnetlanding/cli/admin.py
@@ -0,0 +1,94 @@
+"""Calls to an instance's admin service: `ops` and `ops fleet`. Each command is one call.
+
+The words of the command line are the service's: a call's name is the last part of its HTTP path.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import click
+
+from garnetlanding.cli.root import FAILED, WRONG, commands, print_problem, with_options
+
+INSTANCE_CALLS = {
+    "ready": "Ask whether the head takes clients.",
+    "metrics": "Show the head's figures: requests by class and outcome, attempts, bricks.",
+    "disable": "Take a brick out: nothing more is sent to it, whatever the list says, until it is put back.",
+    "enable": "Put a brick back, however often it was taken out. It comes back cold.",
+    "drain": "Send clients away: PING is answered with an error, and connections are closed within 4 s.",
+    "resume": "End a drain.",
+}
+FLEET_CALLS = {
+    "fleet/limits": "Show who has which part of each limited volume, and until when.",
+    "fleet/members": "Show the heads: which life of each was heard last, and how long ago.",
+    "fleet/verdicts": "Show what is believed of each server, from which heads, and how old it is.",
+    "fleet/bans": "Show the servers that an operator of any head has put out or back.",
+    "fleet/forget": "Take a head that has stopped for good out of the group: its part becomes the others'. "
+    "Not one that may still run: both would use that part.",
+    "fleet/shut-out": "Have a head act no more: it refuses at once, sends nothing, until it is let in.",
+    "fleet/let-in": "Let a head act again that was shut out.",
+}
+CALLS_ON_A_BACKEND = ("disable", "enable")
+CALLS_ON_AN_INSTANCE = ("fleet/forget", "fleet/shut-out", "fleet/let-in")
+
+call_options = with_options(
+    click.option(
+        "--address",
+        metavar="HOST:PORT",
+        required=True,
+        envvar="RELAY_OPS",
+        show_envvar=True,
+        help="The head's address for operators (`ops` in its configuration).",
+    ),
+    click.option(
+        "--wait",
+        "wait_s",
+        default=2.0,
+        show_default=True,
+        type=click.FloatRange(0.01, 600.0),
+        help="Seconds that the answer may take; a head owes it within 1.",
+    ),
+    click.option("--json", "as_json", is_flag=True, help="Answer as one JSON object."),
+)
+
+
+@commands.group(
+    help="Call a head that runs, as an operator. The exit code is 0 on a yes, 1 on a no or without an answer."
+)
+def ops() -> None:
+    """Hold a command for each call on one instance."""
+
+
+@ops.group(help="What a head knows of the others, where heads hear each other.")
+def fleet() -> None:
+    """Hold a command for each call about the group of instances."""
+
+
+def _add_command(group: click.Group, call: str, help_text: str) -> None:
+    def run(address: str, wait_s: float, as_json: bool, brick: str = "") -> int:
+        from garnetlanding.ops import admin_client
+
+        try:
+            reply = admin_client.call(address, call, brick, wait_s)
+            render = admin_client.as_json if as_json else admin_client.as_text
+            click.echo(render(call, reply))
+        except admin_client.InstanceUnreachableError as problem:
+            return print_problem(FAILED, problem)
+        except ValueError as problem:
+            return print_problem(WRONG, problem)
+        return 0 if reply.yes else FAILED
+
+    command: Callable[..., Any] = run
+    if call in CALLS_ON_A_BACKEND:
+        command = click.argument("brick")(command)
+    if call in CALLS_ON_AN_INSTANCE:
+        command = click.argument("brick", metavar="HEAD", type=click.IntRange(0, 65535))(command)
+    group.command(call.rpartition("/")[2], help=help_text)(call_options(command))
+
+
+for _call, _help in INSTANCE_CALLS.items():
+    _add_command(ops, _call, _help)
+for _call, _help in FLEET_CALLS.items():
+    _add_command(fleet, _call, _help)
--- /dev/null
+++ b/garnetlanding/cli/serve.py
@@ -0,0 +1,68 @@
+"""The commands that need a configuration, `serve` and `check-config`, and `version`."""
+
+from __future__ import annotations
+
+import click
+
+from garnetlanding import __version__
+from garnetlanding.cli.root import FAILED, WRONG, commands, print_problem, with_options
+
+configured = with_options(
+    click.option("--config", metavar="FILE", help="JSON file.  [default: $RELAY_CONFIG]"),
+    click.option("--operator", metavar="FILE", help="TOML file that turns on 9P and the like."),
+    click.option(
+        "--log-level",
+        default="info",
+        show_default=True,
+        type=click.Choice(["debug", "info", "warning", "error"]),
+        help="Least level logged.",
+    ),
+)
+
+
+@commands.command(help="Run the head in the foreground. SIGHUP reloads, SIGTERM ends it in an orderly way.")
+@configured
+def serve(config: str | None, operator: str | None, log_level: str) -> int:
+    """Run one instance until SIGTERM; return its exit code."""
+    from garnetlanding import config as configuration
+    from garnetlanding import logs
+
+    logs.set_up(log_level)
+
+    def read() -> configuration.Config:
+        return configuration.load(config, operator)
+
+    try:
+        settings = read()
+    except configuration.ConfigError as problem:
+        return print_problem(WRONG, problem)
+    from garnetlanding.daemon import Daemon
+    from garnetlanding.store.store import StoreFileError
+
+    try:
+        return Daemon(settings, read_again=read).run()
+    except (OSError, StoreFileError) as problem:
+        return print_problem(FAILED, f"cannot serve: {problem}")
+
+
+@commands.command("check-config", help="Read the configuration, name the key that is wrong with it, and end.")
+@configured
+def check_config(config: str | None, operator: str | None, log_level: str) -> int:
+    """Check a configuration without serving; return 2 where it cannot be used."""
+    from garnetlanding import config as configuration
+    from garnetlanding import logs
+
+    logs.set_up(log_level)
+    try:
+        settings = configuration.load(config, operator)
+    except configuration.ConfigError as problem:
+        return print_problem(WRONG, problem)
+    click.echo(f"garnetlanding: configuration of {settings.name!r} is sound")
+    return 0
+
+
+@commands.command(help="Print the version.")
+def version() -> int:
+    """Print the program's version."""
+    click.echo(f"garnetlanding {__version__}")
+    return 0
