--- a/garnetlanding/daemon.py
+++ b/garnetlanding/daemon.py
@@ -27,7 +27,7 @@
 from garnetlanding.runtime.scheduler import Scheduler, monotonic_us
 from garnetlanding.runtime.signals import Signals
 from garnetlanding.shutdown import Shutdown
-from garnetlanding.store.cached_endpoints import SETTINGS, keep_list, newer_list
+from garnetlanding.store.cached_endpoints import SETTINGS, cache_listing, newest_listing
 from garnetlanding.store.setup import StoreSetup
 from garnetlanding.store.store import Entry, Store
 
@@ -38,6 +38,7 @@
     from garnetlanding.history.writer import History
     from garnetlanding.ninep.setup import Ninep
     from garnetlanding.ops.admin_service import AdminService
+    from garnetlanding.ops.fleet_access import FleetView
     from garnetlanding.ops.process_registry import ProcessRegistry
     from garnetlanding.ops.replicated_disables import ReplicatedDisables
     from garnetlanding.peers.coordinator import PeerCoordinator
@@ -52,6 +53,21 @@
 log = logging.getLogger(__name__)
 
 
+class _PeerFleet:
+    """What operators may see of the other instances, while this process has a link to them."""
+
+    def __init__(self, daemon: Daemon) -> None:
+        self._daemon = daemon
+
+    def rows(self, view: FleetView) -> list[dict[str, object]] | None:
+        talk = self._daemon.talk
+        return talk.known(view.value, self._daemon.scheduler.now) if talk else None
+
+    def forget(self, instance: int) -> bool | None:
+        group = self._daemon.group
+        return group.members.forget(instance) if group else None
+
+
 class Daemon:
     def __init__(
         self,
@@ -73,15 +89,15 @@
             from garnetlanding.ops.process_registry import ProcessRegistry
 
             self.lives = ProcessRegistry(tempfile.gettempdir(), config.name)
-            self.part = self.lives.look(0.0, False)
+            self.part = self.lives.next_share(0.0, False)
         settings = read_settings(self.store.get(SETTINGS, config.raw_settings))
         self.core = RequestEngine(Controller(self._as_used(settings), config.seed), self.scheduler, limits)
         self.scheduler.turn_end.append(self.core.run_iteration)
         self.bricks = bricks(self.scheduler, self.pool, limits)
         # One offset for good: were it read anew, a server's start time would seem to move.
         offset = time.time_ns() // 1000 - clock()
-        known = newer_list(self.store, config.known)
-        keep_list(self.store, known)
+        known = newest_listing(self.store, config.known)
+        cache_listing(self.store, known)
         version, listing = read_list(known, lambda us: us - offset, complete=True, at_start=True)
         own = BufferPool(limits.buffer_bytes, limits.discovery_buffers, limits.discovery_buffers)
         self.watch = self.core.subscriptions = Watch(
@@ -92,7 +108,7 @@
             lambda us: us - offset,
             self.core.update_endpoints,
             self.core.endpoint_update_failed,
-            lambda data: keep_list(self.store, data),
+            lambda data: cache_listing(self.store, data),
             version,
             lambda: not self.core.settings.poll_endpoints,
         )
@@ -151,7 +167,7 @@
                 limits,
                 ids,
                 write,
-                lambda: self.desk is None or self.desk.takes,
+                lambda: self.desk is None or self.desk.accepts_clients,
             ),
             bool(config.ops),
         )
@@ -254,7 +270,7 @@
 
     def _replicate(self, setup: StoreSetup) -> None:
         from garnetlanding.choices.stagger import stagger_offset
-        from garnetlanding.store.replica import Follower, WriterMachine
+        from garnetlanding.store.replica import Follower, FollowerOptions, WriterMachine
 
         if setup.role == "writer":
             self._listen(
@@ -264,27 +280,20 @@
                 lambda write: WriterMachine(self.store, self.scheduler, self.limits, write),
             )
             return
-        if setup.current_us:
+        if setup.max_staleness_us:
             from garnetlanding.store.staleness_guard import StalenessGuard
 
-            self.currency = StalenessGuard(setup.current_us, setup.drift, self.scheduler.now)
+            self.currency = StalenessGuard(setup.max_staleness_us, setup.drift, self.scheduler.now)
         s = self.core.settings
-        Follower(
-            self.scheduler,
-            setup.address,
-            self.store,
-            self.pool,
-            self.limits,
-            self.currency,
-            stagger_offset(s.instance_id, s.instances, "store"),
-        )
+        options = FollowerOptions(setup.address, stagger_offset(s.instance_id, s.instances, "store"))
+        Follower(self.scheduler, self.pool, self.limits, self.store, options, self.currency)
 
     def _may_act(self, now: int) -> bool:
         """Whether this head is current, as far as it has to be, and no operator has shut it out."""
         shut = self.fleet is not None and self.core.endpoints.instance_disabled(
             self.core.settings.instance_id
         )
-        return not shut and (self.currency is None or self.currency.current(now))
+        return not shut and (self.currency is None or self.currency.is_current(now))
 
     def _stand_back(self, out: bool) -> None:
         if self.talk:
@@ -329,22 +338,24 @@
         self._listen("9P", ninep.listen, self.limits.ninep_conns, lambda write: NinepMachine(front, write))
 
     def _start_ops(self, clients: Listener) -> None:
+        from garnetlanding.ops.admin_connection import AdminConnection
         from garnetlanding.ops.admin_service import AdminService
-        from garnetlanding.ops.file import StateFile
-        from garnetlanding.ops.front import AdminConnection
+        from garnetlanding.ops.managed_instance import ManagedInstance
+        from garnetlanding.ops.state_file import StateFile
 
         limits, known_by = self.limits, self.scheduler.now + self.limits.ops_list_us
         desk = self.desk = AdminService(
-            self.scheduler,
-            self.core,
-            clients,
+            ManagedInstance(
+                scheduler=self.scheduler,
+                engine=self.core,
+                clients=clients,
+                limits=limits,
+                endpoints_known=lambda: self.watch.is_synced or self.scheduler.now >= known_by,
+                refresh_quota=lambda: self._share(clients),
+            ),
             StateFile(tempfile.gettempdir(), self.config.name),
-            limits,
-            lambda: self.watch.is_synced or self.scheduler.now >= known_by,
-            lambda: self._share(clients),
-            lambda what: self.talk.known(what, self.scheduler.now) if self.talk else None,
+            _PeerFleet(self),
             self._shared_bans(),
-            lambda head: self.group.members.forget(head) if self.group else None,
         )
         self._keep_to(clients, self.part)
         # Places and times of its own: operators are heard however many clients, or half calls, there are.
@@ -379,21 +390,21 @@
 
     def _share(self, clients: Listener) -> None:
         """Looks what the head's other process leaves to this one, and makes room for a newer one."""
-        from garnetlanding.ops.process_quota import HALF
+        from garnetlanding.ops.process_quota import UPGRADE_SHARE
 
         assert self.lives
-        if self.lives.newer:
-            clients.shed(int(self.limits.client_conns * HALF))
-            self.bricks.shed(int(self.limits.brick_conns * HALF))
+        if self.lives.has_successor:
+            clients.shed(int(self.limits.client_conns * UPGRADE_SHARE))
+            self.bricks.shed(int(self.limits.brick_conns * UPGRADE_SHARE))
         used = max(clients.used, self.bricks.used, self.pool.used, self.core.capacity_used)
-        part = self.lives.look(used, self.ending)
+        part = self.lives.next_share(used, self.ending)
         if part != self.part:
             self._keep_to(clients, part)
             self.core.apply_settings(
                 self._as_used(read_settings(self.store.get(SETTINGS, self.config.raw_settings)))
             )
         # Said once it is kept to: the other process counts on it.
-        self.lives.keep(part)
+        self.lives.publish(part)
 
     def _keep_to(self, clients: Listener, part: float) -> None:
         self.part = clients.part = self.bricks.part = self.pool.part = self.core.capacity_share = part
@@ -484,7 +495,7 @@
             store.put(SETTINGS, self.config.raw_settings)
         if keeper:
             keeper.save()
-        store.watchers.append(self._store_changed)
+        store.observers.append(self._store_changed)
         return store
 
     def _note_settings(self, raw: dict[str, Any]) -> None:
@@ -565,7 +576,7 @@
     def _hand_over(self) -> bool:
         """Whether a newer process speaks for this head from now on. It is left the link: both would use this
         head's parts of limits."""
-        newer = self.lives is not None and self.lives.newer
+        newer = self.lives is not None and self.lives.has_successor
         if newer and self.link and self.talk:
             self.talk.retire(self.scheduler.now)
             self.link.close()
--- a/garnetlanding/ops/front.py
+++ b/garnetlanding/ops/admin_connection.py
@@ -11,13 +11,14 @@
 from garnetlanding.http.head import HttpError
 from garnetlanding.http.request import RequestParser
 from garnetlanding.limits import Limits
+from garnetlanding.ops.fleet_access import FleetView
 from garnetlanding.runtime.buffers import BufferPool
 
 log = logging.getLogger(__name__)
 
 BRICK = re.compile(r"/-/bricks/([^/]+)/(disable|enable)")
 HEAD = re.compile(r"/-/fleet/heads/(\d{1,5})/(forget|shut-out|let-in)")
-FLEET = {f"/-/fleet/{what}": what for what in ("limits", "members", "verdicts", "bans")}
+FLEET = {f"/-/fleet/{view.value}": view for view in FleetView}
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -46,13 +47,13 @@
 
     def resume(self) -> None: ...
 
-    def fleet(self, what: str) -> str | None:
+    def fleet_view(self, view: FleetView) -> str | None:
         """What is known of the other heads, as JSON; None where heads don't hear each other."""
 
-    def forget(self, head: int) -> bool | None:
+    def forget_instance(self, head: int) -> bool | None:
         """A head has stopped for good; None where the group of heads is not found by itself."""
 
-    def shut(self, head: int, out: bool) -> bool | None:
+    def set_fenced(self, head: int, out: bool) -> bool | None:
         """A head is to act no more, or again; None where operators' words are this head's alone. Raises
         HttpError where too many would be out."""
 
@@ -106,12 +107,16 @@
             if path == "/-/metrics":
                 return 200, desk.metrics()
             return (200, "ready\n") if desk.ready() else (503, "not ready\n")
-        if path in FLEET and (told := desk.fleet(FLEET[path])) is not None:
+        if path in FLEET and (told := desk.fleet_view(FLEET[path])) is not None:
             return (200, told) if method == "GET" else (405, "only GET\n")
         brick, head = BRICK.fullmatch(path), HEAD.fullmatch(path)
         if head and method == "POST":
             number, what = int(head[1]), head[2]
-            known = desk.forget(number) if what == "forget" else desk.shut(number, what == "shut-out")
+            known = (
+                desk.forget_instance(number)
+                if what == "forget"
+                else desk.set_fenced(number, what == "shut-out")
+            )
             if known is not None:
                 return (200, f"{what} {number}\n") if known else (404, "no such head\n")
         if not brick and path not in ("/-/drain", "/-/resume"):
--- a/garnetlanding/ops/admin_service.py
+++ b/garnetlanding/ops/admin_service.py
@@ -7,12 +7,10 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from garnetlanding.core.engine import RequestEngine
-from garnetlanding.limits import Limits
-from garnetlanding.ops.file import StateFile
-from garnetlanding.ops.state import OpsState
-from garnetlanding.runtime.listener import Listener
-from garnetlanding.runtime.scheduler import Scheduler
+from garnetlanding.ops.admin_state import AdminState
+from garnetlanding.ops.fleet_access import FleetAccess, FleetView
+from garnetlanding.ops.managed_instance import ManagedInstance
+from garnetlanding.ops.state_file import StateFile
 
 if TYPE_CHECKING:  # what is off is not imported
     from garnetlanding.ops.replicated_disables import ReplicatedDisables
@@ -25,30 +23,22 @@
 
     def __init__(
         self,
-        scheduler: Scheduler,
-        core: RequestEngine,
-        clients: Listener,
-        file: StateFile,
-        limits: Limits,
-        told: Callable[[], bool],
-        share: Callable[[], None] = lambda: None,
-        fleet: Callable[[str], list[dict[str, object]] | None] = lambda what: None,
-        shared: ReplicatedDisables | None = None,
-        forget: Callable[[int], bool | None] = lambda head: None,
+        instance: ManagedInstance,
+        state_file: StateFile,
+        fleet: FleetAccess | None = None,
+        replicated: ReplicatedDisables | None = None,
     ) -> None:
-        """`told` says whether the list of servers is known; `share` looks what the head's other process
-        leaves to this one; `fleet` tells of the other heads, None where they aren't heard; `shared` makes
-        bans the whole fleet's; `forget` takes a head out of the group."""
-        self._scheduler, self._core, self._clients = scheduler, core, clients
-        self._file, self._limits, self._told, self._share = file, limits, told, share
-        self._fleet, self._shared, self._forget = fleet, shared, forget
-        self._state = OpsState()
+        """Take up the stored state; `replicated` makes disabled backends known to the whole fleet."""
+        self._scheduler, self._core, self._clients = instance.scheduler, instance.engine, instance.clients
+        self._file, self._limits, self._told = state_file, instance.limits, instance.endpoints_known
+        self._share, self._fleet, self._shared = instance.refresh_quota, fleet, replicated
+        self._state = AdminState()
         self._drained_at: int | None = None
-        self._take_up(file.load())
+        self._take_up(state_file.load())
         self._look()
 
     @property
-    def takes(self) -> bool:
+    def accepts_clients(self) -> bool:
         """Whether clients are to come here."""
         return not self._state.draining
 
@@ -67,36 +57,38 @@
     def _put(self, what: str, brick: str, out: bool) -> bool:
         shared, known = self._shared, self._core.endpoints.is_known(brick)
         if known and shared:
-            self._change(what, lambda state: shared.say(state, brick, out), brick)
+            self._change(what, lambda state: shared.set_disabled(state, brick, out), brick)
         elif known:
-            self._change(what, lambda state: state.ban(brick) if out else state.lift(brick), brick)
+            self._change(what, lambda state: state.disable(brick) if out else state.enable(brick), brick)
         return known
 
     def drain(self) -> None:
-        self._change("drained", lambda state: state.drained(True))
+        self._change("drained", lambda state: state.with_draining(True))
 
     def resume(self) -> None:
-        self._change("resumed", lambda state: state.drained(False))
+        self._change("resumed", lambda state: state.with_draining(False))
 
-    def fleet(self, what: str) -> str | None:
-        told = self._fleet(what)
-        return None if told is None else json.dumps(told) + "\n"
+    def fleet_view(self, view: FleetView) -> str | None:
+        rows = self._fleet.rows(view) if self._fleet else None
+        return None if rows is None else json.dumps(rows) + "\n"
 
-    def forget(self, head: int) -> bool | None:
-        known = self._forget(head)
+    def forget_instance(self, head: int) -> bool | None:
+        known = self._fleet.forget(head) if self._fleet else None
         if known:
             log.info("head forgotten", extra={"kv": {"head": head}})
         return known
 
-    def shut(self, head: int, out: bool) -> bool | None:
+    def set_fenced(self, head: int, out: bool) -> bool | None:
         shared, hosts = self._shared, self._core.settings.instances
         if shared is None:
             return None
         if head < hosts:
-            self._change("shut out" if out else "let in", lambda state: shared.shut(state, head, out, hosts))
+            self._change(
+                "shut out" if out else "let in", lambda state: shared.set_fenced(state, head, out, hosts)
+            )
         return head < hosts
 
-    def _change(self, what: str, how: Callable[[OpsState], OpsState], brick: str = "") -> None:
+    def _change(self, what: str, how: Callable[[AdminState], AdminState], brick: str = "") -> None:
         """On disk first: a yes outlasts this process."""
         self._take_up(self._file.change(how))
         log.info(what, extra={"kv": {"brick": brick} if brick else {}})
@@ -108,19 +100,19 @@
         if (state := self._file.news()) is not None:
             self._take_up(state)
         shared = self._shared
-        if shared and (records := shared.take()):
-            self._take_up(self._file.change(lambda state: shared.hear(state, records)))
+        if shared and (records := shared.take_received()):
+            self._take_up(self._file.change(lambda state: shared.merge(state, records)))
         if self._drained_at is not None and (
             self._scheduler.now >= self._drained_at + self._limits.drain_serve_us
         ):
             self._clients.close_idle()
 
-    def _take_up(self, state: OpsState) -> None:
+    def _take_up(self, state: AdminState) -> None:
         old, self._state = self._state, state
-        if state.banned != old.banned:
-            self._core.set_disabled(state.banned)
+        if state.disabled != old.disabled:
+            self._core.set_disabled(state.disabled)
         if self._shared:
-            self._shared.tell(state)
+            self._shared.publish(state)
         if state.draining and self._drained_at is None:
             self._drained_at = self._scheduler.now
         elif not state.draining and self._drained_at is not None:
--- a/garnetlanding/ops/state.py
+++ b/garnetlanding/ops/admin_state.py
@@ -13,58 +13,64 @@
 VERSION = 1
 
 
-class StateError(ValueError):
+class AdminStateError(ValueError):
     """A state that cannot be used; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class OpsState:
-    """`banned` holds instance ids; a ban ends by a call and by nothing else. Where bans are the whole
+class AdminState:
+    """`disabled` holds instance ids; a ban ends by a call and by nothing else. Where bans are the whole
     fleet's, `records` has the last word on each server: its name, version, the head's number, whether out."""
 
-    banned: frozenset[str] = frozenset()
+    disabled: frozenset[str] = frozenset()
     draining: bool = False
     records: tuple[tuple[str, int, int, bool], ...] = ()
 
-    def ban(self, brick: str) -> OpsState:
-        return replace(self, banned=self.banned | {brick})
+    def disable(self, brick: str) -> AdminState:
+        return replace(self, disabled=self.disabled | {brick})
 
-    def lift(self, brick: str) -> OpsState:
-        return replace(self, banned=self.banned - {brick})
+    def enable(self, brick: str) -> AdminState:
+        return replace(self, disabled=self.disabled - {brick})
 
-    def drained(self, on: bool) -> OpsState:
+    def with_draining(self, on: bool) -> AdminState:
         return replace(self, draining=on)
 
 
-def encode(name: str, state: OpsState) -> bytes:
+def encode(name: str, state: AdminState) -> bytes:
     """One JSON object and, on a line of its own, the CRC-32 of that line."""
     # An older process of the head reads what it knows of, and keeps the rest out.
     more = {"records": state.records} if state.records else {}
     body = json.dumps(
-        {"version": VERSION, "name": name, "banned": sorted(state.banned), "draining": state.draining, **more}
+        {
+            "version": VERSION,
+            "name": name,
+            "banned": sorted(state.disabled),
+            "draining": state.draining,
+            **more,
+        }
     ).encode()
     return b"%s\n%08x\n" % (body, zlib.crc32(body))
 
 
-def decode(name: str, data: bytes) -> OpsState:
-    """Raises StateError for what is damaged, of another version, or of another head."""
+def decode(name: str, data: bytes) -> AdminState:
+    """Raises AdminStateError for what is damaged, of another version, or of another head."""
     lines = data.split(b"\n")
     if len(lines) != 3 or lines[2] or lines[1] != b"%08x" % zlib.crc32(lines[0]):
-        raise StateError("damaged: its checksum does not hold")
+        raise AdminStateError("damaged: its checksum does not hold")
     match found := json.loads(lines[0]):
         case {"version": int() as version} if version != VERSION:
-            raise StateError(f"of version {version}, this program writes {VERSION}")
+            raise AdminStateError(f"of version {version}, this program writes {VERSION}")
         case {"name": str() as other} if other != name:
-            raise StateError(f"of head {other!r:.40}, this one is {name!r:.40}")
+            raise AdminStateError(f"of head {other!r:.40}, this one is {name!r:.40}")
         case {"banned": list() as banned, "draining": bool() as draining}:
             records = [_record(one) for one in found.get("records", [])]
             if all(isinstance(brick, str) for brick in banned):
-                return OpsState(frozenset(banned), draining, tuple(records))
-    raise StateError("damaged: a field is missing or not of its type")
+                return AdminState(frozenset(banned), draining, tuple(records))
+    raise AdminStateError("damaged: a field is missing or not of its type")
 
 
 def _record(one: object) -> tuple[str, int, int, bool]:
     match one:
         case [str() as server, int() as version, int() as by, bool() as out]:
             return server, version, by, out
-    raise StateError("damaged: a record of a ban is not of its form")
+    raise AdminStateError("damaged: a record of a ban is not of its form")
--- /dev/null
+++ b/garnetlanding/ops/fleet_access.py
@@ -0,0 +1,28 @@
+"""How the administration service reaches the other instances of the fleet. Interfaces only."""
+
+from __future__ import annotations
+
+from enum import Enum
+from typing import Protocol
+
+
+class FleetView(Enum):
+    """A table about the fleet that operators can read; the value is its word in a call's path."""
+
+    LIMITS = "limits"
+    MEMBERS = "members"
+    SUSPICIONS = "verdicts"
+    DISABLES = "bans"
+
+
+class FleetAccess(Protocol):
+    """What the service needs of the peer subsystem, which may be linked to the fleet or not at any moment."""
+
+    def rows(self, view: FleetView) -> list[dict[str, object]] | None:
+        """Return the table's rows, ready for JSON, or None while this instance receives no gossip."""
+
+    def forget(self, instance: int) -> bool | None:
+        """Remove a terminated instance from the membership.
+
+        Return whether it was a member, or None where membership is not discovered by gossip.
+        """
--- a/garnetlanding/ops/process_quota.py
+++ b/garnetlanding/ops/process_quota.py
@@ -12,28 +12,30 @@
 from dataclasses import dataclass
 
 VERSION = 1
-WORD_BYTES = 256  # of a word on disk: always rewritten whole
-HALF = 0.5
+RECORD_BYTES = 256  # of a word on disk: always rewritten whole
+UPGRADE_SHARE = 0.5
 HEADROOM = 1.25  # an elder keeps so much more than it uses: what it has taken must be able to finish
-LEAST = 0.125  # and, when it ends, no less than this
+MIN_ENDING_SHARE = 0.125  # and, when it ends, no less than this
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessRecord:
     """What one process has said: when it started (ns, monotonic, one clock for all) and its part."""
 
-    started: int
-    part: float
+    started_ns: int
+    share: float
 
 
-UNREADABLE = ProcessRecord(
-    0, HALF
+UNREADABLE_RECORD = ProcessRecord(
+    0, UPGRADE_SHARE
 )  # of a process that lives, whatever its version: an elder that has come down
 
 
 def encode(name: str, word: ProcessRecord) -> bytes:
-    body = json.dumps({"version": VERSION, "name": name, "started": word.started, "part": word.part}).encode()
-    return (b"%08x %s" % (zlib.crc32(body), body)).ljust(WORD_BYTES - 1) + b"\n"
+    body = json.dumps(
+        {"version": VERSION, "name": name, "started": word.started_ns, "part": word.share}
+    ).encode()
+    return (b"%08x %s" % (zlib.crc32(body), body)).ljust(RECORD_BYTES - 1) + b"\n"
 
 
 def decode(name: str, data: bytes) -> ProcessRecord | None:
@@ -53,12 +55,12 @@
     return None
 
 
-def next_part(mine: ProcessRecord, others: Iterable[ProcessRecord], used: float, ending: bool) -> float:
+def next_share(mine: ProcessRecord, others: Iterable[ProcessRecord], used: float, ending: bool) -> float:
     """The part to keep to from now on; `used` is the part of the bounds in use."""
     others = list(others)
-    elders = sum(word.part for word in others if word.started < mine.started)
-    newer = any(word.started >= mine.started for word in others)
+    elders = sum(word.share for word in others if word.started_ns < mine.started_ns)
+    newer = any(word.started_ns >= mine.started_ns for word in others)
     free = max(0.0, 1.0 - elders)
     if not newer:
         return free
-    return min(mine.part, free, max(used * HEADROOM, LEAST if ending else HALF))
+    return min(mine.share, free, max(used * HEADROOM, MIN_ENDING_SHARE if ending else UPGRADE_SHARE))
--- a/garnetlanding/ops/process_registry.py
+++ b/garnetlanding/ops/process_registry.py
@@ -7,7 +7,14 @@
 import os
 import time
 
-from garnetlanding.ops.process_quota import UNREADABLE, WORD_BYTES, ProcessRecord, decode, encode, next_part
+from garnetlanding.ops.process_quota import (
+    RECORD_BYTES,
+    UNREADABLE_RECORD,
+    ProcessRecord,
+    decode,
+    encode,
+    next_share,
+)
 from garnetlanding.runtime.files import file_name
 
 log = logging.getLogger(__name__)
@@ -22,7 +29,7 @@
         started = time.monotonic_ns()
         self._others: dict[str, ProcessRecord] = {}
         self._path = os.path.join(folder, f"{self._prefix}{os.getpid()}-{started}")
-        self.word = ProcessRecord(started, 0.0)
+        self.record = ProcessRecord(started, 0.0)
         # It gets its name once it is locked: unlocked, it would be taken for that of a process that is gone.
         beside = os.path.join(folder, f"{file_name(name, 'new')}-{os.getpid()}-{started}")
         self._fd = os.open(beside, os.O_RDWR | os.O_CREAT, 0o600)
@@ -31,19 +38,19 @@
         os.rename(beside, self._path)
 
     @property
-    def newer(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether another process of this head has started since."""
-        return any(word.started >= self.word.started for word in self._others.values())
+        return any(word.started_ns >= self.record.started_ns for word in self._others.values())
 
-    def look(self, used: float, ending: bool) -> float:
+    def next_share(self, used: float, ending: bool) -> float:
         """Hears the others and gives back the part to keep to from now on. Call `keep` once it is kept."""
         self._others = self._hear()
-        return next_part(self.word, self._others.values(), used, ending)
+        return next_share(self.record, self._others.values(), used, ending)
 
-    def keep(self, part: float) -> None:
+    def publish(self, part: float) -> None:
         """Says that this process keeps to that part."""
-        if part != self.word.part:
-            self.word = ProcessRecord(self.word.started, part)
+        if part != self.record.share:
+            self.record = ProcessRecord(self.record.started_ns, part)
             self._say()
 
     def close(self) -> None:
@@ -51,7 +58,7 @@
         os.close(self._fd)
 
     def _say(self) -> None:
-        os.pwrite(self._fd, encode(self._name, self.word), 0)
+        os.pwrite(self._fd, encode(self._name, self.record), 0)
 
     def _hear(self) -> dict[str, ProcessRecord]:
         heard: dict[str, ProcessRecord] = {}
@@ -68,10 +75,10 @@
                     log.warning("process of this head is gone", extra={"kv": {"path": path}})
                     os.unlink(path)
                     continue
-                word = decode(self._name, os.read(fd, WORD_BYTES)) or self._others.get(file)
+                word = decode(self._name, os.read(fd, RECORD_BYTES)) or self._others.get(file)
                 if word is None:
                     log.warning("other process not understood", extra={"kv": {"path": path}})
-                heard[file] = word or UNREADABLE
+                heard[file] = word or UNREADABLE_RECORD
             except OSError:
                 continue
             finally:
--- a/garnetlanding/ops/replicated_disables.py
+++ b/garnetlanding/ops/replicated_disables.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 from garnetlanding.http.head import HttpError
-from garnetlanding.ops.state import OpsState
+from garnetlanding.ops.admin_state import AdminState
 from garnetlanding.peers.disabled_backends import HEADS, DisabledBackendError, DisabledBackends, Record
 from garnetlanding.peers.failure_detector import FailureDetector
 
@@ -21,10 +21,10 @@
         """`me`: this head's number."""
         self._fleet, self._me, self._wall_ms = fleet, me, wall_ms
 
-    def take(self) -> list[Record]:
+    def take_received(self) -> list[Record]:
         return self._fleet.take_received()
 
-    def say(self, state: OpsState, brick: str, out: bool) -> OpsState:
+    def set_disabled(self, state: AdminState, brick: str, out: bool) -> AdminState:
         bans = self.table(state)
         try:
             bans.set_disabled(brick, out, self._me(), self._wall_ms())
@@ -32,33 +32,33 @@
             raise HttpError(str(problem), 400) from None
         return self._kept(state, bans)
 
-    def shut(self, state: OpsState, head: int, out: bool, hosts: int) -> OpsState:
+    def set_fenced(self, state: AdminState, head: int, out: bool, hosts: int) -> AdminState:
         """A head is to act no more, or again: a record like that of a brick. Raises HttpError where more
         than the share of heads would be out that may be."""
-        others = {name for name in state.banned if name.startswith(HEADS)} - {HEADS + str(head)}
+        others = {name for name in state.disabled if name.startswith(HEADS)} - {HEADS + str(head)}
         if out and (len(others) + 1) > hosts * self._fleet.limits.out_share:
             raise HttpError(f"{len(others)} of {hosts} heads are out already", 400)
-        return self.say(state, HEADS + str(head), out)
+        return self.set_disabled(state, HEADS + str(head), out)
 
-    def hear(self, state: OpsState, records: list[Record]) -> OpsState:
+    def merge(self, state: AdminState, records: list[Record]) -> AdminState:
         bans = self.table(state)
         news, bad = bans.merge(records)
         if news or bad:
             log.info("bans heard", extra={"kv": {"count": len(news), "dropped": bad}})
         return self._kept(state, bans)
 
-    def tell(self, state: OpsState) -> None:
+    def publish(self, state: AdminState) -> None:
         """From now on other heads are told of this."""
         self._fleet.replace_disabled(self.table(state))
 
-    def table(self, state: OpsState) -> DisabledBackends:
+    def table(self, state: AdminState) -> DisabledBackends:
         """The records of a state. What was said while bans were this head's alone, or by an older process,
         has none yet: it counts as said by it just now."""
         bans = DisabledBackends(self._fleet.limits, (Record(*record) for record in state.records))
-        for brick in sorted(state.banned ^ bans.disabled_names):
-            bans.set_disabled(brick, brick in state.banned, self._me(), self._wall_ms())
+        for brick in sorted(state.disabled ^ bans.disabled_names):
+            bans.set_disabled(brick, brick in state.disabled, self._me(), self._wall_ms())
         return bans
 
     @staticmethod
-    def _kept(state: OpsState, bans: DisabledBackends) -> OpsState:
-        return replace(state, banned=bans.disabled_names, records=tuple(sorted(bans.records.values())))
+    def _kept(state: AdminState, bans: DisabledBackends) -> AdminState:
+        return replace(state, disabled=bans.disabled_names, records=tuple(sorted(bans.records.values())))
--- a/garnetlanding/ops/file.py
+++ b/garnetlanding/ops/state_file.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 
-from garnetlanding.ops.state import OpsState, StateError, decode, encode
+from garnetlanding.ops.admin_state import AdminState, AdminStateError, decode, encode
 from garnetlanding.runtime.files import file_name, replace_whole
 
 log = logging.getLogger(__name__)
@@ -22,23 +22,23 @@
         self._name = name
         self._seen: tuple[int, int, int] | None = None
 
-    def load(self) -> OpsState:
+    def load(self) -> AdminState:
         """What stands there. A file that cannot be used is named in the log, and nothing is taken from it."""
         self._seen = self._stamp()
         try:
             with open(self._path, "rb") as file:
                 return decode(self._name, file.read())
         except FileNotFoundError:
-            return OpsState()
-        except (OSError, StateError) as problem:
+            return AdminState()
+        except (OSError, AdminStateError) as problem:
             log.error("state file not taken", extra={"kv": {"path": self._path, "why": problem}})
-            return OpsState()
+            return AdminState()
 
-    def news(self) -> OpsState | None:
+    def news(self) -> AdminState | None:
         """The state, where somebody has written it since it was last looked at."""
         return None if self._stamp() == self._seen else self.load()
 
-    def change(self, how: Callable[[OpsState], OpsState]) -> OpsState:
+    def change(self, how: Callable[[AdminState], AdminState]) -> AdminState:
         """Makes the change to what stands there, durably, and gives back what then stands. Raises OSError."""
         with self._alone():
             old = self.load()
--- a/garnetlanding/store/persister.py
+++ b/garnetlanding/store/persister.py
@@ -41,7 +41,7 @@
         kept = load(path)
         if kept:
             store.restore(kept)
-        store.watchers.append(self._changed)
+        store.observers.append(self._changed)
 
     def _changed(self, _: Entry | None) -> None:
         if not self._planned:
--- a/garnetlanding/store/replica.py
+++ b/garnetlanding/store/replica.py
@@ -12,6 +12,7 @@
 import json
 import logging
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 from garnetlanding.limits import Limits
@@ -97,12 +98,12 @@
         store = self._store
         self._following = True
         self._write(_line("writer", store.writer, store.epoch))
-        entries = store.since(revision) if epoch == store.epoch else None
+        entries = store.entries_since(revision) if epoch == store.epoch else None
         if entries is None:
             self._write(_line("snapshot", store.revision, store.snapshot().values))
         for entry in entries or ():
             self._told(entry)
-        store.watchers.append(self._told)
+        store.observers.append(self._told)
         self._beat()
 
     def _told(self, entry: Entry | None) -> None:
@@ -117,8 +118,8 @@
         self.ended = True
         if self._timer:
             self._timer.cancel()
-        if self._told in self._store.watchers:
-            self._store.watchers.remove(self._told)
+        if self._told in self._store.observers:
+            self._store.observers.remove(self._told)
 
 
 class FollowerMachine:
@@ -157,7 +158,7 @@
                 self._check(revision)
             case {"re": [int() as number, int() as revision]} if self._currency:
                 self._check(revision)
-                self._currency.answered(number)
+                self._currency.reply_received(number)
             case _:
                 raise ReplicaError("unknown message")
 
@@ -167,24 +168,33 @@
             raise LogGapError(f"the writer is at {revision}, this store at {store.revision}")
 
 
+@dataclass(frozen=True, slots=True)
+class FollowerOptions:
+    """Where a follower copies from, and when it tries again.
+
+    `stagger` is this instance's slot in `[0, 1)` among those that the same failure disconnects, so that a
+    writer that comes back is not met by all of them at once.
+    """
+
+    writer_address: str
+    stagger: float = 0.5
+
+
 class Follower:
     """Keeps a follower connected: resumes by revision, and asks for a snapshot after a gap."""
 
     def __init__(
         self,
         scheduler: Scheduler,
-        address: str,
-        store: Store,
         pool: BufferPool,
         limits: Limits,
-        currency: StalenessGuard | None = None,
-        turn: float = 0.5,
+        store: Store,
+        options: FollowerOptions,
+        guard: StalenessGuard | None = None,
     ) -> None:
-        """`turn`: this head's place in `[0, 1)` among those that the same signal wakes: a writer that
-        comes back is not met by all of them at once."""
-        self._scheduler, self._address, self._store = scheduler, address, store
-        self._retry_us = int(limits.store_retry_us * (0.5 + turn))
-        self._pool, self._limits, self._currency = pool, limits, currency
+        self._scheduler, self._address, self._store = scheduler, options.writer_address, store
+        self._retry_us = int(limits.store_retry_us * (0.5 + options.stagger))
+        self._pool, self._limits, self._currency = pool, limits, guard
         self.connected = False
         self._asking: Timer | None = None
         scheduler.spawn(self._run)
@@ -233,5 +243,7 @@
 
     def _ask(self, stream: Stream, currency: StalenessGuard) -> None:
         now = self._scheduler.now
-        stream.write(FollowerMachine.ask(currency.ask(now)))
-        self._asking = self._scheduler.call_at(now + currency.every_us, lambda: self._ask(stream, currency))
+        stream.write(FollowerMachine.ask(currency.next_query(now)))
+        self._asking = self._scheduler.call_at(
+            now + currency.query_interval_us, lambda: self._ask(stream, currency)
+        )
--- a/garnetlanding/store/setup.py
+++ b/garnetlanding/store/setup.py
@@ -17,7 +17,9 @@
     writer: str = ""  # the name of the one writer
     address: str = ""  # where the writer listens for followers
     file: str = ""
-    current_us: int = 0  # a follower that can't show that it is so current does not act; 0: it always does
+    max_staleness_us: int = (
+        0  # a follower that can't show that it is so current does not act; 0: it always does
+    )
     drift: float = 0.01  # of its clock and the writer's, the most in each second
 
 
--- a/garnetlanding/store/store.py
+++ b/garnetlanding/store/store.py
@@ -50,20 +50,20 @@
         self.revision = 0
         self._values: dict[str, Any] = {}
         self._log: deque[Entry] = deque(maxlen=log_entries)
-        self.watchers: list[Callable[[Entry | None], None]] = []  # None: everything may have changed
+        self.observers: list[Callable[[Entry | None], None]] = []  # None: everything may have changed
 
     # Reading
 
     def get(self, key: str, absent: Any = None) -> Any:
         return self._values.get(key, absent)
 
-    def under(self, prefix: str) -> dict[str, Any]:
+    def with_prefix(self, prefix: str) -> dict[str, Any]:
         return {k: v for k, v in self._values.items() if k.startswith(prefix)}
 
     def snapshot(self) -> Snapshot:
         return Snapshot(self.epoch, self.revision, dict(self._values))
 
-    def since(self, revision: int) -> list[Entry] | None:
+    def entries_since(self, revision: int) -> list[Entry] | None:
         """The entries after a revision; None where the log no longer, or never, reached it."""
         first = self._log[0].revision if self._log else self.revision + 1
         if revision > self.revision or revision + 1 < first:
@@ -113,5 +113,5 @@
         self._tell(entry)
 
     def _tell(self, entry: Entry | None) -> None:
-        for watcher in list(self.watchers):
+        for watcher in list(self.observers):
             watcher(entry)
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -430,11 +430,11 @@
         for when, number, told in sorted(a for a in answers if a[0] <= now):
             answers.remove((when, number, told))
             known = max(known, told)
-            one.answered(number)
+            one.reply_received(number)
         if mine >= ask_at:
-            ask_at = mine + one.every_us
-            asked.append((now + rng.randrange(1, SECOND), one.ask(mine)))
-        if one.current(mine) and known < revision:
+            ask_at = mine + one.query_interval_us
+            asked.append((now + rng.randrange(1, SECOND), one.next_query(mine)))
+        if one.is_current(mine) and known < revision:
             worst = max(worst, (now - (known + 1) * SECOND) / SECOND)
         if rng.random() < 0.002:
             asleep = now + rng.randrange(SECOND, 4 * SECOND)
@@ -451,26 +451,26 @@
 
     now = 0
 
-    def current(self, now: int) -> bool:
+    def is_current(self, now: int) -> bool:
         self.now = now
-        return super().current(now)
+        return super().is_current(now)
 
-    def answered(self, number: int) -> None:
-        self.until = self.now + self._lasts_us
+    def reply_received(self, number: int) -> None:
+        self.current_until = self.now + self._validity_us
 
 
 class AnyAnswer(StalenessGuard):
     """A bug: an answer to whatever question counts as one to the last."""
 
-    def answered(self, number: int) -> None:
-        super().answered(self._number)
+    def reply_received(self, number: int) -> None:
+        super().reply_received(self._number)
 
 
 class NoEnd(StalenessGuard):
     """A bug: once current, always current."""
 
-    def current(self, now: int) -> bool:
-        return self.until > 0
+    def is_current(self, now: int) -> bool:
+        return self.current_until > 0
 
 
 @pytest.mark.parametrize("bug", [FromWhenItCame, AnyAnswer, NoEnd])
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -273,7 +273,10 @@
     h.discovery.tell(Box("b0", h.brick.address, 0, "DRAINING"), Box("b1", other.address, 0))
     h.settle()
     h.client().say(read_command("r2"))
-    assert len(other.heard) == 1 and set(h.daemon.store.under(SERVERS)) == {SERVERS + "b0", SERVERS + "b1"}
+    assert len(other.heard) == 1 and set(h.daemon.store.with_prefix(SERVERS)) == {
+        SERVERS + "b0",
+        SERVERS + "b1",
+    }
 
 
 @pytest.mark.parametrize("before, after", [("pushed", "on_request"), ("on_request", "pushed")])
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -56,7 +56,8 @@
 from garnetlanding.ninep.shared import Front as NinepFront
 from garnetlanding.ops.admin_client import call as call_head
 from garnetlanding.ops.admin_client import path_of
-from garnetlanding.ops.front import AdminConnection
+from garnetlanding.ops.admin_connection import AdminConnection
+from garnetlanding.ops.fleet_access import FleetView
 from garnetlanding.peers import codec as peers_codec
 from garnetlanding.resp import codec as resp
 from garnetlanding.resp.brick import BrickMachine
@@ -868,13 +869,13 @@
     def resume(self) -> None:
         self.lines.append("resume")
 
-    def fleet(self, what: str) -> str | None:
-        return f'["{what}"]\n' if self.knows_fleet else None
+    def fleet_view(self, view: FleetView) -> str | None:
+        return f'["{view.value}"]\n' if self.knows_fleet else None
 
-    def forget(self, head: int) -> bool | None:
+    def forget_instance(self, head: int) -> bool | None:
         return (head == 1) if self.knows_fleet else None
 
-    def shut(self, head: int, out: bool) -> bool | None:
+    def set_fenced(self, head: int, out: bool) -> bool | None:
         self.lines.append(f"shut {head} {out}")
         if head == 8:
             raise RuntimeError("a defect")
@@ -1318,7 +1319,7 @@
     store = config.operator.store
     lines.append(
         f"store: role {store.role}, writer {store.writer!r}, address {store.address!r}, file {store.file!r}, "
-        f"current {store.current_us}, drift {store.drift!r}"
+        f"current {store.max_staleness_us}, drift {store.drift!r}"
     )
     if history := config.operator.history:
         lines.append(f"history: file {history.file}, wall file {history.wall_file!r}")
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -32,15 +32,17 @@
 from garnetlanding.core.ports import Failed, Rejected, Served
 from garnetlanding.emulator.discovery import Box
 from garnetlanding.ops import admin_client
+from garnetlanding.ops.admin_connection import AdminConnection
 from garnetlanding.ops.admin_service import AdminService
-from garnetlanding.ops.file import StateFile
-from garnetlanding.ops.front import AdminConnection
+from garnetlanding.ops.admin_state import AdminState, AdminStateError
+from garnetlanding.ops.admin_state import decode as decode_state
+from garnetlanding.ops.fleet_access import FleetView
+from garnetlanding.ops.managed_instance import ManagedInstance
 from garnetlanding.ops.process_quota import ProcessRecord
 from garnetlanding.ops.process_quota import decode as decode_word
 from garnetlanding.ops.process_registry import ProcessRegistry
 from garnetlanding.ops.replicated_disables import ReplicatedDisables
-from garnetlanding.ops.state import OpsState, StateError
-from garnetlanding.ops.state import decode as decode_state
+from garnetlanding.ops.state_file import StateFile
 from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.resp.front import ClientMachine
@@ -198,7 +200,7 @@
 
 
 def ask_first(world: World) -> bytes:
-    return FollowerMachine.ask(StalenessGuard(SECOND, 0.01, world.time).ask(world.time))
+    return FollowerMachine.ask(StalenessGuard(SECOND, 0.01, world.time).next_query(world.time))
 
 
 FOLLOWER_LINES: dict[str, Callable[[World], bytes]] = {
@@ -243,12 +245,12 @@
 
     for size in (len(committed), 1, 7):
         copy, currency = copy_of(), StalenessGuard(SECOND, 0.01, world.time)
-        currency.ask(world.time)
+        currency.next_query(world.time)
         reader = FollowerMachine(copy, world.limits, currency)
         for at in range(0, len(committed), size):
             reader.feed(committed[at : at + size])
         assert copy.snapshot() == store.snapshot() == Snapshot(EPOCH, 10, STORE_VALUES)
-        assert currency.until == world.time + int(SECOND / 1.01)
+        assert currency.current_until == world.time + int(SECOND / 1.01)
 
 
 @pytest.mark.parametrize("name", sorted(STREAMS))
@@ -324,11 +326,11 @@
 HEAD = "n 1/\u00e4"  # its file's name is quoted
 STATE_NAME = "garnetlanding-n%201%2F%C3%A4-operators.json"
 RECORDS = (("b0", 1000, 0, True), ("b1", 2000, 65535, False), ("head/2", 1764640899000, 1, True))
-STATES: dict[str, OpsState] = {
-    "banned": OpsState(frozenset({"b1", "b0", "b10", "a"})),
-    "draining": OpsState(draining=True),
-    "records": OpsState(frozenset({"b0", "head/2"}), True, RECORDS),
-    "resumed": OpsState(),
+STATES: dict[str, AdminState] = {
+    "banned": AdminState(frozenset({"b1", "b0", "b10", "a"})),
+    "draining": AdminState(draining=True),
+    "records": AdminState(frozenset({"b0", "head/2"}), True, RECORDS),
+    "resumed": AdminState(),
 }
 
 
@@ -336,8 +338,8 @@
 def test_state_file(name: str, tmp_path: pathlib.Path) -> None:
     state, file = STATES[name], StateFile(str(tmp_path), HEAD)
     path = tmp_path / STATE_NAME
-    assert file.change(lambda old: old) == OpsState() and not path.exists(), "no change is not written"
-    file.change(lambda old: old.drained(True).ban("b7"))
+    assert file.change(lambda old: old) == AdminState() and not path.exists(), "no change is not written"
+    file.change(lambda old: old.with_draining(True).disable("b7"))
     file.change(lambda old: state)
     committed = golden(f"state-{name}.json", path.read_bytes())
     assert sorted(p.name for p in tmp_path.iterdir()) == [STATE_NAME, STATE_NAME + ".lock"]
@@ -356,7 +358,7 @@
     for length in range(len(committed)):
         path.write_bytes(committed[:length])
         caplog.clear()
-        assert StateFile(str(tmp_path), HEAD).load() == OpsState()
+        assert StateFile(str(tmp_path), HEAD).load() == AdminState()
         assert [(r.getMessage(), str(r.__dict__["kv"]["why"])) for r in caplog.records] == [
             ("state file not taken", "damaged: its checksum does not hold")
         ]
@@ -364,11 +366,11 @@
 
 def test_state_file_of_another_head_or_version_is_refused() -> None:
     committed = (FOLDER / "state-banned.json").read_bytes()
-    with pytest.raises(StateError) as caught:
+    with pytest.raises(AdminStateError) as caught:
         decode_state("n2", committed)
     assert str(caught.value) == f"of head {HEAD!r}, this one is 'n2'"
     newer = b'{"version": 2, "name": "n2"}\n7a5592c3\n'
-    with pytest.raises(StateError) as caught:
+    with pytest.raises(AdminStateError) as caught:
         decode_state("n2", newer)
     assert str(caught.value) == "of version 2, this program writes 1"
 
@@ -402,14 +404,14 @@
     wrote: list[str] = []
 
     def look(life: ProcessRegistry, name: str, used: float = 0.0, ending: bool = False) -> None:
-        life.keep(life.look(used, ending))
+        life.publish(life.next_share(used, ending))
         check(life, name)
 
     def check(life: ProcessRegistry, name: str) -> None:
         wrote.append(name)
         file = tmp_path / (ELDER if name.startswith("elder") else NEWER)
         committed = golden(f"lives/{name}.word", file.read_bytes())
-        assert life.word == WORDS[name] == decode_word(HEAD, committed)
+        assert life.record == WORDS[name] == decode_word(HEAD, committed)
 
     elder = born(tmp_path, 4101, 1_000_000_000, monkeypatch)
     check(elder, "elder-born")
@@ -423,7 +425,7 @@
     look(elder, "elder-ending", ending=True)
     look(newer, "newer-most")
     assert sorted(p.name for p in tmp_path.iterdir()) == [ELDER, NEWER]
-    assert elder.newer and not newer.newer
+    assert elder.has_successor and not newer.has_successor
     elder.close()
     look(newer, "newer-alone")
     assert [p.name for p in tmp_path.iterdir()] == [NEWER]
@@ -451,14 +453,14 @@
     committed = (FOLDER / "lives" / f"{name}.word").read_bytes()
     newest = born(tmp_path, 4103, 3_000_000_000, monkeypatch)
     with locked(tmp_path / ELDER, committed):
-        assert newest.look(0.0, False) == 1.0 - WORDS[name].part and not newest.newer
-    assert newest.look(0.0, False) == 1.0, "unlocked: its process is gone"
+        assert newest.next_share(0.0, False) == 1.0 - WORDS[name].share and not newest.has_successor
+    assert newest.next_share(0.0, False) == 1.0, "unlocked: its process is gone"
     assert not (tmp_path / ELDER).exists()
     oldest = born(tmp_path, 4100, 5, monkeypatch)
-    oldest.keep(1.0)
+    oldest.publish(1.0)
     newest.close()
     with locked(tmp_path / NEWER, committed):
-        assert oldest.look(0.1, False) == 0.5 and oldest.newer
+        assert oldest.next_share(0.1, False) == 0.5 and oldest.has_successor
     oldest.close()
 
 
@@ -474,11 +476,11 @@
         assert decode_word(HEAD, committed[:length]) == (WORDS[name] if length >= needed else None), length
     newest = born(tmp_path, 4103, 3_000_000_000, monkeypatch)
     with locked(tmp_path / ELDER, committed[: needed - 1]):
-        assert newest.look(0.0, False) == 0.5
+        assert newest.next_share(0.0, False) == 0.5
         (tmp_path / ELDER).write_bytes(committed[:needed])
-        assert newest.look(0.0, False) == 1.0 - WORDS[name].part
+        assert newest.next_share(0.0, False) == 1.0 - WORDS[name].share
         (tmp_path / ELDER).write_bytes(committed[: needed - 1])
-        assert newest.look(0.0, False) == 1.0 - WORDS[name].part
+        assert newest.next_share(0.0, False) == 1.0 - WORDS[name].share
     newest.close()
 
 
@@ -517,6 +519,21 @@
 }
 
 
+class FixedFleet:
+    """The other heads' rows are fixed, but for the bans, which are real; only head 2 can be forgotten."""
+
+    def __init__(self, peers: FailureDetector, now: Callable[[], int]) -> None:
+        self._peers, self._now = peers, now
+
+    def rows(self, view: FleetView) -> list[dict[str, object]] | None:
+        if view is FleetView.DISABLES:
+            return self._peers.known(view.value, self._now(), SECOND)
+        return FLEET_ROWS[view.value]
+
+    def forget(self, instance: int) -> bool | None:
+        return instance == 2
+
+
 class Head(World):
     """A head's desk over a real core and a state file. With a fleet, bans are shared and heads can be
     forgotten; what is known of other heads is fixed, but for the bans, which are real."""
@@ -534,15 +551,15 @@
         peers = FailureDetector(PeerLimits())
         shared = ReplicatedDisables(peers, lambda: 1, lambda: 1764640899000) if fleet else None
 
-        def known(what: str) -> list[dict[str, object]] | None:
-            return peers.known(what, self.time, SECOND) if what == "bans" else FLEET_ROWS[what]
-
-        def forget(head: int) -> bool:
-            return head == 2
-
-        state = StateFile(str(folder), "n1")
-        args = (self.scheduler, self.core, self.clients, state, self.limits, lambda: True, lambda: None)
-        self.desk = AdminService(*args, known, shared, forget) if fleet else AdminService(*args)
+        access = FixedFleet(peers, lambda: self.time) if fleet else None
+        instance = ManagedInstance(
+            scheduler=self.scheduler,
+            engine=self.core,
+            clients=self.clients,
+            limits=self.limits,
+            endpoints_known=lambda: True,
+        )
+        self.desk = AdminService(instance, StateFile(str(folder), "n1"), access, shared)
         self.list(Box("b0", "127.0.0.1:1", 0), Box("b1", "127.0.0.1:1", 1))
         self.core.metrics = RequestMetrics(["read", "write", "save.big"])
         for cls, answer in (("read", Served(b"")), ("read", Failed("x")), ("save.big", Rejected())):
--- a/tests/ops/test_admin_service.py
+++ b/tests/ops/test_admin_service.py
@@ -19,10 +19,11 @@
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box
 from garnetlanding.ops import admin_client
+from garnetlanding.ops.admin_connection import AdminConnection
 from garnetlanding.ops.admin_service import AdminService
-from garnetlanding.ops.file import StateFile
-from garnetlanding.ops.front import AdminConnection
-from garnetlanding.ops.state import OpsState, StateError, decode
+from garnetlanding.ops.admin_state import AdminState, AdminStateError, decode
+from garnetlanding.ops.managed_instance import ManagedInstance
+from garnetlanding.ops.state_file import StateFile
 from garnetlanding.resp.front import ClientMachine
 from garnetlanding.runtime.listener import Listener
 from tests.daemon.test_daemon import BASE
@@ -44,17 +45,25 @@
             self.limits,
             self.limits.client_conns,
             lambda write: ClientMachine(
-                self.core, self.bricks, self.pool, self.limits, set(), write, lambda: self.desk.takes
+                self.core,
+                self.bricks,
+                self.pool,
+                self.limits,
+                set(),
+                write,
+                lambda: self.desk.accepts_clients,
             ),
             True,
         )
         self.desk = AdminService(
-            self.scheduler,
-            self.core,
-            self.clients,
+            ManagedInstance(
+                scheduler=self.scheduler,
+                engine=self.core,
+                clients=self.clients,
+                limits=self.limits,
+                endpoints_known=lambda: self.told,
+            ),
             StateFile(str(folder), "n1"),
-            self.limits,
-            lambda: self.told,
         )
         self.ops = Listener(
             self.scheduler,
@@ -243,12 +252,12 @@
     w = Office(tmp_path)
     w.call("/-/bricks/b0/disable")
     other = StateFile(str(tmp_path), "n1")
-    assert other.load() == OpsState(frozenset({"b0"}))
-    other.change(lambda state: state.ban("b1").drained(True))
+    assert other.load() == AdminState(frozenset({"b0"}))
+    other.change(lambda state: state.disable("b1").with_draining(True))
     w.run(w.limits.ops_look_us + 10 * MS)
-    assert w.core.endpoints.disabled == {"b0", "b1"} and not w.desk.takes
+    assert w.core.endpoints.disabled == {"b0", "b1"} and not w.desk.accepts_clients
     w.call("/-/resume")
-    assert other.news() == OpsState(frozenset({"b0", "b1"})), "neither undoes what the other said"
+    assert other.news() == AdminState(frozenset({"b0", "b1"})), "neither undoes what the other said"
     assert other.news() is None
 
 
@@ -272,14 +281,14 @@
 def test_a_state_that_cannot_be_used_is_named_and_the_head_starts(
     data: bytes, why: str, tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    with pytest.raises(StateError, match=why):
+    with pytest.raises(AdminStateError, match=why):
         decode("n1", data)
     (tmp_path / "garnetlanding-n1-operators.json").write_bytes(data)
     w = Office(tmp_path)
     assert w.call("/-/ready", "GET")[0] == 200 and "state file not taken" in caplog.text
     assert w.call("/-/bricks/b0/disable")[0] == 200
     kept = (tmp_path / "garnetlanding-n1-operators.json").read_bytes()
-    assert decode("n1", kept) == OpsState(frozenset({"b0"}))
+    assert decode("n1", kept) == AdminState(frozenset({"b0"}))
 
 
 def test_a_change_that_cannot_be_kept_is_a_no(tmp_path: pathlib.Path) -> None:
--- a/tests/ops/test_process_registry.py
+++ b/tests/ops/test_process_registry.py
@@ -14,7 +14,14 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box
-from garnetlanding.ops.process_quota import LEAST, UNREADABLE, ProcessRecord, decode, encode, next_part
+from garnetlanding.ops.process_quota import (
+    MIN_ENDING_SHARE,
+    UNREADABLE_RECORD,
+    ProcessRecord,
+    decode,
+    encode,
+    next_share,
+)
 from garnetlanding.ops.process_registry import ProcessRegistry
 from garnetlanding.runtime.files import file_name
 from tests.daemon.test_daemon import BASE
@@ -41,19 +48,19 @@
         elif who is not None:
             ending |= {who} if what == "end" else set()
             others = [word for other, word in words.items() if other != who]
-            part = next_part(words[who], others, share * words[who].part, who in ending)
+            part = next_share(words[who], others, share * words[who].share, who in ending)
             assert 0 <= part <= 1
-            words[who] = replace(words[who], part=part)
-        assert sum(word.part for word in words.values()) <= 1 + 1e-9
+            words[who] = replace(words[who], share=part)
+        assert sum(word.share for word in words.values()) <= 1 + 1e-9
 
 
 def test_an_elder_comes_down_to_half_or_what_it_uses_and_at_its_end_to_little() -> None:
     elder, newer = ProcessRecord(1, 1.0), ProcessRecord(2, 0.0)
-    assert next_part(newer, [elder], 0, False) == 0, "nothing until the elder has come down"
-    assert next_part(elder, [newer], 0.1, False) == 0.5 and next_part(elder, [newer], 0.6, False) == 0.75
-    assert next_part(elder, [newer], 0.01, True) == LEAST
-    assert next_part(replace(elder, part=0.5), [newer], 0.9, False) == 0.5, "it never raises it"
-    assert next_part(newer, [], 0, False) == 1
+    assert next_share(newer, [elder], 0, False) == 0, "nothing until the elder has come down"
+    assert next_share(elder, [newer], 0.1, False) == 0.5 and next_share(elder, [newer], 0.6, False) == 0.75
+    assert next_share(elder, [newer], 0.01, True) == MIN_ENDING_SHARE
+    assert next_share(replace(elder, share=0.5), [newer], 0.9, False) == 0.5, "it never raises it"
+    assert next_share(newer, [], 0, False) == 1
 
 
 @pytest.mark.parametrize(
@@ -78,16 +85,16 @@
     stale = tmp_path / (file_name("n1", "life-") + "1-1")
     stale.write_bytes(encode("n1", ProcessRecord(1, 1.0)))
     elder = ProcessRegistry(str(tmp_path), "n1")
-    elder.keep(elder.look(0, False))
-    assert elder.word.part == 1 and not stale.exists() and "is gone" in caplog.text
+    elder.publish(elder.next_share(0, False))
+    assert elder.record.share == 1 and not stale.exists() and "is gone" in caplog.text
     newer, stranger = ProcessRegistry(str(tmp_path), "n1"), ProcessRegistry(str(tmp_path), "n2")
-    assert newer.look(0, False) == 0 and stranger.look(0, False) == 1
-    assert elder.look(0, False) == 0.5 and elder.newer and not newer.newer
-    assert newer.look(0, False) == 0, "looked at, not kept to yet"
-    elder.keep(0.5)
-    assert newer.look(0, False) == 0.5
+    assert newer.next_share(0, False) == 0 and stranger.next_share(0, False) == 1
+    assert elder.next_share(0, False) == 0.5 and elder.has_successor and not newer.has_successor
+    assert newer.next_share(0, False) == 0, "looked at, not kept to yet"
+    elder.publish(0.5)
+    assert newer.next_share(0, False) == 0.5
     elder.close()
-    assert newer.look(0, False) == 1
+    assert newer.next_share(0, False) == 1
 
 
 def test_a_process_that_lives_and_is_not_understood_counts_as_half(
@@ -95,7 +102,7 @@
 ) -> None:
     elder, newer = ProcessRegistry(str(tmp_path), "n1"), ProcessRegistry(str(tmp_path), "n1")
     pathlib.Path(elder._path).write_bytes(b"half a wor")
-    assert newer.look(0, False) == 1 - UNREADABLE.part and "not understood" in caplog.text
+    assert newer.next_share(0, False) == 1 - UNREADABLE_RECORD.share and "not understood" in caplog.text
 
 
 # In the module.
@@ -235,10 +242,10 @@
     w.call(old, "/-/bricks/b0/disable")
     w.call(old, "/-/drain")
     new = w.start_daemon()
-    assert new.core.endpoints.disabled == {"b0"} and new.desk and not new.desk.takes
+    assert new.core.endpoints.disabled == {"b0"} and new.desk and not new.desk.accepts_clients
     assert w.call(new, "/-/resume") == "200" and w.call(new, "/-/bricks/b0/enable") == "200"
     w.run(200 * MS)
-    assert not old.core.endpoints.disabled and old.desk and old.desk.takes
+    assert not old.core.endpoints.disabled and old.desk and old.desk.accepts_clients
 
 
 def test_a_new_process_that_fails_its_start_leaves_the_old_one_serving(upgrade: Upgrade) -> None:
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -320,7 +320,7 @@
     link = h.daemon.link
 
     class Newer:
-        newer = True
+        has_successor = True
 
         def close(self) -> None: ...
 
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -18,9 +18,9 @@
 from garnetlanding.emulator import verdict_net
 from garnetlanding.emulator.verdict_model import Scope, explore
 from garnetlanding.http.head import HttpError
-from garnetlanding.ops.file import StateFile
+from garnetlanding.ops.admin_state import AdminState, AdminStateError, decode, encode
 from garnetlanding.ops.replicated_disables import ReplicatedDisables
-from garnetlanding.ops.state import OpsState, StateError, decode, encode
+from garnetlanding.ops.state_file import StateFile
 from garnetlanding.peers import codec
 from garnetlanding.peers.codec import MessageError
 from garnetlanding.peers.coordinator import PeerCoordinator
@@ -356,8 +356,8 @@
     """It dropped every version more than an hour ahead of its own clock: a ban never held there."""
     fleet = FailureDetector(LIMITS)
     fleet.replace_disabled(DisabledBackends(LIMITS))
-    state = shared(fleet).hear(OpsState(), [Record("b1", 1_900_000_000_000, 2, True)])
-    assert state.banned == {"b1"}, "its clock says 1000 ms"
+    state = shared(fleet).merge(AdminState(), [Record("b1", 1_900_000_000_000, 2, True)])
+    assert state.disabled == {"b1"}, "its clock says 1000 ms"
 
 
 def shared(fleet: FailureDetector, me: int = 0) -> ReplicatedDisables:
@@ -367,20 +367,20 @@
 def test_bans_are_kept_on_disk_with_their_versions(tmp_path: pathlib.Path) -> None:
     fleet, file = FailureDetector(LIMITS), StateFile(str(tmp_path), "n1")
     desk = shared(fleet)
-    state = file.change(lambda s: desk.say(s, "b1", True))
-    assert state.banned == {"b1"} and file.load() == state
-    desk.tell(state)
+    state = file.change(lambda s: desk.set_disabled(s, "b1", True))
+    assert state.disabled == {"b1"} and file.load() == state
+    desk.publish(state)
     assert fleet.disabled.records["b1"] == Record("b1", 1000, 0, True)
     later = Record("b1", 2000, 1, False)
-    state = file.change(lambda s: desk.hear(s, [later]))
-    assert not state.banned and state.records == (later,)
-    assert desk.hear(state, [Record("b1", 1500, 2, True)]) == state, "last week's word"
-    older = decode("n1", encode("n1", OpsState(frozenset({"b2"}), records=(later,))))
+    state = file.change(lambda s: desk.merge(s, [later]))
+    assert not state.disabled and state.records == (later,)
+    assert desk.merge(state, [Record("b1", 1500, 2, True)]) == state, "last week's word"
+    older = decode("n1", encode("n1", AdminState(frozenset({"b2"}), records=(later,))))
     assert desk.table(older).disabled_names == {"b2"}, "put out by a process that had no versions"
     with pytest.raises(HttpError, match="bytes"):
-        desk.say(state, "x" * 200, True)
-    with pytest.raises(StateError, match="record"):
-        decode("n1", encode("n1", OpsState(records=(("b", "x", 0, True),))))  # type: ignore[arg-type]
+        desk.set_disabled(state, "x" * 200, True)
+    with pytest.raises(AdminStateError, match="record"):
+        decode("n1", encode("n1", AdminState(records=(("b", "x", 0, True),))))  # type: ignore[arg-type]
 
 
 # Bytes
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from garnetlanding.runtime.listener import Listener
-from garnetlanding.store.cached_endpoints import SERVERS, keep_list, known_list, newer_list
+from garnetlanding.store.cached_endpoints import SERVERS, cache_listing, cached_listing, newest_listing
 from garnetlanding.store.persister import StoreFileError, StorePersister, load, save
-from garnetlanding.store.replica import Follower, FollowerMachine, WriterMachine
+from garnetlanding.store.replica import Follower, FollowerMachine, FollowerOptions, WriterMachine
 from garnetlanding.store.store import Entry, LogGapError, NotWriterError, Snapshot, StaleEpochError, Store
 from tests.helpers import MS, SECOND, World
 
@@ -34,7 +34,7 @@
         if store.revision > before:
             copies.append(store.snapshot())
     assert store.snapshot().values == {k: v for k, v in model.items() if v is not None}
-    entries = store.since(since)
+    entries = store.entries_since(since)
     assert (entries is None) == (since > store.revision or since < store.revision - 5)
     if entries is not None:
         copy = Store("w", False, 5)
@@ -90,13 +90,13 @@
 def test_the_list_is_kept_as_it_changes_and_the_newer_one_wins() -> None:
     store = Store("w", True, 50)
     one, two = ({"instanceId": n, "lifecycle": "SERVING"} for n in ("one", "two"))
-    keep_list(store, {"generation": 5, "reset": True, "instances": [one, two]})
-    keep_list(store, {"generation": 6, "reset": False, "instances": [one | {"lifecycle": "DELETED"}]})
-    assert known_list(store) == {"generation": 6, "reset": True, "instances": [two]}
-    assert newer_list(store, {"generation": 7}) == {"generation": 7}
-    assert newer_list(store, {"generation": 5})["generation"] == 6
-    keep_list(store, {"generation": 8, "reset": True, "instances": [one]})
-    assert list(store.under(SERVERS)) == [SERVERS + "one"]
+    cache_listing(store, {"generation": 5, "reset": True, "instances": [one, two]})
+    cache_listing(store, {"generation": 6, "reset": False, "instances": [one | {"lifecycle": "DELETED"}]})
+    assert cached_listing(store) == {"generation": 6, "reset": True, "instances": [two]}
+    assert newest_listing(store, {"generation": 7}) == {"generation": 7}
+    assert newest_listing(store, {"generation": 5})["generation"] == 6
+    cache_listing(store, {"generation": 8, "reset": True, "instances": [one]})
+    assert list(store.with_prefix(SERVERS)) == [SERVERS + "one"]
 
 
 class Pair(World):
@@ -107,7 +107,9 @@
         self.store = Store("w", True, 4, epoch=10)
         self.copy = Store("w", False, 4)
         self.serve("127.0.0.1:0")
-        self.follower = Follower(self.scheduler, self.listener.address, self.copy, self.pool, self.limits)
+        self.follower = Follower(
+            self.scheduler, self.pool, self.limits, self.copy, FollowerOptions(self.listener.address)
+        )
         self.settle()
 
     def serve(self, address: str) -> None:
