--- /dev/null
+++ b/tests/audit/test_commands.py
@@ -0,0 +1,74 @@
+"""The audit commands and the audit's configuration section."""
+
+from __future__ import annotations
+
+import pathlib
+from typing import Any
+
+import pytest
+
+from garnetlanding import cli, config
+from garnetlanding.audit import report
+from garnetlanding.audit.segment_files import list_segments
+from garnetlanding.audit.setup import read as read_setup
+from tests.helpers import SECOND
+from tests.support.audit import opened
+
+# The command line
+
+
+def test_the_command_line_reads_what_heads_wrote(
+    tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    audit = opened(tmp_path, wall=1_700_000_000_000)
+    for t, version in ((1, "1.1#a"), (2, "1.2#b")):
+        audit.write(
+            {
+                "kind": "change",
+                "t": t * SECOND,
+                "vector": {"settings": version, "out": ""},
+                "changed": ["settings"],
+                "heard": [],
+                "me": 0,
+                "said": 0,
+                "taken": 0,
+            }
+        )
+    audit.close()
+    place = str(tmp_path)
+    assert cli.main(["audit", "verify", place]) == 0
+    assert cli.main(["audit", "verify", place, "--head", "n5", "--json"]) == 1
+    assert cli.main(["audit", "who", place, "--version", "settings=1.2", "--json"]) == 0
+    assert cli.main(["audit", "who", place, "--version", "settings=9.9"]) == 1
+    assert cli.main(["audit", "who", place]) == cli.main(["audit", "who", place, "--version", "x"]) == 2
+    assert cli.main(["audit", "who", place, "--at", "2023-11-14T22:13:20Z"]) == 0
+    assert cli.main(["audit", "who", place, "--at", "yesterday"]) == 2
+    assert (
+        cli.main(["audit", "lag", place])
+        == cli.main(["audit", "show", place, "--chart", str(tmp_path / "c.png")])
+        == 0
+    )
+    assert cli.main(["audit", "merge", place, "--out", str(tmp_path / "all")]) == 0
+    empty = tmp_path / "empty"
+    empty.mkdir()
+    assert cli.main(["audit", "show", str(empty)]) == 2
+    told = capsys.readouterr()
+    assert "no audit in" in told.err and "n5: no files" in told.out and "1.2" in told.out
+    assert len((tmp_path / "all").read_text().splitlines()) == 2
+    assert (tmp_path / "c.png").stat().st_size > 1000
+    assert report.milliseconds("2023-11-14T22:13:20") == 1_700_000_000_000
+    assert list_segments(place)
+
+
+@pytest.mark.parametrize(
+    "data, key",
+    [
+        ({}, "key audit.folder"),
+        ({"folder": "x", "sync": 1}, "key audit.sync"),
+        ({"folder": "x", "checkpoint_s": 0}, "key audit.checkpoint_s"),
+        ({"folder": "x", "y": 1}, "key audit.y"),
+    ],
+)
+def test_a_fault_in_the_section_names_its_key(data: dict[str, Any], key: str) -> None:
+    with pytest.raises(config.ConfigError, match=key):
+        read_setup(data)
--- /dev/null
+++ b/tests/audit/test_recorder.py
@@ -0,0 +1,41 @@
+"""The recorder: what is written before a decision is taken."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from garnetlanding.audit.limits import AuditLimits
+from garnetlanding.audit.recorder import Recorder
+from garnetlanding.audit.records import InstanceState, MessageId
+
+# The recorder
+
+
+def test_a_change_is_recorded_before_anything_is_decided_by_it_and_nothing_else_is() -> None:
+    now, kept = {"settings": "1.1#a", "list": "1"}, list[dict[str, Any]]()
+    received: MessageId | None = None
+    recorder = Recorder(
+        AuditLimits(checkpoint_us=100),
+        {name: lambda name=name: now[name] for name in now},
+        lambda: InstanceState(3, 7, 5, 9, received),
+        kept.append,
+    )
+    recorder.observe(0)
+    for t in range(1, 50):
+        recorder.observe(t)
+    now["settings"], received = "1.2#b", MessageId(2, 8, 4)
+    recorder.observe(50)
+    recorder.observe(149)
+    recorder.observe(150)
+    recorder.change_rejected(160, "settings", "key x")
+    recorder.change_rejected(161, "settings", "key x")
+    recorder.end(170)
+    assert [(r["t"], r["kind"]) for r in kept] == [
+        (0, "change"),
+        (50, "change"),
+        (150, "checkpoint"),
+        (160, "refused"),
+        (170, "end"),
+    ]
+    assert kept[1]["changed"] == ["settings"] and kept[1]["heard"] == [2, 8, 4] and kept[1]["me"] == 3
+    assert kept[0]["vector"]["settings"] == "1.1#a" and kept[1]["vector"]["list"] == "1"
--- /dev/null
+++ b/tests/audit/test_segments.py
@@ -0,0 +1,80 @@
+"""Audit segments: framing, checksums and the chain of records."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from garnetlanding.audit import segments
+from garnetlanding.audit.errors import CorruptSegmentError
+
+PAYLOADS = st.lists(
+    st.dictionaries(st.text(max_size=5), st.integers() | st.text(max_size=9), max_size=4),
+    min_size=1,
+    max_size=6,
+)
+
+
+def built(payloads: list[dict[str, Any]], before: bytes = segments.FIRST_HASH, number: int = 1) -> bytes:
+    data, last = segments.encode_header("n0", 7, number, before), before
+    for payload in payloads:
+        more, last = segments.encode_record(last, payload)
+        data += more
+    return data
+
+
+# The form
+
+
+@given(PAYLOADS)
+def test_what_is_recorded_is_read(payloads: list[dict[str, Any]]) -> None:
+    found = segments.read_segment("f", built(payloads), False)
+    assert (found.instance, found.incarnation, found.number, found.records) == ("n0", 7, 1, payloads)
+
+
+def test_a_segment_cut_at_any_byte_is_torn_there_and_nothing_before_it_is_lost() -> None:
+    payloads = [{"kind": "change", "n": n, "text": "x" * n} for n in range(4)]
+    whole = built(payloads)
+    ends = [len(built(payloads[:n])) for n in range(5)]
+    for cut in range(ends[0], len(whole)):
+        found = segments.read_segment("f", whole[:cut], True)
+        kept = max(n for n in range(5) if ends[n] <= cut)
+        assert found.records == payloads[:kept]
+        assert found.torn_at == (None if cut == ends[kept] else ends[kept])
+        if cut != ends[kept]:
+            with pytest.raises(CorruptSegmentError, match=f"f: offset {ends[kept]}: cut short"):
+                segments.read_segment("f", whole[:cut], False)
+    for cut in range(ends[0]):
+        with pytest.raises(CorruptSegmentError, match="f: offset"):
+            segments.read_segment("f", whole[:cut], True)
+
+
+def test_a_bit_changed_anywhere_is_found() -> None:
+    payloads = [{"kind": "change", "n": n} for n in range(3)]
+    whole = built(payloads)
+    last = len(built(payloads[:2]))
+    for bit in range(len(whole) * 8):
+        bad = bytearray(whole)
+        bad[bit // 8] ^= 1 << bit % 8
+        try:
+            found = segments.read_segment("f", bytes(bad), True)
+        except CorruptSegmentError as problem:
+            assert "f: offset" in str(problem)
+            assert problem.intact is None or all(
+                p in payloads for p in problem.intact.records
+            ), "nothing is guessed"
+        else:
+            # The last record's length says that it goes on: as good as a torn tail, and said so.
+            assert found.torn_at == last and found.records == payloads[:2] and bit // 8 < last + 4
+
+
+def test_a_record_taken_out_or_exchanged_breaks_the_chain() -> None:
+    payloads = [{"n": n} for n in range(3)]
+    ends = [len(built(payloads[:n])) for n in range(4)]
+    whole = built(payloads)
+    without = whole[: ends[1]] + whole[ends[2] :]
+    with pytest.raises(CorruptSegmentError, match="does not follow"):
+        segments.read_segment("f", without, True)
--- a/tests/choices/test_subsets.py
+++ b/tests/choices/test_subsets.py
@@ -1,31 +1,17 @@
-"""Choices of many heads that add up: subsets, turns, budgets of further attempts."""
+"""Subsets of backends: even, stable and spread over zones."""
 
 from __future__ import annotations
 
-import pathlib
 from collections import Counter
-from dataclasses import replace
-from itertools import pairwise
 from typing import Any
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from garnetlanding import config
 from garnetlanding.choices import subsets as module
-from garnetlanding.choices.setup import ChoicesSetup, read
-from garnetlanding.choices.stagger import stagger_offset
-from garnetlanding.choices.subset_tracker import SubsetTracker
 from garnetlanding.choices.subsets import subsets
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box
-from garnetlanding.lab.experiment import load
-from garnetlanding.lab.run import run
-from tests import helpers
-from tests.helpers import SECOND, Peer, World, read_command
 
-ROOT = pathlib.Path(__file__).parents[2]
 FLEETS = st.sets(st.integers(0, 60), min_size=1, max_size=24)
 SERVERS = st.dictionaries(
     st.integers(0, 60).map("s{}".format), st.sampled_from("abc"), min_size=1, max_size=24
@@ -177,85 +163,3 @@
         for k in (2, 3, 5, 7)
     ]
     assert any(laws(*fleet) for fleet in fleets)
-
-
-# Turns
-
-
-@given(st.integers(1, 300), st.text(max_size=9))
-def test_turns_are_evenly_spaced_and_no_head_is_always_last(heads: int, signal: str) -> None:
-    places = sorted(stagger_offset(number, heads, signal) for number in range(heads))
-    assert all(0 <= place < 1 for place in places)
-    assert all(b - a == pytest.approx(1 / heads) for a, b in pairwise(places))
-    wrong = [stagger_offset(number, 2 * heads, signal) for number in range(heads)]
-    assert len(set(wrong)) == heads, "wrong by a factor of two: half of the span, one after another"
-
-
-def test_the_order_of_turns_changes_with_the_signal() -> None:
-    last = {max(range(10), key=lambda n: stagger_offset(n, 10, f"signal {i}")) for i in range(60)}
-    assert len(last) >= 8 and stagger_offset(3, 0) == 0.0
-
-
-# In the head
-
-
-def test_the_kept_servers_are_looked_up_again_only_when_something_has_changed() -> None:
-    kept, servers = SubsetTracker(2), {f"s{i}": "a" for i in range(6)}
-    first = kept.update(1, range(4), servers)
-    assert len(first) == 2 and kept.update(1, [3, 2, 1, 0], dict(servers)) == first and kept.changes == 1
-    assert len(kept.update(1, range(4), servers | {"s9": "b"})) == 2 and kept.changes == 2
-    assert kept.update(9, range(4), servers) == frozenset(), "it has been put out"
-
-
-def test_idle_connections_are_kept_to_some_servers_only() -> None:
-    w = World()
-    bricks = [w.server(Brick), w.server(Brick)]
-    w.list(Box("n0", bricks[0].address, 0), Box("n1", bricks[1].address, 1))
-    w.bricks.keeps, w.bricks.outside_idle_us = lambda: frozenset({"n1"}), SECOND
-    peer = Peer(w, w.front().address)
-    assert all(peer.say(read_command(f"r{cell}", cell=cell)).startswith(b"$") for cell in (0, 1))
-    assert [len(brick.conns) for brick in bricks] == [1, 1]
-    w.run(3 * SECOND)
-    assert [len(brick.conns) for brick in bricks] == [0, 1], "n0 is asked on a new one when it is asked again"
-    assert peer.say(read_command("r2")).startswith(b"$")
-
-
-@pytest.mark.parametrize(
-    "data, key",
-    [
-        ({"subset": 1.5}, "key choices.subset: expected a whole"),
-        ({"subset": -1}, "key choices.subset"),
-        ({"idle_s": 0}, "key choices.idle_s"),
-        ({"resend_share": "x"}, "key choices.resend_share"),
-        ({"turns": 1}, "key choices.turns: not known"),
-    ],
-)
-def test_a_fault_in_the_section_names_its_key(data: dict[str, Any], key: str) -> None:
-    with pytest.raises(config.ConfigError, match=key):
-        read(data)
-
-
-def test_a_budget_of_further_attempts_is_the_operators_where_the_settings_have_none() -> None:
-    plain = helpers.settings()
-    chosen = ChoicesSetup(retry_budget_ratio=0.1, retry_budget_floor=3, retry_budget_window_us=5 * SECOND)
-    used = chosen.with_retry_budget(plain)
-    assert (used.retry_budget_ratio, used.retry_budget_floor, used.retry_budget_window_us) == (
-        0.1,
-        3,
-        5 * SECOND,
-    )
-    theirs = replace(plain, retry_budget_ratio=0.5, retry_budget_window_us=SECOND)
-    assert chosen.with_retry_budget(theirs) == theirs and ChoicesSetup().with_retry_budget(plain) == plain
-
-
-# Processes
-
-
-@pytest.mark.parametrize("name", ["subset", "resend-budget"])
-def test_choices_of_real_processes_add_up(name: str, tmp_path: pathlib.Path) -> None:
-    """Eight heads, of which one joins, one leaves and one is cut off; six whose connections break."""
-    result = run(load(str(ROOT / "experiments" / f"{name}.toml")), tmp_path / "run")
-    assert result.findings.sound, result.findings.broken
-    assert result.findings.outcomes["served"] > 0
-    if name == "resend-budget":
-        assert result.findings.attempts > result.findings.outcomes["served"], "some did run again"
--- /dev/null
+++ b/tests/config/test_config.py
@@ -0,0 +1,146 @@
+"""Configuration files: the platform's and the operators', their limits and their errors."""
+
+from __future__ import annotations
+
+import pathlib
+import tomllib
+from typing import Any
+
+import pytest
+
+from example import __main__ as example
+from garnetlanding import config
+from garnetlanding.daemon import Daemon
+from garnetlanding.decision.interface import Effect
+from garnetlanding.store.cached_endpoints import SETTINGS as SETTINGS_KEY
+from garnetlanding.store.setup import StoreSetup
+from tests.helpers import MS, SECOND, T0
+from tests.support.daemon import BASE, EXPORT, NINEP, SETTINGS
+
+ROOT = pathlib.Path(__file__).parents[2]
+
+
+def one_export(**change: Any) -> dict[str, Any]:
+    return {"ninep": NINEP | {"export": [EXPORT | change]}}
+
+
+def test_the_platforms_configuration_is_read_with_its_limits() -> None:
+    c = config.read(BASE)
+    assert (c.name, c.seed, c.settings.max_attempts) == ("n1", 0x8C1F30D27A5BE964, 4)
+    assert (
+        c.settings.may_cancel
+        and c.settings.poll_endpoints
+        and c.settings.classes["read"].latency_objective_us == 300_000
+    )
+    assert (c.limits.brick_idle_us, c.limits.dial_us) == (16 * SECOND, 300 * MS)
+    assert (c.limits.client_conns, c.limits.brick_conns, c.limits.brick_conns_kept) == (822, 341, 170)
+    both = config.read(BASE, {"ninep": NINEP}).limits
+    assert both.client_conns + both.ninep_conns + both.ninep_server_conns == c.limits.client_conns
+    assert c.operator == config.OperatorConfig(store=StoreSetup(writer="n1")), "all else is off"
+
+
+@pytest.mark.parametrize(
+    "change, key",
+    [
+        ({"name": ""}, "key name"),
+        ({"listen": "nowhere"}, "key listen"),
+        ({"seed": "xyz"}, "key seed"),
+        ({"settings": None}, "key settings"),
+        ({"settings": SETTINGS | {"Me": "zero"}}, "key settings: setting Me"),
+        ({"limits": {"sockets": 5}}, "key limits.sockets"),
+        ({"limits": {"memory_mb": "x"}}, "limits.memory_mb"),
+        ({"known": {"instances": [{}]}}, "key known: field lifecycle"),
+        ({"limits": 7}, "key limits"),
+    ],
+)
+def test_a_fault_in_the_configuration_names_its_key(change: dict[str, Any], key: str) -> None:
+    with pytest.raises(config.ConfigError, match=key):
+        config.read(BASE | change)
+
+
+@pytest.mark.parametrize(
+    "operator, key",
+    [
+        ({"nine": {}}, "key nine: not known"),
+        ({"ninep": {"listen": "x:1"}}, "key ninep.export"),
+        ({"ninep": NINEP | {"listen": "x"}}, "key ninep.listen"),
+        ({"ninep": NINEP | {"server_port": 70000}}, "key ninep.server_port"),
+        ({"ninep": NINEP | {"export": [EXPORT, EXPORT]}}, "key ninep.export.1.name"),
+        (one_export(plan="x"), "ninep.export.0.plan"),
+        (
+            {"ninep": NINEP | {"clients": 700}},
+            "key ninep.clients: 700 and 68 server connections leave 54 of 822",
+        ),
+        ({"ninep": NINEP | {"server_dialect": "9P3"}}, "key ninep.server_dialect"),
+        (one_export(access="rwx"), "ninep.export.0.access"),
+        (one_export(change_class="read"), "ninep.export.0.change_class: nothing changes"),
+        (one_export(access="rw", change_class="x"), "ninep.export.0.change_class"),
+        (one_export(access="rw", change_deadline_ms=0), "ninep.export.0.change_deadline_ms"),
+        (one_export(unit_bytes=0), "ninep.export.0.unit_bytes"),
+        ({"telemetry": {"endpoint": "https://x:1"}}, "key telemetry.endpoint"),
+        ({"telemetry": {"endpoint": "http://x"}}, "key telemetry.endpoint"),
+        ({"store": {"role": "leader"}}, "key store.role"),
+        ({"store": {"role": "writer", "writer": "n2", "address": "x:1"}}, "key store.writer"),
+    ],
+)
+def test_a_fault_in_an_operators_file_names_its_key(operator: dict[str, Any], key: str) -> None:
+    with pytest.raises(config.ConfigError, match=key):
+        config.read(BASE, operator)
+
+
+def test_a_small_machine_has_less_of_everything() -> None:
+    """Sizes were fixed: 4,096 buffers alone are the 32 MB that the smallest heads get."""
+    small = config.read(BASE | {"limits": {"memory_mb": 32, "sockets": 256}}).limits
+    assert small.client_conns + small.brick_conns_kept + small.spare_sockets == 256
+    assert small.client_conns >= 256 // 3
+    assert (
+        small.program_bytes
+        + small.pool_most * small.buffer_bytes
+        + small.open_bytes
+        + small.open_items * small.item_bytes
+        + small.record_bytes * (small.store_log_entries + small.telemetry_queue)
+    ) <= 32 << 20
+    busy = small.linger_conns + small.ops_linger_conns + 8  # standard streams, listeners, signals, discovery
+    assert busy <= small.spare_sockets
+    assert small.open_items >= small.client_conns and small.out_bytes > 2 * small.value_bytes
+    with pytest.raises(config.ConfigError, match="limits.memory_mb"):
+        config.read(BASE | {"limits": {"memory_mb": 31, "sockets": 256}})
+
+
+def test_the_operators_file_that_is_delivered_is_sound() -> None:
+    text = (ROOT / "deploy/operator.toml").read_text().replace("#[", "[")
+    lines = [line[1:] if line[:1] == "#" and " = " in line else line for line in text.splitlines()]
+    settings = SETTINGS | {
+        "Classes": [SETTINGS["Classes"][0] | {"Name": name} for name in ("segment-read", "draft-save")],
+        "Contracts": [SETTINGS["Contracts"][0] | {"Name": "standard"}],
+    }
+    parsed = tomllib.loads("\n".join(lines))
+    c = config.read(BASE | {"name": "n2", "settings": settings}, parsed)
+    assert c.operator.ninep and c.operator.telemetry and c.operator.store.role == "follower"
+
+
+def test_the_examples_files_are_sound_and_fit_its_servers() -> None:
+    c = config.load(str(ROOT / "example/config.json"), str(ROOT / "example/operator.toml"), env={})
+    assert c.operator.ninep and c.operator.ninep.server_port == int(example.FILES.rpartition(":")[2])
+    assert c.discovery == example.DISCOVERY
+    pair = [config.load(str(ROOT / f"example/pushed-{me}.json"), env={}) for me in (0, 1)]
+    assert [c.settings.instance_id for c in pair] == [0, 1] and not any(
+        c.settings.poll_endpoints for c in pair
+    )
+    for c, other in zip(pair, reversed(pair), strict=True):
+        assert c.peers and other.peers and list(c.peers.peers.values()) == [other.peers.listen]
+        assert c.discovery == example.DISCOVERY
+
+
+def test_an_export_that_may_be_changed_has_a_twin_class_that_forbids_a_repeat() -> None:
+    operator = one_export(access="rw", change_deadline_ms=2000)
+    daemon = Daemon(config.read(BASE, operator), lambda: T0)
+    twin = daemon.core.settings.classes["read/once"]
+    assert (
+        twin.effect is Effect.UNSAFE
+        and twin.priority_weight == daemon.core.settings.classes["read"].priority_weight
+    )
+    assert "read/once" not in Daemon(config.read(BASE, one_export()), lambda: T0).core.settings.classes
+    daemon.store.put(SETTINGS_KEY, SETTINGS)
+    daemon.core.run_iteration()
+    assert "read/once" in daemon.core.settings.classes, "also after a reload"
--- /dev/null
+++ b/tests/core/test_client_departures.py
@@ -0,0 +1,132 @@
+"""Clients that leave while requests of theirs are queued or in flight."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import pytest
+
+from garnetlanding.ninep import codec as p9
+from garnetlanding.resp import codec
+from garnetlanding.runtime.buffers import PoolEmpty
+from tests.helpers import MS, SECOND, NineWorld, Tool, World, heard, read_command
+from tests.support.departures import PING, QUIT, Raw, Waiting, connect_late
+
+BAD = codec.command([b"NO"])
+
+
+LEAVE: dict[str, Callable[[Raw], None]] = {
+    "fin": Raw.fin,
+    "reset": Raw.abort,
+    "fin behind bytes": Raw.fin_behind_bytes,
+}
+
+
+# Clients that leave
+
+
+@pytest.mark.parametrize("how", LEAVE)
+@pytest.mark.parametrize("busy_with", [b"", BAD, QUIT, b"?\r\n", read_command("half")[:-9]])
+def test_a_client_that_left_while_it_waited_is_not_sent_on(how: str, busy_with: bytes) -> None:
+    """After a bad command the connection was not read for 0.2 s, after QUIT no more: nobody saw the FIN."""
+    w = Waiting()
+    client = Raw(w, w.listener.address)
+    client.say(read_command(d=1400) + busy_with)
+    LEAVE[how](client)
+    w.run(100 * MS)
+    w.appear()
+    w.run(SECOND, 50 * MS)
+    assert not w.brick.heard and w.core.open_requests == 0
+
+
+@pytest.mark.parametrize("how", LEAVE)
+def test_no_further_attempt_begins_for_a_client_that_left_between_two(how: str) -> None:
+    w = Waiting()
+    w.appear()
+    w.brick.script = [b"-BUSY\r\n"]
+    client = Raw(w, w.listener.address)
+    client.say(read_command(d=1400) + BAD)
+    assert len(w.brick.heard) == 1
+    LEAVE[how](client)
+    w.run(SECOND)
+    assert len(w.brick.heard) == 1 and w.core.open_requests == 0
+
+
+def test_a_client_that_leaves_while_its_connection_comes_up_is_not_sent_on(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    w = Waiting()
+    w.appear()
+    client = Raw(w, w.listener.address)
+    connect_late(w, monkeypatch)
+    client.say(read_command(d=1400))
+    assert w.core.starts
+    client.fin()
+    w.run(SECOND)
+    assert not w.brick.heard
+
+
+def test_a_crowd_that_leaves_in_the_turn_in_which_its_brick_appears_is_not_sent_on() -> None:
+    w = Waiting()
+    crowd = [Raw(w, w.listener.address) for _ in range(40)]
+    for n, client in enumerate(crowd):
+        client.say(read_command(f"r{n}", d=1400, volume=f"v{n}") + (BAD if n % 2 else QUIT))
+    for client in crowd:
+        client.fin()
+    w.appear()
+    w.run(SECOND)
+    assert not w.brick.heard and w.core.open_requests == 0 and len(w.listener) == 0
+
+
+def test_where_buffers_have_run_out_a_leaver_is_seen_and_what_is_owed_is_answered() -> None:
+    """A read needed a buffer: without one the connection was closed, and its open requests got no answer."""
+    w = Waiting()
+    leaver, stays = Raw(w, w.listener.address), Raw(w, w.listener.address)
+    leaver.say(read_command("r1", d=1400))
+    stays.say(read_command("r2", d=1400))
+    with pytest.raises(PoolEmpty):
+        while True:
+            w.pool.take()
+    leaver.fin()
+    w.settle()
+    assert w.core.open_requests == 1
+    stays.say(read_command("r3")[:-9])
+    assert (
+        stays.read().startswith(b"-ERR out of buffers\r\n-ERR out of buffers\r\n")
+        and w.core.open_requests == 0
+    )
+
+
+def test_messages_that_wait_behind_others_are_dropped_with_their_client() -> None:
+    """9P takes a few messages a turn and reads nothing meanwhile: a client that had left was worked for."""
+    w = NineWorld(ninep_items=64)
+    tool = Tool(w)
+    tool.open(1, "sv", "law", "terms")
+    before = len(heard(w, p9.Tread))
+    assert tool.stream
+    tool.stream.write(b"".join(p9.encode(10 + n, p9.Tread(1, n * 64, 64)) for n in range(60)))
+    for _ in range(4):
+        w.scheduler.turn(1)
+    assert tool.stream
+    tool.stream.close()
+    begun = len(w.core.starts)
+    w.settle()
+    assert len(w.core.starts) <= begun + w.limits.ninep_turn, "what the turn of its leaving had begun already"
+    assert len(heard(w, p9.Tread)) - before <= begun + w.limits.ninep_turn
+
+
+def test_a_flood_leaves_others_their_turn() -> None:
+    """Whoever sent without a pause was read without one: nobody else was heard until it drew breath."""
+    w = World(read_turn_bytes=16 << 10)
+    front = w.front()
+    flood = Raw(w, front.address)
+    [head_end] = front._clients
+    sent = 0
+    while True:
+        try:
+            sent += flood.sock.send(PING * 2000)
+        except BlockingIOError:
+            break
+    assert sent > 16 * w.limits.read_turn_bytes
+    w.scheduler.turn(1)
+    assert 0 < head_end.machine.taken * len(PING) <= w.limits.read_turn_bytes + w.limits.buffer_bytes
--- /dev/null
+++ b/tests/daemon/test_reload.py
@@ -0,0 +1,85 @@
+"""Reloading the configuration of a running daemon."""
+
+from __future__ import annotations
+
+import os
+import signal
+from typing import Any
+
+import pytest
+
+from garnetlanding.emulator.discovery import Box, Discovery
+from garnetlanding.store.cached_endpoints import SETTINGS as SETTINGS_KEY
+from tests.helpers import MS, SECOND, read_command
+from tests.support.daemon import SETTINGS, Head, handlers_put_back
+
+
+def test_a_reload_follows_the_new_discovery_at_once_while_requests_run_on() -> None:
+    h = Head()
+    h.brick.script = [None]
+    client = h.client()
+    client.say(read_command(d=1400))
+    second = h.server(Discovery)
+    second.boxes = [Box("b0", h.brick.address, 0), Box("b1", h.brick.address, 1)]
+    # The environment still has the old address: it must not hide what the file newly says.
+    h.file = h.file | {"discovery": second.address}
+    h.daemon.reload()
+    h.settle()
+    assert second.calls == ["/v1/servers?follow=1&since=0"], "another's versions mean nothing here"
+    assert not h.discovery.conns and h.daemon.core.endpoints.address_of("b1")
+    h.brick.release()
+    h.settle()
+    assert client.got == b"$0\r\n\r\n" and not client.closed
+    h.daemon.reload()
+    h.settle()
+    assert len(second.calls) == 1, "nothing new in the file: the watch goes on"
+
+
+def test_a_reload_takes_up_new_settings_through_the_store() -> None:
+    h = Head()
+    h.file = h.file | {
+        "listen": "127.0.0.1:1",
+        "settings": SETTINGS | {"Classes": [SETTINGS["Classes"][0] | {"Name": "scan"}]},
+    }
+    h.daemon.reload()
+    h.settle()
+    assert h.client().say(read_command(cls="scan")) == b"$0\r\n\r\n"
+    assert h.client().say(read_command()) == b"-ERR unknown class\r\n"
+    assert h.daemon.store.get(SETTINGS_KEY)["Classes"][0]["Name"] == "scan"
+
+
+@pytest.mark.parametrize(
+    "change, key",
+    [
+        ({"discovery": "nowhere"}, "key discovery"),
+        ({"settings": {}}, "key settings"),
+        ({"seed": "x"}, "key seed"),
+    ],
+)
+def test_a_bad_file_is_logged_and_the_old_stands(
+    change: dict[str, Any], key: str, caplog: pytest.LogCaptureFixture
+) -> None:
+    h = Head()
+    before, calls = h.daemon.config, len(h.discovery.calls)
+    h.file = h.file | {"discovery": "127.0.0.1:9"} | change
+    h.daemon.reload()
+    h.settle()
+    [record] = [r for r in caplog.records if "turned away" in r.message]
+    assert key in str(record.__dict__["kv"]["why"]) and h.daemon.config is before
+    assert len(h.discovery.calls) == calls and h.client().say(read_command()) == b"$0\r\n\r\n"
+
+
+def test_a_signal_to_end_still_works_after_one_to_reload() -> None:
+    """SIGHUP had no handler and ended the process; the signal pipe was read for the end alone."""
+    with handlers_put_back():
+        h = Head()
+        h.daemon._catch_signals()
+        second = h.server(Discovery)
+        h.file = h.file | {"discovery": second.address}
+        os.kill(os.getpid(), signal.SIGHUP)
+        h.settle()
+        assert len(second.calls) == 1 and not h.daemon.scheduler._stopped
+        os.kill(os.getpid(), signal.SIGHUP)
+        os.kill(os.getpid(), signal.SIGTERM)
+        h.run(SECOND, 50 * MS)
+        assert h.daemon.scheduler._stopped
--- /dev/null
+++ b/tests/daemon/test_store_roles.py
@@ -0,0 +1,60 @@
+"""A daemon as the store's writer and as a follower, and its restart from the stored endpoint list."""
+
+from __future__ import annotations
+
+import json
+import pathlib
+
+import pytest
+
+from garnetlanding import config
+from garnetlanding.daemon import Daemon
+from garnetlanding.emulator.discovery import Box
+from garnetlanding.store.cached_endpoints import SERVERS
+from garnetlanding.store.cached_endpoints import SETTINGS as SETTINGS_KEY
+from garnetlanding.store.persister import load
+from garnetlanding.store.store import Entry, Snapshot
+from tests.helpers import MS, SECOND, T0
+from tests.support.daemon import BASE, SETTINGS, Head
+
+
+def test_a_follower_takes_up_what_its_writer_changes(caplog: pytest.LogCaptureFixture) -> None:
+    h = Head({"store": {"role": "follower", "writer": "n0", "address": "127.0.0.1:9"}})
+    theirs = SETTINGS | {"Limits": SETTINGS["Limits"] | {"MaxAttempts": 2}, "Balancers": 3, "Me": 2}
+    h.daemon.store.restore(Snapshot(5, 1, {SETTINGS_KEY: theirs}))
+    assert h.daemon.core._settings.max_attempts == 2
+    assert (
+        h.daemon.core.settings.instance_id == 0
+    ), "the writer's number is the writer's: heads would all be one"
+    h.daemon.store.apply(5, Entry(2, SETTINGS_KEY, {}))
+    assert h.daemon.core._settings.max_attempts == 2 and "settings not taken" in caplog.text
+
+
+def test_a_restarted_head_knows_its_list_and_settings_from_its_store(tmp_path: pathlib.Path) -> None:
+    path = str(tmp_path / "store.json")
+    operator = {"store": {"role": "alone", "file": path}}
+    first = Head(operator)
+    first.discovery.tell(Box("b9", first.brick.address, 5))
+    first.run(SECOND, 100 * MS)
+    kept = load(path)
+    assert kept and SERVERS + "b9" in kept.values
+    second = Daemon(config.read(BASE, operator), lambda: T0)
+    assert second.core.endpoints.address_of("b9") is None, "the list of the configuration is newer"
+    older = BASE | {"known": BASE["known"] | {"generation": 1}}
+    third = Daemon(config.read(older, operator), lambda: T0)
+    assert third.core.endpoints.address_of("b9") and third.store.epoch > kept.epoch
+
+
+def test_a_follower_takes_its_writers_settings(tmp_path: pathlib.Path) -> None:
+    path = tmp_path / "store.json"
+    theirs = SETTINGS | {"Limits": SETTINGS["Limits"] | {"MaxAttempts": 2}}
+    path.write_text(json.dumps({"epoch": 5, "revision": 1, "values": {"config/settings": theirs}}))
+    operator = {"store": {"role": "follower", "writer": "n0", "address": "127.0.0.1:9", "file": str(path)}}
+    assert Daemon(config.read(BASE, operator), lambda: T0).core._settings.max_attempts == 2
+
+
+def test_a_writer_is_followed_over_its_own_listener() -> None:
+    h = Head({"store": {"role": "writer", "writer": "n1", "address": "127.0.0.1:0"}})
+    told = h.client(1).say(b'{"follow": [0, -1]}\n').split(b"\n")
+    assert json.loads(told[0])["writer"][0] == "n1"
+    assert "config/settings" in json.loads(told[1])["snapshot"][1]
--- /dev/null
+++ b/tests/discovery/test_listing.py
@@ -0,0 +1,42 @@
+"""Entries of the endpoint list and their checks."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from garnetlanding.decision.interface import EndpointState
+from garnetlanding.discovery.listing import ListError, read_list
+from garnetlanding.emulator.discovery import Box
+from tests.helpers import SECOND
+
+ENTRY = Box("s-1", "10.1.0.18:6379", 3).entry()
+
+
+def test_an_entry_in_the_cores_terms() -> None:
+    entry = ENTRY | {"startedAtMs": 1_700_000_000_000, "lifecycle": "DRAINING"}
+    version, listing = read_list(
+        {"generation": 41, "reset": True, "instances": [entry]}, lambda us: us - 1_699_999_999_000_000
+    )
+    assert (version, listing.complete, listing.addresses) == (41, True, {"s-1": "10.1.0.18:6379"})
+    [told] = listing.entries
+    assert (told.state, told.cell, told.started_us) == (EndpointState.DRAINING, 3, SECOND)
+    long_ago = read_list({"instances": [ENTRY]}, lambda us: us - 5)[1].entries[0]
+    assert long_ago.started_us == 0, "0 means long ago on any clock"
+
+
+@pytest.mark.parametrize(
+    "change, field",
+    [
+        ({"lifecycle": "ASLEEP"}, "lifecycle"),
+        ({"cell": "x"}, "cell"),
+        ({"cell": True}, "cell"),
+        ({"instanceId": None}, "instanceId"),
+        ({"hostPort": 5}, "hostPort"),
+        ({"startedAtMs": []}, "startedAtMs"),
+    ],
+)
+def test_a_bad_entry_names_its_field(change: dict[str, Any], field: str) -> None:
+    with pytest.raises(ListError, match=field):
+        read_list({"instances": [ENTRY | change]}, lambda us: us)
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -1,104 +1,20 @@
-"""The HTTP parser at any split, the list's checks, and watches that break or fall silent."""
+"""Watches and polls of discovery that break, fall silent or come late."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
 import pytest
-from hypothesis import given
-from hypothesis import strategies as st
 
 from garnetlanding.core.endpoint_registry import EndpointRegistry
 from garnetlanding.core.ports import EndpointListing
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.interface import Endpoint, EndpointState
-from garnetlanding.discovery.listing import ListError, read_list
 from garnetlanding.discovery.watch import Watch
 from garnetlanding.emulator.discovery import Box, Discovery, DiscoveryConn
-from garnetlanding.http.response import HttpError, ResponseParser
 from garnetlanding.limits import Limits
-from garnetlanding.runtime.buffers import BufferPool
 from tests.helpers import MS, SECOND, Bench, World, settings, up
 
-ENTRY = Box("s-1", "10.1.0.18:6379", 3).entry()
-
-
-def parser() -> ResponseParser:
-    return ResponseParser(BufferPool(16, 4, 1 << 12), Limits())
-
-
-@given(st.lists(st.binary(min_size=1, max_size=50), max_size=6), st.booleans(), st.lists(st.integers(1, 40)))
-def test_a_body_is_read_alike_however_it_is_cut(parts: list[bytes], chunked: bool, sizes: list[int]) -> None:
-    body = b"".join(parts)
-    if chunked:
-        head = b"Transfer-Encoding: chunked\r\n\r\n"
-        data = head + b"".join(b"%x;x=y\r\n%b\r\n" % (len(p), p) for p in parts) + b"0\r\nTrailer: 1\r\n\r\n"
-    else:
-        data = b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
-    data = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n" + data
-    http, got = parser(), b""
-    for size in [*sizes, len(data)]:
-        got += b"".join(http.feed(data[:size]))
-        data = data[size:]
-    assert (got, http.status, http.done) == (body, 200, True)
-
-
-@pytest.mark.parametrize(
-    "data",
-    [
-        b"SSH-2.0\r\n",
-        b"HTTP/1.1 OK 200\r\n",
-        b"HTTP/1.1 200 OK\r\nno colon\r\n",
-        b"x" * 9000,
-        b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
-        b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 65,
-        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
-        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
-    ],
-)
-def test_what_is_not_http_is_an_error(data: bytes) -> None:
-    with pytest.raises(HttpError):
-        list(parser().feed(data))
-
-
-def test_only_a_body_without_a_length_may_end_with_its_stream() -> None:
-    http = parser()
-    assert list(http.feed(b"HTTP/1.1 200 OK\r\n\r\nabc")) == [b"abc"]
-    http.end()
-    short = parser()
-    list(short.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"))
-    with pytest.raises(HttpError, match="cut short"):
-        short.end()
-
-
-def test_an_entry_in_the_cores_terms() -> None:
-    entry = ENTRY | {"startedAtMs": 1_700_000_000_000, "lifecycle": "DRAINING"}
-    version, listing = read_list(
-        {"generation": 41, "reset": True, "instances": [entry]}, lambda us: us - 1_699_999_999_000_000
-    )
-    assert (version, listing.complete, listing.addresses) == (41, True, {"s-1": "10.1.0.18:6379"})
-    [told] = listing.entries
-    assert (told.state, told.cell, told.started_us) == (EndpointState.DRAINING, 3, SECOND)
-    long_ago = read_list({"instances": [ENTRY]}, lambda us: us - 5)[1].entries[0]
-    assert long_ago.started_us == 0, "0 means long ago on any clock"
-
-
-@pytest.mark.parametrize(
-    "change, field",
-    [
-        ({"lifecycle": "ASLEEP"}, "lifecycle"),
-        ({"cell": "x"}, "cell"),
-        ({"cell": True}, "cell"),
-        ({"instanceId": None}, "instanceId"),
-        ({"hostPort": 5}, "hostPort"),
-        ({"startedAtMs": []}, "startedAtMs"),
-    ],
-)
-def test_a_bad_entry_names_its_field(change: dict[str, Any], field: str) -> None:
-    with pytest.raises(ListError, match=field):
-        read_list({"instances": [ENTRY | change]}, lambda us: us)
-
 
 class WatchWorld(World):
     def __init__(self, pushed: bool = False) -> None:
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -60,9 +60,9 @@
 from garnetlanding.peers.shared_budgets import SharedBudgets
 from garnetlanding.telemetry.exporter import Exporter
 from garnetlanding.telemetry.setup import Collector
-from tests.daemon.test_daemon import Head
 from tests.helpers import MS, SECOND, World, read_command
 from tests.peers.test_coordinator import TELLS
+from tests.support.daemon import Head
 
 GOLDEN = pathlib.Path(__file__).parent / "records"
 AUDITS = GOLDEN / "audit"
--- /dev/null
+++ b/tests/integration/test_fencing.py
@@ -0,0 +1,54 @@
+"""Fencing of instances: by an operator, and by staleness among real processes."""
+
+from __future__ import annotations
+
+import pathlib
+
+from garnetlanding.audit import merge
+from garnetlanding.audit.limits import LIMITS
+from garnetlanding.audit.segment_reader import read_segments
+from garnetlanding.lab.experiment import load
+from garnetlanding.lab.run import run
+from tests.helpers import SECOND
+
+ROOT = pathlib.Path(__file__).parents[2]
+
+
+def test_an_operator_shuts_a_head_out_from_another_and_lets_it_in_from_a_third(
+    tmp_path: pathlib.Path,
+) -> None:
+    result = run(load(str(ROOT / "experiments" / "shut-out.toml")), tmp_path / "run")
+    assert result.findings.sound, result.findings.broken
+    called = [(line["kind"], line["status"]) for line in result.lines if line["what"] == "called"]
+    assert called == [
+        ("shut-out", 200),
+        ("shut-out", 200),
+        ("shut-out", 400),
+        ("let-in", 200),
+        ("let-in", 200),
+    ]
+    words = [(line["who"], line["out"]) for line in result.lines if line["what"] == "current"]
+    assert ("n1", True) in words and ("n3", True) in words and not any(who == "n0" for who, _ in words)
+    last = {line["who"]: line["out"] for line in result.lines if line["what"] == "current"}
+    assert last == {"n1": False, "n3": False}
+    late = result.began + 9 * SECOND
+    assert any(
+        line["what"] == "answered"
+        and line["who"] == "n1"
+        and line["outcome"] == "served"
+        and line["t"] > late
+        for line in result.lines
+    )
+
+
+def test_stragglers_among_real_processes_stop_in_time_and_the_audit_says_who_used_what(
+    tmp_path: pathlib.Path,
+) -> None:
+    result = run(load(str(ROOT / "experiments" / "stragglers.toml")), tmp_path / "run")
+    assert result.findings.sound, result.findings.broken
+    assert result.findings.audited > 500 and result.findings.outcomes["served"] > 500
+    outs = [line for line in result.lines if line["what"] == "current" and line["out"]]
+    assert {"n1", "n2", "n3"} <= {line["who"] for line in outs}
+    fleet = merge.merge(read_segments([str(tmp_path / "run" / "audit")]).segments, LIMITS)
+    assert [p for p in fleet.problems if ": nothing for" not in p] == []
+    assert any(p.startswith("n3: nothing for") for p in fleet.problems), "it stood still for 3.5 s"
--- a/tests/integration/test_process_signals.py
+++ b/tests/integration/test_process_signals.py
@@ -18,8 +18,8 @@
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box, Discovery, DiscoveryConn
 from garnetlanding.resp import codec
-from tests.daemon.test_daemon import BASE, SETTINGS
 from tests.helpers import World
+from tests.support.daemon import BASE, SETTINGS
 
 ROOT = pathlib.Path(__file__).parents[2]
 PING = codec.command([b"PING"])
--- /dev/null
+++ b/tests/integration/test_rolling_upgrade.py
@@ -0,0 +1,124 @@
+"""A rolling upgrade: two daemons of one instance on one clock."""
+
+from __future__ import annotations
+
+import pathlib
+
+import pytest
+
+from garnetlanding import config
+from garnetlanding.daemon import Daemon
+from garnetlanding.emulator.brick import Brick
+from garnetlanding.emulator.discovery import Box
+from tests.helpers import MS, SECOND, Peer, World, read_command
+from tests.support.daemon import BASE
+
+PING = b"*1\r\n$4\r\nPING\r\n"
+
+
+# A whole upgrade, two daemons on one clock.
+
+
+class Upgrade(World):
+    def __init__(self, folder: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
+        super().__init__()
+        monkeypatch.setattr("garnetlanding.daemon.tempfile.gettempdir", lambda: str(folder))
+        self.brick = self.server(Brick)
+        probe = self.front()
+        self.address = probe.address
+        probe.stop_accepting()
+        self.settle()
+        self.daemons: list[Daemon] = []
+
+    def start_daemon(self) -> Daemon:
+        daemon = Daemon(
+            config.read(
+                BASE
+                | {
+                    "listen": self.address,
+                    "ops": "127.0.0.1:0",
+                    "known": {
+                        "generation": 4,
+                        "reset": True,
+                        "instances": [Box("b0", self.brick.address, 0).entry()],
+                    },
+                }
+            ),
+            clock=lambda: self.time,
+        )
+        daemon.start()
+        self.daemons.append(daemon)
+        self.settle()
+        return daemon
+
+    def settle(self) -> None:
+        quiet = 0
+        while quiet < 3:
+            busy = self.scheduler.turn(1)
+            for daemon in getattr(self, "daemons", []):
+                busy = (not daemon.scheduler._stopped and daemon.scheduler.turn(0)) or busy
+            quiet = 0 if busy else quiet + 1
+
+    def call(self, daemon: Daemon, what: str, method: str = "POST") -> str:
+        assert daemon.ops is not None
+        return self.peer(daemon.ops.address).say(f"{method} {what} HTTP/1.1\r\n\r\n".encode()).decode()[9:12]
+
+
+@pytest.fixture
+def upgrade(tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> Upgrade:
+    return Upgrade(tmp_path, monkeypatch)
+
+
+def test_a_new_process_takes_over_and_no_request_is_lost(upgrade: Upgrade) -> None:
+    w = upgrade
+    old = w.start_daemon()
+    w.run(2 * SECOND)
+    assert w.call(old, "/-/ready", "GET") == "200"
+    clients = [w.peer(w.address) for _ in range(6)]
+    for i, client in enumerate(clients):
+        assert client.say(read_command(f"a{i}")).startswith(b"$")
+    new = w.start_daemon()
+    w.run(300 * MS)
+    assert (old.part, new.part) == (0.5, 0.5)
+    assert w.call(new, "/-/ready", "GET") == "503", "no list yet, and discovery is away"
+    w.run(1300 * MS)
+    assert w.call(new, "/-/ready", "GET") == "200", "with the list it was started with"
+    w.brick.hold = True
+    clients[0].say(read_command("busy"))
+    old.scheduler.spawn(old.end)
+    w.run(100 * MS)
+    assert [c.closed for c in clients] == [False] + [True] * 5, "idle ones have somewhere to go"
+    w.brick.hold = False
+    w.brick.release()
+    w.run(300 * MS)
+    assert clients[0].got.endswith(b"$0\r\n\r\n") and clients[0].closed and old.scheduler._stopped
+    late = w.peer(w.address)
+    assert late.say(PING) == b"+PONG\r\n" and len(new.listeners[0]) == 1
+    w.run(300 * MS)
+    assert new.part == 1
+
+
+def test_bans_and_a_drain_are_taken_up_by_the_new_process_and_said_to_the_old(upgrade: Upgrade) -> None:
+    w = upgrade
+    old = w.start_daemon()
+    w.call(old, "/-/bricks/b0/disable")
+    w.call(old, "/-/drain")
+    new = w.start_daemon()
+    assert new.core.endpoints.disabled == {"b0"} and new.desk and not new.desk.accepts_clients
+    assert w.call(new, "/-/resume") == "200" and w.call(new, "/-/bricks/b0/enable") == "200"
+    w.run(200 * MS)
+    assert not old.core.endpoints.disabled and old.desk and old.desk.accepts_clients
+
+
+def test_a_new_process_that_fails_its_start_leaves_the_old_one_serving(upgrade: Upgrade) -> None:
+    w = upgrade
+    old = w.start_daemon()
+    taken = w.peer(w.address)
+    broken = Daemon(config.read(BASE | {"listen": "192.0.2.1:1", "ops": "127.0.0.1:0"}), clock=lambda: w.time)
+    with pytest.raises(OSError):
+        broken.start()
+    assert broken.lives
+    broken.lives.close()
+    w.run(300 * MS)
+    assert taken.say(PING) == b"+PONG\r\n" and w.call(old, "/-/ready", "GET") in ("200", "503")
+    assert Peer(w, w.address).say(PING) == b"+PONG\r\n"
--- /dev/null
+++ b/tests/lab/test_processes.py
@@ -0,0 +1,214 @@
+"""Processes of the program under faults, judged by counts and histories."""
+
+from __future__ import annotations
+
+import json
+import os
+import pathlib
+import signal
+from dataclasses import replace
+
+import pytest
+
+from garnetlanding import cli
+from garnetlanding.lab import plan
+from garnetlanding.lab.experiment import Experiment, Load, load
+from garnetlanding.lab.limits import SECOND
+from garnetlanding.lab.run import Interrupted, LabError, Result, run
+from tests.support.lab import CALM, ROOT, fault
+
+# Processes. Judged by counts and histories.
+
+
+def play(tmp_path: pathlib.Path, experiment: Experiment) -> Result:
+    result = run(experiment, tmp_path / "run")
+    assert result.findings.sound, result.findings.broken
+    assert result.findings.outcomes["served"] > 0
+    return result
+
+
+def believed(result: Result, head: int, volume: int = 0) -> list[tuple[float, float]]:
+    """The parts of a volume that a head has believed its own: seconds after the clients began, and which."""
+    name = plan.volume_name(volume)
+    return [
+        ((line["t"] - result.began) / SECOND, line["parts"][name])
+        for line in result.lines
+        if line["what"] == "parts" and line["who"] == f"n{head}" and name in line["parts"]
+    ]
+
+
+ONE_HEAD = Load(volumes=3, rate=90.0, lead=1.0)  # each volume's requests come through its first head alone
+
+
+def test_processes_leave_a_limit_to_the_head_that_is_asked(tmp_path: pathlib.Path) -> None:
+    result = play(tmp_path, replace(CALM, load=ONE_HEAD, length_us=5 * SECOND))
+    assert max(part for _, part in believed(result, 0)) > 0.9
+    assert result.findings.lives == {"n0": 1, "n1": 1, "n2": 1}
+    assert cli.main(["lab", "report", str(tmp_path / "run"), "--charts", "--json"]) == 0
+    assert {path.name for path in (tmp_path / "run").iterdir()} >= {"series.csv", "answers.png", "parts.png"}
+    assert cli.main(["lab", "report", str(tmp_path)]) == 2
+    with pytest.raises(LabError, match="not empty"):
+        run(CALM, tmp_path / "run")
+
+
+@pytest.mark.parametrize("how", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
+def test_whatever_ends_the_lab_ends_every_process_that_it_started(
+    how: signal.Signals, tmp_path: pathlib.Path
+) -> None:
+    def interrupt(done: float) -> None:
+        os.kill(os.getpid(), how)
+
+    # A shell that starts tests in the background has them ignore Ctrl-C, and Python then leaves it ignored.
+    old = signal.signal(signal.SIGINT, signal.default_int_handler)
+    try:
+        with pytest.raises(KeyboardInterrupt if how == signal.SIGINT else Interrupted):
+            run(replace(CALM, faults=(fault("stop", 0, 4, who=1),)), tmp_path / "run", interrupt)
+    finally:
+        signal.signal(signal.SIGINT, old)
+    pids = json.loads((tmp_path / "run/pids.json").read_text())
+    assert len(pids) == 3
+    for pid in pids:
+        with pytest.raises(ProcessLookupError):
+            os.kill(pid, 0)
+
+
+def test_a_process_that_is_cut_off_keeps_to_its_even_part_and_comes_back(tmp_path: pathlib.Path) -> None:
+    cut = (fault("cut", 2, 4, sender=0), fault("cut", 2, 4, receiver=0))
+    result = play(tmp_path, replace(CALM, load=ONE_HEAD, length_us=7 * SECOND, faults=cut))
+    parts = believed(result, 0)
+    assert any(part == 0.5 and 2 < at < 4.5 for at, part in parts), "alone"
+    assert any(part > 0.9 and at > 4 for at, part in parts), "and heard again"
+
+
+def test_a_process_that_is_killed_comes_back_with_nothing_of_its_earlier_life(tmp_path: pathlib.Path) -> None:
+    kill = (fault("kill", 2, 2.5, who=0),)
+    result = play(tmp_path, replace(CALM, load=ONE_HEAD, length_us=7 * SECOND, faults=kill))
+    assert result.findings.lives["n0"] == 2
+    lives = [line["life"] for line in result.lines if line["what"] == "start" and line["who"] == "n0"]
+    assert lives == sorted(lives)
+    first = next(
+        line
+        for line in result.lines
+        if line["what"] == "parts" and line["life"] == lives[1] and line["parts"]
+    )
+    assert set(first["parts"].values()) == {0.0}, "until what it may have left to others has ended"
+    assert any(part >= 0.5 for at, part in believed(result, 0) if at > 2.5)
+
+
+def test_a_process_that_stood_still_past_its_lease_sends_nothing_on_it(tmp_path: pathlib.Path) -> None:
+    stop = (fault("stop", 2, 4, who=0),)
+    load_both = replace(ONE_HEAD, lead=0.6)
+    result = play(tmp_path, replace(CALM, load=load_both, length_us=6 * SECOND, faults=stop))
+    after = [part for at, part in believed(result, 0) if at >= 4]
+    assert after and after[0] <= 0.5, "what others had left to it had gone back meanwhile"
+
+
+def test_lost_doubled_late_and_overtaken_messages_between_processes(tmp_path: pathlib.Path) -> None:
+    storm = tuple(
+        fault(kind, 0, 5, share=0.3, span_us=60_000) for kind in ("loss", "double", "delay", "reorder")
+    )
+    result = play(
+        tmp_path,
+        replace(
+            CALM, length_us=5 * SECOND, faults=storm, load=replace(ONE_HEAD, lead=0.5, shift_us=2 * SECOND)
+        ),
+    )
+    assert all(result.fates[kind] for kind in ("loss", "double", "delay", "reorder"))
+
+
+def test_a_brick_that_falls_silent_and_a_head_that_is_replaced_cost_no_answer(tmp_path: pathlib.Path) -> None:
+    both = (fault("silent", 1, 2.5, who=1), fault("term", 1.5, 2, who=2))
+    result = play(tmp_path, replace(CALM, length_us=5 * SECOND, faults=both))
+    assert result.findings.lives["n2"] == 2
+    late = result.began + 4 * SECOND
+    ran = {line["brick"] for line in result.lines if line["what"] == "ran" and line["t"] > late}
+    assert ran == {0, 1, 2}, "no healthy brick is shunned"
+
+
+def test_a_ban_said_at_one_process_holds_at_all_and_is_lifted_at_another(tmp_path: pathlib.Path) -> None:
+    """One head is cut off meanwhile, and one is killed: it comes back with what it had on disk."""
+    calls = (
+        fault("disable", 0.5, 6, who=0, brick=1),
+        fault("cut", 0.2, 1.5, receiver=2),
+        fault("kill", 1.6, 2.0, who=1),
+        fault("enable", 3.6, 6, who=2, brick=1),
+    )
+    result = play(tmp_path, replace(CALM, length_us=6 * SECOND, faults=calls))
+    called = [line["status"] for line in result.lines if line["what"] == "called"]
+    assert called == [200, 200]
+    said = [(line["who"], line["out"]) for line in result.lines if line["what"] == "bans"]
+    assert {who for who, out in said if out == ["b1"]} == {"n0", "n1", "n2"}
+    assert [sorted(who for who, out in said[-3:]), said[-1][1]] == [["n0", "n1", "n2"], []]
+
+
+def test_heads_hear_of_a_brick_that_refuses_and_none_doubts_what_nobody_saw(tmp_path: pathlib.Path) -> None:
+    down = (fault("down", 1, 3, who=2),)
+    result = play(tmp_path, replace(CALM, length_us=4 * SECOND, faults=down))
+    seen = {line["who"] for line in result.lines if line["what"] == "seen" and "b2" in line["servers"]}
+    assert seen and result.findings.doubts
+    late = result.began + 3.5 * SECOND
+    assert any(line["what"] == "ran" and line["brick"] == 2 and line["t"] > late for line in result.lines)
+
+
+def test_a_process_that_lies_does_not_take_the_others_servers(tmp_path: pathlib.Path) -> None:
+    """Every brick goes on serving what comes through the heads that are lied to."""
+    lie = (fault("lie", 0.5, 4, who=0),)
+    result = play(tmp_path, replace(CALM, faults=lie))
+    assert result.fates["lie"] and result.findings.doubts
+    served = {line["id"] for line in result.lines if line["what"] == "answer" and line["outcome"] == "served"}
+    ran = {
+        line["brick"]
+        for line in result.lines
+        if line["what"] == "ran" and line["id"] in served and line["t"] > result.began + 2 * SECOND
+    }
+    assert ran == {0, 1, 2}
+
+
+@pytest.mark.parametrize("name, lost", [("upgrade", 0), ("upgrade-stalled", 30), ("ban-moving", 0)])
+def test_the_hard_cases_of_two_processes_of_one_head(name: str, lost: int, tmp_path: pathlib.Path) -> None:
+    """Both banning at the moment of SIGTERM; the old one standing still with its locks; a ban while a reload
+    moves the head to another discovery. Bans hold at every head in the end."""
+    result = play(tmp_path, load(str(ROOT / "experiments" / f"{name}.toml")))
+    assert all(line["status"] == 200 for line in result.lines if line["what"] == "called")
+    outcomes = result.findings.outcomes
+    assert outcomes["lost"] + outcomes["none"] + outcomes["failed"] <= lost
+
+
+@pytest.mark.parametrize("name", ["split-group", "twin", "clock-steps"])
+def test_processes_that_come_and_go_at_sides_that_do_not_hear_each_other(
+    name: str, tmp_path: pathlib.Path
+) -> None:
+    """Heads found from seeds join on both sides of a cut; a second process has a head's number; wall clocks
+    step around bans."""
+    result = play(tmp_path, load(str(ROOT / "experiments" / f"{name}.toml")))
+    evens = [line for line in result.lines if line["what"] == "heads" and line["even"]]
+    if name == "split-group":
+        first = min(line["t"] for line in evens if line["who"] in ("n4", "n5"))
+        assert (first - result.began) / SECOND > 10, "neither uses a part before the cut has healed"
+    if name == "twin":
+        parts = [
+            line["parts"]
+            for line in result.lines
+            if line["what"] == "parts" and line["who"] == "n1" and line["parts"]
+        ]
+        assert any(max(part.values()) > 0 for part in parts) and not any(parts[-1].values()), "stood back"
+
+
+def test_a_cold_brick_is_sent_no_more_than_it_bears_by_all_heads(tmp_path: pathlib.Path) -> None:
+    result = play(tmp_path, load(str(ROOT / "experiments" / "cold-shared.toml")))
+    assert 0 < result.findings.cold_most <= 1.0
+    shares = [line["parts"].get("cold:b0", 0) for line in result.lines if line["what"] == "shares"]
+    assert max(shares) > 0.4, "the head that is asked has more than an even part, which is a third"
+
+
+def test_streams_that_stand_open_drip_or_break_cost_no_answer(tmp_path: pathlib.Path) -> None:
+    broken = (
+        fault("freeze", 1, 2.5, link="brick", who=0, brick=0),
+        fault("reset", 3, 3.3, link="brick"),
+        fault("trickle", 1, 3, link="brick", who=1, span_us=2000),
+        fault("reset", 1, 2, link="discovery"),
+    )
+    result = play(tmp_path, replace(CALM, length_us=5 * SECOND, faults=broken))
+    assert result.fates["connections"] > 9
+    late = result.began + 4 * SECOND
+    assert {line["brick"] for line in result.lines if line["what"] == "ran" and line["t"] > late} == {0, 1, 2}
--- /dev/null
+++ b/tests/ninep/test_change_order.py
@@ -0,0 +1,159 @@
+"""The order of changes, and changes that may have been executed."""
+
+from __future__ import annotations
+
+import pytest
+
+from garnetlanding.emulator.faults import Fault, Rule
+from garnetlanding.ninep import codec as p9
+from tests.helpers import MS, SECOND, NineWorld, Tool, error, heard
+from tests.support.ninep_changes import rw, wstat
+
+# Order, and what may have happened.
+
+
+def test_changes_of_one_file_go_in_the_order_they_came_also_after_a_lost_attempt() -> None:
+    """Writes went out together: the second overtook the first, whose attempt was sent again over it."""
+    w, tool = rw(servers=2)
+    tool.open(5, "readme", mode=p9.OWRITE)
+    w.files[0].script.add(Rule(p9.Twrite, Fault.RESET_BEFORE))
+    for tag, data in ((1, b"first"), (2, b"secnd"), (3, b"third")):
+        tool.say(p9.encode(tag, p9.Twrite(5, 0, data)))
+    w.run(2 * SECOND)
+    assert [m for t, m in tool.answers[-3:]] == [p9.Rwrite(5)] * 3
+    assert [r[3] for r in w.disk.ran if r[0] == "write"] == [b"first", b"secnd", b"third"]
+
+
+def test_a_late_first_attempt_does_not_undo_what_came_after_it() -> None:
+    """A server that was given up ran the first write after the second was acknowledged."""
+    w, tool = rw()
+    tool.open(5, "readme", mode=p9.OWRITE)
+    other = Tool(w)
+    other.open(5, "readme", mode=p9.OWRITE)
+    w.files[0].script.add(Rule(p9.Twrite, Fault.LATE, delay_us=300 * MS))
+    tool.send(p9.Twrite(5, 0, b"first"), tag=1)
+    w.run(200 * MS)
+    assert tool.answers[-1] == (1, p9.Rwrite(5)), "by its second attempt"
+    other.send(p9.Twrite(5, 0, b"other"), tag=2)
+    w.run(SECOND)
+    assert other.answers[-1] == (2, p9.Rwrite(5)) and w.disk.read("readme") == b"other"
+
+
+def test_what_is_renamed_by_one_request_is_written_by_the_next() -> None:
+    w, tool = rw()
+    tool.open(5, "sv", "notes", mode=p9.OWRITE)
+    tool.walk(6, "sv")
+    tool.say(p9.encode(1, p9.Twstat(6, wstat(name="se"))) + p9.encode(2, p9.Twrite(5, 0, b"DRAFT")))
+    w.run(SECOND)
+    assert tool.answers[-2:] == [(1, p9.Rwstat()), (2, p9.Rwrite(5))]
+    assert w.disk.read("se", "notes") == b"DRAFT"
+
+
+@pytest.mark.parametrize(
+    "fault, ran, words",
+    [
+        (Fault.RESET_AFTER, 1, "may have happened"),
+        (Fault.HALF, 1, "may have happened"),
+        (Fault.WRONG_TAG, 1, "may have happened"),
+        (Fault.RESET_BEFORE, 0, "may have happened"),
+    ],
+)
+def test_what_may_not_run_twice_is_not_sent_twice(fault: Fault, ran: int, words: str) -> None:
+    w, tool = rw(servers=2)
+    tool.walk(6)
+    w.files[0].script.add(Rule(p9.Tcreate, fault))
+    tool.send(p9.Tcreate(6, "once", 0o644, p9.ORDWR), tag=1)
+    w.run(2 * SECOND)
+    assert error(tool.answers[-1][1]).startswith(words)
+    assert len([r for r in w.disk.ran if r[0] == "make"]) == ran
+    assert len(heard(w, p9.Tcreate, 0)) + len(heard(w, p9.Tcreate, 1)) == 1
+
+
+def test_a_walk_that_is_lost_ahead_of_a_create_proves_that_nothing_ran() -> None:
+    """Such an attempt counted as one that may have run, and the create was given up for nothing."""
+    w, tool = rw(servers=2)
+    tool.walk(6)
+    w.files[0].script.add(Rule(p9.Twalk, Fault.RESET_BEFORE))
+    tool.send(p9.Tcreate(6, "once", 0o644, p9.ORDWR), tag=1)
+    w.run(2 * SECOND)
+    assert isinstance(tool.answers[-1][1], p9.Rcreate)
+
+
+def test_a_refused_change_that_was_never_sent_may_come_again() -> None:
+    w, tool = rw()
+    tool.open(5, "readme", mode=p9.OWRITE)
+    w.drained(0)
+    tool.send(p9.Twrite(5, 0, b"x"), tag=2)
+    w.run(2 * SECOND)
+    assert error(tool.answers[-1][1]) == "busy; come again after 1000 ms"
+
+
+def test_a_large_write_goes_in_parts_and_a_drain_half_way_sends_no_more_there() -> None:
+    w = NineWorld(2, access="rw")
+    for server in w.files:
+        server.msize = 1024
+    big = Tool(w, msize=8192)
+    big.open(5, "readme", mode=p9.OWRITE)
+    w.files[0].script.add(Rule(p9.Twrite, Fault.STALL, after=1))
+    data = bytes(range(250)) * 12
+    big.send(p9.Twrite(5, 0, data), tag=1)
+    sent = len(heard(w, p9.Twrite, 0))
+    w.drained(0)
+    w.list(w.boxes[1], whole=False)
+    w.files[0].release()
+    w.run(2 * SECOND)
+    assert big.answers[-1] == (1, p9.Rwrite(len(data))) and w.disk.read("readme") == data
+    assert len(heard(w, p9.Twrite, 0)) == sent == 2
+
+
+def test_a_server_that_drains_between_the_walk_and_the_open_is_not_sent_the_open() -> None:
+    w, tool = rw(servers=2)
+    tool.walk(5, "readme")
+    w.drained(0)
+    w.list(w.boxes[1], whole=False)
+    before = len(w.files[0].heard)
+    assert isinstance(tool.ask(p9.Topen(5, p9.ORDWR)), p9.Ropen)
+    assert tool.ask(p9.Twrite(5, 0, b"HELLO")) == p9.Rwrite(5)
+    assert len(w.files[0].heard) == before and w.disk.read("readme") == b"HELLO"
+
+
+def test_a_server_that_drains_within_an_open_is_sent_no_further_message() -> None:
+    """The walk of the attempt was out when the drain was told; the open behind it is new work."""
+    w, tool = rw(servers=2)
+    tool.walk(5, "readme")
+    w.hold(p9.Twalk)
+    tool.send(p9.Topen(5, p9.OWRITE | p9.OTRUNC), tag=1)
+    w.drained(0)
+    w.list(w.boxes[1], whole=False)
+    w.files[0].release()
+    w.run(SECOND)
+    assert isinstance(tool.answers[-1][1], p9.Ropen)
+    assert not heard(w, p9.Topen, 0) and len(heard(w, p9.Topen, 1)) == 1
+
+
+@pytest.mark.parametrize(
+    "message",
+    [
+        p9.Twalk(0, 9, ("sv",)),
+        p9.Tcreate(6, "made", 0o644, 1),
+        p9.Tread(7, 0, 200),
+        p9.Twrite(5, 0, b"HELLO"),
+    ],
+)
+@pytest.mark.parametrize("end", ["flush", "clunk"])
+def test_a_flush_or_a_clunk_in_the_middle_leaves_one_answer_a_tag(message: p9.Message, end: str) -> None:
+    w, tool = rw()
+    tool.open(5, "readme", mode=p9.OWRITE)
+    tool.walk(6)
+    tool.open(7, "sv")
+    w.files[0].script.add(Rule(type(message), Fault.SLOW, delay_us=100 * MS))
+    fid = {p9.Twalk: 0, p9.Tcreate: 6, p9.Tread: 7, p9.Twrite: 5}[type(message)]  # type: ignore[index]
+    tool.send(message, tag=71)
+    tool.send(p9.Tflush(71) if end == "flush" else p9.Tclunk(fid), tag=72)
+    w.run(SECOND)
+    tags = [tag for tag, _ in tool.answers]
+    assert tags.count(72) == 1 and tags.count(71) == (
+        0 if end == "flush" and isinstance(message, p9.Twalk | p9.Tread) else 1
+    )
+    assert tags[-1] == 72 or isinstance(message, p9.Twalk), "what it ends is answered first, or not at all"
+    assert w.core.open_requests == 0 and len(w.front_9p.order) == 0
--- /dev/null
+++ b/tests/ninep/test_locks.py
@@ -0,0 +1,53 @@
+"""Byte-range locks and exclusive use."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from garnetlanding.ninep.locks import Exclusive, Locks, Owner, Range
+
+# Locks.
+
+
+@given(
+    st.lists(
+        st.tuples(st.integers(0, 2), st.sampled_from("rwu"), st.integers(0, 12), st.integers(1, 6)),
+        max_size=40,
+    )
+)
+def test_locks_against_a_map_of_single_bytes(steps: list[tuple[int, str, int, int]]) -> None:
+    locks, held = Locks(1000), [dict[int, bool]() for _ in range(20)]  # by byte: owner to whether it writes
+    for who, kind, start, length in steps:
+        owner, span = Owner(who, 1, "x"), range(start, start + length)
+        if kind == "u":
+            locks.release(("e", 1), owner, start, start + length)
+            for byte in span:
+                held[byte].pop(who, None)
+            continue
+        write = kind == "w"
+        blocked = any(
+            other != who and (write or theirs) for byte in span for other, theirs in held[byte].items()
+        )
+        assert locks.take(("e", 1), Range(owner, 1, write, start, start + length)) is not blocked
+        if not blocked:
+            for byte in span:
+                held[byte][who] = write
+    for who in range(3):
+        locks.clunked(who, None)
+    assert locks.count == 0
+
+
+def test_locks_are_bounded_and_exclusive_use_ends_with_its_fid() -> None:
+    locks = Locks(3)
+    for start in (0, 10, 20):
+        assert locks.take(("e", 1), Range(Owner(1, 1, "x"), 1, True, start, start + 1))
+    with pytest.raises(OverflowError):
+        locks.take(("e", 1), Range(Owner(1, 1, "x"), 1, True, 30, 31))
+    exclusive = Exclusive()
+    assert exclusive.open(("e", 1), 1, 5) and not exclusive.open(("e", 1), 1, 6)
+    exclusive.clunked(1, 6)
+    assert not exclusive.open(("e", 1), 2, 5)
+    exclusive.clunked(1, 5)
+    assert exclusive.open(("e", 1), 2, 5)
--- /dev/null
+++ b/tests/ninep/test_operations.py
@@ -0,0 +1,33 @@
+"""The table of 9P operations and the errors of both dialects."""
+
+from __future__ import annotations
+
+from garnetlanding.decision.interface import Effect
+from garnetlanding.ninep import problems
+from garnetlanding.ninep.ops import TABLE, Op, class_for, with_twins
+from tests.helpers import READ, WRITE, settings
+
+# The table of operations.
+
+
+def test_what_may_not_run_twice_asks_under_a_class_that_forbids_it() -> None:
+    config = with_twins(settings(), ["write"])
+    assert config.classes["write/once"].effect is Effect.UNSAFE
+    unsafe = {**config.classes, "hard": WRITE.__class__("hard", 1, 0, 1, 1, Effect.UNSAFE)}
+    for op, spec in TABLE.items():
+        got = class_for(op, "read", "write", config.classes)
+        assert got == ("read" if not spec.change else "write" if spec.repeat else "write/once")
+        if spec.change:
+            assert class_for(op, "read", "hard", unsafe) == "hard", "the settings have one"
+    assert set(TABLE) == set(Op)
+    assert with_twins(settings(), ["gone"]).classes == {"read": READ, "write": WRITE}
+
+
+def test_errors_of_one_dialect_are_told_in_the_other() -> None:
+    for number, texts in problems.TEXTS:
+        for text in texts:
+            assert problems.from_text(text).number == number
+            assert problems.from_text(f"'/a/b': {text.capitalize()}").number == number
+        assert problems.from_number(number).text == texts[0]
+    assert problems.from_text("what is this") == problems.Problem(problems.EIO, "what is this")
+    assert problems.from_number(4711).text == "error 4711"
--- /dev/null
+++ b/tests/ninep/test_server_faults.py
@@ -0,0 +1,78 @@
+"""File servers that answer wrongly or refuse."""
+
+from __future__ import annotations
+
+import stat
+
+import pytest
+
+from garnetlanding.emulator.faults import Fault, Rule
+from garnetlanding.ninep import codec as p9
+from garnetlanding.ninep import linux as p9l
+from garnetlanding.ninep import problems
+from tests.helpers import SECOND, NineWorld, Tool, error
+from tests.support.ninep_changes import LINUX, PLAIN, number, rw
+
+# Servers that do wrong.
+
+
+@pytest.mark.parametrize(
+    "fault",
+    [Fault.WRONG_COUNT, Fault.WRONG_TYPE, Fault.WRONG_TAG, Fault.HALF, Fault.RESET_AFTER, Fault.RESET_BEFORE],
+)
+def test_a_write_whose_answer_is_spoilt_is_sent_again_and_is_there(fault: Fault) -> None:
+    w, tool = rw()
+    tool.open(5, "readme", mode=p9.OWRITE)
+    w.files[0].script.add(Rule(p9.Twrite, fault))
+    tool.send(p9.Twrite(5, 0, b"HELLO"), tag=1)
+    w.run(2 * SECOND)
+    assert tool.answers[-1] == (1, p9.Rwrite(5)) and w.disk.read("readme") == b"HELLO"
+
+
+@pytest.mark.parametrize("client, code", [(PLAIN, "no space left on device"), (LINUX, problems.ENOSPC)])
+def test_a_full_disk_and_a_denied_permission_are_told_in_the_clients_words(client: str, code: object) -> None:
+    w, tool = rw(client, PLAIN)
+    tool.open(5, "readme", mode=p9.OWRITE)
+    w.disk.capacity = w.disk.used
+    reply = tool.ask(p9.Twrite(5, 0, b"x" * 100))
+    assert code == (number(reply) if tool.linux else error(reply))
+    w.disk.find("sv").mode = stat.S_IFDIR | 0o500
+    tool.walk(7, "sv")
+    w.disk.find("sv", "notes").mode = stat.S_IFREG | 0o400
+    denied = tool.ask(
+        p9l.Tlcreate(7, "x", p9l.L_CREATE, 0o644, 0) if tool.linux else p9.Tcreate(7, "x", 0o644, p9.OWRITE)
+    )
+    assert (number(denied) if tool.linux else error(denied)) == (
+        problems.EACCES if tool.linux else "permission denied"
+    )
+
+
+def test_offsets_past_what_a_server_can_hold() -> None:
+    w, tool = rw()
+    tool.open(5, "readme", mode=p9.ORDWR)
+    for message in (
+        p9.Tread(5, 1 << 63, 9),
+        p9.Twrite(5, (1 << 64) - 1, b"x"),
+        p9.Tread(5, (1 << 63) - 4, 9),
+    ):
+        assert error(tool.ask(message)) == "illegal offset"
+    assert tool.ask(p9.Tread(5, 1 << 62, 9)) == p9.Rread(b"")
+
+
+def test_in_an_export_that_is_read_only_nothing_reaches_a_server() -> None:
+    w = NineWorld(offer=LINUX)
+    tool = Tool(w, version=LINUX)
+    tool.open(5, "readme")
+    heard_before = len(w.files[0].heard)
+    for message in (
+        p9l.Tlcreate(0, "x", 1, 0, 0),
+        p9l.Tmkdir(0, "x", 0, 0),
+        p9l.Tunlinkat(0, "readme", 0),
+        p9l.Trenameat(0, "readme", 0, "x"),
+        p9l.Tsymlink(0, "x", "y", 0),
+        p9l.Tsetattr(5, 1, 0, 0, 0, 0, 0, 0, 0, 0),
+        p9l.Tlink(0, 5, "x"),
+    ):
+        assert number(tool.ask(message)) == problems.EROFS, message
+    assert tool.ask(p9l.Tfsync(5, 0)) == p9l.Rfsync()
+    assert len(w.files[0].heard) == heard_before
--- /dev/null
+++ b/tests/ops/test_state.py
@@ -0,0 +1,76 @@
+"""Administrative state that outlasts a process."""
+
+from __future__ import annotations
+
+import json
+import pathlib
+import zlib
+from typing import Any
+
+import pytest
+
+from garnetlanding import config
+from garnetlanding.ops.admin_state import AdminState, AdminStateError, decode
+from garnetlanding.ops.state_file import StateFile
+from tests.helpers import MS
+from tests.support.admin import Office
+from tests.support.daemon import BASE
+
+# What outlasts a process.
+
+
+def test_bans_and_drain_outlast_the_process_and_reach_the_other_one(tmp_path: pathlib.Path) -> None:
+    w = Office(tmp_path)
+    w.call("/-/bricks/b0/disable")
+    other = StateFile(str(tmp_path), "n1")
+    assert other.load() == AdminState(frozenset({"b0"}))
+    other.change(lambda state: state.disable("b1").with_draining(True))
+    w.run(w.limits.ops_look_us + 10 * MS)
+    assert w.core.endpoints.disabled == {"b0", "b1"} and not w.desk.accepts_clients
+    w.call("/-/resume")
+    assert other.news() == AdminState(frozenset({"b0", "b1"})), "neither undoes what the other said"
+    assert other.news() is None
+
+
+def sealed(**change: Any) -> bytes:
+    body = json.dumps({"version": 1, "name": "n1", "banned": [], "draining": False} | change).encode()
+    return b"%s\n%08x\n" % (body, zlib.crc32(body))
+
+
+@pytest.mark.parametrize(
+    "data, why",
+    [
+        (b"", "checksum"),
+        (sealed()[:-5], "checksum"),
+        (sealed().replace(b"n1", b"n2"), "checksum"),
+        (sealed(version=0), "version 0"),
+        (sealed(name="n2"), "head 'n2'"),
+        (sealed(banned=[3]), "a field"),
+        (sealed(draining="no"), "a field"),
+    ],
+)
+def test_a_state_that_cannot_be_used_is_named_and_the_head_starts(
+    data: bytes, why: str, tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
+) -> None:
+    with pytest.raises(AdminStateError, match=why):
+        decode("n1", data)
+    (tmp_path / "garnetlanding-n1-operators.json").write_bytes(data)
+    w = Office(tmp_path)
+    assert w.call("/-/ready", "GET")[0] == 200 and "state file not taken" in caplog.text
+    assert w.call("/-/bricks/b0/disable")[0] == 200
+    kept = (tmp_path / "garnetlanding-n1-operators.json").read_bytes()
+    assert decode("n1", kept) == AdminState(frozenset({"b0"}))
+
+
+def test_a_change_that_cannot_be_kept_is_a_no(tmp_path: pathlib.Path) -> None:
+    w = Office(tmp_path)
+    (tmp_path / "garnetlanding-n1-operators.json.new").mkdir()
+    assert w.call("/-/bricks/b0/disable")[0] == 500
+    assert w.core.endpoints.address_of("b0"), "a yes is owed only for what outlasts the process"
+
+
+def test_a_wrong_address_for_operators_is_named() -> None:
+    with pytest.raises(config.ConfigError, match="key ops"):
+        config.read(BASE | {"ops": "nowhere"})
+    assert config.read(BASE, env={"RELAY_OPS": "127.0.0.1:1"}).ops == "127.0.0.1:1"
+    assert config.read(BASE).ops == ""
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -25,8 +25,8 @@
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.link import PeerLink
 from garnetlanding.peers.setup import PeerSetup
-from tests.daemon.test_daemon import BASE, SETTINGS, Head
 from tests.helpers import MS, SECOND, T0, World, read_command, settings, up
+from tests.support.daemon import BASE, SETTINGS, Head
 
 LIMITS = PeerLimits()
 PLAN = api.PlanSpec("gold", weight=4.0, usual_rate=10.0, reserve_rate=8.0, limit_rate=40.0, limit_burst=60.0)
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -1,4 +1,4 @@
-"""A limit of the whole fleet: on simulated clocks and networks, with bugs put in on purpose."""
+"""Leases of a limit shared by all instances: on simulated clocks and networks, with seeded bugs."""
 
 from __future__ import annotations
 
@@ -13,54 +13,12 @@
 from garnetlanding.emulator.lease_model import Scope, explore
 from garnetlanding.emulator.lease_net import SECOND, Net, Run, Seen
 from garnetlanding.peers import codec, leases
-from garnetlanding.peers.codec import Message, MessageError
+from garnetlanding.peers.codec import Message
 from garnetlanding.peers.leases import Leases, fill
 from garnetlanding.peers.limits import PeerLimits
+from tests.support.leases import LIMITS
 
-LIMITS = PeerLimits()
 TAG = codec.tag("v")
-SHARES = st.integers(0, codec.WHOLE).map(lambda n: n / codec.WHOLE)
-NAMES = st.integers(0, 2**32 - 1)
-ASKS = st.dictionaries(NAMES, st.tuples(SHARES, st.integers(1, 255)), max_size=15)
-GRANTS = st.dictionaries(NAMES, SHARES, max_size=15)
-MESSAGES = st.builds(
-    Message,
-    st.integers(0, 2**48 - 1),
-    st.integers(0, 2**32 - 1),
-    st.integers(0, 2**48 - 1),
-    st.integers(0, 2**32 - 1),
-    ASKS,
-    GRANTS,
-)
-
-
-@given(MESSAGES)
-def test_what_is_told_is_heard_and_fits(message: Message) -> None:
-    data = codec.encode(message)
-    assert len(data) <= LIMITS.datagram_bytes and codec.decode(data, LIMITS.datagram_bytes) == message
-
-
-@given(MESSAGES, st.data())
-def test_torn_and_spoilt_messages_are_told_from_whole_ones(message: Message, data: st.DataObject) -> None:
-    whole = codec.encode(message)
-    cut = data.draw(st.integers(0, len(whole) - 1))
-    at, flip = data.draw(st.integers(0, len(whole) - 1)), data.draw(st.integers(1, 255))
-    for bad in (whole[:cut], whole[:at] + bytes([whole[at] ^ flip]) + whole[at + 1 :], whole + b"x" * 257):
-        with pytest.raises(MessageError):
-            codec.decode(bad, LIMITS.datagram_bytes)
-
-
-@given(
-    st.dictionaries(NAMES, st.tuples(SHARES, st.integers(1, 255)), max_size=300),
-    st.dictionaries(NAMES, SHARES, max_size=300),
-)
-def test_pages_hold_everything_once_and_fit(
-    asks: dict[int, tuple[float, int]], grants: dict[int, float]
-) -> None:
-    pages = list(codec.pages(asks, grants, LIMITS.datagram_bytes))
-    assert [a for p in pages for a in p[0].items()] == list(asks.items())
-    assert [g for p in pages for g in p[1].items()] == list(grants.items())
-    assert all(len(codec.encode(Message(1, 1, 1, 1, *p))) <= LIMITS.datagram_bytes for p in pages)
 
 
 @given(st.floats(0.1, 100), st.lists(st.floats(0, 100), min_size=1, max_size=6))
--- /dev/null
+++ b/tests/peers/test_membership_message.py
@@ -0,0 +1,47 @@
+"""The membership message: encoding, limits and malformed input."""
+
+from __future__ import annotations
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from garnetlanding.peers import codec, membership_message
+from garnetlanding.peers.codec import MessageError
+from garnetlanding.peers.membership import Record
+from tests.support.membership import LIMITS
+
+RECORDS = st.builds(
+    Record,
+    st.integers(0, 65535),
+    st.integers(0, 2**48 - 1),
+    st.booleans(),
+    st.builds(lambda host, port: f"{host}:{port}", st.ip_addresses(v=4), st.integers(0, 65535))
+    | st.builds(lambda host, port: f"[{host}]:{port}", st.ip_addresses(v=6), st.integers(0, 65535)),
+)
+
+
+# The form
+
+
+@given(st.binary(min_size=8, max_size=8), st.lists(RECORDS, min_size=1, max_size=8), st.booleans())
+def test_words_about_heads_are_heard_as_told_and_fit(
+    digest: bytes, records: list[Record], joined: bool
+) -> None:
+    pages = membership_message.pages(records, LIMITS.datagram_bytes, 9)
+    assert [r for page in pages for r in page[1:]] == records[1:]
+    for page in pages:
+        told = membership_message.MembershipMessage(digest, tuple(page), joined)
+        data = codec.seal(membership_message.envelope(told, 1, 2, 3, 4))
+        assert len(data) <= LIMITS.datagram_bytes
+        assert membership_message.read(codec.unseal(data, LIMITS.datagram_bytes)) == told
+    assert len(membership_message.pages(records * 9, LIMITS.datagram_bytes, 2)) <= 2
+
+
+@given(st.binary(max_size=60), st.tuples(st.integers(0, 5), st.integers(0, 3)))
+def test_words_about_heads_that_make_no_sense_are_bad(body: bytes, counts: tuple[int, int]) -> None:
+    e = codec.Envelope(codec.ROLL, 1, 1, 0, 0, counts, body)
+    try:
+        told = membership_message.read(e)
+    except MessageError:
+        return
+    assert len(told.records) == counts[0] > 0
--- /dev/null
+++ b/tests/peers/test_shared_budgets.py
@@ -0,0 +1,113 @@
+"""Budgets of a time window that all instances share."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Any
+
+import pytest
+
+from garnetlanding.decision import interface as api
+from garnetlanding.decision.control import Controller
+from garnetlanding.emulator.budget_net import BudgetNet, BudgetRun
+from garnetlanding.emulator.group_net import SECOND
+from garnetlanding.peers import codec
+from garnetlanding.peers.leases import Leases, Own
+from garnetlanding.peers.shared_budgets import SharedBudgets
+from tests.helpers import T0, up
+from tests.support.membership import COLD, LIMITS
+
+# Budgets
+
+BUDGETS = {
+    "three": BudgetNet(),
+    "eight": BudgetNet(heads=8),
+    "half is lost": BudgetNet(loss=0.5),
+    "many faults": BudgetNet(faults=12),
+    "late": BudgetNet(heads=4, late_us=2 * SECOND, faults=8),
+}
+
+
+@pytest.mark.parametrize("name", BUDGETS)
+def test_all_heads_together_spend_no_more_than_the_budget_within_any_window(name: str) -> None:
+    for seed in range(8):
+        seen = BudgetRun(replace(BUDGETS[name], seed=seed)).run()
+        assert seen.most <= 1 + 1e-9, f"seed {seed}: {seen.most} at {seen.most_at} us"
+
+
+def test_a_head_alone_can_spend_most_of_the_budget() -> None:
+    calm = BudgetNet(calm=True, rest=0.0, shift_us=60 * SECOND, length_us=20 * SECOND)
+    assert BudgetRun(calm).run().usable > 0.75
+
+
+def lease_alone(self: Leases) -> int:
+    return int(self._limits.lease_us * (1 + self._limits.drift))
+
+
+def nothing_locked(self: Own, now: int, longest_us: int) -> float:
+    return 0.0
+
+
+@pytest.mark.parametrize(
+    "where, name, instead",
+    [(Leases, "_quarantine_us", property(lease_alone)), (Own, "locked", nothing_locked)],
+)
+def test_a_bug_put_into_budgets_on_purpose_is_found(
+    where: object, name: str, instead: Callable[..., Any], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(where, name, instead)
+    nets = [BudgetNet(shift_us=SECOND), BudgetNet(window_us=6 * SECOND, shift_us=2 * SECOND)]
+    assert any(BudgetRun(replace(nets[seed % 2], seed=seed)).run().most > 1 + 1e-9 for seed in range(60))
+
+
+def test_a_head_asks_for_the_budget_of_a_cold_server_and_counts_what_it_sends() -> None:
+    budgets = SharedBudgets(LIMITS, COLD, 1, T0)
+    node = replace(up("n0", 0), started_us=T0 - SECOND)
+    ask = api.Arrival("r1", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1)
+    budgets.observe_events(
+        T0,
+        [api.EndpointListUpdate((node, up("n1", 1)), whole=True), ask, replace(ask, request="r2", cell=1)],
+        COLD,
+        3,
+    )
+    assert budgets.changed_shares(T0, 3) == {
+        "cold:n0": 0.0
+    }, "a head that starts waits for its earlier life's window"
+    later = T0 + 4 * SECOND
+    budgets.observe_events(later, [ask], COLD, 3)
+    assert (
+        budgets.changed_shares(later, 3) == {"cold:n0": pytest.approx(1.0)}
+        and budgets.changed_shares(later, 3) is None
+    )
+    budgets.observe_actions(later, [api.Send("r1", "n0"), api.Send("r2", "n1"), api.Reject("r2")], COLD)
+    own = budgets.leases.demands[codec.tag("cold:n0")]
+    assert own.locked(later, budgets.leases.window_us) == pytest.approx(2 / 30)
+    budgets.observe_events(
+        later, [api.EndpointListUpdate(failed=True), api.EndpointListUpdate((up("n0", 0),))], COLD, 3
+    )
+    budgets.observe_actions(later, [api.Subscribe()], COLD)
+    told = budgets.changed_shares(later, 3)
+    assert told and told[api.LIST_CALLS] >= LIMITS.list_least
+    assert "r1" in budgets._units
+    budgets.observe_events(later, [api.ClientLeft("r1")], COLD, 3)
+    assert not budgets._units, "nobody waits for it any more"
+    budgets.observe_events(later, [replace(ask, request="r3")], COLD, 3)
+    assert "r3" not in budgets._units, "it is warm"
+
+
+def test_the_module_sends_a_cold_server_what_its_share_allows() -> None:
+    sent = {}
+    for share in (0.0, 1.0, 3.0):
+        module = Controller(replace(COLD, overload_multiple=0.0), 1)
+        node = replace(up("n0", 0), started_us=T0)
+        asks: list[api.Event] = [
+            api.Arrival(f"r{i}", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1) for i in range(40)
+        ]
+        told: list[api.Event] = [
+            api.EndpointListUpdate((node,), whole=True, at_start=True),
+            api.QuotaShares({}, {"cold:n0": share}),
+        ]
+        actions = module.handle(T0, told + asks)
+        sent[share] = sum(isinstance(a, api.Send) for a in actions)
+    assert sent[0.0] == 0 and 0 < sent[1.0] <= sent[3.0]
--- /dev/null
+++ b/tests/resp/test_backend_connection.py
@@ -0,0 +1,151 @@
+"""Replies of backends: outcomes, load reports and malformed responses."""
+
+from __future__ import annotations
+
+import pytest
+
+from garnetlanding.decision.interface import Outcome
+from garnetlanding.emulator.brick import Brick
+from garnetlanding.emulator.discovery import Box
+from garnetlanding.limits import MS
+from garnetlanding.resp import codec
+from garnetlanding.resp.brick import read_reply
+from tests.helpers import World, read_command
+from tests.support.resp import LIMITS
+
+
+@pytest.mark.parametrize(
+    "reply, meaning",
+    [
+        ([b"v", b"used=37,cost=4", None], (Outcome.SERVED, b"v", 38)),
+        ([b"v", None, None], (Outcome.SERVED, b"v", 0)),
+        ([b"v", b"cost=4", None], (Outcome.SERVED, b"v", 0)),
+        (codec.Error(b"ERR failed used=5"), (Outcome.ERROR, None, 6)),
+        (codec.Error(b"ERR failed used=5 latency_ms=9"), (Outcome.ERROR, None, 6)),
+        (codec.Error(b"BUSY"), (Outcome.FULL, None, 0)),
+        (codec.Error(b"SYNTAX"), (Outcome.ERROR, None, 0)),
+        # A figure that cannot be read fails only itself: it must not steer weights.
+        *(
+            ([b"v", use, None], (Outcome.SERVED, b"v", 0))
+            for use in (
+                b"used=x",
+                b"used=nan",
+                b"used=-5",
+                b"used=1e9",
+                b"used=999999",
+                b"used=" + b"9" * 5000,
+                b"used=1,used=2",
+                b"\xff",
+                7,
+                [b"used=3"],
+            )
+        ),
+        ([b"v", b"used=8", b"\xff{"], (Outcome.SERVED, b"v", 9)),
+    ],
+)
+def test_what_a_brick_says_and_what_it_means(
+    reply: codec.Value, meaning: tuple[Outcome, bytes | None, int]
+) -> None:
+    assert read_reply(reply, LIMITS.use_percent)[:3] == meaning
+
+
+@pytest.mark.parametrize(
+    "reply, report",
+    [
+        ([b"v", None, b"latency_ms=31.5"], {"latency_ms": 31.5}),
+        ([b"v", b"used=3", b"inflight=7,queue=2,util=0.61"], {"inflight": 7.0, "queue": 2.0, "util": 0.61}),
+        (codec.Error(b"ERR failed used=5 latency_ms=9"), {"latency_ms": 9.0}),
+        (codec.Error(b"ERR failed latency_ms=9"), {"latency_ms": 9.0}),
+        (codec.Error(b"ERR failed used=5"), {}),
+        (codec.Error(b"BUSY"), {}),
+        *(
+            ([b"v", None, odd], {})
+            for odd in (
+                b"latency_ms=nan",
+                b"latency_ms=-1",
+                b"latency_ms=1e9",
+                b"latency_ms=",
+                b"other=1",
+                b"\xff",
+                7,
+                b"latency_ms=1,queue=x",
+                b"latency_ms=" + b"9" * 400,
+            )
+        ),
+    ],
+)
+def test_the_load_report_of_an_answer(reply: codec.Value, report: dict[str, float]) -> None:
+    assert read_reply(reply, LIMITS.use_percent)[3] == report
+
+
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"+j`\x8d\r\n",
+        b":5\r\n",
+        b"$-1\r\n",
+        b"-\r\n",
+        b"-noise\r\n",
+        b"*1\r\n$1\r\nv\r\n",
+        b"*-1\r\n",
+        b"*3\r\n$-1\r\n$-1\r\n$-1\r\n",
+        b"*3\r\n$9\r\nv\r\n$-1\r\n$-1\r\n",
+        b"*3\r\n$-7\r\n",
+        b"?!\r\n",
+        b"*3\r\n$3221225472\r\nvvv",
+        b"+" + b"x" * 600,
+        b"*3\r\n$5\r\nv\r\n",
+        b"-ERR no end",
+    ],
+)
+def test_a_spoilt_answer_may_have_run_and_its_connection_is_not_used_again(spoilt: bytes) -> None:
+    """Some are still being sent, or wait for what never comes: they must not hold the attempt for good."""
+    w = World()
+    brick = w.server(Brick)
+    w.list(Box("b0", brick.address, 0))
+    brick.data[b"k"], brick.script = b"value", [spoilt]
+    peer = w.peer(w.front().address)
+    peer.say(read_command())
+    w.run(w.limits.half_answer_us)
+    assert w.core.starts[0].outcome is Outcome.RESET
+    w.run(100 * MS)
+    assert peer.got == codec.bulk(b"value") and len(brick.heard) == brick.accepted == 2
+
+
+def test_part_after_part_of_an_answer_without_an_end_is_given_up_too() -> None:
+    w = World()
+    brick = w.server(Brick)
+    w.list(Box("b0", brick.address, 0))
+    brick.script = [b"*3\r\n$60000\r\n"]
+    w.peer(w.front().address).say(read_command())
+    for _ in range(w.limits.half_answer_us // (10 * MS)):
+        assert w.core.starts[0].outcome is None
+        w.run(10 * MS)
+        for conn in list(brick.conns):
+            conn.write(b"x")
+        w.settle()
+    assert w.core.starts[0].outcome is Outcome.RESET
+
+
+@pytest.mark.parametrize("behind", [b"noise", b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", b"\r\n"])
+def test_a_good_answer_with_more_behind_it_is_served_and_its_connection_closed(behind: bytes) -> None:
+    """It was thrown away with its connection, and the work done a second time."""
+    w = World()
+    brick = w.server(Brick)
+    w.list(Box("b0", brick.address, 0))
+    brick.script = [b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n" + behind]
+    peer = w.peer(w.front().address)
+    assert peer.say(read_command()) == codec.bulk(b"value")
+    assert not brick.conns and len(brick.heard) == 1
+
+
+def test_a_value_longer_than_many_buffers_passes_whole() -> None:
+    w = World(buffer_bytes=512)
+    brick = w.server(Brick)
+    w.list(Box("b0", brick.address, 0))
+    peer = w.peer(w.front().address)
+    body = bytes(range(256)) * 256
+    assert peer.say(read_command(verb="BLK.WRITE", body=body)) == b"$2\r\nOK\r\n"
+    assert peer.say(read_command("r2")) == codec.bulk(body)
+    brick.data[b"k"] = body * 6  # more than the protocol says, and seen: run four times over and never served
+    assert peer.say(read_command("r3")) == codec.bulk(body * 6) and len(brick.heard) == 3
--- /dev/null
+++ b/tests/resp/test_client_connections.py
@@ -0,0 +1,127 @@
+"""Client connections of the RESP front: closes, bounds, eviction."""
+
+from __future__ import annotations
+
+from garnetlanding.emulator.brick import Brick
+from garnetlanding.emulator.discovery import Box
+from garnetlanding.limits import MS
+from tests.helpers import World, read_command, settings
+from tests.support.resp import PING
+
+
+def test_a_client_that_closes_has_left_and_its_attempt_is_stopped() -> None:
+    w = World()
+    brick = w.server(Brick)
+    w.list(Box("b0", brick.address, 0))
+    brick.script = [None]
+    peer = w.peer(w.front().address)
+    peer.say(read_command())
+    assert len(brick.held) == 1
+    peer.close()
+    assert w.core.open_requests == 0 and not brick.conns and w.core.finals == [[]]
+
+
+def test_a_client_that_sends_half_a_command_or_reads_nothing_is_cut_off() -> None:
+    w = World(buffer_bytes=512, out_bytes=20_000)
+    brick = w.server(Brick)
+    brick.data[b"k"] = b"x" * 60_000
+    w.list(Box("b0", brick.address, 0))
+    front = w.front()
+    half = w.peer(front.address)
+    half.say(read_command()[:-5])
+    w.run(w.limits.command_us + MS, step_us=500 * MS)
+    assert half.closed
+    deaf = w.peer(front.address)
+    assert deaf.stream
+    w.mute(deaf.stream._sock.fileno())  # it stops reading
+    deaf.stream.write(b"".join(read_command(f"r{i}") for i in range(400)))
+    w.run(w.limits.write_stall_us + MS, step_us=100 * MS)
+    assert len(front) == 0, "what it leaves unread is bounded in bytes and time"
+
+
+def test_connections_are_bounded_and_the_one_idle_longest_makes_room() -> None:
+    w = World(client_conns=2)
+    brick = w.server(Brick)
+    w.list(Box("b0", brick.address, 0))
+    front = w.front()
+    busy, idle = w.peer(front.address), w.peer(front.address)
+    idle.say(read_command())
+    brick.script = [None]
+    busy.say(read_command("r2", d=1400))
+    third = w.peer(front.address)
+    assert third.say(PING) == b"" and not idle.closed, "a good client may be idle for a moment"
+    w.run(w.limits.idle_us, step_us=100 * MS)
+    assert third.got == b"+PONG\r\n" and idle.closed
+
+
+def test_a_crowd_that_only_greets_makes_room_before_those_that_ask() -> None:
+    """Hundreds sent a PING and stayed: their places were theirs for 2 s, and nobody else was heard."""
+    w = World(client_conns=2, idle_us=100 * MS)
+    w.list()
+    front = w.front()
+    asker, greeter = w.peer(front.address), w.peer(front.address)
+    asker.say(read_command(d=0))
+    greeter.say(PING)
+    late = w.peer(front.address)
+    assert late.say(PING) == b""
+    w.run(w.limits.new_us)
+    assert late.got == b"+PONG\r\n" and greeter.closed and not asker.closed
+
+
+def test_who_says_nothing_makes_room_sooner_unless_its_request_has_come_unread() -> None:
+    w = World(client_conns=2)
+    front = w.front()
+    silent, late = w.peer(front.address), w.peer(front.address)
+    head_end = min(
+        front._clients,
+        key=lambda c: c.used_at
+        if c.stream._sock.getpeername() == (late.stream and late.stream._sock.getsockname())
+        else 1 << 60,
+    )
+    w.mute(head_end.stream._sock.fileno())
+    late.say(PING)
+    third = w.peer(front.address)
+    assert third.say(PING) == b""
+    w.run(w.limits.new_us)
+    assert third.got == b"+PONG\r\n" and silent.closed and not late.closed
+    third.say(PING[:5])
+    fourth = w.peer(front.address)
+    w.run(w.limits.new_us)
+    assert fourth.say(PING) == b"+PONG\r\n" and third.closed, "half a command is little more than nothing"
+
+
+def test_connections_kept_for_good_are_closed_once_there_are_many() -> None:
+    """Clients that ask once and stay used up what clients may hold: others had no connection left."""
+    w = World(idle_clients=2)
+    brick = w.server(Brick)
+    w.list(Box("b0", brick.address, 0))
+    front = w.front()
+    peers = [w.peer(front.address) for _ in range(5)]
+    for i, peer in enumerate(peers):
+        peer.say(read_command(f"r{i}"))
+    w.run(w.limits.idle_us - MS, 100 * MS)
+    peers[0].say(read_command("again"))
+    assert len(front) == 5
+    w.run(w.limits.client_sweep_us + MS)
+    assert len(front) == 2 and not peers[0].closed, "that one has just been used"
+
+
+def test_clients_have_the_places_that_bricks_do_not_need_and_give_them_back() -> None:
+    """A fixed share left connections waiting that had been answered for within a moment."""
+    w = World(
+        settings(max_attempts=4, parallel_attempts=False, instances=1), brick_conns_kept=1, client_conns=4
+    )
+    boxes = [w.server(Brick) for _ in range(4)]
+    for brick in boxes:
+        brick.script = [None]
+    w.list(*(Box(f"b{i}", brick.address, i) for i, brick in enumerate(boxes)))
+    front = w.front()
+    front.lent, w.bricks.borrow = lambda: max(0, w.bricks.count - 1), front.lend
+    busy, idle, late = (w.peer(front.address) for _ in range(3))
+    idle.say(PING)
+    for i in range(3):
+        busy.say(read_command(f"r{i}", cell=i, d=10_000))
+    assert w.bricks.count == 2 and len(front) == 3, "two each: all places are taken"
+    w.run(400 * MS)
+    assert late.closed or idle.closed, "who had asked nothing made room for a brick"
+    assert w.bricks.count == 3
--- /dev/null
+++ b/tests/resp/test_codec.py
@@ -0,0 +1,68 @@
+"""The RESP2 codec, at any split."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from garnetlanding.resp import codec
+from tests.helpers import World
+from tests.support.resp import LIMITS, pool
+
+WORDS = st.lists(st.binary(max_size=40), min_size=1, max_size=6)
+
+
+def cut(data: bytes, sizes: list[int]) -> list[bytes]:
+    pieces = []
+    for size in sizes:
+        pieces.append(data[:size])
+        data = data[size:]
+    return [*pieces, data]
+
+
+@given(st.lists(WORDS, max_size=5), st.lists(st.integers(0, 30), max_size=20))
+def test_commands_are_read_alike_however_they_are_cut(commands: list[list[bytes]], sizes: list[int]) -> None:
+    buffers = pool()
+    decoder = codec.Decoder(buffers, LIMITS, commands_only=True)
+    data = b"".join(map(codec.command, commands))
+    got = [value for piece in cut(data, sizes) for value in decoder.feed(piece)]
+    assert got == commands and not decoder.midway
+    assert buffers.in_use <= 1, "an emptied buffer goes back"
+
+
+def test_replies_of_every_kind() -> None:
+    data = b"+OK\r\n-ERR x\r\n:-7\r\n$-1\r\n*-1\r\n*0\r\n*2\r\n*1\r\n:1\r\n$2\r\nab\r\n"
+    assert list(codec.Decoder(pool(), LIMITS).feed(data)) == [
+        codec.Simple(b"OK"),
+        codec.Error(b"ERR x"),
+        -7,
+        None,
+        None,
+        [],
+        [[1], b"ab"],
+    ]
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"GET x\r\n",
+        b"*x\r\n",
+        b"*-2\r\n",
+        b"*99\r\n",
+        b"*1\r\n:1\r\n",
+        b"*1\r\n$70000\r\n",
+        b"*1\r\n$-1\r\n",
+        b"*1\r\n$1\r\nabc",
+        b"*" + b"1" * 600,
+        b"*1\r\n$99999999999999999999\r\n",
+        b"*1\r\n*1\r\n",
+        b"*1\r\n$-5\r\n",
+    ],
+)
+def test_lost_framing_gets_an_error_and_a_closed_connection(data: bytes) -> None:
+    w = World()
+    peer = w.peer(w.front().address)
+    assert peer.say(b"*1\r\n$4\r\nPING\r\n" + data).startswith(b"+PONG\r\n-ERR Protocol error")
+    assert peer.closed and w.core.open_requests == 0
--- /dev/null
+++ b/tests/resp/test_front.py
@@ -0,0 +1,166 @@
+"""The RESP front: commands, pipelining and errors."""
+
+from __future__ import annotations
+
+import pytest
+
+from garnetlanding.core.ports import Failed, Rejected, Served
+from garnetlanding.emulator.brick import Brick
+from garnetlanding.emulator.discovery import Box
+from garnetlanding.limits import MS
+from garnetlanding.resp import codec
+from garnetlanding.resp.front import write_answer
+from garnetlanding.resp.request import BadRequest, read_request
+from tests.helpers import SECOND, World, read_command, settings
+from tests.support.resp import LIMITS, PING, pool
+
+
+@pytest.mark.parametrize(
+    "change, words",
+    [
+        (("c=read,", ""), "field c"),
+        (("units=2", "units=nan"), "field units"),
+        (("units=2", "units=0"), "field units"),
+        (("shard=0", "shard=x"), "field shard"),
+        (("d=1000", "d=-5"), "field d"),
+        (("hosts=1", "hosts=0"), "field hosts"),
+        (("c=read", "c=other"), "unknown class"),
+        (("t=gold", "t=lead"), "unknown plan"),
+        (("d=1000", "d=1_000"), "field d"),
+        (("d=1000", "d=soon"), "field d"),
+        (("units=2", "units=7"), "more units"),
+        (("shard=0", "shard=9"), "unknown shard"),
+        (("hosts=1", "hosts=4"), "more hosts"),
+        (("volume=v", "volume="), "field volume"),
+        (("volume=v", "volume=" + "v" * 99), "field volume"),
+        (("hosts=1", "hosts=1,c=read"), "field c: there twice"),
+        (("v,", "v" * 600 + ","), "fields: too long"),
+    ],
+)
+def test_a_command_that_cannot_be_taken_names_its_field(change: tuple[str, str], words: str) -> None:
+    w = World(settings(cells=9))
+    peer = w.peer(w.front().address)
+    args = "c=read,t=gold,d=1000,volume=v,units=2,shard=0,hosts=1".replace(*change).encode()
+    answer = peer.say(codec.command([b"BLK.READ", b"k", b"id", args]))
+    assert answer.startswith(b"-ERR") and words.encode() in answer
+    assert peer.say(PING) == b"", "not read at once: it could send the same at full speed"
+    w.run(w.limits.bad_pause_us)
+    assert peer.got == answer + b"+PONG\r\n", "the connection goes on"
+
+
+@pytest.mark.parametrize("id", [b"", b"a b", b"\xff", b"x" * 65])
+def test_an_id_must_be_there_and_be_one(id: bytes) -> None:
+    words = [b"BLK.READ", b"k", id, b"c=read,t=gold,d=1,volume=v,units=2,shard=0,hosts=1"]
+    with pytest.raises(BadRequest, match="id: missing"):
+        read_request(words, LIMITS)
+
+
+def test_the_id_of_an_open_request_is_turned_away_and_its_owner_is_served() -> None:
+    w = World()
+    brick = w.server(Brick)
+    w.list(Box("b0", brick.address, 0))
+    brick.script = [None]
+    front = w.front()
+    owner, thief = w.peer(front.address), w.peer(front.address)
+    owner.say(read_command("r1"))
+    assert thief.say(read_command("r1", volume="w")).startswith(b"-ERR id: of a request that is open")
+    brick.release()
+    w.settle()
+    assert owner.got == b"$0\r\n\r\n" and len(brick.heard) == 1
+    assert owner.say(read_command("r1")) == b"$0\r\n\r\n", "it is free again"
+
+
+def test_hundreds_of_commands_at_once_and_error_after_error_are_turned_away() -> None:
+    """They were parked, answered as they came to it, and the loop was theirs."""
+    w = World(pipeline=4)
+    brick = w.server(Brick)
+    w.list(Box("b0", brick.address, 0))
+    brick.script = [None] * 9
+    front = w.front()
+    many, rude = w.peer(front.address), w.peer(front.address)
+    many.say(b"".join(read_command(f"r{i}") for i in range(300)))
+    assert many.got == b"-ERR too many commands at once\r\n" * 5 and many.closed
+    w.run(w.limits.linger_us)
+    assert w.core.open_requests == 0 and not brick.conns and all(len(f) == 1 for f in w.core.finals)
+    rude.say(codec.command([b"NO"]) * 300)
+    w.run(w.limits.linger_us)
+    assert rude.got == b"-ERR unknown command\r\n" * 8 + b"-ERR too many errors\r\n" and rude.closed
+    assert len(front) == 0
+
+
+def test_what_has_lost_its_framing_gets_its_error_at_once_whatever_it_has_open() -> None:
+    w = World()
+    brick = w.server(Brick)
+    w.list(Box("b0", brick.address, 0))
+    brick.script = [None]
+    peer = w.peer(w.front().address)
+    peer.say(read_command(d=1400) + b"?\r\n")
+    assert peer.got.count(b"-ERR Protocol error") == 2 and w.core.open_requests == 0
+
+
+def test_what_a_client_still_sends_after_its_error_does_not_reset_the_connection() -> None:
+    """A close with unread input resets it, and the error line may be lost with that."""
+    w = World(linger_bytes=1000)
+    front = w.front()
+    peer = w.peer(front.address)
+    peer.stays = True
+    assert peer.say(b"*1\r\n$60000000\r\n") == b"-ERR Protocol error: length over the limit\r\n"
+    assert len(front) == 1
+    peer.say(b"x" * 900)
+    assert len(front) == 1
+    peer.say(b"x" * 200)
+    assert len(front) == 0, "but it is not read for good"
+
+
+def test_silence_and_half_commands_end_in_time_but_no_open_request_does() -> None:
+    w = World(command_us=SECOND)
+    brick = w.server(Brick)
+    w.list(Box("b0", brick.address, 0))
+    brick.script = [None]
+    front = w.front()
+    silent, half, drip, good, busy = (w.peer(front.address) for _ in range(5))
+    half.say(read_command("h")[:-5])
+    good.say(PING)
+    busy.say(read_command("b", d=1400) + b"*1")
+    for i in range(12):
+        drip.say(b"*1\r\n$4\r\nPING"[i : i + 1])
+        w.run(100 * MS)
+    assert silent.closed and half.closed and drip.closed and not good.closed
+    assert busy.got == b"" and not busy.closed
+    w.run(200 * MS)
+    assert busy.got.startswith(b"-BUSY"), "it was owed its answer"
+    good.say(PING[:9])
+    w.run(990 * MS)
+    assert not good.closed, "an established connection has the whole time for each command"
+    w.run(10 * MS)
+    assert good.closed
+
+
+def test_small_commands_and_arguments() -> None:
+    w = World()
+    peer = w.peer(w.front().address)
+    assert peer.say(codec.command([b"CLIENT", b"INFO"])) == b"+OK\r\n"
+    assert peer.say(codec.command([b"HELLO", b"3"])) == b"-ERR unknown command\r\n"
+    w.run(w.limits.bad_pause_us)
+    assert peer.say(b"*0\r\n" + codec.command([b"ping", b"a"])) == b"$1\r\na\r\n"
+    assert peer.say(codec.command([b"BLK.READ", b"k"])).startswith(b"-ERR wrong number")
+    w.run(w.limits.bad_pause_us)
+    assert peer.say(codec.command([b"QUIT"])) == b"+OK\r\n" and peer.closed
+
+
+def test_a_brick_gets_the_command_unchanged_but_for_the_time_left() -> None:
+    words = [b"BLK.WRITE", b"key", b"id", b"c=w,t=g,d=480,volume=v,units=2,shard=-1,hosts=3,k=ab", b"BODY"]
+    ask = read_request(words, LIMITS)
+    assert (ask.cell, ask.timeout_us, ask.is_write) == (-1, 480 * MS, True)
+    [sent] = codec.Decoder(pool(), LIMITS).feed(ask.work.for_brick(123_456))
+    assert sent == [*words[:3], words[3].replace(b"d=480", b"d=123"), b"BODY"]
+    assert b"d=1," in ask.work.for_brick(-5)
+    with pytest.raises(BadRequest):
+        read_request([*words[:3], b"c=\xff", b""], LIMITS)
+
+
+def test_answers_as_the_protocol_words_them() -> None:
+    assert write_answer(Served(b"")) == b"$0\r\n\r\n"
+    assert write_answer(Rejected()) == b"-BUSY\r\n"
+    assert write_answer(Rejected(1500)) == b"-BUSY 2\r\n", "never sooner than meant"
+    assert write_answer(Failed("a\r\nb")) == b"-ERR a b\r\n"
--- /dev/null
+++ b/tests/runtime/test_attempt_ends.py
@@ -0,0 +1,83 @@
+"""The ends of attempts: unsolicited answers, late connections, resets."""
+
+from __future__ import annotations
+
+import socket
+
+import pytest
+
+from garnetlanding.decision import interface as api
+from garnetlanding.emulator.brick import Brick
+from garnetlanding.emulator.discovery import Box
+from garnetlanding.runtime.stream import Stream
+from tests.helpers import MS, SECOND, World, read_command, settings
+from tests.support.departures import Raw, Waiting, connect_late
+
+# Attempts
+
+
+def test_what_a_brick_said_unasked_is_not_taken_for_the_next_answer() -> None:
+    """A second answer, some milliseconds late, lay unread on a kept connection as the next request came."""
+    w = Waiting()
+    w.appear()
+    client = Raw(w, w.listener.address)
+    client.say(read_command("r1"))
+    [[kept]] = w.bricks._idle.values()
+    assert kept._stream
+    w.mute(kept._stream._sock.fileno())
+    w.brick.conns[0].write(b"*3\r\n$5\r\nwrong\r\n$-1\r\n$-1\r\n")
+    w.settle()
+    client.sock.recv(100)
+    client.say(read_command("r2"))
+    assert client.sock.recv(100) == b"$0\r\n\r\n" and w.brick.accepted == 2
+
+
+@pytest.mark.parametrize(
+    "effect, window, repeats",
+    [(api.Effect.KEYED, 300 * MS, 0), (api.Effect.KEYED, 900 * MS, 1), (api.Effect.SAFE, 0, 1)],
+)
+def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_sent(
+    effect: api.Effect, window: int, repeats: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The window was looked at before the connection was begun, which takes up to 0.25 s."""
+    cls = api.ClassSpec("read", 2.0, 0.1, 300 * MS, 1500 * MS, effect, api.DeduplicationScope.ALL, window)
+    w = World(settings(parallel_attempts=False, max_attempts=2, instances=1, classes={"read": cls}))
+    brick = w.server(Brick)
+    brick.script = [None]
+    w.list(Box("b0", brick.address, 0))
+    client = Raw(w, w.front().address)
+    client.say(read_command(d=1500))
+    w.run(200 * MS)
+    connect_late(w, monkeypatch)
+    brick.drop()
+    w.run(1200 * MS)
+    assert len(w.core.starts) >= 2, "the module sends it again in time"
+    assert len(brick.heard) == 1 + repeats
+
+
+def test_an_answer_that_is_reset_has_not_ended() -> None:
+    """Without a length it ends with its stream; a reset looked like that end."""
+    w = World()
+    listener = socket.create_server(("127.0.0.1", 0))
+    stream: list[Stream] = []
+    seen: list[bool] = []
+
+    def read() -> None:
+        address = f"127.0.0.1:{listener.getsockname()[1]}"
+        stream.append(Stream.connect(w.scheduler, address, w.pool, w.limits, w.time + SECOND))
+        while stream[0].read(lambda data: None):
+            pass
+        seen.append(stream[0].read_failed)
+
+    for how in (Raw.abort, Raw.fin):
+        w.scheduler.spawn(read)
+        w.settle()
+        raw = Raw.__new__(Raw)
+        raw.sock = listener.accept()[0]
+        raw.sock.sendall(b"HTTP/1.1 200 OK\r\n\r\nhalf")
+        w.settle()
+        how(raw)
+        w.settle()
+        stream.clear()
+    assert seen == [True, False]
+    listener.close()
--- /dev/null
+++ b/tests/runtime/test_buffers.py
@@ -0,0 +1,45 @@
+"""Buffers: chains, lines and the bounded pool."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from garnetlanding.runtime.buffers import BufferPool, Chain, PoolEmpty
+
+
+@given(st.lists(st.one_of(st.binary(max_size=30), st.integers(0, 40)), max_size=30))
+def test_a_chain_is_a_queue_of_bytes(steps: list[bytes | int]) -> None:
+    pool = BufferPool(8, 2, 100)
+    chain, model = Chain(pool), b""
+    for step in steps:
+        if isinstance(step, bytes):
+            chain.append(step)
+            model += step
+        else:
+            assert chain.peek(step) == model[:step] and chain.take(step) == model[:step]
+            model = model[step:]
+        assert chain.length == len(model)
+        assert pool.in_use <= len(model) // 8 + 2, "emptied buffers go back to the pool"
+    chain.clear()
+    assert pool.in_use == 0
+
+
+def test_a_line_ends_at_crlf_and_is_bounded() -> None:
+    chain = Chain(BufferPool(4, 2, 100))
+    chain.append(b"abc\r")
+    assert chain.line(10) is None
+    chain.append(b"\nrest")
+    assert chain.line(10) == b"abc" and chain.length == 4
+    with pytest.raises(ValueError):
+        chain.line(2)
+
+
+def test_a_pool_gives_no_more_than_it_may() -> None:
+    pool = BufferPool(8, 1, 1)
+    first = pool.take()
+    with pytest.raises(PoolEmpty):
+        pool.take()
+    pool.give(first)
+    assert pool.take() is first, "used again"
--- /dev/null
+++ b/tests/runtime/test_connection_close.py
@@ -0,0 +1,94 @@
+"""Client connections that are closed between requests."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from garnetlanding.resp import codec
+from garnetlanding.runtime.closing import TO, Closing, Event, State
+from garnetlanding.runtime.stream import Stream
+from tests.helpers import MS, SECOND, World, read_command
+from tests.support.departures import PING, Raw, Waiting
+
+# Connections that are let go between requests
+
+
+def crossing(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Whatever the head looks for, the bytes come behind its look."""
+    monkeypatch.setattr(Stream, "quiet", lambda self: True)
+
+
+def evict(w: Waiting) -> None:
+    w.listener.shed(0)
+
+
+def end(w: Waiting) -> None:
+    w.listener.close_idle()
+
+
+@pytest.mark.parametrize("let_go", [evict, end])
+def test_a_request_that_crosses_the_close_is_not_sent_on_and_the_last_answer_arrives(
+    let_go: Callable[[Waiting], None], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Closed with input unread, the connection was reset, and the answer before it could go with that."""
+    w = Waiting()
+    w.appear()
+    w.brick.data[b"k"] = b"x" * 30_000
+    client = Raw(w, w.listener.address)
+    client.say(read_command())
+    w.run(3 * SECOND, 100 * MS)
+    [head_end] = w.listener._clients
+    crossing(monkeypatch)
+    client.sock.sendall(read_command("r2"))  # not read yet: the head has had no turn since
+    let_go(w)
+    w.settle()
+    assert client.read() == codec.bulk(b"x" * 30_000), "whole, and then an end and no reset"
+    client.fin()
+    w.settle()
+    assert len(w.brick.heard) == 1 and len(w.listener) == 0 and head_end.closing.state is State.CLOSED
+
+
+def test_a_request_that_has_come_before_the_look_is_served() -> None:
+    w = Waiting()
+    w.appear()
+    client = Raw(w, w.listener.address)
+    client.say(read_command())
+    w.run(3 * SECOND, 100 * MS)
+    client.sock.sendall(read_command("r2"))
+    w.listener.shed(0)
+    w.listener.close_idle()
+    w.settle()
+    assert len(w.brick.heard) == 2 and client.read() == b"$0\r\n\r\n" * 2, "and then it is let go"
+
+
+def test_clients_that_stay_when_let_go_hold_few_descriptors_and_not_for_long() -> None:
+    w = World(client_conns=6, linger_conns=2)
+    front = w.front()
+    stay = [Raw(w, front.address) for _ in range(6)]
+    w.run(w.limits.new_us)
+    late = [Raw(w, front.address) for _ in range(4)]
+    w.run(20 * MS, 10 * MS)
+    for client in late:
+        client.say(PING)
+    assert [client.sock.recv(16) for client in late] == [b"+PONG\r\n"] * 4, "places are free at once"
+    assert len(front) <= 6 + 2
+    w.run(w.limits.linger_us)
+    assert len(front) == 6 and len(stay) == 6
+
+
+@given(st.lists(st.sampled_from(Event), max_size=12))
+def test_a_connection_once_told_that_this_is_the_end_never_takes_anything_again(events: list[Event]) -> None:
+    closing, over = Closing(), False
+    for event in events:
+        before = closing.state
+        closing.on(event)
+        assert not (over and closing.reads), "what comes behind the shutdown would be lost"
+        assert not (before is State.FINISHING and closing.state is State.SERVING)
+        over = over or closing.over
+        if event in (Event.FIN, Event.BROKEN, Event.CUT):
+            assert closing.state is State.CLOSED
+    assert set(TO) == set(State)
--- /dev/null
+++ b/tests/runtime/test_scheduler.py
@@ -0,0 +1,59 @@
+"""The scheduler: tasks, deadlines, timers; and addresses."""
+
+from __future__ import annotations
+
+import pytest
+
+from garnetlanding.runtime.scheduler import Expired, Scheduler
+from garnetlanding.runtime.stream import parse_address
+
+
+def test_a_defect_in_one_task_leaves_the_others_running(caplog: pytest.LogCaptureFixture) -> None:
+    scheduler, seen = Scheduler(), []
+
+    def bad() -> None:
+        raise RuntimeError("defect")
+
+    scheduler.spawn(bad)
+    scheduler.call_at(0, bad)
+    scheduler.turn_end.append(bad)
+    scheduler.spawn(lambda: seen.append("on"))
+    scheduler.turn(0)
+    assert seen == ["on"] and caplog.text.count("RuntimeError: defect") == 3
+
+
+def test_a_wait_ends_at_its_deadline_and_a_cancelled_timer_never_fires() -> None:
+    clock, seen = [0], []
+    scheduler = Scheduler(lambda: clock[0])
+    scheduler.call_at(5, lambda: seen.append("cancelled")).cancel()
+
+    def body() -> None:
+        try:
+            scheduler.park(10)
+        except Expired:
+            seen.append(f"expired at {scheduler.now}")
+
+    scheduler.spawn(body)
+    for clock[0] in (0, 9, 10, 10):
+        scheduler.turn(0)
+    assert seen == ["expired at 10"]
+
+
+def test_cancelled_timers_do_not_gather_and_the_others_fire_in_order() -> None:
+    """A request's timer stood in the heap until its deadline, long after its answer."""
+    clock, seen = [0], []
+    scheduler = Scheduler(lambda: clock[0])
+    for i in range(1000):
+        scheduler.call_at(10_000 - i, lambda: seen.append(scheduler.now)).cancel()
+        if i % 100 == 0:
+            scheduler.call_at(10_000 - i, lambda i=i: seen.append(i))  # type: ignore[misc]
+        assert len(scheduler._timers) <= 2 * (i // 100 + 2)
+    clock[0] = 10_000
+    scheduler.turn(0)
+    assert seen == list(range(900, -1, -100)) and scheduler.cancelled == len(scheduler._timers) == 0
+
+
+@pytest.mark.parametrize("text", ["", "host", "host:", ":1", "h:x", "h:70000"])
+def test_an_address_that_is_none_is_named(text: str) -> None:
+    with pytest.raises(ValueError, match="HOST:PORT"):
+        parse_address(text)
--- a/tests/runtime/test_runtime.py
+++ b/tests/runtime/test_upstream.py
@@ -1,121 +1,15 @@
-"""Buffers, the scheduler, the stream driver, and the connections to servers."""
+"""Connections to backends: reuse, breaks, bounds."""
 
 from __future__ import annotations
 
 import pytest
-from hypothesis import given
-from hypothesis import strategies as st
 
 from garnetlanding.core.ports import AttemptHandle
 from garnetlanding.decision.interface import Outcome
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box
-from garnetlanding.resp import codec
-from garnetlanding.runtime.buffers import BufferPool, Chain, PoolEmpty
-from garnetlanding.runtime.scheduler import Expired, Scheduler
-from garnetlanding.runtime.stream import parse_address
-from tests.helpers import MS, SECOND, Peer, World, read_command, settings
-
-
-@given(st.lists(st.one_of(st.binary(max_size=30), st.integers(0, 40)), max_size=30))
-def test_a_chain_is_a_queue_of_bytes(steps: list[bytes | int]) -> None:
-    pool = BufferPool(8, 2, 100)
-    chain, model = Chain(pool), b""
-    for step in steps:
-        if isinstance(step, bytes):
-            chain.append(step)
-            model += step
-        else:
-            assert chain.peek(step) == model[:step] and chain.take(step) == model[:step]
-            model = model[step:]
-        assert chain.length == len(model)
-        assert pool.in_use <= len(model) // 8 + 2, "emptied buffers go back to the pool"
-    chain.clear()
-    assert pool.in_use == 0
-
-
-def test_a_line_ends_at_crlf_and_is_bounded() -> None:
-    chain = Chain(BufferPool(4, 2, 100))
-    chain.append(b"abc\r")
-    assert chain.line(10) is None
-    chain.append(b"\nrest")
-    assert chain.line(10) == b"abc" and chain.length == 4
-    with pytest.raises(ValueError):
-        chain.line(2)
-
-
-def test_a_pool_gives_no_more_than_it_may() -> None:
-    pool = BufferPool(8, 1, 1)
-    first = pool.take()
-    with pytest.raises(PoolEmpty):
-        pool.take()
-    pool.give(first)
-    assert pool.take() is first, "used again"
-
-
-def test_a_defect_in_one_task_leaves_the_others_running(caplog: pytest.LogCaptureFixture) -> None:
-    scheduler, seen = Scheduler(), []
-
-    def bad() -> None:
-        raise RuntimeError("defect")
-
-    scheduler.spawn(bad)
-    scheduler.call_at(0, bad)
-    scheduler.turn_end.append(bad)
-    scheduler.spawn(lambda: seen.append("on"))
-    scheduler.turn(0)
-    assert seen == ["on"] and caplog.text.count("RuntimeError: defect") == 3
-
-
-def test_a_wait_ends_at_its_deadline_and_a_cancelled_timer_never_fires() -> None:
-    clock, seen = [0], []
-    scheduler = Scheduler(lambda: clock[0])
-    scheduler.call_at(5, lambda: seen.append("cancelled")).cancel()
-
-    def body() -> None:
-        try:
-            scheduler.park(10)
-        except Expired:
-            seen.append(f"expired at {scheduler.now}")
-
-    scheduler.spawn(body)
-    for clock[0] in (0, 9, 10, 10):
-        scheduler.turn(0)
-    assert seen == ["expired at 10"]
-
-
-def test_cancelled_timers_do_not_gather_and_the_others_fire_in_order() -> None:
-    """A request's timer stood in the heap until its deadline, long after its answer."""
-    clock, seen = [0], []
-    scheduler = Scheduler(lambda: clock[0])
-    for i in range(1000):
-        scheduler.call_at(10_000 - i, lambda: seen.append(scheduler.now)).cancel()
-        if i % 100 == 0:
-            scheduler.call_at(10_000 - i, lambda i=i: seen.append(i))  # type: ignore[misc]
-        assert len(scheduler._timers) <= 2 * (i // 100 + 2)
-    clock[0] = 10_000
-    scheduler.turn(0)
-    assert seen == list(range(900, -1, -100)) and scheduler.cancelled == len(scheduler._timers) == 0
-
-
-@pytest.mark.parametrize("text", ["", "host", "host:", ":1", "h:x", "h:70000"])
-def test_an_address_that_is_none_is_named(text: str) -> None:
-    with pytest.raises(ValueError, match="HOST:PORT"):
-        parse_address(text)
-
-
-# Connections to bricks
-
-
-class BrickWorld(World):
-    def __init__(self, **limits: int) -> None:
-        super().__init__(settings(parallel_attempts=False, max_attempts=4, instances=1), **limits)
-        self.brick = self.server(Brick)
-        self.list(Box("b0", self.brick.address, 0))
-        self.client = self.peer(self.front().address)
-
-    def outcomes(self) -> list[str]:
-        return [a.outcome.value if a.outcome else "out" for a in self.core.starts]
+from tests.helpers import MS, read_command
+from tests.support.runtime import BrickWorld
 
 
 def test_connections_are_used_again_and_closed_before_the_brick_would() -> None:
@@ -250,35 +144,3 @@
     assert not w.brick.heard and w.outcomes() == [Outcome.UNREACHABLE.value]
     w.run(200 * MS)
     assert len(moved.heard) == 1 and w.client.got == b"$0\r\n\r\n"
-
-
-def test_answers_to_pipelined_commands_come_in_order_though_served_out_of_order() -> None:
-    w = BrickWorld()
-    w.brick.data = {b"k1": b"one", b"k2": b"two"}
-    w.brick.script = [None]
-    w.client.say(read_command("r1", key="k1"))
-    assert w.client.say(read_command("r2", key="k2")) == b""
-    w.brick.release()
-    w.settle()
-    assert w.client.got == codec.bulk(b"one") + codec.bulk(b"two")
-
-
-def test_ending_closes_idle_clients_and_waits_for_the_rest() -> None:
-    w = BrickWorld()
-    front = w.front()
-    idle, busy = w.peer(front.address), w.peer(front.address)
-    w.brick.script = [None]
-    busy.say(read_command())
-    front.stop_accepting()
-    front.close_idle()
-    w.settle()
-    assert not idle.closed, "it has only just connected: what it asks may be on its way"
-    w.run(w.limits.new_us)
-    front.close_idle()
-    w.settle()
-    assert idle.closed and not busy.closed
-    w.brick.release()
-    w.settle()
-    assert busy.got == b"$0\r\n\r\n" and busy.closed and len(front) == 0
-    late = Peer(w, front.address)
-    assert late.closed and SECOND
--- /dev/null
+++ b/tests/store/test_persister.py
@@ -0,0 +1,18 @@
+"""The persister: the endpoint list and settings are stored as they change."""
+
+from __future__ import annotations
+
+from garnetlanding.store.cached_endpoints import SERVERS, cache_listing, cached_listing, newest_listing
+from garnetlanding.store.store import Store
+
+
+def test_the_list_is_kept_as_it_changes_and_the_newer_one_wins() -> None:
+    store = Store("w", True, 50)
+    one, two = ({"instanceId": n, "lifecycle": "SERVING"} for n in ("one", "two"))
+    cache_listing(store, {"generation": 5, "reset": True, "instances": [one, two]})
+    cache_listing(store, {"generation": 6, "reset": False, "instances": [one | {"lifecycle": "DELETED"}]})
+    assert cached_listing(store) == {"generation": 6, "reset": True, "instances": [two]}
+    assert newest_listing(store, {"generation": 7}) == {"generation": 7}
+    assert newest_listing(store, {"generation": 5})["generation"] == 6
+    cache_listing(store, {"generation": 8, "reset": True, "instances": [one]})
+    assert list(store.with_prefix(SERVERS)) == [SERVERS + "one"]
--- /dev/null
+++ b/tests/support/admin.py
@@ -0,0 +1,73 @@
+"""An instance with its administrative service for tests."""
+
+from __future__ import annotations
+
+import pathlib
+
+from garnetlanding.emulator.brick import Brick
+from garnetlanding.emulator.discovery import Box
+from garnetlanding.ops.admin_connection import AdminConnection
+from garnetlanding.ops.admin_service import AdminService
+from garnetlanding.ops.managed_instance import ManagedInstance
+from garnetlanding.ops.state_file import StateFile
+from garnetlanding.resp.front import ClientMachine
+from garnetlanding.runtime.listener import Listener
+from tests.helpers import World
+
+
+class Office(World):
+    """A head's front and its operators' front before two bricks of one cell each."""
+
+    def __init__(self, folder: pathlib.Path, **limits: int) -> None:
+        super().__init__(**limits)
+        self.brick = self.server(Brick)
+        self.boxes = [Box("b0", self.brick.address, 0), Box("b1", self.brick.address, 1)]
+        self.told = True
+        self.clients = Listener(
+            self.scheduler,
+            "127.0.0.1:0",
+            self.pool,
+            self.limits,
+            self.limits.client_conns,
+            lambda write: ClientMachine(
+                self.core,
+                self.bricks,
+                self.pool,
+                self.limits,
+                set(),
+                write,
+                lambda: self.desk.accepts_clients,
+            ),
+            True,
+        )
+        self.desk = AdminService(
+            ManagedInstance(
+                scheduler=self.scheduler,
+                engine=self.core,
+                clients=self.clients,
+                limits=self.limits,
+                endpoints_known=lambda: self.told,
+            ),
+            StateFile(str(folder), "n1"),
+        )
+        self.ops = Listener(
+            self.scheduler,
+            "127.0.0.1:0",
+            self.pool,
+            self.limits,
+            self.limits.ops_conns,
+            lambda write: AdminConnection(self.desk, self.pool, self.limits, write),
+        )
+        self.list(*self.boxes)
+
+    def call(self, what: str, method: str = "POST") -> tuple[int, str]:
+        """Status and body of one call, whose connection the head ends."""
+        peer = self.peer(self.ops.address)
+        answer = peer.say(f"{method} {what} HTTP/1.1\r\nHost: h\r\n\r\n".encode()).decode()
+        head, _, body = answer.partition("\r\n\r\n")
+        assert peer.closed and "Connection: close" in head and f"Content-Length: {len(body)}" in head
+        return int(head.split(" ")[1]), body
+
+    def figures(self) -> dict[str, int]:
+        lines = [line.partition(":") for line in self.call("/-/metrics", "GET")[1].splitlines()]
+        return {name.removeprefix("app."): int(value.partition("|")[0]) for name, _, value in lines}
--- /dev/null
+++ b/tests/support/audit.py
@@ -0,0 +1,45 @@
+"""Audit segments and records for tests."""
+
+from __future__ import annotations
+
+import pathlib
+from typing import Any
+
+from garnetlanding.audit import segments
+from garnetlanding.audit.limits import LIMITS, AuditLimits
+from garnetlanding.audit.records import Incarnation
+from garnetlanding.audit.segment_writer import SegmentWriter
+from garnetlanding.audit.segments import Segment
+from garnetlanding.audit.setup import AuditSetup
+from tests.helpers import SECOND
+
+
+def opened(
+    folder: pathlib.Path, life: int = 1, limits: AuditLimits = LIMITS, wall: int = 1000
+) -> SegmentWriter:
+    return SegmentWriter(AuditSetup(str(folder), False, limits), Incarnation("n0", life), 5, lambda: wall)
+
+
+# Many heads
+
+
+def life(head: str, number: int, *records: dict[str, Any], me: int = 0, wall: int = 0) -> Segment:
+    """Records at the times given, in seconds; the wall clock shows the same, `wall` off."""
+    told = [{"kind": "start", "t": 0, "wall": wall, "follows": 0, "torn": "", "checkpoint_us": SECOND}]
+    for r in records:
+        t = r.pop("at")
+        told.append(
+            {
+                "kind": "change",
+                "t": int(t * SECOND),
+                "wall": int(t * 1000) + wall,
+                "taken": 0,
+                "said": 0,
+                "heard": [],
+                "changed": [],
+                "me": me,
+                "vector": {},
+                **r,
+            }
+        )
+    return Segment(head, number, 1, segments.FIRST_HASH, told)
--- /dev/null
+++ b/tests/support/daemon.py
@@ -0,0 +1,104 @@
+"""Configurations and a whole in-process daemon for tests that run one on a simulated clock."""
+
+from __future__ import annotations
+
+import contextlib
+import signal
+from collections.abc import Iterator
+from typing import Any
+
+from garnetlanding import config
+from garnetlanding.daemon import Daemon
+from garnetlanding.emulator.brick import Brick
+from garnetlanding.emulator.discovery import Box, Discovery
+from garnetlanding.emulator.fileserver import FileServer
+from garnetlanding.runtime.signals import HEARD
+from tests.helpers import Peer, World
+
+SETTINGS: dict[str, Any] = {
+    "Balancers": 2,
+    "Me": 0,
+    "TickUs": 2000,
+    "MembershipMode": "on_request",
+    "Classes": [
+        {
+            "Name": "read",
+            "Credit": 2.0,
+            "LateValue": 0.1,
+            "PromiseUs": 300_000,
+            "GiveUpUs": 1_500_000,
+            "Effect": "free",
+        }
+    ],
+    "Contracts": [{"Name": "gold", "Weight": 1.0, "UsualRate": 9.0, "Guaranteed": 9.0}],
+    "Limits": {
+        "MaxAttempts": 4,
+        "Cancel": True,
+        "RetryAfter": True,
+        "MaxRetryAfterUs": 2_000_000,
+        "ConnIdleUs": 20_000_000,
+        "DialTimeoutUs": 300_000,
+    },
+    "Rules": {"ColdFrom": 0.2, "ColdUs": 14_000_000, "FallMultiple": 2.5, "FallUs": 1_500_000},
+    "FamilyInfo": {"ChangesData": [False], "ColdBears": 8.0, "Largest": 6},
+    "Zones": ["a", "b"],
+    "Off": None,
+}
+BASE: dict[str, Any] = {
+    "name": "n1",
+    "listen": "127.0.0.1:0",
+    "discovery": "127.0.0.1:9",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+    "settings": SETTINGS,
+    "known": {"generation": 4, "reset": True, "instances": [Box("b0", "127.0.0.1:9", 0).entry()]},
+}
+EXPORT = {"name": "x", "volume": "v", "plan": "gold", "class": "read", "cell": 0, "deadline_ms": 1000}
+NINEP: dict[str, Any] = {"listen": "127.0.0.1:0", "export": [EXPORT]}
+
+
+# SIGKILL comes by the longest deadline; with this one, 3.7 s after SIGTERM at the earliest.
+SLOW = SETTINGS | {"Classes": [SETTINGS["Classes"][0] | {"GiveUpUs": 3_000_000}]}
+
+
+@contextlib.contextmanager
+def handlers_put_back() -> Iterator[None]:
+    old = {number: signal.getsignal(number) for number in HEARD}
+    try:
+        yield
+    finally:
+        signal.set_wakeup_fd(-1)
+        for number, handler in old.items():
+            signal.signal(number, handler)
+
+
+class Head(World):
+    """A whole daemon, with discovery and servers, on the world's clock."""
+
+    def __init__(
+        self, operator: dict[str, Any] | None = None, settings: dict[str, Any] = SETTINGS, **more: Any
+    ) -> None:
+        super().__init__()
+        self.discovery, self.brick = self.server(Discovery), self.server(Brick)
+        self.files = self.server(FileServer, tree={"doc": b"text"})
+        self.discovery.boxes = [Box("b0", self.brick.address, 0)]
+        port = int(self.files.address.rpartition(":")[2])
+        if operator and "ninep" in operator:
+            operator["ninep"] = NINEP | {"server_port": port}
+        self.file = BASE | {"discovery": self.discovery.address, "settings": settings} | more
+        self.daemon = Daemon(self.read(operator), lambda: self.time, self.read)
+        self.daemon.start()
+        self.settle()
+
+    def read(self, operator: dict[str, Any] | None = None) -> config.Config:
+        return config.read(self.file, operator, {"RELAY_DISCOVERY": self.discovery.address})
+
+    def settle(self) -> None:
+        quiet = 0
+        while quiet < 3:
+            head = self.daemon.scheduler if hasattr(self, "daemon") else None
+            moved = [s.turn(1) for s in (self.scheduler, head) if s and not s._stopped]
+            quiet = 0 if any(moved) else quiet + 1
+
+    def client(self, at: int = 0) -> Peer:
+        return self.peer(self.daemon.listeners[at].address)
--- /dev/null
+++ b/tests/support/leases.py
@@ -0,0 +1,7 @@
+"""Strategies for quota lease messages."""
+
+from __future__ import annotations
+
+from garnetlanding.peers.limits import PeerLimits
+
+LIMITS = PeerLimits()
--- /dev/null
+++ b/tests/support/membership.py
@@ -0,0 +1,24 @@
+"""Simulated instances for the tests of membership and of what is divided by it."""
+
+from __future__ import annotations
+
+from garnetlanding.emulator.group_net import SECOND
+from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.membership import Membership
+from tests.helpers import settings
+
+LIMITS = PeerLimits()
+
+
+# Bugs put in on purpose
+
+real_learn, real_look = Membership.learn, Membership.look
+
+
+COLD = settings(
+    may_message_peers=True,
+    instances=3,
+    warmup_units=30.0,
+    overload_window_us=2 * SECOND,
+    warmup_us=14 * SECOND,
+)
--- /dev/null
+++ b/tests/support/ninep_changes.py
@@ -0,0 +1,49 @@
+"""Messages and files for the tests of changes over 9P."""
+
+from __future__ import annotations
+
+from garnetlanding.ninep import codec as p9
+from garnetlanding.ninep import linux as p9l
+from garnetlanding.ninep.model import (
+    KEEP4,
+    KEEP8,
+    STAT_HEAD,
+)
+from tests.helpers import NineWorld, Tool
+
+PLAIN, LINUX = p9.VERSION, p9l.VERSION
+
+
+def wstat(
+    name: str = "",
+    mode: int = KEEP4,
+    mtime: int = KEEP4,
+    length: int = KEEP8,
+    gid: str = "",
+    uid: str = "",
+    atime: int = KEEP4,
+) -> bytes:
+    texts = b"".join(p9.pack("s", text) for text in (name, uid, gid, ""))
+    return (
+        STAT_HEAD.pack(
+            STAT_HEAD.size - 2 + len(texts), 0xFFFF, KEEP4, 0xFF, KEEP4, KEEP8, mode, atime, mtime, length
+        )
+        + texts
+    )
+
+
+def rw(client: str = PLAIN, server: str = PLAIN, servers: int = 1, **more: object) -> tuple[NineWorld, Tool]:
+    w = NineWorld(servers, access="rw", offer=server, **more)  # type: ignore[arg-type]
+    return w, Tool(w, version=client)
+
+
+def create(tool: Tool, fid: int, name: str, perm: int = 0o644, mode: int = p9.ORDWR) -> p9.Message:
+    tool.walk(fid)
+    if tool.linux:
+        return tool.ask(p9l.Tlcreate(fid, name, mode | p9l.L_CREATE | p9l.L_EXCL, perm, p9l.NOGID))
+    return tool.ask(p9.Tcreate(fid, name, perm, mode))
+
+
+def number(reply: p9.Message) -> int:
+    assert isinstance(reply, p9l.Rlerror), reply
+    return reply.ecode
--- /dev/null
+++ b/tests/support/runtime.py
@@ -0,0 +1,20 @@
+"""Values shared by the tests of the runtime."""
+
+from __future__ import annotations
+
+from garnetlanding.emulator.brick import Brick
+from garnetlanding.emulator.discovery import Box
+from tests.helpers import World, settings
+
+# Connections to bricks
+
+
+class BrickWorld(World):
+    def __init__(self, **limits: int) -> None:
+        super().__init__(settings(parallel_attempts=False, max_attempts=4, instances=1), **limits)
+        self.brick = self.server(Brick)
+        self.list(Box("b0", self.brick.address, 0))
+        self.client = self.peer(self.front().address)
+
+    def outcomes(self) -> list[str]:
+        return [a.outcome.value if a.outcome else "out" for a in self.core.starts]
--- /dev/null
+++ b/tests/test_cli.py
@@ -0,0 +1,30 @@
+"""The command line: exit codes and error texts."""
+
+from __future__ import annotations
+
+import json
+import pathlib
+
+import pytest
+
+from garnetlanding import cli, logs
+from tests.support.daemon import BASE
+
+
+def test_the_command_line(
+    tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(BASE))
+    monkeypatch.setattr(logs, "set_up", lambda level: None)
+    assert cli.main(["version"]) == 0 and capsys.readouterr().out.startswith("garnetlanding ")
+    monkeypatch.setenv("RELAY_CONFIG", str(path))
+    monkeypatch.setenv("RELAY_NAME", "n7")
+    assert cli.main(["check-config"]) == 0 and "'n7' is sound" in capsys.readouterr().out
+    path.write_text("{")
+    assert cli.main(["check-config"]) == 2 and "not JSON" in capsys.readouterr().err
+    assert cli.main(["check-config", "--config", str(tmp_path / "none")]) == 2
+    monkeypatch.delenv("RELAY_CONFIG")
+    assert cli.main(["serve"]) == 2 and "RELAY_CONFIG" in capsys.readouterr().err
+    path.write_text(json.dumps(BASE | {"listen": "203.0.113.1:1"}))
+    assert cli.main(["serve", "--config", str(path)]) == 1 and "cannot serve" in capsys.readouterr().err
