--- a/garnetlanding/daemon.py
+++ b/garnetlanding/daemon.py
@@ -35,7 +35,7 @@
     from garnetlanding.audit.assembly import AuditTrail
     from garnetlanding.audit.setup import AuditSetup
     from garnetlanding.choices.setup import ChoicesSetup
-    from garnetlanding.history.writer import History
+    from garnetlanding.history.writer import HistoryWriter
     from garnetlanding.ninep.setup import Ninep
     from garnetlanding.ops.admin_service import AdminService
     from garnetlanding.ops.fleet_access import FleetView
@@ -119,7 +119,7 @@
         self.settings_version = ""
         self.currency: StalenessGuard | None = None
         self.life = self._wall_ms()  # greater at each start, whatever the monotonic clock says
-        self.history: History | None = None
+        self.history: HistoryWriter | None = None
         self._dropped: Counter[str] = Counter()  # messages of other heads, by cause
         self.talk: PeerCoordinator | None = None
         self.fleet: FailureDetector | None = None
@@ -143,9 +143,9 @@
     def start(self) -> None:
         config, limits = self.config, self.limits
         if config.operator.history:
-            from garnetlanding.history.writer import History
+            from garnetlanding.history.writer import HistoryWriter
 
-            self.history = History(config.operator.history.file, config.name, self.life, self._clock)
+            self.history = HistoryWriter(config.operator.history.file, config.name, self.life, self._clock)
             self.core.observers.append(self.history)
         if config.operator.fleet and config.peers:
             self._start_fleet(config.operator.fleet, config.peers)
@@ -189,13 +189,12 @@
             self.core.on_fence_change.append(self._stand_back)
         self._place_link()
         if self.history:
-            self.history.note("up")
+            self.history.serving()
 
     def _start_fleet(self, on: FleetSetup, peers: PeerSetup) -> None:
         from garnetlanding.peers.failure_detector import FailureDetector
 
-        note = self.history.note if self.history else None
-        self.fleet = FailureDetector(peers.limits, on.verdicts, on.bans, note)
+        self.fleet = FailureDetector(peers.limits, on.verdicts, on.bans, self.history)
         if on.seeds:
             from garnetlanding.peers.membership import Membership
             from garnetlanding.peers.membership_protocol import MembershipProtocol
@@ -204,7 +203,7 @@
             members = Membership(
                 peers.limits, self.core.settings.instance_id, self.life, here, on.seeds, self.scheduler.now
             )
-            self.group = MembershipProtocol(peers.limits, members, note)
+            self.group = MembershipProtocol(peers.limits, members, self.history)
         if on.budgets:
             from garnetlanding.peers.shared_budgets import SharedBudgets
 
@@ -299,7 +298,7 @@
         if self.talk:
             self.talk.stand_back(out, self.scheduler.now)
         if self.history:
-            self.history.note("current", out=out, at=self.scheduler.now)
+            self.history.fencing_changed(out, self.scheduler.now)
 
     def _start_audit(self, setup: AuditSetup) -> None:
         """Before anything else stands round the module: it sees what the module decides by."""
@@ -424,13 +423,12 @@
         from garnetlanding.peers.link import PeerLink
 
         if self.talk is None:
-            believed = self.history.believed if self.history else None
             talk = self.talk = PeerCoordinator(
                 self.core.module,
                 self.life,
                 setup.limits,
                 self._dropped,
-                believed,
+                self.history,
                 False,
                 self.fleet,
                 self.group,
@@ -503,13 +501,7 @@
         digest = zlib.crc32(json.dumps(raw, sort_keys=True).encode())
         self.settings_version = f"{self.store.epoch}.{self.store.revision}#{digest:08x}"
         if self.history:
-            self.history.note(
-                "settings",
-                epoch=self.store.epoch,
-                revision=self.store.revision,
-                digest=digest,
-                at=self.scheduler.now,
-            )
+            self.history.settings_applied(self.store.epoch, self.store.revision, digest, self.scheduler.now)
 
     def _store_changed(self, entry: Entry | None) -> None:
         """The store says which settings hold: those of a reload here, or of the writer's."""
--- a/garnetlanding/history/__init__.py
+++ b/garnetlanding/history/__init__.py
@@ -1,1 +1,1 @@
-"""What a head took, sent, answered and believed, line by line in a file: for experiments, not for service."""
+"""What an instance accepted, sent, answered and had in force, line by line; not for service."""
--- a/garnetlanding/history/setup.py
+++ b/garnetlanding/history/setup.py
@@ -9,11 +9,17 @@
 
 @dataclass(frozen=True, slots=True)
 class HistorySetup:
+    """Where the history is written, and how an experiment sets the wall clock wrong."""
+
     file: str
-    wall_file: str = ""  # says how many seconds to add to the wall clock, for experiments with wrong ones
+    wall_file: str = ""
+    """A file with the seconds to add to the wall clock; empty: the clock is right."""
 
     def wall_s(self) -> int:
-        """Read anew each time: clocks step while a process runs. Raises OSError and ValueError."""
+        """Return the seconds to add to the wall clock.
+
+        The file is read each time, as clocks step while a process runs. Raises `OSError` or `ValueError`.
+        """
         if not self.wall_file:
             return 0
         with open(self.wall_file, encoding="ascii") as file:
@@ -21,11 +27,11 @@
 
 
 def read(data: object) -> HistorySetup:
-    """Raises ConfigError."""
+    """Read the section. Raises `ConfigError`, which names the key."""
     section = Section(data, "history", "file wall_file")
     setup = HistorySetup(section.text("file"), section.text("wall_file", ""))
     try:
         setup.wall_s()
-    except (OSError, ValueError) as problem:
-        raise section.error("wall_file", problem) from None
+    except (OSError, ValueError) as error:
+        raise section.error("wall_file", error) from error
     return setup
--- a/garnetlanding/history/writer.py
+++ b/garnetlanding/history/writer.py
@@ -1,58 +1,136 @@
-"""Writes a process's history: one JSON object a line, each with the machine's monotonic time.
+"""Writes an instance's history: one JSON object a line, each with the machine's monotonic time.
 
-The time is read anew for each line, not the turn's: a process that is held up within a turn hears what others
-said after the turn began, and its lines must not seem to come before theirs.
+The history is for experiments, whose checks hold the lines of all processes against each other. The time is
+read anew for each line and is not that of the event-loop iteration: a process that is held up within an
+iteration receives what others sent after the iteration began, and its lines must not seem to precede theirs.
 
-Each line is with the kernel before the next thing happens, so that SIGKILL takes nothing that was written.
-That costs a system call a request, which is why it is off in service.
+Each line is with the kernel before anything else happens, so that SIGKILL loses none that was written. That
+costs a system call for each request, which is why no history is kept in service.
+
+Kinds and keys of the lines are a stored format (`garnetlanding.lab` and the operators' pages read it). They
+are written out here, one method for each kind, and follow no name of the code.
 """
 
 from __future__ import annotations
 
 import json
 import os
-from collections.abc import Callable
+from collections.abc import Callable, Collection, Mapping
 from typing import Any
 
 from garnetlanding.core.ports import Answer, Failed, Rejected, RequestSpec
 
+_SHARE_DIGITS = 4
+"""Decimal places of a quota share."""
+
+
+class HistoryWriter:
+    """Appends lines to the history of one incarnation of an instance.
+
+    It is an `Observer` of the request engine and a `PeerHistory` of the peer protocols. `clock` reads the
+    machine's monotonic clock in microseconds; times that a method is given are of that clock too.
+
+    Creating it writes a line, behind the lines of earlier incarnations; it raises `OSError` where the file
+    cannot be written. The descriptor is open for as long as the process lives.
+    """
+
+    def __init__(self, path: str, instance: str, incarnation: int, clock: Callable[[], int]) -> None:
+        self._instance = instance
+        self._incarnation = incarnation
+        self._clock = clock
+        self._descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
+        self._write("start", {})
 
-class History:
-    def __init__(self, path: str, who: str, life: int, clock: Callable[[], int]) -> None:
-        """Raises OSError where the file cannot be written. Lines of earlier lives stay in it."""
-        self.who, self.life, self._clock = who, life, clock
-        self._fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
-        self.note("start")
+    # The instance
 
-    def note(self, what: str, **more: Any) -> None:
-        line = {"t": self._clock(), "who": self.who, "life": self.life, "what": what, **more}
-        os.write(self._fd, json.dumps(line, separators=(",", ":")).encode() + b"\n")
+    def serving(self) -> None:
+        """Every part of the instance has started."""
+        self._write("up", {})
 
-    def believed(self, what: str, parts: dict[str, float], until: int) -> None:
-        """What part of each volume (`parts`), or of what all heads share (`shares`), is this head's; it looks
-        again before it sends past `until`."""
-        self.note(what, until=until, parts={name: round(part, 4) for name, part in parts.items()})
+    def settings_applied(self, epoch: int, revision: int, digest: int, at_us: int) -> None:
+        """Settings of this version are in force from `at_us` on."""
+        self._write("settings", {"epoch": epoch, "revision": revision, "digest": digest, "at": at_us})
+
+    def fencing_changed(self, fenced: bool, at_us: int) -> None:
+        """The instance is fenced, or no longer is, from `at_us` on."""
+        self._write("current", {"out": fenced, "at": at_us})
+
+    # The request engine
 
     def request_ended(
         self,
         ask: RequestSpec,
         answer: Answer,
         began_us: int,
-        ended_us: int,
+        ended_us: int,  # noqa: ARG002 - of the Observer protocol; the line has its own time
         attempts: list[tuple[str, str, int, int]],
     ) -> None:
-        outcome = {Rejected: "refused", Failed: "failed"}.get(type(answer), "served")
-        self.note(
-            "answered",
-            id=_id(ask),
-            volume=ask.volume,
-            units=ask.units,
-            began=began_us,
-            outcome=outcome,
-            attempts=[[node, ended, sent] for node, ended, sent, _ in attempts],
-        )
-
-
-def _id(ask: RequestSpec) -> str:
+        """A request was answered; attempts are backend, outcome, and when they were sent and ended."""
+        fields = {
+            "id": _request_id(ask),
+            "volume": ask.volume,
+            "units": ask.units,
+            "began": began_us,
+            "outcome": _outcome(answer),
+            "attempts": [[backend, outcome, sent_us] for backend, outcome, sent_us, _ in attempts],
+        }
+        self._write("answered", fields)
+
+    # The peer protocols
+
+    def members_changed(self, entitled: Collection[int], even_share: float) -> None:
+        """The membership changed: these instances are entitled to quota shares, and this is an even share."""
+        self._write("heads", {"entitled": sorted(entitled), "even": even_share})
+
+    def disabled_backends_changed(self, backends: Collection[str]) -> None:
+        """Exactly these backends are administratively disabled from now on."""
+        self._write("bans", {"out": sorted(backends)})
+
+    def suspicions_changed(self, suspected: Mapping[str, int]) -> None:
+        """The decision module suspects exactly these backends from now on, each until the time given."""
+        self._write("doubted", {"servers": dict(suspected)})
+
+    def observations_sent(self, observations: Mapping[str, tuple[str, int]]) -> None:
+        """Peers are sent these observations: of each backend, what was observed and when."""
+        servers = {backend: [observed, at_us] for backend, (observed, at_us) in observations.items()}
+        self._write("seen", {"servers": servers})
+
+    def volume_shares_changed(self, shares: Mapping[str, float], until_us: int) -> None:
+        """These are the instance's shares of the volumes' limits until they are looked at again."""
+        self._write("parts", _share_fields(shares, until_us))
+
+    def limit_shares_changed(self, shares: Mapping[str, float], until_us: int) -> None:
+        """These are the instance's shares of the other limits that all instances have in common."""
+        self._write("shares", _share_fields(shares, until_us))
+
+    def _write(self, kind: str, fields: Mapping[str, Any]) -> None:
+        line = {
+            "t": self._clock(),
+            "who": self._instance,
+            "life": self._incarnation,
+            "what": kind,
+            **fields,
+        }
+        os.write(self._descriptor, json.dumps(line, separators=(",", ":")).encode() + b"\n")
+
+
+def _share_fields(shares: Mapping[str, float], until_us: int) -> dict[str, Any]:
+    return {
+        "until": until_us,
+        "parts": {name: round(share, _SHARE_DIGITS) for name, share in shares.items()},
+    }
+
+
+def _outcome(answer: Answer) -> str:
+    match answer:
+        case Rejected():
+            return "refused"
+        case Failed():
+            return "failed"
+    return "served"
+
+
+def _request_id(ask: RequestSpec) -> str:
+    """Return the client's id of a RESP request, its third argument; other protocols have none."""
     words: tuple[bytes, ...] = getattr(ask.work, "words", ())
     return words[2].decode("ascii", "replace") if len(words) > 2 else ""
--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -14,6 +14,7 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.peers import codec
 from garnetlanding.peers.gossip_schedule import GossipSchedule
+from garnetlanding.peers.history import PeerHistory
 from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import PeerLimits
 
@@ -32,19 +33,19 @@
         life: int,
         limits: PeerLimits | None = None,
         dropped: Counter[str] | None = None,
-        believed: Callable[[str, dict[str, float], int], None] | None = None,
+        history: PeerHistory | None = None,
         speaks: bool = True,
         fleet: FailureDetector | None = None,
         group: MembershipProtocol | None = None,
         budgets: Callable[[api.Settings, int, int], SharedBudgets] | None = None,
     ) -> None:
-        """`dropped` counts messages by cause; `believed` is told what the module has of `parts` or `shares`,
+        """`dropped` counts messages by cause; `history` is told what the module has of volumes and limits,
         and until when at most. Not `speaks`: another process of this head does so for it, and uses its parts.
         `fleet` tells and hears of servers, `group` of heads; `budgets` makes what divides those of all."""
         self.module, self.limits, self.life = module, limits or PeerLimits(), life
         self.leases: Leases | None = None
         self.dropped: Counter[str] = Counter() if dropped is None else dropped
-        self._believed = believed
+        self._history = history
         self._say_at = 0
         self._speaks = speaks
         self.fleet, self.group = fleet, group
@@ -178,12 +179,12 @@
     def _parts(self, leases: Leases, now: int) -> api.QuotaShares | None:
         looks = now >= leases.recheck_at
         parts = leases.changed_shares(now)
-        if looks and self._believed:
-            self._believed("parts", leases.current_shares() | parts, leases.recheck_at)
+        if looks and self._history:
+            self._history.volume_shares_changed(leases.current_shares() | parts, leases.recheck_at)
         shares = self.budgets.changed_shares(now, self.settings.instances) if self.budgets else None
-        if shares is not None and self._believed and self.budgets:
+        if shares is not None and self._history and self.budgets:
             budgets = self.budgets.leases
-            self._believed("shares", budgets.current_shares(), budgets.recheck_at)
+            self._history.limit_shares_changed(budgets.current_shares(), budgets.recheck_at)
         return api.QuotaShares(parts, shares) if parts or shares is not None else None
 
     def shared(self) -> tuple[Leases, int] | None:
--- a/garnetlanding/peers/failure_detector.py
+++ b/garnetlanding/peers/failure_detector.py
@@ -5,12 +5,12 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable
 
 from garnetlanding.decision import interface as api
 from garnetlanding.peers.codec import Envelope
 from garnetlanding.peers.disabled_backends import NOTHING, DisabledBackends, Record
 from garnetlanding.peers.gossip_message import GossipMessage, envelope, fit, read
+from garnetlanding.peers.history import PeerHistory
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.local_observations import LocalObservations
 from garnetlanding.peers.suspicions import MS, SuspicionTable
@@ -22,9 +22,9 @@
         limits: PeerLimits,
         verdicts: bool = True,
         bans: bool = True,
-        note: Callable[..., None] | None = None,
+        history: PeerHistory | None = None,
     ) -> None:
-        """Of `verdicts` and `bans`, what is off is neither told nor heard. `note` writes a history's line."""
+        """Of `verdicts` and `bans`, what is off is neither told nor heard."""
         self.limits, self._verdicts_on, self._bans_on = limits, verdicts, bans
         self.observations, self.suspicions = LocalObservations(limits), SuspicionTable(limits)
         self.disabled = DisabledBackends(limits)
@@ -32,12 +32,12 @@
         self._turn: Counter[int] = Counter()  # of the records told to each head
         self._heard: dict[str, Record] = {}
         self._told: dict[str, int] = {}  # as the module has it
-        self._note = note
+        self._history = history
 
     def replace_disabled(self, bans: DisabledBackends) -> None:
         """The table as it stands from now on."""
-        if self._note and bans.disabled_names != self.disabled.disabled_names:
-            self._note("bans", out=sorted(bans.disabled_names))
+        if self._history and bans.disabled_names != self.disabled.disabled_names:
+            self._history.disabled_backends_changed(bans.disabled_names)
         self.disabled = bans
 
     def take_received(self) -> list[Record]:
@@ -74,8 +74,8 @@
         if doubted == self._told or not (doubted or self._told):
             return None
         self._told = doubted
-        if self._note:
-            self._note("doubted", servers=doubted)
+        if self._history:
+            self._history.suspicions_changed(doubted)
         return api.PeerSuspicions(doubted)
 
     def compose(
@@ -84,8 +84,10 @@
         """One message to each of these heads: all of the evidence that one datagram holds, and records where
         its table differs. `heads`: life and number of the last message heard from each."""
         seen = self.observations.evidence(now, tightest_us) if self._verdicts_on else []
-        if self._note and seen:
-            self._note("seen", servers={node: [e.kind.name.lower(), now - e.age_ms * MS] for node, e in seen})
+        if self._history and seen:
+            self._history.observations_sent(
+                {node: (e.kind.name.lower(), now - e.age_ms * MS) for node, e in seen}
+            )
         evidence = [e for _, e in seen]
         table = sorted(self.disabled.records.values(), key=lambda r: r.rank, reverse=True)
         told = []
--- a/garnetlanding/peers/membership_protocol.py
+++ b/garnetlanding/peers/membership_protocol.py
@@ -9,6 +9,7 @@
 
 from garnetlanding.peers import codec, membership_message
 from garnetlanding.peers.codec import Envelope, MessageError
+from garnetlanding.peers.history import PeerHistory
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.membership import Membership
 
@@ -16,11 +17,8 @@
 
 
 class MembershipProtocol:
-    def __init__(
-        self, limits: PeerLimits, members: Membership, note: Callable[..., None] | None = None
-    ) -> None:
-        """`note` writes a history's line."""
-        self.limits, self.members, self._note = limits, members, note
+    def __init__(self, limits: PeerLimits, members: Membership, history: PeerHistory | None = None) -> None:
+        self.limits, self.members, self._history = limits, members, history
         self._digests: dict[int, bytes] = {}  # of each head, as last heard from it
 
     def introduce(self, address: str, data: bytes) -> int | None:
@@ -46,8 +44,8 @@
         self._say_so()
 
     def _say_so(self) -> None:
-        if self._note:
-            self._note("heads", entitled=sorted(self.members.entitled), even=self.members.even)
+        if self._history:
+            self._history.members_changed(self.members.entitled, self.members.even)
 
     def heard(self, sender: int, told: membership_message.MembershipMessage, now: int) -> None:
         """A head's own, new word."""
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -45,7 +45,7 @@
 from garnetlanding.decision.control import Controller
 from garnetlanding.emulator import budget_net, group_net, lease_net, verdict_net
 from garnetlanding.emulator.base import Conn, Server
-from garnetlanding.history.writer import History
+from garnetlanding.history.writer import HistoryWriter
 from garnetlanding.lab.history import BadHistory
 from garnetlanding.lab.history import read as read_history
 from garnetlanding.peers import codec, gossip_message, membership_message
@@ -366,18 +366,18 @@
     """Every kind of line that the writer has, and the daemon's, as bytes. Those of the peers' classes are
     written by themselves in the conversation below."""
     path, times = tmp_path / "n0.history", iter(range(1000, 9000, 7))
-    history = History(str(path), "n0", 3, lambda: next(times))
-    history.note("settings", epoch=5, revision=2, digest=0x0A0B0C0D, at=990)
-    history.note("up")
-    history.note("current", out=True, at=1010)
+    history = HistoryWriter(str(path), "n0", 3, lambda: next(times))
+    history.settings_applied(5, 2, 0x0A0B0C0D, 990)
+    history.serving()
+    history.fencing_changed(True, 1010)
     answers: list[Answer] = [Served(b"v"), Rejected(50), Failed("no server")]
     for i, answer in enumerate(answers):
         work = Work((b"RUN", b"1", b"id-%d\xff" % i)) if i else None
         attempts = [("b0", "reset", 900, 950), ("b1", "served", 960, 990)][: 2 - i]
         history.request_ended(replace(ENDED, work=work), answer, 890, 995, attempts)
-    history.believed("parts", {"vol-1": 0.123456, "vol-2": 1.0}, 2000)
-    history.believed("shares", {"cold:n0": 1 / 3}, 2100)
-    History(str(path), "n0", 4, lambda: 5)
+    history.volume_shares_changed({"vol-1": 0.123456, "vol-2": 1.0}, 2000)
+    history.limit_shares_changed({"cold:n0": 1 / 3}, 2100)
+    HistoryWriter(str(path), "n0", 4, lambda: 5)
     committed = golden("daemon.history", path.read_bytes())
 
     copy = tmp_path / "copy"
@@ -562,16 +562,16 @@
             retry_budget_floor=4.0,
             retry_budget_window_us=SECOND,
         )
-        history = History(str(self.folder / f"n{me}.history"), f"n{me}", 1, lambda: self.now)
+        history = HistoryWriter(str(self.folder / f"n{me}.history"), f"n{me}", 1, lambda: self.now)
         seeds = [address(seed) for seed in range(3)]
         table = Membership(PEER_LIMITS, me, 100 + me, address(me), seeds, self.now)
-        self.fleets[me] = FailureDetector(PEER_LIMITS, note=history.note)
+        self.fleets[me] = FailureDetector(PEER_LIMITS, history=history)
         self.talks[me] = PeerCoordinator(
             Controller(s, me),
             life=100 + me,
-            believed=history.believed,
+            history=history,
             fleet=self.fleets[me],
-            group=MembershipProtocol(PEER_LIMITS, table, history.note),
+            group=MembershipProtocol(PEER_LIMITS, table, history),
             budgets=lambda s, life, now: SharedBudgets(PEER_LIMITS, s, life, now),
         )
         entries = tuple(
--- a/tests/history/test_history.py
+++ b/tests/history/test_history.py
@@ -15,5 +15,5 @@
     h = Head({"history": {"file": str(file)}})
     h.time += 7 * MS
     assert h.daemon.history
-    h.daemon.history.note("heard")
+    h.daemon.history.serving()
     assert json.loads(file.read_text().splitlines()[-1])["t"] == h.time
