--- a/garnetlanding/emulator/group_net.py
+++ b/garnetlanding/emulator/group_net.py
@@ -144,7 +144,7 @@
 
     def _hear(self, me: int, sender: int, data: bytes) -> None:
         group = self.nodes[me].group
-        e: Envelope = codec.unseal(data, self.limits.datagram_bytes)
+        e: Envelope = codec.decode_envelope(data, self.limits.datagram_bytes)
         group.heard(sender, group.learn(e), self.now)
 
     def _say(self, me: int) -> None:
@@ -159,7 +159,7 @@
         seeds = {at: head for head, at in ((n, address(n)) for n in range(net.heads))}
         for who, e in node.group.say(heads, node.life, lambda: 1):
             receiver = seeds[node.group.members.reach(who)] if who >= FIRST_SEED else who
-            data = codec.seal(e)
+            data = codec.encode_envelope(e)
             self.seen.bytes += len(data)
             if not calm and (self._cut.get((me, receiver), 0) > self.now or self.rng.random() < net.loss):
                 continue
--- a/garnetlanding/emulator/lease_model.py
+++ b/garnetlanding/emulator/lease_model.py
@@ -15,7 +15,7 @@
 
 from garnetlanding.decision.state import EwmaRate
 from garnetlanding.emulator.walk import Walk
-from garnetlanding.peers.codec import Message, tag
+from garnetlanding.peers.codec import LeaseMessage, tag
 from garnetlanding.peers.leases import Leases, Own, Peer
 from garnetlanding.peers.limits import PeerLimits
 
@@ -43,7 +43,7 @@
     now: int
     turn: int
     heads: tuple[Leases, ...]
-    mail: tuple[tuple[int, int, int, Message], ...]  # sender, receiver, when sent
+    mail: tuple[tuple[int, int, int, LeaseMessage], ...]  # sender, receiver, when sent
     starts: int
 
 
@@ -121,9 +121,9 @@
                 a,
                 b,
                 now - at,
-                m.life == s.heads[a].life,
-                sent(a, m.life, m.number),
-                sent(b, m.re_life, m.re_number),
+                m.incarnation == s.heads[a].life,
+                sent(a, m.incarnation, m.number),
+                sent(b, m.acked_incarnation, m.acked_number),
                 tuple(m.asks.values()),
                 tuple(m.grants.values()),
             )
@@ -181,13 +181,13 @@
     head: Leases,
     me: int,
     now: int,
-    mail: tuple[tuple[int, int, int, Message], ...],
-) -> tuple[Leases, tuple[tuple[int, int, int, Message], ...]]:
+    mail: tuple[tuple[int, int, int, LeaseMessage], ...],
+) -> tuple[Leases, tuple[tuple[int, int, int, LeaseMessage], ...]]:
     new = clone(head)
     told = new.compose(now)
     number = new.next_number(now)
     fresh = [
-        (me, who, now, Message(new.life, number, *new.last_received(who), asks, grants))
+        (me, who, now, LeaseMessage(new.life, number, *new.last_received(who), asks, grants))
         for who, (asks, grants) in told.items()
     ]
     new.changed_shares(now)
--- a/garnetlanding/emulator/lease_net.py
+++ b/garnetlanding/emulator/lease_net.py
@@ -143,7 +143,7 @@
 
     def _hear(self, head: Head, now: int) -> None:
         for sender, data in head.inbox:
-            head.leases.receive(sender, codec.decode(data, self.limits.datagram_bytes), now)
+            head.leases.receive(sender, codec.decode_leases(data, self.limits.datagram_bytes), now)
         head.inbox.clear()
 
     def _look(self, head: Head) -> None:
@@ -164,8 +164,8 @@
             mail.append(
                 (
                     who,
-                    codec.encode(
-                        codec.Message(leases.life, number, *leases.last_received(who), asks, grants)
+                    codec.encode_leases(
+                        codec.LeaseMessage(leases.life, number, *leases.last_received(who), asks, grants)
                     ),
                 )
             )
--- a/garnetlanding/lab/lies.py
+++ b/garnetlanding/lab/lies.py
@@ -14,10 +14,10 @@
     """The same message with other words; one of another kind, or that cannot be read, goes on as it is."""
     limits = PeerLimits()
     try:
-        e = codec.unseal(data, limits.datagram_bytes)
+        e = codec.decode_envelope(data, limits.datagram_bytes)
         if how == "greedy":
-            return _greedy(e) if e.kind == codec.LEASES else data
-        if e.kind != codec.WORDS:
+            return _greedy(e) if e.kind == codec.MessageKind.LEASES else data
+        if e.kind != codec.MessageKind.GOSSIP:
             return data
         told = gossip_message.read(e)
     except codec.MessageError:
@@ -26,21 +26,23 @@
         bricks = []
     evidence = tuple(
         gossip_message.Evidence(
-            gossip_message.Kind.DEAD,
+            gossip_message.EvidenceKind.UNREACHABLE,
             gossip_message.tag(name),
-            gossip_message.LONG_AGO,
-            gossip_message.MOST_COUNT,
+            gossip_message.MAX_UPTIME,
+            gossip_message.MAX_COUNT,
             0,
         )
         for name in bricks
     )
     most, _ = gossip_message.fit(evidence, (), limits.datagram_bytes)
     forged = gossip_message.GossipMessage(told.digest, evidence[:most])
-    return codec.seal(gossip_message.envelope(forged, e.life, e.number, e.re_life, e.re_number))
+    return codec.encode_envelope(
+        gossip_message.to_envelope(forged, e.incarnation, e.number, e.acked_incarnation, e.acked_number)
+    )
 
 
 def _greedy(e: codec.Envelope) -> bytes:
-    """Raises BadMessage."""
-    told = codec.leases(e)
-    asks = {volume: (1.0, hosts) for volume, (_, hosts) in told.asks.items()}
-    return codec.encode(replace(told, asks=asks, grants={}))
+    """Raises MessageError."""
+    told = codec.read_leases(e)
+    asks = {volume: ask._replace(share=1.0) for volume, ask in told.asks.items()}
+    return codec.encode_leases(replace(told, asks=asks, grants={}))
--- a/garnetlanding/peers/codec.py
+++ b/garnetlanding/peers/codec.py
@@ -1,21 +1,25 @@
-"""The form of what heads tell each other, version 1. Big-endian:
+"""The datagram format of the peer link, version 1: the envelope of every message, and the lease message.
 
-    version 1 byte | kind 1 | life 6 | number 4 | answered life 6 | answered number 4 | count 1 | count 1
-    what the kind has to tell
-    CRC-32 of all before it 4 bytes
+All numbers are big-endian::
 
-Leases (kind 1; the counts are those of asks and of grants):
+    version 1 byte | kind 1 | incarnation 6 | number 4 |
+        acknowledged incarnation 6 | acknowledged number 4 | count 1 | count 1
+    body, in the form of the kind
+    CRC-32 of everything before it 4 bytes
+
+The body of leases (`MessageKind.LEASES`; the counts are those of the asks and of the grants)::
 
     each ask:   volume 4 bytes (CRC-32 of its name) | wanted share of the plan's rate, in 1/250, 1 | hosts 1
-    each grant: volume 4 bytes | share of the giver's own even part, in 1/250, 1
+    each grant: volume 4 bytes | share of the grantor's own even share, in 1/250, 1
 
-Budgets (kind 4) have the form of leases, and are numbered apart: the names are those of budgets, the shares
-those of all that the fleet may spend. Words (kind 2) are in words.py, words about heads (kind 3) in roll.py.
-A head that has one of them off counts and drops it, and still takes leases.
+Budgets (`MessageKind.BUDGETS`) have the form of leases and are numbered separately: their names are those of
+budgets, and their shares those of everything that the fleet may spend. The body of gossip about backends is
+described in gossip_message.py, that of membership in membership_message.py. An instance for which one of them
+is switched off counts such messages and drops them, and still accepts leases.
 
-`life` is greater after each start of a head, `number` after each message of a life to one receiver. The
-answered life and number are those of the last message heard from the receiver: a grant counts from when that
-one was sent.
+`incarnation` is greater after each start of an instance, `number` after each message of one incarnation to
+one receiver. The acknowledged incarnation and number are those of the last message received from the receiver
+of this one: a lease runs from the moment at which that message was sent.
 """
 
 from __future__ import annotations
@@ -24,144 +28,213 @@
 import zlib
 from collections.abc import Iterator
 from dataclasses import dataclass, field
+from enum import IntEnum
+from typing import NamedTuple
 
 from garnetlanding.peers.errors import PeersError
 
-VERSION, LEASES, WORDS, ROLL, BUDGETS = 1, 1, 2, 3, 4
+VERSION = 1
 HEAD = struct.Struct(">BB6sI6sIBB")
-ASK, GRANT, SUM = struct.Struct(">IBB"), struct.Struct(">IB"), struct.Struct(">I")
-WHOLE = 250
-MOST = 255  # asks, or grants, of one message; hosts of one volume
+ASK = struct.Struct(">IBB")
+GRANT = struct.Struct(">IB")
+SUM = struct.Struct(">I")
+SHARE_STEPS = 250  # a share is sent as a whole number of these steps
+MAX_ENTRIES = 255  # asks, or grants, of one message: each count is one byte
+ROUNDING_SLACK = 1e-9  # a share that is a whole number of steps but for float error keeps that number
+
+
+class MessageKind(IntEnum):
+    """The second byte of a datagram."""
+
+    LEASES = 1
+    GOSSIP = 2  # observations of backends, and administratively disabled ones
+    MEMBERSHIP = 3
+    BUDGETS = 4
 
 
 class MessageError(PeersError, ValueError):
-    """A datagram that cannot be read; the text is its cause, one of a few, to be counted by."""
+    """A datagram that cannot be read.
+
+    The text is one of a few causes, so that dropped messages can be counted by it. `offset` is the position
+    in the datagram at which reading stopped, in bytes, where it is known.
+    """
+
+    def __init__(self, cause: str, offset: int | None = None) -> None:
+        super().__init__(cause)
+        self.cause = cause
+        self.offset = offset
+
+
+class Ask(NamedTuple):
+    """What an instance wants of one volume's limit."""
+
+    share: float  # of the plan's rate, 0 to 1
+    hosts: int  # instances that the volume's requests come through
+
+
+class LeasePage(NamedTuple):
+    """The asks and grants of one message, by the tag of their volume.
+
+    A grant is the share of the sender's own even share that it leaves to the receiver.
+    """
+
+    asks: dict[int, Ask]
+    grants: dict[int, float]
 
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A datagram whose sum holds; its body is not read yet."""
+    """A datagram whose checksum holds; its body is not decoded yet."""
 
-    kind: int
-    life: int
+    kind: int  # a `MessageKind`, or one that this version does not know
+    incarnation: int
     number: int
-    re_life: int
-    re_number: int
+    acked_incarnation: int
+    acked_number: int
     counts: tuple[int, int]
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
-    """`asks`: by volume, the share of the plan's rate that is wanted, and the volume's hosts. `grants`: by
-    volume, what share of its own even part the sender leaves to the receiver."""
+class LeaseMessage:
+    """A decoded message of leases or of budgets: the fields of the envelope, and those of a `LeasePage`."""
 
-    life: int
+    incarnation: int
     number: int
-    re_life: int = 0
-    re_number: int = 0
-    asks: dict[int, tuple[float, int]] = field(default_factory=dict)
+    acked_incarnation: int = 0
+    acked_number: int = 0
+    asks: dict[int, Ask] = field(default_factory=dict)
     grants: dict[int, float] = field(default_factory=dict)
 
 
-def tag(volume: str) -> int:
-    """A volume's short name. Two of one tag would share a part: 1 in 900,000 for a hundred volumes."""
-    return zlib.crc32(volume.encode())
+def tag(name: str) -> int:
+    """Return the short form of a volume's or a backend's name that datagrams carry.
+
+    Two names of one tag would be treated as one: with a hundred names, that happens once in 900,000 fleets.
+    """
+    return zlib.crc32(name.encode())
 
 
-def pages(
-    asks: dict[int, tuple[float, int]],
-    grants: dict[int, float],
-    size: int,
-) -> Iterator[tuple[dict[int, tuple[float, int]], dict[int, float]]]:
-    """What is to be told, in as many datagrams of that size as it takes, in the order given."""
-    room, page = 0, (dict[int, tuple[float, int]](), dict[int, float]())
-    for entry, kind in [(a, ASK) for a in asks] + [(g, GRANT) for g in grants]:
-        which = page[kind is GRANT]
-        if room + kind.size > size - HEAD.size - SUM.size or len(which) >= MOST:
+def paginate(asks: dict[int, Ask], grants: dict[int, float], size: int) -> Iterator[LeasePage]:
+    """Divide asks, then grants, into as many pages as it takes for each to fit a datagram of `size` bytes."""
+    capacity = size - HEAD.size - SUM.size
+    page = LeasePage({}, {})
+    used = 0
+    for volume, ask in asks.items():
+        if used + ASK.size > capacity or len(page.asks) >= MAX_ENTRIES:
             yield page
-            room, page = 0, ({}, {})
-        if kind is ASK:
-            page[0][entry] = asks[entry]
-        else:
-            page[1][entry] = grants[entry]
-        room += kind.size
-    if room:
+            page = LeasePage({}, {})
+            used = 0
+        page.asks[volume] = ask
+        used += ASK.size
+    for volume, share in grants.items():
+        if used + GRANT.size > capacity or len(page.grants) >= MAX_ENTRIES:
+            yield page
+            page = LeasePage({}, {})
+            used = 0
+        page.grants[volume] = share
+        used += GRANT.size
+    if used:
         yield page
 
 
-def seal(e: Envelope) -> bytes:
+def encode_envelope(envelope: Envelope) -> bytes:
+    """Return the datagram of an envelope, checksum included."""
     head = HEAD.pack(
         VERSION,
-        e.kind,
-        e.life.to_bytes(6, "big"),
-        e.number,
-        e.re_life.to_bytes(6, "big"),
-        e.re_number,
-        *e.counts,
+        envelope.kind,
+        envelope.incarnation.to_bytes(6, "big"),
+        envelope.number,
+        envelope.acked_incarnation.to_bytes(6, "big"),
+        envelope.acked_number,
+        *envelope.counts,
     )
-    return head + e.body + SUM.pack(zlib.crc32(head + e.body))
+    return head + envelope.body + SUM.pack(zlib.crc32(head + envelope.body))
+
 
+def decode_envelope(data: bytes, max_bytes: int) -> Envelope:
+    """Check and split a datagram.
 
-def unseal(data: bytes, longest: int) -> Envelope:
-    """Raises BadMessage."""
-    if len(data) > longest:
-        raise MessageError("too long")
+    Raises MessageError where it is longer than `max_bytes`, cut, damaged, or of another version.
+    """
+    if len(data) > max_bytes:
+        raise MessageError("too long", max_bytes)
     if len(data) < HEAD.size + SUM.size:
-        raise MessageError("torn")
-    version, kind, life, number, re_life, re_number, *counts = HEAD.unpack_from(data)
+        raise MessageError("torn", len(data))
+    version, kind, incarnation, number, acked_incarnation, acked_number, *counts = HEAD.unpack_from(data)
     if version != VERSION:
-        raise MessageError("other version")
+        raise MessageError("other version", 0)
     end = len(data) - SUM.size
     if SUM.unpack_from(data, end)[0] != zlib.crc32(data[:end]):
-        raise MessageError("torn")
+        raise MessageError("torn", end)
     return Envelope(
         kind,
-        int.from_bytes(life, "big"),
+        int.from_bytes(incarnation, "big"),
         number,
-        int.from_bytes(re_life, "big"),
-        re_number,
+        int.from_bytes(acked_incarnation, "big"),
+        acked_number,
         (counts[0], counts[1]),
         data[HEAD.size : end],
     )
 
 
-def encode(m: Message, kind: int = LEASES) -> bytes:
-    """Wants are rounded up and grants down: what is given is never more than was meant."""
+def encode_leases(message: LeaseMessage, kind: MessageKind = MessageKind.LEASES) -> bytes:
+    """Return the datagram of a message of leases or of budgets.
+
+    Asks are rounded up and grants down, so that no more is granted than was meant.
+    """
     parts = [
-        ASK.pack(volume, min(WHOLE, -int(-share * WHOLE // 1)), hosts)
-        for volume, (share, hosts) in m.asks.items()
+        ASK.pack(volume, min(SHARE_STEPS, -int(-ask.share * SHARE_STEPS // 1)), ask.hosts)
+        for volume, ask in message.asks.items()
+    ]
+    parts += [
+        GRANT.pack(volume, int(share * SHARE_STEPS + ROUNDING_SLACK))
+        for volume, share in message.grants.items()
     ]
-    parts += [GRANT.pack(v, int(share * WHOLE + 1e-9)) for v, share in m.grants.items()]
-    return seal(
+    return encode_envelope(
         Envelope(
-            kind, m.life, m.number, m.re_life, m.re_number, (len(m.asks), len(m.grants)), b"".join(parts)
+            kind,
+            message.incarnation,
+            message.number,
+            message.acked_incarnation,
+            message.acked_number,
+            (len(message.asks), len(message.grants)),
+            b"".join(parts),
         )
     )
 
 
-def decode(data: bytes, longest: int) -> Message:
-    """Raises BadMessage."""
-    return leases(unseal(data, longest))
-
-
-def leases(e: Envelope) -> Message:
-    """What an envelope of leases or of budgets holds. Raises BadMessage."""
-    asks, grants = e.counts
-    first = asks * ASK.size
-    if e.kind not in (LEASES, BUDGETS):
-        raise MessageError("other kind")
-    if len(e.body) != first + grants * GRANT.size:
-        raise MessageError("torn")
-    asked = [ASK.unpack_from(e.body, i * ASK.size) for i in range(asks)]
-    given = [GRANT.unpack_from(e.body, first + i * GRANT.size) for i in range(grants)]
-    if any(share > WHOLE or not hosts for _, share, hosts in asked) or any(s > WHOLE for _, s in given):
-        raise MessageError("no share")
-    return Message(
-        e.life,
-        e.number,
-        e.re_life,
-        e.re_number,
-        {volume: (share / WHOLE, hosts) for volume, share, hosts in asked},
-        {volume: share / WHOLE for volume, share in given},
+def decode_leases(data: bytes, max_bytes: int) -> LeaseMessage:
+    """Decode a datagram of leases or of budgets. Raises MessageError."""
+    return read_leases(decode_envelope(data, max_bytes))
+
+
+def read_leases(envelope: Envelope) -> LeaseMessage:
+    """Decode the body of leases or of budgets. Raises MessageError."""
+    if envelope.kind not in (MessageKind.LEASES, MessageKind.BUDGETS):
+        raise MessageError("other kind", 1)
+    ask_count, grant_count = envelope.counts
+    body = envelope.body
+    grants_at = ask_count * ASK.size
+    if len(body) != grants_at + grant_count * GRANT.size:
+        raise MessageError("torn", HEAD.size + len(body))
+    asks: dict[int, Ask] = {}
+    for offset in range(0, grants_at, ASK.size):
+        volume, steps, hosts = ASK.unpack_from(body, offset)
+        if steps > SHARE_STEPS or not hosts:
+            raise MessageError("no share", HEAD.size + offset)
+        asks[volume] = Ask(steps / SHARE_STEPS, hosts)
+    grants: dict[int, float] = {}
+    for offset in range(grants_at, len(body), GRANT.size):
+        volume, steps = GRANT.unpack_from(body, offset)
+        if steps > SHARE_STEPS:
+            raise MessageError("no share", HEAD.size + offset)
+        grants[volume] = steps / SHARE_STEPS
+    return LeaseMessage(
+        envelope.incarnation,
+        envelope.number,
+        envelope.acked_incarnation,
+        envelope.acked_number,
+        asks,
+        grants,
     )
--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -77,7 +77,7 @@
             leases = self.leases
             heads = {who: leases.last_received(who) for who in leases.peer_numbers}
             for who, e in self.group.say(heads, self.life, lambda: leases.next_number(now)):
-                tell(codec.seal(e), who)
+                tell(codec.encode_envelope(e), who)
 
     def _suspend(self, now: int) -> None:
         for leases in (self.leases, self.budgets and self.budgets.leases):
@@ -209,31 +209,33 @@
 
     def _hear(self, leases: Leases, message: api.PeerMessage, now: int) -> None:
         try:
-            e = codec.unseal(message.payload, self.limits.datagram_bytes)
-            if e.kind == codec.ROLL and self.group:
+            e = codec.decode_envelope(message.payload, self.limits.datagram_bytes)
+            if e.kind == codec.MessageKind.MEMBERSHIP and self.group:
                 roll = self.group.learn(e)
                 self._regroup(leases, now)
-                why = leases.accept_contact(message.sender, e.life, e.number, now)
+                why = leases.accept_contact(message.sender, e.incarnation, e.number, now)
                 if not why:
                     self.group.heard(message.sender, roll, now)
-            elif e.kind == codec.WORDS and self.fleet:
-                why = leases.accept_contact(message.sender, e.life, e.number, now)
+            elif e.kind == codec.MessageKind.GOSSIP and self.fleet:
+                why = leases.accept_contact(message.sender, e.incarnation, e.number, now)
                 if not why:
                     self.dropped.update(
-                        self.fleet.receive(message.sender, e, leases.sent_at(e.re_life, e.re_number), now)
+                        self.fleet.receive(
+                            message.sender, e, leases.sent_at(e.acked_incarnation, e.acked_number), now
+                        )
                     )
-            elif e.kind == codec.BUDGETS and self.budgets:
-                why = self.budgets.receive(message.sender, codec.leases(e), now)
-            elif e.kind == codec.BUDGETS:
+            elif e.kind == codec.MessageKind.BUDGETS and self.budgets:
+                why = self.budgets.receive(message.sender, codec.read_leases(e), now)
+            elif e.kind == codec.MessageKind.BUDGETS:
                 why = "other kind"
             else:
-                why = leases.receive(message.sender, codec.leases(e), now)
+                why = leases.receive(message.sender, codec.read_leases(e), now)
         except codec.MessageError as problem:
             why = str(problem)
         if why:
             self.dropped[why] += 1
         else:
-            self.last_heard = [message.sender, e.life, e.number]
+            self.last_heard = [message.sender, e.incarnation, e.number]
 
     def stand_back(self, out: bool, now: int) -> None:
         """This head is not current, or is again: while it is not, no part of anything is its own."""
@@ -254,9 +256,9 @@
         return self.leases.last_number if self.leases else 0
 
     def _texts(self, leases: Leases, now: int) -> list[api.Action]:
-        divided = [(leases, codec.LEASES)]
+        divided = [(leases, codec.MessageKind.LEASES)]
         if self.budgets:
-            divided.append((self.budgets.leases, codec.BUDGETS))
+            divided.append((self.budgets.leases, codec.MessageKind.BUDGETS))
         partners = dict.fromkeys(who for one, _ in divided for who in one.active_peers(now))
         to = self._turns.round(self._others, partners)
         texts: list[api.Action] = []
@@ -265,23 +267,23 @@
         if self.fleet:
             heads = {who: leases.last_received(who) for who in to}
             words = self.fleet.compose(heads, self.life, leases.next_number(now), now, self._tightest_us)
-            texts += [api.SendPeerMessage(codec.seal(e), who) for who, e in words]
+            texts += [api.SendPeerMessage(codec.encode_envelope(e), who) for who, e in words]
         if self.group:
             self.group.look(now)
             heads = {who: leases.last_received(who) for who in [*to, *self.group.members.unmet(now)]}
             texts += [
-                api.SendPeerMessage(codec.seal(e), who)
+                api.SendPeerMessage(codec.encode_envelope(e), who)
                 for who, e in self.group.say(heads, self.life, lambda: leases.next_number(now))
             ]
         return texts
 
-    def _pages(self, leases: Leases, kind: int, to: list[int], now: int) -> list[api.Action]:
+    def _pages(self, leases: Leases, kind: codec.MessageKind, to: list[int], now: int) -> list[api.Action]:
         texts: list[api.Action] = []
         numbers: list[int] = []  # of the first message to each head, of the second, and so on
         for who, (asks, grants) in leases.compose(now, to).items():
-            for i, page in enumerate(codec.pages(asks, grants, self.limits.datagram_bytes)):
+            for i, page in enumerate(codec.paginate(asks, grants, self.limits.datagram_bytes)):
                 if i == len(numbers):
                     numbers.append(leases.next_number(now))
-                message = codec.Message(self.life, numbers[i], *leases.last_received(who), *page)
-                texts.append(api.SendPeerMessage(codec.encode(message, kind), who))
+                message = codec.LeaseMessage(self.life, numbers[i], *leases.last_received(who), *page)
+                texts.append(api.SendPeerMessage(codec.encode_leases(message, kind), who))
         return texts
--- a/garnetlanding/peers/failure_detector.py
+++ b/garnetlanding/peers/failure_detector.py
@@ -9,7 +9,7 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.peers.codec import Envelope
 from garnetlanding.peers.disabled_backends import NOTHING, DisabledBackends, Record
-from garnetlanding.peers.gossip_message import GossipMessage, envelope, fit, read
+from garnetlanding.peers.gossip_message import GossipMessage, fit, read, to_envelope
 from garnetlanding.peers.history import PeerHistory
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.local_observations import LocalObservations
@@ -54,9 +54,9 @@
         return bool(news)
 
     def receive(self, sender: int, e: Envelope, sent_at: int | None, now: int) -> Counter[str]:
-        """Raises BadMessage. Gives back what was dropped, by cause."""
+        """Raises MessageError. Gives back what was dropped, by cause."""
         words = read(e)
-        self._digests[sender] = e.life, words.digest
+        self._digests[sender] = e.incarnation, words.digest
         for record in words.records if self._bans_on else ():
             known = [
                 r.rank for table in (self.disabled.records, self._heard) if (r := table.get(record.server))
@@ -85,9 +85,7 @@
         its table differs. `heads`: life and number of the last message heard from each."""
         seen = self.observations.evidence(now, tightest_us) if self._verdicts_on else []
         if self._history and seen:
-            self._history.observations_sent(
-                {node: (e.kind.name.lower(), now - e.age_ms * MS) for node, e in seen}
-            )
+            self._history.observations_sent({node: (e.kind.label, now - e.age_ms * MS) for node, e in seen})
         evidence = [e for _, e in seen]
         table = sorted(self.disabled.records.values(), key=lambda r: r.rank, reverse=True)
         told = []
@@ -98,7 +96,7 @@
             some, more = fit(evidence, records, self.limits.datagram_bytes)
             self._turn[who] += more
             words = GossipMessage(self.disabled.digest, tuple(evidence[:some]), tuple(records[:more]))
-            told.append((who, envelope(words, life, number, its_life, its_number)))
+            told.append((who, to_envelope(words, life, number, its_life, its_number)))
         return told
 
     def known(self, what: str, now: int, tightest_us: int) -> list[dict[str, object]]:
--- a/garnetlanding/peers/gossip_message.py
+++ b/garnetlanding/peers/gossip_message.py
@@ -1,110 +1,163 @@
-"""The form of words about servers (kind 2 of the datagrams in codec.py). Big-endian:
+"""The body of gossip about backends (`MessageKind.GOSSIP` of the datagrams in codec.py).
 
-    digest of the sender's table of bans 8 bytes
-    each evidence: kind 1 byte | server 4 (CRC-32 of its name) | age of its life in 0.1 s 2 | count 1 |
+All numbers are big-endian::
+
+    digest of the sender's table of administratively disabled backends 8 bytes
+    each evidence: kind 1 byte | backend 4 (CRC-32 of its name) | uptime of the backend in 0.1 s 2 | count 1 |
         age of the evidence in ms 2
-    each ban: version 6 bytes | head that said it 2 | out 1 | length of the name 1 | the server's name
+    each record: version 6 bytes | number of the instance that made it 2 | disabled 1 |
+        length of the name 1 | the backend's name
 
-The envelope's counts are those of evidence and of bans.
+The counts of the envelope are those of the evidence and of the records.
 """
 
 from __future__ import annotations
 
 import struct
-import zlib
 from collections.abc import Sequence
 from dataclasses import dataclass
 from enum import IntEnum
+from typing import NamedTuple
 
-from garnetlanding.peers.codec import HEAD, SUM, WORDS, Envelope, MessageError
+from garnetlanding.peers.codec import HEAD, SUM, Envelope, MessageError, MessageKind, tag
 from garnetlanding.peers.disabled_backends import DIGEST, Record
 
-EVIDENCE, BAN = struct.Struct(">BIHBH"), struct.Struct(">6sHBB")
-LONG_AGO = 0xFFFF  # a life that began longer ago than can be told
-MOST_COUNT, MOST_AGE = 0xFF, 0xFFFF
+__all__ = ["Evidence", "EvidenceKind", "GossipMessage", "fit", "read", "tag", "to_envelope"]
+
+EVIDENCE = struct.Struct(">BIHBH")
+RECORD = struct.Struct(">6sHBB")
+MAX_UPTIME = 0xFFFF  # in 0.1 s: the backend has run for longer than can be written, or nobody knows how long
+MAX_COUNT = 0xFF
+MAX_AGE_MS = 0xFFFF
 
 
-class Kind(IntEnum):
-    """What a head has seen of a server."""
+class EvidenceKind(IntEnum):
+    """What an instance has observed of a backend; the values stand in datagrams."""
 
-    DEAD = 1  # connects refused in a row
-    SILENT = 2  # requests out, and nothing heard
+    UNREACHABLE = 1  # connections refused, several in a row
+    UNRESPONSIVE = 2  # requests in flight, and nothing received
     SLOW = 3
-    FULL = 4  # turns away in a row
-    COLD = 5  # answers again after it was dead or silent
+    OVERLOADED = 4  # requests rejected, several in a row
+    RECOVERED = 5  # responds again after it was unreachable or unresponsive
+
+    @property
+    def label(self) -> str:
+        """The word for it in operators' answers and in the history."""
+        return _LABELS[self]
+
+
+_LABELS = {
+    EvidenceKind.UNREACHABLE: "dead",
+    EvidenceKind.UNRESPONSIVE: "silent",
+    EvidenceKind.SLOW: "slow",
+    EvidenceKind.OVERLOADED: "full",
+    EvidenceKind.RECOVERED: "cold",
+}
 
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    kind: Kind
-    server: int  # `tag` of its name
-    life: int  # how long ago its process started, in 0.1 s; LONG_AGO
-    count: int  # of the observations it rests on
+    """One instance's observation of one backend."""
+
+    kind: EvidenceKind
+    backend_tag: int  # `tag` of its name
+    uptime: int  # of its process, in 0.1 s; at most MAX_UPTIME
+    count: int  # of the events that it rests on
     age_ms: int  # of the last of them, rounded up
 
 
 @dataclass(frozen=True, slots=True)
 class GossipMessage:
+    """What one datagram carries: evidence, and records where the receiver's table differs."""
+
     digest: bytes
     evidence: tuple[Evidence, ...] = ()
     records: tuple[Record, ...] = ()
 
 
-def tag(server: str) -> int:
-    """A server's short name. Two of one tag are doubted together: 1 in a million for a hundred servers."""
-    return zlib.crc32(server.encode())
+class Fit(NamedTuple):
+    """How many entries of each kind go into one datagram."""
+
+    evidence: int
+    records: int
 
 
-def fit(evidence: Sequence[Evidence], records: Sequence[Record], size: int) -> tuple[int, int]:
-    """How many of each, from the first on, one datagram of that size holds; evidence goes first."""
-    room = size - HEAD.size - SUM.size - DIGEST
-    seen = min(len(evidence), room // EVIDENCE.size)
-    room -= seen * EVIDENCE.size
-    told = 0
+def fit(evidence: Sequence[Evidence], records: Sequence[Record], size: int) -> Fit:
+    """Return how many of each, from the first on, a datagram of `size` bytes holds; evidence goes first."""
+    left = size - HEAD.size - SUM.size - DIGEST
+    evidence_count = min(len(evidence), left // EVIDENCE.size)
+    left -= evidence_count * EVIDENCE.size
+    record_count = 0
     for record in records:
-        room -= BAN.size + len(record.server.encode())
-        if room < 0:
+        left -= RECORD.size + len(record.server.encode())
+        if left < 0:
             break
-        told += 1
-    return seen, told
-
-
-def envelope(words: GossipMessage, life: int, number: int, re_life: int, re_number: int) -> Envelope:
-    parts = [words.digest]
-    parts += [
-        EVIDENCE.pack(e.kind, e.server, e.life, min(e.count, MOST_COUNT), min(e.age_ms, MOST_AGE))
-        for e in words.evidence
-    ]
-    for record in words.records:
+        record_count += 1
+    return Fit(evidence_count, record_count)
+
+
+def to_envelope(
+    message: GossipMessage, incarnation: int, number: int, acked_incarnation: int, acked_number: int
+) -> Envelope:
+    """Return the envelope that carries a message."""
+    parts = [message.digest]
+    for evidence in message.evidence:
+        parts.append(
+            EVIDENCE.pack(
+                evidence.kind,
+                evidence.backend_tag,
+                evidence.uptime,
+                min(evidence.count, MAX_COUNT),
+                min(evidence.age_ms, MAX_AGE_MS),
+            )
+        )
+    for record in message.records:
         name = record.server.encode()
-        parts.append(BAN.pack(record.version.to_bytes(6, "big"), record.by, record.out, len(name)) + name)
+        parts.append(RECORD.pack(record.version.to_bytes(6, "big"), record.by, record.out, len(name)) + name)
     return Envelope(
-        WORDS, life, number, re_life, re_number, (len(words.evidence), len(words.records)), b"".join(parts)
+        MessageKind.GOSSIP,
+        incarnation,
+        number,
+        acked_incarnation,
+        acked_number,
+        (len(message.evidence), len(message.records)),
+        b"".join(parts),
     )
 
 
-def read(e: Envelope) -> GossipMessage:
-    """Raises BadMessage."""
-    seen, told = e.counts
-    at = DIGEST + seen * EVIDENCE.size
-    if len(e.body) < at:
-        raise MessageError("torn")
-    evidence = []
-    for i in range(seen):
-        kind, server, life, count, age = EVIDENCE.unpack_from(e.body, DIGEST + i * EVIDENCE.size)
-        if not Kind.DEAD <= kind <= Kind.COLD:
-            raise MessageError("no such verdict")
-        evidence.append(Evidence(Kind(kind), server, life, count, age))
-    records = []
-    for _ in range(told):
-        if len(e.body) < at + BAN.size:
-            raise MessageError("torn")
-        version, by, out, length = BAN.unpack_from(e.body, at)
-        name = e.body[at + BAN.size : at + BAN.size + length]
-        at += BAN.size + length
-        if len(name) != length or not name.isascii() or not name or out > 1:
-            raise MessageError("no ban")
-        records.append(Record(name.decode(), int.from_bytes(version, "big"), by, bool(out)))
-    if at != len(e.body):
-        raise MessageError("torn")
-    return GossipMessage(e.body[:DIGEST], tuple(evidence), tuple(records))
+def read(envelope: Envelope) -> GossipMessage:
+    """Decode the body of an envelope of gossip. Raises MessageError."""
+    evidence_count, record_count = envelope.counts
+    body = envelope.body
+    records_at = DIGEST + evidence_count * EVIDENCE.size
+    if len(body) < records_at:
+        raise MessageError("torn", HEAD.size + len(body))
+    evidence = [_read_evidence(body, at) for at in range(DIGEST, records_at, EVIDENCE.size)]
+    records: list[Record] = []
+    offset = records_at
+    for _ in range(record_count):
+        record, offset = _read_record(body, offset)
+        records.append(record)
+    if offset != len(body):
+        raise MessageError("torn", HEAD.size + offset)
+    return GossipMessage(body[:DIGEST], tuple(evidence), tuple(records))
+
+
+def _read_evidence(body: bytes, offset: int) -> Evidence:
+    kind, backend_tag, uptime, count, age_ms = EVIDENCE.unpack_from(body, offset)
+    if not EvidenceKind.UNREACHABLE <= kind <= EvidenceKind.RECOVERED:
+        raise MessageError("no such verdict", HEAD.size + offset)
+    return Evidence(EvidenceKind(kind), backend_tag, uptime, count, age_ms)
+
+
+def _read_record(body: bytes, offset: int) -> tuple[Record, int]:
+    """Return the record at an offset of the body, and the offset behind it."""
+    if len(body) < offset + RECORD.size:
+        raise MessageError("torn", HEAD.size + offset)
+    version, by, out, length = RECORD.unpack_from(body, offset)
+    name_at = offset + RECORD.size
+    name = body[name_at : name_at + length]
+    if len(name) != length or not name.isascii() or not name or out > 1:
+        raise MessageError("no ban", HEAD.size + offset)
+    record = Record(name.decode(), int.from_bytes(version, "big"), by, bool(out))
+    return record, name_at + length
--- a/garnetlanding/peers/leases.py
+++ b/garnetlanding/peers/leases.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from garnetlanding.decision.state import SECOND, EwmaRate, SlidingWindowSum
-from garnetlanding.peers.codec import Message, tag
+from garnetlanding.peers.codec import Ask, LeaseMessage, LeasePage, tag
 from garnetlanding.peers.limits import PeerLimits
 
 # `recheck_at` of leases that are suspended: no share changes by itself.
@@ -161,9 +161,9 @@
         if own := self.demands.get(tag(budget)):
             own.held = units
 
-    def receive(self, sender: int, m: Message, now: int) -> str:
+    def receive(self, sender: int, m: LeaseMessage, now: int) -> str:
         """Takes a head's word up; returns why not, if not."""
-        if why := self.accept_contact(sender, m.life, m.number, now):
+        if why := self.accept_contact(sender, m.incarnation, m.number, now):
             return why
         peer = self.contacts[sender]
         for volume, (share, hosts) in m.asks.items():
@@ -171,7 +171,7 @@
                 peer.asks[volume] = share, hosts, now
             if volume in self.demands:
                 self.demands[volume].others[sender] = now
-        sent_at = self.sent_at(m.re_life, m.re_number)
+        sent_at = self.sent_at(m.acked_incarnation, m.acked_number)
         if sent_at is not None:
             for volume, share in m.grants.items():
                 # Only what this head asked for: anything else would be kept for nothing.
@@ -216,14 +216,14 @@
         self,
         now: int,
         to: Iterable[int] | None = None,
-    ) -> dict[int, tuple[dict[int, tuple[float, int]], dict[int, float]]]:
+    ) -> dict[int, LeasePage]:
         """What to tell each head now (`to`: these alone): this one's asks, busiest first, and what it gives,
         which counts as gone from here on. A head that is to be told nothing is left out."""
         wants = sorted(
             ((own.wants(now, self._limits), name) for name, own in self.demands.items()), reverse=True
         )
         asks = {
-            volume: (share, self.demands[volume].hosts)
+            volume: Ask(share, self.demands[volume].hosts)
             for share, volume in wants[: self._limits.say_volumes]
             if share > 0
         }
@@ -231,7 +231,7 @@
         for who in sorted(self.peer_numbers) if to is None else to:
             grants = self._make_grants(who, now)
             if asks or grants:
-                told[who] = asks, grants
+                told[who] = LeasePage(asks, grants)
         return told
 
     def next_number(self, now: int) -> int:
--- a/garnetlanding/peers/local_observations.py
+++ b/garnetlanding/peers/local_observations.py
@@ -9,7 +9,7 @@
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.interface import Outcome
-from garnetlanding.peers.gossip_message import LONG_AGO, Evidence, Kind, tag
+from garnetlanding.peers.gossip_message import MAX_UPTIME, Evidence, EvidenceKind, tag
 from garnetlanding.peers.limits import PeerLimits
 
 TENTH = 100_000
@@ -36,11 +36,11 @@
     latency: float = 0.0  # mean, of served ones
     back_at: int = NEVER  # answered again after it was dead or silent
 
-    def proof_at(self, kind: Kind) -> int:
+    def proof_at(self, kind: EvidenceKind) -> int:
         """The last moment at which this head saw the contrary."""
-        if kind in (Kind.DEAD, Kind.SILENT):
+        if kind in (EvidenceKind.UNREACHABLE, EvidenceKind.UNRESPONSIVE):
             return self.heard_at
-        return self.served_at if kind is Kind.FULL else self.quick_at
+        return self.served_at if kind is EvidenceKind.OVERLOADED else self.quick_at
 
 
 class LocalObservations:
@@ -85,7 +85,9 @@
 
     def _ended(self, sight: Observation, e: api.Result, now: int, tightest_us: int) -> None:
         if e.outcome in SPOKE and (was := self._verdict(sight, now, tightest_us)):
-            sight.back_at = now if was[0] in (Kind.DEAD, Kind.SILENT) else sight.back_at
+            sight.back_at = (
+                now if was[0] in (EvidenceKind.UNREACHABLE, EvidenceKind.UNRESPONSIVE) else sight.back_at
+            )
         sight.out.pop(e.request, None)
         if e.outcome in SPOKE:
             sight.heard_at, sight.refused, sight.unheard = now, 0, 0
@@ -114,24 +116,24 @@
                     found.append((node, Evidence(kind, tag(node), life_of(sight.entry, now), count, age)))
         return sorted(found, key=lambda one: one[1].age_ms)
 
-    def _verdict(self, s: Observation, now: int, tightest_us: int) -> tuple[Kind, int, int] | None:
+    def _verdict(self, s: Observation, now: int, tightest_us: int) -> tuple[EvidenceKind, int, int] | None:
         """Kind, count, and when last seen."""
         limits = self._limits
         if s.refused >= limits.refused_row:
-            return Kind.DEAD, s.refused, s.refused_at
+            return EvidenceKind.UNREACHABLE, s.refused, s.refused_at
         since = now - int(limits.silent_aims * tightest_us)
         late = sum(sent <= since for sent in s.out.values()) if s.heard_at <= since else 0
         if late + s.unheard >= limits.silent_out:
-            return Kind.SILENT, late + s.unheard, now if late else s.unheard_at
+            return EvidenceKind.UNRESPONSIVE, late + s.unheard, now if late else s.unheard_at
         if s.full >= limits.full_row:
-            return Kind.FULL, s.full, s.full_at
+            return EvidenceKind.OVERLOADED, s.full, s.full_at
         if s.answers >= limits.slow_answers and s.latency > limits.slow_aims * tightest_us:
-            return Kind.SLOW, s.answers, s.served_at
+            return EvidenceKind.SLOW, s.answers, s.served_at
         if s.back_at > NEVER:
-            return Kind.COLD, 1, s.back_at
+            return EvidenceKind.RECOVERED, 1, s.back_at
         return None
 
 
 def life_of(entry: api.Endpoint, now: int) -> int:
     """How long ago a server's process started, as it is told."""
-    return min(LONG_AGO, max(0, now - entry.started_us) // TENTH) if entry.started_us else LONG_AGO
+    return min(MAX_UPTIME, max(0, now - entry.started_us) // TENTH) if entry.started_us else MAX_UPTIME
--- a/garnetlanding/peers/membership_message.py
+++ b/garnetlanding/peers/membership_message.py
@@ -14,7 +14,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from garnetlanding.peers.codec import HEAD, ROLL, SUM, Envelope, MessageError
+from garnetlanding.peers.codec import HEAD, SUM, Envelope, MessageError, MessageKind
 from garnetlanding.peers.disabled_backends import DIGEST
 from garnetlanding.peers.membership import Record
 from garnetlanding.runtime.stream import parse_address
@@ -49,7 +49,7 @@
     return RECORD.size + (LONGEST_ADDRESS if record.address.startswith("[") else 4) + PORT.size
 
 
-def envelope(told: MembershipMessage, life: int, number: int, re_life: int, re_number: int) -> Envelope:
+def to_envelope(told: MembershipMessage, life: int, number: int, re_life: int, re_number: int) -> Envelope:
     parts = [told.digest]
     for record in told.records:
         host, port = parse_address(record.address)
@@ -59,12 +59,20 @@
             + packed
             + PORT.pack(port)
         )
-    return Envelope(ROLL, life, number, re_life, re_number, (len(told.records), told.joined), b"".join(parts))
+    return Envelope(
+        MessageKind.MEMBERSHIP,
+        life,
+        number,
+        re_life,
+        re_number,
+        (len(told.records), told.joined),
+        b"".join(parts),
+    )
 
 
 def read(e: Envelope) -> MembershipMessage:
-    """Raises BadMessage."""
-    if e.kind != ROLL:
+    """Raises MessageError."""
+    if e.kind != MessageKind.MEMBERSHIP:
         raise MessageError("other kind")
     at, records = DIGEST, []
     for _ in range(e.counts[0]):
--- a/garnetlanding/peers/membership_protocol.py
+++ b/garnetlanding/peers/membership_protocol.py
@@ -24,13 +24,15 @@
     def introduce(self, address: str, data: bytes) -> int | None:
         """Who sends from an address that nobody is known at: its own record says so, and names that one."""
         try:
-            first = membership_message.read(codec.unseal(data, self.limits.datagram_bytes)).records[0]
+            first = membership_message.read(codec.decode_envelope(data, self.limits.datagram_bytes)).records[
+                0
+            ]
         except MessageError:
             return None
         return first.head if first.address == address and not first.gone else None
 
     def learn(self, e: Envelope) -> membership_message.MembershipMessage:
-        """Raises BadMessage."""
+        """Raises MessageError."""
         told = membership_message.read(e)
         before = self.members.digest
         self.members.learn(told.records)
@@ -80,7 +82,7 @@
                 if i == len(numbers):
                     numbers.append(sending())
                 said = membership_message.MembershipMessage(members.digest, tuple(page), members.joined)
-                told.append((who, membership_message.envelope(said, life, numbers[i], *heard)))
+                told.append((who, membership_message.to_envelope(said, life, numbers[i], *heard)))
         return told
 
     def say_out(self, why: str) -> None:
--- a/garnetlanding/peers/shared_budgets.py
+++ b/garnetlanding/peers/shared_budgets.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Iterator
 
 from garnetlanding.decision import interface as api
-from garnetlanding.peers.codec import Message
+from garnetlanding.peers.codec import LeaseMessage
 from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import SECOND, PeerLimits
 
@@ -107,6 +107,6 @@
             counted = own.name.startswith(api.concurrency_budget(""))
             yield own.name, believed[own.name], own.limit * own.window_us / SECOND if counted else 0.0
 
-    def receive(self, sender: int, message: Message, now: int) -> str:
+    def receive(self, sender: int, message: LeaseMessage, now: int) -> str:
         """Takes a head's word up; returns why not, if not."""
         return self.leases.receive(sender, message, now)
--- a/garnetlanding/peers/suspicions.py
+++ b/garnetlanding/peers/suspicions.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from garnetlanding.peers.gossip_message import LONG_AGO, Evidence, Kind
+from garnetlanding.peers.gossip_message import MAX_UPTIME, Evidence, EvidenceKind
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.local_observations import NEVER, TENTH, LocalObservations, life_of
 
@@ -21,7 +21,7 @@
 class Claim:
     """The last word of one head about one server."""
 
-    kind: Kind
+    kind: EvidenceKind
     count: int
     latest: int  # it was seen no later than this
     until: int  # and no earlier than this less the greatest age
@@ -53,11 +53,11 @@
         dropped: Counter[str] = Counter()
         told: set[str] = set()
         for e in evidence:
-            node = seen.names_by_tag.get(e.server)
+            node = seen.names_by_tag.get(e.backend_tag)
             sight = seen.backends.get(node) if node else None
             if node is None or sight is None:
                 dropped["no such server"] += 1
-            elif not self._same_life(e.life, life_of(sight.entry, now)):
+            elif not self._same_life(e.uptime, life_of(sight.entry, now)):
                 dropped["other life"] += 1
             elif sent_at is None or sent_at - e.age_ms * MS + self._limits.word_us <= now:
                 dropped["word too old"] += 1
@@ -73,8 +73,8 @@
         return dropped
 
     def _same_life(self, told: int, known: int) -> bool:
-        if LONG_AGO in (told, known):
-            return told == known or min(told, known) > LONG_AGO - self._limits.life_slack_us // TENTH
+        if MAX_UPTIME in (told, known):
+            return told == known or min(told, known) > MAX_UPTIME - self._limits.life_slack_us // TENTH
         return abs(told - known) <= self._limits.life_slack_us // TENTH
 
     def _take(self, node: str, sender: int, claim: Claim, now: int, seen: LocalObservations) -> None:
@@ -121,13 +121,13 @@
         return [
             {
                 "server": node,
-                "own": own[node].kind.name.lower() if node in own else "",
+                "own": own[node].kind.label if node in own else "",
                 "own_ms": own[node].age_ms if node in own else None,
                 "doubted_ms": (doubted[node] - now) // MS if node in doubted else None,
                 "words": [
                     {
                         "head": who,
-                        "says": c.kind.name.lower(),
+                        "says": c.kind.label,
                         "count": c.count,
                         "age_ms": (now - c.until + self._limits.word_us) // MS,
                         "credit": round(self.credit(who, now), 2),
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -401,19 +401,25 @@
 
 HEADER = (7_000_000_001, 12, 6_000_000_009, 3)  # life and number, and those answered
 VOLUME, OTHER = codec.tag("vol-1"), codec.tag("vol-2")
-LEASES = codec.Message(*HEADER, {VOLUME: (0.5, 3), OTHER: (1.0, 255)}, {VOLUME: 0.252, 9: 0.0})
-BUDGETS = codec.Message(
-    *HEADER, {codec.tag(api.warmup_budget("n0")): (0.004, 4)}, {codec.tag(api.LIST_CALLS): 1.0}
+LEASES = codec.LeaseMessage(
+    *HEADER, {VOLUME: codec.Ask(0.5, 3), OTHER: codec.Ask(1.0, 255)}, {VOLUME: 0.252, 9: 0.0}
+)
+BUDGETS = codec.LeaseMessage(
+    *HEADER, {codec.tag(api.warmup_budget("n0")): codec.Ask(0.004, 4)}, {codec.tag(api.LIST_CALLS): 1.0}
 )
 BANS = DisabledBackends(PEER_LIMITS, [Ban("n1", 1_764_640_800_000, 2, True), Ban("head/3", 9, 65535, False)])
 EVIDENCE = tuple(
     gossip_message.Evidence(kind, gossip_message.tag(f"n{kind}"), 10 * kind, kind, 7)
-    for kind in gossip_message.Kind
+    for kind in gossip_message.EvidenceKind
 )
 TOLD = gossip_message.GossipMessage(BANS.digest, EVIDENCE, tuple(BANS.records.values()))
 MOST = gossip_message.GossipMessage(
     bytes(8),
-    (gossip_message.Evidence(gossip_message.Kind.DEAD, 0xFFFFFFFF, gossip_message.LONG_AGO, 255, 0xFFFF),),
+    (
+        gossip_message.Evidence(
+            gossip_message.EvidenceKind.UNREACHABLE, 0xFFFFFFFF, gossip_message.MAX_UPTIME, 255, 0xFFFF
+        ),
+    ),
 )
 
 
@@ -434,28 +440,33 @@
 def datagrams() -> dict[str, bytes]:
     """Each kind of message, with all it can hold and with nothing."""
     found = {
-        "leases": codec.encode(LEASES),
-        "leases-empty": codec.encode(codec.Message(1, 1)),
-        "leases-greatest": codec.encode(
-            codec.Message((1 << 48) - 1, (1 << 32) - 1, (1 << 48) - 1, (1 << 32) - 1)
+        "leases": codec.encode_leases(LEASES),
+        "leases-empty": codec.encode_leases(codec.LeaseMessage(1, 1)),
+        "leases-greatest": codec.encode_leases(
+            codec.LeaseMessage((1 << 48) - 1, (1 << 32) - 1, (1 << 48) - 1, (1 << 32) - 1)
+        ),
+        "leases-rounded": codec.encode_leases(
+            codec.LeaseMessage(1, 2, 0, 0, {1: codec.Ask(0.0011, 1)}, {1: 0.0079})
+        ),
+        "budgets": codec.encode_leases(BUDGETS, codec.MessageKind.BUDGETS),
+        "words": codec.encode_envelope(gossip_message.to_envelope(TOLD, *HEADER)),
+        "words-greatest": codec.encode_envelope(gossip_message.to_envelope(MOST, *HEADER)),
+        "words-empty": codec.encode_envelope(
+            gossip_message.to_envelope(gossip_message.GossipMessage(bytes(8)), *HEADER)
         ),
-        "leases-rounded": codec.encode(codec.Message(1, 2, 0, 0, {1: (0.0011, 1)}, {1: 0.0079})),
-        "budgets": codec.encode(BUDGETS, codec.BUDGETS),
-        "words": codec.seal(gossip_message.envelope(TOLD, *HEADER)),
-        "words-greatest": codec.seal(gossip_message.envelope(MOST, *HEADER)),
-        "words-empty": codec.seal(gossip_message.envelope(gossip_message.GossipMessage(bytes(8)), *HEADER)),
     }
     return found | {
-        name: codec.seal(membership_message.envelope(told, *HEADER)) for name, told in rolls().items()
+        name: codec.encode_envelope(membership_message.to_envelope(told, *HEADER))
+        for name, told in rolls().items()
     }
 
 
 def read_datagram(data: bytes) -> object:
     """As `PeerCoordinator` does: by the kind of its envelope."""
-    e = codec.unseal(data, PEER_LIMITS.datagram_bytes)
-    if e.kind == codec.ROLL:
+    e = codec.decode_envelope(data, PEER_LIMITS.datagram_bytes)
+    if e.kind == codec.MessageKind.MEMBERSHIP:
         return membership_message.read(e)
-    return gossip_message.read(e) if e.kind == codec.WORDS else codec.leases(e)
+    return gossip_message.read(e) if e.kind == codec.MessageKind.GOSSIP else codec.read_leases(e)
 
 
 def datagram_outcome(data: bytes) -> str:
@@ -475,9 +486,9 @@
     assert (read["words"], read["words-greatest"]) == (TOLD, MOST)
     assert (read["roll"], read["roll-one"]) == (rolls()["roll"], rolls()["roll-one"])
     assert read["words-empty"] == gossip_message.GossipMessage(bytes(8))
-    assert read["leases-empty"] == codec.Message(1, 1)
-    assert read["leases-rounded"] == codec.Message(1, 2, 0, 0, {1: (0.004, 1)}, {1: 0.004})
-    assert read["leases-greatest"] == codec.Message(
+    assert read["leases-empty"] == codec.LeaseMessage(1, 1)
+    assert read["leases-rounded"] == codec.LeaseMessage(1, 2, 0, 0, {1: codec.Ask(0.004, 1)}, {1: 0.004})
+    assert read["leases-greatest"] == codec.LeaseMessage(
         (1 << 48) - 1, (1 << 32) - 1, (1 << 48) - 1, (1 << 32) - 1
     )
 
@@ -510,14 +521,17 @@
 
 def test_many_entries_are_paged_as_recorded() -> None:
     """What does not fit into one datagram: leases, evidence and bans, and records of heads."""
-    asks = {i * 7919: ((i % 251) / 250, 1 + i % 255) for i in range(400)}
+    asks = {i * 7919: codec.Ask((i % 251) / 250, 1 + i % 255) for i in range(400)}
     grants = {i * 104729: (i % 251) / 250 for i in range(300)}
-    paged = [codec.encode(codec.Message(1, 1, 0, 0, *page)) for page in codec.pages(asks, grants, 1200)]
+    paged = [
+        codec.encode_leases(codec.LeaseMessage(1, 1, 0, 0, *page))
+        for page in codec.paginate(asks, grants, 1200)
+    ]
     records = [Member(i, 5 + i, i % 3 == 0, f"10.0.{i // 250}.{i % 250}:1{i:04}") for i in range(300)]
     for page in membership_message.pages(records, 1200, 3):
         paged.append(
-            codec.seal(
-                membership_message.envelope(
+            codec.encode_envelope(
+                membership_message.to_envelope(
                     membership_message.MembershipMessage(bytes(8), tuple(page), True), 1, 1, 0, 0
                 )
             )
@@ -525,7 +539,7 @@
     bans = [Ban(f"server-{i}", i, 1, True) for i in range(100)]
     seen, told = gossip_message.fit(EVIDENCE * 20, bans, 1200)
     message = gossip_message.GossipMessage(bytes(8), (EVIDENCE * 20)[:seen], tuple(bans[:told]))
-    paged.append(codec.seal(gossip_message.envelope(message, 1, 1, 0, 0)))
+    paged.append(codec.encode_envelope(gossip_message.to_envelope(message, 1, 1, 0, 0)))
     text = "".join(f"{len(data)} {hashlib.sha256(data).hexdigest()}\n" for data in paged)
     golden("datagrams-paged.txt", text.encode())
 
@@ -668,7 +682,12 @@
     talk = Conversation(tmp_path)
     talk.run()
     kinds = {data[1] for *_, data in talk.sent}
-    assert kinds == {codec.LEASES, codec.WORDS, codec.ROLL, codec.BUDGETS}
+    assert kinds == {
+        codec.MessageKind.LEASES,
+        codec.MessageKind.GOSSIP,
+        codec.MessageKind.MEMBERSHIP,
+        codec.MessageKind.BUDGETS,
+    }
     assert all(
         fleet.disabled.disabled_names == {"n2"} for fleet in talk.fleets.values()
     ), "all heard of the ban"
--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from garnetlanding.peers import codec
-from garnetlanding.peers.codec import Message, MessageError
+from garnetlanding.peers.codec import LeaseMessage, MessageError
 from tests.support.leases import LIMITS
 
 SHARES = st.integers(0, codec.WHOLE).map(lambda n: n / codec.WHOLE)
@@ -15,7 +15,7 @@
 ASKS = st.dictionaries(NAMES, st.tuples(SHARES, st.integers(1, 255)), max_size=15)
 GRANTS = st.dictionaries(NAMES, SHARES, max_size=15)
 MESSAGES = st.builds(
-    Message,
+    LeaseMessage,
     st.integers(0, 2**48 - 1),
     st.integers(0, 2**32 - 1),
     st.integers(0, 2**48 - 1),
@@ -26,19 +26,21 @@
 
 
 @given(MESSAGES)
-def test_what_is_told_is_heard_and_fits(message: Message) -> None:
-    data = codec.encode(message)
-    assert len(data) <= LIMITS.datagram_bytes and codec.decode(data, LIMITS.datagram_bytes) == message
+def test_what_is_told_is_heard_and_fits(message: LeaseMessage) -> None:
+    data = codec.encode_leases(message)
+    assert len(data) <= LIMITS.datagram_bytes and codec.decode_leases(data, LIMITS.datagram_bytes) == message
 
 
 @given(MESSAGES, st.data())
-def test_torn_and_spoilt_messages_are_told_from_whole_ones(message: Message, data: st.DataObject) -> None:
-    whole = codec.encode(message)
+def test_torn_and_spoilt_messages_are_told_from_whole_ones(
+    message: LeaseMessage, data: st.DataObject
+) -> None:
+    whole = codec.encode_leases(message)
     cut = data.draw(st.integers(0, len(whole) - 1))
     at, flip = data.draw(st.integers(0, len(whole) - 1)), data.draw(st.integers(1, 255))
     for bad in (whole[:cut], whole[:at] + bytes([whole[at] ^ flip]) + whole[at + 1 :], whole + b"x" * 257):
         with pytest.raises(MessageError):
-            codec.decode(bad, LIMITS.datagram_bytes)
+            codec.decode_leases(bad, LIMITS.datagram_bytes)
 
 
 @given(
@@ -48,7 +50,7 @@
 def test_pages_hold_everything_once_and_fit(
     asks: dict[int, tuple[float, int]], grants: dict[int, float]
 ) -> None:
-    pages = list(codec.pages(asks, grants, LIMITS.datagram_bytes))
+    pages = list(codec.paginate(asks, grants, LIMITS.datagram_bytes))
     assert [a for p in pages for a in p[0].items()] == list(asks.items())
     assert [g for p in pages for g in p[1].items()] == list(grants.items())
-    assert all(len(codec.encode(Message(1, 1, 1, 1, *p))) <= LIMITS.datagram_bytes for p in pages)
+    assert all(len(codec.encode_leases(LeaseMessage(1, 1, 1, 1, *p))) <= LIMITS.datagram_bytes for p in pages)
--- a/tests/peers/test_connection_quota.py
+++ b/tests/peers/test_connection_quota.py
@@ -31,7 +31,9 @@
                 number = self.heads[sender].next_number(self.now)
                 for page in self.heads[sender].compose(self.now).values():
                     heard = self.heads[sender].last_received(receiver)
-                    self.heads[receiver].receive(sender, codec.Message(7, number, *heard, *page), self.now)
+                    self.heads[receiver].receive(
+                        sender, codec.LeaseMessage(7, number, *heard, *page), self.now
+                    )
 
     def others(self) -> int:
         return int(self.heads[1].usable_share(codec.tag("places:n0"), self.now) * 8 + 1e-9)
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -20,7 +20,7 @@
 from garnetlanding.decision.state import Volume
 from garnetlanding.ops import admin_client
 from garnetlanding.peers import codec
-from garnetlanding.peers.codec import Message
+from garnetlanding.peers.codec import LeaseMessage
 from garnetlanding.peers.coordinator import PeerCoordinator
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.link import PeerLink
@@ -119,7 +119,9 @@
 
 def test_forged_bytes_are_counted_by_cause_and_change_nothing() -> None:
     talk = PeerCoordinator(Controller(settings(may_message_peers=True), 1), life=1)
-    whole = codec.encode(Message(1, 1, 0, 0, {codec.tag("v"): (1.0, 2)}, {codec.tag("v"): 1.0}))
+    whole = codec.encode_leases(
+        LeaseMessage(1, 1, 0, 0, {codec.tag("v"): codec.Ask(1.0, 2)}, {codec.tag("v"): 1.0})
+    )
     talk.handle(
         T0, [api.PeerMessage(1, p) for p in (b"", whole[:-1], whole + b"x", b"\x09" + whole[1:], bytes(300))]
     )
@@ -189,13 +191,13 @@
         self.client().say(read_command(f"r{self.time}").replace(b"hosts=1", b"hosts=2"))
         self.run(SECOND, 50 * MS)
 
-    def heard(self) -> list[list[Message]]:
+    def heard(self) -> list[list[LeaseMessage]]:
         """What each of the others has got since the last look."""
-        got: list[list[Message]] = [[], []]
+        got: list[list[LeaseMessage]] = [[], []]
         for uses, sock in zip(got, self.others, strict=True):
             try:
                 while data := sock.recv(300):
-                    uses.append(codec.decode(data, LIMITS.datagram_bytes))
+                    uses.append(codec.decode_leases(data, LIMITS.datagram_bytes))
             except BlockingIOError:
                 pass
         return got
@@ -206,11 +208,11 @@
     h.ask()
     told = h.heard()
     assert len(told[0]) == len(told[1]) >= 3 and told[0][-1].asks[codec.tag("v")][1] == 2
-    assert {use.life for use in told[0]} == {h.talk.life} and h.talk.life > 10**12
+    assert {use.incarnation for use in told[0]} == {h.talk.life} and h.talk.life > 10**12
     link = h.daemon.link
     assert link and h.daemon.core.send_to_peer
     host, port = link.address.split(":")
-    h.others[1].sendto(codec.encode(Message(1, 1)), (host, int(port)))
+    h.others[1].sendto(codec.encode_leases(LeaseMessage(1, 1)), (host, int(port)))
     h.settle()
     assert h.talk.leases and list(h.talk.leases.contacts) == [2]
 
@@ -222,8 +224,8 @@
     assert link and h.talk.leases
     host, port = link.address.split(":")
     tag, sent = codec.tag("v"), h.heard()[0][-1]
-    grant = Message(1, 1, sent.life, sent.number, {tag: (1.0, 2)}, {tag: 0.6})
-    h.others[0].sendto(codec.encode(grant), (host, int(port)))
+    grant = LeaseMessage(1, 1, sent.incarnation, sent.number, {tag: codec.Ask(1.0, 2)}, {tag: 0.6})
+    h.others[0].sendto(codec.encode_leases(grant), (host, int(port)))
     h.settle()
     [row] = h.talk.known("limits", h.time)
     assert row["volume"] == "v" and row["hosts"] == 2
--- a/tests/peers/test_gossip_message.py
+++ b/tests/peers/test_gossip_message.py
@@ -20,13 +20,13 @@
     Record,
 )
 from garnetlanding.peers.gossip_message import (
-    LONG_AGO,
+    MAX_UPTIME,
     Evidence,
+    EvidenceKind,
     GossipMessage,
-    Kind,
-    envelope,
     fit,
     read,
+    to_envelope,
 )
 from tests.helpers import T0, settings
 from tests.support.suspicions import LIMITS, Heads, dead
@@ -37,9 +37,9 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(Kind),
+            st.sampled_from(EvidenceKind),
             st.integers(0, 2**32 - 1),
-            st.integers(0, LONG_AGO),
+            st.integers(0, MAX_UPTIME),
             st.integers(0, 255),
             st.integers(0, 65535),
         ),
@@ -59,11 +59,11 @@
     evidence, records = [Evidence(*e) for e in seen], [Record(*r) for r in said]
     some, more = fit(evidence, records, LIMITS.datagram_bytes)
     told = GossipMessage(b"digest 8", tuple(evidence[:some]), tuple(records[:more]))
-    data = codec.seal(envelope(told, 9, 8, 7, 6))
+    data = codec.encode_envelope(to_envelope(told, 9, 8, 7, 6))
     assert len(data) <= LIMITS.datagram_bytes
     assert (some, more) == (len(evidence), len(records)) or len(data) > 200 - 40 * (more < len(records))
-    e = codec.unseal(data, LIMITS.datagram_bytes)
-    assert read(e) == told and (e.life, e.number, e.re_life, e.re_number) == (9, 8, 7, 6)
+    e = codec.decode_envelope(data, LIMITS.datagram_bytes)
+    assert read(e) == told and (e.incarnation, e.number, e.acked_incarnation, e.acked_number) == (9, 8, 7, 6)
     for body in (e.body[:-1], e.body + b"x"):
         with pytest.raises(MessageError):
             read(replace(e, body=body))
@@ -72,10 +72,14 @@
 def test_forged_words_are_counted_by_cause() -> None:
     f = Heads()
     f.run(10)
-    good = envelope(GossipMessage(NOTHING, (dead(),)), 1, 999, 0, 0)
+    good = to_envelope(GossipMessage(NOTHING, (dead(),)), 1, 999, 0, 0)
     strange = replace(good, number=1000, body=good.body[:DIGEST] + b"\x09" + good.body[DIGEST + 1 :])
-    f.run(1, (0, api.PeerMessage(1, codec.seal(good))), (0, api.PeerMessage(1, codec.seal(strange))))
+    f.run(
+        1,
+        (0, api.PeerMessage(1, codec.encode_envelope(good))),
+        (0, api.PeerMessage(1, codec.encode_envelope(strange))),
+    )
     assert f.talks[0].dropped == {"word too old": 1, "no such verdict": 1}
     off = PeerCoordinator(Controller(settings(may_message_peers=True), 1), life=1)
-    off.handle(T0, [api.PeerMessage(1, codec.seal(good))])
+    off.handle(T0, [api.PeerMessage(1, codec.encode_envelope(good))])
     assert off.dropped == {"other kind": 1} and off.known("verdicts", T0) == []
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -13,7 +13,7 @@
 from garnetlanding.emulator.lease_model import Scope, explore
 from garnetlanding.emulator.lease_net import SECOND, Net, Run, Seen
 from garnetlanding.peers import codec, leases
-from garnetlanding.peers.codec import Message
+from garnetlanding.peers.codec import LeaseMessage
 from garnetlanding.peers.leases import Leases, fill
 from garnetlanding.peers.limits import PeerLimits
 from tests.support.leases import LIMITS
@@ -91,7 +91,7 @@
         for who, page in sender.compose(now).items():
             if sender.me not in silent and who not in silent:
                 group[who].receive(
-                    sender.me, Message(sender.life, number, *sender.last_received(who), *page), now
+                    sender.me, LeaseMessage(sender.life, number, *sender.last_received(who), *page), now
                 )
 
 
@@ -157,22 +157,24 @@
 
 def test_words_of_no_peer_and_too_many_volumes_are_not_kept() -> None:
     one = Leases(PeerLimits(volumes=5), 0, 3, 1, 0)
-    assert [one.receive(who, Message(1, 1), 0) for who in (0, 3, -1, 2)] == ["no peer"] * 3 + [""]
-    one.receive(1, Message(1, 1, 0, 0, {v: (1.0, 2) for v in range(30)}), 0)
+    assert [one.receive(who, LeaseMessage(1, 1), 0) for who in (0, 3, -1, 2)] == ["no peer"] * 3 + [""]
+    one.receive(1, LeaseMessage(1, 1, 0, 0, {v: codec.Ask(1.0, 2) for v in range(30)}), 0)
     assert len(one.contacts[1].asks) == 5
-    one.receive(1, Message(1, 2, 1, 1, {}, {v: 1.0 for v in range(30)}), 0)
+    one.receive(1, LeaseMessage(1, 2, 1, 1, {}, {v: 1.0 for v in range(30)}), 0)
     assert not one._received, "nothing is kept that was not asked for"
 
 
 def test_a_restarted_head_is_heard_at_once_and_its_earlier_life_no_more() -> None:
     one = Leases(LIMITS, 0, 3, 1, 0)
-    assert [one.receive(1, Message(*m), 0) for m in ((5, 9), (6, 1), (5, 10), (6, 1))] == [
+    assert [one.receive(1, LeaseMessage(*m), 0) for m in ((5, 9), (6, 1), (5, 10), (6, 1))] == [
         "",
         "",
         "old",
         "old",
     ]
-    assert one.receive(1, Message(5, 11), LIMITS.stale_us + 1) == "", "its clock was set back: heard later"
+    assert (
+        one.receive(1, LeaseMessage(5, 11), LIMITS.stale_us + 1) == ""
+    ), "its clock was set back: heard later"
 
 
 # Bugs put in on purpose
@@ -180,14 +182,14 @@
 real_heard, real_part, real_grants = Leases.receive, Leases.usable_share, Leases._make_grants
 
 
-def from_when_it_came(self: Leases, sender: int, m: Message, now: int) -> str:
-    self._sent[m.re_number] = now if m.re_life == self.life else 0
+def from_when_it_came(self: Leases, sender: int, m: LeaseMessage, now: int) -> str:
+    self._sent[m.acked_number] = now if m.acked_incarnation == self.life else 0
     return real_heard(self, sender, m, now)
 
 
-def twice_as_long(self: Leases, sender: int, m: Message, now: int) -> str:
-    if m.re_number in self._sent:
-        self._sent[m.re_number] = now + LIMITS.lease_us
+def twice_as_long(self: Leases, sender: int, m: LeaseMessage, now: int) -> str:
+    if m.acked_number in self._sent:
+        self._sent[m.acked_number] = now + LIMITS.lease_us
     return real_heard(self, sender, m, now)
 
 
@@ -260,7 +262,7 @@
     self._granted.clear()
 
 
-def rounded_up(m: Message) -> bytes:
+def rounded_up(m: LeaseMessage) -> bytes:
     return real_encode(replace(m, grants={v: min(1.0, s * 1.25) for v, s in m.grants.items()}))
 
 
@@ -282,7 +284,7 @@
     Leases.changed_shares,
     Leases.__init__,
     Leases._drop_expired,
-    codec.encode,
+    codec.encode_leases,
 )
 real_asked = Leases.record_demand
 BUGS: dict[str, tuple[object, str, Callable[..., Any]]] = {
@@ -299,7 +301,7 @@
     "the whole part is given to each that asks": (Leases, "_grantable_share", all_to_each),
     "a started head uses its part at once": (Leases, "__init__", no_quarantine),
     "what was given is forgotten": (Leases, "_drop_expired", forgetful),
-    "shares are rounded up on the way": (codec, "encode", rounded_up),
+    "shares are rounded up on the way": (codec, "encode_leases", rounded_up),
     "what is lent to a second head is not counted": (Leases, "usable_share", lent_to_one),
     "one host too few": (Leases, "record_demand", half_of_hosts),
 }
--- a/tests/peers/test_membership_message.py
+++ b/tests/peers/test_membership_message.py
@@ -31,15 +31,15 @@
     assert [r for page in pages for r in page[1:]] == records[1:]
     for page in pages:
         told = membership_message.MembershipMessage(digest, tuple(page), joined)
-        data = codec.seal(membership_message.envelope(told, 1, 2, 3, 4))
+        data = codec.encode_envelope(membership_message.to_envelope(told, 1, 2, 3, 4))
         assert len(data) <= LIMITS.datagram_bytes
-        assert membership_message.read(codec.unseal(data, LIMITS.datagram_bytes)) == told
+        assert membership_message.read(codec.decode_envelope(data, LIMITS.datagram_bytes)) == told
     assert len(membership_message.pages(records * 9, LIMITS.datagram_bytes, 2)) <= 2
 
 
 @given(st.binary(max_size=60), st.tuples(st.integers(0, 5), st.integers(0, 3)))
 def test_words_about_heads_that_make_no_sense_are_bad(body: bytes, counts: tuple[int, int]) -> None:
-    e = codec.Envelope(codec.ROLL, 1, 1, 0, 0, counts, body)
+    e = codec.Envelope(codec.MessageKind.MEMBERSHIP, 1, 1, 0, 0, counts, body)
     try:
         told = membership_message.read(e)
     except MessageError:
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -13,8 +13,8 @@
 from garnetlanding.emulator import verdict_net
 from garnetlanding.emulator.verdict_model import Scope, explore
 from garnetlanding.peers.gossip_message import (
-    LONG_AGO,
-    Kind,
+    MAX_UPTIME,
+    EvidenceKind,
 )
 from garnetlanding.peers.local_observations import LocalObservations, Observation
 from garnetlanding.peers.setup import read_fleet
@@ -43,7 +43,7 @@
     seen.observe_events(
         T0, [api.EndpointListUpdate((replace(SIX[0], started_us=T0 - 40 * SECOND),), whole=True)], AIM
     )
-    for life, same in ((400, True), (385, True), (430, False), (20, False), (LONG_AGO, False)):
+    for life, same in ((400, True), (385, True), (430, False), (20, False), (MAX_UPTIME, False)):
         assert (SuspicionTable(LIMITS).receive(1, [dead(life=life)], T0, T0, seen) == {}) is same
 
 
@@ -52,7 +52,7 @@
     v.receive(1, [dead()], T0, T0, seen)
     seen.observe_events(T0 + MS, [result("n0", Outcome.ERROR)], AIM)
     assert not v.suspected(T0 + MS, seen)
-    v.receive(1, [dead("n1", kind=Kind.SLOW)], T0 + MS, T0 + MS, seen)
+    v.receive(1, [dead("n1", kind=EvidenceKind.SLOW)], T0 + MS, T0 + MS, seen)
     seen.observe_events(T0 + 2 * MS, [result("n1", SERVED, 2 * AIM)], AIM)
     assert v.suspected(T0 + 2 * MS, seen), "a late answer does not speak against slow"
     seen.observe_events(T0 + 3 * MS, [result("n1", SERVED)], AIM)
@@ -147,7 +147,7 @@
     real_take(self, node, sender, replace(claim, until=claim.until + SECOND), now, seen)
 
 
-def own_answers_do_not_count(self: Observation, kind: Kind) -> int:
+def own_answers_do_not_count(self: Observation, kind: EvidenceKind) -> int:
     return -(1 << 62)
 
 
