--- a/garnetlanding/config/operator.py
+++ b/garnetlanding/config/operator.py
@@ -18,7 +18,7 @@
     from garnetlanding.history.setup import HistorySetup
     from garnetlanding.ninep.setup import Ninep
     from garnetlanding.peers.setup import FleetSetup
-    from garnetlanding.telemetry.setup import Collector
+    from garnetlanding.telemetry.setup import TelemetrySetup
 
 SECTIONS = "ninep telemetry store history fleet choices audit"
 
@@ -28,7 +28,7 @@
     """The settings of each optional subsystem; None where it is off. The platform's own file has none."""
 
     ninep: Ninep | None = None
-    telemetry: Collector | None = None
+    telemetry: TelemetrySetup | None = None
     store: StoreSetup = StoreSetup()
     history: HistorySetup | None = None
     fleet: FleetSetup | None = None
@@ -60,7 +60,7 @@
     return setup.read(data, settings)
 
 
-def _read_telemetry(data: object) -> Collector:
+def _read_telemetry(data: object) -> TelemetrySetup:
     from garnetlanding.telemetry import setup
 
     return setup.read(data)
--- a/garnetlanding/daemon.py
+++ b/garnetlanding/daemon.py
@@ -457,14 +457,13 @@
         self._place_link()
 
     def _start_telemetry(self) -> None:
-        from garnetlanding.telemetry.exporter import Exporter
+        from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
 
         assert self.config.operator.telemetry
         exporter = self.exporter = Exporter(
             self.scheduler,
             self.config.operator.telemetry,
-            self.config.name,
-            self.config.seed,
+            ServiceInstance(self.config.name, self.config.seed),
             self.pool,
             self.limits,
         )
--- /dev/null
+++ b/garnetlanding/telemetry/ended_request.py
@@ -0,0 +1,33 @@
+"""What telemetry keeps of a request that has ended, until it is encoded."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from garnetlanding.core.ports import Answer, Failed, Rejected, RequestSpec
+
+SERVED = "served"
+"""The outcome of a request or an attempt that succeeded; any other goes into a span's status."""
+
+
+@dataclass(frozen=True, slots=True)
+class EndedRequest:
+    """One request as the engine reported it. Times are of the monotonic clock, in microseconds."""
+
+    request: RequestSpec
+    outcome: str
+    """`served`, `refused` or `failed`: the words of the exported attributes."""
+    began_us: int
+    ended_us: int
+    attempts: list[tuple[str, str, int, int]]
+    """Backend, outcome, time sent and time ended (0: still in flight when the request ended)."""
+
+
+def outcome_of(answer: Answer) -> str:
+    """Return the exported word for the answer of a request."""
+    match answer:
+        case Rejected():
+            return "refused"
+        case Failed():
+            return "failed"
+    return SERVED
--- /dev/null
+++ b/garnetlanding/telemetry/request_metrics.py
@@ -0,0 +1,53 @@
+"""Counts requests and attempts from the start of the process, and encodes the counts as OTLP metrics."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable, Mapping
+
+from garnetlanding.limits import SECOND
+from garnetlanding.telemetry import otlp
+from garnetlanding.telemetry.ended_request import EndedRequest
+
+DURATION_BOUNDS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0)
+"""Upper bounds of the duration histogram's buckets, in seconds."""
+
+Gauge = Callable[[], int]
+"""Reads a present value."""
+
+
+class RequestMetrics:
+    """Cumulative counts; a request that is not exported as a span counts here all the same."""
+
+    def __init__(self) -> None:
+        self._requests: Counter[otlp.Attributes] = Counter()
+        self._attempts: Counter[otlp.Attributes] = Counter()
+        self._durations: dict[str, otlp.Histogram] = {}
+
+    def add(self, ended: EndedRequest) -> None:
+        """Count a request and its attempts."""
+        request = ended.request
+        self._requests[("class", request.cls), ("plan", request.plan), ("outcome", ended.outcome)] += 1
+        for _, outcome, _, _ in ended.attempts:
+            self._attempts[(("outcome", outcome),)] += 1
+        durations = self._durations.get(request.cls)
+        if durations is None:
+            durations = self._durations[request.cls] = otlp.Histogram(DURATION_BOUNDS_S)
+        durations.add((ended.ended_us - ended.began_us) / SECOND)
+
+    def encode(self, dropped: int, gauges: Mapping[str, Gauge], interval: otlp.Interval) -> list[otlp.Json]:
+        """Return all metrics: the counts, the number of requests not exported as spans, and the gauges."""
+        durations = [
+            histogram.encode_point({"class": request_class}, interval)
+            for request_class, histogram in self._durations.items()
+        ]
+        return [
+            otlp.encode_counter("garnetlanding.requests", "{request}", self._requests, interval),
+            otlp.encode_counter("garnetlanding.attempts", "{attempt}", self._attempts, interval),
+            otlp.encode_counter("garnetlanding.telemetry.dropped", "{request}", {(): dropped}, interval),
+            otlp.encode_histogram("garnetlanding.request.duration", "s", durations),
+            *(
+                otlp.encode_gauge(f"garnetlanding.{name}", "1", read(), interval.end_ns)
+                for name, read in gauges.items()
+            ),
+        ]
--- /dev/null
+++ b/garnetlanding/telemetry/request_spans.py
@@ -0,0 +1,78 @@
+"""Turns ended requests into OTLP spans: one for the request, and one below it for each attempt."""
+
+from __future__ import annotations
+
+import random
+
+from garnetlanding.telemetry.ended_request import SERVED, EndedRequest
+from garnetlanding.telemetry.otlp import Span, SpanKind
+
+_TRACE_ID_DIGITS = 32
+_SPAN_ID_DIGITS = 16
+_NS_PER_US = 1000
+
+
+class SpanBuilder:
+    """Builds spans with random ids, their times moved from the monotonic to the wall clock.
+
+    `wall_offset_ns` is what to add to monotonic time. It is fixed at the start of the process, so that steps
+    of the wall clock do not tear the spans of a trace apart.
+    """
+
+    def __init__(self, rng: random.Random, wall_offset_ns: int) -> None:
+        self._rng = rng
+        self._wall_offset_ns = wall_offset_ns
+
+    def build(self, ended: EndedRequest) -> list[Span]:
+        """Return the request's span, then those of its attempts in the order in which they were sent."""
+        trace_id = self._random_id(_TRACE_ID_DIGITS)
+        request_span = self._request_span(ended, trace_id)
+        attempt_spans = self._attempt_spans(ended, trace_id, request_span.span_id)
+        return [request_span, *attempt_spans]
+
+    def _request_span(self, ended: EndedRequest, trace_id: str) -> Span:
+        request = ended.request
+        return Span(
+            trace_id=trace_id,
+            span_id=self._random_id(_SPAN_ID_DIGITS),
+            parent_id="",
+            name=f"request {request.cls}",
+            kind=SpanKind.SERVER,
+            start_ns=self._wall_ns(ended.began_us),
+            end_ns=self._wall_ns(ended.ended_us),
+            attributes={
+                "volume": request.volume,
+                "plan": request.plan,
+                "cell": request.cell,
+                "outcome": ended.outcome,
+                "attempts": len(ended.attempts),
+            },
+            error=_error(ended.outcome),
+        )
+
+    def _attempt_spans(self, ended: EndedRequest, trace_id: str, parent_id: str) -> list[Span]:
+        return [
+            Span(
+                trace_id=trace_id,
+                span_id=self._random_id(_SPAN_ID_DIGITS),
+                parent_id=parent_id,
+                name="attempt",
+                kind=SpanKind.CLIENT,
+                start_ns=self._wall_ns(sent_us),
+                end_ns=self._wall_ns(ended_us or ended.ended_us),
+                attributes={"server": backend, "outcome": outcome},
+                error=_error(outcome),
+            )
+            for backend, outcome, sent_us, ended_us in ended.attempts
+        ]
+
+    def _random_id(self, digits: int) -> str:
+        """Return a number other than 0, which stands for no id, in hexadecimal digits."""
+        return f"{self._rng.randrange(1, 16 ** digits):0{digits}x}"
+
+    def _wall_ns(self, monotonic_us: int) -> int:
+        return monotonic_us * _NS_PER_US + self._wall_offset_ns
+
+
+def _error(outcome: str) -> str:
+    return "" if outcome == SERVED else outcome
--- a/garnetlanding/telemetry/setup.py
+++ b/garnetlanding/telemetry/setup.py
@@ -10,30 +10,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Collector:
-    """Where the figures go, as an operator sets it up."""
+class TelemetrySetup:
+    """The collector to export to, and how often."""
 
     address: str
-    path: str = ""  # before /v1/traces and /v1/metrics
+    """HOST:PORT."""
+    path: str = ""
+    """What stands before `/v1/traces` and `/v1/metrics`."""
     service: str = "garnetlanding"
-    every_us: int = 10 * SECOND
+    """The resource's `service.name`."""
+    interval_us: int = 10 * SECOND
 
 
-def read(data: object) -> Collector:
-    """Raises ConfigError."""
+def read(data: object) -> TelemetrySetup:
+    """Read the section. Raises `ConfigError`, which names the key."""
     section = Section(data, "telemetry", "endpoint service every_s")
     url = section.text("endpoint")
     scheme, _, rest = url.partition("://")
-    host, slash, path = rest.partition("/")
+    address, slash, path = rest.partition("/")
     if scheme != "http":
         raise section.error("endpoint", f"expected http://HOST:PORT, found {url!r:.80}")
     try:
-        parse_address(host)
-    except ValueError as problem:
-        raise section.error("endpoint", problem) from None
-    return Collector(
-        host,
-        (slash + path).rstrip("/"),
-        section.text("service", "garnetlanding"),
-        int(section.number("every_s", 0.1, 10, 3600) * SECOND),
+        parse_address(address)
+    except ValueError as error:
+        raise section.error("endpoint", error) from error
+    return TelemetrySetup(
+        address=address,
+        path=(slash + path).rstrip("/"),
+        service=section.text("service", "garnetlanding"),
+        interval_us=int(section.number("every_s", 0.1, 10, 3600) * SECOND),
     )
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -65,8 +65,8 @@
 from garnetlanding.resp.request import BadRequest, read_request
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.upstream import PeerFault
-from garnetlanding.telemetry.exporter import Exporter
-from garnetlanding.telemetry.setup import Collector
+from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
+from garnetlanding.telemetry.setup import TelemetrySetup
 from tests.helpers import MS, SECOND, FakeCore, NineWorld, Peer, World
 
 ROOT = Path(__file__).parents[2]
@@ -968,9 +968,8 @@
     server = world.server(RecordingServer)
     exporter = Exporter(
         world.scheduler,
-        Collector(server.address, "/otlp", every_us=SECOND),
-        "n1",
-        7,
+        TelemetrySetup(server.address, "/otlp", interval_us=SECOND),
+        ServiceInstance("n1", 7),
         world.pool,
         world.limits,
         lambda: 1_800_000_000 * 10**9,
@@ -1314,7 +1313,7 @@
     if collector := config.operator.telemetry:
         lines.append(
             f"telemetry: address {collector.address}, path {collector.path!r}, service {collector.service}, "
-            f"every {collector.every_us}"
+            f"every {collector.interval_us}"
         )
     store = config.operator.store
     lines.append(
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -58,8 +58,8 @@
 from garnetlanding.peers.membership import Record as Member
 from garnetlanding.peers.membership_protocol import MembershipProtocol
 from garnetlanding.peers.shared_budgets import SharedBudgets
-from garnetlanding.telemetry.exporter import Exporter
-from garnetlanding.telemetry.setup import Collector
+from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
+from garnetlanding.telemetry.setup import TelemetrySetup
 from tests.helpers import MS, SECOND, World, read_command
 from tests.peers.test_coordinator import TELLS
 from tests.support.daemon import Head
@@ -769,8 +769,8 @@
     w = World()
     collector = w.server(CollectorServer)
     wall_ns = 1_800_000_000 * 10**9
-    setup = Collector(collector.address, "/otlp", every_us=SECOND)
-    exporter = Exporter(w.scheduler, setup, "n1", 7, w.pool, w.limits, lambda: wall_ns)
+    setup = TelemetrySetup(collector.address, "/otlp", interval_us=SECOND)
+    exporter = Exporter(w.scheduler, setup, ServiceInstance("n1", 7), w.pool, w.limits, lambda: wall_ns)
     began = w.scheduler.now
     attempts = [("b0", "reset", began, began + MS), ("b1", "served", began + 2 * MS, 0)]
     exporter.request_ended(ENDED, Served(b"v"), began, began + 30 * MS, attempts)
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -9,9 +9,10 @@
 
 from garnetlanding.core.ports import Rejected, RequestSpec, Served
 from garnetlanding.emulator.base import Conn, Server
-from garnetlanding.telemetry.exporter import Collector as Setup
-from garnetlanding.telemetry.exporter import Exporter, retry_after_us
-from garnetlanding.telemetry.otlp import Histogram, attributes
+from garnetlanding.telemetry.collector_client import retry_after_us
+from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
+from garnetlanding.telemetry.otlp import Histogram, encode_attributes
+from garnetlanding.telemetry.setup import TelemetrySetup
 from tests.helpers import MS, SECOND, World
 
 ASK = RequestSpec("read", "gold", "vol-1", "k", 2, 3, SECOND, 1, None)
@@ -58,9 +59,8 @@
         self.wall = 1_800_000_000 * 10**9
         self.exporter = Exporter(
             self.scheduler,
-            Setup(self.collector.address, "/otlp", every_us=SECOND),
-            "n1",
-            7,
+            TelemetrySetup(self.collector.address, "/otlp", interval_us=SECOND),
+            ServiceInstance("n1", 7),
             self.pool,
             self.limits,
             lambda: self.wall,
@@ -110,7 +110,7 @@
 
 
 def test_values_and_buckets() -> None:
-    assert attributes({"a": True, "b": 2, "c": 0.5}) == [
+    assert encode_attributes({"a": True, "b": 2, "c": 0.5}) == [
         {"key": "a", "value": {"boolValue": True}},
         {"key": "b", "value": {"intValue": "2"}},
         {"key": "c", "value": {"doubleValue": 0.5}},
