--- a/garnetlanding/cli/serve.py
+++ b/garnetlanding/cli/serve.py
@@ -37,7 +37,7 @@
     except configuration.ConfigError as problem:
         return print_problem(WRONG, problem)
     from garnetlanding.daemon import Daemon
-    from garnetlanding.store.store import StoreFileError
+    from garnetlanding.store.errors import StoreFileError
 
     try:
         return Daemon(settings, read_again=read).run()
--- a/garnetlanding/daemon.py
+++ b/garnetlanding/daemon.py
@@ -269,7 +269,8 @@
 
     def _replicate(self, setup: StoreSetup) -> None:
         from garnetlanding.choices.stagger import stagger_offset
-        from garnetlanding.store.replica import Follower, FollowerOptions, WriterMachine
+        from garnetlanding.store.follower import Follower, FollowerOptions
+        from garnetlanding.store.writer_machine import WriterMachine
 
         if setup.role == "writer":
             self._listen(
--- a/garnetlanding/store/cached_endpoints.py
+++ b/garnetlanding/store/cached_endpoints.py
@@ -1,4 +1,11 @@
-"""What the head keeps in its store: its settings, and the list of servers as discovery wrote it."""
+"""What an instance keeps in its store: the settings in force and the endpoint list as discovery wrote it.
+
+The endpoint list is what an instance starts with while discovery is unreachable. The keys are stored data:
+
+* `config/settings`: the settings object, as the platform's file has it;
+* `list/generation`: the number that discovery gave the list;
+* `list/servers/` and an endpoint's instanceId: its entry, in discovery's form.
+"""
 
 from __future__ import annotations
 
@@ -6,32 +13,36 @@
 
 from garnetlanding.store.store import Store
 
-SETTINGS, GENERATION, SERVERS = "config/settings", "list/generation", "list/servers/"
+SETTINGS = "config/settings"
+GENERATION = "list/generation"
+ENDPOINT_PREFIX = "list/servers/"
 
 
-def cache_listing(store: Store, data: dict[str, Any]) -> None:
-    """A whole list or changes, in discovery's form. A follower's store has them from its writer."""
+def cache_listing(store: Store, listing: dict[str, Any]) -> None:
+    """Store a complete list, or changes to it, in discovery's form. A copy gets them from its writer."""
     if not store.writable:
         return
-    entries = {SERVERS + e["instanceId"]: e for e in data["instances"]}
-    if data.get("reset"):
-        for key in [k for k in store.with_prefix(SERVERS) if k not in entries]:
+    entries = {ENDPOINT_PREFIX + entry["instanceId"]: entry for entry in listing["instances"]}
+    if listing.get("reset"):
+        for key in [key for key in store.with_prefix(ENDPOINT_PREFIX) if key not in entries]:
             store.put(key, None)
     for key, entry in entries.items():
         store.put(key, None if entry["lifecycle"] == "DELETED" else entry)
-    store.put(GENERATION, data.get("generation", 0))
+    store.put(GENERATION, listing.get("generation", 0))
 
 
 def cached_listing(store: Store) -> dict[str, Any]:
+    """Return the stored list, complete, in discovery's form."""
     return {
         "generation": store.get(GENERATION, 0),
         "reset": True,
-        "instances": list(store.with_prefix(SERVERS).values()),
+        "instances": list(store.with_prefix(ENDPOINT_PREFIX).values()),
     }
 
 
-def newest_listing(store: Store, given: dict[str, Any]) -> dict[str, Any]:
-    """Of the store's list and the one that the configuration gives, the one that discovery wrote last."""
-    kept = cached_listing(store)
-    newer = kept["instances"] and kept["generation"] >= given.get("generation", 0)
-    return kept if newer else given
+def newest_listing(store: Store, configured: dict[str, Any]) -> dict[str, Any]:
+    """Return the stored list or the configured one, whichever discovery wrote last; an empty one loses."""
+    cached = cached_listing(store)
+    if cached["instances"] and cached["generation"] >= configured.get("generation", 0):
+        return cached
+    return configured
--- /dev/null
+++ b/garnetlanding/store/follower.py
@@ -0,0 +1,136 @@
+"""The driver of replication: a task that keeps a follower connected to its writer."""
+
+from __future__ import annotations
+
+import logging
+from dataclasses import dataclass
+
+from garnetlanding.limits import Limits
+from garnetlanding.runtime.buffers import BufferPool, PoolEmpty
+from garnetlanding.runtime.scheduler import Expired, Scheduler, Timer
+from garnetlanding.runtime.stream import Closed, Stream
+from garnetlanding.store.errors import LogGapError, ReplicaError, StaleEpochError
+from garnetlanding.store.follower_machine import FollowerMachine
+from garnetlanding.store.staleness_guard import StalenessGuard
+from garnetlanding.store.store import Store
+
+log = logging.getLogger(__name__)
+
+CONNECTION_ERRORS = (OSError, Expired, Closed, PoolEmpty, ReplicaError, LogGapError, StaleEpochError)
+
+
+def describe_disconnect(problem: Exception) -> str:
+    """Return what ended a connection to the writer, for operators: its kind, then the detail."""
+    match problem:
+        case StaleEpochError():
+            kind = "stale writer"
+        case LogGapError():
+            kind = "gap in the log"
+        case ReplicaError():
+            kind = "protocol violation"
+        case Expired():
+            kind = "no answer in time"
+        case PoolEmpty():
+            kind = "no buffer free"
+        case Closed():
+            kind = "connection closed"
+        case _:
+            kind = "connection failed"
+    detail = str(problem)
+    return f"{kind}: {detail}" if detail else kind
+
+
+@dataclass(frozen=True, slots=True)
+class FollowerOptions:
+    """Where a follower copies from, and when it tries again.
+
+    `stagger` is this instance's slot in `[0, 1)` among those that the same failure disconnects, so that a
+    writer that comes back is not met by all of them at once.
+    """
+
+    writer_address: str
+    stagger: float = 0.5
+
+
+class Follower:
+    """Keeps a copy following its writer: resumes by revision, and wants a snapshot after a gap.
+
+    It runs as a task of the scheduler's from its construction on and never ends. `connected` says whether
+    the writer has sent something on the present connection.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        pool: BufferPool,
+        limits: Limits,
+        store: Store,
+        options: FollowerOptions,
+        guard: StalenessGuard | None = None,
+    ) -> None:
+        self._scheduler = scheduler
+        self._pool = pool
+        self._limits = limits
+        self._store = store
+        self._writer_address = options.writer_address
+        self._retry_us = int(limits.store_retry_us * (0.5 + options.stagger))
+        self._guard = guard
+        self._query_timer: Timer | None = None
+        self.connected = False
+        scheduler.spawn(self._run)
+
+    def _run(self) -> None:
+        with_snapshot = False
+        while True:
+            problem = self._follow_once(with_snapshot)
+            self.connected = False
+            had_snapshot = with_snapshot
+            with_snapshot = isinstance(problem, LogGapError)
+            self._log_disconnect(problem)
+            # A new snapshot is wanted at once, and mends a gap; a gap after that does not pass by itself.
+            if had_snapshot or not with_snapshot:
+                self._scheduler.sleep(self._retry_us)
+
+    def _follow_once(self, with_snapshot: bool) -> Exception:
+        """Follow over one connection until it ends, and return what ended it."""
+        scheduler = self._scheduler
+        limits = self._limits
+        stream: Stream | None = None
+        try:
+            stream = Stream.connect(
+                scheduler, self._writer_address, self._pool, limits, scheduler.now + limits.store_quiet_us
+            )
+            machine = FollowerMachine(self._store, limits, self._guard)
+            stream.write(machine.follow_request(with_snapshot))
+            if self._guard:
+                self._send_query(stream, self._guard)
+            while stream.read(machine.feed, scheduler.now + limits.store_quiet_us):
+                self.connected = True
+            return Closed("ended")
+        except CONNECTION_ERRORS as problem:
+            return problem
+        finally:
+            if self._query_timer:
+                self._query_timer.cancel()
+            if stream:
+                stream.close()
+
+    def _send_query(self, stream: Stream, guard: StalenessGuard) -> None:
+        """Query the writer's revision now, and again at the guard's interval while the connection stands."""
+        now = self._scheduler.now
+        stream.write(FollowerMachine.revision_query(guard.next_query(now)))
+        self._query_timer = self._scheduler.call_at(
+            now + guard.query_interval_us, lambda: self._send_query(stream, guard)
+        )
+
+    def _log_disconnect(self, problem: Exception) -> None:
+        log.warning(
+            "replication connection lost",
+            extra={
+                "kv": {
+                    "writer": self._writer_address,
+                    "why": describe_disconnect(problem),
+                    "revision": self._store.revision,
+                }
+            },
+        )
--- /dev/null
+++ b/garnetlanding/store/writer_machine.py
@@ -0,0 +1,111 @@
+"""The writer's end of the replication protocol: a state machine for one follower's connection."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from typing import Any
+
+from garnetlanding.limits import Limits
+from garnetlanding.runtime.scheduler import Scheduler, Timer
+from garnetlanding.store.errors import ReplicaError
+from garnetlanding.store.replication_codec import (
+    EntryTransfer,
+    FollowRequest,
+    Heartbeat,
+    LineDecoder,
+    QueryReply,
+    SnapshotTransfer,
+    WriterIdentity,
+    decode_follow_request,
+    decode_revision_query,
+    encode,
+)
+from garnetlanding.store.store import Entry, Store
+
+log = logging.getLogger(__name__)
+
+
+class WriterMachine:
+    """Serves one follower: what it lacks, then each change as it is made, and heartbeats in between.
+
+    Implements the listener's ClientMachine. `write` puts bytes on the connection. A line that breaks the
+    protocol ends the connection; the follower is not told why, the log is.
+    """
+
+    waiting = False  # all that is fed is processed at once
+
+    def __init__(
+        self, store: Store, scheduler: Scheduler, limits: Limits, write: Callable[[bytes], None]
+    ) -> None:
+        self._store = store
+        self._scheduler = scheduler
+        self._limits = limits
+        self._write = write
+        self._lines = LineDecoder(limits.store_line_bytes)
+        self._heartbeat_timer: Timer | None = None
+        self._following = False
+        self.ended = False
+        self.taken = 0
+        self.bad = 0
+        self.asked = 0
+        self.session = True
+        self.owed = 0
+
+    @property
+    def midway(self) -> bool:
+        """Whether part of a line has come."""
+        return self._lines.has_partial_line
+
+    def feed(self, data: bytes | memoryview) -> None:
+        """Take bytes of the follower's; answers are written on the way."""
+        try:
+            for fields in self._lines.feed(data):
+                self.taken += 1
+                self._handle(fields)
+        except ReplicaError as problem:
+            log.warning("follower rejected", extra={"kv": {"why": problem}})
+            self.ended = True
+
+    def close(self) -> None:
+        """Stop sending: the connection is gone."""
+        self.ended = True
+        if self._heartbeat_timer:
+            self._heartbeat_timer.cancel()
+        if self._send_entry in self._store.observers:
+            self._store.observers.remove(self._send_entry)
+
+    def _handle(self, fields: dict[str, Any]) -> None:
+        if not self._following:
+            request = decode_follow_request(fields)
+            if request is None:
+                raise ReplicaError("expected one follow")
+            self._start_following(request)
+            return
+        query = decode_revision_query(fields)
+        if query is None:
+            raise ReplicaError("expected one follow")
+        self._write(encode(QueryReply(query.number, self._store.revision)))
+
+    def _start_following(self, request: FollowRequest) -> None:
+        store = self._store
+        self._following = True
+        self._write(encode(WriterIdentity(store.writer, store.epoch)))
+        # Revisions of another epoch say nothing about this one's.
+        missing = store.entries_since(request.revision) if request.epoch == store.epoch else None
+        if missing is None:
+            self._write(encode(SnapshotTransfer(store.revision, store.snapshot().values)))
+        for entry in missing or ():
+            self._send_entry(entry)
+        store.observers.append(self._send_entry)
+        self._send_heartbeat()
+
+    def _send_entry(self, entry: Entry | None) -> None:
+        if entry:
+            self._write(encode(EntryTransfer(entry)))
+
+    def _send_heartbeat(self) -> None:
+        self._write(encode(Heartbeat(self._store.revision)))
+        self._heartbeat_timer = self._scheduler.call_at(
+            self._scheduler.now + self._limits.store_beat_us, self._send_heartbeat
+        )
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -8,7 +8,7 @@
 from garnetlanding.emulator.discovery import Box
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import linux
-from garnetlanding.store.cached_endpoints import SERVERS
+from garnetlanding.store.cached_endpoints import ENDPOINT_PREFIX
 from tests.helpers import MS, SECOND, read_command
 from tests.support.daemon import SETTINGS, SLOW, Head
 
@@ -26,9 +26,9 @@
     h.discovery.tell(Box("b0", h.brick.address, 0, "DRAINING"), Box("b1", other.address, 0))
     h.settle()
     h.client().say(read_command("r2"))
-    assert len(other.heard) == 1 and set(h.daemon.store.with_prefix(SERVERS)) == {
-        SERVERS + "b0",
-        SERVERS + "b1",
+    assert len(other.heard) == 1 and set(h.daemon.store.with_prefix(ENDPOINT_PREFIX)) == {
+        ENDPOINT_PREFIX + "b0",
+        ENDPOINT_PREFIX + "b1",
     }
 
 
--- a/tests/daemon/test_store_roles.py
+++ b/tests/daemon/test_store_roles.py
@@ -10,7 +10,7 @@
 from garnetlanding import config
 from garnetlanding.daemon import Daemon
 from garnetlanding.emulator.discovery import Box
-from garnetlanding.store.cached_endpoints import SERVERS
+from garnetlanding.store.cached_endpoints import ENDPOINT_PREFIX
 from garnetlanding.store.cached_endpoints import SETTINGS as SETTINGS_KEY
 from garnetlanding.store.persister import load
 from garnetlanding.store.store import Entry, Snapshot
@@ -37,7 +37,7 @@
     first.discovery.tell(Box("b9", first.brick.address, 5))
     first.run(SECOND, 100 * MS)
     kept = load(path)
-    assert kept and SERVERS + "b9" in kept.values
+    assert kept and ENDPOINT_PREFIX + "b9" in kept.values
     second = Daemon(config.read(BASE, operator), lambda: T0)
     assert second.core.endpoints.address_of("b9") is None, "the list of the configuration is newer"
     older = BASE | {"known": BASE["known"] | {"generation": 1}}
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -47,10 +47,12 @@
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.resp.front import ClientMachine
 from garnetlanding.runtime.listener import Listener
+from garnetlanding.store.errors import LogGapError, ReplicaError, StaleEpochError, StoreFileError
+from garnetlanding.store.follower_machine import FollowerMachine
 from garnetlanding.store.persister import StorePersister
-from garnetlanding.store.replica import FollowerMachine, ReplicaError, WriterMachine
 from garnetlanding.store.staleness_guard import StalenessGuard
-from garnetlanding.store.store import LogGapError, Snapshot, StaleEpochError, Store, StoreFileError
+from garnetlanding.store.store import Snapshot, Store
+from garnetlanding.store.writer_machine import WriterMachine
 from tests.helpers import MS, SECOND, World
 
 FOLDER = pathlib.Path(__file__).parent / "storage"
@@ -188,19 +190,19 @@
 
 
 def hello_new(world: World) -> bytes:
-    return FollowerMachine(follower_store(), world.limits).hello(afresh=False)
+    return FollowerMachine(follower_store(), world.limits).follow_request(with_snapshot=False)
 
 
 def hello_resume(world: World) -> bytes:
-    return FollowerMachine(resumed_store(), world.limits).hello(afresh=False)
+    return FollowerMachine(resumed_store(), world.limits).follow_request(with_snapshot=False)
 
 
 def hello_afresh(world: World) -> bytes:
-    return FollowerMachine(resumed_store(), world.limits).hello(afresh=True)
+    return FollowerMachine(resumed_store(), world.limits).follow_request(with_snapshot=True)
 
 
 def ask_first(world: World) -> bytes:
-    return FollowerMachine.ask(StalenessGuard(SECOND, 0.01, world.time).next_query(world.time))
+    return FollowerMachine.revision_query(StalenessGuard(SECOND, 0.01, world.time).next_query(world.time))
 
 
 FOLLOWER_LINES: dict[str, Callable[[World], bytes]] = {
@@ -298,7 +300,7 @@
     machine.feed(line)
     assert machine.ended and not said
     assert [(r.getMessage(), str(r.__dict__["kv"]["why"])) for r in caplog.records] == [
-        ("follower turned away", why)
+        ("follower rejected", why)
     ]
 
 
--- a/tests/store/test_persister.py
+++ b/tests/store/test_cached_endpoints.py
@@ -1,8 +1,13 @@
-"""The persister: the endpoint list and settings are stored as they change."""
+"""The endpoint list that is kept in the store, and which list an instance starts with."""
 
 from __future__ import annotations
 
-from garnetlanding.store.cached_endpoints import SERVERS, cache_listing, cached_listing, newest_listing
+from garnetlanding.store.cached_endpoints import (
+    ENDPOINT_PREFIX,
+    cache_listing,
+    cached_listing,
+    newest_listing,
+)
 from garnetlanding.store.store import Store
 
 
@@ -15,4 +20,4 @@
     assert newest_listing(store, {"generation": 7}) == {"generation": 7}
     assert newest_listing(store, {"generation": 5})["generation"] == 6
     cache_listing(store, {"generation": 8, "reset": True, "instances": [one]})
-    assert list(store.with_prefix(SERVERS)) == [SERVERS + "one"]
+    assert list(store.with_prefix(ENDPOINT_PREFIX)) == [ENDPOINT_PREFIX + "one"]
--- a/tests/store/test_replica.py
+++ b/tests/store/test_replication.py
@@ -6,9 +6,15 @@
 
 import pytest
 
+from garnetlanding.runtime.buffers import PoolEmpty
 from garnetlanding.runtime.listener import Listener
-from garnetlanding.store.replica import Follower, FollowerMachine, FollowerOptions, WriterMachine
+from garnetlanding.runtime.scheduler import Expired
+from garnetlanding.runtime.stream import Closed
+from garnetlanding.store.errors import LogGapError, ReplicaError, StaleEpochError
+from garnetlanding.store.follower import Follower, FollowerOptions, describe_disconnect
+from garnetlanding.store.follower_machine import FollowerMachine
 from garnetlanding.store.store import Store
+from garnetlanding.store.writer_machine import WriterMachine
 from tests.helpers import MS, SECOND, World
 
 
@@ -106,7 +112,7 @@
     w.store.put("a", 9)
     w.serve(w.listener.address)
     w.run(2 * w.limits.store_retry_us, 100 * MS)
-    assert w.copy.snapshot().values == {"b": 2} and said(caplog).startswith("StaleEpochError: epoch 10")
+    assert w.copy.snapshot().values == {"b": 2} and said(caplog).startswith("stale writer: epoch 10")
     w.cut()
     w.store = Store("other", True, 4, epoch=99)  # a second writer
     w.serve(w.listener.address)
@@ -137,7 +143,7 @@
 )
 def test_a_follower_leaves_a_writer_that_speaks_otherwise(lines: bytes) -> None:
     machine = FollowerMachine(Store("w", False, 4), World().limits)
-    assert json.loads(machine.hello(True)) == {"follow": [0, -1]}
+    assert json.loads(machine.follow_request(with_snapshot=True)) == {"follow": [0, -1]}
     with pytest.raises(ValueError):
         machine.feed(lines)
 
@@ -147,3 +153,20 @@
     peer = w.peer(w.listener.address)
     peer.say(b"GET / HTTP/1.1\r\n\r\n")
     assert peer.closed
+
+
+@pytest.mark.parametrize(
+    ("problem", "text"),
+    [
+        (StaleEpochError("epoch 1 of w", "w", 1), "stale writer: epoch 1 of w"),
+        (LogGapError("entry 3", 1, 3), "gap in the log: entry 3"),
+        (ReplicaError("not JSON"), "protocol violation: not JSON"),
+        (Expired(), "no answer in time"),
+        (PoolEmpty(), "no buffer free"),
+        (Closed("ended"), "connection closed: ended"),
+        (OSError("refused"), "connection failed: refused"),
+    ],
+    ids=["stale-epoch", "log-gap", "protocol", "timeout", "no-buffer", "closed", "refused"],
+)
+def test_disconnect_reason_is_written_out_for_operators(problem: Exception, text: str) -> None:
+    assert describe_disconnect(problem) == text
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -8,8 +8,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from garnetlanding.store.persister import StoreFileError, StorePersister, load, save
-from garnetlanding.store.store import Entry, LogGapError, NotWriterError, Snapshot, StaleEpochError, Store
+from garnetlanding.store.errors import (
+    LogGapError,
+    NotWriterError,
+    StaleEpochError,
+    StoreError,
+    StoreFileError,
+)
+from garnetlanding.store.persister import StorePersister, load, save
+from garnetlanding.store.store import Entry, Snapshot, Store
 from tests.helpers import MS, World
 
 KEYS = st.sampled_from(["a", "b", "c"])
@@ -81,3 +88,22 @@
     store.put("a", 2)
     w.run(100 * MS)
     assert load(path) == Snapshot(0, 1, {"a": 1}) and "store not saved" in caplog.text
+
+
+def test_errors_carry_what_they_are_about_and_share_one_base(tmp_path: pathlib.Path) -> None:
+    copy = Store("w", False, 5, epoch=3)
+    with pytest.raises(LogGapError) as gap:
+        copy.apply(4, Entry(7, "a", 1))
+    with pytest.raises(StaleEpochError) as stale:
+        copy.accept_writer("w", 2)
+    with pytest.raises(NotWriterError) as not_writer:
+        copy.put("a", 1)
+    path = tmp_path / "store.json"
+    path.write_text("{")
+    with pytest.raises(StoreFileError) as unreadable:
+        load(str(path))
+    assert (gap.value.epoch, gap.value.revision) == (4, 7)
+    assert (stale.value.writer, stale.value.epoch, not_writer.value.writer) == ("w", 2, "w")
+    assert unreadable.value.file == str(path)
+    assert isinstance(unreadable.value.__cause__, ValueError)
+    assert all(isinstance(found.value, StoreError) for found in (gap, stale, not_writer, unreadable))
