--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -10,9 +10,9 @@
 from garnetlanding.peers.codec import LeaseMessage, MessageError
 from tests.support.leases import LIMITS
 
-SHARES = st.integers(0, codec.WHOLE).map(lambda n: n / codec.WHOLE)
+SHARES = st.integers(0, codec.SHARE_STEPS).map(lambda n: n / codec.SHARE_STEPS)
 NAMES = st.integers(0, 2**32 - 1)
-ASKS = st.dictionaries(NAMES, st.tuples(SHARES, st.integers(1, 255)), max_size=15)
+ASKS = st.dictionaries(NAMES, st.builds(codec.Ask, SHARES, st.integers(1, 255)), max_size=15)
 GRANTS = st.dictionaries(NAMES, SHARES, max_size=15)
 MESSAGES = st.builds(
     LeaseMessage,
@@ -44,12 +44,10 @@
 
 
 @given(
-    st.dictionaries(NAMES, st.tuples(SHARES, st.integers(1, 255)), max_size=300),
+    st.dictionaries(NAMES, st.builds(codec.Ask, SHARES, st.integers(1, 255)), max_size=300),
     st.dictionaries(NAMES, SHARES, max_size=300),
 )
-def test_pages_hold_everything_once_and_fit(
-    asks: dict[int, tuple[float, int]], grants: dict[int, float]
-) -> None:
+def test_pages_hold_everything_once_and_fit(asks: dict[int, codec.Ask], grants: dict[int, float]) -> None:
     pages = list(codec.paginate(asks, grants, LIMITS.datagram_bytes))
     assert [a for p in pages for a in p[0].items()] == list(asks.items())
     assert [g for p in pages for g in p[1].items()] == list(grants.items())
--- a/tests/peers/test_local_observations.py
+++ b/tests/peers/test_local_observations.py
@@ -20,12 +20,12 @@
         *[result("n3", SERVED, 300 * MS)] * 4,
         *[result("n4", Outcome.TIMEOUT)] * 2,
     )
-    assert told(seen) == {"n0": "DEAD", "n2": "FULL", "n3": "SLOW", "n4": "SILENT"}
+    assert told(seen) == {"n0": "dead", "n2": "full", "n3": "slow", "n4": "silent"}
     later = T0 + 100 * MS
     seen.observe_events(
         later, [result(n, SERVED) for n in ("n0", "n2", "n4")] + [result("n3", SERVED)] * 4, AIM
     )
-    assert told(seen, later) == {"n0": "COLD", "n4": "COLD"}, "back, and perhaps cold"
+    assert told(seen, later) == {"n0": "cold", "n4": "cold"}, "back, and perhaps cold"
     assert told(seen, later + LIMITS.word_us + 1) == {}
 
 
@@ -33,9 +33,9 @@
     seen = sightings(result("n0", SERVED))
     seen.observe_actions(T0, [api.Send("a", "n0"), api.Send("b", "n0"), api.Send("c", "n1")])
     assert not told(seen, T0 + 2 * AIM - 1)
-    assert told(seen, T0 + 2 * AIM) == {"n0": "SILENT"}
+    assert told(seen, T0 + 2 * AIM) == {"n0": "silent"}
     seen.observe_events(T0 + 2 * AIM, [result("n0", SERVED, request="a")], AIM)
-    assert told(seen, T0 + 2 * AIM) == {"n0": "COLD"}
+    assert told(seen, T0 + 2 * AIM) == {"n0": "cold"}
     seen.observe_events(
         T0 + 2 * AIM, [api.EndpointListUpdate((replace(SIX[0], state=api.EndpointState.DRAINING),))], AIM
     )
--- a/tests/support/suspicions.py
+++ b/tests/support/suspicions.py
@@ -8,9 +8,9 @@
 from garnetlanding.peers.coordinator import PeerCoordinator
 from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.gossip_message import (
-    LONG_AGO,
+    MAX_UPTIME,
     Evidence,
-    Kind,
+    EvidenceKind,
     tag,
 )
 from garnetlanding.peers.limits import PeerLimits
@@ -34,13 +34,15 @@
 
 
 def told(seen: LocalObservations, now: int = T0) -> dict[str, str]:
-    return {node: e.kind.name for node, e in seen.evidence(now, AIM)}
+    return {node: e.kind.label for node, e in seen.evidence(now, AIM)}
 
 
 # What a word counts for
 
 
-def dead(node: str = "n0", age_ms: int = 0, life: int = LONG_AGO, kind: Kind = Kind.DEAD) -> Evidence:
+def dead(
+    node: str = "n0", age_ms: int = 0, life: int = MAX_UPTIME, kind: EvidenceKind = EvidenceKind.UNREACHABLE
+) -> Evidence:
     return Evidence(kind, tag(node), life, 3, age_ms)
 
 
