--- /dev/null
+++ b/garnetlanding/audit/chart.py
@@ -0,0 +1,49 @@
+"""Draws which settings each instance acted on over time."""
+
+from __future__ import annotations
+
+import pathlib
+
+from garnetlanding.audit.errors import ChartUnavailableError
+from garnetlanding.audit.records import SETTINGS
+from garnetlanding.audit.timeline import FleetTimeline
+from garnetlanding.audit.wall_time import format_wall_ms
+
+_COLORS = 10
+"""Colours of the plotting library's cycle."""
+_FENCED_ALPHA = 0.35
+_MS_PER_SECOND = 1000
+
+
+def draw_chart(timeline: FleetTimeline, path: pathlib.Path) -> None:
+    """Write a PNG with a row for each instance and a colour for each version of the settings.
+
+    Raises `ChartUnavailableError` without matplotlib, which only the extra `lab` installs, and `OSError`.
+    """
+    try:
+        import matplotlib
+    except ImportError as error:
+        raise ChartUnavailableError(f"charts need the extra `lab`: {error}") from error
+    matplotlib.use("Agg")
+    from matplotlib import pyplot
+
+    instances = sorted({span.instance for span in timeline.spans})
+    versions = list(dict.fromkeys(span.versions.get(SETTINGS, "") for span in timeline.spans))
+    first_ms = min(span.start_wall_ms for span in timeline.spans)
+    figure, axes = pyplot.subplots(figsize=(9, 1 + 0.4 * len(instances)))
+    for span in timeline.spans:
+        color = versions.index(span.versions.get(SETTINGS, "")) % _COLORS
+        axes.barh(
+            instances.index(span.instance),
+            (span.end_wall_ms - span.start_wall_ms) / _MS_PER_SECOND,
+            left=(span.start_wall_ms - first_ms) / _MS_PER_SECOND,
+            color=f"C{color}",
+            alpha=1.0 if span.is_acting else _FENCED_ALPHA,
+            edgecolor="white",
+        )
+    axes.set_yticks(range(len(instances)), instances)
+    axes.set_xlabel(
+        f"s after {format_wall_ms(first_ms)}; a colour a revision of the settings, pale: does not act"
+    )
+    figure.tight_layout()
+    figure.savefig(path, dpi=110)
--- a/garnetlanding/audit/records.py
+++ b/garnetlanding/audit/records.py
@@ -14,6 +14,13 @@
 
 Payload = dict[str, Any]
 
+SETTINGS = "settings"
+"""Component whose versions are `EPOCH.REVISION#DIGEST`."""
+FENCED = "out"
+"""Component whose version says why the instance is fenced, and is empty while it is not."""
+FENCED_BY_OPERATOR = "shut out"
+"""Version of `FENCED` where an operator fenced the instance; otherwise it could not show to be current."""
+
 
 class RecordKind(StrEnum):
     """What a record says, with the word stored for it."""
--- /dev/null
+++ b/garnetlanding/audit/wall_time.py
@@ -0,0 +1,31 @@
+"""Wall times as text, for people and in JSON."""
+
+from __future__ import annotations
+
+from datetime import UTC, datetime
+
+from garnetlanding.audit.errors import InvalidQueryError
+
+_MS_PER_SECOND = 1000
+
+
+def format_wall_ms(wall_ms: int) -> str:
+    """Return an ISO 8601 time in UTC with milliseconds, such as `2026-12-02T01:30:00.000Z`."""
+    time = datetime.fromtimestamp(wall_ms / _MS_PER_SECOND, UTC)
+    return time.isoformat(timespec="milliseconds").replace("+00:00", "Z")
+
+
+def parse_wall_ms(text: str) -> int:
+    """Return the milliseconds since 1970 of an ISO 8601 time, or of such milliseconds as text.
+
+    A time without a zone is in UTC. Raises `InvalidQueryError`.
+    """
+    if text.isdigit():
+        return int(text)
+    try:
+        time = datetime.fromisoformat(text)
+    except ValueError as error:
+        raise InvalidQueryError(str(error)) from error
+    if time.tzinfo is None:
+        time = time.replace(tzinfo=UTC)
+    return int(time.timestamp() * _MS_PER_SECOND)
--- a/garnetlanding/lab/audits.py
+++ b/garnetlanding/lab/audits.py
@@ -1,45 +1,63 @@
-"""Holds what the audit says against the histories: which settings each attempt was sent on."""
+"""Checks the audit of an experiment against its histories: under which settings each attempt was sent."""
 
 from __future__ import annotations
 
 import pathlib
 from bisect import bisect_right
+from collections import defaultdict
+from collections.abc import Sequence
 
 from garnetlanding.audit.limits import LIMITS
-from garnetlanding.audit.merge import merge
+from garnetlanding.audit.merging import merge_segments
+from garnetlanding.audit.records import SETTINGS, Incarnation
 from garnetlanding.audit.segment_reader import read_segments
+from garnetlanding.audit.segments import Segment
 from garnetlanding.lab.findings import Findings
 from garnetlanding.lab.history import Line
 
-Steps = dict[tuple[str, int], list[tuple[int, str]]]  # by head and life: from when on which settings
+_Changes = list[tuple[int, str]]
+"""Monotonic times in microseconds and the settings version in force from each on, by time."""
 
 
 def check(folder: pathlib.Path, lines: list[Line], found: Findings) -> None:
-    """Every attempt of every head was sent under the settings that the audit names for that moment."""
+    """Check that the audit names the settings under which each attempt of each instance was sent."""
     read = read_segments([str(folder)])
-    fleet = merge(read.segments, LIMITS)
     found.broken += [f"audit: {problem}" for problem in read.problems]
-    audited: Steps = {}
-    for span in sorted(fleet.spans, key=lambda span: span.began):
-        audited.setdefault((span.head, span.life), []).append((span.began, span.vector["settings"]))
-    noted: Steps = {}
-    for line in lines:
-        if line["what"] == "settings":
-            version = f"{line['epoch']}.{line['revision']}#{line['digest']:08x}"
-            noted.setdefault((line["who"], line["life"]), []).append((line["at"], version))
+    audited = _audited_settings(read.segments)
+    applied = _applied_settings(lines)
     for line in lines:
         if line["what"] != "answered":
             continue
-        for _, _, sent in line["attempts"]:
-            key = line["who"], line["life"]
-            mine, its = _at(noted.get(key, []), sent), _at(audited.get(key, []), sent)
+        incarnation = Incarnation(line["who"], line["life"])
+        for _, _, sent_us in line["attempts"]:
+            by_history = _version_at(applied[incarnation], sent_us)
+            by_audit = _version_at(audited[incarnation], sent_us)
             found.audited += 1
-            if mine != its:
+            if by_history != by_audit:
                 found.broken.append(
-                    f"audit: {line['id']} was sent by {key[0]} on {mine}, the audit says {its}"
+                    f"audit: {line['id']} was sent by {incarnation.instance} on {by_history}, "
+                    f"the audit says {by_audit}"
                 )
 
 
-def _at(steps: list[tuple[int, str]], when: int) -> str:
-    place = bisect_right([at for at, _ in steps], when)
-    return steps[place - 1][1] if place else ""
+def _audited_settings(segments: Sequence[Segment]) -> dict[Incarnation, _Changes]:
+    changes: dict[Incarnation, _Changes] = defaultdict(list)
+    timeline = merge_segments(segments, LIMITS)
+    for span in sorted(timeline.spans, key=lambda span: span.start_us):
+        changes[span.owner].append((span.start_us, span.versions[SETTINGS]))
+    return changes
+
+
+def _applied_settings(lines: list[Line]) -> dict[Incarnation, _Changes]:
+    changes: dict[Incarnation, _Changes] = defaultdict(list)
+    for line in lines:
+        if line["what"] == "settings":
+            version = f"{line['epoch']}.{line['revision']}#{line['digest']:08x}"
+            changes[Incarnation(line["who"], line["life"])].append((line["at"], version))
+    return changes
+
+
+def _version_at(changes: _Changes, at_us: int) -> str:
+    """Return the version in force at a time; empty before the first."""
+    index = bisect_right([changed_us for changed_us, _ in changes], at_us)
+    return changes[index - 1][1] if index else ""
--- a/tests/audit/test_commands.py
+++ b/tests/audit/test_commands.py
@@ -8,9 +8,9 @@
 import pytest
 
 from garnetlanding import cli, config
-from garnetlanding.audit import report
 from garnetlanding.audit.segment_files import list_segments
 from garnetlanding.audit.setup import read as read_setup
+from garnetlanding.audit.wall_time import parse_wall_ms
 from tests.helpers import SECOND
 from tests.support.audit import opened
 
@@ -56,7 +56,7 @@
     assert "no audit in" in told.err and "n5: no files" in told.out and "1.2" in told.out
     assert len((tmp_path / "all").read_text().splitlines()) == 2
     assert (tmp_path / "c.png").stat().st_size > 1000
-    assert report.milliseconds("2023-11-14T22:13:20") == 1_700_000_000_000
+    assert parse_wall_ms("2023-11-14T22:13:20") == 1_700_000_000_000
     assert list_segments(place)
 
 
--- a/tests/audit/test_files.py
+++ b/tests/audit/test_files.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from garnetlanding.audit import merge
 from garnetlanding.audit.limits import LIMITS, AuditLimits
+from garnetlanding.audit.merging import merge_segments
 from garnetlanding.audit.records import Incarnation
 from garnetlanding.audit.segment_reader import read_segments
 from garnetlanding.audit.segment_writer import SegmentWriter
@@ -38,8 +38,8 @@
     assert not problems and sum(map(len, map(json.dumps, (s.records for s in told)))) < 4000
     dropped = [r["up_to"] for s in told for r in s.records if r["kind"] == "dropped"]
     assert max(dropped) == [1, min(s.number for s in told) - 1]
-    assert not merge.merge(told, LIMITS).problems
-    assert "are missing" in merge.merge(told[1:], LIMITS).problems[0]
+    assert not merge_segments(told, LIMITS).problems
+    assert "are missing" in merge_segments(told[1:], LIMITS).problems[0]
 
 
 def test_what_is_missing_or_exchanged_is_seen(tmp_path: pathlib.Path) -> None:
@@ -49,9 +49,11 @@
     audit.close()
     told, _ = read_all(tmp_path)
     assert len(told) > 3
-    assert merge.merge(told[:1] + told[2:], LIMITS).problems == ["n0: segments 2 to 2 of life 1 are missing"]
+    assert merge_segments(told[:1] + told[2:], LIMITS).problems == [
+        "n0: segments 2 to 2 of life 1 are missing"
+    ]
     forged = Segment("n0", 1, 2, bytes(16), told[1].records, told[1].last_hash)
-    assert "does not follow" in merge.merge([told[0], forged, *told[2:]], LIMITS).problems[0]
+    assert "does not follow" in merge_segments([told[0], forged, *told[2:]], LIMITS).problems[0]
 
 
 def test_a_new_life_says_how_the_one_before_it_ended(tmp_path: pathlib.Path) -> None:
@@ -65,9 +67,9 @@
     told, problems = read_all(tmp_path)
     start = told[-1].records[0]
     assert not problems and start["follows"] == 1 and start["torn"].startswith("cut short at offset")
-    fleet = merge.merge(told, LIMITS)
+    fleet = merge_segments(told, LIMITS)
     assert len(fleet.problems) == 1 and "was cut short at offset" in fleet.problems[0]
-    assert merge.merge(told[1:], LIMITS).problems == ["n0: the files of life 1 are missing"]
+    assert merge_segments(told[1:], LIMITS).problems == ["n0: the files of life 1 are missing"]
     path.write_bytes(b"nonsense")
     opened(tmp_path, life=3).close()
     assert "not a segment" in read_all(tmp_path)[1][0]
--- a/tests/audit/test_merge.py
+++ b/tests/audit/test_merge.py
@@ -7,8 +7,10 @@
 
 import pytest
 
-from garnetlanding.audit import merge
+from garnetlanding.audit.lag import LagReason, lags
 from garnetlanding.audit.limits import LIMITS
+from garnetlanding.audit.merging import merge_segments
+from garnetlanding.audit.timeline import happened_before
 from tests.support.audit import life
 
 
@@ -32,18 +34,24 @@
     for seed in range(6):
         some = list(FLEET)
         random.Random(seed).shuffle(some)
-        fleets.append(merge.merge(some, LIMITS))
+        fleets.append(merge_segments(some, LIMITS))
     assert all(fleet == fleets[0] for fleet in fleets)
 
 
 def test_who_acted_on_what_and_who_was_last() -> None:
-    fleet = merge.merge(FLEET, LIMITS)
-    [lag] = merge.lags(fleet, "settings")
-    assert (lag.first, lag.last, lag.heads, lag.why) == ("n0", "n1", 3, "heard of it last")
-    assert lag.until - lag.since == 1500, "by the machine's clock: n1's own is 5 s behind"
+    fleet = merge_segments(FLEET, LIMITS)
+    [lag] = lags(fleet, "settings")
+    assert lag.last_holder and (
+        lag.first_instance,
+        lag.last_holder.instance,
+        lag.instances,
+        lag.last_holder.reason,
+    ) == ("n0", "n1", 3, LagReason.LAST_NOTIFIED)
+    assert lag.last_holder.reason.value == "heard of it last"
+    assert lag.end_wall_ms - lag.start_wall_ms == 1500, "by the machine's clock: n1's own is 5 s behind"
     assert fleet.problems == ["n2: nothing for 8.5 s before 9000: it stood still"]
-    assert {s.head for s in merge.on(fleet, "settings", "1.2")} == {"n0", "n1", "n2"}
-    assert {(s.head, s.vector["settings"]) for s in merge.at(fleet, 300)} == {
+    assert {s.instance for s in fleet.with_version("settings", "1.2")} == {"n0", "n1", "n2"}
+    assert {(s.instance, s.versions["settings"]) for s in fleet.at(300)} == {
         ("n0", "1.1#a"),
         ("n2", "1.1#a"),
         ("n1", "1.2#b"),
@@ -67,14 +75,15 @@
 def test_why_the_last_was_late(more: list[dict[str, Any]], why: str) -> None:
     late = life("n3", 1, on(0, "1.1#a"), still(1, "1.1#a"), *[dict(r) for r in more], me=3)
     first = life("n0", 1, on(0, "1.1#a"), on(0.9, "1.2#b"))
-    [lag] = merge.lags(merge.merge([first, late], LIMITS), "settings")
-    assert lag.last == "n3" and lag.why.endswith(why)
+    [lag] = lags(merge_segments([first, late], LIMITS), "settings")
+    assert lag.last_holder and lag.last_holder.instance == "n3"
+    assert lag.last_holder.reason.value.endswith(why)
 
 
 def test_contradictions_are_named() -> None:
     two = life("n1", 1, on(0, "1.2#other"), me=0)
     back = life("n2", 1, on(5, "1.2#b"), on(6, "1.3#c", wall=2000), me=2)
-    found = merge.merge([*FLEET[:1], two, back], LIMITS, ["n9"]).problems
+    found = merge_segments([*FLEET[:1], two, back], LIMITS, ["n9"]).problems
     assert any("settings 1.2 has two texts" in p for p in found)
     assert any("number 0 is that of n0 and n1" in p for p in found)
     assert any("clock went back by 3000 ms" in p for p in found) and "n9: no files" in found
@@ -83,8 +92,8 @@
 def test_the_order_of_two_heads_follows_from_messages_alone() -> None:
     one = life("n0", 4, on(0, "1.1#a", said=0), on(5, "1.2#b", said=8), me=0, wall=9_000_000)
     heard = life("n1", 1, on(0, "1.1#a"), on(1, "1.2#b", heard=[0, 4, 9]), me=1)
-    fleet = merge.merge([one, heard], LIMITS)
-    spans = {(s.head, s.vector["settings"]): s for s in fleet.spans}
+    fleet = merge_segments([one, heard], LIMITS)
+    spans = {(s.instance, s.versions["settings"]): s for s in fleet.spans}
     new, other = spans["n0", "1.2#b"], spans["n1", "1.2#b"]
-    assert merge.before(new, other) is True and merge.before(other, new) is False
-    assert merge.before(spans["n1", "1.1#a"], new) is None, "nobody had heard of the other"
+    assert happened_before(new, other) is True and happened_before(other, new) is False
+    assert happened_before(spans["n1", "1.1#a"], new) is None, "nobody had heard of the other"
--- a/tests/integration/test_fencing.py
+++ b/tests/integration/test_fencing.py
@@ -4,8 +4,8 @@
 
 import pathlib
 
-from garnetlanding.audit import merge
 from garnetlanding.audit.limits import LIMITS
+from garnetlanding.audit.merging import merge_segments
 from garnetlanding.audit.segment_reader import read_segments
 from garnetlanding.lab.experiment import load
 from garnetlanding.lab.run import run
@@ -49,6 +49,6 @@
     assert result.findings.audited > 500 and result.findings.outcomes["served"] > 500
     outs = [line for line in result.lines if line["what"] == "current" and line["out"]]
     assert {"n1", "n2", "n3"} <= {line["who"] for line in outs}
-    fleet = merge.merge(read_segments([str(tmp_path / "run" / "audit")]).segments, LIMITS)
+    fleet = merge_segments(read_segments([str(tmp_path / "run" / "audit")]).segments, LIMITS)
     assert [p for p in fleet.problems if ": nothing for" not in p] == []
     assert any(p.startswith("n3: nothing for") for p in fleet.problems), "it stood still for 3.5 s"
