--- a/tests/audit/test_recorder.py
+++ b/tests/audit/test_recorder.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from functools import partial
 from typing import Any
 
 from garnetlanding.audit.limits import AuditLimits
@@ -16,7 +17,7 @@
     received: MessageId | None = None
     recorder = Recorder(
         AuditLimits(checkpoint_us=100),
-        {name: lambda name=name: now[name] for name in now},
+        {name: partial(now.__getitem__, name) for name in now},
         lambda: InstanceState(3, 7, 5, 9, received),
         kept.append,
     )
--- a/tests/core/test_request_engine.py
+++ b/tests/core/test_request_engine.py
@@ -19,6 +19,7 @@
     Served,
 )
 from garnetlanding.decision import interface as api
+from garnetlanding.decision.control import Controller
 from garnetlanding.decision.interface import EndpointState, Outcome
 from tests.helpers import MS, SECOND, World, settings
 
@@ -157,6 +158,7 @@
         w.run(3 * SECOND, SECOND)
     assert list(w.core.endpoints._entries) == list(w.core.endpoints._addresses) == ["n30"]
     module = w.core.module
+    assert isinstance(module, Controller)
     assert list(module.entries) == ["n30"] and len(module.volumes) <= 21
     assert all(set(node.flows) <= set(module.volumes) for node in module.nodes.values())
 
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -27,7 +27,7 @@
     """One brick behind a front, and a window far smaller than the values."""
 
     def __init__(self, **limits: int) -> None:
-        super().__init__(**({"pass_window": 16 * KIB, "hold_bytes": 4 * KIB} | limits))
+        super().__init__(None, **({"pass_window": 16 * KIB, "hold_bytes": 4 * KIB} | limits))
         self.brick = self.server(Brick)
         self.list(Box("b0", self.brick.address, 0))
         self.listener: Listener = self.front()
@@ -82,7 +82,7 @@
         conn.write(piece)
         w.run(30 * MS)
     assert client.got == codec.bulk(b"x" * 1000)
-    assert w.core.starts[0].took_us == 40 * MS  # type: ignore[attr-defined]
+    assert w.core.starts[0].took_us == 40 * MS
 
 
 def test_a_break_after_1_of_4_mib_ends_the_client_s_connection_and_nothing_is_sent_again() -> None:
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -170,7 +170,9 @@
     w.run(2100 * MS, step_us=100 * MS)
     assert "failed" not in w.heard
     w.discovery.down = True
-    answer(w.discovery, w.discovery.conns[-1])
+    latest = w.discovery.conns[-1]
+    assert isinstance(latest, DiscoveryConn)
+    answer(w.discovery, latest)
     w.settle()
     assert w.heard[-1] == "queued", "it had waited its turn for nothing: the next is to come later"
     monkeypatch.undo()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -224,9 +224,9 @@
         if World._open:
             World._open.scheduler.close()
         World._open = self
-        self.time = T0
+        self.time: int = T0
         self.limits = replace(Limits(), **limits)
-        self.scheduler = Scheduler(lambda: self.time)
+        self.scheduler: Scheduler = Scheduler(lambda: self.time)
         self.pool = BufferPool(self.limits.buffer_bytes, 64, 4096)
         self.core = CheckedCore(
             Controller(config or settings(parallel_attempts=False, max_attempts=4), 1),
@@ -424,7 +424,7 @@
             )
         }
         self.front_9p = Front(self.core, self.nine, exports, self.pool, self.limits, self.scheduler)
-        self.listener = Listener(
+        self.listener: Listener = Listener(
             self.scheduler,
             "127.0.0.1:0",
             self.pool,
--- a/tests/ninep/test_change_order.py
+++ b/tests/ninep/test_change_order.py
@@ -147,7 +147,7 @@
     tool.walk(6)
     tool.open(7, "sv")
     w.files[0].script.add(Rule(type(message), Fault.SLOW, delay_us=100 * MS))
-    fid = {p9.Twalk: 0, p9.Tcreate: 6, p9.Tread: 7, p9.Twrite: 5}[type(message)]  # type: ignore[index]
+    fid = {p9.Twalk: 0, p9.Tcreate: 6, p9.Tread: 7, p9.Twrite: 5}[type(message)]
     tool.send(message, tag=71)
     tool.send(p9.Tflush(71) if end == "flush" else p9.Tclunk(fid), tag=72)
     w.run(SECOND)
--- a/tests/ninep/test_codec.py
+++ b/tests/ninep/test_codec.py
@@ -14,7 +14,7 @@
 from garnetlanding.runtime.buffers import BufferPool
 
 DIALECTS = {"9P2000": p9.PLAIN, "9P2000.L": p9l.LINUX}
-TEXT = st.text(st.characters(blacklist_characters="\0", blacklist_categories=("Cs",)), max_size=20)
+TEXT = st.text(st.characters(exclude_characters="\0", exclude_categories=["Cs"]), max_size=20)
 QIDS = st.builds(p9.Qid, st.integers(0, 255), st.integers(0, 2**32 - 1), st.integers(0, 2**64 - 1))
 
 
--- a/tests/ninep/test_front_model.py
+++ b/tests/ninep/test_front_model.py
@@ -151,9 +151,14 @@
     def finish(self, tag: int, kind: str) -> None:
         ticket, message = self.flying.pop(tag)
         ask, answered = self.core.items.pop(ticket)
-        answer, want = REFUSED if kind == "refused" else (Failed("gave up"), p9.Rerror("gave up"))
+        answer: Answer
+        want: p9.Message
         if kind in ("served", "short"):
             answer, want = self.served(ask.work, message, kind == "short")
+        elif kind == "refused":
+            answer, want = REFUSED
+        else:
+            answer, want = Failed("gave up"), p9.Rerror("gave up")
         self.got = []
         answered(answer)
         assert self.got == [(tag, want)]
--- a/tests/ninep/test_session_changes.py
+++ b/tests/ninep/test_session_changes.py
@@ -46,7 +46,7 @@
     node = w.disk.find("f")
     for change in ({"mode": 0o600}, {"length": 4}, {"mtime": 12345}, {"gid": "77"}, {"name": "g"}, {}):
         before = w.disk.attr(node)
-        assert tool.ask(p9.Twstat(5, wstat(**change))) == p9.Rwstat()  # type: ignore[arg-type]
+        assert tool.ask(p9.Twstat(5, wstat(**change))) == p9.Rwstat()
         after = w.disk.attr(node)
         kept = {"mode": after.mode & 0o777, "length": after.length, "mtime": after.mtime.s, "gid": after.gid}
         was = {
--- a/tests/ops/test_admin_service.py
+++ b/tests/ops/test_admin_service.py
@@ -77,7 +77,9 @@
     assert told[-1].state is api.EndpointState.DRAINING
     office.run(SECOND)
     office.call("/-/bricks/b0/enable")
-    assert told[-1].state is api.EndpointState.UP and told[-1].started_us == T0 + SECOND
+    enabled = told[-1]
+    assert enabled.state is api.EndpointState.UP
+    assert enabled.started_us == T0 + SECOND
     office.list(*office.boxes)
     assert next(e for e in told[::-1] if e.node == "b0").started_us == T0 + SECOND, "and stays so"
 
--- a/tests/ops/test_front.py
+++ b/tests/ops/test_front.py
@@ -15,7 +15,8 @@
 
 
 def machine(desk: Any = None) -> tuple[AdminConnection, list[bytes]]:
-    w, said = World(), []
+    w = World()
+    said: list[bytes] = []
     return AdminConnection(desk, w.pool, w.limits, said.append), said
 
 
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -287,7 +287,7 @@
     codec.encode_leases,
 )
 real_asked = Leases.record_demand
-BUGS: dict[str, tuple[object, str, Callable[..., Any]]] = {
+BUGS: dict[str, tuple[object, str, Callable[..., Any] | property]] = {
     "a lease counts from when it came": (Leases, "receive", from_when_it_came),
     "a lease is twice as long at its taker": (Leases, "receive", twice_as_long),
     "what is lent is used all the same": (Leases, "usable_share", lent_is_kept),
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -81,7 +81,7 @@
     alone.look(LIMITS.begin_us)
     assert alone.joined
     alone.learn([Record(0, 9, False, at(0))])
-    assert not alone.out and alone.records[0].life == 10, "its own, before its clock was set back"
+    assert alone.out == "" and alone.records[0].life == 10, "its own, before its clock was set back"
     alone.learn([Record(0, 11, False, at(7))])
     assert alone.out == "another process has its number" and alone.even == 0.0
     other = one(1)
--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -76,10 +76,8 @@
     }, "a head that starts waits for its earlier life's window"
     later = T0 + 4 * SECOND
     budgets.observe_events(later, [ask], COLD, 3)
-    assert (
-        budgets.changed_shares(later, 3) == {"cold:n0": pytest.approx(1.0)}
-        and budgets.changed_shares(later, 3) is None
-    )
+    assert budgets.changed_shares(later, 3) == pytest.approx({"cold:n0": 1.0})
+    assert budgets.changed_shares(later, 3) is None
     budgets.observe_actions(later, [api.Send("r1", "n0"), api.Send("r2", "n1"), api.Reject("r2")], COLD)
     own = budgets.leases.demands[codec.tag("cold:n0")]
     assert own.locked(later, budgets.leases.window_us) == pytest.approx(2 / 30)
--- a/tests/resp/test_front_model.py
+++ b/tests/resp/test_front_model.py
@@ -57,7 +57,9 @@
         name = ask.work.words[2].decode()
         answered(answer)
         at = [n for n, _ in self.expected].index(name)
-        self.expected[at] = name, write_answer(answer)
+        reply = write_answer(answer)
+        assert isinstance(reply, bytes)
+        self.expected[at] = name, reply
 
     @rule()
     def leave(self) -> None:
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -13,7 +13,7 @@
 from garnetlanding.store.errors import LogGapError, ReplicaError, StaleEpochError
 from garnetlanding.store.follower import Follower, FollowerOptions, describe_disconnect
 from garnetlanding.store.follower_machine import FollowerMachine
-from garnetlanding.store.store import Store
+from garnetlanding.store.store import Snapshot, Store
 from garnetlanding.store.writer_machine import WriterMachine
 from tests.helpers import MS, SECOND, World
 
@@ -73,8 +73,13 @@
         w.store.put("a", 10 + i)
     w.run(3 * SECOND, 100 * MS)
     assert w.copy.get("a") == 1 and not w.follower.connected, "it goes on with what it has"
-    restored = []
-    monkeypatch.setattr(w.copy, "restore", lambda s: (restored.append(s), Store.restore(w.copy, s)))
+    restored: list[Snapshot] = []
+
+    def restore(snapshot: Snapshot) -> None:
+        restored.append(snapshot)
+        Store.restore(w.copy, snapshot)
+
+    monkeypatch.setattr(w.copy, "restore", restore)
     w.serve(w.listener.address)
     w.run(w.limits.store_retry_us, 100 * MS)
     assert w.alike() and bool(restored) == whole
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -28,7 +28,8 @@
     puts: list[tuple[str, int | None]], since: int
 ) -> None:
     store = Store("w", True, log_entries=5)
-    copies, model = [store.snapshot()], {}
+    copies = [store.snapshot()]
+    model: dict[str, int | None] = {}
     for key, value in puts:
         before = store.revision
         store.put(key, value)
--- a/tests/support/admin.py
+++ b/tests/support/admin.py
@@ -19,7 +19,7 @@
     """A head's front and its operators' front before two bricks of one cell each."""
 
     def __init__(self, folder: pathlib.Path, **limits: int) -> None:
-        super().__init__(**limits)
+        super().__init__(None, **limits)
         self.brick = self.server(Brick)
         self.boxes = [Box("b0", self.brick.address, 0), Box("b1", self.brick.address, 1)]
         self.told = True
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -19,7 +19,7 @@
 BEGAN = 60 * SECOND
 
 
-class Conn(Conn):
+class CollectorConn(Conn):
     server: Collector
 
     def feed(self, data: bytes | memoryview) -> None:
@@ -35,7 +35,7 @@
 
 
 class Collector(Server):
-    machine = Conn
+    machine = CollectorConn
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
@@ -54,7 +54,7 @@
 
 class TelemetryWorld(World):
     def __init__(self, **limits: int) -> None:
-        super().__init__(**limits)
+        super().__init__(None, **limits)
         self.collector = self.server(Collector)
         self.wall = 1_800_000_000 * 10**9
         self.exporter = Exporter(
