--- a/garnetlanding/core/__init__.py
+++ b/garnetlanding/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and outcomes: carries out the decision module's actions. Knows no wire."""
+"""The request engine: requests, their attempts, and the actions of the decision module. Knows no protocol."""
--- /dev/null
+++ b/garnetlanding/core/dispatcher.py
@@ -0,0 +1,129 @@
+"""The life of attempts: starts what the decision module sends, and reports how each attempt ended."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from garnetlanding.core.body import Body
+from garnetlanding.core.endpoint_registry import EndpointRegistry
+from garnetlanding.core.event_feed import EventFeed
+from garnetlanding.core.fencing import Fence
+from garnetlanding.core.metrics import RequestMetrics
+from garnetlanding.core.ports import Served, Timers
+from garnetlanding.core.request import Attempt
+from garnetlanding.core.request_table import RequestTable
+from garnetlanding.core.retry_safety import may_repeat
+from garnetlanding.decision.interface import Outcome, Result, Send, Settings
+from garnetlanding.limits import Limits
+
+
+@dataclass(frozen=True, slots=True)
+class DispatcherParts:
+    """The parts of the engine that attempts touch."""
+
+    requests: RequestTable
+    endpoints: EndpointRegistry
+    events: EventFeed
+    fence: Fence
+    metrics: RequestMetrics
+
+
+class AttemptDispatcher:
+    """Starts attempts and takes up their ends; implements `AttemptOwner`.
+
+    Invariants, whatever the decision module asks for: no attempt starts after its request's answer or
+    deadline, beyond the allowed number, beside more than is allowed in parallel, at a backend that may not be
+    sent anything, or while the instance is fenced. What may not start ends at once as
+    `Outcome.NEVER_DISPATCHED`.
+    """
+
+    def __init__(self, parts: DispatcherParts, settings: Settings, timers: Timers, limits: Limits) -> None:
+        self._requests = parts.requests
+        self._endpoints = parts.endpoints
+        self._events = parts.events
+        self._fence = parts.fence
+        self._metrics = parts.metrics
+        self._timers = timers
+        self._limits = limits
+        self.settings = settings  # those in force; the engine replaces them
+
+    @property
+    def now(self) -> int:
+        """The monotonic clock, in microseconds."""
+        return self._timers.now
+
+    def send(self, send: Send) -> None:
+        """Start an attempt, or end it as never dispatched where a rule forbids it."""
+        request = self._requests.get(send.request)
+        if request is None:
+            return
+        now = self._timers.now
+        until = min(send.until_us or request.until_us, request.until_us)
+        attempt = Attempt(self, request, len(request.attempts), send.node, until, now)
+        is_blocked = len(request.in_flight()) >= self._most_in_flight(attempt)
+        request.attempts.append(attempt)
+        if is_blocked or not self._may_dispatch(attempt, now):
+            attempt.finish(Outcome.NEVER_DISPATCHED)
+            return
+        if until < request.until_us:
+            self._timers.call_at(until, lambda: attempt.stop(Outcome.TIMEOUT))
+        request.backend.start(attempt)
+
+    def cancel(self, ticket: str, number: int) -> None:
+        """Take an attempt off its backend, if it is in flight."""
+        request = self._requests.get(ticket)
+        if request and number < len(request.attempts):
+            request.attempts[number].stop(Outcome.CANCELLED)
+
+    def _most_in_flight(self, attempt: Attempt) -> int:
+        if self.settings.parallel_attempts and attempt.request.spec.allow_hedging:
+            return self._limits.copies
+        return 1
+
+    def _may_dispatch(self, attempt: Attempt, now: int) -> bool:
+        return (
+            not self._fence.is_fenced
+            and attempt.request.answer is None
+            and now < attempt.until_us
+            and attempt.address() is not None
+            and attempt.number < self.settings.max_attempts
+        )
+
+    # Implementation of AttemptOwner
+
+    def address_for(self, attempt: Attempt) -> str | None:
+        """Return where the attempt's first byte may go now, or None if it may not be sent any more."""
+        if attempt.number:
+            spec = self.settings.classes.get(attempt.request.spec.cls)
+            if not may_repeat(attempt, spec, self._timers.now):
+                return None
+        return self._endpoints.address_of(attempt.node)
+
+    def attempt_written(self) -> None:
+        """Count an attempt whose last byte is with the kernel."""
+        self._metrics.dispatches += 1
+
+    def attempt_finished(self, attempt: Attempt, value: Any, used: int, report: dict[str, float]) -> None:
+        """Answer the client where this is the first success, and report the result to the decision module."""
+        request = attempt.request
+        outcome = attempt.outcome
+        assert outcome is not None
+        attempt.ended_at = self._timers.now
+        if outcome is Outcome.SERVED and request.answer is None:
+            self._requests.finish(request, Served(value))
+        elif isinstance(value, Body):
+            value.end(False)  # nobody waits for it any more
+        self._events.pending.append(
+            Result(
+                request.ticket,
+                attempt.number,
+                attempt.node,
+                outcome,
+                attempt.took_us,
+                request.answer is not None,
+                used,
+                report,
+            )
+        )
+        self._requests.drop_if_settled(request)
--- a/garnetlanding/daemon.py
+++ b/garnetlanding/daemon.py
@@ -185,8 +185,8 @@
         if self.fleet and not config.ops:
             self._hear_bans(self.fleet)
         if self.fleet or self.currency:
-            self.core.may_act = self._may_act
-            self.core.on_fence_change.append(self._stand_back)
+            self.core.fence.may_act = self._may_act
+            self.core.fence.on_change.append(self._stand_back)
         self._place_link()
         if self.history:
             self.history.serving()
@@ -314,7 +314,7 @@
             "bans": lambda: core.endpoints.disabled_digest,
             "out": lambda: (
                 ""
-                if not core.fenced
+                if not core.fence.is_fenced
                 else "shut out"
                 if core.endpoints.instance_disabled(core.settings.instance_id)
                 else "not current"
@@ -396,7 +396,7 @@
         if self.lives.has_successor:
             clients.shed(int(self.limits.client_conns * UPGRADE_SHARE))
             self.bricks.shed(int(self.limits.brick_conns * UPGRADE_SHARE))
-        used = max(clients.used, self.bricks.used, self.pool.used, self.core.capacity_used)
+        used = max(clients.used, self.bricks.used, self.pool.used, self.core.capacity.used)
         part = self.lives.next_share(used, self.ending)
         if part != self.part:
             self._keep_to(clients, part)
@@ -407,7 +407,7 @@
         self.lives.publish(part)
 
     def _keep_to(self, clients: Listener, part: float) -> None:
-        self.part = clients.part = self.bricks.part = self.pool.part = self.core.capacity_share = part
+        self.part = clients.part = self.bricks.part = self.pool.part = self.core.capacity.share = part
         log.info("part of the bounds", extra={"kv": {"part": round(part, 3)}})
 
     def _place_link(self) -> None:
--- a/garnetlanding/history/writer.py
+++ b/garnetlanding/history/writer.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable, Collection, Mapping
 from typing import Any
 
-from garnetlanding.core.ports import Answer, Failed, Rejected, RequestSpec
+from garnetlanding.core.ports import Answer, AttemptSummary, Failed, Rejected, RequestSpec
 
 _SHARE_DIGITS = 4
 """Decimal places of a quota share."""
@@ -59,20 +59,20 @@
 
     def request_ended(
         self,
-        ask: RequestSpec,
+        spec: RequestSpec,
         answer: Answer,
         began_us: int,
         ended_us: int,  # noqa: ARG002 - of the Observer protocol; the line has its own time
-        attempts: list[tuple[str, str, int, int]],
+        attempts: list[AttemptSummary],
     ) -> None:
-        """A request was answered; attempts are backend, outcome, and when they were sent and ended."""
+        """A request was answered, after these attempts."""
         fields = {
-            "id": _request_id(ask),
-            "volume": ask.volume,
-            "units": ask.units,
+            "id": _request_id(spec),
+            "volume": spec.volume,
+            "units": spec.units,
             "began": began_us,
             "outcome": _outcome(answer),
-            "attempts": [[backend, outcome, sent_us] for backend, outcome, sent_us, _ in attempts],
+            "attempts": [[attempt.node, attempt.outcome, attempt.sent_us] for attempt in attempts],
         }
         self._write("answered", fields)
 
--- a/garnetlanding/ops/admin_service.py
+++ b/garnetlanding/ops/admin_service.py
@@ -43,7 +43,12 @@
         return not self._state.draining
 
     def ready(self) -> bool:
-        return self._told() and self._clients.accepting and self._clients.part > 0 and not self._core.fenced
+        return (
+            self._told()
+            and self._clients.accepting
+            and self._clients.part > 0
+            and not self._core.fence.is_fenced
+        )
 
     def metrics(self) -> str:
         return self._core.metrics_text()
--- a/garnetlanding/telemetry/ended_request.py
+++ b/garnetlanding/telemetry/ended_request.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from garnetlanding.core.ports import Answer, Failed, Rejected, RequestSpec
+from garnetlanding.core.ports import Answer, AttemptSummary, Failed, Rejected, RequestSpec
 
 SERVED = "served"
 """The outcome of a request or an attempt that succeeded; any other goes into a span's status."""
@@ -19,7 +19,7 @@
     """`served`, `refused` or `failed`: the words of the exported attributes."""
     began_us: int
     ended_us: int
-    attempts: list[tuple[str, str, int, int]]
+    attempts: list[AttemptSummary]
     """Backend, outcome, time sent and time ended (0: still in flight when the request ended)."""
 
 
--- a/garnetlanding/telemetry/exporter.py
+++ b/garnetlanding/telemetry/exporter.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from garnetlanding import __version__
-from garnetlanding.core.ports import Answer, RequestSpec
+from garnetlanding.core.ports import Answer, AttemptSummary, RequestSpec
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.scheduler import Scheduler
@@ -75,14 +75,14 @@
 
     def request_ended(
         self,
-        ask: RequestSpec,
+        spec: RequestSpec,
         answer: Answer,
         began_us: int,
         ended_us: int,
-        attempts: list[tuple[str, str, int, int]],
+        attempts: list[AttemptSummary],
     ) -> None:
         """Count a request and queue it for export; it is dropped where the queue is full."""
-        ended = EndedRequest(ask, outcome_of(answer), began_us, ended_us, attempts)
+        ended = EndedRequest(spec, outcome_of(answer), began_us, ended_us, attempts)
         self._metrics.add(ended)
         if len(self._queue) >= self._limits.telemetry_queue:
             self.dropped += 1
--- a/tests/daemon/test_store_roles.py
+++ b/tests/daemon/test_store_roles.py
@@ -22,12 +22,12 @@
     h = Head({"store": {"role": "follower", "writer": "n0", "address": "127.0.0.1:9"}})
     theirs = SETTINGS | {"Limits": SETTINGS["Limits"] | {"MaxAttempts": 2}, "Balancers": 3, "Me": 2}
     h.daemon.store.restore(Snapshot(5, 1, {SETTINGS_KEY: theirs}))
-    assert h.daemon.core._settings.max_attempts == 2
+    assert h.daemon.core.settings.max_attempts == 2
     assert (
         h.daemon.core.settings.instance_id == 0
     ), "the writer's number is the writer's: heads would all be one"
     h.daemon.store.apply(5, Entry(2, SETTINGS_KEY, {}))
-    assert h.daemon.core._settings.max_attempts == 2 and "settings not taken" in caplog.text
+    assert h.daemon.core.settings.max_attempts == 2 and "settings not taken" in caplog.text
 
 
 def test_a_restarted_head_knows_its_list_and_settings_from_its_store(tmp_path: pathlib.Path) -> None:
@@ -50,7 +50,7 @@
     theirs = SETTINGS | {"Limits": SETTINGS["Limits"] | {"MaxAttempts": 2}}
     path.write_text(json.dumps({"epoch": 5, "revision": 1, "values": {"config/settings": theirs}}))
     operator = {"store": {"role": "follower", "writer": "n0", "address": "127.0.0.1:9", "file": str(path)}}
-    assert Daemon(config.read(BASE, operator), lambda: T0).core._settings.max_attempts == 2
+    assert Daemon(config.read(BASE, operator), lambda: T0).core.settings.max_attempts == 2
 
 
 def test_a_writer_is_followed_over_its_own_listener() -> None:
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -39,7 +39,7 @@
 from garnetlanding.core.body import Body
 from garnetlanding.core.metrics import RequestMetrics
 from garnetlanding.core.metrics import encode as encode_figures
-from garnetlanding.core.ports import Failed, Rejected, RequestSpec, Served
+from garnetlanding.core.ports import AttemptSummary, Failed, Rejected, RequestSpec, Served
 from garnetlanding.decision import interface as api
 from garnetlanding.discovery.listing import ListError, read_list
 from garnetlanding.discovery.watch import Watch
@@ -978,7 +978,10 @@
     began = 60 * SECOND
     for cls, answer in (("read", Served(b"v")), ("read", Rejected(5)), ("write", Failed("x"))):
         ask = RequestSpec(cls, "gold", "vol-1", "k", 2, 3, SECOND, 1, None)
-        attempts = [("b0", "reset", began, began + MS), ("b1", "served", began + 2 * MS, 0)]
+        attempts = [
+            AttemptSummary("b0", "reset", began, began + MS),
+            AttemptSummary("b1", "served", began + 2 * MS, 0),
+        ]
         exporter.request_ended(ask, answer, began, began + 30 * MS, attempts)
     world.run(SECOND, 100 * MS)
     exporter.finish()
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -40,7 +40,7 @@
 from garnetlanding.audit.segment_reader import read_segments
 from garnetlanding.audit.segment_writer import SegmentWriter
 from garnetlanding.audit.setup import AuditSetup
-from garnetlanding.core.ports import Answer, Failed, Rejected, RequestSpec, Served
+from garnetlanding.core.ports import Answer, AttemptSummary, Failed, Rejected, RequestSpec, Served
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.emulator import budget_net, group_net, lease_net, verdict_net
@@ -335,7 +335,7 @@
     h = Head(operator, TELLS, peer_listen="127.0.0.1:0", peers=["127.0.0.1:9", "127.0.0.1:9", "127.0.0.1:9"])
     h.client().say(read_command())
     for out in (True, False):
-        for told in h.daemon.core.on_fence_change:
+        for told in h.daemon.core.fence.on_change:
             told(out)
     h.daemon.core.run_iteration()
     h.settle()
@@ -373,7 +373,9 @@
     answers: list[Answer] = [Served(b"v"), Rejected(50), Failed("no server")]
     for i, answer in enumerate(answers):
         work = Work((b"RUN", b"1", b"id-%d\xff" % i)) if i else None
-        attempts = [("b0", "reset", 900, 950), ("b1", "served", 960, 990)][: 2 - i]
+        attempts = [AttemptSummary("b0", "reset", 900, 950), AttemptSummary("b1", "served", 960, 990)][
+            : 2 - i
+        ]
         history.request_ended(replace(ENDED, work=work), answer, 890, 995, attempts)
     history.volume_shares_changed({"vol-1": 0.123456, "vol-2": 1.0}, 2000)
     history.limit_shares_changed({"cold:n0": 1 / 3}, 2100)
@@ -772,7 +774,10 @@
     setup = TelemetrySetup(collector.address, "/otlp", interval_us=SECOND)
     exporter = Exporter(w.scheduler, setup, ServiceInstance("n1", 7), w.pool, w.limits, lambda: wall_ns)
     began = w.scheduler.now
-    attempts = [("b0", "reset", began, began + MS), ("b1", "served", began + 2 * MS, 0)]
+    attempts = [
+        AttemptSummary("b0", "reset", began, began + MS),
+        AttemptSummary("b1", "served", began + 2 * MS, 0),
+    ]
     exporter.request_ended(ENDED, Served(b"v"), began, began + 30 * MS, attempts)
     exporter.request_ended(ENDED, Rejected(0), began, began + 20 * SECOND, [])
     exporter.request_ended(
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,8 +7,9 @@
 from dataclasses import replace
 from typing import Any, TypeVar
 
-from garnetlanding.core.engine import Attempt, RequestEngine
+from garnetlanding.core.engine import RequestEngine
 from garnetlanding.core.ports import Answer, AttemptHandle, Backend, Failed, RequestSpec, ResponseCallback
+from garnetlanding.core.request import Attempt
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.discovery.listing import read_list
@@ -162,10 +163,10 @@
         attempts = trial.request.attempts
         out = [a for a in attempts if a.outcome is None]
         assert len(out) <= (
-            2 if self.core._settings.parallel_attempts and trial.request.spec.allow_hedging else 1
+            2 if self.core.settings.parallel_attempts and trial.request.spec.allow_hedging else 1
         )
         assert out[-1] is trial
-        assert len(attempts) <= self.core._settings.max_attempts
+        assert len(attempts) <= self.core.settings.max_attempts
         assert trial.request.answer is None, "sent after the final answer"
         assert self.core.endpoints.address_of(trial.node), "sent to a server that drains or is gone"
         self.core.starts.append(trial)
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from garnetlanding.core.ports import Rejected, RequestSpec, Served
+from garnetlanding.core.ports import AttemptSummary, Rejected, RequestSpec, Served
 from garnetlanding.emulator.base import Conn, Server
 from garnetlanding.telemetry.collector_client import retry_after_us
 from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
@@ -73,7 +73,10 @@
                 Served(b"v"),
                 BEGAN,
                 BEGAN + 30 * MS,
-                [("b0", "reset", BEGAN, BEGAN + MS), ("b1", "served", BEGAN + 2 * MS, BEGAN + 30 * MS)],
+                [
+                    AttemptSummary("b0", "reset", BEGAN, BEGAN + MS),
+                    AttemptSummary("b1", "served", BEGAN + 2 * MS, BEGAN + 30 * MS),
+                ],
             )
 
     def paths(self) -> list[str]:
