--- a/garnetlanding/emulator/budget_net.py
+++ b/garnetlanding/emulator/budget_net.py
@@ -10,7 +10,7 @@
 
 from garnetlanding.emulator.lease_net import SECOND, Head, Net, Run, Seen
 from garnetlanding.peers import codec
-from garnetlanding.peers.leases import Leases
+from garnetlanding.peers.leases import InstanceIdentity, Leases
 
 BUDGET, NAME = 40.0, "cold:n0"
 TAG = codec.tag(NAME)
@@ -34,14 +34,8 @@
 
     def _start(self, me: int, clock: Callable[[int], int], down_until: int) -> Head:
         self._lives += 1
-        leases = Leases(
-            self.limits,
-            me,
-            self.net.heads,
-            1000 + self._lives,
-            clock(max(self.now, down_until)),
-            window_us=self.window_us,
-        )
+        identity = InstanceIdentity(me, self.net.heads, 1000 + self._lives)
+        leases = Leases(self.limits, identity, clock(max(self.now, down_until)), window_us=self.window_us)
         return Head(clock, leases, 0.0, down_until=down_until)
 
     def run(self) -> Seen:
--- a/garnetlanding/emulator/lease_model.py
+++ b/garnetlanding/emulator/lease_model.py
@@ -16,7 +16,8 @@
 from garnetlanding.decision.state import EwmaRate
 from garnetlanding.emulator.walk import Walk
 from garnetlanding.peers.codec import LeaseMessage, tag
-from garnetlanding.peers.leases import Leases, Own, Peer
+from garnetlanding.peers.demand import Demand
+from garnetlanding.peers.leases import InstanceIdentity, Leases, PeerContact
 from garnetlanding.peers.limits import PeerLimits
 
 VOLUME, LIMIT = "v", 40.0
@@ -60,19 +61,17 @@
     new = object.__new__(type(leases))
     new.__dict__.update(leases.__dict__)
     new.contacts = {
-        who: Peer(p.life, p.number, p.heard_at, dict(p.asks)) for who, p in leases.contacts.items()
+        peer: PeerContact(contact.last_message, contact.received_at, dict(contact.requests))
+        for peer, contact in leases.contacts.items()
     }
     new.demands = {}
     for name, own in leases.demands.items():
         rate = EwmaRate()
         rate.rate, rate.at = own.rate.rate, own.rate.at
-        new.demands[name] = replace(own, rate=rate, others=dict(own.others))
+        new.demands[name] = replace(own, rate=rate, requested_by=dict(own.requested_by))
     new._sent, new._shares = dict(leases._sent), dict(leases._shares)
-    new._received = {volume: dict(givers) for volume, givers in leases._received.items()}
-    new._granted = {
-        volume: {who: list(given) for who, given in takers.items()}
-        for volume, takers in leases._granted.items()
-    }
+    new._received = leases._received.copy()
+    new._granted = leases._granted.copy()
     return new
 
 
@@ -91,26 +90,29 @@
         peers = tuple(
             (
                 who,
-                p.life == s.heads[who].life,
-                sent(who, p.life, p.number),
-                now - p.heard_at,
-                tuple((share, now - at) for share, _, at in p.asks.values() if now - at <= LIMITS.stale_us),
+                p.last_message.incarnation == s.heads[who].identity.incarnation,
+                sent(who, *p.last_message),
+                now - p.received_at,
+                tuple(
+                    (request.share, now - request.received_at)
+                    for request in p.requests.values()
+                    if now - request.received_at <= LIMITS.stale_us
+                ),
             )
             for who, p in sorted(h.contacts.items())
-            if now - p.heard_at <= LIMITS.stale_us
+            if now - p.received_at <= LIMITS.stale_us
         )
-        own = tuple((o.wants(now, LIMITS), tuple(sorted(o.others))) for o in h.demands.values())
+        own = tuple((o.wanted_share(now, LIMITS), tuple(sorted(o.requested_by))) for o in h.demands.values())
         held = tuple(
-            (who, share, until - now)
-            for givers in h._received.values()
-            for who, (share, until) in sorted(givers.items())
-            if until > now
+            (peer, grant.share, grant.expires_at - now)
+            for volume in h._received.by_volume
+            for peer, grant in h._received.current(volume, now)
         )
         given = tuple(
-            (who, tuple(sorted((share, until - now) for share, until in lent if until > now)))
-            for takers in h._granted.values()
-            for who, lent in sorted(takers.items())
-            if any(until > now for _, until in lent)
+            (peer, tuple(sorted((g.share, g.expires_at - now) for g in grants if g.expires_at > now)))
+            for receivers in h._granted.by_volume.values()
+            for peer, grants in sorted(receivers.items())
+            if any(g.expires_at > now for g in grants)
         )
         heads.append(
             (max(0, h.resumes_at - now) if h.resumes_at is not None else None, peers, own, held, given)
@@ -121,7 +123,7 @@
                 a,
                 b,
                 now - at,
-                m.incarnation == s.heads[a].life,
+                m.incarnation == s.heads[a].identity.incarnation,
                 sent(a, m.incarnation, m.number),
                 sent(b, m.acked_incarnation, m.acked_number),
                 tuple(m.asks.values()),
@@ -139,7 +141,7 @@
     for head in s.heads[: scope.hosts]:
         looking = clone(head)
         if NAME not in looking.demands:
-            looking.demands[NAME] = Own(VOLUME, scope.hosts, LIMIT)
+            looking.demands[NAME] = Demand(VOLUME, scope.hosts, LIMIT)
         found.append(looking.usable_share(NAME, s.now))
     return tuple(found)
 
@@ -174,7 +176,10 @@
         asked.changed_shares(s.now)
         yield asked, s.starts
     if s.starts < scope.starts:
-        yield kind(LIMITS, me, scope.heads, head.life + 1, s.now), s.starts + 1
+        yield (
+            kind(LIMITS, replace(head.identity, incarnation=head.identity.incarnation + 1), s.now),
+            s.starts + 1,
+        )
 
 
 def _say(
@@ -187,7 +192,7 @@
     told = new.compose(now)
     number = new.next_number(now)
     fresh = [
-        (me, who, now, LeaseMessage(new.life, number, *new.last_received(who), asks, grants))
+        (me, who, now, LeaseMessage(new.identity.incarnation, number, *new.last_received(who), asks, grants))
         for who, (asks, grants) in told.items()
     ]
     new.changed_shares(now)
@@ -198,7 +203,13 @@
     """Ends at the first state whose parts add up to more than 1."""
     # Heads that have run for long: what an earlier life had given has ended.
     start = State(
-        0, 0, tuple(kind(LIMITS, me, scope.heads, 1, -LIMITS.lease_us) for me in range(scope.heads)), (), 0
+        0,
+        0,
+        tuple(
+            kind(LIMITS, InstanceIdentity(me, scope.heads, 1), -LIMITS.lease_us) for me in range(scope.heads)
+        ),
+        (),
+        0,
     )
     found = Explored()
     walk = Walk(start, key, lambda s: moves(s, scope, kind) if s.now < scope.steps else (), scope.most)
--- a/garnetlanding/emulator/lease_net.py
+++ b/garnetlanding/emulator/lease_net.py
@@ -13,7 +13,8 @@
 from dataclasses import dataclass, field
 
 from garnetlanding.peers import codec
-from garnetlanding.peers.leases import Leases, Own
+from garnetlanding.peers.demand import Demand
+from garnetlanding.peers.leases import InstanceIdentity, Leases
 from garnetlanding.peers.limits import PeerLimits
 
 MS, SECOND = 1_000, 1_000_000
@@ -92,7 +93,8 @@
 
     def _start(self, me: int, clock: Callable[[int], int], down_until: int) -> Head:
         self._lives += 1
-        leases = Leases(self.limits, me, self.net.heads, 1000 + self._lives, clock(max(self.now, down_until)))
+        identity = InstanceIdentity(me, self.net.heads, 1000 + self._lives)
+        leases = Leases(self.limits, identity, clock(max(self.now, down_until)))
         return Head(clock, leases, 0.0, down_until=down_until)
 
     def run(self) -> Seen:
@@ -152,7 +154,7 @@
         head.part = head.leases.changed_shares(now).get(VOLUME, head.part)
         if codec.tag(VOLUME) not in head.leases.demands:
             # Its first request would bring the volume up, and its part with it.
-            known = Own(VOLUME, self.net.hosts, LIMIT)
+            known = Demand(VOLUME, self.net.hosts, LIMIT)
             head.leases.demands[codec.tag(VOLUME)] = known
             head.part = head.leases.usable_share(codec.tag(VOLUME), now)
             del head.leases.demands[codec.tag(VOLUME)]
@@ -165,7 +167,9 @@
                 (
                     who,
                     codec.encode_leases(
-                        codec.LeaseMessage(leases.life, number, *leases.last_received(who), asks, grants)
+                        codec.LeaseMessage(
+                            leases.identity.incarnation, number, *leases.last_received(who), asks, grants
+                        )
                     ),
                 )
             )
--- a/garnetlanding/emulator/verdict_model.py
+++ b/garnetlanding/emulator/verdict_model.py
@@ -72,19 +72,23 @@
     return Head(seen, SuspicionTable(LIMITS), {})
 
 
+def _since(at: int | None, now: int) -> int | None:
+    return None if at is None else now - at
+
+
 def key(s: State) -> object:
     def head(h: Head) -> object:
         sight = h.seen.backends[NODE]
         claims = {
-            who: (c.kind, s.now - c.latest, c.until - s.now, c.answered_at - s.now)
+            who: (c.kind, s.now - c.latest_at, c.expires_at - s.now, _since(c.refuted_at, s.now))
             for who, c in h.verdicts._claims.get(NODE, {}).items()
         }
         credit = tuple(round(h.verdicts.credit(who, s.now), 2) for who in range(len(s.heads)))
         return (
-            s.now - sight.heard_at if sight.heard_at > -STEP else None,
-            sight.refused,
-            s.now - sight.refused_at if sight.refused else None,
-            sight.back_at > -STEP,
+            _since(sight.responded_at, s.now),
+            sight.refused.count,
+            s.now - sight.refused.last_at if sight.refused.count else None,
+            sight.recovered_at is not None,
             tuple(sorted(claims.items())),
             credit,
             tuple(sorted(h.heard_at.items())),
@@ -129,7 +133,7 @@
                 head.heard_at[sender] = word.sent_at
             if what is Outcome.SERVED:
                 head.answered = s.now
-                if head.seen.backends[NODE].refused:
+                if head.seen.backends[NODE].refused.count:
                     head.last_seen = s.now  # that it is back, and cold
                 head.seen.observe_events(s.now, [api.Result("r", 0, NODE, what, AIM // 2, True)], AIM)
             elif what is not None:
@@ -138,7 +142,7 @@
                     s.now, [api.Result("r", 0, NODE, what, 1, False)] * LIMITS.refused_row, AIM
                 )
                 head.last_seen = s.now
-            evidence = tuple(e for _, e in head.seen.evidence(s.now, AIM))
+            evidence = tuple(head.seen.evidence(s.now, AIM).values())
             rest = [m for m in s.mail if m not in heard and m[0] != me]
             told = [
                 (me, you, Word(evidence, head.heard_at.get(you, -1), s.now))
--- a/garnetlanding/ops/replicated_disables.py
+++ b/garnetlanding/ops/replicated_disables.py
@@ -10,7 +10,12 @@
 
 from garnetlanding.http.head import HttpError
 from garnetlanding.ops.admin_state import AdminState
-from garnetlanding.peers.disabled_backends import HEADS, DisabledBackendError, DisabledBackends, Record
+from garnetlanding.peers.disabled_backends import (
+    INSTANCE_PREFIX,
+    DisabledBackendError,
+    DisabledBackends,
+    DisableRecord,
+)
 from garnetlanding.peers.failure_detector import FailureDetector
 
 log = logging.getLogger(__name__)
@@ -21,7 +26,7 @@
         """`me`: this head's number."""
         self._fleet, self._me, self._wall_ms = fleet, me, wall_ms
 
-    def take_received(self) -> list[Record]:
+    def take_received(self) -> list[DisableRecord]:
         return self._fleet.take_received()
 
     def set_disabled(self, state: AdminState, brick: str, out: bool) -> AdminState:
@@ -35,16 +40,18 @@
     def set_fenced(self, state: AdminState, head: int, out: bool, hosts: int) -> AdminState:
         """A head is to act no more, or again: a record like that of a brick. Raises HttpError where more
         than the share of heads would be out that may be."""
-        others = {name for name in state.disabled if name.startswith(HEADS)} - {HEADS + str(head)}
+        others = {name for name in state.disabled if name.startswith(INSTANCE_PREFIX)} - {
+            INSTANCE_PREFIX + str(head)
+        }
         if out and (len(others) + 1) > hosts * self._fleet.limits.out_share:
             raise HttpError(f"{len(others)} of {hosts} heads are out already", 400)
-        return self.set_disabled(state, HEADS + str(head), out)
+        return self.set_disabled(state, INSTANCE_PREFIX + str(head), out)
 
-    def merge(self, state: AdminState, records: list[Record]) -> AdminState:
+    def merge(self, state: AdminState, records: list[DisableRecord]) -> AdminState:
         bans = self.table(state)
-        news, bad = bans.merge(records)
-        if news or bad:
-            log.info("bans heard", extra={"kv": {"count": len(news), "dropped": bad}})
+        merged = bans.merge(records)
+        if merged.news or merged.rejected:
+            log.info("bans heard", extra={"kv": {"count": len(merged.news), "dropped": merged.rejected}})
         return self._kept(state, bans)
 
     def publish(self, state: AdminState) -> None:
@@ -54,7 +61,7 @@
     def table(self, state: AdminState) -> DisabledBackends:
         """The records of a state. What was said while bans were this head's alone, or by an older process,
         has none yet: it counts as said by it just now."""
-        bans = DisabledBackends(self._fleet.limits, (Record(*record) for record in state.records))
+        bans = DisabledBackends(self._fleet.limits, (DisableRecord(*record) for record in state.records))
         for brick in sorted(state.disabled ^ bans.disabled_names):
             bans.set_disabled(brick, brick in state.disabled, self._me(), self._wall_ms())
         return bans
--- a/garnetlanding/peers/connection_quota.py
+++ b/garnetlanding/peers/connection_quota.py
@@ -1,57 +1,75 @@
-"""How many connections a head may have at a server, of those that all heads together may have there: places
-move by leases like other budgets (docs/design/fleet-limits.md). A place is taken as long as its connection is
-open. No clock, no socket.
+"""This instance's quota of connections to each backend.
+
+All instances together may have a set number of connections open at a backend. The quota moves between them by
+leases, like other budgets (docs/design/fleet-limits.md): a unit of it is in use for as long as its connection
+is open. No clock and no socket.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from garnetlanding.decision.interface import concurrency_budget as _name
+from garnetlanding.decision.interface import concurrency_budget
 from garnetlanding.peers.codec import tag
-from garnetlanding.peers.leases import Leases
+from garnetlanding.peers.leases import SharedLeases
 from garnetlanding.peers.limits import SECOND
 
+ROUNDING_SLACK = (
+    1e-9  # a share that makes a whole number of connections but for float error gives that number
+)
+
 
 class ConnectionQuota:
+    """How many connections this instance may have open at each backend."""
+
     def __init__(
         self,
-        each: int,
-        longest_us: int,
+        per_backend: int,
+        longest_attempt_us: int,
         now: Callable[[], int],
-        leases: Callable[[], tuple[Leases, int] | None],
+        shared: Callable[[], SharedLeases | None],
     ) -> None:
-        """`each`: connections at one server, of all heads. `longest_us`: an attempt lasts no longer; by then
-        a place that was left to another head is free again. `leases`: what divides them, and among how many
-        heads; None where other heads are not heard yet."""
-        self.each, self._longest_us, self._now, self._leases = each, longest_us, now, leases
-
-    def most(self, server: str) -> int:
-        """So many this head may have open there now."""
-        found = self._leases()
-        if found is None:
+        """Divide `per_backend` connections at each backend among the instances of the fleet.
+
+        An attempt lasts `longest_attempt_us` at most: by then a connection that was granted to a peer is
+        closed again. `shared` returns the leases that divide the quota; None while no peer is heard yet.
+        """
+        self.per_backend = per_backend
+        self._longest_attempt_us = longest_attempt_us
+        self._now = now
+        self._shared = shared
+
+    def max_connections(self, backend: str) -> int:
+        """Return how many connections this instance may have open at a backend now."""
+        shared = self._shared()
+        if shared is None:
             return 0
-        leases, hosts = found
-        name = tag(_name(server))
-        if name not in leases.demands:
-            # First of all it is asked for: what this head may have left to others unasked is counted by that.
-            leases.record_demand(
-                _name(server), hosts, self.each * SECOND / self._longest_us, 0, self._now(), self._longest_us
-            )
-        if name not in leases.demands:
-            return self.each  # this head is the only one
-        return int(leases.usable_share(name, self._now()) * self.each + 1e-9)
-
-    def open(self, server: str, count: int, lacking: bool = False) -> None:
-        """So many are open there now. `lacking`: one more was wanted, and there was no place."""
-        if found := self._leases():
-            leases, hosts = found
-            leases.record_demand(
-                _name(server),
-                hosts,
-                self.each * SECOND / self._longest_us,
-                float(lacking),
-                self._now(),
-                self._longest_us,
-            )
-            leases.set_in_use(_name(server), count)
+        budget = tag(concurrency_budget(backend))
+        if budget not in shared.leases.demands:
+            # Without a demand it is not known what this instance may have granted to peers unasked.
+            self._record_demand(shared, backend, 0)
+        if budget not in shared.leases.demands:
+            return self.per_backend  # this is the only instance
+        share = shared.leases.usable_share(budget, self._now())
+        return int(share * self.per_backend + ROUNDING_SLACK)
+
+    def set_open(self, backend: str, count: int, lacking: bool = False) -> None:
+        """Set how many connections are open at a backend now.
+
+        `lacking`: one more was wanted, and the quota did not allow it.
+        """
+        shared = self._shared()
+        if shared is None:
+            return
+        self._record_demand(shared, backend, float(lacking))
+        shared.leases.set_in_use(concurrency_budget(backend), count)
+
+    def _record_demand(self, shared: SharedLeases, backend: str, units: float) -> None:
+        shared.leases.record_demand(
+            concurrency_budget(backend),
+            shared.hosts,
+            self.per_backend * SECOND / self._longest_attempt_us,
+            units,
+            self._now(),
+            self._longest_attempt_us,
+        )
--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -6,17 +6,19 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING
 
 from garnetlanding.choices.stagger import stagger_offset
 from garnetlanding.core.ports import DecisionModule
 from garnetlanding.decision import interface as api
 from garnetlanding.peers import codec
+from garnetlanding.peers.drop_reasons import DropReason
 from garnetlanding.peers.gossip_schedule import GossipSchedule
 from garnetlanding.peers.history import PeerHistory
-from garnetlanding.peers.leases import Leases
+from garnetlanding.peers.leases import InstanceIdentity, Leases, MessageId, SharedLeases
 from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.status import StatusRow
 
 if TYPE_CHECKING:  # what is off is not imported
     from garnetlanding.peers.failure_detector import FailureDetector
@@ -98,10 +100,22 @@
         if self.leases is None:
             return []
         if what in ("verdicts", "bans"):
-            return self.fleet.known(what, now, self._tightest_us) if self.fleet else []
+            return [row.as_json() for row in self._backend_rows(what, now)]
         if what == "members":
-            return self.group.members.known(now) if self.group else self.leases.member_rows(now)
-        return self.leases.limit_rows(now) + (self.budgets.leases.limit_rows(now) if self.budgets else [])
+            if self.group:
+                return self.group.members.known(now)
+            return [row.as_json() for row in self.leases.peer_rows(now)]
+        limit_rows = self.leases.limit_rows(now)
+        if self.budgets:
+            limit_rows += self.budgets.leases.limit_rows(now)
+        return [row.as_json() for row in limit_rows]
+
+    def _backend_rows(self, what: str, now: int) -> Sequence[StatusRow]:
+        if self.fleet is None:
+            return []
+        if what == "verdicts":
+            return self.fleet.suspicion_rows(now, self._tightest_us)
+        return self.fleet.disabled_rows()
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         told: list[api.Action] = []
@@ -141,14 +155,16 @@
     def _follow(self, now: int, told: list[api.Action]) -> Leases:
         """The leases among the heads that the settings name now."""
         leases, s = self.leases, self.settings
+        identity = InstanceIdentity(s.instance_id, s.instances, self.life)
+        # Where instances discover each other, the size of the fleet is not a setting.
         if (
             leases is not None
-            and leases.me == s.instance_id
-            and (self.group or leases.instances == s.instances)
+            and leases.identity.number == identity.number
+            and (self.group or leases.identity.instances == identity.instances)
         ):
             return leases
         # Another fleet: as after a start, since what was given under the old numbers may still be in use.
-        leases = self.leases = Leases(self.limits, s.instance_id, s.instances, self.life, now, leases)
+        leases = self.leases = Leases(self.limits, identity, now, leases)
         if self._make_budgets:
             self.budgets = self._make_budgets(s, self.life, now)
         if not self._may_use:
@@ -187,12 +203,12 @@
             self._history.limit_shares_changed(budgets.current_shares(), budgets.recheck_at)
         return api.QuotaShares(parts, shares) if parts or shares is not None else None
 
-    def shared(self) -> tuple[Leases, int] | None:
+    def shared(self) -> SharedLeases | None:
         """What divides budgets, and among how many heads; None before the first turn, or while this process
         does not speak for its head."""
         if not (self.budgets and self.leases and self._speaks):
             return None
-        return self.budgets.leases, 1 + len(self._others)
+        return SharedLeases(self.budgets.leases, 1 + len(self._others))
 
     @property
     def _tightest_us(self) -> int:
@@ -219,21 +235,20 @@
             elif e.kind == codec.MessageKind.GOSSIP and self.fleet:
                 why = leases.accept_contact(message.sender, e.incarnation, e.number, now)
                 if not why:
-                    self.dropped.update(
-                        self.fleet.receive(
-                            message.sender, e, leases.sent_at(e.acked_incarnation, e.acked_number), now
-                        )
-                    )
+                    sent_at = leases.sent_at(e.acked_incarnation, e.acked_number)
+                    for reason, count in self.fleet.receive(message.sender, e, sent_at, now).items():
+                        self.dropped[reason.value] += count
             elif e.kind == codec.MessageKind.BUDGETS and self.budgets:
                 why = self.budgets.receive(message.sender, codec.read_leases(e), now)
             elif e.kind == codec.MessageKind.BUDGETS:
-                why = "other kind"
+                why = DropReason.OTHER_KIND
             else:
                 why = leases.receive(message.sender, codec.read_leases(e), now)
         except codec.MessageError as problem:
-            why = str(problem)
-        if why:
-            self.dropped[why] += 1
+            self.dropped[problem.cause] += 1
+            return
+        if why is not None:
+            self.dropped[why.value] += 1
         else:
             self.last_heard = [message.sender, e.incarnation, e.number]
 
@@ -266,8 +281,9 @@
             texts += self._pages(one, kind, to, now)
         if self.fleet:
             heads = {who: leases.last_received(who) for who in to}
-            words = self.fleet.compose(heads, self.life, leases.next_number(now), now, self._tightest_us)
-            texts += [api.SendPeerMessage(codec.encode_envelope(e), who) for who, e in words]
+            message_id = MessageId(self.life, leases.next_number(now))
+            words = self.fleet.compose(heads, message_id, now, self._tightest_us)
+            texts += [api.SendPeerMessage(codec.encode_envelope(e), who) for who, e in words.items()]
         if self.group:
             self.group.look(now)
             heads = {who: leases.last_received(who) for who in [*to, *self.group.members.unmet(now)]}
--- a/garnetlanding/peers/failure_detector.py
+++ b/garnetlanding/peers/failure_detector.py
@@ -1,109 +1,173 @@
-"""One head's side of verdicts and bans: what it has seen, what it hears, what it has to tell. No clock, no
-socket; `PeerCoordinator` carries its messages.
+"""One instance's side of gossip about backends: observations, peers' claims, administratively disabled ones.
+
+No clock and no socket; `PeerCoordinator` carries the messages.
 """
 
 from __future__ import annotations
 
 from collections import Counter
+from collections.abc import Mapping
+from dataclasses import dataclass
 
 from garnetlanding.decision import interface as api
 from garnetlanding.peers.codec import Envelope
-from garnetlanding.peers.disabled_backends import NOTHING, DisabledBackends, Record
-from garnetlanding.peers.gossip_message import GossipMessage, fit, read, to_envelope
+from garnetlanding.peers.disabled_backends import EMPTY_DIGEST, DisabledBackends, DisableRecord
+from garnetlanding.peers.drop_reasons import DropReason
+from garnetlanding.peers.gossip_message import Evidence, GossipMessage, fit, read, to_envelope
 from garnetlanding.peers.history import PeerHistory
-from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.leases import MessageId
+from garnetlanding.peers.limits import MS, PeerLimits
 from garnetlanding.peers.local_observations import LocalObservations
-from garnetlanding.peers.suspicions import MS, SuspicionTable
+from garnetlanding.peers.status import DisabledBackendRow, SuspicionRow
+from garnetlanding.peers.suspicions import SuspicionTable
+
+
+@dataclass(frozen=True, slots=True)
+class PeerDigest:
+    """The digest of a peer's table as last received, and by which incarnation of it."""
+
+    incarnation: int
+    digest: bytes
 
 
 class FailureDetector:
+    """Collects evidence about backends, exchanges it with peers, and finds which backends are suspected.
+
+    The same messages carry the table of disabled backends, which peers merge. A change that came from peers
+    waits in a list of its own until the owner has stored it: see `take_received` and `replace_disabled`.
+    """
+
     def __init__(
         self,
         limits: PeerLimits,
-        verdicts: bool = True,
-        bans: bool = True,
+        share_evidence: bool = True,
+        share_disabled: bool = True,
         history: PeerHistory | None = None,
     ) -> None:
-        """Of `verdicts` and `bans`, what is off is neither told nor heard."""
-        self.limits, self._verdicts_on, self._bans_on = limits, verdicts, bans
-        self.observations, self.suspicions = LocalObservations(limits), SuspicionTable(limits)
-        self.disabled = DisabledBackends(limits)
-        self._digests: dict[int, tuple[int, bytes]] = {}  # of each head: its life, and its table as last told
-        self._turn: Counter[int] = Counter()  # of the records told to each head
-        self._heard: dict[str, Record] = {}
-        self._told: dict[str, int] = {}  # as the module has it
+        """Of evidence and disabled backends, what is not shared is neither sent nor taken up."""
+        self.limits = limits
+        self._share_evidence = share_evidence
+        self._share_disabled = share_disabled
         self._history = history
+        self.observations = LocalObservations(limits)
+        self.suspicions = SuspicionTable(limits)
+        self.disabled = DisabledBackends(limits)
+        self._digests: dict[int, PeerDigest] = {}
+        self._rotation: Counter[int] = Counter()  # how many records each peer was sent: where the next begin
+        self._received: dict[str, DisableRecord] = {}  # by backend, until they are taken
+        self._reported: dict[str, int] = {}  # the suspicions as the decision module has them
 
-    def replace_disabled(self, bans: DisabledBackends) -> None:
-        """The table as it stands from now on."""
-        if self._history and bans.disabled_names != self.disabled.disabled_names:
-            self._history.disabled_backends_changed(bans.disabled_names)
-        self.disabled = bans
+    def replace_disabled(self, disabled: DisabledBackends) -> None:
+        """Set the table that holds, and is sent to peers, from now on."""
+        if self._history and disabled.disabled_names != self.disabled.disabled_names:
+            self._history.disabled_backends_changed(disabled.disabled_names)
+        self.disabled = disabled
 
-    def take_received(self) -> list[Record]:
-        """The records that others have told and that this head does not have; empties the list."""
-        heard, self._heard = list(self._heard.values()), {}
-        return heard
+    def take_received(self) -> list[DisableRecord]:
+        """Return the records of peers that are later than this instance's, and forget them here."""
+        received = list(self._received.values())
+        self._received = {}
+        return received
 
     def merge_received(self) -> bool:
-        """Takes up what others have told, in memory alone; whether anything was news."""
-        bans = DisabledBackends(self.limits, self.disabled.records.values())
-        news, _ = bans.merge(self.take_received())
-        if news:
-            self.replace_disabled(bans)
-        return bool(news)
-
-    def receive(self, sender: int, e: Envelope, sent_at: int | None, now: int) -> Counter[str]:
-        """Raises MessageError. Gives back what was dropped, by cause."""
-        words = read(e)
-        self._digests[sender] = e.incarnation, words.digest
-        for record in words.records if self._bans_on else ():
-            known = [
-                r.rank for table in (self.disabled.records, self._heard) if (r := table.get(record.server))
-            ]
-            if record.rank > max(known, default=(-1, 0, False)) and (
-                record.server in self._heard or len(self._heard) < self.limits.bans
-            ):
-                self._heard[record.server] = record
-        evidence = words.evidence if self._verdicts_on else ()
+        """Merge peers' records in memory alone; return whether anything was news."""
+        disabled = DisabledBackends(self.limits, self.disabled.records.values())
+        merged = disabled.merge(self.take_received())
+        if merged.news:
+            self.replace_disabled(disabled)
+        return bool(merged.news)
+
+    def receive(self, sender: int, envelope: Envelope, sent_at: int | None, now: int) -> Counter[DropReason]:
+        """Take up a peer's message; return how much of its evidence was dropped, by reason.
+
+        `sent_at` is when this instance sent the message that the envelope acknowledges; None: not lately.
+        Raises MessageError where the body cannot be decoded.
+        """
+        message = read(envelope)
+        self._digests[sender] = PeerDigest(envelope.incarnation, message.digest)
+        if self._share_disabled:
+            for record in message.records:
+                self._receive_record(record)
+        evidence = message.evidence if self._share_evidence else ()
         return self.suspicions.receive(sender, evidence, sent_at, now, self.observations)
 
+    def _receive_record(self, record: DisableRecord) -> None:
+        known = [
+            table[record.backend].rank
+            for table in (self.disabled.records, self._received)
+            if record.backend in table
+        ]
+        if known and record.rank <= max(known):
+            return
+        if record.backend in self._received or len(self._received) < self.limits.bans:
+            self._received[record.backend] = record
+
     def changed_suspicions(self, now: int) -> api.PeerSuspicions | None:
-        """What the module is to be told, where it differs from what it was told."""
-        doubted = self.suspicions.suspected(now, self.observations)
-        if doubted == self._told or not (doubted or self._told):
+        """Return what to tell the decision module; None where it has been told so before."""
+        suspected = self.suspicions.suspected(now, self.observations)
+        if suspected == self._reported:
             return None
-        self._told = doubted
+        self._reported = suspected
         if self._history:
-            self._history.suspicions_changed(doubted)
-        return api.PeerSuspicions(doubted)
+            self._history.suspicions_changed(suspected)
+        return api.PeerSuspicions(suspected)
 
     def compose(
-        self, heads: dict[int, tuple[int, int]], life: int, number: int, now: int, tightest_us: int
-    ) -> list[tuple[int, Envelope]]:
-        """One message to each of these heads: all of the evidence that one datagram holds, and records where
-        its table differs. `heads`: life and number of the last message heard from each."""
-        seen = self.observations.evidence(now, tightest_us) if self._verdicts_on else []
-        if self._history and seen:
-            self._history.observations_sent({node: (e.kind.label, now - e.age_ms * MS) for node, e in seen})
-        evidence = [e for _, e in seen]
-        table = sorted(self.disabled.records.values(), key=lambda r: r.rank, reverse=True)
-        told = []
-        for who, (its_life, its_number) in heads.items():
-            same = self._digests.get(who, (its_life, NOTHING)) == (its_life, self.disabled.digest)
-            turn = self._turn[who] % max(1, len(table))
-            records = [] if same else table[turn:] + table[:turn]
-            some, more = fit(evidence, records, self.limits.datagram_bytes)
-            self._turn[who] += more
-            words = GossipMessage(self.disabled.digest, tuple(evidence[:some]), tuple(records[:more]))
-            told.append((who, to_envelope(words, life, number, its_life, its_number)))
-        return told
-
-    def known(self, what: str, now: int, tightest_us: int) -> list[dict[str, object]]:
-        """The `verdicts` on each listed server, or the `bans`, for operators."""
-        if what == "verdicts":
-            return self.suspicions.known(now, self.observations, tightest_us)
-        return [
-            {"server": r.server, "out": r.out, "head": r.by, "version": r.version}
-            for r in sorted(self.disabled.records.values())
-        ]
+        self, receivers: Mapping[int, MessageId], message_id: MessageId, now: int, tightest_us: int
+    ) -> dict[int, Envelope]:
+        """Return one message to each receiver: evidence as far as it fits, and records where tables differ.
+
+        `receivers` has the last message received from each. `message_id` is that of these messages.
+        `tightest_us` is the tightest latency objective of all classes.
+        """
+        evidence = self._evidence(now, tightest_us)
+        records = sorted(self.disabled.records.values(), key=lambda record: record.rank, reverse=True)
+        return {
+            peer: self._compose_one(peer, last_received, message_id, evidence, records)
+            for peer, last_received in receivers.items()
+        }
+
+    def _evidence(self, now: int, tightest_us: int) -> list[Evidence]:
+        if not self._share_evidence:
+            return []
+        by_backend = self.observations.evidence(now, tightest_us)
+        if self._history and by_backend:
+            self._history.observations_sent(
+                {name: (one.kind.label, now - one.age_ms * MS) for name, one in by_backend.items()}
+            )
+        return list(by_backend.values())
+
+    def _compose_one(
+        self,
+        peer: int,
+        last_received: MessageId,
+        message_id: MessageId,
+        evidence: list[Evidence],
+        records: list[DisableRecord],
+    ) -> Envelope:
+        unsent: list[DisableRecord] = []
+        if not self._has_same_table(peer, last_received.incarnation):
+            start = self._rotation[peer] % max(1, len(records))
+            unsent = records[start:] + records[:start]
+        fitting = fit(evidence, unsent, self.limits.datagram_bytes)
+        self._rotation[peer] += fitting.records
+        message = GossipMessage(
+            self.disabled.digest, tuple(evidence[: fitting.evidence]), tuple(unsent[: fitting.records])
+        )
+        return to_envelope(message, *message_id, *last_received)
+
+    def _has_same_table(self, peer: int, incarnation: int) -> bool:
+        """Return whether this incarnation of a peer is known to have this instance's table.
+
+        One that has sent no digest yet is taken to have an empty table.
+        """
+        known = self._digests.get(peer, PeerDigest(incarnation, EMPTY_DIGEST))
+        return known == PeerDigest(incarnation, self.disabled.digest)
+
+    def suspicion_rows(self, now: int, tightest_us: int) -> list[SuspicionRow]:
+        """Return, for operators, what is observed and claimed of each listed backend."""
+        return self.suspicions.rows(now, self.observations, tightest_us)
+
+    def disabled_rows(self) -> list[DisabledBackendRow]:
+        """Return, for operators, the records of disabled and enabled backends."""
+        return self.disabled.rows()
--- a/garnetlanding/peers/gossip_message.py
+++ b/garnetlanding/peers/gossip_message.py
@@ -20,7 +20,7 @@
 from typing import NamedTuple
 
 from garnetlanding.peers.codec import HEAD, SUM, Envelope, MessageError, MessageKind, tag
-from garnetlanding.peers.disabled_backends import DIGEST, Record
+from garnetlanding.peers.disabled_backends import DIGEST, DisableRecord
 
 __all__ = ["Evidence", "EvidenceKind", "GossipMessage", "fit", "read", "tag", "to_envelope"]
 
@@ -72,7 +72,7 @@
 
     digest: bytes
     evidence: tuple[Evidence, ...] = ()
-    records: tuple[Record, ...] = ()
+    records: tuple[DisableRecord, ...] = ()
 
 
 class Fit(NamedTuple):
@@ -82,14 +82,14 @@
     records: int
 
 
-def fit(evidence: Sequence[Evidence], records: Sequence[Record], size: int) -> Fit:
+def fit(evidence: Sequence[Evidence], records: Sequence[DisableRecord], size: int) -> Fit:
     """Return how many of each, from the first on, a datagram of `size` bytes holds; evidence goes first."""
     left = size - HEAD.size - SUM.size - DIGEST
     evidence_count = min(len(evidence), left // EVIDENCE.size)
     left -= evidence_count * EVIDENCE.size
     record_count = 0
     for record in records:
-        left -= RECORD.size + len(record.server.encode())
+        left -= RECORD.size + len(record.backend.encode())
         if left < 0:
             break
         record_count += 1
@@ -112,8 +112,10 @@
             )
         )
     for record in message.records:
-        name = record.server.encode()
-        parts.append(RECORD.pack(record.version.to_bytes(6, "big"), record.by, record.out, len(name)) + name)
+        name = record.backend.encode()
+        parts.append(
+            RECORD.pack(record.version.to_bytes(6, "big"), record.instance, record.disabled, len(name)) + name
+        )
     return Envelope(
         MessageKind.GOSSIP,
         incarnation,
@@ -133,7 +135,7 @@
     if len(body) < records_at:
         raise MessageError("torn", HEAD.size + len(body))
     evidence = [_read_evidence(body, at) for at in range(DIGEST, records_at, EVIDENCE.size)]
-    records: list[Record] = []
+    records: list[DisableRecord] = []
     offset = records_at
     for _ in range(record_count):
         record, offset = _read_record(body, offset)
@@ -150,7 +152,7 @@
     return Evidence(EvidenceKind(kind), backend_tag, uptime, count, age_ms)
 
 
-def _read_record(body: bytes, offset: int) -> tuple[Record, int]:
+def _read_record(body: bytes, offset: int) -> tuple[DisableRecord, int]:
     """Return the record at an offset of the body, and the offset behind it."""
     if len(body) < offset + RECORD.size:
         raise MessageError("torn", HEAD.size + offset)
@@ -159,5 +161,5 @@
     name = body[name_at : name_at + length]
     if len(name) != length or not name.isascii() or not name or out > 1:
         raise MessageError("no ban", HEAD.size + offset)
-    record = Record(name.decode(), int.from_bytes(version, "big"), by, bool(out))
+    record = DisableRecord(name.decode(), int.from_bytes(version, "big"), by, bool(out))
     return record, name_at + length
--- a/garnetlanding/peers/leases.py
+++ b/garnetlanding/peers/leases.py
@@ -1,108 +1,112 @@
-"""How a volume's limit is divided among the heads of a fleet, so that the sum never passes what was bought.
+"""Leases on quota shares: how the instances of a fleet divide a limit that counts over all of them.
 
-Each head that a volume's requests come through has an even part of its own, 1 / hosts, for good. It may
-leave shares of it to others for a bounded time: it counts them as gone before it says so, and until they must
-have ended by any clock; whoever has them counts from when it sent the message that was answered, which was
-earlier. So a lost message leaves a part idle, and none gives a part twice (docs/design/fleet-limits.md).
+Every instance that a volume's requests come through owns an even share of its limit, 1 / hosts, for good. It
+may grant shares of that to peers for a bounded time. It stops using a share before it announces the grant,
+and until the grant must have expired by any clock; the receiver counts from when it sent the message that the
+grant answers, which was earlier. So a lost or late message leaves a share idle, and none is used twice.
+
+Invariant: at every moment, the sum of the shares in use by a volume's instances does not exceed 1
+(docs/design/fleet-limits.md has the proof, and what it rests on).
+
+This is the protocol's state: no clock and no socket. Times are microseconds of this instance's clock; volumes
+and budgets are named by their `tag`. The estimate of what is needed is in demand.py, the arithmetic of grants
+in quota_shares.py.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
+from typing import NamedTuple
 
-from garnetlanding.decision.state import SECOND, EwmaRate, SlidingWindowSum
+from garnetlanding.decision.state import SlidingWindowSum
 from garnetlanding.peers.codec import Ask, LeaseMessage, LeasePage, tag
+from garnetlanding.peers.demand import Demand
+from garnetlanding.peers.drop_reasons import DropReason
 from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.quota_shares import Grant, GrantLedger, ReceivedGrants, spare_share
+from garnetlanding.peers.status import GrantRow, LimitRow, PeerRow
 
-# `recheck_at` of leases that are suspended: no share changes by itself.
+# `recheck_at` of leases that are suspended: no share changes by itself. Histories show the number.
 NEVER_US = 1 << 62
 
 
-def fill(supply: float, demands: list[float]) -> list[float]:
-    """Max-min fair shares of a supply: nobody gets more than it asks for while another lacks; what nobody
-    asks for is divided evenly. The shares add up to the supply."""
-    left, shares = supply, [0.0] * len(demands)
-    order = sorted(range(len(demands)), key=demands.__getitem__)
-    for place, i in enumerate(order):
-        shares[i] = min(demands[i], left / (len(order) - place))
-        left -= shares[i]
-    return [share + left / len(demands) for share in shares]
+class MessageId(NamedTuple):
+    """Which message of an instance: numbers grow within an incarnation, incarnations with each start."""
 
+    incarnation: int
+    number: int
 
-@dataclass(slots=True)
-class Peer:
-    """The last word of one head."""
 
-    life: int
+NO_MESSAGE = MessageId(0, 0)  # in place of the last message of a peer that has sent none
+
+
+@dataclass(frozen=True, slots=True)
+class InstanceIdentity:
+    """Which instance this is. `instances` is the size of the fleet; it numbers its members from 0."""
+
     number: int
-    heard_at: int
-    asks: dict[int, tuple[float, int, int]] = field(default_factory=dict)  # share wanted, hosts, when told
+    instances: int
+    incarnation: int  # greater after each start
 
 
-@dataclass(slots=True)
-class Own:
-    """A volume that this head is asked for."""
+@dataclass(frozen=True, slots=True)
+class ShareRequest:
+    """What a peer wants of a limit, as last received."""
 
-    name: str
+    share: float
     hosts: int
-    limit: float  # units a second, over all heads
-    rate: EwmaRate = field(default_factory=EwmaRate)
-    others: dict[int, int] = field(default_factory=dict)  # heads that have asked for it too, and when last
-    window_us: int = 0  # of a budget: so much of it may be spent within any such span
-    spent: SlidingWindowSum | None = None  # of it
-    held: float = 0.0  # of it, for as long as it is not given back
-
-    def locked(self, now: int, longest_us: int) -> float:
-        """The share of a budget that was spent lately: nobody may spend it again before its window ends."""
-        if self.spent is None:
-            return 0.0
-        return (self.held + self.spent.total(now - longest_us)) / (self.limit * self.window_us / SECOND)
+    received_at: int
+
+
+@dataclass(slots=True)
+class PeerContact:
+    """The last message of a peer, and what it requests by volume."""
 
-    def wants(self, now: int, limits: PeerLimits) -> float:
-        """The share of the limit that it could use, with some room to grow."""
-        rate = self.rate.rate * max(0.0, 1 - (now - self.rate.at) / limits.span_us)
-        held = self.held * SECOND / self.window_us if self.held else 0.0
-        return min(1.0, limits.headroom * (rate + held) / self.limit)
+    last_message: MessageId
+    received_at: int
+    requests: dict[int, ShareRequest] = field(default_factory=dict)
 
 
 class Leases:
+    """One instance's side of the protocol: what it needs, what it has granted, and what was granted to it."""
+
     def __init__(
         self,
         limits: PeerLimits,
-        me: int,
-        heads: int,
-        life: int,
+        identity: InstanceIdentity,
         now: int,
         earlier: Leases | None = None,
         window_us: int = 0,
     ) -> None:
-        """`earlier`: under other numbers of the same life; what the module was told goes on from there.
-        With `window_us`, what is divided are budgets of windows up to that long."""
-        self._limits, self.me, self.instances, self.life = limits, me, heads, life
+        """Begin as after a start: nothing is used until what an earlier incarnation granted has expired.
+
+        `earlier` is the state under another number or fleet size of the same incarnation; the shares that the
+        decision module was given go on from there. With `window_us`, what is divided are budgets with windows
+        up to that long.
+        """
+        self._limits = limits
+        self.identity = identity
         self.window_us = window_us
-        self.peer_numbers = frozenset(range(heads)) - {me}  # the other heads
-        self._found = False  # whether the group was found: a volume may come through a head not yet known
-        self.contacts: dict[int, Peer] = {}
-        self.demands: dict[int, Own] = {} if earlier is None else earlier.demands
-        self._sent: dict[int, int] = {}  # when this head's last messages were sent, by their numbers
+        self.peer_numbers = frozenset(range(identity.instances)) - {identity.number}
+        self._members_discovered = False
+        self.contacts: dict[int, PeerContact] = {}
+        self.demands: dict[int, Demand] = {} if earlier is None else earlier.demands
+        self._sent: dict[int, int] = {}  # when this instance sent its last messages, by their numbers
         self._number: int = 0 if earlier is None else earlier._number
-        self._received: dict[int, dict[int, tuple[float, int]]] = {}  # by volume and giver: share, until when
-        self._granted: dict[int, dict[int, list[tuple[float, int]]]] = {}  # by volume and taker: the same
-        # What an earlier life of this head may have left to others has ended by then.
+        self._received = ReceivedGrants()
+        self._granted = GrantLedger()
         self.resumes_at: int | None = now + self._quarantine_us  # None: not until `resume`
-        # As last told to the module.
-        self._shares: dict[int, float] = {} if earlier is None else earlier._shares
-        self.recheck_at = now  # the next time at which a part changes by itself
-
-    def set_peers(self, others: frozenset[int]) -> None:
-        """The other heads that have been found by now; what one that is gone has left is nothing."""
-        self._found = True
-        if others != self.peer_numbers:
-            for givers in self._received.values():
-                for who in self.peer_numbers - others:
-                    givers.pop(who, None)
-            self.peer_numbers, self.recheck_at = others, 0
+        self._shares: dict[int, float] = {} if earlier is None else earlier._shares  # as last reported
+        self.recheck_at = now  # the next time at which a share may change by itself
+
+    def set_peers(self, peers: frozenset[int]) -> None:
+        """Take up which peers have been discovered; what was granted by one that has left is void."""
+        self._members_discovered = True
+        if peers != self.peer_numbers:
+            self._received.forget_peers(self.peer_numbers - peers)
+            self.peer_numbers = peers
+            self.recheck_at = 0
 
     def suspend(self, now: int) -> None:
         """Use and grant nothing until `resume`."""
@@ -116,126 +120,165 @@
         self._received.clear()
         self.recheck_at = now
 
-    def quarantined(self, now: int) -> bool:
-        """Whether this instance may neither use nor grant anything at this moment."""
+    def is_quarantined(self, now: int) -> bool:
+        """Return whether this instance may neither use nor grant anything at this moment."""
         return self.resumes_at is None or now < self.resumes_at
 
     @property
     def _quarantine_us(self) -> int:
-        """For so long what was given counts as gone: the taker's clock may be slower, and what it spends of a
-        budget at the last moment is spent until its window has passed."""
+        """For how long a grant counts as in use at the grantor.
+
+        The receiver's clock may be slower, and what it spends of a budget at the last moment is locked until
+        its window has passed.
+        """
         return int((self._limits.lease_us + self.window_us) * (1 + self._limits.drift))
 
-    # What is told and heard
+    # Demand
 
     def record_demand(
-        self, volume: str, hosts: int, limit: float, units: float, now: int, window_us: int = 0
+        self, name: str, hosts: int, limit: float, units: float, now: int, window_us: int = 0
     ) -> None:
-        """`limit`: units a second. `window_us`: of a budget, in which so many seconds' worth may be spent."""
+        """Record that `units` of a volume's limit, or of a budget, were requested.
+
+        `limit` is in units a second, over all `hosts` instances. For a budget, `window_us` is the span in
+        which that many seconds' worth may be spent. A limit that is not shared is left out.
+        """
         if hosts < 2 or limit <= 0:
             return
-        name = tag(volume)
-        own = self.demands.get(name)
-        if own is None or (own.hosts, own.limit) != (hosts, limit):
-            spent = own.spent if own else SlidingWindowSum(self.window_us) if self.window_us else None
-            own = self.demands[name] = Own(
-                volume,
-                hosts,
-                limit,
-                own.rate if own else EwmaRate(),
-                window_us=window_us,
-                spent=spent,
-                held=own.held if own else 0.0,
+        key = tag(name)
+        demand = self.demands.get(key)
+        if demand is None:
+            demand = Demand(name, hosts, limit, window_us=window_us)
+            if self.window_us:
+                demand.spent = SlidingWindowSum(self.window_us)
+            self.demands[key] = demand
+            self.recheck_at = now
+        elif (demand.hosts, demand.limit) != (hosts, limit):
+            # Who else requests it is found out anew: the hosts may be others.
+            demand = replace(
+                demand, name=name, hosts=hosts, limit=limit, window_us=window_us, requested_by={}
             )
+            self.demands[key] = demand
             self.recheck_at = now
-        own.rate.add(now, units, self._limits.span_us)
+        demand.rate.add(now, units, self._limits.span_us)
 
     def record_spent(self, budget: str, units: float, now: int) -> None:
-        """So much of a budget that was asked for has been spent now."""
-        own = self.demands.get(tag(budget))
-        if own and own.spent:
-            own.spent.add(now, units)
+        """Record that units of a budget were spent now; without a demand for it, nothing is counted."""
+        demand = self.demands.get(tag(budget))
+        if demand is not None and demand.spent is not None:
+            demand.spent.add(now, units)
 
     def set_in_use(self, budget: str, units: float) -> None:
-        """So much of a budget that was asked for is in use, until it is said to be less."""
-        if own := self.demands.get(tag(budget)):
-            own.held = units
-
-    def receive(self, sender: int, m: LeaseMessage, now: int) -> str:
-        """Takes a head's word up; returns why not, if not."""
-        if why := self.accept_contact(sender, m.incarnation, m.number, now):
-            return why
-        peer = self.contacts[sender]
-        for volume, (share, hosts) in m.asks.items():
-            if volume in peer.asks or len(peer.asks) < self._limits.volumes:
-                peer.asks[volume] = share, hosts, now
+        """Set how many units of a budget are taken until the next call says otherwise."""
+        demand = self.demands.get(tag(budget))
+        if demand is not None:
+            demand.in_use = units
+
+    # Receiving
+
+    def receive(self, sender: int, message: LeaseMessage, now: int) -> DropReason | None:
+        """Take up a peer's requests and grants; return why the message is dropped, if it is."""
+        reason = self.accept_contact(sender, message.incarnation, message.number, now)
+        if reason is not None:
+            return reason
+        requests = self.contacts[sender].requests
+        for volume, ask in message.asks.items():
+            if volume in requests or len(requests) < self._limits.volumes:
+                requests[volume] = ShareRequest(ask.share, ask.hosts, now)
             if volume in self.demands:
-                self.demands[volume].others[sender] = now
-        sent_at = self.sent_at(m.acked_incarnation, m.acked_number)
+                self.demands[volume].requested_by[sender] = now
+        sent_at = self.sent_at(message.acked_incarnation, message.acked_number)
         if sent_at is not None:
-            for volume, share in m.grants.items():
-                # Only what this head asked for: anything else would be kept for nothing.
-                if volume in self.demands:
-                    self._received.setdefault(volume, {})[sender] = share, sent_at + self._limits.lease_us
+            self._take_grants(sender, message.grants, sent_at + self._limits.lease_us)
             self.recheck_at = now
-        return ""
+        return None
+
+    def _take_grants(self, sender: int, grants: dict[int, float], expires_at: int) -> None:
+        for volume, share in grants.items():
+            # Only what is requested here: anything else would be remembered for nothing.
+            if volume in self.demands:
+                self._received.add(volume, sender, Grant(share, expires_at))
 
-    def accept_contact(self, sender: int, life: int, number: int, now: int) -> str:
-        """Any message of a head; returns why it is not taken up, if not."""
+    def accept_contact(self, sender: int, incarnation: int, number: int, now: int) -> DropReason | None:
+        """Register any message of a peer; return why it is dropped, if it is.
+
+        A peer that was not heard for `stale_us` is taken at its word again: its clock may have been set back,
+        so that its new incarnation is smaller.
+        """
         if sender not in self.peer_numbers:
-            return "no peer"
-        peer = self.contacts.get(sender)
-        if peer and now - peer.heard_at > self._limits.stale_us:
-            peer = None  # its clock may have been set back: what it says is new by its own reckoning
-        if peer and (life, number) <= (peer.life, peer.number):
-            return "old"
-        if peer is None or life != peer.life:
-            peer = self.contacts[sender] = Peer(life, number, now)
-        peer.number, peer.heard_at = number, now
-        return ""
-
-    def sent_at(self, life: int, number: int) -> int | None:
-        """When this head sent the message that another says it has heard; None: not lately, or not in this
-        life."""
-        return self._sent.get(number) if life == self.life else None
+            return DropReason.UNKNOWN_PEER
+        message = MessageId(incarnation, number)
+        contact = self.contacts.get(sender)
+        if contact is not None and now - contact.received_at > self._limits.stale_us:
+            contact = None
+        if contact is not None and message <= contact.last_message:
+            return DropReason.OUTDATED
+        if contact is None or incarnation != contact.last_message.incarnation:
+            self.contacts[sender] = PeerContact(message, now)
+        else:
+            contact.last_message = message
+            contact.received_at = now
+        return None
+
+    def sent_at(self, incarnation: int, number: int) -> int | None:
+        """Return when this instance sent the message that a peer acknowledges.
+
+        None: not lately, or by another incarnation.
+        """
+        if incarnation != self.identity.incarnation:
+            return None
+        return self._sent.get(number)
+
+    def last_received(self, peer: int) -> MessageId:
+        """Return which message was the last of a peer; `NO_MESSAGE` where it has sent none."""
+        contact = self.contacts.get(peer)
+        return NO_MESSAGE if contact is None else contact.last_message
+
+    # Sending
 
     def active_peers(self, now: int) -> list[int]:
-        """The heads that lately asked for something, or may leave something of what is asked for here."""
-        ours = {
-            who
-            for own in self.demands.values()
-            for who, at in own.others.items()
-            if now - at <= self._limits.known_us
+        """Return the peers that lately requested something, or that may grant some of what is needed here."""
+        grantors = {
+            peer
+            for demand in self.demands.values()
+            for peer, requested_at in demand.requested_by.items()
+            if now - requested_at <= self._limits.known_us
         }
-        ask = {
-            who for who, p in self.contacts.items() if p.asks and now - p.heard_at <= self._limits.stale_us
+        requesters = {
+            peer
+            for peer, contact in self.contacts.items()
+            if contact.requests and now - contact.received_at <= self._limits.stale_us
         }
-        return sorted(ours | ask)
+        return sorted(grantors | requesters)
 
-    def compose(
-        self,
-        now: int,
-        to: Iterable[int] | None = None,
-    ) -> dict[int, LeasePage]:
-        """What to tell each head now (`to`: these alone): this one's asks, busiest first, and what it gives,
-        which counts as gone from here on. A head that is to be told nothing is left out."""
-        wants = sorted(
-            ((own.wants(now, self._limits), name) for name, own in self.demands.items()), reverse=True
+    def compose(self, now: int, receivers: Iterable[int] | None = None) -> dict[int, LeasePage]:
+        """Return what to send to each receiver now: this instance's requests, and grants to that peer.
+
+        Without `receivers`, it is composed for every peer; one with nothing to be sent is left out. What is
+        granted counts as in use from here on, whether the message arrives or not.
+        """
+        asks = self._asks(now)
+        pages: dict[int, LeasePage] = {}
+        for peer in sorted(self.peer_numbers) if receivers is None else receivers:
+            grants = self._make_grants(peer, now)
+            if asks or grants:
+                pages[peer] = LeasePage(asks, grants)
+        return pages
+
+    def _asks(self, now: int) -> dict[int, Ask]:
+        """Return the requests to send, those for the greatest shares first."""
+        wanted = sorted(
+            ((demand.wanted_share(now, self._limits), volume) for volume, demand in self.demands.items()),
+            reverse=True,
         )
-        asks = {
+        return {
             volume: Ask(share, self.demands[volume].hosts)
-            for share, volume in wants[: self._limits.say_volumes]
+            for share, volume in wanted[: self._limits.say_volumes]
             if share > 0
         }
-        told = {}
-        for who in sorted(self.peer_numbers) if to is None else to:
-            grants = self._make_grants(who, now)
-            if asks or grants:
-                told[who] = LeasePage(asks, grants)
-        return told
 
     def next_number(self, now: int) -> int:
-        """The number of a message that is sent now."""
+        """Return the number of a message that is sent now, and remember when it was sent."""
         self._number += 1
         self._sent[self._number] = now
         while len(self._sent) > self._limits.remembered:
@@ -244,166 +287,171 @@
 
     @property
     def last_number(self) -> int:
-        """Of the last message."""
+        """The number of the last message that was sent."""
         return self._number
 
-    def last_received(self, who: int) -> tuple[int, int]:
-        """Life and number of the last message heard from a head."""
-        peer = self.contacts.get(who)
-        return (peer.life, peer.number) if peer else (0, 0)
+    # Granting
 
-    # What is given
-
-    def _make_grants(self, who: int, now: int) -> dict[int, float]:
-        peer = self.contacts.get(who)
-        if peer is None or self.quarantined(now):
+    def _make_grants(self, peer: int, now: int) -> dict[int, float]:
+        """Grant a peer what can be spared of each volume that it requests; return the shares."""
+        contact = self.contacts.get(peer)
+        if contact is None or self.is_quarantined(now):
             return {}
-        grants = {}
-        for volume, (_, hosts, at) in list(peer.asks.items()):
-            if now - at > self._limits.stale_us:
-                del peer.asks[volume]
+        grants: dict[int, float] = {}
+        for volume, request in list(contact.requests.items()):
+            if now - request.received_at > self._limits.stale_us:
+                del contact.requests[volume]
                 continue
-            share = self._grantable_share(volume, hosts, who, now)
+            share = self._grantable_share(volume, request.hosts, peer, now)
             if share > 0:
                 grants[volume] = share
-                self._granted.setdefault(volume, {}).setdefault(who, []).append(
-                    (share, now + self._quarantine_us)
-                )
+                self._granted.add(volume, peer, Grant(share, now + self._quarantine_us))
                 self.recheck_at = now
         return grants
 
-    def _grantable_share(self, volume: int, hosts: int, who: int, now: int) -> float:
-        """What of this head's even part it can leave to that one: of what it does not want for itself, by how
-        much each asker lacks; never what it has left to others already."""
-        own = self.demands.get(volume)
-        mine = own.wants(now, self._limits) if own else 0.0
-        askers = [
-            (peer, p.asks[volume][0])
-            for peer, p in sorted(self.contacts.items())
-            if volume in p.asks and now - p.asks[volume][2] <= self._limits.stale_us
-        ]
-        idle = max(0, hosts - 1 - len(askers))
-        targets = fill(1.0, [mine, *(want for _, want in askers)] + [0.0] * idle)
-        lacks = {
-            peer: max(0.0, target - 1 / hosts) for (peer, _), target in zip(askers, targets[1:], strict=False)
-        }
-        if not lacks.get(who):
+    def _grantable_share(self, volume: int, hosts: int, peer: int, now: int) -> float:
+        """Return how much of its even share this instance can grant to a peer, rounded down to a step.
+
+        Never what other peers may still use, nor what was spent of a budget and is locked.
+        """
+        demand = self.demands.get(volume)
+        wanted = 0.0 if demand is None else demand.wanted_share(now, self._limits)
+        spare = spare_share(wanted, self._current_requests(volume, now), hosts, peer)
+        if not spare:
             return 0.0
-        spare = max(0.0, 1 - targets[0] * hosts) * lacks[who] / sum(lacks.values())
-        others = sum(
-            self._granted_share(volume, taker, now) for taker in self._granted.get(volume, {}) if taker != who
-        )
-        locked = own.locked(now, self.window_us) * hosts if own else 0.0
-        return max(0, int(min(spare, 1 - others - locked) * self._limits.steps)) / self._limits.steps
+        granted = self._granted.total(volume, now, except_peer=peer)
+        locked = 0.0 if demand is None else demand.locked_share(now, self.window_us) * hosts
+        steps = int(min(spare, 1 - granted - locked) * self._limits.steps)
+        return max(0, steps) / self._limits.steps
+
+    def _current_requests(self, volume: int, now: int) -> dict[int, float]:
+        """Return the share that each peer requests of a volume, in the order of their numbers."""
+        requests: dict[int, float] = {}
+        for peer, contact in sorted(self.contacts.items(), key=lambda item: item[0]):
+            request = contact.requests.get(volume)
+            if request is not None and now - request.received_at <= self._limits.stale_us:
+                requests[peer] = request.share
+        return requests
+
+    # Using
 
-    def _granted_share(self, volume: int, taker: int, now: int) -> float:
-        """The most that a head may still have of this one's part: each grant until it must have ended."""
-        given = self._granted[volume][taker] = [g for g in self._granted[volume][taker] if g[1] > now]
-        return max((share for share, _ in given), default=0.0)
+    def usable_share(self, volume: int, now: int) -> float:
+        """Return the share of the limit that this instance may use at this moment.
 
-    # What is this head's
+        It is what is left of its own even share, and what peers must have granted to it.
+        """
+        demand = self.demands[volume]
+        granted = 1.0 if self.is_quarantined(now) else self._granted.total(volume, now)
+        received = self._counted_shares(volume, demand, now)
+        return (max(0.0, 1 - granted) + sum(received)) / demand.hosts
 
-    def usable_share(self, volume: int, now: int) -> float:
-        """Of the limit, at this moment: what is left of its even part, and what others must have left to it.
+    def _counted_shares(self, volume: int, demand: Demand, now: int) -> list[float]:
+        """Return the received shares that count.
 
-        Which heads are the volume's others is not told: those that have asked for it are known. A head that
-        does not know the volume leaves its even part all the same, but it may be none of them: for each that
-        is not known, the least of the other heads' shares counts.
+        Which peers are the volume's hosts is not announced; those that have requested it are known to be. A
+        peer that does not know the volume grants of its even share all the same, but it may be none of the
+        hosts: for each host that is not known, the least of the other peers' shares counts.
         """
-        own = self.demands[volume]
-        lent = (
-            1.0
-            if self.quarantined(now)
-            else sum(self._granted_share(volume, taker, now) for taker in self._granted.get(volume, {}))
-        )
-        held = {who: share for who, (share, until) in self._received.get(volume, {}).items() if until > now}
-        known = [who for who, at in own.others.items() if now - at <= self._limits.known_us]
-        known = known if len(known) < own.hosts else []  # its heads have changed: nothing is known of them
-        unknown = self._found and not self.window_us  # of a budget, every head is one of its hosts
-        rest = [] if unknown else sorted(held.get(who, 0.0) for who in self.peer_numbers if who not in known)
-        shares = [held.get(who, 0.0) for who in known] + rest[: own.hosts - 1 - len(known)]
-        return (max(0.0, 1 - lent) + sum(shares)) / own.hosts
+        received = self._received.shares(volume, now)
+        hosts = [
+            peer
+            for peer, requested_at in demand.requested_by.items()
+            if now - requested_at <= self._limits.known_us
+        ]
+        if len(hosts) >= demand.hosts:
+            hosts = []  # the volume's hosts have changed: none of them is known
+        shares = [received.get(peer, 0.0) for peer in hosts]
+        if self._members_discovered and not self.window_us:
+            return shares  # a host may be an instance that is not discovered yet; of a budget, all are hosts
+        others = sorted(received.get(peer, 0.0) for peer in self.peer_numbers if peer not in hosts)
+        return shares + others[: demand.hosts - 1 - len(hosts)]
 
     def changed_shares(self, now: int) -> dict[str, float]:
-        """The parts that have changed since they were last told; a call at each turn of the loop costs
-        nothing while none can have. A lease that ran out while the process stood still is seen here, before
-        the module may send."""
+        """Return the usable shares, by name, that have changed since the last call.
+
+        It is called in each event-loop iteration, and costs nothing while no share can have changed. A lease
+        that expired while the process stood still is noticed here, before the decision module may send.
+        """
         if now < self.recheck_at:
             return {}
         changed: dict[str, float] = {}
-        for volume, own in list(self.demands.items()):
-            part = self.usable_share(volume, now)
-            if part != self._shares.get(volume):
-                self._shares[volume] = changed[own.name] = part
-            # What is held of it at the module outlasts what is wanted: until then it must hear what is given.
-            if now - own.rate.at > self._limits.known_us and part == 1 / own.hosts and not own.held:
+        for volume, demand in list(self.demands.items()):
+            share = self.usable_share(volume, now)
+            if share != self._shares.get(volume):
+                self._shares[volume] = share
+                changed[demand.name] = share
+            if self._is_idle(demand, share, now):
                 del self.demands[volume]
-                self._received.pop(volume, None)
+                self._received.forget_volume(volume)
                 self._shares.pop(volume, None)
         self._drop_expired(now)
         return changed
 
+    def _is_idle(self, demand: Demand, share: float, now: int) -> bool:
+        """Return whether a demand can be forgotten.
+
+        Requests may be queued in the decision module for long after they arrived: for that time it must learn
+        what is granted to others.
+        """
+        unused = now - demand.rate.at > self._limits.known_us
+        return unused and share == 1 / demand.hosts and not demand.in_use
+
     def _drop_expired(self, now: int) -> None:
-        """Drops what has ended, and finds out when the next thing does."""
-        ends = []
-        if self.quarantined(now):
-            ends.append(NEVER_US if self.resumes_at is None else self.resumes_at)
-        for volume, givers in list(self._received.items()):
-            for who in [who for who, (_, until) in givers.items() if until <= now]:
-                del givers[who]
-            ends += [until for _, until in givers.values()]
-            if not givers:
-                del self._received[volume]
-        for volume, takers in list(self._granted.items()):
-            for who in list(takers):
-                self._granted_share(volume, who, now)
-                ends += [until for _, until in takers[who]]
-                if not takers[who]:
-                    del takers[who]
-            if not takers:
-                del self._granted[volume]
+        """Forget grants that have expired, and find out when the next thing does."""
+        ends = self._received.drop_expired(now) + self._granted.drop_expired(now)
+        if self.resumes_at is None:
+            ends.append(NEVER_US)
+        elif self.resumes_at > now:
+            ends.append(self.resumes_at)
         self.recheck_at = min(ends, default=now + self._limits.lease_us)
 
     def current_shares(self) -> dict[str, float]:
-        """The parts as the module has them; they hold until `look_at` at most."""
-        return {own.name: self._shares[volume] for volume, own in self.demands.items()}
+        """Return the usable shares as last reported; they hold until `recheck_at` at most."""
+        return {demand.name: self._shares[volume] for volume, demand in self.demands.items()}
 
-    # For operators
+    # Rows for operators
 
-    def limit_rows(self, now: int) -> list[dict[str, object]]:
-        """Of each limited volume asked for here: this head's part, and who has what of whose until when."""
+    def limit_rows(self, now: int) -> list[LimitRow]:
+        """Return, for each limit with a demand here, this instance's share and the grants that hold."""
         return [
-            {
-                "volume": own.name,
-                "hosts": own.hosts,
-                "part": round(self.usable_share(volume, now), 4),
-                "wants": round(own.wants(now, self._limits), 4),
-                "left": [
-                    {"head": who, "share": share, "for_ms": (until - now) // 1000}
-                    for who, given in sorted(self._granted.get(volume, {}).items())
-                    for share, until in given[-1:]
-                    if until > now
-                ],
-                "had": [
-                    {"head": who, "share": share, "for_ms": (until - now) // 1000}
-                    for who, (share, until) in sorted(self._received.get(volume, {}).items())
-                    if until > now
-                ],
-            }
-            for volume, own in sorted(self.demands.items(), key=lambda item: item[1].name)
+            LimitRow(
+                demand.name,
+                demand.hosts,
+                round(self.usable_share(volume, now), 4),
+                round(demand.wanted_share(now, self._limits), 4),
+                _grant_rows(self._granted.latest(volume, now), now),
+                _grant_rows(self._received.current(volume, now), now),
+            )
+            for volume, demand in sorted(self.demands.items(), key=lambda item: item[1].name)
         ]
 
-    def member_rows(self, now: int) -> list[dict[str, object]]:
-        """Each head of the tier: which life of it was heard last, and how long ago."""
-        wanted = sum(own.wants(now, self._limits) > 0 for own in self.demands.values())
+    def peer_rows(self, now: int) -> list[PeerRow]:
+        """Return each instance of the fleet, with the last incarnation that was heard of it."""
         return [
-            {
-                "head": who,
-                "me": who == self.me,
-                "life": self.life if who == self.me else peer.life if peer else None,
-                "heard_ms": 0 if who == self.me else (now - peer.heard_at) // 1000 if peer else None,
-                "asks": wanted if who == self.me else len(peer.asks) if peer else 0,
-            }
-            for who in sorted(self.peer_numbers | {self.me})
-            for peer in [self.contacts.get(who)]
+            self._own_row(now) if number == self.identity.number else self._peer_row(number, now)
+            for number in sorted(self.peer_numbers | {self.identity.number})
         ]
+
+    def _own_row(self, now: int) -> PeerRow:
+        wanted = sum(demand.wanted_share(now, self._limits) > 0 for demand in self.demands.values())
+        return PeerRow(self.identity.number, True, self.identity.incarnation, 0, wanted)
+
+    def _peer_row(self, number: int, now: int) -> PeerRow:
+        contact = self.contacts.get(number)
+        if contact is None:
+            return PeerRow(number, False, None, None, 0)
+        last_received_ms = (now - contact.received_at) // 1000
+        incarnation = contact.last_message.incarnation
+        return PeerRow(number, False, incarnation, last_received_ms, len(contact.requests))
+
+
+def _grant_rows(grants: Iterable[tuple[int, Grant]], now: int) -> tuple[GrantRow, ...]:
+    return tuple(GrantRow(peer, grant.share, (grant.expires_at - now) // 1000) for peer, grant in grants)
+
+
+@dataclass(frozen=True, slots=True)
+class SharedLeases:
+    """Leases on budgets, and the number of instances that the budgets are divided among."""
+
+    leases: Leases
+    hosts: int
--- a/garnetlanding/peers/local_observations.py
+++ b/garnetlanding/peers/local_observations.py
@@ -1,5 +1,7 @@
-"""What this head itself has seen of each listed server, from the events and actions that pass to and from the
-decision module. Observes; decides nothing for a request. No clock, no socket.
+"""What this instance itself has observed of each listed backend.
+
+The events and actions that pass to and from the decision module are observed; nothing is decided here for any
+request. No clock and no socket. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -9,131 +11,186 @@
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.interface import Outcome
-from garnetlanding.peers.gossip_message import MAX_UPTIME, Evidence, EvidenceKind, tag
-from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.codec import tag
+from garnetlanding.peers.gossip_message import MAX_UPTIME, Evidence, EvidenceKind
+from garnetlanding.peers.limits import MS, PeerLimits
+
+UPTIME_UNIT_US = 100_000  # evidence tells uptimes in 0.1 s
+RESPONSES = (Outcome.SERVED, Outcome.ERROR, Outcome.FULL)  # the backend itself has responded
+NOT_RESPONDING = (EvidenceKind.UNREACHABLE, EvidenceKind.UNRESPONSIVE)
+
+
+@dataclass(slots=True)
+class Streak:
+    """Events of one sort in a row."""
+
+    count: int = 0
+    last_at: int = 0  # of the last of them; without meaning while there is none
 
-TENTH = 100_000
-NEVER = -(1 << 62)
-SPOKE = (Outcome.SERVED, Outcome.ERROR, Outcome.FULL)
+    def extend(self, now: int) -> None:
+        """Add an event."""
+        self.count += 1
+        self.last_at = now
+
+    def reset(self) -> None:
+        """End the streak: an event of another sort came."""
+        self.count = 0
+
+
+@dataclass(frozen=True, slots=True)
+class Finding:
+    """What the observations of a backend amount to."""
+
+    kind: EvidenceKind
+    count: int  # of the events that it rests on
+    observed_at: int  # the last of them
 
 
 @dataclass(slots=True)
 class Observation:
-    """Of one life of one server. Times are those of the last such observation."""
-
-    entry: api.Endpoint
-    heard_at: int = NEVER  # any answer
-    served_at: int = NEVER
-    quick_at: int = NEVER  # served within the tightest aim
-    out: dict[str, int] = field(default_factory=dict)  # requests sent and unanswered, and when
-    refused: int = 0  # in a row
-    refused_at: int = NEVER
-    unheard: int = 0  # attempts given up, in a row
-    unheard_at: int = NEVER
-    full: int = 0  # in a row
-    full_at: int = NEVER
-    answers: int = 0
-    latency: float = 0.0  # mean, of served ones
-    back_at: int = NEVER  # answered again after it was dead or silent
-
-    def proof_at(self, kind: EvidenceKind) -> int:
-        """The last moment at which this head saw the contrary."""
-        if kind in (EvidenceKind.UNREACHABLE, EvidenceKind.UNRESPONSIVE):
-            return self.heard_at
-        return self.served_at if kind is EvidenceKind.OVERLOADED else self.quick_at
+    """Of one incarnation of one backend. Times are those of the last such event; None: there was none."""
+
+    endpoint: api.Endpoint
+    responded_at: int | None = None
+    served_at: int | None = None
+    prompt_at: int | None = None  # served within the tightest latency objective
+    in_flight: dict[str, int] = field(default_factory=dict)  # requests, and when each was first sent
+    refused: Streak = field(default_factory=Streak)  # connects
+    timed_out: Streak = field(default_factory=Streak)  # attempts
+    rejected: Streak = field(default_factory=Streak)  # attempts: the backend was full
+    served: int = 0
+    latency_us: float = 0.0  # moving average, of attempts that were served
+    recovered_at: int | None = None  # responded again after it was unreachable or unresponsive
+
+    def contradicted_at(self, kind: EvidenceKind) -> int | None:
+        """Return when this instance last observed the contrary of such evidence."""
+        if kind in NOT_RESPONDING:
+            return self.responded_at
+        if kind is EvidenceKind.OVERLOADED:
+            return self.served_at
+        return self.prompt_at
+
+    def overdue(self, since: int) -> int:
+        """Return how many requests were sent by then and are in flight; 0 if the backend responded later."""
+        if self.responded_at is not None and self.responded_at > since:
+            return 0
+        return sum(sent_at <= since for sent_at in self.in_flight.values())
 
 
 class LocalObservations:
+    """The observations of all listed backends that are up."""
+
     def __init__(self, limits: PeerLimits) -> None:
         self._limits = limits
         self.backends: dict[str, Observation] = {}
-        self.names_by_tag: dict[int, str] = {}  # by tag
+        self.names_by_tag: dict[int, str] = {}
 
     def observe_events(self, now: int, events: Iterable[api.Event], tightest_us: int) -> None:
-        """Before the module is told of them."""
+        """Observe events before the decision module handles them.
+
+        `tightest_us` is the tightest latency objective of all classes.
+        """
         for event in events:
             match event:
                 case api.EndpointListUpdate():
-                    self._listed(event)
+                    self._update_endpoints(event)
                 case api.Result():
-                    if sight := self.backends.get(event.node):
-                        self._ended(sight, event, now, tightest_us)
+                    if observation := self.backends.get(event.node):
+                        self._observe_result(observation, event, now, tightest_us)
 
     def observe_actions(self, now: int, actions: Iterable[api.Action]) -> None:
+        """Observe which requests the decision module sends where."""
         for action in actions:
-            if isinstance(action, api.Send) and (sight := self.backends.get(action.node)):
-                sight.out.setdefault(action.request, now)
+            if isinstance(action, api.Send) and (observation := self.backends.get(action.node)):
+                observation.in_flight.setdefault(action.request, now)
 
-    def _listed(self, event: api.EndpointListUpdate) -> None:
-        if event.failed:
+    def _update_endpoints(self, update: api.EndpointListUpdate) -> None:
+        if update.failed:
             return
-        told = {e.node: e for e in event.entries}
-        if event.whole:
-            for node in set(self.backends) - set(told):
-                self._drop(node)
-        for node, entry in told.items():
-            known = self.backends.get(node)
-            if entry.state is not api.EndpointState.UP or entry.admin_disabled:
-                self._drop(node)
-            elif known is None or known.entry.started_us != entry.started_us:
-                self.backends[node] = Observation(entry)
-                self.names_by_tag[tag(node)] = node
-
-    def _drop(self, node: str) -> None:
-        if self.backends.pop(node, None):
-            self.names_by_tag.pop(tag(node), None)
-
-    def _ended(self, sight: Observation, e: api.Result, now: int, tightest_us: int) -> None:
-        if e.outcome in SPOKE and (was := self._verdict(sight, now, tightest_us)):
-            sight.back_at = (
-                now if was[0] in (EvidenceKind.UNREACHABLE, EvidenceKind.UNRESPONSIVE) else sight.back_at
-            )
-        sight.out.pop(e.request, None)
-        if e.outcome in SPOKE:
-            sight.heard_at, sight.refused, sight.unheard = now, 0, 0
-        match e.outcome:
+        endpoints = {endpoint.node: endpoint for endpoint in update.entries}
+        if update.whole:
+            for name in set(self.backends) - set(endpoints):
+                self._drop(name)
+        for name, endpoint in endpoints.items():
+            known = self.backends.get(name)
+            if endpoint.state is not api.EndpointState.UP or endpoint.admin_disabled:
+                self._drop(name)
+            elif known is None or known.endpoint.started_us != endpoint.started_us:
+                self.backends[name] = Observation(endpoint)
+                self.names_by_tag[tag(name)] = name
+
+    def _drop(self, name: str) -> None:
+        if self.backends.pop(name, None):
+            self.names_by_tag.pop(tag(name), None)
+
+    def _observe_result(
+        self, observation: Observation, result: api.Result, now: int, tightest_us: int
+    ) -> None:
+        responded = result.outcome in RESPONSES
+        if responded:
+            finding = self._find(observation, now, tightest_us)
+            if finding is not None and finding.kind in NOT_RESPONDING:
+                observation.recovered_at = now
+        observation.in_flight.pop(result.request, None)
+        if responded:
+            observation.responded_at = now
+            observation.refused.reset()
+            observation.timed_out.reset()
+        match result.outcome:
             case Outcome.SERVED:
-                sight.served_at, sight.full = now, 0
-                sight.quick_at = now if e.took_us <= tightest_us else sight.quick_at
-                gain = self._limits.answer_gain if sight.answers else 1.0
-                sight.latency += (e.took_us - sight.latency) * gain
-                sight.answers += 1
+                self._observe_served(observation, result.took_us, now, tightest_us)
             case Outcome.UNREACHABLE:
-                sight.refused, sight.refused_at = sight.refused + 1, now
+                observation.refused.extend(now)
             case Outcome.TIMEOUT:
-                sight.unheard, sight.unheard_at = sight.unheard + 1, now
+                observation.timed_out.extend(now)
             case Outcome.FULL:
-                sight.full, sight.full_at = sight.full + 1, now
-
-    def evidence(self, now: int, tightest_us: int) -> list[tuple[str, Evidence]]:
-        """What is to be told, the freshest first: by server, one verdict each."""
-        found: list[tuple[str, Evidence]] = []
-        for node, sight in self.backends.items():
-            if seen := self._verdict(sight, now, tightest_us):
-                kind, count, at = seen
-                if now - at <= self._limits.word_us:
-                    age = -(-(now - at) // 1000)
-                    found.append((node, Evidence(kind, tag(node), life_of(sight.entry, now), count, age)))
-        return sorted(found, key=lambda one: one[1].age_ms)
-
-    def _verdict(self, s: Observation, now: int, tightest_us: int) -> tuple[EvidenceKind, int, int] | None:
-        """Kind, count, and when last seen."""
+                observation.rejected.extend(now)
+
+    def _observe_served(self, observation: Observation, took_us: int, now: int, tightest_us: int) -> None:
+        observation.served_at = now
+        observation.rejected.reset()
+        if took_us <= tightest_us:
+            observation.prompt_at = now
+        gain = self._limits.answer_gain if observation.served else 1.0
+        observation.latency_us += (took_us - observation.latency_us) * gain
+        observation.served += 1
+
+    def evidence(self, now: int, tightest_us: int) -> dict[str, Evidence]:
+        """Return the evidence to be sent, by backend: at most one each, the most recent first."""
+        found: dict[str, Evidence] = {}
+        for name, observation in self.backends.items():
+            finding = self._find(observation, now, tightest_us)
+            if finding is None or now - finding.observed_at > self._limits.word_us:
+                continue
+            age_ms = -(-(now - finding.observed_at) // MS)
+            uptime = uptime_of(observation.endpoint, now)
+            found[name] = Evidence(finding.kind, tag(name), uptime, finding.count, age_ms)
+        return dict(sorted(found.items(), key=lambda item: item[1].age_ms))
+
+    def _find(self, observation: Observation, now: int, tightest_us: int) -> Finding | None:
+        """Return the gravest thing that the observations amount to."""
         limits = self._limits
-        if s.refused >= limits.refused_row:
-            return EvidenceKind.UNREACHABLE, s.refused, s.refused_at
-        since = now - int(limits.silent_aims * tightest_us)
-        late = sum(sent <= since for sent in s.out.values()) if s.heard_at <= since else 0
-        if late + s.unheard >= limits.silent_out:
-            return EvidenceKind.UNRESPONSIVE, late + s.unheard, now if late else s.unheard_at
-        if s.full >= limits.full_row:
-            return EvidenceKind.OVERLOADED, s.full, s.full_at
-        if s.answers >= limits.slow_answers and s.latency > limits.slow_aims * tightest_us:
-            return EvidenceKind.SLOW, s.answers, s.served_at
-        if s.back_at > NEVER:
-            return EvidenceKind.RECOVERED, 1, s.back_at
+        refused = observation.refused
+        if refused.count >= limits.refused_row:
+            return Finding(EvidenceKind.UNREACHABLE, refused.count, refused.last_at)
+        overdue = observation.overdue(now - int(limits.silent_aims * tightest_us))
+        timed_out = observation.timed_out
+        if overdue + timed_out.count >= limits.silent_out:
+            observed_at = now if overdue else timed_out.last_at
+            return Finding(EvidenceKind.UNRESPONSIVE, overdue + timed_out.count, observed_at)
+        rejected = observation.rejected
+        if rejected.count >= limits.full_row:
+            return Finding(EvidenceKind.OVERLOADED, rejected.count, rejected.last_at)
+        is_slow = observation.latency_us > limits.slow_aims * tightest_us
+        if is_slow and observation.served >= limits.slow_answers and observation.served_at is not None:
+            return Finding(EvidenceKind.SLOW, observation.served, observation.served_at)
+        if observation.recovered_at is not None:
+            return Finding(EvidenceKind.RECOVERED, 1, observation.recovered_at)
         return None
 
 
-def life_of(entry: api.Endpoint, now: int) -> int:
-    """How long ago a server's process started, as it is told."""
-    return min(MAX_UPTIME, max(0, now - entry.started_us) // TENTH) if entry.started_us else MAX_UPTIME
+def uptime_of(endpoint: api.Endpoint, now: int) -> int:
+    """Return how long ago a backend's process started, as evidence tells it."""
+    if not endpoint.started_us:
+        return MAX_UPTIME
+    return min(MAX_UPTIME, max(0, now - endpoint.started_us) // UPTIME_UNIT_US)
--- a/garnetlanding/peers/membership_protocol.py
+++ b/garnetlanding/peers/membership_protocol.py
@@ -5,7 +5,7 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 
 from garnetlanding.peers import codec, membership_message
 from garnetlanding.peers.codec import Envelope, MessageError
@@ -68,7 +68,7 @@
             self._say_so()
 
     def say(
-        self, heads: dict[int, tuple[int, int]], life: int, sending: Callable[[], int]
+        self, heads: Mapping[int, tuple[int, int]], life: int, sending: Callable[[], int]
     ) -> list[tuple[int, Envelope]]:
         """One message to each, or a few. `heads`: life and number of the last message heard from each;
         `sending` gives the number of another message."""
--- a/garnetlanding/peers/shared_budgets.py
+++ b/garnetlanding/peers/shared_budgets.py
@@ -1,112 +1,156 @@
-"""What all heads together may spend within a window, and this head's share of it: units at a server that has
-just started, list calls, the free part of attempts beyond the first. Sees the events and actions that pass to
-and from the module; leases divide it (docs/design/fleet-limits.md). No clock, no socket.
+"""Budgets that all instances of the fleet share, and this instance's shares of them.
+
+They are what may be spent within a window: units at a backend that is warming up, calls for the endpoint
+list, and the free part of retries. The events and actions that pass to and from the decision module are
+observed for what is requested and spent; leases divide the budgets (docs/design/fleet-limits.md). No clock
+and no socket.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable
+from dataclasses import dataclass
 
 from garnetlanding.decision import interface as api
 from garnetlanding.peers.codec import LeaseMessage
-from garnetlanding.peers.leases import Leases
+from garnetlanding.peers.demand import Demand
+from garnetlanding.peers.drop_reasons import DropReason
+from garnetlanding.peers.leases import InstanceIdentity, Leases
 from garnetlanding.peers.limits import SECOND, PeerLimits
 
 
+@dataclass(frozen=True, slots=True)
+class WarmingBackend:
+    """A backend whose process has just started, until when it counts as warming up (microseconds)."""
+
+    name: str
+    until: int
+
+
 class SharedBudgets:
-    def __init__(self, limits: PeerLimits, s: api.Settings, life: int, now: int, longest_us: int = 0) -> None:
-        """`longest_us`: a window beside those of the settings."""
+    """What this instance requests and spends of the shared budgets, and what it may spend."""
+
+    def __init__(
+        self, limits: PeerLimits, settings: api.Settings, incarnation: int, now: int, longest_us: int = 0
+    ) -> None:
+        """Begin as after a start. `longest_us` is a budget's window beside those of the settings."""
         self._limits = limits
-        longest = max(s.overload_window_us, s.retry_budget_window_us, limits.list_window_us, longest_us)
-        self.leases = Leases(limits, s.instance_id, s.instances, life, now, window_us=longest)
-        self._cold: dict[int, tuple[str, int]] = {}  # by cell: the server that is cold, until when
-        self._units: dict[str, float] = {}  # of requests that may go to one of them
-        self._sent: set[str] = set()  # requests with an attempt, where further ones have a budget
-
-    def observe_events(self, now: int, events: Iterable[api.Event], s: api.Settings, hosts: int) -> None:
-        """Before the module is told of them. `hosts`: the heads that share everything."""
+        window_us = max(
+            settings.overload_window_us, settings.retry_budget_window_us, limits.list_window_us, longest_us
+        )
+        identity = InstanceIdentity(settings.instance_id, settings.instances, incarnation)
+        self.leases = Leases(limits, identity, now, window_us=window_us)
+        self._warming: dict[int, WarmingBackend] = {}  # by cell
+        self._units: dict[str, float] = {}  # of requests that may be sent to one of them
+        self._sent: set[str] = set()  # requests with an attempt, where retries have a budget
+
+    def observe_events(
+        self, now: int, events: Iterable[api.Event], settings: api.Settings, hosts: int
+    ) -> None:
+        """Record what is requested of the budgets, before the decision module handles the events.
+
+        `hosts` is the number of instances that share the budgets.
+        """
         for event in events:
             match event:
                 case api.EndpointListUpdate(failed=True):
+                    window_us = self._limits.list_window_us
                     self.leases.record_demand(
-                        api.LIST_CALLS, hosts, self._limits.list_calls, 1, now, self._limits.list_window_us
+                        api.LIST_CALLS, hosts, self._limits.list_calls, 1, now, window_us
                     )
                 case api.EndpointListUpdate():
-                    self._listed(event, now, s)
-                case api.Arrival() if event.cell in self._cold and s.warmup_units:
-                    node, until = self._cold[event.cell]
-                    if now >= until:
-                        del self._cold[event.cell]
-                        continue
-                    self._units[event.request] = event.units
-                    self.leases.record_demand(
-                        api.warmup_budget(node),
-                        hosts,
-                        s.warmup_units * SECOND / s.overload_window_us,
-                        event.units,
-                        now,
-                        s.overload_window_us,
-                    )
+                    self._update_warming(event, now, settings)
+                case api.Arrival():
+                    self._request_warmup(event, now, settings, hosts)
                 case api.ClientLeft():
-                    self._over(event.request)
+                    self._forget(event.request)
                 case api.Result():
-                    if (
-                        s.retry_budget_window_us
-                        and s.retry_budget_floor
-                        and event.outcome is not api.Outcome.SERVED
-                    ):
-                        pace = s.retry_budget_floor * hosts * SECOND / s.retry_budget_window_us
-                        self.leases.record_demand(api.RESENDS, hosts, pace, 1, now, s.retry_budget_window_us)
+                    self._request_retry(event, now, settings, hosts)
                     if event.over:
-                        self._over(event.request)
+                        self._forget(event.request)
 
-    def _listed(self, event: api.EndpointListUpdate, now: int, s: api.Settings) -> None:
-        if event.whole:
-            self._cold.clear()
-        for entry in event.entries:
-            until = entry.started_us + s.warmup_us
+    def _update_warming(self, update: api.EndpointListUpdate, now: int, settings: api.Settings) -> None:
+        if update.whole:
+            self._warming.clear()
+        for entry in update.entries:
+            until = entry.started_us + settings.warmup_us
+            known = self._warming.get(entry.cell)
             if entry.state is api.EndpointState.UP and entry.started_us and now < until:
-                self._cold[entry.cell] = entry.node, until
-            elif self._cold.get(entry.cell, ("", 0))[0] == entry.node:
-                del self._cold[entry.cell]
+                self._warming[entry.cell] = WarmingBackend(entry.node, until)
+            elif known is not None and known.name == entry.node:
+                del self._warming[entry.cell]
+
+    def _request_warmup(self, arrival: api.Arrival, now: int, settings: api.Settings, hosts: int) -> None:
+        backend = self._warming.get(arrival.cell)
+        if backend is None or not settings.warmup_units:
+            return
+        if now >= backend.until:
+            del self._warming[arrival.cell]
+            return
+        self._units[arrival.request] = arrival.units
+        self.leases.record_demand(
+            api.warmup_budget(backend.name),
+            hosts,
+            settings.warmup_units * SECOND / settings.overload_window_us,
+            arrival.units,
+            now,
+            settings.overload_window_us,
+        )
 
-    def _over(self, request: str) -> None:
+    def _request_retry(self, result: api.Result, now: int, settings: api.Settings, hosts: int) -> None:
+        window_us = settings.retry_budget_window_us
+        if not window_us or not settings.retry_budget_floor or result.outcome is api.Outcome.SERVED:
+            return
+        rate = settings.retry_budget_floor * hosts * SECOND / window_us
+        self.leases.record_demand(api.RESENDS, hosts, rate, 1, now, window_us)
+
+    def _forget(self, request: str) -> None:
         self._units.pop(request, None)
         self._sent.discard(request)
 
-    def observe_actions(self, now: int, actions: Iterable[api.Action], s: api.Settings) -> None:
-        """After the module has decided: what it spends."""
+    def observe_actions(self, now: int, actions: Iterable[api.Action], settings: api.Settings) -> None:
+        """Record what the decision module has spent of the budgets."""
         for action in actions:
             match action:
                 case api.Send():
-                    if units := self._units.get(action.request):
-                        self.leases.record_spent(api.warmup_budget(action.node), units, now)
-                    if s.retry_budget_window_us:
-                        if action.request in self._sent:
-                            self.leases.record_spent(api.RESENDS, 1, now)
-                        self._sent.add(action.request)
+                    self._spend_attempt(action, now, settings)
                 case api.Subscribe():
                     self.leases.record_spent(api.LIST_CALLS, 1, now)
                 case api.Reject() | api.Fail():
-                    self._over(action.request)
+                    self._forget(action.request)
+
+    def _spend_attempt(self, attempt: api.Send, now: int, settings: api.Settings) -> None:
+        if units := self._units.get(attempt.request):
+            self.leases.record_spent(api.warmup_budget(attempt.node), units, now)
+        if settings.retry_budget_window_us:
+            if attempt.request in self._sent:
+                self.leases.record_spent(api.RESENDS, 1, now)
+            self._sent.add(attempt.request)
 
     def changed_shares(self, now: int, hosts: int) -> dict[str, float] | None:
-        """Of each budget that is asked for, this head's share as a multiple of 1 / hosts; None: as told."""
+        """Return what this instance may spend of each budget; None where nothing has changed.
+
+        A budget that is counted has the number that may be spent, any other a multiple of an even share.
+        """
         if not self.leases.changed_shares(now):
             return None
-        shares = {name: share * (whole or hosts) for name, share, whole in self._believed()}
+        current = self.leases.current_shares()
+        shares = {
+            demand.name: current[demand.name] * (_counted_size(demand) or hosts)
+            for demand in self.leases.demands.values()
+        }
         if api.LIST_CALLS in shares:
-            # A head that may not ask at all could stay without a list: some it may always.
+            # An instance that may not call at all could stay without a list: some calls it may always make.
             shares[api.LIST_CALLS] = max(self._limits.list_least, shares[api.LIST_CALLS])
         return shares
 
-    def _believed(self) -> Iterator[tuple[str, float, float]]:
-        """Name and share of each budget, and how much the whole of it is, of what is told by number."""
-        believed = self.leases.current_shares()
-        for own in self.leases.demands.values():
-            counted = own.name.startswith(api.concurrency_budget(""))
-            yield own.name, believed[own.name], own.limit * own.window_us / SECOND if counted else 0.0
-
-    def receive(self, sender: int, message: LeaseMessage, now: int) -> str:
-        """Takes a head's word up; returns why not, if not."""
+    def receive(self, sender: int, message: LeaseMessage, now: int) -> DropReason | None:
+        """Take up a peer's requests and grants; return why the message is dropped, if it is."""
         return self.leases.receive(sender, message, now)
+
+
+def _counted_size(demand: Demand) -> float:
+    """Return how much the whole of a budget is whose shares are numbers; 0 for any other."""
+    if not demand.name.startswith(api.concurrency_budget("")):
+        return 0.0
+    return demand.limit * demand.window_us / SECOND
--- /dev/null
+++ b/garnetlanding/peers/status.py
@@ -0,0 +1,135 @@
+"""The rows that `ops fleet limits`, `members`, `verdicts` and `bans` show, and their one encoder.
+
+The JSON fields are the operators' and stay; each row writes them out field by field in `as_json`.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Protocol
+
+
+class StatusRow(Protocol):
+    """One row of an operators' table."""
+
+    def as_json(self) -> dict[str, object]:
+        """Return the row's JSON fields, in the order in which they are shown."""
+        ...
+
+
+@dataclass(frozen=True, slots=True)
+class GrantRow:
+    """A grant that has not expired."""
+
+    peer: int  # the receiver, or the grantor
+    share: float
+    expires_in_ms: int
+
+    def as_json(self) -> dict[str, object]:
+        """Return the row's JSON fields."""
+        return {"head": self.peer, "share": self.share, "for_ms": self.expires_in_ms}
+
+
+@dataclass(frozen=True, slots=True)
+class LimitRow:
+    """How this instance sees a volume's limit, or a budget, divided; shares are of the whole limit."""
+
+    volume: str
+    hosts: int
+    usable_share: float
+    wanted_share: float
+    granted: tuple[GrantRow, ...]
+    received: tuple[GrantRow, ...]
+
+    def as_json(self) -> dict[str, object]:
+        """Return the row's JSON fields."""
+        return {
+            "volume": self.volume,
+            "hosts": self.hosts,
+            "part": self.usable_share,
+            "wants": self.wanted_share,
+            "left": [grant.as_json() for grant in self.granted],
+            "had": [grant.as_json() for grant in self.received],
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class PeerRow:
+    """An instance of a fleet whose members are configured."""
+
+    instance: int
+    is_self: bool
+    incarnation: int | None  # None: nothing received from it yet
+    last_received_ms: int | None  # ago
+    requested_volumes: int
+
+    def as_json(self) -> dict[str, object]:
+        """Return the row's JSON fields."""
+        return {
+            "head": self.instance,
+            "me": self.is_self,
+            "life": self.incarnation,
+            "heard_ms": self.last_received_ms,
+            "asks": self.requested_volumes,
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class ClaimRow:
+    """What one peer claims of a backend."""
+
+    peer: int
+    kind: str  # the label of an `EvidenceKind`
+    count: int  # of the events that it rests on
+    age_ms: int  # at most
+    credit: float  # of the peer, 0 to 1
+
+    def as_json(self) -> dict[str, object]:
+        """Return the row's JSON fields."""
+        return {
+            "head": self.peer,
+            "says": self.kind,
+            "count": self.count,
+            "age_ms": self.age_ms,
+            "credit": self.credit,
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class SuspicionRow:
+    """What this instance and its peers have observed of a backend."""
+
+    backend: str
+    observed_kind: str  # the label of an `EvidenceKind`; empty: nothing unusual was observed here
+    observed_age_ms: int | None
+    suspected_for_ms: int | None  # from now on, at most; None: it is not suspected
+    claims: tuple[ClaimRow, ...]
+
+    def as_json(self) -> dict[str, object]:
+        """Return the row's JSON fields."""
+        return {
+            "server": self.backend,
+            "own": self.observed_kind,
+            "own_ms": self.observed_age_ms,
+            "doubted_ms": self.suspected_for_ms,
+            "words": [claim.as_json() for claim in self.claims],
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class DisabledBackendRow:
+    """The last record on a backend that operators have disabled or enabled."""
+
+    backend: str
+    disabled: bool
+    instance: int  # at which it was said
+    version: int
+
+    def as_json(self) -> dict[str, object]:
+        """Return the row's JSON fields."""
+        return {
+            "server": self.backend,
+            "out": self.disabled,
+            "head": self.instance,
+            "version": self.version,
+        }
--- a/garnetlanding/peers/suspicions.py
+++ b/garnetlanding/peers/suspicions.py
@@ -1,7 +1,8 @@
-"""What other heads' words about servers count for here: evidence with an age, never a verdict.
+"""What peers' claims about backends count for here: evidence with an age, never a decision.
 
-A word is believed until its greatest possible age; it counts by its author's credit; what this head has heard
-itself, later, beats it (docs/design/fleet-verdicts.md). No clock, no socket.
+A claim holds until its greatest possible age is reached. It counts by the credit of the peer that makes it,
+and what this instance has observed itself, later, refutes it (docs/design/fleet-verdicts.md). No clock and no
+socket. Times are microseconds of this instance's clock.
 """
 
 from __future__ import annotations
@@ -10,34 +11,56 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from garnetlanding.peers.drop_reasons import DropReason
 from garnetlanding.peers.gossip_message import MAX_UPTIME, Evidence, EvidenceKind
-from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.local_observations import NEVER, TENTH, LocalObservations, life_of
-
-MS = 1000
+from garnetlanding.peers.limits import MS, PeerLimits
+from garnetlanding.peers.local_observations import UPTIME_UNIT_US, LocalObservations, uptime_of
+from garnetlanding.peers.status import ClaimRow, SuspicionRow
 
 
 @dataclass(slots=True)
-class Claim:
-    """The last word of one head about one server."""
+class PeerClaim:
+    """The last claim of one peer about one backend."""
 
     kind: EvidenceKind
-    count: int
-    latest: int  # it was seen no later than this
-    until: int  # and no earlier than this less the greatest age
-    answered_at: int = NEVER  # this head's first proof of the contrary since the word, or the one before
+    count: int  # of the events that it rests on
+    latest_at: int  # it was observed no later than this
+    expires_at: int  # when it may be too old; it was observed no earlier than this less the greatest age
+    refuted_at: int | None = None  # when this instance first observed the contrary of this claim, or the last
+
+
+@dataclass(frozen=True, slots=True)
+class Credit:
+    """How much the claims of a peer counted at a moment, 0 to 1; it recovers with time."""
+
+    value: float
+    at: int
+
+
+@dataclass(frozen=True, slots=True)
+class Suspicion:
+    """A backend that enough credit speaks against."""
+
+    weight: float  # the added credit
+    backend: str
+    until: int
 
 
 class SuspicionTable:
+    """The claims of all peers, and the credit of each."""
+
     def __init__(self, limits: PeerLimits) -> None:
         self._limits = limits
-        self._claims: dict[str, dict[int, Claim]] = {}  # by server and head
-        self._credit: dict[int, tuple[float, int]] = {}  # by head: how much, and when
-        self._withdrawn: dict[tuple[str, int], Claim] = {}  # by server and head: its last word before
+        self._claims: dict[str, dict[int, PeerClaim]] = {}  # by backend and peer
+        self._credit: dict[int, Credit] = {}  # by peer; one without an entry has full credit
+        self._withdrawn: dict[tuple[str, int], PeerClaim] = {}  # by backend and peer: the last one before
 
-    def credit(self, head: int, now: int) -> float:
-        value, at = self._credit.get(head, (1.0, now))
-        return min(1.0, value + (now - at) / self._limits.recover_us)
+    def credit(self, peer: int, now: int) -> float:
+        """Return how much a peer's claims count, 0 to 1."""
+        known = self._credit.get(peer)
+        if known is None:
+            return 1.0
+        return min(1.0, known.value + (now - known.at) / self._limits.recover_us)
 
     def receive(
         self,
@@ -45,96 +68,163 @@
         evidence: Iterable[Evidence],
         sent_at: int | None,
         now: int,
-        seen: LocalObservations,
-    ) -> Counter[str]:
-        """All that a head has to say at this moment; what it said before and does not repeat is withdrawn.
-        `sent_at`: when this head sent the last message the sender had heard by then, by this head's clock.
-        Gives back how many words were dropped, by cause."""
-        dropped: Counter[str] = Counter()
-        told: set[str] = set()
-        for e in evidence:
-            node = seen.names_by_tag.get(e.backend_tag)
-            sight = seen.backends.get(node) if node else None
-            if node is None or sight is None:
-                dropped["no such server"] += 1
-            elif not self._same_life(e.uptime, life_of(sight.entry, now)):
-                dropped["other life"] += 1
-            elif sent_at is None or sent_at - e.age_ms * MS + self._limits.word_us <= now:
-                dropped["word too old"] += 1
-            else:
-                told.add(node)
-                until = sent_at - e.age_ms * MS + self._limits.word_us
-                self._take(node, sender, Claim(e.kind, e.count, now - e.age_ms * MS, until), now, seen)
-        for node, claims in list(self._claims.items()):
-            if node not in told and (claim := claims.pop(sender, None)):
-                self._withdrawn[node, sender] = claim
-            if not claims:
-                del self._claims[node]
+        observations: LocalObservations,
+    ) -> Counter[DropReason]:
+        """Take up everything that a peer claims at this moment; what it does not repeat is withdrawn.
+
+        `sent_at` is when this instance sent the last message that the sender had received by then. Returns
+        how much of the evidence was dropped, by reason.
+        """
+        dropped: Counter[DropReason] = Counter()
+        claimed: set[str] = set()
+        for one in evidence:
+            backend = observations.names_by_tag.get(one.backend_tag)
+            reason = self._reason_to_drop(one, backend, sent_at, now, observations)
+            if reason is not None:
+                dropped[reason] += 1
+                continue
+            assert backend is not None
+            assert sent_at is not None
+            claimed.add(backend)
+            latest_at = now - one.age_ms * MS
+            claim = PeerClaim(one.kind, one.count, latest_at, self._expires_at(one, sent_at))
+            self._take(backend, sender, claim, now, observations)
+        self._withdraw(sender, claimed)
         return dropped
 
-    def _same_life(self, told: int, known: int) -> bool:
-        if MAX_UPTIME in (told, known):
-            return told == known or min(told, known) > MAX_UPTIME - self._limits.life_slack_us // TENTH
-        return abs(told - known) <= self._limits.life_slack_us // TENTH
-
-    def _take(self, node: str, sender: int, claim: Claim, now: int, seen: LocalObservations) -> None:
-        """A head that goes on saying what this one's traffic speaks against loses credit, or that says it
-        once more; one that was merely not quick to hear of the change does not."""
-        claims = self._claims.setdefault(node, {})
-        old, before = claims.get(sender), self._withdrawn.pop((node, sender), None)
-        proved = seen.backends[node].proof_at(before.kind) if before else NEVER
-        if before and max(before.latest, claim.latest - self._limits.word_us) < proved < claim.latest:
-            # Said, refuted, withdrawn and soon said again: as good as gone on saying.
-            self._credit[sender] = self.credit(sender, now) * self._limits.refuted, now
-        if old and old.kind is claim.kind:
-            proof = seen.backends[node].proof_at(claim.kind)
-            answered = old.answered_at if old.answered_at > NEVER else proof if proof > old.latest else NEVER
-            if NEVER < answered < claim.latest - self._limits.persist_us:
-                self._credit[sender] = self.credit(sender, now) * self._limits.refuted, now
-                answered = NEVER
-            claim.answered_at = answered
+    def _reason_to_drop(
+        self,
+        evidence: Evidence,
+        backend: str | None,
+        sent_at: int | None,
+        now: int,
+        observations: LocalObservations,
+    ) -> DropReason | None:
+        observation = None if backend is None else observations.backends.get(backend)
+        if observation is None:
+            return DropReason.UNKNOWN_BACKEND
+        if not self._is_same_incarnation(evidence.uptime, uptime_of(observation.endpoint, now)):
+            return DropReason.OTHER_INCARNATION
+        if sent_at is None or self._expires_at(evidence, sent_at) <= now:
+            return DropReason.EXPIRED_EVIDENCE
+        return None
+
+    def _expires_at(self, evidence: Evidence, sent_at: int) -> int:
+        return sent_at - evidence.age_ms * MS + self._limits.word_us
+
+    def _is_same_incarnation(self, claimed_uptime: int, known_uptime: int) -> bool:
+        slack = self._limits.life_slack_us // UPTIME_UNIT_US
+        if MAX_UPTIME in (claimed_uptime, known_uptime):
+            shorter = min(claimed_uptime, known_uptime)
+            return claimed_uptime == known_uptime or shorter > MAX_UPTIME - slack
+        return abs(claimed_uptime - known_uptime) <= slack
+
+    def _withdraw(self, sender: int, claimed: set[str]) -> None:
+        """Withdraw the claims of a peer that it has not repeated."""
+        for backend, claims in list(self._claims.items()):
+            if backend not in claimed and (claim := claims.pop(sender, None)):
+                self._withdrawn[backend, sender] = claim
+            if not claims:
+                del self._claims[backend]
+
+    def _take(
+        self, backend: str, sender: int, claim: PeerClaim, now: int, observations: LocalObservations
+    ) -> None:
+        """Take a claim in place of the peer's last one.
+
+        A peer that goes on claiming what this instance's own traffic refutes loses credit, and so does one
+        that claims it once more after withdrawing it. One that was merely late to learn of a change does not.
+        """
+        observation = observations.backends[backend]
+        claims = self._claims.setdefault(backend, {})
+        last = claims.get(sender)
+        withdrawn = self._withdrawn.pop((backend, sender), None)
+        if withdrawn is not None:
+            earliest = max(withdrawn.latest_at, claim.latest_at - self._limits.word_us)
+            contradicted_at = observation.contradicted_at(withdrawn.kind)
+            # Claimed, refuted, withdrawn and soon claimed again: as good as gone on claiming.
+            if contradicted_at is not None and earliest < contradicted_at < claim.latest_at:
+                self._lower_credit(sender, now)
+        if last is not None and last.kind is claim.kind:
+            claim.refuted_at = last.refuted_at
+            contradicted_at = observation.contradicted_at(claim.kind)
+            if claim.refuted_at is None and contradicted_at is not None and contradicted_at > last.latest_at:
+                claim.refuted_at = contradicted_at
+            if claim.refuted_at is not None and claim.refuted_at < claim.latest_at - self._limits.persist_us:
+                self._lower_credit(sender, now)
+                claim.refuted_at = None
         claims[sender] = claim
 
-    def suspected(self, now: int, seen: LocalObservations) -> dict[str, int]:
-        """The servers with whom to be careful on others' word alone, and until when at most."""
-        weights: list[tuple[float, str, int]] = []
-        for node, claims in list(self._claims.items()):
-            sight = seen.backends.get(node)
-            for sender in [who for who, claim in claims.items() if claim.until <= now]:
-                del claims[sender]
-            if sight is None or not claims:
-                del self._claims[node]
-                for key in [key for key in self._withdrawn if sight is None and key[0] == node]:
-                    del self._withdrawn[key]
-                continue
-            valid = [(who, c) for who, c in claims.items() if c.latest > sight.proof_at(c.kind)]
-            weight = sum(self.credit(who, now) for who, _ in valid)
-            if weight >= self._limits.trust:
-                weights.append((weight, node, max(c.until for _, c in valid)))
-        most = max(1, int(self._limits.doubted_share * len(seen.backends)))
-        chosen = sorted(weights, key=lambda one: (-one[0], one[1]))[:most]
-        return {node: until for _, node, until in chosen}
-
-    def known(self, now: int, seen: LocalObservations, tightest_us: int) -> list[dict[str, object]]:
-        """For operators: what is believed of each server, from whom, how old at most."""
-        own, doubted = dict(seen.evidence(now, tightest_us)), self.suspected(now, seen)
-        return [
-            {
-                "server": node,
-                "own": own[node].kind.label if node in own else "",
-                "own_ms": own[node].age_ms if node in own else None,
-                "doubted_ms": (doubted[node] - now) // MS if node in doubted else None,
-                "words": [
-                    {
-                        "head": who,
-                        "says": c.kind.label,
-                        "count": c.count,
-                        "age_ms": (now - c.until + self._limits.word_us) // MS,
-                        "credit": round(self.credit(who, now), 2),
-                    }
-                    for who, c in sorted(self._claims.get(node, {}).items())
-                    if c.until > now
-                ],
-            }
-            for node in sorted(seen.backends)
-        ]
+    def _lower_credit(self, peer: int, now: int) -> None:
+        self._credit[peer] = Credit(self.credit(peer, now) * self._limits.refuted, now)
+
+    def suspected(self, now: int, observations: LocalObservations) -> dict[str, int]:
+        """Return the backends to be careful with on peers' claims alone, and until when at most.
+
+        They are a set share of the listed ones at most: those that the most credit speaks against.
+        """
+        suspicions: list[Suspicion] = []
+        for backend in list(self._claims):
+            self._drop_expired(backend, now, observations)
+            suspicion = self._suspicion(backend, now, observations)
+            if suspicion is not None:
+                suspicions.append(suspicion)
+        most = max(1, int(self._limits.doubted_share * len(observations.backends)))
+        gravest = sorted(suspicions, key=lambda suspicion: (-suspicion.weight, suspicion.backend))[:most]
+        return {suspicion.backend: suspicion.until for suspicion in gravest}
+
+    def _drop_expired(self, backend: str, now: int, observations: LocalObservations) -> None:
+        claims = self._claims[backend]
+        for peer in [peer for peer, claim in claims.items() if claim.expires_at <= now]:
+            del claims[peer]
+        is_listed = backend in observations.backends
+        if not is_listed or not claims:
+            del self._claims[backend]
+        if not is_listed:
+            for key in [key for key in self._withdrawn if key[0] == backend]:
+                del self._withdrawn[key]
+
+    def _suspicion(self, backend: str, now: int, observations: LocalObservations) -> Suspicion | None:
+        """Return what speaks against a backend: the claims that this instance has not refuted since."""
+        valid: dict[int, PeerClaim] = {}
+        for peer, claim in self._claims.get(backend, {}).items():
+            contradicted_at = observations.backends[backend].contradicted_at(claim.kind)
+            if contradicted_at is None or claim.latest_at > contradicted_at:
+                valid[peer] = claim
+        weight = sum(self.credit(peer, now) for peer in valid)
+        if not valid or weight < self._limits.trust:
+            return None
+        return Suspicion(weight, backend, max(claim.expires_at for claim in valid.values()))
+
+    def rows(self, now: int, observations: LocalObservations, tightest_us: int) -> list[SuspicionRow]:
+        """Return, for operators, what is observed and claimed of each listed backend."""
+        evidence = observations.evidence(now, tightest_us)
+        suspected = self.suspected(now, observations)
+        rows: list[SuspicionRow] = []
+        for backend in sorted(observations.backends):
+            own = evidence.get(backend)
+            until = suspected.get(backend)
+            rows.append(
+                SuspicionRow(
+                    backend,
+                    "" if own is None else own.kind.label,
+                    None if own is None else own.age_ms,
+                    None if until is None else (until - now) // MS,
+                    self._claim_rows(backend, now),
+                )
+            )
+        return rows
+
+    def _claim_rows(self, backend: str, now: int) -> tuple[ClaimRow, ...]:
+        claims = sorted(self._claims.get(backend, {}).items(), key=lambda item: item[0])
+        return tuple(
+            ClaimRow(
+                peer,
+                claim.kind.label,
+                claim.count,
+                (now - claim.expires_at + self._limits.word_us) // MS,
+                round(self.credit(peer, now), 2),
+            )
+            for peer, claim in claims
+            if claim.expires_at > now
+        )
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -25,9 +25,9 @@
 class ConnectionQuota(Protocol):
     """Of the connections that all heads together may have at a server, this head's."""
 
-    def most(self, server: str) -> int: ...
+    def max_connections(self, backend: str) -> int: ...
 
-    def open(self, server: str, count: int, lacking: bool = False) -> None: ...
+    def set_open(self, backend: str, count: int, lacking: bool = False) -> None: ...
 
 
 Key = tuple[str, str]  # endpoint, and what else a connection is bound to
@@ -226,9 +226,9 @@
             conn.begin(trial)
             return
         conns = self._conns.setdefault(key, set())
-        if self.places and len(conns) >= self.places.most(trial.node):
+        if self.places and len(conns) >= self.places.max_connections(trial.node):
             # The place is lacking, not the server: nothing is to be learnt of it.
-            self.places.open(trial.node, len(conns), lacking=True)
+            self.places.set_open(trial.node, len(conns), lacking=True)
             trial.finish(Outcome.NEVER_DISPATCHED)
             return
         if len(conns) >= self.limits.brick_conns_each or not self._room():
@@ -241,7 +241,7 @@
 
     def _tell_places(self, conn: Connection) -> None:
         if self.places:
-            self.places.open(conn.node, len(self._conns[conn.key]))
+            self.places.set_open(conn.node, len(self._conns[conn.key]))
 
     def stop(self, trial: AttemptHandle) -> None:
         conn = self._busy.pop(trial, None)
@@ -288,7 +288,7 @@
         """What others had left to this head has gone back: connections above its part are closed, idle ones
         at once and those at work as they come free."""
         idle = self._idle.get(key, [])
-        while self.places and idle and len(self._conns[key]) > self.places.most(idle[0].node):
+        while self.places and idle and len(self._conns[key]) > self.places.max_connections(idle[0].node):
             idle[0].close()
 
     def gone(self, conn: Connection) -> None:
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -51,7 +51,7 @@
 from garnetlanding.peers import codec, gossip_message, membership_message
 from garnetlanding.peers.coordinator import PeerCoordinator
 from garnetlanding.peers.disabled_backends import DisabledBackends
-from garnetlanding.peers.disabled_backends import Record as Ban
+from garnetlanding.peers.disabled_backends import DisableRecord as Ban
 from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.membership import FIRST_SEED, Membership
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -529,7 +529,7 @@
 
     def rows(self, view: FleetView) -> list[dict[str, object]] | None:
         if view is FleetView.DISABLES:
-            return self._peers.known(view.value, self._now(), SECOND)
+            return [row.as_json() for row in self._peers.disabled_rows()]
         return FLEET_ROWS[view.value]
 
     def forget(self, instance: int) -> bool | None:
--- a/tests/peers/test_connection_quota.py
+++ b/tests/peers/test_connection_quota.py
@@ -7,7 +7,7 @@
 from garnetlanding.emulator.group_net import SECOND
 from garnetlanding.peers import codec
 from garnetlanding.peers.connection_quota import ConnectionQuota
-from garnetlanding.peers.leases import Leases
+from garnetlanding.peers.leases import InstanceIdentity, Leases, SharedLeases
 from tests.helpers import T0, Peer, World, read_command
 from tests.support.membership import LIMITS
 
@@ -17,14 +17,16 @@
 
     def __init__(self) -> None:
         self.now, window = T0, 2 * SECOND
-        self.heads = [Leases(LIMITS, me, 2, 7, T0 - SECOND, window_us=window) for me in range(2)]
-        self.places = ConnectionQuota(8, window, lambda: self.now, lambda: (self.heads[0], 2))
+        self.heads = [
+            Leases(LIMITS, InstanceIdentity(me, 2, 7), T0 - SECOND, window_us=window) for me in range(2)
+        ]
+        self.places = ConnectionQuota(8, window, lambda: self.now, lambda: SharedLeases(self.heads[0], 2))
 
     def talk(self, seconds: float, mine: int = 0, theirs: int = 0, lacking: bool = False) -> None:
         """Each head has so many connections open; the first, where it is `lacking`, wants one more."""
         for _ in range(int(seconds * 4)):
             self.now += SECOND // 4
-            self.places.open("n0", mine, lacking)
+            self.places.set_open("n0", mine, lacking)
             self.heads[1].record_demand("places:n0", 2, 4.0, 0, self.now, 2 * SECOND)
             self.heads[1].set_in_use("places:n0", theirs)
             for sender, receiver in ((0, 1), (1, 0)):
@@ -41,20 +43,20 @@
 
 def test_places_at_a_server_move_to_the_head_that_lacks_them_and_never_add_up_to_more() -> None:
     s = Shared()
-    assert s.places.most("n0") == 0, "what an earlier life had open may not have ended"
+    assert s.places.max_connections("n0") == 0, "what an earlier life had open may not have ended"
     s.talk(3)
-    assert s.places.most("n0") == 4
+    assert s.places.max_connections("n0") == 4
     s.talk(3, mine=4, lacking=True)
-    assert s.places.most("n0") > 5 and s.places.most("n0") + s.others() <= 8
+    assert s.places.max_connections("n0") > 5 and s.places.max_connections("n0") + s.others() <= 8
     more = Shared()
     more.talk(3)
     more.talk(3, mine=4, theirs=4, lacking=True)
-    assert more.places.most("n0") == 4, "none that the other has open"
+    assert more.places.max_connections("n0") == 4, "none that the other has open"
     nobody = ConnectionQuota(8, SECOND, lambda: T0, lambda: None)
-    nobody.open("n0", 1)
-    assert nobody.most("n0") == 0
-    alone = Leases(LIMITS, 0, 1, 7, T0, window_us=SECOND)
-    assert ConnectionQuota(8, SECOND, lambda: T0, lambda: (alone, 1)).most("n0") == 8
+    nobody.set_open("n0", 1)
+    assert nobody.max_connections("n0") == 0
+    alone = Leases(LIMITS, InstanceIdentity(0, 1, 7), T0, window_us=SECOND)
+    assert ConnectionQuota(8, SECOND, lambda: T0, lambda: SharedLeases(alone, 1)).max_connections("n0") == 8
 
 
 class Few:
@@ -63,10 +65,10 @@
     def __init__(self) -> None:
         self.allowed, self.told = 2, list[tuple[int, bool]]()
 
-    def most(self, server: str) -> int:
+    def max_connections(self, backend: str) -> int:
         return self.allowed
 
-    def open(self, server: str, count: int, lacking: bool = False) -> None:
+    def set_open(self, backend: str, count: int, lacking: bool = False) -> None:
         self.told.append((count, lacking))
 
 
--- a/tests/peers/test_disabled_backends.py
+++ b/tests/peers/test_disabled_backends.py
@@ -13,10 +13,11 @@
 from garnetlanding.ops.replicated_disables import ReplicatedDisables
 from garnetlanding.ops.state_file import StateFile
 from garnetlanding.peers.disabled_backends import (
-    NOTHING,
+    EMPTY_DIGEST,
     DisabledBackendError,
     DisabledBackends,
-    Record,
+    DisableRecord,
+    Merged,
 )
 from garnetlanding.peers.failure_detector import FailureDetector
 from tests.support.suspicions import LIMITS, Heads
@@ -30,7 +31,7 @@
     f.fleets[0].replace_disabled(said)
     f.run(10)
     for fleet in f.fleets[1:]:
-        assert [r.server for r in fleet.take_received()] == ["n1"] and not fleet.take_received()
+        assert [r.backend for r in fleet.take_received()] == ["n1"] and not fleet.take_received()
         fleet.replace_disabled(DisabledBackends(LIMITS, said.records.values()))
     f.run(10)
     assert not any(fleet.take_received() for fleet in f.fleets), "alike: nothing more is told"
@@ -38,7 +39,7 @@
     lifted.set_disabled("n1", False, 2, 500)
     f.fleets[2].replace_disabled(lifted)
     f.run(10)
-    assert [r.out for r in f.fleets[0].take_received()] == [
+    assert [r.disabled for r in f.fleets[0].take_received()] == [
         False
     ], "a clock that is behind does not keep it from that"
     assert f.talks[0].known("bans", f.now)[0]["out"] is True
@@ -47,10 +48,10 @@
 # Bans
 
 RECORDS = [
-    Record("a", 5, 0, True),
-    Record("a", 5, 1, False),
-    Record("b", 7, 2, True),
-    Record("a", 4, 9, True),
+    DisableRecord("a", 5, 0, True),
+    DisableRecord("a", 5, 1, False),
+    DisableRecord("b", 7, 2, True),
+    DisableRecord("a", 4, 9, True),
 ]
 
 
@@ -61,13 +62,15 @@
         for record in order:
             bans.merge([record])
         tables.append((bans.digest, bans.disabled_names))
-    assert set(tables) == {(tables[0][0], frozenset({"b"}))} and tables[0][0] != NOTHING
+    assert set(tables) == {(tables[0][0], frozenset({"b"}))} and tables[0][0] != EMPTY_DIGEST
 
 
 def test_a_version_that_could_not_be_outbid_and_one_ban_too_many_are_not_taken() -> None:
-    bans = DisabledBackends(replace(LIMITS, bans=2), [Record("a", 1, 0, True), Record("b", 2, 0, False)])
+    bans = DisabledBackends(
+        replace(LIMITS, bans=2), [DisableRecord("a", 1, 0, True), DisableRecord("b", 2, 0, False)]
+    )
     most = LIMITS.ban_version
-    assert bans.merge([Record("c", most + 1, 0, True)]) == ([], 1)
+    assert bans.merge([DisableRecord("c", most + 1, 0, True)]) == Merged((), 1)
     assert bans.set_disabled("c", True, 0, 0).version == 3 and set(bans.records) == {
         "a",
         "c",
@@ -76,20 +79,22 @@
         bans.set_disabled("d", True, 0, 0)
     with pytest.raises(DisabledBackendError, match="bytes"):
         bans.set_disabled("x" * 181, True, 0, 0)
-    assert bans.merge([Record("d", 9, 0, True)]) == ([], 1) and bans.disabled_names == {"a", "c"}
+    assert bans.merge([DisableRecord("d", 9, 0, True)]) == Merged((), 1) and bans.disabled_names == {"a", "c"}
     assert (
-        bans.merge([Record("a", most, 9, True)])[1] == 0
+        bans.merge([DisableRecord("a", most, 9, True)]).rejected == 0
         and bans.set_disabled("a", False, 0, 0).version == most + 1
     )
-    other = DisabledBackends(LIMITS, [Record("a", most, 9, True)])
-    assert other.merge([bans.records["a"]])[0] and not other.disabled_names, "what a liar says last is outbid"
+    other = DisabledBackends(LIMITS, [DisableRecord("a", most, 9, True)])
+    assert (
+        other.merge([bans.records["a"]]).news and not other.disabled_names
+    ), "what a liar says last is outbid"
 
 
 def test_a_head_whose_clock_is_behind_takes_bans_all_the_same() -> None:
     """It dropped every version more than an hour ahead of its own clock: a ban never held there."""
     fleet = FailureDetector(LIMITS)
     fleet.replace_disabled(DisabledBackends(LIMITS))
-    state = shared(fleet).merge(AdminState(), [Record("b1", 1_900_000_000_000, 2, True)])
+    state = shared(fleet).merge(AdminState(), [DisableRecord("b1", 1_900_000_000_000, 2, True)])
     assert state.disabled == {"b1"}, "its clock says 1000 ms"
 
 
@@ -103,11 +108,11 @@
     state = file.change(lambda s: desk.set_disabled(s, "b1", True))
     assert state.disabled == {"b1"} and file.load() == state
     desk.publish(state)
-    assert fleet.disabled.records["b1"] == Record("b1", 1000, 0, True)
-    later = Record("b1", 2000, 1, False)
+    assert fleet.disabled.records["b1"] == DisableRecord("b1", 1000, 0, True)
+    later = DisableRecord("b1", 2000, 1, False)
     state = file.change(lambda s: desk.merge(s, [later]))
     assert not state.disabled and state.records == (later,)
-    assert desk.merge(state, [Record("b1", 1500, 2, True)]) == state, "last week's word"
+    assert desk.merge(state, [DisableRecord("b1", 1500, 2, True)]) == state, "last week's word"
     older = decode("n1", encode("n1", AdminState(frozenset({"b2"}), records=(later,))))
     assert desk.table(older).disabled_names == {"b2"}, "put out by a process that had no versions"
     with pytest.raises(HttpError, match="bytes"):
--- a/tests/peers/test_gossip_message.py
+++ b/tests/peers/test_gossip_message.py
@@ -16,8 +16,8 @@
 from garnetlanding.peers.coordinator import PeerCoordinator
 from garnetlanding.peers.disabled_backends import (
     DIGEST,
-    NOTHING,
-    Record,
+    EMPTY_DIGEST,
+    DisableRecord,
 )
 from garnetlanding.peers.gossip_message import (
     MAX_UPTIME,
@@ -56,7 +56,7 @@
     ),
 )
 def test_what_fits_is_read_back_and_torn_bytes_are_refused(seen: list[Any], said: list[Any]) -> None:
-    evidence, records = [Evidence(*e) for e in seen], [Record(*r) for r in said]
+    evidence, records = [Evidence(*e) for e in seen], [DisableRecord(*r) for r in said]
     some, more = fit(evidence, records, LIMITS.datagram_bytes)
     told = GossipMessage(b"digest 8", tuple(evidence[:some]), tuple(records[:more]))
     data = codec.encode_envelope(to_envelope(told, 9, 8, 7, 6))
@@ -72,7 +72,7 @@
 def test_forged_words_are_counted_by_cause() -> None:
     f = Heads()
     f.run(10)
-    good = to_envelope(GossipMessage(NOTHING, (dead(),)), 1, 999, 0, 0)
+    good = to_envelope(GossipMessage(EMPTY_DIGEST, (dead(),)), 1, 999, 0, 0)
     strange = replace(good, number=1000, body=good.body[:DIGEST] + b"\x09" + good.body[DIGEST + 1 :])
     f.run(
         1,
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -12,10 +12,12 @@
 
 from garnetlanding.emulator.lease_model import Scope, explore
 from garnetlanding.emulator.lease_net import SECOND, Net, Run, Seen
-from garnetlanding.peers import codec, leases
+from garnetlanding.peers import codec
 from garnetlanding.peers.codec import LeaseMessage
-from garnetlanding.peers.leases import Leases, fill
+from garnetlanding.peers.drop_reasons import DropReason
+from garnetlanding.peers.leases import InstanceIdentity, Leases
 from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.quota_shares import Grant, GrantLedger, max_min_fair_shares
 from tests.support.leases import LIMITS
 
 TAG = codec.tag("v")
@@ -25,7 +27,7 @@
 def test_shares_add_up_and_nobody_has_more_than_it_asks_while_another_lacks(
     supply: float, demands: list[float]
 ) -> None:
-    shares = fill(supply, demands)
+    shares = max_min_fair_shares(supply, demands)
     assert sum(shares) == pytest.approx(supply)
     if sum(demands) <= supply:
         assert all(s >= d - 1e-9 for s, d in zip(shares, demands, strict=True))
@@ -64,7 +66,7 @@
 
 
 def meet(heads: int = 3) -> list[Leases]:
-    return [Leases(LIMITS, me, heads, 7, 0) for me in range(heads)]
+    return [Leases(LIMITS, InstanceIdentity(me, heads, 7), 0) for me in range(heads)]
 
 
 def test_the_module_hears_what_is_given_of_a_volume_that_is_asked_for_no_more() -> None:
@@ -89,9 +91,11 @@
     for sender in group:
         number = sender.next_number(now)
         for who, page in sender.compose(now).items():
-            if sender.me not in silent and who not in silent:
+            if sender.identity.number not in silent and who not in silent:
                 group[who].receive(
-                    sender.me, LeaseMessage(sender.life, number, *sender.last_received(who), *page), now
+                    sender.identity.number,
+                    LeaseMessage(sender.identity.incarnation, number, *sender.last_received(who), *page),
+                    now,
                 )
 
 
@@ -137,7 +141,7 @@
 
 def test_a_number_of_hosts_that_changes_changes_the_even_part_of_a_head_that_hears_nobody() -> None:
     """It was taken for what the module had anyway, and the module went on with the part of before."""
-    one = Leases(LIMITS, 0, 3, 7, 0)
+    one = Leases(LIMITS, InstanceIdentity(0, 3, 7), 0)
     assert one.resumes_at is not None
     now = one.resumes_at
     one.record_demand("v", 2, 40.0, 1, now)
@@ -156,86 +160,91 @@
 
 
 def test_words_of_no_peer_and_too_many_volumes_are_not_kept() -> None:
-    one = Leases(PeerLimits(volumes=5), 0, 3, 1, 0)
-    assert [one.receive(who, LeaseMessage(1, 1), 0) for who in (0, 3, -1, 2)] == ["no peer"] * 3 + [""]
+    one = Leases(PeerLimits(volumes=5), InstanceIdentity(0, 3, 1), 0)
+    assert [one.receive(who, LeaseMessage(1, 1), 0) for who in (0, 3, -1, 2)] == [
+        DropReason.UNKNOWN_PEER
+    ] * 3 + [None]
     one.receive(1, LeaseMessage(1, 1, 0, 0, {v: codec.Ask(1.0, 2) for v in range(30)}), 0)
-    assert len(one.contacts[1].asks) == 5
+    assert len(one.contacts[1].requests) == 5
     one.receive(1, LeaseMessage(1, 2, 1, 1, {}, {v: 1.0 for v in range(30)}), 0)
-    assert not one._received, "nothing is kept that was not asked for"
+    assert not one._received.by_volume, "nothing is kept that was not asked for"
 
 
 def test_a_restarted_head_is_heard_at_once_and_its_earlier_life_no_more() -> None:
-    one = Leases(LIMITS, 0, 3, 1, 0)
+    one = Leases(LIMITS, InstanceIdentity(0, 3, 1), 0)
     assert [one.receive(1, LeaseMessage(*m), 0) for m in ((5, 9), (6, 1), (5, 10), (6, 1))] == [
-        "",
-        "",
-        "old",
-        "old",
+        None,
+        None,
+        DropReason.OUTDATED,
+        DropReason.OUTDATED,
     ]
     assert (
-        one.receive(1, LeaseMessage(5, 11), LIMITS.stale_us + 1) == ""
+        one.receive(1, LeaseMessage(5, 11), LIMITS.stale_us + 1) is None
     ), "its clock was set back: heard later"
 
 
+def test_drop_reasons_are_counted_by_the_words_that_operators_know() -> None:
+    words = {"no peer", "old", "other kind", "no such server", "other life", "word too old"}
+    assert {reason.value for reason in DropReason} == words
+
+
 # Bugs put in on purpose
 
 real_heard, real_part, real_grants = Leases.receive, Leases.usable_share, Leases._make_grants
 
 
-def from_when_it_came(self: Leases, sender: int, m: LeaseMessage, now: int) -> str:
-    self._sent[m.acked_number] = now if m.acked_incarnation == self.life else 0
+def from_when_it_came(self: Leases, sender: int, m: LeaseMessage, now: int) -> DropReason | None:
+    self._sent[m.acked_number] = now if m.acked_incarnation == self.identity.incarnation else 0
     return real_heard(self, sender, m, now)
 
 
-def twice_as_long(self: Leases, sender: int, m: LeaseMessage, now: int) -> str:
+def twice_as_long(self: Leases, sender: int, m: LeaseMessage, now: int) -> DropReason | None:
     if m.acked_number in self._sent:
         self._sent[m.acked_number] = now + LIMITS.lease_us
     return real_heard(self, sender, m, now)
 
 
 def lent_is_kept(self: Leases, volume: int, now: int) -> float:
-    given, self._granted = self._granted, {}
+    given, self._granted = self._granted, GrantLedger()
     part = real_part(self, volume, now)
     self._granted = given
     return part
 
 
 def never_ends(self: Leases, volume: int, now: int) -> float:
-    for givers in self._received.values():
-        for who, (share, _) in givers.items():
-            givers[who] = share, now + SECOND
+    for grantors in self._received.by_volume.values():
+        for peer, grant in grantors.items():
+            grantors[peer] = Grant(grant.share, now + SECOND)
     return real_part(self, volume, now)
 
 
 def not_counted(self: Leases, who: int, now: int) -> dict[int, float]:
     grants = real_grants(self, who, now)
     for volume in grants:
-        self._granted[volume][who].pop()
+        self._granted.by_volume[volume][who].pop()
     return grants
 
 
 def every_head_counts(self: Leases, volume: int, now: int) -> float:
     own = self.demands[volume]
-    held = [share for share, until in self._received.get(volume, {}).values() if until > now]
+    held = list(self._received.shares(volume, now).values())
     alone = real_part(self, volume, now)
-    return max(alone, min(1.0, (1 / own.hosts + sum(held) / own.hosts) if not self.quarantined(now) else 0.0))
+    return max(
+        alone, min(1.0, (1 / own.hosts + sum(held) / own.hosts) if not self.is_quarantined(now) else 0.0)
+    )
 
 
 def greatest(self: Leases, volume: int, now: int) -> float:
     """As if a head that is none of the volume's left something of it."""
-    own, self.demands[volume].others = self.demands[volume], {}
-    held = sorted((s for s, until in self._received.get(volume, {}).values() if until > now), reverse=True)
-    lent = (
-        1.0
-        if self.quarantined(now)
-        else sum(self._granted_share(volume, t, now) for t in self._granted.get(volume, {}))
-    )
+    own, self.demands[volume].requested_by = self.demands[volume], {}
+    held = sorted(self._received.shares(volume, now).values(), reverse=True)
+    lent = 1.0 if self.is_quarantined(now) else self._granted.total(volume, now)
     return (max(0.0, 1 - lent) + sum(held[: own.hosts - 1])) / own.hosts
 
 
-def last_grant_only(self: Leases, volume: int, taker: int, now: int) -> float:
-    given = self._granted[volume][taker] = [g for g in self._granted[volume][taker] if g[1] > now]
-    return given[-1][0] if given else 0.0
+def last_grant_only(self: GrantLedger, volume: int, peer: int, now: int) -> float:
+    grants = self.by_volume[volume][peer] = [g for g in self.by_volume[volume][peer] if g.expires_at > now]
+    return grants[-1].share if grants else 0.0
 
 
 def gone_too_soon(self: Leases) -> int:
@@ -254,12 +263,12 @@
 
 def no_quarantine(self: Leases, *args: Any) -> None:
     real_init(self, *args)
-    self.resumes_at = args[4]
+    self.resumes_at = args[2]
 
 
 def forgetful(self: Leases, now: int) -> None:
     real_forget(self, now)
-    self._granted.clear()
+    self._granted.by_volume.clear()
 
 
 def rounded_up(m: LeaseMessage) -> bytes:
@@ -267,7 +276,7 @@
 
 
 def lent_to_one(self: Leases, volume: int, now: int) -> float:
-    takers = self._granted.get(volume, {})
+    takers = self._granted.by_volume.get(volume, {})
     kept = {t: takers[t] for t in list(takers)[1:]}
     for taker in kept:
         del takers[taker]
@@ -295,7 +304,7 @@
     "what is given is not counted as gone": (Leases, "_make_grants", not_counted),
     "every head's share counts": (Leases, "usable_share", every_head_counts),
     "the greatest shares count, not the least": (Leases, "usable_share", greatest),
-    "only the last grant counts as gone": (Leases, "_granted_share", last_grant_only),
+    "only the last grant counts as gone": (GrantLedger, "share_of", last_grant_only),
     "given parts come back before the lease ends": (Leases, "_quarantine_us", property(gone_too_soon)),
     "parts are looked at only now and then": (Leases, "changed_shares", no_look),
     "the whole part is given to each that asks": (Leases, "_grantable_share", all_to_each),
@@ -349,4 +358,4 @@
 
 
 def test_without_a_bug_the_same_runs_show_nothing() -> None:
-    assert first_found(40) is None and leases is not None
+    assert first_found(40) is None
--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -13,7 +13,8 @@
 from garnetlanding.emulator.budget_net import BudgetNet, BudgetRun
 from garnetlanding.emulator.group_net import SECOND
 from garnetlanding.peers import codec
-from garnetlanding.peers.leases import Leases, Own
+from garnetlanding.peers.demand import Demand
+from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.shared_budgets import SharedBudgets
 from tests.helpers import T0, up
 from tests.support.membership import COLD, LIMITS
@@ -45,13 +46,13 @@
     return int(self._limits.lease_us * (1 + self._limits.drift))
 
 
-def nothing_locked(self: Own, now: int, longest_us: int) -> float:
+def nothing_locked(self: Demand, now: int, longest_us: int) -> float:
     return 0.0
 
 
 @pytest.mark.parametrize(
     "where, name, instead",
-    [(Leases, "_quarantine_us", property(lease_alone)), (Own, "locked", nothing_locked)],
+    [(Leases, "_quarantine_us", property(lease_alone)), (Demand, "locked_share", nothing_locked)],
 )
 def test_a_bug_put_into_budgets_on_purpose_is_found(
     where: object, name: str, instead: Callable[..., Any], monkeypatch: pytest.MonkeyPatch
@@ -80,7 +81,7 @@
     assert budgets.changed_shares(later, 3) is None
     budgets.observe_actions(later, [api.Send("r1", "n0"), api.Send("r2", "n1"), api.Reject("r2")], COLD)
     own = budgets.leases.demands[codec.tag("cold:n0")]
-    assert own.locked(later, budgets.leases.window_us) == pytest.approx(2 / 30)
+    assert own.locked_share(later, budgets.leases.window_us) == pytest.approx(2 / 30)
     budgets.observe_events(
         later, [api.EndpointListUpdate(failed=True), api.EndpointListUpdate((up("n0", 0),))], COLD, 3
     )
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -12,28 +12,29 @@
 from garnetlanding.decision.interface import Outcome
 from garnetlanding.emulator import verdict_net
 from garnetlanding.emulator.verdict_model import Scope, explore
+from garnetlanding.peers.drop_reasons import DropReason
 from garnetlanding.peers.gossip_message import (
     MAX_UPTIME,
     EvidenceKind,
 )
 from garnetlanding.peers.local_observations import LocalObservations, Observation
 from garnetlanding.peers.setup import read_fleet
-from garnetlanding.peers.suspicions import Claim, SuspicionTable
+from garnetlanding.peers.suspicions import PeerClaim, SuspicionTable
 from tests.helpers import MS, SECOND, T0
 from tests.support.suspicions import AIM, LIMITS, REFUSED, SERVED, SIX, Heads, dead, result, sightings
 
 
 def test_a_word_is_believed_until_its_greatest_possible_age_and_not_without_an_exchange() -> None:
     seen, v = sightings(), SuspicionTable(LIMITS)
-    assert v.receive(1, [dead()], None, T0, seen) == {"word too old": 1}
+    assert v.receive(1, [dead()], None, T0, seen) == {DropReason.EXPIRED_EVIDENCE: 1}
     assert v.receive(1, [dead(age_ms=500)], T0 - 300 * MS, T0, seen) == {}
     until = T0 - 800 * MS + LIMITS.word_us
     assert v.suspected(T0, seen) == {"n0": until} and not v.suspected(until, seen)
     late = T0 - LIMITS.word_us
-    assert v.receive(1, [dead()], late, T0, seen) == {"word too old": 1}
+    assert v.receive(1, [dead()], late, T0, seen) == {DropReason.EXPIRED_EVIDENCE: 1}
     assert v.receive(1, [dead("x"), dead("n1", life=7)], T0, T0, seen) == {
-        "no such server": 1,
-        "other life": 1,
+        DropReason.UNKNOWN_BACKEND: 1,
+        DropReason.OTHER_INCARNATION: 1,
     }
     assert v.receive(1, [], T0, T0, seen) == {} and not v.suspected(T0, seen), "not repeated: withdrawn"
 
@@ -142,13 +143,13 @@
 
 
 def claims_for_good(
-    self: SuspicionTable, node: str, sender: int, claim: Claim, now: int, seen: LocalObservations
+    self: SuspicionTable, node: str, sender: int, claim: PeerClaim, now: int, seen: LocalObservations
 ) -> None:
-    real_take(self, node, sender, replace(claim, until=claim.until + SECOND), now, seen)
+    real_take(self, node, sender, replace(claim, expires_at=claim.expires_at + SECOND), now, seen)
 
 
-def own_answers_do_not_count(self: Observation, kind: EvidenceKind) -> int:
-    return -(1 << 62)
+def own_answers_do_not_count(self: Observation, kind: EvidenceKind) -> None:
+    return None
 
 
 real_heard, real_take = SuspicionTable.receive, SuspicionTable._take
@@ -159,7 +160,7 @@
     [
         (SuspicionTable, "receive", from_when_it_came),
         (SuspicionTable, "_take", claims_for_good),
-        (Observation, "proof_at", own_answers_do_not_count),
+        (Observation, "contradicted_at", own_answers_do_not_count),
     ],
 )
 def test_some_course_of_words_shows_a_bug(
--- a/tests/support/suspicions.py
+++ b/tests/support/suspicions.py
@@ -34,7 +34,7 @@
 
 
 def told(seen: LocalObservations, now: int = T0) -> dict[str, str]:
-    return {node: e.kind.label for node, e in seen.evidence(now, AIM)}
+    return {node: e.kind.label for node, e in seen.evidence(now, AIM).items()}
 
 
 # What a word counts for
