--- a/garnetlanding/lab/history.py
+++ b/garnetlanding/lab/history.py
@@ -1,4 +1,4 @@
-"""Histories of an experiment's processes, read back in the order of their one clock."""
+"""Reads the histories of an experiment's processes, in the order of their common clock."""
 
 from __future__ import annotations
 
@@ -7,23 +7,41 @@
 from typing import Any
 
 Line = dict[str, Any]
+"""A line as `garnetlanding.history.writer` and the lab's own processes write it, by its stored keys.
 
+Every line has `t`, monotonic microseconds, and `what`, its kind.
+"""
 
-class BadHistory(ValueError):
-    """A history that cannot be read; the text names file and line."""
+_EXCERPT_BYTES = 40
+
+
+class CorruptHistoryError(ValueError):
+    """A line that cannot be decoded; `file` and `line_number`, from 1, say where it stands."""
+
+    def __init__(self, file: pathlib.Path, line_number: int, text: bytes) -> None:
+        super().__init__(f"{file} line {line_number}: cannot read {text[:_EXCERPT_BYTES]!r}")
+        self.file = file
+        self.line_number = line_number
 
 
 def read(paths: list[pathlib.Path]) -> list[Line]:
-    """All lines by time. A last line without an end was cut by the end of its process and is left out;
-    anything else that cannot be read is an error: a check of half a history would pass for one of all."""
+    """Return all lines by time.
+
+    A last line without an end was cut off by the end of its process and is left out. Anything else that
+    cannot be decoded raises `CorruptHistoryError`, because a check of half a history would pass for one of
+    all. Raises `OSError` for a file that cannot be read.
+    """
     lines: list[Line] = []
     for path in paths:
-        *whole, _ = path.read_bytes().split(b"\n")
-        for number, text in enumerate(whole, 1):
-            try:
-                line = json.loads(text)
-                line["t"], line["what"]
-            except (ValueError, TypeError, KeyError):
-                raise BadHistory(f"{path} line {number}: cannot read {text[:40]!r}") from None
-            lines.append(line)
+        *ended, _ = path.read_bytes().split(b"\n")
+        lines += [_decode(path, number, text) for number, text in enumerate(ended, 1)]
     return sorted(lines, key=lambda line: line["t"])
+
+
+def _decode(path: pathlib.Path, line_number: int, text: bytes) -> Line:
+    try:
+        line: Line = json.loads(text)
+        line["t"], line["what"]
+    except (ValueError, TypeError, KeyError) as error:
+        raise CorruptHistoryError(path, line_number, text) from error
+    return line
--- a/garnetlanding/lab/report.py
+++ b/garnetlanding/lab/report.py
@@ -94,7 +94,7 @@
 
 def report(folder: str, charts: bool, as_json: bool) -> int:
     """One run second by second; writes `series.csv` and, if asked to, charts beside its histories. Raises
-    LabError for a folder without histories, BadHistory for one that cannot be read."""
+    LabError for a folder without histories, CorruptHistoryError for one that cannot be read."""
     place = pathlib.Path(folder)
     lines = history.read(sorted(place.glob("*.history")))
     if not lines:
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -46,7 +46,7 @@
 from garnetlanding.emulator import budget_net, group_net, lease_net, verdict_net
 from garnetlanding.emulator.base import Conn, Server
 from garnetlanding.history.writer import HistoryWriter
-from garnetlanding.lab.history import BadHistory
+from garnetlanding.lab.history import CorruptHistoryError
 from garnetlanding.lab.history import read as read_history
 from garnetlanding.peers import codec, gossip_message, membership_message
 from garnetlanding.peers.coordinator import PeerCoordinator
@@ -395,7 +395,7 @@
         line for line in lines if line["life"] == 3
     ], "a cut last line is left out"
     copy.write_bytes(b"{" + committed)
-    with pytest.raises(BadHistory, match="line 1: cannot read"):
+    with pytest.raises(CorruptHistoryError, match="line 1: cannot read"):
         read_history([copy])
 
 
--- a/tests/lab/test_results.py
+++ b/tests/lab/test_results.py
@@ -47,5 +47,5 @@
     path.write_bytes(b'{"t":2,"what":"b"}\n{"t":1,"what":"a"}\n{"t":3,"wh')
     assert [line["what"] for line in history.read([path])] == ["a", "b"]
     path.write_bytes(b'{"t":2,"what":"b"}\n{"t":\n{"t":3,"what":"c"}\n')
-    with pytest.raises(history.BadHistory, match="line 2"):
+    with pytest.raises(history.CorruptHistoryError, match="line 2"):
         history.read([path])
