--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Sequence
 
 from garnetlanding.choices.subsets import subsets, weight
-from garnetlanding.decision.control import WEIGHT_CLAMP, WEIGHT_EVERY, WEIGHT_GAIN
+from garnetlanding.decision.tuning import WEIGHT_CLAMP, WEIGHT_GAIN, WEIGHT_INTERVAL
 
 RESULTS = pathlib.Path(__file__).parent / "results"
 Way = Callable[[Sequence[int], Sequence[str], int], dict[int, set[str]]]
@@ -96,7 +96,7 @@
 def steered(gain: float, delay_s: float, heads: int, seconds: int = 120) -> tuple[float, float]:
     """Overshoot (of the logarithm, over the first error) and the seconds until it stays within a tenth, of a
     volume that gets twice its plan's rate. Every head steps on the same late figure, each at its own time."""
-    every, step, most = WEIGHT_EVERY / 1e6, 0.1, math.log(WEIGHT_CLAMP)
+    every, step, most = WEIGHT_INTERVAL / 1e6, 0.1, math.log(WEIGHT_CLAMP)
     weights = [math.log(2.0)] * heads
     past: list[float] = []
     worst, settled = 0.0, 0.0
@@ -150,7 +150,7 @@
     draw(spread)
     lines += [
         "",
-        f"The weight's step every {WEIGHT_EVERY / 1e6:g} s; as built the gain is {WEIGHT_GAIN:g}. "
+        f"The weight's step every {WEIGHT_INTERVAL / 1e6:g} s; as built the gain is {WEIGHT_GAIN:g}. "
         "Overshoot of the first error, and seconds until a tenth is left ('-': not in 120 s).",
         "",
         "| figure late by | heads | " + " | ".join(f"gain {gain}" for gain in (1.0, 0.5, 0.25)) + " |",
--- a/garnetlanding/daemon.py
+++ b/garnetlanding/daemon.py
@@ -257,7 +257,7 @@
     def _as_used(self, settings: api.Settings) -> api.Settings:
         """With the classes that exports derive from those of the settings, and this process's part."""
         # A writer's settings hold at every head, but for the number of each.
-        settings = replace(settings, part=self.part, instance_id=self.config.settings.instance_id)
+        settings = replace(settings, process_share=self.part, instance_id=self.config.settings.instance_id)
         if self.config.operator.choices:
             settings = self.config.operator.choices.with_retry_budget(settings)
         ninep = self.config.operator.ninep
--- a/garnetlanding/decision/interface.py
+++ b/garnetlanding/decision/interface.py
@@ -96,7 +96,7 @@
     max_units: float
     cells: int = 0  # how many there are; 0: not told
     may_message_peers: bool = False  # hosts may send each other short messages
-    part: float = 1.0  # of what is this host's: less while another process of it is at work too
+    process_share: float = 1.0  # of what is this host's: less while another process of it is at work too
 
 
 @dataclass(slots=True, frozen=True)
@@ -221,7 +221,7 @@
     """The nodes that other hosts have seen in trouble and this one has not heard since, each until when that
     may be believed. All of them: one that was named and is not any more is as good as its own answers."""
 
-    doubted: dict[str, int]
+    suspected_until: dict[str, int]
 
 
 Event = (
--- /dev/null
+++ b/garnetlanding/decision/learning.py
@@ -0,0 +1,70 @@
+"""What the result of an attempt teaches: measurements of its backend and of all backends together."""
+
+from __future__ import annotations
+
+from garnetlanding.decision import interface as api
+from garnetlanding.decision import tuning
+from garnetlanding.decision.backend_health import BackendHealth
+from garnetlanding.decision.interface import Outcome
+from garnetlanding.decision.requests import Attempt, Request
+from garnetlanding.decision.state import ControllerState
+
+
+def record_result(state: ControllerState, request: Request, attempt: Attempt, result: api.Result) -> None:
+    """Take in the result of an attempt, whose outcome is set already."""
+    health = attempt.health
+    latency = result.took_us / health.relative_size(request.units)
+    in_flight = health.in_flight
+    attempt.write_off()
+    if result.outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.FULL):
+        health.answered_at = state.now
+        health.consecutive_connect_failures = 0
+    if result.outcome in (Outcome.SERVED, Outcome.ERROR):
+        is_error = result.outcome is Outcome.ERROR
+        health.error_rate += (is_error - health.error_rate) * tuning.LATENCY_GAIN
+    if result.outcome is Outcome.SERVED:
+        _record_served(state, request, attempt, latency)
+    elif result.outcome is Outcome.TIMEOUT:
+        fault_probability = state.statistics.fault_probability(in_flight)
+        state.statistics.record_lost()
+        _record_latency(state, health, request.units, latency * fault_probability)
+    elif result.outcome is Outcome.UNREACHABLE:
+        _record_connect_failure(state, health)
+    elif result.outcome is Outcome.FULL:
+        _record_rejection(state, request, health)
+
+
+def _record_served(state: ControllerState, request: Request, attempt: Attempt, latency: float) -> None:
+    health = attempt.health
+    overtook = any(other.outcome is None and other.sent_at < attempt.sent_at for other in request.attempts)
+    if overtook:
+        state.hedge_budget.earn_by_win()
+    state.statistics.record_answer(latency, overtook)
+    health.served.add(state.now)
+    health.consecutive_rejections = 0
+    if not state.is_warming_up(health):
+        usual_load = state.cells[attempt.cell].usual_load
+        usual_load.add(state.now, request.units, tuning.USUAL_LOAD_SPAN)
+    _record_latency(state, health, request.units, latency)
+
+
+def _record_connect_failure(state: ControllerState, health: BackendHealth) -> None:
+    health.consecutive_connect_failures += 1
+    silent_at = health.answered_at + tuning.SILENCE_OBJECTIVES * state.tightest_objective_us
+    if health.consecutive_connect_failures >= tuning.CONNECT_FAILURES and state.now > silent_at:
+        # Silent and not even connecting: it will come back cold, whether the list says so or not.
+        health.warming_since = state.now
+
+
+def _record_rejection(state: ControllerState, request: Request, health: BackendHealth) -> None:
+    # One request may be rejected for itself, again and again; a full queue rejects whichever comes.
+    rejections = sum(attempt.outcome is Outcome.FULL for attempt in request.attempts)
+    if rejections == 1:
+        health.consecutive_rejections += 1
+    if health.consecutive_rejections >= tuning.REJECTIONS or not health.latency_us:
+        # What queues there would be late.
+        _record_latency(state, health, request.units, 2 * state.tightest_objective_us)
+
+
+def _record_latency(state: ControllerState, health: BackendHealth, units: float, latency: float) -> None:
+    health.record_latency(state.now, units, latency, state.tightest_objective_us)
--- a/garnetlanding/decision/state.py
+++ b/garnetlanding/decision/state.py
@@ -1,290 +1,179 @@
-"""Plain records that control.py keeps for one host. No decision is taken here."""
+"""What a Controller knows of its instance: requests, volumes, cells, backends. Nothing is decided here."""
 
 from __future__ import annotations
 
-import heapq
-from collections import deque
-from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field
-from typing import Any
+import random
+from collections.abc import Iterator
 
 from garnetlanding.decision import interface as api
-
-SECOND = 1_000_000
-NEVER_RAN = (
-    api.Outcome.FULL,
-    api.Outcome.UNREACHABLE,
-    api.Outcome.NEVER_DISPATCHED,
-)  # proof that it had no effect
-UNLIMITED = 1e12  # units a second, and at once, of a plan without a limit
-
-
-class Bucket:
-    """A token bucket that fills at `rate` a second up to `most`."""
-
-    def __init__(self, rate: float, most: float, now: int, level: float) -> None:
-        self.rate, self.most, self.at, self.level = rate, most, now, level
-
-    def has(self, now: int) -> float:
-        self.level = min(self.most, self.level + self.rate * (now - self.at) / SECOND)
-        self.at = now
-        return self.level
-
-    def refit(self, now: int, rate: float, most: float) -> None:
-        """Fills at another rate up to another level from now on; what is above that level is gone."""
-        self.has(now)
-        self.rate, self.most = max(rate, 1e-9), most
-        self.level = min(self.level, most)
-
-
-class SlidingWindowSum:
-    """Amounts by time; a total forgets what is older than it was asked for."""
-
-    def __init__(self, keep: int) -> None:
-        self._items: deque[tuple[int, float]] = deque()
-        self._sum = 0.0
-        self._keep = keep  # no total reaches back further
-        self.last = -(1 << 62)
-
-    def add(self, now: int, amount: float = 1) -> None:
-        self.total(now - self._keep)
-        self._items.append((now, amount))
-        self._sum += amount
-        self.last = now
-
-    def total(self, since: int) -> float:
-        """The sum over times past `since`, which never goes back from call to call."""
-        while self._items and self._items[0][0] <= since:
-            self._sum -= self._items.popleft()[1]
-        self._sum = self._sum if self._items else 0.0
-        return self._sum
-
-
-class EwmaRate:
-    """A mean amount a second, over about `span`."""
-
-    def __init__(self) -> None:
-        self.rate, self.at = 0.0, 0
-
-    def add(self, now: int, amount: float, span: int) -> None:
-        self.rate += amount * SECOND / span - self.rate * min(1.0, (now - self.at) / span)
-        self.at = now
-
-
-@dataclass(slots=True, eq=False)
-class Health:
-    """What this host has seen of one process: a restart or a replacement starts afresh."""
-
-    entry: api.Endpoint
-    cold_since: int
-    served: SlidingWindowSum
-    sent: SlidingWindowSum  # units
-    out: int = 0
-    latency: float = 0.0  # 0: unheard
-    heard_at: int = 0
-    units: float = 0.0  # mean of the same answers
-    narrow: float = 1.0  # part of D in use
-    errors: float = 0.0
-    turned_away: int = 0  # requests in a row since it last served one
-    unreached: int = 0  # connects that failed since it was last heard
-    doubted: int = 0  # until when other hosts' word makes this one careful
-
-
-@dataclass(slots=True, eq=False)
-class Attempt:
-    health: Health
-    cell: int
-    sent_at: int
-    written_off: bool = False  # takes up no depth
-    outcome: api.Outcome | None = None
-
-    def write_off(self) -> None:
-        self.health.out -= 0 if self.written_off else 1
-        self.written_off = True
-
-
-@dataclass(slots=True, eq=False)
-class Volume:
-    weight: float
-    plan: api.PlanSpec
-    hosts: int  # that its requests come through
-    limit: Bucket = field(init=False)
-    reserve: Bucket = field(init=False)
-    used: int | None = None  # latest fleet figure, percent
-    held_units: float = 0.0
-    came: float = 0.0  # units ever held at any node
-    part: float = field(init=False)  # of the plan's limit and reserve, at this host
-
-    def __post_init__(self) -> None:
-        self.part = 1 / self.hosts
-
-    @property
-    def even(self) -> bool:
-        """Whether it has the part that any host has unless told: another one must not be forgotten."""
-        return self.part == 1 / self.hosts
-
-    def share(self, now: int, settings: api.Settings) -> None:
-        """Refits both stores to the part; one without a limit has all it can ask for."""
-        part, plan = self.part * settings.part, self.plan
-        rate = plan.reserve_rate * part
-        self.reserve.refit(now, rate, rate + settings.max_units)
-        self.limit.refit(now, (plan.limit_rate or UNLIMITED) * part, (plan.limit_burst or UNLIMITED) * part)
-
-
-@dataclass(slots=True, eq=False)
-class Request:
-    told: api.Arrival
-    cls: api.ClassSpec
-    volume: Volume
-    seq: int
-    aim_at: int
-    answer_by: int
-    value: float  # worth per unit, as far as this host can tell
-    reserved: float = 0.0  # units drawn from the volume's reserve
-    attempts: list[Attempt] = field(default_factory=list)
-    node: Node | None = None  # where it is held
-    floor: float = 0.0  # virtual time when it came
-    start: float = 0.0
-    finish: float = 0.0
-    paid: bool = False  # a resend keeps the tag it has paid for
-    over: bool = False
-
-    def relative_size(self, health: Health) -> float:
-        """Return its size as a multiple of the mean request there, at least 1."""
-        return max(1.0, self.told.units / health.units) if health.units else 1.0
-
-    def attempts_that_may_have_run(self) -> list[Attempt]:
-        """Return the attempts whose outcome does not prove that they had no effect."""
-        return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
-
-    def tag(self) -> tuple[float, int]:
-        return self.start, self.seq
-
-    def out(self) -> bool:
-        return any(a.outcome is None for a in self.attempts)
-
-
-@dataclass(slots=True, eq=False)
-class Flow:
-    """One volume at one node: what is held, and the last one sent."""
-
-    held: deque[Request] = field(default_factory=deque)
-    last_start: float = 0.0
-    last_units: float = 0.0
-    finish: float = 0.0
-    came: float = 0.0  # units ever held here
-
-
-def retag(flow: Flow, v: float | None, weight: float) -> None:
-    """With v: the retag of a weight change. Without: closes the gap of a request that left unsent."""
-    if v is not None:
-        flow.finish = flow.last_start + flow.last_units / weight
-    previous = flow.finish
-    for r in flow.held:
-        if not r.paid:
-            r.start = max(r.floor if v is None else v, previous)
-            r.finish = previous = r.start + r.told.units / weight
-
-
-@dataclass(slots=True, eq=False)
-class Node:
-    """One cell: its queue outlives the process that serves it."""
-
-    cell: int
-    health: Health | None = None
-    flows: dict[str, Flow] = field(default_factory=dict)
-    v: float = 0.0  # virtual time: the start tag last sent
-    held: int = 0
-    look_at: int = 1 << 62  # next planned look
-    usual: EwmaRate = field(default_factory=EwmaRate)  # units a second served to this host while warm
-
-    def leave(self, r: Request) -> Flow:
-        flow = self.flows[r.told.volume]
-        flow.held.remove(r)
-        self.held, r.node = self.held - 1, None
-        r.volume.held_units -= 0 if r.attempts else r.told.units
-        return flow
-
-
-@dataclass(slots=True, eq=False)
-class Turn:
-    """One in-order key."""
-
-    waiting: deque[Request] = field(default_factory=deque)
-    rest_until: int = 0
-    admitted: Request | None = None
-
-
-class Host:
-    """One host's records and its agenda: the actions of a call, and steps to take later."""
-
-    def __init__(self, log_lines: int, budget_span: int) -> None:
-        self.now = 0
-        self.actions: list[api.Action] = []
+from garnetlanding.decision import tuning
+from garnetlanding.decision.agenda import Agenda
+from garnetlanding.decision.backend_health import BackendHealth
+from garnetlanding.decision.estimators import ResponseStatistics
+from garnetlanding.decision.fair_queue import CellQueue
+from garnetlanding.decision.ordered_keys import OrderedKeyQueue
+from garnetlanding.decision.requests import Request, Volume
+from garnetlanding.decision.token_bucket import HedgeBudget, RetryBudget
+from garnetlanding.decision.units import NEVER
+
+
+class ControllerState(Agenda):
+    """The records and the agenda of one instance, shared by the parts of its Controller."""
+
+    def __init__(self, settings: api.Settings, seed: int) -> None:
+        super().__init__(tuning.LOG_LINES)
+        self.rng = random.Random(seed)
         self.requests: dict[str, Request] = {}
+        self.arrival_count = 0
+        self.longest_patience: dict[str, int] = {}  # longest time a client gave, by class, in microseconds
         self.volumes: dict[str, Volume] = {}
-        self.entries: dict[str, api.Endpoint] = {}
-        self.admin_disabled: set[int] = set()  # cells of which an operator has taken a process out
-        self.nodes: dict[int, Node] = {}
-        self.turns: dict[str, Turn] = {}
-        self.news: dict[int, Node] = {}  # cells to look at in this call
-        self.patience: dict[str, int] = {}  # longest time a client gave, by class
-        self.taken = SlidingWindowSum(2 * budget_span)  # arrivals
-        self.extra = SlidingWindowSum(2 * budget_span)  # attempts beyond a request's first
-        self.count = 0
-        self._due: list[tuple[int, int, Callable[[Any], None], Any]] = []
-        self._wake_at: int | None = None
-        self._logs_left = log_lines
-
-    def begin(self, now: int) -> None:
-        self.now, self.actions = now, []
-        if self._wake_at is not None and self._wake_at <= now:
-            self._wake_at = None
-
-    def at(self, when: int, step: Callable[[Any], None], what: Any) -> None:
-        """Calls step(what) in the first call at or past that time."""
-        self.count += 1
-        heapq.heappush(self._due, (when, self.count, step, what))
-
-    def run_due(self) -> None:
-        while self._due and self._due[0][0] <= self.now:
-            _, _, step, what = heapq.heappop(self._due)
-            step(what)
-
-    def newest_up(self) -> dict[int, api.Endpoint]:
-        """Of each cell, the listed process that is up; of several, the last to start."""
-        up: dict[int, api.Endpoint] = {}
-        for entry in self.entries.values():
-            best = up.get(entry.cell)
-            if entry.state is api.EndpointState.UP and (best is None or best.started_us < entry.started_us):
-                up[entry.cell] = entry
-        return up
-
-    def with_news(self) -> Iterator[Node]:
-        while self.news:
-            yield self.news.popitem()[1]
-
-    def look_at(self, node: Node, when: int) -> None:
-        """Counts the node among those with news at that time, unless an earlier look is planned."""
-        if when < node.look_at:
-            node.look_at = when
-            self.at(when, self._look, node)
-
-    def _look(self, node: Node) -> None:
-        node.look_at = 1 << 62
-        self.news[node.cell] = node
-
-    def finish(self) -> list[api.Action]:
-        """The call's actions, with a wake-up for the next step."""
-        if self._due and (self._wake_at is None or self._due[0][0] < self._wake_at):
-            self._wake_at = max(self._due[0][0], self.now + 1)
-            self.actions.append(api.WakeAfter(self._wake_at - self.now, "look"))
-        return self.actions
-
-    def act(self, action: api.Action) -> None:
-        self.actions.append(action)
-
-    def log(self, text: str) -> None:
-        if self._logs_left > 0:
-            self._logs_left -= 1
-            self.act(api.Log(text))
+        self.ordered_keys: dict[str, OrderedKeyQueue] = {}
+        self.endpoints: dict[str, api.Endpoint] = {}
+        self.disabled_cells: set[int] = set()  # cells with an administratively disabled backend
+        self.cells: dict[int, CellQueue] = {}
+        self.pending_cells: dict[int, CellQueue] = {}  # to look at in this call, the last one first
+        self.budget_shares: dict[
+            str, float
+        ] = {}  # of the instances' common budgets; one not named is 1: even
+        self.retry_budget = RetryBudget(settings.retry_budget_window_us)
+        self.hedge_budget = HedgeBudget()
+        self.started_at = 0
+        self.warmup_share = settings.process_share  # this process's part of the warm-up budgets
+        self.follow_settings(settings)
+        self.statistics = ResponseStatistics(float(self.tightest_objective_us))
+
+    def follow_settings(self, settings: api.Settings) -> None:
+        """Take up new settings and what follows from them."""
+        self.settings = settings
+        # What is given up holds at once; what is gained, once the other's attempts have left the window.
+        self.warmup_share = min(self.warmup_share, settings.process_share)
+        if settings.process_share > self.warmup_share:
+            gained_at = self.now + settings.overload_window_us
+            self.schedule(gained_at, self._raise_warmup_share, settings.process_share)
+        classes = settings.classes.values()
+        self.tightest_objective_us = min(one.latency_objective_us for one in classes)
+        highest_price = max(plan.price for plan in settings.plans.values())
+        self.highest_priority_weight = max(one.priority_weight for one in classes) * highest_price
+        # 0 to 1: how far the instances' smallest concurrency limits fail to protect a backend by themselves.
+        self.contention = max(0.0, 1 - tuning.DEPTH_FLOOR / max(1, settings.instances))
+
+    def _raise_warmup_share(self, share: float) -> None:
+        self.warmup_share = max(self.warmup_share, min(share, self.settings.process_share))
+
+    def budget_share(self, name: str) -> float:
+        """Return this instance's part of a budget of all instances, as a multiple of the even one."""
+        return self.budget_shares.get(name, 1.0)
+
+    def cell_queue(self, cell: int) -> CellQueue:
+        """Return the queue of a cell, a new one if it is the first time."""
+        queue = self.cells.get(cell)
+        if queue is None:
+            queue = self.cells[cell] = CellQueue(cell)
+        return queue
+
+    def mark_pending(self, queue: CellQueue) -> None:
+        """Have the cell looked at in this call."""
+        self.pending_cells[queue.cell] = queue
+
+    def take_pending(self) -> Iterator[CellQueue]:
+        """Yield the cells to look at until none is left, also those that are marked meanwhile."""
+        while self.pending_cells:
+            yield self.pending_cells.popitem()[1]
+
+    def look_later(self, queue: CellQueue, when: int) -> None:
+        """Have the cell looked at at that time, unless an earlier look is planned."""
+        if when < queue.next_look_at:
+            queue.next_look_at = when
+            self.schedule(when, self._look, queue)
+
+    def _look(self, queue: CellQueue) -> None:
+        queue.next_look_at = NEVER
+        self.mark_pending(queue)
+
+    def is_warming_up(self, health: BackendHealth) -> bool:
+        """Return whether a backend has started less than the warm-up time ago."""
+        return self.now < health.warming_since + self.settings.warmup_us
+
+    def new_request(self, arrival: api.Arrival) -> Request:
+        """Add the request of an arrival, and its volume if it is the first of it."""
+        traffic_class = self.settings.classes[arrival.cls]
+        plan = self.settings.plans[arrival.plan]
+        # A client's retry is judged by its first try: the longest time a client gave tells when that came.
+        patience = max(self.longest_patience.get(arrival.cls, 0), arrival.until_us - self.now)
+        self.longest_patience[arrival.cls] = patience
+        first_try_at = min(self.now, arrival.until_us - patience)
+        self.arrival_count += 1
+        request = Request(
+            arrival=arrival,
+            traffic_class=traffic_class,
+            volume=self.volumes.get(arrival.volume) or self._new_volume(arrival, plan),
+            units=arrival.units,
+            sequence=self.arrival_count,
+            objective_at=first_try_at + traffic_class.latency_objective_us,
+            answer_by=arrival.until_us - tuning.MARGIN_TICKS * self.settings.tick_us,
+            priority_weight=traffic_class.priority_weight * plan.price,
+        )
+        self.requests[arrival.request] = request
+        return request
+
+    def _new_volume(self, arrival: api.Arrival, plan: api.PlanSpec) -> Volume:
+        volume = Volume(plan.weight, plan, max(1, arrival.volume_hosts))
+        volume.start_plan(self.now, plan, self.settings)
+        self.volumes[arrival.volume] = volume
+        return volume
+
+    def dequeue_unsent(self, request: Request) -> None:
+        """Take a request out of the queue that it is in, if any, without sending it."""
+        if request.queued_cell is not None:
+            self.cells[request.queued_cell].dequeue_unsent(request)
+
+    def follow_plans(self, old_share: float) -> None:
+        """Start volumes afresh by the settings in force if their plan, or this process's share, is another.
+
+        A volume's tags move with its weight. `old_share` is the process's share before.
+        """
+        for name, volume in self.volumes.items():
+            plan = self.settings.plans.get(volume.plan.name, volume.plan)
+            changed = plan != volume.plan
+            if changed or old_share != self.settings.process_share:
+                volume.start_plan(self.now, plan, self.settings)
+            if changed:
+                self.set_weight(name, plan.weight)
+
+    def follow_quota_shares(self, event: api.QuotaShares) -> None:
+        """Take up this instance's parts of the volumes' plans and of the common budgets."""
+        for name, share in event.parts.items():
+            volume = self.volumes[name]
+            volume.quota_share = share
+            volume.refit(self.now, self.settings)
+        if event.shares is not None:
+            self.budget_shares = event.shares
+
+    def follow_suspicions(self, event: api.PeerSuspicions) -> None:
+        """Take up which backends other instances have reported; one not named is not suspected any more."""
+        for queue in self.cells.values():
+            if queue.health:
+                queue.health.suspected_until = event.suspected_until.get(queue.health.endpoint.node, 0)
+
+    def set_weight(self, name: str, weight: float) -> None:
+        """Give a volume another weight, and its queued requests the tags that follow from it."""
+        self.volumes[name].weight = weight
+        for queue in self.cells.values():
+            if name in queue.flows:
+                queue.flows[name].retag_for_weight(queue.virtual_time, weight)
+
+    def forget_idle_volumes(self) -> None:
+        """Drop volumes without requests for long: they are as good as new, and all names would stay."""
+        idle_since = self.now - tuning.FORGET_AFTER
+        idle = [
+            name
+            for name, volume in self.volumes.items()
+            if volume.reserve.filled_at < idle_since and volume.has_even_share
+        ]
+        for name in idle:
+            queues = [queue for queue in self.cells.values() if name in queue.flows]
+            if any(queue.flows[name].queued for queue in queues):
+                continue
+            del self.volumes[name]
+            for queue in queues:
+                del queue.flows[name]
--- a/garnetlanding/emulator/lease_model.py
+++ b/garnetlanding/emulator/lease_model.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field, replace
 
-from garnetlanding.decision.state import EwmaRate
+from garnetlanding.decision.estimators import EwmaRate
 from garnetlanding.emulator.walk import Walk
 from garnetlanding.peers.codec import LeaseMessage, tag
 from garnetlanding.peers.demand import Demand
--- a/garnetlanding/peers/demand.py
+++ b/garnetlanding/peers/demand.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from garnetlanding.decision.state import SECOND, EwmaRate, SlidingWindowSum
+from garnetlanding.decision.estimators import EwmaRate, SlidingWindowSum
+from garnetlanding.decision.units import SECOND
 from garnetlanding.peers.limits import PeerLimits
 
 
--- a/garnetlanding/peers/leases.py
+++ b/garnetlanding/peers/leases.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field, replace
 from typing import NamedTuple
 
-from garnetlanding.decision.state import SlidingWindowSum
+from garnetlanding.decision.estimators import SlidingWindowSum
 from garnetlanding.peers.codec import Ask, LeaseMessage, LeasePage, tag
 from garnetlanding.peers.demand import Demand
 from garnetlanding.peers.drop_reasons import DropReason
--- a/tests/core/test_request_engine.py
+++ b/tests/core/test_request_engine.py
@@ -159,8 +159,9 @@
     assert list(w.core.endpoints._entries) == list(w.core.endpoints._addresses) == ["n30"]
     module = w.core.module
     assert isinstance(module, Controller)
-    assert list(module.entries) == ["n30"] and len(module.volumes) <= 21
-    assert all(set(node.flows) <= set(module.volumes) for node in module.nodes.values())
+    state = module.state
+    assert list(state.endpoints) == ["n30"] and len(state.volumes) <= 21
+    assert all(set(queue.flows) <= set(state.volumes) for queue in state.cells.values())
 
 
 def test_a_whole_list_forgets_what_it_leaves_out() -> None:
--- a/tests/decision/test_backend_health.py
+++ b/tests/decision/test_backend_health.py
@@ -24,8 +24,8 @@
         b.ask(f"r{i}")
         b.run(10 * MS)
         b.end(f"r{i}", api.Outcome.RESET if i % 3 else api.Outcome.SERVED, over=i % 3 == 0)
-    h = b.c.nodes[0].health
-    assert h is not None and h.cold_since < b.now - b.c.settings.warmup_us
+    h = b.c.state.cells[0].health
+    assert h is not None and h.warming_since < b.now - b.c.settings.warmup_us
 
 
 def test_a_node_whose_attempts_time_out_gets_no_cheap_work_until_that_fades() -> None:
@@ -68,14 +68,14 @@
 
 def test_a_node_that_refused_connections_while_silent_comes_back_cold() -> None:
     b = Bench(settings(), [up("n0", 0)])
-    h = b.c.nodes[0].health
+    h = b.c.state.cells[0].health
     assert h is not None
     for name in ("a", "b", "c"):
-        assert h.cold_since < 0, "some connects break by chance"
+        assert h.warming_since < 0, "some connects break by chance"
         b.ask(name, volume=name, plan="tin", hosts=3)
         b.run(250 * MS)
         b.end(name, api.Outcome.UNREACHABLE)
-    assert h.cold_since == b.now
+    assert h.warming_since == b.now
     for i in range(40):
         b.ask(f"c{i}", volume="c", units=1, plan="tin", hosts=3)
         b.end(f"c{i}")
@@ -220,13 +220,13 @@
 
 def test_the_time_of_a_large_request_does_not_spoil_the_pace() -> None:
     b = busy(3, 30 * MS)
-    h = b.c.nodes[0].health
+    h = b.c.state.cells[0].health
     assert h is not None
-    before = h.latency
+    before = h.latency_us
     b.ask("large", units=6)
     b.run(170 * MS)
     b.end("large", took=170 * MS)
-    assert h.latency <= before * 1.01 and h.narrow == 1.0
+    assert h.latency_us <= before * 1.01 and h.depth_factor == 1.0
 
 
 def test_list_calls_after_many_errors_stay_close_enough_to_hear_of_a_drain_in_time() -> None:
--- a/tests/decision/test_fair_queueing.py
+++ b/tests/decision/test_fair_queueing.py
@@ -5,6 +5,8 @@
 from dataclasses import replace
 
 from garnetlanding.decision import interface as api
+from garnetlanding.decision.concurrency import concurrency_limit
+from garnetlanding.decision.weight_control import run_weight_controller
 from tests.helpers import MS, SECOND, Bench, names, settings, up
 
 FOUR = ["f0", "f1", "f2", "f3"]
@@ -82,14 +84,14 @@
     assert drain(b, 1) == ["t0"]  # S = 0.75, F = 6.75: t1 waits at 6.75
     for i in range(2):
         b.ask(f"g{i}", volume="g", units=6)  # 0.75, 2.25
-    volume, flow, node = b.c.volumes["t"], b.c.nodes[0].flows["t"], b.c.nodes[0]
-    assert flow.held[0].start == 6.75
-    volume.used = 25  # a quarter of its rate: weight times 2 with half a step
-    b.c.now = b.now
-    b.c._steer(None)
+    volume, flow, node = b.c.state.volumes["t"], b.c.state.cells[0].flows["t"], b.c.state.cells[0]
+    assert flow.queued[0].start_tag == 6.75
+    volume.usage_percent = 25  # a quarter of its rate: weight times 2 with half a step
+    b.c.state.now = b.now
+    run_weight_controller(b.c.state)
     assert volume.weight == 2.0
-    assert flow.finish == 0.75 + 6 / 2
-    assert flow.held[0].start == max(node.v, 3.75)
+    assert flow.finish_tag == 0.75 + 6 / 2
+    assert flow.queued[0].start_tag == max(node.virtual_time, 3.75)
     assert drain(b, 3) == ["g0", "g1", "t1"]
 
 
@@ -102,8 +104,8 @@
     left: list[str] = []
     for _ in range(6):
         for name in ("a", "b"):
-            b.c.volumes[name].used = 100
-        b.c._steer(None)
+            b.c.state.volumes[name].usage_percent = 100
+        run_weight_controller(b.c.state)
         left += drain(b, 1)
     assert left == ["a0", "b0", "a1", "b1", "a2", "b2"]
 
@@ -127,16 +129,16 @@
 
 def test_depth_follows_served_completions_up_to_the_ceiling() -> None:
     b = Bench(settings(), [up("n0", 0)])
-    h = b.c.nodes[0].health
+    h = b.c.state.cells[0].health
     assert h is not None
     for i in range(80):  # 40 a second x 0.3 s = 12
         h.served.add(b.now - 20 * i)
-    assert round(b.c._depth(h), 9) == 12
+    assert round(concurrency_limit(b.c.state, h), 9) == 12
     for _ in range(2000):
         h.served.add(b.now)
-    assert b.c._depth(h) == 32.0
-    b.c.now = b.now + 3 * SECOND
-    assert b.c._depth(h) == 4.0
+    assert concurrency_limit(b.c.state, h) == 32.0
+    b.c.state.now = b.now + 3 * SECOND
+    assert concurrency_limit(b.c.state, h) == 4.0
 
 
 def test_quick_errors_do_not_swell_depth() -> None:
@@ -144,30 +146,30 @@
     for i in range(200):
         b.ask(f"e{i}")
         b.end(f"e{i}", api.Outcome.ERROR, took=MS)
-    h = b.c.nodes[0].health
-    assert h is not None and b.c._depth(h) == 4.0
+    h = b.c.state.cells[0].health
+    assert h is not None and concurrency_limit(b.c.state, h) == 4.0
 
 
 def test_slow_answers_narrow_the_window_below_the_floor() -> None:
     b = filled()
     for name in FOUR:
         b.end(name, took=900 * MS)
-    h = b.c.nodes[0].health
-    assert h is not None and b.c._depth(h) < 4.0
+    h = b.c.state.cells[0].health
+    assert h is not None and concurrency_limit(b.c.state, h) < 4.0
 
 
 def test_weight_is_left_alone_without_a_figure_and_clamped_with_one() -> None:
     b = filled()
     b.run(4 * SECOND)
-    assert b.c.volumes["filler"].weight == 4.0
+    assert b.c.state.volumes["filler"].weight == 4.0
     for _ in range(20):
-        b.c.volumes["filler"].used = 1
-        b.c._steer(None)
-    assert b.c.volumes["filler"].weight == 16.0
+        b.c.state.volumes["filler"].usage_percent = 1
+        run_weight_controller(b.c.state)
+    assert b.c.state.volumes["filler"].weight == 16.0
     for _ in range(20):
-        b.c.volumes["filler"].used = 10_000
-        b.c._steer(None)
-    assert b.c.volumes["filler"].weight == 1.0
+        b.c.state.volumes["filler"].usage_percent = 10_000
+        run_weight_controller(b.c.state)
+    assert b.c.state.volumes["filler"].weight == 1.0
 
 
 def test_a_large_slow_read_does_not_get_small_ones_refused() -> None:
--- a/tests/emulator/test_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -6,8 +6,7 @@
 
 import pytest
 
-from garnetlanding.decision import control
-from garnetlanding.decision.control import Controller
+from garnetlanding.decision import tuning, warmup
 from garnetlanding.emulator.fleet import SECOND, Tally, play
 
 BRICKS = 20
@@ -44,8 +43,8 @@
 
 def test_list_calls_leave_an_overbooked_discovery_able_to_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     with_pauses = days("herd")
-    monkeypatch.setattr(control, "LIST_EACH", 0)
-    monkeypatch.setattr(control, "LIST_QUEUE_EACH", 0)
+    monkeypatch.setattr(tuning, "POLL_BACKOFF_PER_INSTANCE", 0)
+    monkeypatch.setattr(tuning, "POLL_QUEUE_PER_INSTANCE", 0)
     without = days("herd")
     assert 4 * sum(t.calls_failed for t in with_pauses) < sum(t.calls_failed for t in without)
     assert served(with_pauses) > served(without) + 0.02
@@ -54,7 +53,7 @@
 @pytest.mark.parametrize("kind", ["herd", "zone", "join"])
 def test_what_the_plans_foresee_lets_cold_bricks_work(kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
     foreseen = days(kind, seeds=6)  # two days alone differ by chance as much as by this
-    monkeypatch.setattr(Controller, "_told_rate", lambda self, node: 0.0)
+    monkeypatch.setattr(warmup, "planned_load", lambda state, queue: 0.0)
     assert served(foreseen) > served(days(kind, seeds=6)) + 0.015
 
 
--- a/tests/golden/test_decision_digest.py
+++ b/tests/golden/test_decision_digest.py
@@ -58,9 +58,8 @@
         f"{p.price!r})"
         for p in s.plans.values()
     )
-    return (
-        f"{s.instances} {s.instance_id} {s.max_attempts} {s.parallel_attempts} {s.part!r} {classes} {plans}"
-    )
+    tries = f"{s.max_attempts} {s.parallel_attempts}"
+    return f"{s.instances} {s.instance_id} {tries} {s.process_share!r} {classes} {plans}"
 
 
 def event_text(event: api.Event) -> str:
@@ -92,8 +91,8 @@
             return f"peer {sender} {payload.hex()}"
         case api.QuotaShares(parts, shares):
             return f"parts {pairs_text(parts)} {'-' if shares is None else pairs_text(shares)}"
-        case api.PeerSuspicions(doubted):
-            return f"hearsay {pairs_text(doubted)}"
+        case api.PeerSuspicions(suspected):
+            return f"hearsay {pairs_text(suspected)}"
     raise AssertionError(f"an event of an unknown kind: {event!r}")
 
 
@@ -509,7 +508,7 @@
         if rng.random() < 0.2:
             del plans["gold"]  # its volumes go on by the plan as it was
             plans["gold"] = replace(BASE.plans["gold"], price=0.2)
-        self.settings = replace(self.settings, plans=plans, part=rng.choice((0.5, 1.0, 1.0)))
+        self.settings = replace(self.settings, plans=plans, process_share=rng.choice((0.5, 1.0, 1.0)))
         return api.NewSettings(self.settings)
 
     def _changed_list(self) -> api.Event:
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -1282,7 +1282,7 @@
         f"most units: {s.max_units!r}",
         f"cells: {s.cells}",
         f"heads may tell: {s.may_message_peers}",
-        f"part: {s.part!r}",
+        f"part: {s.process_share!r}",
     ]
     for key, c in s.classes.items():
         lines.append(
--- a/tests/ops/test_process_quota.py
+++ b/tests/ops/test_process_quota.py
@@ -9,6 +9,7 @@
 from hypothesis import strategies as st
 
 from garnetlanding.decision import interface as api
+from garnetlanding.decision.concurrency import concurrency_limit
 from garnetlanding.ops.process_quota import (
     MIN_ENDING_SHARE,
     ProcessRecord,
@@ -74,34 +75,34 @@
 def test_a_part_holds_for_depth_at_once_and_grows_for_cold_bricks_one_window_later() -> None:
     config = settings(instances=1, parallel_attempts=False)
     b = Bench(config, [up("n0", 0)])
-    h = b.c.nodes[0].health
-    assert h and b.c._depth(h) == 4
+    h = b.c.state.cells[0].health
+    assert h and concurrency_limit(b.c.state, h) == 4
     b.ask("a")
-    b.c.volumes["v"].weight = 9
-    b.tell(api.NewSettings(replace(config, part=0.5)))
-    assert b.c._depth(h) == 2 and b.c.cold_part == 0.5
-    assert b.c.volumes["v"].weight == 9, "what was learnt of a volume is not forgotten"
-    b.tell(api.NewSettings(replace(config, part=1.0)))
-    assert b.c._depth(h) == 4 and b.c.cold_part == 0.5
+    b.c.state.volumes["v"].weight = 9
+    b.tell(api.NewSettings(replace(config, process_share=0.5)))
+    assert concurrency_limit(b.c.state, h) == 2 and b.c.state.warmup_share == 0.5
+    assert b.c.state.volumes["v"].weight == 9, "what was learnt of a volume is not forgotten"
+    b.tell(api.NewSettings(replace(config, process_share=1.0)))
+    assert concurrency_limit(b.c.state, h) == 4 and b.c.state.warmup_share == 0.5
     b.run(config.overload_window_us - 10 * MS)
     b.tell()
-    assert b.c.cold_part == 0.5
+    assert b.c.state.warmup_share == 0.5
     b.run(20 * MS)
     b.tell()
-    assert b.c.cold_part == 1.0
+    assert b.c.state.warmup_share == 1.0
 
 
 def fullest_window(config: api.Settings, *parts: dict[int, float]) -> int:
     """Most units that a cold brick gets in one window from processes whose parts change at those steps."""
     sent: list[int] = []
-    benches = [Bench(replace(config, part=part[0]), []) for part in parts]
+    benches = [Bench(replace(config, process_share=part[0]), []) for part in parts]
     for bench in benches:
         bench.tell(api.EndpointListUpdate((up("n0", 0, started=T0),), whole=True))
     for step in range(600):
         for bench, part in zip(benches, parts, strict=True):
             bench.now = max(bench.now, T0 + step * 10 * MS)
             if step and step in part:
-                bench.tell(api.NewSettings(replace(config, part=part[step])))
+                bench.tell(api.NewSettings(replace(config, process_share=part[step])))
             done = bench.ask(f"a{step}", volume=f"v{step % 5}", units=1) + bench.run(0)
             for send in [a for a in done if isinstance(a, api.Send)]:
                 sent.append(bench.now)
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -17,7 +17,7 @@
 from garnetlanding import config
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
-from garnetlanding.decision.state import Volume
+from garnetlanding.decision.requests import Volume
 from garnetlanding.ops import admin_client
 from garnetlanding.peers import codec
 from garnetlanding.peers.codec import LeaseMessage
@@ -36,7 +36,7 @@
 def volume(talk: PeerCoordinator) -> Volume:
     module = talk.module
     assert isinstance(module, Controller)
-    return module.volumes["v"]
+    return module.state.volumes["v"]
 
 
 class FailureDetector:
@@ -75,15 +75,15 @@
 def test_the_module_sends_what_its_part_of_the_limit_allows_and_no_more() -> None:
     f = FailureDetector()
     f.run(4)
-    assert volume(f.talks[0]).part == pytest.approx(1.0)
+    assert volume(f.talks[0]).quota_share == pytest.approx(1.0)
     assert volume(f.talks[0]).limit.rate == pytest.approx(40)
     before = len(f.sent[0])
     f.run(4)
     assert 70 <= len(f.sent[0]) - before <= 82, "40 units a second, where a fixed half allowed 20"
     f.run(2, cut=(0,))
-    assert volume(f.talks[0]).limit.rate == pytest.approx(20) and volume(f.talks[0]).limit.most == 30
+    assert volume(f.talks[0]).limit.rate == pytest.approx(20) and volume(f.talks[0]).limit.capacity == 30
     f.run(4, asked=(0, 1))
-    parts = [volume(f.talks[me]).part for me in (0, 1)]
+    parts = [volume(f.talks[me]).quota_share for me in (0, 1)]
     assert sum(parts) <= 1 + 1e-9 and min(parts) > 0.4, "two that ask alike have a half each"
 
 
@@ -92,7 +92,7 @@
     f = FailureDetector()
     f.run(3, asked=(0, 1))
     f.run(70)
-    assert volume(f.talks[1]).part < 0.1 and volume(f.talks[0]).part > 0.9
+    assert volume(f.talks[1]).quota_share < 0.1 and volume(f.talks[0]).quota_share > 0.9
     f.run(0.04, asked=(1,))
     assert volume(f.talks[1]).limit.rate < 4
 
@@ -112,9 +112,9 @@
     talk = f.talks[0]
     talk.handle(f.now, [api.NewSettings(replace(LIMITED, instances=4))])
     f.run(0.08, cut=(0, 1, 2))
-    assert volume(talk).part == 0.0
+    assert volume(talk).quota_share == 0.0
     f.run(1.5, cut=(0, 1, 2))
-    assert volume(talk).part == 0.5
+    assert volume(talk).quota_share == 0.5
 
 
 def test_forged_bytes_are_counted_by_cause_and_change_nothing() -> None:
@@ -303,22 +303,22 @@
     ask = read_command("r2").replace(b"hosts=1", b"hosts=2")
     assert client.say(ask).startswith(b"-BUSY") or not h.brick.heard[1:], "the other one has this head's part"
     talk = h.daemon.talk
-    assert talk and volume(talk).part == 0.0
+    assert talk and volume(talk).quota_share == 0.0
     h.run(LIMITS.open_retry_us, 100 * MS)
     assert h.daemon.link and h.daemon.link.address == at
     client.say(ask.replace(b"r2", b"r3"))
-    assert volume(talk).part == 0.0, "nor may it have given nothing away"
+    assert volume(talk).quota_share == 0.0, "nor may it have given nothing away"
     h.run(2 * LIMITS.lease_us, 100 * MS)
     client.say(ask.replace(b"r2", b"r4"))
     h.run(100 * MS)
-    assert volume(talk).part == 0.5
+    assert volume(talk).quota_share == 0.5
 
 
 def test_a_process_that_ends_beside_a_newer_one_leaves_it_the_link_and_every_part() -> None:
     h = TalkingHead()
     h.ask()
     h.ask()
-    assert volume(h.talk).part == 0.5 and h.daemon.link
+    assert volume(h.talk).quota_share == 0.5 and h.daemon.link
     link = h.daemon.link
 
     class Newer:
