--- a/tests/audit/test_commands.py
+++ b/tests/audit/test_commands.py
@@ -17,7 +17,7 @@
 # The command line
 
 
-def test_the_command_line_reads_what_heads_wrote(
+def test_commands_answer_from_the_files_that_an_instance_wrote(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     audit = opened(tmp_path, wall=1_700_000_000_000)
@@ -52,8 +52,8 @@
     empty = tmp_path / "empty"
     empty.mkdir()
     assert cli.main(["audit", "show", str(empty)]) == 2
-    told = capsys.readouterr()
-    assert "no audit in" in told.err and "n5: no files" in told.out and "1.2" in told.out
+    output = capsys.readouterr()
+    assert "no audit in" in output.err and "n5: no files" in output.out and "1.2" in output.out
     assert len((tmp_path / "all").read_text().splitlines()) == 2
     assert (tmp_path / "c.png").stat().st_size > 1000
     assert parse_wall_ms("2023-11-14T22:13:20") == 1_700_000_000_000
@@ -63,12 +63,14 @@
 @pytest.mark.parametrize(
     "data, key",
     [
-        ({}, "key audit.folder"),
-        ({"folder": "x", "sync": 1}, "key audit.sync"),
-        ({"folder": "x", "checkpoint_s": 0}, "key audit.checkpoint_s"),
-        ({"folder": "x", "y": 1}, "key audit.y"),
+        pytest.param({}, "key audit.folder", id="folder missing"),
+        pytest.param({"folder": "x", "sync": 1}, "key audit.sync", id="sync not a boolean"),
+        pytest.param(
+            {"folder": "x", "checkpoint_s": 0}, "key audit.checkpoint_s", id="checkpoint out of range"
+        ),
+        pytest.param({"folder": "x", "y": 1}, "key audit.y", id="unknown key"),
     ],
 )
-def test_a_fault_in_the_section_names_its_key(data: dict[str, Any], key: str) -> None:
+def test_an_invalid_section_raises_an_error_that_names_the_key(data: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
         read_setup(data)
--- a/tests/audit/test_files.py
+++ b/tests/audit/test_files.py
@@ -29,34 +29,34 @@
     return found.segments, found.problems
 
 
-def test_segments_are_begun_anew_and_the_oldest_dropped_and_named(tmp_path: pathlib.Path) -> None:
+def test_long_segments_are_rotated_and_deleted_ones_are_recorded(tmp_path: pathlib.Path) -> None:
     audit = opened(tmp_path, limits=SMALL, wall=2_000_000_000_000 - 10**12)
     for n in range(40):
         audit.write({"kind": "checkpoint", "n": n, "text": "x" * 100})
     audit.close()
-    told, problems = read_all(tmp_path)
-    assert not problems and sum(map(len, map(json.dumps, (s.records for s in told)))) < 4000
-    dropped = [r["up_to"] for s in told for r in s.records if r["kind"] == "dropped"]
-    assert max(dropped) == [1, min(s.number for s in told) - 1]
-    assert not merge_segments(told, LIMITS).problems
-    assert "are missing" in merge_segments(told[1:], LIMITS).problems[0]
+    found, problems = read_all(tmp_path)
+    assert not problems and sum(map(len, map(json.dumps, (s.records for s in found)))) < 4000
+    dropped = [r["up_to"] for s in found for r in s.records if r["kind"] == "dropped"]
+    assert max(dropped) == [1, min(s.number for s in found) - 1]
+    assert not merge_segments(found, LIMITS).problems
+    assert "are missing" in merge_segments(found[1:], LIMITS).problems[0]
 
 
-def test_what_is_missing_or_exchanged_is_seen(tmp_path: pathlib.Path) -> None:
+def test_missing_and_exchanged_segments_are_problems(tmp_path: pathlib.Path) -> None:
     audit = opened(tmp_path, limits=AuditLimits(segment_bytes=300))
     for n in range(9):
         audit.write({"kind": "checkpoint", "n": n, "text": "x" * 60, "t": n, "taken": 0, "vector": {}})
     audit.close()
-    told, _ = read_all(tmp_path)
-    assert len(told) > 3
-    assert merge_segments(told[:1] + told[2:], LIMITS).problems == [
+    found, _ = read_all(tmp_path)
+    assert len(found) > 3
+    assert merge_segments(found[:1] + found[2:], LIMITS).problems == [
         "n0: segments 2 to 2 of life 1 are missing"
     ]
-    forged = Segment("n0", 1, 2, bytes(16), told[1].records, told[1].last_hash)
-    assert "does not follow" in merge_segments([told[0], forged, *told[2:]], LIMITS).problems[0]
+    forged = Segment("n0", 1, 2, bytes(16), found[1].records, found[1].last_hash)
+    assert "does not follow" in merge_segments([found[0], forged, *found[2:]], LIMITS).problems[0]
 
 
-def test_a_new_life_says_how_the_one_before_it_ended(tmp_path: pathlib.Path) -> None:
+def test_the_start_record_says_how_the_previous_incarnation_ended(tmp_path: pathlib.Path) -> None:
     audit = opened(tmp_path)
     audit.write({"kind": "checkpoint", "t": 1, "taken": 0, "vector": {}})
     audit.close()
@@ -64,19 +64,19 @@
     path.write_bytes(path.read_bytes()[:-3])
     later = opened(tmp_path, life=2)
     later.close()
-    told, problems = read_all(tmp_path)
-    start = told[-1].records[0]
+    found, problems = read_all(tmp_path)
+    start = found[-1].records[0]
     assert not problems and start["follows"] == 1 and start["torn"].startswith("cut short at offset")
-    fleet = merge_segments(told, LIMITS)
+    fleet = merge_segments(found, LIMITS)
     assert len(fleet.problems) == 1 and "was cut short at offset" in fleet.problems[0]
-    assert merge_segments(told[1:], LIMITS).problems == ["n0: the files of life 1 are missing"]
+    assert merge_segments(found[1:], LIMITS).problems == ["n0: the files of life 1 are missing"]
     path.write_bytes(b"nonsense")
     opened(tmp_path, life=3).close()
     assert "not a segment" in read_all(tmp_path)[1][0]
 
 
 @pytest.mark.parametrize("failing", ["open", "write", "fsync", "listdir", "unlink"])
-def test_a_failure_at_any_file_call_ends_the_audit_and_not_the_head(
+def test_any_failing_file_call_stops_recording_with_one_log_line(
     failing: str, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     limits = AuditLimits(segment_bytes=300, total_bytes=900)
@@ -90,11 +90,11 @@
         audit.write({"kind": "checkpoint", "n": n, "text": "x" * 60})
     monkeypatch.undo()
     assert caplog.text.count("audit recording stopped") == 1
-    told, problems = read_all(tmp_path)
+    found, problems = read_all(tmp_path)
     assert not problems, "what was written before it reads"
 
 
-def test_a_new_segment_that_cannot_be_opened_leaves_nothing_to_close(
+def test_closing_after_a_segment_could_not_be_opened_closes_no_other_file(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     audit = opened(tmp_path, limits=AuditLimits(segment_bytes=1))
@@ -111,7 +111,7 @@
     assert (tmp_path / "other").read_bytes() == b"still open"
 
 
-def test_a_disk_that_takes_half_a_record_leaves_a_torn_tail(
+def test_a_partial_write_leaves_a_torn_tail_and_stops_recording(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     audit, real = opened(tmp_path), os.write
@@ -119,5 +119,5 @@
     audit.write({"kind": "checkpoint"})
     audit.write({"kind": "checkpoint"})
     monkeypatch.undo()
-    told, problems = read_all(tmp_path)
-    assert not problems and told[0].torn_at and len(told[0].records) == 1
+    found, problems = read_all(tmp_path)
+    assert not problems and found[0].torn_at and len(found[0].records) == 1
--- a/tests/audit/test_merge.py
+++ b/tests/audit/test_merge.py
@@ -29,7 +29,7 @@
 ]
 
 
-def test_the_same_is_read_from_the_files_in_any_order() -> None:
+def test_merging_gives_the_same_timeline_for_any_order_of_segments() -> None:
     fleets = []
     for seed in range(6):
         some = list(FLEET)
@@ -38,7 +38,7 @@
     assert all(fleet == fleets[0] for fleet in fleets)
 
 
-def test_who_acted_on_what_and_who_was_last() -> None:
+def test_a_lag_names_the_first_and_the_last_instance() -> None:
     fleet = merge_segments(FLEET, LIMITS)
     [lag] = lags(fleet, "settings")
     assert lag.last_holder and (
@@ -61,18 +61,27 @@
 @pytest.mark.parametrize(
     "more, why",
     [
-        ([on(1.5, "1.1#a", vector={"settings": "1.1#a", "out": "not current"}), on(3, "1.2#b")], "stopped"),
-        ([on(1.5, "1.1#a", vector={"settings": "1.1#a", "out": "shut out"})], "was shut out"),
-        ([{"at": 1.5, "kind": "end"}], "ended in order"),
-        (
+        pytest.param(
+            [on(1.5, "1.1#a", vector={"settings": "1.1#a", "out": "not current"}), on(3, "1.2#b")],
+            "stopped",
+            id="fenced as stale",
+        ),
+        pytest.param(
+            [on(1.5, "1.1#a", vector={"settings": "1.1#a", "out": "shut out"})],
+            "was shut out",
+            id="fenced by an operator",
+        ),
+        pytest.param([{"at": 1.5, "kind": "end"}], "ended in order", id="ended in order"),
+        pytest.param(
             [{"at": 1.2, "kind": "refused", "component": "settings", "why": "key x"}, still(2, "1.1#a")],
             "refused the change",
+            id="change rejected",
         ),
-        ([still(2, "1.1#a"), still(3, "1.1#a")], "acts on it still"),
-        ([still(1.5, "1.1#a"), on(9, "1.2#b")], "stood still"),
+        pytest.param([still(2, "1.1#a"), still(3, "1.1#a")], "acts on it still", id="still acting"),
+        pytest.param([still(1.5, "1.1#a"), on(9, "1.2#b")], "stood still", id="stalled"),
     ],
 )
-def test_why_the_last_was_late(more: list[dict[str, Any]], why: str) -> None:
+def test_a_lag_says_why_the_last_instance_was_late(more: list[dict[str, Any]], why: str) -> None:
     late = life("n3", 1, on(0, "1.1#a"), still(1, "1.1#a"), *[dict(r) for r in more], me=3)
     first = life("n0", 1, on(0, "1.1#a"), on(0.9, "1.2#b"))
     [lag] = lags(merge_segments([first, late], LIMITS), "settings")
@@ -80,7 +89,7 @@
     assert lag.last_holder.reason.value.endswith(why)
 
 
-def test_contradictions_are_named() -> None:
+def test_contradictions_between_instances_are_problems() -> None:
     two = life("n1", 1, on(0, "1.2#other"), me=0)
     back = life("n2", 1, on(5, "1.2#b"), on(6, "1.3#c", wall=2000), me=2)
     found = merge_segments([*FLEET[:1], two, back], LIMITS, ["n9"]).problems
@@ -89,7 +98,7 @@
     assert any("clock went back by 3000 ms" in p for p in found) and "n9: no files" in found
 
 
-def test_the_order_of_two_heads_follows_from_messages_alone() -> None:
+def test_spans_of_two_instances_are_ordered_by_messages_alone() -> None:
     one = life("n0", 4, on(0, "1.1#a", said=0), on(5, "1.2#b", said=8), me=0, wall=9_000_000)
     heard = life("n1", 1, on(0, "1.1#a"), on(1, "1.2#b", heard=[0, 4, 9]), me=1)
     fleet = merge_segments([one, heard], LIMITS)
--- a/tests/audit/test_recorder.py
+++ b/tests/audit/test_recorder.py
@@ -12,7 +12,7 @@
 # The recorder
 
 
-def test_a_change_is_recorded_before_anything_is_decided_by_it_and_nothing_else_is() -> None:
+def test_only_changes_due_checkpoints_new_rejections_and_the_end_are_recorded() -> None:
     now, kept = {"settings": "1.1#a", "list": "1"}, list[dict[str, Any]]()
     received: MessageId | None = None
     recorder = Recorder(
--- a/tests/audit/test_segments.py
+++ b/tests/audit/test_segments.py
@@ -30,12 +30,12 @@
 
 
 @given(PAYLOADS)
-def test_what_is_recorded_is_read(payloads: list[dict[str, Any]]) -> None:
+def test_records_read_back_as_written(payloads: list[dict[str, Any]]) -> None:
     found = segments.read_segment("f", built(payloads), False)
     assert (found.instance, found.incarnation, found.number, found.records) == ("n0", 7, 1, payloads)
 
 
-def test_a_segment_cut_at_any_byte_is_torn_there_and_nothing_before_it_is_lost() -> None:
+def test_a_segment_cut_at_any_byte_keeps_the_records_before_the_cut() -> None:
     payloads = [{"kind": "change", "n": n, "text": "x" * n} for n in range(4)]
     whole = built(payloads)
     ends = [len(built(payloads[:n])) for n in range(5)]
@@ -52,7 +52,7 @@
             segments.read_segment("f", whole[:cut], True)
 
 
-def test_a_bit_changed_anywhere_is_found() -> None:
+def test_any_flipped_bit_is_detected() -> None:
     payloads = [{"kind": "change", "n": n} for n in range(3)]
     whole = built(payloads)
     last = len(built(payloads[:2]))
@@ -71,7 +71,7 @@
             assert found.torn_at == last and found.records == payloads[:2] and bit // 8 < last + 4
 
 
-def test_a_record_taken_out_or_exchanged_breaks_the_chain() -> None:
+def test_a_removed_record_breaks_the_hash_chain() -> None:
     payloads = [{"n": n} for n in range(3)]
     ends = [len(built(payloads[:n])) for n in range(4)]
     whole = built(payloads)
--- a/tests/history/test_history.py
+++ b/tests/history/test_history.py
@@ -9,8 +9,8 @@
 from tests.support.daemon import Head
 
 
-def test_a_historys_lines_have_the_time_at_which_they_are_written(tmp_path: pathlib.Path) -> None:
-    """The turn's own time would put what a held-up process hears before what others said meanwhile."""
+def test_a_line_has_the_time_at_which_it_is_written(tmp_path: pathlib.Path) -> None:
+    """The event-loop iteration's time would put what a held-up process receives before it was sent."""
     file = tmp_path / "n1.history"
     h = Head({"history": {"file": str(file)}})
     h.time += 7 * MS
--- a/tests/support/audit.py
+++ b/tests/support/audit.py
@@ -25,21 +25,21 @@
 
 def life(head: str, number: int, *records: dict[str, Any], me: int = 0, wall: int = 0) -> Segment:
     """Records at the times given, in seconds; the wall clock shows the same, `wall` off."""
-    told = [{"kind": "start", "t": 0, "wall": wall, "follows": 0, "torn": "", "checkpoint_us": SECOND}]
-    for r in records:
-        t = r.pop("at")
-        told.append(
+    payloads = [{"kind": "start", "t": 0, "wall": wall, "follows": 0, "torn": "", "checkpoint_us": SECOND}]
+    for fields in records:
+        at_s = fields.pop("at")
+        payloads.append(
             {
                 "kind": "change",
-                "t": int(t * SECOND),
-                "wall": int(t * 1000) + wall,
+                "t": int(at_s * SECOND),
+                "wall": int(at_s * 1000) + wall,
                 "taken": 0,
                 "said": 0,
                 "heard": [],
                 "changed": [],
                 "me": me,
                 "vector": {},
-                **r,
+                **fields,
             }
         )
-    return Segment(head, number, 1, segments.FIRST_HASH, told)
+    return Segment(head, number, 1, segments.FIRST_HASH, payloads)
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -83,14 +83,14 @@
         return [path for path, _ in self.collector.calls]
 
 
-def test_spans_and_metrics_in_the_collectors_encoding() -> None:
-    w = TelemetryWorld()
-    w.ended()
-    w.exporter.request_ended(ASK, Rejected(0), BEGAN, BEGAN + 20 * SECOND, [])
-    w.exporter.gauges = {"clients": lambda: 4}
-    w.run(SECOND, 100 * MS)
-    assert w.paths() == ["/otlp/v1/traces", "/otlp/v1/metrics"]
-    [resource] = w.collector.calls[0][1]["resourceSpans"]
+def test_ended_requests_are_posted_as_spans_and_metrics() -> None:
+    world = TelemetryWorld()
+    world.ended()
+    world.exporter.request_ended(ASK, Rejected(0), BEGAN, BEGAN + 20 * SECOND, [])
+    world.exporter.gauges = {"clients": lambda: 4}
+    world.run(SECOND, 100 * MS)
+    assert world.paths() == ["/otlp/v1/traces", "/otlp/v1/metrics"]
+    [resource] = world.collector.calls[0][1]["resourceSpans"]
     instance = {"key": "service.instance.id", "value": {"stringValue": "n1"}}
     assert instance in resource["resource"]["attributes"]
     request, first, second, refused = resource["scopeSpans"][0]["spans"]
@@ -98,9 +98,11 @@
     assert first["parentSpanId"] == second["parentSpanId"] == request["spanId"]
     assert len(request["traceId"]) == 32 and len(request["spanId"]) == 16 and "parentSpanId" not in request
     took = int(request["endTimeUnixNano"]) - int(request["startTimeUnixNano"])
-    assert took == 30 * 10**6 and int(request["startTimeUnixNano"]) == w.wall + (BEGAN - 50 * SECOND) * 1000
+    assert (
+        took == 30 * 10**6 and int(request["startTimeUnixNano"]) == world.wall + (BEGAN - 50 * SECOND) * 1000
+    )
     assert first["status"] == {"code": 2, "message": "reset"} and "status" not in second
-    [scope] = w.collector.calls[1][1]["resourceMetrics"][0]["scopeMetrics"]
+    [scope] = world.collector.calls[1][1]["resourceMetrics"][0]["scopeMetrics"]
     metrics = {m["name"]: m for m in scope["metrics"]}
     points = metrics["garnetlanding.requests"]["sum"]["dataPoints"]
     assert sorted((p["attributes"][2]["value"]["stringValue"], p["asInt"]) for p in points) == [
@@ -112,7 +114,7 @@
     assert metrics["garnetlanding.clients"]["gauge"]["dataPoints"][0]["asInt"] == "4"
 
 
-def test_values_and_buckets() -> None:
+def test_attributes_are_typed_and_a_bucket_includes_its_bound() -> None:
     assert encode_attributes({"a": True, "b": 2, "c": 0.5}) == [
         {"key": "a", "value": {"boolValue": True}},
         {"key": "b", "value": {"intValue": "2"}},
@@ -125,65 +127,65 @@
 
 
 @pytest.mark.parametrize("status", [429, 502, 503, 504])
-def test_a_status_that_asks_for_another_try_gets_one_when_told(status: int) -> None:
-    w = TelemetryWorld()
-    w.collector.script = [reply(status, header=b"Retry-After: 3\r\n")]
-    w.ended()
-    w.run(SECOND + 2900 * MS, 100 * MS)
-    assert w.paths() == ["/otlp/v1/traces"]
-    w.run(200 * MS, 100 * MS)
-    assert w.paths() == ["/otlp/v1/traces"] * 2 + ["/otlp/v1/metrics"] and w.exporter.dropped == 0
-    assert w.collector.calls[0] == w.collector.calls[1]
-
-
-def test_another_status_is_final_and_what_it_held_is_counted() -> None:
-    w = TelemetryWorld()
-    w.collector.script = [reply(400)]
-    w.ended(3)
-    w.run(SECOND, 100 * MS)
-    assert w.paths() == ["/otlp/v1/traces", "/otlp/v1/metrics"] and w.exporter.dropped == 3
-
-
-def test_a_partial_success_counts_what_was_rejected() -> None:
-    w = TelemetryWorld()
-    w.collector.script = [reply(200, b'{"partialSuccess": {"rejectedSpans": "2"}}')]
-    w.ended()
-    w.run(SECOND, 100 * MS)
-    assert w.exporter.dropped == 2
-
-
-def test_a_collector_that_is_gone_or_silent_costs_spans_and_nothing_else() -> None:
-    w = TelemetryWorld(telemetry_tries=2, telemetry_queue=100, telemetry_batch=40)
-    w.collector.script = [None]
-    w.ended(101)
-    assert w.exporter.dropped == 1, "the queue is bounded"
-    w.run(SECOND + w.limits.telemetry_answer_us, 100 * MS)
-    assert w.paths() == ["/otlp/v1/traces"]
-    w.collector.listener.stop_accepting()
-    w.collector.drop()
-    w.run(3 * SECOND, 100 * MS)
-    assert w.exporter.dropped >= 41 and len(w.exporter._queue) <= 60
-
-
-def test_batches_are_small_and_the_last_round_sends_what_is_left() -> None:
-    w = TelemetryWorld(telemetry_batch=2)
-    w.settle()
-    w.ended(3)
-    w.exporter.finish()
-    w.run(10 * MS, MS)
-    assert w.paths() == ["/otlp/v1/traces"] * 2 + ["/otlp/v1/metrics"] and w.exporter.done
-    assert len(w.collector.conns) <= 1, "one connection serves all"
+def test_a_retryable_status_is_retried_after_the_delay_it_asks_for(status: int) -> None:
+    world = TelemetryWorld()
+    world.collector.script = [reply(status, header=b"Retry-After: 3\r\n")]
+    world.ended()
+    world.run(SECOND + 2900 * MS, 100 * MS)
+    assert world.paths() == ["/otlp/v1/traces"]
+    world.run(200 * MS, 100 * MS)
+    assert world.paths() == ["/otlp/v1/traces"] * 2 + ["/otlp/v1/metrics"] and world.exporter.dropped == 0
+    assert world.collector.calls[0] == world.collector.calls[1]
+
+
+def test_any_other_status_drops_the_batch_without_a_retry() -> None:
+    world = TelemetryWorld()
+    world.collector.script = [reply(400)]
+    world.ended(3)
+    world.run(SECOND, 100 * MS)
+    assert world.paths() == ["/otlp/v1/traces", "/otlp/v1/metrics"] and world.exporter.dropped == 3
+
+
+def test_a_partial_success_counts_rejected_spans_as_dropped() -> None:
+    world = TelemetryWorld()
+    world.collector.script = [reply(200, b'{"partialSuccess": {"rejectedSpans": "2"}}')]
+    world.ended()
+    world.run(SECOND, 100 * MS)
+    assert world.exporter.dropped == 2
+
+
+def test_an_unreachable_or_unresponsive_collector_costs_a_bounded_queue_of_spans() -> None:
+    world = TelemetryWorld(telemetry_tries=2, telemetry_queue=100, telemetry_batch=40)
+    world.collector.script = [None]
+    world.ended(101)
+    assert world.exporter.dropped == 1, "the queue is bounded"
+    world.run(SECOND + world.limits.telemetry_answer_us, 100 * MS)
+    assert world.paths() == ["/otlp/v1/traces"]
+    world.collector.listener.stop_accepting()
+    world.collector.drop()
+    world.run(3 * SECOND, 100 * MS)
+    assert world.exporter.dropped >= 41 and len(world.exporter._queue) <= 60
+
+
+def test_finish_exports_the_whole_queue_in_small_batches() -> None:
+    world = TelemetryWorld(telemetry_batch=2)
+    world.settle()
+    world.ended(3)
+    world.exporter.finish()
+    world.run(10 * MS, MS)
+    assert world.paths() == ["/otlp/v1/traces"] * 2 + ["/otlp/v1/metrics"] and world.exporter.done
+    assert len(world.collector.conns) <= 1, "one connection serves all"
 
 
 @pytest.mark.parametrize(
     "text, want",
     [
-        ("5", 5 * SECOND),
-        ("", None),
-        ("soon", None),
-        ("Thu, 01 Jan 1970 00:01:40 GMT", 90 * SECOND),
-        ("Thu, 01 Jan 1970 00:00:01 GMT", 0),
+        pytest.param("5", 5 * SECOND, id="seconds"),
+        pytest.param("", None, id="empty"),
+        pytest.param("soon", None, id="neither"),
+        pytest.param("Thu, 01 Jan 1970 00:01:40 GMT", 90 * SECOND, id="future date"),
+        pytest.param("Thu, 01 Jan 1970 00:00:01 GMT", 0, id="past date"),
     ],
 )
-def test_retry_after(text: str, want: int | None) -> None:
+def test_retry_after_is_read_as_seconds_or_a_date(text: str, want: int | None) -> None:
     assert retry_after_us(text, 10.0) == want
