--- a/garnetlanding/daemon.py
+++ b/garnetlanding/daemon.py
@@ -19,7 +19,7 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.discovery.listing import read_list
-from garnetlanding.discovery.watch import Watch
+from garnetlanding.discovery.watch import Watch, WatchCallbacks, WatchRuntime
 from garnetlanding.resp.brick import bricks
 from garnetlanding.resp.front import ClientMachine as RespMachine
 from garnetlanding.runtime.buffers import BufferPool
@@ -100,18 +100,14 @@
         cache_listing(self.store, known)
         version, listing = read_list(known, lambda us: us - offset, complete=True, at_start=True)
         own = BufferPool(limits.buffer_bytes, limits.discovery_buffers, limits.discovery_buffers)
-        self.watch = self.core.subscriptions = Watch(
-            self.scheduler,
-            config.discovery,
-            own,
-            limits,
-            lambda us: us - offset,
+        callbacks = WatchCallbacks(
             self.core.update_endpoints,
             self.core.endpoint_update_failed,
             lambda data: cache_listing(self.store, data),
-            version,
             lambda: not self.core.settings.poll_endpoints,
         )
+        runtime = WatchRuntime(self.scheduler, own, limits, lambda us: us - offset)
+        self.watch = self.core.subscriptions = Watch(runtime, callbacks, config.discovery, version)
         self.core.update_endpoints(listing)
         self.watch.keep_open()
         self.link: PeerLink | None = None
--- a/garnetlanding/discovery/__init__.py
+++ b/garnetlanding/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The list of servers over HTTP/1.1: a chunked parser, and the client that follows changes."""
+"""The endpoint list over HTTP/1.1: its JSON, the parser of a watch, and the client that follows changes."""
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Any
 
 import pytest
 
@@ -10,7 +11,7 @@
 from garnetlanding.core.ports import EndpointListing
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.interface import Endpoint, EndpointState
-from garnetlanding.discovery.watch import Watch
+from garnetlanding.discovery.watch import Watch, WatchCallbacks, WatchRuntime
 from garnetlanding.emulator.discovery import Box, Discovery, DiscoveryConn
 from garnetlanding.limits import Limits
 from tests.helpers import MS, SECOND, Bench, World, settings, up
@@ -23,18 +24,14 @@
         self.discovery = self.server(Discovery)
         self.discovery.boxes = [Box("b0", "127.0.0.1:9", 0)]
         self.heard: list[str] = []
-        self.watch = Watch(
-            self.scheduler,
-            self.discovery.address,
-            self.pool,
-            self.limits,
-            lambda us: us,
+        callbacks = WatchCallbacks(
             lambda listing: self.heard.extend(e.node + ":" + e.state.value for e in listing.entries),
-            lambda queued, unheard: self.failed(queued, unheard),
-            lambda data: None,
-            41,
+            self.failed,
+            lambda data: self.persist(data),
             lambda: self.pushed,
         )
+        runtime = WatchRuntime(self.scheduler, self.pool, self.limits, lambda us: us)
+        self.watch = Watch(runtime, callbacks, self.discovery.address, 41)
         self.unheard: list[int] = []
         if pushed:
             self.watch.keep_open()
@@ -42,6 +39,9 @@
             self.watch.subscribe()
         self.settle()
 
+    def persist(self, data: dict[str, Any]) -> None:
+        """Forget the list: nothing here restarts."""
+
     def failed(self, queued: bool, unheard_us: int) -> None:
         self.heard.append("queued" if queued else "failed")
         self.unheard.append(unheard_us)
@@ -54,17 +54,11 @@
         super().__init__(settings(instances=hosts, poll_endpoints=True))
         self.discovery = self.server(Discovery)
         self.discovery.boxes = [Box("b0", "127.0.0.1:9", 0)]
-        self.watch = self.core.subscriptions = Watch(
-            self.scheduler,
-            self.discovery.address,
-            self.pool,
-            self.limits,
-            lambda us: us,
-            self.core.update_endpoints,
-            self.core.endpoint_update_failed,
-            lambda data: None,
-            0,
+        callbacks = WatchCallbacks(
+            self.core.update_endpoints, self.core.endpoint_update_failed, lambda data: None
         )
+        runtime = WatchRuntime(self.scheduler, self.pool, self.limits, lambda us: us)
+        self.watch = self.core.subscriptions = Watch(runtime, callbacks, self.discovery.address)
         self.list(*self.discovery.boxes)
 
 
@@ -154,7 +148,7 @@
 def test_a_defect_behind_the_watch_is_a_failure_too(monkeypatch: pytest.MonkeyPatch) -> None:
     """Were it not told, nobody would ask again, and drains would go unheard."""
     w = WatchWorld()
-    monkeypatch.setattr(w.watch, "_keep", lambda data: 1 / 0)
+    monkeypatch.setattr(w, "persist", lambda data: 1 / 0)
     w.discovery.tell(Box("b0", "127.0.0.1:9", 0, "DRAINING"))
     w.settle()
     assert w.heard[-1] == "failed"
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -42,7 +42,7 @@
 from garnetlanding.core.ports import AttemptSummary, Failed, Rejected, RequestSpec, Served
 from garnetlanding.decision import interface as api
 from garnetlanding.discovery.listing import ListError, read_list
-from garnetlanding.discovery.watch import Watch
+from garnetlanding.discovery.watch import Watch, WatchCallbacks, WatchRuntime
 from garnetlanding.emulator.base import Conn, Server
 from garnetlanding.http.head import HttpError
 from garnetlanding.http.request import RequestParser
@@ -790,20 +790,16 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"%x\r\n" % len(body) + body + b"\r\n"
     )
     lines: list[str] = []
-    watch = Watch(
-        world.scheduler,
-        server.address,
-        world.pool,
-        world.limits,
-        lambda us: us + 100,
+    callbacks = WatchCallbacks(
         lambda listing: lines.extend(
             [f"whole {listing.complete}, at start {listing.at_start}"]
             + [f"{entry_form(e)} at {listing.addresses[e.node] or '-'}" for e in listing.entries]
         ),
         lambda queued, unheard: lines.append(f"failed, queued {queued}, unheard {unheard}"),
         lambda data: lines.append(f"kept {json.dumps(data)}"),
-        4,
     )
+    runtime = WatchRuntime(world.scheduler, world.pool, world.limits, lambda us: us + 100)
+    watch = Watch(runtime, callbacks, server.address, 4)
     watch.subscribe()
     world.settle()
     watch.subscribe()
