--- a/tests/audit/test_commands.py
+++ b/tests/audit/test_commands.py
@@ -11,8 +11,8 @@
 from garnetlanding.audit.segment_files import list_segments
 from garnetlanding.audit.setup import read as read_setup
 from garnetlanding.audit.wall_time import parse_wall_ms
-from tests.helpers import SECOND
 from tests.support.audit import opened
+from tests.support.clock import SECOND
 
 # The command line
 
--- a/tests/choices/test_subset_tracker.py
+++ b/tests/choices/test_subset_tracker.py
@@ -12,8 +12,9 @@
 from garnetlanding.choices.subset_tracker import SubsetTracker
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box
-from tests import helpers
-from tests.helpers import SECOND, Peer, World, read_command
+from tests.support import decision_bench
+from tests.support.clock import SECOND
+from tests.support.simulated_instance import LoopbackClient, SimulatedInstance, read_command
 
 # In the head
 
@@ -27,11 +28,11 @@
 
 
 def test_idle_connections_are_kept_to_some_servers_only() -> None:
-    w = World()
+    w = SimulatedInstance()
     bricks = [w.server(Brick), w.server(Brick)]
     w.list(Box("n0", bricks[0].address, 0), Box("n1", bricks[1].address, 1))
     w.bricks.keeps, w.bricks.outside_idle_us = lambda: frozenset({"n1"}), SECOND
-    peer = Peer(w, w.front().address)
+    peer = LoopbackClient(w, w.front().address)
     assert all(peer.say(read_command(f"r{cell}", cell=cell)).startswith(b"$") for cell in (0, 1))
     assert [len(brick.conns) for brick in bricks] == [1, 1]
     w.run(3 * SECOND)
@@ -55,7 +56,7 @@
 
 
 def test_a_budget_of_further_attempts_is_the_operators_where_the_settings_have_none() -> None:
-    plain = helpers.settings()
+    plain = decision_bench.make_settings()
     chosen = ChoicesSetup(retry_budget_ratio=0.1, retry_budget_floor=3, retry_budget_window_us=5 * SECOND)
     used = chosen.with_retry_budget(plain)
     assert (used.retry_budget_ratio, used.retry_budget_floor, used.retry_budget_window_us) == (
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -14,8 +14,8 @@
 from garnetlanding.decision.interface import Effect
 from garnetlanding.store.cached_endpoints import SETTINGS as SETTINGS_KEY
 from garnetlanding.store.setup import StoreSetup
-from tests.helpers import MS, SECOND, T0
-from tests.support.daemon import BASE, EXPORT, NINEP, SETTINGS
+from tests.support.clock import MS, SECOND, T0
+from tests.support.daemon import EXPORT, NINEP, PLATFORM_CONFIG, PLATFORM_SETTINGS
 
 ROOT = pathlib.Path(__file__).parents[2]
 
@@ -25,7 +25,7 @@
 
 
 def test_the_platforms_configuration_is_read_with_its_limits() -> None:
-    c = config.read(BASE)
+    c = config.read(PLATFORM_CONFIG)
     assert (c.name, c.seed, c.settings.max_attempts) == ("n1", 0x8C1F30D27A5BE964, 4)
     assert (
         c.settings.may_cancel
@@ -34,7 +34,7 @@
     )
     assert (c.limits.brick_idle_us, c.limits.dial_us) == (16 * SECOND, 300 * MS)
     assert (c.limits.client_conns, c.limits.brick_conns, c.limits.brick_conns_kept) == (822, 341, 170)
-    both = config.read(BASE, {"ninep": NINEP}).limits
+    both = config.read(PLATFORM_CONFIG, {"ninep": NINEP}).limits
     assert both.client_conns + both.ninep_conns + both.ninep_server_conns == c.limits.client_conns
     assert c.operator == config.OperatorConfig(store=StoreSetup(writer="n1")), "all else is off"
 
@@ -46,7 +46,7 @@
         ({"listen": "nowhere"}, "key listen"),
         ({"seed": "xyz"}, "key seed"),
         ({"settings": None}, "key settings"),
-        ({"settings": SETTINGS | {"Me": "zero"}}, "key settings: setting Me"),
+        ({"settings": PLATFORM_SETTINGS | {"Me": "zero"}}, "key settings: setting Me"),
         ({"limits": {"sockets": 5}}, "key limits.sockets"),
         ({"limits": {"memory_mb": "x"}}, "limits.memory_mb"),
         ({"known": {"instances": [{}]}}, "key known: field lifecycle"),
@@ -55,7 +55,7 @@
 )
 def test_a_fault_in_the_configuration_names_its_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
-        config.read(BASE | change)
+        config.read(PLATFORM_CONFIG | change)
 
 
 @pytest.mark.parametrize(
@@ -85,12 +85,12 @@
 )
 def test_a_fault_in_an_operators_file_names_its_key(operator: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
-        config.read(BASE, operator)
+        config.read(PLATFORM_CONFIG, operator)
 
 
 def test_a_small_machine_has_less_of_everything() -> None:
     """Sizes were fixed: 4,096 buffers alone are the 32 MB that the smallest heads get."""
-    small = config.read(BASE | {"limits": {"memory_mb": 32, "sockets": 256}}).limits
+    small = config.read(PLATFORM_CONFIG | {"limits": {"memory_mb": 32, "sockets": 256}}).limits
     assert small.client_conns + small.brick_conns_kept + small.spare_sockets == 256
     assert small.client_conns >= 256 // 3
     assert (
@@ -104,18 +104,20 @@
     assert busy <= small.spare_sockets
     assert small.open_items >= small.client_conns and small.out_bytes > 2 * small.value_bytes
     with pytest.raises(config.ConfigError, match="limits.memory_mb"):
-        config.read(BASE | {"limits": {"memory_mb": 31, "sockets": 256}})
+        config.read(PLATFORM_CONFIG | {"limits": {"memory_mb": 31, "sockets": 256}})
 
 
 def test_the_operators_file_that_is_delivered_is_sound() -> None:
     text = (ROOT / "deploy/operator.toml").read_text().replace("#[", "[")
     lines = [line[1:] if line[:1] == "#" and " = " in line else line for line in text.splitlines()]
-    settings = SETTINGS | {
-        "Classes": [SETTINGS["Classes"][0] | {"Name": name} for name in ("segment-read", "draft-save")],
-        "Contracts": [SETTINGS["Contracts"][0] | {"Name": "standard"}],
+    settings = PLATFORM_SETTINGS | {
+        "Classes": [
+            PLATFORM_SETTINGS["Classes"][0] | {"Name": name} for name in ("segment-read", "draft-save")
+        ],
+        "Contracts": [PLATFORM_SETTINGS["Contracts"][0] | {"Name": "standard"}],
     }
     parsed = tomllib.loads("\n".join(lines))
-    c = config.read(BASE | {"name": "n2", "settings": settings}, parsed)
+    c = config.read(PLATFORM_CONFIG | {"name": "n2", "settings": settings}, parsed)
     assert c.operator.ninep and c.operator.telemetry and c.operator.store.role == "follower"
 
 
@@ -134,13 +136,16 @@
 
 def test_an_export_that_may_be_changed_has_a_twin_class_that_forbids_a_repeat() -> None:
     operator = one_export(access="rw", change_deadline_ms=2000)
-    daemon = Daemon(config.read(BASE, operator), lambda: T0)
+    daemon = Daemon(config.read(PLATFORM_CONFIG, operator), lambda: T0)
     twin = daemon.core.settings.classes["read/once"]
     assert (
         twin.effect is Effect.UNSAFE
         and twin.priority_weight == daemon.core.settings.classes["read"].priority_weight
     )
-    assert "read/once" not in Daemon(config.read(BASE, one_export()), lambda: T0).core.settings.classes
-    daemon.store.put(SETTINGS_KEY, SETTINGS)
+    assert (
+        "read/once"
+        not in Daemon(config.read(PLATFORM_CONFIG, one_export()), lambda: T0).core.settings.classes
+    )
+    daemon.store.put(SETTINGS_KEY, PLATFORM_SETTINGS)
     daemon.core.run_iteration()
     assert "read/once" in daemon.core.settings.classes, "also after a reload"
--- a/tests/conform/test_conformance_suite.py
+++ b/tests/conform/test_conformance_suite.py
@@ -15,19 +15,19 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import linux as p9l
 from tests.conform.seeded_faults import VARIANTS, broken
-from tests.helpers import NineWorld, WorldWire, beside
+from tests.support.ninep_instance import NinepInstance, SimulatedWire, run_beside
 
 BOTH = [p9.VERSION, p9l.VERSION]
 
 
-def verdicts(world: NineWorld, address: str, version: str, pattern: str = "") -> list[Result]:
+def verdicts(world: NinepInstance, address: str, version: str, pattern: str = "") -> list[Result]:
     options = Options(
         version=version, aname="glossaries" if address == world.listener.address else "", quiet_s=0.05
     )
     return list(
         suite.run(
             suite.cases(version, pattern),
-            lambda: WorldWire(world, address),
+            lambda: SimulatedWire(world, address),
             options,
             clock=lambda: world.time / 1e6,
         )
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("version", BOTH)
 def test_the_stand_in_passes_and_the_head_gives_the_same_verdict_case_by_case(version: str) -> None:
-    w = NineWorld(access="rw", offer=version, tree={})
+    w = NinepInstance(access="rw", offer=version, tree={})
     direct = verdicts(w, w.files[0].address, version)
     assert [r for r in direct if r.verdict != suite.PASS] == []
     through = verdicts(w, w.listener.address, version)
@@ -48,7 +48,7 @@
 def test_each_broken_variant_of_the_stand_in_is_caught(flaw: str) -> None:
     """A suite that cannot fail proves nothing."""
     _, _, _, version, name = VARIANTS[flaw]
-    w = NineWorld(access="rw", offer=version, tree={})
+    w = NinepInstance(access="rw", offer=version, tree={})
     [sound] = [r for r in verdicts(w, w.files[0].address, version, f"^{name}$")]
     with broken(flaw):
         [flawed] = verdicts(w, w.files[0].address, version, f"^{name}$")
@@ -56,7 +56,7 @@
 
 
 def test_a_server_that_is_not_there_breaks_each_case() -> None:
-    def dial() -> WorldWire:
+    def dial() -> SimulatedWire:
         raise OSError("refused")
 
     results = list(suite.run(suite.cases(p9.VERSION, "^walk-"), dial, Options()))
@@ -64,22 +64,22 @@
 
 
 def test_a_silent_server_fails_a_case_in_time() -> None:
-    w = NineWorld(access="rw", tree={})
+    w = NinepInstance(access="rw", tree={})
     w.files[0].script.add(Rule(p9.Tread, Fault.STALL, times=-1))
     [result] = verdicts(w, w.files[0].address, p9.VERSION, "^read-nothing$")
     assert result.verdict == suite.FAIL and "no answer" in result.why
 
 
-def called(world: NineWorld, *words: str) -> int:
+def called(world: NinepInstance, *words: str) -> int:
     code: list[int] = []
-    beside(world, lambda: code.append(cli.main(["conform", "9p", *words])))
+    run_beside(world, lambda: code.append(cli.main(["conform", "9p", *words])))
     return code[0]
 
 
 def test_the_command_tells_verdicts_by_table_json_and_exit_code(
     capsys: pytest.CaptureFixture[str], tmp_path: pathlib.Path
 ) -> None:
-    w = NineWorld(access="rw", tree={})
+    w = NinepInstance(access="rw", tree={})
     quick = ["--address", w.files[0].address, "--quiet", "0.01", "--only", "^remove-(clunks|file)$"]
     file = tmp_path / "out.json"
     assert called(w, *quick, "--json", str(file)) == 0
--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -9,8 +9,10 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.resp import codec
 from garnetlanding.runtime.buffers import PoolEmpty
-from tests.helpers import MS, SECOND, NineWorld, Tool, World, heard, read_command
+from tests.support.clock import MS, SECOND
 from tests.support.departures import PING, QUIT, Raw, Waiting, connect_late
+from tests.support.ninep_instance import NinepClient, NinepInstance, received_messages
+from tests.support.simulated_instance import SimulatedInstance, read_command
 
 BAD = codec.command([b"NO"])
 
@@ -99,10 +101,10 @@
 
 def test_messages_that_wait_behind_others_are_dropped_with_their_client() -> None:
     """9P takes a few messages a turn and reads nothing meanwhile: a client that had left was worked for."""
-    w = NineWorld(ninep_items=64)
-    tool = Tool(w)
+    w = NinepInstance(ninep_items=64)
+    tool = NinepClient(w)
     tool.open(1, "sv", "law", "terms")
-    before = len(heard(w, p9.Tread))
+    before = len(received_messages(w, p9.Tread))
     assert tool.stream
     tool.stream.write(b"".join(p9.encode(10 + n, p9.Tread(1, n * 64, 64)) for n in range(60)))
     for _ in range(4):
@@ -112,12 +114,12 @@
     begun = len(w.core.starts)
     w.settle()
     assert len(w.core.starts) <= begun + w.limits.ninep_turn, "what the turn of its leaving had begun already"
-    assert len(heard(w, p9.Tread)) - before <= begun + w.limits.ninep_turn
+    assert len(received_messages(w, p9.Tread)) - before <= begun + w.limits.ninep_turn
 
 
 def test_a_flood_leaves_others_their_turn() -> None:
     """Whoever sent without a pause was read without one: nobody else was heard until it drew breath."""
-    w = World(read_turn_bytes=16 << 10)
+    w = SimulatedInstance(read_turn_bytes=16 << 10)
     front = w.front()
     flood = Raw(w, front.address)
     [head_end] = front._clients
--- a/tests/core/test_request_engine.py
+++ b/tests/core/test_request_engine.py
@@ -21,7 +21,9 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.decision.interface import EndpointState, Outcome
-from tests.helpers import MS, SECOND, World, settings
+from tests.support.clock import MS, SECOND
+from tests.support.decision_bench import make_settings
+from tests.support.simulated_instance import SimulatedInstance
 
 
 class Script:
@@ -39,7 +41,7 @@
         self.stopped.append(trial)
 
 
-class CoreWorld(World):
+class CoreWorld(SimulatedInstance):
     def __init__(self, config: api.Settings | None = None, **limits: int) -> None:
         super().__init__(config, **limits)
         self.backend, self.answers = Script(), {}
@@ -108,7 +110,7 @@
 
 def test_of_two_copies_the_first_answer_counts_and_the_other_is_thrown_away() -> None:
     """The core took the second copy for a defect and called it moot, though the settings allow it."""
-    w = CoreWorld(settings())
+    w = CoreWorld(make_settings())
     with_copy(w)
     first, second = w.backend.out
     second.finish(Outcome.SERVED, b"second")
@@ -116,19 +118,21 @@
     assert w.answers == {"a": Served(b"second")}
     w.settle()
     assert not w.core._requests and w.core.open_requests == 0 and w.core.metrics.ended == 1
-    with_copy(w := CoreWorld(settings()))
+    with_copy(w := CoreWorld(make_settings()))
     w.end(Outcome.SERVED, b"first")
     assert w.answers == {"a": Served(b"first")} and len(w.backend.stopped) == 1 and not w.core._requests
 
 
 def test_at_the_deadline_both_copies_are_stopped() -> None:
-    w = CoreWorld(settings())
+    w = CoreWorld(make_settings())
     with_copy(w, wait_us=SECOND)
     w.run(SECOND)
     assert len(w.backend.stopped) == 2 and list(w.answers) == ["a"] and not w.core._requests
 
 
-@pytest.mark.parametrize("config, copies", [(settings(parallel_attempts=False), True), (settings(), False)])
+@pytest.mark.parametrize(
+    "config, copies", [(make_settings(parallel_attempts=False), True), (make_settings(), False)]
+)
 def test_no_second_copy_where_the_settings_or_the_work_forbid_it(config: api.Settings, copies: bool) -> None:
     w = CoreWorld(config)
     w.ask("a", copies=copies)
@@ -268,7 +272,7 @@
 @given(STEPS)
 def test_every_item_ends_once_under_the_rules(steps: list[tuple[str, int, Outcome]]) -> None:
     """CheckedCore checks each start; here: every item is answered, by its deadline, once."""
-    w = CoreWorld(settings(parallel_attempts=False, max_attempts=4, instances=2))
+    w = CoreWorld(make_settings(parallel_attempts=False, max_attempts=4, instances=2))
     tickets: dict[str, str] = {}
     due: dict[str, int] = {}
     left = set()
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -13,7 +13,8 @@
 from garnetlanding.resp import codec
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.listener import Listener
-from tests.helpers import MS, SECOND, Peer, World, read_command
+from tests.support.clock import MS, SECOND
+from tests.support.simulated_instance import LoopbackClient, SimulatedInstance, read_command
 
 MIB = 1 << 20
 KIB = 1 << 10
@@ -23,7 +24,7 @@
     return b"*3\r\n" + codec.bulk(value) + codec.bulk(b"used=50") + b"$-1\r\n"
 
 
-class Store(World):
+class Store(SimulatedInstance):
     """One brick behind a front, and a window far smaller than the values."""
 
     def __init__(self, **limits: int) -> None:
@@ -32,7 +33,7 @@
         self.list(Box("b0", self.brick.address, 0))
         self.listener: Listener = self.front()
 
-    def begun(self, value: bytes, given: int, id: str = "r1") -> Peer:
+    def begun(self, value: bytes, given: int, id: str = "r1") -> LoopbackClient:
         """A client whose value is on its way: the brick has given so many bytes of its answer."""
         client = self.peer(self.listener.address)
         self.brick.script = [answer(value)[:given]]
@@ -115,7 +116,7 @@
     w.mute(deaf.stream._sock.fileno())
     deaf.stream.write(read_command("r0"))
     w.settle()
-    others = [Peer(w, w.listener.address, settle=False) for _ in range(8)]
+    others = [LoopbackClient(w, w.listener.address, settle=False) for _ in range(8)]
     w.settle()
     most = 0
     for i, other in enumerate(others):
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -9,12 +9,13 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import linux
 from garnetlanding.store.cached_endpoints import ENDPOINT_PREFIX
-from tests.helpers import MS, SECOND, read_command
-from tests.support.daemon import SETTINGS, SLOW, Head
+from tests.support.clock import MS, SECOND
+from tests.support.daemon import PLATFORM_SETTINGS, SLOW_SETTINGS, SimulatedDaemon
+from tests.support.simulated_instance import read_command
 
 
 def test_a_head_serves_both_fronts_and_follows_its_list() -> None:
-    h = Head({"ninep": True})
+    h = SimulatedDaemon({"ninep": True})
     assert h.client().say(read_command()) == b"$0\r\n\r\n"
     tool = h.client(1)
     tool.say(p9.encode(p9.NOTAG, p9.Tversion(8192, "9P2000")))
@@ -34,9 +35,9 @@
 
 @pytest.mark.parametrize("before, after", [("pushed", "on_request"), ("on_request", "pushed")])
 def test_a_list_is_followed_under_either_form_of_settings_and_after_a_reload(before: str, after: str) -> None:
-    h = Head(settings=SETTINGS | {"MembershipMode": before})
+    h = SimulatedDaemon(settings=PLATFORM_SETTINGS | {"MembershipMode": before})
     assert h.discovery.calls == ["/v1/servers?follow=1&since=4"]
-    h.file = h.file | {"settings": SETTINGS | {"MembershipMode": after}}
+    h.file = h.file | {"settings": PLATFORM_SETTINGS | {"MembershipMode": after}}
     h.daemon.reload()
     h.settle()
     assert len(h.discovery.calls) == 1, "the watch that stands goes on"
@@ -51,7 +52,7 @@
 
 
 def test_a_drain_that_is_pushed_while_attempts_are_out_stops_new_ones_alone() -> None:
-    h = Head(settings=SETTINGS | {"MembershipMode": "pushed"})
+    h = SimulatedDaemon(settings=PLATFORM_SETTINGS | {"MembershipMode": "pushed"})
     h.brick.script = [None]
     client, late = h.client(), h.client()
     client.say(read_command())
@@ -70,7 +71,7 @@
 
 def test_at_the_end_clients_are_served_for_a_while_and_all_is_finished() -> None:
     """Closed at once, a client's connection leaves it nobody to ask until the head is back."""
-    h = Head(settings=SLOW)
+    h = SimulatedDaemon(settings=SLOW_SETTINGS)
     h.brick.script = [None]
     busy, idle = h.client(), h.client()
     busy.say(read_command(d=3000))
@@ -90,7 +91,7 @@
 
 
 def test_at_the_end_nothing_is_left_for_sigkill_to_lose() -> None:
-    h = Head(settings=SLOW)
+    h = SimulatedDaemon(settings=SLOW_SETTINGS)
     h.brick.script = [None]
     slow = h.client()
     h.daemon.scheduler.spawn(h.daemon.end)
@@ -101,7 +102,7 @@
 
 
 def test_a_head_that_nobody_uses_ends_soon() -> None:
-    h = Head()
+    h = SimulatedDaemon()
     h.daemon.scheduler.spawn(h.daemon.end)
     h.run(h.daemon.limits.term_accept_us + 50 * MS)
     assert h.daemon.scheduler._stopped
--- a/tests/daemon/test_graceful_shutdown.py
+++ b/tests/daemon/test_graceful_shutdown.py
@@ -15,9 +15,10 @@
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.stream import parse_address
 from garnetlanding.shutdown import Phase, Schedule
-from tests.helpers import MS, SECOND, read_command
-from tests.support.daemon import SETTINGS, SLOW, Head, handlers_put_back
+from tests.support.clock import MS, SECOND
+from tests.support.daemon import PLATFORM_SETTINGS, SLOW_SETTINGS, SimulatedDaemon, restored_signal_handlers
 from tests.support.departures import QUIT, Raw, Waiting
+from tests.support.simulated_instance import read_command
 
 # The process
 
@@ -62,7 +63,7 @@
         assert age < schedule.terminating_us or phase is Phase.TERMINATING
 
 
-def ended_within(h: Head, span_us: int) -> bool:
+def ended_within(h: SimulatedDaemon, span_us: int) -> bool:
     h.daemon.scheduler.spawn(h.daemon.end)
     h.run(span_us, 50 * MS)
     return h.daemon.scheduler._stopped
@@ -71,7 +72,9 @@
 @pytest.mark.parametrize("longest_us", [400 * MS, 1500 * MS, 4000 * MS])
 def test_the_last_answers_are_given_before_sigkill_whatever_the_longest_deadline(longest_us: int) -> None:
     """They were given 3.2 s after SIGTERM: with deadlines of 1.5 s and less SIGKILL was there first."""
-    h = Head(settings=SETTINGS | {"Classes": [SETTINGS["Classes"][0] | {"GiveUpUs": longest_us}]})
+    h = SimulatedDaemon(
+        settings=PLATFORM_SETTINGS | {"Classes": [PLATFORM_SETTINGS["Classes"][0] | {"GiveUpUs": longest_us}]}
+    )
     h.brick.hold = True
     client = Raw(h, h.daemon.listeners[0].address)
     h.daemon.scheduler.spawn(h.daemon.end)
@@ -84,7 +87,7 @@
 @pytest.mark.parametrize("left", [read_command()[:-5], QUIT[:3], b""])
 def test_a_client_that_says_half_a_command_does_not_keep_the_process(left: bytes) -> None:
     """It had 2.5 s for the rest of it, whenever it began."""
-    h = Head(settings=SLOW)
+    h = SimulatedDaemon(settings=SLOW_SETTINGS)
     client = Raw(h, h.daemon.listeners[0].address)
     client.say(read_command())
     h.daemon.scheduler.spawn(h.daemon.end)
@@ -95,7 +98,7 @@
 
 
 def test_a_client_that_reads_nothing_does_not_keep_the_process() -> None:
-    h = Head(settings=SLOW)
+    h = SimulatedDaemon(settings=SLOW_SETTINGS)
     h.brick.data[b"k"] = b"x" * 60_000
     deaf = Raw(h, h.daemon.listeners[0].address)
     [head_end] = h.daemon.listeners[0]._clients
@@ -111,7 +114,7 @@
     part: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The first that failed left the process running until SIGKILL."""
-    h, ended = Head(), []
+    h, ended = SimulatedDaemon(), []
     for name in ("_end_ops", "_end_telemetry", "_leave", "_end_audit", "_end_life"):
         monkeypatch.setattr(h.daemon, name, lambda name=name: 1 / 0 if name == part else ended.append(name))
     assert ended_within(h, SECOND)
@@ -119,8 +122,8 @@
 
 
 def test_signals_that_come_while_it_ends_change_nothing(caplog: pytest.LogCaptureFixture) -> None:
-    with handlers_put_back():
-        h = Head(settings=SLOW)
+    with restored_signal_handlers():
+        h = SimulatedDaemon(settings=SLOW_SETTINGS)
         client = Raw(h, h.daemon.listeners[0].address)
         h.daemon._catch_signals()
         os.kill(os.getpid(), signal.SIGTERM)
@@ -140,7 +143,7 @@
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
-    h = Head(ops="127.0.0.1:0")
+    h = SimulatedDaemon(ops="127.0.0.1:0")
     for file in tmp_path.iterdir():
         os.unlink(file)
     assert ended_within(h, 2 * SECOND)
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -10,12 +10,13 @@
 
 from garnetlanding.emulator.discovery import Box, Discovery
 from garnetlanding.store.cached_endpoints import SETTINGS as SETTINGS_KEY
-from tests.helpers import MS, SECOND, read_command
-from tests.support.daemon import SETTINGS, Head, handlers_put_back
+from tests.support.clock import MS, SECOND
+from tests.support.daemon import PLATFORM_SETTINGS, SimulatedDaemon, restored_signal_handlers
+from tests.support.simulated_instance import read_command
 
 
 def test_a_reload_follows_the_new_discovery_at_once_while_requests_run_on() -> None:
-    h = Head()
+    h = SimulatedDaemon()
     h.brick.script = [None]
     client = h.client()
     client.say(read_command(d=1400))
@@ -36,10 +37,10 @@
 
 
 def test_a_reload_takes_up_new_settings_through_the_store() -> None:
-    h = Head()
+    h = SimulatedDaemon()
     h.file = h.file | {
         "listen": "127.0.0.1:1",
-        "settings": SETTINGS | {"Classes": [SETTINGS["Classes"][0] | {"Name": "scan"}]},
+        "settings": PLATFORM_SETTINGS | {"Classes": [PLATFORM_SETTINGS["Classes"][0] | {"Name": "scan"}]},
     }
     h.daemon.reload()
     h.settle()
@@ -59,7 +60,7 @@
 def test_a_bad_file_is_logged_and_the_old_stands(
     change: dict[str, Any], key: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    h = Head()
+    h = SimulatedDaemon()
     before, calls = h.daemon.config, len(h.discovery.calls)
     h.file = h.file | {"discovery": "127.0.0.1:9"} | change
     h.daemon.reload()
@@ -71,8 +72,8 @@
 
 def test_a_signal_to_end_still_works_after_one_to_reload() -> None:
     """SIGHUP had no handler and ended the process; the signal pipe was read for the end alone."""
-    with handlers_put_back():
-        h = Head()
+    with restored_signal_handlers():
+        h = SimulatedDaemon()
         h.daemon._catch_signals()
         second = h.server(Discovery)
         h.file = h.file | {"discovery": second.address}
--- a/tests/daemon/test_store_roles.py
+++ b/tests/daemon/test_store_roles.py
@@ -14,13 +14,17 @@
 from garnetlanding.store.cached_endpoints import SETTINGS as SETTINGS_KEY
 from garnetlanding.store.persister import load
 from garnetlanding.store.store import Entry, Snapshot
-from tests.helpers import MS, SECOND, T0
-from tests.support.daemon import BASE, SETTINGS, Head
+from tests.support.clock import MS, SECOND, T0
+from tests.support.daemon import PLATFORM_CONFIG, PLATFORM_SETTINGS, SimulatedDaemon
 
 
 def test_a_follower_takes_up_what_its_writer_changes(caplog: pytest.LogCaptureFixture) -> None:
-    h = Head({"store": {"role": "follower", "writer": "n0", "address": "127.0.0.1:9"}})
-    theirs = SETTINGS | {"Limits": SETTINGS["Limits"] | {"MaxAttempts": 2}, "Balancers": 3, "Me": 2}
+    h = SimulatedDaemon({"store": {"role": "follower", "writer": "n0", "address": "127.0.0.1:9"}})
+    theirs = PLATFORM_SETTINGS | {
+        "Limits": PLATFORM_SETTINGS["Limits"] | {"MaxAttempts": 2},
+        "Balancers": 3,
+        "Me": 2,
+    }
     h.daemon.store.restore(Snapshot(5, 1, {SETTINGS_KEY: theirs}))
     assert h.daemon.core.settings.max_attempts == 2
     assert (
@@ -33,28 +37,28 @@
 def test_a_restarted_head_knows_its_list_and_settings_from_its_store(tmp_path: pathlib.Path) -> None:
     path = str(tmp_path / "store.json")
     operator = {"store": {"role": "alone", "file": path}}
-    first = Head(operator)
+    first = SimulatedDaemon(operator)
     first.discovery.tell(Box("b9", first.brick.address, 5))
     first.run(SECOND, 100 * MS)
     kept = load(path)
     assert kept and ENDPOINT_PREFIX + "b9" in kept.values
-    second = Daemon(config.read(BASE, operator), lambda: T0)
+    second = Daemon(config.read(PLATFORM_CONFIG, operator), lambda: T0)
     assert second.core.endpoints.address_of("b9") is None, "the list of the configuration is newer"
-    older = BASE | {"known": BASE["known"] | {"generation": 1}}
+    older = PLATFORM_CONFIG | {"known": PLATFORM_CONFIG["known"] | {"generation": 1}}
     third = Daemon(config.read(older, operator), lambda: T0)
     assert third.core.endpoints.address_of("b9") and third.store.epoch > kept.epoch
 
 
 def test_a_follower_takes_its_writers_settings(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "store.json"
-    theirs = SETTINGS | {"Limits": SETTINGS["Limits"] | {"MaxAttempts": 2}}
+    theirs = PLATFORM_SETTINGS | {"Limits": PLATFORM_SETTINGS["Limits"] | {"MaxAttempts": 2}}
     path.write_text(json.dumps({"epoch": 5, "revision": 1, "values": {"config/settings": theirs}}))
     operator = {"store": {"role": "follower", "writer": "n0", "address": "127.0.0.1:9", "file": str(path)}}
-    assert Daemon(config.read(BASE, operator), lambda: T0).core.settings.max_attempts == 2
+    assert Daemon(config.read(PLATFORM_CONFIG, operator), lambda: T0).core.settings.max_attempts == 2
 
 
 def test_a_writer_is_followed_over_its_own_listener() -> None:
-    h = Head({"store": {"role": "writer", "writer": "n1", "address": "127.0.0.1:0"}})
+    h = SimulatedDaemon({"store": {"role": "writer", "writer": "n1", "address": "127.0.0.1:0"}})
     told = h.client(1).say(b'{"follow": [0, -1]}\n').split(b"\n")
     assert json.loads(told[0])["writer"][0] == "n1"
     assert "config/settings" in json.loads(told[1])["snapshot"][1]
--- a/tests/decision/test_backend_health.py
+++ b/tests/decision/test_backend_health.py
@@ -5,12 +5,13 @@
 import pytest
 
 from garnetlanding.decision import interface as api
-from tests.helpers import MS, READ, SECOND, Bench, settings, up
+from tests.support.clock import MS, SECOND
+from tests.support.decision_bench import READ, DecisionBench, make_settings, up_endpoint
 
 
-def busy(hosts: int, latency: int, answers: int = 12) -> Bench:
+def busy(hosts: int, latency: int, answers: int = 12) -> DecisionBench:
     """A host whose node has answered so often, each time after `latency`."""
-    b = Bench(settings(instances=hosts), [up("n0", 0)])
+    b = DecisionBench(make_settings(instances=hosts), [up_endpoint("n0", 0)])
     for i in range(answers):
         b.ask(f"b{i}", volume=f"b{i}", cls="write", units=1)
         b.run(latency)
@@ -19,7 +20,7 @@
 
 
 def test_scattered_resets_do_not_make_a_working_node_cold() -> None:
-    b = Bench(settings(), [up("n0", 0)])
+    b = DecisionBench(make_settings(), [up_endpoint("n0", 0)])
     for i in range(20):
         b.ask(f"r{i}")
         b.run(10 * MS)
@@ -42,7 +43,7 @@
 
 
 def test_a_lone_unanswered_request_does_not_close_a_node() -> None:
-    b = Bench(settings(), [up("n0", 0)])
+    b = DecisionBench(make_settings(), [up_endpoint("n0", 0)])
     b.ask("a")
     b.run(240 * MS)
     b.ask("b")
@@ -51,7 +52,7 @@
 
 def test_what_no_node_has_seen_is_given_up_before_half_its_time() -> None:
     """A refusal after more than half of its time costs a client that nobody has served 0.3 of the worth."""
-    b = Bench(settings(parallel_attempts=False), [up("n0", 0)])
+    b = DecisionBench(make_settings(parallel_attempts=False), [up_endpoint("n0", 0)])
     b.ask("held", cell=1)  # no node has this cell
     b.ask("unmet", cell=0)
     b.end("unmet", api.Outcome.UNREACHABLE)
@@ -67,7 +68,7 @@
 
 
 def test_a_node_that_refused_connections_while_silent_comes_back_cold() -> None:
-    b = Bench(settings(), [up("n0", 0)])
+    b = DecisionBench(make_settings(), [up_endpoint("n0", 0)])
     h = b.c.state.cells[0].health
     assert h is not None
     for name in ("a", "b", "c"):
@@ -100,7 +101,7 @@
 
 
 def test_an_overdue_answer_gets_one_second_copy_and_wrong_guesses_ration_them() -> None:
-    b = Bench(settings(), [up(f"n{c}", c) for c in range(9)])
+    b = DecisionBench(make_settings(), [up_endpoint(f"n{c}", c) for c in range(9)])
     for i in range(40):
         b.ask(f"b{i}", cell=0, units=1)
         b.run(20 * MS)
@@ -116,7 +117,7 @@
 @pytest.mark.parametrize("lost", [True, False])
 def test_copies_are_earned_where_answers_get_lost_and_not_where_they_are_merely_late(lost: bool) -> None:
     """A node that serves in turn answers the first attempt first: a copy there is work for nothing."""
-    b = Bench(settings(), [up("n0", 0)])
+    b = DecisionBench(make_settings(), [up_endpoint("n0", 0)])
     for i in range(1000):
         b.ask(f"r{i}", units=1)
         b.run(280 * MS if i % 20 == 0 else 20 * MS)
@@ -129,7 +130,7 @@
 
 
 def test_no_second_copy_where_the_settings_forbid_two_attempts_at_once() -> None:
-    b = Bench(settings(parallel_attempts=False), [up("n0", 0)])
+    b = DecisionBench(make_settings(parallel_attempts=False), [up_endpoint("n0", 0)])
     b.ask("a")
     b.run(SECOND)
     assert len(b.sends("a")) == 1
@@ -160,8 +161,8 @@
 
 def test_all_hosts_together_keep_the_cold_budget() -> None:
     """Each host takes its part of what a cold node always bears, in every window."""
-    b = Bench(settings(), [])
-    b.tell(api.EndpointListUpdate((up("n0", 0, started=b.now),), whole=True))
+    b = DecisionBench(make_settings(), [])
+    b.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=b.now),), whole=True))
     for i in range(60):
         b.ask(f"c{i}", volume=f"v{i % 3}", units=1, plan="tin", hosts=3)
         if b.sends(f"c{i}"):
@@ -171,7 +172,7 @@
 
 
 def test_a_new_object_avoids_a_silent_node() -> None:
-    b = Bench(settings(), [up("n0", 0), up("n1", 1)])
+    b = DecisionBench(make_settings(), [up_endpoint("n0", 0), up_endpoint("n1", 1)])
     for i in range(4):
         b.ask(f"h{i}", cell=0, cls="write")
     b.run(700 * MS)
@@ -183,7 +184,7 @@
 def test_a_new_object_goes_to_a_node_that_was_slow_once_or_never_tried() -> None:
     """One slow answer long ago kept a node out for good, and an untried one counted as slow as the slowest:
     each head put all its new objects on the few that it had found quick."""
-    b = Bench(settings(), [up("n0", 0), up("n1", 1), up("n2", 2)])
+    b = DecisionBench(make_settings(), [up_endpoint("n0", 0), up_endpoint("n1", 1), up_endpoint("n2", 2)])
     b.ask("slow", cell=0)
     b.end("slow", took=800 * MS)
     for i in range(4):
@@ -198,8 +199,8 @@
 
 
 def test_what_a_cold_nodes_budget_cannot_cover_in_time_is_refused_at_once_cheapest_first() -> None:
-    b = Bench(settings(warmup_units=3.0), [])
-    b.tell(api.EndpointListUpdate((up("n0", 0, started=b.now),), whole=True))
+    b = DecisionBench(make_settings(warmup_units=3.0), [])
+    b.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=b.now),), whole=True))
     for i in range(8):
         b.ask(f"cheap{i}", volume="c", units=1, plan="tin", hosts=3)
     b.ask("dear", volume="d", units=1, hosts=3)
@@ -210,11 +211,11 @@
 
 
 def test_held_work_waits_for_the_node_that_replaces_a_draining_one() -> None:
-    b = Bench(settings(), [up("n0", 0)])
+    b = DecisionBench(make_settings(), [up_endpoint("n0", 0)])
     b.tell(api.EndpointListUpdate((api.Endpoint("n0", 0, "z", api.EndpointState.DRAINING),)))
     b.ask("a", units=1)
     assert not b.sends()
-    b.tell(api.EndpointListUpdate((up("n9", 0),)))
+    b.tell(api.EndpointListUpdate((up_endpoint("n9", 0),)))
     assert [s.node for s in b.sends("a")] == ["n9"]
 
 
@@ -231,7 +232,7 @@
 
 def test_list_calls_after_many_errors_stay_close_enough_to_hear_of_a_drain_in_time() -> None:
     """What discovery has to tell counts as told after 6 s, also to a host that waits to ask again."""
-    b = Bench(settings(poll_endpoints=True), [up("n0", 0)])
+    b = DecisionBench(make_settings(poll_endpoints=True), [up_endpoint("n0", 0)])
     for _ in range(30):
         failed_at = b.now
         b.tell(api.EndpointListUpdate(failed=True))
--- a/tests/decision/test_decision_rules.py
+++ b/tests/decision/test_decision_rules.py
@@ -8,7 +8,17 @@
 import pytest
 
 from garnetlanding.decision import interface as api
-from tests.helpers import GOLD, MS, READ, SECOND, TIN, WRITE, Bench, names, settings, up
+from tests.support.clock import MS, SECOND
+from tests.support.decision_bench import (
+    GOLD,
+    READ,
+    TIN,
+    WRITE,
+    DecisionBench,
+    make_settings,
+    sent_requests,
+    up_endpoint,
+)
 
 ERROR, FULL, TIMEOUT, RESET = api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.TIMEOUT, api.Outcome.RESET
 UNREACHABLE = api.Outcome.UNREACHABLE
@@ -21,8 +31,8 @@
 PLANS = {"gold": GOLD, "tin": TIN, "limited": LIMITED}
 
 
-def one(**changes: object) -> Bench:
-    return Bench(settings(classes=CLASSES, plans=PLANS, **changes), [up("n0", 0)])
+def one(**changes: object) -> DecisionBench:
+    return DecisionBench(make_settings(classes=CLASSES, plans=PLANS, **changes), [up_endpoint("n0", 0)])
 
 
 def test_one_final_answer_before_the_clients_time_and_nothing_after() -> None:
@@ -59,7 +69,10 @@
 
 
 def test_keyed_new_object_is_resent_in_its_cell_within_the_window() -> None:
-    b = Bench(settings(classes=CLASSES, plans=PLANS), [up("n0", 0), up("n1", 1), up("n2", 2)])
+    b = DecisionBench(
+        make_settings(classes=CLASSES, plans=PLANS),
+        [up_endpoint("n0", 0), up_endpoint("n1", 1), up_endpoint("n2", 2)],
+    )
     b.ask("a", cls="write", cell=-1)
     b.end("a", ERROR)
     b.run(90 * MS)
@@ -100,7 +113,7 @@
     b.ask("a", cls="ordered", key="k")
     b.ask("b", cls="ordered", key="k")
     b.ask("other", cls="ordered", key="k2")
-    assert names([x for _, x in b.log]) == ["a", "other"]
+    assert sent_requests([x for _, x in b.log]) == ["a", "other"]
     b.tell(api.ClientLeft("a"))  # over, but its attempt is out
     assert not b.sends("b")
     b.end("a", api.Outcome.CANCELLED, over=True)
@@ -141,7 +154,7 @@
 
 
 def test_a_failed_list_call_is_asked_again_with_backoff() -> None:
-    b = Bench(settings(poll_endpoints=True), [up("n0", 0)])
+    b = DecisionBench(make_settings(poll_endpoints=True), [up_endpoint("n0", 0)])
     assert sum(isinstance(a, api.Subscribe) for _, a in b.log) == 1
     for _ in range(3):
         b.tell(api.EndpointListUpdate(failed=True))
@@ -160,15 +173,15 @@
     b.ask("a")
     b.tell(api.EndpointListUpdate((), whole=True))  # the list drops a node with an attempt out
     b.end("a")
-    b.tell(api.EndpointListUpdate((up("n0", 0, started=b.now),)))
-    b.tell(api.EndpointListUpdate((up("n0", 0, started=b.now + 1),)))
+    b.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=b.now),)))
+    b.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=b.now + 1),)))
     b.ask("z", units=0)
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_random_days_keep_the_rules(seed: int) -> None:
     rng = random.Random(seed)
-    config = settings(
+    config = make_settings(
         classes=CLASSES,
         plans=PLANS,
         instances=rng.choice([1, 3]),
@@ -182,14 +195,14 @@
         max_attempts=rng.choice([1, 3, 4]),
     )
     cells = rng.choice([1, 4])
-    bench = Bench(config, [up(f"n{c}", c, zone=f"z{c % 2}") for c in range(cells)], seed)
+    bench = DecisionBench(config, [up_endpoint(f"n{c}", c, zone=f"z{c % 2}") for c in range(cells)], seed)
     Checker(bench, rng, cells).day()
 
 
 class Checker:
     """Plays a random day and keeps its own books of what was sent, ended and answered."""
 
-    def __init__(self, bench: Bench, rng: random.Random, cells: int) -> None:
+    def __init__(self, bench: DecisionBench, rng: random.Random, cells: int) -> None:
         self.b, self.rng, self.cells = bench, rng, cells
         self.asked: dict[str, api.Arrival] = {}
         self.tries: dict[str, list[list[object]]] = {}  # [node, sent at, outcome or None]
--- a/tests/decision/test_fair_queueing.py
+++ b/tests/decision/test_fair_queueing.py
@@ -7,28 +7,29 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.concurrency import concurrency_limit
 from garnetlanding.decision.weight_control import run_weight_controller
-from tests.helpers import MS, SECOND, Bench, names, settings, up
+from tests.support.clock import MS, SECOND
+from tests.support.decision_bench import DecisionBench, make_settings, sent_requests, up_endpoint
 
 FOUR = ["f0", "f1", "f2", "f3"]
 
 
-def filled(**changes: object) -> Bench:
+def filled(**changes: object) -> DecisionBench:
     """A host whose one node has the floor of four out, from a volume of its own."""
-    b = Bench(settings(**changes), [up("n0", 0)])
+    b = DecisionBench(make_settings(**changes), [up_endpoint("n0", 0)])
     for name in FOUR:
         b.ask(name, volume="filler", units=1)
     assert len(b.sends()) == 4
     return b
 
 
-def drain(b: Bench, count: int) -> list[str]:
+def drain(b: DecisionBench, count: int) -> list[str]:
     """Ends the oldest out one by one; the order in which held ones leave."""
     out, order = [s.request for s in b.sends() if not b.answers(s.request)], []
     done: set[str] = getattr(b, "done", set())
     for _ in range(count):
         name = next(n for n in [s.request for s in b.sends()] if n not in done)
         done.add(name)
-        order += names(b.end(name, took=5 * MS))
+        order += sent_requests(b.end(name, took=5 * MS))
     b.done = done  # type: ignore[attr-defined]
     assert out is not None
     return order
@@ -128,7 +129,7 @@
 
 
 def test_depth_follows_served_completions_up_to_the_ceiling() -> None:
-    b = Bench(settings(), [up("n0", 0)])
+    b = DecisionBench(make_settings(), [up_endpoint("n0", 0)])
     h = b.c.state.cells[0].health
     assert h is not None
     for i in range(80):  # 40 a second x 0.3 s = 12
@@ -142,7 +143,7 @@
 
 
 def test_quick_errors_do_not_swell_depth() -> None:
-    b = Bench(settings(max_attempts=1), [up("n0", 0)])
+    b = DecisionBench(make_settings(max_attempts=1), [up_endpoint("n0", 0)])
     for i in range(200):
         b.ask(f"e{i}")
         b.end(f"e{i}", api.Outcome.ERROR, took=MS)
@@ -174,7 +175,7 @@
 
 def test_a_large_slow_read_does_not_get_small_ones_refused() -> None:
     """Refusal foresees by time per unit: one 6-unit answer of 240 ms says 40 ms for one of 1 unit."""
-    b = Bench(settings(), [up("n0", 0)])
+    b = DecisionBench(make_settings(), [up_endpoint("n0", 0)])
     b.ask("large", units=6)
     b.end("large", took=240 * MS)
     for name in [*FOUR, "small"]:
@@ -183,7 +184,7 @@
 
 
 def test_what_earns_least_is_refused_first_and_early() -> None:
-    b = Bench(settings(), [up("n0", 0)])
+    b = DecisionBench(make_settings(), [up_endpoint("n0", 0)])
     b.ask("first", units=1)
     b.end("first", took=70 * MS)
     for i in range(4):
--- a/tests/decision/test_many_instances.py
+++ b/tests/decision/test_many_instances.py
@@ -7,7 +7,8 @@
 import pytest
 
 from garnetlanding.decision import interface as api
-from tests.helpers import MS, SECOND, T0, Bench, settings, up
+from tests.support.clock import MS, SECOND, T0
+from tests.support.decision_bench import DecisionBench, make_settings, up_endpoint
 
 HOSTS = 150
 LIMITED = api.PlanSpec("limited", 1.0, 2.0, 1.0, limit_rate=16.0, limit_burst=60.0)
@@ -18,9 +19,9 @@
     capacity, warmup_initial_share, fall = 60.0, 0.2, 2 * SECOND
     sent: list[tuple[int, float]] = []
     for me in range(HOSTS):
-        b = Bench(
-            settings(instances=HOSTS, instance_id=me, warmup_initial_share=warmup_initial_share),
-            [up("n0", 0, started=T0)],
+        b = DecisionBench(
+            make_settings(instances=HOSTS, instance_id=me, warmup_initial_share=warmup_initial_share),
+            [up_endpoint("n0", 0, started=T0)],
             seed=me,
         )
         for i in range(12):
@@ -39,7 +40,9 @@
     part, sent = 3, []
     plans = {"limited": LIMITED}
     for me in range(part):
-        b = Bench(settings(instances=HOSTS, instance_id=me, plans=plans), [up("n0", 0)], seed=me)
+        b = DecisionBench(
+            make_settings(instances=HOSTS, instance_id=me, plans=plans), [up_endpoint("n0", 0)], seed=me
+        )
         for i in range(200):
             b.ask(f"r{i}", plan="limited", units=2, hosts=part)
             for attempt, _ in enumerate(b.sends(f"r{i}")):
@@ -54,7 +57,7 @@
 
 
 def test_what_is_found_after_a_stall_is_answered_in_time_and_not_sent_too_late() -> None:
-    b = Bench(settings(instances=HOSTS), [up(f"n{c}", c) for c in range(4)])
+    b = DecisionBench(make_settings(instances=HOSTS), [up_endpoint(f"n{c}", c) for c in range(4)])
     for i in range(8):
         b.ask(f"a{i}", cell=i % 4, volume=f"v{i}")
     b.now += 1450 * MS  # stood still: every answer, arrival and timer of that time comes in one call
@@ -70,7 +73,7 @@
 
 def test_scattered_losses_do_not_close_nodes() -> None:
     rng = random.Random(5)
-    b = Bench(settings(instances=HOSTS), [up(f"n{c}", c) for c in range(10)])
+    b = DecisionBench(make_settings(instances=HOSTS), [up_endpoint(f"n{c}", c) for c in range(10)])
     sent_of_last, seen = 0, 0
     for i in range(300):
         b.ask(f"r{i}", cell=i % 10, volume=f"v{i % 10}", units=1)
@@ -90,9 +93,9 @@
 def restarted(asked: int, hosts: int = 40, seed: int = 0) -> tuple[list[tuple[int, float]], int]:
     """A host new to everything, before a node that has just come up: what it sends there of one volume's
     `asked` requests in 12 s, the volume being usual for 2 units a second over two hosts; and the rest."""
-    b = Bench(
-        settings(instances=hosts, instance_id=seed % hosts, warmup_units=2.0),
-        [up("n0", 0, started=T0)],
+    b = DecisionBench(
+        make_settings(instances=hosts, instance_id=seed % hosts, warmup_units=2.0),
+        [up_endpoint("n0", 0, started=T0)],
         seed=seed,
     )
     for i in range(asked):
@@ -113,10 +116,10 @@
 @pytest.mark.parametrize("hosts", [1, 3])
 def test_a_restart_in_the_ramp_does_not_spend_the_window_twice(hosts: int) -> None:
     """What the life before it had sent was forgotten: both lives' budgets went out within one window."""
-    config, life_us = settings(instances=hosts, warmup_units=12.0), 500 * MS
+    config, life_us = make_settings(instances=hosts, warmup_units=12.0), 500 * MS
     sent: list[int] = []
     for life in range(4):
-        b = Bench(config, [up("n0", 0, started=T0 - 4 * SECOND - life * life_us)], seed=life)
+        b = DecisionBench(config, [up_endpoint("n0", 0, started=T0 - 4 * SECOND - life * life_us)], seed=life)
         for i in range(25):
             b.ask(f"r{i}", units=1, plan="tin", hosts=hosts)
             b.run(life_us // 25)
@@ -146,7 +149,11 @@
     the same; while it is away, calls fail after 2 s too."""
     takes, patience = int(SECOND / per_s), 2 * SECOND
     benches = [
-        Bench(settings(instances=hosts, instance_id=me, poll_endpoints=True), [up("n0", 0)], seed=me)
+        DecisionBench(
+            make_settings(instances=hosts, instance_id=me, poll_endpoints=True),
+            [up_endpoint("n0", 0)],
+            seed=me,
+        )
         for me in range(hosts)
     ]
     waiting: list[tuple[int, int]] = []  # when it came, whose it is
@@ -166,7 +173,7 @@
             free_at = max(free_at, came + takes, free_at + takes) if now >= back else free_at
             if now >= back and free_at - came <= patience:
                 answered.setdefault(me, (free_at - back) / SECOND)
-                benches[me].tell(api.EndpointListUpdate((up("n0", 0),), whole=True))
+                benches[me].tell(api.EndpointListUpdate((up_endpoint("n0", 0),), whole=True))
             else:
                 benches[me].tell(api.EndpointListUpdate(failed=True, queued=True))
     return sorted(answered.values())
--- a/tests/discovery/test_listing.py
+++ b/tests/discovery/test_listing.py
@@ -9,7 +9,7 @@
 from garnetlanding.decision.interface import EndpointState
 from garnetlanding.discovery.listing import ListError, read_list
 from garnetlanding.emulator.discovery import Box
-from tests.helpers import SECOND
+from tests.support.clock import SECOND
 
 ENTRY = Box("s-1", "10.1.0.18:6379", 3).entry()
 
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -14,10 +14,12 @@
 from garnetlanding.discovery.watch import Watch, WatchCallbacks, WatchRuntime
 from garnetlanding.emulator.discovery import Box, Discovery, DiscoveryConn
 from garnetlanding.limits import Limits
-from tests.helpers import MS, SECOND, Bench, World, settings, up
+from tests.support.clock import MS, SECOND
+from tests.support.decision_bench import DecisionBench, make_settings, up_endpoint
+from tests.support.simulated_instance import SimulatedInstance
 
 
-class WatchWorld(World):
+class WatchWorld(SimulatedInstance):
     def __init__(self, pushed: bool = False) -> None:
         super().__init__()
         self.pushed = pushed
@@ -47,11 +49,11 @@
         self.unheard.append(unheard_us)
 
 
-class HeadWorld(World):
+class HeadWorld(SimulatedInstance):
     """A watch with the core and the module behind it, which say when to call again."""
 
     def __init__(self, hosts: int = 6) -> None:
-        super().__init__(settings(instances=hosts, poll_endpoints=True))
+        super().__init__(make_settings(instances=hosts, poll_endpoints=True))
         self.discovery = self.server(Discovery)
         self.discovery.boxes = [Box("b0", "127.0.0.1:9", 0)]
         callbacks = WatchCallbacks(
@@ -124,11 +126,11 @@
     def listing(*entries: Endpoint, whole: bool = True) -> EndpointListing:
         return EndpointListing(entries, {e.node: "10.0.0.1:1" for e in entries}, whole)
 
-    assert directory.apply(listing(up("a", 0), up("b", 1))) == []
+    assert directory.apply(listing(up_endpoint("a", 0), up_endpoint("b", 1))) == []
     drains = Endpoint("a", 0, "z", EndpointState.DRAINING)
-    assert directory.apply(listing(up("a", 0), drains, whole=False)) == ["a is named twice"]
+    assert directory.apply(listing(up_endpoint("a", 0), drains, whole=False)) == ["a is named twice"]
     assert directory.address_of("a") is None and directory.address_of("b")
-    assert directory.apply(listing(up("b", 7), whole=False)) == ["b moved from cell 1 to 7"]
+    assert directory.apply(listing(up_endpoint("b", 7), whole=False)) == ["b moved from cell 1 to 7"]
     assert directory.apply(listing()) == ["whole list is empty, 2 servers were known"]
     assert directory.address_of("b") is None
 
@@ -301,7 +303,7 @@
     hosts: int, unheard_us: int
 ) -> None:
     """It grew with the number of heads, to 50 s for 200, and to 6 s for 3."""
-    bench = Bench(settings(instances=hosts, poll_endpoints=True), [up("n0", 0)])
+    bench = DecisionBench(make_settings(instances=hosts, poll_endpoints=True), [up_endpoint("n0", 0)])
     pauses = []
     for _ in range(60):
         bench.tell(api.EndpointListUpdate(failed=True, unheard_us=unheard_us))
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -67,7 +67,9 @@
 from garnetlanding.runtime.upstream import PeerFault
 from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
 from garnetlanding.telemetry.setup import TelemetrySetup
-from tests.helpers import MS, SECOND, FakeCore, NineWorld, Peer, World
+from tests.support.clock import MS, SECOND
+from tests.support.ninep_instance import NinepInstance
+from tests.support.simulated_instance import FakeRequestEngine, LoopbackClient, SimulatedInstance
 
 ROOT = Path(__file__).parents[2]
 GOLDEN = Path(__file__).parent / "protocols"
@@ -132,7 +134,7 @@
     """A scripted client of the RESP front; the core behind it answers when the script says so."""
 
     def __init__(self) -> None:
-        self.core, self.sink, self.takes = FakeCore(), Sink(), True
+        self.core, self.sink, self.takes = FakeRequestEngine(), Sink(), True
         self.lines: list[str] = []
         self.machine = RespClient(self.core, None, buffers(), Limits(), set(), self.sink, lambda: self.takes)  # type: ignore[arg-type]
 
@@ -563,7 +565,7 @@
     check(f"{dialect}_malformed.txt", lines)
 
 
-def ninep_transcript(peer: Peer, script: Iterable[tuple[int, p9.Message | bytes]]) -> list[str]:
+def ninep_transcript(peer: LoopbackClient, script: Iterable[tuple[int, p9.Message | bytes]]) -> list[str]:
     """Sends each message under its tag, or raw bytes, and lists what went each way in hexadecimal."""
     lines = []
     for tag, message in script:
@@ -686,7 +688,7 @@
     """Through the front, the core and an emulated file server, on a clock that stands still."""
     version, _, _ = DIALECTS[dialect]
     tree = {"sv": {"law": b"plaintiff\tkarande\n" * 3, "empty": b""}, "readme": b"hello"}
-    world = NineWorld(access="rw", offer=version, tree=tree)
+    world = NinepInstance(access="rw", offer=version, tree=tree)
     peer = world.peer(world.listener.address)
     check(f"{dialect}_session.txt", ninep_transcript(peer, NINEP_SCRIPTS[dialect]))
 
@@ -695,7 +697,7 @@
 def test_ninep_front_refusals(dialect: str) -> None:
     """What a client hears when the core refuses or fails an item."""
     version, _, _ = DIALECTS[dialect]
-    world, core, sink = World(), FakeCore(), Sink()
+    world, core, sink = SimulatedInstance(), FakeRequestEngine(), Sink()
     export = Export("tree", "v", "gold", "read", 0, 1500 * MS, access="rw", change_cls="write")
     front = NinepFront(core, None, {"tree": export}, buffers(), Limits(), world.scheduler)  # type: ignore[arg-type]
     client = NinepClient(front, sink)
@@ -783,7 +785,7 @@
 
 
 def test_http_discovery_call_and_list() -> None:
-    world = World()
+    world = SimulatedInstance()
     server = world.server(RecordingServer)
     body = json.dumps({"generation": 9, "reset": True, "instances": INSTANCES}).encode() + b"\n"
     server.reply = (
@@ -960,7 +962,7 @@
 
 def test_http_otlp_calls() -> None:
     """Spans and metrics as the collector gets them; ids come from a seed, times from fixed clocks."""
-    world = World()
+    world = SimulatedInstance()
     server = world.server(RecordingServer)
     exporter = Exporter(
         world.scheduler,
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -60,9 +60,10 @@
 from garnetlanding.peers.shared_budgets import SharedBudgets
 from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
 from garnetlanding.telemetry.setup import TelemetrySetup
-from tests.helpers import MS, SECOND, World, read_command
 from tests.peers.test_coordinator import TELLS
-from tests.support.daemon import Head
+from tests.support.clock import MS, SECOND
+from tests.support.daemon import SimulatedDaemon
+from tests.support.simulated_instance import SimulatedInstance, read_command
 
 GOLDEN = pathlib.Path(__file__).parent / "records"
 AUDITS = GOLDEN / "audit"
@@ -332,7 +333,9 @@
     Its life and the store's epoch are those of the wall clock, and are replaced."""
     file, folder = tmp_path / "n1.history", tmp_path / "audit"
     operator = {"history": {"file": str(file)}, "audit": {"folder": str(folder)}, "fleet": {"bans": True}}
-    h = Head(operator, TELLS, peer_listen="127.0.0.1:0", peers=["127.0.0.1:9", "127.0.0.1:9", "127.0.0.1:9"])
+    h = SimulatedDaemon(
+        operator, TELLS, peer_listen="127.0.0.1:0", peers=["127.0.0.1:9", "127.0.0.1:9", "127.0.0.1:9"]
+    )
     h.client().say(read_command())
     for out in (True, False):
         for told in h.daemon.core.fence.on_change:
@@ -768,7 +771,7 @@
 def test_otlp_requests_are_written_byte_for_byte() -> None:
     """Two spans and their attempts, one of each outcome, and every kind of metric, as the collector gets
     them. The collector's port and the program's version are left out."""
-    w = World()
+    w = SimulatedInstance()
     collector = w.server(CollectorServer)
     wall_ns = 1_800_000_000 * 10**9
     setup = TelemetrySetup(collector.address, "/otlp", interval_us=SECOND)
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -53,7 +53,8 @@
 from garnetlanding.store.staleness_guard import StalenessGuard
 from garnetlanding.store.store import Snapshot, Store
 from garnetlanding.store.writer_machine import WriterMachine
-from tests.helpers import MS, SECOND, World
+from tests.support.clock import MS, SECOND
+from tests.support.simulated_instance import SimulatedInstance
 
 FOLDER = pathlib.Path(__file__).parent / "storage"
 WRITE = os.environ.get("GOLDEN_WRITE") == "1"
@@ -104,13 +105,13 @@
     return store
 
 
-def keeper(world: World, store: Store, path: pathlib.Path) -> StorePersister:
+def keeper(world: SimulatedInstance, store: Store, path: pathlib.Path) -> StorePersister:
     return StorePersister(world.scheduler, store, str(path), 200 * MS)
 
 
 @pytest.mark.parametrize("name", ["store-filled.json", "store-empty.json"])
 def test_store_file(name: str, tmp_path: pathlib.Path) -> None:
-    world, path = World(), tmp_path / "store.json"
+    world, path = SimulatedInstance(), tmp_path / "store.json"
     store = Store("w", True, 50, epoch=EPOCH)
     keeping = keeper(world, store, path)
     if name == "store-empty.json":
@@ -137,7 +138,7 @@
 
 @pytest.mark.parametrize("name", ["store-filled.json", "store-empty.json"])
 def test_store_file_cut_short_is_refused(name: str, tmp_path: pathlib.Path) -> None:
-    world, path = World(), tmp_path / "store.json"
+    world, path = SimulatedInstance(), tmp_path / "store.json"
     committed = (FOLDER / name).read_bytes()
     for length in range(len(committed)):
         path.write_bytes(committed[:length])
@@ -163,13 +164,13 @@
     path = tmp_path / "store.json"
     path.write_text(text)
     with pytest.raises(StoreFileError) as caught:
-        keeper(World(), Store("w", True, 50), path)
+        keeper(SimulatedInstance(), Store("w", True, 50), path)
     assert str(caught.value) == f"{path}: {why}"
 
 
 def test_store_without_a_file_starts_empty(tmp_path: pathlib.Path) -> None:
     store = Store("w", True, 50, epoch=7)
-    keeper(World(), store, tmp_path / "store.json")
+    keeper(SimulatedInstance(), store, tmp_path / "store.json")
     assert store.snapshot() == Snapshot(7, 0, {}) and not list(tmp_path.iterdir())
 
 
@@ -189,23 +190,23 @@
     return store
 
 
-def hello_new(world: World) -> bytes:
+def hello_new(world: SimulatedInstance) -> bytes:
     return FollowerMachine(follower_store(), world.limits).follow_request(with_snapshot=False)
 
 
-def hello_resume(world: World) -> bytes:
+def hello_resume(world: SimulatedInstance) -> bytes:
     return FollowerMachine(resumed_store(), world.limits).follow_request(with_snapshot=False)
 
 
-def hello_afresh(world: World) -> bytes:
+def hello_afresh(world: SimulatedInstance) -> bytes:
     return FollowerMachine(resumed_store(), world.limits).follow_request(with_snapshot=True)
 
 
-def ask_first(world: World) -> bytes:
+def ask_first(world: SimulatedInstance) -> bytes:
     return FollowerMachine.revision_query(StalenessGuard(SECOND, 0.01, world.time).next_query(world.time))
 
 
-FOLLOWER_LINES: dict[str, Callable[[World], bytes]] = {
+FOLLOWER_LINES: dict[str, Callable[[SimulatedInstance], bytes]] = {
     "hello-new": hello_new,
     "hello-resume": hello_resume,
     "hello-afresh": hello_afresh,
@@ -215,7 +216,7 @@
 
 @pytest.mark.parametrize("name", sorted(FOLLOWER_LINES))
 def test_follower_lines(name: str) -> None:
-    golden(f"replica/follower-{name}.jsonl", FOLLOWER_LINES[name](World()))
+    golden(f"replica/follower-{name}.jsonl", FOLLOWER_LINES[name](SimulatedInstance()))
 
 
 # For each stream: the follower's hello, how many entries the writer's log holds, and the follower's store.
@@ -231,7 +232,7 @@
 def test_writer_stream(name: str) -> None:
     """The answer to a hello, a beat, an answer to `ask`, two later changes, a restored store and a beat."""
     hello, log_entries, copy_of = STREAMS[name]
-    world, said = World(), list[bytes]()
+    world, said = SimulatedInstance(), list[bytes]()
     store = filled_store(log_entries)
     machine = WriterMachine(store, world.scheduler, world.limits, said.append)
     machine.feed((FOLDER / "replica" / f"follower-{hello}.jsonl").read_bytes())
@@ -257,7 +258,7 @@
 
 @pytest.mark.parametrize("name", sorted(STREAMS))
 def test_writer_stream_cut_short_counts_up_to_its_last_whole_line(name: str) -> None:
-    world, copy_of = World(), STREAMS[name][2]
+    world, copy_of = SimulatedInstance(), STREAMS[name][2]
     committed = (FOLDER / "replica" / f"writer-{name}.jsonl").read_bytes()
     for length in range(len(committed) + 1):
         cut, whole = copy_of(), copy_of()
@@ -271,7 +272,7 @@
 
 @pytest.mark.parametrize("name", ["hello-new", "hello-resume", "hello-afresh"])
 def test_hello_cut_short_is_waited_for(name: str) -> None:
-    world, said = World(), list[bytes]()
+    world, said = SimulatedInstance(), list[bytes]()
     machine = WriterMachine(filled_store(), world.scheduler, world.limits, said.append)
     hello = (FOLDER / "replica" / f"follower-{name}.jsonl").read_bytes()
     machine.feed(hello[:-1])
@@ -295,7 +296,7 @@
     ],
 )
 def test_writer_turns_a_wrong_hello_away(line: bytes, why: str, caplog: pytest.LogCaptureFixture) -> None:
-    world, said = World(), list[bytes]()
+    world, said = SimulatedInstance(), list[bytes]()
     machine = WriterMachine(filled_store(), world.scheduler, world.limits, said.append)
     machine.feed(line)
     assert machine.ended and not said
@@ -319,7 +320,7 @@
 def test_follower_refuses_a_wrong_stream(lines: bytes, problem: type[Exception], why: str) -> None:
     store = follower_store()
     with pytest.raises(problem) as caught:
-        FollowerMachine(store, World().limits).feed(lines)
+        FollowerMachine(store, SimulatedInstance().limits).feed(lines)
     assert str(caught.value) == why and store.snapshot() == Snapshot(0, 0, {})
 
 
@@ -536,7 +537,7 @@
         return instance == 2
 
 
-class Head(World):
+class Head(SimulatedInstance):
     """A head's desk over a real core and a state file. With a fleet, bans are shared and heads can be
     forgotten; what is known of other heads is fixed, but for the bans, which are real."""
 
--- a/tests/history/test_history.py
+++ b/tests/history/test_history.py
@@ -5,14 +5,14 @@
 import json
 import pathlib
 
-from tests.helpers import MS
-from tests.support.daemon import Head
+from tests.support.clock import MS
+from tests.support.daemon import SimulatedDaemon
 
 
 def test_a_line_has_the_time_at_which_it_is_written(tmp_path: pathlib.Path) -> None:
     """The event-loop iteration's time would put what a held-up process receives before it was sent."""
     file = tmp_path / "n1.history"
-    h = Head({"history": {"file": str(file)}})
+    h = SimulatedDaemon({"history": {"file": str(file)}})
     h.time += 7 * MS
     assert h.daemon.history
     h.daemon.history.serving()
--- a/tests/integration/test_fencing.py
+++ b/tests/integration/test_fencing.py
@@ -9,7 +9,7 @@
 from garnetlanding.audit.segment_reader import read_segments
 from garnetlanding.lab.experiment import load
 from garnetlanding.lab.run import run
-from tests.helpers import SECOND
+from tests.support.clock import SECOND
 
 ROOT = pathlib.Path(__file__).parents[2]
 
--- a/tests/integration/test_mixed_protocols.py
+++ b/tests/integration/test_mixed_protocols.py
@@ -16,7 +16,8 @@
 from garnetlanding.ninep.shared import Front
 from garnetlanding.runtime.listener import Listener
 from garnetlanding.runtime.stream import parse_address
-from tests.helpers import MS, SECOND, Peer, World, read_command
+from tests.support.clock import MS, SECOND
+from tests.support.simulated_instance import LoopbackClient, SimulatedInstance, read_command
 
 HELLO = p9.encode(p9.NOTAG, p9.Tversion(8192, "9P2000")) + p9.encode(1, p9.Tattach(0, p9.NOFID, "a", ""))
 STEPS = st.lists(
@@ -25,7 +26,7 @@
 )
 
 
-class MixedWorld(World):
+class MixedWorld(SimulatedInstance):
     """Each of two boxes runs a brick and a file server; both hold cell 0."""
 
     def __init__(self) -> None:
@@ -59,7 +60,7 @@
         self.list(self.boxes[index], whole=False)
 
 
-def messages(peer: Peer) -> list[tuple[int, p9.Message | p9.Malformed]]:
+def messages(peer: LoopbackClient) -> list[tuple[int, p9.Message | p9.Malformed]]:
     return list(p9.Framer(peer.world.pool, 1 << 20).feed(peer.got))
 
 
@@ -129,6 +130,6 @@
 
 
 def test_a_9p_server_may_have_a_port_of_its_own_on_the_machine() -> None:
-    w = World()
+    w = SimulatedInstance()
     assert file_servers(w.scheduler, w.pool, w.limits, 564)._place("10.0.0.1:6379") == "10.0.0.1:564"
     assert parse_address("[::1]:564") == ("::1", 564)
--- a/tests/integration/test_process_signals.py
+++ b/tests/integration/test_process_signals.py
@@ -18,8 +18,8 @@
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box, Discovery, DiscoveryConn
 from garnetlanding.resp import codec
-from tests.helpers import World
-from tests.support.daemon import BASE, SETTINGS
+from tests.support.daemon import PLATFORM_CONFIG, PLATFORM_SETTINGS
+from tests.support.simulated_instance import SimulatedInstance
 
 ROOT = pathlib.Path(__file__).parents[2]
 PING = codec.command([b"PING"])
@@ -103,7 +103,7 @@
 def test_a_signal_during_the_start_is_heeded_once_the_process_stands(number: int, heads: Heads) -> None:
     """Nobody had a handler yet: a reload of all heads killed the one that was just starting."""
     port, pipe = free_port(), heads.pipe("config")
-    text = json.dumps(BASE | {"listen": f"127.0.0.1:{port}"}).encode()
+    text = json.dumps(PLATFORM_CONFIG | {"listen": f"127.0.0.1:{port}"}).encode()
     child = heads.start(pipe)
     writer = waits(child, pipe)
     child.send_signal(number)
@@ -126,7 +126,7 @@
 def test_a_file_that_breaks_its_reader_leaves_a_head_that_serves_and_ends(heads: Heads) -> None:
     """What nobody had foreseen ended the heeding of signals: the head could only be killed."""
     port, file = free_port(), heads.folder / "config.json"
-    file.write_text(json.dumps(BASE | {"listen": f"127.0.0.1:{port}"}))
+    file.write_text(json.dumps(PLATFORM_CONFIG | {"listen": f"127.0.0.1:{port}"}))
     child = heads.start(file)
     client = ready(port, child)
     file.write_text("[" * 200_000)
@@ -154,7 +154,7 @@
 ) -> None:
     """All lose their watch at once, and the calls that follow hang or are refused for a while. Then discovery
     is back, with a drain: from then on it counts as told after 6 s."""
-    world = World()
+    world = SimulatedInstance()
     discovery, old, new = world.server(Discovery), world.server(Brick), world.server(Brick)
     discovery.boxes = [Box("b0", old.address, 0)]
     ports = [free_port() for _ in range(3)]
@@ -163,14 +163,14 @@
         file = heads.folder / f"n{n}.json"
         file.write_text(
             json.dumps(
-                BASE
+                PLATFORM_CONFIG
                 | {
                     "name": f"n{n}",
                     "listen": f"127.0.0.1:{port}",
                     "discovery": discovery.address,
                     "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 128},
                     "known": {"generation": 0, "reset": True, "instances": [discovery.boxes[0].entry()]},
-                    "settings": SETTINGS | {"Balancers": 3, "Me": n},
+                    "settings": PLATFORM_SETTINGS | {"Balancers": 3, "Me": n},
                 }
             )
         )
--- a/tests/integration/test_rolling_upgrade.py
+++ b/tests/integration/test_rolling_upgrade.py
@@ -10,8 +10,9 @@
 from garnetlanding.daemon import Daemon
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box
-from tests.helpers import MS, SECOND, Peer, World, read_command
-from tests.support.daemon import BASE
+from tests.support.clock import MS, SECOND
+from tests.support.daemon import PLATFORM_CONFIG
+from tests.support.simulated_instance import LoopbackClient, SimulatedInstance, read_command
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 
@@ -19,7 +20,7 @@
 # A whole upgrade, two daemons on one clock.
 
 
-class Upgrade(World):
+class Upgrade(SimulatedInstance):
     def __init__(self, folder: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
         super().__init__()
         monkeypatch.setattr("garnetlanding.daemon.tempfile.gettempdir", lambda: str(folder))
@@ -33,7 +34,7 @@
     def start_daemon(self) -> Daemon:
         daemon = Daemon(
             config.read(
-                BASE
+                PLATFORM_CONFIG
                 | {
                     "listen": self.address,
                     "ops": "127.0.0.1:0",
@@ -114,11 +115,13 @@
     w = upgrade
     old = w.start_daemon()
     taken = w.peer(w.address)
-    broken = Daemon(config.read(BASE | {"listen": "192.0.2.1:1", "ops": "127.0.0.1:0"}), clock=lambda: w.time)
+    broken = Daemon(
+        config.read(PLATFORM_CONFIG | {"listen": "192.0.2.1:1", "ops": "127.0.0.1:0"}), clock=lambda: w.time
+    )
     with pytest.raises(OSError):
         broken.start()
     assert broken.lives
     broken.lives.close()
     w.run(300 * MS)
     assert taken.say(PING) == b"+PONG\r\n" and w.call(old, "/-/ready", "GET") in ("200", "503")
-    assert Peer(w, w.address).say(PING) == b"+PONG\r\n"
+    assert LoopbackClient(w, w.address).say(PING) == b"+PONG\r\n"
--- a/tests/ninep/random_fault_schedules.py
+++ b/tests/ninep/random_fault_schedules.py
@@ -18,7 +18,8 @@
 from garnetlanding.ninep import linux as p9l
 from garnetlanding.ninep.model import DMAPPEND
 from garnetlanding.ninep.problems import EEXIST, from_number, from_text
-from tests.helpers import MS, NineWorld, Tool
+from tests.support.clock import MS
+from tests.support.ninep_instance import NinepClient, NinepInstance
 
 BLOCK, BLOCKS, FILES = 64, 2, 2  # few places, so that changes meet
 FAULTS = list(Fault)
@@ -93,7 +94,9 @@
         self.dial()
 
     def dial(self) -> None:
-        self.tool = Tool(self.chaos.world, attach=False, version=p9l.VERSION if self.linux else p9.VERSION)
+        self.tool = NinepClient(
+            self.chaos.world, attach=False, version=p9l.VERSION if self.linux else p9.VERSION
+        )
         self.out: dict[int, Out] = {}
         self.seen = 0
         self.tag = 0
@@ -141,7 +144,7 @@
     def __init__(self, seed: int, servers: int = 2, clients: int = 3, offer: str = "") -> None:
         self.random = random.Random(seed)
         tree: Tree = {f"f{i}": bytes(BLOCK * BLOCKS) for i in range(FILES)}
-        self.world = NineWorld(
+        self.world = NinepInstance(
             servers, access="rw", offer=offer or ("auto" if seed % 2 else p9.VERSION), tree=tree
         )
         disk = self.world.disk
--- a/tests/ninep/test_change_order.py
+++ b/tests/ninep/test_change_order.py
@@ -6,8 +6,9 @@
 
 from garnetlanding.emulator.faults import Fault, Rule
 from garnetlanding.ninep import codec as p9
-from tests.helpers import MS, SECOND, NineWorld, Tool, error, heard
+from tests.support.clock import MS, SECOND
 from tests.support.ninep_changes import rw, wstat
+from tests.support.ninep_instance import NinepClient, NinepInstance, error_text, received_messages
 
 # Order, and what may have happened.
 
@@ -28,7 +29,7 @@
     """A server that was given up ran the first write after the second was acknowledged."""
     w, tool = rw()
     tool.open(5, "readme", mode=p9.OWRITE)
-    other = Tool(w)
+    other = NinepClient(w)
     other.open(5, "readme", mode=p9.OWRITE)
     w.files[0].script.add(Rule(p9.Twrite, Fault.LATE, delay_us=300 * MS))
     tool.send(p9.Twrite(5, 0, b"first"), tag=1)
@@ -64,9 +65,9 @@
     w.files[0].script.add(Rule(p9.Tcreate, fault))
     tool.send(p9.Tcreate(6, "once", 0o644, p9.ORDWR), tag=1)
     w.run(2 * SECOND)
-    assert error(tool.answers[-1][1]).startswith(words)
+    assert error_text(tool.answers[-1][1]).startswith(words)
     assert len([r for r in w.disk.ran if r[0] == "make"]) == ran
-    assert len(heard(w, p9.Tcreate, 0)) + len(heard(w, p9.Tcreate, 1)) == 1
+    assert len(received_messages(w, p9.Tcreate, 0)) + len(received_messages(w, p9.Tcreate, 1)) == 1
 
 
 def test_a_walk_that_is_lost_ahead_of_a_create_proves_that_nothing_ran() -> None:
@@ -85,25 +86,25 @@
     w.drained(0)
     tool.send(p9.Twrite(5, 0, b"x"), tag=2)
     w.run(2 * SECOND)
-    assert error(tool.answers[-1][1]) == "busy; come again after 1000 ms"
+    assert error_text(tool.answers[-1][1]) == "busy; come again after 1000 ms"
 
 
 def test_a_large_write_goes_in_parts_and_a_drain_half_way_sends_no_more_there() -> None:
-    w = NineWorld(2, access="rw")
+    w = NinepInstance(2, access="rw")
     for server in w.files:
         server.msize = 1024
-    big = Tool(w, msize=8192)
+    big = NinepClient(w, msize=8192)
     big.open(5, "readme", mode=p9.OWRITE)
     w.files[0].script.add(Rule(p9.Twrite, Fault.STALL, after=1))
     data = bytes(range(250)) * 12
     big.send(p9.Twrite(5, 0, data), tag=1)
-    sent = len(heard(w, p9.Twrite, 0))
+    sent = len(received_messages(w, p9.Twrite, 0))
     w.drained(0)
     w.list(w.boxes[1], whole=False)
     w.files[0].release()
     w.run(2 * SECOND)
     assert big.answers[-1] == (1, p9.Rwrite(len(data))) and w.disk.read("readme") == data
-    assert len(heard(w, p9.Twrite, 0)) == sent == 2
+    assert len(received_messages(w, p9.Twrite, 0)) == sent == 2
 
 
 def test_a_server_that_drains_between_the_walk_and_the_open_is_not_sent_the_open() -> None:
@@ -128,7 +129,7 @@
     w.files[0].release()
     w.run(SECOND)
     assert isinstance(tool.answers[-1][1], p9.Ropen)
-    assert not heard(w, p9.Topen, 0) and len(heard(w, p9.Topen, 1)) == 1
+    assert not received_messages(w, p9.Topen, 0) and len(received_messages(w, p9.Topen, 1)) == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/ninep/test_client_library.py
+++ b/tests/ninep/test_client_library.py
@@ -7,13 +7,13 @@
 
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import linux as p9l
-from tests.helpers import NineWorld, beside
+from tests.support.ninep_instance import NinepInstance, run_beside
 
 
 @pytest.mark.parametrize("version", [p9.VERSION, p9l.VERSION])
 @pytest.mark.parametrize("offer", [p9.VERSION, p9l.VERSION])
 def test_a_session_of_p9fs_reads_and_writes(version: str, offer: str) -> None:
-    w = NineWorld(access="rw", offer=offer)
+    w = NinepInstance(access="rw", offer=offer)
     port = int(w.listener.address.rpartition(":")[2])
     data = bytes(range(256)) * 400
 
@@ -31,5 +31,5 @@
         with pytest.raises(p9fs.P9FileNotFound):
             fs.info("made/file")
 
-    beside(w, session)
+    run_beside(w, session)
     assert not w.disk.find("made").names and w.core.open_requests == 0
--- a/tests/ninep/test_flush_clunk_disconnect.py
+++ b/tests/ninep/test_flush_clunk_disconnect.py
@@ -6,8 +6,9 @@
 
 from garnetlanding.emulator.faults import Fault, Rule
 from garnetlanding.ninep import codec as p9
-from tests.helpers import MS, SECOND, Tool, error
+from tests.support.clock import MS, SECOND
 from tests.support.ninep_changes import PLAIN, create, rw
+from tests.support.ninep_instance import NinepClient, error_text
 
 # Flush, clunk, hang up.
 
@@ -42,7 +43,7 @@
     tool.send(p9.Tread(5, 0, 10), tag=2)
     tool.send(p9.Twrite(5, 1, b"u"), tag=3)
     assert tool.send(p9.Tclunk(5), tag=4) == [(2, p9.Rerror("fid clunked"))]
-    assert error(tool.ask(p9.Tstat(5), tag=9)) == "unknown fid"
+    assert error_text(tool.ask(p9.Tstat(5), tag=9)) == "unknown fid"
     w.run(SECOND)
     assert tool.answers[-3:] == [(1, p9.Rwrite(5)), (3, p9.Rwrite(1)), (4, p9.Rclunk())]
     assert w.disk.read("readme") == b"HuLLO"
@@ -120,7 +121,7 @@
     """All of a client's requests were with the core at once: others waited behind a hundred of them."""
     w, tool = rw(ninep_items=3)
     tool.open(5, "readme")
-    other = Tool(w)
+    other = NinepClient(w)
     other.open(5, "readme")
     w.files[0].script.add(Rule(p9.Tread, Fault.SLOW, times=-1, delay_us=10 * MS))
     w.run(200 * MS)
--- a/tests/ninep/test_front_model.py
+++ b/tests/ninep/test_front_model.py
@@ -19,7 +19,7 @@
 from garnetlanding.ninep.shared import Front
 from garnetlanding.ninep.work import Attach, Open, Read, Stat, Walk
 from garnetlanding.runtime.buffers import BufferPool
-from tests.helpers import FakeCore
+from tests.support.simulated_instance import FakeRequestEngine
 
 FIDS, TAGS = st.integers(0, 2), st.integers(0, 4)
 NAMES = st.lists(st.sampled_from(["a", "b", ".."]), max_size=3).map(tuple)
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.core = FakeCore()
+        self.core = FakeRequestEngine()
         pool, exports = BufferPool(64, 4, 1 << 12), {"x": Export("x", "v", "gold", "read", 0, 1000 * MS)}
         self.out = p9.Framer(pool, 1 << 16)
         self.got: list[tuple[int, object]] = []
--- a/tests/ninep/test_operations.py
+++ b/tests/ninep/test_operations.py
@@ -5,13 +5,13 @@
 from garnetlanding.decision.interface import Effect
 from garnetlanding.ninep import problems
 from garnetlanding.ninep.ops import TABLE, Op, class_for, with_twins
-from tests.helpers import READ, WRITE, settings
+from tests.support.decision_bench import READ, WRITE, make_settings
 
 # The table of operations.
 
 
 def test_what_may_not_run_twice_asks_under_a_class_that_forbids_it() -> None:
-    config = with_twins(settings(), ["write"])
+    config = with_twins(make_settings(), ["write"])
     assert config.classes["write/once"].effect is Effect.UNSAFE
     unsafe = {**config.classes, "hard": WRITE.__class__("hard", 1, 0, 1, 1, Effect.UNSAFE)}
     for op, spec in TABLE.items():
@@ -20,7 +20,7 @@
         if spec.change:
             assert class_for(op, "read", "hard", unsafe) == "hard", "the settings have one"
     assert set(TABLE) == set(Op)
-    assert with_twins(settings(), ["gone"]).classes == {"read": READ, "write": WRITE}
+    assert with_twins(make_settings(), ["gone"]).classes == {"read": READ, "write": WRITE}
 
 
 def test_errors_of_one_dialect_are_told_in_the_other() -> None:
--- a/tests/ninep/test_replaced_files.py
+++ b/tests/ninep/test_replaced_files.py
@@ -5,8 +5,9 @@
 import pytest
 
 from garnetlanding.ninep import codec as p9
-from tests.helpers import SECOND, Tool, error, heard
+from tests.support.clock import SECOND
 from tests.support.ninep_changes import rw
+from tests.support.ninep_instance import NinepClient, error_text, received_messages
 
 # Files that are no longer what they were.
 
@@ -27,8 +28,8 @@
     w.settle()
     words = "does not exist" if how == "removed" else "replaced by another"
     for message in (p9.Tread(5, 0, 9), p9.Twrite(5, 0, b"x"), p9.Tstat(6), p9.Topen(6, p9.OREAD)):
-        assert words in error(tool.ask(message))
-    assert words in error(tool.ask(p9.Tremove(6)))
+        assert words in error_text(tool.ask(message))
+    assert words in error_text(tool.ask(p9.Tremove(6)))
     assert ("readme" in w.disk.root.names) == (how != "removed")
 
 
@@ -42,7 +43,7 @@
 
 def test_two_clients_make_the_same_file_through_two_servers_and_one_wins() -> None:
     w, tool = rw(servers=2)
-    other = Tool(w)
+    other = NinepClient(w)
     tool.walk(6)
     other.walk(6)
     w.hold(p9.Tcreate)
@@ -53,5 +54,5 @@
     w.files[0].release()
     w.run(SECOND)
     assert tool.answers[-1] == (71, p9.Rerror("file already exists"))
-    assert len(heard(w, p9.Tcreate, 0)) == len(heard(w, p9.Tcreate, 1)) == 1
+    assert len(received_messages(w, p9.Tcreate, 0)) == len(received_messages(w, p9.Tcreate, 1)) == 1
     assert len([r for r in w.disk.ran if r[0] == "make"]) == 1
--- a/tests/ninep/test_server_faults.py
+++ b/tests/ninep/test_server_faults.py
@@ -10,8 +10,9 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import linux as p9l
 from garnetlanding.ninep import problems
-from tests.helpers import SECOND, NineWorld, Tool, error
+from tests.support.clock import SECOND
 from tests.support.ninep_changes import LINUX, PLAIN, number, rw
+from tests.support.ninep_instance import NinepClient, NinepInstance, error_text
 
 # Servers that do wrong.
 
@@ -35,14 +36,14 @@
     tool.open(5, "readme", mode=p9.OWRITE)
     w.disk.capacity = w.disk.used
     reply = tool.ask(p9.Twrite(5, 0, b"x" * 100))
-    assert code == (number(reply) if tool.linux else error(reply))
+    assert code == (number(reply) if tool.linux else error_text(reply))
     w.disk.find("sv").mode = stat.S_IFDIR | 0o500
     tool.walk(7, "sv")
     w.disk.find("sv", "notes").mode = stat.S_IFREG | 0o400
     denied = tool.ask(
         p9l.Tlcreate(7, "x", p9l.L_CREATE, 0o644, 0) if tool.linux else p9.Tcreate(7, "x", 0o644, p9.OWRITE)
     )
-    assert (number(denied) if tool.linux else error(denied)) == (
+    assert (number(denied) if tool.linux else error_text(denied)) == (
         problems.EACCES if tool.linux else "permission denied"
     )
 
@@ -55,13 +56,13 @@
         p9.Twrite(5, (1 << 64) - 1, b"x"),
         p9.Tread(5, (1 << 63) - 4, 9),
     ):
-        assert error(tool.ask(message)) == "illegal offset"
+        assert error_text(tool.ask(message)) == "illegal offset"
     assert tool.ask(p9.Tread(5, 1 << 62, 9)) == p9.Rread(b"")
 
 
 def test_in_an_export_that_is_read_only_nothing_reaches_a_server() -> None:
-    w = NineWorld(offer=LINUX)
-    tool = Tool(w, version=LINUX)
+    w = NinepInstance(offer=LINUX)
+    tool = NinepClient(w, version=LINUX)
     tool.open(5, "readme")
     heard_before = len(w.files[0].heard)
     for message in (
--- a/tests/ninep/test_session_changes.py
+++ b/tests/ninep/test_session_changes.py
@@ -18,8 +18,9 @@
     parse_stat,
     read_entries,
 )
-from tests.helpers import MS, SECOND, Tool, error
+from tests.support.clock import MS, SECOND
 from tests.support.ninep_changes import LINUX, PLAIN, create, number, rw, wstat
+from tests.support.ninep_instance import NinepClient, error_text
 
 BOTH = [PLAIN, LINUX]
 
@@ -61,8 +62,8 @@
     assert list(w.disk.root.names)[-1] == "g"
     reply = tool.ask(p9.Tstat(5))
     assert isinstance(reply, p9.Rstat) and parse_stat(reply.stat).name == "g", "the fid follows its file"
-    assert "cannot change" in error(tool.ask(p9.Twstat(5, wstat(uid="other", atime=3))))
-    assert "directory" in error(tool.ask(p9.Twstat(5, wstat(mode=DMDIR | 0o700))))
+    assert "cannot change" in error_text(tool.ask(p9.Twstat(5, wstat(uid="other", atime=3))))
+    assert "directory" in error_text(tool.ask(p9.Twstat(5, wstat(mode=DMDIR | 0o700))))
 
 
 def test_a_name_together_with_other_changes_is_atomic_or_refused() -> None:
@@ -71,10 +72,10 @@
     assert tool.ask(p9.Twstat(5, wstat(name="g", mode=0o600))) == p9.Rwstat()
     w, tool = rw(PLAIN, LINUX)
     create(tool, 5, "f")
-    assert "together" in error(tool.ask(p9.Twstat(5, wstat(name="g", mode=0o600))))
+    assert "together" in error_text(tool.ask(p9.Twstat(5, wstat(name="g", mode=0o600))))
     assert "f" in w.disk.root.names
     create(tool, 6, "h")
-    assert error(tool.ask(p9.Twstat(6, wstat(name="f")))) == "file already exists"
+    assert error_text(tool.ask(p9.Twstat(6, wstat(name="f")))) == "file already exists"
 
 
 @pytest.mark.parametrize("server", BOTH)
@@ -106,16 +107,16 @@
     w.files[0].script.add(Rule(p9.Twrite, Fault.RESET_AFTER))
     tool.send(p9.Twrite(5, 0, b"!"))
     w.run(3 * SECOND)
-    assert error(tool.answers[-1][1]).startswith("may have happened")
+    assert error_text(tool.answers[-1][1]).startswith("may have happened")
     assert w.disk.read("log") == b"one two!", "not sent again, though it may be"
 
 
 def test_exclusive_files_are_open_once() -> None:
     w, tool = rw()
     create(tool, 5, "lock", perm=DMEXCL | 0o600)
-    other = Tool(w)
+    other = NinepClient(w)
     other.walk(6, "lock")
-    assert error(other.ask(p9.Topen(6, p9.OREAD))) == "exclusive use file already open"
+    assert error_text(other.ask(p9.Topen(6, p9.OREAD))) == "exclusive use file already open"
     tool.ask(p9.Twrite(5, 0, b"mine"))
     tool.close()
     w.settle()
@@ -210,7 +211,7 @@
 def test_locks_are_kept_by_the_head() -> None:
     w, tool = rw(LINUX, LINUX)
     tool.open(5, "readme", mode=p9.ORDWR)
-    other = Tool(w, version=LINUX)
+    other = NinepClient(w, version=LINUX)
     other.open(5, "readme", mode=p9.ORDWR)
     take = p9l.Tlock(5, p9l.LOCK_WRITE, 0, 10, 20, 7, "a")
     assert tool.ask(take) == p9l.Rlock(p9l.LOCK_DONE)
--- a/tests/ninep/test_session_reads.py
+++ b/tests/ninep/test_session_reads.py
@@ -10,12 +10,13 @@
 from garnetlanding.core.ports import Rejected
 from garnetlanding.decision.interface import Outcome
 from garnetlanding.ninep import codec as p9
-from tests.helpers import GLOSSARY, MS, SECOND, NineWorld, Tool, error, heard
+from tests.support.clock import MS, SECOND
+from tests.support.ninep_instance import GLOSSARY, NinepClient, NinepInstance, error_text, received_messages
 
 
 def test_a_glossary_is_walked_opened_read_to_its_end_and_clunked() -> None:
-    w = NineWorld()
-    tool = Tool(w)
+    w = NinepInstance()
+    tool = NinepClient(w)
     tool.open(5, "sv", "law", "terms")
     got = b""
     while True:
@@ -29,12 +30,12 @@
     assert tool.ask(p9.Tclunk(5)) == p9.Rclunk()
     assert all(len(f) == 1 for f in w.core.finals)
     # A file stays open at its server from read to read.
-    assert len(heard(w, p9.Topen)) == 1
+    assert len(received_messages(w, p9.Topen)) == 1
 
 
 def test_a_folder_is_read_in_steps_and_again_from_its_start() -> None:
-    w = NineWorld()
-    tool = Tool(w)
+    w = NinepInstance()
+    tool = NinepClient(w)
     tool.open(5, "sv")
     whole = tool.ask(p9.Tread(5, 0, 4096))
     assert isinstance(whole, p9.Rread) and len(whole.data) > 100
@@ -45,13 +46,13 @@
 
 
 def test_without_a_name_a_client_attaches_the_only_export() -> None:
-    tool = Tool(NineWorld())
+    tool = NinepClient(NinepInstance())
     assert isinstance(tool.ask(p9.Tattach(7, p9.NOFID, "ann", "")), p9.Rattach)
 
 
 def test_a_connection_lost_in_a_later_message_does_not_prove_that_nothing_ran() -> None:
-    w = NineWorld()
-    tool = Tool(w)
+    w = NinepInstance()
+    tool = NinepClient(w)
     w.hold(p9.Topen)
     tool.ask(p9.Twalk(0, 5, ("readme",)))
     tool.send(p9.Topen(5, p9.OREAD), tag=2)
@@ -65,11 +66,11 @@
 
 
 def test_a_partial_walk_tells_how_far_it_came_and_makes_no_fid() -> None:
-    tool = Tool(NineWorld())
+    tool = NinepClient(NinepInstance())
     reply = tool.ask(p9.Twalk(0, 5, ("sv", "gone", "terms")))
     assert isinstance(reply, p9.Rwalk) and len(reply.qids) == 1
-    assert error(tool.ask(p9.Tstat(5))) == "unknown fid"
-    assert error(tool.ask(p9.Twalk(0, 5, ("gone",)))) == "file does not exist"
+    assert error_text(tool.ask(p9.Tstat(5))) == "unknown fid"
+    assert error_text(tool.ask(p9.Twalk(0, 5, ("gone",)))) == "file does not exist"
     up = tool.ask(p9.Twalk(0, 5, ("sv", "..", "..", "readme")))
     assert isinstance(up, p9.Rwalk) and len(up.qids) == 4
 
@@ -94,14 +95,14 @@
     ],
 )
 def test_what_cannot_be_done_gets_an_error(message: p9.Message, words: str) -> None:
-    w = NineWorld()
-    assert words in error(Tool(w).ask(message))
+    w = NinepInstance()
+    assert words in error_text(NinepClient(w).ask(message))
     assert len(w.core.starts) == 1, "only the attach needed a server"
 
 
 def test_a_clunk_gives_up_the_read_in_flight_which_is_answered_first() -> None:
-    w = NineWorld()
-    tool = Tool(w)
+    w = NinepInstance()
+    tool = NinepClient(w)
     tool.open(5, "readme")
     w.hold(p9.Tread)
     assert tool.send(p9.Tread(5, 0, 100), tag=2) == []
@@ -114,8 +115,8 @@
 
 
 def test_a_flush_is_answered_after_the_read_is_forgotten_and_its_tag_is_free() -> None:
-    w = NineWorld()
-    tool = Tool(w)
+    w = NinepInstance()
+    tool = NinepClient(w)
     tool.open(5, "readme")
     w.hold(p9.Tread)
     tool.send(p9.Tread(5, 0, 100), tag=2)
@@ -126,8 +127,8 @@
 
 
 def test_an_answer_already_given_stands_before_its_flush() -> None:
-    w = NineWorld()
-    tool = Tool(w)
+    w = NinepInstance()
+    tool = NinepClient(w)
     tool.open(5, "readme")
     before = len(tool.answers)
     tool.say(p9.encode(2, p9.Tread(5, 0, 100)))
@@ -136,19 +137,19 @@
 
 
 def test_a_flushed_walk_leaves_its_new_fid_free() -> None:
-    w = NineWorld()
-    tool = Tool(w)
+    w = NinepInstance()
+    tool = NinepClient(w)
     w.hold(p9.Twalk)
     tool.send(p9.Twalk(0, 5, ("sv",)), tag=2)
-    assert error(tool.ask(p9.Twalk(0, 5, ("readme",)), tag=4)) == "fid already in use"
+    assert error_text(tool.ask(p9.Twalk(0, 5, ("readme",)), tag=4)) == "fid already in use"
     tool.send(p9.Tflush(2), tag=3)
     w.files[0].release()
     assert isinstance(tool.ask(p9.Twalk(0, 5, ("readme",)), tag=4), p9.Rwalk)
 
 
 def test_a_walk_in_flight_outlives_the_clunk_of_the_fid_it_began_at() -> None:
-    w = NineWorld()
-    tool = Tool(w)
+    w = NinepInstance()
+    tool = NinepClient(w)
     tool.ask(p9.Twalk(0, 4, ()))
     w.hold(p9.Twalk)
     tool.send(p9.Twalk(4, 5, ("sv",)), tag=2)
@@ -159,8 +160,8 @@
 
 
 def test_a_client_that_disconnects_takes_its_attempts_with_it() -> None:
-    w = NineWorld()
-    tool = Tool(w)
+    w = NinepInstance()
+    tool = NinepClient(w)
     tool.open(5, "readme")
     w.hold(p9.Tread)
     tool.send(p9.Tread(5, 0, 100), tag=2)
@@ -169,25 +170,25 @@
 
 
 def test_a_new_version_ends_the_session() -> None:
-    w = NineWorld()
-    tool = Tool(w)
+    w = NinepInstance()
+    tool = NinepClient(w)
     tool.open(5, "readme")
     w.hold(p9.Tread)
     tool.send(p9.Tread(5, 0, 100), tag=2)
     assert tool.ask(p9.Tversion(4096, "9P2000.u"), p9.NOTAG) == p9.Rversion(4096, "9P2000")
     assert w.core.open_requests == 0
-    assert error(tool.ask(p9.Tstat(5))) == "unknown fid"
+    assert error_text(tool.ask(p9.Tstat(5))) == "unknown fid"
     assert tool.ask(p9.Tversion(4096, "8P"), p9.NOTAG) == p9.Rversion(4096, "unknown")
-    assert error(tool.ask(p9.Tstat(5))) == "no version agreed"
+    assert error_text(tool.ask(p9.Tstat(5))) == "no version agreed"
 
 
 def test_a_duplicate_tag_is_turned_away_and_the_first_goes_on() -> None:
-    w = NineWorld()
-    tool = Tool(w)
+    w = NinepInstance()
+    tool = NinepClient(w)
     tool.open(5, "readme")
     w.hold(p9.Tread)
     tool.send(p9.Tread(5, 0, 100), tag=2)
-    assert error(tool.ask(p9.Tstat(5), tag=2)) == "duplicate tag"
+    assert error_text(tool.ask(p9.Tstat(5), tag=2)) == "duplicate tag"
     before = len(tool.answers)
     w.files[0].release()
     w.settle()
@@ -195,32 +196,32 @@
 
 
 def test_a_fid_being_opened_takes_nothing_else() -> None:
-    w = NineWorld()
-    tool = Tool(w)
+    w = NinepInstance()
+    tool = NinepClient(w)
     tool.ask(p9.Twalk(0, 5, ("readme",)))
     w.hold(p9.Topen)
     tool.send(p9.Topen(5, p9.OREAD), tag=2)
-    assert "being opened" in error(tool.ask(p9.Topen(5, p9.OREAD), tag=3))
+    assert "being opened" in error_text(tool.ask(p9.Topen(5, p9.OREAD), tag=3))
     w.files[0].release()
     w.settle()
-    assert error(tool.ask(p9.Topen(5, p9.OREAD))) == "fid already open"
-    assert error(tool.ask(p9.Twalk(5, 6, ("x",)))) == "cannot walk an open fid"
+    assert error_text(tool.ask(p9.Topen(5, p9.OREAD))) == "fid already open"
+    assert error_text(tool.ask(p9.Twalk(5, 6, ("x",)))) == "cannot walk an open fid"
 
 
 def test_msize_bounds_reads_stats_and_errors() -> None:
-    tool = Tool(NineWorld(), msize=256)
+    tool = NinepClient(NinepInstance(), msize=256)
     tool.open(5, "sv", "law", "terms")
     reply = tool.ask(p9.Tread(5, 0, 1 << 20))
     assert isinstance(reply, p9.Rread) and len(reply.data) == 256 - 24
     long = p9.encode(1, p9.Tattach(9, p9.NOFID, "a", "x" * 400))
     tool.say(long)
     assert tool.closed, "over msize, framing can't be trusted"
-    raw = Tool(NineWorld(), attach=False)
-    assert error(raw.ask(p9.Tversion(100, "9P2000"), p9.NOTAG)) == "msize too small"
+    raw = NinepClient(NinepInstance(), attach=False)
+    assert error_text(raw.ask(p9.Tversion(100, "9P2000"), p9.NOTAG)) == "msize too small"
 
 
 def test_a_malformed_body_gets_an_error_and_the_session_goes_on() -> None:
-    tool = Tool(NineWorld())
+    tool = NinepClient(NinepInstance())
     bad = p9.encode(9, p9.Tstat(0))[:-1]
     tool.say(bytes([len(bad)]) + bad[1:])
     assert tool.answers[-1] == (9, p9.Rerror("bad Tstat: message cut short"))
@@ -233,14 +234,14 @@
 
 def test_a_server_drained_halfway_through_a_walk_hears_no_more_of_it() -> None:
     """The walk's first part is out when the drain is told; the rest goes to the cell's other server."""
-    w = NineWorld(servers=2)
+    w = NinepInstance(servers=2)
     deep: dict[str, Any] = {"end": b"here"}
     names = tuple(f"n{i}" for i in range(19))
     for name in reversed(names):
         deep = {name: deep}
     for server in w.files:
         server.tree = deep
-    tool = Tool(w)
+    tool = NinepClient(w)
     w.hold(p9.Twalk)
     tool.send(p9.Twalk(0, 5, names[:16]), tag=2)
     w.files[0].release()
@@ -251,14 +252,14 @@
     w.list(w.boxes[1], whole=False)
     w.files[0].release()  # its half is answered; the second part would be new work
     w.run(200 * MS)
-    assert len(heard(w, p9.Twalk, 0)) == 2 and len(heard(w, p9.Twalk, 1)) == 2
+    assert len(received_messages(w, p9.Twalk, 0)) == 2 and len(received_messages(w, p9.Twalk, 1)) == 2
     assert isinstance(tool.answers[-1][1], p9.Rwalk) and len(tool.answers[-1][1].qids) == 4
     assert [a.outcome.value for a in w.core.starts[-2:] if a.outcome] == ["reset", "served"]
 
 
 def test_a_read_goes_on_at_another_server_when_its_own_dies() -> None:
-    w = NineWorld(servers=2)
-    tool = Tool(w)
+    w = NinepInstance(servers=2)
+    tool = NinepClient(w)
     tool.open(5, "sv", "law", "terms")
     first = tool.ask(p9.Tread(5, 0, 4000))
     w.hold(p9.Tread)
@@ -274,42 +275,42 @@
 
 
 def test_a_refusal_tells_when_to_come_again() -> None:
-    w = NineWorld()
-    tool = Tool(w)
+    w = NinepInstance()
+    tool = NinepClient(w)
     tool.open(5, "readme")
     # Nothing serves the cell any more; the controller gives the item up before the client's time.
     w.drained(0)
     assert tool.send(p9.Tread(5, 0, 100), tag=2) == []
     w.run(1500 * MS)
-    assert error(tool.answers[-1][1]) == "busy; come again after 1000 ms"
+    assert error_text(tool.answers[-1][1]) == "busy; come again after 1000 ms"
     assert isinstance(w.core.finals[-1][0], Rejected)
 
 
 def test_a_silent_server_costs_no_more_than_the_deadline() -> None:
-    w = NineWorld()
-    tool = Tool(w)
+    w = NinepInstance()
+    tool = NinepClient(w)
     tool.open(5, "readme")
     w.hold(p9.Message)
     tool.send(p9.Tread(5, 0, 100), tag=2)
     w.run(1500 * MS)
-    assert tool.answers[-1][0] == 2 and error(tool.answers[-1][1]).startswith("busy")
+    assert tool.answers[-1][0] == 2 and error_text(tool.answers[-1][1]).startswith("busy")
     assert w.core.open_requests == 0 and len(w.files[0].conns) == 0
 
 
 def test_fids_and_tags_are_bounded() -> None:
-    w = NineWorld(ninep_fids=3, ninep_tags=2)
-    tool = Tool(w)
+    w = NinepInstance(ninep_fids=3, ninep_tags=2)
+    tool = NinepClient(w)
     assert tool.ask(p9.Twalk(0, 1, ())) == tool.ask(p9.Twalk(0, 2, ())) == p9.Rwalk(())
-    assert error(tool.ask(p9.Twalk(0, 3, ()))) == "too many fids"
+    assert error_text(tool.ask(p9.Twalk(0, 3, ()))) == "too many fids"
     w.hold(p9.Message)
     tool.send(p9.Tstat(0), tag=1)
     tool.send(p9.Tstat(1), tag=2)
-    assert error(tool.ask(p9.Tstat(2), tag=3)) == "too many requests in flight"
+    assert error_text(tool.ask(p9.Tstat(2), tag=3)) == "too many requests in flight"
 
 
 def test_open_files_on_a_server_connection_are_bounded() -> None:
-    w = NineWorld(ninep_keep_open=1)
-    tool = Tool(w)
+    w = NinepInstance(ninep_keep_open=1)
+    tool = NinepClient(w)
     tool.open(5, "readme")
     tool.open(6, "sv", "notes")
     conn = w.files[0].conns[0]
@@ -327,8 +328,8 @@
     ],
 )
 def test_a_server_that_breaks_the_protocol_is_left(spoil: Callable[[Any, int], None]) -> None:
-    w = NineWorld()
-    tool = Tool(w)
+    w = NinepInstance()
+    tool = NinepClient(w)
     tool.open(5, "readme")
     w.hold(p9.Tread)
     tool.send(p9.Tread(5, 0, 100), tag=2)
--- a/tests/ops/test_admin_service.py
+++ b/tests/ops/test_admin_service.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 from garnetlanding.decision import interface as api
-from tests.helpers import MS, SECOND, T0, read_command
 from tests.support.admin import Office
+from tests.support.clock import MS, SECOND, T0
+from tests.support.simulated_instance import read_command
 
 
 def test_a_head_is_ready_once_its_list_is_known_and_it_takes_clients(office: Office) -> None:
--- a/tests/ops/test_drain.py
+++ b/tests/ops/test_drain.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from tests.helpers import MS, SECOND, read_command
 from tests.support.admin import Office
+from tests.support.clock import MS, SECOND
+from tests.support.simulated_instance import read_command
 
 # Drain.
 
--- a/tests/ops/test_front.py
+++ b/tests/ops/test_front.py
@@ -10,12 +10,13 @@
 from hypothesis import strategies as st
 
 from garnetlanding.ops.admin_connection import AdminConnection
-from tests.helpers import MS, Peer, World, read_command
 from tests.support.admin import Office
+from tests.support.clock import MS
+from tests.support.simulated_instance import LoopbackClient, SimulatedInstance, read_command
 
 
 def machine(desk: Any = None) -> tuple[AdminConnection, list[bytes]]:
-    w = World()
+    w = SimulatedInstance()
     said: list[bytes] = []
     return AdminConnection(desk, w.pool, w.limits, said.append), said
 
@@ -70,10 +71,10 @@
     for i, client in enumerate(clients):
         client.say(read_command(id=f"r{i}"))
     for _ in range(200):
-        Peer(w, w.ops.address, settle=False)
+        LoopbackClient(w, w.ops.address, settle=False)
     w.settle()
     assert len(w.ops) == w.limits.ops_conns
-    late = Peer(w, w.ops.address, settle=False)
+    late = LoopbackClient(w, w.ops.address, settle=False)
     w.run(10 * MS)
     assert late.stream
     late.stream.write(b"GET /-/ready HTTP/1.1\r\n\r\n")
--- a/tests/ops/test_metrics.py
+++ b/tests/ops/test_metrics.py
@@ -9,8 +9,9 @@
 
 from garnetlanding.core.metrics import RequestMetrics, encode
 from garnetlanding.core.ports import Failed, Rejected, Served
-from tests.helpers import MS, SECOND, read_command
 from tests.support.admin import Office
+from tests.support.clock import MS, SECOND
+from tests.support.simulated_instance import read_command
 
 # Figures.
 
--- a/tests/ops/test_process_quota.py
+++ b/tests/ops/test_process_quota.py
@@ -17,7 +17,8 @@
     encode,
     next_share,
 )
-from tests.helpers import MS, T0, Bench, settings, up
+from tests.support.clock import MS, T0
+from tests.support.decision_bench import DecisionBench, make_settings, up_endpoint
 
 
 @given(
@@ -73,8 +74,8 @@
 
 
 def test_a_part_holds_for_depth_at_once_and_grows_for_cold_bricks_one_window_later() -> None:
-    config = settings(instances=1, parallel_attempts=False)
-    b = Bench(config, [up("n0", 0)])
+    config = make_settings(instances=1, parallel_attempts=False)
+    b = DecisionBench(config, [up_endpoint("n0", 0)])
     h = b.c.state.cells[0].health
     assert h and concurrency_limit(b.c.state, h) == 4
     b.ask("a")
@@ -95,9 +96,9 @@
 def fullest_window(config: api.Settings, *parts: dict[int, float]) -> int:
     """Most units that a cold brick gets in one window from processes whose parts change at those steps."""
     sent: list[int] = []
-    benches = [Bench(replace(config, process_share=part[0]), []) for part in parts]
+    benches = [DecisionBench(replace(config, process_share=part[0]), []) for part in parts]
     for bench in benches:
-        bench.tell(api.EndpointListUpdate((up("n0", 0, started=T0),), whole=True))
+        bench.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=T0),), whole=True))
     for step in range(600):
         for bench, part in zip(benches, parts, strict=True):
             bench.now = max(bench.now, T0 + step * 10 * MS)
@@ -112,7 +113,7 @@
 
 def test_two_processes_send_a_cold_brick_no_more_than_one_may_in_any_window() -> None:
     """The elder is alone, halves, and ends; the newer one has nothing, a half, and all."""
-    config = settings(instances=1, parallel_attempts=False, warmup_units=9.0)
+    config = make_settings(instances=1, parallel_attempts=False, warmup_units=9.0)
     most = fullest_window(config, {0: 1.0})
     assert most >= 9
     assert fullest_window(config, {0: 1.0, 100: 0.5, 300: 0.0}, {0: 0.0, 100: 0.5, 300: 1.0}) <= most
--- a/tests/ops/test_state.py
+++ b/tests/ops/test_state.py
@@ -12,9 +12,9 @@
 from garnetlanding import config
 from garnetlanding.ops.admin_state import AdminState, AdminStateError, decode
 from garnetlanding.ops.state_file import StateFile
-from tests.helpers import MS
 from tests.support.admin import Office
-from tests.support.daemon import BASE
+from tests.support.clock import MS
+from tests.support.daemon import PLATFORM_CONFIG
 
 # What outlasts a process.
 
@@ -71,6 +71,6 @@
 
 def test_a_wrong_address_for_operators_is_named() -> None:
     with pytest.raises(config.ConfigError, match="key ops"):
-        config.read(BASE | {"ops": "nowhere"})
-    assert config.read(BASE, env={"RELAY_OPS": "127.0.0.1:1"}).ops == "127.0.0.1:1"
-    assert config.read(BASE).ops == ""
+        config.read(PLATFORM_CONFIG | {"ops": "nowhere"})
+    assert config.read(PLATFORM_CONFIG, env={"RELAY_OPS": "127.0.0.1:1"}).ops == "127.0.0.1:1"
+    assert config.read(PLATFORM_CONFIG).ops == ""
--- a/tests/peers/test_connection_quota.py
+++ b/tests/peers/test_connection_quota.py
@@ -8,8 +8,9 @@
 from garnetlanding.peers import codec
 from garnetlanding.peers.connection_quota import ConnectionQuota
 from garnetlanding.peers.leases import InstanceIdentity, Leases, SharedLeases
-from tests.helpers import T0, Peer, World, read_command
+from tests.support.clock import T0
 from tests.support.membership import LIMITS
+from tests.support.simulated_instance import LoopbackClient, SimulatedInstance, read_command
 
 
 class Shared:
@@ -73,13 +74,13 @@
 
 
 def test_a_head_opens_no_more_connections_than_it_has_places_and_closes_what_has_gone_back() -> None:
-    w, few = World(), Few()
+    w, few = SimulatedInstance(), Few()
     w.bricks.places = few
     brick = w.server(Brick)
     brick.hold = True
     w.list(Box("n0", brick.address, 0))
     front = w.front()
-    peers = [Peer(w, front.address) for _ in range(3)]
+    peers = [LoopbackClient(w, front.address) for _ in range(3)]
     for i, peer in enumerate(peers):
         peer.say(read_command(f"r{i}"))
     assert len(brick.conns) == 2 and (2, True) in few.told, "the third lacks a place"
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -25,12 +25,14 @@
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.link import PeerLink
 from garnetlanding.peers.setup import PeerSetup
-from tests.helpers import MS, SECOND, T0, World, read_command, settings, up
-from tests.support.daemon import BASE, SETTINGS, Head
+from tests.support.clock import MS, SECOND, T0
+from tests.support.daemon import PLATFORM_CONFIG, PLATFORM_SETTINGS, SimulatedDaemon
+from tests.support.decision_bench import make_settings, up_endpoint
+from tests.support.simulated_instance import SimulatedInstance, read_command
 
 LIMITS = PeerLimits()
 PLAN = api.PlanSpec("gold", weight=4.0, usual_rate=10.0, reserve_rate=8.0, limit_rate=40.0, limit_burst=60.0)
-LIMITED = settings(may_message_peers=True, plans={"gold": PLAN})
+LIMITED = make_settings(may_message_peers=True, plans={"gold": PLAN})
 
 
 def volume(talk: PeerCoordinator) -> Volume:
@@ -50,7 +52,7 @@
         self.inbox: list[list[api.Event]] = [[] for _ in self.talks]
         self.sent: list[list[str]] = [[] for _ in self.talks]
         for talk in self.talks:
-            talk.handle(T0, [api.EndpointListUpdate((up("n0", 0),), whole=True, at_start=True)])
+            talk.handle(T0, [api.EndpointListUpdate((up_endpoint("n0", 0),), whole=True, at_start=True)])
 
     def run(self, seconds: float, asked: tuple[int, ...] = (0,), cut: tuple[int, ...] = ()) -> None:
         """Each head that is asked gets 50 units a second, and a node answers at once."""
@@ -98,7 +100,7 @@
 
 
 def test_without_limits_nothing_is_told() -> None:
-    talk = PeerCoordinator(Controller(settings(may_message_peers=True), 1), life=1)
+    talk = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), life=1)
     for i in range(40):
         now = T0 + i * 100 * MS
         actions = talk.handle(now, [api.Arrival(f"r{i}", "read", "gold", "v", "k", 1, 0, now + SECOND, 2)])
@@ -118,7 +120,7 @@
 
 
 def test_forged_bytes_are_counted_by_cause_and_change_nothing() -> None:
-    talk = PeerCoordinator(Controller(settings(may_message_peers=True), 1), life=1)
+    talk = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), life=1)
     whole = codec.encode_leases(
         LeaseMessage(1, 1, 0, 0, {codec.tag("v"): codec.Ask(1.0, 2)}, {codec.tag("v"): 1.0})
     )
@@ -130,7 +132,7 @@
 
 
 def test_the_link_hears_its_peers_alone(caplog: pytest.LogCaptureFixture) -> None:
-    w, heard = World(), list[tuple[int, bytes]]()
+    w, heard = SimulatedInstance(), list[tuple[int, bytes]]()
     socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2)]
     for sock in socks:
         sock.bind(("127.0.0.1", 0))
@@ -162,14 +164,14 @@
 # The daemon
 
 LIMIT = {"NeverOver": 40.0, "LimitBurst": 60.0}
-TELLS = SETTINGS | {
-    "Limits": SETTINGS["Limits"] | {"MayTell": True},
+TELLS = PLATFORM_SETTINGS | {
+    "Limits": PLATFORM_SETTINGS["Limits"] | {"MayTell": True},
     "Balancers": 3,
-    "Contracts": [SETTINGS["Contracts"][0] | LIMIT],
+    "Contracts": [PLATFORM_SETTINGS["Contracts"][0] | LIMIT],
 }
 
 
-class TalkingHead(Head):
+class TalkingHead(SimulatedDaemon):
     """Head 0 of three; a test stands for the other two."""
 
     def __init__(self, config: dict[str, Any] = TELLS) -> None:
@@ -248,8 +250,8 @@
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     monkeypatch.setattr(tempfile, "tempdir", None)
-    for config_used, status in ((TELLS, b"200 OK"), (SETTINGS, b"404")):
-        h = Head(
+    for config_used, status in ((TELLS, b"200 OK"), (PLATFORM_SETTINGS, b"404")):
+        h = SimulatedDaemon(
             settings=config_used, ops="127.0.0.1:0", peer_listen="127.0.0.1:0", peers=["127.0.0.1:9"] * 3
         )
         assert h.daemon.ops is not None
@@ -262,7 +264,7 @@
     h = TalkingHead()
     link = h.daemon.link
     assert link
-    h.file = h.file | {"settings": SETTINGS | {"Balancers": 3}}
+    h.file = h.file | {"settings": PLATFORM_SETTINGS | {"Balancers": 3}}
     h.daemon.reload()
     h.ask()
     h.heard()
@@ -276,7 +278,7 @@
 
 
 def test_where_messages_are_forbidden_no_socket_is_opened_and_nothing_is_imported() -> None:
-    h = TalkingHead(SETTINGS)
+    h = TalkingHead(PLATFORM_SETTINGS)
     assert h.daemon.config.peers is None and h.daemon.link is None
     assert not isinstance(h.daemon.core.module, PeerCoordinator)
     program = (
@@ -286,7 +288,10 @@
     )
     told = {"peer_listen": "127.0.0.1:0", "peers": ["127.0.0.1:9"]}
     out = subprocess.run(
-        [sys.executable, "-c", program, json.dumps(BASE | told)], capture_output=True, text=True, check=True
+        [sys.executable, "-c", program, json.dumps(PLATFORM_CONFIG | told)],
+        capture_output=True,
+        text=True,
+        check=True,
     )
     assert out.stdout.strip() == "[]"
 
@@ -295,7 +300,7 @@
     taken = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     taken.bind(("127.0.0.1", 0))
     at = f"127.0.0.1:{taken.getsockname()[1]}"
-    h = Head(settings=TELLS, peer_listen=at, peers=["127.0.0.1:9"] * 3)
+    h = SimulatedDaemon(settings=TELLS, peer_listen=at, peers=["127.0.0.1:9"] * 3)
     assert h.daemon.link is None and "no link to other heads" in caplog.text
     assert h.client().say(read_command()) == b"$0\r\n\r\n"
     taken.close()
@@ -343,4 +348,4 @@
 )
 def test_a_fault_in_the_keys_of_the_link_names_its_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
-        config.read(BASE | {"settings": TELLS, "peer_listen": "127.0.0.1:0"} | change)
+        config.read(PLATFORM_CONFIG | {"settings": TELLS, "peer_listen": "127.0.0.1:0"} | change)
--- a/tests/peers/test_gossip_message.py
+++ b/tests/peers/test_gossip_message.py
@@ -28,7 +28,8 @@
     read,
     to_envelope,
 )
-from tests.helpers import T0, settings
+from tests.support.clock import T0
+from tests.support.decision_bench import make_settings
 from tests.support.suspicions import LIMITS, Heads, dead
 
 # Bytes
@@ -80,6 +81,6 @@
         (0, api.PeerMessage(1, codec.encode_envelope(strange))),
     )
     assert f.talks[0].dropped == {"word too old": 1, "no such verdict": 1}
-    off = PeerCoordinator(Controller(settings(may_message_peers=True), 1), life=1)
+    off = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), life=1)
     off.handle(T0, [api.PeerMessage(1, codec.encode_envelope(good))])
     assert off.dropped == {"other kind": 1} and off.known("verdicts", T0) == []
--- a/tests/peers/test_local_observations.py
+++ b/tests/peers/test_local_observations.py
@@ -6,7 +6,7 @@
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.interface import Outcome
-from tests.helpers import MS, T0
+from tests.support.clock import MS, T0
 from tests.support.suspicions import AIM, LIMITS, REFUSED, SERVED, SIX, result, sightings, told
 
 # What is seen
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -18,7 +18,7 @@
 from garnetlanding.peers.membership import Membership, Record
 from garnetlanding.peers.membership_protocol import MembershipProtocol
 from garnetlanding.peers.shared_budgets import SharedBudgets
-from tests.helpers import T0
+from tests.support.clock import T0
 from tests.support.membership import COLD, LIMITS
 
 
--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -16,7 +16,8 @@
 from garnetlanding.peers.demand import Demand
 from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.shared_budgets import SharedBudgets
-from tests.helpers import T0, up
+from tests.support.clock import T0
+from tests.support.decision_bench import up_endpoint
 from tests.support.membership import COLD, LIMITS
 
 # Budgets
@@ -64,11 +65,15 @@
 
 def test_a_head_asks_for_the_budget_of_a_cold_server_and_counts_what_it_sends() -> None:
     budgets = SharedBudgets(LIMITS, COLD, 1, T0)
-    node = replace(up("n0", 0), started_us=T0 - SECOND)
+    node = replace(up_endpoint("n0", 0), started_us=T0 - SECOND)
     ask = api.Arrival("r1", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1)
     budgets.observe_events(
         T0,
-        [api.EndpointListUpdate((node, up("n1", 1)), whole=True), ask, replace(ask, request="r2", cell=1)],
+        [
+            api.EndpointListUpdate((node, up_endpoint("n1", 1)), whole=True),
+            ask,
+            replace(ask, request="r2", cell=1),
+        ],
         COLD,
         3,
     )
@@ -83,7 +88,7 @@
     own = budgets.leases.demands[codec.tag("cold:n0")]
     assert own.locked_share(later, budgets.leases.window_us) == pytest.approx(2 / 30)
     budgets.observe_events(
-        later, [api.EndpointListUpdate(failed=True), api.EndpointListUpdate((up("n0", 0),))], COLD, 3
+        later, [api.EndpointListUpdate(failed=True), api.EndpointListUpdate((up_endpoint("n0", 0),))], COLD, 3
     )
     budgets.observe_actions(later, [api.Subscribe()], COLD)
     told = budgets.changed_shares(later, 3)
@@ -99,7 +104,7 @@
     sent = {}
     for share in (0.0, 1.0, 3.0):
         module = Controller(replace(COLD, overload_multiple=0.0), 1)
-        node = replace(up("n0", 0), started_us=T0)
+        node = replace(up_endpoint("n0", 0), started_us=T0)
         asks: list[api.Event] = [
             api.Arrival(f"r{i}", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1) for i in range(40)
         ]
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -20,7 +20,7 @@
 from garnetlanding.peers.local_observations import LocalObservations, Observation
 from garnetlanding.peers.setup import read_fleet
 from garnetlanding.peers.suspicions import PeerClaim, SuspicionTable
-from tests.helpers import MS, SECOND, T0
+from tests.support.clock import MS, SECOND, T0
 from tests.support.suspicions import AIM, LIMITS, REFUSED, SERVED, SIX, Heads, dead, result, sightings
 
 
--- a/tests/resp/test_backend_connection.py
+++ b/tests/resp/test_backend_connection.py
@@ -10,8 +10,8 @@
 from garnetlanding.limits import MS
 from garnetlanding.resp import codec
 from garnetlanding.resp.brick import read_reply
-from tests.helpers import World, read_command
 from tests.support.resp import LIMITS
+from tests.support.simulated_instance import SimulatedInstance, read_command
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,7 @@
 )
 def test_a_spoilt_answer_may_have_run_and_its_connection_is_not_used_again(spoilt: bytes) -> None:
     """Some are still being sent, or wait for what never comes: they must not hold the attempt for good."""
-    w = World()
+    w = SimulatedInstance()
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
     brick.data[b"k"], brick.script = b"value", [spoilt]
@@ -113,7 +113,7 @@
 
 
 def test_part_after_part_of_an_answer_without_an_end_is_given_up_too() -> None:
-    w = World()
+    w = SimulatedInstance()
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
     brick.script = [b"*3\r\n$60000\r\n"]
@@ -130,7 +130,7 @@
 @pytest.mark.parametrize("behind", [b"noise", b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", b"\r\n"])
 def test_a_good_answer_with_more_behind_it_is_served_and_its_connection_closed(behind: bytes) -> None:
     """It was thrown away with its connection, and the work done a second time."""
-    w = World()
+    w = SimulatedInstance()
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
     brick.script = [b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n" + behind]
@@ -140,7 +140,7 @@
 
 
 def test_a_value_longer_than_many_buffers_passes_whole() -> None:
-    w = World(buffer_bytes=512)
+    w = SimulatedInstance(buffer_bytes=512)
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
     peer = w.peer(w.front().address)
--- a/tests/resp/test_client_connections.py
+++ b/tests/resp/test_client_connections.py
@@ -5,12 +5,13 @@
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box
 from garnetlanding.limits import MS
-from tests.helpers import World, read_command, settings
+from tests.support.decision_bench import make_settings
 from tests.support.resp import PING
+from tests.support.simulated_instance import SimulatedInstance, read_command
 
 
 def test_a_client_that_closes_has_left_and_its_attempt_is_stopped() -> None:
-    w = World()
+    w = SimulatedInstance()
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
     brick.script = [None]
@@ -22,7 +23,7 @@
 
 
 def test_a_client_that_sends_half_a_command_or_reads_nothing_is_cut_off() -> None:
-    w = World(buffer_bytes=512, out_bytes=20_000)
+    w = SimulatedInstance(buffer_bytes=512, out_bytes=20_000)
     brick = w.server(Brick)
     brick.data[b"k"] = b"x" * 60_000
     w.list(Box("b0", brick.address, 0))
@@ -40,7 +41,7 @@
 
 
 def test_connections_are_bounded_and_the_one_idle_longest_makes_room() -> None:
-    w = World(client_conns=2)
+    w = SimulatedInstance(client_conns=2)
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
     front = w.front()
@@ -56,7 +57,7 @@
 
 def test_a_crowd_that_only_greets_makes_room_before_those_that_ask() -> None:
     """Hundreds sent a PING and stayed: their places were theirs for 2 s, and nobody else was heard."""
-    w = World(client_conns=2, idle_us=100 * MS)
+    w = SimulatedInstance(client_conns=2, idle_us=100 * MS)
     w.list()
     front = w.front()
     asker, greeter = w.peer(front.address), w.peer(front.address)
@@ -69,7 +70,7 @@
 
 
 def test_who_says_nothing_makes_room_sooner_unless_its_request_has_come_unread() -> None:
-    w = World(client_conns=2)
+    w = SimulatedInstance(client_conns=2)
     front = w.front()
     silent, late = w.peer(front.address), w.peer(front.address)
     head_end = min(
@@ -92,7 +93,7 @@
 
 def test_connections_kept_for_good_are_closed_once_there_are_many() -> None:
     """Clients that ask once and stay used up what clients may hold: others had no connection left."""
-    w = World(idle_clients=2)
+    w = SimulatedInstance(idle_clients=2)
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
     front = w.front()
@@ -108,8 +109,10 @@
 
 def test_clients_have_the_places_that_bricks_do_not_need_and_give_them_back() -> None:
     """A fixed share left connections waiting that had been answered for within a moment."""
-    w = World(
-        settings(max_attempts=4, parallel_attempts=False, instances=1), brick_conns_kept=1, client_conns=4
+    w = SimulatedInstance(
+        make_settings(max_attempts=4, parallel_attempts=False, instances=1),
+        brick_conns_kept=1,
+        client_conns=4,
     )
     boxes = [w.server(Brick) for _ in range(4)]
     for brick in boxes:
--- a/tests/resp/test_codec.py
+++ b/tests/resp/test_codec.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from garnetlanding.resp import codec
-from tests.helpers import World
 from tests.support.resp import LIMITS, pool
+from tests.support.simulated_instance import SimulatedInstance
 
 WORDS = st.lists(st.binary(max_size=40), min_size=1, max_size=6)
 
@@ -62,7 +62,7 @@
     ],
 )
 def test_lost_framing_gets_an_error_and_a_closed_connection(data: bytes) -> None:
-    w = World()
+    w = SimulatedInstance()
     peer = w.peer(w.front().address)
     assert peer.say(b"*1\r\n$4\r\nPING\r\n" + data).startswith(b"+PONG\r\n-ERR Protocol error")
     assert peer.closed and w.core.open_requests == 0
--- a/tests/resp/test_front.py
+++ b/tests/resp/test_front.py
@@ -11,8 +11,10 @@
 from garnetlanding.resp import codec
 from garnetlanding.resp.front import write_answer
 from garnetlanding.resp.request import BadRequest, read_request
-from tests.helpers import SECOND, World, read_command, settings
+from tests.support.clock import SECOND
+from tests.support.decision_bench import make_settings
 from tests.support.resp import LIMITS, PING, pool
+from tests.support.simulated_instance import SimulatedInstance, read_command
 
 
 @pytest.mark.parametrize(
@@ -38,7 +40,7 @@
     ],
 )
 def test_a_command_that_cannot_be_taken_names_its_field(change: tuple[str, str], words: str) -> None:
-    w = World(settings(cells=9))
+    w = SimulatedInstance(make_settings(cells=9))
     peer = w.peer(w.front().address)
     args = "c=read,t=gold,d=1000,volume=v,units=2,shard=0,hosts=1".replace(*change).encode()
     answer = peer.say(codec.command([b"BLK.READ", b"k", b"id", args]))
@@ -56,7 +58,7 @@
 
 
 def test_the_id_of_an_open_request_is_turned_away_and_its_owner_is_served() -> None:
-    w = World()
+    w = SimulatedInstance()
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
     brick.script = [None]
@@ -72,7 +74,7 @@
 
 def test_hundreds_of_commands_at_once_and_error_after_error_are_turned_away() -> None:
     """They were parked, answered as they came to it, and the loop was theirs."""
-    w = World(pipeline=4)
+    w = SimulatedInstance(pipeline=4)
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
     brick.script = [None] * 9
@@ -89,7 +91,7 @@
 
 
 def test_what_has_lost_its_framing_gets_its_error_at_once_whatever_it_has_open() -> None:
-    w = World()
+    w = SimulatedInstance()
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
     brick.script = [None]
@@ -100,7 +102,7 @@
 
 def test_what_a_client_still_sends_after_its_error_does_not_reset_the_connection() -> None:
     """A close with unread input resets it, and the error line may be lost with that."""
-    w = World(linger_bytes=1000)
+    w = SimulatedInstance(linger_bytes=1000)
     front = w.front()
     peer = w.peer(front.address)
     peer.stays = True
@@ -113,7 +115,7 @@
 
 
 def test_silence_and_half_commands_end_in_time_but_no_open_request_does() -> None:
-    w = World(command_us=SECOND)
+    w = SimulatedInstance(command_us=SECOND)
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
     brick.script = [None]
@@ -137,7 +139,7 @@
 
 
 def test_small_commands_and_arguments() -> None:
-    w = World()
+    w = SimulatedInstance()
     peer = w.peer(w.front().address)
     assert peer.say(codec.command([b"CLIENT", b"INFO"])) == b"+OK\r\n"
     assert peer.say(codec.command([b"HELLO", b"3"])) == b"-ERR unknown command\r\n"
--- a/tests/resp/test_front_model.py
+++ b/tests/resp/test_front_model.py
@@ -7,8 +7,8 @@
 
 from garnetlanding.core.ports import Answer, Failed, Rejected, Served
 from garnetlanding.resp.front import ClientMachine, write_answer
-from tests.helpers import FakeCore, read_command
 from tests.support.resp import LIMITS, pool
+from tests.support.simulated_instance import FakeRequestEngine, read_command
 
 
 class ClientModel(RuleBasedStateMachine):
@@ -16,7 +16,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.core, self.out = FakeCore(), b""
+        self.core, self.out = FakeRequestEngine(), b""
         self.machine = ClientMachine(self.core, None, pool(), LIMITS, set(), self.write)  # type: ignore
         self.expected: list[tuple[str, bytes | None]] = []
         self.rest, self.over = b"", False
--- a/tests/runtime/test_attempt_ends.py
+++ b/tests/runtime/test_attempt_ends.py
@@ -10,8 +10,10 @@
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box
 from garnetlanding.runtime.stream import Stream
-from tests.helpers import MS, SECOND, World, read_command, settings
+from tests.support.clock import MS, SECOND
+from tests.support.decision_bench import make_settings
 from tests.support.departures import Raw, Waiting, connect_late
+from tests.support.simulated_instance import SimulatedInstance, read_command
 
 # Attempts
 
@@ -41,7 +43,9 @@
 ) -> None:
     """The window was looked at before the connection was begun, which takes up to 0.25 s."""
     cls = api.ClassSpec("read", 2.0, 0.1, 300 * MS, 1500 * MS, effect, api.DeduplicationScope.ALL, window)
-    w = World(settings(parallel_attempts=False, max_attempts=2, instances=1, classes={"read": cls}))
+    w = SimulatedInstance(
+        make_settings(parallel_attempts=False, max_attempts=2, instances=1, classes={"read": cls})
+    )
     brick = w.server(Brick)
     brick.script = [None]
     w.list(Box("b0", brick.address, 0))
@@ -57,7 +61,7 @@
 
 def test_an_answer_that_is_reset_has_not_ended() -> None:
     """Without a length it ends with its stream; a reset looked like that end."""
-    w = World()
+    w = SimulatedInstance()
     listener = socket.create_server(("127.0.0.1", 0))
     stream: list[Stream] = []
     seen: list[bool] = []
--- a/tests/runtime/test_connection_close.py
+++ b/tests/runtime/test_connection_close.py
@@ -11,8 +11,9 @@
 from garnetlanding.resp import codec
 from garnetlanding.runtime.closing import TO, Closing, Event, State
 from garnetlanding.runtime.stream import Stream
-from tests.helpers import MS, SECOND, World, read_command
+from tests.support.clock import MS, SECOND
 from tests.support.departures import PING, Raw, Waiting
+from tests.support.simulated_instance import SimulatedInstance, read_command
 
 # Connections that are let go between requests
 
@@ -66,7 +67,7 @@
 
 
 def test_clients_that_stay_when_let_go_hold_few_descriptors_and_not_for_long() -> None:
-    w = World(client_conns=6, linger_conns=2)
+    w = SimulatedInstance(client_conns=6, linger_conns=2)
     front = w.front()
     stay = [Raw(w, front.address) for _ in range(6)]
     w.run(w.limits.new_us)
--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 from garnetlanding.resp import codec
-from tests.helpers import SECOND, Peer, read_command
+from tests.support.clock import SECOND
 from tests.support.runtime import BrickWorld
+from tests.support.simulated_instance import LoopbackClient, read_command
 
 
 def test_answers_to_pipelined_commands_come_in_order_though_served_out_of_order() -> None:
@@ -35,5 +36,5 @@
     w.brick.release()
     w.settle()
     assert busy.got == b"$0\r\n\r\n" and busy.closed and len(front) == 0
-    late = Peer(w, front.address)
+    late = LoopbackClient(w, front.address)
     assert late.closed and SECOND
--- a/tests/runtime/test_upstream.py
+++ b/tests/runtime/test_upstream.py
@@ -8,8 +8,9 @@
 from garnetlanding.decision.interface import Outcome
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box
-from tests.helpers import MS, read_command
+from tests.support.clock import MS
 from tests.support.runtime import BrickWorld
+from tests.support.simulated_instance import read_command
 
 
 def test_connections_are_used_again_and_closed_before_the_brick_would() -> None:
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -15,10 +15,11 @@
 from garnetlanding.store.follower_machine import FollowerMachine
 from garnetlanding.store.store import Snapshot, Store
 from garnetlanding.store.writer_machine import WriterMachine
-from tests.helpers import MS, SECOND, World
+from tests.support.clock import MS, SECOND
+from tests.support.simulated_instance import SimulatedInstance
 
 
-class Pair(World):
+class Pair(SimulatedInstance):
     """A writer on loopback and a follower of it."""
 
     def __init__(self) -> None:
@@ -147,7 +148,7 @@
     ],
 )
 def test_a_follower_leaves_a_writer_that_speaks_otherwise(lines: bytes) -> None:
-    machine = FollowerMachine(Store("w", False, 4), World().limits)
+    machine = FollowerMachine(Store("w", False, 4), SimulatedInstance().limits)
     assert json.loads(machine.follow_request(with_snapshot=True)) == {"follow": [0, -1]}
     with pytest.raises(ValueError):
         machine.feed(lines)
--- a/tests/store/test_staleness_guard.py
+++ b/tests/store/test_staleness_guard.py
@@ -7,7 +7,7 @@
 import pytest
 
 from garnetlanding.store.staleness_guard import StalenessGuard
-from tests.helpers import SECOND
+from tests.support.clock import SECOND
 
 # Who is current
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -17,7 +17,8 @@
 )
 from garnetlanding.store.persister import StorePersister, load, save
 from garnetlanding.store.store import Entry, Snapshot, Store
-from tests.helpers import MS, World
+from tests.support.clock import MS
+from tests.support.simulated_instance import SimulatedInstance
 
 KEYS = st.sampled_from(["a", "b", "c"])
 VALUES = st.one_of(st.none(), st.integers(0, 3))
@@ -80,7 +81,7 @@
     def full(fd: int) -> None:
         raise OSError("disk full")
 
-    w, path = World(), str(tmp_path / "store.json")
+    w, path = SimulatedInstance(), str(tmp_path / "store.json")
     store = Store("w", True, 5)
     StorePersister(w.scheduler, store, path, 100 * MS)
     store.put("a", 1)
--- a/tests/support/admin.py
+++ b/tests/support/admin.py
@@ -12,10 +12,10 @@
 from garnetlanding.ops.state_file import StateFile
 from garnetlanding.resp.front import ClientMachine
 from garnetlanding.runtime.listener import Listener
-from tests.helpers import World
+from tests.support.simulated_instance import SimulatedInstance
 
 
-class Office(World):
+class Office(SimulatedInstance):
     """A head's front and its operators' front before two bricks of one cell each."""
 
     def __init__(self, folder: pathlib.Path, **limits: int) -> None:
--- a/tests/support/audit.py
+++ b/tests/support/audit.py
@@ -11,7 +11,7 @@
 from garnetlanding.audit.segment_writer import SegmentWriter
 from garnetlanding.audit.segments import Segment
 from garnetlanding.audit.setup import AuditSetup
-from tests.helpers import SECOND
+from tests.support.clock import SECOND
 
 
 def opened(
--- a/tests/support/daemon.py
+++ b/tests/support/daemon.py
@@ -13,9 +13,9 @@
 from garnetlanding.emulator.discovery import Box, Discovery
 from garnetlanding.emulator.fileserver import FileServer
 from garnetlanding.runtime.signals import HEARD
-from tests.helpers import Peer, World
+from tests.support.simulated_instance import LoopbackClient, SimulatedInstance
 
-SETTINGS: dict[str, Any] = {
+PLATFORM_SETTINGS: dict[str, Any] = {
     "Balancers": 2,
     "Me": 0,
     "TickUs": 2000,
@@ -44,13 +44,13 @@
     "Zones": ["a", "b"],
     "Off": None,
 }
-BASE: dict[str, Any] = {
+PLATFORM_CONFIG: dict[str, Any] = {
     "name": "n1",
     "listen": "127.0.0.1:0",
     "discovery": "127.0.0.1:9",
     "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-    "settings": SETTINGS,
+    "settings": PLATFORM_SETTINGS,
     "known": {"generation": 4, "reset": True, "instances": [Box("b0", "127.0.0.1:9", 0).entry()]},
 }
 EXPORT = {"name": "x", "volume": "v", "plan": "gold", "class": "read", "cell": 0, "deadline_ms": 1000}
@@ -58,11 +58,11 @@
 
 
 # SIGKILL comes by the longest deadline; with this one, 3.7 s after SIGTERM at the earliest.
-SLOW = SETTINGS | {"Classes": [SETTINGS["Classes"][0] | {"GiveUpUs": 3_000_000}]}
+SLOW_SETTINGS = PLATFORM_SETTINGS | {"Classes": [PLATFORM_SETTINGS["Classes"][0] | {"GiveUpUs": 3_000_000}]}
 
 
 @contextlib.contextmanager
-def handlers_put_back() -> Iterator[None]:
+def restored_signal_handlers() -> Iterator[None]:
     old = {number: signal.getsignal(number) for number in HEARD}
     try:
         yield
@@ -72,11 +72,14 @@
             signal.signal(number, handler)
 
 
-class Head(World):
+class SimulatedDaemon(SimulatedInstance):
     """A whole daemon, with discovery and servers, on the world's clock."""
 
     def __init__(
-        self, operator: dict[str, Any] | None = None, settings: dict[str, Any] = SETTINGS, **more: Any
+        self,
+        operator: dict[str, Any] | None = None,
+        settings: dict[str, Any] = PLATFORM_SETTINGS,
+        **more: Any,
     ) -> None:
         super().__init__()
         self.discovery, self.brick = self.server(Discovery), self.server(Brick)
@@ -85,7 +88,7 @@
         port = int(self.files.address.rpartition(":")[2])
         if operator and "ninep" in operator:
             operator["ninep"] = NINEP | {"server_port": port}
-        self.file = BASE | {"discovery": self.discovery.address, "settings": settings} | more
+        self.file = PLATFORM_CONFIG | {"discovery": self.discovery.address, "settings": settings} | more
         self.daemon = Daemon(self.read(operator), lambda: self.time, self.read)
         self.daemon.start()
         self.settle()
@@ -100,5 +103,5 @@
             moved = [s.turn(1) for s in (self.scheduler, head) if s and not s._stopped]
             quiet = 0 if any(moved) else quiet + 1
 
-    def client(self, at: int = 0) -> Peer:
+    def client(self, at: int = 0) -> LoopbackClient:
         return self.peer(self.daemon.listeners[at].address)
--- /dev/null
+++ b/tests/support/decision_bench.py
@@ -0,0 +1,116 @@
+"""The decision module alone: settings, endpoints, and one Controller on a simulated clock."""
+
+from __future__ import annotations
+
+from garnetlanding.decision import interface as api
+from garnetlanding.decision.control import Controller
+from tests.support.clock import MS, SECOND, T0
+
+READ = api.ClassSpec("read", 2.0, 0.1, 300 * MS, 1500 * MS, api.Effect.SAFE)
+WRITE = api.ClassSpec(
+    "write", 2.0, 0.1, 500 * MS, 2500 * MS, api.Effect.KEYED, api.DeduplicationScope.CELL, 2000 * MS
+)
+GOLD = api.PlanSpec("gold", weight=4.0, usual_rate=10.0, reserve_rate=8.0)
+TIN = api.PlanSpec("tin", weight=1.0, usual_rate=2.0, reserve_rate=1.0)
+
+
+def make_settings(**changes: object) -> api.Settings:
+    base: dict[str, object] = dict(
+        instances=3,
+        instance_id=0,
+        tick_us=2 * MS,
+        classes={"read": READ, "write": WRITE},
+        plans={"gold": GOLD, "tin": TIN},
+        poll_endpoints=False,
+        max_attempts=3,
+        parallel_attempts=True,
+        may_cancel=True,
+        may_probe=False,
+        honors_retry_after=True,
+        max_retry_after_us=SECOND,
+        warmup_initial_share=0.2,
+        warmup_us=16 * SECOND,
+        warmup_units=9.0,
+        overload_multiple=2.0,
+        overload_window_us=2 * SECOND,
+        ordered_key_rest_us=0,
+        retry_budget_ratio=0.0,
+        retry_budget_floor=0.0,
+        retry_budget_window_us=0,
+        over_quota_value_share=0.4,
+        idle_value_share=0.05,
+        max_units=6.0,
+    )
+    return api.Settings(**(base | changes))  # type: ignore[arg-type]
+
+
+def up_endpoint(node: str, cell: int, started: int = 0, zone: str = "z") -> api.Endpoint:
+    return api.Endpoint(node, cell, zone, api.EndpointState.UP, started)
+
+
+class DecisionBench:
+    """One host on a fake clock; keeps every action with its time."""
+
+    def __init__(self, config: api.Settings, entries: list[api.Endpoint], seed: int = 1) -> None:
+        self.c = Controller(config, seed)
+        self.now = T0
+        self.log: list[tuple[int, api.Action]] = []
+        self.wakes: list[int] = []
+        self.tell(api.EndpointListUpdate(tuple(entries), whole=True, at_start=True))
+
+    def tell(self, *events: api.Event) -> list[api.Action]:
+        actions = self.c.handle(self.now, list(events))
+        self.log += [(self.now, a) for a in actions]
+        self.wakes += [self.now + a.span_us for a in actions if isinstance(a, api.WakeAfter)]
+        return actions
+
+    def run(self, span_us: int) -> list[api.Action]:
+        """Lets time pass, waking the host whenever it asked for it."""
+        end, seen = self.now + span_us, len(self.log)
+        while self.wakes and min(self.wakes) <= end:
+            self.now = max(self.now, min(self.wakes))
+            self.wakes = [w for w in self.wakes if w > self.now]
+            self.tell(api.TimerFired("look"))
+        self.now = end
+        return [a for _, a in self.log[seen:]]
+
+    def ask(
+        self,
+        name: str,
+        volume: str = "v",
+        cell: int = 0,
+        units: float = 2,
+        plan: str = "gold",
+        cls: str = "read",
+        key: str = "",
+        hosts: int = 1,
+        patience: int | None = None,
+    ) -> list[api.Action]:
+        spec = self.c.settings.classes[cls]
+        return self.tell(
+            api.Arrival(
+                name, cls, plan, volume, key, units, cell, self.now + (patience or spec.deadline_us), hosts
+            )
+        )
+
+    def end(
+        self,
+        name: str,
+        outcome: api.Outcome = api.Outcome.SERVED,
+        attempt: int = 0,
+        took: int = 20 * MS,
+        over: bool | None = None,
+        used: int = 0,
+    ) -> list[api.Action]:
+        over = outcome is api.Outcome.SERVED if over is None else over
+        return self.tell(api.Result(name, attempt, "", outcome, took, over, used))
+
+    def sends(self, name: str | None = None) -> list[api.Send]:
+        return [a for _, a in self.log if isinstance(a, api.Send) and name in (None, a.request)]
+
+    def answers(self, name: str) -> list[api.Action]:
+        return [a for _, a in self.log if isinstance(a, api.Reject | api.Fail) and a.request == name]
+
+
+def sent_requests(actions: list[api.Action]) -> list[str]:
+    return [a.request for a in actions if isinstance(a, api.Send)]
--- a/tests/support/departures.py
+++ b/tests/support/departures.py
@@ -12,7 +12,9 @@
 from garnetlanding.emulator.discovery import Box
 from garnetlanding.resp import codec
 from garnetlanding.runtime.stream import Stream, parse_address
-from tests.helpers import MS, World, settings
+from tests.support.clock import MS
+from tests.support.decision_bench import make_settings
+from tests.support.simulated_instance import SimulatedInstance
 
 PING = codec.command([b"PING"])
 QUIT = codec.command([b"QUIT"])
@@ -21,7 +23,7 @@
 class Raw:
     """A client's end as the operating system has it: tells a reset from an end, reads when it wants to."""
 
-    def __init__(self, world: World, address: str) -> None:
+    def __init__(self, world: SimulatedInstance, address: str) -> None:
         self.world = world
         self.sock = socket.create_connection(parse_address(address))
         self.sock.setblocking(False)
@@ -61,11 +63,11 @@
         self.sock.close()
 
 
-class Waiting(World):
+class Waiting(SimulatedInstance):
     """A head whose only brick is not listed yet: requests wait for their first attempt."""
 
     def __init__(self, **limits: int) -> None:
-        super().__init__(settings(parallel_attempts=False, max_attempts=4, instances=1), **limits)
+        super().__init__(make_settings(parallel_attempts=False, max_attempts=4, instances=1), **limits)
         self.brick = self.server(Brick)
         self.listener = self.front()
         self.list()
@@ -74,7 +76,7 @@
         self.list(Box("b0", self.brick.address, 0), whole=False)
 
 
-def connect_late(w: World, monkeypatch: pytest.MonkeyPatch) -> None:
+def connect_late(w: SimulatedInstance, monkeypatch: pytest.MonkeyPatch) -> None:
     """From now on a connection takes 0.2 s to come up."""
     connect = Stream.connect
 
--- a/tests/support/membership.py
+++ b/tests/support/membership.py
@@ -5,7 +5,7 @@
 from garnetlanding.emulator.group_net import SECOND
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.membership import Membership
-from tests.helpers import settings
+from tests.support.decision_bench import make_settings
 
 LIMITS = PeerLimits()
 
@@ -15,7 +15,7 @@
 real_learn, real_look = Membership.learn, Membership.look
 
 
-COLD = settings(
+COLD = make_settings(
     may_message_peers=True,
     instances=3,
     warmup_units=30.0,
--- a/tests/support/ninep_changes.py
+++ b/tests/support/ninep_changes.py
@@ -9,7 +9,7 @@
     KEEP8,
     STAT_HEAD,
 )
-from tests.helpers import NineWorld, Tool
+from tests.support.ninep_instance import NinepClient, NinepInstance
 
 PLAIN, LINUX = p9.VERSION, p9l.VERSION
 
@@ -32,12 +32,14 @@
     )
 
 
-def rw(client: str = PLAIN, server: str = PLAIN, servers: int = 1, **more: object) -> tuple[NineWorld, Tool]:
-    w = NineWorld(servers, access="rw", offer=server, **more)  # type: ignore[arg-type]
-    return w, Tool(w, version=client)
+def rw(
+    client: str = PLAIN, server: str = PLAIN, servers: int = 1, **more: object
+) -> tuple[NinepInstance, NinepClient]:
+    w = NinepInstance(servers, access="rw", offer=server, **more)  # type: ignore[arg-type]
+    return w, NinepClient(w, version=client)
 
 
-def create(tool: Tool, fid: int, name: str, perm: int = 0o644, mode: int = p9.ORDWR) -> p9.Message:
+def create(tool: NinepClient, fid: int, name: str, perm: int = 0o644, mode: int = p9.ORDWR) -> p9.Message:
     tool.walk(fid)
     if tool.linux:
         return tool.ask(p9l.Tlcreate(fid, name, mode | p9l.L_CREATE | p9l.L_EXCL, perm, p9l.NOGID))
--- a/tests/support/runtime.py
+++ b/tests/support/runtime.py
@@ -4,14 +4,15 @@
 
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box
-from tests.helpers import World, settings
+from tests.support.decision_bench import make_settings
+from tests.support.simulated_instance import SimulatedInstance
 
 # Connections to bricks
 
 
-class BrickWorld(World):
+class BrickWorld(SimulatedInstance):
     def __init__(self, **limits: int) -> None:
-        super().__init__(settings(parallel_attempts=False, max_attempts=4, instances=1), **limits)
+        super().__init__(make_settings(parallel_attempts=False, max_attempts=4, instances=1), **limits)
         self.brick = self.server(Brick)
         self.list(Box("b0", self.brick.address, 0))
         self.client = self.peer(self.front().address)
--- /dev/null
+++ b/tests/support/simulated_instance.py
@@ -0,0 +1,218 @@
+"""An instance in one process: real loopback sockets, a simulated clock, and rule checks on each attempt."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any, TypeVar
+
+from garnetlanding.core.engine import RequestEngine
+from garnetlanding.core.ports import Answer, AttemptHandle, Backend, Failed, RequestSpec, ResponseCallback
+from garnetlanding.core.request import Attempt
+from garnetlanding.decision import interface as api
+from garnetlanding.decision.control import Controller
+from garnetlanding.discovery.listing import read_list
+from garnetlanding.emulator.base import Server
+from garnetlanding.emulator.discovery import Box
+from garnetlanding.limits import Limits
+from garnetlanding.resp import codec as resp
+from garnetlanding.resp import front as resp_front
+from garnetlanding.resp.brick import bricks
+from garnetlanding.runtime.buffers import BufferPool
+from garnetlanding.runtime.listener import Listener
+from garnetlanding.runtime.scheduler import Scheduler
+from garnetlanding.runtime.stream import Stream
+from tests.support.clock import MS, SECOND, T0
+from tests.support.decision_bench import (
+    make_settings,
+)
+
+S = TypeVar("S", bound=Server)
+
+
+class CheckedBackend:
+    """Checks the rules at each attempt's start, whatever the protocol behind it."""
+
+    def __init__(self, inner: Backend, core: CheckedRequestEngine) -> None:
+        self.inner, self.core = inner, core
+
+    def start(self, trial: AttemptHandle) -> None:
+        assert isinstance(trial, Attempt)
+        attempts = trial.request.attempts
+        out = [a for a in attempts if a.outcome is None]
+        assert len(out) <= (
+            2 if self.core.settings.parallel_attempts and trial.request.spec.allow_hedging else 1
+        )
+        assert out[-1] is trial
+        assert len(attempts) <= self.core.settings.max_attempts
+        assert trial.request.answer is None, "sent after the final answer"
+        assert self.core.endpoints.address_of(trial.node), "sent to a server that drains or is gone"
+        self.core.starts.append(trial)
+        self.inner.start(trial)
+
+    def stop(self, trial: AttemptHandle) -> None:
+        self.inner.stop(trial)
+
+
+class CheckedRequestEngine(RequestEngine):
+    """A core that fails a test when it breaks a rule."""
+
+    starts: list[Attempt]
+    finals: list[list[Answer]]
+
+    def submit(self, ask: RequestSpec, backend: Backend, answered: ResponseCallback) -> str:
+        finals: list[Answer] = []
+        self.finals.append(finals)
+
+        def once(answer: Answer) -> None:
+            finals.append(answer)
+            assert len(finals) == 1, "two final answers"
+            answered(answer)
+
+        return super().submit(ask, CheckedBackend(backend, self), once)
+
+
+class FakeRequestEngine:
+    """Takes items from a front and answers when told to."""
+
+    def __init__(self) -> None:
+        self.items: dict[str, tuple[RequestSpec, ResponseCallback]] = {}
+        self.gone: list[str] = []
+        self.last, self._count = "", 0
+        self.settings = make_settings()
+
+    def submit(self, ask: RequestSpec, backend: Backend, answered: ResponseCallback) -> str:
+        self._count += 1
+        self.last = f"i{self._count}"
+        self.items[self.last] = ask, answered
+        return self.last
+
+    def client_disconnected(self, ticket: str) -> None:
+        self.gone.append(ticket)
+
+    def abort(self, ticket: str, why: str) -> None:
+        self.items.pop(ticket)[1](Failed(why))
+
+
+class SimulatedInstance:
+    """A head's parts on a clock that moves only when a test moves it. One world at a time is open."""
+
+    _open: SimulatedInstance | None = None
+
+    def __init__(self, config: api.Settings | None = None, **limits: int) -> None:
+        if SimulatedInstance._open:
+            SimulatedInstance._open.scheduler.close()
+        SimulatedInstance._open = self
+        self.time: int = T0
+        self.limits = replace(Limits(), **limits)
+        self.scheduler: Scheduler = Scheduler(lambda: self.time)
+        self.pool = BufferPool(self.limits.buffer_bytes, 64, 4096)
+        self.core = CheckedRequestEngine(
+            Controller(config or make_settings(parallel_attempts=False, max_attempts=4), 1),
+            self.scheduler,
+            self.limits,
+        )
+        self.core.starts, self.core.finals = [], []
+        self.scheduler.turn_end.append(self.core.run_iteration)
+        self.bricks = bricks(self.scheduler, self.pool, self.limits)
+
+    def server(self, kind: type[S], **more: Any) -> S:
+        return kind(self.scheduler, self.pool, self.limits, **more)
+
+    def front(self) -> Listener:
+        ids: set[bytes] = set()
+        return Listener(
+            self.scheduler,
+            "127.0.0.1:0",
+            self.pool,
+            self.limits,
+            self.limits.client_conns,
+            lambda write: resp_front.ClientMachine(
+                self.core, self.bricks, self.pool, self.limits, ids, write
+            ),
+        )
+
+    def list(self, *boxes: Box, whole: bool = True) -> None:
+        data = {"generation": 1, "reset": whole, "instances": [b.entry() for b in boxes]}
+        self.core.update_endpoints(read_list(data, lambda us: us, at_start=whole)[1])
+        self.settle()
+
+    def settle(self) -> None:
+        """Until nothing moves any more; loopback sockets have then said all they had to say."""
+        quiet = 0
+        while quiet < 3:
+            quiet = 0 if self.scheduler.turn(1) else quiet + 1
+
+    def run(self, span_us: int, step_us: int = 10 * MS) -> None:
+        end = self.time + span_us
+        self.settle()
+        while self.time < end:
+            self.time = min(end, self.time + step_us)
+            self.settle()
+
+    def mute(self, fd: int) -> None:
+        """Whoever waits on the descriptor never hears of it again."""
+        self.scheduler._waits[fd].clear()
+        self.scheduler._arm(fd)
+
+    def peer(self, address: str) -> LoopbackClient:
+        return LoopbackClient(self, address)
+
+
+class LoopbackClient:
+    """A client's end of a connection: what it got, and whether the other side has closed."""
+
+    def __init__(self, world: SimulatedInstance, address: str, settle: bool = True) -> None:
+        self.world, self.got, self.closed = world, b"", False
+        self.stays = False  # goes on sending when the other side has no more to say
+        self.stream: Stream | None = None
+        world.scheduler.spawn(lambda: self._run(address))
+        if settle:
+            world.settle()
+
+    def _run(self, address: str) -> None:
+        w = self.world
+        try:
+            self.stream = Stream.connect(w.scheduler, address, w.pool, w.limits, w.time + SECOND)
+            while self.stream.read(self._feed):
+                pass
+        except OSError:
+            pass
+        finally:
+            self.closed = True
+            if self.stream and not self.stays:
+                self.stream.close()
+
+    def _feed(self, data: memoryview) -> None:
+        self.got += bytes(data)
+
+    def say(self, data: bytes) -> bytes:
+        """Sends, and gives back what came in answer once all is quiet."""
+        assert self.stream
+        before = len(self.got)
+        self.stream.write(data)
+        self.world.settle()
+        return self.got[before:]
+
+    def close(self) -> None:
+        assert self.stream
+        self.stream.close()
+        self.world.settle()
+
+
+def read_command(
+    id: str = "r1",
+    cls: str = "read",
+    d: int = 1000,
+    cell: int = 0,
+    volume: str = "v",
+    key: str = "k",
+    verb: str = "BLK.READ",
+    body: bytes | None = None,
+) -> bytes:
+    words = [
+        verb.encode(),
+        key.encode(),
+        id.encode(),
+        f"c={cls},t=gold,d={d},volume={volume},units=2,shard={cell},hosts=1".encode(),
+    ]
+    return resp.command(words + ([] if body is None else [body]))
--- a/tests/support/suspicions.py
+++ b/tests/support/suspicions.py
@@ -15,11 +15,12 @@
 )
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.local_observations import LocalObservations
-from tests.helpers import MS, T0, settings, up
+from tests.support.clock import MS, T0
+from tests.support.decision_bench import make_settings, up_endpoint
 
 LIMITS = PeerLimits()
 AIM = 200 * MS
-SIX = tuple(up(f"n{i}", i) for i in range(6))
+SIX = tuple(up_endpoint(f"n{i}", i) for i in range(6))
 SERVED, REFUSED = Outcome.SERVED, Outcome.UNREACHABLE
 
 
@@ -57,7 +58,7 @@
         self.fleets = [FailureDetector(LIMITS) for _ in range(3)]
         self.talks = [
             PeerCoordinator(
-                Controller(settings(may_message_peers=True, instance_id=me), 1), life=1, fleet=fleet
+                Controller(make_settings(may_message_peers=True, instance_id=me), 1), life=1, fleet=fleet
             )
             for me, fleet in enumerate(self.fleets)
         ]
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -13,7 +13,8 @@
 from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
 from garnetlanding.telemetry.otlp import Histogram, encode_attributes
 from garnetlanding.telemetry.setup import TelemetrySetup
-from tests.helpers import MS, SECOND, World
+from tests.support.clock import MS, SECOND
+from tests.support.simulated_instance import SimulatedInstance
 
 ASK = RequestSpec("read", "gold", "vol-1", "k", 2, 3, SECOND, 1, None)
 BEGAN = 60 * SECOND
@@ -52,7 +53,7 @@
 OK = reply(200)
 
 
-class TelemetryWorld(World):
+class TelemetryWorld(SimulatedInstance):
     def __init__(self, **limits: int) -> None:
         super().__init__(None, **limits)
         self.collector = self.server(Collector)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -8,14 +8,14 @@
 import pytest
 
 from garnetlanding import cli, logs
-from tests.support.daemon import BASE
+from tests.support.daemon import PLATFORM_CONFIG
 
 
 def test_the_command_line(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(BASE))
+    path.write_text(json.dumps(PLATFORM_CONFIG))
     monkeypatch.setattr(logs, "set_up", lambda level: None)
     assert cli.main(["version"]) == 0 and capsys.readouterr().out.startswith("garnetlanding ")
     monkeypatch.setenv("RELAY_CONFIG", str(path))
@@ -26,5 +26,5 @@
     assert cli.main(["check-config", "--config", str(tmp_path / "none")]) == 2
     monkeypatch.delenv("RELAY_CONFIG")
     assert cli.main(["serve"]) == 2 and "RELAY_CONFIG" in capsys.readouterr().err
-    path.write_text(json.dumps(BASE | {"listen": "203.0.113.1:1"}))
+    path.write_text(json.dumps(PLATFORM_CONFIG | {"listen": "203.0.113.1:1"}))
     assert cli.main(["serve", "--config", str(path)]) == 1 and "cannot serve" in capsys.readouterr().err
