--- a/garnetlanding/daemon.py
+++ b/garnetlanding/daemon.py
@@ -65,7 +65,7 @@
 
     def forget(self, instance: int) -> bool | None:
         group = self._daemon.group
-        return group.members.forget(instance) if group else None
+        return group.members.mark_terminated(instance) if group else None
 
 
 class Daemon:
@@ -227,7 +227,7 @@
         self.bricks.outside_idle_us = chosen.idle_timeout_us
         self.bricks.keeps = lambda: subset.update(
             core.settings.instance_id,
-            self.group.members.entitled if self.group else range(core.settings.instances),
+            self.group.members.quota_holders if self.group else range(core.settings.instances),
             core.endpoints.zones(),
         )
 
--- a/garnetlanding/emulator/group_model.py
+++ b/garnetlanding/emulator/group_model.py
@@ -13,7 +13,7 @@
 
 from garnetlanding.emulator.walk import Walk
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.membership import Membership, Record
+from garnetlanding.peers.membership import InstanceRecord, Membership
 
 LIMITS = PeerLimits(begin_us=0)
 
@@ -31,7 +31,7 @@
 class Word:
     """What one head told another: its table, and whether it had joined."""
 
-    records: tuple[Record, ...]
+    records: tuple[InstanceRecord, ...]
     digest: bytes
     joined: bool
 
@@ -66,10 +66,10 @@
         if m is None
         else (
             tuple(sorted(m.records.values())),
-            tuple(sorted(m._known_by)),
+            tuple(sorted(m._confirmed_by)),
             m._sponsored,
             m._joined,
-            m._begins_at > 0,
+            m._bootstrap_at is None,
         )
         for m in s.heads
     )
@@ -100,15 +100,15 @@
     for sender, receiver, word in s.mail:
         if (hearing := s.heads[receiver]) is not None:
             new = copy.deepcopy(hearing)
-            new.learn(word.records)
-            new.heard(sender, word.digest, word.joined, 0)
+            new.merge(word.records)
+            new.record_contact(sender, word.digest, word.joined, 0)
             rest = tuple(m for m in s.mail if m != (sender, receiver, word))
             yield replace(s, heads=_with(s, receiver, new), mail=rest)
 
 
 def _looks(s: State, me: int, members: Membership) -> Iterator[State]:
     new = copy.deepcopy(members)
-    new.look(0)
+    new.update_joined(0)
     if new.joined != members.joined:
         yield replace(s, heads=_with(s, me, new))
 
@@ -129,7 +129,7 @@
     found, walk = Explored(), Walk(start, key, lambda s: moves(s, scope), scope.most, scope.moves)
     for state in walk:
         running = [m for m in state.heads if m is not None]
-        found.most = max(found.most, sum(m.even for m in running))
+        found.most = max(found.most, sum(m.even_share for m in running))
         found.joined = max(found.joined, sum(m.joined for m in running))
         if found.most > 1 + 1e-9:
             break
--- a/garnetlanding/emulator/group_net.py
+++ b/garnetlanding/emulator/group_net.py
@@ -82,7 +82,7 @@
             MembershipProtocol(self.limits, members), GossipSchedule(self.limits, head), life
         )
         self.seen.joins += 1
-        self._new.append((self.now, head, members.records[head].life))
+        self._new.append((self.now, head, members.records[head].incarnation))
 
     def run(self) -> GroupSeen:
         net = self.net
@@ -97,14 +97,14 @@
             if self.now in (net.length_us - net.calm_us, net.length_us - net.calm_us // 2):
                 # Operators know by now who will not come back; the second time with all that is known.
                 for head in sorted(self._crashed):
-                    next(iter(self.nodes.values())).group.members.forget(head)
+                    next(iter(self.nodes.values())).group.members.mark_terminated(head)
             if self.now % self.limits.say_every_us < net.step_us:
                 self._look_who_knows()
                 for head in self.rng.sample(sorted(self.nodes), len(self.nodes)):
                     self._say(head)
         digests = {node.group.members.digest for node in self.nodes.values()}
         self.seen.agreed = len(digests) == 1
-        self.seen.least_end = sum(node.group.members.even for node in self.nodes.values())
+        self.seen.least_end = sum(node.group.members.even_share for node in self.nodes.values())
         return self.seen
 
     def _look_who_knows(self) -> None:
@@ -113,12 +113,12 @@
             tables = [node.group.members.records for node in self.nodes.values()]
             if head not in self.nodes:
                 self._new.remove(new)
-            elif all(head in table and table[head].life >= life for table in tables):
+            elif all(head in table and table[head].incarnation >= life for table in tables):
                 self._new.remove(new)
                 self.seen.known_us.append(self.now - when)
 
     def _add_up(self) -> None:
-        total = sum(node.group.members.even for node in self.nodes.values())
+        total = sum(node.group.members.even_share for node in self.nodes.values())
         if total > self.seen.most:
             self.seen.most, self.seen.most_at = total, self.now
 
@@ -138,27 +138,27 @@
             self._crashed.add(head)
             if rng.random() < 0.5:
                 self.nodes[head].group.members.leave()
-                others = self.nodes[head].group.members.entitled
+                others = self.nodes[head].group.members.quota_holders
                 self._tell(head, {who: (0, 0) for who in others})
             del self.nodes[head]
 
     def _hear(self, me: int, sender: int, data: bytes) -> None:
         group = self.nodes[me].group
         e: Envelope = codec.decode_envelope(data, self.limits.datagram_bytes)
-        group.heard(sender, group.learn(e), self.now)
+        group.record_contact(sender, group.merge(e), self.now)
 
     def _say(self, me: int) -> None:
         members, turns = self.nodes[me].group.members, self.nodes[me].turns
-        self.nodes[me].group.look(self.now)
-        to = turns.round(members.entitled - {me}, ())
-        self._tell(me, {who: (0, 0) for who in [*to, *members.unmet(self.now)]})
+        self.nodes[me].group.update_joined(self.now)
+        to = turns.round(members.quota_holders - {me}, ())
+        self._tell(me, {who: (0, 0) for who in [*to, *members.extra_receivers(self.now)]})
 
     def _tell(self, me: int, heads: dict[int, tuple[int, int]]) -> None:
         net, node = self.net, self.nodes[me]
         calm = self.now >= net.length_us - net.calm_us
         seeds = {at: head for head, at in ((n, address(n)) for n in range(net.heads))}
-        for who, e in node.group.say(heads, node.life, lambda: 1):
-            receiver = seeds[node.group.members.reach(who)] if who >= FIRST_SEED else who
+        for who, e in node.group.compose(heads, node.life, lambda: 1):
+            receiver = seeds[node.group.members.address_of(who)] if who >= FIRST_SEED else who
             data = codec.encode_envelope(e)
             self.seen.bytes += len(data)
             if not calm and (self._cut.get((me, receiver), 0) > self.now or self.rng.random() < net.loss):
--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -78,7 +78,7 @@
             self.group.leave()
             leases = self.leases
             heads = {who: leases.last_received(who) for who in leases.peer_numbers}
-            for who, e in self.group.say(heads, self.life, lambda: leases.next_number(now)):
+            for who, e in self.group.compose(heads, self.life, lambda: leases.next_number(now)):
                 tell(codec.encode_envelope(e), who)
 
     def _suspend(self, now: int) -> None:
@@ -179,7 +179,7 @@
         """Takes up which heads there are by now, and whether this one may use anything."""
         assert self.group
         members = self.group.members
-        others = frozenset(members.entitled - {members.me})
+        others = frozenset(members.quota_holders - {members.me})
         leases.set_peers(others)
         if self.budgets:
             self.budgets.leases.set_peers(others)
@@ -187,10 +187,10 @@
                 self.budgets.leases.suspend(now)
             elif self.budgets.leases.resumes_at is None and self._may_use:
                 self.budgets.leases.resume(now)
-        if members.out and not self._out:
+        if members.fence_reason and not self._out:
             self._out = True
             self._suspend(now)
-            self.group.say_out(members.out)
+            self.group.report_fenced(members.fence_reason)
 
     def _parts(self, leases: Leases, now: int) -> api.QuotaShares | None:
         looks = now >= leases.recheck_at
@@ -227,11 +227,11 @@
         try:
             e = codec.decode_envelope(message.payload, self.limits.datagram_bytes)
             if e.kind == codec.MessageKind.MEMBERSHIP and self.group:
-                roll = self.group.learn(e)
+                roll = self.group.merge(e)
                 self._regroup(leases, now)
                 why = leases.accept_contact(message.sender, e.incarnation, e.number, now)
                 if not why:
-                    self.group.heard(message.sender, roll, now)
+                    self.group.record_contact(message.sender, roll, now)
             elif e.kind == codec.MessageKind.GOSSIP and self.fleet:
                 why = leases.accept_contact(message.sender, e.incarnation, e.number, now)
                 if not why:
@@ -285,11 +285,13 @@
             words = self.fleet.compose(heads, message_id, now, self._tightest_us)
             texts += [api.SendPeerMessage(codec.encode_envelope(e), who) for who, e in words.items()]
         if self.group:
-            self.group.look(now)
-            heads = {who: leases.last_received(who) for who in [*to, *self.group.members.unmet(now)]}
+            self.group.update_joined(now)
+            heads = {
+                who: leases.last_received(who) for who in [*to, *self.group.members.extra_receivers(now)]
+            }
             texts += [
                 api.SendPeerMessage(codec.encode_envelope(e), who)
-                for who, e in self.group.say(heads, self.life, lambda: leases.next_number(now))
+                for who, e in self.group.compose(heads, self.life, lambda: leases.next_number(now))
             ]
         return texts
 
--- a/garnetlanding/peers/link.py
+++ b/garnetlanding/peers/link.py
@@ -81,7 +81,7 @@
     def _targets(self, to: int) -> list[tuple[str, int]]:
         if self._group is None:
             return self._everyone if to < 0 else self._peers.get(to, [])
-        at = self._group.members.reach(to)
+        at = self._group.members.address_of(to)
         return [parse_address(self.setup.routes.get(at, at))] if at else []
 
     def _who(self, source: tuple[str, int], data: bytes) -> int | None:
@@ -90,7 +90,7 @@
         host, port = source
         text = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         named = self._there.get(text, text)
-        who = self._group.members.at(named)
+        who = self._group.members.instance_at(named)
         return self._group.introduce(named, data) if who is None else who
 
     def close(self) -> None:
--- a/garnetlanding/peers/membership.py
+++ b/garnetlanding/peers/membership.py
@@ -1,204 +1,306 @@
-"""Which heads a group has, found from a few seeds: records merged as they are heard, who is up by this head's
-own hearing, and what part of what the whole group shares is this head's (docs/design/membership.md). No
-clock, no socket.
+"""The table of instances of a group that is found from a few seeds (docs/design/membership.md).
+
+Records are merged as they are received, in any order and any number of times, to the same table at every
+instance. From that table, and from whom it has received messages, an instance decides whether it has joined,
+and what share of everything that the group divides is its own. No clock, no socket.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from dataclasses import dataclass
+from enum import Enum
 from hashlib import blake2b
 from typing import NamedTuple
 
 from garnetlanding.peers.disabled_backends import DIGEST
 from garnetlanding.peers.limits import PeerLimits
 
-NEVER = 1 << 62
-FIRST_SEED = 1 << 16  # seeds are reached under numbers that no head has, until it is known who answers there
+FIRST_SEED = (
+    1 << 16
+)  # seeds have numbers that no instance has, until it is known which instance responds there
+
+
+class MemberState(Enum):
+    """An instance as another one sees it; the values stand in operators' answers."""
+
+    SELF = "me"
+    UP = "up"
+    SUSPECT = "suspect"  # not received from in time
+    TERMINATED = "gone"
 
 
-class Record(NamedTuple):
-    """The last word on one head: of two the one with the greater life stands, and `gone` above being here."""
+class InstanceRecord(NamedTuple):
+    """The latest statement about one instance.
 
-    head: int
-    life: int
-    gone: bool
+    Of two, the one of the greater incarnation stands, and within one incarnation `terminated` above running.
+    """
+
+    instance: int
+    incarnation: int
+    terminated: bool
     address: str
 
     @property
     def rank(self) -> tuple[int, bool, str]:
-        return self.life, self.gone, self.address
+        """The order among records of one instance: the greatest stands."""
+        return self.incarnation, self.terminated, self.address
+
+
+@dataclass(frozen=True, slots=True)
+class MemberRow:
+    """One instance of the group, for operators."""
+
+    instance: int
+    state: MemberState
+    incarnation: int
+    address: str
+    received_ms: int | None  # since its last message; None: none has been received
+    even_share: float | None  # of this instance alone
+
+    def as_json(self) -> dict[str, object]:
+        """Return the fields of the administration interface's answer."""
+        return {
+            "head": self.instance,
+            "state": self.state.value,
+            "life": self.incarnation,
+            "address": self.address,
+            "heard_ms": self.received_ms,
+            "part": None if self.even_share is None else round(self.even_share, 4),
+        }
 
 
 class Membership:
+    """One instance's table of the group, and whether that instance has joined it.
+
+    Invariant: the even shares of all running instances never add up to more than 1. An instance has none
+    until every instance of its table has confirmed a table that holds it.
+    """
+
     def __init__(
-        self, limits: PeerLimits, me: int, life: int, address: str, seeds: Iterable[str], now: int
+        self, limits: PeerLimits, me: int, incarnation: int, address: str, seeds: Iterable[str], now: int
     ) -> None:
-        """`address`: where this head is heard. `seeds`: the same at every head, a few that run for long."""
-        self._limits, self.me = limits, me
-        self._begins_at = now + limits.begin_us
-        self._own = Record(me, life, False, address)
+        """Start with a table of this instance alone.
+
+        `address` is where this instance receives. `seeds` are the same addresses at every instance: a few
+        that run for long. `now` is in microseconds, as everywhere here.
+        """
+        self._limits = limits
+        self.me = me
+        self._own = InstanceRecord(me, incarnation, False, address)
         self.records = {me: self._own}
-        self._seeds = {FIRST_SEED + i: at for i, at in enumerate(seeds)}
-        self._heard: dict[int, int] = {}
-        self._known_by: set[int] = set()  # heads that have had this head's whole table, itself in it
+        self._seeds = {FIRST_SEED + i: seed for i, seed in enumerate(seeds)}
+        # From when on the seeds may begin a group together; None: there is one, and no other is begun.
+        self._bootstrap_at: int | None = now + limits.begin_us
+        self._received_at: dict[int, int] = {}  # by instance, the last message of its own
+        self._confirmed_by: set[int] = set()  # instances that have had this one's whole table, itself in it
         self._sponsored = False  # one of them had joined
         self._joined = False
-        self._told: dict[int, int] = {}  # by head, how many records it has been told in turn
-        self._news: dict[int, int] = {}  # by head, the later its record changed the greater
+        self._rounds: dict[int, int] = {}  # by receiver, how often records beside this one's were sent to it
+        self._changed: dict[
+            int, int
+        ] = {}  # by instance, a number that is greater the later its record changed
         self._digest: bytes | None = None
 
-    # What is told and heard
+    # Messages in and out
 
     @property
     def digest(self) -> bytes:
-        """The same for the same table, whatever way it came about."""
+        """A digest of the table: the same for the same records, whatever way they came."""
         if self._digest is None:
             text = "\n".join(
-                f"{r.head} {r.life} {r.gone:d} {r.address}" for r in sorted(self.records.values())
+                f"{record.instance} {record.incarnation} {record.terminated:d} {record.address}"
+                for record in sorted(self.records.values())
             )
             self._digest = blake2b(text.encode(), digest_size=DIGEST).digest()
         return self._digest
 
-    def learn(self, records: Iterable[Record]) -> int:
-        """Merges what was told; gives back how many could not be kept."""
-        dropped = 0
+    def merge(self, records: Iterable[InstanceRecord]) -> int:
+        """Take over every record that outranks the known one; return how many there was no room for."""
+        rejected = 0
         for record in records:
-            known = self.records.get(record.head)
+            known = self.records.get(record.instance)
             if known is None and len(self.records) >= self._limits.heads:
-                dropped += 1
+                rejected += 1
             elif known is None or record.rank > known.rank:
-                own = self._own
-                if (record.head, record.address) == (own.head, own.address) and record.life > own.life:
-                    # Nobody else can be there: an earlier life of this head, before its clock was set back.
-                    self._own = record = self._own._replace(life=record.life + 1)
-                self.records[record.head] = record
-                self._news[record.head] = max(self._news.values(), default=0) + 1
-                self._digest = None
-                if known and known.life != record.life:
-                    self._known_by.discard(record.head)  # its new life has to learn of this head itself
-        return dropped
-
-    def heard(self, sender: int, digest: bytes, joined: bool, now: int) -> None:
-        """A head's own, new word, after its records were learnt. `joined`: by its own account."""
+                self._store(self._ahead_of_own_past(record), known)
+        return rejected
+
+    def _ahead_of_own_past(self, record: InstanceRecord) -> InstanceRecord:
+        """Return the record, or a newer one of this instance where that is of an earlier start of it.
+
+        Nobody else can have its number and its address: its clock must have been set back between two starts.
+        """
+        own = self._own
+        same_place = (record.instance, record.address) == (own.instance, own.address)
+        if not same_place or record.incarnation <= own.incarnation:
+            return record
+        self._own = own._replace(incarnation=record.incarnation + 1)
+        return self._own
+
+    def _store(self, record: InstanceRecord, known: InstanceRecord | None) -> None:
+        self.records[record.instance] = record
+        self._changed[record.instance] = max(self._changed.values(), default=0) + 1
+        self._digest = None
+        if known and known.incarnation != record.incarnation:
+            self._confirmed_by.discard(record.instance)  # its new incarnation has to learn of this instance
+
+    def record_contact(self, sender: int, digest: bytes, joined: bool, now: int) -> None:
+        """Take note of a new message of an instance, after its records were merged.
+
+        `digest` is that of the sender's table; `joined` says whether the sender has joined.
+        """
         if sender not in self.records:
             return
-        self._heard[sender] = now
+        self._received_at[sender] = now
         if joined:
-            self._begins_at = NEVER  # there is a group: no other is begun
+            self._bootstrap_at = None
         if digest == self.digest:
-            self._known_by.add(sender)
+            self._confirmed_by.add(sender)
             self._sponsored = self._sponsored or joined
-        self.look(now)
-
-    def look(self, now: int) -> None:
-        """Whether this head has joined by now: one that has itself vouches for the table, or nobody has, and
-        all seeds begin the group together."""
-        if not self._joined and self._known_by >= self.entitled - {self.me}:
-            gone = {r.address for r in self.records.values() if r.gone} - {r.address for r in self.here}
-            seeds = {self.at(at) for at in self._seeds.values() if at not in gone}
-            begins = now >= self._begins_at and seeds <= self._known_by | {self.me}
-            self._joined = self._sponsored or begins
-
-    def tell(self, who: int, digest: bytes | None) -> list[Record]:
-        """What goes to that head, as many of it as fit: this one's record, and where its table differs
-        (`digest`: as last heard from it) the others, news first every other time, so that they spread
-        like a rumour, and each in its turn."""
-        mine = self.records[self.me]
-        others = sorted(r for r in self.records.values() if r.head != self.me)
+        self.update_joined(now)
+
+    def update_joined(self, now: int) -> None:
+        """Join if every other instance has confirmed the table, and one of them had joined itself.
+
+        Where nobody has joined yet, all seeds that are not terminated begin the group together.
+        """
+        if self._joined or not self._confirmed_by >= self.quota_holders - {self.me}:
+            return
+        present = {record.address for record in self.present}
+        left = {record.address for record in self.records.values() if record.terminated} - present
+        seeds = {self.instance_at(seed) for seed in self._seeds.values() if seed not in left}
+        is_time = self._bootstrap_at is not None and now >= self._bootstrap_at
+        may_begin = is_time and seeds <= self._confirmed_by | {self.me}
+        self._joined = self._sponsored or may_begin
+
+    def records_for(self, receiver: int, digest: bytes | None) -> list[InstanceRecord]:
+        """Return what is sent to an instance, the most important first, as many of it as fit.
+
+        This instance's own record always; the others where the receiver's table differs (`digest`: as last
+        received from it). Every other time the latest changes go first, so that they spread fast, and in the
+        rounds between each record has its turn.
+        """
+        own = self.records[self.me]
+        others = sorted(record for record in self.records.values() if record.instance != self.me)
         if digest == self.digest or not others:
-            return [mine]
-        self._told[who] = self._told.get(who, 0) + 1
-        if self._told[who] % 2:
-            return [mine, *sorted(others, key=lambda r: self._news.get(r.head, 0), reverse=True)]
-        begin = self._told[who] // 2 * self._limits.roll_turn % len(others)
-        return [mine, *others[begin:], *others[:begin]]
-
-    def unmet(self, now: int) -> list[int]:
-        """Who is told beside the others: seeds that nobody is known at, under numbers of their own, and heads
-        that speak though they are gone by their record: they have to learn that."""
-        known = {r.address for r in self.here}
-        gone = [
-            r.head
-            for r in self.records.values()
-            if r.gone and r.head != self.me and now - self._heard.get(r.head, -NEVER) <= self._limits.stale_us
+            return [own]
+        self._rounds[receiver] = self._rounds.get(receiver, 0) + 1
+        if self._rounds[receiver] % 2:
+            latest = sorted(others, key=lambda record: self._changed.get(record.instance, 0), reverse=True)
+            return [own, *latest]
+        begin = self._rounds[receiver] // 2 * self._limits.roll_turn % len(others)
+        return [own, *others[begin:], *others[:begin]]
+
+    def extra_receivers(self, now: int) -> list[int]:
+        """Return whom to send to beside the other instances.
+
+        These are seeds at whose address no instance is known, under their seed numbers, and instances that
+        still send though their record says they are terminated: they have to learn that.
+        """
+        addresses = {record.address for record in self.present}
+        unknown_seeds = [number for number, seed in self._seeds.items() if seed not in addresses]
+        still_sending = [
+            record.instance
+            for record in self.records.values()
+            if record.terminated
+            and record.instance != self.me
+            and self._received_within(record.instance, now, self._limits.stale_us)
         ]
-        return [seed for seed, at in self._seeds.items() if at not in known] + gone
+        return unknown_seeds + still_sending
+
+    def _received_within(self, instance: int, now: int, span_us: int) -> bool:
+        received_at = self._received_at.get(instance)
+        return received_at is not None and now - received_at <= span_us
 
-    def reach(self, who: int) -> str:
-        """The address of a head, or of a seed; empty: not known."""
-        record = self.records.get(who)
-        return self._seeds.get(who, "") if record is None else record.address
+    def address_of(self, receiver: int) -> str:
+        """Return the address of an instance or a seed; empty where it is not known."""
+        record = self.records.get(receiver)
+        return self._seeds.get(receiver, "") if record is None else record.address
 
-    def at(self, address: str) -> int | None:
-        """Who is heard from there, as far as is known."""
-        return next((r.head for r in self.here if r.address == address), None)
+    def instance_at(self, address: str) -> int | None:
+        """Return the instance that sends from an address, as far as is known."""
+        return next((record.instance for record in self.present if record.address == address), None)
 
     def leave(self) -> None:
-        """This head's last word: it uses nothing any more."""
-        self.learn([self.records[self.me]._replace(gone=True)])
+        """Mark this instance as terminated: it uses nothing any more."""
+        self.merge([self.records[self.me]._replace(terminated=True)])
 
-    def forget(self, who: int) -> bool:
-        """An operator's word that a head has stopped for good; False where none of that number is known."""
-        if who not in self.records:
+    def mark_terminated(self, instance: int) -> bool:
+        """Mark an instance as stopped for good, as an operator says; False where it is not known."""
+        if instance not in self.records:
             return False
-        self.learn([self.records[who]._replace(gone=True)])
+        self.merge([self.records[instance]._replace(terminated=True)])
         return True
 
-    # What follows
+    # What follows from the table
 
     @property
-    def here(self) -> list[Record]:
-        """Those of heads that are not gone."""
-        return [r for r in self.records.values() if not r.gone]
+    def present(self) -> list[InstanceRecord]:
+        """The records of instances that are not terminated."""
+        return [record for record in self.records.values() if not record.terminated]
 
     @property
-    def entitled(self) -> set[int]:
-        """All heads that are not gone: one that is not heard may be cut off only, and use its part."""
-        return {r.head for r in self.here}
+    def quota_holders(self) -> set[int]:
+        """The instances that shares are divided among: all that are not terminated.
+
+        One that nothing is received from may merely be cut off, and still use its share.
+        """
+        return {record.instance for record in self.present}
 
     @property
-    def out(self) -> str:
-        """Why this head must stand back; empty: it need not."""
-        mine = self.records[self.me]
-        if mine == self._own:
+    def fence_reason(self) -> str:
+        """Why this instance must suspend all use of shares; empty where it need not."""
+        record = self.records[self.me]
+        if record == self._own:
             return ""
-        return "put out" if mine.life == self._own.life and mine.gone else "another process has its number"
+        if record.incarnation == self._own.incarnation and record.terminated:
+            return "put out"
+        return "another process has its number"
 
     @property
     def joined(self) -> bool:
-        """Whether every head of the table counts this one."""
-        return self._joined and not self.out
+        """Whether every instance of the table counts this one."""
+        return self._joined and not self.fence_reason
 
     @property
-    def even(self) -> float:
-        """This head's even part of what all heads share; those of all heads never add up to more than 1."""
-        return 1 / len(self.entitled) if self.joined else 0.0
-
-    def state(self, who: int, now: int) -> str:
-        """me, up, suspect (not heard in time by this head), gone."""
-        if self.records[who].gone:
-            return "gone"
-        if who == self.me:
-            return "me"
-        heard = self._heard.get(who)
-        return "up" if heard is not None and now - heard <= self.suspect_us else "suspect"
+    def even_share(self) -> float:
+        """This instance's even share of everything that all divide; 0 until it has joined."""
+        return 1 / len(self.quota_holders) if self.joined else 0.0
+
+    def state(self, instance: int, now: int) -> MemberState:
+        """Return an instance's state as this one sees it."""
+        if self.records[instance].terminated:
+            return MemberState.TERMINATED
+        if instance == self.me:
+            return MemberState.SELF
+        if self._received_within(instance, now, self.suspect_after_us):
+            return MemberState.UP
+        return MemberState.SUSPECT
 
     @property
-    def suspect_us(self) -> int:
-        """After so long unheard: as many rounds as give each head its turn, and some lost."""
-        rounds = -(-max(1, len(self.entitled) - 1) // self._limits.near)
+    def suspect_after_us(self) -> int:
+        """The silence after which an instance is suspected.
+
+        As many rounds as it takes for each instance to be sent to, with some of them lost.
+        """
+        rounds = -(-max(1, len(self.quota_holders) - 1) // self._limits.near)
         return self._limits.stale_us * rounds
 
-    def known(self, now: int) -> list[dict[str, object]]:
-        """For operators: each head, and since when this one has not heard it."""
+    def rows(self, now: int) -> list[MemberRow]:
+        """Return one row for each instance, for operators."""
         return [
-            {
-                "head": r.head,
-                "state": self.state(r.head, now),
-                "life": r.life,
-                "address": r.address,
-                "heard_ms": (now - self._heard[r.head]) // 1000 if r.head in self._heard else None,
-                "part": round(self.even, 4) if r.head == self.me else None,
-            }
-            for r in sorted(self.records.values())
+            MemberRow(
+                instance=record.instance,
+                state=self.state(record.instance, now),
+                incarnation=record.incarnation,
+                address=record.address,
+                received_ms=self._received_ms(record.instance, now),
+                even_share=self.even_share if record.instance == self.me else None,
+            )
+            for record in sorted(self.records.values())
         ]
+
+    def _received_ms(self, instance: int, now: int) -> int | None:
+        received_at = self._received_at.get(instance)
+        return None if received_at is None else (now - received_at) // 1000
--- a/garnetlanding/peers/membership_message.py
+++ b/garnetlanding/peers/membership_message.py
@@ -1,10 +1,13 @@
-"""The form of words about heads (kind 3 of the datagrams in codec.py). Big-endian:
+"""The body of messages about instances (`MessageKind.MEMBERSHIP` of the datagrams in codec.py).
+
+All numbers are big-endian::
 
     digest of the sender's table 8 bytes
-    each record: head's number 2 bytes | life 6 | gone 1 | length of the address 1 | the address | port 2
+    each record: instance's number 2 bytes | incarnation 6 | terminated 1 | length of the address 1 |
+        the address | port 2
 
-The first record is the sender's own: a head that nobody knows yet introduces itself by it. The envelope's
-first count is that of the records, the second 1 if the sender has joined.
+The first record is the sender's own: an instance that nobody knows yet introduces itself by it. The first
+count of the envelope is that of the records, the second is 1 if the sender has joined.
 """
 
 from __future__ import annotations
@@ -16,84 +19,100 @@
 
 from garnetlanding.peers.codec import HEAD, SUM, Envelope, MessageError, MessageKind
 from garnetlanding.peers.disabled_backends import DIGEST
-from garnetlanding.peers.membership import Record
+from garnetlanding.peers.membership import InstanceRecord
 from garnetlanding.runtime.stream import parse_address
 
-RECORD, PORT = struct.Struct(">H6sBB"), struct.Struct(">H")
-LONGEST_ADDRESS = 16
+RECORD = struct.Struct(">H6sBB")
+PORT = struct.Struct(">H")
+IPV4_BYTES = 4
+IPV6_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipMessage:
+    """What one datagram carries: the sender's record, and some of the others of its table."""
+
     digest: bytes
-    records: tuple[Record, ...]
+    records: tuple[InstanceRecord, ...]
     joined: bool
 
 
-def pages(records: Sequence[Record], size: int, most: int) -> list[list[Record]]:
-    """What is to be told, in up to `most` datagrams of that size: each begins with the first record."""
-    mine, found = records[0], [[records[0]]]
-    room = whole = size - HEAD.size - SUM.size - DIGEST - _size(mine)
+def paginate(records: Sequence[InstanceRecord], size: int, max_pages: int) -> list[list[InstanceRecord]]:
+    """Divide records into up to `max_pages` pages for datagrams of `size` bytes.
+
+    Each page begins with the first record, the sender's own. What does not fit into that many is left out.
+    """
+    own = records[0]
+    pages = [[own]]
+    capacity = size - HEAD.size - SUM.size - DIGEST - _encoded_size(own)
+    left = capacity
     for record in records[1:]:
-        if _size(record) > room:
-            if len(found) == most:
+        if _encoded_size(record) > left:
+            if len(pages) == max_pages:
                 break
-            found.append([mine])
-            room = whole
-        found[-1].append(record)
-        room -= _size(record)
-    return found
+            pages.append([own])
+            left = capacity
+        pages[-1].append(record)
+        left -= _encoded_size(record)
+    return pages
 
 
-def _size(record: Record) -> int:
-    return RECORD.size + (LONGEST_ADDRESS if record.address.startswith("[") else 4) + PORT.size
+def _encoded_size(record: InstanceRecord) -> int:
+    address_bytes = IPV6_BYTES if record.address.startswith("[") else IPV4_BYTES
+    return RECORD.size + address_bytes + PORT.size
 
 
-def to_envelope(told: MembershipMessage, life: int, number: int, re_life: int, re_number: int) -> Envelope:
-    parts = [told.digest]
-    for record in told.records:
+def to_envelope(
+    message: MembershipMessage, incarnation: int, number: int, acked_incarnation: int, acked_number: int
+) -> Envelope:
+    """Return the envelope that carries a message."""
+    parts = [message.digest]
+    for record in message.records:
         host, port = parse_address(record.address)
-        packed = ipaddress.ip_address(host).packed
-        parts.append(
-            RECORD.pack(record.head, record.life.to_bytes(6, "big"), record.gone, len(packed))
-            + packed
-            + PORT.pack(port)
+        address = ipaddress.ip_address(host).packed
+        head = RECORD.pack(
+            record.instance, record.incarnation.to_bytes(6, "big"), record.terminated, len(address)
         )
+        parts.append(head + address + PORT.pack(port))
     return Envelope(
         MessageKind.MEMBERSHIP,
-        life,
+        incarnation,
         number,
-        re_life,
-        re_number,
-        (len(told.records), told.joined),
+        acked_incarnation,
+        acked_number,
+        (len(message.records), int(message.joined)),
         b"".join(parts),
     )
 
 
-def read(e: Envelope) -> MembershipMessage:
-    """Raises MessageError."""
-    if e.kind != MessageKind.MEMBERSHIP:
-        raise MessageError("other kind")
-    at, records = DIGEST, []
-    for _ in range(e.counts[0]):
-        if len(e.body) < at + RECORD.size:
-            raise MessageError("torn")
-        head, life, gone, length = RECORD.unpack_from(e.body, at)
-        at += RECORD.size
-        packed, end = e.body[at : at + length], at + length + PORT.size
-        if length not in (4, LONGEST_ADDRESS) or len(e.body) < end or gone > 1:
-            raise MessageError("no record")
-        host = str(ipaddress.ip_address(packed))
-        port = PORT.unpack_from(e.body, at + length)[0]
-        records.append(
-            Record(
-                head,
-                int.from_bytes(life, "big"),
-                bool(gone),
-                f"[{host}]:{port}" if length > 4 else f"{host}:{port}",
-            )
-        )
-        at = end
-    if at != len(e.body) or not records or e.counts[1] > 1:
-        raise MessageError("torn")
-    return MembershipMessage(e.body[:DIGEST], tuple(records), bool(e.counts[1]))
+def read(envelope: Envelope) -> MembershipMessage:
+    """Decode the body of an envelope about instances. Raises MessageError."""
+    if envelope.kind != MessageKind.MEMBERSHIP:
+        raise MessageError("other kind", 1)
+    body = envelope.body
+    record_count, joined = envelope.counts
+    records: list[InstanceRecord] = []
+    offset = DIGEST
+    for _ in range(record_count):
+        record, offset = _read_record(body, offset)
+        records.append(record)
+    if offset != len(body) or not records or joined > 1:
+        raise MessageError("torn", HEAD.size + offset)
+    return MembershipMessage(body[:DIGEST], tuple(records), bool(joined))
+
+
+def _read_record(body: bytes, offset: int) -> tuple[InstanceRecord, int]:
+    """Return the record at an offset of the body, and the offset behind it."""
+    if len(body) < offset + RECORD.size:
+        raise MessageError("torn", HEAD.size + offset)
+    instance, incarnation, terminated, length = RECORD.unpack_from(body, offset)
+    address_at = offset + RECORD.size
+    port_at = address_at + length
+    end = port_at + PORT.size
+    if length not in (IPV4_BYTES, IPV6_BYTES) or len(body) < end or terminated > 1:
+        raise MessageError("no record", HEAD.size + offset)
+    host = str(ipaddress.ip_address(body[address_at:port_at]))
+    (port,) = PORT.unpack_from(body, port_at)
+    address = f"[{host}]:{port}" if length == IPV6_BYTES else f"{host}:{port}"
+    record = InstanceRecord(instance, int.from_bytes(incarnation, "big"), bool(terminated), address)
+    return record, end
--- a/garnetlanding/peers/membership_protocol.py
+++ b/garnetlanding/peers/membership_protocol.py
@@ -1,5 +1,6 @@
-"""One head's side of finding the others: its table of heads, and what it tells of it. No clock, no socket;
-`PeerCoordinator` carries its messages.
+"""The messages about the instances of a group: what one instance sends, and what follows from those received.
+
+No clock, no socket; `PeerCoordinator` carries the messages.
 """
 
 from __future__ import annotations
@@ -12,55 +13,62 @@
 from garnetlanding.peers.history import PeerHistory
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.membership import Membership
+from garnetlanding.peers.membership_message import MembershipMessage
 
 log = logging.getLogger(__name__)
 
 
 class MembershipProtocol:
+    """One instance's side of the exchange of membership records."""
+
     def __init__(self, limits: PeerLimits, members: Membership, history: PeerHistory | None = None) -> None:
-        self.limits, self.members, self._history = limits, members, history
-        self._digests: dict[int, bytes] = {}  # of each head, as last heard from it
+        self.limits = limits
+        self.members = members
+        self._history = history
+        self._digests: dict[int, bytes] = {}  # of each instance's table, as last received from it
 
     def introduce(self, address: str, data: bytes) -> int | None:
-        """Who sends from an address that nobody is known at: its own record says so, and names that one."""
+        """Return who sends from an address of no known instance: its own record must name that address."""
         try:
-            first = membership_message.read(codec.decode_envelope(data, self.limits.datagram_bytes)).records[
-                0
-            ]
+            envelope = codec.decode_envelope(data, self.limits.datagram_bytes)
+            own = membership_message.read(envelope).records[0]
         except MessageError:
             return None
-        return first.head if first.address == address and not first.gone else None
+        return own.instance if own.address == address and not own.terminated else None
 
-    def learn(self, e: Envelope) -> membership_message.MembershipMessage:
-        """Raises MessageError."""
-        told = membership_message.read(e)
+    def merge(self, envelope: Envelope) -> MembershipMessage:
+        """Decode a message and merge its records. Raises MessageError."""
+        message = membership_message.read(envelope)
         before = self.members.digest
-        self.members.learn(told.records)
+        self.members.merge(message.records)
         if self.members.digest != before:
-            self._say_so()
-        return told
+            self._write_history()
+        return message
 
     def leave(self) -> None:
-        """This head's last word."""
+        """Mark this instance as terminated; the next messages say so."""
         self.members.leave()
-        self._say_so()
+        self._write_history()
 
-    def _say_so(self) -> None:
-        if self._history:
-            self._history.members_changed(self.members.entitled, self.members.even)
+    def record_contact(self, sender: int, message: MembershipMessage, now: int) -> None:
+        """Take note of a new message of an instance, after its records were merged."""
+        had_joined = self.members.joined
+        self._digests[sender] = message.digest
+        self.members.record_contact(sender, message.digest, message.joined, now)
+        self._report_joined(had_joined)
 
-    def heard(self, sender: int, told: membership_message.MembershipMessage, now: int) -> None:
-        """A head's own, new word."""
-        joined = self.members.joined
-        self._digests[sender] = told.digest
-        self.members.heard(sender, told.digest, told.joined, now)
-        self._look(joined)
+    def update_joined(self, now: int) -> None:
+        """Look, once a round, whether the group may begin: that needs no message of anybody."""
+        had_joined = self.members.joined
+        self.members.update_joined(now)
+        self._report_joined(had_joined)
 
-    def look(self, now: int) -> None:
-        """Once a round: a group may begin without a word of anybody else."""
-        joined = self.members.joined
-        self.members.look(now)
-        self._look(joined)
+    def _report_joined(self, had_joined: bool) -> None:
+        if self.members.joined and not had_joined:
+            log.info(
+                "instance joined the group", extra={"kv": {"instances": len(self.members.quota_holders)}}
+            )
+            self._write_history()
 
     def _look(self, before: bool) -> None:
         if self.members.joined and not before:
@@ -70,21 +78,33 @@
     def say(
         self, heads: Mapping[int, tuple[int, int]], life: int, sending: Callable[[], int]
     ) -> list[tuple[int, Envelope]]:
-        """One message to each, or a few. `heads`: life and number of the last message heard from each;
-        `sending` gives the number of another message."""
-        members, told, limits = self.members, list[tuple[int, Envelope]](), self.limits
-        numbers: list[int] = []  # of the first message to each head, of the second, and so on
-        for who, heard in heads.items():
-            records = members.tell(who, self._digests.get(who))
-            for i, page in enumerate(
-                membership_message.pages(records, limits.datagram_bytes, limits.roll_pages)
-            ):
-                if i == len(numbers):
-                    numbers.append(sending())
-                said = membership_message.MembershipMessage(members.digest, tuple(page), members.joined)
-                told.append((who, membership_message.to_envelope(said, life, numbers[i], *heard)))
-        return told
-
-    def say_out(self, why: str) -> None:
-        log.warning("stands back", extra={"kv": {"why": why}})
-        self._say_so()
+        """Return one message or a few to each receiver.
+
+        `acknowledged` has the receivers, with incarnation and number of the last message received from each.
+        `next_number` gives the number of another message; messages at the same place in the sequences to
+        several receivers have the same one.
+        """
+        members = self.members
+        composed: list[tuple[int, Envelope]] = []
+        numbers: list[int] = []  # of the first message to each receiver, of the second, and so on
+        for receiver, last_received in acknowledged.items():
+            records = members.records_for(receiver, self._digests.get(receiver))
+            pages = membership_message.paginate(records, self.limits.datagram_bytes, self.limits.roll_pages)
+            for place, page in enumerate(pages):
+                if place == len(numbers):
+                    numbers.append(next_number())
+                message = MembershipMessage(members.digest, tuple(page), members.joined)
+                envelope = membership_message.to_envelope(
+                    message, incarnation, numbers[place], *last_received
+                )
+                composed.append((receiver, envelope))
+        return composed
+
+    def report_fenced(self, reason: str) -> None:
+        """Log that this instance has been fenced, and write its history."""
+        log.warning("instance fenced", extra={"kv": {"reason": reason}})
+        self._write_history()
+
+    def _write_history(self) -> None:
+        if self._history:
+            self._history.members_changed(self.members.quota_holders, self.members.even_share)
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -55,7 +55,7 @@
 from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.membership import FIRST_SEED, Membership
-from garnetlanding.peers.membership import Record as Member
+from garnetlanding.peers.membership import InstanceRecord as Member
 from garnetlanding.peers.membership_protocol import MembershipProtocol
 from garnetlanding.peers.shared_budgets import SharedBudgets
 from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
@@ -430,7 +430,7 @@
 
 def members() -> Membership:
     table = Membership(PEER_LIMITS, 0, 100, "127.1.0.1:7946", ["127.1.0.1:7946", "127.1.0.2:7946"], 0)
-    table.learn([Member(1, 90, True, "127.1.0.2:7946"), Member(65535, 1 << 40, False, "[fe80::1]:65535")])
+    table.merge([Member(1, 90, True, "127.1.0.2:7946"), Member(65535, 1 << 40, False, "[fe80::1]:65535")])
     return table
 
 
@@ -533,7 +533,7 @@
         for page in codec.paginate(asks, grants, 1200)
     ]
     records = [Member(i, 5 + i, i % 3 == 0, f"10.0.{i // 250}.{i % 250}:1{i:04}") for i in range(300)]
-    for page in membership_message.pages(records, 1200, 3):
+    for page in membership_message.paginate(records, 1200, 3):
         paged.append(
             codec.encode_envelope(
                 membership_message.to_envelope(
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -15,7 +15,7 @@
 from garnetlanding.emulator.group_net import SECOND, GroupNet, GroupRun
 from garnetlanding.peers.coordinator import PeerCoordinator
 from garnetlanding.peers.gossip_schedule import GossipSchedule
-from garnetlanding.peers.membership import Membership, Record
+from garnetlanding.peers.membership import InstanceRecord, Membership, MemberState
 from garnetlanding.peers.membership_protocol import MembershipProtocol
 from garnetlanding.peers.shared_budgets import SharedBudgets
 from tests.support.clock import T0
@@ -35,70 +35,75 @@
 
 def test_tables_of_heads_merge_to_the_same_one_in_any_order() -> None:
     words = [
-        Record(1, 5, False, at(1)),
-        Record(1, 5, True, at(1)),
-        Record(1, 6, False, at(2)),
-        Record(2, 3, False, at(3)),
+        InstanceRecord(1, 5, False, at(1)),
+        InstanceRecord(1, 5, True, at(1)),
+        InstanceRecord(1, 6, False, at(2)),
+        InstanceRecord(2, 3, False, at(3)),
     ]
     digests = set()
     for order in permutations(words):
         table = one(0)
         for word in order:
-            table.learn([word])
+            table.merge([word])
         digests.add(table.digest)
-        assert table.entitled == {0, 1, 2} and table.reach(1) == at(2)
+        assert table.quota_holders == {0, 1, 2} and table.address_of(1) == at(2)
     assert len(digests) == 1
 
 
 def test_a_head_uses_nothing_until_all_that_it_knows_have_its_record() -> None:
     a, b, new = one(0), one(1), one(2)
     for x, y in ((a, b), (b, a)):
-        x.learn(y.records.values())
-    a.heard(1, b.digest, False, LIMITS.begin_us)
-    b.heard(0, a.digest, False, LIMITS.begin_us)
-    assert a.joined and b.joined and a.even == 0.5, "all seeds begin it together"
-    new.learn([a.records[0], a.records[1]])
-    new.heard(0, a.digest, True, 9 * SECOND)
+        x.merge(y.records.values())
+    a.record_contact(1, b.digest, False, LIMITS.begin_us)
+    b.record_contact(0, a.digest, False, LIMITS.begin_us)
+    assert a.joined and b.joined and a.even_share == 0.5, "all seeds begin it together"
+    new.merge([a.records[0], a.records[1]])
+    new.record_contact(0, a.digest, True, 9 * SECOND)
     assert not new.joined, "head 0 told the table that it had before it heard of this one"
-    a.learn([new.records[2]])
-    new.heard(0, a.digest, True, 9 * SECOND)
-    assert not new.joined and a.even == pytest.approx(1 / 3)
-    b.learn([new.records[2]])
-    new.heard(1, b.digest, True, 9 * SECOND)
-    assert new.joined and a.even + b.even + new.even == pytest.approx(1)
+    a.merge([new.records[2]])
+    new.record_contact(0, a.digest, True, 9 * SECOND)
+    assert not new.joined and a.even_share == pytest.approx(1 / 3)
+    b.merge([new.records[2]])
+    new.record_contact(1, b.digest, True, 9 * SECOND)
+    assert new.joined and a.even_share + b.even_share + new.even_share == pytest.approx(1)
 
 
 def test_newcomers_that_know_only_each_other_begin_no_second_group() -> None:
     a, b = one(2), one(3)
     for x, y in ((a, b), (b, a)):
-        x.learn(y.records.values())
-    a.heard(3, b.digest, False, 60 * SECOND)
-    assert not a.joined and len(a.unmet(0)) == 2, "no seed has been heard"
+        x.merge(y.records.values())
+    a.record_contact(3, b.digest, False, 60 * SECOND)
+    assert not a.joined and len(a.extra_receivers(0)) == 2, "no seed has been heard"
 
 
 def test_a_head_that_is_put_out_or_replaced_stands_back_and_an_earlier_life_of_it_does_not_matter() -> None:
     alone = one(0, seeds=1)
-    alone.look(LIMITS.begin_us)
+    alone.update_joined(LIMITS.begin_us)
     assert alone.joined
-    alone.learn([Record(0, 9, False, at(0))])
-    assert alone.out == "" and alone.records[0].life == 10, "its own, before its clock was set back"
-    alone.learn([Record(0, 11, False, at(7))])
-    assert alone.out == "another process has its number" and alone.even == 0.0
+    alone.merge([InstanceRecord(0, 9, False, at(0))])
+    assert (
+        alone.fence_reason == "" and alone.records[0].incarnation == 10
+    ), "its own, before its clock was set back"
+    alone.merge([InstanceRecord(0, 11, False, at(7))])
+    assert alone.fence_reason == "another process has its number" and alone.even_share == 0.0
     other = one(1)
-    assert other.forget(1) and not other.forget(5)
-    assert other.out == "put out" and other.state(1, 0) == "gone"
-    assert other.known(0)[0]["part"] == 0.0
+    assert other.mark_terminated(1) and not other.mark_terminated(5)
+    assert other.fence_reason == "put out" and other.state(1, 0) is MemberState.TERMINATED
+    assert other.rows(0)[0].as_json()["part"] == 0.0
 
 
 def test_who_is_not_heard_is_suspect_and_keeps_its_part() -> None:
     a = one(0, seeds=1)
-    a.learn([Record(n, 1, False, at(n)) for n in range(1, 9)])
-    a.look(LIMITS.begin_us)
-    a.heard(1, b"", True, 0)
-    assert a.suspect_us == 2 * LIMITS.stale_us and len(a.entitled) == 9
-    assert [a.state(1, when) for when in (a.suspect_us, a.suspect_us + 1)] == ["up", "suspect"]
+    a.merge([InstanceRecord(n, 1, False, at(n)) for n in range(1, 9)])
+    a.update_joined(LIMITS.begin_us)
+    a.record_contact(1, b"", True, 0)
+    assert a.suspect_after_us == 2 * LIMITS.stale_us and len(a.quota_holders) == 9
+    assert [a.state(1, when) for when in (a.suspect_after_us, a.suspect_after_us + 1)] == [
+        MemberState.UP,
+        MemberState.SUSPECT,
+    ]
     full = Membership(replace(LIMITS, heads=1), 0, 5, at(0), [at(0)], 0)
-    assert full.learn([Record(1, 1, False, at(1))]) == 1
+    assert full.merge([InstanceRecord(1, 1, False, at(1))]) == 1
 
 
 @given(st.integers(2, 300), st.integers(0, 20), st.integers(0, 500))
@@ -132,30 +137,37 @@
 
 
 def one_is_enough(self: Membership, now: int) -> None:
-    self._joined = self._joined or (bool(self._known_by) and (self._sponsored or now > self._begins_at))
+    self._joined = self._joined or (
+        bool(self._confirmed_by)
+        and (self._sponsored or self._bootstrap_at is not None and now > self._bootstrap_at)
+    )
 
 
 def without_a_sponsor(self: Membership, now: int) -> None:
-    self._joined = self._joined or (bool(self._known_by) and self._known_by >= self.entitled - {self.me})
+    self._joined = self._joined or (
+        bool(self._confirmed_by) and self._confirmed_by >= self.quota_holders - {self.me}
+    )
 
 
 def heard_only(self: Membership) -> set[int]:
-    return {self.me} | {who for who in self._heard if who in self.records and not self.records[who].gone}
+    return {self.me} | {
+        who for who in self._received_at if who in self.records and not self.records[who].terminated
+    }
 
 
 def older_stands(self: Membership, records: Any) -> int:
     for record in records:
-        self.records.setdefault(record.head, record)
+        self.records.setdefault(record.instance, record)
     self._digest = None
     return 0
 
 
 GROUP_BUGS: dict[str, tuple[str, object]] = {
-    "a newcomer uses its part at once": ("look", at_once),
-    "one head's word is enough": ("look", one_is_enough),
-    "newcomers begin a group of their own": ("look", without_a_sponsor),
-    "only who is heard counts": ("entitled", property(heard_only)),
-    "the first word stands": ("learn", older_stands),
+    "a newcomer uses its part at once": ("update_joined", at_once),
+    "one head's word is enough": ("update_joined", one_is_enough),
+    "newcomers begin a group of their own": ("update_joined", without_a_sponsor),
+    "only who is heard counts": ("quota_holders", property(heard_only)),
+    "the first word stands": ("merge", older_stands),
 }
 
 
@@ -195,7 +207,7 @@
     )
     now = T0
     talk.handle(now, [])
-    group.look(now + LIMITS.begin_us)
+    group.update_joined(now + LIMITS.begin_us)
     talk.handle(now, [])
     budgets = talk.budgets
     assert group.members.joined and budgets and budgets.leases.resumes_at is not None
--- a/tests/peers/test_membership_message.py
+++ b/tests/peers/test_membership_message.py
@@ -7,11 +7,11 @@
 
 from garnetlanding.peers import codec, membership_message
 from garnetlanding.peers.codec import MessageError
-from garnetlanding.peers.membership import Record
+from garnetlanding.peers.membership import InstanceRecord
 from tests.support.membership import LIMITS
 
 RECORDS = st.builds(
-    Record,
+    InstanceRecord,
     st.integers(0, 65535),
     st.integers(0, 2**48 - 1),
     st.booleans(),
@@ -25,16 +25,16 @@
 
 @given(st.binary(min_size=8, max_size=8), st.lists(RECORDS, min_size=1, max_size=8), st.booleans())
 def test_words_about_heads_are_heard_as_told_and_fit(
-    digest: bytes, records: list[Record], joined: bool
+    digest: bytes, records: list[InstanceRecord], joined: bool
 ) -> None:
-    pages = membership_message.pages(records, LIMITS.datagram_bytes, 9)
+    pages = membership_message.paginate(records, LIMITS.datagram_bytes, 9)
     assert [r for page in pages for r in page[1:]] == records[1:]
     for page in pages:
         told = membership_message.MembershipMessage(digest, tuple(page), joined)
         data = codec.encode_envelope(membership_message.to_envelope(told, 1, 2, 3, 4))
         assert len(data) <= LIMITS.datagram_bytes
         assert membership_message.read(codec.decode_envelope(data, LIMITS.datagram_bytes)) == told
-    assert len(membership_message.pages(records * 9, LIMITS.datagram_bytes, 2)) <= 2
+    assert len(membership_message.paginate(records * 9, LIMITS.datagram_bytes, 2)) <= 2
 
 
 @given(st.binary(max_size=60), st.tuples(st.integers(0, 5), st.integers(0, 3)))
--- a/tests/support/membership.py
+++ b/tests/support/membership.py
@@ -12,7 +12,7 @@
 
 # Bugs put in on purpose
 
-real_learn, real_look = Membership.learn, Membership.look
+real_learn, real_look = Membership.merge, Membership.update_joined
 
 
 COLD = make_settings(
