--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -103,7 +103,7 @@
             return [row.as_json() for row in self._backend_rows(what, now)]
         if what == "members":
             if self.group:
-                return self.group.members.known(now)
+                return [row.as_json() for row in self.group.members.rows(now)]
             return [row.as_json() for row in self.leases.peer_rows(now)]
         limit_rows = self.leases.limit_rows(now)
         if self.budgets:
--- a/garnetlanding/peers/membership.py
+++ b/garnetlanding/peers/membership.py
@@ -8,13 +8,13 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass
 from enum import Enum
 from hashlib import blake2b
 from typing import NamedTuple
 
 from garnetlanding.peers.disabled_backends import DIGEST
 from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.status import MemberRow
 
 FIRST_SEED = (
     1 << 16
@@ -47,29 +47,6 @@
         return self.incarnation, self.terminated, self.address
 
 
-@dataclass(frozen=True, slots=True)
-class MemberRow:
-    """One instance of the group, for operators."""
-
-    instance: int
-    state: MemberState
-    incarnation: int
-    address: str
-    received_ms: int | None  # since its last message; None: none has been received
-    even_share: float | None  # of this instance alone
-
-    def as_json(self) -> dict[str, object]:
-        """Return the fields of the administration interface's answer."""
-        return {
-            "head": self.instance,
-            "state": self.state.value,
-            "life": self.incarnation,
-            "address": self.address,
-            "heard_ms": self.received_ms,
-            "part": None if self.even_share is None else round(self.even_share, 4),
-        }
-
-
 class Membership:
     """One instance's table of the group, and whether that instance has joined it.
 
@@ -292,10 +269,10 @@
         return [
             MemberRow(
                 instance=record.instance,
-                state=self.state(record.instance, now),
+                state=self.state(record.instance, now).value,
                 incarnation=record.incarnation,
                 address=record.address,
-                received_ms=self._received_ms(record.instance, now),
+                last_received_ms=self._received_ms(record.instance, now),
                 even_share=self.even_share if record.instance == self.me else None,
             )
             for record in sorted(self.records.values())
--- a/garnetlanding/peers/membership_protocol.py
+++ b/garnetlanding/peers/membership_protocol.py
@@ -70,13 +70,8 @@
             )
             self._write_history()
 
-    def _look(self, before: bool) -> None:
-        if self.members.joined and not before:
-            log.info("joined", extra={"kv": {"heads": len(self.members.entitled)}})
-            self._say_so()
-
-    def say(
-        self, heads: Mapping[int, tuple[int, int]], life: int, sending: Callable[[], int]
+    def compose(
+        self, acknowledged: Mapping[int, tuple[int, int]], incarnation: int, next_number: Callable[[], int]
     ) -> list[tuple[int, Envelope]]:
         """Return one message or a few to each receiver.
 
--- a/garnetlanding/peers/status.py
+++ b/garnetlanding/peers/status.py
@@ -74,6 +74,29 @@
         }
 
 
+@dataclass(frozen=True, slots=True)
+class MemberRow:
+    """An instance of a group that was found from its seeds."""
+
+    instance: int
+    state: str  # the value of a `MemberState`
+    incarnation: int
+    address: str
+    last_received_ms: int | None  # ago; None: nothing received from it yet
+    even_share: float | None  # of the instance that is asked, alone
+
+    def as_json(self) -> dict[str, object]:
+        """Return the row's JSON fields."""
+        return {
+            "head": self.instance,
+            "state": self.state,
+            "life": self.incarnation,
+            "address": self.address,
+            "heard_ms": self.last_received_ms,
+            "part": None if self.even_share is None else round(self.even_share, 4),
+        }
+
+
 @dataclass(frozen=True, slots=True)
 class ClaimRow:
     """What one peer claims of a backend."""
