--- a/garnetlanding/__main__.py
+++ b/garnetlanding/__main__.py
@@ -4,9 +4,9 @@
 
 if sys.argv[1:2] == ["serve"]:
     # Before all else: signals may come while the rest is imported, and are heeded once the instance runs.
-    from garnetlanding.runtime.signals import hold_back
+    from garnetlanding.runtime.signals import block_until_handled
 
-    hold_back()
+    block_until_handled()
 
 from garnetlanding.cli import main  # noqa: E402 - signals may come while this is read
 
--- a/garnetlanding/discovery/watch.py
+++ b/garnetlanding/discovery/watch.py
@@ -13,13 +13,21 @@
 from garnetlanding.discovery.watch_state import CallDeadline, NextStep, OnFailure, WatchState
 from garnetlanding.http.response import HttpError
 from garnetlanding.limits import Limits
-from garnetlanding.runtime.buffers import BufferPool, PoolEmpty
-from garnetlanding.runtime.scheduler import Expired, Scheduler
-from garnetlanding.runtime.stream import Closed, Stream
+from garnetlanding.runtime.buffers import BufferPool
+from garnetlanding.runtime.errors import BufferPoolExhaustedError, DeadlineExceededError, StreamClosedError
+from garnetlanding.runtime.scheduler import Scheduler
+from garnetlanding.runtime.stream import Stream
 
 log = logging.getLogger(__name__)
 
-CALL_ERRORS = (OSError, Expired, Closed, HttpError, DiscoveryError, PoolEmpty)  # the ways a call may end
+CALL_ERRORS = (
+    OSError,
+    DeadlineExceededError,
+    StreamClosedError,
+    HttpError,
+    DiscoveryError,
+    BufferPoolExhaustedError,
+)  # the ways a call may end
 
 
 @dataclass(frozen=True, slots=True)
@@ -169,7 +177,7 @@
         if on_failure is OnFailure.REPORT:
             queued = parser.rejected and now - deadline.began_at >= self._limits.discovery_queued_us
             # A reset or an answer is noticed at once, silence only when it is over.
-            unheard_us = now - deadline.last_received_at if isinstance(cause, Expired) else 0
+            unheard_us = now - deadline.last_received_at if isinstance(cause, DeadlineExceededError) else 0
             self._callbacks.update_failed(queued, unheard_us)
         else:
             self._scheduler.call_at(now + self._limits.agent_retry_us, self.keep_open)
@@ -178,11 +186,11 @@
 def _describe(cause: Exception) -> str:
     """Return why a call ended, for the log."""
     match cause:
-        case Expired():
+        case DeadlineExceededError():
             return "no data in time"
-        case Closed():
+        case StreamClosedError():
             return "connection closed"
-        case PoolEmpty():
+        case BufferPoolExhaustedError():
             return "out of buffers"
         case OSError() | HttpError() | DiscoveryError():
             return str(cause)
--- a/garnetlanding/lab/clients.py
+++ b/garnetlanding/lab/clients.py
@@ -16,7 +16,8 @@
 from garnetlanding.limits import Limits
 from garnetlanding.resp import codec
 from garnetlanding.runtime.buffers import BufferPool
-from garnetlanding.runtime.scheduler import Expired, Scheduler, monotonic_us
+from garnetlanding.runtime.errors import DeadlineExceededError
+from garnetlanding.runtime.scheduler import Scheduler, monotonic_us
 from garnetlanding.runtime.stream import Stream
 
 
@@ -74,7 +75,7 @@
             outcome = self._answer(request, asked + request["wait_us"] + LIMITS.answer_late_us)
         except (OSError, codec.ProtocolError) as problem:
             outcome = "lost" if isinstance(problem, OSError) else "spoilt"
-        except Expired:
+        except DeadlineExceededError:
             outcome = "none"
         self._note("answer", request, outcome=outcome, took=self.scheduler.now - asked)
         self._left -= 1
--- a/garnetlanding/lab/run.py
+++ b/garnetlanding/lab/run.py
@@ -32,7 +32,8 @@
 from garnetlanding.lab.weather import Weather
 from garnetlanding.lab.world import Surroundings
 from garnetlanding.ops.admin_client import path_of
-from garnetlanding.runtime.scheduler import Expired, Scheduler, monotonic_us
+from garnetlanding.runtime.errors import DeadlineExceededError
+from garnetlanding.runtime.scheduler import Scheduler, monotonic_us
 from garnetlanding.runtime.stream import Stream
 
 SIGNALS = {"kill": signal.SIGKILL, "stop": signal.SIGSTOP, "term": signal.SIGTERM}
@@ -247,14 +248,14 @@
                     world.limits,
                     scheduler.now + SECOND,
                 )
-            except (OSError, Expired):
+            except (OSError, DeadlineExceededError):
                 scheduler.sleep(LIMITS.greet_us)
                 continue
             stream.write(b"PING\r\n")
             try:
                 if stream.read(lambda data: waiting.discard(me), scheduler.now + SECOND):
                     continue
-            except Expired:
+            except DeadlineExceededError:
                 pass
             finally:
                 stream.close()
@@ -374,7 +375,7 @@
             while stream.read(answer.extend, until):
                 pass
             stream.close()
-        except (OSError, Expired):
+        except (OSError, DeadlineExceededError):
             pass
         status = answer.split(b" ")[1:2]
         self._note(
--- a/garnetlanding/ninep/client.py
+++ b/garnetlanding/ninep/client.py
@@ -13,9 +13,10 @@
 from garnetlanding.ninep.talk import may_change
 from garnetlanding.ninep.work import Read, ReadDirectory, Work, Write
 from garnetlanding.runtime.buffers import BufferPool
+from garnetlanding.runtime.errors import BackendProtocolError
 from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.runtime.stream import parse_address
-from garnetlanding.runtime.upstream import PeerFault, Upstream
+from garnetlanding.runtime.upstream import Upstream
 
 TAG = 1  # one message of an attempt is out at a time
 CLUNK_TAGS = range(2, 0xFFFF)  # of clunks, which nothing waits for
@@ -65,7 +66,7 @@
             return
         # Each message of a longer program is new work for the server: it may have begun to drain.
         if self._trial and self._trial.address() is None:
-            raise PeerFault("server drains")
+            raise BackendProtocolError("server drains")
         self._expose(message)
         self._framer.among = self._session.among
         self._write(codec.encode(codec.NOTAG if isinstance(message, codec.Tversion) else TAG, message))
@@ -112,12 +113,12 @@
                     self._clunks.remove(tag)
                     continue
                 if self._program is None or isinstance(message, codec.Malformed):
-                    raise PeerFault("answer to nothing" if self._program is None else message)
+                    raise BackendProtocolError("answer to nothing" if self._program is None else message)
                 if tag != (codec.NOTAG if isinstance(message, codec.Rversion) else TAG):
-                    raise PeerFault(f"answer to tag {tag}")
+                    raise BackendProtocolError(f"answer to tag {tag}")
                 self._step(message)
         except codec.FrameError as problem:
-            raise PeerFault(problem) from None
+            raise BackendProtocolError(problem) from None
 
     @property
     def midway(self) -> bool:
--- a/garnetlanding/ninep/session.py
+++ b/garnetlanding/ninep/session.py
@@ -14,7 +14,7 @@
 from garnetlanding.ninep.codec import MAX_WALK, QTDIR, QTEXCL, Message, Qid
 from garnetlanding.ninep.model import Path
 from garnetlanding.ninep.problems import Problem
-from garnetlanding.runtime.upstream import PeerFault
+from garnetlanding.runtime.errors import BackendProtocolError
 
 if TYPE_CHECKING:
     from garnetlanding.ninep.talk import Talk
@@ -115,7 +115,7 @@
         raise Told(problems.from_text(reply.ename))
     if isinstance(reply, linux.Rlerror):
         raise Told(problems.from_number(reply.ecode))
-    raise PeerFault(f"{type(reply).__name__} in place of {kind.__name__}")
+    raise BackendProtocolError(f"{type(reply).__name__} in place of {kind.__name__}")
 
 
 def set_up(session: Session) -> Steps[None]:
@@ -125,15 +125,15 @@
     for version in session.offer:
         reply = expect((yield codec.Tversion(session.msize, version)), codec.Rversion)
         if reply.msize < session.least_msize or reply.msize > session.msize:
-            raise PeerFault("msize out of bounds")
+            raise BackendProtocolError("msize out of bounds")
         if reply.version in session.offer:
             session.msize = reply.msize
             session.talk = TALKS[reply.version]
             break
         if reply.version != "unknown":
-            raise PeerFault("a version that was not offered")
+            raise BackendProtocolError("a version that was not offered")
     else:
-        raise PeerFault("no common version")
+        raise BackendProtocolError("no common version")
     attached = expect((yield session.talk.attach(ROOT, session.who)), codec.Rattach)
     session.root = attached.qid
 
@@ -165,7 +165,7 @@
                 return fid, qids  # the first name of a later part: as far as it went
         got = expect(reply, codec.Rwalk).qids
         if len(got) > len(part):
-            raise PeerFault("more qids than names")
+            raise BackendProtocolError("more qids than names")
         qids += got
         if len(got) == len(part) and source == ROOT:
             session.tidy.append(fid)
--- a/garnetlanding/ninep/talk_linux.py
+++ b/garnetlanding/ninep/talk_linux.py
@@ -21,7 +21,7 @@
 from garnetlanding.ninep.problems import Problem
 from garnetlanding.ninep.session import How, OpenFile, Session, Steps, Told, Who, expect, open_file, walk
 from garnetlanding.ninep.talk import New, cannot
-from garnetlanding.runtime.upstream import PeerFault
+from garnetlanding.runtime.errors import BackendProtocolError
 
 
 def lopen_flags(how: How) -> int:
@@ -116,11 +116,11 @@
         ask = min(count, session.room)
         data = expect((yield linux.Treaddir(file.fid, cookie, ask)), linux.Rreaddir).data
         if len(data) > ask:
-            raise PeerFault("more data than asked for")
+            raise BackendProtocolError("more data than asked for")
         try:
             return read_entries(data)
         except ValueError as problem:
-            raise PeerFault(f"bad directory entry: {problem}") from None
+            raise BackendProtocolError(f"bad directory entry: {problem}") from None
 
     def with_attributes(
         self, session: Session, path: Path, entries: list[Entry], room: int
--- a/garnetlanding/ninep/talk_plain.py
+++ b/garnetlanding/ninep/talk_plain.py
@@ -24,7 +24,7 @@
 from garnetlanding.ninep.problems import Problem
 from garnetlanding.ninep.session import How, OpenFile, Session, Steps, Told, Who, expect, open_file, walk
 from garnetlanding.ninep.talk import New, cannot
-from garnetlanding.runtime.upstream import PeerFault
+from garnetlanding.runtime.errors import BackendProtocolError
 
 ROOM_FOR_ENTRIES = 4096  # asked for at least: an entry here is larger than in a readdir
 
@@ -75,7 +75,7 @@
         try:
             return raw_attr(parse_stat(reply.stat))
         except ValueError as problem:
-            raise PeerFault(f"bad stat: {problem}") from None
+            raise BackendProtocolError(f"bad stat: {problem}") from None
 
     def change(self, session: Session, fid: int, qid: Qid, changes: Changes) -> Steps[None]:
         if changes.odd:
@@ -118,7 +118,7 @@
             ask = min(skip or max(count, ROOM_FOR_ENTRIES), session.room)
             data = expect((yield codec.Tread(file.fid, file.dir_at, ask)), codec.Rread).data
             if len(data) > ask:
-                raise PeerFault("more data than asked for")
+                raise BackendProtocolError("more data than asked for")
             at, file.dir_at = file.dir_at, file.dir_at + len(data)
             if not skip:
                 return self._parse(data, at)
@@ -134,7 +134,7 @@
                 attr = raw_attr(raw)
                 entries.append(Entry(raw.name, raw.qid, at + len(data) - reader.left, d_type(raw.qid), attr))
         except ValueError as problem:
-            raise PeerFault(f"bad directory entry: {problem}") from None
+            raise BackendProtocolError(f"bad directory entry: {problem}") from None
         return entries
 
     def sync(self, session: Session, path: Path, qid: Qid, how: How, data_only: bool) -> Steps[None]:
--- a/garnetlanding/ninep/work.py
+++ b/garnetlanding/ninep/work.py
@@ -33,7 +33,7 @@
 from garnetlanding.ninep.talk import New, Talk, cannot
 from garnetlanding.ninep.talk_linux import LinuxTalk
 from garnetlanding.ninep.talk_plain import ROOM_FOR_ENTRIES
-from garnetlanding.runtime.upstream import PeerFault
+from garnetlanding.runtime.errors import BackendProtocolError
 
 
 def moved(path: Path, old: Path, new: Path) -> Path:
@@ -174,7 +174,7 @@
         reply = yield codec.Tread(file.fid, self.offset, count)
         data = expect(reply, codec.Rread).data
         if len(data) > count:
-            raise PeerFault("more data than asked for")
+            raise BackendProtocolError("more data than asked for")
         return data
 
 
@@ -233,7 +233,7 @@
                     return done  # as write(2): what went before has been written
                 raise
             if count > len(part):
-                raise PeerFault("more written than sent")
+                raise BackendProtocolError("more written than sent")
             done += count
             if count < len(part) or done == len(self.data):
                 return done
--- a/garnetlanding/resp/brick.py
+++ b/garnetlanding/resp/brick.py
@@ -16,8 +16,9 @@
 from garnetlanding.limits import Limits
 from garnetlanding.resp import codec
 from garnetlanding.runtime.buffers import BufferPool
+from garnetlanding.runtime.errors import BackendProtocolError
 from garnetlanding.runtime.scheduler import Scheduler
-from garnetlanding.runtime.upstream import PeerFault, Upstream
+from garnetlanding.runtime.upstream import Upstream
 
 log = logging.getLogger(__name__)
 
@@ -65,7 +66,7 @@
                 # The figures on use come after the first words, the report behind them; either may be absent.
                 used = max((read_use(word, most_use) for word in words[1:]), default=0)
                 return Outcome.ERROR, None, used, read_report(words[-1])
-    raise PeerFault("spoilt answer")
+    raise BackendProtocolError("spoilt answer")
 
 
 class BrickMachine:
@@ -97,14 +98,14 @@
         try:
             # Even part of an answer that nobody awaits would be taken for the next attempt's.
             if self._trial is None and self.body is None:
-                raise PeerFault("answer to nothing")
+                raise BackendProtocolError("answer to nothing")
             if self._trial:
                 self._trial.response_started()
             for reply in self._decoder.feed(data):
                 if self._part(reply):
                     continue
                 if self._trial is None and self.body is None:
-                    raise PeerFault("more than one answer")
+                    raise BackendProtocolError("more than one answer")
                 meaning = read_reply(reply, self._most_use)
                 trial, self._trial = self._trial, None
                 body, self.body = self.body, None
@@ -114,10 +115,10 @@
                 elif body:
                     body.end(True)
                 if self._decoder.midway:
-                    raise PeerFault("more behind an answer")
+                    raise BackendProtocolError("more behind an answer")
                 self._done()
         except codec.ProtocolError as problem:
-            raise PeerFault(problem) from None
+            raise BackendProtocolError(problem) from None
 
     def _part(self, reply: codec.Value) -> bool:
         """Whether this is part of a value that is passed on; from its first byte on the attempt has ended,
--- a/garnetlanding/resp/front.py
+++ b/garnetlanding/resp/front.py
@@ -11,7 +11,8 @@
 from garnetlanding.limits import MS, Limits
 from garnetlanding.resp import codec
 from garnetlanding.resp.request import BadRequest, read_request
-from garnetlanding.runtime.buffers import BufferPool, PoolEmpty
+from garnetlanding.runtime.buffers import BufferPool
+from garnetlanding.runtime.errors import BufferPoolExhaustedError
 
 
 def write_answer(answer: Answer) -> bytes | Body:
@@ -78,7 +79,7 @@
                     break
         except codec.ProtocolError as problem:
             self._turn_away(f"Protocol error: {problem}")
-        except PoolEmpty:
+        except BufferPoolExhaustedError:
             # Closed without a word, the connection would lose what it has open.
             self._turn_away("out of buffers")
 
--- a/garnetlanding/runtime/buffers.py
+++ b/garnetlanding/runtime/buffers.py
@@ -1,31 +1,39 @@
-"""Buffers of one size from a pool, and byte queues made of them; longer messages span buffers."""
+"""Buffers of one size from a pool, and byte queues made of them; longer messages span several buffers."""
 
 from __future__ import annotations
 
 from collections import deque
 
+from garnetlanding.runtime.errors import BufferPoolExhaustedError
 
-class PoolEmpty(Exception):
-    """Every buffer is in use: the connection that asks has to go, the daemon stays within its memory."""
+LINE_END = b"\r\n"
 
 
 class BufferPool:
+    """A bounded pool of buffers of `size` bytes.
+
+    `keep` buffers at most are kept for reuse, `most` at most are in use. `start` of these are this process's
+    own, whatever `part` of the rest it may use while another process of the instance has the other part.
+    """
+
     def __init__(self, size: int, keep: int, most: int, start: int = 0) -> None:
-        """`start` of the most are this process's own, whatever part of the rest it keeps to."""
-        self.size, self._keep, self._most, self._start = size, keep, most - start, start
+        self.size = size
+        self._keep = keep
+        self._most = most - start
+        self._start = start
         self._free: list[bytearray] = []
-        self.scratch = bytearray(size)  # what is read and handed on in one step needs no buffer of its own
+        self.scratch = bytearray(size)  # for what is read and consumed in one step
         self.in_use = 0
-        self.part = 1.0  # of the most, to be kept to while another process has the rest
+        self.part = 1.0
 
     @property
     def used(self) -> float:
-        """What part of the most is in use."""
+        """Return the part of the shared capacity that is in use, from 0 to 1."""
         return max(0, self.in_use - self._start) / self._most
 
     @property
     def scarce(self) -> bool:
-        """More than half of the buffers that may be in use are."""
+        """Return whether more than half of the buffers that may be in use are."""
         return 2 * self.in_use > self._bound
 
     @property
@@ -33,66 +41,74 @@
         return self._start + self._most * self.part
 
     def take(self) -> bytearray:
+        """Return a buffer; raises `BufferPoolExhaustedError` where all are in use."""
         if self.in_use >= self._bound:
-            raise PoolEmpty
+            raise BufferPoolExhaustedError
         self.in_use += 1
         return self._free.pop() if self._free else bytearray(self.size)
 
     def give(self, buffer: bytearray) -> None:
+        """Take a buffer back."""
         self.in_use -= 1
         if len(self._free) < self._keep:
             self._free.append(buffer)
 
 
 class Chain:
-    """A queue of bytes in pooled buffers; an emptied buffer goes back at once."""
+    """A queue of bytes in pooled buffers; an emptied buffer goes back to the pool at once."""
 
     __slots__ = ("_pool", "_parts", "_start", "_end", "length")
 
     def __init__(self, pool: BufferPool) -> None:
         self._pool = pool
         self._parts: deque[bytearray] = deque()
-        self._start = 0  # first byte used of the first part
-        self._end = 0  # first byte free of the last part
+        self._start = 0  # first byte in use of the first buffer
+        self._end = 0  # first free byte of the last buffer
         self.length = 0
 
     def append(self, data: bytes | memoryview) -> None:
-        at, left = 0, len(data)
-        while left:
+        """Add bytes at the end; raises `BufferPoolExhaustedError`, with part of them added."""
+        offset = 0
+        remaining = len(data)
+        while remaining:
             if not self._parts or self._end == self._pool.size:
                 self._parts.append(self._pool.take())
                 self._end = 0
-            n = min(left, self._pool.size - self._end)
-            self._parts[-1][self._end : self._end + n] = data[at : at + n]
-            self._end += n
-            self.length += n
-            at, left = at + n, left - n
-
-    def peek(self, n: int) -> bytes:
-        n = min(n, self.length)
+            step = min(remaining, self._pool.size - self._end)
+            self._parts[-1][self._end : self._end + step] = data[offset : offset + step]
+            self._end += step
+            self.length += step
+            offset += step
+            remaining -= step
+
+    def peek(self, count: int) -> bytes:
+        """Return the first `count` bytes, or all where there are fewer, and leave them in the queue."""
+        count = min(count, self.length)
         out = bytearray()
         start = self._start
         for part in self._parts:
-            if len(out) >= n:
+            if len(out) >= count:
                 break
-            out += part[start : start + n - len(out)]
+            out += part[start : start + count - len(out)]
             start = 0
         return bytes(out)
 
-    def take(self, n: int) -> bytes:
-        out = self.peek(n)
+    def take(self, count: int) -> bytes:
+        """Return the first `count` bytes, or all where there are fewer, and remove them."""
+        out = self.peek(count)
         self.skip(len(out))
         return out
 
-    def skip(self, n: int) -> None:
-        n = min(n, self.length)
-        self.length -= n
-        while n:
-            room = (self._end if len(self._parts) == 1 else self._pool.size) - self._start
-            step = min(n, room)
+    def skip(self, count: int) -> None:
+        """Remove the first `count` bytes, or all where there are fewer."""
+        count = min(count, self.length)
+        self.length -= count
+        while count:
+            filled = (self._end if len(self._parts) == 1 else self._pool.size) - self._start
+            step = min(count, filled)
             self._start += step
-            n -= step
-            if step == room:
+            count -= step
+            if step == filled:
                 self._drop_first()
 
     def _drop_first(self) -> None:
@@ -102,17 +118,21 @@
             self._end = 0
 
     def line(self, most: int) -> bytes | None:
-        """Up to CRLF, which it takes too; None until that has come. ValueError when longer than `most`."""
-        head = self.peek(most + 2)
-        at = head.find(b"\r\n")
-        if at < 0:
-            if len(head) >= most + 2:
+        """Remove and return a line without its CRLF; `None` until it has arrived whole.
+
+        Raises `ValueError` when it is longer than `most` bytes.
+        """
+        head = self.peek(most + len(LINE_END))
+        end = head.find(LINE_END)
+        if end < 0:
+            if len(head) >= most + len(LINE_END):
                 raise ValueError("line too long")
             return None
-        self.skip(at + 2)
-        return head[:at]
+        self.skip(end + len(LINE_END))
+        return head[:end]
 
     def clear(self) -> None:
+        """Remove everything and give all buffers back."""
         self.skip(self.length)
         while self._parts:
             self._drop_first()
--- a/garnetlanding/runtime/files.py
+++ b/garnetlanding/runtime/files.py
@@ -1,4 +1,4 @@
-"""Files that a crash at any moment leaves as they were or as they were to be."""
+"""Files that a crash at any moment leaves either as they were or as they were to be."""
 
 from __future__ import annotations
 
@@ -6,21 +6,29 @@
 from urllib.parse import quote
 
 
-def file_name(head: str, what: str) -> str:
-    """Heads of other names may keep theirs in the same folder."""
-    return f"garnetlanding-{quote(head, safe='')}-{what}"
+def file_name(instance: str, kind: str) -> str:
+    """Return the name of an instance's file of that kind; instances may share a folder."""
+    return f"garnetlanding-{quote(instance, safe='')}-{kind}"
 
 
 def replace_whole(path: str, data: bytes) -> None:
-    """Writes beside the file, flushes it, then moves it into place. Raises OSError; the old file stands."""
+    """Replace the file's content: write a file beside it, flush that, and move it into place.
+
+    Raises `OSError`; the old file stands then.
+    """
     beside = path + ".new"
     with open(beside, "wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
     os.replace(beside, path)
-    folder = os.open(os.path.dirname(path) or ".", os.O_RDONLY)
+    _sync_folder(os.path.dirname(path) or ".")
+
+
+def _sync_folder(path: str) -> None:
+    """Flush the folder's entries: without this a crash may undo the move."""
+    folder = os.open(path, os.O_RDONLY)
     try:
-        os.fsync(folder)  # the move itself
+        os.fsync(folder)
     finally:
         os.close(folder)
--- a/garnetlanding/runtime/stream.py
+++ b/garnetlanding/runtime/stream.py
@@ -1,24 +1,30 @@
-"""The thin driver: connects, reads into pooled buffers, writes what state machines leave to be written."""
+"""One TCP connection on the event loop: connects, reads into a pooled buffer, writes without blocking."""
 
 from __future__ import annotations
 
+import contextlib
 import errno
 import select
 import socket
 from collections.abc import Callable
 
 from garnetlanding.limits import Limits
-from garnetlanding.runtime.buffers import BufferPool, Chain, PoolEmpty
-from garnetlanding.runtime.scheduler import HANGUP, READ, WRITE, Expired, Scheduler
+from garnetlanding.runtime.buffers import BufferPool, Chain
+from garnetlanding.runtime.errors import (
+    BufferPoolExhaustedError,
+    DeadlineExceededError,
+    StreamClosedError,
+)
+from garnetlanding.runtime.scheduler import HANGUP, READ, WRITE, Scheduler
 
-
-class Closed(Exception):
-    """The stream is closed, by either side or by an error."""
+MAX_PORT = 65535
+NOTHING_YET = -1  # of `_read_once`: no bytes are there, and the stream has not ended
 
 
 def parse_address(text: str) -> tuple[str, int]:
+    """Return host and port of `HOST:PORT` or `[IPV6]:PORT`; raises `ValueError` for anything else."""
     host, sep, port = text.rpartition(":")
-    if not sep or not host or not port.isdigit() or int(port) > 65535:
+    if not sep or not host or not port.isdigit() or int(port) > MAX_PORT:
         raise ValueError(f"not HOST:PORT: {text!r}")
     return host.strip("[]"), int(port)
 
@@ -31,7 +37,11 @@
 
 
 def listen(address: str, backlog: int, shared: bool = False) -> socket.socket:
-    """`shared`: another process of the same user may listen there too, and each gets its part."""
+    """Return a listening socket.
+
+    `shared`: another process of the same user may listen at the address too, and the kernel gives each its
+    part of the connections (SO_REUSEPORT). Raises `OSError` and `ValueError`.
+    """
     host, port = parse_address(address)
     sock = _socket(host)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -43,22 +53,32 @@
 
 
 class Stream:
-    """One connection. Only tasks read; anyone may write, close, or ask what has left."""
+    """One connection. Only tasks read; anyone may write, close, or look at what has arrived.
+
+    `read_failed` says that a read failed (a reset, mostly), so that what arrived before has no end.
+    `on_flushed` is called once, when the kernel has the last byte written; `on_broken` when a write failed.
+    """
 
     def __init__(self, scheduler: Scheduler, sock: socket.socket, pool: BufferPool, limits: Limits) -> None:
-        self._scheduler, self._sock, self._pool, self._limits = scheduler, sock, pool, limits
+        self._scheduler = scheduler
+        self._sock = sock
+        self._pool = pool
+        self._limits = limits
         self._out = Chain(pool)
-        self._writing = False
+        self._writing = False  # a task waits for the kernel to take more
         self.closed = False
-        self.read_failed = False  # reset, mostly: what came before has no end
-        self.on_flushed: Callable[[], None] | None = None  # once, when the last byte is with the kernel
-        self.on_broken: Callable[[], None] | None = None  # a write failed and nobody was reading
+        self.read_failed = False
+        self.on_flushed: Callable[[], None] | None = None
+        self.on_broken: Callable[[], None] | None = None
 
     @classmethod
     def connect(
         cls, scheduler: Scheduler, address: str, pool: BufferPool, limits: Limits, deadline: int
     ) -> Stream:
-        """Raises OSError when it is refused, Expired when it is not up in time."""
+        """Connect, waiting in the calling task.
+
+        Raises `OSError` when refused, `DeadlineExceededError` when the connection is not up in time.
+        """
         host, port = parse_address(address)
         sock = _socket(host)
         try:
@@ -73,39 +93,83 @@
             raise
         return cls(scheduler, sock, pool, limits)
 
+    # Reading
+
     def read(self, feed: Callable[[memoryview], None], deadline: int | None = None) -> bool:
-        """Waits for bytes and feeds them once; False when the peer has ended or the stream has broken."""
+        """Wait for bytes and feed them once; return False when the stream has ended or broken.
+
+        Raises `DeadlineExceededError`, and what `feed` raises apart from `OSError` and
+        `BufferPoolExhaustedError`, which count as a failed read.
+        """
         while not self.closed:
             try:
-                n = self._read_once(feed)
-                if n >= 0:
-                    return n > 0
-            except (OSError, PoolEmpty):
+                count = self._read_once(feed)
+                if count != NOTHING_YET:
+                    return count > 0
+            except (OSError, BufferPoolExhaustedError):
                 self.read_failed = True
                 break
             try:
                 self._scheduler.wait(self._sock.fileno(), READ, deadline)
-            except Closed:
+            except StreamClosedError:
                 break
-            except Expired:
-                # Where this process itself stood still, what it waits for may have come long ago.
+            except DeadlineExceededError:
+                # Where this process itself stood still, what it waits for may have arrived long ago.
                 if not self.unread():
                     raise
         return False
 
     def _read_once(self, feed: Callable[[memoryview], None]) -> int:
-        """Bytes fed; 0 at the end of the stream, -1 when there is nothing yet."""
+        """Return how many bytes were fed; 0 at the end of the stream, or `NOTHING_YET`."""
         buffer = self._pool.scratch
         try:
-            n = self._sock.recv_into(buffer)
+            count = self._sock.recv_into(buffer)
         except BlockingIOError:
-            return -1
-        if n:
-            feed(memoryview(buffer)[:n])
-        return n
+            return NOTHING_YET
+        if count:
+            feed(memoryview(buffer)[:count])
+        return count
+
+    def _peek(self) -> bytes | None:
+        """Return what waits unread: empty if the other side has closed, `None` if nothing has arrived."""
+        try:
+            return self._sock.recv(1, socket.MSG_PEEK)
+        except BlockingIOError:
+            return None
+        except OSError:
+            return b""
+
+    def unread(self) -> bool:
+        """Return whether bytes wait that nobody has read yet."""
+        return bool(self._peek())
+
+    def ended(self) -> bool:
+        """Return whether the other side has closed already, though nobody has read that yet."""
+        return self._peek() == b""
+
+    def quiet(self) -> bool:
+        """Return whether the other side has neither closed nor sent anything that is unread."""
+        return self._peek() is None
+
+    def hung_up(self) -> bool:
+        """Return whether the other side has closed, even if bytes before that are unread."""
+        if self.closed or self.ended():
+            return True
+        poll = select.poll()
+        poll.register(self._sock.fileno(), HANGUP)
+        return bool(poll.poll(0))
+
+    def wait_hung_up(self, deadline: int) -> bool:
+        """Wait without reading; return False at the deadline, or when somebody wakes the task."""
+        if not self.hung_up():
+            with contextlib.suppress(DeadlineExceededError):
+                self._scheduler.wait(self._sock.fileno(), HANGUP, deadline)
+        return self.hung_up()
+
+    # Writing
 
     def write(self, data: bytes) -> None:
-        """Hands bytes to the kernel, or keeps them until it takes more."""
+        """Hand bytes to the kernel, or keep them until it takes more; breaks where too many are kept."""
         if self.closed or not data:
             return
         if not self._writing:
@@ -114,16 +178,24 @@
             except BlockingIOError:
                 sent = 0
             except OSError:
-                return self._break()
+                self._break()
+                return
             if sent == len(data):
-                return self._flushed()
+                self._flushed()
+                return
             data = data[sent:]
+        self._keep(data)
+
+    def _keep(self, data: bytes) -> None:
+        """Keep what the kernel did not take, and have a task write it."""
         try:
             self._out.append(data)
-        except PoolEmpty:
-            return self._break()
+        except BufferPoolExhaustedError:
+            self._break()
+            return
         if self._out.length > self._limits.out_bytes:
-            return self._break()
+            self._break()
+            return
         if not self._writing:
             self._writing = True
             self._scheduler.spawn(self._write_rest)
@@ -131,62 +203,25 @@
     def _write_rest(self) -> None:
         try:
             while self._out.length and not self.closed:
-                self._scheduler.wait(
-                    self._sock.fileno(), WRITE, self._scheduler.now + self._limits.write_stall_us
-                )
+                deadline = self._scheduler.now + self._limits.write_stall_us
+                self._scheduler.wait(self._sock.fileno(), WRITE, deadline)
                 self._out.skip(self._sock.send(self._out.peek(self._pool.size)))
         except BlockingIOError:
             pass
-        except (Closed, Expired, OSError):
-            return self._break()
+        except (StreamClosedError, DeadlineExceededError, OSError):
+            self._break()
+            return
         self._writing = False
         if self.closed:
             return
         if self._out.length:
             self._writing = True
-            return self._write_rest()
+            self._write_rest()
+            return
         self._flushed()
 
-    def _peek(self) -> bytes | None:
-        """What waits unread; empty: the other side has closed; None: nothing has come."""
-        try:
-            return self._sock.recv(1, socket.MSG_PEEK)
-        except BlockingIOError:
-            return None
-        except OSError:
-            return b""
-
-    def unread(self) -> bool:
-        """Whether something waits that nobody has read yet."""
-        return bool(self._peek())
-
-    def ended(self) -> bool:
-        """Whether the other side has closed already, though nobody has read that yet."""
-        return self._peek() == b""
-
-    def quiet(self) -> bool:
-        """Whether the other side has neither closed nor said anything that nobody has read yet."""
-        return self._peek() is None
-
-    def hung_up(self) -> bool:
-        """Whether the other side has closed, also with bytes before that which nobody has read yet."""
-        if self.closed or self.ended():
-            return True
-        poll = select.poll()
-        poll.register(self._sock.fileno(), HANGUP)
-        return bool(poll.poll(0))
-
-    def wait_hung_up(self, deadline: int) -> bool:
-        """Waits without reading; False at the deadline, or when somebody wakes the task."""
-        if not self.hung_up():
-            try:
-                self._scheduler.wait(self._sock.fileno(), HANGUP, deadline)
-            except Expired:
-                pass
-        return self.hung_up()
-
     def finish(self) -> None:
-        """Says that nothing more will be written; what still comes can be read."""
+        """Shut down the write side; what still arrives can be read."""
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError:
@@ -194,18 +229,22 @@
 
     @property
     def flushed(self) -> bool:
+        """Return whether the kernel has every byte written."""
         return not self._out.length
 
     @property
     def unsent(self) -> int:
-        """Bytes that the kernel has not taken."""
+        """Return how many bytes the kernel has not taken."""
         return self._out.length
 
     def _flushed(self) -> None:
-        call, self.on_flushed = self.on_flushed, None
+        call = self.on_flushed
+        self.on_flushed = None
         if call:
             call()
 
+    # The end
+
     def _break(self) -> None:
         if not self.closed:
             self.close()
@@ -213,10 +252,10 @@
                 self.on_broken()
 
     def close(self) -> None:
-        """Ends the connection at once; a reader wakes up and sees the end."""
+        """Close the connection at once; a task that reads wakes up and sees the end."""
         if self.closed:
             return
         self.closed = True
-        self._scheduler.forget(self._sock.fileno(), Closed())
+        self._scheduler.forget(self._sock.fileno(), StreamClosedError())
         self._sock.close()
         self._out.clear()
--- a/garnetlanding/store/follower.py
+++ b/garnetlanding/store/follower.py
@@ -6,9 +6,10 @@
 from dataclasses import dataclass
 
 from garnetlanding.limits import Limits
-from garnetlanding.runtime.buffers import BufferPool, PoolEmpty
-from garnetlanding.runtime.scheduler import Expired, Scheduler, Timer
-from garnetlanding.runtime.stream import Closed, Stream
+from garnetlanding.runtime.buffers import BufferPool
+from garnetlanding.runtime.errors import BufferPoolExhaustedError, DeadlineExceededError, StreamClosedError
+from garnetlanding.runtime.scheduler import Scheduler, Timer
+from garnetlanding.runtime.stream import Stream
 from garnetlanding.store.errors import LogGapError, ReplicaError, StaleEpochError
 from garnetlanding.store.follower_machine import FollowerMachine
 from garnetlanding.store.staleness_guard import StalenessGuard
@@ -16,7 +17,15 @@
 
 log = logging.getLogger(__name__)
 
-CONNECTION_ERRORS = (OSError, Expired, Closed, PoolEmpty, ReplicaError, LogGapError, StaleEpochError)
+CONNECTION_ERRORS = (
+    OSError,
+    DeadlineExceededError,
+    StreamClosedError,
+    BufferPoolExhaustedError,
+    ReplicaError,
+    LogGapError,
+    StaleEpochError,
+)
 
 
 def describe_disconnect(problem: Exception) -> str:
@@ -28,11 +37,11 @@
             kind = "gap in the log"
         case ReplicaError():
             kind = "protocol violation"
-        case Expired():
+        case DeadlineExceededError():
             kind = "no answer in time"
-        case PoolEmpty():
+        case BufferPoolExhaustedError():
             kind = "no buffer free"
-        case Closed():
+        case StreamClosedError():
             kind = "connection closed"
         case _:
             kind = "connection failed"
@@ -106,7 +115,7 @@
                 self._send_query(stream, self._guard)
             while stream.read(machine.feed, scheduler.now + limits.store_quiet_us):
                 self.connected = True
-            return Closed("ended")
+            return StreamClosedError("ended")
         except CONNECTION_ERRORS as problem:
             return problem
         finally:
--- a/garnetlanding/telemetry/collector_client.py
+++ b/garnetlanding/telemetry/collector_client.py
@@ -12,9 +12,10 @@
 
 from garnetlanding.http.response import HttpError, ResponseParser
 from garnetlanding.limits import SECOND, Limits
-from garnetlanding.runtime.buffers import BufferPool, PoolEmpty
-from garnetlanding.runtime.scheduler import Expired, Scheduler
-from garnetlanding.runtime.stream import Closed, Stream
+from garnetlanding.runtime.buffers import BufferPool
+from garnetlanding.runtime.errors import BufferPoolExhaustedError, DeadlineExceededError, StreamClosedError
+from garnetlanding.runtime.scheduler import Scheduler
+from garnetlanding.runtime.stream import Stream
 from garnetlanding.telemetry.setup import TelemetrySetup
 
 log = logging.getLogger(__name__)
@@ -113,7 +114,13 @@
         """Post once; `None`, logged, where no response came."""
         try:
             return self._call(path, body)
-        except (OSError, Expired, Closed, HttpError, PoolEmpty) as error:
+        except (
+            OSError,
+            DeadlineExceededError,
+            StreamClosedError,
+            HttpError,
+            BufferPoolExhaustedError,
+        ) as error:
             self._disconnect()
             log.warning("collector unreachable", extra={"kv": {"why": f"{type(error).__name__}: {error}"}})
             return None
--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -8,7 +8,7 @@
 
 from garnetlanding.ninep import codec as p9
 from garnetlanding.resp import codec
-from garnetlanding.runtime.buffers import PoolEmpty
+from garnetlanding.runtime.errors import BufferPoolExhaustedError
 from tests.support.clock import MS, SECOND
 from tests.support.departures import PING, QUIT, Raw, Waiting, connect_late
 from tests.support.ninep_instance import NinepClient, NinepInstance, received_messages
@@ -86,7 +86,7 @@
     leaver, stays = Raw(w, w.listener.address), Raw(w, w.listener.address)
     leaver.say(read_command("r1", d=1400))
     stays.say(read_command("r2", d=1400))
-    with pytest.raises(PoolEmpty):
+    with pytest.raises(BufferPoolExhaustedError):
         while True:
             w.pool.take()
     leaver.fin()
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -64,7 +64,7 @@
 from garnetlanding.resp.front import ClientMachine as RespClient
 from garnetlanding.resp.request import BadRequest, read_request
 from garnetlanding.runtime.buffers import BufferPool
-from garnetlanding.runtime.upstream import PeerFault
+from garnetlanding.runtime.errors import BackendProtocolError
 from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
 from garnetlanding.telemetry.setup import TelemetrySetup
 from tests.support.clock import MS, SECOND
@@ -385,7 +385,7 @@
         machine.begin(FakeTrial(lines))
         try:
             machine.feed(data)
-        except PeerFault as fault:
+        except BackendProtocolError as fault:
             lines.append(f"fault: {fault}")
         lines.append(f"midway {machine.midway}")
         machine.close()
--- a/tests/runtime/test_buffers.py
+++ b/tests/runtime/test_buffers.py
@@ -6,7 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from garnetlanding.runtime.buffers import BufferPool, Chain, PoolEmpty
+from garnetlanding.runtime.buffers import BufferPool, Chain
+from garnetlanding.runtime.errors import BufferPoolExhaustedError
 
 
 @given(st.lists(st.one_of(st.binary(max_size=30), st.integers(0, 40)), max_size=30))
@@ -39,7 +40,7 @@
 def test_a_pool_gives_no_more_than_it_may() -> None:
     pool = BufferPool(8, 1, 1)
     first = pool.take()
-    with pytest.raises(PoolEmpty):
+    with pytest.raises(BufferPoolExhaustedError):
         pool.take()
     pool.give(first)
     assert pool.take() is first, "used again"
--- a/tests/runtime/test_connection_close.py
+++ b/tests/runtime/test_connection_close.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from garnetlanding.resp import codec
-from garnetlanding.runtime.closing import TO, Closing, Event, State
+from garnetlanding.runtime.connection_close import TRANSITIONS, CloseEvent, CloseState, ConnectionClose
 from garnetlanding.runtime.stream import Stream
 from tests.support.clock import MS, SECOND
 from tests.support.departures import PING, Raw, Waiting
@@ -50,7 +50,7 @@
     assert client.read() == codec.bulk(b"x" * 30_000), "whole, and then an end and no reset"
     client.fin()
     w.settle()
-    assert len(w.brick.heard) == 1 and len(w.listener) == 0 and head_end.closing.state is State.CLOSED
+    assert len(w.brick.heard) == 1 and len(w.listener) == 0 and head_end.closing.state is CloseState.CLOSED
 
 
 def test_a_request_that_has_come_before_the_look_is_served() -> None:
@@ -81,15 +81,17 @@
     assert len(front) == 6 and len(stay) == 6
 
 
-@given(st.lists(st.sampled_from(Event), max_size=12))
-def test_a_connection_once_told_that_this_is_the_end_never_takes_anything_again(events: list[Event]) -> None:
-    closing, over = Closing(), False
+@given(st.lists(st.sampled_from(CloseEvent), max_size=12))
+def test_a_connection_once_told_that_this_is_the_end_never_takes_anything_again(
+    events: list[CloseEvent],
+) -> None:
+    closing, over = ConnectionClose(), False
     for event in events:
         before = closing.state
         closing.on(event)
         assert not (over and closing.reads), "what comes behind the shutdown would be lost"
-        assert not (before is State.FINISHING and closing.state is State.SERVING)
+        assert not (before is CloseState.FINISHING and closing.state is CloseState.SERVING)
         over = over or closing.over
-        if event in (Event.FIN, Event.BROKEN, Event.CUT):
-            assert closing.state is State.CLOSED
-    assert set(TO) == set(State)
+        if event in (CloseEvent.CLIENT_CLOSED, CloseEvent.BROKEN, CloseEvent.ABORTED):
+            assert closing.state is CloseState.CLOSED
+    assert set(TRANSITIONS) == set(CloseState)
--- a/tests/runtime/test_scheduler.py
+++ b/tests/runtime/test_scheduler.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from garnetlanding.runtime.scheduler import Expired, Scheduler
+from garnetlanding.runtime.errors import DeadlineExceededError
+from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.runtime.stream import parse_address
 
 
@@ -30,7 +31,7 @@
     def body() -> None:
         try:
             scheduler.park(10)
-        except Expired:
+        except DeadlineExceededError:
             seen.append(f"expired at {scheduler.now}")
 
     scheduler.spawn(body)
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -6,10 +6,8 @@
 
 import pytest
 
-from garnetlanding.runtime.buffers import PoolEmpty
+from garnetlanding.runtime.errors import BufferPoolExhaustedError, DeadlineExceededError, StreamClosedError
 from garnetlanding.runtime.listener import Listener
-from garnetlanding.runtime.scheduler import Expired
-from garnetlanding.runtime.stream import Closed
 from garnetlanding.store.errors import LogGapError, ReplicaError, StaleEpochError
 from garnetlanding.store.follower import Follower, FollowerOptions, describe_disconnect
 from garnetlanding.store.follower_machine import FollowerMachine
@@ -167,9 +165,9 @@
         (StaleEpochError("epoch 1 of w", "w", 1), "stale writer: epoch 1 of w"),
         (LogGapError("entry 3", 1, 3), "gap in the log: entry 3"),
         (ReplicaError("not JSON"), "protocol violation: not JSON"),
-        (Expired(), "no answer in time"),
-        (PoolEmpty(), "no buffer free"),
-        (Closed("ended"), "connection closed: ended"),
+        (DeadlineExceededError(), "no answer in time"),
+        (BufferPoolExhaustedError(), "no buffer free"),
+        (StreamClosedError("ended"), "connection closed: ended"),
         (OSError("refused"), "connection failed: refused"),
     ],
     ids=["stale-epoch", "log-gap", "protocol", "timeout", "no-buffer", "closed", "refused"],
--- a/tests/support/daemon.py
+++ b/tests/support/daemon.py
@@ -12,7 +12,7 @@
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box, Discovery
 from garnetlanding.emulator.fileserver import FileServer
-from garnetlanding.runtime.signals import HEARD
+from garnetlanding.runtime.signals import HANDLED
 from tests.support.simulated_instance import LoopbackClient, SimulatedInstance
 
 PLATFORM_SETTINGS: dict[str, Any] = {
@@ -63,7 +63,7 @@
 
 @contextlib.contextmanager
 def restored_signal_handlers() -> Iterator[None]:
-    old = {number: signal.getsignal(number) for number in HEARD}
+    old = {number: signal.getsignal(number) for number in HANDLED}
     try:
         yield
     finally:
--- a/tests/support/simulated_instance.py
+++ b/tests/support/simulated_instance.py
@@ -152,7 +152,7 @@
     def mute(self, fd: int) -> None:
         """Whoever waits on the descriptor never hears of it again."""
         self.scheduler._waits[fd].clear()
-        self.scheduler._arm(fd)
+        self.scheduler._register(fd)
 
     def peer(self, address: str) -> LoopbackClient:
         return LoopbackClient(self, address)
