--- a/garnetlanding/discovery/watch.py
+++ b/garnetlanding/discovery/watch.py
@@ -11,7 +11,7 @@
 from garnetlanding.discovery.listing import DiscoveryError, ToMonotonic
 from garnetlanding.discovery.watch_parser import ReceivedList, WatchError, WatchParser
 from garnetlanding.discovery.watch_state import CallDeadline, NextStep, OnFailure, WatchState
-from garnetlanding.http.response import HttpError
+from garnetlanding.http.errors import HttpError
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.errors import BufferPoolExhaustedError, DeadlineExceededError, StreamClosedError
--- a/garnetlanding/http/request.py
+++ b/garnetlanding/http/request.py
@@ -1,71 +1,120 @@
-"""HTTP/1.1 calls as a state machine that is fed bytes: one call, its body read past within a bound."""
+"""Parses HTTP/1.1 requests: one request, whose body is skipped within a limit."""
 
 from __future__ import annotations
 
 import re
+from enum import Enum, auto
 
-from garnetlanding.http.head import Head, HttpError
+from garnetlanding.http.errors import HttpError
+from garnetlanding.http.message_head import HeaderLine, MessageHead
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.buffers import BufferPool
 
-TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-TARGET = re.compile(rb"/[!-~]*")
-VERSION = re.compile(rb"HTTP/1\.[01]")
+_TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
+_TARGET = re.compile(rb"/[!-~]*")
+_VERSION = re.compile(rb"HTTP/1\.[01]")
+
+
+class RequestState(Enum):
+    """What the parser reads next."""
+
+    REQUEST_LINE = auto()
+    HEADERS = auto()
+    BODY = auto()
+    DONE = auto()
 
 
 class RequestParser:
-    """Feed it until `done`. `method` and `target` hold from then on."""
+    """Parses one request; feed it until `done`.
+
+    `method` and `target` hold from then on. The body is not kept, because no operator's call has one that
+    matters.
+    """
 
     def __init__(self, pool: BufferPool, limits: Limits) -> None:
-        self._head, self._limits = Head(pool, limits), limits
-        self.method = self.target = ""
-        self._in_headers = True
-        self._left = 0  # bytes of the body still to come
-        self.done = False
+        self.method = ""
+        self.target = ""
+        self._limits = limits
+        self._head = MessageHead(pool, limits)
+        self._state = RequestState.REQUEST_LINE
+        self._body_remaining = 0
+        """Bytes of the body still to be skipped."""
+
+    @property
+    def done(self) -> bool:
+        """Whether the request has arrived whole."""
+        return self._state is RequestState.DONE
 
     @property
     def midway(self) -> bool:
-        """Part of a call has come, and the rest is awaited."""
-        return not self.done and bool(self.method or self._head.bytes.length)
+        """Whether part of a request has arrived and the rest is awaited."""
+        if self.done:
+            return False
+        return self._state is not RequestState.REQUEST_LINE or self._head.buffer.length > 0
 
     def feed(self, data: bytes | memoryview) -> bool:
-        """Whether the call is whole. Raises HttpError for what is none, or passes a bound."""
+        """Take received bytes and return `done`.
+
+        Raises `HttpError` for bytes that are not a request, and for one that exceeds a limit.
+        """
         if self.done:
             return True
-        self._head.bytes.append(data)
-        while self._in_headers:
-            if not (self._header() if self.method else self._request_line()):
+        self._head.buffer.append(data)
+        while self._state is not RequestState.DONE:
+            if not self._advance():
                 return False
-        passed = min(self._left, self._head.bytes.length)
-        self._head.bytes.skip(passed)
-        self._left -= passed
-        self.done = not self._left
-        return self.done
-
-    def _request_line(self) -> bool:
-        line = self._head.line()
+        return True
+
+    def close(self) -> None:
+        """Give the buffered bytes back to the pool."""
+        self._head.buffer.clear()
+
+    def _advance(self) -> bool:
+        """Read one element; return whether there was a whole one."""
+        if self._state is RequestState.REQUEST_LINE:
+            return self._read_request_line()
+        if self._state is RequestState.HEADERS:
+            return self._read_header()
+        return self._skip_body()
+
+    def _read_request_line(self) -> bool:
+        line = self._head.read_line()
         if line is None:
             return False
         if not line:
-            return True  # an empty line before the call is passed over (RFC 9112, 2.2)
-        words = line.split(b" ")
-        if len(words) != 3 or not TOKEN.fullmatch(words[0]) or not VERSION.fullmatch(words[2]):
+            return True  # an empty line before a request is ignored (RFC 9112, 2.2)
+        parts = line.split(b" ")
+        if len(parts) != 3:
+            raise HttpError("not an HTTP/1.1 request line")
+        method, target, version = parts
+        if not _TOKEN.fullmatch(method) or not _VERSION.fullmatch(version):
             raise HttpError("not an HTTP/1.1 request line")
-        if not TARGET.fullmatch(words[1]):
+        if not _TARGET.fullmatch(target):
             raise HttpError("target is no path")
-        self.method, self.target = words[0].decode("ascii"), words[1].decode("ascii")
+        self.method = method.decode("ascii")
+        self.target = target.decode("ascii")
+        self._state = RequestState.HEADERS
         return True
 
-    def _header(self) -> bool:
-        more = self._head.header()
-        if more is False:
-            self._in_headers = False
-            if "transfer-encoding" in self._head.headers:
-                raise HttpError("no chunked body is taken", 411)
-            self._left = self._head.length() or 0
-            if self._left > self._limits.http_body_bytes:
-                raise HttpError("body too long", 413)
-        return more is not None
+    def _read_header(self) -> bool:
+        line = self._head.read_header()
+        if line is HeaderLine.END:
+            self._begin_body()
+        return line is not HeaderLine.NEED_DATA
 
-    def close(self) -> None:
-        self._head.bytes.clear()
+    def _begin_body(self) -> None:
+        self._state = RequestState.BODY
+        if "transfer-encoding" in self._head.headers:
+            raise HttpError("no chunked body is taken", 411)
+        self._body_remaining = self._head.content_length() or 0
+        if self._body_remaining > self._limits.http_body_bytes:
+            raise HttpError("body too long", 413)
+
+    def _skip_body(self) -> bool:
+        skipped = min(self._body_remaining, self._head.buffer.length)
+        self._head.buffer.skip(skipped)
+        self._body_remaining -= skipped
+        if self._body_remaining:
+            return False
+        self._state = RequestState.DONE
+        return True
--- a/garnetlanding/ops/admin_connection.py
+++ b/garnetlanding/ops/admin_connection.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 from urllib.parse import unquote
 
-from garnetlanding.http.head import HttpError
+from garnetlanding.http.errors import HttpError
 from garnetlanding.http.request import RequestParser
 from garnetlanding.limits import Limits
 from garnetlanding.ops.fleet_access import FleetView
--- a/garnetlanding/ops/replicated_disables.py
+++ b/garnetlanding/ops/replicated_disables.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from garnetlanding.http.head import HttpError
+from garnetlanding.http.errors import HttpError
 from garnetlanding.ops.admin_state import AdminState
 from garnetlanding.peers.disabled_backends import (
     INSTANCE_PREFIX,
--- a/garnetlanding/telemetry/collector_client.py
+++ b/garnetlanding/telemetry/collector_client.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from garnetlanding.http.response import HttpError, ResponseParser
+from garnetlanding.http.errors import HttpError
+from garnetlanding.http.response import ResponseParser
 from garnetlanding.limits import SECOND, Limits
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.errors import BufferPoolExhaustedError, DeadlineExceededError, StreamClosedError
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -44,7 +44,7 @@
 from garnetlanding.discovery.listing import ListError, read_list
 from garnetlanding.discovery.watch import Watch, WatchCallbacks, WatchRuntime
 from garnetlanding.emulator.base import Conn, Server
-from garnetlanding.http.head import HttpError
+from garnetlanding.http.errors import HttpError
 from garnetlanding.http.request import RequestParser
 from garnetlanding.http.response import ResponseParser
 from garnetlanding.limits import Limits
--- a/tests/http/test_response.py
+++ b/tests/http/test_response.py
@@ -6,7 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from garnetlanding.http.response import HttpError, ResponseParser
+from garnetlanding.http.errors import HttpError
+from garnetlanding.http.response import ResponseParser
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.buffers import BufferPool
 
@@ -16,7 +17,9 @@
 
 
 @given(st.lists(st.binary(min_size=1, max_size=50), max_size=6), st.booleans(), st.lists(st.integers(1, 40)))
-def test_a_body_is_read_alike_however_it_is_cut(parts: list[bytes], chunked: bool, sizes: list[int]) -> None:
+def test_a_body_is_the_same_at_any_split_of_the_stream(
+    parts: list[bytes], chunked: bool, sizes: list[int]
+) -> None:
     body = b"".join(parts)
     if chunked:
         head = b"Transfer-Encoding: chunked\r\n\r\n"
@@ -34,22 +37,24 @@
 @pytest.mark.parametrize(
     "data",
     [
-        b"SSH-2.0\r\n",
-        b"HTTP/1.1 OK 200\r\n",
-        b"HTTP/1.1 200 OK\r\nno colon\r\n",
-        b"x" * 9000,
-        b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
-        b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 65,
-        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
-        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
+        pytest.param(b"SSH-2.0\r\n", id="another protocol"),
+        pytest.param(b"HTTP/1.1 OK 200\r\n", id="no status code"),
+        pytest.param(b"HTTP/1.1 200 OK\r\nno colon\r\n", id="header without colon"),
+        pytest.param(b"x" * 9000, id="line too long"),
+        pytest.param(b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", id="negative length"),
+        pytest.param(b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 65, id="too many headers"),
+        pytest.param(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", id="bad chunk size"),
+        pytest.param(
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", id="chunk without its end"
+        ),
     ],
 )
-def test_what_is_not_http_is_an_error(data: bytes) -> None:
+def test_a_malformed_response_raises(data: bytes) -> None:
     with pytest.raises(HttpError):
         list(parser().feed(data))
 
 
-def test_only_a_body_without_a_length_may_end_with_its_stream() -> None:
+def test_only_a_body_without_a_length_may_end_with_the_stream() -> None:
     http = parser()
     assert list(http.feed(b"HTTP/1.1 200 OK\r\n\r\nabc")) == [b"abc"]
     http.end()
--- a/tests/peers/test_disabled_backends.py
+++ b/tests/peers/test_disabled_backends.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from garnetlanding.http.head import HttpError
+from garnetlanding.http.errors import HttpError
 from garnetlanding.ops.admin_state import AdminState, AdminStateError, decode, encode
 from garnetlanding.ops.replicated_disables import ReplicatedDisables
 from garnetlanding.ops.state_file import StateFile
