--- a/garnetlanding/config/__init__.py
+++ b/garnetlanding/config/__init__.py
@@ -1,7 +1,7 @@
 """Configuration, read and checked at start and at reload: the platform's JSON and an operator's TOML."""
 
 from garnetlanding.config.operator import OperatorConfig
-from garnetlanding.config.platform import Config, flatten, load, read, read_settings, reload
+from garnetlanding.config.platform import Config, flatten, load, merge_reloaded, read, read_settings
 from garnetlanding.config.section import ConfigError, Section
 
 __all__ = [
@@ -11,7 +11,7 @@
     "Section",
     "flatten",
     "load",
+    "merge_reloaded",
     "read",
     "read_settings",
-    "reload",
 ]
--- a/garnetlanding/config/platform.py
+++ b/garnetlanding/config/platform.py
@@ -201,7 +201,7 @@
     return read(data, operator_data, env)
 
 
-def reload(old: Config, new: Config) -> tuple[Config, list[str]]:
+def merge_reloaded(old: Config, new: Config) -> tuple[Config, list[str]]:
     """Return what a running instance goes on with after its file was read anew.
 
     Beside it come the keys that differ but that only a restart takes up. The environment is that of the
--- /dev/null
+++ b/garnetlanding/daemon/assembly.py
@@ -0,0 +1,267 @@
+"""Composes an instance from its configuration, and writes down in which orders its subsystems work.
+
+They start in this order, each with the reason why it comes no later:
+
+1. history: it observes requests, and what follows writes to it.
+2. peer group, and with it the shared connections: audit, subset and peer link use its membership.
+3. settings: the version that holds from the start, where history or audit ask for it.
+4. audit: before anything else stands around the decision module, so that it sees what the module decides by.
+5. backend subset, which uses the membership.
+6. RESP2 clients: the admin service drains and sheds them.
+7. admin service, which takes up the state that operators left; then the 9P clients.
+8. replication: a follower must be current to act, if so configured, which fencing asks for.
+9. telemetry; then what peers' operators disabled, where there is no admin service.
+10. fencing, and last the peer link: its coordinator stands outermost around the decision module.
+
+A reload reaches the settings, then the peer link, then discovery. Settings in the store come first, because
+they decide whether there may be a peer link at all.
+
+They stop in this order, after the clients have been served to the end (`garnetlanding.daemon.shutdown`):
+
+1. admin service: an operator who calls at this moment is answered like any other.
+2. telemetry: the last requests are exported.
+3. peer link: peers are told last, since up to here this instance used its quota shares.
+4. audit: what the link sends at its end is still part of the record.
+5. process registry: until here the other process of an upgrade counts on this one.
+
+Modules of optional subsystems are imported where they are turned on: what is off is not imported.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from garnetlanding.config import Config, read_settings
+from garnetlanding.core.engine import RequestEngine
+from garnetlanding.daemon.clients import RespClients
+from garnetlanding.daemon.discovery import DiscoveryWatch
+from garnetlanding.daemon.instance import Instance, wall_ms
+from garnetlanding.daemon.lifecycle import Subsystem
+from garnetlanding.daemon.peer_link import PeerLinkManager
+from garnetlanding.daemon.process_share import CapacitySharing, ProcessShare
+from garnetlanding.daemon.settings import SettingsManager, effective_settings, open_store, stored_settings
+from garnetlanding.decision.control import Controller
+from garnetlanding.resp.brick import bricks
+from garnetlanding.runtime.buffers import BufferPool
+from garnetlanding.runtime.scheduler import Scheduler
+
+if TYPE_CHECKING:  # what is off is not imported
+    from garnetlanding.daemon.admin import AdminFront
+    from garnetlanding.daemon.audit import AuditRecording
+    from garnetlanding.daemon.fencing import Fencing
+    from garnetlanding.daemon.history import HistoryRecording
+    from garnetlanding.daemon.ninep import NinepClients
+    from garnetlanding.daemon.peer_group import PeerGroup, ReceivedDisables, SharedConnections
+    from garnetlanding.daemon.replication import StoreReplication
+    from garnetlanding.daemon.subset import BackendSubset
+    from garnetlanding.daemon.telemetry import TelemetryExport
+
+
+@dataclass(frozen=True, slots=True)
+class Assembly:
+    """The parts of one instance; what is off is None, and missing in the orders."""
+
+    instance: Instance
+    discovery: DiscoveryWatch
+    peer_link: PeerLinkManager
+    history: HistoryRecording | None
+    admin: AdminFront | None
+    start_order: tuple[Subsystem, ...]
+    reload_order: tuple[Subsystem, ...]
+    stop_order: tuple[Subsystem, ...]
+
+
+def assemble(config: Config, clock: Callable[[], int]) -> Assembly:
+    """Build every part that the configuration turns on; `clock` gives monotonic time in microseconds.
+
+    Nothing listens yet. Raises OSError and StoreFileError for files of the instance that cannot be used.
+    """
+    instance = _build_instance(config, clock)
+    discovery = DiscoveryWatch(instance, clock)
+    history = _build_history(instance, clock)
+    group = _build_group(instance, history)
+    link = PeerLinkManager(instance, group, history)
+    settings = SettingsManager(instance)
+    audit = _build_audit(instance, settings, discovery, group, link)
+    clients = RespClients(instance)
+    admin = _build_admin(instance, clients, discovery, settings, group, link)
+    replication = _build_replication(instance)
+    telemetry = _build_telemetry(instance)
+    if history:
+        settings.on_version.append(history.settings_applied)
+    if audit:
+        settings.on_rejected.append(audit.settings_rejected)
+    settings.on_applied.append(discovery.watch.keep_open)
+    settings.on_applied.append(link.place)
+    start_order = _those_on(
+        history,
+        group,
+        _build_shared_connections(instance, group, link),
+        settings if history or audit else None,
+        audit,
+        _build_subset(instance, group),
+        clients,
+        admin,
+        _build_ninep(instance),
+        replication,
+        telemetry,
+        _build_received_disables(instance, group),
+        _build_fencing(instance, group, link, replication, history),
+        link,
+    )
+    return Assembly(
+        instance=instance,
+        discovery=discovery,
+        peer_link=link,
+        history=history,
+        admin=admin,
+        start_order=start_order,
+        reload_order=(settings, link, discovery),
+        stop_order=_those_on(admin, telemetry, link, audit, instance.process),
+    )
+
+
+def _those_on(*subsystems: Subsystem | None) -> tuple[Subsystem, ...]:
+    return tuple(subsystem for subsystem in subsystems if subsystem is not None)
+
+
+def _build_instance(config: Config, clock: Callable[[], int]) -> Instance:
+    limits = config.limits
+    scheduler = Scheduler(clock)
+    pool = BufferPool(limits.buffer_bytes, limits.pool_keep, limits.pool_most, limits.pool_start)
+    store = open_store(config, scheduler)
+    process = ProcessShare(config)
+    settings = read_settings(stored_settings(config, store))
+    controller = Controller(effective_settings(config, process.share, settings), config.seed)
+    core = RequestEngine(controller, scheduler, limits)
+    scheduler.turn_end.append(core.run_iteration)
+    return Instance(
+        config=config,
+        scheduler=scheduler,
+        pool=pool,
+        store=store,
+        process=process,
+        core=core,
+        backends=bricks(scheduler, pool, limits),
+        incarnation=wall_ms(config),
+    )
+
+
+def _build_history(instance: Instance, clock: Callable[[], int]) -> HistoryRecording | None:
+    setup = instance.config.operator.history
+    if setup is None:
+        return None
+    from garnetlanding.daemon.history import HistoryRecording
+
+    return HistoryRecording(instance, setup, clock)
+
+
+def _build_group(instance: Instance, history: HistoryRecording | None) -> PeerGroup | None:
+    setup, peers = instance.config.operator.fleet, instance.config.peers
+    if setup is None or peers is None:
+        return None
+    from garnetlanding.daemon.peer_group import PeerGroup
+
+    return PeerGroup(instance, setup, peers, history)
+
+
+def _build_shared_connections(
+    instance: Instance, group: PeerGroup | None, link: PeerLinkManager
+) -> SharedConnections | None:
+    setup = instance.config.operator.fleet
+    if group is None or setup is None or not setup.server_connections:
+        return None
+    from garnetlanding.daemon.peer_group import SharedConnections
+
+    return SharedConnections(instance, setup.server_connections, link)
+
+
+def _build_received_disables(instance: Instance, group: PeerGroup | None) -> ReceivedDisables | None:
+    if group is None or instance.config.ops:
+        return None
+    from garnetlanding.daemon.peer_group import ReceivedDisables
+
+    return ReceivedDisables(instance, group)
+
+
+def _build_audit(
+    instance: Instance,
+    settings: SettingsManager,
+    discovery: DiscoveryWatch,
+    group: PeerGroup | None,
+    link: PeerLinkManager,
+) -> AuditRecording | None:
+    setup = instance.config.operator.audit
+    if setup is None:
+        return None
+    from garnetlanding.daemon.audit import AuditRecording
+
+    return AuditRecording(instance, setup, settings, discovery, group, link)
+
+
+def _build_subset(instance: Instance, group: PeerGroup | None) -> BackendSubset | None:
+    setup = instance.config.operator.choices
+    if setup is None or not setup.subset_size:
+        return None
+    from garnetlanding.daemon.subset import BackendSubset
+
+    return BackendSubset(instance, setup, group)
+
+
+def _build_admin(
+    instance: Instance,
+    clients: RespClients,
+    discovery: DiscoveryWatch,
+    settings: SettingsManager,
+    group: PeerGroup | None,
+    link: PeerLinkManager,
+) -> AdminFront | None:
+    if not instance.config.ops:
+        return None
+    from garnetlanding.daemon.admin import AdminFront
+
+    capacity = CapacitySharing(instance, settings, clients)
+    return AdminFront(instance, clients, discovery, capacity, group, link)
+
+
+def _build_ninep(instance: Instance) -> NinepClients | None:
+    setup = instance.config.operator.ninep
+    if setup is None:
+        return None
+    from garnetlanding.daemon.ninep import NinepClients
+
+    return NinepClients(instance, setup)
+
+
+def _build_replication(instance: Instance) -> StoreReplication | None:
+    setup = instance.config.operator.store
+    if setup.role == "alone":
+        return None
+    from garnetlanding.daemon.replication import StoreReplication
+
+    return StoreReplication(instance, setup)
+
+
+def _build_telemetry(instance: Instance) -> TelemetryExport | None:
+    collector = instance.config.operator.telemetry
+    if collector is None:
+        return None
+    from garnetlanding.daemon.telemetry import TelemetryExport
+
+    return TelemetryExport(instance, collector)
+
+
+def _build_fencing(
+    instance: Instance,
+    group: PeerGroup | None,
+    link: PeerLinkManager,
+    replication: StoreReplication | None,
+    history: HistoryRecording | None,
+) -> Fencing | None:
+    if group is None and replication is None:
+        return None
+    from garnetlanding.daemon.fencing import Fencing
+
+    return Fencing(instance, link, replication, history, by_operator=group is not None)
--- /dev/null
+++ b/garnetlanding/daemon/fencing.py
@@ -0,0 +1,52 @@
+"""When this instance may act: not while its settings are stale, nor after an operator has fenced it."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from garnetlanding.daemon.instance import Instance
+from garnetlanding.daemon.lifecycle import Subsystem
+from garnetlanding.daemon.peer_link import PeerLinkManager
+
+if TYPE_CHECKING:  # what is off is not imported
+    from garnetlanding.daemon.history import HistoryRecording
+    from garnetlanding.daemon.replication import StoreReplication
+
+
+class Fencing(Subsystem):
+    """Answers the engine's question whether it may act, and passes on when the answer changes."""
+
+    name = "fencing"
+
+    def __init__(
+        self,
+        instance: Instance,
+        link: PeerLinkManager,
+        replication: StoreReplication | None,
+        history: HistoryRecording | None,
+        by_operator: bool,
+    ) -> None:
+        """`by_operator`: whether operators can fence instances of the group."""
+        self._instance = instance
+        self._link = link
+        self._replication = replication
+        self._history = history
+        self._by_operator = by_operator
+
+    def start(self) -> None:
+        """Let the engine ask from now on, where anything can fence this instance."""
+        if self._by_operator or (self._replication and self._replication.staleness_guard):
+            self._instance.core.fence.may_act = self._may_act
+            self._instance.core.fence.on_change.append(self._fence_changed)
+
+    def _may_act(self, now: int) -> bool:
+        core = self._instance.core
+        if self._by_operator and core.endpoints.instance_disabled(core.settings.instance_id):
+            return False
+        guard = self._replication.staleness_guard if self._replication else None
+        return guard is None or guard.is_current(now)
+
+    def _fence_changed(self, fenced: bool) -> None:
+        self._link.set_fenced(fenced)
+        if self._history:
+            self._history.fencing_changed(fenced)
--- /dev/null
+++ b/garnetlanding/daemon/ninep.py
@@ -0,0 +1,33 @@
+"""The 9P clients of an instance, where the operator's file exports trees to them."""
+
+from __future__ import annotations
+
+from garnetlanding.daemon.instance import Instance
+from garnetlanding.daemon.lifecycle import Subsystem
+from garnetlanding.ninep.client import file_servers
+from garnetlanding.ninep.front import ClientMachine
+from garnetlanding.ninep.setup import Ninep
+from garnetlanding.ninep.shared import Front
+
+
+class NinepClients(Subsystem):
+    """Owns the listener of the 9P clients and the connections to file servers."""
+
+    name = "9P clients"
+
+    def __init__(self, instance: Instance, setup: Ninep) -> None:
+        self._instance = instance
+        self._setup = setup
+
+    def start(self) -> None:
+        """Listen for 9P clients."""
+        instance, setup = self._instance, self._setup
+        servers = file_servers(
+            instance.scheduler, instance.pool, instance.limits, setup.server_port, setup.server_dialect
+        )
+        front = Front(
+            instance.core, servers, setup.exports, instance.pool, instance.limits, instance.scheduler
+        )
+        instance.listen(
+            "9P", setup.listen, instance.limits.ninep_conns, lambda write: ClientMachine(front, write)
+        )
--- /dev/null
+++ b/garnetlanding/daemon/peer_group.py
@@ -0,0 +1,119 @@
+"""What instances of one group decide together: suspicions, disabled backends, membership, shared quotas."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from garnetlanding.daemon.instance import Instance
+from garnetlanding.daemon.lifecycle import Subsystem
+from garnetlanding.decision import interface as api
+from garnetlanding.peers.failure_detector import FailureDetector
+from garnetlanding.peers.setup import FleetSetup, PeerSetup
+
+if TYPE_CHECKING:  # what is off is not imported
+    from garnetlanding.daemon.history import HistoryRecording
+    from garnetlanding.daemon.peer_link import PeerLinkManager
+    from garnetlanding.peers.membership_protocol import MembershipProtocol
+    from garnetlanding.peers.shared_budgets import SharedBudgets
+
+# Makes what divides the shared quotas, from the settings, this incarnation and the present time.
+SharedBudgetsFactory = Callable[[api.Settings, int, int], "SharedBudgets"]
+
+
+class PeerGroup(Subsystem):
+    """Owns what is shared with peers. The peer link carries its messages once it is open."""
+
+    name = "peer group"
+    failure_detector: FailureDetector  # from the start on
+    membership: MembershipProtocol | None = None  # where instances find each other by gossip
+    make_budgets: SharedBudgetsFactory | None = None  # where quotas move by leases
+
+    def __init__(
+        self, instance: Instance, setup: FleetSetup, peers: PeerSetup, history: HistoryRecording | None
+    ) -> None:
+        self._instance = instance
+        self._setup = setup
+        self._peers = peers
+        self._history = history
+
+    def start(self) -> None:
+        """Build what the operator's file turns on."""
+        setup, limits = self._setup, self._peers.limits
+        history = self._history.writer if self._history else None
+        self.failure_detector = FailureDetector(limits, setup.verdicts, setup.bans, history)
+        if setup.seeds:
+            from garnetlanding.peers.membership import Membership
+            from garnetlanding.peers.membership_protocol import MembershipProtocol
+
+            members = Membership(
+                limits,
+                self._instance.core.settings.instance_id,
+                self._instance.incarnation,
+                setup.advertise or self._peers.listen,
+                setup.seeds,
+                self._instance.scheduler.now,
+            )
+            self.membership = MembershipProtocol(limits, members, history)
+        if setup.budgets:
+            self.make_budgets = self._budgets_factory()
+
+    def _budgets_factory(self) -> SharedBudgetsFactory:
+        from garnetlanding.peers.shared_budgets import SharedBudgets
+
+        limits = self._peers.limits
+        longest_us = self._instance.longest_attempt_us if self._setup.server_connections else 0
+        return lambda settings, incarnation, now: SharedBudgets(
+            limits, settings, incarnation, now, longest_us
+        )
+
+    def forget(self, peer: int) -> bool | None:
+        """Remove a terminated peer; None where membership is not found by gossip."""
+        return self.membership.members.mark_terminated(peer) if self.membership else None
+
+
+class SharedConnections(Subsystem):
+    """Divides the connections at each backend among all instances."""
+
+    name = "shared connections"
+
+    def __init__(self, instance: Instance, each_max: int, link: PeerLinkManager) -> None:
+        """`each_max`: connections at one backend, of all instances together."""
+        self._instance = instance
+        self._each_max = each_max
+        self._link = link
+
+    def start(self) -> None:
+        """Bound the connections to backends from now on."""
+        from garnetlanding.peers.connection_quota import ConnectionQuota
+
+        instance, link = self._instance, self._link
+        instance.backends.places = ConnectionQuota(
+            self._each_max,
+            instance.longest_attempt_us,
+            lambda: instance.scheduler.now,
+            lambda: link.coordinator.shared() if link.coordinator else None,
+        )
+
+
+class ReceivedDisables(Subsystem):
+    """Takes up which backends operators of peers disabled, where this instance has no admin service.
+
+    They hold as long as this process lives; an admin service would keep them on disk.
+    """
+
+    name = "received disables"
+
+    def __init__(self, instance: Instance, group: PeerGroup) -> None:
+        self._instance = instance
+        self._group = group
+
+    def start(self) -> None:
+        """Look now, and then again and again."""
+        self._look()
+
+    def _look(self) -> None:
+        detector, scheduler = self._group.failure_detector, self._instance.scheduler
+        scheduler.call_at(scheduler.now + detector.limits.look_us, self._look)
+        if detector.merge_received():
+            self._instance.core.set_disabled(detector.disabled.disabled_names)
--- /dev/null
+++ b/garnetlanding/daemon/peer_link.py
@@ -0,0 +1,131 @@
+"""The UDP link to peer instances: opened, moved, closed, and handed over between processes of an upgrade."""
+
+from __future__ import annotations
+
+import logging
+from collections import Counter
+from typing import TYPE_CHECKING
+
+from garnetlanding.config import Config
+from garnetlanding.daemon.instance import Instance
+from garnetlanding.daemon.lifecycle import Subsystem
+
+if TYPE_CHECKING:  # what is off is not imported
+    from garnetlanding.daemon.history import HistoryRecording
+    from garnetlanding.daemon.peer_group import PeerGroup
+    from garnetlanding.peers.coordinator import PeerCoordinator
+    from garnetlanding.peers.link import PeerLink
+    from garnetlanding.peers.setup import PeerSetup
+
+log = logging.getLogger(__name__)
+
+
+class PeerLinkManager(Subsystem):
+    """Owns the link, and the coordinator in front of the decision module, which stays once it is there."""
+
+    name = "peer link"
+
+    def __init__(
+        self,
+        instance: Instance,
+        group: PeerGroup | None,
+        history: HistoryRecording | None,
+    ) -> None:
+        self._instance = instance
+        self._group = group
+        self._history = history
+        self._dropped: Counter[str] = Counter()  # messages of peers, by cause
+        self._retry_planned = False
+        self.link: PeerLink | None = None
+        self.coordinator: PeerCoordinator | None = None
+
+    def start(self) -> None:
+        """Open the link where the settings allow one."""
+        self.place()
+
+    def reload(self, previous: Config) -> None:  # noqa: ARG002 - the open link knows its setup
+        """Open, move or close the link."""
+        self.place()
+
+    def place(self) -> None:
+        """Open, move or close the link, as settings and configuration say by now."""
+        setup = self._wanted_setup()
+        if self.link and self.link.setup != setup:
+            self._close()
+        if setup is None or self.link or self._retry_planned:
+            return
+        if self.coordinator is None:
+            self.coordinator = self._make_coordinator(setup)
+            self._instance.core.module = self.coordinator
+        self._open(setup, self.coordinator)
+
+    def _wanted_setup(self) -> PeerSetup | None:
+        config = self._instance.config
+        if config.peers is None or not self._instance.core.settings.may_message_peers:
+            return None
+        return config.operator.fleet.place(config.peers) if config.operator.fleet else config.peers
+
+    def _make_coordinator(self, setup: PeerSetup) -> PeerCoordinator:
+        from garnetlanding.peers.coordinator import PeerCoordinator
+
+        return PeerCoordinator(
+            self._instance.core.module,
+            self._instance.incarnation,
+            setup.limits,
+            self._dropped,
+            self._history.writer if self._history else None,
+            False,
+            self._group.failure_detector if self._group else None,
+            self._group.membership if self._group else None,
+            self._group.make_budgets if self._group else None,
+        )
+
+    def _open(self, setup: PeerSetup, coordinator: PeerCoordinator) -> None:
+        from garnetlanding.peers.link import PeerLink
+
+        instance = self._instance
+        membership = self._group.membership if self._group else None
+        try:
+            self.link = PeerLink(
+                instance.scheduler, setup, instance.core.receive_peer_message, self._dropped, membership
+            )
+        except OSError as problem:
+            # The predecessor of an upgrade has it, and speaks for this instance, until its end.
+            log.warning("peer link not opened", extra={"kv": {"at": setup.listen, "why": problem.strerror}})
+            self._retry_planned = True
+            instance.scheduler.call_at(instance.scheduler.now + setup.limits.open_retry_us, self._retry)
+            return
+        coordinator.take_over(instance.scheduler.now)
+        instance.core.send_to_peer = self.link.tell
+        instance.log_listening("other heads", self.link.address)
+
+    def _retry(self) -> None:
+        self._retry_planned = False
+        self.place()
+
+    def _close(self) -> None:
+        if self.link:
+            self.link.close()
+        self.link = None
+        self._instance.core.send_to_peer = None
+
+    def hand_over(self) -> bool:
+        """Leave the link to a successor process, and return whether there is one.
+
+        Both would use this instance's quota shares: from now on the successor speaks for it.
+        """
+        superseded = self._instance.process.superseded
+        if superseded and self.link and self.coordinator:
+            self.coordinator.retire(self._instance.scheduler.now)
+            self._close()
+        return superseded
+
+    def set_fenced(self, fenced: bool) -> None:
+        """Let the coordinator know that this instance may act no more, or again."""
+        if self.coordinator:
+            self.coordinator.stand_back(fenced, self._instance.scheduler.now)
+
+    def stop(self) -> None:
+        """Let peers know that this instance leaves, so that its quota shares are free at once."""
+        if self.link and self.coordinator:
+            self.coordinator.leave(self._instance.scheduler.now, self.link.tell)
--- /dev/null
+++ b/garnetlanding/daemon/replication.py
@@ -0,0 +1,62 @@
+"""Replication of the store: a writer serves its followers, a follower reads from its writer."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from garnetlanding.daemon.instance import Instance
+from garnetlanding.daemon.lifecycle import Subsystem
+from garnetlanding.store.setup import StoreSetup
+
+if TYPE_CHECKING:  # what is off is not imported
+    from garnetlanding.store.staleness_guard import StalenessGuard
+
+
+class StoreReplication(Subsystem):
+    """Owns this instance's side of the replication."""
+
+    name = "replication"
+
+    def __init__(self, instance: Instance, setup: StoreSetup) -> None:
+        self._instance = instance
+        self._setup = setup
+        self.staleness_guard: StalenessGuard | None = None  # of a follower that must be current to act
+
+    def start(self) -> None:
+        """Listen for followers, or follow the writer."""
+        if self._setup.role == "writer":
+            self._serve()
+        else:
+            self._follow()
+
+    def _serve(self) -> None:
+        from garnetlanding.store.writer_machine import WriterMachine
+
+        instance = self._instance
+        instance.listen(
+            "followers",
+            self._setup.address,
+            instance.limits.store_followers,
+            lambda write: WriterMachine(instance.store, instance.scheduler, instance.limits, write),
+        )
+
+    def _follow(self) -> None:
+        from garnetlanding.choices.stagger import stagger_offset
+        from garnetlanding.store.follower import Follower, FollowerOptions
+
+        instance, setup = self._instance, self._setup
+        if setup.max_staleness_us:
+            from garnetlanding.store.staleness_guard import StalenessGuard
+
+            self.staleness_guard = StalenessGuard(setup.max_staleness_us, setup.drift, instance.scheduler.now)
+        settings = instance.core.settings
+        offset = stagger_offset(settings.instance_id, settings.instances, "store")
+        options = FollowerOptions(setup.address, offset)
+        Follower(
+            instance.scheduler,
+            instance.pool,
+            instance.limits,
+            instance.store,
+            options,
+            self.staleness_guard,
+        )
--- a/garnetlanding/shutdown.py
+++ b/garnetlanding/daemon/shutdown.py
@@ -11,6 +11,7 @@
 from enum import IntEnum
 
 from garnetlanding.core.engine import RequestEngine
+from garnetlanding.daemon.lifecycle import Subsystem
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.listener import Listener
 from garnetlanding.runtime.scheduler import Scheduler
@@ -92,16 +93,21 @@
         self._listeners = list(listeners)
         self._superseded = superseded
 
-    def run(self, parts: Iterable[tuple[str, Callable[[], None]]]) -> None:
-        """Serve until the last phase, then stop `parts` in their order, each given with its name.
+    def run(self, subsystems: Iterable[Subsystem]) -> None:
+        """Serve until the last phase, then stop the subsystems in their order.
 
-        Raises nothing: a part that fails is logged, and those behind it are stopped all the same.
+        Raises nothing: one that fails is logged, and those behind it are stopped all the same.
         """
-        for name, stop in [("clients", self._end_clients), *parts]:
-            try:
-                stop()
-            except Exception:
-                log.exception("subsystem failed to stop", extra={"kv": {"subsystem": name}})
+        self._attempt("clients", self._end_clients)
+        for subsystem in subsystems:
+            self._attempt(subsystem.name, subsystem.stop)
+
+    @staticmethod
+    def _attempt(name: str, stop: Callable[[], None]) -> None:
+        try:
+            stop()
+        except Exception:
+            log.exception("subsystem failed to stop", extra={"kv": {"subsystem": name}})
 
     def _end_clients(self) -> None:
         classes = self._core.settings.classes.values()
--- a/tests/daemon/test_graceful_shutdown.py
+++ b/tests/daemon/test_graceful_shutdown.py
@@ -11,10 +11,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from garnetlanding.daemon.shutdown import Phase, Schedule
 from garnetlanding.emulator.discovery import Discovery
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.stream import parse_address
-from garnetlanding.shutdown import Phase, Schedule
 from tests.support.clock import MS, SECOND
 from tests.support.daemon import PLATFORM_SETTINGS, SLOW_SETTINGS, SimulatedDaemon, restored_signal_handlers
 from tests.support.departures import QUIT, Raw, Waiting
@@ -109,15 +109,26 @@
     assert ended_within(h, 3600 * MS)
 
 
-@pytest.mark.parametrize("part", ["_end_ops", "_end_telemetry", "_leave", "_end_audit", "_end_life"])
-def test_a_part_that_cannot_be_ended_does_not_keep_the_others(
-    part: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+STOPPED = ["admin", "telemetry", "peer link", "audit", "process registry"]
+
+
+@pytest.mark.parametrize("failing", STOPPED)
+def test_subsystem_that_fails_to_stop_does_not_keep_the_others_from_stopping(
+    failing: str, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The first that failed left the process running until SIGKILL."""
-    h, ended = SimulatedDaemon(), []
-    for name in ("_end_ops", "_end_telemetry", "_leave", "_end_audit", "_end_life"):
-        monkeypatch.setattr(h.daemon, name, lambda name=name: 1 / 0 if name == part else ended.append(name))
+    monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
+    operator = {"telemetry": {"endpoint": "http://127.0.0.1:9"}, "audit": {"folder": str(tmp_path / "audit")}}
+    h, ended = SimulatedDaemon(operator, ops="127.0.0.1:0"), []
+    subsystems = h.daemon.assembly.stop_order
+    assert [subsystem.name for subsystem in subsystems] == STOPPED, "the order in which they are stopped"
+    for subsystem in subsystems:
+        name = subsystem.name
+        monkeypatch.setattr(
+            subsystem, "stop", lambda name=name: 1 / 0 if name == failing else ended.append(name)
+        )
     assert ended_within(h, SECOND)
+    assert ended == [name for name in STOPPED if name != failing]
     assert len(ended) == 4 and "subsystem failed to stop" in caplog.text
 
 
@@ -125,7 +136,7 @@
     with restored_signal_handlers():
         h = SimulatedDaemon(settings=SLOW_SETTINGS)
         client = Raw(h, h.daemon.listeners[0].address)
-        h.daemon._catch_signals()
+        h.daemon.catch_signals()
         os.kill(os.getpid(), signal.SIGTERM)
         h.run(100 * MS)
         second = h.server(Discovery)
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -65,7 +65,7 @@
     h.file = h.file | {"discovery": "127.0.0.1:9"} | change
     h.daemon.reload()
     h.settle()
-    [record] = [r for r in caplog.records if "turned away" in r.message]
+    [record] = [r for r in caplog.records if "reload rejected" in r.message]
     assert key in str(record.__dict__["kv"]["why"]) and h.daemon.config is before
     assert len(h.discovery.calls) == calls and h.client().say(read_command()) == b"$0\r\n\r\n"
 
@@ -74,7 +74,7 @@
     """SIGHUP had no handler and ended the process; the signal pipe was read for the end alone."""
     with restored_signal_handlers():
         h = SimulatedDaemon()
-        h.daemon._catch_signals()
+        h.daemon.catch_signals()
         second = h.server(Discovery)
         h.file = h.file | {"discovery": second.address}
         os.kill(os.getpid(), signal.SIGHUP)
--- a/tests/daemon/test_store_roles.py
+++ b/tests/daemon/test_store_roles.py
@@ -31,7 +31,7 @@
         h.daemon.core.settings.instance_id == 0
     ), "the writer's number is the writer's: heads would all be one"
     h.daemon.store.apply(5, Entry(2, SETTINGS_KEY, {}))
-    assert h.daemon.core.settings.max_attempts == 2 and "settings not taken" in caplog.text
+    assert h.daemon.core.settings.max_attempts == 2 and "settings rejected" in caplog.text
 
 
 def test_a_restarted_head_knows_its_list_and_settings_from_its_store(tmp_path: pathlib.Path) -> None:
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -344,7 +344,7 @@
     h.settle()
     lines = [json.loads(line) for line in file.read_text().splitlines()]
     for line in lines:
-        assert line["life"] == h.daemon.life
+        assert line["life"] == h.daemon.assembly.instance.incarnation
         line["life"] = "LIFE"
         if "epoch" in line:
             assert line["epoch"] == h.daemon.store.epoch
@@ -355,7 +355,7 @@
 
     read = read_segments([str(folder)])
     [segment], problems = read.segments, read.problems
-    assert problems == [] and segment.incarnation == h.daemon.life
+    assert problems == [] and segment.incarnation == h.daemon.assembly.instance.incarnation
     for record in segment.records:
         assert isinstance(record.pop("wall"), int)
         if "vector" in record:
--- a/tests/history/test_history.py
+++ b/tests/history/test_history.py
@@ -14,6 +14,6 @@
     file = tmp_path / "n1.history"
     h = SimulatedDaemon({"history": {"file": str(file)}})
     h.time += 7 * MS
-    assert h.daemon.history
-    h.daemon.history.serving()
+    assert h.daemon.assembly.history
+    h.daemon.assembly.history.serving()
     assert json.loads(file.read_text().splitlines()[-1])["t"] == h.time
--- a/tests/integration/test_rolling_upgrade.py
+++ b/tests/integration/test_rolling_upgrade.py
@@ -23,7 +23,7 @@
 class Upgrade(SimulatedInstance):
     def __init__(self, folder: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
         super().__init__()
-        monkeypatch.setattr("garnetlanding.daemon.tempfile.gettempdir", lambda: str(folder))
+        monkeypatch.setattr("tempfile.gettempdir", lambda: str(folder))
         self.brick = self.server(Brick)
         probe = self.front()
         self.address = probe.address
@@ -61,8 +61,12 @@
             quiet = 0 if busy else quiet + 1
 
     def call(self, daemon: Daemon, what: str, method: str = "POST") -> str:
-        assert daemon.ops is not None
-        return self.peer(daemon.ops.address).say(f"{method} {what} HTTP/1.1\r\n\r\n".encode()).decode()[9:12]
+        assert daemon.assembly.admin is not None
+        return (
+            self.peer(daemon.assembly.admin.listener.address)
+            .say(f"{method} {what} HTTP/1.1\r\n\r\n".encode())
+            .decode()[9:12]
+        )
 
 
 @pytest.fixture
@@ -80,7 +84,7 @@
         assert client.say(read_command(f"a{i}")).startswith(b"$")
     new = w.start_daemon()
     w.run(300 * MS)
-    assert (old.part, new.part) == (0.5, 0.5)
+    assert [d.assembly.instance.process.share for d in (old, new)] == [0.5, 0.5]
     assert w.call(new, "/-/ready", "GET") == "503", "no list yet, and discovery is away"
     w.run(1300 * MS)
     assert w.call(new, "/-/ready", "GET") == "200", "with the list it was started with"
@@ -96,7 +100,7 @@
     late = w.peer(w.address)
     assert late.say(PING) == b"+PONG\r\n" and len(new.listeners[0]) == 1
     w.run(300 * MS)
-    assert new.part == 1
+    assert new.assembly.instance.process.share == 1
 
 
 def test_bans_and_a_drain_are_taken_up_by_the_new_process_and_said_to_the_old(upgrade: Upgrade) -> None:
@@ -105,10 +109,12 @@
     w.call(old, "/-/bricks/b0/disable")
     w.call(old, "/-/drain")
     new = w.start_daemon()
-    assert new.core.endpoints.disabled == {"b0"} and new.desk and not new.desk.accepts_clients
+    assert new.core.endpoints.disabled == {"b0"} and new.assembly.admin
+    assert not new.assembly.admin.service.accepts_clients
     assert w.call(new, "/-/resume") == "200" and w.call(new, "/-/bricks/b0/enable") == "200"
     w.run(200 * MS)
-    assert not old.core.endpoints.disabled and old.desk and old.desk.accepts_clients
+    assert not old.core.endpoints.disabled and old.assembly.admin
+    assert old.assembly.admin.service.accepts_clients
 
 
 def test_a_new_process_that_fails_its_start_leaves_the_old_one_serving(upgrade: Upgrade) -> None:
@@ -120,8 +126,8 @@
     )
     with pytest.raises(OSError):
         broken.start()
-    assert broken.lives
-    broken.lives.close()
+    assert broken.assembly.instance.process.registry
+    broken.assembly.instance.process.registry.close()
     w.run(300 * MS)
     assert taken.say(PING) == b"+PONG\r\n" and w.call(old, "/-/ready", "GET") in ("200", "503")
     assert LoopbackClient(w, w.address).say(PING) == b"+PONG\r\n"
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -211,7 +211,7 @@
     told = h.heard()
     assert len(told[0]) == len(told[1]) >= 3 and told[0][-1].asks[codec.tag("v")][1] == 2
     assert {use.incarnation for use in told[0]} == {h.talk.life} and h.talk.life > 10**12
-    link = h.daemon.link
+    link = h.daemon.assembly.peer_link.link
     assert link and h.daemon.core.send_to_peer
     host, port = link.address.split(":")
     h.others[1].sendto(codec.encode_leases(LeaseMessage(1, 1)), (host, int(port)))
@@ -222,7 +222,7 @@
 def test_operators_see_who_has_which_part_until_when() -> None:
     h = TalkingHead()
     h.ask()
-    link = h.daemon.link
+    link = h.daemon.assembly.peer_link.link
     assert link and h.talk.leases
     host, port = link.address.split(":")
     tag, sent = codec.tag("v"), h.heard()[0][-1]
@@ -254,32 +254,34 @@
         h = SimulatedDaemon(
             settings=config_used, ops="127.0.0.1:0", peer_listen="127.0.0.1:0", peers=["127.0.0.1:9"] * 3
         )
-        assert h.daemon.ops is not None
-        got = h.peer(h.daemon.ops.address).say(b"GET /-/fleet/members HTTP/1.1\r\nHost: x\r\n\r\n")
+        assert h.daemon.assembly.admin is not None
+        got = h.peer(h.daemon.assembly.admin.listener.address).say(
+            b"GET /-/fleet/members HTTP/1.1\r\nHost: x\r\n\r\n"
+        )
         assert got.startswith(b"HTTP/1.1 " + status)
         h.daemon.scheduler.close()
 
 
 def test_settings_that_forbid_messages_close_the_link_and_those_that_allow_them_open_it() -> None:
     h = TalkingHead()
-    link = h.daemon.link
+    link = h.daemon.assembly.peer_link.link
     assert link
     h.file = h.file | {"settings": PLATFORM_SETTINGS | {"Balancers": 3}}
     h.daemon.reload()
     h.ask()
     h.heard()
     h.ask()
-    assert link.closed and h.daemon.link is None and h.heard() == [[], []]
+    assert link.closed and h.daemon.assembly.peer_link.link is None and h.heard() == [[], []]
     assert h.client().say(read_command()) == b"$0\r\n\r\n"
     h.file = h.file | {"settings": TELLS}
     h.daemon.reload()
     h.ask()
-    assert h.daemon.link and len(h.heard()[0]) >= 3
+    assert h.daemon.assembly.peer_link.link and len(h.heard()[0]) >= 3
 
 
 def test_where_messages_are_forbidden_no_socket_is_opened_and_nothing_is_imported() -> None:
     h = TalkingHead(PLATFORM_SETTINGS)
-    assert h.daemon.config.peers is None and h.daemon.link is None
+    assert h.daemon.config.peers is None and h.daemon.assembly.peer_link.link is None
     assert not isinstance(h.daemon.core.module, PeerCoordinator)
     program = (
         "import json, sys; from garnetlanding import config; from garnetlanding.daemon import Daemon;"
@@ -301,16 +303,16 @@
     taken.bind(("127.0.0.1", 0))
     at = f"127.0.0.1:{taken.getsockname()[1]}"
     h = SimulatedDaemon(settings=TELLS, peer_listen=at, peers=["127.0.0.1:9"] * 3)
-    assert h.daemon.link is None and "no link to other heads" in caplog.text
+    assert h.daemon.assembly.peer_link.link is None and "peer link not opened" in caplog.text
     assert h.client().say(read_command()) == b"$0\r\n\r\n"
     taken.close()
     client = h.client()
     ask = read_command("r2").replace(b"hosts=1", b"hosts=2")
     assert client.say(ask).startswith(b"-BUSY") or not h.brick.heard[1:], "the other one has this head's part"
-    talk = h.daemon.talk
+    talk = h.daemon.assembly.peer_link.coordinator
     assert talk and volume(talk).quota_share == 0.0
     h.run(LIMITS.open_retry_us, 100 * MS)
-    assert h.daemon.link and h.daemon.link.address == at
+    assert h.daemon.assembly.peer_link.link and h.daemon.assembly.peer_link.link.address == at
     client.say(ask.replace(b"r2", b"r3"))
     assert volume(talk).quota_share == 0.0, "nor may it have given nothing away"
     h.run(2 * LIMITS.lease_us, 100 * MS)
@@ -323,15 +325,15 @@
     h = TalkingHead()
     h.ask()
     h.ask()
-    assert volume(h.talk).quota_share == 0.5 and h.daemon.link
-    link = h.daemon.link
+    assert volume(h.talk).quota_share == 0.5 and h.daemon.assembly.peer_link.link
+    link = h.daemon.assembly.peer_link.link
 
     class Newer:
         has_successor = True
 
         def close(self) -> None: ...
 
-    h.daemon.lives = Newer()  # type: ignore[assignment]
+    h.daemon.assembly.instance.process.registry = Newer()  # type: ignore[assignment]
     h.daemon.scheduler.spawn(h.daemon.end)
     h.settle()
     assert link.closed and h.talk.leases and h.talk.leases.usable_share(codec.tag("v"), h.time) == 0.0
