--- a/garnetlanding/cli/admin.py
+++ b/garnetlanding/cli/admin.py
@@ -68,17 +68,18 @@
 
 def _add_command(group: click.Group, call: str, help_text: str) -> None:
     def run(address: str, wait_s: float, as_json: bool, brick: str = "") -> int:
-        from garnetlanding.ops import admin_client
+        from garnetlanding.ops import admin_client, admin_output
+        from garnetlanding.ops.errors import InstanceUnreachableError
 
         try:
-            reply = admin_client.call(address, call, brick, wait_s)
-            render = admin_client.as_json if as_json else admin_client.as_text
+            reply = admin_client.send_call(address, call, brick, wait_s)
+            render = admin_output.as_json if as_json else admin_output.as_text
             click.echo(render(call, reply))
-        except admin_client.InstanceUnreachableError as problem:
+        except InstanceUnreachableError as problem:
             return print_problem(FAILED, problem)
         except ValueError as problem:
             return print_problem(WRONG, problem)
-        return 0 if reply.yes else FAILED
+        return 0 if reply.ok else FAILED
 
     command: Callable[..., Any] = run
     if call in CALLS_ON_A_BACKEND:
--- a/garnetlanding/lab/run.py
+++ b/garnetlanding/lab/run.py
@@ -31,7 +31,7 @@
 from garnetlanding.lab.tcp import TcpLinks
 from garnetlanding.lab.weather import Weather
 from garnetlanding.lab.world import Surroundings
-from garnetlanding.ops.admin_client import path_of
+from garnetlanding.ops.admin_client import method_and_path
 from garnetlanding.runtime.errors import DeadlineExceededError
 from garnetlanding.runtime.scheduler import Scheduler, monotonic_us
 from garnetlanding.runtime.stream import Stream
@@ -363,9 +363,9 @@
         """An operator's call at one head; what it answered is noted, or that it did not."""
         world, scheduler = self._world.bricks[0], self._scheduler
         if fault.kind in ("shut-out", "let-in"):
-            method, path = path_of(f"fleet/{fault.kind}", str(fault.brick))
+            method, path = method_and_path(f"fleet/{fault.kind}", str(fault.brick))
         else:
-            method, path = path_of(fault.kind, f"b{fault.brick}" if fault.brick >= 0 else "")
+            method, path = method_and_path(fault.kind, f"b{fault.brick}" if fault.brick >= 0 else "")
         answer = bytearray()
         try:
             until = scheduler.now + LIMITS.call_s * SECOND
--- /dev/null
+++ b/garnetlanding/ops/admin_output.py
@@ -0,0 +1,77 @@
+"""Shows the answers to operators' calls on the command line, as text with tables or as JSON."""
+
+from __future__ import annotations
+
+import json
+
+from rich.console import Console
+from rich.table import Table
+
+from garnetlanding.core.metrics import by_class, decode
+from garnetlanding.ops.admin_client import FLEET_TABLES, Reply
+
+OUTCOMES = ("success", "overload", "error")
+TABLE_COLUMNS = 100
+
+
+def as_json(call: str, reply: Reply) -> str:
+    """Return one object: the call, whether it succeeded, and the answer, decoded where it has a form."""
+    fields: dict[str, object] = {"call": call, "yes": reply.ok, "status": reply.status}
+    if call == "metrics" and reply.ok:
+        fields["figures"] = decode(reply.text)
+    elif call in FLEET_TABLES and reply.ok:
+        fields[call.partition("/")[2]] = json.loads(reply.text)
+    else:
+        fields["answer"] = reply.text.strip()
+    return json.dumps(fields, indent=2)
+
+
+def as_text(call: str, reply: Reply) -> str:
+    """Return the answer for reading; metrics and the fleet's tables as tables."""
+    if call in FLEET_TABLES and reply.ok:
+        return _fleet_table(json.loads(reply.text))
+    if call == "metrics" and reply.ok:
+        return _metrics_tables(decode(reply.text))
+    return reply.text.strip()
+
+
+def _metrics_tables(metrics: dict[str, int]) -> str:
+    """Return a table of the outcomes by request class, and the other metrics below it, one a line."""
+    table = Table("class", box=None, pad_edge=False)
+    for outcome in OUTCOMES:
+        table.add_column(outcome, justify="right")
+    for request_class, counts in by_class(metrics).items():
+        table.add_row(request_class, *(str(counts.get(outcome, 0)) for outcome in OUTCOMES))
+    lines = _rendered_lines(table)
+    others = [name for name in metrics if name.count(".") == 1]
+    lines += [f"{name.removeprefix('app.')}: {metrics[name]}" for name in others]
+    return "\n".join(lines)
+
+
+def _fleet_table(rows: list[dict[str, object]]) -> str:
+    if not rows:
+        return "nothing is known yet"
+    table = Table(*rows[0], box=None, pad_edge=False)
+    for row in rows:
+        table.add_row(*(_cell(value) for value in row.values()))
+    return "\n".join(_rendered_lines(table))
+
+
+def _rendered_lines(table: Table) -> list[str]:
+    console = Console(width=TABLE_COLUMNS)
+    with console.capture() as captured:
+        console.print(table)
+    return [line.rstrip() for line in captured.get().splitlines()]
+
+
+def _cell(value: object) -> str:
+    if isinstance(value, list):
+        return ", ".join(_peer_item(item) for item in value) or "-"
+    return "-" if value is None else str(value)
+
+
+def _peer_item(item: dict[str, object]) -> str:
+    """Return a peer's suspicion, `n2 dead 310 ms ago (1)`, or its quota share, `n2 0.8 for 900 ms`."""
+    if "says" in item:
+        return f"n{item['head']} {item['says']} {item['age_ms']} ms ago ({item['credit']:g})"
+    return f"n{item['head']} {item['share']:g} for {item['for_ms']} ms"
--- a/garnetlanding/ops/admin_state.py
+++ b/garnetlanding/ops/admin_state.py
@@ -1,7 +1,13 @@
-"""What operators have said of this head that outlasts a process, and its form on disk. No I/O.
+"""What operators have set at this instance and must outlast a process, and its form on disk. No I/O.
 
-Two processes of one head share it while a new version takes over, so each change is made to what stands
-there at that moment.
+On disk it is one line of JSON and a line with the line's CRC-32 in hexadecimal:
+
+    {"version": 1, "name": "n1", "banned": ["b0"], "draining": false, "records": [["b0", 17, 1, true]]}
+    6c0d9a1f
+
+`banned` and `draining` are the fields `disabled` and `draining` of AdminState. `records` is left out where
+there are none; an entry is a StoredDisable's name, version, instance and whether it is disabled. During an
+upgrade the old and the new program read and write the same file, so fields may be added and never change.
 """
 
 from __future__ import annotations
@@ -10,67 +16,91 @@
 import zlib
 from dataclasses import dataclass, replace
 
+from garnetlanding.ops.errors import AdminStateError
+
 VERSION = 1
 
 
-class AdminStateError(ValueError):
-    """A state that cannot be used; the text says why."""
+@dataclass(frozen=True, slots=True)
+class StoredDisable:
+    """The latest decision of any operator of the fleet on one backend, or on one instance.
+
+    `name` is the backend's id, or "head/" and the instance's number.
+    `version` orders the decisions on one name, and of equal versions the greater `instance`, which is the
+    number of the instance at which it was made.
+    """
+
+    name: str
+    version: int
+    instance: int
+    disabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class AdminState:
-    """`disabled` holds instance ids; a ban ends by a call and by nothing else. Where bans are the whole
-    fleet's, `records` has the last word on each server: its name, version, the head's number, whether out."""
+    """The administrative state of one instance.
+
+    `disabled` names the backends that get no new requests; only an operator's call enables them again.
+    `draining` says that clients are to leave. `records` are the fleet's decisions, of which `disabled`
+    follows; empty where operators' decisions stay at the instance at which they are made.
+    """
 
     disabled: frozenset[str] = frozenset()
     draining: bool = False
-    records: tuple[tuple[str, int, int, bool], ...] = ()
+    records: tuple[StoredDisable, ...] = ()
 
-    def disable(self, brick: str) -> AdminState:
-        return replace(self, disabled=self.disabled | {brick})
+    def disable(self, backend: str) -> AdminState:
+        """Return the state with this backend disabled."""
+        return replace(self, disabled=self.disabled | {backend})
 
-    def enable(self, brick: str) -> AdminState:
-        return replace(self, disabled=self.disabled - {brick})
+    def enable(self, backend: str) -> AdminState:
+        """Return the state with this backend enabled."""
+        return replace(self, disabled=self.disabled - {backend})
 
-    def with_draining(self, on: bool) -> AdminState:
-        return replace(self, draining=on)
+    def with_draining(self, draining: bool) -> AdminState:
+        """Return the state with the drain begun or ended."""
+        return replace(self, draining=draining)
 
 
 def encode(name: str, state: AdminState) -> bytes:
-    """One JSON object and, on a line of its own, the CRC-32 of that line."""
-    # An older process of the head reads what it knows of, and keeps the rest out.
-    more = {"records": state.records} if state.records else {}
-    body = json.dumps(
-        {
-            "version": VERSION,
-            "name": name,
-            "banned": sorted(state.disabled),
-            "draining": state.draining,
-            **more,
-        }
-    ).encode()
+    """Return the file's bytes for the instance of this name."""
+    fields: dict[str, object] = {
+        "version": VERSION,
+        "name": name,
+        "banned": sorted(state.disabled),
+        "draining": state.draining,
+    }
+    # Left out where there are none: the file is then as a program writes it that knows of no records.
+    if state.records:
+        fields["records"] = [
+            [record.name, record.version, record.instance, record.disabled] for record in state.records
+        ]
+    body = json.dumps(fields).encode()
     return b"%s\n%08x\n" % (body, zlib.crc32(body))
 
 
 def decode(name: str, data: bytes) -> AdminState:
-    """Raises AdminStateError for what is damaged, of another version, or of another head."""
+    """Return the state in a file's bytes.
+
+    Raises AdminStateError for bytes that are damaged, of another version or of another instance.
+    """
     lines = data.split(b"\n")
     if len(lines) != 3 or lines[2] or lines[1] != b"%08x" % zlib.crc32(lines[0]):
         raise AdminStateError("damaged: its checksum does not hold")
-    match found := json.loads(lines[0]):
+    match fields := json.loads(lines[0]):
         case {"version": int() as version} if version != VERSION:
             raise AdminStateError(f"of version {version}, this program writes {VERSION}")
         case {"name": str() as other} if other != name:
             raise AdminStateError(f"of head {other!r:.40}, this one is {name!r:.40}")
-        case {"banned": list() as banned, "draining": bool() as draining}:
-            records = [_record(one) for one in found.get("records", [])]
-            if all(isinstance(brick, str) for brick in banned):
-                return AdminState(frozenset(banned), draining, tuple(records))
+        case {"banned": list() as disabled, "draining": bool() as draining}:
+            records = tuple(_decode_record(item) for item in fields.get("records", []))
+            if all(isinstance(backend, str) for backend in disabled):
+                return AdminState(frozenset(disabled), draining, records)
     raise AdminStateError("damaged: a field is missing or not of its type")
 
 
-def _record(one: object) -> tuple[str, int, int, bool]:
-    match one:
-        case [str() as server, int() as version, int() as by, bool() as out]:
-            return server, version, by, out
+def _decode_record(item: object) -> StoredDisable:
+    match item:
+        case [str() as name, int() as version, int() as instance, bool() as disabled]:
+            return StoredDisable(name, version, instance, disabled)
     raise AdminStateError("damaged: a record of a ban is not of its form")
--- a/garnetlanding/ops/replicated_disables.py
+++ b/garnetlanding/ops/replicated_disables.py
@@ -1,5 +1,8 @@
-"""An operator's bans made the whole fleet's: what is said here goes into the table that heads share, and what
-others said comes into this head's state, on disk as its own.
+"""Operators' decisions on backends and instances, made known to the whole fleet.
+
+A decision made here gets a version and goes into the table that gossip spreads; decisions received from peers
+go into this instance's administrative state, and so on disk, as its own do. The table is a
+last-writer-wins map (garnetlanding.peers.disabled_backends); the state keeps its records.
 """
 
 from __future__ import annotations
@@ -8,8 +11,8 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from garnetlanding.http.errors import HttpError
-from garnetlanding.ops.admin_state import AdminState
+from garnetlanding.ops.admin_state import AdminState, StoredDisable
+from garnetlanding.ops.errors import DisableRejectedError
 from garnetlanding.peers.disabled_backends import (
     INSTANCE_PREFIX,
     DisabledBackendError,
@@ -22,50 +25,81 @@
 
 
 class ReplicatedDisables:
-    def __init__(self, fleet: FailureDetector, me: Callable[[], int], wall_ms: Callable[[], int]) -> None:
-        """`me`: this head's number."""
-        self._fleet, self._me, self._wall_ms = fleet, me, wall_ms
+    """Turns operators' decisions into changes of the state, by way of the fleet's table.
+
+    `instance_number` returns this instance's number, `wall_ms` the wall clock in milliseconds: new versions
+    are made of both.
+    """
+
+    def __init__(
+        self, detector: FailureDetector, instance_number: Callable[[], int], wall_ms: Callable[[], int]
+    ) -> None:
+        self._detector = detector
+        self._instance_number = instance_number
+        self._wall_ms = wall_ms
 
     def take_received(self) -> list[DisableRecord]:
-        return self._fleet.take_received()
+        """Return the records that peers have sent since the last call and that are news here."""
+        return self._detector.take_received()
 
-    def set_disabled(self, state: AdminState, brick: str, out: bool) -> AdminState:
-        bans = self.table(state)
+    def set_disabled(self, state: AdminState, name: str, disabled: bool) -> AdminState:
+        """Return the state after a decision made here.
+
+        Raises DisableRejectedError where the name is too long or the table full.
+        """
+        table = self.table(state)
         try:
-            bans.set_disabled(brick, out, self._me(), self._wall_ms())
+            table.set_disabled(name, disabled, self._instance_number(), self._wall_ms())
         except DisabledBackendError as problem:
-            raise HttpError(str(problem), 400) from None
-        return self._kept(state, bans)
-
-    def set_fenced(self, state: AdminState, head: int, out: bool, hosts: int) -> AdminState:
-        """A head is to act no more, or again: a record like that of a brick. Raises HttpError where more
-        than the share of heads would be out that may be."""
-        others = {name for name in state.disabled if name.startswith(INSTANCE_PREFIX)} - {
-            INSTANCE_PREFIX + str(head)
-        }
-        if out and (len(others) + 1) > hosts * self._fleet.limits.out_share:
-            raise HttpError(f"{len(others)} of {hosts} heads are out already", 400)
-        return self.set_disabled(state, INSTANCE_PREFIX + str(head), out)
+            raise DisableRejectedError(str(problem)) from problem
+        return self._with_table(state, table)
+
+    def set_fenced(self, state: AdminState, instance: int, fenced: bool, instances: int) -> AdminState:
+        """Return the state after an instance of `instances` was fenced or unfenced, by a record of its own.
+
+        Raises DisableRejectedError where more than the allowed share of the fleet would be fenced: what is
+        left must be able to carry the load.
+        """
+        name = INSTANCE_PREFIX + str(instance)
+        others = {other for other in state.disabled if other.startswith(INSTANCE_PREFIX)} - {name}
+        if fenced and (len(others) + 1) > instances * self._detector.limits.out_share:
+            raise DisableRejectedError(f"{len(others)} of {instances} heads are out already")
+        return self.set_disabled(state, name, fenced)
 
     def merge(self, state: AdminState, records: list[DisableRecord]) -> AdminState:
-        bans = self.table(state)
-        merged = bans.merge(records)
+        """Return the state after decisions of peers; the log has how many counted."""
+        table = self.table(state)
+        merged = table.merge(records)
         if merged.news or merged.rejected:
-            log.info("bans heard", extra={"kv": {"count": len(merged.news), "dropped": merged.rejected}})
-        return self._kept(state, bans)
+            log.info(
+                "disables received", extra={"kv": {"count": len(merged.news), "dropped": merged.rejected}}
+            )
+        return self._with_table(state, table)
 
     def publish(self, state: AdminState) -> None:
-        """From now on other heads are told of this."""
-        self._fleet.replace_disabled(self.table(state))
+        """Send peers the table of this state from now on."""
+        self._detector.replace_disabled(self.table(state))
 
     def table(self, state: AdminState) -> DisabledBackends:
-        """The records of a state. What was said while bans were this head's alone, or by an older process,
-        has none yet: it counts as said by it just now."""
-        bans = DisabledBackends(self._fleet.limits, (DisableRecord(*record) for record in state.records))
-        for brick in sorted(state.disabled ^ bans.disabled_names):
-            bans.set_disabled(brick, brick in state.disabled, self._me(), self._wall_ms())
-        return bans
+        """Return the table of a state's records.
+
+        What the state disables or enables without a record was decided before the fleet shared decisions, or
+        by an older process: it counts as decided here, now.
+        """
+        table = DisabledBackends(self._detector.limits, (_to_gossip(record) for record in state.records))
+        for name in sorted(state.disabled ^ table.disabled_names):
+            table.set_disabled(name, name in state.disabled, self._instance_number(), self._wall_ms())
+        return table
 
     @staticmethod
-    def _kept(state: AdminState, bans: DisabledBackends) -> AdminState:
-        return replace(state, disabled=bans.disabled_names, records=tuple(sorted(bans.records.values())))
+    def _with_table(state: AdminState, table: DisabledBackends) -> AdminState:
+        records = tuple(_from_gossip(record) for record in sorted(table.records.values()))
+        return replace(state, disabled=table.disabled_names, records=records)
+
+
+def _to_gossip(record: StoredDisable) -> DisableRecord:
+    return DisableRecord(record.name, record.version, record.instance, record.disabled)
+
+
+def _from_gossip(record: DisableRecord) -> StoredDisable:
+    return StoredDisable(record.backend, record.version, record.instance, record.disabled)
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -54,8 +54,7 @@
 from garnetlanding.ninep.front import ClientMachine as NinepClient
 from garnetlanding.ninep.setup import Export
 from garnetlanding.ninep.shared import Front as NinepFront
-from garnetlanding.ops.admin_client import call as call_head
-from garnetlanding.ops.admin_client import path_of
+from garnetlanding.ops.admin_client import method_and_path, send_call
 from garnetlanding.ops.admin_connection import AdminConnection
 from garnetlanding.ops.fleet_access import FleetView
 from garnetlanding.peers import codec as peers_codec
@@ -936,8 +935,8 @@
 
 def test_http_ops_calls_as_an_operator_makes_them() -> None:
     whats = ("ready", "metrics", "drain", "resume", "fleet/limits", "fleet/bans")
-    lines = [" ".join(path_of(what)) for what in whats]
-    lines += [" ".join(path_of("disable", "a/b c")), " ".join(path_of("fleet/shut-out", "3"))]
+    lines = [" ".join(method_and_path(what)) for what in whats]
+    lines += [" ".join(method_and_path("disable", "a/b c")), " ".join(method_and_path("fleet/shut-out", "3"))]
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = f"127.0.0.1:{listener.getsockname()[1]}"
 
@@ -954,8 +953,8 @@
         server = threading.Thread(target=serve, daemon=True)
         server.start()
         for what, brick in (("ready", ""), ("disable", "b0")):
-            reply = call_head(address, what, brick, 5.0)
-            lines.append(f"status {reply.status}, text {reply.text!r}, yes {reply.yes}")
+            reply = send_call(address, what, brick, 5.0)
+            lines.append(f"status {reply.status}, text {reply.text!r}, yes {reply.ok}")
         server.join(5)
     check("http_ops_calls.txt", lines)
 
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -34,8 +34,9 @@
 from garnetlanding.ops import admin_client
 from garnetlanding.ops.admin_connection import AdminConnection
 from garnetlanding.ops.admin_service import AdminService
-from garnetlanding.ops.admin_state import AdminState, AdminStateError
+from garnetlanding.ops.admin_state import AdminState, StoredDisable
 from garnetlanding.ops.admin_state import decode as decode_state
+from garnetlanding.ops.errors import AdminStateError, InstanceUnreachableError
 from garnetlanding.ops.fleet_access import FleetView
 from garnetlanding.ops.managed_instance import ManagedInstance
 from garnetlanding.ops.process_quota import ProcessRecord
@@ -328,7 +329,11 @@
 
 HEAD = "n 1/\u00e4"  # its file's name is quoted
 STATE_NAME = "garnetlanding-n%201%2F%C3%A4-operators.json"
-RECORDS = (("b0", 1000, 0, True), ("b1", 2000, 65535, False), ("head/2", 1764640899000, 1, True))
+RECORDS = (
+    StoredDisable("b0", 1000, 0, True),
+    StoredDisable("b1", 2000, 65535, False),
+    StoredDisable("head/2", 1764640899000, 1, True),
+)
 STATES: dict[str, AdminState] = {
     "banned": AdminState(frozenset({"b1", "b0", "b10", "a"})),
     "draining": AdminState(draining=True),
@@ -341,9 +346,9 @@
 def test_state_file(name: str, tmp_path: pathlib.Path) -> None:
     state, file = STATES[name], StateFile(str(tmp_path), HEAD)
     path = tmp_path / STATE_NAME
-    assert file.change(lambda old: old) == AdminState() and not path.exists(), "no change is not written"
-    file.change(lambda old: old.with_draining(True).disable("b7"))
-    file.change(lambda old: state)
+    assert file.update(lambda old: old) == AdminState() and not path.exists(), "no change is not written"
+    file.update(lambda old: old.with_draining(True).disable("b7"))
+    file.update(lambda old: state)
     committed = golden(f"state-{name}.json", path.read_bytes())
     assert sorted(p.name for p in tmp_path.iterdir()) == [STATE_NAME, STATE_NAME + ".lock"]
     assert (tmp_path / (STATE_NAME + ".lock")).read_bytes() == b""
@@ -363,7 +368,7 @@
         caplog.clear()
         assert StateFile(str(tmp_path), HEAD).load() == AdminState()
         assert [(r.getMessage(), str(r.__dict__["kv"]["why"])) for r in caplog.records] == [
-            ("state file not taken", "damaged: its checksum does not hold")
+            ("state file rejected", "damaged: its checksum does not hold")
         ]
 
 
@@ -783,12 +788,12 @@
     head_bytes, _, body = committed.partition(b"\r\n\r\n")
     status = int(head_bytes.split(b" ")[1])
     with Scripted(committed) as head:
-        reply = admin_client.call(head.address, "ready", wait_s=10)
-    assert reply == admin_client.Reply(status, body.decode()) and reply.yes == (status == 200)
+        reply = admin_client.send_call(head.address, "ready", timeout_s=10)
+    assert reply == admin_client.Reply(status, body.decode()) and reply.ok == (status == 200)
     cut = f"IncompleteRead({len(body) - 1} bytes read, 1 more expected)"
     for data, why in ((committed[:-1], cut), (committed[:5], "HTTP/"), (b"", "Remote end closed connection")):
-        with Scripted(data) as head, pytest.raises(admin_client.InstanceUnreachableError) as caught:
-            admin_client.call(head.address, "ready", wait_s=10)
+        with Scripted(data) as head, pytest.raises(InstanceUnreachableError) as caught:
+            admin_client.send_call(head.address, "ready", timeout_s=10)
         assert str(caught.value).startswith(f"{head.address}: {why}")
 
 
--- a/tests/ops/test_admin_client.py
+++ b/tests/ops/test_admin_client.py
@@ -9,40 +9,40 @@
 from garnetlanding import cli
 from garnetlanding.core.metrics import RequestMetrics, encode
 from garnetlanding.core.ports import Rejected
-from garnetlanding.ops import admin_client
+from garnetlanding.ops import admin_client, admin_output
 from tests.support.admin import Office
 
 # The command line's side.
 
 
 def test_what_a_call_is_and_how_its_answer_is_shown() -> None:
-    assert admin_client.path_of("ready") == ("GET", "/-/ready")
-    assert admin_client.path_of("disable", "a/b c") == ("POST", "/-/bricks/a%2Fb%20c/disable")
+    assert admin_client.method_and_path("ready") == ("GET", "/-/ready")
+    assert admin_client.method_and_path("disable", "a/b c") == ("POST", "/-/bricks/a%2Fb%20c/disable")
     figures = RequestMetrics(["read", "save.big"])
     figures.record("save.big", Rejected())
     reply = admin_client.Reply(200, encode(figures, 7, 3, 1))
-    lines = admin_client.as_text("metrics", reply).splitlines()
+    lines = admin_output.as_text("metrics", reply).splitlines()
     assert lines[0].split() == ["class", "success", "overload", "error"]
     assert lines[2].split() == ["save.big", "0", "1", "0"] and "concurrent: 7" in lines
-    shown = json.loads(admin_client.as_json("metrics", reply))
+    shown = json.loads(admin_output.as_json("metrics", reply))
     assert shown["yes"] and shown["figures"]["app.overload.save.big"] == 1
     assert (
-        json.loads(admin_client.as_json("drain", admin_client.Reply(500, "failed\n")))["answer"] == "failed"
+        json.loads(admin_output.as_json("drain", admin_client.Reply(500, "failed\n")))["answer"] == "failed"
     )
     with pytest.raises(ValueError, match="not a figure: 'app.x:1'"):
-        admin_client.as_text("metrics", admin_client.Reply(200, "app.x:1\n"))
+        admin_output.as_text("metrics", admin_client.Reply(200, "app.x:1\n"))
 
 
 def test_the_command_s_exit_code_says_yes_no_or_wrong(
     office: Office, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def call(address: str, what: str, brick: str = "", wait_s: float = 2.0) -> admin_client.Reply:
-        method, path = admin_client.path_of(what, brick)
+    def call(address: str, what: str, brick: str = "", timeout_s: float = 2.0) -> admin_client.Reply:
+        method, path = admin_client.method_and_path(what, brick)
         return admin_client.Reply(*office.call(path, method))
 
     unheard = cli.main(["ops", "ready", "--address", "127.0.0.1:1", "--wait", "0.2"])
     wrong = cli.main(["ops", "ready", "--address", "nowhere"])
-    monkeypatch.setattr(admin_client, "call", call)
+    monkeypatch.setattr(admin_client, "send_call", call)
     to = ["--address", office.ops.address]
     assert (unheard, wrong) == (1, 2) and "127.0.0.1:1: " in capsys.readouterr().err
     assert cli.main(["ops", "disable", "b0", *to]) == 0 and cli.main(["ops", "disable", "b9", *to]) == 1
--- a/tests/ops/test_process_registry.py
+++ b/tests/ops/test_process_registry.py
@@ -22,7 +22,7 @@
     stale.write_bytes(encode("n1", ProcessRecord(1, 1.0)))
     elder = ProcessRegistry(str(tmp_path), "n1")
     elder.publish(elder.next_share(0, False))
-    assert elder.record.share == 1 and not stale.exists() and "is gone" in caplog.text
+    assert elder.record.share == 1 and not stale.exists() and "terminated process" in caplog.text
     newer, stranger = ProcessRegistry(str(tmp_path), "n1"), ProcessRegistry(str(tmp_path), "n2")
     assert newer.next_share(0, False) == 0 and stranger.next_share(0, False) == 1
     assert elder.next_share(0, False) == 0.5 and elder.has_successor and not newer.has_successor
@@ -38,4 +38,7 @@
 ) -> None:
     elder, newer = ProcessRegistry(str(tmp_path), "n1"), ProcessRegistry(str(tmp_path), "n1")
     pathlib.Path(elder._path).write_bytes(b"half a wor")
-    assert newer.next_share(0, False) == 1 - UNREADABLE_RECORD.share and "not understood" in caplog.text
+    assert (
+        newer.next_share(0, False) == 1 - UNREADABLE_RECORD.share
+        and "another process unreadable" in caplog.text
+    )
--- a/tests/ops/test_state.py
+++ b/tests/ops/test_state.py
@@ -10,7 +10,8 @@
 import pytest
 
 from garnetlanding import config
-from garnetlanding.ops.admin_state import AdminState, AdminStateError, decode
+from garnetlanding.ops.admin_state import AdminState, decode
+from garnetlanding.ops.errors import AdminStateError
 from garnetlanding.ops.state_file import StateFile
 from tests.support.admin import Office
 from tests.support.clock import MS
@@ -24,12 +25,13 @@
     w.call("/-/bricks/b0/disable")
     other = StateFile(str(tmp_path), "n1")
     assert other.load() == AdminState(frozenset({"b0"}))
-    other.change(lambda state: state.disable("b1").with_draining(True))
+    other.update(lambda state: state.disable("b1").with_draining(True))
     w.run(w.limits.ops_look_us + 10 * MS)
     assert w.core.endpoints.disabled == {"b0", "b1"} and not w.desk.accepts_clients
     w.call("/-/resume")
-    assert other.news() == AdminState(frozenset({"b0", "b1"})), "neither undoes what the other said"
-    assert other.news() is None
+    both = AdminState(frozenset({"b0", "b1"}))
+    assert other.load_if_changed() == both, "neither undoes what the other set"
+    assert other.load_if_changed() is None
 
 
 def sealed(**change: Any) -> bytes:
@@ -56,7 +58,7 @@
         decode("n1", data)
     (tmp_path / "garnetlanding-n1-operators.json").write_bytes(data)
     w = Office(tmp_path)
-    assert w.call("/-/ready", "GET")[0] == 200 and "state file not taken" in caplog.text
+    assert w.call("/-/ready", "GET")[0] == 200 and "state file rejected" in caplog.text
     assert w.call("/-/bricks/b0/disable")[0] == 200
     kept = (tmp_path / "garnetlanding-n1-operators.json").read_bytes()
     assert decode("n1", kept) == AdminState(frozenset({"b0"}))
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -18,7 +18,7 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.decision.requests import Volume
-from garnetlanding.ops import admin_client
+from garnetlanding.ops import admin_client, admin_output
 from garnetlanding.peers import codec
 from garnetlanding.peers.codec import LeaseMessage
 from garnetlanding.peers.coordinator import PeerCoordinator
@@ -234,15 +234,15 @@
     assert row["had"] == [{"head": 1, "share": 0.6, "for_ms": row["had"][0]["for_ms"]}]  # type: ignore[index]
     rows = h.talk.known("members", h.time)
     assert [(r["head"], r["life"]) for r in rows] == [(0, h.talk.life), (1, 1), (2, None)]
-    shown = admin_client.as_text("fleet/limits", admin_client.Reply(200, json.dumps([row])))
+    shown = admin_output.as_text("fleet/limits", admin_client.Reply(200, json.dumps([row])))
     assert "n1 0.6 for" in shown and "volume" in shown
     assert (
-        json.loads(admin_client.as_json("fleet/members", admin_client.Reply(200, json.dumps(rows))))[
+        json.loads(admin_output.as_json("fleet/members", admin_client.Reply(200, json.dumps(rows))))[
             "members"
         ]
         == rows
     )
-    assert admin_client.path_of("fleet/limits") == ("GET", "/-/fleet/limits")
+    assert admin_client.method_and_path("fleet/limits") == ("GET", "/-/fleet/limits")
 
 
 def test_the_call_on_the_fleet_is_known_only_where_heads_hear_each_other(
--- a/tests/peers/test_disabled_backends.py
+++ b/tests/peers/test_disabled_backends.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from garnetlanding.http.errors import HttpError
-from garnetlanding.ops.admin_state import AdminState, AdminStateError, decode, encode
+from garnetlanding.ops.admin_state import AdminState, StoredDisable, decode, encode
+from garnetlanding.ops.errors import AdminStateError, DisableRejectedError
 from garnetlanding.ops.replicated_disables import ReplicatedDisables
 from garnetlanding.ops.state_file import StateFile
 from garnetlanding.peers.disabled_backends import (
@@ -105,17 +105,17 @@
 def test_bans_are_kept_on_disk_with_their_versions(tmp_path: pathlib.Path) -> None:
     fleet, file = FailureDetector(LIMITS), StateFile(str(tmp_path), "n1")
     desk = shared(fleet)
-    state = file.change(lambda s: desk.set_disabled(s, "b1", True))
+    state = file.update(lambda s: desk.set_disabled(s, "b1", True))
     assert state.disabled == {"b1"} and file.load() == state
     desk.publish(state)
     assert fleet.disabled.records["b1"] == DisableRecord("b1", 1000, 0, True)
     later = DisableRecord("b1", 2000, 1, False)
-    state = file.change(lambda s: desk.merge(s, [later]))
-    assert not state.disabled and state.records == (later,)
+    state = file.update(lambda s: desk.merge(s, [later]))
+    assert not state.disabled and state.records == (StoredDisable("b1", 2000, 1, False),)
     assert desk.merge(state, [DisableRecord("b1", 1500, 2, True)]) == state, "last week's word"
-    older = decode("n1", encode("n1", AdminState(frozenset({"b2"}), records=(later,))))
+    older = decode("n1", encode("n1", AdminState(frozenset({"b2"}), records=state.records)))
     assert desk.table(older).disabled_names == {"b2"}, "put out by a process that had no versions"
-    with pytest.raises(HttpError, match="bytes"):
+    with pytest.raises(DisableRejectedError, match="bytes"):
         desk.set_disabled(state, "x" * 200, True)
     with pytest.raises(AdminStateError, match="record"):
-        decode("n1", encode("n1", AdminState(records=(("b", "x", 0, True),))))  # type: ignore[arg-type]
+        decode("n1", encode("n1", AdminState(records=(StoredDisable("b", "x", 0, True),))))  # type: ignore[arg-type]
