--- a/garnetlanding/core/retry_safety.py
+++ b/garnetlanding/core/retry_safety.py
@@ -27,7 +27,7 @@
         return True
     for earlier in attempt.request.attempts[: attempt.number]:
         if earlier.outcome not in NEVER_RAN:
-            return spec.effect is Effect.KEYED and now < earlier.sent_at + spec.window_us
+            return spec.effect is Effect.KEYED and now < earlier.sent_at + spec.deduplication_window_us
     return True
 
 
--- a/garnetlanding/decision/attempt_rules.py
+++ b/garnetlanding/decision/attempt_rules.py
@@ -32,11 +32,11 @@
     """Return whether the endpoint's backend drops a repeat of what may have run, or a repeat does nothing."""
     if traffic_class.effect is not Effect.KEYED:
         return traffic_class.effect is Effect.SAFE
-    if now >= min(attempt.sent_at for attempt in may_have_run) + traffic_class.window_us:
+    if now >= min(attempt.sent_at for attempt in may_have_run) + traffic_class.deduplication_window_us:
         return False
-    if traffic_class.group is DeduplicationScope.ZONE:
+    if traffic_class.deduplication_scope is DeduplicationScope.ZONE:
         return all(attempt.health.endpoint.zone == endpoint.zone for attempt in may_have_run)
-    if traffic_class.group is DeduplicationScope.CELL:
+    if traffic_class.deduplication_scope is DeduplicationScope.CELL:
         return all(attempt.cell == endpoint.cell for attempt in may_have_run)
     return True
 
@@ -46,6 +46,6 @@
     traffic_class = request.traffic_class
     if traffic_class.effect is Effect.SAFE:
         return True
-    if traffic_class.effect is Effect.KEYED and traffic_class.group is DeduplicationScope.ALL:
+    if traffic_class.effect is Effect.KEYED and traffic_class.deduplication_scope is DeduplicationScope.ALL:
         return True
     return not request.attempts_that_may_have_run()
--- a/garnetlanding/decision/control.py
+++ b/garnetlanding/decision/control.py
@@ -95,7 +95,7 @@
             self._admission.finish(request)
 
     def _on_stream_started(self, event: api.StreamStarted) -> None:
-        """The client has got the first part of an answer: the end of that attempt is the final one."""
+        """Leave the final answer to that attempt, however long it takes."""
         request = self.state.requests.get(event.request)
         if request:
             request.answer_by = NEVER
--- a/garnetlanding/decision/retries.py
+++ b/garnetlanding/decision/retries.py
@@ -27,13 +27,13 @@
         attempt.outcome = result.outcome
         state.mark_pending(state.cells[attempt.cell])
         record_result(state, request, attempt, result)
-        if result.used > 0:
-            request.volume.usage_percent = result.used - 1
+        if result.usage > 0:
+            request.volume.usage_percent = result.usage - 1
         if result.outcome in MAY_STILL_RUN and request.arrival.key in state.ordered_keys:
             rest = state.settings.ordered_key_rest_us + state.settings.tick_us
             state.ordered_keys[request.arrival.key].rest_until = state.now + rest
         if not request.answered:
-            if result.over:
+            if result.answered:
                 self._admission.finish(request)
             elif request.queued_cell is None and not request.in_flight():
                 self._retry(request)
--- a/garnetlanding/decision/state.py
+++ b/garnetlanding/decision/state.py
@@ -142,12 +142,12 @@
 
     def follow_quota_shares(self, event: api.QuotaShares) -> None:
         """Take up this instance's parts of the volumes' plans and of the common budgets."""
-        for name, share in event.parts.items():
+        for name, share in event.quota_shares.items():
             volume = self.volumes[name]
             volume.quota_share = share
             volume.refit(self.now, self.settings)
-        if event.shares is not None:
-            self.budget_shares = event.shares
+        if event.budget_shares is not None:
+            self.budget_shares = event.budget_shares
 
     def follow_suspicions(self, event: api.PeerSuspicions) -> None:
         """Take up which backends other instances have reported; one not named is not suspected any more."""
--- a/garnetlanding/emulator/suspicion_net.py
+++ b/garnetlanding/emulator/suspicion_net.py
@@ -233,7 +233,7 @@
             took_us = MS
             outcome = Outcome.UNREACHABLE
         is_over = outcome is Outcome.SERVED
-        result = api.Result(attempt.request, number, attempt.node, outcome, took_us, over=is_over)
+        result = api.Result(attempt.request, number, attempt.node, outcome, took_us, answered=is_over)
         self._deliver(now + took_us, instance, result)
 
 
--- a/garnetlanding/peers/shared_budgets.py
+++ b/garnetlanding/peers/shared_budgets.py
@@ -66,7 +66,7 @@
                     self._forget(event.request)
                 case api.Result():
                     self._request_retry(event, now, settings, hosts)
-                    if event.over:
+                    if event.answered:
                         self._forget(event.request)
 
     def _update_warming(self, update: api.EndpointListUpdate, now: int, settings: api.Settings) -> None:
--- a/garnetlanding/wire.py
+++ b/garnetlanding/wire.py
@@ -119,8 +119,8 @@
             latency_objective_us=get(p + "PromiseUs", _integer),
             deadline_us=get(p + "GiveUpUs", _integer),
             effect=get(p + "Effect", EFFECTS.__getitem__),
-            group=get(p + "Group", GROUPS.__getitem__, api.DeduplicationScope.ALL),
-            window_us=get(p + "RepeatWindowUs", _integer, 0),
+            deduplication_scope=get(p + "Group", GROUPS.__getitem__, api.DeduplicationScope.ALL),
+            deduplication_window_us=get(p + "RepeatWindowUs", _integer, 0),
             in_order=get(p + "KeepOrder", _flag, False),
         )
         classes[spec.name] = spec
--- a/tests/decision/test_decision_rules.py
+++ b/tests/decision/test_decision_rules.py
@@ -24,8 +24,8 @@
 UNREACHABLE = api.Outcome.UNREACHABLE
 ORDERED = replace(WRITE, name="ordered", in_order=True)
 UNSAFE = replace(WRITE, name="unsafe", effect=api.Effect.UNSAFE)
-EVERYWHERE = replace(WRITE, name="everywhere", group=api.DeduplicationScope.ALL)
-ZONED = replace(WRITE, name="zoned", group=api.DeduplicationScope.ZONE)
+EVERYWHERE = replace(WRITE, name="everywhere", deduplication_scope=api.DeduplicationScope.ALL)
+ZONED = replace(WRITE, name="zoned", deduplication_scope=api.DeduplicationScope.ZONE)
 CLASSES = {c.name: c for c in (READ, WRITE, ORDERED, UNSAFE, EVERYWHERE, ZONED)}
 LIMITED = api.PlanSpec("limited", 1.0, 2.0, 1.0, limit_rate=8.0, limit_burst=36.0)
 PLANS = {"gold": GOLD, "tin": TIN, "limited": LIMITED}
@@ -302,7 +302,7 @@
     def check_refusal(self, name: str) -> None:
         cls = CLASSES[self.asked[name].cls]
         if cls.effect is api.Effect.SAFE or (
-            cls.effect is api.Effect.KEYED and cls.group is api.DeduplicationScope.ALL
+            cls.effect is api.Effect.KEYED and cls.deduplication_scope is api.DeduplicationScope.ALL
         ):
             return
         assert not self.ran(name), "refused though it may have run"
@@ -317,10 +317,10 @@
             assert s.parallel_attempts
         if ran and cls.effect is not api.Effect.SAFE:
             assert cls.effect is api.Effect.KEYED
-            assert at < min(int(str(t[1])) for t in ran) + cls.window_us
-            if cls.group is api.DeduplicationScope.CELL:
+            assert at < min(int(str(t[1])) for t in ran) + cls.deduplication_window_us
+            if cls.deduplication_scope is api.DeduplicationScope.CELL:
                 assert all(t[0] == a.node for t in ran)
-            if cls.group is api.DeduplicationScope.ZONE:
+            if cls.deduplication_scope is api.DeduplicationScope.ZONE:
                 assert all(int(str(t[0])[1:]) % 2 == cell % 2 for t in ran)
         if cls.in_order and e.key:
             before = self.keys[e.key][: self.keys[e.key].index(a.request)]
--- a/tests/golden/test_decision_digest.py
+++ b/tests/golden/test_decision_digest.py
@@ -49,8 +49,8 @@
     """Of the settings, what the scenarios change while a Controller runs, and what tells them apart."""
     classes = " ".join(
         f"({c.name} {c.priority_weight!r} {c.late_value_share!r} {c.latency_objective_us} "
-        f"{c.deadline_us} {c.effect.value} {c.group.value} "
-        f"{c.window_us} {c.in_order})"
+        f"{c.deadline_us} {c.effect.value} {c.deduplication_scope.value} "
+        f"{c.deduplication_window_us} {c.in_order})"
         for c in s.classes.values()
     )
     plans = " ".join(
@@ -78,8 +78,8 @@
             return f"stream {request} {attempt}"
         case api.Result() as e:
             return (
-                f"result {e.request} {e.attempt} {e.node or '-'} {e.outcome.value} {e.took_us} {e.over} "
-                f"{e.used} {pairs_text(e.report)}"
+                f"result {e.request} {e.attempt} {e.node or '-'} {e.outcome.value} {e.took_us} {e.answered} "
+                f"{e.usage} {pairs_text(e.report)}"
             )
         case api.ClientLeft(request):
             return f"left {request}"
@@ -174,8 +174,8 @@
     write = replace(
         settings.classes["write"],
         effect=api.Effect.KEYED,
-        group=api.DeduplicationScope.CELL,
-        window_us=2 * SECOND,
+        deduplication_scope=api.DeduplicationScope.CELL,
+        deduplication_window_us=2 * SECOND,
     )
     return replace(settings, classes=settings.classes | {"write": write})
 
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -1285,8 +1285,9 @@
         lines.append(
             f"class {key}: name {c.name}, worth {c.priority_weight!r}, late {c.late_value_share!r}, "
             f"aim {c.latency_objective_us}, "
-            f"deadline {c.deadline_us}, effect {EFFECT_LABELS[c.effect]}, group {GROUP_LABELS[c.group]}, "
-            f"window {c.window_us}, in order {c.in_order}"
+            f"deadline {c.deadline_us}, effect {EFFECT_LABELS[c.effect]}, "
+            f"group {GROUP_LABELS[c.deduplication_scope]}, "
+            f"window {c.deduplication_window_us}, in order {c.in_order}"
         )
     for key, p in s.plans.items():
         lines.append(
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -649,7 +649,9 @@
                 self._tries[me, request] += 1
                 outcome, took = self.answer(node)
                 over = outcome is api.Outcome.SERVED
-                self.post(self.now + took, me, api.Result(request, attempt, node, outcome, took, over=over))
+                self.post(
+                    self.now + took, me, api.Result(request, attempt, node, outcome, took, answered=over)
+                )
             case api.SendPeerMessage(payload=payload, to=to):
                 self.tell(me, to, payload)
 
