--- a/garnetlanding/choices/__init__.py
+++ b/garnetlanding/choices/__init__.py
@@ -1,1 +1,1 @@
-"""Choices that each head makes alone and that add up over the fleet: what is decided, without I/O."""
+"""Choices that each instance makes alone and that add up over the fleet: functions and caches, no I/O."""
--- a/garnetlanding/choices/setup.py
+++ b/garnetlanding/choices/setup.py
@@ -5,25 +5,33 @@
 from dataclasses import dataclass, replace
 
 from garnetlanding.config.section import Section
-from garnetlanding.decision import interface as api
+from garnetlanding.decision.interface import Settings
 
-SECOND = 1_000_000
-MOST_SERVERS, LONGEST_S = 10_000, 3600
+SECOND_US = 1_000_000
+MAX_COUNT = 10_000  # bound of the section's numbers without a unit
+MAX_SPAN_S = 3600
+MIN_IDLE_S = 0.05
+MIN_WINDOW_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class ChoicesSetup:
-    subset_size: int = 0  # servers to which idle connections are kept; 0: to all
-    idle_timeout_us: int = SECOND  # one to another server is closed once it has stood idle for so long
-    retry_budget_ratio: float = (
-        0.0  # further attempts for each first try, over the span; 0 with free 0: no budget
-    )
-    retry_budget_floor: float = 0.0  # and so many more
-    retry_budget_window_us: int = 10 * SECOND
-
-    def with_retry_budget(self, settings: api.Settings) -> api.Settings:
-        """With the budget of further attempts, where the settings have none of their own."""
-        if settings.retry_budget_window_us or not (self.retry_budget_ratio or self.retry_budget_floor):
+    """What the section says, in the code's terms."""
+
+    subset_size: int = 0
+    """Backends to which idle connections are kept; 0: to all."""
+    idle_timeout_us: int = SECOND_US
+    """How long a connection to any other backend may be idle before it is closed."""
+    retry_budget_ratio: float = 0.0
+    """Retries for each first attempt over the window. Where this and the floor are 0, there is no budget."""
+    retry_budget_floor: float = 0.0
+    """Retries over the window beyond those."""
+    retry_budget_window_us: int = 10 * SECOND_US
+
+    def with_retry_budget(self, settings: Settings) -> Settings:
+        """Return the settings with this retry budget, unless they have one of their own or this has none."""
+        has_budget = self.retry_budget_ratio or self.retry_budget_floor
+        if settings.retry_budget_window_us or not has_budget:
             return settings
         return replace(
             settings,
@@ -34,15 +42,15 @@
 
 
 def read(data: object) -> ChoicesSetup:
-    """Raises ConfigError."""
+    """Read the section. Raises ConfigError, which names the key at fault."""
     section = Section(data, "choices", "subset idle_s resend_share resend_free resend_span_s")
-    subset = section.number("subset", 0, 0, MOST_SERVERS)
-    if subset != int(subset):
-        raise section.error("subset", f"expected a whole number, found {subset!r:.40}")
+    subset_size = section.number("subset", 0, 0, MAX_COUNT)
+    if subset_size != int(subset_size):
+        raise section.error("subset", f"expected a whole number, found {subset_size!r:.40}")
     return ChoicesSetup(
-        int(subset),
-        int(section.number("idle_s", 0.05, 1, LONGEST_S) * SECOND),
-        section.number("resend_share", 0, 0, MOST_SERVERS),
-        section.number("resend_free", 0, 0, MOST_SERVERS),
-        int(section.number("resend_span_s", 0.1, 10, LONGEST_S) * SECOND),
+        subset_size=int(subset_size),
+        idle_timeout_us=int(section.number("idle_s", MIN_IDLE_S, 1, MAX_SPAN_S) * SECOND_US),
+        retry_budget_ratio=section.number("resend_share", 0, 0, MAX_COUNT),
+        retry_budget_floor=section.number("resend_free", 0, 0, MAX_COUNT),
+        retry_budget_window_us=int(section.number("resend_span_s", MIN_WINDOW_S, 10, MAX_SPAN_S) * SECOND_US),
     )
--- a/garnetlanding/choices/stagger.py
+++ b/garnetlanding/choices/stagger.py
@@ -1,13 +1,19 @@
-"""When each head does what all heads do on one signal: by numbers alone, for heads that may not talk."""
+"""Staggers what all instances do on one signal, by their numbers alone: they need not exchange messages."""
 
 from __future__ import annotations
 
 import zlib
 
+CRC32_RANGE = 1 << 32
 
-def stagger_offset(number: int, heads: int, signal: str = "") -> float:
-    """The place of head `number` of so many in `[0, 1)`: evenly spaced, in an order that the signal turns, so
-    that no head is always the last. A head that is wrong about their number has another place and holds up
-    nobody."""
-    heads = max(1, heads)
-    return (number % heads / heads + zlib.crc32(signal.encode()) / (1 << 32)) % 1.0
+
+def stagger_offset(instance: int, instances: int, signal: str = "") -> float:
+    """Return the slot of one of so many instances, as a part in [0, 1) of the span that all share.
+
+    Slots are evenly spaced. The signal's name rotates their order, so that no instance is always the last. An
+    instance that is wrong about their number has another slot and delays nobody.
+    """
+    instances = max(1, instances)
+    slot = instance % instances / instances
+    rotation = zlib.crc32(signal.encode()) / CRC32_RANGE
+    return (slot + rotation) % 1.0
--- a/garnetlanding/choices/subsets.py
+++ b/garnetlanding/choices/subsets.py
@@ -1,9 +1,9 @@
-"""Which servers each head keeps connections to: the same at every head that has the same two sets.
+"""Which backends each instance keeps connections to: the same at every instance that has the same two sets.
 
-Highest random weights with quotas (docs/design/adding-up.md): every head wants the servers with its best
-weights, a server takes the heads with the best weights up to its quota, and who is turned away asks its next
-best. That is deferred acceptance (Gale and Shapley), whose outcome depends on nothing but the sets, here with
-both sides ranking a pair by one number, so that a change touches few pairs.
+Highest random weights with quotas (docs/design/adding-up.md): every instance wants the backends with its
+highest weights, a backend accepts the instances with the highest weights up to its quota, and who is rejected
+proposes to its next best. That is deferred acceptance (Gale and Shapley), whose outcome depends on nothing
+but the sets; here both sides rank a pair by one number, so that a change of the sets moves few pairs.
 """
 
 from __future__ import annotations
@@ -13,94 +13,136 @@
 from collections.abc import Collection, Mapping
 from functools import lru_cache
 from hashlib import blake2b
+from typing import NamedTuple
+
+Subsets = dict[int, set[str]]
+"""The names of each instance's backends, by the instance's number."""
+
+NOBODY = -1  # in place of an instance, for weights that a backend has of its own
+WEIGHT_RANGE = 1 << 64
 
 
 @lru_cache(maxsize=1 << 17)
-def weight(head: int, server: str) -> int:
-    """What a head and a server are worth to each other."""
-    return int.from_bytes(blake2b(f"{head} {server}".encode(), digest_size=8).digest(), "big")
+def weight(instance: int, backend: str) -> int:
+    """Return the rank, in [0, WEIGHT_RANGE), that an instance and a backend give each other."""
+    return int.from_bytes(blake2b(f"{instance} {backend}".encode(), digest_size=8).digest(), "big")
 
 
-def shares(head: int, zones: Mapping[str, Collection[str]], k: int) -> dict[str, int]:
-    """How many of a head's `k` servers lie in each zone: in proportion to its servers, what does not divide
-    going to zones by weights of the head's own, so that over many heads it does."""
+def zone_counts(instance: int, zones: Mapping[str, Collection[str]], size: int) -> dict[str, int]:
+    """Return how many of an instance's `size` backends lie in each zone: in proportion to its backends.
+
+    What does not divide goes to zones by lots of the instance's own, so that it does over many instances.
+    """
     total = sum(map(len, zones.values()))
-    k = min(k, total)
-    found = {zone: k * len(servers) // total for zone, servers in zones.items()}
+    size = min(size, total)
+    counts = {zone: size * len(backends) // total for zone, backends in zones.items()}
 
     def lot(zone: str) -> float:
-        rest = k * len(zones[zone]) / total - found[zone]
-        draw = (weight(head, f"zone {zone}") + 1) / (1 << 64)
-        return float(draw ** (1 / rest)) if rest else -1.0
+        remainder = size * len(zones[zone]) / total - counts[zone]
+        if not remainder:
+            return -1.0
+        draw = (weight(instance, f"zone {zone}") + 1) / WEIGHT_RANGE
+        return float(draw ** (1 / remainder))
+
+    undivided = size - sum(counts.values())
+    for zone in sorted(zones, key=lambda zone: (-lot(zone), zone))[:undivided]:
+        counts[zone] += 1
+    return counts
 
-    for zone in sorted(zones, key=lambda zone: (-lot(zone), zone))[: k - sum(found.values())]:
-        found[zone] += 1
+
+def match(wanted: Mapping[int, int], quotas: Mapping[str, int]) -> Subsets:
+    """Give each instance its best backends, as many as wanted, and no backend more instances than its quota.
+
+    For an instance that all backends have rejected another one moves.
+    """
+    backends = list(quotas)
+    ranked = {
+        instance: sorted(backends, key=lambda backend: weight(instance, backend), reverse=True)
+        for instance in wanted
+    }
+    accepted, short = _deferred_acceptance(wanted, quotas, ranked)
+    found: Subsets = {instance: set() for instance in wanted}
+    for backend, instances in accepted.items():
+        for instance in instances:
+            found[instance].add(backend)
+    free_places = {backend: quotas[backend] - len(accepted[backend]) for backend in backends}
+    for instance in sorted(short):
+        _place(instance, ranked[instance], found, free_places)
     return found
 
 
-def match(wanted: Mapping[int, int], quotas: Mapping[str, int]) -> dict[int, set[str]]:
-    """Each head its best servers, as many as wanted, each server at most its quota of heads; for a head that
-    all have turned away another one moves."""
-    servers = list(quotas)
-    ranked = {head: sorted(servers, key=lambda s: weight(head, s), reverse=True) for head in wanted}
-    at = dict.fromkeys(wanted, 0)
-    taken: dict[str, list[tuple[int, int]]] = {server: [] for server in servers}
-    asking = [head for head, count in sorted(wanted.items()) for _ in range(count)]
+class _Acceptance(NamedTuple):
+    accepted: dict[str, list[int]]  # the instances that each backend accepts
+    short: list[int]  # an instance as often as places are left to it that every backend has rejected
+
+
+def _deferred_acceptance(
+    wanted: Mapping[int, int], quotas: Mapping[str, int], ranked: Mapping[int, list[str]]
+) -> _Acceptance:
+    """Let instances propose, backend by backend in their own order, until all are accepted or rejected."""
+    next_choice = dict.fromkeys(wanted, 0)  # index into `ranked`
+    accepted: dict[str, list[tuple[int, int]]] = {backend: [] for backend in quotas}  # heaps by weight
+    proposing = [instance for instance, count in sorted(wanted.items()) for _ in range(count)]
     short: list[int] = []
-    while asking:
-        head = asking.pop()
-        if at[head] == len(ranked[head]):
-            short.append(head)
+    while proposing:
+        instance = proposing.pop()
+        if next_choice[instance] == len(ranked[instance]):
+            short.append(instance)
             continue
-        server = ranked[head][at[head]]
-        at[head] += 1
-        heapq.heappush(taken[server], (weight(head, server), head))
-        if len(taken[server]) > quotas[server]:
-            asking.append(heapq.heappop(taken[server])[1])
-    found: dict[int, set[str]] = {head: set() for head in wanted}
-    for server, heads in taken.items():
-        for _, head in heads:
-            found[head].add(server)
-    room = {server: quotas[server] - len(taken[server]) for server in servers}
-    for head in sorted(short):
-        _make_room(head, ranked[head], found, room)
-    return found
+        backend = ranked[instance][next_choice[instance]]
+        next_choice[instance] += 1
+        heapq.heappush(accepted[backend], (weight(instance, backend), instance))
+        if len(accepted[backend]) > quotas[backend]:
+            _, rejected = heapq.heappop(accepted[backend])
+            proposing.append(rejected)
+    by_backend = {backend: [instance for _, instance in heap] for backend, heap in accepted.items()}
+    return _Acceptance(by_backend, short)
+
 
+def _place(instance: int, ranked: list[str], found: Subsets, free_places: dict[str, int]) -> None:
+    """Find a place for an instance that every backend which it lacks has rejected, being full.
 
-def _make_room(head: int, ranked: list[str], found: dict[int, set[str]], room: dict[str, int]) -> None:
-    """Every server that it lacks is full, and it has those that are not: somebody goes there, and it takes
-    that one's place. Where nobody can, it takes its best one over the quota."""
-    lacking = [server for server in ranked if server not in found[head]]
-    for free in sorted(server for server, left in room.items() if left > 0):
-        for server in lacking:
-            movers = [other for other, some in found.items() if server in some and free not in some]
+    Some other instance moves from one of those to a backend with a free place, which the instance itself has
+    already, and it takes that one's place. Where none can move, it takes its best backend, over the quota.
+    """
+    lacking = [backend for backend in ranked if backend not in found[instance]]
+    for free in sorted(backend for backend, places in free_places.items() if places > 0):
+        for backend in lacking:
+            movers = [other for other, some in found.items() if backend in some and free not in some]
             if movers:
-                other = min(movers, key=lambda other: (weight(other, server), other))
-                found[other] = found[other] - {server} | {free}
-                found[head].add(server)
-                room[free] -= 1
+                mover = min(movers, key=lambda other: (weight(other, backend), other))
+                found[mover] = found[mover] - {backend} | {free}
+                found[instance].add(backend)
+                free_places[free] -= 1
                 return
-    found[head].add(lacking[0])
-
-
-def subsets(
-    heads: Collection[int], servers: Mapping[str, str], k: int, slack: int = 0
-) -> dict[int, set[str]]:
-    """By head, its servers. `servers`: the zone of each; `slack`: heads that a server takes over its share:
-    fewer pairs move at a change, and heads are spread less evenly."""
-    zones: dict[str, list[str]] = defaultdict(list)
-    for server, zone in sorted(servers.items()):
-        zones[zone].append(server)
-    found: dict[int, set[str]] = {head: set() for head in heads}
-    if not servers:
+    found[instance].add(lacking[0])
+
+
+def subsets(instances: Collection[int], zones: Mapping[str, str], size: int, slack: int = 0) -> Subsets:
+    """Return the backends of each instance.
+
+    `zones`: the zone of each backend. `size`: how many backends each instance is to have. `slack`: how many
+    instances a backend accepts beyond its even quota: fewer pairs move at a change, and instances are spread
+    less evenly.
+    """
+    members: dict[str, list[str]] = defaultdict(list)  # the backends of each zone
+    for backend, zone in sorted(zones.items()):
+        members[zone].append(backend)
+    found: Subsets = {instance: set() for instance in instances}
+    if not zones:
         return found
-    wanted = {head: shares(head, zones, k) for head in heads}
-    for zone, members in zones.items():
-        mine = {head: wanted[head][zone] for head in heads}
-        even, more = divmod(sum(mine.values()), len(members))
-        # What does not divide goes to the servers with the best weights of their own.
-        first = set(sorted(members, key=lambda s: weight(-1, s), reverse=True)[:more])
-        quotas = {server: even + (server in first) + slack for server in members}
-        for head, some in match(mine, quotas).items():
-            found[head] |= some
+    counts = {instance: zone_counts(instance, members, size) for instance in instances}
+    for zone, backends in members.items():
+        wanted = {instance: counts[instance][zone] for instance in instances}
+        quotas = _even_quotas(backends, sum(wanted.values()), slack)
+        for instance, some in match(wanted, quotas).items():
+            found[instance] |= some
     return found
+
+
+def _even_quotas(backends: list[str], places: int, slack: int) -> dict[str, int]:
+    """Spread so many places over backends; what does not divide goes to those of the highest own weights."""
+    even, undivided = divmod(places, len(backends))
+    ranked = sorted(backends, key=lambda backend: weight(NOBODY, backend), reverse=True)
+    first = set(ranked[:undivided])
+    return {backend: even + (backend in first) + slack for backend in backends}
--- a/tests/choices/test_subsets.py
+++ b/tests/choices/test_subsets.py
@@ -92,7 +92,7 @@
 
 def swapped(name: str) -> Any:
     """Variants that are broken on purpose."""
-    real_weight, real_match, real_shares = module.weight.__wrapped__, module.match, module.shares
+    real_weight, real_match, real_counts = module.weight.__wrapped__, module.match, module.zone_counts
     match name:
         case "the first server is left out":
             return "match", lambda wanted, quotas: real_match(
@@ -110,19 +110,19 @@
                 {h: max(0, n - 1) for h, n in wanted.items()}, quotas
             )
         case "all in one zone":
-            return "shares", lambda head, zones, k: {
+            return "zone_counts", lambda head, zones, k: {
                 z: min(k, len(m)) if z == min(zones) else 0 for z, m in zones.items()
             }
         case "what does not divide goes nowhere":
-            return "shares", lambda head, zones, k: {
-                z: n - (n > 0 and z == max(zones)) for z, n in real_shares(head, zones, k).items()
+            return "zone_counts", lambda head, zones, k: {
+                z: n - (n > 0 and z == max(zones)) for z, n in real_counts(head, zones, k).items()
             }
         case "who is turned away over the quota":
-            return "_make_room", lambda head, ranked, found, room: found[head].add(
+            return "_place", lambda head, ranked, found, room: found[head].add(
                 next(s for s in ranked if s not in found[head])
             )
         case "who is turned away gives up":
-            return "_make_room", lambda head, ranked, found, room: None
+            return "_place", lambda head, ranked, found, room: None
         case "in the order of arrival":
 
             def first_come(wanted: dict[int, int], quotas: dict[str, int]) -> dict[int, set[str]]:
