--- a/garnetlanding/daemon/assembly.py
+++ b/garnetlanding/daemon/assembly.py
@@ -46,6 +46,7 @@
 from garnetlanding.resp.brick import bricks
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.scheduler import Scheduler
+from garnetlanding.store.setup import StoreRole
 
 if TYPE_CHECKING:  # what is off is not imported
     from garnetlanding.daemon.admin import AdminFront
@@ -237,7 +238,7 @@
 
 def _build_replication(instance: Instance) -> StoreReplication | None:
     setup = instance.config.operator.store
-    if setup.role == "alone":
+    if setup.role is StoreRole.ALONE:
         return None
     from garnetlanding.daemon.replication import StoreReplication
 
@@ -260,8 +261,8 @@
     replication: StoreReplication | None,
     history: HistoryRecording | None,
 ) -> Fencing | None:
-    if group is None and replication is None:
-        return None
+    if group is None and not instance.config.operator.store.max_staleness_us:
+        return None  # nothing can fence this instance
     from garnetlanding.daemon.fencing import Fencing
 
     return Fencing(instance, link, replication, history, by_operator=group is not None)
--- a/garnetlanding/daemon/fencing.py
+++ b/garnetlanding/daemon/fencing.py
@@ -34,10 +34,9 @@
         self._by_operator = by_operator
 
     def start(self) -> None:
-        """Let the engine ask from now on, where anything can fence this instance."""
-        if self._by_operator or (self._replication and self._replication.staleness_guard):
-            self._instance.core.fence.may_act = self._may_act
-            self._instance.core.fence.on_change.append(self._fence_changed)
+        """Let the engine ask from now on."""
+        self._instance.core.fence.may_act = self._may_act
+        self._instance.core.fence.on_change.append(self._fence_changed)
 
     def _may_act(self, now: int) -> bool:
         core = self._instance.core
--- a/garnetlanding/daemon/replication.py
+++ b/garnetlanding/daemon/replication.py
@@ -6,7 +6,7 @@
 
 from garnetlanding.daemon.instance import Instance
 from garnetlanding.daemon.lifecycle import Subsystem
-from garnetlanding.store.setup import StoreSetup
+from garnetlanding.store.setup import StoreRole, StoreSetup
 
 if TYPE_CHECKING:  # what is off is not imported
     from garnetlanding.store.staleness_guard import StalenessGuard
@@ -24,7 +24,7 @@
 
     def start(self) -> None:
         """Listen for followers, or follow the writer."""
-        if self._setup.role == "writer":
+        if self._setup.role is StoreRole.WRITER:
             self._serve()
         else:
             self._follow()
--- a/garnetlanding/daemon/settings.py
+++ b/garnetlanding/daemon/settings.py
@@ -20,6 +20,7 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.store.cached_endpoints import SETTINGS
+from garnetlanding.store.setup import StoreRole
 from garnetlanding.store.store import Entry, Store
 
 log = logging.getLogger(__name__)
@@ -32,8 +33,8 @@
     """
     setup = config.operator.store
     # Only followers read the log: without any it would hold on to lists long replaced.
-    log_entries = config.limits.store_log_entries if setup.role == "writer" else 0
-    store = Store(setup.writer, setup.role != "follower", log_entries)
+    log_entries = config.limits.store_log_entries if setup.role is StoreRole.WRITER else 0
+    store = Store(setup.writer, setup.role is not StoreRole.FOLLOWER, log_entries)
     persister = None
     if setup.file:
         from garnetlanding.store.persister import StorePersister
