--- a/garnetlanding/peers/connection_quota.py
+++ b/garnetlanding/peers/connection_quota.py
@@ -1,4 +1,4 @@
-"""This instance's quota of connections to each backend.
+"""The quota of connections that this instance may open to each backend.
 
 All instances together may have a set number of connections open at a backend. The quota moves between them by
 leases, like other budgets (docs/design/fleet-limits.md): a unit of it is in use for as long as its connection
--- a/tests/peers/test_connection_quota.py
+++ b/tests/peers/test_connection_quota.py
@@ -14,45 +14,51 @@
 
 
 class Shared:
-    """Leases of two heads that hear each other, and the places of the first."""
+    """Leases of two instances that exchange messages, and the connection quota of the first."""
 
     def __init__(self) -> None:
         self.now, window = T0, 2 * SECOND
-        self.heads = [
+        self.instances = [
             Leases(LIMITS, InstanceIdentity(me, 2, 7), T0 - SECOND, window_us=window) for me in range(2)
         ]
-        self.places = ConnectionQuota(8, window, lambda: self.now, lambda: SharedLeases(self.heads[0], 2))
+        self.quota = ConnectionQuota(8, window, lambda: self.now, lambda: SharedLeases(self.instances[0], 2))
 
-    def talk(self, seconds: float, mine: int = 0, theirs: int = 0, lacking: bool = False) -> None:
-        """Each head has so many connections open; the first, where it is `lacking`, wants one more."""
+    def exchange(self, seconds: float, own: int = 0, peers: int = 0, lacking: bool = False) -> None:
+        """Exchange messages while each instance has so many connections open.
+
+        The first one, where it is `lacking`, wants one more.
+        """
         for _ in range(int(seconds * 4)):
             self.now += SECOND // 4
-            self.places.set_open("n0", mine, lacking)
-            self.heads[1].record_demand("places:n0", 2, 4.0, 0, self.now, 2 * SECOND)
-            self.heads[1].set_in_use("places:n0", theirs)
+            self.quota.set_open("n0", own, lacking)
+            self.instances[1].record_demand("places:n0", 2, 4.0, 0, self.now, 2 * SECOND)
+            self.instances[1].set_in_use("places:n0", peers)
             for sender, receiver in ((0, 1), (1, 0)):
-                number = self.heads[sender].next_number(self.now)
-                for page in self.heads[sender].compose(self.now).values():
-                    heard = self.heads[sender].last_received(receiver)
-                    self.heads[receiver].receive(
+                number = self.instances[sender].next_number(self.now)
+                for page in self.instances[sender].compose(self.now).values():
+                    heard = self.instances[sender].last_received(receiver)
+                    self.instances[receiver].receive(
                         sender, codec.LeaseMessage(7, number, *heard, *page), self.now
                     )
 
-    def others(self) -> int:
-        return int(self.heads[1].usable_share(codec.tag("places:n0"), self.now) * 8 + 1e-9)
+    def peers_quota(self) -> int:
+        return int(self.instances[1].usable_share(codec.tag("places:n0"), self.now) * 8 + 1e-9)
 
 
-def test_places_at_a_server_move_to_the_head_that_lacks_them_and_never_add_up_to_more() -> None:
-    s = Shared()
-    assert s.places.max_connections("n0") == 0, "what an earlier life had open may not have ended"
-    s.talk(3)
-    assert s.places.max_connections("n0") == 4
-    s.talk(3, mine=4, lacking=True)
-    assert s.places.max_connections("n0") > 5 and s.places.max_connections("n0") + s.others() <= 8
+def test_connection_quota_moves_to_the_instance_that_lacks_it_and_never_exceeds_the_whole() -> None:
+    shared = Shared()
+    assert shared.quota.max_connections("n0") == 0, "what an earlier incarnation had open may not be closed"
+    shared.exchange(3)
+    assert shared.quota.max_connections("n0") == 4
+    shared.exchange(3, own=4, lacking=True)
+    assert (
+        shared.quota.max_connections("n0") > 5
+        and shared.quota.max_connections("n0") + shared.peers_quota() <= 8
+    )
     more = Shared()
-    more.talk(3)
-    more.talk(3, mine=4, theirs=4, lacking=True)
-    assert more.places.max_connections("n0") == 4, "none that the other has open"
+    more.exchange(3)
+    more.exchange(3, own=4, peers=4, lacking=True)
+    assert more.quota.max_connections("n0") == 4, "none of those that the other has open"
     nobody = ConnectionQuota(8, SECOND, lambda: T0, lambda: None)
     nobody.set_open("n0", 1)
     assert nobody.max_connections("n0") == 0
@@ -60,22 +66,22 @@
     assert ConnectionQuota(8, SECOND, lambda: T0, lambda: SharedLeases(alone, 1)).max_connections("n0") == 8
 
 
-class Few:
-    """Places that a test sets."""
+class FixedQuota:
+    """A quota that a test sets."""
 
     def __init__(self) -> None:
-        self.allowed, self.told = 2, list[tuple[int, bool]]()
+        self.allowed, self.reported = 2, list[tuple[int, bool]]()
 
     def max_connections(self, backend: str) -> int:
         return self.allowed
 
     def set_open(self, backend: str, count: int, lacking: bool = False) -> None:
-        self.told.append((count, lacking))
+        self.reported.append((count, lacking))
 
 
-def test_a_head_opens_no_more_connections_than_it_has_places_and_closes_what_has_gone_back() -> None:
-    w, few = SimulatedInstance(), Few()
-    w.bricks.places = few
+def test_pool_opens_no_more_connections_than_the_quota_and_closes_those_beyond_it() -> None:
+    w, quota = SimulatedInstance(), FixedQuota()
+    w.bricks.places = quota
     brick = w.server(Brick)
     brick.hold = True
     w.list(Box("n0", brick.address, 0))
@@ -83,9 +89,9 @@
     peers = [LoopbackClient(w, front.address) for _ in range(3)]
     for i, peer in enumerate(peers):
         peer.say(read_command(f"r{i}"))
-    assert len(brick.conns) == 2 and (2, True) in few.told, "the third lacks a place"
-    few.allowed = 1
+    assert len(brick.conns) == 2 and (2, True) in quota.reported, "the third lacks a connection"
+    quota.allowed = 1
     brick.hold = False
     brick.release()
     w.run(SECOND)
-    assert len(brick.conns) == 1 and few.told[-1][0] == 1, "the other was closed as it came free"
+    assert len(brick.conns) == 1 and quota.reported[-1][0] == 1, "the other was closed as it came free"
--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -32,13 +32,13 @@
 
 
 @pytest.mark.parametrize("name", BUDGETS)
-def test_all_heads_together_spend_no_more_than_the_budget_within_any_window(name: str) -> None:
+def test_all_instances_spend_no_more_than_the_budget_within_any_window(name: str) -> None:
     for seed in range(8):
         seen = BudgetSimulation(replace(BUDGETS[name], seed=seed)).run()
         assert seen.greatest_sum <= 1 + 1e-9, f"seed {seed}: {seen.greatest_sum} at {seen.greatest_sum_at} us"
 
 
-def test_a_head_alone_can_spend_most_of_the_budget() -> None:
+def test_single_busy_instance_can_spend_most_of_the_budget() -> None:
     calm = BudgetScenario(calm=True, other_demand=0.0, shift_us=60 * SECOND, length_us=20 * SECOND)
     assert BudgetSimulation(calm).run().usable > 0.75
 
@@ -52,10 +52,13 @@
 
 
 @pytest.mark.parametrize(
-    "where, name, instead",
-    [(Leases, "_quarantine_us", property(lease_alone)), (Demand, "locked_share", nothing_locked)],
+    ("where", "name", "instead"),
+    [
+        pytest.param(Leases, "_quarantine_us", property(lease_alone), id="grants do not outlast the window"),
+        pytest.param(Demand, "locked_share", nothing_locked, id="spent units are granted"),
+    ],
 )
-def test_a_bug_put_into_budgets_on_purpose_is_found(
+def test_seeded_bug_in_budgets_is_found_by_simulation(
     where: object, name: str, instead: Callable[..., Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(where, name, instead)
@@ -66,7 +69,7 @@
     )
 
 
-def test_a_head_asks_for_the_budget_of_a_cold_server_and_counts_what_it_sends() -> None:
+def test_warmup_budget_is_requested_on_arrival_and_counted_when_spent() -> None:
     budgets = SharedBudgets(LIMITS, COLD, 1, T0)
     node = replace(up_endpoint("n0", 0), started_us=T0 - SECOND)
     ask = api.Arrival("r1", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1)
@@ -82,7 +85,7 @@
     )
     assert budgets.changed_shares(T0, 3) == {
         "cold:n0": 0.0
-    }, "a head that starts waits for its earlier life's window"
+    }, "a started instance waits for the window of its earlier incarnation"
     later = T0 + 4 * SECOND
     budgets.observe_events(later, [ask], COLD, 3)
     assert budgets.changed_shares(later, 3) == pytest.approx({"cold:n0": 1.0})
@@ -98,12 +101,12 @@
     assert told and told[api.LIST_CALLS] >= LIMITS.list_least
     assert "r1" in budgets._units
     budgets.observe_events(later, [api.ClientLeft("r1")], COLD, 3)
-    assert not budgets._units, "nobody waits for it any more"
+    assert not budgets._units, "its client has left"
     budgets.observe_events(later, [replace(ask, request="r3")], COLD, 3)
-    assert "r3" not in budgets._units, "it is warm"
+    assert "r3" not in budgets._units, "the backend has warmed up"
 
 
-def test_the_module_sends_a_cold_server_what_its_share_allows() -> None:
+def test_decision_module_sends_a_warming_backend_what_its_share_allows() -> None:
     sent = {}
     for share in (0.0, 1.0, 3.0):
         module = Controller(replace(COLD, overload_multiple=0.0), 1)
