--- a/benchmarks/ninep_cost.py
+++ b/benchmarks/ninep_cost.py
@@ -46,7 +46,7 @@
 
 def servers(pipe: multiprocessing.connection.Connection) -> None:
     scheduler, limits = Scheduler(), Limits()
-    pool = BufferPool(limits.buffer_bytes, limits.pool_keep, 1 << 16)
+    pool = BufferPool(limits.buffer_bytes, limits.pool_free_max, 1 << 16)
     discovery = Discovery(scheduler, pool, limits)
     tree = {"data": bytes(FILE), **{f"f{i}": b"x" * 100 for i in range(20)}}
     files = FileServer(scheduler, pool, limits, tree=tree)
--- a/example/__main__.py
+++ b/example/__main__.py
@@ -15,7 +15,7 @@
 
 def main() -> None:
     scheduler, limits = Scheduler(), Limits()
-    pool = BufferPool(limits.buffer_bytes, limits.pool_keep, limits.pool_most)
+    pool = BufferPool(limits.buffer_bytes, limits.pool_free_max, limits.pool_max)
     discovery = Discovery(scheduler, pool, limits, DISCOVERY)
     for cell, address in enumerate(BRICKS):
         Brick(scheduler, pool, limits, address)
--- a/garnetlanding/config/platform.py
+++ b/garnetlanding/config/platform.py
@@ -92,7 +92,7 @@
     A fifth each is for 9P's clients and for its server connections, unless the operator says how many.
     """
     clients = ninep.clients or limits.client_conns // 5
-    servers = ninep.server_connections or limits.brick_conns // 5
+    servers = ninep.server_connections or limits.backend_conns // 5
     left = limits.client_conns - clients - servers
     if left < limits.client_conns // 5:
         raise ConfigError.at_key(
@@ -109,11 +109,11 @@
     sockets = int(given.number("sockets", 128, 1024))
     memory_mb = given.number("memory_mb", 32, 192)
     base = Limits().fit(int(memory_mb * (1 << 20)), sockets, bool(top.raw("ops")))
-    idle_us = int(float(flat_settings.get("Limits.ConnIdleUs", 0))) or base.brick_idle_us * 5 // 4
+    idle_us = int(float(flat_settings.get("Limits.ConnIdleUs", 0))) or base.backend_idle_us * 5 // 4
     return replace(
         base,
         # An idle connection is closed here a fifth of the time before its server would close it.
-        brick_idle_us=idle_us * 4 // 5,
+        backend_idle_us=idle_us * 4 // 5,
         dial_us=int(float(flat_settings.get("Limits.DialTimeoutUs", 0))) or base.dial_us,
     )
 
--- a/garnetlanding/daemon/admin.py
+++ b/garnetlanding/daemon/admin.py
@@ -84,7 +84,7 @@
         instance = self._instance
         watch = self._discovery.watch
         # A new process waits so long for discovery's list; then the cached one counts as known.
-        known_by_us = instance.scheduler.now + instance.limits.ops_list_us
+        known_by_us = instance.scheduler.now + instance.limits.ops_endpoints_wait_us
         return ManagedInstance(
             scheduler=instance.scheduler,
             engine=instance.core,
@@ -126,6 +126,6 @@
         )
 
     def stop(self) -> None:
-        """Answer what still comes for `ops_last_us`: an operator who calls at this moment is answered too."""
+        """Answer what still comes for `ops_flush_us`, so that an operator who calls now is answered too."""
         self.listener.stop_accepting()
-        self._instance.wait_for(lambda: not len(self.listener), self._instance.limits.ops_last_us)
+        self._instance.wait_for(lambda: not len(self.listener), self._instance.limits.ops_flush_us)
--- a/garnetlanding/daemon/assembly.py
+++ b/garnetlanding/daemon/assembly.py
@@ -131,7 +131,7 @@
 def _build_instance(config: Config, clock: Callable[[], int]) -> Instance:
     limits = config.limits
     scheduler = Scheduler(clock)
-    pool = BufferPool(limits.buffer_bytes, limits.pool_keep, limits.pool_most, limits.pool_start)
+    pool = BufferPool(limits.buffer_bytes, limits.pool_free_max, limits.pool_max, limits.pool_reserved)
     store = open_store(config, scheduler)
     process = ProcessShare(config)
     settings = read_settings(stored_settings(config, store))
--- a/garnetlanding/daemon/instance.py
+++ b/garnetlanding/daemon/instance.py
@@ -78,4 +78,4 @@
         """Sleep, in the running task, until `done` is true, but no longer than `span_us`."""
         last_us = self.scheduler.now + span_us
         while not done() and self.scheduler.now < last_us:
-            self.scheduler.sleep(self.limits.term_look_us)
+            self.scheduler.sleep(self.limits.term_poll_us)
--- a/garnetlanding/daemon/process_share.py
+++ b/garnetlanding/daemon/process_share.py
@@ -66,7 +66,7 @@
         clients = self._clients.listener
         if registry.has_successor:
             clients.shed(int(instance.limits.client_conns * UPGRADE_SHARE))
-            instance.backends.shed(int(instance.limits.brick_conns * UPGRADE_SHARE))
+            instance.backends.shed(int(instance.limits.backend_conns * UPGRADE_SHARE))
         used = max(clients.used, instance.backends.used, instance.pool.used, instance.core.capacity.used)
         share = registry.next_share(used, self._process.stopping)
         if share != self._process.share:
--- a/garnetlanding/daemon/shutdown.py
+++ b/garnetlanding/daemon/shutdown.py
@@ -135,7 +135,7 @@
             if phase is Phase.REJECTING:
                 # SIGKILL is near, and would lose whatever it finds unanswered.
                 self._core.abort_all("ending")
-            self._scheduler.sleep(self._limits.term_look_us)
+            self._scheduler.sleep(self._limits.term_poll_us)
 
     def _stop_accepting(self) -> None:
         """Idle connections go first: their places take those that the kernel has accepted already."""
--- a/garnetlanding/daemon/telemetry.py
+++ b/garnetlanding/daemon/telemetry.py
@@ -39,6 +39,6 @@
         }
 
     def stop(self) -> None:
-        """Export what there still is, for at most a second (`telemetry_last_us`)."""
+        """Export what there still is, for at most a second (`telemetry_flush_us`)."""
         self.exporter.finish()
-        self._instance.wait_for(lambda: self.exporter.done, self._instance.limits.telemetry_last_us)
+        self._instance.wait_for(lambda: self.exporter.done, self._instance.limits.telemetry_flush_us)
--- a/garnetlanding/discovery/watch.py
+++ b/garnetlanding/discovery/watch.py
@@ -105,7 +105,7 @@
     def _follow(self, call: int) -> None:
         limits = self._limits
         answer_us = limits.agent_answer_us if self._callbacks.is_pushed() else limits.discovery_answer_us
-        deadline = CallDeadline(self._scheduler.now, answer_us, limits.discovery_quiet_us)
+        deadline = CallDeadline(self._scheduler.now, answer_us, limits.discovery_silence_us)
         parser = WatchParser(self._runtime.pool, limits, self._runtime.to_monotonic)
         cause = self._run_call(call, parser, deadline)
         if self._state.is_newest(call):
--- a/garnetlanding/lab/clients.py
+++ b/garnetlanding/lab/clients.py
@@ -35,7 +35,7 @@
 class Clients:
     def __init__(self, plan: dict[str, Any], history: int) -> None:
         self.scheduler, self.limits = Scheduler(), Limits()
-        self.pool = BufferPool(self.limits.buffer_bytes, self.limits.pool_keep, self.limits.pool_most)
+        self.pool = BufferPool(self.limits.buffer_bytes, self.limits.pool_free_max, self.limits.pool_max)
         self._heads: list[str] = plan["heads"]
         self._began: int = plan["begins"]
         self._requests: list[dict[str, Any]] = plan["requests"]
--- a/garnetlanding/lab/experiment.py
+++ b/garnetlanding/lab/experiment.py
@@ -201,7 +201,7 @@
     group = int(top.number("group", 0, 0, heads))
     if (group or flags["budgets"]) and not flags["fleet"]:
         raise ConfigError(f"key {'group' if group else 'budgets'}: only with fleet = true")
-    places = int(top.number("server_connections", 0, 0, LIMITS.brick_conns))
+    places = int(top.number("server_connections", 0, 0, LIMITS.backend_conns))
     if places and not flags["budgets"]:
         raise ConfigError("key server_connections: only with budgets = true")
     return Experiment(
--- a/garnetlanding/lab/limits.py
+++ b/garnetlanding/lab/limits.py
@@ -28,7 +28,7 @@
     answer_late_us: int = 500 * MS  # an answer later than this after its time counts as none
     flood_copies: int = 250  # of each datagram: with four a second, a thousand a second on a link
     reorder_us: int = 40 * MS  # one that is overtaken comes so much later, unless the fault says how much
-    brick_conns: int = 256  # that a brick takes
+    backend_conns: int = 256  # that a brick takes
     stream_bytes: int = 65536  # read of a connection at once
     trickle_bytes: int = 32  # of each drop
     brick_units_s: float = 200.0  # that a brick does in a second
--- a/garnetlanding/lab/tcp.py
+++ b/garnetlanding/lab/tcp.py
@@ -46,7 +46,7 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.bind((host, 0))
-        sock.listen(LIMITS.brick_conns)
+        sock.listen(LIMITS.backend_conns)
         self._listeners.append(sock)
         self._pairs[link] = set()
         self._scheduler.spawn(lambda: self._accept(link, sock, parse_address(target)))
--- a/garnetlanding/lab/world.py
+++ b/garnetlanding/lab/world.py
@@ -54,7 +54,7 @@
 
     def rise(self) -> None:
         self.listener = Listener(
-            self.scheduler, self.address, self.pool, self.limits, LIMITS.brick_conns, self._make
+            self.scheduler, self.address, self.pool, self.limits, LIMITS.backend_conns, self._make
         )
 
 
@@ -70,7 +70,7 @@
     ) -> None:
         """`reach`: the address at which a head reaches a brick of that number and address."""
         limits = Limits()
-        pool = BufferPool(limits.buffer_bytes, limits.pool_keep, limits.pool_most)
+        pool = BufferPool(limits.buffer_bytes, limits.pool_free_max, limits.pool_max)
         self.bricks = [
             LabBrick(scheduler, pool, limits, f"{host}:0", note=note, number=i) for i in range(bricks)
         ]
--- a/garnetlanding/ninep/client.py
+++ b/garnetlanding/ninep/client.py
@@ -39,7 +39,7 @@
     ) -> None:
         self._write, self._done = write, done
         self._session = Session(
-            work.who, limits.ninep_msize, limits.ninep_least_msize, limits.ninep_keep_open, offer
+            work.who, limits.ninep_msize, limits.ninep_msize_min, limits.ninep_keep_open, offer
         )
         self._framer = codec.Framer(pool, limits.ninep_msize)
         self._trial: AttemptHandle | None = None
--- a/garnetlanding/ninep/front.py
+++ b/garnetlanding/ninep/front.py
@@ -71,7 +71,7 @@
 
     def feed(self, data: bytes | memoryview) -> None:
         """A few messages a turn: the rest waits, and `feed(b"")` goes on with it."""
-        self.waiting, left = False, self.limits.ninep_turn
+        self.waiting, left = False, self.limits.ninep_messages_per_iteration
         if self.ended:
             return
         try:
@@ -169,7 +169,7 @@
     def _version(self, tag: int, message: codec.Tversion) -> None:
         self.msize, self.speaker = 0, None
         self._framer.most, self._framer.among = self.limits.ninep_msize, codec.PLAIN
-        if message.msize < self.limits.ninep_least_msize:
+        if message.msize < self.limits.ninep_msize_min:
             self.say(tag, codec.Rerror("msize too small"))
             return
         speaker = self._speaker(message.version)
--- a/garnetlanding/ninep/shared.py
+++ b/garnetlanding/ninep/shared.py
@@ -35,8 +35,8 @@
     ) -> None:
         self.core, self.backend, self.exports = core, backend, exports
         self.pool, self.limits, self.timers = pool, limits, timers
-        self.order = Order(limits.ninep_rest_us, limits.ninep_rests)
-        self.shares = Shares(limits.ninep_items, limits.ninep_share_us)
+        self.order = Order(limits.ninep_change_pause_us, limits.ninep_change_pauses)
+        self.shares = Shares(limits.ninep_requests, limits.ninep_active_us)
         self.locks, self.exclusive = Locks(limits.ninep_locks), Exclusive()
         self.clients: dict[int, ClientMachine] = {}
         self.wall: Callable[[], float] = time.time
--- a/garnetlanding/ops/admin_service.py
+++ b/garnetlanding/ops/admin_service.py
@@ -138,7 +138,7 @@
 
     def _poll(self) -> None:
         """Look regularly for what the other process of an upgrade, and peers, have changed."""
-        self._scheduler.call_at(self._scheduler.now + self._instance.limits.ops_look_us, self._poll)
+        self._scheduler.call_at(self._scheduler.now + self._instance.limits.ops_poll_us, self._poll)
         self._instance.refresh_quota()
         changed = self._state_file.load_if_changed()
         if changed is not None:
--- a/garnetlanding/resp/brick.py
+++ b/garnetlanding/resp/brick.py
@@ -147,6 +147,6 @@
         scheduler,
         pool,
         limits,
-        limits.brick_conns,
+        limits.backend_conns,
         lambda _, write, done: BrickMachine(scheduler, pool, limits, write, done),
     )
--- a/garnetlanding/resp/codec.py
+++ b/garnetlanding/resp/codec.py
@@ -48,7 +48,7 @@
 
     def __init__(self, pool: BufferPool, limits: Limits, commands_only: bool = False) -> None:
         self._in, self._limits, self._commands_only = Chain(pool), limits, commands_only
-        self._most = limits.value_bytes if commands_only else limits.answer_bytes
+        self._most = limits.value_bytes if commands_only else limits.reply_bytes
         self._bulk = -1  # bytes awaited of a bulk string
         self._begun: Begun | None = None  # that string, when it is given out in pieces
         self._open: list[tuple[int, list[Value]]] = []  # arrays begun: length, items so far
@@ -114,10 +114,10 @@
                 if length < 0:
                     return None
                 self._bulk = length
-                if length > self._limits.hold_bytes and self._open[-1:] == [(ANSWER_PARTS, [])]:
+                if length > self._limits.stream_threshold_bytes and self._open[-1:] == [(ANSWER_PARTS, [])]:
                     self._begun = Begun(length)
                     return self._begun
-                if length > self._limits.hold_bytes and not self._commands_only:
+                if length > self._limits.stream_threshold_bytes and not self._commands_only:
                     raise ProtocolError("length over the limit")
             elif kind == b"*":
                 length = self._length(rest, self._limits.elements)
--- a/garnetlanding/runtime/backend_connection.py
+++ b/garnetlanding/runtime/backend_connection.py
@@ -125,11 +125,11 @@
         limits = self._upstream.limits
         if body := self.machine.body:
             self._pass_on(body)
-            self._response_deadline = scheduler.now + limits.pass_stall_us
+            self._response_deadline = scheduler.now + limits.stream_stall_us
         elif not self.machine.midway:
             self._response_deadline = None
         elif self._response_deadline is None:
-            self._response_deadline = scheduler.now + limits.half_answer_us
+            self._response_deadline = scheduler.now + limits.partial_reply_us
         elif scheduler.now >= self._response_deadline:
             raise BackendProtocolError("half an answer")
 
@@ -141,7 +141,7 @@
             body.on_writable = lambda: scheduler.wake(self._task)
             body.on_end.append(lambda whole: None if whole else self.close())
         self._body_reads += 1
-        if self._body_reads * self._upstream.pool.size >= self._upstream.limits.pass_window:
+        if self._body_reads * self._upstream.pool.size >= self._upstream.limits.stream_window_bytes:
             self._body_reads = 0
             scheduler.sleep(0)
         while body.blocked and not self.closed:
--- a/garnetlanding/runtime/client_connection.py
+++ b/garnetlanding/runtime/client_connection.py
@@ -117,7 +117,7 @@
     def full(self) -> bool:
         """Return whether the client leaves too much unread; where buffers run short, any at all."""
         listener = self._listener
-        most = 0 if listener.pool.scarce else listener.limits.pass_window
+        most = 0 if listener.pool.scarce else listener.limits.stream_window_bytes
         return not self.stream.closed and self.stream.unsent > most
 
     def when_writable(self, call: Callable[[], None]) -> None:
@@ -194,7 +194,7 @@
                 # The client may send the same again at full speed: others share this event loop.
                 bad = machine.bad
                 self._pause()
-            if self._input_bytes >= self._listener.limits.read_turn_bytes:
+            if self._input_bytes >= self._listener.limits.read_bytes_per_iteration:
                 self._input_bytes = 0
                 self._scheduler.sleep(0)
         self._end(CloseEvent.INPUT_ENDED)
@@ -231,14 +231,16 @@
         """Wait a moment without reading, or until woken; raises `StreamClosedError` if the client left."""
         self._wakes_on_write = True
         try:
-            hung_up = self.stream.wait_hung_up(self._scheduler.now + self._listener.limits.gone_look_us)
+            hung_up = self.stream.wait_hung_up(
+                self._scheduler.now + self._listener.limits.disconnect_check_us
+            )
         finally:
             self._wakes_on_write = False
         self._stop_if(hung_up)
 
     def _pause(self) -> None:
         self.closing.on(CloseEvent.BAD_COMMAND)
-        until = self._scheduler.now + self._listener.limits.bad_pause_us
+        until = self._scheduler.now + self._listener.limits.misuse_pause_us
         while self._scheduler.now < until:
             self._wait()
         self.closing.on(CloseEvent.PAUSE_OVER)
--- a/garnetlanding/runtime/listener.py
+++ b/garnetlanding/runtime/listener.py
@@ -85,7 +85,7 @@
             self.scheduler.sleep(self.limits.accept_pause_us)
             return
         # At the bound, a connection is evicted for a waiting client, which only the next poll reports.
-        for _ in range(min(self.limits.accept_turn, self._free)):
+        for _ in range(min(self.limits.accepts_per_iteration, self._free)):
             try:
                 sock, _ = self._sock.accept()
             except BlockingIOError:
--- a/garnetlanding/runtime/stream.py
+++ b/garnetlanding/runtime/stream.py
@@ -193,7 +193,7 @@
         except BufferPoolExhaustedError:
             self._break()
             return
-        if self._out.length > self._limits.out_bytes:
+        if self._out.length > self._limits.unsent_bytes:
             self._break()
             return
         if not self._writing:
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -69,7 +69,7 @@
         self.part = 1.0
         self.places: ConnectionQuota | None = None
         self.keeps: Callable[[], frozenset[str]] | None = None
-        self.outside_idle_us = limits.brick_idle_us
+        self.outside_idle_us = limits.backend_idle_us
         self.borrow: Callable[[], bool] = lambda: True
         self.faults: Counter[tuple[str, str]] = Counter()
         scheduler.call_at(scheduler.now + limits.sweep_us, self._sweep)
@@ -100,7 +100,7 @@
             self.places.set_open(trial.node, len(conns), lacking=True)
             trial.finish(Outcome.NEVER_DISPATCHED)
             return
-        if len(conns) >= self.limits.brick_conns_each or not self._make_room():
+        if len(conns) >= self.limits.conns_per_backend or not self._make_room():
             trial.finish(Outcome.UNREACHABLE)
             return
         self.count += 1
@@ -133,7 +133,7 @@
     @property
     def kept(self) -> int:
         """Return the number of connections that nobody else may take."""
-        return int(self.limits.brick_conns_kept * self.part)
+        return int(self.limits.backend_conns_reserved * self.part)
 
     @property
     def used(self) -> float:
@@ -232,7 +232,7 @@
             expired = []
             for conn in conns:
                 is_kept = kept_backends is None or conn.node in kept_backends
-                max_idle_us = self.limits.brick_idle_us if is_kept else self.outside_idle_us
+                max_idle_us = self.limits.backend_idle_us if is_kept else self.outside_idle_us
                 if conn.idle_since <= now - max_idle_us:
                     expired.append(conn)
             for conn in expired:
--- a/garnetlanding/store/follower.py
+++ b/garnetlanding/store/follower.py
@@ -107,13 +107,13 @@
         stream: Stream | None = None
         try:
             stream = Stream.connect(
-                scheduler, self._writer_address, self._pool, limits, scheduler.now + limits.store_quiet_us
+                scheduler, self._writer_address, self._pool, limits, scheduler.now + limits.store_silence_us
             )
             machine = FollowerMachine(self._store, limits, self._guard)
             stream.write(machine.follow_request(with_snapshot))
             if self._guard:
                 self._send_query(stream, self._guard)
-            while stream.read(machine.feed, scheduler.now + limits.store_quiet_us):
+            while stream.read(machine.feed, scheduler.now + limits.store_silence_us):
                 self.connected = True
             return StreamClosedError("ended")
         except CONNECTION_ERRORS as problem:
--- a/garnetlanding/store/writer_machine.py
+++ b/garnetlanding/store/writer_machine.py
@@ -107,5 +107,5 @@
     def _send_heartbeat(self) -> None:
         self._write(encode(Heartbeat(self._store.revision)))
         self._heartbeat_timer = self._scheduler.call_at(
-            self._scheduler.now + self._limits.store_beat_us, self._send_heartbeat
+            self._scheduler.now + self._limits.store_heartbeat_us, self._send_heartbeat
         )
--- a/garnetlanding/telemetry/collector_client.py
+++ b/garnetlanding/telemetry/collector_client.py
@@ -85,9 +85,9 @@
     def post(self, path: str, data: dict[str, Any]) -> PostResult:
         """Post a request, several times if need be; gives up on a status that is not retryable."""
         body = json.dumps(data, separators=(",", ":")).encode()
-        backoff_us = self._limits.telemetry_pause_us
+        backoff_us = self._limits.telemetry_backoff_us
         wait_us = 0
-        for _ in range(self._limits.telemetry_tries):
+        for _ in range(self._limits.telemetry_attempts):
             self._scheduler.sleep(wait_us)
             response = self._attempt(path, body)
             if response is not None and 200 <= response.status < 300:
@@ -109,7 +109,7 @@
             asked_us = retry_after_us(response.headers.get("retry-after", ""), now_s)
         if asked_us is None:
             asked_us = int(backoff_us * self._rng.uniform(*_BACKOFF_JITTER))
-        return min(asked_us, self._limits.telemetry_pause_most_us)
+        return min(asked_us, self._limits.telemetry_backoff_max_us)
 
     def _attempt(self, path: str, body: bytes) -> _Response | None:
         """Post once; `None`, logged, where no response came."""
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -32,8 +32,8 @@
         and c.settings.poll_endpoints
         and c.settings.classes["read"].latency_objective_us == 300_000
     )
-    assert (c.limits.brick_idle_us, c.limits.dial_us) == (16 * SECOND, 300 * MS)
-    assert (c.limits.client_conns, c.limits.brick_conns, c.limits.brick_conns_kept) == (822, 341, 170)
+    assert (c.limits.backend_idle_us, c.limits.dial_us) == (16 * SECOND, 300 * MS)
+    assert (c.limits.client_conns, c.limits.backend_conns, c.limits.backend_conns_reserved) == (822, 341, 170)
     both = config.read(PLATFORM_CONFIG, {"ninep": NINEP}).limits
     assert both.client_conns + both.ninep_conns + both.ninep_server_conns == c.limits.client_conns
     assert c.operator == config.OperatorConfig(store=StoreSetup(writer="n1")), "all else is off"
@@ -91,18 +91,18 @@
 def test_a_small_machine_has_less_of_everything() -> None:
     """Sizes were fixed: 4,096 buffers alone are the 32 MB that the smallest heads get."""
     small = config.read(PLATFORM_CONFIG | {"limits": {"memory_mb": 32, "sockets": 256}}).limits
-    assert small.client_conns + small.brick_conns_kept + small.spare_sockets == 256
+    assert small.client_conns + small.backend_conns_reserved + small.reserved_sockets == 256
     assert small.client_conns >= 256 // 3
     assert (
         small.program_bytes
-        + small.pool_most * small.buffer_bytes
+        + small.pool_max * small.buffer_bytes
         + small.open_bytes
-        + small.open_items * small.item_bytes
+        + small.open_items * small.request_bytes
         + small.record_bytes * (small.store_log_entries + small.telemetry_queue)
     ) <= 32 << 20
     busy = small.linger_conns + small.ops_linger_conns + 8  # standard streams, listeners, signals, discovery
-    assert busy <= small.spare_sockets
-    assert small.open_items >= small.client_conns and small.out_bytes > 2 * small.value_bytes
+    assert busy <= small.reserved_sockets
+    assert small.open_items >= small.client_conns and small.unsent_bytes > 2 * small.value_bytes
     with pytest.raises(config.ConfigError, match="limits.memory_mb"):
         config.read(PLATFORM_CONFIG | {"limits": {"memory_mb": 31, "sockets": 256}})
 
--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -101,7 +101,7 @@
 
 def test_messages_that_wait_behind_others_are_dropped_with_their_client() -> None:
     """9P takes a few messages a turn and reads nothing meanwhile: a client that had left was worked for."""
-    w = NinepInstance(ninep_items=64)
+    w = NinepInstance(ninep_requests=64)
     tool = NinepClient(w)
     tool.open(1, "sv", "law", "terms")
     before = len(received_messages(w, p9.Tread))
@@ -113,13 +113,15 @@
     tool.stream.close()
     begun = len(w.core.starts)
     w.settle()
-    assert len(w.core.starts) <= begun + w.limits.ninep_turn, "what the turn of its leaving had begun already"
-    assert len(received_messages(w, p9.Tread)) - before <= begun + w.limits.ninep_turn
+    assert (
+        len(w.core.starts) <= begun + w.limits.ninep_messages_per_iteration
+    ), "what the turn of its leaving had begun already"
+    assert len(received_messages(w, p9.Tread)) - before <= begun + w.limits.ninep_messages_per_iteration
 
 
 def test_a_flood_leaves_others_their_turn() -> None:
     """Whoever sent without a pause was read without one: nobody else was heard until it drew breath."""
-    w = SimulatedInstance(read_turn_bytes=16 << 10)
+    w = SimulatedInstance(read_bytes_per_iteration=16 << 10)
     front = w.front()
     flood = Raw(w, front.address)
     [head_end] = front._clients
@@ -129,6 +131,6 @@
             sent += flood.sock.send(PING * 2000)
         except BlockingIOError:
             break
-    assert sent > 16 * w.limits.read_turn_bytes
+    assert sent > 16 * w.limits.read_bytes_per_iteration
     w.scheduler.turn(1)
-    assert 0 < head_end.machine.taken * len(PING) <= w.limits.read_turn_bytes + w.limits.buffer_bytes
+    assert 0 < head_end.machine.taken * len(PING) <= w.limits.read_bytes_per_iteration + w.limits.buffer_bytes
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -28,7 +28,9 @@
     """One brick behind a front, and a window far smaller than the values."""
 
     def __init__(self, **limits: int) -> None:
-        super().__init__(None, **({"pass_window": 16 * KIB, "hold_bytes": 4 * KIB} | limits))
+        super().__init__(
+            None, **({"stream_window_bytes": 16 * KIB, "stream_threshold_bytes": 4 * KIB} | limits)
+        )
         self.brick = self.server(Brick)
         self.list(Box("b0", self.brick.address, 0))
         self.listener: Listener = self.front()
@@ -46,7 +48,7 @@
 
 @given(st.binary(min_size=33, max_size=400), st.lists(st.integers(1, 60), max_size=30))
 def test_a_long_value_comes_in_pieces_however_it_is_cut(value: bytes, sizes: list[int]) -> None:
-    decoder = codec.Decoder(BufferPool(16, 4, 1000), Limits(hold_bytes=32))
+    decoder = codec.Decoder(BufferPool(16, 4, 1000), Limits(stream_threshold_bytes=32))
     data, got = answer(value) + answer(b"short"), []
     for size in [*sizes, len(data)]:
         got += list(decoder.feed(data[:size]))
@@ -100,11 +102,11 @@
     client = w.begun(value, 20_000)
     [conn] = w.brick.conns
     for at in range(20_000, 60_000, 10_000):
-        w.run(w.limits.pass_stall_us - 100 * MS, step_us=100 * MS)
+        w.run(w.limits.stream_stall_us - 100 * MS, step_us=100 * MS)
         conn.write(answer(value)[at : at + 10_000])
         w.settle()
     assert not client.closed
-    w.run(w.limits.pass_stall_us + 100 * MS, step_us=100 * MS)
+    w.run(w.limits.stream_stall_us + 100 * MS, step_us=100 * MS)
     assert client.closed and not w.brick.conns
 
 
@@ -126,7 +128,7 @@
         # A busy machine delivers late, also on loopback: only long quiet means that nothing moves any more.
         assert any(w.scheduler.turn(10) for _ in range(100))
         most = max(most, w.unread())
-    assert most <= w.limits.pass_window + 2 * w.pool.size, "what one client may leave unread"
+    assert most <= w.limits.stream_window_bytes + 2 * w.pool.size, "what one client may leave unread"
     assert len(deaf.got) < 4 * MIB and not deaf.closed
     w.run(w.limits.write_stall_us + SECOND, step_us=100 * MS)
     assert len(w.listener) == len(others), "and for so long"
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -86,7 +86,7 @@
     assert "failed" not in w.heard
     w.run(500 * MS, step_us=100 * MS)
     assert w.heard[-1] == "failed" and w.heard.count("failed") == 1
-    assert w.unheard == [w.limits.discovery_quiet_us]
+    assert w.unheard == [w.limits.discovery_silence_us]
 
 
 @pytest.mark.parametrize(
@@ -298,7 +298,7 @@
 
 
 @pytest.mark.parametrize("hosts", [1, 3, 8, 40, 200])
-@pytest.mark.parametrize("unheard_us", [0, Limits().discovery_answer_us, Limits().discovery_quiet_us])
+@pytest.mark.parametrize("unheard_us", [0, Limits().discovery_answer_us, Limits().discovery_silence_us])
 def test_the_pause_before_a_call_leaves_it_time_however_many_heads_there_are(
     hosts: int, unheard_us: int
 ) -> None:
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -237,11 +237,11 @@
     store = filled_store(log_entries)
     machine = WriterMachine(store, world.scheduler, world.limits, said.append)
     machine.feed((FOLDER / "replica" / f"follower-{hello}.jsonl").read_bytes())
-    world.run(world.limits.store_beat_us)
+    world.run(world.limits.store_heartbeat_us)
     machine.feed((FOLDER / "replica" / "follower-ask.jsonl").read_bytes())
     store.put("late", {"n": 1.5})
     store.put("late", None)
-    world.run(world.limits.store_beat_us)
+    world.run(world.limits.store_heartbeat_us)
     assert not machine.ended and machine.taken == 2
     machine.close()
     committed = golden(f"replica/writer-{name}.jsonl", b"".join(said))
--- a/tests/ninep/test_flush_clunk_disconnect.py
+++ b/tests/ninep/test_flush_clunk_disconnect.py
@@ -104,7 +104,7 @@
 
 def test_a_burst_of_messages_is_taken_a_few_a_turn() -> None:
     """A hundred messages in one segment held the loop up until all were taken."""
-    w, tool = rw(ninep_turn=4)
+    w, tool = rw(ninep_messages_per_iteration=4)
     tool.open(5, "readme")
     [machine] = w.front_9p.clients.values()
     machine.feed(b"".join(p9.encode(tag, p9.Tflush(9)) for tag in range(10, 20)))
@@ -119,7 +119,7 @@
 
 def test_a_client_that_floods_waits_for_itself_and_not_others_for_it() -> None:
     """All of a client's requests were with the core at once: others waited behind a hundred of them."""
-    w, tool = rw(ninep_items=3)
+    w, tool = rw(ninep_requests=3)
     tool.open(5, "readme")
     other = NinepClient(w)
     other.open(5, "readme")
--- a/tests/ops/test_state.py
+++ b/tests/ops/test_state.py
@@ -26,7 +26,7 @@
     other = StateFile(str(tmp_path), "n1")
     assert other.load() == AdminState(frozenset({"b0"}))
     other.update(lambda state: state.disable("b1").with_draining(True))
-    w.run(w.limits.ops_look_us + 10 * MS)
+    w.run(w.limits.ops_poll_us + 10 * MS)
     assert w.core.endpoints.disabled == {"b0", "b1"} and not w.desk.accepts_clients
     w.call("/-/resume")
     both = AdminState(frozenset({"b0", "b1"}))
--- a/tests/resp/test_backend_connection.py
+++ b/tests/resp/test_backend_connection.py
@@ -106,7 +106,7 @@
     brick.data[b"k"], brick.script = b"value", [spoilt]
     peer = w.peer(w.front().address)
     peer.say(read_command())
-    w.run(w.limits.half_answer_us)
+    w.run(w.limits.partial_reply_us)
     assert w.core.starts[0].outcome is Outcome.RESET
     w.run(100 * MS)
     assert peer.got == codec.bulk(b"value") and len(brick.heard) == brick.accepted == 2
@@ -118,7 +118,7 @@
     w.list(Box("b0", brick.address, 0))
     brick.script = [b"*3\r\n$60000\r\n"]
     w.peer(w.front().address).say(read_command())
-    for _ in range(w.limits.half_answer_us // (10 * MS)):
+    for _ in range(w.limits.partial_reply_us // (10 * MS)):
         assert w.core.starts[0].outcome is None
         w.run(10 * MS)
         for conn in list(brick.conns):
--- a/tests/resp/test_client_connections.py
+++ b/tests/resp/test_client_connections.py
@@ -23,7 +23,7 @@
 
 
 def test_a_client_that_sends_half_a_command_or_reads_nothing_is_cut_off() -> None:
-    w = SimulatedInstance(buffer_bytes=512, out_bytes=20_000)
+    w = SimulatedInstance(buffer_bytes=512, unsent_bytes=20_000)
     brick = w.server(Brick)
     brick.data[b"k"] = b"x" * 60_000
     w.list(Box("b0", brick.address, 0))
@@ -111,7 +111,7 @@
     """A fixed share left connections waiting that had been answered for within a moment."""
     w = SimulatedInstance(
         make_settings(max_attempts=4, parallel_attempts=False, instances=1),
-        brick_conns_kept=1,
+        backend_conns_reserved=1,
         client_conns=4,
     )
     boxes = [w.server(Brick) for _ in range(4)]
--- a/tests/resp/test_front.py
+++ b/tests/resp/test_front.py
@@ -46,7 +46,7 @@
     answer = peer.say(codec.command([b"BLK.READ", b"k", b"id", args]))
     assert answer.startswith(b"-ERR") and words.encode() in answer
     assert peer.say(PING) == b"", "not read at once: it could send the same at full speed"
-    w.run(w.limits.bad_pause_us)
+    w.run(w.limits.misuse_pause_us)
     assert peer.got == answer + b"+PONG\r\n", "the connection goes on"
 
 
@@ -143,10 +143,10 @@
     peer = w.peer(w.front().address)
     assert peer.say(codec.command([b"CLIENT", b"INFO"])) == b"+OK\r\n"
     assert peer.say(codec.command([b"HELLO", b"3"])) == b"-ERR unknown command\r\n"
-    w.run(w.limits.bad_pause_us)
+    w.run(w.limits.misuse_pause_us)
     assert peer.say(b"*0\r\n" + codec.command([b"ping", b"a"])) == b"$1\r\na\r\n"
     assert peer.say(codec.command([b"BLK.READ", b"k"])).startswith(b"-ERR wrong number")
-    w.run(w.limits.bad_pause_us)
+    w.run(w.limits.misuse_pause_us)
     assert peer.say(codec.command([b"QUIT"])) == b"+OK\r\n" and peer.closed
 
 
--- a/tests/runtime/test_upstream.py
+++ b/tests/runtime/test_upstream.py
@@ -18,7 +18,7 @@
     for i in range(3):
         w.client.say(read_command(f"r{i}"))
     assert len(w.brick.conns) == 1
-    w.run(w.limits.brick_idle_us + w.limits.sweep_us, step_us=500 * MS)
+    w.run(w.limits.backend_idle_us + w.limits.sweep_us, step_us=500 * MS)
     assert not w.brick.conns and w.bricks.count == 0
     assert w.client.say(read_command("again")) == b"$0\r\n\r\n"
 
@@ -87,7 +87,7 @@
 
 
 def test_a_break_before_the_last_byte_never_ran() -> None:
-    w = BrickWorld(buffer_bytes=4096, out_bytes=1 << 24, value_bytes=1 << 23)
+    w = BrickWorld(buffer_bytes=4096, unsent_bytes=1 << 24, value_bytes=1 << 23)
     w.client.say(read_command())
     brick_side = next(iter(w.brick.listener._clients))
     w.mute(brick_side.stream._sock.fileno())  # the brick reads nothing more
@@ -119,7 +119,7 @@
 
 
 def test_connections_are_bounded_for_each_brick_and_in_all() -> None:
-    w = BrickWorld(brick_conns_each=2, brick_conns=3)
+    w = BrickWorld(conns_per_backend=2, backend_conns=3)
     other = w.server(Brick)
     w.list(Box("b0", w.brick.address, 0), Box("b1", other.address, 1))
     w.brick.script = [None] * 9
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -89,7 +89,7 @@
     w.mute(next(iter(w.listener._clients)).stream._sock.fileno())
     next(iter(w.listener._clients)).machine.close()  # says nothing, closes nothing
     w.store.put("a", 1)
-    w.run(w.limits.store_quiet_us, 100 * MS)
+    w.run(w.limits.store_silence_us, 100 * MS)
     assert not w.follower.connected and w.copy.get("a") is None
     w.run(w.limits.store_retry_us, 100 * MS)
     assert w.alike()
@@ -131,7 +131,7 @@
     w.settle()
     assert w.alike()
     w.store._values["a"], w.store.revision = 5, 7  # an entry was lost on its way
-    w.run(w.limits.store_beat_us + w.limits.store_retry_us, 100 * MS)
+    w.run(w.limits.store_heartbeat_us + w.limits.store_retry_us, 100 * MS)
     assert w.alike()
 
 
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -156,7 +156,7 @@
 
 
 def test_an_unreachable_or_unresponsive_collector_costs_a_bounded_queue_of_spans() -> None:
-    world = TelemetryWorld(telemetry_tries=2, telemetry_queue=100, telemetry_batch=40)
+    world = TelemetryWorld(telemetry_attempts=2, telemetry_queue=100, telemetry_batch=40)
     world.collector.script = [None]
     world.ended(101)
     assert world.exporter.dropped == 1, "the queue is bounded"
