--- a/garnetlanding/audit/assembly.py
+++ b/garnetlanding/audit/assembly.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
 from typing import Protocol
 
@@ -17,11 +17,13 @@
 class PeerMessages(Protocol):
     """Numbers of the messages that the instance exchanges with its peers."""
 
-    last_heard: list[int]
-    """Sender, incarnation and number of the last message processed; empty where there was none."""
+    @property
+    def last_received(self) -> Sequence[int] | None:
+        """Sender, incarnation and number of the last message processed; None: there was none."""
+        ...
 
     @property
-    def said(self) -> int:
+    def last_sent(self) -> int:
         """Number of the last message sent."""
         ...
 
@@ -65,8 +67,8 @@
             number=engine.settings.instance_id,
             requests_taken=engine.metrics.accepted,
             requests_answered=engine.metrics.accepted - engine.open_requests,
-            last_sent=messages.said if messages else 0,
-            last_received=decode_message_id(messages.last_heard) if messages else None,
+            last_sent=messages.last_sent if messages else 0,
+            last_received=decode_message_id(messages.last_received or ()) if messages else None,
         )
 
     recorder = Recorder(setup.limits, sources, read_state, writer.write)
--- a/garnetlanding/daemon/admin.py
+++ b/garnetlanding/daemon/admin.py
@@ -35,7 +35,19 @@
     def rows(self, view: FleetView) -> list[dict[str, object]] | None:
         """Return a table's rows; None while this instance receives no gossip."""
         coordinator = self._link.coordinator
-        return coordinator.known(view.value, self._instance.scheduler.now) if coordinator else None
+        if coordinator is None:
+            return None
+        now = self._instance.scheduler.now
+        match view:
+            case FleetView.LIMITS:
+                rows = coordinator.limit_rows(now)
+            case FleetView.MEMBERS:
+                rows = coordinator.member_rows(now)
+            case FleetView.SUSPICIONS:
+                rows = coordinator.suspicion_rows(now)
+            case FleetView.DISABLES:
+                rows = coordinator.disabled_rows()
+        return [row.as_json() for row in rows]
 
     def forget(self, instance: int) -> bool | None:
         """Remove a terminated instance; None where membership is not discovered by gossip."""
--- a/garnetlanding/daemon/peer_group.py
+++ b/garnetlanding/daemon/peer_group.py
@@ -92,7 +92,7 @@
             self._each_max,
             instance.longest_attempt_us,
             lambda: instance.scheduler.now,
-            lambda: link.coordinator.shared() if link.coordinator else None,
+            lambda: link.coordinator.shared_leases() if link.coordinator else None,
         )
 
 
--- a/garnetlanding/daemon/peer_link.py
+++ b/garnetlanding/daemon/peer_link.py
@@ -66,18 +66,20 @@
         return config.operator.fleet.place(config.peers) if config.operator.fleet else config.peers
 
     def _make_coordinator(self, setup: PeerSetup) -> PeerCoordinator:
-        from garnetlanding.peers.coordinator import PeerCoordinator
+        from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
 
         return PeerCoordinator(
             self._instance.core.module,
             self._instance.incarnation,
             setup.limits,
+            PeerSubsystems(
+                detector=self._group.failure_detector if self._group else None,
+                membership=self._group.membership if self._group else None,
+                make_budgets=self._group.make_budgets if self._group else None,
+                history=self._history.writer if self._history else None,
+            ),
             self._dropped,
-            self._history.writer if self._history else None,
-            False,
-            self._group.failure_detector if self._group else None,
-            self._group.membership if self._group else None,
-            self._group.make_budgets if self._group else None,
+            is_active=False,
         )
 
     def _open(self, setup: PeerSetup, coordinator: PeerCoordinator) -> None:
@@ -95,7 +97,7 @@
             self._retry_planned = True
             instance.scheduler.call_at(instance.scheduler.now + setup.limits.open_retry_us, self._retry)
             return
-        coordinator.take_over(instance.scheduler.now)
+        coordinator.activate(instance.scheduler.now)
         instance.core.send_to_peer = self.link.tell
         instance.log_listening("other heads", self.link.address)
 
@@ -116,14 +118,14 @@
         """
         superseded = self._instance.process.superseded
         if superseded and self.link and self.coordinator:
-            self.coordinator.retire(self._instance.scheduler.now)
+            self.coordinator.deactivate(self._instance.scheduler.now)
             self._close()
         return superseded
 
     def set_fenced(self, fenced: bool) -> None:
         """Let the coordinator know that this instance may act no more, or again."""
         if self.coordinator:
-            self.coordinator.stand_back(fenced, self._instance.scheduler.now)
+            self.coordinator.set_suspended(fenced, self._instance.scheduler.now)
 
     def stop(self) -> None:
         """Let peers know that this instance leaves, so that its quota shares are free at once."""
--- a/garnetlanding/emulator/suspicion_net.py
+++ b/garnetlanding/emulator/suspicion_net.py
@@ -15,7 +15,7 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.decision.interface import Outcome
-from garnetlanding.peers.coordinator import PeerCoordinator
+from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
 from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.limits import PeerLimits
 
@@ -144,9 +144,9 @@
     def _make_instance(self, number: int, limits: PeerLimits) -> PeerCoordinator:
         return PeerCoordinator(
             Controller(settings(self.scenario, number), number),
-            life=1,
+            incarnation=1,
             limits=limits,
-            fleet=FailureDetector(limits) if self.scenario.gossip else None,
+            subsystems=PeerSubsystems(FailureDetector(limits) if self.scenario.gossip else None),
         )
 
     def _list_backends(self) -> None:
@@ -188,8 +188,9 @@
             instance = self.instances[delivery.instance]
             for action in instance.handle(delivery.at, [delivery.event]):
                 self._act(delivery.at, delivery.instance, action)
-            if instance.fleet and delivery.at < self.scenario.fails_at:
-                suspected = instance.fleet.suspicions.suspected(delivery.at, instance.fleet.observations)
+            detector = instance.subsystems.detector
+            if detector and delivery.at < self.scenario.fails_at:
+                suspected = detector.suspicions.suspected(delivery.at, detector.observations)
                 self.result.suspected |= {(delivery.instance, backend) for backend in suspected}
         return self.result
 
--- /dev/null
+++ b/garnetlanding/peers/receiver.py
@@ -0,0 +1,92 @@
+"""Receives the datagrams of peers: decodes them and passes each on by its kind. No clock, no socket."""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import TYPE_CHECKING, NamedTuple
+
+from garnetlanding.peers import codec
+from garnetlanding.peers.codec import Envelope, MessageError, MessageKind
+from garnetlanding.peers.drop_reasons import DropReason
+from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.quota_use import QuotaUse
+
+if TYPE_CHECKING:  # what is off is not imported
+    from garnetlanding.peers.failure_detector import FailureDetector
+    from garnetlanding.peers.membership_protocol import MembershipProtocol
+
+
+class ReceivedMessage(NamedTuple):
+    """Which message was received: of which instance, and its place among the messages of that one."""
+
+    sender: int
+    incarnation: int
+    number: int
+
+
+class MessageReceiver:
+    """Takes in the messages of peers, and counts those that are dropped by cause."""
+
+    def __init__(
+        self,
+        limits: PeerLimits,
+        quota: QuotaUse,
+        detector: FailureDetector | None,
+        membership: MembershipProtocol | None,
+        dropped: Counter[str],
+    ) -> None:
+        """`detector` and `membership`: None where messages of that kind are switched off."""
+        self._limits = limits
+        self._quota = quota
+        self._detector = detector
+        self._membership = membership
+        self.dropped = dropped
+        self.last_received: ReceivedMessage | None = None  # the last message that was not dropped
+
+    def receive(self, sender: int, payload: bytes, now: int) -> None:
+        """Take in one datagram; one that cannot be used is counted and changes nothing."""
+        try:
+            envelope = codec.decode_envelope(payload, self._limits.datagram_bytes)
+            reason = self._dispatch(sender, envelope, now)
+        except MessageError as error:
+            self.dropped[error.cause] += 1
+            return
+        if reason is not None:
+            self.dropped[reason.value] += 1
+            return
+        self.last_received = ReceivedMessage(sender, envelope.incarnation, envelope.number)
+
+    def _dispatch(self, sender: int, envelope: Envelope, now: int) -> DropReason | None:
+        """Pass a message on by its kind; return why it is dropped, if it is. Raises MessageError."""
+        if envelope.kind == MessageKind.MEMBERSHIP and self._membership:
+            return self._receive_membership(self._membership, sender, envelope, now)
+        if envelope.kind == MessageKind.GOSSIP and self._detector:
+            return self._receive_gossip(self._detector, sender, envelope, now)
+        if envelope.kind == MessageKind.BUDGETS:
+            if self._quota.budgets is None:
+                return DropReason.OTHER_KIND
+            return self._quota.budgets.receive(sender, codec.read_leases(envelope), now)
+        return self._quota.leases.receive(sender, codec.read_leases(envelope), now)
+
+    def _receive_membership(
+        self, membership: MembershipProtocol, sender: int, envelope: Envelope, now: int
+    ) -> DropReason | None:
+        # Records are merged whoever sent them, and first: the sender may be known by its own record alone.
+        message = membership.merge(envelope)
+        self._quota.follow_members(membership, now)
+        reason = self._quota.leases.accept_contact(sender, envelope.incarnation, envelope.number, now)
+        if reason is None:
+            membership.record_contact(sender, message, now)
+        return reason
+
+    def _receive_gossip(
+        self, detector: FailureDetector, sender: int, envelope: Envelope, now: int
+    ) -> DropReason | None:
+        leases = self._quota.leases
+        reason = leases.accept_contact(sender, envelope.incarnation, envelope.number, now)
+        if reason is not None:
+            return reason
+        sent_at = leases.sent_at(envelope.acked_incarnation, envelope.acked_number)
+        for entry_reason, count in detector.receive(sender, envelope, sent_at, now).items():
+            self.dropped[entry_reason.value] += count
+        return None
--- a/garnetlanding/wirehost.py
+++ b/garnetlanding/wirehost.py
@@ -79,7 +79,7 @@
             if settings.may_message_peers:  # what the settings forbid is not imported
                 from garnetlanding.peers.coordinator import PeerCoordinator
 
-                self.controllers[who] = PeerCoordinator(host, life=now)
+                self.controllers[who] = PeerCoordinator(host, incarnation=now)
         except Exception as defect:
             faults[who] = f"{type(defect).__name__}: {defect}"
 
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -49,7 +49,7 @@
 from garnetlanding.lab.history import CorruptHistoryError
 from garnetlanding.lab.history import read as read_history
 from garnetlanding.peers import codec, gossip_message, membership_message
-from garnetlanding.peers.coordinator import PeerCoordinator
+from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
 from garnetlanding.peers.disabled_backends import DisabledBackends
 from garnetlanding.peers.disabled_backends import DisableRecord as Ban
 from garnetlanding.peers.failure_detector import FailureDetector
@@ -588,11 +588,13 @@
         self.fleets[me] = FailureDetector(PEER_LIMITS, history=history)
         self.talks[me] = PeerCoordinator(
             Controller(s, me),
-            life=100 + me,
-            history=history,
-            fleet=self.fleets[me],
-            group=MembershipProtocol(PEER_LIMITS, table, history),
-            budgets=lambda s, life, now: SharedBudgets(PEER_LIMITS, s, life, now),
+            incarnation=100 + me,
+            subsystems=PeerSubsystems(
+                self.fleets[me],
+                MembershipProtocol(PEER_LIMITS, table, history),
+                lambda s, life, now: SharedBudgets(PEER_LIMITS, s, life, now),
+                history,
+            ),
         )
         entries = tuple(
             api.Endpoint(f"n{i}", i, "z", api.EndpointState.UP, started_us=self.now + 1 if i == 4 else 0)
@@ -701,9 +703,16 @@
     ), "all heard of the ban"
     text = "".join(told_so_far(talk.sent))
     for me, one in talk.talks.items():
-        text += f"head {me}: dropped {sorted(one.dropped.items())}, heard {one.last_heard}, said {one.said}\n"
-        for what in ("limits", "members", "verdicts", "bans"):
-            text += f"  {what}: {json.dumps(one.known(what, LENGTH_US))}\n"
+        heard = list(one.last_received or ())
+        text += f"head {me}: dropped {sorted(one.dropped.items())}, heard {heard}, said {one.last_sent}\n"
+        tables = {
+            "limits": one.limit_rows(LENGTH_US),
+            "members": one.member_rows(LENGTH_US),
+            "verdicts": one.suspicion_rows(LENGTH_US),
+            "bans": one.disabled_rows(),
+        }
+        for name, rows in tables.items():
+            text += f"  {name}: {json.dumps([row.as_json() for row in rows])}\n"
     golden("conversation.txt", text.encode())
 
 
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -47,7 +47,7 @@
     def __init__(self) -> None:
         self.now = T0
         self.talks = [
-            PeerCoordinator(Controller(replace(LIMITED, instance_id=me), 1), life=1) for me in range(3)
+            PeerCoordinator(Controller(replace(LIMITED, instance_id=me), 1), incarnation=1) for me in range(3)
         ]
         self.inbox: list[list[api.Event]] = [[] for _ in self.talks]
         self.sent: list[list[str]] = [[] for _ in self.talks]
@@ -100,7 +100,7 @@
 
 
 def test_without_limits_nothing_is_told() -> None:
-    talk = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), life=1)
+    talk = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), incarnation=1)
     for i in range(40):
         now = T0 + i * 100 * MS
         actions = talk.handle(now, [api.Arrival(f"r{i}", "read", "gold", "v", "k", 1, 0, now + SECOND, 2)])
@@ -120,7 +120,7 @@
 
 
 def test_forged_bytes_are_counted_by_cause_and_change_nothing() -> None:
-    talk = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), life=1)
+    talk = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), incarnation=1)
     whole = codec.encode_leases(
         LeaseMessage(1, 1, 0, 0, {codec.tag("v"): codec.Ask(1.0, 2)}, {codec.tag("v"): 1.0})
     )
@@ -210,7 +210,7 @@
     h.ask()
     told = h.heard()
     assert len(told[0]) == len(told[1]) >= 3 and told[0][-1].asks[codec.tag("v")][1] == 2
-    assert {use.incarnation for use in told[0]} == {h.talk.life} and h.talk.life > 10**12
+    assert {use.incarnation for use in told[0]} == {h.talk.incarnation} and h.talk.incarnation > 10**12
     link = h.daemon.assembly.peer_link.link
     assert link and h.daemon.core.send_to_peer
     host, port = link.address.split(":")
@@ -229,11 +229,11 @@
     grant = LeaseMessage(1, 1, sent.incarnation, sent.number, {tag: codec.Ask(1.0, 2)}, {tag: 0.6})
     h.others[0].sendto(codec.encode_leases(grant), (host, int(port)))
     h.settle()
-    [row] = h.talk.known("limits", h.time)
+    [row] = [row.as_json() for row in h.talk.limit_rows(h.time)]
     assert row["volume"] == "v" and row["hosts"] == 2
     assert row["had"] == [{"head": 1, "share": 0.6, "for_ms": row["had"][0]["for_ms"]}]  # type: ignore[index]
-    rows = h.talk.known("members", h.time)
-    assert [(r["head"], r["life"]) for r in rows] == [(0, h.talk.life), (1, 1), (2, None)]
+    rows = [row.as_json() for row in h.talk.member_rows(h.time)]
+    assert [(r["head"], r["life"]) for r in rows] == [(0, h.talk.incarnation), (1, 1), (2, None)]
     shown = admin_output.as_text("fleet/limits", admin_client.Reply(200, json.dumps([row])))
     assert "n1 0.6 for" in shown and "volume" in shown
     assert (
--- a/tests/peers/test_disabled_backends.py
+++ b/tests/peers/test_disabled_backends.py
@@ -42,7 +42,7 @@
     assert [r.disabled for r in group.fleets[0].take_received()] == [
         False
     ], "a clock that is behind does not keep it from that"
-    assert group.talks[0].known("bans", group.now)[0]["out"] is True
+    assert group.talks[0].disabled_rows()[0].as_json()["out"] is True
 
 
 # The table
--- a/tests/peers/test_gossip_message.py
+++ b/tests/peers/test_gossip_message.py
@@ -81,6 +81,6 @@
         (0, api.PeerMessage(1, codec.encode_envelope(strange))),
     )
     assert f.talks[0].dropped == {"word too old": 1, "no such verdict": 1}
-    off = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), life=1)
+    off = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), incarnation=1)
     off.handle(T0, [api.PeerMessage(1, codec.encode_envelope(good))])
-    assert off.dropped == {"other kind": 1} and off.known("verdicts", T0) == []
+    assert off.dropped == {"other kind": 1} and list(off.suspicion_rows(T0)) == []
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -13,7 +13,7 @@
 from garnetlanding.decision.control import Controller
 from garnetlanding.emulator.group_model import Scope, explore
 from garnetlanding.emulator.group_net import SECOND, GroupNet, GroupRun
-from garnetlanding.peers.coordinator import PeerCoordinator
+from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
 from garnetlanding.peers.gossip_schedule import GossipSchedule
 from garnetlanding.peers.membership import InstanceRecord, Membership, MemberState
 from garnetlanding.peers.membership_protocol import MembershipProtocol
@@ -201,9 +201,10 @@
     group = MembershipProtocol(LIMITS, one(0, seeds=1))
     talk = PeerCoordinator(
         Controller(COLD, 1),
-        life=1,
-        group=group,
-        budgets=lambda s, life, now: SharedBudgets(LIMITS, s, life, now),
+        incarnation=1,
+        subsystems=PeerSubsystems(
+            membership=group, make_budgets=lambda s, life, now: SharedBudgets(LIMITS, s, life, now)
+        ),
     )
     now = T0
     talk.handle(now, [])
@@ -211,11 +212,11 @@
     talk.handle(now, [])
     budgets = talk.budgets
     assert group.members.joined and budgets and budgets.leases.resumes_at is not None
-    talk.stand_back(True, now)
+    talk.set_suspended(True, now)
     talk.handle(now + SECOND, [])
-    talk.take_over(now + SECOND)
+    talk.activate(now + SECOND)
     talk.handle(now + SECOND, [])
     assert budgets.leases.resumes_at is None and talk.leases and talk.leases.resumes_at is None
-    talk.stand_back(False, now + SECOND)
+    talk.set_suspended(False, now + SECOND)
     talk.handle(now + SECOND, [])
     assert budgets.leases.resumes_at is not None and talk.leases.resumes_at is not None, "as after a start"
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -128,7 +128,7 @@
     assert fleet.sends[0] == ["r0"], "one at a time, and never none"
     fleet.run(1, (0, result("n0", SERVED, request="r0")))
     assert fleet.sends[0] == ["r0", "r1", "r2"], "a response to its own request ends the suspicion"
-    shown = fleet.talks[0].known("verdicts", fleet.now)
+    shown = [row.as_json() for row in fleet.talks[0].suspicion_rows(fleet.now)]
     assert [w["head"] for w in shown[0]["words"]] == [1] and shown[0]["doubted_ms"] is None  # type: ignore
 
 
--- a/tests/support/suspicions.py
+++ b/tests/support/suspicions.py
@@ -5,7 +5,7 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.decision.interface import Outcome
-from garnetlanding.peers.coordinator import PeerCoordinator
+from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
 from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.gossip_message import (
     MAX_UPTIME,
@@ -58,7 +58,9 @@
         self.fleets = [FailureDetector(LIMITS) for _ in range(3)]
         self.talks = [
             PeerCoordinator(
-                Controller(make_settings(may_message_peers=True, instance_id=me), 1), life=1, fleet=fleet
+                Controller(make_settings(may_message_peers=True, instance_id=me), 1),
+                incarnation=1,
+                subsystems=PeerSubsystems(fleet),
             )
             for me, fleet in enumerate(self.fleets)
         ]
