--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,8 +1,8 @@
-"""How far over a limit a fleet can be, and how much of it the busiest head can use.
+"""How far over a limit a fleet can be, and how much of it the busiest instance can use.
 
-    python -m benchmarks.leases [SEEDS]
+    python -m benchmarks.leases [SEEDS]        writes benchmarks/results/leases.md
 
-Simulated clocks and networks (garnetlanding/emulator/lease_net.py); the numbers of seeds are arguments.
+Simulated clocks and networks (garnetlanding/emulator/lease_net.py); the number of seeds is an argument.
 """
 
 from __future__ import annotations
@@ -17,7 +17,8 @@
 from garnetlanding.emulator.lease_model import Scope, explore
 from garnetlanding.emulator.lease_net import SECOND, Scenario, Simulation
 
-NETS = {
+RESULTS = pathlib.Path(__file__).parent / "results" / "leases.md"
+FAULTS = {
     "3 heads, 2 hosts": Scenario(),
     "3 heads, 3 hosts": Scenario(hosts=3),
     "8 heads, 3 hosts": Scenario(instances=8, hosts=3),
@@ -26,6 +27,7 @@
     "3 heads, messages 2 s late": Scenario(late_us=2 * SECOND),
     "40 heads, 3 hosts": Scenario(instances=40, hosts=3, length_us=6 * SECOND),
 }
+LARGE = 40  # instances, from which on a twentieth of the seeds is run
 STEADY = Scenario(calm=True, other_demand=0.0, shift_us=600 * SECOND, length_us=60 * SECOND)
 USE = {
     "one head has all the traffic, 3 heads": STEADY,
@@ -33,43 +35,62 @@
     "the busiest changes every 12 s": replace(STEADY, shift_us=12 * SECOND),
     "the same, a tenth is lost": replace(STEADY, shift_us=12 * SECOND, calm=False, faults=0),
 }
-
+USE_SEEDS = 5
 SCOPES = [Scope(steps=4, starts=0), Scope(steps=3, starts=1), Scope(hosts=3, steps=3, starts=0)]
 
 
-def main(seeds: int) -> None:
-    head = "| 12 s, 4 faults each | seeds | greatest sum of parts | states | bytes a head a second |"
-    lines = [head, "| --- | --- | --- | --- | --- |"]
-    for name, net in NETS.items():
-        count = seeds // 20 if net.instances >= 40 else seeds
-        seen = [Simulation(replace(net, seed=seed)).run() for seed in track(range(count), name)]
-        states = len(set().union(*(s.states for s in seen)))
-        size = sum(s.bytes for s in seen) / count / net.instances / (net.length_us / SECOND)
-        lines.append(
-            f"| {name} | {count} | {max(s.greatest_sum for s in seen):.4f} | {states} | {size:.0f} |"
-        )
-    lines += [
-        "",
+def fault_rows(seeds: int) -> list[str]:
+    """Return the table of the greatest sums of shares under faults."""
+    rows = [
+        "| 12 s, 4 faults each | seeds | greatest sum of parts | states | bytes a head a second |",
+        "| --- | --- | --- | --- | --- |",
+    ]
+    for name, scenario in FAULTS.items():
+        count = seeds // 20 if scenario.instances >= LARGE else seeds
+        results = [Simulation(replace(scenario, seed=seed)).run() for seed in track(range(count), name)]
+        states = len(set().union(*(result.states for result in results)))
+        greatest = max(result.greatest_sum for result in results)
+        seconds = scenario.length_us / SECOND
+        size = sum(result.bytes for result in results) / count / scenario.instances / seconds
+        rows.append(f"| {name} | {count} | {greatest:.4f} | {states} | {size:.0f} |")
+    return rows
+
+
+def use_rows() -> list[str]:
+    """Return the table of how much of the limit the busiest instance can use."""
+    rows = [
         "| share of a bought limit that the busiest head can use | fixed parts | leases |",
         "| --- | --- | --- |",
     ]
-    for name, net in USE.items():
-        seen = [Simulation(replace(net, seed=seed)).run() for seed in range(5)]
-        lines.append(f"| {name} | {1 / net.hosts:.2f} | {sum(s.usable for s in seen) / 5:.3f} |")
-    lines += [
-        "",
+    for name, scenario in USE.items():
+        results = [Simulation(replace(scenario, seed=seed)).run() for seed in range(USE_SEEDS)]
+        usable = sum(result.usable for result in results) / USE_SEEDS
+        rows.append(f"| {name} | {1 / scenario.hosts:.2f} | {usable:.3f} |")
+    return rows
+
+
+def exploration_rows() -> list[str]:
+    """Return the table of what was explored whole."""
+    rows = [
         "| explored whole, 3 heads | steps | starts | states | moves | greatest sum of parts |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
     for scope in track(SCOPES, "every course"):
         found = explore(scope)
-        lines.append(
-            f"| {scope.hosts} hosts{'' if found.whole else ', given up'} | {scope.steps} "
-            f"| {scope.starts} | {found.states} | {found.moves} | {found.greatest_sum:.4f} |"
+        name = f"{scope.hosts} hosts{'' if found.whole else ', given up'}"
+        rows.append(
+            f"| {name} | {scope.steps} | {scope.starts} | {found.states} | {found.moves} "
+            f"| {found.greatest_sum:.4f} |"
         )
-    text = "\n".join(lines) + "\n"
+    return rows
+
+
+def main(seeds: int) -> None:
+    """Run everything, print the tables and write them to `RESULTS`."""
+    tables = [fault_rows(seeds), use_rows(), exploration_rows()]
+    text = "\n\n".join("\n".join(table) for table in tables) + "\n"
     print(text)
-    pathlib.Path(__file__).with_name("results").joinpath("leases.md").write_text("# Leases\n\n" + text)
+    RESULTS.write_text("# Leases\n\n" + text)
     print(json.dumps({"seeds": seeds}))
 
 
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -1,4 +1,4 @@
-"""What a fleet goes on sending to a server that falls silent, with heads that tell each other and without.
+"""What a fleet goes on sending to a backend that stops responding, with gossip about backends and without.
 
 python -m benchmarks.verdicts [--seeds N]        writes benchmarks/results/verdicts.md
 """
@@ -8,90 +8,106 @@
 import argparse
 import pathlib
 from collections.abc import Iterator
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
 from garnetlanding.emulator.suspicion_model import Scope, explore
-from garnetlanding.emulator.suspicion_net import Failure, Scenario, Simulation, avoided_after
+from garnetlanding.emulator.suspicion_net import SECOND, Failure, Scenario, Simulation, avoided_after
 
 SCOPES = (Scope(instances=2, steps=4), Scope(instances=3, steps=2))
-HEADS = (4, 8, 16, 32, 64, 100)
+INSTANCES = (4, 8, 16, 32, 64, 100)
 RESULTS = pathlib.Path(__file__).parent / "results" / "verdicts.md"
+COLUMNS = (
+    "heads",
+    "sent to it, untold",
+    "told",
+    "ratio",
+    "s until under a tenth, untold",
+    "s until under a tenth, told",
+    "served, told / untold",
+    "bytes a head a second",
+    "healthy servers doubted",
+    "served in the 10 s after a third of the servers is lost, untold",
+    "told",
+)
+EXPLORATION_COLUMNS = ("explored whole", "steps", "states", "moves", "of them with a doubt", "laws broken")
+
+
+@dataclass(slots=True)
+class Totals:
+    """Sums over all seeds of one fleet."""
+
+    attempts: int = 0  # at the failed backend
+    avoided_after_us: int = 0
+    served_share: float = 0.0
+    bytes: int = 0
+    suspected: int = 0  # healthy backends
+    served_share_after_zone_loss: float = 0.0  # a third of the backends refuses connections
+
+
+def measure(instances: int, gossip: bool, seeds: int) -> Totals:
+    """Simulate a fleet of that size once for each seed."""
+    totals = Totals()
+    for seed in range(1, seeds + 1):
+        scenario = Scenario(seed=seed, instances=instances, gossip=gossip)
+        result = Simulation(scenario).run()
+        totals.attempts += len(result.attempts)
+        totals.avoided_after_us += avoided_after(scenario, result)
+        totals.served_share += result.served / result.requested
+        totals.bytes += result.bytes
+        totals.suspected += len(result.suspected)
+        zone_loss = replace(scenario, failing=scenario.backends // 3, failure=Failure.REFUSING)
+        aftermath = Simulation(zone_loss).run().aftermath
+        totals.served_share_after_zone_loss += aftermath.served / aftermath.requested
+    return totals
 
 
 def rows(seeds: int) -> Iterator[list[str]]:
-    for heads in HEADS:
-        cells: list[list[float]] = []
-        for told in (False, True):
-            sends, left, served, size, wrong, zone = 0, 0, 0.0, 0, 0, 0.0
-            for seed in range(1, seeds + 1):
-                net = Scenario(seed=seed, instances=heads, gossip=told)
-                seen = Simulation(net).run()
-                sends, left = sends + len(seen.attempts), left + avoided_after(net, seen)
-                served, size = served + seen.served / seen.requested, size + seen.bytes
-                wrong += len(seen.suspected)
-                aftermath = (
-                    Simulation(replace(net, failing=net.backends // 3, failure=Failure.REFUSING))
-                    .run()
-                    .aftermath
-                )
-                zone += aftermath.served / aftermath.requested
-            cells.append(
-                [
-                    sends / seeds,
-                    left / seeds / 1e6,
-                    served / seeds,
-                    size / seeds / heads / (net.length_us / 1e6),
-                    wrong,
-                    zone / seeds,
-                ]
-            )
-        without, told_ = cells
+    """Yield the cells of each fleet's row."""
+    seconds = Scenario().length_us / SECOND
+    for instances in INSTANCES:
+        without = measure(instances, False, seeds)
+        gossip = measure(instances, True, seeds)
+        yield [
+            str(instances),
+            f"{without.attempts / seeds:.0f}",
+            f"{gossip.attempts / seeds:.0f}",
+            f"{gossip.attempts / without.attempts:.2f}",
+            f"{without.avoided_after_us / seeds / SECOND:.1f}",
+            f"{gossip.avoided_after_us / seeds / SECOND:.1f}",
+            f"{gossip.served_share / without.served_share:.4f}",
+            f"{gossip.bytes / seeds / instances / seconds:.0f}",
+            f"{gossip.suspected:.0f}",
+            f"{without.served_share_after_zone_loss / seeds:.3f}",
+            f"{gossip.served_share_after_zone_loss / seeds:.3f}",
+        ]
+
+
+def exploration_rows() -> Iterator[list[str]]:
+    """Yield the cells of each explored scope's row."""
+    for scope in SCOPES:
+        found = explore(scope)
         yield [
-            str(heads),
-            f"{without[0]:.0f}",
-            f"{told_[0]:.0f}",
-            f"{told_[0] / without[0]:.2f}",
-            f"{without[1]:.1f}",
-            f"{told_[1]:.1f}",
-            f"{told_[2] / without[2]:.4f}",
-            f"{told_[3]:.0f}",
-            f"{told_[4]:.0f}",
-            f"{without[5]:.3f}",
-            f"{told_[5]:.3f}",
+            f"{scope.instances} heads{'' if found.whole else ', given up'}",
+            str(scope.steps),
+            str(found.states),
+            str(found.moves),
+            str(found.suspicious),
+            found.violation or "none",
         ]
 
 
+def table(columns: tuple[str, ...], cells: Iterator[list[str]]) -> list[str]:
+    """Return the lines of a Markdown table."""
+    lines = ["| " + " | ".join(columns) + " |", "| --- " * len(columns) + "|"]
+    return lines + ["| " + " | ".join(row) + " |" for row in cells]
+
+
 def main() -> None:
+    """Run everything, print the tables and write them to `RESULTS`."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=5)
     seeds = parser.parse_args().seeds
-    names = (
-        "heads",
-        "sent to it, untold",
-        "told",
-        "ratio",
-        "s until under a tenth, untold",
-        "s until under a tenth, told",
-        "served, told / untold",
-        "bytes a head a second",
-        "healthy servers doubted",
-        "served in the 10 s after a third of the servers is lost, untold",
-        "told",
-    )
-    lines = ["| " + " | ".join(names) + " |", "| --- " * len(names) + "|"]
-    lines += ["| " + " | ".join(row) + " |" for row in rows(seeds)]
-    lines += [
-        "",
-        "| explored whole | steps | states | moves | of them with a doubt | laws broken |",
-        "| --- " * 6 + "|",
-    ]
-    for scope in SCOPES:
-        found = explore(scope)
-        name = f"{scope.instances} heads{'' if found.whole else ', given up'}"
-        lines.append(
-            f"| {name} | {scope.steps} | {found.states} | {found.moves} | {found.suspicious} "
-            f"| {found.violation or 'none'} |"
-        )
+    lines = [*table(COLUMNS, rows(seeds)), "", *table(EXPLORATION_COLUMNS, exploration_rows())]
     RESULTS.write_text(
         f"""# Verdicts: a server falls silent for 8 s
 
