--- a/garnetlanding/__init__.py
+++ b/garnetlanding/__init__.py
@@ -1,3 +1,3 @@
-"""garnetlanding: a head that decides when reads and writes leave for shared storage nodes."""
+"""A load balancer that queues reads and writes fairly in front of shared storage backends."""
 
 __version__ = "0.1.0"
--- a/garnetlanding/daemon/assembly.py
+++ b/garnetlanding/daemon/assembly.py
@@ -41,7 +41,8 @@
 from garnetlanding.daemon.lifecycle import Subsystem
 from garnetlanding.daemon.peer_link import PeerLinkManager
 from garnetlanding.daemon.process_share import CapacitySharing, ProcessShare
-from garnetlanding.daemon.settings import SettingsManager, effective_settings, open_store, stored_settings
+from garnetlanding.daemon.settings import SettingsManager, effective_settings, stored_settings
+from garnetlanding.daemon.store_opening import open_store
 from garnetlanding.decision.control import Controller
 from garnetlanding.resp.brick import bricks
 from garnetlanding.runtime.buffers import BufferPool
--- a/garnetlanding/daemon/settings.py
+++ b/garnetlanding/daemon/settings.py
@@ -8,7 +8,6 @@
 
 import json
 import logging
-import time
 import zlib
 from collections.abc import Callable
 from dataclasses import replace
@@ -18,37 +17,12 @@
 from garnetlanding.daemon.instance import Instance
 from garnetlanding.daemon.lifecycle import Subsystem
 from garnetlanding.decision import interface as api
-from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.store.cached_endpoints import SETTINGS
-from garnetlanding.store.setup import StoreRole
 from garnetlanding.store.store import Entry, Store
 
 log = logging.getLogger(__name__)
 
 
-def open_store(config: Config, scheduler: Scheduler) -> Store:
-    """Open the store, from its file where it has one; a writer puts the configuration's settings into it.
-
-    Raises StoreFileError for a file that is damaged, OSError for one that cannot be read or written.
-    """
-    setup = config.operator.store
-    # Only followers read the log: without any it would hold on to lists long replaced.
-    log_entries = config.limits.store_log_entries if setup.role is StoreRole.WRITER else 0
-    store = Store(setup.writer, setup.role is not StoreRole.FOLLOWER, log_entries)
-    persister = None
-    if setup.file:
-        from garnetlanding.store.persister import StorePersister
-
-        persister = StorePersister(scheduler, store, setup.file, config.limits.store_save_us)
-    if store.writable:
-        # Each incarnation of the writer has a greater epoch, also when its file is lost.
-        store.epoch = max(store.epoch + 1, time.time_ns() // 1_000_000)
-        store.put(SETTINGS, config.raw_settings)
-    if persister:
-        persister.save()
-    return store
-
-
 def stored_settings(config: Config, store: Store) -> dict[str, Any]:
     """Return the settings of the store in the platform's form; the configuration's where it has none yet."""
     raw: dict[str, Any] = store.get(SETTINGS, config.raw_settings)
@@ -80,8 +54,8 @@
 
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
-        self.version = ""  # of the settings in force, empty where nothing asks for it
-        self.on_version: list[Callable[[int], None]] = []  # called with the digest of new settings in force
+        self.version = ""  # of the settings in force: EPOCH.REVISION#CHECKSUM; empty until it is first noted
+        self.on_version: list[Callable[[int], None]] = []  # called with the checksum of the settings in force
         self.on_applied: list[Callable[[], None]] = []
         self.on_rejected: list[Callable[[str], None]] = []  # called with the reason
         instance.store.observers.append(self._store_changed)
