--- a/garnetlanding/decision/interface.py
+++ b/garnetlanding/decision/interface.py
@@ -265,7 +265,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaShares:
-    """This instance's shares of what instances divide, from now on."""
+    """The instance's shares of what instances divide, from now on."""
 
     quota_shares: dict[str, float]
     """By volume, the part of its plan's limit and reserve; a volume not named keeps the one it has."""
--- a/garnetlanding/wire.py
+++ b/garnetlanding/wire.py
@@ -1,15 +1,21 @@
-"""The simulator's wire, both ways. Turns lines into events and actions into lines; decides nothing."""
+"""The simulator's wire, both ways: lines to settings and events, actions to lines. Decides nothing.
+
+The mapping between the wire's words and the program's names stands here and nowhere else, field by field. A
+line holds a message's name and its fields, separated by one blank; `-` or an empty field is an absent one,
+and fields beyond the known ones are passed over. Batches and their framing are wirehost.py's.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
-from typing import TypeVar
+from enum import Enum
+from typing import Any, TypeVar
 
 from garnetlanding.decision import interface as api
 
 T = TypeVar("T")
 
-OUTCOMES = {
+_OUTCOMES = {
     "delivered": api.Outcome.SERVED,
     "app_error": api.Outcome.ERROR,
     "shed": api.Outcome.FULL,
@@ -19,263 +25,364 @@
     "revoked": api.Outcome.CANCELLED,
     "unused": api.Outcome.NEVER_DISPATCHED,
 }
-EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
-GROUPS = {
+_EFFECTS = {
+    "free": api.Effect.SAFE,
+    "guarded": api.Effect.KEYED,
+    "single_shot": api.Effect.UNSAFE,
+}
+_DEDUPLICATION_SCOPES = {
     "all": api.DeduplicationScope.ALL,
     "zone": api.DeduplicationScope.ZONE,
     "cell": api.DeduplicationScope.CELL,
 }
-STATES = {
+_ENDPOINT_STATES = {
     "in_service": api.EndpointState.UP,
     "terminating": api.EndpointState.DRAINING,
     "terminated": api.EndpointState.GONE,
 }
-LIST_KINDS = ("diff", "snapshot", "disk", "error")
+_FLAGS = {"1": True, "0": False, "true": True, "false": False}
+_ABSENT = ("", "-")
+
+
+class ListKind(Enum):
+    """What a list of endpoints on the wire is; the values are the wire's words."""
+
+    CHANGES = "diff"
+    WHOLE = "snapshot"
+    CACHED = "disk"
+    FAILURE = "error"
+
+
+_LIST_KINDS = {kind.value: kind for kind in ListKind}
 
 
 class WireError(ValueError):
-    """A line or a setting that cannot be read; the text names the field."""
+    """A line or a setting that cannot be read. The text names `field`, the field or the setting's path."""
 
+    def __init__(self, text: str, field: str = "") -> None:
+        super().__init__(text)
+        self.field = field
 
-def _integer(text: str) -> int:
+
+def integer(text: str) -> int:
+    """Read a whole number. Raises ValueError."""
     return int(text)
 
 
-def _number(text: str) -> float:
+def number(text: str) -> float:
+    """Read a finite number. Raises ValueError."""
     value = float(text)
     if value != value or value in (float("inf"), float("-inf")):
         raise ValueError(text)
     return value
 
 
-def _flag(text: str) -> bool:
-    return {"1": True, "0": False, "true": True, "false": False}[text]
-
+def flag(text: str) -> bool:
+    """Read a yes or no. Raises KeyError."""
+    return _FLAGS[text]
 
-def _value(name: str, text: str, convert: Callable[[str], T]) -> T:
-    try:
-        return convert(text)
-    except (ValueError, KeyError):
-        raise WireError(f"field {name}: cannot read {text!r}") from None
 
-
-class Fields:
-    """The values of one line, read in order; names serve the error messages."""
+class MessageFields:
+    """The fields of one line, taken in the order in which they stand."""
 
     def __init__(self, parts: list[str]) -> None:
         self._parts = parts
-        self._at = 1
-
-    def take(self, name: str, convert: Callable[[str], T], absent: T | None = None) -> T:
-        if self._at >= len(self._parts):
-            if absent is not None:
-                return absent
-            raise WireError(f"field {name}: missing")
-        text = self._parts[self._at]
-        self._at += 1
-        if text == "-" or text == "":
-            if absent is not None:
-                return absent
-            raise WireError(f"field {name}: missing")
-        return _value(name, text, convert)
-
-
-def _report(text: str) -> dict[str, float]:
-    pairs: dict[str, float] = {}
-    for pair in text.split(","):
-        name, sep, value = pair.partition(":")
-        if not sep:
-            raise ValueError(pair)
-        pairs[name] = _number(value)
-    return pairs
+        self._next = 1  # the first part is the message's name
+
+    def take(self, name: str, convert: Callable[[str], T], default: T | None = None) -> T:
+        """Return the next field, or the default where it is absent. Raises WireError."""
+        text = ""
+        if self._next < len(self._parts):
+            text = self._parts[self._next]
+            self._next += 1
+        if text in _ABSENT:
+            if default is not None:
+                return default
+            raise WireError(f"field {name}: missing", name)
+        try:
+            return convert(text)
+        except (ValueError, KeyError) as problem:
+            raise WireError(f"field {name}: cannot read {text!r}", name) from problem
+
+
+# Settings
+
+
+class _SettingsReader:
+    """Reads settings by their paths."""
+
+    def __init__(self, pairs: Mapping[str, str]) -> None:
+        self._pairs = pairs
+
+    def get(self, path: str, convert: Callable[[str], T], default: T | None = None) -> T:
+        """Return a setting, or the default where it is absent. Raises WireError."""
+        text = self._pairs.get(path, "")
+        if text in _ABSENT:
+            if default is not None:
+                return default
+            raise WireError(f"setting {path}: missing", path)
+        try:
+            return convert(text)
+        except (ValueError, KeyError) as problem:
+            raise WireError(f"setting {path}: cannot read {text!r}", path) from problem
 
 
 def read_settings(text: str) -> api.Settings:
-    """Settings from `path=value` pairs on a line."""
+    """Read settings from `path=value` pairs on a line. Raises WireError."""
     return settings_from(dict(pair.partition("=")[::2] for pair in text.split(" ") if pair))
 
 
 def settings_from(pairs: Mapping[str, str]) -> api.Settings:
-    """Settings by path; those it does not know are passed over."""
-
-    def get(path: str, convert: Callable[[str], T], absent: T | None = None) -> T:
-        raw = pairs.get(path, "")
-        if raw in ("", "-"):
-            if absent is None:
-                raise WireError(f"setting {path}: missing")
-            return absent
-        try:
-            return convert(raw)
-        except (ValueError, KeyError):
-            raise WireError(f"setting {path}: cannot read {raw!r}") from None
-
-    classes = {}
-    for i in range(get("Classes.count", _integer)):
-        p = f"Classes.{i}."
-        spec = api.ClassSpec(
-            name=get(p + "Name", str),
-            priority_weight=get(p + "Credit", _number),
-            late_value_share=get(p + "LateValue", _number, 0.0),
-            latency_objective_us=get(p + "PromiseUs", _integer),
-            deadline_us=get(p + "GiveUpUs", _integer),
-            effect=get(p + "Effect", EFFECTS.__getitem__),
-            deduplication_scope=get(p + "Group", GROUPS.__getitem__, api.DeduplicationScope.ALL),
-            deduplication_window_us=get(p + "RepeatWindowUs", _integer, 0),
-            in_order=get(p + "KeepOrder", _flag, False),
-        )
-        classes[spec.name] = spec
-    plans = {}
-    for i in range(get("Contracts.count", _integer)):
-        p = f"Contracts.{i}."
-        plan = api.PlanSpec(
-            name=get(p + "Name", str),
-            weight=get(p + "Weight", _number),
-            usual_rate=get(p + "UsualRate", _number),
-            reserve_rate=get(p + "Guaranteed", _number, 0.0),
-            limit_rate=get(p + "NeverOver", _number, 0.0),
-            limit_burst=get(p + "LimitBurst", _number, 0.0),
-            price=get(p + "WorthFactor", _number, 1.0),
-        )
-        plans[plan.name] = plan
+    """Read settings by path; unknown ones are passed over. Raises WireError."""
+    get = _SettingsReader(pairs).get
+    class_specs = [_class_spec(get, f"Classes.{index}.") for index in range(get("Classes.count", integer))]
+    plan_specs = [_plan_spec(get, f"Contracts.{index}.") for index in range(get("Contracts.count", integer))]
     return api.Settings(
-        instances=get("Balancers", _integer),
-        instance_id=get("Me", _integer),
-        tick_us=get("TickUs", _integer),
-        classes=classes,
-        plans=plans,
+        instances=get("Balancers", integer),
+        instance_id=get("Me", integer),
+        tick_us=get("TickUs", integer),
+        classes={spec.name: spec for spec in class_specs},
+        plans={spec.name: spec for spec in plan_specs},
         poll_endpoints=get("MembershipMode", str) == "on_request",
-        max_attempts=get("Limits.MaxAttempts", _integer),
-        parallel_attempts=get("Limits.ParallelTries", _flag, False),
-        may_cancel=get("Limits.Cancel", _flag, False),
-        may_probe=get("Limits.Probes", _flag, False),
-        honors_retry_after=get("Limits.RetryAfter", _flag, False),
-        max_retry_after_us=get("Limits.MaxRetryAfterUs", _integer, 0),
-        warmup_initial_share=get("Rules.ColdFrom", _number, 1.0),
-        warmup_us=get("Rules.ColdUs", _integer, 0),
-        warmup_units=get("FamilyInfo.ColdBears", _number, 0.0),
-        overload_multiple=get("Rules.FallMultiple", _number, 1.0),
-        overload_window_us=get("Rules.FallUs", _integer, 0),
-        ordered_key_rest_us=get("Rules.TurnGapUs", _integer, 0),
-        retry_budget_ratio=get("Rules.FurtherRatio", _number, 0.0),
-        retry_budget_floor=get("Rules.FreeResends", _number, 0.0),
-        retry_budget_window_us=get("Rules.RatioSpanUs", _integer, 0),
-        over_quota_value_share=get("FamilyInfo.ShareWorth", _number, 1.0),
-        idle_value_share=get("FamilyInfo.IdleWorth", _number, 1.0),
-        max_units=get("FamilyInfo.Largest", _number, 1.0),
-        cells=get("FamilyInfo.Shards", _integer, 0),
-        may_message_peers=get("Limits.MayTell", _flag, False),
+        max_attempts=get("Limits.MaxAttempts", integer),
+        parallel_attempts=get("Limits.ParallelTries", flag, False),
+        may_cancel=get("Limits.Cancel", flag, False),
+        may_probe=get("Limits.Probes", flag, False),
+        honors_retry_after=get("Limits.RetryAfter", flag, False),
+        max_retry_after_us=get("Limits.MaxRetryAfterUs", integer, 0),
+        warmup_initial_share=get("Rules.ColdFrom", number, 1.0),
+        warmup_us=get("Rules.ColdUs", integer, 0),
+        warmup_units=get("FamilyInfo.ColdBears", number, 0.0),
+        overload_multiple=get("Rules.FallMultiple", number, 1.0),
+        overload_window_us=get("Rules.FallUs", integer, 0),
+        ordered_key_rest_us=get("Rules.TurnGapUs", integer, 0),
+        retry_budget_ratio=get("Rules.FurtherRatio", number, 0.0),
+        retry_budget_floor=get("Rules.FreeResends", number, 0.0),
+        retry_budget_window_us=get("Rules.RatioSpanUs", integer, 0),
+        over_quota_value_share=get("FamilyInfo.ShareWorth", number, 1.0),
+        idle_value_share=get("FamilyInfo.IdleWorth", number, 1.0),
+        max_units=get("FamilyInfo.Largest", number, 1.0),
+        cells=get("FamilyInfo.Shards", integer, 0),
+        may_message_peers=get("Limits.MayTell", flag, False),
     )
 
 
-def read_entry(line: str) -> api.Endpoint:
-    """One `BRICK` line of a list."""
-    parts = line.split(" ")
-    if parts[0] != "BRICK":
-        raise WireError(f"field Hosts: expected BRICK, found {parts[0]!r}")
-    f = Fields(parts)
-    f.take("Machine", str, "")
-    cell = f.take("Cell", _integer, -1)
-    node = f.take("Brick", str)
-    size = f.take("Rating", _number, 1.0)
-    started = f.take("BornUs", _integer, 0)
-    zone = f.take("Hall", str, "")
-    state = f.take("Phase", STATES.__getitem__)
-    return api.Endpoint(node, cell, zone, state, started, size)
-
-
-def list_header(line: str) -> tuple[str, int]:
-    """Kind and number of entries of a `DIRECTORY_UPDATE`."""
-    f = Fields(line.split(" "))
-    kind = f.take("Kind", str)
-    if kind not in LIST_KINDS:
-        raise WireError(f"field Kind: cannot read {kind!r}")
-    f.take("Generation", _integer, 0)
-    count = f.take("Hosts", _integer, 0)
+def _class_spec(get: Callable[..., Any], prefix: str) -> api.ClassSpec:
+    return api.ClassSpec(
+        name=get(prefix + "Name", str),
+        priority_weight=get(prefix + "Credit", number),
+        late_value_share=get(prefix + "LateValue", number, 0.0),
+        latency_objective_us=get(prefix + "PromiseUs", integer),
+        deadline_us=get(prefix + "GiveUpUs", integer),
+        effect=get(prefix + "Effect", _EFFECTS.__getitem__),
+        deduplication_scope=get(
+            prefix + "Group", _DEDUPLICATION_SCOPES.__getitem__, api.DeduplicationScope.ALL
+        ),
+        deduplication_window_us=get(prefix + "RepeatWindowUs", integer, 0),
+        in_order=get(prefix + "KeepOrder", flag, False),
+    )
+
+
+def _plan_spec(get: Callable[..., Any], prefix: str) -> api.PlanSpec:
+    return api.PlanSpec(
+        name=get(prefix + "Name", str),
+        weight=get(prefix + "Weight", number),
+        usual_rate=get(prefix + "UsualRate", number),
+        reserve_rate=get(prefix + "Guaranteed", number, 0.0),
+        limit_rate=get(prefix + "NeverOver", number, 0.0),
+        limit_burst=get(prefix + "LimitBurst", number, 0.0),
+        price=get(prefix + "WorthFactor", number, 1.0),
+    )
+
+
+# Endpoint lists
+
+
+def read_list_header(line: str) -> tuple[ListKind, int]:
+    """Read a `DIRECTORY_UPDATE` line: the kind of the list and how many entries follow. Raises WireError."""
+    fields = MessageFields(line.split(" "))
+    kind = fields.take("Kind", _LIST_KINDS.__getitem__)
+    fields.take("Generation", integer, 0)
+    count = fields.take("Hosts", integer, 0)
     if count < 0:
-        raise WireError(f"field Hosts: cannot read '{count}'")
+        raise WireError(f"field Hosts: cannot read '{count}'", "Hosts")
     return kind, count
 
 
-def _arrival(f: Fields) -> api.Event:
-    request, cls, plan = f.take("Ticket", str), f.take("Lane", str), f.take("Grade", str)
-    key = f.take("Item", str, "")
-    until = f.take("NotAfterUs", _integer)
+def read_endpoint(line: str) -> api.Endpoint:
+    """Read a `BRICK` line, one entry of a list. Raises WireError."""
+    parts = line.split(" ")
+    if parts[0] != "BRICK":
+        raise WireError(f"field Hosts: expected BRICK, found {parts[0]!r}", "Hosts")
+    fields = MessageFields(parts)
+    fields.take("Machine", str, "")
+    cell = fields.take("Cell", integer, -1)
+    node = fields.take("Brick", str)
+    size = fields.take("Rating", number, 1.0)
+    started_us = fields.take("BornUs", integer, 0)
+    zone = fields.take("Hall", str, "")
+    state = fields.take("Phase", _ENDPOINT_STATES.__getitem__)
+    return api.Endpoint(node, cell, zone, state, started_us, size)
+
+
+def endpoint_list_update(kind: ListKind, entries: Iterable[api.Endpoint]) -> api.EndpointListUpdate:
+    """Return the event of a list of that kind."""
+    return api.EndpointListUpdate(
+        entries=tuple(entries),
+        whole=kind in (ListKind.WHOLE, ListKind.CACHED),
+        failed=kind is ListKind.FAILURE,
+        at_start=kind is ListKind.CACHED,
+    )
+
+
+# Events
+
+
+def _arrival(fields: MessageFields) -> api.Event:
+    request = fields.take("Ticket", str)
+    class_name = fields.take("Lane", str)
+    plan = fields.take("Grade", str)
+    key = fields.take("Item", str, "")
+    until_us = fields.take("NotAfterUs", integer)
     return api.Arrival(
         request=request,
-        cls=cls,
+        cls=class_name,
         plan=plan,
         key=key,
-        until_us=until,
-        volume=f.take("Owner", str, ""),
-        units=f.take("Units", _number, 1.0),
-        cell=f.take("GroupNo", _integer, -1),
-        volume_hosts=f.take("NHosts", _integer, 1),
-        is_retry=f.take("AgainByClient", _flag, False),
-        is_write=f.take("IsWrite", _flag, False),
+        until_us=until_us,
+        volume=fields.take("Owner", str, ""),
+        units=fields.take("Units", number, 1.0),
+        cell=fields.take("GroupNo", integer, -1),
+        volume_hosts=fields.take("NHosts", integer, 1),
+        is_retry=fields.take("AgainByClient", flag, False),
+        is_write=fields.take("IsWrite", flag, False),
     )
 
 
-def _opened(f: Fields) -> api.Event:
-    return api.StreamStarted(f.take("Ticket", str), f.take("SeqNo", _integer))
+def _stream_started(fields: MessageFields) -> api.Event:
+    request = fields.take("Ticket", str)
+    attempt = fields.take("SeqNo", integer)
+    return api.StreamStarted(request, attempt)
+
+
+def _result(fields: MessageFields) -> api.Event:
+    request = fields.take("Ticket", str)
+    attempt = fields.take("SeqNo", integer)
+    node = fields.take("Brick", str)
+    outcome = fields.take("Status", _OUTCOMES.__getitem__)
+    took_us = fields.take("TookUs", integer, 0)
+    answered = fields.take("Ended", flag, False)
+    usage = fields.take("Used", integer, 0)
+    fields.take("ForeignUnits", number, 0.0)
+    report: dict[str, float] = fields.take("Report", _load_report, {})
+    return api.Result(request, attempt, node, outcome, took_us, answered, usage, report)
+
+
+def _load_report(text: str) -> dict[str, float]:
+    """Read a load report: pairs `name:value`, separated by commas. Raises ValueError."""
+    report: dict[str, float] = {}
+    for pair in text.split(","):
+        name, separator, value = pair.partition(":")
+        if not separator:
+            raise ValueError(pair)
+        report[name] = number(value)
+    return report
 
 
-def _reply(f: Fields) -> api.Event:
-    request, attempt = f.take("Ticket", str), f.take("SeqNo", _integer)
-    node, outcome = f.take("Brick", str), f.take("Status", OUTCOMES.__getitem__)
-    took, over = f.take("TookUs", _integer, 0), f.take("Ended", _flag, False)
-    used = f.take("Used", _integer, 0)
-    f.take("ForeignUnits", _number, 0.0)
-    return api.Result(request, attempt, node, outcome, took, over, used, f.take("Report", _report, {}))
+def _client_left(fields: MessageFields) -> api.Event:
+    return api.ClientLeft(fields.take("Ticket", str))
 
 
-def _probed(f: Fields) -> api.Event:
-    node, outcome = f.take("Brick", str), f.take("Status", OUTCOMES.__getitem__)
-    return api.ProbeResult(node, outcome, f.take("TookUs", _integer, 0), f.take("Report", _report, {}))
+def _timer_fired(fields: MessageFields) -> api.Event:
+    return api.TimerFired(fields.take("Nonce", str))
 
 
-def _peer(f: Fields) -> api.Event:
-    return api.PeerMessage(f.take("SrcPeer", _integer), f.take("Raw", bytes.fromhex, b""))
+def _probe_result(fields: MessageFields) -> api.Event:
+    node = fields.take("Brick", str)
+    outcome = fields.take("Status", _OUTCOMES.__getitem__)
+    took_us = fields.take("TookUs", integer, 0)
+    report: dict[str, float] = fields.take("Report", _load_report, {})
+    return api.ProbeResult(node, outcome, took_us, report)
 
 
-READERS: dict[str, Callable[[Fields], api.Event]] = {
+def _peer_message(fields: MessageFields) -> api.Event:
+    sender = fields.take("SrcPeer", integer)
+    payload = fields.take("Raw", bytes.fromhex, b"")
+    return api.PeerMessage(sender, payload)
+
+
+_EVENT_READERS: dict[str, Callable[[MessageFields], api.Event]] = {
     "ACCEPT": _arrival,
-    "OPENED": _opened,
-    "REPLY": _reply,
-    "LEFT": lambda f: api.ClientLeft(f.take("Ticket", str)),
-    "TIMER": lambda f: api.TimerFired(f.take("Nonce", str)),
-    "PROBED": _probed,
-    "PEER": _peer,
+    "OPENED": _stream_started,
+    "REPLY": _result,
+    "LEFT": _client_left,
+    "TIMER": _timer_fired,
+    "PROBED": _probe_result,
+    "PEER": _peer_message,
 }
 
 
 def read_event(parts: list[str]) -> api.Event:
-    reader = READERS.get(parts[0])
+    """Read an event from a line's parts. Raises WireError."""
+    reader = _EVENT_READERS.get(parts[0])
     if reader is None:
         raise WireError(f"message {parts[0]!r} is not known")
-    return reader(Fields(parts))
+    return reader(MessageFields(parts))
+
+
+# Actions
+
+
+def _send(action: api.Send) -> str:
+    return f"DELIVER {action.request} {action.until_us} {action.node}"
+
+
+def _wake_after(action: api.WakeAfter) -> str:
+    return f"WAKE_AT {action.span_us} {action.token}"
+
+
+def _reject(action: api.Reject) -> str:
+    return f"DECLINE {action.request} {action.retry_after_us}"
+
+
+def _fail(action: api.Fail) -> str:
+    return f"FAIL {action.request}"
+
+
+def _cancel(action: api.Cancel) -> str:
+    return f"RECALL {action.request} {action.attempt}"
+
+
+def _probe(action: api.Probe) -> str:
+    return f"CHECK {action.node}"
+
+
+def _subscribe(_action: api.Subscribe) -> str:
+    return "LISTEN 1"
+
+
+def _send_peer_message(action: api.SendPeerMessage) -> str:
+    receiver = "*" if action.to < 0 else str(action.to)
+    return f"POST {receiver} {action.payload.hex()}"
+
+
+def _log(action: api.Log) -> str:
+    return "JOURNAL_LINE " + " ".join(action.text.split())
+
+
+_ACTION_WRITERS: dict[type[api.Action], Callable[[Any], str]] = {
+    api.Send: _send,
+    api.WakeAfter: _wake_after,
+    api.Reject: _reject,
+    api.Fail: _fail,
+    api.Cancel: _cancel,
+    api.Probe: _probe,
+    api.Subscribe: _subscribe,
+    api.SendPeerMessage: _send_peer_message,
+    api.Log: _log,
+}
 
 
 def write_actions(actions: Iterable[api.Action]) -> list[str]:
-    """One line an action, in order."""
-    lines = []
-    for a in actions:
-        match a:
-            case api.Send():
-                lines.append(f"DELIVER {a.request} {a.until_us} {a.node}")
-            case api.WakeAfter():
-                lines.append(f"WAKE_AT {a.span_us} {a.token}")
-            case api.Reject():
-                lines.append(f"DECLINE {a.request} {a.retry_after_us}")
-            case api.Fail():
-                lines.append(f"FAIL {a.request}")
-            case api.Cancel():
-                lines.append(f"RECALL {a.request} {a.attempt}")
-            case api.Probe():
-                lines.append(f"CHECK {a.node}")
-            case api.Subscribe():
-                lines.append("LISTEN 1")
-            case api.SendPeerMessage():
-                lines.append(f"POST {'*' if a.to < 0 else a.to} {a.payload.hex()}")
-            case api.Log():
-                lines.append("JOURNAL_LINE " + " ".join(a.text.split()))
-    return lines
+    """Return the actions' lines, one for each, in order."""
+    return [_ACTION_WRITERS[type(action)](action) for action in actions]
--- a/garnetlanding/wirehost.py
+++ b/garnetlanding/wirehost.py
@@ -1,13 +1,16 @@
-"""Runs one Controller per instance on the simulator's wire: batches in, replies out.
+"""Runs a Controller for each instance of the load balancer on the simulator's wire: batches in, replies out.
 
-No decision is taken here. Ends with one plain line on standard error, and exit code 2, on input
-that cannot be read; a defect of the decision module is reported on the wire.
+A batch is the lines of one moment: `BATCH clock`, then `SELECT instance` before the lines of each instance,
+and `END`. Its reply names each instance that acts, `SOURCE instance`, before its actions, and ends with
+`FINISHED`. No decision is taken here. The program ends with one plain line on standard error, and exit code
+2, on input that cannot be read; a defect of the decision module is reported on the wire, `BAIL_OUT text`.
 """
 
 from __future__ import annotations
 
 import sys
 from collections.abc import Iterator
+from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, TextIO
 
 from garnetlanding import wire
@@ -18,106 +21,136 @@
     from garnetlanding.peers.coordinator import PeerCoordinator
 
 
-class Host:
-    """The instances of this process; `reply` answers one batch."""
+@dataclass(slots=True)
+class Batch:
+    """What one batch brings to the instances."""
+
+    now: int  # microseconds
+    events: dict[int, list[api.Event]] = field(default_factory=dict)  # by instance
+    defects: dict[int, str] = field(default_factory=dict)  # of the decision module, by instance
+
+    def add(self, instance: int, event: api.Event) -> None:
+        """Add an event for an instance."""
+        self.events.setdefault(instance, []).append(event)
+
+    def add_defect(self, instance: int, defect: Exception) -> None:
+        """Keep a defect, to be reported in place of the instance's actions."""
+        self.defects[instance] = f"{type(defect).__name__}: {defect}"
+
+
+class SimulatorAdapter:
+    """The instances of this process, driven by the simulator.
+
+    `line_number` is the number of the last line read, for error messages.
+    """
 
     def __init__(self) -> None:
-        self.controllers: dict[int, Controller | PeerCoordinator] = {}
-        self.line_no = 0
+        self.line_number = 0
+        self._modules: dict[int, Controller | PeerCoordinator] = {}
 
     def run(self, source: TextIO, sink: TextIO) -> None:
+        """Answer batch after batch until the input ends. Raises WireError."""
         lines = self._lines(source)
         for line in lines:
             if line:
-                sink.write("\n".join([*self.reply(line, lines), "FINISHED\n"]))
+                batch = self._read_batch(line, lines)
+                sink.write("\n".join([*self._handle(batch), "FINISHED\n"]))
                 sink.flush()
 
     def _lines(self, source: TextIO) -> Iterator[str]:
         for line in source:
-            self.line_no += 1
+            self.line_number += 1
             yield line.rstrip("\r\n")
 
-    def reply(self, first: str, lines: Iterator[str]) -> list[str]:
-        """Reads the rest of a batch whose first line is given; the reply's lines but the last."""
-        head = first.split(" ")
-        if head[0] != "BATCH":
-            raise wire.WireError(f"expected BATCH, found {head[0]!r}")
-        now = wire.Fields(head).take("clock", int)
-        pending: dict[int, list[api.Event]] = {}
-        faults: dict[int, str] = {}
-        who: int | None = None
+    def _read_batch(self, first: str, lines: Iterator[str]) -> Batch:
+        """Read the rest of a batch whose first line is given; start and end instances by it."""
+        parts = first.split(" ")
+        if parts[0] != "BATCH":
+            raise wire.WireError(f"expected BATCH, found {parts[0]!r}")
+        batch = Batch(wire.MessageFields(parts).take("clock", int))
+        instance: int | None = None
         for line in lines:
             name = line.partition(" ")[0]
             if name == "END":
-                return self._act(now, pending, faults)
+                return batch
             if name == "SELECT":
-                who = wire.Fields(line.split(" ")).take("HostId", int)
-            elif who is None:
+                instance = wire.MessageFields(line.split(" ")).take("HostId", int)
+            elif instance is None:
                 raise wire.WireError(f"{name} before any SELECT")
-            elif name == "LAUNCH":
-                self._launch(now, who, line, pending, faults)
-            elif who not in self.controllers and who not in faults:
-                raise wire.WireError(f"field HostId: instance {who} is not known")
-            elif name == "DESTROY":
-                self.controllers.pop(who, None)
-                pending.pop(who, None)
-            elif name == "DIRECTORY_UPDATE":
-                pending.setdefault(who, []).append(self._list(line, lines))
             else:
-                pending.setdefault(who, []).append(wire.read_event(line.split(" ")))
+                self._read_message(batch, instance, line, lines)
         raise wire.WireError("input ended inside a batch")
 
-    def _launch(
-        self, now: int, who: int, line: str, pending: dict[int, list[api.Event]], faults: dict[int, str]
-    ) -> None:
+    def _read_message(self, batch: Batch, instance: int, line: str, lines: Iterator[str]) -> None:
+        """Read a message to an instance; those that start and end it take effect at once."""
+        parts = line.split(" ")
+        name = parts[0]
+        if name == "LAUNCH":
+            self._launch(batch, instance, line)
+        elif instance not in self._modules and instance not in batch.defects:
+            raise wire.WireError(f"field HostId: instance {instance} is not known", "HostId")
+        elif name == "DESTROY":
+            self._modules.pop(instance, None)
+            batch.events.pop(instance, None)
+        elif name == "DIRECTORY_UPDATE":
+            batch.add(instance, _read_list(line, lines))
+        else:
+            batch.add(instance, wire.read_event(parts))
+
+    def _launch(self, batch: Batch, instance: int, line: str) -> None:
         parts = line.split(" ", 2)
-        seed = wire.Fields(parts[:2]).take("Prng", int)
+        seed = wire.MessageFields(parts[:2]).take("Prng", int)
         settings = wire.read_settings(parts[2] if len(parts) > 2 else "")
-        pending[who] = []
+        batch.events[instance] = []
         try:
-            self.controllers[who] = host = Controller(settings, seed)
+            controller = Controller(settings, seed)
+            self._modules[instance] = controller
             if settings.may_message_peers:  # what the settings forbid is not imported
                 from garnetlanding.peers.coordinator import PeerCoordinator
 
-                self.controllers[who] = PeerCoordinator(host, incarnation=now)
+                self._modules[instance] = PeerCoordinator(controller, incarnation=batch.now)
         except Exception as defect:
-            faults[who] = f"{type(defect).__name__}: {defect}"
-
-    def _list(self, line: str, lines: Iterator[str]) -> api.EndpointListUpdate:
-        kind, count = wire.list_header(line)
-        entries = []
-        for _ in range(count):
-            entry = next(lines, None)
-            if entry is None:
-                raise wire.WireError("field Hosts: input ended inside a list")
-            entries.append(wire.read_entry(entry))
-        whole = kind in ("snapshot", "disk")
-        return api.EndpointListUpdate(tuple(entries), whole, failed=kind == "error", at_start=kind == "disk")
-
-    def _act(self, now: int, pending: dict[int, list[api.Event]], faults: dict[int, str]) -> list[str]:
-        out: list[str] = []
-        for who, events in pending.items():
-            if who in faults:
-                actions: list[str] = []
-            else:
-                try:
-                    actions = wire.write_actions(self.controllers[who].handle(now, events))
-                except Exception as defect:
-                    faults[who], actions = f"{type(defect).__name__}: {defect}", []
-            if who in faults:
-                actions = ["BAIL_OUT " + " ".join(faults[who].split())]
-            if actions:
-                out.append(f"SOURCE {who}")
-                out.extend(actions)
-        return out
+            batch.add_defect(instance, defect)
+
+    def _handle(self, batch: Batch) -> list[str]:
+        """Give the instances their events; return the lines of the reply but the last."""
+        reply: list[str] = []
+        for instance, events in batch.events.items():
+            lines = self._act(batch, instance, events)
+            if lines:
+                reply.append(f"SOURCE {instance}")
+                reply.extend(lines)
+        return reply
+
+    def _act(self, batch: Batch, instance: int, events: list[api.Event]) -> list[str]:
+        """Return the lines of an instance's actions, or of its defect."""
+        if instance not in batch.defects:
+            try:
+                return wire.write_actions(self._modules[instance].handle(batch.now, events))
+            except Exception as defect:
+                batch.add_defect(instance, defect)
+        return ["BAIL_OUT " + " ".join(batch.defects[instance].split())]
+
+
+def _read_list(header: str, lines: Iterator[str]) -> api.EndpointListUpdate:
+    """Read an endpoint list whose first line is given."""
+    kind, count = wire.read_list_header(header)
+    entries = []
+    for _ in range(count):
+        line = next(lines, None)
+        if line is None:
+            raise wire.WireError("field Hosts: input ended inside a list", "Hosts")
+        entries.append(wire.read_endpoint(line))
+    return wire.endpoint_list_update(kind, entries)
 
 
 def main() -> int:
-    host = Host()
+    """Run on standard input and output; return the exit code."""
+    adapter = SimulatorAdapter()
     try:
-        host.run(sys.stdin, sys.stdout)
+        adapter.run(sys.stdin, sys.stdout)
     except wire.WireError as problem:
-        print(f"garnetlanding: line {host.line_no}: {problem}", file=sys.stderr)
+        print(f"garnetlanding: line {adapter.line_number}: {problem}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -26,7 +26,7 @@
 
 def talk(text: str) -> list[str]:
     out = io.StringIO()
-    wirehost.Host().run(io.StringIO(text), out)
+    wirehost.SimulatorAdapter().run(io.StringIO(text), out)
     return out.getvalue().splitlines()
 
 
