--- a/garnetlanding/ops/errors.py
+++ b/garnetlanding/ops/errors.py
@@ -12,7 +12,14 @@
 
 
 class DisableRejectedError(OpsError):
-    """An operator's change cannot be made known to the fleet, and so is not made; the text says why."""
+    """An operator's change cannot be made known to the fleet, and so is not made; the text says why.
+
+    `name` is the backend's id, or "head/" and the number of the instance.
+    """
+
+    def __init__(self, text: str, name: str) -> None:
+        super().__init__(text)
+        self.name = name
 
 
 class InstanceUnreachableError(OpsError):
--- a/garnetlanding/ops/replicated_disables.py
+++ b/garnetlanding/ops/replicated_disables.py
@@ -51,7 +51,7 @@
         try:
             table.set_disabled(name, disabled, self._instance_number(), self._wall_ms())
         except DisabledBackendError as problem:
-            raise DisableRejectedError(str(problem)) from problem
+            raise DisableRejectedError(str(problem), name) from problem
         return self._with_table(state, table)
 
     def set_fenced(self, state: AdminState, instance: int, fenced: bool, instances: int) -> AdminState:
@@ -63,7 +63,7 @@
         name = INSTANCE_PREFIX + str(instance)
         others = {other for other in state.disabled if other.startswith(INSTANCE_PREFIX)} - {name}
         if fenced and (len(others) + 1) > instances * self._detector.limits.out_share:
-            raise DisableRejectedError(f"{len(others)} of {instances} heads are out already")
+            raise DisableRejectedError(f"{len(others)} of {instances} heads are out already", name)
         return self.set_disabled(state, name, fenced)
 
     def merge(self, state: AdminState, records: list[DisableRecord]) -> AdminState:
