--- a/tests/ops/conftest.py
+++ b/tests/ops/conftest.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from tests.support.admin import Office
+from tests.support.admin import AdministeredInstance
 
 
 @pytest.fixture
-def office(tmp_path: pathlib.Path) -> Office:
-    return Office(tmp_path)
+def instance(tmp_path: pathlib.Path) -> AdministeredInstance:
+    return AdministeredInstance(tmp_path)
--- a/tests/ops/test_admin_client.py
+++ b/tests/ops/test_admin_client.py
@@ -10,17 +10,15 @@
 from garnetlanding.core.metrics import RequestMetrics, encode
 from garnetlanding.core.ports import Rejected
 from garnetlanding.ops import admin_client, admin_output
-from tests.support.admin import Office
+from tests.support.admin import AdministeredInstance
 
-# The command line's side.
 
-
-def test_what_a_call_is_and_how_its_answer_is_shown() -> None:
+def test_calls_map_to_paths_and_replies_are_shown_as_text_and_json() -> None:
     assert admin_client.method_and_path("ready") == ("GET", "/-/ready")
     assert admin_client.method_and_path("disable", "a/b c") == ("POST", "/-/bricks/a%2Fb%20c/disable")
-    figures = RequestMetrics(["read", "save.big"])
-    figures.record("save.big", Rejected())
-    reply = admin_client.Reply(200, encode(figures, 7, 3, 1))
+    metrics = RequestMetrics(["read", "save.big"])
+    metrics.record("save.big", Rejected())
+    reply = admin_client.Reply(200, encode(metrics, 7, 3, 1))
     lines = admin_output.as_text("metrics", reply).splitlines()
     assert lines[0].split() == ["class", "success", "overload", "error"]
     assert lines[2].split() == ["save.big", "0", "1", "0"] and "concurrent: 7" in lines
@@ -33,17 +31,17 @@
         admin_output.as_text("metrics", admin_client.Reply(200, "app.x:1\n"))
 
 
-def test_the_command_s_exit_code_says_yes_no_or_wrong(
-    office: Office, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+def test_exit_code_tells_success_failure_and_wrong_usage_apart(
+    instance: AdministeredInstance, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def call(_address: str, what: str, brick: str = "", _timeout_s: float = 2.0) -> admin_client.Reply:
         method, path = admin_client.method_and_path(what, brick)
-        return admin_client.Reply(*office.call(path, method))
+        return admin_client.Reply(*instance.call(path, method))
 
-    unheard = cli.main(["ops", "ready", "--address", "127.0.0.1:1", "--wait", "0.2"])
-    wrong = cli.main(["ops", "ready", "--address", "nowhere"])
+    unreachable = cli.main(["ops", "ready", "--address", "127.0.0.1:1", "--wait", "0.2"])
+    malformed = cli.main(["ops", "ready", "--address", "nowhere"])
     monkeypatch.setattr(admin_client, "send_call", call)
-    to = ["--address", office.ops.address]
-    assert (unheard, wrong) == (1, 2) and "127.0.0.1:1: " in capsys.readouterr().err
+    to = ["--address", instance.ops.address]
+    assert (unreachable, malformed) == (1, 2) and "127.0.0.1:1: " in capsys.readouterr().err
     assert cli.main(["ops", "disable", "b0", *to]) == 0 and cli.main(["ops", "disable", "b9", *to]) == 1
     assert capsys.readouterr().out == "b0 disabled\nno brick b9\n"
--- a/tests/ops/test_state.py
+++ b/tests/ops/test_admin_state.py
@@ -13,28 +13,26 @@
 from garnetlanding.ops.admin_state import AdminState, decode
 from garnetlanding.ops.errors import AdminStateError
 from garnetlanding.ops.state_file import StateFile
-from tests.support.admin import Office
+from tests.support.admin import AdministeredInstance
 from tests.support.clock import MS
 from tests.support.daemon import PLATFORM_CONFIG
 
-# What outlasts a process.
 
-
-def test_bans_and_drain_outlast_the_process_and_reach_the_other_one(tmp_path: pathlib.Path) -> None:
-    w = Office(tmp_path)
-    w.call("/-/bricks/b0/disable")
+def test_disables_and_drain_outlast_the_process_and_reach_the_other_one(tmp_path: pathlib.Path) -> None:
+    instance = AdministeredInstance(tmp_path)
+    instance.call("/-/bricks/b0/disable")
     other = StateFile(str(tmp_path), "n1")
     assert other.load() == AdminState(frozenset({"b0"}))
     other.update(lambda state: state.disable("b1").with_draining(True))
-    w.run(w.limits.ops_poll_us + 10 * MS)
-    assert w.core.endpoints.disabled == {"b0", "b1"} and not w.desk.accepts_clients
-    w.call("/-/resume")
+    instance.run(instance.limits.ops_poll_us + 10 * MS)
+    assert instance.core.endpoints.disabled == {"b0", "b1"} and not instance.service.accepts_clients
+    instance.call("/-/resume")
     both = AdminState(frozenset({"b0", "b1"}))
     assert other.load_if_changed() == both, "neither undoes what the other set"
     assert other.load_if_changed() is None
 
 
-def sealed(**change: Any) -> bytes:
+def state_bytes(**change: Any) -> bytes:
     body = json.dumps({"version": 1, "name": "n1", "banned": [], "draining": False} | change).encode()
     return b"%s\n%08x\n" % (body, zlib.crc32(body))
 
@@ -43,35 +41,36 @@
     ("data", "why"),
     [
         (b"", "checksum"),
-        (sealed()[:-5], "checksum"),
-        (sealed().replace(b"n1", b"n2"), "checksum"),
-        (sealed(version=0), "version 0"),
-        (sealed(name="n2"), "head 'n2'"),
-        (sealed(banned=[3]), "a field"),
-        (sealed(draining="no"), "a field"),
+        (state_bytes()[:-5], "checksum"),
+        (state_bytes().replace(b"n1", b"n2"), "checksum"),
+        (state_bytes(version=0), "version 0"),
+        (state_bytes(name="n2"), "head 'n2'"),
+        (state_bytes(banned=[3]), "a field"),
+        (state_bytes(draining="no"), "a field"),
     ],
+    ids=["empty", "cut", "changed", "version", "another-instance", "disabled-type", "draining-type"],
 )
-def test_a_state_that_cannot_be_used_is_named_and_the_head_starts(
+def test_unusable_state_file_is_logged_and_the_instance_starts_without_it(
     data: bytes, why: str, tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     with pytest.raises(AdminStateError, match=why):
         decode("n1", data)
     (tmp_path / "garnetlanding-n1-operators.json").write_bytes(data)
-    w = Office(tmp_path)
-    assert w.call("/-/ready", "GET")[0] == 200 and "state file rejected" in caplog.text
-    assert w.call("/-/bricks/b0/disable")[0] == 200
+    instance = AdministeredInstance(tmp_path)
+    assert instance.call("/-/ready", "GET")[0] == 200 and "state file rejected" in caplog.text
+    assert instance.call("/-/bricks/b0/disable")[0] == 200
     kept = (tmp_path / "garnetlanding-n1-operators.json").read_bytes()
     assert decode("n1", kept) == AdminState(frozenset({"b0"}))
 
 
-def test_a_change_that_cannot_be_kept_is_a_no(tmp_path: pathlib.Path) -> None:
-    w = Office(tmp_path)
+def test_change_that_cannot_be_stored_is_not_made(tmp_path: pathlib.Path) -> None:
+    instance = AdministeredInstance(tmp_path)
     (tmp_path / "garnetlanding-n1-operators.json.new").mkdir()
-    assert w.call("/-/bricks/b0/disable")[0] == 500
-    assert w.core.endpoints.address_of("b0"), "a yes is owed only for what outlasts the process"
+    assert instance.call("/-/bricks/b0/disable")[0] == 500
+    assert instance.core.endpoints.address_of("b0"), "a yes is owed only for what outlasts the process"
 
 
-def test_a_wrong_address_for_operators_is_named() -> None:
+def test_malformed_ops_address_is_named() -> None:
     with pytest.raises(config.ConfigError, match="key ops"):
         config.read(PLATFORM_CONFIG | {"ops": "nowhere"})
     assert config.read(PLATFORM_CONFIG, env={"RELAY_OPS": "127.0.0.1:1"}).ops == "127.0.0.1:1"
--- a/tests/ops/test_drain.py
+++ b/tests/ops/test_drain.py
@@ -2,46 +2,46 @@
 
 from __future__ import annotations
 
-from tests.support.admin import Office
+from tests.support.admin import AdministeredInstance
 from tests.support.clock import MS, SECOND
 from tests.support.simulated_instance import read_command
 
-# Drain.
 
-
-def test_drained_clients_are_served_where_they_are_and_then_sent_away(office: Office) -> None:
-    idle, used, busy = (office.peer(office.clients.address) for _ in range(3))
+def test_clients_of_a_drained_instance_are_served_for_a_while_and_then_disconnected(
+    instance: AdministeredInstance,
+) -> None:
+    idle, used, busy = (instance.peer(instance.clients.address) for _ in range(3))
     assert used.say(b"*1\r\n$4\r\nPING\r\n") == b"+PONG\r\n"
-    office.call("/-/drain")
-    office.call("/-/drain")
+    instance.call("/-/drain")
+    instance.call("/-/drain")
     assert used.say(b"*1\r\n$4\r\nPING\r\n").startswith(b"-ERR")
-    office.run(200 * MS)
-    late = office.peer(office.clients.address)
+    instance.run(200 * MS)
+    late = instance.peer(instance.clients.address)
     assert late.say(read_command(id="r1")).startswith(b"$"), "those that still come are served"
-    office.run(1200 * MS)
+    instance.run(1200 * MS)
     assert used.say(read_command(id="r2")).startswith(b"$") and not idle.closed
-    office.brick.hold = True
+    instance.brick.hold = True
     busy.say(read_command(id="r3", d=1500))
-    office.run(300 * MS)
+    instance.run(300 * MS)
     assert idle.closed and used.closed and late.closed and not busy.closed
-    office.brick.release()
-    office.settle()
+    instance.brick.release()
+    instance.settle()
     assert busy.got.startswith(b"$") and busy.closed, "after its answer"
-    office.brick.hold = False
-    office.call("/-/resume")
-    again = office.peer(office.clients.address)
+    instance.brick.hold = False
+    instance.call("/-/resume")
+    again = instance.peer(instance.clients.address)
     assert again.say(b"*1\r\n$4\r\nPING\r\n") == b"+PONG\r\n"
-    office.run(4 * SECOND)
+    instance.run(4 * SECOND)
     assert not again.closed and again.say(read_command(id="r4")).startswith(b"$") and not again.closed
-    assert office.call("/-/resume")[0] == 200, "resumed undrained: nothing to do"
+    assert instance.call("/-/resume")[0] == 200, "resumed undrained: nothing to do"
 
 
-def test_no_client_is_closed_whose_request_has_come_unread(office: Office) -> None:
-    client = office.peer(office.clients.address)
+def test_closing_idle_clients_spares_one_whose_request_is_unread(instance: AdministeredInstance) -> None:
+    client = instance.peer(instance.clients.address)
     client.say(b"*1\r\n$4\r\nPING\r\n")
-    office.run(200 * MS)
+    instance.run(200 * MS)
     assert client.stream
     client.stream.write(read_command(id="r1"))
-    office.clients.close_idle()
-    office.settle()
+    instance.clients.close_idle()
+    instance.settle()
     assert client.got.endswith(b"\r\n") and b"$" in client.got
--- a/tests/ops/test_metrics.py
+++ b/tests/ops/test_metrics.py
@@ -9,18 +9,16 @@
 
 from garnetlanding.core.metrics import RequestMetrics, encode
 from garnetlanding.core.ports import Failed, Rejected, Served
-from tests.support.admin import Office
+from tests.support.admin import AdministeredInstance
 from tests.support.clock import MS, SECOND
 from tests.support.simulated_instance import read_command
 
-# Figures.
 
-
-def test_the_text_names_every_class_from_the_start() -> None:
-    figures = RequestMetrics(["read", "save"])
+def test_metrics_text_lists_every_class_from_the_start() -> None:
+    metrics = RequestMetrics(["read", "save"])
     for answer in (Served(b""), Rejected(), Failed("x"), Failed("y")):
-        figures.record("read", answer)
-    assert encode(figures, 7, 3, 1) == (
+        metrics.record("read", answer)
+    assert encode(metrics, 7, 3, 1) == (
         "app.success.read:1|c\napp.overload.read:1|c\napp.error.read:2|c\n"
         "app.success.save:0|c\napp.overload.save:0|c\napp.error.save:0|c\n"
         "app.dispatches:0|c\napp.concurrent:7|g\napp.targets:3|g\napp.targets_disabled:1|g\n"
@@ -28,9 +26,11 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_taken_is_ended_and_open_at_every_moment(seed: int, tmp_path: pathlib.Path) -> None:
-    w, rng = Office(tmp_path), random.Random(seed)
-    peers, sent = [w.peer(w.clients.address) for _ in range(6)], 0
+def test_accepted_requests_equal_ended_plus_concurrent_at_every_moment(
+    seed: int, tmp_path: pathlib.Path
+) -> None:
+    instance, rng = AdministeredInstance(tmp_path), random.Random(seed)
+    peers, sent = [instance.peer(instance.clients.address) for _ in range(6)], 0
     for _ in range(60):
         match rng.randrange(6):
             case 0 | 1 | 2:
@@ -39,17 +39,17 @@
                     sent += 1
                     peer.say(read_command(id=f"r{sent}", d=rng.choice((50, 400)), cell=rng.randrange(3)))
             case 3:
-                w.brick.hold = not w.brick.hold
-                if not w.brick.hold:
-                    w.brick.release()
+                instance.brick.hold = not instance.brick.hold
+                if not instance.brick.hold:
+                    instance.brick.release()
             case 4:
-                w.run(rng.randrange(1, 200) * MS)
+                instance.run(rng.randrange(1, 200) * MS)
             case 5:
-                gone = rng.randrange(len(peers))
-                peers[gone].close()
-                peers[gone] = w.peer(w.clients.address)
-        told, figures = w.figures(), w.core.metrics
-        assert figures.accepted == sent == figures.ended + told["concurrent"]
-        assert told["dispatches"] == len(w.brick.heard) == figures.dispatches
-    w.run(SECOND)
-    assert w.figures()["concurrent"] == 0
+                closed = rng.randrange(len(peers))
+                peers[closed].close()
+                peers[closed] = instance.peer(instance.clients.address)
+        shown, metrics = instance.metrics(), instance.core.metrics
+        assert metrics.accepted == sent == metrics.ended + shown["concurrent"]
+        assert shown["dispatches"] == len(instance.brick.heard) == metrics.dispatches
+    instance.run(SECOND)
+    assert instance.metrics()["concurrent"] == 0
--- a/tests/ops/test_process_quota.py
+++ b/tests/ops/test_process_quota.py
@@ -27,31 +27,34 @@
         max_size=60,
     )
 )
-def test_the_parts_never_add_up_to_more_than_the_whole(steps: list[tuple[str, int, float]]) -> None:
-    words: dict[int, ProcessRecord] = {0: ProcessRecord(0, 1.0)}
+def test_shares_never_add_up_to_more_than_one(steps: list[tuple[str, int, float]]) -> None:
+    records: dict[int, ProcessRecord] = {0: ProcessRecord(0, 1.0)}
     ending: set[int] = set()
     for n, (what, which, share) in enumerate(steps, 1):
-        who = sorted(words)[which % len(words)] if words else None
-        if what == "born" and len(words) < 4:
-            words[n] = ProcessRecord(n, 0.0)
+        who = sorted(records)[which % len(records)] if records else None
+        if what == "born" and len(records) < 4:
+            records[n] = ProcessRecord(n, 0.0)
         elif who is not None and what == "gone":
-            del words[who]
+            del records[who]
         elif who is not None:
             ending |= {who} if what == "end" else set()
-            others = [word for other, word in words.items() if other != who]
-            part = next_share(words[who], others, share * words[who].share, who in ending)
+            others = [record for other, record in records.items() if other != who]
+            part = next_share(records[who], others, share * records[who].share, who in ending)
             assert 0 <= part <= 1
-            words[who] = replace(words[who], share=part)
-        assert sum(word.share for word in words.values()) <= 1 + 1e-9
+            records[who] = replace(records[who], share=part)
+        assert sum(record.share for record in records.values()) <= 1 + 1e-9
 
 
-def test_an_elder_comes_down_to_half_or_what_it_uses_and_at_its_end_to_little() -> None:
-    elder, newer = ProcessRecord(1, 1.0), ProcessRecord(2, 0.0)
-    assert next_share(newer, [elder], 0, False) == 0, "nothing until the elder has come down"
-    assert next_share(elder, [newer], 0.1, False) == 0.5 and next_share(elder, [newer], 0.6, False) == 0.75
-    assert next_share(elder, [newer], 0.01, True) == MIN_ENDING_SHARE
-    assert next_share(replace(elder, share=0.5), [newer], 0.9, False) == 0.5, "it never raises it"
-    assert next_share(newer, [], 0, False) == 1
+def test_predecessor_lowers_its_share_to_half_or_its_use_and_further_when_ending() -> None:
+    predecessor, successor = ProcessRecord(1, 1.0), ProcessRecord(2, 0.0)
+    assert next_share(successor, [predecessor], 0, False) == 0, "nothing until the predecessor has come down"
+    assert (
+        next_share(predecessor, [successor], 0.1, False) == 0.5
+        and next_share(predecessor, [successor], 0.6, False) == 0.75
+    )
+    assert next_share(predecessor, [successor], 0.01, True) == MIN_ENDING_SHARE
+    assert next_share(replace(predecessor, share=0.5), [successor], 0.9, False) == 0.5, "it never raises it"
+    assert next_share(successor, [], 0, False) == 1
 
 
 @pytest.mark.parametrize(
@@ -63,17 +66,18 @@
         encode("n1", ProcessRecord(1, 0.5))[3:],
         encode("n1", ProcessRecord(1, 0.5)).replace(b"0.5", b"0.6"),
     ],
+    ids=["empty", "no-checksum", "another-instance", "cut-at-the-start", "checksum-does-not-hold"],
 )
-def test_a_word_that_cannot_be_read_is_none(data: bytes) -> None:
+def test_unreadable_process_record_decodes_to_none(data: bytes) -> None:
     assert decode("n1", data) is None and decode("n1", encode("n1", ProcessRecord(7, 0.25))) == ProcessRecord(
         7, 0.25
     )
 
 
-# In the module.
+# The decision module under a changing share.
 
 
-def test_a_part_holds_for_depth_at_once_and_grows_for_cold_bricks_one_window_later() -> None:
+def test_share_changes_depth_at_once_and_grows_warmup_one_window_later() -> None:
     config = make_settings(instances=1, parallel_attempts=False)
     b = DecisionBench(config, [up_endpoint("n0", 0)])
     h = b.c.state.cells[0].health
@@ -111,8 +115,8 @@
     return max(sum(end - config.overload_window_us < at <= end for at in sent) for end in sent)
 
 
-def test_two_processes_send_a_cold_brick_no_more_than_one_may_in_any_window() -> None:
-    """The elder is alone, halves, and ends; the newer one has nothing, a half, and all."""
+def test_two_processes_send_a_cold_backend_no_more_than_one_process_may_in_any_window() -> None:
+    """The predecessor is alone, halves, and ends; the successor has nothing, a half, and all."""
     config = make_settings(instances=1, parallel_attempts=False, warmup_units=9.0)
     most = fullest_window(config, {0: 1.0})
     assert most >= 9
--- a/tests/ops/test_process_registry.py
+++ b/tests/ops/test_process_registry.py
@@ -15,30 +15,30 @@
 from garnetlanding.runtime.files import file_name
 
 
-def test_processes_hear_each_other_and_that_one_is_gone(
+def test_processes_read_each_others_shares_and_notice_termination(
     tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     stale = tmp_path / (file_name("n1", "life-") + "1-1")
     stale.write_bytes(encode("n1", ProcessRecord(1, 1.0)))
-    elder = ProcessRegistry(str(tmp_path), "n1")
-    elder.publish(elder.next_share(0, False))
-    assert elder.record.share == 1 and not stale.exists() and "terminated process" in caplog.text
-    newer, stranger = ProcessRegistry(str(tmp_path), "n1"), ProcessRegistry(str(tmp_path), "n2")
-    assert newer.next_share(0, False) == 0 and stranger.next_share(0, False) == 1
-    assert elder.next_share(0, False) == 0.5 and elder.has_successor and not newer.has_successor
-    assert newer.next_share(0, False) == 0, "looked at, not kept to yet"
-    elder.publish(0.5)
-    assert newer.next_share(0, False) == 0.5
-    elder.close()
-    assert newer.next_share(0, False) == 1
-
-
-def test_a_process_that_lives_and_is_not_understood_counts_as_half(
-    tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
-) -> None:
-    elder, newer = ProcessRegistry(str(tmp_path), "n1"), ProcessRegistry(str(tmp_path), "n1")
-    pathlib.Path(elder._path).write_bytes(b"half a wor")
+    predecessor = ProcessRegistry(str(tmp_path), "n1")
+    predecessor.publish(predecessor.next_share(0, False))
+    assert predecessor.record.share == 1 and not stale.exists() and "terminated process" in caplog.text
+    successor, stranger = ProcessRegistry(str(tmp_path), "n1"), ProcessRegistry(str(tmp_path), "n2")
+    assert successor.next_share(0, False) == 0 and stranger.next_share(0, False) == 1
     assert (
-        newer.next_share(0, False) == 1 - UNREADABLE_RECORD.share
-        and "another process unreadable" in caplog.text
+        predecessor.next_share(0, False) == 0.5 and predecessor.has_successor and not successor.has_successor
     )
+    assert successor.next_share(0, False) == 0, "lowered, and not published yet"
+    predecessor.publish(0.5)
+    assert successor.next_share(0, False) == 0.5
+    predecessor.close()
+    assert successor.next_share(0, False) == 1
+
+
+def test_live_process_with_an_unreadable_record_counts_as_half(
+    tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
+) -> None:
+    predecessor, successor = ProcessRegistry(str(tmp_path), "n1"), ProcessRegistry(str(tmp_path), "n1")
+    pathlib.Path(predecessor._path).write_bytes(b"half a wor")
+    assert successor.next_share(0, False) == 1 - UNREADABLE_RECORD.share
+    assert "another process unreadable" in caplog.text
--- a/tests/store/test_cached_endpoints.py
+++ b/tests/store/test_cached_endpoints.py
@@ -11,7 +11,7 @@
 from garnetlanding.store.store import Store
 
 
-def test_the_list_is_kept_as_it_changes_and_the_newer_one_wins() -> None:
+def test_cached_listing_follows_changes_and_the_newest_listing_wins() -> None:
     store = Store("w", True, 50)
     one, two = ({"instanceId": n, "lifecycle": "SERVING"} for n in ("one", "two"))
     cache_listing(store, {"generation": 5, "reset": True, "instances": [one, two]})
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -17,7 +17,7 @@
 from tests.support.simulated_instance import SimulatedInstance
 
 
-class Pair(SimulatedInstance):
+class ReplicationPair(SimulatedInstance):
     """A writer on loopback and a follower of it."""
 
     def __init__(self) -> None:
@@ -40,121 +40,126 @@
             lambda write: WriterMachine(self.store, self.scheduler, self.limits, write),
         )
 
-    def cut(self) -> None:
+    def partition(self) -> None:
         self.listener.stop_accepting()
         for client in list(self.listener._clients):
             client.stream.close()
         self.settle()
 
-    def alike(self) -> bool:
+    def is_in_sync(self) -> bool:
         return self.copy.snapshot() == self.store.snapshot()
 
 
-def test_a_follower_gets_a_snapshot_and_then_every_change() -> None:
-    w = Pair()
-    assert w.alike() and w.follower.connected
+def test_new_follower_gets_a_snapshot_and_then_every_change() -> None:
+    pair = ReplicationPair()
+    assert pair.is_in_sync() and pair.follower.connected
     for i in range(9):
-        w.store.put(f"k{i % 3}", i)
-    w.store.put("k0", None)
-    w.settle()
-    assert w.alike() and w.copy.revision == 10
+        pair.store.put(f"k{i % 3}", i)
+    pair.store.put("k0", None)
+    pair.settle()
+    assert pair.is_in_sync() and pair.copy.revision == 10
 
 
-@pytest.mark.parametrize(("missed", "whole"), [(3, False), (9, True)])
-def test_after_a_partition_it_resumes_by_revision_or_with_a_snapshot(
-    missed: int, whole: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(
+    ("missed", "with_snapshot"), [(3, False), (9, True)], ids=["within-the-log", "past-the-log"]
+)
+def test_follower_resumes_after_a_partition_by_revision_or_with_a_snapshot(
+    missed: int, with_snapshot: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    w = Pair()
-    w.store.put("a", 1)
-    w.settle()
-    w.cut()
+    pair = ReplicationPair()
+    pair.store.put("a", 1)
+    pair.settle()
+    pair.partition()
     for i in range(missed):
-        w.store.put("a", 10 + i)
-    w.run(3 * SECOND, 100 * MS)
-    assert w.copy.get("a") == 1 and not w.follower.connected, "it goes on with what it has"
+        pair.store.put("a", 10 + i)
+    pair.run(3 * SECOND, 100 * MS)
+    assert pair.copy.get("a") == 1 and not pair.follower.connected, "it goes on with what it has"
     restored: list[Snapshot] = []
 
     def restore(snapshot: Snapshot) -> None:
         restored.append(snapshot)
-        Store.restore(w.copy, snapshot)
+        Store.restore(pair.copy, snapshot)
 
-    monkeypatch.setattr(w.copy, "restore", restore)
-    w.serve(w.listener.address)
-    w.run(w.limits.store_retry_us, 100 * MS)
-    assert w.alike() and bool(restored) == whole
+    monkeypatch.setattr(pair.copy, "restore", restore)
+    pair.serve(pair.listener.address)
+    pair.run(pair.limits.store_retry_us, 100 * MS)
+    assert pair.is_in_sync() and bool(restored) == with_snapshot
 
 
-def test_a_silent_writer_is_left_and_found_again() -> None:
-    w = Pair()
-    w.mute(next(iter(w.listener._clients)).stream._sock.fileno())
-    next(iter(w.listener._clients)).machine.close()  # says nothing, closes nothing
-    w.store.put("a", 1)
-    w.run(w.limits.store_silence_us, 100 * MS)
-    assert not w.follower.connected and w.copy.get("a") is None
-    w.run(w.limits.store_retry_us, 100 * MS)
-    assert w.alike()
+def test_follower_reconnects_after_the_writer_was_unresponsive() -> None:
+    pair = ReplicationPair()
+    pair.mute(next(iter(pair.listener._clients)).stream._sock.fileno())
+    next(iter(pair.listener._clients)).machine.close()  # sends nothing more and stays open
+    pair.store.put("a", 1)
+    pair.run(pair.limits.store_silence_us, 100 * MS)
+    assert not pair.follower.connected and pair.copy.get("a") is None
+    pair.run(pair.limits.store_retry_us, 100 * MS)
+    assert pair.is_in_sync()
 
 
-def said(caplog: pytest.LogCaptureFixture) -> str:
+def logged_reason(caplog: pytest.LogCaptureFixture) -> str:
     return str(caplog.records[-1].kv["why"])  # type: ignore[attr-defined]
 
 
-def test_a_restarted_writer_has_a_new_epoch_and_an_older_one_is_rejected(
+def test_follower_accepts_a_greater_epoch_and_rejects_stale_and_foreign_writers(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    w = Pair()
-    w.store.put("a", 1)
-    w.settle()
-    w.cut()
-    w.store = Store("w", True, 4, epoch=11)  # its file was lost: other values, other revisions
-    w.store.put("b", 2)
-    w.serve(w.listener.address)
-    w.run(w.limits.store_retry_us, 100 * MS)
-    assert w.alike() and w.copy.epoch == 11
-    w.cut()
-    w.store = Store("w", True, 4, epoch=10)  # the old process, still there
-    w.store.put("a", 9)
-    w.serve(w.listener.address)
-    w.run(2 * w.limits.store_retry_us, 100 * MS)
-    assert w.copy.snapshot().values == {"b": 2} and said(caplog).startswith("stale writer: epoch 10")
-    w.cut()
-    w.store = Store("other", True, 4, epoch=99)  # a second writer
-    w.serve(w.listener.address)
-    w.run(2 * w.limits.store_retry_us, 100 * MS)
-    assert w.copy.epoch == 11 and "not the configured writer" in said(caplog)
-
-
-def test_a_gap_forces_a_snapshot() -> None:
-    w = Pair()
-    w.copy.revision = 40  # as if it had copied what the writer never had
-    w.store.put("a", 1)
-    w.settle()
-    assert w.alike()
-    w.store._values["a"], w.store.revision = 5, 7  # an entry was lost on its way
-    w.run(w.limits.store_heartbeat_us + w.limits.store_retry_us, 100 * MS)
-    assert w.alike()
+    pair = ReplicationPair()
+    pair.store.put("a", 1)
+    pair.settle()
+    pair.partition()
+    pair.store = Store("w", True, 4, epoch=11)  # its file was lost: other values, other revisions
+    pair.store.put("b", 2)
+    pair.serve(pair.listener.address)
+    pair.run(pair.limits.store_retry_us, 100 * MS)
+    assert pair.is_in_sync() and pair.copy.epoch == 11
+    pair.partition()
+    pair.store = Store("w", True, 4, epoch=10)  # the old process, still there
+    pair.store.put("a", 9)
+    pair.serve(pair.listener.address)
+    pair.run(2 * pair.limits.store_retry_us, 100 * MS)
+    assert pair.copy.snapshot().values == {"b": 2} and logged_reason(caplog).startswith(
+        "stale writer: epoch 10"
+    )
+    pair.partition()
+    pair.store = Store("other", True, 4, epoch=99)  # a second writer
+    pair.serve(pair.listener.address)
+    pair.run(2 * pair.limits.store_retry_us, 100 * MS)
+    assert pair.copy.epoch == 11 and "not the configured writer" in logged_reason(caplog)
+
+
+def test_revision_gap_is_mended_by_a_snapshot() -> None:
+    pair = ReplicationPair()
+    pair.copy.revision = 40  # as if it had copied what the writer never had
+    pair.store.put("a", 1)
+    pair.settle()
+    assert pair.is_in_sync()
+    pair.store._values["a"], pair.store.revision = 5, 7  # an entry was lost on its way
+    pair.run(pair.limits.store_heartbeat_us + pair.limits.store_retry_us, 100 * MS)
+    assert pair.is_in_sync()
 
 
 @pytest.mark.parametrize(
-    "lines",
+    ("lines", "reason"),
     [
-        b"{\n",
-        b"[]\n",
-        b'{"entry": [1, "a", 1]}\n',
-        b'{"writer": ["w", 1]}\n{"what": 1}\n',
-        b"x" * (2 << 20),
+        (b"{\n", "not JSON"),
+        (b"[]\n", "not an object"),
+        (b'{"entry": [1, "a", 1]}\n', "the writer has not named itself"),
+        (b'{"writer": ["w", 1]}\n{"what": 1}\n', "unknown message"),
+        (b"x" * (2 << 20), "line too long"),
     ],
+    ids=["not-json", "not-an-object", "entry-before-identity", "unknown-message", "line-too-long"],
 )
-def test_a_follower_leaves_a_writer_that_speaks_otherwise(lines: bytes) -> None:
+def test_follower_machine_raises_on_a_stream_that_breaks_the_protocol(lines: bytes, reason: str) -> None:
     machine = FollowerMachine(Store("w", False, 4), SimulatedInstance().limits)
     assert json.loads(machine.follow_request(with_snapshot=True)) == {"follow": [0, -1]}
-    with pytest.raises(ValueError):
+    with pytest.raises(ReplicaError, match=reason):
         machine.feed(lines)
 
 
-def test_a_writer_turns_away_what_is_no_follower() -> None:
-    w = Pair()
-    peer = w.peer(w.listener.address)
+def test_writer_closes_a_connection_that_does_not_begin_with_a_follow_request() -> None:
+    pair = ReplicationPair()
+    peer = pair.peer(pair.listener.address)
     peer.say(b"GET / HTTP/1.1\r\n\r\n")
     assert peer.closed
 
--- a/tests/store/test_staleness_guard.py
+++ b/tests/store/test_staleness_guard.py
@@ -9,18 +9,18 @@
 from garnetlanding.store.staleness_guard import StalenessGuard
 from tests.support.clock import SECOND
 
-# Who is current
-
 DRIFT = 0.01
 
 
-def acting_late(seed: int, currency: type[StalenessGuard]) -> float:
-    """One follower whose clock runs apart and whose messages are late or lost, and that stands still at
-    times; a change at the writer each second. How long after a change it last acted on less, beside the
-    bound."""
+def longest_stale_action(seed: int, guard_type: type[StalenessGuard]) -> float:
+    """Return how long after a change a follower last acted without it, in bounds of staleness.
+
+    Its clock drifts, its queries and replies are late or lost, and it stands still at times; the writer makes
+    a change each second.
+    """
     rng = random.Random(seed)
     pace = 1 + rng.uniform(-DRIFT / 2, DRIFT / 2)
-    one = currency(SECOND, DRIFT, 0)
+    guard = guard_type(SECOND, DRIFT, 0)
     asked, answers = list[tuple[int, int]](), list[tuple[int, int, int]]()  # when it comes, number, revision
     known, asleep, ask_at, worst = 0, 0, 0, 0.0
     for now in range(0, 30 * SECOND, SECOND // 100):
@@ -35,24 +35,24 @@
         for when, number, told in sorted(a for a in answers if a[0] <= now):
             answers.remove((when, number, told))
             known = max(known, told)
-            one.reply_received(number)
+            guard.reply_received(number)
         if mine >= ask_at:
-            ask_at = mine + one.query_interval_us
-            asked.append((now + rng.randrange(1, SECOND), one.next_query(mine)))
-        if one.is_current(mine) and known < revision:
+            ask_at = mine + guard.query_interval_us
+            asked.append((now + rng.randrange(1, SECOND), guard.next_query(mine)))
+        if guard.is_current(mine) and known < revision:
             worst = max(worst, (now - (known + 1) * SECOND) / SECOND)
         if rng.random() < 0.002:
             asleep = now + rng.randrange(SECOND, 4 * SECOND)
     return worst
 
 
-def test_no_head_acts_on_what_is_older_than_it_may_be_behind() -> None:
-    worst = max(acting_late(seed, StalenessGuard) for seed in range(300))
+def test_guarded_instance_never_acts_on_a_copy_staler_than_its_bound() -> None:
+    worst = max(longest_stale_action(seed, StalenessGuard) for seed in range(300))
     assert 0.5 < worst < 1.0
 
 
-class FromWhenItCame(StalenessGuard):
-    """A bug: an answer counts from when it came."""
+class ValidFromReceipt(StalenessGuard):
+    """A fault: a reply counts from when it came."""
 
     now = 0
 
@@ -64,20 +64,20 @@
         self.current_until = self.now + self._validity_us
 
 
-class AnyAnswer(StalenessGuard):
-    """A bug: an answer to whatever question counts as one to the last."""
+class AnyReplyForTheLastQuery(StalenessGuard):
+    """A fault: a reply to any query counts as one to the last."""
 
     def reply_received(self, _number: int) -> None:
         super().reply_received(self._number)
 
 
-class NoEnd(StalenessGuard):
-    """A bug: once current, always current."""
+class NeverStale(StalenessGuard):
+    """A fault: once current, always current."""
 
     def is_current(self, _now: int) -> bool:
         return self.current_until > 0
 
 
-@pytest.mark.parametrize("bug", [FromWhenItCame, AnyAnswer, NoEnd])
-def test_a_bug_put_in_on_purpose_is_found(bug: type[StalenessGuard]) -> None:
-    assert any(acting_late(seed, bug) >= 1.0 for seed in range(60))
+@pytest.mark.parametrize("broken_guard", [ValidFromReceipt, AnyReplyForTheLastQuery, NeverStale])
+def test_broken_guard_exceeds_the_bound(broken_guard: type[StalenessGuard]) -> None:
+    assert any(longest_stale_action(seed, broken_guard) >= 1.0 for seed in range(60))
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,4 +1,4 @@
-"""The store against a model, and its file."""
+"""The store against a model."""
 
 from __future__ import annotations
 
@@ -15,18 +15,16 @@
     StoreError,
     StoreFileError,
 )
-from garnetlanding.store.persister import StorePersister, load, save
-from garnetlanding.store.store import Entry, Snapshot, Store
-from tests.support.clock import MS
-from tests.support.simulated_instance import SimulatedInstance
+from garnetlanding.store.persister import load
+from garnetlanding.store.store import Entry, Store
 
 KEYS = st.sampled_from(["a", "b", "c"])
 VALUES = st.one_of(st.none(), st.integers(0, 3))
 
 
 @given(st.lists(st.tuples(KEYS, VALUES), max_size=30), st.integers(0, 35))
-def test_a_copy_resumes_from_any_revision_or_is_told_that_it_cannot(
-    puts: list[tuple[str, int | None]], since: int
+def test_copy_resumes_from_any_logged_revision_and_from_no_other(
+    puts: list[tuple[str, int | None]], revision: int
 ) -> None:
     store = Store("w", True, log_entries=5)
     copies = [store.snapshot()]
@@ -39,17 +37,17 @@
         if store.revision > before:
             copies.append(store.snapshot())
     assert store.snapshot().values == {k: v for k, v in model.items() if v is not None}
-    entries = store.entries_since(since)
-    assert (entries is None) == (since > store.revision or since < store.revision - 5)
+    entries = store.entries_since(revision)
+    assert (entries is None) == (revision > store.revision or revision < store.revision - 5)
     if entries is not None:
         copy = Store("w", False, 5)
-        copy.restore(copies[since])
+        copy.restore(copies[revision])
         for entry in entries:
             copy.apply(0, entry)
         assert copy.snapshot() == store.snapshot()
 
 
-def test_only_the_writer_writes_and_only_the_next_entry_fits() -> None:
+def test_copy_rejects_writes_other_writers_and_entries_out_of_order() -> None:
     copy = Store("w", False, 5, epoch=3)
     with pytest.raises(NotWriterError):
         copy.put("a", 1)
@@ -64,35 +62,7 @@
         Store("w", True, 5).accept_writer("w", 9)
 
 
-def test_the_file_is_replaced_whole_and_a_strange_one_is_named(tmp_path: pathlib.Path) -> None:
-    path = str(tmp_path / "store.json")
-    assert load(path) is None
-    save(path, Snapshot(2, 7, {"a": [1]}))
-    assert load(path) == Snapshot(2, 7, {"a": [1]}) and [p.name for p in tmp_path.iterdir()] == ["store.json"]
-    for text in ("{", '{"epoch": 1}'):
-        pathlib.Path(path).write_text(text)
-        with pytest.raises(StoreFileError, match="store.json"):
-            load(path)
-
-
-def test_a_crash_while_writing_leaves_the_old_file(
-    tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
-) -> None:
-    def full(_fd: int) -> None:
-        raise OSError("disk full")
-
-    w, path = SimulatedInstance(), str(tmp_path / "store.json")
-    store = Store("w", True, 5)
-    StorePersister(w.scheduler, store, path, 100 * MS)
-    store.put("a", 1)
-    w.run(100 * MS)
-    monkeypatch.setattr("os.fsync", full)
-    store.put("a", 2)
-    w.run(100 * MS)
-    assert load(path) == Snapshot(0, 1, {"a": 1}) and "store not saved" in caplog.text
-
-
-def test_errors_carry_what_they_are_about_and_share_one_base(tmp_path: pathlib.Path) -> None:
+def test_store_errors_carry_their_subject_and_share_one_base(tmp_path: pathlib.Path) -> None:
     copy = Store("w", False, 5, epoch=3)
     with pytest.raises(LogGapError) as gap:
         copy.apply(4, Entry(7, "a", 1))
--- a/tests/support/admin.py
+++ b/tests/support/admin.py
@@ -15,14 +15,14 @@
 from tests.support.simulated_instance import SimulatedInstance
 
 
-class Office(SimulatedInstance):
-    """A head's front and its operators' front before two bricks of one cell each."""
+class AdministeredInstance(SimulatedInstance):
+    """An instance with its RESP front and its administrative front, and two backends of one cell each."""
 
     def __init__(self, folder: pathlib.Path, **limits: int) -> None:
         super().__init__(None, **limits)
         self.brick = self.server(Brick)
         self.boxes = [Box("b0", self.brick.address, 0), Box("b1", self.brick.address, 1)]
-        self.told = True
+        self.endpoints_known = True
         self.clients = Listener(
             self.scheduler,
             "127.0.0.1:0",
@@ -36,17 +36,17 @@
                 self.limits,
                 set(),
                 write,
-                lambda: self.desk.accepts_clients,
+                lambda: self.service.accepts_clients,
             ),
             True,
         )
-        self.desk = AdminService(
+        self.service = AdminService(
             ManagedInstance(
                 scheduler=self.scheduler,
                 engine=self.core,
                 clients=self.clients,
                 limits=self.limits,
-                endpoints_known=lambda: self.told,
+                endpoints_known=lambda: self.endpoints_known,
             ),
             StateFile(str(folder), "n1"),
         )
@@ -56,12 +56,12 @@
             self.pool,
             self.limits,
             self.limits.ops_conns,
-            lambda write: AdminConnection(self.desk, self.pool, self.limits, write),
+            lambda write: AdminConnection(self.service, self.pool, self.limits, write),
         )
         self.list(*self.boxes)
 
     def call(self, what: str, method: str = "POST") -> tuple[int, str]:
-        """Status and body of one call, whose connection the head ends."""
+        """Return the status and body of one call, whose connection the instance ends."""
         peer = self.peer(self.ops.address)
         answer = peer.say(f"{method} {what} HTTP/1.1\r\nHost: h\r\n\r\n".encode()).decode()
         head, _, body = answer.partition("\r\n\r\n")
@@ -70,6 +70,6 @@
         assert f"Content-Length: {len(body)}" in head
         return int(head.split(" ")[1]), body
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         lines = [line.partition(":") for line in self.call("/-/metrics", "GET")[1].splitlines()]
         return {name.removeprefix("app."): int(value.partition("|")[0]) for name, _, value in lines}
