--- a/tests/integration/test_process_signals.py
+++ b/tests/integration/test_process_signals.py
@@ -116,11 +116,16 @@
     if number == signal.SIGHUP:
         ready(port, child).close()
         until = time.monotonic() + LONGEST_S
-        while b"msg=reloaded" not in (heads.folder / "log").read_bytes() and time.monotonic() < until:
+        while (
+            b'msg="configuration reloaded"' not in (heads.folder / "log").read_bytes()
+            and time.monotonic() < until
+        ):
             ready(port, child).close()
         child.terminate()
     assert child.wait(LONGEST_S) == 0
-    assert (b"msg=reloaded" in (heads.folder / "log").read_bytes()) == (number == signal.SIGHUP)
+    assert (b'msg="configuration reloaded"' in (heads.folder / "log").read_bytes()) == (
+        number == signal.SIGHUP
+    )
 
 
 def test_a_file_that_breaks_its_reader_leaves_a_head_that_serves_and_ends(heads: Heads) -> None:
