--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -7,8 +7,6 @@
 from typing import Any
 
 import pytest
-from hypothesis import given
-from hypothesis import strategies as st
 
 from garnetlanding.emulator.lease_model import Scope, explore
 from garnetlanding.emulator.lease_net import SECOND, RunResult, Scenario, Simulation
@@ -17,24 +15,12 @@
 from garnetlanding.peers.drop_reasons import DropReason
 from garnetlanding.peers.leases import InstanceIdentity, Leases
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.quota_shares import Grant, GrantLedger, max_min_fair_shares
+from garnetlanding.peers.quota_shares import Grant, GrantLedger
 from tests.support.leases import LIMITS
 
 TAG = codec.tag("v")
 
 
-@given(st.floats(0.1, 100), st.lists(st.floats(0, 100), min_size=1, max_size=6))
-def test_max_min_fair_shares_add_up_to_the_supply_and_exceed_no_demand_while_another_is_unmet(
-    supply: float, demands: list[float]
-) -> None:
-    shares = max_min_fair_shares(supply, demands)
-    assert sum(shares) == pytest.approx(supply)
-    if sum(demands) <= supply:
-        assert all(s >= d - 1e-9 for s, d in zip(shares, demands, strict=True))
-    else:
-        assert all(s == pytest.approx(min(d, max(shares))) for s, d in zip(shares, demands, strict=True))
-
-
 SCENARIOS = {
     "two of three": Scenario(),
     "all of three": Scenario(hosts=3),
