--- a/tests/decision/test_decision_rules.py
+++ b/tests/decision/test_decision_rules.py
@@ -35,151 +35,151 @@
     return DecisionBench(make_settings(classes=CLASSES, plans=PLANS, **changes), [up_endpoint("n0", 0)])
 
 
-def test_one_final_answer_before_the_clients_time_and_nothing_after() -> None:
-    b = one()
-    b.ask("a", cls="write")
-    b.run(3 * SECOND)
-    assert [type(x) for x in b.answers("a")] == [api.Fail]
-    at = next(t for t, x in b.log if x in b.answers("a"))
+def test_request_gets_one_final_answer_before_its_deadline_and_nothing_after() -> None:
+    bench = one()
+    bench.ask("a", cls="write")
+    bench.run(3 * SECOND)
+    assert [type(x) for x in bench.answers("a")] == [api.Fail]
+    at = next(t for t, x in bench.log if x in bench.answers("a"))
     assert at < 50 * SECOND + WRITE.deadline_us
-    late = b.end("a", over=True)  # a late reply sends and answers nothing
+    late = bench.end("a", over=True)  # a late reply sends and answers nothing
     assert not [x for x in late if isinstance(x, api.Send | api.Reject | api.Fail)]
-    assert len(b.answers("a")) == 1 and len(b.sends("a")) <= 2  # one copy of an overdue attempt
+    assert len(bench.answers("a")) == 1 and len(bench.sends("a")) <= 2  # one copy of an overdue attempt
 
 
-def test_held_request_is_refused_in_time_when_no_node_serves_its_cell() -> None:
-    b = one()
-    b.ask("a", cell=7)
-    b.run(2 * SECOND)
-    assert [type(x) for x in b.answers("a")] == [api.Reject]
+def test_queued_request_is_refused_in_time_when_no_backend_serves_its_cell() -> None:
+    bench = one()
+    bench.ask("a", cell=7)
+    bench.run(2 * SECOND)
+    assert [type(x) for x in bench.answers("a")] == [api.Reject]
 
 
 def test_keyed_request_that_may_have_run_is_failed_never_refused() -> None:
-    b = one(max_attempts=1)
-    b.ask("a", cls="write")
-    b.end("a", ERROR)
-    assert [type(x) for x in b.answers("a")] == [api.Fail]
+    bench = one(max_attempts=1)
+    bench.ask("a", cls="write")
+    bench.end("a", ERROR)
+    assert [type(x) for x in bench.answers("a")] == [api.Fail]
 
 
 def test_keyed_request_known_not_to_have_run_may_be_refused() -> None:
-    b = one(max_attempts=1)
-    b.ask("a", cls="write")
-    b.end("a", FULL)
-    assert [type(x) for x in b.answers("a")] == [api.Reject]
+    bench = one(max_attempts=1)
+    bench.ask("a", cls="write")
+    bench.end("a", FULL)
+    assert [type(x) for x in bench.answers("a")] == [api.Reject]
 
 
-def test_keyed_new_object_is_resent_in_its_cell_within_the_window() -> None:
-    b = DecisionBench(
+def test_keyed_new_object_is_retried_in_its_cell_within_the_deduplication_window() -> None:
+    bench = DecisionBench(
         make_settings(classes=CLASSES, plans=PLANS),
         [up_endpoint("n0", 0), up_endpoint("n1", 1), up_endpoint("n2", 2)],
     )
-    b.ask("a", cls="write", cell=-1)
-    b.end("a", ERROR)
-    b.run(90 * MS)
-    assert len(b.sends("a")) == 2 and len({s.node for s in b.sends("a")}) == 1
-    b.run(1200 * MS)
-    b.end("a", ERROR, attempt=1)  # the window of 2 s, counted from the first send, is over
-    b.run(2 * SECOND)
-    assert isinstance(b.answers("a")[0], api.Fail)
-    assert all(t < 52 * SECOND for t, x in b.log if isinstance(x, api.Send))
-
-
-def test_unsafe_request_is_resent_only_when_it_never_ran() -> None:
-    b = one()
-    b.ask("first")
-    b.end("first")
-    b.ask("ran", cls="unsafe")
-    b.end("ran", RESET)
-    b.ask("not", cls="unsafe")
-    b.end("not", UNREACHABLE)
-    b.run(SECOND)
-    assert len(b.sends("ran")) == 1 and isinstance(b.answers("ran")[0], api.Fail)
-    assert len(b.sends("not")) == 2
-
-
-def test_nothing_new_to_a_draining_node() -> None:
-    b = one()
+    bench.ask("a", cls="write", cell=-1)
+    bench.end("a", ERROR)
+    bench.run(90 * MS)
+    assert len(bench.sends("a")) == 2 and len({s.node for s in bench.sends("a")}) == 1
+    bench.run(1200 * MS)
+    bench.end("a", ERROR, attempt=1)  # the window of 2 s, counted from the first send, is over
+    bench.run(2 * SECOND)
+    assert isinstance(bench.answers("a")[0], api.Fail)
+    assert all(t < 52 * SECOND for t, x in bench.log if isinstance(x, api.Send))
+
+
+def test_unsafe_request_is_retried_only_when_it_never_ran() -> None:
+    bench = one()
+    bench.ask("first")
+    bench.end("first")
+    bench.ask("ran", cls="unsafe")
+    bench.end("ran", RESET)
+    bench.ask("not", cls="unsafe")
+    bench.end("not", UNREACHABLE)
+    bench.run(SECOND)
+    assert len(bench.sends("ran")) == 1 and isinstance(bench.answers("ran")[0], api.Fail)
+    assert len(bench.sends("not")) == 2
+
+
+def test_draining_backend_gets_no_new_attempt() -> None:
+    bench = one()
     for i in range(6):
-        b.ask(f"r{i}")
-    b.tell(api.EndpointListUpdate((api.Endpoint("n0", 0, "z", api.EndpointState.DRAINING),)))
-    before = len(b.sends())
-    b.end("r0")
-    b.run(SECOND)
-    assert len(b.sends()) == before
-
-
-def test_order_waits_for_attempts_still_out_and_then_rests() -> None:
-    b = one(ordered_key_rest_us=200 * MS)
-    b.ask("a", cls="ordered", key="k")
-    b.ask("b", cls="ordered", key="k")
-    b.ask("other", cls="ordered", key="k2")
-    assert sent_requests([x for _, x in b.log]) == ["a", "other"]
-    b.tell(api.ClientLeft("a"))  # over, but its attempt is out
-    assert not b.sends("b")
-    b.end("a", api.Outcome.CANCELLED, over=True)
-    b.run(190 * MS)
-    assert not b.sends("b")
-    b.run(30 * MS)
-    assert len(b.sends("b")) == 1
-
-
-def test_budget_counts_every_further_attempt_in_a_sliding_window() -> None:
-    b = one(retry_budget_floor=2.0, retry_budget_ratio=0.1, retry_budget_window_us=5 * SECOND)
+        bench.ask(f"r{i}")
+    bench.tell(api.EndpointListUpdate((api.Endpoint("n0", 0, "z", api.EndpointState.DRAINING),)))
+    before = len(bench.sends())
+    bench.end("r0")
+    bench.run(SECOND)
+    assert len(bench.sends()) == before
+
+
+def test_ordered_key_waits_for_attempts_in_flight_and_then_rests() -> None:
+    bench = one(ordered_key_rest_us=200 * MS)
+    bench.ask("a", cls="ordered", key="k")
+    bench.ask("b", cls="ordered", key="k")
+    bench.ask("other", cls="ordered", key="k2")
+    assert sent_requests([x for _, x in bench.log]) == ["a", "other"]
+    bench.tell(api.ClientLeft("a"))  # over, but its attempt is out
+    assert not bench.sends("b")
+    bench.end("a", api.Outcome.CANCELLED, over=True)
+    bench.run(190 * MS)
+    assert not bench.sends("b")
+    bench.run(30 * MS)
+    assert len(bench.sends("b")) == 1
+
+
+def test_retry_budget_counts_every_further_attempt_in_a_sliding_window() -> None:
+    bench = one(retry_budget_floor=2.0, retry_budget_ratio=0.1, retry_budget_window_us=5 * SECOND)
     for i in range(20):
-        b.ask(f"r{i}")
-        b.end(f"r{i}", UNREACHABLE if i % 2 else ERROR)
-        b.run(200 * MS)
-        b.end(f"r{i}", attempt=1)
-    further = len(b.sends()) - len({s.request for s in b.sends()})
+        bench.ask(f"r{i}")
+        bench.end(f"r{i}", UNREACHABLE if i % 2 else ERROR)
+        bench.run(200 * MS)
+        bench.end(f"r{i}", attempt=1)
+    further = len(bench.sends()) - len({s.request for s in bench.sends()})
     assert 2 <= further <= 4
-    b.run(6 * SECOND)
-    b.ask("late")
-    b.end("late", ERROR)
-    b.run(200 * MS)
-    assert len(b.sends("late")) == 2
+    bench.run(6 * SECOND)
+    bench.ask("late")
+    bench.end("late", ERROR)
+    bench.run(200 * MS)
+    assert len(bench.sends("late")) == 2
 
 
-def test_limit_holds_a_volume_to_this_hosts_part_and_refuses_the_rest_at_once() -> None:
-    b = one()
+def test_limit_allows_a_volume_this_instances_share_and_refuses_the_rest_at_once() -> None:
+    bench = one()
     for i in range(40):
-        b.ask(f"r{i}", plan="limited", units=2, hosts=2)
-        if b.sends(f"r{i}"):
-            b.end(f"r{i}", took=5 * MS)
-    sent = 2 * len(b.sends())
+        bench.ask(f"r{i}", plan="limited", units=2, hosts=2)
+        if bench.sends(f"r{i}"):
+            bench.end(f"r{i}", took=5 * MS)
+    sent = 2 * len(bench.sends())
     assert 2 <= sent <= 6  # starts with one largest request, not with a burst an earlier life may have spent
-    assert all(b.answers(f"r{i}") for i in range(10, 40))
-    b.run(SECOND)
-    b.ask("again", plan="limited", units=4, hosts=2)
-    assert len(b.sends("again")) == 1  # 8 units a second over two hosts
+    assert all(bench.answers(f"r{i}") for i in range(10, 40))
+    bench.run(SECOND)
+    bench.ask("again", plan="limited", units=4, hosts=2)
+    assert len(bench.sends("again")) == 1  # 8 units a second over two hosts
 
 
-def test_a_failed_list_call_is_asked_again_with_backoff() -> None:
-    b = DecisionBench(make_settings(poll_endpoints=True), [up_endpoint("n0", 0)])
-    assert sum(isinstance(a, api.Subscribe) for _, a in b.log) == 1
+def test_failed_poll_of_the_endpoint_list_is_repeated_after_a_backoff() -> None:
+    bench = DecisionBench(make_settings(poll_endpoints=True), [up_endpoint("n0", 0)])
+    assert sum(isinstance(a, api.Subscribe) for _, a in bench.log) == 1
     for _ in range(3):
-        b.tell(api.EndpointListUpdate(failed=True))
-        assert any(isinstance(a, api.Subscribe) for a in b.run(6 * SECOND))
+        bench.tell(api.EndpointListUpdate(failed=True))
+        assert any(isinstance(a, api.Subscribe) for a in bench.run(6 * SECOND))
 
 
-def test_odd_but_legal_events_are_passed_over() -> None:
-    b = one()
-    b.tell(
+def test_unexpected_but_legal_events_are_ignored() -> None:
+    bench = one()
+    bench.tell(
         api.ClientLeft("nobody"),
         api.Result("nobody", 0, "n0", ERROR, 5, False),
         api.ProbeResult("n0", ERROR, 5),
         api.PeerMessage(1, b"x"),
         api.StreamStarted("nobody", 0),
     )
-    b.ask("a")
-    b.tell(api.EndpointListUpdate((), whole=True))  # the list drops a node with an attempt out
-    b.end("a")
-    b.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=b.now),)))
-    b.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=b.now + 1),)))
-    b.ask("z", units=0)
+    bench.ask("a")
+    bench.tell(api.EndpointListUpdate((), whole=True))  # the list drops a node with an attempt out
+    bench.end("a")
+    bench.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=bench.now),)))
+    bench.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=bench.now + 1),)))
+    bench.ask("z", units=0)
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_random_days_keep_the_rules(seed: int) -> None:
+def test_rules_hold_on_random_days(seed: int) -> None:
     rng = random.Random(seed)
     config = make_settings(
         classes=CLASSES,
@@ -203,7 +203,7 @@
     """Plays a random day and keeps its own books of what was sent, ended and answered."""
 
     def __init__(self, bench: DecisionBench, rng: random.Random, cells: int) -> None:
-        self.b, self.rng, self.cells = bench, rng, cells
+        self.bench, self.rng, self.cells = bench, rng, cells
         self.asked: dict[str, api.Arrival] = {}
         self.tries: dict[str, list[list[object]]] = {}  # [node, sent at, outcome or None]
         self.over: dict[str, int] = {}
@@ -212,16 +212,16 @@
         self.rest: dict[str, int] = {}
         self.extra: list[int] = []
         self.took: list[int] = []
-        self.limit = {f"v{i}": (36.0 / 2, self.b.now) for i in range(4)}
+        self.limit = {f"v{i}": (36.0 / 2, self.bench.now) for i in range(4)}
 
     def day(self) -> None:
         for n in range(900):
-            self.b.run(self.rng.choice([0, MS, 5 * MS, 20 * MS]))
+            self.bench.run(self.rng.choice([0, MS, 5 * MS, 20 * MS]))
             self.check()
             self.step(n)
             self.check()
         for _ in range(60):
-            self.b.run(100 * MS)
+            self.bench.run(100 * MS)
             self.check()
         assert set(self.over) == set(self.asked)
 
@@ -240,47 +240,47 @@
                 self.rng.choice(["", "k1", "k2"]),
                 self.rng.choice([0.5, 1, 2, 6]),
                 self.rng.randrange(-1, self.cells),
-                self.b.now + CLASSES[cls].deadline_us,
+                self.bench.now + CLASSES[cls].deadline_us,
                 2,
             )
             e = replace(e, volume=f"v{self.rng.randrange(4)}" + e.plan)
             self.asked[name] = e
-            self.took.append(self.b.now)
+            self.took.append(self.bench.now)
             self.keys.setdefault(e.key, []).append(name)
-            self.b.tell(e)
+            self.bench.tell(e)
         elif roll < 0.9 and out:
             name, i = self.rng.choice(out)
             outcome = self.rng.choice([api.Outcome.SERVED] * 4 + list(api.Outcome))
             self.tries[name][i][2] = outcome
             over = name in self.over or outcome is api.Outcome.SERVED
             if over:
-                self.over.setdefault(name, self.b.now)
+                self.over.setdefault(name, self.bench.now)
             if outcome in (TIMEOUT, RESET, api.Outcome.CANCELLED):
                 key = self.asked[name].key
-                self.rest[key] = self.b.now + 200 * MS
+                self.rest[key] = self.bench.now + 200 * MS
             node = str(self.tries[name][i][0])
-            self.b.tell(api.Result(name, i, node, outcome, 20 * MS, over, self.rng.choice([0, 60, 300])))
+            self.bench.tell(api.Result(name, i, node, outcome, 20 * MS, over, self.rng.choice([0, 60, 300])))
         elif roll < 0.93 and self.asked:
             name = self.rng.choice(sorted(self.asked))
             if name not in self.over:
-                self.over[name] = self.b.now
-                self.b.tell(api.ClientLeft(name))
+                self.over[name] = self.bench.now
+                self.bench.tell(api.ClientLeft(name))
         elif roll < 0.97:
             cell = self.rng.randrange(self.cells)
             state = self.rng.choice(list(api.EndpointState) + [api.EndpointState.UP] * 2)
             if state is api.EndpointState.UP:
                 self.barred.pop(f"n{cell}", None)
             else:
-                self.barred[f"n{cell}"] = self.b.now
-            started = self.rng.choice([0, self.b.now])
-            self.b.tell(
+                self.barred[f"n{cell}"] = self.bench.now
+            started = self.rng.choice([0, self.bench.now])
+            self.bench.tell(
                 api.EndpointListUpdate((api.Endpoint(f"n{cell}", cell, f"z{cell % 2}", state, started),))
             )
         else:
-            self.b.tell(api.EndpointListUpdate(failed=True))
+            self.bench.tell(api.EndpointListUpdate(failed=True))
 
     def check(self) -> None:
-        log, self.b.log = self.b.log, []
+        log, self.bench.log = self.bench.log, []
         for at, action in log:
             if isinstance(action, api.Send):
                 self.check_send(at, action)
@@ -292,8 +292,8 @@
                 if isinstance(action, api.Reject):
                     self.check_refusal(name)
             elif isinstance(action, api.Cancel):
-                assert self.b.c.settings.may_cancel and action.attempt < len(self.tries[action.request])
-        assert all(self.b.now <= self.asked[n].until_us for n in self.asked if n not in self.over)
+                assert self.bench.c.settings.may_cancel and action.attempt < len(self.tries[action.request])
+        assert all(self.bench.now <= self.asked[n].until_us for n in self.asked if n not in self.over)
 
     def ran(self, name: str) -> list[list[object]]:
         never = (FULL, api.Outcome.UNREACHABLE, api.Outcome.NEVER_DISPATCHED)
@@ -308,7 +308,7 @@
         assert not self.ran(name), "refused though it may have run"
 
     def check_send(self, at: int, a: api.Send) -> None:
-        e, tries, s = self.asked[a.request], self.tries.setdefault(a.request, []), self.b.c.settings
+        e, tries, s = self.asked[a.request], self.tries.setdefault(a.request, []), self.bench.c.settings
         cls, ran, cell = CLASSES[e.cls], self.ran(a.request), int(a.node[1:])
         assert a.request not in self.over and at < e.until_us and len(tries) < s.max_attempts
         assert a.node not in self.barred
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -30,14 +30,14 @@
     return out.getvalue().splitlines()
 
 
-def test_a_request_is_sent_and_batches_are_answered_one_by_one() -> None:
+def test_each_batch_gets_a_reply_and_an_arrival_is_delivered() -> None:
     lines = talk("BATCH 1\nEND\n" + START + ASK)
     assert lines.count("FINISHED") == 3
     assert lines[0] == "FINISHED"
     assert "DELIVER a 0 10.0.0.1:9" in lines
 
 
-def test_a_restart_in_one_batch_forgets_the_earlier_life() -> None:
+def test_restart_within_a_batch_forgets_the_earlier_incarnation() -> None:
     again = START.replace("SELECT 3\n", "SELECT 3\nDESTROY\n").replace("BATCH 1000", "BATCH 3000")
     late = "BATCH 4000\nSELECT 3\nREPLY a 0 10.0.0.1:9 delivered 900 1 0 0 -\nEND\n"
     assert talk(START + ASK + again + late)[-1] == "FINISHED"
@@ -54,8 +54,17 @@
         (START + "BATCH 5\nSELECT 3\n", "ended inside"),
         (START.replace("in_service", "asleep"), "line 5.*Phase"),
     ],
+    ids=[
+        "no batch",
+        "setting not a number",
+        "unknown instance",
+        "field missing",
+        "field not a number",
+        "input ends in a batch",
+        "unknown word",
+    ],
 )
-def test_bad_input_ends_with_one_plain_line(
+def test_malformed_input_exits_with_code_2_and_one_line(
     text: str, words: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr("sys.stdin", io.StringIO(text))
@@ -65,7 +74,7 @@
     assert re.search(words, err)
 
 
-def test_a_defect_is_reported_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_of_the_decision_module_is_reported_as_bail_out(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(_self: Controller, _now: int, _events: object) -> list[object]:
         raise RuntimeError("tags ran\nbackwards")
 
@@ -73,12 +82,12 @@
     assert "BAIL_OUT RuntimeError: tags ran backwards" in talk(START)
 
 
-def test_numbers_that_are_not_finite_are_refused() -> None:
+def test_settings_with_numbers_that_are_not_finite_are_rejected() -> None:
     with pytest.raises(wire.WireError, match="Weight"):
         wire.read_settings(SETTINGS.replace("Weight=1.0", "Weight=nan"))
 
 
-def test_the_readme_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_example_prints_what_it_says(capsys: pytest.CaptureFixture[str]) -> None:
     readme = pathlib.Path(__file__).parents[1].joinpath("README.md").read_text()
     code = readme.split("```python\n")[1].split("```")[0]
     exec(code, {})
