--- a/garnetlanding/audit/errors.py
+++ b/garnetlanding/audit/errors.py
@@ -2,10 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
-if TYPE_CHECKING:
-    from garnetlanding.audit.segments import Segment
+from garnetlanding.audit.segment import Segment
 
 
 class AuditError(ValueError):
--- a/garnetlanding/audit/merging.py
+++ b/garnetlanding/audit/merging.py
@@ -8,7 +8,7 @@
 from garnetlanding.audit.consistency import find_contradictions, mark_crashes
 from garnetlanding.audit.limits import AuditLimits
 from garnetlanding.audit.records import Incarnation, RecordKind, RecordView, SegmentPosition
-from garnetlanding.audit.segments import Segment
+from garnetlanding.audit.segment import Segment
 from garnetlanding.audit.timeline import FleetTimeline, RejectedChange, Span, SpanEnd
 
 _NOTHING_DROPPED = SegmentPosition(0, 0)
--- a/garnetlanding/audit/segment_reader.py
+++ b/garnetlanding/audit/segment_reader.py
@@ -8,8 +8,9 @@
 
 from garnetlanding.audit.errors import CorruptSegmentError
 from garnetlanding.audit.limits import LIMITS
+from garnetlanding.audit.segment import Segment
 from garnetlanding.audit.segment_files import SegmentFile, list_segments
-from garnetlanding.audit.segments import Segment, read_segment
+from garnetlanding.audit.segments import read_segment
 
 
 @dataclass(slots=True)
--- a/garnetlanding/audit/segment_writer.py
+++ b/garnetlanding/audit/segment_writer.py
@@ -23,6 +23,7 @@
     dropped_record,
     start_record,
 )
+from garnetlanding.audit.segment import FIRST_HASH
 from garnetlanding.audit.segment_files import (
     SegmentFile,
     list_instance_segments,
@@ -61,7 +62,7 @@
         self._wall_ms = wall_ms
         self._number = 0
         self._size = 0
-        self._last_hash = segments.FIRST_HASH
+        self._last_hash = FIRST_HASH
         self._descriptor: int | None = None
         self._failed = False
         os.makedirs(self._folder, exist_ok=True)
--- a/garnetlanding/audit/segments.py
+++ b/garnetlanding/audit/segments.py
@@ -19,7 +19,6 @@
 
 import json
 import struct
-from dataclasses import dataclass, field
 from hashlib import blake2b
 
 from crc32c import crc32c
@@ -27,31 +26,14 @@
 from garnetlanding.audit.errors import CorruptSegmentError
 from garnetlanding.audit.limits import LIMITS, AuditLimits
 from garnetlanding.audit.records import Payload
+from garnetlanding.audit.segment import HASH_BYTES, Segment
 
 MAGIC = b"GLAUDIT1"
-HASH_BYTES = 16
-FIRST_HASH = bytes(HASH_BYTES)
 """Stands for the hash of the record before an incarnation's first one."""
 
 _FRAME_PREFIX = struct.Struct(">II")
 
 
-@dataclass(slots=True)
-class Segment:
-    """What one segment file holds."""
-
-    instance: str
-    incarnation: int
-    number: int
-    previous_hash: bytes
-    """Hash of the last record of the segment before."""
-    records: list[Payload] = field(default_factory=list)
-    last_hash: bytes = FIRST_HASH
-    """Hash of the last record."""
-    torn_at: int | None = None
-    """Offset of a record that is cut short by the end of the file; `None` where the file ends well."""
-
-
 def encode_header(instance: str, incarnation: int, number: int, previous_hash: bytes) -> bytes:
     """Return the first bytes of a segment: magic and header."""
     header = {"head": instance, "life": incarnation, "segment": number, "before": previous_hash.hex()}
--- a/garnetlanding/daemon/admin.py
+++ b/garnetlanding/daemon/admin.py
@@ -6,12 +6,12 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
+from garnetlanding.daemon.capacity_sharing import CapacitySharing
 from garnetlanding.daemon.clients import RespClients
 from garnetlanding.daemon.discovery import DiscoveryWatch
 from garnetlanding.daemon.instance import Instance
 from garnetlanding.daemon.lifecycle import Subsystem
 from garnetlanding.daemon.peer_link import PeerLinkManager
-from garnetlanding.daemon.process_share import CapacitySharing
 from garnetlanding.ops.admin_connection import AdminConnection
 from garnetlanding.ops.admin_service import AdminService
 from garnetlanding.ops.fleet_access import FleetView
--- a/garnetlanding/daemon/assembly.py
+++ b/garnetlanding/daemon/assembly.py
@@ -40,7 +40,7 @@
 from garnetlanding.daemon.instance import Instance, wall_ms
 from garnetlanding.daemon.lifecycle import Subsystem
 from garnetlanding.daemon.peer_link import PeerLinkManager
-from garnetlanding.daemon.process_share import CapacitySharing, ProcessShare
+from garnetlanding.daemon.process_share import ProcessShare
 from garnetlanding.daemon.settings import SettingsManager, effective_settings, stored_settings
 from garnetlanding.daemon.store_opening import open_store
 from garnetlanding.decision.control import Controller
@@ -55,8 +55,9 @@
     from garnetlanding.daemon.fencing import Fencing
     from garnetlanding.daemon.history import HistoryRecording
     from garnetlanding.daemon.ninep import NinepClients
-    from garnetlanding.daemon.peer_group import PeerGroup, ReceivedDisables, SharedConnections
+    from garnetlanding.daemon.peer_group import PeerGroup, ReceivedDisables
     from garnetlanding.daemon.replication import StoreReplication
+    from garnetlanding.daemon.shared_connections import SharedConnections
     from garnetlanding.daemon.subset import BackendSubset
     from garnetlanding.daemon.telemetry import TelemetryExport
 
@@ -175,7 +176,7 @@
     setup = instance.config.operator.fleet
     if group is None or setup is None or not setup.server_connections:
         return None
-    from garnetlanding.daemon.peer_group import SharedConnections
+    from garnetlanding.daemon.shared_connections import SharedConnections
 
     return SharedConnections(instance, setup.server_connections, link)
 
@@ -223,6 +224,7 @@
     if not instance.config.ops:
         return None
     from garnetlanding.daemon.admin import AdminFront
+    from garnetlanding.daemon.capacity_sharing import CapacitySharing
 
     capacity = CapacitySharing(instance, settings, clients)
     return AdminFront(instance, clients, discovery, capacity, group, link)
--- a/garnetlanding/daemon/peer_group.py
+++ b/garnetlanding/daemon/peer_group.py
@@ -13,7 +13,6 @@
 
 if TYPE_CHECKING:  # what is off is not imported
     from garnetlanding.daemon.history import HistoryRecording
-    from garnetlanding.daemon.peer_link import PeerLinkManager
     from garnetlanding.peers.membership_protocol import MembershipProtocol
     from garnetlanding.peers.shared_budgets import SharedBudgets
 
@@ -72,30 +71,6 @@
         return self.membership.members.mark_terminated(peer) if self.membership else None
 
 
-class SharedConnections(Subsystem):
-    """Divides the connections at each backend among all instances."""
-
-    name = "shared connections"
-
-    def __init__(self, instance: Instance, each_max: int, link: PeerLinkManager) -> None:
-        """`each_max`: connections at one backend, of all instances together."""
-        self._instance = instance
-        self._each_max = each_max
-        self._link = link
-
-    def start(self) -> None:
-        """Bound the connections to backends from now on."""
-        from garnetlanding.peers.connection_quota import ConnectionQuota
-
-        instance, link = self._instance, self._link
-        instance.backends.places = ConnectionQuota(
-            self._each_max,
-            instance.longest_attempt_us,
-            lambda: instance.scheduler.now,
-            lambda: link.coordinator.shared_leases() if link.coordinator else None,
-        )
-
-
 class ReceivedDisables(Subsystem):
     """Takes up which backends operators of peers disabled, where this instance has no admin service.
 
--- a/garnetlanding/lab/audits.py
+++ b/garnetlanding/lab/audits.py
@@ -10,8 +10,8 @@
 from garnetlanding.audit.limits import LIMITS
 from garnetlanding.audit.merging import merge_segments
 from garnetlanding.audit.records import SETTINGS, Incarnation
+from garnetlanding.audit.segment import Segment
 from garnetlanding.audit.segment_reader import read_segments
-from garnetlanding.audit.segments import Segment
 from garnetlanding.lab.findings import Findings
 from garnetlanding.lab.history import Line
 
--- a/tests/audit/test_files.py
+++ b/tests/audit/test_files.py
@@ -13,9 +13,9 @@
 from garnetlanding.audit.limits import LIMITS, AuditLimits
 from garnetlanding.audit.merging import merge_segments
 from garnetlanding.audit.records import Incarnation
+from garnetlanding.audit.segment import Segment
 from garnetlanding.audit.segment_reader import read_segments
 from garnetlanding.audit.segment_writer import SegmentWriter
-from garnetlanding.audit.segments import Segment
 from garnetlanding.audit.setup import AuditSetup
 from tests.support.audit import opened
 
--- a/tests/audit/test_segments.py
+++ b/tests/audit/test_segments.py
@@ -10,6 +10,7 @@
 
 from garnetlanding.audit import segments
 from garnetlanding.audit.errors import CorruptSegmentError
+from garnetlanding.audit.segment import FIRST_HASH
 
 PAYLOADS = st.lists(
     st.dictionaries(st.text(max_size=5), st.integers() | st.text(max_size=9), max_size=4),
@@ -18,7 +19,7 @@
 )
 
 
-def built(payloads: list[dict[str, Any]], before: bytes = segments.FIRST_HASH, number: int = 1) -> bytes:
+def built(payloads: list[dict[str, Any]], before: bytes = FIRST_HASH, number: int = 1) -> bytes:
     data, last = segments.encode_header("n0", 7, number, before), before
     for payload in payloads:
         more, last = segments.encode_record(last, payload)
--- a/tests/support/audit.py
+++ b/tests/support/audit.py
@@ -5,11 +5,10 @@
 import pathlib
 from typing import Any
 
-from garnetlanding.audit import segments
 from garnetlanding.audit.limits import LIMITS, AuditLimits
 from garnetlanding.audit.records import Incarnation
+from garnetlanding.audit.segment import FIRST_HASH, Segment
 from garnetlanding.audit.segment_writer import SegmentWriter
-from garnetlanding.audit.segments import Segment
 from garnetlanding.audit.setup import AuditSetup
 from tests.support.clock import SECOND
 
@@ -42,4 +41,4 @@
                 **fields,
             }
         )
-    return Segment(head, number, 1, segments.FIRST_HASH, payloads)
+    return Segment(head, number, 1, FIRST_HASH, payloads)
--- /dev/null
+++ b/tests/test_architecture.py
@@ -0,0 +1,147 @@
+"""The structure that docs/architecture.md describes: modules that exist, layers, no circles, lazy parts."""
+
+from __future__ import annotations
+
+import ast
+import json
+import re
+import subprocess
+import sys
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).resolve().parent.parent
+PACKAGE = "garnetlanding"
+PAGE = ROOT / "docs" / "architecture.md"
+
+# Circles that are still to be broken up (issue 33): one that is gone must be taken off this list.
+KNOWN_CIRCLES = {
+    frozenset({"ninep.talk_linux", "ninep.session", "ninep.talk_plain", "ninep.talk"}),
+    frozenset({"ninep.speak_linux", "ninep.shared", "ninep.speak_plain", "ninep.front"}),
+    frozenset({"emulator.files_plain", "emulator.fileserver", "emulator.files_linux"}),
+}
+# What a package may import of the others; the rest may import anything that makes no circle.
+LAYERS = {
+    "decision": {"decision"},
+    "core": {"core", "decision", "limits"},
+}
+# Not part of a running instance: stand-ins, experiments and suites.
+OUTSIDE = {"emulator", "lab", "conform"}
+OFF_BY_DEFAULT = (
+    "audit",
+    "choices",
+    "conform",
+    "emulator",
+    "history",
+    "lab",
+    "ninep",
+    "ops",
+    "peers",
+    "telemetry",
+)
+
+
+def module_files() -> dict[str, Path]:
+    """Return the package's modules by dotted name, without the package's own name in front."""
+    root = ROOT / PACKAGE
+    files = {}
+    for path in sorted(root.rglob("*.py")):
+        name = ".".join(path.relative_to(root).with_suffix("").parts)
+        files[name.removesuffix(".__init__")] = path
+    return files
+
+
+MODULES = module_files()
+
+
+def imports(name: str) -> Iterator[str]:
+    """Yield every module of the package that this one imports, at any place in its text."""
+    for node in ast.walk(ast.parse(MODULES[name].read_text())):
+        if isinstance(node, ast.Import):
+            yield from (alias.name.removeprefix(PACKAGE + ".") for alias in node.names)
+        elif isinstance(node, ast.ImportFrom) and (node.module or "").split(".")[0] == PACKAGE:
+            module = (node.module or "").removeprefix(PACKAGE).removeprefix(".")
+            for alias in node.names:
+                full = f"{module}.{alias.name}".removeprefix(".")
+                yield full if full in MODULES else module
+
+
+GRAPH = {name: {other for other in imports(name) if other in MODULES and other != name} for name in MODULES}
+
+
+def reachable(start: str) -> set[str]:
+    """Return every module that this one imports, directly or through others."""
+    seen: set[str] = set()
+    pending = [start]
+    while pending:
+        for other in GRAPH[pending.pop()] - seen:
+            seen.add(other)
+            pending.append(other)
+    return seen
+
+
+def test_import_circles_are_only_the_known_ones() -> None:
+    after = {name: reachable(name) for name in MODULES}
+    circles = {
+        frozenset(other for other in after[name] if name in after[other])
+        for name in MODULES
+        if name in after[name]
+    }
+    assert circles == KNOWN_CIRCLES
+
+
+@pytest.mark.parametrize("package", LAYERS)
+def test_inner_packages_import_only_what_lies_further_in(package: str) -> None:
+    inner = [name for name in MODULES if name.split(".")[0] == package]
+    assert inner
+    outward = {
+        (name, other) for name in inner for other in GRAPH[name] if other.split(".")[0] not in LAYERS[package]
+    }
+    assert not outward
+
+
+def test_an_instance_imports_no_stand_ins_and_no_experiments() -> None:
+    wrong = {
+        (name, other)
+        for name in MODULES
+        for other in GRAPH[name]
+        if name.split(".")[0] not in OUTSIDE | {"cli"} and other.split(".")[0] in OUTSIDE
+    }
+    assert not wrong
+
+
+def test_subsystems_that_are_off_are_not_imported() -> None:
+    program = (
+        "import json, sys\n"
+        "from garnetlanding import config\n"
+        "from garnetlanding.daemon import Daemon\n"
+        "Daemon(config.read(json.loads(sys.argv[1]))).start()\n"
+        "print(*sorted({m.split('.')[1] for m in sys.modules if m.startswith('garnetlanding.')}))\n"
+        "print(*sorted(m for m in sys.modules if m.startswith('garnetlanding.store.')))\n"
+    )
+    settings = json.loads((ROOT / "example" / "config.json").read_text())
+    settings |= {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9"}
+    settings.pop("ops", None)
+    output = subprocess.run(
+        [sys.executable, "-c", program, json.dumps(settings)],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=True,
+    ).stdout
+    packages, store_modules = output.splitlines()
+    assert "core" in packages.split()
+    assert not set(packages.split()) & set(OFF_BY_DEFAULT)
+    assert not re.search(r"replica|persister|follower|staleness", store_modules)
+
+
+def test_every_module_that_the_architecture_page_names_exists() -> None:
+    named = set(re.findall(r"`([a-z0-9_]+(?:/[a-z0-9_]+)*\.py)`", PAGE.read_text()))
+    folders = set(re.findall(r"`([a-z0-9_]+(?:/[a-z0-9_]+)*)/`", PAGE.read_text()))
+    assert named, "the page names no module"
+    assert not [name for name in named if not (ROOT / PACKAGE / name).is_file()]
+    assert not [
+        name for name in folders if not (ROOT / PACKAGE / name).is_dir() and not (ROOT / name).is_dir()
+    ]
