--- a/tests/integration/test_rolling_upgrade.py
+++ b/tests/integration/test_rolling_upgrade.py
@@ -17,10 +17,9 @@
 PING = b"*1\r\n$4\r\nPING\r\n"
 
 
-# A whole upgrade, two daemons on one clock.
+class RollingUpgrade(SimulatedInstance):
+    """Two daemons of one instance on this one's clock, before one backend."""
 
-
-class Upgrade(SimulatedInstance):
     def __init__(self, folder: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
         super().__init__()
         monkeypatch.setattr("tempfile.gettempdir", lambda: str(folder))
@@ -70,71 +69,69 @@
 
 
 @pytest.fixture
-def upgrade(tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> Upgrade:
-    return Upgrade(tmp_path, monkeypatch)
+def upgrade(tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> RollingUpgrade:
+    return RollingUpgrade(tmp_path, monkeypatch)
 
 
-def test_a_new_process_takes_over_and_no_request_is_lost(upgrade: Upgrade) -> None:
-    w = upgrade
-    old = w.start_daemon()
-    w.run(2 * SECOND)
-    assert w.call(old, "/-/ready", "GET") == "200"
-    clients = [w.peer(w.address) for _ in range(6)]
+def test_new_process_takes_over_without_losing_a_request(upgrade: RollingUpgrade) -> None:
+    old = upgrade.start_daemon()
+    upgrade.run(2 * SECOND)
+    assert upgrade.call(old, "/-/ready", "GET") == "200"
+    clients = [upgrade.peer(upgrade.address) for _ in range(6)]
     for i, client in enumerate(clients):
         assert client.say(read_command(f"a{i}")).startswith(b"$")
-    new = w.start_daemon()
-    w.run(300 * MS)
+    new = upgrade.start_daemon()
+    upgrade.run(300 * MS)
     assert [d.assembly.instance.process.share for d in (old, new)] == [0.5, 0.5]
-    assert w.call(new, "/-/ready", "GET") == "503", "no list yet, and discovery is away"
-    w.run(1300 * MS)
-    assert w.call(new, "/-/ready", "GET") == "200", "with the list it was started with"
-    w.brick.hold = True
+    assert upgrade.call(new, "/-/ready", "GET") == "503", "no list yet, and discovery is away"
+    upgrade.run(1300 * MS)
+    assert upgrade.call(new, "/-/ready", "GET") == "200", "with the list it was started with"
+    upgrade.brick.hold = True
     clients[0].say(read_command("busy"))
     old.scheduler.spawn(old.end)
-    w.run(100 * MS)
+    upgrade.run(100 * MS)
     assert [c.closed for c in clients] == [False] + [True] * 5, "idle ones have somewhere to go"
-    w.brick.hold = False
-    w.brick.release()
-    w.run(300 * MS)
+    upgrade.brick.hold = False
+    upgrade.brick.release()
+    upgrade.run(300 * MS)
     assert clients[0].got.endswith(b"$0\r\n\r\n")
     assert clients[0].closed
     assert old.scheduler._stopped
-    late = w.peer(w.address)
+    late = upgrade.peer(upgrade.address)
     assert late.say(PING) == b"+PONG\r\n"
     assert len(new.listeners[0]) == 1
-    w.run(300 * MS)
+    upgrade.run(300 * MS)
     assert new.assembly.instance.process.share == 1
 
 
-def test_bans_and_a_drain_are_taken_up_by_the_new_process_and_said_to_the_old(upgrade: Upgrade) -> None:
-    w = upgrade
-    old = w.start_daemon()
-    w.call(old, "/-/bricks/b0/disable")
-    w.call(old, "/-/drain")
-    new = w.start_daemon()
+def test_disables_and_drain_hold_in_both_processes_whichever_was_called(upgrade: RollingUpgrade) -> None:
+    old = upgrade.start_daemon()
+    upgrade.call(old, "/-/bricks/b0/disable")
+    upgrade.call(old, "/-/drain")
+    new = upgrade.start_daemon()
     assert new.core.endpoints.disabled == {"b0"}
     assert new.assembly.admin
     assert not new.assembly.admin.service.accepts_clients
-    assert w.call(new, "/-/resume") == "200"
-    assert w.call(new, "/-/bricks/b0/enable") == "200"
-    w.run(200 * MS)
+    assert upgrade.call(new, "/-/resume") == "200"
+    assert upgrade.call(new, "/-/bricks/b0/enable") == "200"
+    upgrade.run(200 * MS)
     assert not old.core.endpoints.disabled
     assert old.assembly.admin
     assert old.assembly.admin.service.accepts_clients
 
 
-def test_a_new_process_that_fails_its_start_leaves_the_old_one_serving(upgrade: Upgrade) -> None:
-    w = upgrade
-    old = w.start_daemon()
-    taken = w.peer(w.address)
+def test_new_process_that_fails_to_start_leaves_the_old_one_serving(upgrade: RollingUpgrade) -> None:
+    old = upgrade.start_daemon()
+    client = upgrade.peer(upgrade.address)
     broken = Daemon(
-        config.read(PLATFORM_CONFIG | {"listen": "192.0.2.1:1", "ops": "127.0.0.1:0"}), clock=lambda: w.time
+        config.read(PLATFORM_CONFIG | {"listen": "192.0.2.1:1", "ops": "127.0.0.1:0"}),
+        clock=lambda: upgrade.time,
     )
     with pytest.raises(OSError):
         broken.start()
     assert broken.assembly.instance.process.registry
     broken.assembly.instance.process.registry.close()
-    w.run(300 * MS)
-    assert taken.say(PING) == b"+PONG\r\n"
-    assert w.call(old, "/-/ready", "GET") in ("200", "503")
-    assert LoopbackClient(w, w.address).say(PING) == b"+PONG\r\n"
+    upgrade.run(300 * MS)
+    assert client.say(PING) == b"+PONG\r\n"
+    assert upgrade.call(old, "/-/ready", "GET") in ("200", "503")
+    assert LoopbackClient(upgrade, upgrade.address).say(PING) == b"+PONG\r\n"
