--- a/garnetlanding/daemon/peer_group.py
+++ b/garnetlanding/daemon/peer_group.py
@@ -89,6 +89,6 @@
 
     def _look(self) -> None:
         detector, scheduler = self._group.failure_detector, self._instance.scheduler
-        scheduler.call_at(scheduler.now + detector.limits.look_us, self._look)
+        scheduler.call_at(scheduler.now + detector.limits.disables_poll_us, self._look)
         if detector.merge_received():
             self._instance.core.set_disabled(detector.disabled.disabled_names)
--- a/garnetlanding/emulator/group_model.py
+++ b/garnetlanding/emulator/group_model.py
@@ -15,7 +15,7 @@
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.membership import InstanceRecord, Membership
 
-LIMITS = PeerLimits(begin_us=0)
+LIMITS = PeerLimits(bootstrap_us=0)
 
 
 @dataclass(frozen=True, slots=True)
--- a/garnetlanding/emulator/group_net.py
+++ b/garnetlanding/emulator/group_net.py
@@ -98,7 +98,7 @@
                 # Operators know by now who will not come back; the second time with all that is known.
                 for head in sorted(self._crashed):
                     next(iter(self.nodes.values())).group.members.mark_terminated(head)
-            if self.now % self.limits.say_every_us < net.step_us:
+            if self.now % self.limits.send_interval_us < net.step_us:
                 self._look_who_knows()
                 for head in self.rng.sample(sorted(self.nodes), len(self.nodes)):
                     self._say(head)
--- a/garnetlanding/emulator/lease_model.py
+++ b/garnetlanding/emulator/lease_model.py
@@ -25,7 +25,15 @@
 LIMIT = 40.0
 ROUNDING_SLACK = 1e-9
 # In steps: a lease holds for three, a message is believed for three, a demand lasts for one.
-LIMITS = PeerLimits(lease_us=3, drift=0.0, stale_us=3, known_us=1000, span_us=1, steps=4, remembered=4)
+LIMITS = PeerLimits(
+    lease_us=3,
+    drift=0.0,
+    stale_us=3,
+    demand_memory_us=1000,
+    demand_window_us=1,
+    share_steps=4,
+    remembered_messages=4,
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/garnetlanding/emulator/lease_net.py
+++ b/garnetlanding/emulator/lease_net.py
@@ -243,7 +243,7 @@
         """Return the datagrams to send, by receiver."""
         if now < instance.next_send_at:
             return {}
-        instance.next_send_at = now + self.limits.say_every_us
+        instance.next_send_at = now + self.limits.send_interval_us
         leases = instance.leases
         number = leases.next_number(now)
         payloads: dict[int, bytes] = {}
--- a/garnetlanding/emulator/suspicion_model.py
+++ b/garnetlanding/emulator/suspicion_model.py
@@ -23,7 +23,7 @@
 STEP_US = 1000
 OBJECTIVE_US = 100  # the latency objective
 BACKEND = "n0"
-LIMITS = PeerLimits(word_us=3 * STEP_US, persist_us=STEP_US, recover_us=1000 * STEP_US)
+LIMITS = PeerLimits(evidence_us=3 * STEP_US, refutation_grace_us=STEP_US, credit_recovery_us=1000 * STEP_US)
 LISTED = api.EndpointListUpdate((api.Endpoint(BACKEND, 0, "z", api.EndpointState.UP),), whole=True)
 
 
@@ -142,7 +142,7 @@
         ]
         if not observed:
             return f"instance {number} suspects what nobody else has observed"
-        if max(observed) <= state.now - LIMITS.word_us:
+        if max(observed) <= state.now - LIMITS.evidence_us:
             return f"instance {number} suspects what was observed {state.now - max(observed)} us ago"
         if instance.served_at == state.now:
             return f"instance {number} suspects what has just served it"
@@ -195,7 +195,7 @@
     else:
         instance.observed_at = now
         # As many in a row as make evidence.
-        results = [api.Result("r", 0, BACKEND, outcome, 1, False)] * LIMITS.refused_row
+        results = [api.Result("r", 0, BACKEND, outcome, 1, False)] * LIMITS.refused_streak
     instance.observations.observe_events(now, results, OBJECTIVE_US)
 
 
--- a/garnetlanding/lab/checks.py
+++ b/garnetlanding/lab/checks.py
@@ -121,7 +121,7 @@
 def _words(experiment: Experiment, lines: list[Line], found: Findings) -> None:
     """No head believes of a server what nobody has seen within the greatest age. One that lies has seen
     nothing: its words are not in its history."""
-    word_us = PeerLimits().word_us
+    word_us = PeerLimits().evidence_us
     latest: dict[tuple[str, str], int] = {}  # by head and server: when it last saw what it tells
     doubted: dict[str, set[str]] = defaultdict(set)
     lying = any(f.kind == "lie" for f in experiment.faults)
--- a/garnetlanding/ops/replicated_disables.py
+++ b/garnetlanding/ops/replicated_disables.py
@@ -62,7 +62,7 @@
         """
         name = INSTANCE_PREFIX + str(instance)
         others = {other for other in state.disabled if other.startswith(INSTANCE_PREFIX)} - {name}
-        if fenced and (len(others) + 1) > instances * self._detector.limits.out_share:
+        if fenced and (len(others) + 1) > instances * self._detector.limits.max_fenced_share:
             raise DisableRejectedError(f"{len(others)} of {instances} heads are out already", name)
         return self.set_disabled(state, name, fenced)
 
--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -147,14 +147,14 @@
         if self._quota.follow(self.settings, now, self.subsystems.membership is not None):
             # Instances that start together would all send at once: each has its own place in the first round.
             place = stagger_offset(self.settings.instance_id, self.settings.instances, STAGGER_SIGNAL)
-            own_actions.append(self._schedule_round(now, 1 + int(self.limits.say_every_us * place)))
+            own_actions.append(self._schedule_round(now, 1 + int(self.limits.send_interval_us * place)))
         module_events = self._receive(now, events)
         if self.subsystems.membership:
             self._quota.follow_members(self.subsystems.membership, now)
         if self.budgets:
             self.budgets.observe_events(now, module_events, self.settings, self._quota.instance_count)
         if now >= self._next_round_at:
-            own_actions.append(self._schedule_round(now, self.limits.say_every_us))
+            own_actions.append(self._schedule_round(now, self.limits.send_interval_us))
             if self.settings.may_message_peers and self._quota.is_active:
                 own_actions += self._round.compose(self._quota, now, self._tightest_objective_us)
         self._add_suspicions(now, module_events)
--- a/garnetlanding/peers/demand.py
+++ b/garnetlanding/peers/demand.py
@@ -38,7 +38,7 @@
 
     def wanted_share(self, now: int, limits: PeerLimits) -> float:
         """Return the share of the limit that this instance could use, with some headroom to grow."""
-        rate = self.rate.rate * max(0.0, 1 - (now - self.rate.at) / limits.span_us)
+        rate = self.rate.rate * max(0.0, 1 - (now - self.rate.at) / limits.demand_window_us)
         in_use_rate = 0.0
         if self.in_use:
             in_use_rate = self.in_use * SECOND / self.window_us
--- a/garnetlanding/peers/disabled_backends.py
+++ b/garnetlanding/peers/disabled_backends.py
@@ -92,11 +92,11 @@
         Its version is greater than any that is known here, also where the wall clock is behind. Raises
         DisabledBackendError where the name is too long, or too many backends are disabled already.
         """
-        if len(backend.encode()) > self._limits.ban_name:
-            raise DisabledBackendError(f"name of more than {self._limits.ban_name} bytes", backend)
+        if len(backend.encode()) > self._limits.max_name_bytes:
+            raise DisabledBackendError(f"name of more than {self._limits.max_name_bytes} bytes", backend)
         record = DisableRecord(backend, max(wall_ms, self._highest_version + 1), instance, disabled)
         if not self._take(record):
-            raise DisabledBackendError(f"{self._limits.bans} servers are out already", backend)
+            raise DisabledBackendError(f"{self._limits.max_disable_records} servers are out already", backend)
         return record
 
     def merge(self, records: Iterable[DisableRecord]) -> Merged:
@@ -120,7 +120,7 @@
 
     @property
     def _greatest_acceptable_version(self) -> int:
-        return max(self._limits.ban_version, self._highest_version + self._limits.ban_ahead)
+        return max(self._limits.max_version, self._highest_version + self._limits.max_version_lead)
 
     def _take(self, record: DisableRecord) -> bool:
         """Take a record up unless a later one is known; return False where there is no room for it.
@@ -130,7 +130,7 @@
         known = self.records.get(record.backend)
         if known is not None and known.rank >= record.rank:
             return True
-        if known is None and len(self.records) >= self._limits.bans:
+        if known is None and len(self.records) >= self._limits.max_disable_records:
             enabled = [one for one in [*self.records.values(), record] if not one.disabled]
             if not enabled:
                 return False
--- a/garnetlanding/peers/failure_detector.py
+++ b/garnetlanding/peers/failure_detector.py
@@ -99,7 +99,7 @@
         ]
         if known and record.rank <= max(known):
             return
-        if record.backend in self._received or len(self._received) < self.limits.bans:
+        if record.backend in self._received or len(self._received) < self.limits.max_disable_records:
             self._received[record.backend] = record
 
     def changed_suspicions(self, now: int) -> api.PeerSuspicions | None:
--- a/garnetlanding/peers/gossip_schedule.py
+++ b/garnetlanding/peers/gossip_schedule.py
@@ -20,8 +20,8 @@
         near = sorted(others)
         if not near:
             return []
-        count = min(self._limits.near, len(near))
+        count = min(self._limits.fanout, len(near))
         chosen = [near[(self._next + i) % len(near)] for i in range(count)]
         self._next += count
-        some = [who for who in partners if who in others][: self._limits.partners]
+        some = [who for who in partners if who in others][: self._limits.max_partners]
         return list(dict.fromkeys([*chosen, *some]))
--- a/garnetlanding/peers/leases.py
+++ b/garnetlanding/peers/leases.py
@@ -160,7 +160,7 @@
             )
             self.demands[key] = demand
             self.recheck_at = now
-        demand.rate.add(now, units, self._limits.span_us)
+        demand.rate.add(now, units, self._limits.demand_window_us)
 
     def record_spent(self, budget: str, units: float, now: int) -> None:
         """Record that units of a budget were spent now; without a demand for it, nothing is counted."""
@@ -183,7 +183,7 @@
             return reason
         requests = self.contacts[sender].requests
         for volume, ask in message.asks.items():
-            if volume in requests or len(requests) < self._limits.volumes:
+            if volume in requests or len(requests) < self._limits.max_volumes:
                 requests[volume] = ShareRequest(ask.share, ask.hosts, now)
             if volume in self.demands:
                 self.demands[volume].requested_by[sender] = now
@@ -242,7 +242,7 @@
             peer
             for demand in self.demands.values()
             for peer, requested_at in demand.requested_by.items()
-            if now - requested_at <= self._limits.known_us
+            if now - requested_at <= self._limits.demand_memory_us
         }
         requesters = {
             peer
@@ -273,7 +273,7 @@
         )
         return {
             volume: Ask(share, self.demands[volume].hosts)
-            for share, volume in wanted[: self._limits.say_volumes]
+            for share, volume in wanted[: self._limits.max_asks]
             if share > 0
         }
 
@@ -281,7 +281,7 @@
         """Return the number of a message that is sent now, and remember when it was sent."""
         self._number += 1
         self._sent[self._number] = now
-        while len(self._sent) > self._limits.remembered:
+        while len(self._sent) > self._limits.remembered_messages:
             del self._sent[next(iter(self._sent))]
         return self._number
 
@@ -321,8 +321,8 @@
             return 0.0
         granted = self._granted.total(volume, now, except_peer=peer)
         locked = 0.0 if demand is None else demand.locked_share(now, self.window_us) * hosts
-        steps = int(min(spare, 1 - granted - locked) * self._limits.steps)
-        return max(0, steps) / self._limits.steps
+        steps = int(min(spare, 1 - granted - locked) * self._limits.share_steps)
+        return max(0, steps) / self._limits.share_steps
 
     def _current_requests(self, volume: int, now: int) -> dict[int, float]:
         """Return the share that each peer requests of a volume, in the order of their numbers."""
@@ -356,7 +356,7 @@
         hosts = [
             peer
             for peer, requested_at in demand.requested_by.items()
-            if now - requested_at <= self._limits.known_us
+            if now - requested_at <= self._limits.demand_memory_us
         ]
         if len(hosts) >= demand.hosts:
             hosts = []  # the volume's hosts have changed: none of them is known
@@ -393,7 +393,7 @@
         Requests may be queued in the decision module for long after they arrived: for that time it must learn
         what is granted to others.
         """
-        unused = now - demand.rate.at > self._limits.known_us
+        unused = now - demand.rate.at > self._limits.demand_memory_us
         return unused and share == 1 / demand.hosts and not demand.in_use
 
     def _drop_expired(self, now: int) -> None:
--- a/garnetlanding/peers/link.py
+++ b/garnetlanding/peers/link.py
@@ -52,13 +52,13 @@
         self.address = f"{host}:{port}"
         self.closed = False
         scheduler.spawn(self._receive)
-        scheduler.call_at(scheduler.now + self._limits.count_every_us, self._count)
+        scheduler.call_at(scheduler.now + self._limits.drop_report_us, self._count)
 
     def _count(self) -> None:
         """One line for all that was dropped, however much it was."""
         if self.closed:
             return
-        self._scheduler.call_at(self._scheduler.now + self._limits.count_every_us, self._count)
+        self._scheduler.call_at(self._scheduler.now + self._limits.drop_report_us, self._count)
         if self.dropped:
             log.warning(
                 "messages of heads dropped",
@@ -105,7 +105,7 @@
                 self._scheduler.wait(self._sock.fileno(), READ)
             except OSError:
                 return
-            for _ in range(self._limits.receive_turn):
+            for _ in range(self._limits.receive_batch):
                 if self.closed or not self._take():
                     break
             else:
--- a/garnetlanding/peers/local_observations.py
+++ b/garnetlanding/peers/local_observations.py
@@ -151,7 +151,7 @@
         observation.rejected.reset()
         if took_us <= tightest_us:
             observation.prompt_at = now
-        gain = self._limits.answer_gain if observation.served else 1.0
+        gain = self._limits.latency_gain if observation.served else 1.0
         observation.latency_us += (took_us - observation.latency_us) * gain
         observation.served += 1
 
@@ -160,7 +160,7 @@
         found: dict[str, Evidence] = {}
         for name, observation in self.backends.items():
             finding = self._find(observation, now, tightest_us)
-            if finding is None or now - finding.observed_at > self._limits.word_us:
+            if finding is None or now - finding.observed_at > self._limits.evidence_us:
                 continue
             age_ms = -(-(now - finding.observed_at) // MS)
             uptime = uptime_of(observation.endpoint, now)
@@ -171,18 +171,18 @@
         """Return the gravest thing that the observations amount to."""
         limits = self._limits
         refused = observation.refused
-        if refused.count >= limits.refused_row:
+        if refused.count >= limits.refused_streak:
             return Finding(EvidenceKind.UNREACHABLE, refused.count, refused.last_at)
-        overdue = observation.overdue(now - int(limits.silent_aims * tightest_us))
+        overdue = observation.overdue(now - int(limits.silence_objectives * tightest_us))
         timed_out = observation.timed_out
-        if overdue + timed_out.count >= limits.silent_out:
+        if overdue + timed_out.count >= limits.silent_requests:
             observed_at = now if overdue else timed_out.last_at
             return Finding(EvidenceKind.UNRESPONSIVE, overdue + timed_out.count, observed_at)
         rejected = observation.rejected
-        if rejected.count >= limits.full_row:
+        if rejected.count >= limits.rejected_streak:
             return Finding(EvidenceKind.OVERLOADED, rejected.count, rejected.last_at)
-        is_slow = observation.latency_us > limits.slow_aims * tightest_us
-        if is_slow and observation.served >= limits.slow_answers and observation.served_at is not None:
+        is_slow = observation.latency_us > limits.slow_objectives * tightest_us
+        if is_slow and observation.served >= limits.slow_responses and observation.served_at is not None:
             return Finding(EvidenceKind.SLOW, observation.served, observation.served_at)
         if observation.recovered_at is not None:
             return Finding(EvidenceKind.RECOVERED, 1, observation.recovered_at)
--- a/garnetlanding/peers/membership.py
+++ b/garnetlanding/peers/membership.py
@@ -16,9 +16,8 @@
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.status import MemberRow
 
-FIRST_SEED = (
-    1 << 16
-)  # seeds have numbers that no instance has, until it is known which instance responds there
+# Seeds have numbers that no instance has, until it is known which instance responds there.
+FIRST_SEED = 1 << 16
 
 
 class MemberState(Enum):
@@ -68,7 +67,7 @@
         self.records = {me: self._own}
         self._seeds = {FIRST_SEED + i: seed for i, seed in enumerate(seeds)}
         # From when on the seeds may begin a group together; None: there is one, and no other is begun.
-        self._bootstrap_at: int | None = now + limits.begin_us
+        self._bootstrap_at: int | None = now + limits.bootstrap_us
         self._received_at: dict[int, int] = {}  # by instance, the last message of its own
         self._confirmed_by: set[int] = set()  # instances that have had this one's whole table, itself in it
         self._sponsored = False  # one of them had joined
@@ -97,7 +96,7 @@
         rejected = 0
         for record in records:
             known = self.records.get(record.instance)
-            if known is None and len(self.records) >= self._limits.heads:
+            if known is None and len(self.records) >= self._limits.max_instances:
                 rejected += 1
             elif known is None or record.rank > known.rank:
                 self._store(self._ahead_of_own_past(record), known)
@@ -166,7 +165,7 @@
         if self._rounds[receiver] % 2:
             latest = sorted(others, key=lambda record: self._changed.get(record.instance, 0), reverse=True)
             return [own, *latest]
-        begin = self._rounds[receiver] // 2 * self._limits.roll_turn % len(others)
+        begin = self._rounds[receiver] // 2 * self._limits.membership_rotation % len(others)
         return [own, *others[begin:], *others[:begin]]
 
     def extra_receivers(self, now: int) -> list[int]:
@@ -261,7 +260,7 @@
 
         As many rounds as it takes for each instance to be sent to, with some of them lost.
         """
-        rounds = -(-max(1, len(self.quota_holders) - 1) // self._limits.near)
+        rounds = -(-max(1, len(self.quota_holders) - 1) // self._limits.fanout)
         return self._limits.stale_us * rounds
 
     def rows(self, now: int) -> list[MemberRow]:
--- a/garnetlanding/peers/membership_protocol.py
+++ b/garnetlanding/peers/membership_protocol.py
@@ -84,7 +84,9 @@
         numbers: list[int] = []  # of the first message to each receiver, of the second, and so on
         for receiver, last_received in acknowledged.items():
             records = members.records_for(receiver, self._digests.get(receiver))
-            pages = membership_message.paginate(records, self.limits.datagram_bytes, self.limits.roll_pages)
+            pages = membership_message.paginate(
+                records, self.limits.datagram_bytes, self.limits.membership_pages
+            )
             for place, page in enumerate(pages):
                 if place == len(numbers):
                     numbers.append(next_number())
--- a/garnetlanding/peers/shared_budgets.py
+++ b/garnetlanding/peers/shared_budgets.py
@@ -56,7 +56,7 @@
                 case api.EndpointListUpdate(failed=True):
                     window_us = self._limits.list_window_us
                     self.leases.record_demand(
-                        api.LIST_CALLS, hosts, self._limits.list_calls, 1, now, window_us
+                        api.LIST_CALLS, hosts, self._limits.list_calls_per_s, 1, now, window_us
                     )
                 case api.EndpointListUpdate():
                     self._update_warming(event, now, settings)
@@ -141,7 +141,7 @@
         }
         if api.LIST_CALLS in shares:
             # An instance that may not call at all could stay without a list: some calls it may always make.
-            shares[api.LIST_CALLS] = max(self._limits.list_least, shares[api.LIST_CALLS])
+            shares[api.LIST_CALLS] = max(self._limits.min_list_share, shares[api.LIST_CALLS])
         return shares
 
     def receive(self, sender: int, message: LeaseMessage, now: int) -> DropReason | None:
--- a/garnetlanding/peers/suspicions.py
+++ b/garnetlanding/peers/suspicions.py
@@ -60,7 +60,7 @@
         known = self._credit.get(peer)
         if known is None:
             return 1.0
-        return min(1.0, known.value + (now - known.at) / self._limits.recover_us)
+        return min(1.0, known.value + (now - known.at) / self._limits.credit_recovery_us)
 
     def receive(
         self,
@@ -110,10 +110,10 @@
         return None
 
     def _expires_at(self, evidence: Evidence, sent_at: int) -> int:
-        return sent_at - evidence.age_ms * MS + self._limits.word_us
+        return sent_at - evidence.age_ms * MS + self._limits.evidence_us
 
     def _is_same_incarnation(self, claimed_uptime: int, known_uptime: int) -> bool:
-        slack = self._limits.life_slack_us // UPTIME_UNIT_US
+        slack = self._limits.uptime_slack_us // UPTIME_UNIT_US
         if MAX_UPTIME in (claimed_uptime, known_uptime):
             shorter = min(claimed_uptime, known_uptime)
             return claimed_uptime == known_uptime or shorter > MAX_UPTIME - slack
@@ -140,7 +140,7 @@
         last = claims.get(sender)
         withdrawn = self._withdrawn.pop((backend, sender), None)
         if withdrawn is not None:
-            earliest = max(withdrawn.latest_at, claim.latest_at - self._limits.word_us)
+            earliest = max(withdrawn.latest_at, claim.latest_at - self._limits.evidence_us)
             contradicted_at = observation.contradicted_at(withdrawn.kind)
             # Claimed, refuted, withdrawn and soon claimed again: as good as gone on claiming.
             if contradicted_at is not None and earliest < contradicted_at < claim.latest_at:
@@ -150,13 +150,16 @@
             contradicted_at = observation.contradicted_at(claim.kind)
             if claim.refuted_at is None and contradicted_at is not None and contradicted_at > last.latest_at:
                 claim.refuted_at = contradicted_at
-            if claim.refuted_at is not None and claim.refuted_at < claim.latest_at - self._limits.persist_us:
+            if (
+                claim.refuted_at is not None
+                and claim.refuted_at < claim.latest_at - self._limits.refutation_grace_us
+            ):
                 self._lower_credit(sender, now)
                 claim.refuted_at = None
         claims[sender] = claim
 
     def _lower_credit(self, peer: int, now: int) -> None:
-        self._credit[peer] = Credit(self.credit(peer, now) * self._limits.refuted, now)
+        self._credit[peer] = Credit(self.credit(peer, now) * self._limits.refuted_credit_factor, now)
 
     def suspected(self, now: int, observations: LocalObservations) -> dict[str, int]:
         """Return the backends to be careful with on peers' claims alone, and until when at most.
@@ -169,7 +172,7 @@
             suspicion = self._suspicion(backend, now, observations)
             if suspicion is not None:
                 suspicions.append(suspicion)
-        most = max(1, int(self._limits.doubted_share * len(observations.backends)))
+        most = max(1, int(self._limits.max_suspected_share * len(observations.backends)))
         gravest = sorted(suspicions, key=lambda suspicion: (-suspicion.weight, suspicion.backend))[:most]
         return {suspicion.backend: suspicion.until for suspicion in gravest}
 
@@ -192,7 +195,7 @@
             if contradicted_at is None or claim.latest_at > contradicted_at:
                 valid[peer] = claim
         weight = sum(self.credit(peer, now) for peer in valid)
-        if not valid or weight < self._limits.trust:
+        if not valid or weight < self._limits.suspicion_credit:
             return None
         return Suspicion(weight, backend, max(claim.expires_at for claim in valid.values()))
 
@@ -222,7 +225,7 @@
                 peer,
                 claim.kind.label,
                 claim.count,
-                (now - claim.expires_at + self._limits.word_us) // MS,
+                (now - claim.expires_at + self._limits.evidence_us) // MS,
                 round(self.credit(peer, now), 2),
             )
             for peer, claim in claims
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -152,7 +152,7 @@
     link.tell(b"again")
     w.settle()
     assert not caplog.records
-    w.run(LIMITS.count_every_us, SECOND)
+    w.run(LIMITS.drop_report_us, SECOND)
     [line] = caplog.records
     assert line.__dict__["kv"]["count"] >= 3 and not link.dropped, "one line for all of them"
     link.close()
--- a/tests/peers/test_disabled_backends.py
+++ b/tests/peers/test_disabled_backends.py
@@ -67,9 +67,10 @@
 
 def test_version_without_a_successor_and_record_beyond_the_bound_are_rejected() -> None:
     table = DisabledBackends(
-        replace(LIMITS, bans=2), [DisableRecord("a", 1, 0, True), DisableRecord("b", 2, 0, False)]
+        replace(LIMITS, max_disable_records=2),
+        [DisableRecord("a", 1, 0, True), DisableRecord("b", 2, 0, False)],
     )
-    most = LIMITS.ban_version
+    most = LIMITS.max_version
     assert table.merge([DisableRecord("c", most + 1, 0, True)]) == Merged((), 1)
     assert table.set_disabled("c", True, 0, 0).version == 3 and set(table.records) == {
         "a",
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -65,7 +65,7 @@
     start = LIMITS.lease_us * 2
     one.record_demand("v", 2, 40.0, 2, start)
     assert one.changed_shares(start) == {"v": 0.5}
-    later = start + LIMITS.span_us + 200_000
+    later = start + LIMITS.demand_window_us + 200_000
     assert one.changed_shares(later) == {}
     for now in range(later, later + 600_000, 100_000):
         other.record_demand("v", 2, 40.0, 8, now)
@@ -151,7 +151,7 @@
 
 
 def test_messages_of_unknown_peers_and_requests_beyond_the_bound_are_not_kept() -> None:
-    one = Leases(PeerLimits(volumes=5), InstanceIdentity(0, 3, 1), 0)
+    one = Leases(PeerLimits(max_volumes=5), InstanceIdentity(0, 3, 1), 0)
     assert [one.receive(who, LeaseMessage(1, 1), 0) for who in (0, 3, -1, 2)] == [
         DropReason.UNKNOWN_PEER
     ] * 3 + [None]
--- a/tests/peers/test_local_observations.py
+++ b/tests/peers/test_local_observations.py
@@ -26,7 +26,7 @@
         later, [result(n, SERVED) for n in ("n0", "n2", "n4")] + [result("n3", SERVED)] * 4, AIM
     )
     assert told(observations, later) == {"n0": "cold", "n4": "cold"}, "recovered"
-    assert told(observations, later + LIMITS.word_us + 1) == {}
+    assert told(observations, later + LIMITS.evidence_us + 1) == {}
 
 
 def test_backend_is_unresponsive_only_with_several_requests_in_flight() -> None:
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -54,8 +54,8 @@
     a, b, new = one(0), one(1), one(2)
     for x, y in ((a, b), (b, a)):
         x.merge(y.records.values())
-    a.record_contact(1, b.digest, False, LIMITS.begin_us)
-    b.record_contact(0, a.digest, False, LIMITS.begin_us)
+    a.record_contact(1, b.digest, False, LIMITS.bootstrap_us)
+    b.record_contact(0, a.digest, False, LIMITS.bootstrap_us)
     assert a.joined and b.joined and a.even_share == 0.5, "all seeds begin it together"
     new.merge([a.records[0], a.records[1]])
     new.record_contact(0, a.digest, True, 9 * SECOND)
@@ -78,7 +78,7 @@
 
 def test_a_head_that_is_put_out_or_replaced_stands_back_and_an_earlier_life_of_it_does_not_matter() -> None:
     alone = one(0, seeds=1)
-    alone.update_joined(LIMITS.begin_us)
+    alone.update_joined(LIMITS.bootstrap_us)
     assert alone.joined
     alone.merge([InstanceRecord(0, 9, False, at(0))])
     assert (
@@ -95,14 +95,14 @@
 def test_who_is_not_heard_is_suspect_and_keeps_its_part() -> None:
     a = one(0, seeds=1)
     a.merge([InstanceRecord(n, 1, False, at(n)) for n in range(1, 9)])
-    a.update_joined(LIMITS.begin_us)
+    a.update_joined(LIMITS.bootstrap_us)
     a.record_contact(1, b"", True, 0)
     assert a.suspect_after_us == 2 * LIMITS.stale_us and len(a.quota_holders) == 9
     assert [a.state(1, when) for when in (a.suspect_after_us, a.suspect_after_us + 1)] == [
         MemberState.UP,
         MemberState.SUSPECT,
     ]
-    full = Membership(replace(LIMITS, heads=1), 0, 5, at(0), [at(0)], 0)
+    full = Membership(replace(LIMITS, max_instances=1), 0, 5, at(0), [at(0)], 0)
     assert full.merge([InstanceRecord(1, 1, False, at(1))]) == 1
 
 
@@ -110,9 +110,9 @@
 def test_a_round_has_a_bounded_cost_and_everybody_has_a_turn(heads: int, partners: int, me: int) -> None:
     turns, others = GossipSchedule(LIMITS, me), set(range(1, heads))
     seen: set[int] = set()
-    for _ in range(-(-heads // LIMITS.near)):
+    for _ in range(-(-heads // LIMITS.fanout)):
         chosen = turns.round(others, range(1, partners + 1))
-        assert len(chosen) <= LIMITS.near + LIMITS.partners and len(set(chosen)) == len(chosen)
+        assert len(chosen) <= LIMITS.fanout + LIMITS.max_partners and len(set(chosen)) == len(chosen)
         seen |= set(chosen)
     assert seen == others and turns.round((), (1,)) == []
 
@@ -208,7 +208,7 @@
     )
     now = T0
     talk.handle(now, [])
-    group.update_joined(now + LIMITS.begin_us)
+    group.update_joined(now + LIMITS.bootstrap_us)
     talk.handle(now, [])
     budgets = talk.budgets
     assert group.members.joined and budgets and budgets.leases.resumes_at is not None
--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -98,7 +98,7 @@
     )
     budgets.observe_actions(later, [api.Subscribe()], COLD)
     told = budgets.changed_shares(later, 3)
-    assert told and told[api.LIST_CALLS] >= LIMITS.list_least
+    assert told and told[api.LIST_CALLS] >= LIMITS.min_list_share
     assert "r1" in budgets._units
     budgets.observe_events(later, [api.ClientLeft("r1")], COLD, 3)
     assert not budgets._units, "its client has left"
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -28,9 +28,9 @@
     observations, table = sightings(), SuspicionTable(LIMITS)
     assert table.receive(1, [dead()], None, T0, observations) == {DropReason.EXPIRED_EVIDENCE: 1}
     assert table.receive(1, [dead(age_ms=500)], T0 - 300 * MS, T0, observations) == {}
-    until = T0 - 800 * MS + LIMITS.word_us
+    until = T0 - 800 * MS + LIMITS.evidence_us
     assert table.suspected(T0, observations) == {"n0": until} and not table.suspected(until, observations)
-    late = T0 - LIMITS.word_us
+    late = T0 - LIMITS.evidence_us
     assert table.receive(1, [dead()], late, T0, observations) == {DropReason.EXPIRED_EVIDENCE: 1}
     assert table.receive(1, [dead("x"), dead("n1", life=7)], T0, T0, observations) == {
         DropReason.UNKNOWN_BACKEND: 1,
@@ -70,7 +70,7 @@
         table.receive(1, [dead()], now, now, observations)
         now += MS
         observations.observe_events(now, [result("n0", SERVED)], AIM)
-    assert table.credit(1, now) < LIMITS.trust
+    assert table.credit(1, now) < LIMITS.suspicion_credit
     table.receive(1, [dead("n1")], now, now, observations)
     assert not table.suspected(now, observations), "nor is it believed about others"
     table.receive(2, [dead("n1")], now, now, observations)
@@ -78,7 +78,7 @@
     table.receive(1, [dead("n1")] * 5, now, now, observations)
     table.receive(2, [], now, now, observations)
     assert not table.suspected(now, observations), "five equal claims count once"
-    assert table.credit(1, now + LIMITS.recover_us) == 1
+    assert table.credit(1, now + LIMITS.credit_recovery_us) == 1
 
 
 def test_peer_that_withdraws_and_repeats_a_refuted_claim_loses_credit() -> None:
@@ -89,13 +89,13 @@
         observations.observe_events(now + MS, [result("n0", SERVED)], AIM)
         table.receive(1, [], now + 2 * MS, now + 2 * MS, observations)
         now += 500 * MS
-    assert table.credit(1, now) < LIMITS.trust
+    assert table.credit(1, now) < LIMITS.suspicion_credit
     other, slow = SuspicionTable(LIMITS), T0 + 60 * SECOND
     for _ in range(4):  # a backend that really fails and recovers, at some distance
         other.receive(1, [dead()], slow, slow, observations)
         observations.observe_events(slow + MS, [result("n0", SERVED)], AIM)
         other.receive(1, [], slow + 2 * MS, slow + 2 * MS, observations)
-        slow += 2 * LIMITS.word_us
+        slow += 2 * LIMITS.evidence_us
     assert other.credit(1, slow) == 1
 
 
