--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -24,7 +24,7 @@
     return {"ninep": NINEP | {"export": [EXPORT | change]}}
 
 
-def test_the_platforms_configuration_is_read_with_its_limits() -> None:
+def test_platform_configuration_is_read_with_fitted_limits() -> None:
     c = config.read(PLATFORM_CONFIG)
     assert (c.name, c.seed, c.settings.max_attempts) == ("n1", 0x8C1F30D27A5BE964, 4)
     assert (
@@ -52,8 +52,19 @@
         ({"known": {"instances": [{}]}}, "key known: field lifecycle"),
         ({"limits": 7}, "key limits"),
     ],
+    ids=[
+        "name-empty",
+        "listen-no-address",
+        "seed-not-hexadecimal",
+        "settings-missing",
+        "settings-me-no-number",
+        "sockets-too-few",
+        "memory-no-number",
+        "known-without-lifecycle",
+        "limits-no-table",
+    ],
 )
-def test_a_fault_in_the_configuration_names_its_key(change: dict[str, Any], key: str) -> None:
+def test_faulty_platform_configuration_is_rejected_with_its_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
         config.read(PLATFORM_CONFIG | change)
 
@@ -82,13 +93,47 @@
         ({"store": {"role": "leader"}}, "key store.role"),
         ({"store": {"role": "writer", "writer": "n2", "address": "x:1"}}, "key store.writer"),
     ],
+    ids=[
+        "section-unknown",
+        "export-missing",
+        "listen-no-address",
+        "server-port-too-large",
+        "export-name-twice",
+        "plan-unknown",
+        "clients-too-many",
+        "server-dialect-unknown",
+        "access-unknown",
+        "change-class-of-read-only-export",
+        "change-class-unknown",
+        "change-deadline-zero",
+        "unit-bytes-zero",
+        "telemetry-endpoint-https",
+        "telemetry-endpoint-without-port",
+        "store-role-unknown",
+        "store-writer-is-another",
+    ],
 )
-def test_a_fault_in_an_operators_file_names_its_key(operator: dict[str, Any], key: str) -> None:
+def test_faulty_operator_file_is_rejected_with_its_key(operator: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
         config.read(PLATFORM_CONFIG, operator)
 
 
-def test_a_small_machine_has_less_of_everything() -> None:
+def test_config_error_has_the_key_and_the_file_as_attributes(tmp_path: pathlib.Path) -> None:
+    with pytest.raises(config.ConfigError) as faulty:
+        config.read(PLATFORM_CONFIG | {"seed": "xyz"})
+    assert (faulty.value.key, faulty.value.file) == ("seed", None)
+    assert isinstance(faulty.value.__cause__, ValueError)
+    with pytest.raises(config.ConfigError) as nested:
+        config.read(PLATFORM_CONFIG, one_export(plan="x"))
+    assert nested.value.key == "ninep.export.0.plan"
+    missing = str(tmp_path / "missing.json")
+    with pytest.raises(config.ConfigError) as unreadable:
+        config.load(missing, env={})
+    assert (unreadable.value.key, unreadable.value.file) == (None, missing)
+    assert isinstance(unreadable.value.__cause__, FileNotFoundError)
+
+
+def test_limits_of_a_small_machine_fit_its_memory_and_descriptors() -> None:
     """Sizes were fixed: 4,096 buffers alone are the 32 MB that the smallest heads get."""
     small = config.read(PLATFORM_CONFIG | {"limits": {"memory_mb": 32, "sockets": 256}}).limits
     assert small.client_conns + small.backend_conns_reserved + small.reserved_sockets == 256
@@ -107,7 +152,7 @@
         config.read(PLATFORM_CONFIG | {"limits": {"memory_mb": 31, "sockets": 256}})
 
 
-def test_the_operators_file_that_is_delivered_is_sound() -> None:
+def test_delivered_operator_file_is_valid() -> None:
     text = (ROOT / "deploy/operator.toml").read_text().replace("#[", "[")
     lines = [line[1:] if line[:1] == "#" and " = " in line else line for line in text.splitlines()]
     settings = PLATFORM_SETTINGS | {
@@ -121,7 +166,7 @@
     assert c.operator.ninep and c.operator.telemetry and c.operator.store.role == "follower"
 
 
-def test_the_examples_files_are_sound_and_fit_its_servers() -> None:
+def test_example_configurations_are_valid_and_match_the_example_servers() -> None:
     c = config.load(str(ROOT / "example/config.json"), str(ROOT / "example/operator.toml"), env={})
     assert c.operator.ninep and c.operator.ninep.server_port == int(example.FILES.rpartition(":")[2])
     assert c.discovery == example.DISCOVERY
@@ -134,7 +179,7 @@
         assert c.discovery == example.DISCOVERY
 
 
-def test_an_export_that_may_be_changed_has_a_twin_class_that_forbids_a_repeat() -> None:
+def test_writable_export_derives_a_class_whose_requests_are_not_repeated() -> None:
     operator = one_export(access="rw", change_deadline_ms=2000)
     daemon = Daemon(config.read(PLATFORM_CONFIG, operator), lambda: T0)
     twin = daemon.core.settings.classes["read/once"]
--- /dev/null
+++ b/tests/daemon/test_assembly.py
@@ -0,0 +1,79 @@
+"""The orders in which the subsystems of an instance start, reload and stop."""
+
+from __future__ import annotations
+
+import pathlib
+
+import pytest
+
+from tests.support.daemon import NINEP, PLATFORM_SETTINGS, SimulatedDaemon
+
+SETTINGS = PLATFORM_SETTINGS | {"Limits": PLATFORM_SETTINGS["Limits"] | {"MayTell": True}}
+
+
+def names(subsystems: tuple[object, ...]) -> list[str]:
+    return [str(subsystem.name) for subsystem in subsystems]  # type: ignore[attr-defined]
+
+
+def test_subsystems_start_reload_and_stop_in_their_orders_with_everything_on(
+    tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
+    operator = {
+        "ninep": NINEP,
+        "telemetry": {"endpoint": "http://127.0.0.1:9"},
+        "history": {"file": str(tmp_path / "history")},
+        "fleet": {"budgets": True, "server_connections": 4},
+        "choices": {"subset": 2},
+        "audit": {"folder": str(tmp_path / "audit")},
+        "store": {"role": "follower", "writer": "n0", "address": "127.0.0.1:9", "current_s": 5},
+    }
+    h = SimulatedDaemon(
+        operator,
+        settings=SETTINGS,
+        ops="127.0.0.1:0",
+        peer_listen="127.0.0.1:0",
+        peers=["127.0.0.1:9", "127.0.0.1:9"],
+    )
+    assembly = h.daemon.assembly
+    assert names(assembly.start_order) == [
+        "history",
+        "peer group",
+        "shared connections",
+        "settings",
+        "audit",
+        "backend subset",
+        "RESP2 clients",
+        "admin",
+        "9P clients",
+        "replication",
+        "telemetry",
+        "fencing",
+        "peer link",
+    ]
+    assert names(assembly.reload_order) == ["settings", "peer link", "discovery"]
+    assert names(assembly.stop_order) == ["admin", "telemetry", "peer link", "audit", "process registry"]
+    h.daemon.scheduler.close()
+
+
+def test_received_disables_start_after_telemetry_without_an_admin_service() -> None:
+    h = SimulatedDaemon(
+        {"fleet": {}, "telemetry": {"endpoint": "http://127.0.0.1:9"}},
+        settings=SETTINGS,
+        peer_listen="127.0.0.1:0",
+        peers=["127.0.0.1:9", "127.0.0.1:9"],
+    )
+    assert names(h.daemon.assembly.start_order) == [
+        "peer group",
+        "RESP2 clients",
+        "telemetry",
+        "received disables",
+        "fencing",
+        "peer link",
+    ]
+
+
+def test_only_clients_and_peer_link_start_and_only_the_link_stops_with_everything_off() -> None:
+    assembly = SimulatedDaemon().daemon.assembly
+    assert names(assembly.start_order) == ["RESP2 clients", "peer link"]
+    assert names(assembly.stop_order) == ["peer link", "process registry"]
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -14,7 +14,7 @@
 from tests.support.simulated_instance import read_command
 
 
-def test_a_head_serves_both_fronts_and_follows_its_list() -> None:
+def test_daemon_serves_resp_and_9p_clients_and_follows_the_endpoint_list() -> None:
     h = SimulatedDaemon({"ninep": True})
     assert h.client().say(read_command()) == b"$0\r\n\r\n"
     tool = h.client(1)
@@ -34,7 +34,9 @@
 
 
 @pytest.mark.parametrize(("before", "after"), [("pushed", "on_request"), ("on_request", "pushed")])
-def test_a_list_is_followed_under_either_form_of_settings_and_after_a_reload(before: str, after: str) -> None:
+def test_endpoint_list_is_followed_in_either_membership_mode_and_after_a_reload(
+    before: str, after: str
+) -> None:
     h = SimulatedDaemon(settings=PLATFORM_SETTINGS | {"MembershipMode": before})
     assert h.discovery.calls == ["/v1/servers?follow=1&since=4"]
     h.file = h.file | {"settings": PLATFORM_SETTINGS | {"MembershipMode": after}}
@@ -51,7 +53,7 @@
     assert len(other.heard) == 1 and not h.brick.heard
 
 
-def test_a_drain_that_is_pushed_while_attempts_are_out_stops_new_ones_alone() -> None:
+def test_backend_drained_with_an_attempt_in_flight_answers_it_and_gets_no_new_one() -> None:
     h = SimulatedDaemon(settings=PLATFORM_SETTINGS | {"MembershipMode": "pushed"})
     h.brick.script = [None]
     client, late = h.client(), h.client()
@@ -69,7 +71,7 @@
     assert late.got.startswith(b"-BUSY") and len(h.brick.heard) == 1
 
 
-def test_at_the_end_clients_are_served_for_a_while_and_all_is_finished() -> None:
+def test_shutdown_serves_clients_until_draining_and_answers_every_open_request() -> None:
     """Closed at once, a client's connection leaves it nobody to ask until the head is back."""
     h = SimulatedDaemon(settings=SLOW_SETTINGS)
     h.brick.script = [None]
@@ -90,7 +92,7 @@
     assert busy.got == b"$0\r\n\r\n" and busy.closed and h.daemon.scheduler._stopped
 
 
-def test_at_the_end_nothing_is_left_for_sigkill_to_lose() -> None:
+def test_shutdown_rejects_requests_still_open_before_sigkill() -> None:
     h = SimulatedDaemon(settings=SLOW_SETTINGS)
     h.brick.script = [None]
     slow = h.client()
@@ -101,7 +103,7 @@
     assert slow.got == b"-ERR ending\r\n" and slow.closed and h.daemon.scheduler._stopped
 
 
-def test_a_head_that_nobody_uses_ends_soon() -> None:
+def test_shutdown_without_clients_ends_as_soon_as_accepting_may() -> None:
     h = SimulatedDaemon()
     h.daemon.scheduler.spawn(h.daemon.end)
     h.run(h.daemon.limits.term_accept_us + 50 * MS)
--- a/tests/daemon/test_graceful_shutdown.py
+++ b/tests/daemon/test_graceful_shutdown.py
@@ -69,8 +69,8 @@
     return h.daemon.scheduler._stopped
 
 
-@pytest.mark.parametrize("longest_us", [400 * MS, 1500 * MS, 4000 * MS])
-def test_the_last_answers_are_given_before_sigkill_whatever_the_longest_deadline(longest_us: int) -> None:
+@pytest.mark.parametrize("longest_us", [400 * MS, 1500 * MS, 4000 * MS], ids=["0.4s", "1.5s", "4s"])
+def test_open_requests_are_rejected_before_sigkill_for_any_longest_deadline(longest_us: int) -> None:
     """They were given 3.2 s after SIGTERM: with deadlines of 1.5 s and less SIGKILL was there first."""
     h = SimulatedDaemon(
         settings=PLATFORM_SETTINGS | {"Classes": [PLATFORM_SETTINGS["Classes"][0] | {"GiveUpUs": longest_us}]}
@@ -84,8 +84,8 @@
     assert client.read() == b"-ERR ending\r\n" and h.daemon.scheduler._stopped
 
 
-@pytest.mark.parametrize("left", [read_command()[:-5], QUIT[:3], b""])
-def test_a_client_that_says_half_a_command_does_not_keep_the_process(left: bytes) -> None:
+@pytest.mark.parametrize("left", [read_command()[:-5], QUIT[:3], b""], ids=["read", "quit", "nothing"])
+def test_client_with_an_incomplete_command_does_not_delay_shutdown(left: bytes) -> None:
     """It had 2.5 s for the rest of it, whenever it began."""
     h = SimulatedDaemon(settings=SLOW_SETTINGS)
     client = Raw(h, h.daemon.listeners[0].address)
@@ -97,7 +97,7 @@
     assert h.daemon.scheduler._stopped
 
 
-def test_a_client_that_reads_nothing_does_not_keep_the_process() -> None:
+def test_client_that_reads_nothing_does_not_delay_shutdown() -> None:
     h = SimulatedDaemon(settings=SLOW_SETTINGS)
     h.brick.data[b"k"] = b"x" * 60_000
     deaf = Raw(h, h.daemon.listeners[0].address)
@@ -109,6 +109,7 @@
     assert ended_within(h, 3600 * MS)
 
 
+# With everything on, in the order in which they are stopped.
 STOPPED = ["admin", "telemetry", "peer link", "audit", "process registry"]
 
 
@@ -132,7 +133,7 @@
     assert len(ended) == 4 and "subsystem failed to stop" in caplog.text
 
 
-def test_signals_that_come_while_it_ends_change_nothing(caplog: pytest.LogCaptureFixture) -> None:
+def test_signals_during_shutdown_change_nothing(caplog: pytest.LogCaptureFixture) -> None:
     with restored_signal_handlers():
         h = SimulatedDaemon(settings=SLOW_SETTINGS)
         client = Raw(h, h.daemon.listeners[0].address)
@@ -150,7 +151,7 @@
         assert h.daemon.scheduler._stopped
 
 
-def test_a_process_whose_life_s_file_is_gone_ends(
+def test_shutdown_completes_when_the_process_record_was_deleted(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
@@ -160,7 +161,7 @@
     assert ended_within(h, 2 * SECOND)
 
 
-def test_clients_that_wait_to_be_accepted_take_the_places_of_idle_ones_and_no_more() -> None:
+def test_draining_gives_places_of_idle_clients_to_the_backlog_and_no_more() -> None:
     """All of them were taken at the end, past the bound: discovery and bricks had no descriptor left."""
     w = Waiting(client_conns=3)
     w.appear()
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -15,7 +15,7 @@
 from tests.support.simulated_instance import read_command
 
 
-def test_a_reload_follows_the_new_discovery_at_once_while_requests_run_on() -> None:
+def test_reload_switches_to_the_new_discovery_at_once_while_requests_run_on() -> None:
     h = SimulatedDaemon()
     h.brick.script = [None]
     client = h.client()
@@ -36,7 +36,7 @@
     assert len(second.calls) == 1, "nothing new in the file: the watch goes on"
 
 
-def test_a_reload_takes_up_new_settings_through_the_store() -> None:
+def test_reload_applies_new_settings_through_the_store() -> None:
     h = SimulatedDaemon()
     h.file = h.file | {
         "listen": "127.0.0.1:1",
@@ -56,8 +56,9 @@
         ({"settings": {}}, "key settings"),
         ({"seed": "x"}, "key seed"),
     ],
+    ids=["discovery", "settings", "seed"],
 )
-def test_a_bad_file_is_logged_and_the_old_stands(
+def test_reload_of_a_faulty_configuration_is_rejected_and_logged(
     change: dict[str, Any], key: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     h = SimulatedDaemon()
@@ -70,7 +71,7 @@
     assert len(h.discovery.calls) == calls and h.client().say(read_command()) == b"$0\r\n\r\n"
 
 
-def test_a_signal_to_end_still_works_after_one_to_reload() -> None:
+def test_sigterm_ends_the_daemon_after_sighup_reloaded_it() -> None:
     """SIGHUP had no handler and ended the process; the signal pipe was read for the end alone."""
     with restored_signal_handlers():
         h = SimulatedDaemon()
--- a/tests/daemon/test_store_roles.py
+++ b/tests/daemon/test_store_roles.py
@@ -18,7 +18,9 @@
 from tests.support.daemon import PLATFORM_CONFIG, PLATFORM_SETTINGS, SimulatedDaemon
 
 
-def test_a_follower_takes_up_what_its_writer_changes(caplog: pytest.LogCaptureFixture) -> None:
+def test_follower_applies_settings_of_its_writer_but_for_the_instance_number(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     h = SimulatedDaemon({"store": {"role": "follower", "writer": "n0", "address": "127.0.0.1:9"}})
     theirs = PLATFORM_SETTINGS | {
         "Limits": PLATFORM_SETTINGS["Limits"] | {"MaxAttempts": 2},
@@ -34,7 +36,7 @@
     assert h.daemon.core.settings.max_attempts == 2 and "settings rejected" in caplog.text
 
 
-def test_a_restarted_head_knows_its_list_and_settings_from_its_store(tmp_path: pathlib.Path) -> None:
+def test_restart_uses_the_newer_of_the_stored_and_the_configured_list(tmp_path: pathlib.Path) -> None:
     path = str(tmp_path / "store.json")
     operator = {"store": {"role": "alone", "file": path}}
     first = SimulatedDaemon(operator)
@@ -49,7 +51,7 @@
     assert third.core.endpoints.address_of("b9") and third.store.epoch > kept.epoch
 
 
-def test_a_follower_takes_its_writers_settings(tmp_path: pathlib.Path) -> None:
+def test_follower_starts_with_the_stored_settings_of_its_writer(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "store.json"
     theirs = PLATFORM_SETTINGS | {"Limits": PLATFORM_SETTINGS["Limits"] | {"MaxAttempts": 2}}
     path.write_text(json.dumps({"epoch": 5, "revision": 1, "values": {"config/settings": theirs}}))
@@ -57,7 +59,7 @@
     assert Daemon(config.read(PLATFORM_CONFIG, operator), lambda: T0).core.settings.max_attempts == 2
 
 
-def test_a_writer_is_followed_over_its_own_listener() -> None:
+def test_writer_sends_a_snapshot_to_followers_on_its_own_listener() -> None:
     h = SimulatedDaemon({"store": {"role": "writer", "writer": "n1", "address": "127.0.0.1:0"}})
     told = h.client(1).say(b'{"follow": [0, -1]}\n').split(b"\n")
     assert json.loads(told[0])["writer"][0] == "n1"
--- a/tests/integration/test_process_signals.py
+++ b/tests/integration/test_process_signals.py
@@ -99,8 +99,8 @@
     raise AssertionError(f"does not read its configuration, exit code {child.poll()}")
 
 
-@pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
-def test_a_signal_during_the_start_is_heeded_once_the_process_stands(number: int, heads: Heads) -> None:
+@pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM], ids=["SIGHUP", "SIGTERM"])
+def test_signal_during_startup_takes_effect_once_the_process_serves(number: int, heads: Heads) -> None:
     """Nobody had a handler yet: a reload of all heads killed the one that was just starting."""
     port, pipe = free_port(), heads.pipe("config")
     text = json.dumps(PLATFORM_CONFIG | {"listen": f"127.0.0.1:{port}"}).encode()
@@ -128,7 +128,7 @@
     )
 
 
-def test_a_file_that_breaks_its_reader_leaves_a_head_that_serves_and_ends(heads: Heads) -> None:
+def test_configuration_that_breaks_its_parser_leaves_the_process_serving_and_terminable(heads: Heads) -> None:
     """What nobody had foreseen ended the heeding of signals: the head could only be killed."""
     port, file = free_port(), heads.folder / "config.json"
     file.write_text(json.dumps(PLATFORM_CONFIG | {"listen": f"127.0.0.1:{port}"}))
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize("way", [silent, refuses])
-def test_three_processes_hear_of_a_drain_within_6_s_though_idle_clients_hold_every_place(
+def test_drain_reaches_three_processes_within_6_s_while_idle_clients_hold_every_place(
     way: Callable[[Discovery, DiscoveryConn], None], heads: Heads, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All lose their watch at once, and the calls that follow hang or are refused for a while. Then discovery
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,7 +11,7 @@
 from tests.support.daemon import PLATFORM_CONFIG
 
 
-def test_the_command_line(
+def test_exit_codes_and_errors_of_serve_check_config_and_version(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "config.json"
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -7,7 +7,7 @@
 from garnetlanding.logs import KeyValueFormatter
 
 
-def test_log_lines_are_pairs_that_can_be_taken_apart() -> None:
+def test_log_line_has_key_value_pairs_with_special_characters_quoted() -> None:
     record = logging.LogRecord("x", logging.INFO, "", 0, 'say "hi"\n', (), None)
     record.kv = {"a": 1, "b": "c d", "e": ""}
     line = KeyValueFormatter().format(record)
