--- a/garnetlanding/daemon/assembly.py
+++ b/garnetlanding/daemon/assembly.py
@@ -44,7 +44,7 @@
 from garnetlanding.daemon.settings import SettingsManager, effective_settings, stored_settings
 from garnetlanding.daemon.store_opening import open_store
 from garnetlanding.decision.control import Controller
-from garnetlanding.resp.brick import bricks
+from garnetlanding.resp.backend_connection import resp_backends
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.store.setup import StoreRole
@@ -147,7 +147,7 @@
         store=store,
         process=process,
         core=core,
-        backends=bricks(scheduler, pool, limits),
+        backends=resp_backends(scheduler, pool, limits),
         incarnation=wall_ms(config),
     )
 
--- a/garnetlanding/daemon/clients.py
+++ b/garnetlanding/daemon/clients.py
@@ -6,7 +6,7 @@
 
 from garnetlanding.daemon.instance import Instance
 from garnetlanding.daemon.lifecycle import Subsystem
-from garnetlanding.resp.front import ClientMachine
+from garnetlanding.resp.front import ClientMachine, Front
 from garnetlanding.runtime.listener import Client, Listener
 
 
@@ -14,17 +14,24 @@
     """Owns the listener of the RESP2 clients."""
 
     name = "RESP2 clients"
-    listener: Listener  # from the start on
+    listener: Listener  # from the start on, as what its connections have in common
+    _front: Front
 
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
-        self._ids: set[bytes] = set()  # of the requests that any client has open
         # Whether new clients are to come here; the admin service says no while the instance is drained.
         self.accepts_clients: Callable[[], bool] = lambda: True
 
     def start(self) -> None:
         """Listen; with an admin service another process of this instance may listen there too."""
         instance = self._instance
+        self._front = Front(
+            engine=instance.core,
+            backend=instance.backends,
+            pool=instance.pool,
+            limits=instance.limits,
+            accepts_clients=lambda: self.accepts_clients(),
+        )
         self.listener = instance.listen(
             "RESP2",
             instance.config.listen,
@@ -38,13 +45,4 @@
         backends.borrow = self.listener.lend
 
     def _make_machine(self, client: Client) -> ClientMachine:
-        instance = self._instance
-        return ClientMachine(
-            instance.core,
-            instance.backends,
-            instance.pool,
-            instance.limits,
-            self._ids,
-            client,
-            lambda: self.accepts_clients(),
-        )
+        return ClientMachine(self._front, client)
--- a/garnetlanding/history/writer.py
+++ b/garnetlanding/history/writer.py
@@ -19,6 +19,7 @@
 from typing import Any
 
 from garnetlanding.core.ports import Answer, AttemptSummary, Failed, Rejected, RequestSpec
+from garnetlanding.resp.request import Command
 
 _SHARE_DIGITS = 4
 """Decimal places of a quota share."""
@@ -131,6 +132,7 @@
 
 
 def _request_id(ask: RequestSpec) -> str:
-    """Return the client's id of a RESP request, its third argument; other protocols have none."""
-    words: tuple[bytes, ...] = getattr(ask.work, "words", ())
-    return words[2].decode("ascii", "replace") if len(words) > 2 else ""
+    """Return the client's id of a RESP request; requests of other protocols have none."""
+    if not isinstance(ask.work, Command):
+        return ""
+    return ask.work.request_id.decode("ascii", "replace")
--- a/garnetlanding/lab/clients.py
+++ b/garnetlanding/lab/clients.py
@@ -15,6 +15,7 @@
 from garnetlanding.lab.limits import LIMITS
 from garnetlanding.limits import Limits
 from garnetlanding.resp import codec
+from garnetlanding.resp.errors import ProtocolError
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.errors import DeadlineExceededError
 from garnetlanding.runtime.scheduler import Scheduler, monotonic_us
@@ -73,7 +74,7 @@
         self._note("asked", request)
         try:
             outcome = self._answer(request, asked + request["wait_us"] + LIMITS.answer_late_us)
-        except (OSError, codec.ProtocolError) as problem:
+        except (OSError, ProtocolError) as problem:
             outcome = "lost" if isinstance(problem, OSError) else "spoilt"
         except DeadlineExceededError:
             outcome = "none"
--- /dev/null
+++ b/garnetlanding/resp/backend_connection.py
@@ -0,0 +1,138 @@
+"""Sends attempts to backends: the state machine of one connection.
+
+A backend replies to a connection's requests in order, so an attempt behind another would also wait for it.
+Therefore a connection carries one attempt at a time, and there are as many connections as attempts in flight.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from garnetlanding.core.body import Body
+from garnetlanding.core.ports import AttemptHandle, Timers
+from garnetlanding.decision.interface import Outcome
+from garnetlanding.limits import Limits
+from garnetlanding.resp import codec
+from garnetlanding.resp.backend_reply import read_reply
+from garnetlanding.resp.errors import ProtocolError
+from garnetlanding.runtime.buffers import BufferPool
+from garnetlanding.runtime.errors import BackendProtocolError
+from garnetlanding.runtime.scheduler import Scheduler
+from garnetlanding.runtime.upstream import Upstream
+
+
+class BackendMachine:
+    """Implements the runtime's `ServerMachine`: matches each reply to the one attempt in flight.
+
+    States:
+
+    - idle, from the start and after `done` is called: no attempt and no `body`;
+    - awaiting, from `begin` on: the attempt's reply is to come;
+    - streaming, while `body` is set: the attempt has ended with a value that is still arriving.
+
+    Bytes in the idle state, and bytes behind a reply, are a `BackendProtocolError`: they would be taken for
+    the reply to the next attempt.
+    """
+
+    exposed = True
+    """A command is one message: once the backend has it whole, it may run."""
+
+    def __init__(
+        self,
+        timers: Timers,
+        pool: BufferPool,
+        limits: Limits,
+        write: Callable[[bytes], None],
+        done: Callable[[], None],
+    ) -> None:
+        self._timers = timers
+        self._write = write
+        self._done = done
+        self._decoder = codec.Decoder(pool, limits)
+        self._max_used_percent = limits.use_percent
+        self._attempt: AttemptHandle | None = None
+        self.body: Body | None = None
+
+    @property
+    def midway(self) -> bool:
+        """Whether part of a reply has arrived."""
+        return self._decoder.midway
+
+    def begin(self, trial: AttemptHandle) -> None:
+        """Write the attempt's command."""
+        self._attempt = trial
+        self._write(trial.work.encode(trial.until_us - self._timers.now))
+
+    def feed(self, data: bytes | memoryview) -> None:
+        """Take received bytes. Raises `BackendProtocolError`: the connection cannot be used any more."""
+        if self._is_idle:
+            raise BackendProtocolError("answer to nothing")
+        if self._attempt:
+            self._attempt.response_started()
+        try:
+            for value in self._decoder.feed(data):
+                if not self._stream(value):
+                    self._end_reply(value)
+        except ProtocolError as error:
+            raise BackendProtocolError(error) from error
+
+    def suits(self, trial: AttemptHandle) -> bool:  # noqa: ARG002 - of the ServerMachine protocol
+        """Whether this free connection would serve the attempt better than others: all are alike."""
+        return True
+
+    def close(self) -> None:
+        """Drop what has arrived of a reply; a value that is being streamed ends cut short."""
+        self._decoder.close()
+        if self.body:
+            self.body.end(False)
+
+    @property
+    def _is_idle(self) -> bool:
+        return self._attempt is None and self.body is None
+
+    def _end_reply(self, value: codec.Value) -> None:
+        """End the attempt, or its streamed value, by a complete reply.
+
+        The reply counts whatever stands behind it: with one attempt in flight, it is that one's.
+        """
+        if self._is_idle:
+            raise BackendProtocolError("more than one answer")
+        reply = read_reply(value, self._max_used_percent)
+        attempt = self._attempt
+        body = self.body
+        self._attempt = None
+        self.body = None
+        if attempt:
+            attempt.finish(*reply)
+        elif body:
+            body.end(True)
+        if self._decoder.midway:
+            raise BackendProtocolError("more behind an answer")
+        self._done()
+
+    def _stream(self, value: codec.Value) -> bool:
+        """Pass on a part of a streamed value; return whether `value` was one.
+
+        The attempt ends with the first byte of the value: its one reply is on its way to the client.
+        """
+        if isinstance(value, codec.Begun) and self._attempt:
+            attempt = self._attempt
+            self._attempt = None
+            self.body = Body(value.length)
+            attempt.finish(Outcome.SERVED, self.body)
+        elif isinstance(value, codec.Piece) and self.body:
+            self.body.feed(value.data)
+        else:
+            return False
+        return True
+
+
+def resp_backends(scheduler: Scheduler, pool: BufferPool, limits: Limits) -> Upstream:
+    """Return the pool of connections to all backends."""
+    return Upstream(
+        scheduler,
+        pool,
+        limits,
+        limits.backend_conns,
+        lambda _, write, done: BackendMachine(scheduler, pool, limits, write, done),
+    )
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -59,9 +59,11 @@
 from garnetlanding.ops.fleet_access import FleetView
 from garnetlanding.peers import codec as peers_codec
 from garnetlanding.resp import codec as resp
-from garnetlanding.resp.brick import BrickMachine
+from garnetlanding.resp.backend_connection import BackendMachine
+from garnetlanding.resp.errors import InvalidCommandError, ProtocolError
 from garnetlanding.resp.front import ClientMachine as RespClient
-from garnetlanding.resp.request import BadRequest, read_request
+from garnetlanding.resp.front import Front as RespFront
+from garnetlanding.resp.request import read_request
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.errors import BackendProtocolError
 from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
@@ -135,7 +137,10 @@
     def __init__(self) -> None:
         self.core, self.sink, self.takes = FakeRequestEngine(), Sink(), True
         self.lines: list[str] = []
-        self.machine = RespClient(self.core, None, buffers(), Limits(), set(), self.sink, lambda: self.takes)  # type: ignore[arg-type]
+        self.machine = RespClient(
+            RespFront(self.core, None, buffers(), Limits(), lambda: self.takes),  # type: ignore[arg-type]
+            self.sink,
+        )
 
     def note(self, text: str) -> None:
         self.lines.append(text)
@@ -281,8 +286,8 @@
             f"cell {ask.cell}, wait {ask.timeout_us} us, hosts {ask.volume_hosts}, retry {ask.is_retry}, "
             f"write {ask.is_write}, size {ask.held_bytes}, copies {ask.allow_hedging}",
         ]
-        lines += [f"left {left} us: {shown(ask.work.for_brick(left))}" for left in (1, 999_999, 2_500_000)]
-    with pytest.raises(BadRequest) as problem:
+        lines += [f"left {left} us: {shown(ask.work.encode(left))}" for left in (1, 999_999, 2_500_000)]
+    with pytest.raises(InvalidCommandError) as problem:
         read_request([b"BLK.READ", b"piece", b"id", b""], Limits())
     lines.append(f"no fields: {problem.value}")
     check("resp_requests.txt", lines)
@@ -374,7 +379,7 @@
     lines: list[str] = []
     for data in ANSWERS:
         lines.append(f"# {shown(data)}")
-        machine = BrickMachine(
+        machine = BackendMachine(
             StillClock(),
             buffers(),
             Limits(),
@@ -426,7 +431,7 @@
         lines.append(f"> {shown(data)}")
         try:
             lines += [resp_form(value) for value in decoder.feed(data)]
-        except resp.ProtocolError as problem:
+        except ProtocolError as problem:
             lines.append(f"problem: {problem}")
         lines.append(f"midway {decoder.midway}")
     lines.append(f"command {resp.command([b'SET', b'', bytes(range(256))])!r}")
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -24,7 +24,7 @@
 import zlib
 from collections import Counter
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass, fields, is_dataclass, replace
+from dataclasses import fields, is_dataclass, replace
 from itertools import groupby
 from typing import Any
 
@@ -58,6 +58,7 @@
 from garnetlanding.peers.membership import InstanceRecord as Member
 from garnetlanding.peers.membership_protocol import MembershipProtocol
 from garnetlanding.peers.shared_budgets import SharedBudgets
+from garnetlanding.resp.request import Command
 from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
 from garnetlanding.telemetry.setup import TelemetrySetup
 from tests.peers.test_coordinator import TELLS
@@ -321,13 +322,6 @@
 ENDED = RequestSpec("read", "gold", "vol-1", "k", 2.5, 3, SECOND, 1, None)
 
 
-@dataclass
-class Work:
-    """Stands for the words of a RESP request, of which the third is its id."""
-
-    words: tuple[bytes, ...]
-
-
 def test_a_whole_head_notes_and_records_what_is_committed(tmp_path: pathlib.Path) -> None:
     """The lines and the audit records of a daemon that starts, serves a request, stands back and acts again.
     Its life and the store's epoch are those of the wall clock, and are replaced."""
@@ -376,7 +370,7 @@
     history.fencing_changed(True, 1010)
     answers: list[Answer] = [Served(b"v"), Rejected(50), Failed("no server")]
     for i, answer in enumerate(answers):
-        work = Work((b"RUN", b"1", b"id-%d\xff" % i)) if i else None
+        work = Command((b"RUN", b"1", b"id-%d\xff" % i)) if i else None
         attempts = [AttemptSummary("b0", "reset", 900, 950), AttemptSummary("b1", "served", 960, 990)][
             : 2 - i
         ]
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -46,7 +46,7 @@
 from garnetlanding.ops.state_file import StateFile
 from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.resp.front import ClientMachine
+from garnetlanding.resp.front import ClientMachine, Front
 from garnetlanding.runtime.listener import Listener
 from garnetlanding.store.errors import LogGapError, ReplicaError, StaleEpochError, StoreFileError
 from garnetlanding.store.follower_machine import FollowerMachine
@@ -564,7 +564,7 @@
             self.pool,
             self.limits,
             self.limits.client_conns,
-            lambda write: ClientMachine(self.core, self.bricks, self.pool, self.limits, set(), write),
+            lambda write: ClientMachine(Front(self.core, self.bricks, self.pool, self.limits), write),
         )
         peers = FailureDetector(PeerLimits())
         shared = ReplicatedDisables(peers, lambda: 1, lambda: 1764640899000) if fleet else None
--- a/tests/resp/test_backend_connection.py
+++ b/tests/resp/test_backend_connection.py
@@ -9,7 +9,7 @@
 from garnetlanding.emulator.discovery import Box
 from garnetlanding.limits import MS
 from garnetlanding.resp import codec
-from garnetlanding.resp.brick import read_reply
+from garnetlanding.resp.backend_reply import read_reply
 from tests.support.resp import LIMITS
 from tests.support.simulated_instance import SimulatedInstance, read_command
 
--- a/tests/resp/test_front.py
+++ b/tests/resp/test_front.py
@@ -9,8 +9,9 @@
 from garnetlanding.emulator.discovery import Box
 from garnetlanding.limits import MS
 from garnetlanding.resp import codec
-from garnetlanding.resp.front import write_answer
-from garnetlanding.resp.request import BadRequest, read_request
+from garnetlanding.resp.errors import InvalidCommandError
+from garnetlanding.resp.front import encode_answer
+from garnetlanding.resp.request import read_request
 from tests.support.clock import SECOND
 from tests.support.decision_bench import make_settings
 from tests.support.resp import LIMITS, PING, pool
@@ -54,7 +55,7 @@
 @pytest.mark.parametrize("id", [b"", b"a b", b"\xff", b"x" * 65])
 def test_an_id_must_be_there_and_be_one(id: bytes) -> None:
     words = [b"BLK.READ", b"k", id, b"c=read,t=gold,d=1,volume=v,units=2,shard=0,hosts=1"]
-    with pytest.raises(BadRequest, match="id: missing"):
+    with pytest.raises(InvalidCommandError, match="id: missing"):
         read_request(words, LIMITS)
 
 
@@ -166,15 +167,15 @@
     words = [b"BLK.WRITE", b"key", b"id", b"c=w,t=g,d=480,volume=v,units=2,shard=-1,hosts=3,k=ab", b"BODY"]
     ask = read_request(words, LIMITS)
     assert (ask.cell, ask.timeout_us, ask.is_write) == (-1, 480 * MS, True)
-    [sent] = codec.Decoder(pool(), LIMITS).feed(ask.work.for_brick(123_456))
+    [sent] = codec.Decoder(pool(), LIMITS).feed(ask.work.encode(123_456))
     assert sent == [*words[:3], words[3].replace(b"d=480", b"d=123"), b"BODY"]
-    assert b"d=1," in ask.work.for_brick(-5)
-    with pytest.raises(BadRequest):
+    assert b"d=1," in ask.work.encode(-5)
+    with pytest.raises(InvalidCommandError):
         read_request([*words[:3], b"c=\xff", b""], LIMITS)
 
 
 def test_answers_as_the_protocol_words_them() -> None:
-    assert write_answer(Served(b"")) == b"$0\r\n\r\n"
-    assert write_answer(Rejected()) == b"-BUSY\r\n"
-    assert write_answer(Rejected(1500)) == b"-BUSY 2\r\n", "never sooner than meant"
-    assert write_answer(Failed("a\r\nb")) == b"-ERR a b\r\n"
+    assert encode_answer(Served(b"")) == b"$0\r\n\r\n"
+    assert encode_answer(Rejected()) == b"-BUSY\r\n"
+    assert encode_answer(Rejected(1500)) == b"-BUSY 2\r\n", "never sooner than meant"
+    assert encode_answer(Failed("a\r\nb")) == b"-ERR a b\r\n"
--- a/tests/resp/test_front_model.py
+++ b/tests/resp/test_front_model.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from garnetlanding.core.ports import Answer, Failed, Rejected, Served
-from garnetlanding.resp.front import ClientMachine, write_answer
+from garnetlanding.resp.front import ClientMachine, Front, encode_answer
 from tests.support.resp import LIMITS, pool
 from tests.support.simulated_instance import FakeRequestEngine, read_command
 
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.core, self.out = FakeRequestEngine(), b""
-        self.machine = ClientMachine(self.core, None, pool(), LIMITS, set(), self.write)  # type: ignore
+        self.machine = ClientMachine(Front(self.core, None, pool(), LIMITS), self.write)  # type: ignore
         self.expected: list[tuple[str, bytes | None]] = []
         self.rest, self.over = b"", False
 
@@ -54,10 +54,10 @@
     def answer(self, data: st.DataObject, answer: Answer) -> None:
         self.flush()
         ask, answered = self.core.items.pop(data.draw(st.sampled_from(sorted(self.core.items))))
-        name = ask.work.words[2].decode()
+        name = ask.work.request_id.decode()
         answered(answer)
         at = [n for n, _ in self.expected].index(name)
-        reply = write_answer(answer)
+        reply = encode_answer(answer)
         assert isinstance(reply, bytes)
         self.expected[at] = name, reply
 
--- a/tests/support/simulated_instance.py
+++ b/tests/support/simulated_instance.py
@@ -16,7 +16,7 @@
 from garnetlanding.limits import Limits
 from garnetlanding.resp import codec as resp
 from garnetlanding.resp import front as resp_front
-from garnetlanding.resp.brick import bricks
+from garnetlanding.resp.backend_connection import resp_backends
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.listener import Listener
 from garnetlanding.runtime.scheduler import Scheduler
@@ -113,22 +113,20 @@
         )
         self.core.starts, self.core.finals = [], []
         self.scheduler.turn_end.append(self.core.run_iteration)
-        self.bricks = bricks(self.scheduler, self.pool, self.limits)
+        self.bricks = resp_backends(self.scheduler, self.pool, self.limits)
 
     def server(self, kind: type[S], **more: Any) -> S:
         return kind(self.scheduler, self.pool, self.limits, **more)
 
     def front(self) -> Listener:
-        ids: set[bytes] = set()
+        front = resp_front.Front(self.core, self.bricks, self.pool, self.limits)
         return Listener(
             self.scheduler,
             "127.0.0.1:0",
             self.pool,
             self.limits,
             self.limits.client_conns,
-            lambda write: resp_front.ClientMachine(
-                self.core, self.bricks, self.pool, self.limits, ids, write
-            ),
+            lambda write: resp_front.ClientMachine(front, write),
         )
 
     def list(self, *boxes: Box, whole: bool = True) -> None:
