--- a/tests/choices/test_stagger.py
+++ b/tests/choices/test_stagger.py
@@ -10,18 +10,16 @@
 
 from garnetlanding.choices.stagger import stagger_offset
 
-# Turns
-
 
 @given(st.integers(1, 300), st.text(max_size=9))
-def test_turns_are_evenly_spaced_and_no_head_is_always_last(heads: int, signal: str) -> None:
-    places = sorted(stagger_offset(number, heads, signal) for number in range(heads))
-    assert all(0 <= place < 1 for place in places)
-    assert all(b - a == pytest.approx(1 / heads) for a, b in pairwise(places))
-    wrong = [stagger_offset(number, 2 * heads, signal) for number in range(heads)]
-    assert len(set(wrong)) == heads, "wrong by a factor of two: half of the span, one after another"
+def test_slots_are_evenly_spaced_and_distinct_for_a_wrong_fleet_size(instances: int, signal: str) -> None:
+    slots = sorted(stagger_offset(instance, instances, signal) for instance in range(instances))
+    assert all(0 <= slot < 1 for slot in slots)
+    assert all(b - a == pytest.approx(1 / instances) for a, b in pairwise(slots))
+    wrong = [stagger_offset(instance, 2 * instances, signal) for instance in range(instances)]
+    assert len(set(wrong)) == instances, "wrong by a factor of two: half of the span, one after another"
 
 
-def test_the_order_of_turns_changes_with_the_signal() -> None:
+def test_the_order_of_slots_depends_on_the_signal() -> None:
     last = {max(range(10), key=lambda n: stagger_offset(n, 10, f"signal {i}")) for i in range(60)}
     assert len(last) >= 8 and stagger_offset(3, 0) == 0.0
--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -28,8 +28,12 @@
 
 
 @pytest.mark.parametrize("how", LEAVE)
-@pytest.mark.parametrize("busy_with", [b"", BAD, QUIT, b"?\r\n", read_command("half")[:-9]])
-def test_a_client_that_left_while_it_waited_is_not_sent_on(how: str, busy_with: bytes) -> None:
+@pytest.mark.parametrize(
+    "busy_with",
+    [b"", BAD, QUIT, b"?\r\n", read_command("half")[:-9]],
+    ids=["nothing", "bad-command", "quit", "not-resp", "half-a-command"],
+)
+def test_a_queued_request_whose_client_disconnected_is_not_forwarded(how: str, busy_with: bytes) -> None:
     """After a bad command the connection was not read for 0.2 s, after QUIT no more: nobody saw the FIN."""
     w = Waiting()
     client = Raw(w, w.listener.address)
@@ -42,7 +46,7 @@
 
 
 @pytest.mark.parametrize("how", LEAVE)
-def test_no_further_attempt_begins_for_a_client_that_left_between_two(how: str) -> None:
+def test_no_retry_starts_for_a_client_that_disconnected_between_attempts(how: str) -> None:
     w = Waiting()
     w.appear()
     w.brick.script = [b"-BUSY\r\n"]
@@ -54,7 +58,7 @@
     assert len(w.brick.heard) == 1 and w.core.open_requests == 0
 
 
-def test_a_client_that_leaves_while_its_connection_comes_up_is_not_sent_on(
+def test_a_request_whose_client_disconnects_while_the_backend_connects_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     w = Waiting()
@@ -68,7 +72,7 @@
     assert not w.brick.heard
 
 
-def test_a_crowd_that_leaves_in_the_turn_in_which_its_brick_appears_is_not_sent_on() -> None:
+def test_clients_that_disconnect_in_the_iteration_in_which_their_backend_appears_are_not_forwarded() -> None:
     w = Waiting()
     crowd = [Raw(w, w.listener.address) for _ in range(40)]
     for n, client in enumerate(crowd):
@@ -80,7 +84,7 @@
     assert not w.brick.heard and w.core.open_requests == 0 and len(w.listener) == 0
 
 
-def test_where_buffers_have_run_out_a_leaver_is_seen_and_what_is_owed_is_answered() -> None:
+def test_without_buffers_a_disconnect_is_noticed_and_owed_answers_are_sent() -> None:
     """A read needed a buffer: without one the connection was closed, and its open requests got no answer."""
     w = Waiting()
     leaver, stays = Raw(w, w.listener.address), Raw(w, w.listener.address)
@@ -99,7 +103,7 @@
     )
 
 
-def test_messages_that_wait_behind_others_are_dropped_with_their_client() -> None:
+def test_queued_messages_are_dropped_with_their_client() -> None:
     """9P takes a few messages a turn and reads nothing meanwhile: a client that had left was worked for."""
     w = NinepInstance(ninep_requests=64)
     tool = NinepClient(w)
@@ -119,7 +123,7 @@
     assert len(received_messages(w, p9.Tread)) - before <= begun + w.limits.ninep_messages_per_iteration
 
 
-def test_a_flood_leaves_others_their_turn() -> None:
+def test_a_client_that_floods_does_not_starve_others() -> None:
     """Whoever sent without a pause was read without one: nobody else was heard until it drew breath."""
     w = SimulatedInstance(read_bytes_per_iteration=16 << 10)
     front = w.front()
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -47,7 +47,9 @@
 
 
 @given(st.binary(min_size=33, max_size=400), st.lists(st.integers(1, 60), max_size=30))
-def test_a_long_value_comes_in_pieces_however_it_is_cut(value: bytes, sizes: list[int]) -> None:
+def test_a_long_value_is_decoded_in_pieces_wherever_its_bytes_are_split(
+    value: bytes, sizes: list[int]
+) -> None:
     decoder = codec.Decoder(BufferPool(16, 4, 1000), Limits(stream_threshold_bytes=32))
     data, got = answer(value) + answer(b"short"), []
     for size in [*sizes, len(data)]:
@@ -59,115 +61,127 @@
     assert not decoder.midway
 
 
-def test_a_long_value_reaches_its_client_before_the_brick_has_given_all_of_it() -> None:
-    w, value = Store(), bytes(range(256)) * 256
-    client = w.begun(value, 30_000)
+def test_a_long_value_reaches_its_client_before_the_backend_has_sent_all_of_it() -> None:
+    instance, value = Store(), bytes(range(256)) * 256
+    client = instance.begun(value, 30_000)
     assert client.got.startswith(b"$65536\r\n") and 20_000 < len(client.got) < 30_000
-    assert len(w.core.finals[0]) == 1 and w.core.open_requests == 1, "answered, and open to its last byte"
-    assert [a.outcome for a in w.core.starts] == [api.Outcome.SERVED]
-    [conn] = w.brick.conns
+    assert (
+        len(instance.core.finals[0]) == 1 and instance.core.open_requests == 1
+    ), "answered, and open to its last byte"
+    assert [a.outcome for a in instance.core.starts] == [api.Outcome.SERVED]
+    [conn] = instance.brick.conns
     conn.write(answer(value)[30_000:])
-    w.settle()
+    instance.settle()
     assert (
-        client.got == codec.bulk(value) and w.core.open_requests == 0 and w.core.metrics.success["read"] == 1
+        client.got == codec.bulk(value)
+        and instance.core.open_requests == 0
+        and instance.core.metrics.success["read"] == 1
     )
-    assert client.say(read_command("r2")) == b"$0\r\n\r\n" and len(w.brick.conns) == 1, "both are used again"
+    assert (
+        client.say(read_command("r2")) == b"$0\r\n\r\n" and len(instance.brick.conns) == 1
+    ), "both are used again"
 
 
-def test_the_module_hears_how_long_the_brick_took_and_not_how_slowly_it_writes() -> None:
-    w = Store()
-    w.brick.script = [None]
-    client = w.peer(w.listener.address)
+def test_the_result_reports_the_time_to_the_first_byte_not_to_the_last() -> None:
+    instance = Store()
+    instance.brick.script = [None]
+    client = instance.peer(instance.listener.address)
     client.say(read_command(d=1000))
-    w.run(40 * MS)
-    [(_, conn)] = w.brick.held
+    instance.run(40 * MS)
+    [(_, conn)] = instance.brick.held
     for piece in (b"*3\r\n$1000\r\n", b"x" * 1000, b"\r\n$-1\r\n$-1\r\n"):
         conn.write(piece)
-        w.run(30 * MS)
+        instance.run(30 * MS)
     assert client.got == codec.bulk(b"x" * 1000)
-    assert w.core.starts[0].took_us == 40 * MS
+    assert instance.core.starts[0].took_us == 40 * MS
 
 
-def test_a_break_after_1_of_4_mib_ends_the_client_s_connection_and_nothing_is_sent_again() -> None:
-    w = Store()
-    client = w.begun(b"v" * (4 * MIB), MIB)
-    w.brick.drop()
-    w.settle()
+def test_a_backend_reset_after_1_of_4_mib_closes_the_clients_connection_without_a_retry() -> None:
+    instance = Store()
+    client = instance.begun(b"v" * (4 * MIB), MIB)
+    instance.brick.drop()
+    instance.settle()
     assert client.closed and MIB - 100 <= len(client.got) <= MIB
-    assert len(w.core.starts) == 1 and w.core.metrics.error["read"] == 1 and w.core.open_requests == 0
+    assert (
+        len(instance.core.starts) == 1
+        and instance.core.metrics.error["read"] == 1
+        and instance.core.open_requests == 0
+    )
 
 
-def test_a_brick_that_stops_in_the_middle_has_broken_off_and_a_slow_one_has_not() -> None:
-    w, value = Store(), b"v" * (64 * KIB)
-    client = w.begun(value, 20_000)
-    [conn] = w.brick.conns
+def test_a_backend_that_stops_mid_value_has_failed_and_a_slow_one_has_not() -> None:
+    instance, value = Store(), b"v" * (64 * KIB)
+    client = instance.begun(value, 20_000)
+    [conn] = instance.brick.conns
     for at in range(20_000, 60_000, 10_000):
-        w.run(w.limits.stream_stall_us - 100 * MS, step_us=100 * MS)
+        instance.run(instance.limits.stream_stall_us - 100 * MS, step_us=100 * MS)
         conn.write(answer(value)[at : at + 10_000])
-        w.settle()
+        instance.settle()
     assert not client.closed
-    w.run(w.limits.stream_stall_us + 100 * MS, step_us=100 * MS)
-    assert client.closed and not w.brick.conns
+    instance.run(instance.limits.stream_stall_us + 100 * MS, step_us=100 * MS)
+    assert client.closed and not instance.brick.conns
 
 
-def test_a_client_that_reads_nothing_holds_a_window_and_no_other_client() -> None:
-    w = Store()
-    w.brick.data[b"k"] = b"v" * (4 * MIB)
-    deaf = w.peer(w.listener.address)
+def test_a_client_that_reads_nothing_holds_one_window_and_delays_no_other() -> None:
+    instance = Store()
+    instance.brick.data[b"k"] = b"v" * (4 * MIB)
+    deaf = instance.peer(instance.listener.address)
     assert deaf.stream
-    w.mute(deaf.stream._sock.fileno())
+    instance.mute(deaf.stream._sock.fileno())
     deaf.stream.write(read_command("r0"))
-    w.settle()
-    others = [LoopbackClient(w, w.listener.address, settle=False) for _ in range(8)]
-    w.settle()
+    instance.settle()
+    others = [LoopbackClient(instance, instance.listener.address, settle=False) for _ in range(8)]
+    instance.settle()
     most = 0
     for i, other in enumerate(others):
         assert other.stream
         other.stream.write(read_command(f"s{i}", d=1400))
     while not all(len(other.got) > 4 * MIB for other in others):
         # A busy machine delivers late, also on loopback: only long quiet means that nothing moves any more.
-        assert any(w.scheduler.turn(10) for _ in range(100))
-        most = max(most, w.unread())
-    assert most <= w.limits.stream_window_bytes + 2 * w.pool.size, "what one client may leave unread"
+        assert any(instance.scheduler.turn(10) for _ in range(100))
+        most = max(most, instance.unread())
+    assert (
+        most <= instance.limits.stream_window_bytes + 2 * instance.pool.size
+    ), "what one client may leave unread"
     assert len(deaf.got) < 4 * MIB and not deaf.closed
-    w.run(w.limits.write_stall_us + SECOND, step_us=100 * MS)
-    assert len(w.listener) == len(others), "and for so long"
+    instance.run(instance.limits.write_stall_us + SECOND, step_us=100 * MS)
+    assert len(instance.listener) == len(others), "and for so long"
 
 
-def test_a_client_that_leaves_ends_what_its_brick_gives() -> None:
-    w = Store()
-    client = w.begun(b"v" * MIB, 30_000)
+def test_a_client_that_disconnects_ends_the_backends_stream() -> None:
+    instance = Store()
+    client = instance.begun(b"v" * MIB, 30_000)
     client.close()
-    assert not w.brick.conns and w.core.open_requests == 0 and len(w.listener) == 0
+    assert not instance.brick.conns and instance.core.open_requests == 0 and len(instance.listener) == 0
 
 
-def test_a_value_waits_for_the_answers_before_it_and_those_behind_it_wait_for_it() -> None:
-    w, value = Store(), b"v" * (200 * KIB)
-    client = w.peer(w.listener.address)
-    w.brick.script = [None, answer(value), answer(b"last")]
+def test_a_streamed_value_keeps_its_place_among_pipelined_answers() -> None:
+    instance, value = Store(), b"v" * (200 * KIB)
+    client = instance.peer(instance.listener.address)
+    instance.brick.script = [None, answer(value), answer(b"last")]
     client.say(b"".join(read_command(f"r{i}", volume=f"v{i}") for i in range(3)))
     assert client.got == b""
-    w.brick.data[b"k"] = b"first"
-    w.brick.release()
-    w.settle()
+    instance.brick.data[b"k"] = b"first"
+    instance.brick.release()
+    instance.settle()
     assert client.got == codec.bulk(b"first") + codec.bulk(value) + codec.bulk(b"last")
 
 
-def test_a_value_cut_short_before_its_turn_is_an_error_and_the_connection_goes_on() -> None:
-    w = Store()
-    client = w.peer(w.listener.address)
-    w.brick.script = [None, answer(b"v" * (200 * KIB))[:30_000]]
+def test_a_value_cut_short_before_streaming_is_an_error_and_the_connection_stays() -> None:
+    instance = Store()
+    client = instance.peer(instance.listener.address)
+    instance.brick.script = [None, answer(b"v" * (200 * KIB))[:30_000]]
     client.say(read_command("r0") + read_command("r1", volume="v1"))
-    for conns in list(w.bricks._conns.values()):
+    for conns in list(instance.bricks._conns.values()):
         for conn in [c for c in conns if c.machine.body]:
             conn.close()
-    w.settle()
-    w.brick.release()
-    w.settle()
+    instance.settle()
+    instance.brick.release()
+    instance.settle()
     assert client.got == b"$0\r\n\r\n-ERR cut short\r\n" and not client.closed
 
 
-def test_a_body_ends_once_and_what_comes_later_changes_nothing() -> None:
+def test_a_body_ends_once_and_later_calls_are_ignored() -> None:
     told: list[bool] = []
     body = Body(4)
     body.on_end.append(told.append)
--- a/tests/discovery/test_listing.py
+++ b/tests/discovery/test_listing.py
@@ -14,7 +14,7 @@
 ENTRY = Box("s-1", "10.1.0.18:6379", 3).entry()
 
 
-def test_an_entry_in_the_cores_terms() -> None:
+def test_an_entry_is_read_into_the_cores_terms() -> None:
     entry = ENTRY | {"startedAtMs": 1_700_000_000_000, "lifecycle": "DRAINING"}
     version, listing = read_list(
         {"generation": 41, "reset": True, "instances": [entry]}, lambda us: us - 1_699_999_999_000_000
@@ -29,14 +29,14 @@
 @pytest.mark.parametrize(
     ("change", "field"),
     [
-        ({"lifecycle": "ASLEEP"}, "lifecycle"),
-        ({"cell": "x"}, "cell"),
-        ({"cell": True}, "cell"),
-        ({"instanceId": None}, "instanceId"),
-        ({"hostPort": 5}, "hostPort"),
-        ({"startedAtMs": []}, "startedAtMs"),
+        pytest.param({"lifecycle": "ASLEEP"}, "lifecycle", id="lifecycle"),
+        pytest.param({"cell": "x"}, "cell", id="cell-text"),
+        pytest.param({"cell": True}, "cell", id="cell-boolean"),
+        pytest.param({"instanceId": None}, "instanceId", id="instanceId"),
+        pytest.param({"hostPort": 5}, "hostPort", id="hostPort"),
+        pytest.param({"startedAtMs": []}, "startedAtMs", id="startedAtMs"),
     ],
 )
-def test_a_bad_entry_names_its_field(change: dict[str, Any], field: str) -> None:
+def test_an_unreadable_entry_raises_an_error_that_names_its_field(change: dict[str, Any], field: str) -> None:
     with pytest.raises(ListError, match=field):
         read_list({"instances": [ENTRY | change]}, lambda us: us)
