--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -40,7 +40,7 @@
 from garnetlanding.ops.fleet_access import FleetView
 from garnetlanding.ops.managed_instance import ManagedInstance
 from garnetlanding.ops.process_quota import ProcessRecord
-from garnetlanding.ops.process_quota import decode as decode_word
+from garnetlanding.ops.process_quota import decode as decode_process_record
 from garnetlanding.ops.process_registry import ProcessRegistry
 from garnetlanding.ops.replicated_disables import ReplicatedDisables
 from garnetlanding.ops.state_file import StateFile
@@ -106,7 +106,7 @@
     return store
 
 
-def keeper(world: SimulatedInstance, store: Store, path: pathlib.Path) -> StorePersister:
+def persister_of(world: SimulatedInstance, store: Store, path: pathlib.Path) -> StorePersister:
     return StorePersister(world.scheduler, store, str(path), 200 * MS)
 
 
@@ -114,9 +114,9 @@
 def test_store_file(name: str, tmp_path: pathlib.Path) -> None:
     world, path = SimulatedInstance(), tmp_path / "store.json"
     store = Store("w", True, 50, epoch=EPOCH)
-    keeping = keeper(world, store, path)
+    persister = persister_of(world, store, path)
     if name == "store-empty.json":
-        keeping.save()
+        persister.save()
         expected = Snapshot(EPOCH, 0, {})
     else:
         for key, value in STORE_PUTS:
@@ -131,10 +131,10 @@
     path.write_bytes(committed)
     (tmp_path / "store.json.new").write_bytes(committed[:20])  # a crash left a half-written file beside it
     again = Store("w", True, 50)
-    keeping = keeper(world, again, path)
+    persister = persister_of(world, again, path)
     assert again.snapshot() == expected
     assert list(again.snapshot().values) == list(expected.values)
-    keeping.save()
+    persister.save()
     assert path.read_bytes() == committed
 
 
@@ -146,7 +146,7 @@
         path.write_bytes(committed[:length])
         store = Store("w", True, 50, epoch=7)
         with pytest.raises(StoreFileError) as caught:
-            keeper(world, store, path)
+            persister_of(world, store, path)
         assert str(caught.value).startswith(f"{path}: "), f"cut to {length} bytes"
         assert store.snapshot() == Snapshot(7, 0, {})
         assert path.read_bytes() == committed[:length]
@@ -167,13 +167,13 @@
     path = tmp_path / "store.json"
     path.write_text(text)
     with pytest.raises(StoreFileError) as caught:
-        keeper(SimulatedInstance(), Store("w", True, 50), path)
+        persister_of(SimulatedInstance(), Store("w", True, 50), path)
     assert str(caught.value) == f"{path}: {why}"
 
 
 def test_store_without_a_file_starts_empty(tmp_path: pathlib.Path) -> None:
     store = Store("w", True, 50, epoch=7)
-    keeper(SimulatedInstance(), store, tmp_path / "store.json")
+    persister_of(SimulatedInstance(), store, tmp_path / "store.json")
     assert store.snapshot() == Snapshot(7, 0, {})
     assert not list(tmp_path.iterdir())
 
@@ -252,13 +252,13 @@
     assert all(line.endswith(b"\n") and line.count(b"\n") == 1 for line in said), "a write is a line"
 
     for size in (len(committed), 1, 7):
-        copy, currency = copy_of(), StalenessGuard(SECOND, 0.01, world.time)
-        currency.next_query(world.time)
-        reader = FollowerMachine(copy, world.limits, currency)
+        copy, guard = copy_of(), StalenessGuard(SECOND, 0.01, world.time)
+        guard.next_query(world.time)
+        reader = FollowerMachine(copy, world.limits, guard)
         for at in range(0, len(committed), size):
             reader.feed(committed[at : at + size])
         assert copy.snapshot() == store.snapshot() == Snapshot(EPOCH, 10, STORE_VALUES)
-        assert currency.current_until == world.time + int(SECOND / 1.01)
+        assert guard.current_until == world.time + int(SECOND / 1.01)
 
 
 @pytest.mark.parametrize("name", sorted(STREAMS))
@@ -384,17 +384,17 @@
     with pytest.raises(AdminStateError) as caught:
         decode_state("n2", committed)
     assert str(caught.value) == f"of head {HEAD!r}, this one is 'n2'"
-    newer = b'{"version": 2, "name": "n2"}\n7a5592c3\n'
+    later_version = b'{"version": 2, "name": "n2"}\n7a5592c3\n'
     with pytest.raises(AdminStateError) as caught:
-        decode_state("n2", newer)
+        decode_state("n2", later_version)
     assert str(caught.value) == "of version 2, this program writes 1"
 
 
 # The records of a head's processes.
 
-ELDER = "garnetlanding-n%201%2F%C3%A4-life-4101-1000000000"
-NEWER = "garnetlanding-n%201%2F%C3%A4-life-4102-2000000007"
-WORDS = {
+PREDECESSOR = "garnetlanding-n%201%2F%C3%A4-life-4101-1000000000"
+SUCCESSOR = "garnetlanding-n%201%2F%C3%A4-life-4102-2000000007"
+RECORDS_BY_STAGE = {
     "elder-born": ProcessRecord(1_000_000_000, 0.0),
     "elder-alone": ProcessRecord(1_000_000_000, 1.0),
     "newer-born": ProcessRecord(2_000_000_007, 0.0),
@@ -407,7 +407,9 @@
 }
 
 
-def born(folder: pathlib.Path, pid: int, started: int, monkeypatch: pytest.MonkeyPatch) -> ProcessRegistry:
+def registered(
+    folder: pathlib.Path, pid: int, started: int, monkeypatch: pytest.MonkeyPatch
+) -> ProcessRegistry:
     with monkeypatch.context() as patch:
         patch.setattr("os.getpid", lambda: pid)
         patch.setattr("time.monotonic_ns", lambda: started)
@@ -415,39 +417,39 @@
 
 
 def test_process_records_of_an_upgrade(tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each record that both processes write, from the elder's birth until the newer one is alone."""
+    """Each record that both processes write, from the predecessor's start until the successor is alone."""
     wrote: list[str] = []
 
-    def look(life: ProcessRegistry, name: str, used: float = 0.0, ending: bool = False) -> None:
-        life.publish(life.next_share(used, ending))
-        check(life, name)
+    def look(registry: ProcessRegistry, name: str, used: float = 0.0, ending: bool = False) -> None:
+        registry.publish(registry.next_share(used, ending))
+        check(registry, name)
 
-    def check(life: ProcessRegistry, name: str) -> None:
+    def check(registry: ProcessRegistry, name: str) -> None:
         wrote.append(name)
-        file = tmp_path / (ELDER if name.startswith("elder") else NEWER)
+        file = tmp_path / (PREDECESSOR if name.startswith("elder") else SUCCESSOR)
         committed = golden(f"lives/{name}.word", file.read_bytes())
-        assert life.record == WORDS[name] == decode_word(HEAD, committed)
-
-    elder = born(tmp_path, 4101, 1_000_000_000, monkeypatch)
-    check(elder, "elder-born")
-    look(elder, "elder-alone")
-    newer = born(tmp_path, 4102, 2_000_000_007, monkeypatch)
-    check(newer, "newer-born")
-    look(newer, "newer-born")
-    look(elder, "elder-busy", used=0.6)
-    look(newer, "newer-quarter")
-    look(elder, "elder-half", used=0.1)
-    look(elder, "elder-ending", ending=True)
-    look(newer, "newer-most")
-    assert sorted(p.name for p in tmp_path.iterdir()) == [ELDER, NEWER]
-    assert elder.has_successor
-    assert not newer.has_successor
-    elder.close()
-    look(newer, "newer-alone")
-    assert [p.name for p in tmp_path.iterdir()] == [NEWER]
-    newer.close()
+        assert registry.record == RECORDS_BY_STAGE[name] == decode_process_record(HEAD, committed)
+
+    predecessor = registered(tmp_path, 4101, 1_000_000_000, monkeypatch)
+    check(predecessor, "elder-born")
+    look(predecessor, "elder-alone")
+    successor = registered(tmp_path, 4102, 2_000_000_007, monkeypatch)
+    check(successor, "newer-born")
+    look(successor, "newer-born")
+    look(predecessor, "elder-busy", used=0.6)
+    look(successor, "newer-quarter")
+    look(predecessor, "elder-half", used=0.1)
+    look(predecessor, "elder-ending", ending=True)
+    look(successor, "newer-most")
+    assert sorted(p.name for p in tmp_path.iterdir()) == [PREDECESSOR, SUCCESSOR]
+    assert predecessor.has_successor
+    assert not successor.has_successor
+    predecessor.close()
+    look(successor, "newer-alone")
+    assert [p.name for p in tmp_path.iterdir()] == [SUCCESSOR]
+    successor.close()
     assert not list(tmp_path.iterdir())
-    assert set(wrote) == set(WORDS) == names_in("lives", ".word")
+    assert set(wrote) == set(RECORDS_BY_STAGE) == names_in("lives", ".word")
 
 
 @contextmanager
@@ -462,27 +464,27 @@
         os.close(fd)
 
 
-@pytest.mark.parametrize("name", sorted(WORDS))
+@pytest.mark.parametrize("name", sorted(RECORDS_BY_STAGE))
 def test_process_record_is_heard_by_the_other_process(
     name: str, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     committed = (FOLDER / "lives" / f"{name}.word").read_bytes()
-    newest = born(tmp_path, 4103, 3_000_000_000, monkeypatch)
-    with locked(tmp_path / ELDER, committed):
-        assert newest.next_share(0.0, False) == 1.0 - WORDS[name].share
+    newest = registered(tmp_path, 4103, 3_000_000_000, monkeypatch)
+    with locked(tmp_path / PREDECESSOR, committed):
+        assert newest.next_share(0.0, False) == 1.0 - RECORDS_BY_STAGE[name].share
         assert not newest.has_successor
     assert newest.next_share(0.0, False) == 1.0, "unlocked: its process is gone"
-    assert not (tmp_path / ELDER).exists()
-    oldest = born(tmp_path, 4100, 5, monkeypatch)
+    assert not (tmp_path / PREDECESSOR).exists()
+    oldest = registered(tmp_path, 4100, 5, monkeypatch)
     oldest.publish(1.0)
     newest.close()
-    with locked(tmp_path / NEWER, committed):
+    with locked(tmp_path / SUCCESSOR, committed):
         assert oldest.next_share(0.1, False) == 0.5
         assert oldest.has_successor
     oldest.close()
 
 
-@pytest.mark.parametrize("name", sorted(WORDS))
+@pytest.mark.parametrize("name", sorted(RECORDS_BY_STAGE))
 def test_process_record_cut_short(name: str, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Without a part of its padding it is read; cut further, its process counts with half of the whole, or
     with what it said before."""
@@ -491,19 +493,21 @@
     needed = len(committed.rstrip())
     assert 80 < needed < 140
     for length in range(len(committed)):
-        assert decode_word(HEAD, committed[:length]) == (WORDS[name] if length >= needed else None), length
-    newest = born(tmp_path, 4103, 3_000_000_000, monkeypatch)
-    with locked(tmp_path / ELDER, committed[: needed - 1]):
+        assert decode_process_record(HEAD, committed[:length]) == (
+            RECORDS_BY_STAGE[name] if length >= needed else None
+        ), length
+    newest = registered(tmp_path, 4103, 3_000_000_000, monkeypatch)
+    with locked(tmp_path / PREDECESSOR, committed[: needed - 1]):
         assert newest.next_share(0.0, False) == 0.5
-        (tmp_path / ELDER).write_bytes(committed[:needed])
-        assert newest.next_share(0.0, False) == 1.0 - WORDS[name].share
-        (tmp_path / ELDER).write_bytes(committed[: needed - 1])
-        assert newest.next_share(0.0, False) == 1.0 - WORDS[name].share
+        (tmp_path / PREDECESSOR).write_bytes(committed[:needed])
+        assert newest.next_share(0.0, False) == 1.0 - RECORDS_BY_STAGE[name].share
+        (tmp_path / PREDECESSOR).write_bytes(committed[: needed - 1])
+        assert newest.next_share(0.0, False) == 1.0 - RECORDS_BY_STAGE[name].share
     newest.close()
 
 
 def test_process_record_of_another_head_is_not_read() -> None:
-    assert decode_word("n2", (FOLDER / "lives" / "elder-alone.word").read_bytes()) is None
+    assert decode_process_record("n2", (FOLDER / "lives" / "elder-alone.word").read_bytes()) is None
 
 
 # Operators' calls over HTTP.
@@ -553,8 +557,11 @@
 
 
 class Head(SimulatedInstance):
-    """A head's desk over a real core and a state file. With a fleet, bans are shared and heads can be
-    forgotten; what is known of other heads is fixed, but for the bans, which are real."""
+    """An AdminService over a real engine and state file.
+
+    With a fleet, disables are replicated and instances can be forgotten; what is known of other instances is
+    fixed, but for the disables, which are real.
+    """
 
     def __init__(self, folder: pathlib.Path, fleet: bool) -> None:
         super().__init__()
@@ -577,7 +584,7 @@
             limits=self.limits,
             endpoints_known=lambda: True,
         )
-        self.desk = AdminService(instance, StateFile(str(folder), "n1"), access, shared)
+        self.service = AdminService(instance, StateFile(str(folder), "n1"), access, shared)
         self.list(Box("b0", "127.0.0.1:1", 0), Box("b1", "127.0.0.1:1", 1))
         self.core.metrics = RequestMetrics(["read", "write", "save.big"])
         for cls, answer in (("read", Served(b"")), ("read", Failed("x")), ("save.big", Rejected())):
@@ -585,7 +592,7 @@
 
     def call(self, request: bytes) -> bytes:
         said: list[bytes] = []
-        machine = AdminConnection(self.desk, self.pool, self.limits, said.append)
+        machine = AdminConnection(self.service, self.pool, self.limits, said.append)
         machine.feed(request)
         assert machine.ended, "one call, one answer, one write"
         assert len(said) == 1, "one call, one answer, one write"
