--- a/garnetlanding/daemon/admin.py
+++ b/garnetlanding/daemon/admin.py
@@ -109,7 +109,7 @@
     def _replicated_disables(self) -> ReplicatedDisables | None:
         instance = self._instance
         setup = instance.config.operator.fleet
-        if not (self._group and setup and setup.bans):
+        if not (self._group and setup and setup.disables):
             return None
         from garnetlanding.ops.replicated_disables import ReplicatedDisables
 
--- a/garnetlanding/daemon/assembly.py
+++ b/garnetlanding/daemon/assembly.py
@@ -174,11 +174,11 @@
     instance: Instance, group: PeerGroup | None, link: PeerLinkManager
 ) -> SharedConnections | None:
     setup = instance.config.operator.fleet
-    if group is None or setup is None or not setup.server_connections:
+    if group is None or setup is None or not setup.backend_connections:
         return None
     from garnetlanding.daemon.shared_connections import SharedConnections
 
-    return SharedConnections(instance, setup.server_connections, link)
+    return SharedConnections(instance, setup.backend_connections, link)
 
 
 def _build_received_disables(instance: Instance, group: PeerGroup | None) -> ReceivedDisables | None:
--- a/garnetlanding/daemon/peer_group.py
+++ b/garnetlanding/daemon/peer_group.py
@@ -40,7 +40,7 @@
         """Build what the operator's file turns on."""
         setup, limits = self._setup, self._peers.limits
         history = self._history.writer if self._history else None
-        self.failure_detector = FailureDetector(limits, setup.verdicts, setup.bans, history)
+        self.failure_detector = FailureDetector(limits, setup.suspicions, setup.disables, history)
         if setup.seeds:
             from garnetlanding.peers.membership import Membership
             from garnetlanding.peers.membership_protocol import MembershipProtocol
@@ -49,7 +49,7 @@
                 limits,
                 self._instance.core.settings.instance_id,
                 self._instance.incarnation,
-                setup.advertise or self._peers.listen,
+                setup.advertised_address or self._peers.listen,
                 setup.seeds,
                 self._instance.scheduler.now,
             )
@@ -61,7 +61,7 @@
         from garnetlanding.peers.shared_budgets import SharedBudgets
 
         limits = self._peers.limits
-        longest_us = self._instance.longest_attempt_us if self._setup.server_connections else 0
+        longest_us = self._instance.longest_attempt_us if self._setup.backend_connections else 0
         return lambda settings, incarnation, now: SharedBudgets(
             limits, settings, incarnation, now, longest_us
         )
--- a/garnetlanding/daemon/peer_link.py
+++ b/garnetlanding/daemon/peer_link.py
@@ -98,7 +98,7 @@
             instance.scheduler.call_at(instance.scheduler.now + setup.limits.open_retry_us, self._retry)
             return
         coordinator.activate(instance.scheduler.now)
-        instance.core.send_to_peer = self.link.tell
+        instance.core.send_to_peer = self.link.send
         instance.log_listening("other heads", self.link.address)
 
     def _retry(self) -> None:
@@ -130,4 +130,4 @@
     def stop(self) -> None:
         """Let peers know that this instance leaves, so that its quota shares are free at once."""
         if self.link and self.coordinator:
-            self.coordinator.leave(self._instance.scheduler.now, self.link.tell)
+            self.coordinator.leave(self._instance.scheduler.now, self.link.send)
--- a/garnetlanding/peers/gossip_schedule.py
+++ b/garnetlanding/peers/gossip_schedule.py
@@ -1,5 +1,6 @@
-"""Whom a head tells in a round: some heads in turn, and those with whom it divides something. So what a head
-spends on words does not grow with the fleet. No clock, no socket.
+"""Whom an instance sends to in a round: some peers in turn, and those with whom it divides something.
+
+So what an instance spends on messages does not grow with the fleet. No clock, no socket.
 """
 
 from __future__ import annotations
@@ -10,18 +11,23 @@
 
 
 class GossipSchedule:
+    """Goes round the peers, a bounded number at a time."""
+
     def __init__(self, limits: PeerLimits, me: int) -> None:
         self._limits = limits
-        # Heads that start together would all turn to the same one first.
+        # Instances that start together would all begin with the same peer.
         self._next = me
 
-    def round(self, others: Collection[int], partners: Iterable[int]) -> list[int]:
-        """`near` of the others, each in its turn, and as many partners as a head may have."""
-        near = sorted(others)
-        if not near:
+    def round(self, peers: Collection[int], partners: Iterable[int]) -> list[int]:
+        """Return the receivers of the next round, without duplicates.
+
+        These are `fanout` of the peers, each in its turn, and up to `max_partners` of the partners.
+        """
+        ordered = sorted(peers)
+        if not ordered:
             return []
-        count = min(self._limits.fanout, len(near))
-        chosen = [near[(self._next + i) % len(near)] for i in range(count)]
+        count = min(self._limits.fanout, len(ordered))
+        chosen = [ordered[(self._next + i) % len(ordered)] for i in range(count)]
         self._next += count
-        some = [who for who in partners if who in others][: self._limits.max_partners]
-        return list(dict.fromkeys([*chosen, *some]))
+        present_partners = [partner for partner in partners if partner in peers]
+        return list(dict.fromkeys([*chosen, *present_partners[: self._limits.max_partners]]))
--- a/garnetlanding/peers/link.py
+++ b/garnetlanding/peers/link.py
@@ -1,4 +1,7 @@
-"""Datagrams between heads, over UDP: the thin driver. What is no peer's is counted and dropped."""
+"""The UDP link between instances: the thin driver below the sans-IO protocols.
+
+Datagrams of strangers are counted and dropped. A datagram lost, late or duplicated is nobody's error here.
+"""
 
 from __future__ import annotations
 
@@ -17,113 +20,134 @@
 
 log = logging.getLogger(__name__)
 
+SocketAddress = tuple[str, int]  # host, port
+ALL_PEERS = -1  # as receiver of a datagram
+
 
 class PeerLink:
-    """Hears at one address, tells one or all. A message lost, late or doubled is nobody's error here."""
+    """Receives datagrams at one address, and sends them to one peer or to all."""
 
     def __init__(
         self,
         scheduler: Scheduler,
         setup: PeerSetup,
-        heard: Callable[[int, bytes], None],
+        on_message: Callable[[int, bytes], None],
         dropped: Counter[str],
-        group: MembershipProtocol | None = None,
+        membership: MembershipProtocol | None = None,
     ) -> None:
-        """Raises OSError where the address cannot be had. `heard` gets the sender's number and the bytes;
-        `dropped` counts by cause, and is logged and emptied every so often. `group`: heads are found, in
-        place of those that the setup names."""
-        self.setup, self._scheduler, self._limits, self._heard = setup, scheduler, setup.limits, heard
-        self._senders = {parse_address(at): who for who, at in setup.peers.items()}
-        targets = [setup.everyone] if setup.everyone else list(setup.peers.values())
-        self._everyone = [parse_address(at) for at in targets]
-        self._peers = {who: [parse_address(at)] for who, at in setup.peers.items()}
-        self._group = group
-        self._there = {at: own for own, at in setup.routes.items()}  # by where it comes from
+        """Open the link. Raises OSError where the address cannot be had.
+
+        `on_message` gets the number of the sender and the datagram. `dropped` counts by cause; it is logged
+        and emptied every so often. With `membership`, peers are those it has discovered, in place of those
+        that the setup names.
+        """
+        self.setup = setup
         self.dropped = dropped
-        host, port = parse_address(setup.listen)
-        self._sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM)
-        try:
-            self._sock.setblocking(False)
-            self._sock.bind((host, port))
-        except OSError:
-            self._sock.close()
-            raise
-        host, port = self._sock.getsockname()[:2]
-        self.address = f"{host}:{port}"
         self.closed = False
+        self._scheduler = scheduler
+        self._limits = setup.limits
+        self._on_message = on_message
+        self._membership = membership
+        self._addresses = {peer: parse_address(address) for peer, address in setup.peers.items()}
+        self._peers_by_address = {address: peer for peer, address in self._addresses.items()}
+        self._broadcast = (
+            [parse_address(setup.broadcast)] if setup.broadcast else list(self._addresses.values())
+        )
+        self._named_by_route = {route: named for named, route in setup.routes.items()}
+        self._socket = _bind(parse_address(setup.listen))
+        host, port = self._socket.getsockname()[:2]
+        self.address = f"{host}:{port}"
         scheduler.spawn(self._receive)
-        scheduler.call_at(scheduler.now + self._limits.drop_report_us, self._count)
+        scheduler.call_at(scheduler.now + self._limits.drop_report_us, self._report_dropped)
 
-    def _count(self) -> None:
-        """One line for all that was dropped, however much it was."""
+    def _report_dropped(self) -> None:
+        """Log one line for everything that was dropped, however much it was."""
         if self.closed:
             return
-        self._scheduler.call_at(self._scheduler.now + self._limits.drop_report_us, self._count)
+        self._scheduler.call_at(self._scheduler.now + self._limits.drop_report_us, self._report_dropped)
         if self.dropped:
+            most_common = self.dropped.most_common(1)[0][0]
             log.warning(
-                "messages of heads dropped",
-                extra={"kv": {"count": self.dropped.total(), "mostly": self.dropped.most_common(1)[0][0]}},
+                "peer messages dropped", extra={"kv": {"count": self.dropped.total(), "mostly": most_common}}
             )
             self.dropped.clear()
 
-    def tell(self, payload: bytes, to: int = -1) -> None:
-        """To one head by its number, or (-1) to all."""
+    def send(self, payload: bytes, to: int = ALL_PEERS) -> None:
+        """Send a datagram to one peer by its number, or to all; what cannot be sent is counted as dropped."""
         if len(payload) > self._limits.datagram_bytes:
             self.dropped["too long to send"] += 1
             return
         for target in self._targets(to):
             try:
-                self._sock.sendto(payload, target)
+                self._socket.sendto(payload, target)
             except OSError:
-                # Full buffers, or a head that is down: as good as lost on the way, and said again soon.
+                # Full buffers, or a peer that is down: as good as lost on the way, and sent again soon.
                 self.dropped["not sent"] += 1
 
-    def _targets(self, to: int) -> list[tuple[str, int]]:
-        if self._group is None:
-            return self._everyone if to < 0 else self._peers.get(to, [])
-        at = self._group.members.address_of(to)
-        return [parse_address(self.setup.routes.get(at, at))] if at else []
-
-    def _who(self, source: tuple[str, int], data: bytes) -> int | None:
-        if self._group is None:
-            return self._senders.get(source)
-        host, port = source
-        text = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-        named = self._there.get(text, text)
-        who = self._group.members.instance_at(named)
-        return self._group.introduce(named, data) if who is None else who
+    def _targets(self, to: int) -> list[SocketAddress]:
+        if self._membership:
+            address = self._membership.members.address_of(to)
+            return [parse_address(self.setup.routes.get(address, address))] if address else []
+        if to == ALL_PEERS:
+            return self._broadcast
+        return [self._addresses[to]] if to in self._addresses else []
 
     def close(self) -> None:
-        if not self.closed:
-            self.closed = True
-            self._scheduler.forget(self._sock.fileno(), OSError("closed"))
-            self._sock.close()
+        """Close the link, if it is open; what is waiting to be received is lost."""
+        if self.closed:
+            return
+        self.closed = True
+        self._scheduler.forget(self._socket.fileno(), OSError("closed"))
+        self._socket.close()
 
     def _receive(self) -> None:
         while not self.closed:
             try:
-                self._scheduler.wait(self._sock.fileno(), READ)
+                self._scheduler.wait(self._socket.fileno(), READ)
             except OSError:
                 return
             for _ in range(self._limits.receive_batch):
-                if self.closed or not self._take():
+                if self.closed or not self._receive_one():
                     break
             else:
-                self._scheduler.sleep(0)  # others have their turn, however much comes
+                self._scheduler.sleep(0)  # other tasks have their turn, however much is received
 
-    def _take(self) -> bool:
-        """One datagram; False when there is none."""
+    def _receive_one(self) -> bool:
+        """Receive one datagram; return False when there is none."""
         try:
-            data, source = self._sock.recvfrom(self._limits.datagram_bytes + 1)
+            data, source = self._socket.recvfrom(self._limits.datagram_bytes + 1)
         except BlockingIOError:
             return False
         except OSError:
-            return True  # an answer to an earlier datagram that nobody took
-        who = self._who(source[:2], data)
-        if who is None:
+            return True  # the network's answer to an earlier datagram that nobody took
+        sender = self._sender(source[:2], data)
+        if sender is None:
             self.dropped["no peer"] += 1
         elif len(data) > self._limits.datagram_bytes:
             self.dropped["too long"] += 1
         else:
-            self._heard(who, data)
+            self._on_message(sender, data)
         return True
+
+    def _sender(self, source: SocketAddress, data: bytes) -> int | None:
+        """Return the number of the instance that a datagram is from; None: it is from no peer."""
+        if self._membership is None:
+            return self._peers_by_address.get(source)
+        host, port = source
+        address = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
+        named = self._named_by_route.get(address, address)
+        sender = self._membership.members.instance_at(named)
+        return self._membership.introduce(named, data) if sender is None else sender
+
+
+def _bind(address: SocketAddress) -> socket.socket:
+    """Return a UDP socket that receives at an address, not blocking. Raises OSError."""
+    family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
+    bound = socket.socket(family, socket.SOCK_DGRAM)
+    try:
+        bound.setblocking(False)
+        bound.bind(address)
+    except OSError:
+        bound.close()
+        raise
+    return bound
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -1331,9 +1331,9 @@
         lines.append(f"history: file {history.file}, wall file {history.wall_file!r}")
     if fleet := config.operator.fleet:
         lines.append(
-            f"fleet: verdicts {fleet.verdicts}, bans {fleet.bans}, budgets {fleet.budgets}, "
-            f"server connections {fleet.server_connections}, seeds {fleet.seeds}, "
-            f"advertise {fleet.advertise!r}, routes {fleet.routes}"
+            f"fleet: verdicts {fleet.suspicions}, bans {fleet.disables}, budgets {fleet.budgets}, "
+            f"server connections {fleet.backend_connections}, seeds {fleet.seeds}, "
+            f"advertise {fleet.advertised_address!r}, routes {fleet.routes}"
         )
     if choices := config.operator.choices:
         lines.append(
@@ -1379,7 +1379,7 @@
     ]
     if peers := config.peers:
         lines.append(
-            f"peers: listen {peers.listen}, others {peers.peers}, everyone {peers.everyone!r}, "
+            f"peers: listen {peers.listen}, others {peers.peers}, everyone {peers.broadcast!r}, "
             f"routes {peers.routes}"
         )
         lines.append(f"limits of peers, sorted by value: {sorted(map(float, astuple(peers.limits)))}")
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -144,12 +144,12 @@
         sock.sendto(text, to)
     w.settle()
     assert heard == [(4, b"one"), (4, b"two")] and link.dropped == {"no peer": 1, "too long": 1}
-    link.tell(b"hello")
-    link.tell(bytes(257))
+    link.send(b"hello")
+    link.send(bytes(257))
     assert peer.recv(300) == b"hello" and link.dropped["too long to send"] == 1
     peer.close()
-    link.tell(b"to a head that is down")
-    link.tell(b"again")
+    link.send(b"to a head that is down")
+    link.send(b"again")
     w.settle()
     assert not caplog.records
     w.run(LIMITS.drop_report_us, SECOND)
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -188,7 +188,7 @@
 def test_fault_in_the_fleet_section_names_its_key(section: object, key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
         read_fleet(section)
-    assert read_fleet({"bans": False}).verdicts
+    assert read_fleet({"bans": False}).suspicions
 
 
 def test_simulated_fleet_suspects_no_healthy_backend_and_is_reproducible() -> None:
