--- a/tests/decision/test_decision_rules.py
+++ b/tests/decision/test_decision_rules.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import random
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
 import pytest
 
@@ -196,155 +196,218 @@
     )
     cells = rng.choice([1, 4])
     bench = DecisionBench(config, [up_endpoint(f"n{c}", c, zone=f"z{c % 2}") for c in range(cells)], seed)
-    Checker(bench, rng, cells).day()
+    RuleChecker(bench, rng, cells).play_day()
 
 
-class Checker:
+@dataclass
+class SentAttempt:
+    """An attempt as the checker has seen it leave and end."""
+
+    node: str
+    sent_at: int
+    outcome: api.Outcome | None = None  # None: in flight
+
+    @property
+    def may_have_run(self) -> bool:
+        return self.outcome not in (FULL, UNREACHABLE, api.Outcome.NEVER_DISPATCHED)
+
+    @property
+    def zone(self) -> int:
+        return int(self.node[1:]) % 2
+
+
+class RuleChecker:
     """Plays a random day and keeps its own books of what was sent, ended and answered."""
 
     def __init__(self, bench: DecisionBench, rng: random.Random, cells: int) -> None:
-        self.bench, self.rng, self.cells = bench, rng, cells
-        self.asked: dict[str, api.Arrival] = {}
-        self.tries: dict[str, list[list[object]]] = {}  # [node, sent at, outcome or None]
-        self.over: dict[str, int] = {}
-        self.barred: dict[str, int] = {}  # node -> told at
-        self.keys: dict[str, list[str]] = {}
-        self.rest: dict[str, int] = {}
-        self.extra: list[int] = []
-        self.took: list[int] = []
-        self.limit = {f"v{i}": (36.0 / 2, self.bench.now) for i in range(4)}
-
-    def day(self) -> None:
-        for n in range(900):
+        self.bench = bench
+        self.rng = rng
+        self.cells = cells
+        self.settings = bench.c.settings
+        self.arrivals: dict[str, api.Arrival] = {}
+        self.attempts: dict[str, list[SentAttempt]] = {}
+        self.answered_at: dict[str, int] = {}
+        self.unavailable_since: dict[str, int] = {}  # by backend
+        self.requests_of_key: dict[str, list[str]] = {}
+        self.key_rests_until: dict[str, int] = {}
+        self.retries_at: list[int] = []
+        self.arrived_at: list[int] = []
+        self.limits = {f"v{i}": (36.0 / 2, self.bench.now) for i in range(4)}  # level and its time
+
+    def play_day(self) -> None:
+        for number in range(900):
             self.bench.run(self.rng.choice([0, MS, 5 * MS, 20 * MS]))
-            self.check()
-            self.step(n)
-            self.check()
+            self.check_actions()
+            self.take_step(number)
+            self.check_actions()
         for _ in range(60):
             self.bench.run(100 * MS)
-            self.check()
-        assert set(self.over) == set(self.asked)
-
-    def step(self, n: int) -> None:
-        roll, out = (
-            self.rng.random(),
-            [(r, i) for r, ts in self.tries.items() for i, t in enumerate(ts) if t[2] is None],
-        )
+            self.check_actions()
+        assert set(self.answered_at) == set(self.arrivals)
+
+    def take_step(self, number: int) -> None:
+        roll = self.rng.random()
+        in_flight = [
+            (name, index)
+            for name, attempts in self.attempts.items()
+            for index, attempt in enumerate(attempts)
+            if attempt.outcome is None
+        ]
         if roll < 0.5:
-            name, cls = f"r{n}", self.rng.choice(sorted(CLASSES))
-            e = api.Arrival(
-                name,
-                cls,
-                self.rng.choice(sorted(PLANS)),
-                "",
-                self.rng.choice(["", "k1", "k2"]),
-                self.rng.choice([0.5, 1, 2, 6]),
-                self.rng.randrange(-1, self.cells),
-                self.bench.now + CLASSES[cls].deadline_us,
-                2,
-            )
-            e = replace(e, volume=f"v{self.rng.randrange(4)}" + e.plan)
-            self.asked[name] = e
-            self.took.append(self.bench.now)
-            self.keys.setdefault(e.key, []).append(name)
-            self.bench.tell(e)
-        elif roll < 0.9 and out:
-            name, i = self.rng.choice(out)
-            outcome = self.rng.choice([api.Outcome.SERVED] * 4 + list(api.Outcome))
-            self.tries[name][i][2] = outcome
-            over = name in self.over or outcome is api.Outcome.SERVED
-            if over:
-                self.over.setdefault(name, self.bench.now)
-            if outcome in (TIMEOUT, RESET, api.Outcome.CANCELLED):
-                key = self.asked[name].key
-                self.rest[key] = self.bench.now + 200 * MS
-            node = str(self.tries[name][i][0])
-            self.bench.tell(api.Result(name, i, node, outcome, 20 * MS, over, self.rng.choice([0, 60, 300])))
-        elif roll < 0.93 and self.asked:
-            name = self.rng.choice(sorted(self.asked))
-            if name not in self.over:
-                self.over[name] = self.bench.now
-                self.bench.tell(api.ClientLeft(name))
+            self.send_arrival(f"r{number}")
+        elif roll < 0.9 and in_flight:
+            self.end_attempt(*self.rng.choice(in_flight))
+        elif roll < 0.93 and self.arrivals:
+            self.leave(self.rng.choice(sorted(self.arrivals)))
         elif roll < 0.97:
-            cell = self.rng.randrange(self.cells)
-            state = self.rng.choice(list(api.EndpointState) + [api.EndpointState.UP] * 2)
-            if state is api.EndpointState.UP:
-                self.barred.pop(f"n{cell}", None)
-            else:
-                self.barred[f"n{cell}"] = self.bench.now
-            started = self.rng.choice([0, self.bench.now])
-            self.bench.tell(
-                api.EndpointListUpdate((api.Endpoint(f"n{cell}", cell, f"z{cell % 2}", state, started),))
-            )
+            self.change_endpoint(self.rng.randrange(self.cells))
         else:
             self.bench.tell(api.EndpointListUpdate(failed=True))
 
-    def check(self) -> None:
-        log, self.bench.log = self.bench.log, []
+    def send_arrival(self, name: str) -> None:
+        cls = self.rng.choice(sorted(CLASSES))
+        arrival = api.Arrival(
+            name,
+            cls,
+            self.rng.choice(sorted(PLANS)),
+            "",
+            self.rng.choice(["", "k1", "k2"]),
+            self.rng.choice([0.5, 1, 2, 6]),
+            self.rng.randrange(-1, self.cells),
+            self.bench.now + CLASSES[cls].deadline_us,
+            2,
+        )
+        arrival = replace(arrival, volume=f"v{self.rng.randrange(4)}" + arrival.plan)
+        self.arrivals[name] = arrival
+        self.arrived_at.append(self.bench.now)
+        self.requests_of_key.setdefault(arrival.key, []).append(name)
+        self.bench.tell(arrival)
+
+    def end_attempt(self, name: str, index: int) -> None:
+        attempt = self.attempts[name][index]
+        attempt.outcome = self.rng.choice([api.Outcome.SERVED] * 4 + list(api.Outcome))
+        answered = name in self.answered_at or attempt.outcome is api.Outcome.SERVED
+        if answered:
+            self.answered_at.setdefault(name, self.bench.now)
+        if attempt.outcome in (TIMEOUT, RESET, api.Outcome.CANCELLED):
+            self.key_rests_until[self.arrivals[name].key] = self.bench.now + 200 * MS
+        usage = self.rng.choice([0, 60, 300])
+        self.bench.tell(api.Result(name, index, attempt.node, attempt.outcome, 20 * MS, answered, usage))
+
+    def leave(self, name: str) -> None:
+        if name not in self.answered_at:
+            self.answered_at[name] = self.bench.now
+            self.bench.tell(api.ClientLeft(name))
+
+    def change_endpoint(self, cell: int) -> None:
+        state = self.rng.choice(list(api.EndpointState) + [api.EndpointState.UP] * 2)
+        node = f"n{cell}"
+        if state is api.EndpointState.UP:
+            self.unavailable_since.pop(node, None)
+        else:
+            self.unavailable_since[node] = self.bench.now
+        started_us = self.rng.choice([0, self.bench.now])
+        endpoint = api.Endpoint(node, cell, f"z{cell % 2}", state, started_us)
+        self.bench.tell(api.EndpointListUpdate((endpoint,)))
+
+    def check_actions(self) -> None:
+        log = self.bench.log
+        self.bench.log = []
         for at, action in log:
             if isinstance(action, api.Send):
                 self.check_send(at, action)
             elif isinstance(action, api.Reject | api.Fail):
-                name = action.request
-                assert name not in self.over, "answered twice"
-                assert at <= self.asked[name].until_us
-                self.over[name] = at
-                if isinstance(action, api.Reject):
-                    self.check_refusal(name)
+                self.check_final_answer(at, action)
             elif isinstance(action, api.Cancel):
-                assert self.bench.c.settings.may_cancel and action.attempt < len(self.tries[action.request])
-        assert all(self.bench.now <= self.asked[n].until_us for n in self.asked if n not in self.over)
-
-    def ran(self, name: str) -> list[list[object]]:
-        never = (FULL, api.Outcome.UNREACHABLE, api.Outcome.NEVER_DISPATCHED)
-        return [t for t in self.tries.get(name, []) if t[2] not in never]
+                assert self.settings.may_cancel
+                assert action.attempt < len(self.attempts[action.request])
+        for name, arrival in self.arrivals.items():
+            assert name in self.answered_at or self.bench.now <= arrival.until_us
+
+    def check_final_answer(self, at: int, answer: api.Reject | api.Fail) -> None:
+        name = answer.request
+        assert name not in self.answered_at, "answered twice"
+        assert at <= self.arrivals[name].until_us
+        self.answered_at[name] = at
+        if isinstance(answer, api.Reject):
+            self.check_refusal(name)
+
+    def may_have_run(self, name: str) -> list[SentAttempt]:
+        return [attempt for attempt in self.attempts.get(name, []) if attempt.may_have_run]
 
     def check_refusal(self, name: str) -> None:
-        cls = CLASSES[self.asked[name].cls]
-        if cls.effect is api.Effect.SAFE or (
-            cls.effect is api.Effect.KEYED and cls.deduplication_scope is api.DeduplicationScope.ALL
-        ):
+        cls = CLASSES[self.arrivals[name].cls]
+        if cls.effect is api.Effect.SAFE:
+            return
+        if cls.effect is api.Effect.KEYED and cls.deduplication_scope is api.DeduplicationScope.ALL:
+            return
+        assert not self.may_have_run(name), "refused though it may have run"
+
+    def check_send(self, at: int, send: api.Send) -> None:
+        arrival = self.arrivals[send.request]
+        attempts = self.attempts.setdefault(send.request, [])
+        attempt = SentAttempt(send.node, at)
+        cell = int(send.node[1:])
+        assert send.request not in self.answered_at
+        assert at < arrival.until_us
+        assert len(attempts) < self.settings.max_attempts
+        assert send.node not in self.unavailable_since
+        assert arrival.cell in (-1, cell)
+        if any(earlier.outcome is None for earlier in attempts):
+            assert self.settings.parallel_attempts
+        self.check_repeat(attempt, CLASSES[arrival.cls], self.may_have_run(send.request))
+        self.check_order(at, arrival, is_first=not attempts)
+        if attempts:
+            self.check_retry_budget(at)
+        elif arrival.plan == "limited":
+            self.check_limit(at, arrival)
+        attempts.append(attempt)
+
+    def check_repeat(self, attempt: SentAttempt, cls: api.ClassSpec, ran: list[SentAttempt]) -> None:
+        """A repeat of what may have run goes only where it does no harm."""
+        if not ran or cls.effect is api.Effect.SAFE:
             return
-        assert not self.ran(name), "refused though it may have run"
-
-    def check_send(self, at: int, a: api.Send) -> None:
-        e, tries, s = self.asked[a.request], self.tries.setdefault(a.request, []), self.bench.c.settings
-        cls, ran, cell = CLASSES[e.cls], self.ran(a.request), int(a.node[1:])
-        assert a.request not in self.over and at < e.until_us and len(tries) < s.max_attempts
-        assert a.node not in self.barred
-        assert e.cell in (-1, cell)
-        if any(t[2] is None for t in tries):
-            assert s.parallel_attempts
-        if ran and cls.effect is not api.Effect.SAFE:
-            assert cls.effect is api.Effect.KEYED
-            assert at < min(int(str(t[1])) for t in ran) + cls.deduplication_window_us
-            if cls.deduplication_scope is api.DeduplicationScope.CELL:
-                assert all(t[0] == a.node for t in ran)
-            if cls.deduplication_scope is api.DeduplicationScope.ZONE:
-                assert all(int(str(t[0])[1:]) % 2 == cell % 2 for t in ran)
-        if cls.in_order and e.key:
-            before = self.keys[e.key][: self.keys[e.key].index(a.request)]
-            for other in (o for o in before if CLASSES[self.asked[o].cls].in_order):
-                assert other in self.over
-                assert all(t[2] is not None for t in self.tries.get(other, []))
-            if not tries:
-                assert at >= self.ordered_rest(e.key, before)
-        if tries and s.retry_budget_window_us:
-            self.extra.append(at)
-            spent = sum(1 for t in self.extra if t > at - s.retry_budget_window_us)
-            earned = sum(1 for t in self.took if at >= t > at - s.retry_budget_window_us)
-            assert spent <= s.retry_budget_floor + s.retry_budget_ratio * earned
-        if not tries and e.plan == "limited":
-            level, since = self.limit.get(e.volume, (18.0, 50 * SECOND))
-            level = min(18.0, level + 4.0 * (at - since) / SECOND) - e.units
-            assert level >= -1e-6
-            self.limit[e.volume] = (level, at)
-        tries.append([a.node, at, None])
+        assert cls.effect is api.Effect.KEYED
+        assert attempt.sent_at < min(earlier.sent_at for earlier in ran) + cls.deduplication_window_us
+        if cls.deduplication_scope is api.DeduplicationScope.CELL:
+            assert all(earlier.node == attempt.node for earlier in ran)
+        if cls.deduplication_scope is api.DeduplicationScope.ZONE:
+            assert all(earlier.zone == attempt.zone for earlier in ran)
+
+    def check_order(self, at: int, arrival: api.Arrival, is_first: bool) -> None:
+        """A request of an ordered key goes when those before it are answered and not in flight."""
+        if not (CLASSES[arrival.cls].in_order and arrival.key):
+            return
+        requests = self.requests_of_key[arrival.key]
+        before = [name for name in requests[: requests.index(arrival.request)] if self.is_ordered(name)]
+        for name in before:
+            assert name in self.answered_at
+            assert all(attempt.outcome is not None for attempt in self.attempts.get(name, []))
+        if is_first:
+            assert at >= self.ordered_rest(arrival.key, before)
+
+    def is_ordered(self, name: str) -> bool:
+        return CLASSES[self.arrivals[name].cls].in_order
 
     def ordered_rest(self, key: str, before: list[str]) -> int:
-        return (
-            self.rest.get(key, 0)
-            if any(CLASSES[self.asked[o].cls].in_order for o in before)
-            and all(CLASSES[self.asked[o].cls].in_order for o in self.keys[key] if o in self.tries)
-            else 0
-        )
+        """Until when the key rests, where that follows from ordered requests alone."""
+        sent = [name for name in self.requests_of_key[key] if name in self.attempts]
+        if before and all(self.is_ordered(name) for name in sent):
+            return self.key_rests_until.get(key, 0)
+        return 0
+
+    def check_retry_budget(self, at: int) -> None:
+        settings = self.settings
+        window = settings.retry_budget_window_us
+        if not window:
+            return
+        self.retries_at.append(at)
+        spent = sum(1 for retry_at in self.retries_at if retry_at > at - window)
+        arrived = sum(1 for arrived_at in self.arrived_at if at >= arrived_at > at - window)
+        assert spent <= settings.retry_budget_floor + settings.retry_budget_ratio * arrived
+
+    def check_limit(self, at: int, arrival: api.Arrival) -> None:
+        level, since = self.limits.get(arrival.volume, (18.0, 50 * SECOND))
+        level = min(18.0, level + 4.0 * (at - since) / SECOND) - arrival.units
+        assert level >= -1e-6
+        self.limits[arrival.volume] = (level, at)
