--- a/garnetlanding/daemon/shared_connections.py
+++ b/garnetlanding/daemon/shared_connections.py
@@ -22,7 +22,7 @@
     def start(self) -> None:
         """Bound the connections to backends from now on."""
         instance, link = self._instance, self._link
-        instance.backends.places = ConnectionQuota(
+        instance.backends.quota = ConnectionQuota(
             self._each_max,
             instance.longest_attempt_us,
             lambda: instance.scheduler.now,
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -40,7 +40,7 @@
     `place` returns the address that an endpoint of discovery stands for, and `bind` what a connection is
     bound to besides that address. At most `most` connections are open, and only `part` of them while another
     process of the instance has the rest; `borrow` is asked before more than this side's own are used.
-    `places` is set where all instances together have a limit at each backend. `keeps`, where set, returns the
+    `quota` is set where all instances together have a limit at each backend. `keeps`, where set, returns the
     backends to which idle connections are kept; to others they are closed after `outside_idle_us`. `faults`
     counts protocol errors by address and cause since the last sweep.
     """
@@ -67,7 +67,7 @@
         self._busy: dict[AttemptHandle, Connection] = {}
         self.count = 0
         self.part = 1.0
-        self.places: ConnectionQuota | None = None
+        self.quota: ConnectionQuota | None = None
         self.keeps: Callable[[], frozenset[str]] | None = None
         self.outside_idle_us = limits.backend_idle_us
         self.borrow: Callable[[], bool] = lambda: True
@@ -95,9 +95,9 @@
             conn.begin(trial)
             return
         conns = self._conns.setdefault(key, set())
-        if self.places and len(conns) >= self.places.max_connections(trial.node):
+        if self.quota and len(conns) >= self.quota.max_connections(trial.node):
             # The quota is lacking, not the backend: nothing is to be learnt of it.
-            self.places.set_open(trial.node, len(conns), lacking=True)
+            self.quota.set_open(trial.node, len(conns), lacking=True)
             trial.finish(Outcome.NEVER_DISPATCHED)
             return
         if len(conns) >= self.limits.conns_per_backend or not self._make_room():
@@ -180,8 +180,8 @@
             self._idle[conn.key].remove(conn)
 
     def _report_open(self, conn: Connection) -> None:
-        if self.places:
-            self.places.set_open(conn.node, len(self._conns[conn.key]))
+        if self.quota:
+            self.quota.set_open(conn.node, len(self._conns[conn.key]))
 
     def _close_above_quota(self, key: Key) -> None:
         """Close connections above the quota share: idle ones at once, those at work as they come free.
@@ -189,7 +189,7 @@
         The share shrinks when what peers had lent goes back to them.
         """
         idle = self._idle.get(key, [])
-        while self.places and idle and len(self._conns[key]) > self.places.max_connections(idle[0].node):
+        while self.quota and idle and len(self._conns[key]) > self.quota.max_connections(idle[0].node):
             idle[0].close()
 
     # The sweep
--- a/tests/peers/test_connection_quota.py
+++ b/tests/peers/test_connection_quota.py
@@ -81,7 +81,7 @@
 
 def test_pool_opens_no_more_connections_than_the_quota_and_closes_those_beyond_it() -> None:
     w, quota = SimulatedInstance(), FixedQuota()
-    w.bricks.places = quota
+    w.bricks.quota = quota
     brick = w.server(Brick)
     brick.hold = True
     w.list(Box("n0", brick.address, 0))
--- a/tests/peers/test_disabled_backends.py
+++ b/tests/peers/test_disabled_backends.py
@@ -20,29 +20,31 @@
     Merged,
 )
 from garnetlanding.peers.failure_detector import FailureDetector
-from tests.support.suspicions import LIMITS, Heads
+from tests.support.suspicions import LIMITS, GossipingInstances
 
 
 def test_disabled_backend_reaches_all_instances_and_is_enabled_from_any() -> None:
-    group = Heads()
+    group = GossipingInstances()
     group.run(10)
     disabled = DisabledBackends(LIMITS)
     disabled.set_disabled("n1", True, 0, 1000)
-    group.fleets[0].replace_disabled(disabled)
+    group.detectors[0].replace_disabled(disabled)
     group.run(10)
-    for fleet in group.fleets[1:]:
+    for fleet in group.detectors[1:]:
         assert [r.backend for r in fleet.take_received()] == ["n1"] and not fleet.take_received()
         fleet.replace_disabled(DisabledBackends(LIMITS, disabled.records.values()))
     group.run(10)
-    assert not any(fleet.take_received() for fleet in group.fleets), "equal tables: no more records are sent"
+    assert not any(
+        fleet.take_received() for fleet in group.detectors
+    ), "equal tables: no more records are sent"
     enabled = DisabledBackends(LIMITS, disabled.records.values())
     enabled.set_disabled("n1", False, 2, 500)
-    group.fleets[2].replace_disabled(enabled)
+    group.detectors[2].replace_disabled(enabled)
     group.run(10)
-    assert [r.disabled for r in group.fleets[0].take_received()] == [
+    assert [r.disabled for r in group.detectors[0].take_received()] == [
         False
     ], "a clock that is behind does not keep it from that"
-    assert group.talks[0].disabled_rows()[0].as_json()["out"] is True
+    assert group.coordinators[0].disabled_rows()[0].as_json()["out"] is True
 
 
 # The table
--- a/tests/peers/test_gossip_message.py
+++ b/tests/peers/test_gossip_message.py
@@ -30,7 +30,7 @@
 )
 from tests.support.clock import T0
 from tests.support.decision_bench import make_settings
-from tests.support.suspicions import LIMITS, Heads, dead
+from tests.support.suspicions import LIMITS, GossipingInstances, make_evidence
 
 # Bytes
 
@@ -71,16 +71,16 @@
 
 
 def test_forged_words_are_counted_by_cause() -> None:
-    f = Heads()
+    f = GossipingInstances()
     f.run(10)
-    good = to_envelope(GossipMessage(EMPTY_DIGEST, (dead(),)), 1, 999, 0, 0)
+    good = to_envelope(GossipMessage(EMPTY_DIGEST, (make_evidence(),)), 1, 999, 0, 0)
     strange = replace(good, number=1000, body=good.body[:DIGEST] + b"\x09" + good.body[DIGEST + 1 :])
     f.run(
         1,
         (0, api.PeerMessage(1, codec.encode_envelope(good))),
         (0, api.PeerMessage(1, codec.encode_envelope(strange))),
     )
-    assert f.talks[0].dropped == {"word too old": 1, "no such verdict": 1}
+    assert f.coordinators[0].dropped == {"word too old": 1, "no such verdict": 1}
     off = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), incarnation=1)
     off.handle(T0, [api.PeerMessage(1, codec.encode_envelope(good))])
     assert off.dropped == {"other kind": 1} and list(off.suspicion_rows(T0)) == []
--- a/tests/peers/test_local_observations.py
+++ b/tests/peers/test_local_observations.py
@@ -7,36 +7,47 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.interface import Outcome
 from tests.support.clock import MS, T0
-from tests.support.suspicions import AIM, LIMITS, REFUSED, SERVED, SIX, result, sightings, told
+from tests.support.suspicions import (
+    LIMITS,
+    OBJECTIVE_US,
+    REFUSED,
+    SERVED,
+    SIX_BACKENDS,
+    evidence_labels,
+    observations_after,
+    result,
+)
 
 # What is observations
 
 
 def test_evidence_rests_on_local_observations_and_ends_with_a_response() -> None:
-    observations = sightings(
+    observations = observations_after(
         *[result("n0", REFUSED)] * 3,
         *[result("n1", REFUSED)] * 2,
         *[result("n2", Outcome.FULL)] * 3,
         *[result("n3", SERVED, 300 * MS)] * 4,
         *[result("n4", Outcome.TIMEOUT)] * 2,
     )
-    assert told(observations) == {"n0": "dead", "n2": "full", "n3": "slow", "n4": "silent"}
+    assert evidence_labels(observations) == {"n0": "dead", "n2": "full", "n3": "slow", "n4": "silent"}
     later = T0 + 100 * MS
     observations.observe_events(
-        later, [result(n, SERVED) for n in ("n0", "n2", "n4")] + [result("n3", SERVED)] * 4, AIM
+        later, [result(n, SERVED) for n in ("n0", "n2", "n4")] + [result("n3", SERVED)] * 4, OBJECTIVE_US
     )
-    assert told(observations, later) == {"n0": "cold", "n4": "cold"}, "recovered"
-    assert told(observations, later + LIMITS.evidence_us + 1) == {}
+    assert evidence_labels(observations, later) == {"n0": "cold", "n4": "cold"}, "recovered"
+    assert evidence_labels(observations, later + LIMITS.evidence_us + 1) == {}
 
 
 def test_backend_is_unresponsive_only_with_several_requests_in_flight() -> None:
-    observations = sightings(result("n0", SERVED))
+    observations = observations_after(result("n0", SERVED))
     observations.observe_actions(T0, [api.Send("a", "n0"), api.Send("b", "n0"), api.Send("c", "n1")])
-    assert not told(observations, T0 + 2 * AIM - 1)
-    assert told(observations, T0 + 2 * AIM) == {"n0": "silent"}
-    observations.observe_events(T0 + 2 * AIM, [result("n0", SERVED, request="a")], AIM)
-    assert told(observations, T0 + 2 * AIM) == {"n0": "cold"}
+    assert not evidence_labels(observations, T0 + 2 * OBJECTIVE_US - 1)
+    assert evidence_labels(observations, T0 + 2 * OBJECTIVE_US) == {"n0": "silent"}
+    observations.observe_events(T0 + 2 * OBJECTIVE_US, [result("n0", SERVED, request="a")], OBJECTIVE_US)
+    assert evidence_labels(observations, T0 + 2 * OBJECTIVE_US) == {"n0": "cold"}
     observations.observe_events(
-        T0 + 2 * AIM, [api.EndpointListUpdate((replace(SIX[0], state=api.EndpointState.DRAINING),))], AIM
+        T0 + 2 * OBJECTIVE_US,
+        [api.EndpointListUpdate((replace(SIX_BACKENDS[0], state=api.EndpointState.DRAINING),))],
+        OBJECTIVE_US,
     )
     assert "n0" not in observations.backends, "the list says so: there is no evidence about it"
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -21,18 +21,28 @@
 from garnetlanding.peers.setup import read_fleet
 from garnetlanding.peers.suspicions import PeerClaim, SuspicionTable
 from tests.support.clock import MS, SECOND, T0
-from tests.support.suspicions import AIM, LIMITS, REFUSED, SERVED, SIX, Heads, dead, result, sightings
+from tests.support.suspicions import (
+    LIMITS,
+    OBJECTIVE_US,
+    REFUSED,
+    SERVED,
+    SIX_BACKENDS,
+    GossipingInstances,
+    make_evidence,
+    observations_after,
+    result,
+)
 
 
 def test_claim_holds_until_its_greatest_possible_age_and_only_after_an_exchange() -> None:
-    observations, table = sightings(), SuspicionTable(LIMITS)
-    assert table.receive(1, [dead()], None, T0, observations) == {DropReason.EXPIRED_EVIDENCE: 1}
-    assert table.receive(1, [dead(age_ms=500)], T0 - 300 * MS, T0, observations) == {}
+    observations, table = observations_after(), SuspicionTable(LIMITS)
+    assert table.receive(1, [make_evidence()], None, T0, observations) == {DropReason.EXPIRED_EVIDENCE: 1}
+    assert table.receive(1, [make_evidence(age_ms=500)], T0 - 300 * MS, T0, observations) == {}
     until = T0 - 800 * MS + LIMITS.evidence_us
     assert table.suspected(T0, observations) == {"n0": until} and not table.suspected(until, observations)
     late = T0 - LIMITS.evidence_us
-    assert table.receive(1, [dead()], late, T0, observations) == {DropReason.EXPIRED_EVIDENCE: 1}
-    assert table.receive(1, [dead("x"), dead("n1", life=7)], T0, T0, observations) == {
+    assert table.receive(1, [make_evidence()], late, T0, observations) == {DropReason.EXPIRED_EVIDENCE: 1}
+    assert table.receive(1, [make_evidence("x"), make_evidence("n1", uptime=7)], T0, T0, observations) == {
         DropReason.UNKNOWN_BACKEND: 1,
         DropReason.OTHER_INCARNATION: 1,
     }
@@ -44,75 +54,79 @@
 def test_incarnations_of_a_backend_are_compared_by_uptime() -> None:
     observations = LocalObservations(LIMITS)
     observations.observe_events(
-        T0, [api.EndpointListUpdate((replace(SIX[0], started_us=T0 - 40 * SECOND),), whole=True)], AIM
+        T0,
+        [api.EndpointListUpdate((replace(SIX_BACKENDS[0], started_us=T0 - 40 * SECOND),), whole=True)],
+        OBJECTIVE_US,
     )
     for life, same in ((400, True), (385, True), (430, False), (20, False), (MAX_UPTIME, False)):
-        assert (SuspicionTable(LIMITS).receive(1, [dead(life=life)], T0, T0, observations) == {}) is same
+        assert (
+            SuspicionTable(LIMITS).receive(1, [make_evidence(uptime=life)], T0, T0, observations) == {}
+        ) is same
 
 
 def test_later_local_observation_refutes_a_claim() -> None:
-    observations, table = sightings(), SuspicionTable(LIMITS)
-    table.receive(1, [dead()], T0, T0, observations)
-    observations.observe_events(T0 + MS, [result("n0", Outcome.ERROR)], AIM)
+    observations, table = observations_after(), SuspicionTable(LIMITS)
+    table.receive(1, [make_evidence()], T0, T0, observations)
+    observations.observe_events(T0 + MS, [result("n0", Outcome.ERROR)], OBJECTIVE_US)
     assert not table.suspected(T0 + MS, observations)
-    table.receive(1, [dead("n1", kind=EvidenceKind.SLOW)], T0 + MS, T0 + MS, observations)
-    observations.observe_events(T0 + 2 * MS, [result("n1", SERVED, 2 * AIM)], AIM)
+    table.receive(1, [make_evidence("n1", kind=EvidenceKind.SLOW)], T0 + MS, T0 + MS, observations)
+    observations.observe_events(T0 + 2 * MS, [result("n1", SERVED, 2 * OBJECTIVE_US)], OBJECTIVE_US)
     assert table.suspected(T0 + 2 * MS, observations), "a late response does not refute that it is slow"
-    observations.observe_events(T0 + 3 * MS, [result("n1", SERVED)], AIM)
+    observations.observe_events(T0 + 3 * MS, [result("n1", SERVED)], OBJECTIVE_US)
     assert not table.suspected(T0 + 3 * MS, observations)
 
 
 def test_peer_counts_once_and_loses_credit_when_refuted_repeatedly() -> None:
-    observations, table = sightings(), SuspicionTable(LIMITS)
+    observations, table = observations_after(), SuspicionTable(LIMITS)
     now = T0
     for _ in range(24):  # rounds of six seconds: the backend that is claimed to be unreachable responds
         now += 250 * MS
-        table.receive(1, [dead()], now, now, observations)
+        table.receive(1, [make_evidence()], now, now, observations)
         now += MS
-        observations.observe_events(now, [result("n0", SERVED)], AIM)
+        observations.observe_events(now, [result("n0", SERVED)], OBJECTIVE_US)
     assert table.credit(1, now) < LIMITS.suspicion_credit
-    table.receive(1, [dead("n1")], now, now, observations)
+    table.receive(1, [make_evidence("n1")], now, now, observations)
     assert not table.suspected(now, observations), "nor is it believed about others"
-    table.receive(2, [dead("n1")], now, now, observations)
+    table.receive(2, [make_evidence("n1")], now, now, observations)
     assert table.suspected(now, observations)
-    table.receive(1, [dead("n1")] * 5, now, now, observations)
+    table.receive(1, [make_evidence("n1")] * 5, now, now, observations)
     table.receive(2, [], now, now, observations)
     assert not table.suspected(now, observations), "five equal claims count once"
     assert table.credit(1, now + LIMITS.credit_recovery_us) == 1
 
 
 def test_peer_that_withdraws_and_repeats_a_refuted_claim_loses_credit() -> None:
-    observations, table = sightings(), SuspicionTable(LIMITS)
+    observations, table = observations_after(), SuspicionTable(LIMITS)
     now = T0
     for _ in range(4):
-        table.receive(1, [dead()], now, now, observations)
-        observations.observe_events(now + MS, [result("n0", SERVED)], AIM)
+        table.receive(1, [make_evidence()], now, now, observations)
+        observations.observe_events(now + MS, [result("n0", SERVED)], OBJECTIVE_US)
         table.receive(1, [], now + 2 * MS, now + 2 * MS, observations)
         now += 500 * MS
     assert table.credit(1, now) < LIMITS.suspicion_credit
     other, slow = SuspicionTable(LIMITS), T0 + 60 * SECOND
     for _ in range(4):  # a backend that really fails and recovers, at some distance
-        other.receive(1, [dead()], slow, slow, observations)
-        observations.observe_events(slow + MS, [result("n0", SERVED)], AIM)
+        other.receive(1, [make_evidence()], slow, slow, observations)
+        observations.observe_events(slow + MS, [result("n0", SERVED)], OBJECTIVE_US)
         other.receive(1, [], slow + 2 * MS, slow + 2 * MS, observations)
         slow += 2 * LIMITS.evidence_us
     assert other.credit(1, slow) == 1
 
 
 def test_peer_that_was_right_keeps_its_credit_when_the_backend_recovers() -> None:
-    observations, table = sightings(), SuspicionTable(LIMITS)
+    observations, table = observations_after(), SuspicionTable(LIMITS)
     for now in range(T0, T0 + 3 * SECOND, 250 * MS):
-        table.receive(1, [dead(age_ms=(now - T0) // MS % 1000)], now, now, observations)
-    observations.observe_events(now, [result("n0", SERVED)], AIM)
+        table.receive(1, [make_evidence(age_ms=(now - T0) // MS % 1000)], now, now, observations)
+    observations.observe_events(now, [result("n0", SERVED)], OBJECTIVE_US)
     for age in range(250, 1500, 250):  # it goes on claiming what it observed before, as old as that is
-        table.receive(1, [dead(age_ms=age)], now + age * MS, now + age * MS, observations)
+        table.receive(1, [make_evidence(age_ms=age)], now + age * MS, now + age * MS, observations)
     assert table.credit(1, now) == 1
 
 
 def test_suspected_backends_are_a_set_share_at_most() -> None:
-    observations, table = sightings(), SuspicionTable(LIMITS)
-    table.receive(1, [dead(f"n{i}") for i in range(6)], T0, T0, observations)
-    table.receive(2, [dead("n5")], T0, T0, observations)
+    observations, table = observations_after(), SuspicionTable(LIMITS)
+    table.receive(1, [make_evidence(f"n{i}") for i in range(6)], T0, T0, observations)
+    table.receive(2, [make_evidence("n5")], T0, T0, observations)
     assert len(table.suspected(T0, observations)) == 2 and "n5" in table.suspected(T0, observations)
 
 
@@ -121,14 +135,14 @@
 
 
 def test_suspected_backend_gets_one_request_at_a_time_until_it_responds() -> None:
-    fleet = Heads()
+    fleet = GossipingInstances()
     fleet.run(20)
     fleet.run(8, *[(1, result("n0", REFUSED))] * 3)
     fleet.run(1, *[(0, arrival(f"r{i}", fleet.now)) for i in range(3)])
     assert fleet.sends[0] == ["r0"], "one at a time, and never none"
     fleet.run(1, (0, result("n0", SERVED, request="r0")))
     assert fleet.sends[0] == ["r0", "r1", "r2"], "a response to its own request ends the suspicion"
-    shown = [row.as_json() for row in fleet.talks[0].suspicion_rows(fleet.now)]
+    shown = [row.as_json() for row in fleet.coordinators[0].suspicion_rows(fleet.now)]
     assert [w["head"] for w in shown[0]["words"]] == [1] and shown[0]["doubted_ms"] is None  # type: ignore
 
 
--- a/tests/support/suspicions.py
+++ b/tests/support/suspicions.py
@@ -19,8 +19,8 @@
 from tests.support.decision_bench import make_settings, up_endpoint
 
 LIMITS = PeerLimits()
-AIM = 200 * MS
-SIX = tuple(up_endpoint(f"n{i}", i) for i in range(6))
+OBJECTIVE_US = 200 * MS
+SIX_BACKENDS = tuple(up_endpoint(f"n{i}", i) for i in range(6))
 SERVED, REFUSED = Outcome.SERVED, Outcome.UNREACHABLE
 
 
@@ -28,57 +28,56 @@
     return api.Result(request, 0, node, outcome, took, False)
 
 
-def sightings(*events: api.Event, now: int = T0) -> LocalObservations:
-    seen = LocalObservations(LIMITS)
-    seen.observe_events(now, [api.EndpointListUpdate(SIX, whole=True), *events], AIM)
-    return seen
+def observations_after(*events: api.Event, now: int = T0) -> LocalObservations:
+    observations = LocalObservations(LIMITS)
+    observations.observe_events(
+        now, [api.EndpointListUpdate(SIX_BACKENDS, whole=True), *events], OBJECTIVE_US
+    )
+    return observations
 
 
-def told(seen: LocalObservations, now: int = T0) -> dict[str, str]:
-    return {node: e.kind.label for node, e in seen.evidence(now, AIM).items()}
+def evidence_labels(observations: LocalObservations, now: int = T0) -> dict[str, str]:
+    return {
+        backend: evidence.kind.label for backend, evidence in observations.evidence(now, OBJECTIVE_US).items()
+    }
 
 
-# What a word counts for
-
-
-def dead(
-    node: str = "n0", age_ms: int = 0, life: int = MAX_UPTIME, kind: EvidenceKind = EvidenceKind.UNREACHABLE
+def make_evidence(
+    node: str = "n0", age_ms: int = 0, uptime: int = MAX_UPTIME, kind: EvidenceKind = EvidenceKind.UNREACHABLE
 ) -> Evidence:
-    return Evidence(kind, tag(node), life, 3, age_ms)
-
-
-# Heads in one process
+    return Evidence(kind, tag(node), uptime, 3, age_ms)
 
 
-class Heads:
-    """Three heads before two nodes; what they tell arrives at once, unless a test cuts it."""
+class GossipingInstances:
+    """Three instances before six backends; what they send arrives with the next round."""
 
     def __init__(self) -> None:
         self.now = T0
-        self.fleets = [FailureDetector(LIMITS) for _ in range(3)]
-        self.talks = [
+        self.detectors = [FailureDetector(LIMITS) for _ in range(3)]
+        self.coordinators = [
             PeerCoordinator(
-                Controller(make_settings(may_message_peers=True, instance_id=me), 1),
+                Controller(make_settings(may_message_peers=True, instance_id=number), 1),
                 incarnation=1,
-                subsystems=PeerSubsystems(fleet),
+                subsystems=PeerSubsystems(detector),
             )
-            for me, fleet in enumerate(self.fleets)
+            for number, detector in enumerate(self.detectors)
         ]
         self.inbox: list[list[api.Event]] = [
-            [api.EndpointListUpdate(SIX, whole=True, at_start=True)] for _ in range(3)
+            [api.EndpointListUpdate(SIX_BACKENDS, whole=True, at_start=True)] for _ in range(3)
         ]
         self.sends: list[list[str]] = [[], [], []]
 
     def run(self, rounds: int, *given: tuple[int, api.Event]) -> None:
-        for me, event in given:
-            self.inbox[me].append(event)
+        for number, event in given:
+            self.inbox[number].append(event)
         for _ in range(rounds):
             self.now += 50 * MS
-            for me, talk in enumerate(self.talks):
-                events, self.inbox[me] = self.inbox[me], []
-                for action in talk.handle(self.now, events):
+            for number, coordinator in enumerate(self.coordinators):
+                events = self.inbox[number]
+                self.inbox[number] = []
+                for action in coordinator.handle(self.now, events):
                     if isinstance(action, api.SendPeerMessage):
                         assert len(action.payload) <= LIMITS.datagram_bytes
-                        self.inbox[action.to].append(api.PeerMessage(me, action.payload))
+                        self.inbox[action.to].append(api.PeerMessage(number, action.payload))
                     elif isinstance(action, api.Send):
-                        self.sends[me].append(action.request)
+                        self.sends[number].append(action.request)
