--- a/garnetlanding/lab/clients.py
+++ b/garnetlanding/lab/clients.py
@@ -107,7 +107,7 @@
         match answer:
             case bytes():
                 return "served" if answer == request["id"].encode() else "other's"
-            case codec.Error(text) if text.startswith(b"BUSY"):
+            case codec.ErrorReply(text) if text.startswith(b"BUSY"):
                 return "refused"
         return "failed"
 
--- a/garnetlanding/resp/backend_connection.py
+++ b/garnetlanding/resp/backend_connection.py
@@ -115,12 +115,12 @@
 
         The attempt ends with the first byte of the value: its one reply is on its way to the client.
         """
-        if isinstance(value, codec.Begun) and self._attempt:
+        if isinstance(value, codec.BulkStart) and self._attempt:
             attempt = self._attempt
             self._attempt = None
             self.body = Body(value.length)
             attempt.finish(Outcome.SERVED, self.body)
-        elif isinstance(value, codec.Piece) and self.body:
+        elif isinstance(value, codec.BulkChunk) and self.body:
             self.body.feed(value.data)
         else:
             return False
--- a/garnetlanding/resp/backend_reply.py
+++ b/garnetlanding/resp/backend_reply.py
@@ -34,9 +34,9 @@
     match reply:
         case [bytes() as value, used, report]:
             return BackendReply(Outcome.SERVED, value, read_used(used, max_used_percent), read_report(report))
-        case [codec.Begun(), _, _]:
+        case [codec.BulkStart(), _, _]:
             return BackendReply(Outcome.SERVED, None, 0, {})  # the value has been streamed
-        case codec.Error(text):
+        case codec.ErrorReply(text):
             return _read_error(text, max_used_percent)
     raise BackendProtocolError("spoilt answer")
 
--- a/garnetlanding/resp/codec.py
+++ b/garnetlanding/resp/codec.py
@@ -2,8 +2,8 @@
 
 The decoder yields values as Python ones: a bulk string is `bytes`, an integer `int`, an array `list`, and a
 null of either kind `None`; simple strings and errors have types of their own. A bulk string too long to be
-buffered whole is yielded in pieces where the protocol allows for it: `Begun`, `Piece`s, and then the array
-around it, in which the same `Begun` stands in its place.
+buffered whole is yielded in pieces where the protocol allows for it: `BulkStart`, `BulkChunk`s, and then the
+array around it, in which the same `BulkStart` stands in its place.
 """
 
 from __future__ import annotations
@@ -27,34 +27,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Simple:
+class SimpleString:
     """A simple string (`+`)."""
 
     text: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Error:
+class ErrorReply:
     """An error reply (`-`)."""
 
     text: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Begun:
+class BulkStart:
     """A backend's reply begins with a value of `length` bytes, which is not buffered: its pieces follow."""
 
     length: int
 
 
 @dataclass(frozen=True, slots=True)
-class Piece:
-    """The next bytes of the value begun."""
+class BulkChunk:
+    """The next bytes of the value that a `BulkStart` announced."""
 
     data: bytes
 
 
-Value = Simple | Error | int | bytes | None | Begun | Piece | list["Value"]
+Value = SimpleString | ErrorReply | int | bytes | None | BulkStart | BulkChunk | list["Value"]
 
 
 class _Step(Enum):
@@ -88,7 +88,7 @@
         self._max_bulk_bytes = limits.value_bytes if commands_only else limits.reply_bytes
         self._bulk_remaining: int | None = None
         """Bytes still to be read of the present bulk string; `None` between bulk strings."""
-        self._begun: Begun | None = None
+        self._bulk_start: BulkStart | None = None
         """That string, where it is yielded in pieces."""
         self._arrays: list[tuple[int, list[Value]]] = []
         """Arrays that are not complete, the innermost last: their length and elements so far."""
@@ -111,14 +111,14 @@
         self._buffer.clear()
         self._arrays = []
         self._bulk_remaining = None
-        self._begun = None
+        self._bulk_start = None
 
     def _values(self) -> Iterator[Value]:
         while True:
             element = self._next_element()
             if element is _NEED_DATA:
                 return
-            if self._bulk_remaining is not None and isinstance(element, Begun | Piece):
+            if self._bulk_remaining is not None and isinstance(element, BulkStart | BulkChunk):
                 yield element  # part of a bulk string that goes on
                 continue
             value = self._add_to_array(element)
@@ -140,7 +140,7 @@
         """Return the next element that is not an array with elements to come, or `NEED_DATA`."""
         while True:
             if self._bulk_remaining is not None:
-                return self._read_piece() if self._begun else self._read_bulk(self._bulk_remaining)
+                return self._read_piece() if self._bulk_start else self._read_bulk(self._bulk_remaining)
             try:
                 line = self._buffer.line(self._limits.line_bytes)
             except ValueError as error:
@@ -160,9 +160,9 @@
         if kind == b"*":
             return self._begin_array(self._read_length(rest, self._limits.elements))
         if kind == b"+":
-            return Simple(rest)
+            return SimpleString(rest)
         if kind == b"-":
-            return Error(rest)
+            return ErrorReply(rest)
         if kind == b":":
             return _read_integer(rest)
         raise ProtocolError("unknown type byte")
@@ -173,8 +173,8 @@
         self._bulk_remaining = length
         if length > self._limits.stream_threshold_bytes:
             if self._arrays and self._arrays[-1] == (REPLY_ELEMENTS, []):
-                self._begun = Begun(length)
-                return self._begun
+                self._bulk_start = BulkStart(length)
+                return self._bulk_start
             if not self._commands_only:
                 raise ProtocolError("length over the limit")
         return _CONTINUE
@@ -203,13 +203,13 @@
                 return _NEED_DATA
             piece = self._buffer.take(self._bulk_remaining)
             self._bulk_remaining -= len(piece)
-            return Piece(piece)
+            return BulkChunk(piece)
         if self._buffer.length < _CRLF_BYTES:
             return _NEED_DATA
-        begun = self._begun
-        self._begun = None
+        start = self._bulk_start
+        self._bulk_start = None
         self._end_bulk()
-        return begun
+        return start
 
     def _end_bulk(self) -> None:
         if self._buffer.take(_CRLF_BYTES) != CRLF:
--- a/garnetlanding/telemetry/ended_request.py
+++ b/garnetlanding/telemetry/ended_request.py
@@ -20,7 +20,6 @@
     began_us: int
     ended_us: int
     attempts: list[AttemptSummary]
-    """Backend, outcome, time sent and time ended (0: still in flight when the request ended)."""
 
 
 def outcome_of(answer: Answer) -> str:
--- a/garnetlanding/telemetry/request_metrics.py
+++ b/garnetlanding/telemetry/request_metrics.py
@@ -28,8 +28,8 @@
         """Count a request and its attempts."""
         request = ended.request
         self._requests[("class", request.cls), ("plan", request.plan), ("outcome", ended.outcome)] += 1
-        for _, outcome, _, _ in ended.attempts:
-            self._attempts[(("outcome", outcome),)] += 1
+        for attempt in ended.attempts:
+            self._attempts[(("outcome", attempt.outcome),)] += 1
         durations = self._durations.get(request.cls)
         if durations is None:
             durations = self._durations[request.cls] = otlp.Histogram(DURATION_BOUNDS_S)
--- a/garnetlanding/telemetry/request_spans.py
+++ b/garnetlanding/telemetry/request_spans.py
@@ -58,12 +58,12 @@
                 parent_id=parent_id,
                 name="attempt",
                 kind=SpanKind.CLIENT,
-                start_ns=self._wall_ns(sent_us),
-                end_ns=self._wall_ns(ended_us or ended.ended_us),
-                attributes={"server": backend, "outcome": outcome},
-                error=_error(outcome),
+                start_ns=self._wall_ns(attempt.sent_us),
+                end_ns=self._wall_ns(attempt.ended_us or ended.ended_us),
+                attributes={"server": attempt.node, "outcome": attempt.outcome},
+                error=_error(attempt.outcome),
             )
-            for backend, outcome, sent_us, ended_us in ended.attempts
+            for attempt in ended.attempts
         ]
 
     def _random_id(self, digits: int) -> str:
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -55,9 +55,9 @@
     for size in [*sizes, len(data)]:
         got += list(decoder.feed(data[:size]))
         data = data[size:]
-    assert got[0] == codec.Begun(len(value))
-    assert b"".join(p.data for p in got if isinstance(p, codec.Piece)) == value
-    assert got[-2:] == [[codec.Begun(len(value)), b"used=50", None], [b"short", b"used=50", None]]
+    assert got[0] == codec.BulkStart(len(value))
+    assert b"".join(p.data for p in got if isinstance(p, codec.BulkChunk)) == value
+    assert got[-2:] == [[codec.BulkStart(len(value)), b"used=50", None], [b"short", b"used=50", None]]
     assert not decoder.midway
 
 
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -399,13 +399,13 @@
 def resp_form(value: Any) -> str:
     """A parsed RESP value under a fixed label."""
     match value:
-        case resp.Simple(text):
+        case resp.SimpleString(text):
             return f"simple {text!r}"
-        case resp.Error(text):
+        case resp.ErrorReply(text):
             return f"error {text!r}"
-        case resp.Begun(length):
+        case resp.BulkStart(length):
             return f"begun {length}"
-        case resp.Piece(data):
+        case resp.BulkChunk(data):
             return f"piece {shown(data)}"
         case list():
             return f"array[{', '.join(map(resp_form, value))}]"
--- a/tests/resp/test_backend_connection.py
+++ b/tests/resp/test_backend_connection.py
@@ -20,10 +20,10 @@
         ([b"v", b"used=37,cost=4", None], (Outcome.SERVED, b"v", 38)),
         ([b"v", None, None], (Outcome.SERVED, b"v", 0)),
         ([b"v", b"cost=4", None], (Outcome.SERVED, b"v", 0)),
-        (codec.Error(b"ERR failed used=5"), (Outcome.ERROR, None, 6)),
-        (codec.Error(b"ERR failed used=5 latency_ms=9"), (Outcome.ERROR, None, 6)),
-        (codec.Error(b"BUSY"), (Outcome.FULL, None, 0)),
-        (codec.Error(b"SYNTAX"), (Outcome.ERROR, None, 0)),
+        (codec.ErrorReply(b"ERR failed used=5"), (Outcome.ERROR, None, 6)),
+        (codec.ErrorReply(b"ERR failed used=5 latency_ms=9"), (Outcome.ERROR, None, 6)),
+        (codec.ErrorReply(b"BUSY"), (Outcome.FULL, None, 0)),
+        (codec.ErrorReply(b"SYNTAX"), (Outcome.ERROR, None, 0)),
         # A figure that cannot be read fails only itself: it must not steer weights.
         *(
             ([b"v", use, None], (Outcome.SERVED, b"v", 0))
@@ -43,7 +43,7 @@
         ([b"v", b"used=8", b"\xff{"], (Outcome.SERVED, b"v", 9)),
     ],
 )
-def test_what_a_brick_says_and_what_it_means(
+def test_a_reply_is_read_as_outcome_value_and_used_capacity(
     reply: codec.Value, meaning: tuple[Outcome, bytes | None, int]
 ) -> None:
     assert read_reply(reply, LIMITS.use_percent)[:3] == meaning
@@ -54,10 +54,10 @@
     [
         ([b"v", None, b"latency_ms=31.5"], {"latency_ms": 31.5}),
         ([b"v", b"used=3", b"inflight=7,queue=2,util=0.61"], {"inflight": 7.0, "queue": 2.0, "util": 0.61}),
-        (codec.Error(b"ERR failed used=5 latency_ms=9"), {"latency_ms": 9.0}),
-        (codec.Error(b"ERR failed latency_ms=9"), {"latency_ms": 9.0}),
-        (codec.Error(b"ERR failed used=5"), {}),
-        (codec.Error(b"BUSY"), {}),
+        (codec.ErrorReply(b"ERR failed used=5 latency_ms=9"), {"latency_ms": 9.0}),
+        (codec.ErrorReply(b"ERR failed latency_ms=9"), {"latency_ms": 9.0}),
+        (codec.ErrorReply(b"ERR failed used=5"), {}),
+        (codec.ErrorReply(b"BUSY"), {}),
         *(
             ([b"v", None, odd], {})
             for odd in (
@@ -74,7 +74,7 @@
         ),
     ],
 )
-def test_the_load_report_of_an_answer(reply: codec.Value, report: dict[str, float]) -> None:
+def test_a_load_report_is_read_whole_or_not_at_all(reply: codec.Value, report: dict[str, float]) -> None:
     assert read_reply(reply, LIMITS.use_percent)[3] == report
 
 
@@ -97,8 +97,25 @@
         b"*3\r\n$5\r\nv\r\n",
         b"-ERR no end",
     ],
+    ids=[
+        "simple string",
+        "integer",
+        "null",
+        "empty error",
+        "unknown error",
+        "array of one",
+        "null array",
+        "value missing",
+        "value cut short",
+        "negative length",
+        "unknown type",
+        "value too long",
+        "line too long",
+        "value longer than said",
+        "error cut short",
+    ],
 )
-def test_a_spoilt_answer_may_have_run_and_its_connection_is_not_used_again(spoilt: bytes) -> None:
+def test_a_malformed_reply_resets_the_attempt_and_closes_the_connection(spoilt: bytes) -> None:
     """Some are still being sent, or wait for what never comes: they must not hold the attempt for good."""
     w = SimulatedInstance()
     brick = w.server(Brick)
@@ -113,7 +130,7 @@
     assert len(brick.heard) == brick.accepted == 2
 
 
-def test_part_after_part_of_an_answer_without_an_end_is_given_up_too() -> None:
+def test_a_reply_that_trickles_without_an_end_is_given_up() -> None:
     w = SimulatedInstance()
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
@@ -129,7 +146,7 @@
 
 
 @pytest.mark.parametrize("behind", [b"noise", b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", b"\r\n"])
-def test_a_good_answer_with_more_behind_it_is_served_and_its_connection_closed(behind: bytes) -> None:
+def test_a_reply_with_bytes_behind_it_is_served_and_its_connection_closed(behind: bytes) -> None:
     """It was thrown away with its connection, and the work done a second time."""
     w = SimulatedInstance()
     brick = w.server(Brick)
@@ -141,7 +158,7 @@
     assert len(brick.heard) == 1
 
 
-def test_a_value_longer_than_many_buffers_passes_whole() -> None:
+def test_a_value_longer_than_many_buffers_is_served_complete() -> None:
     w = SimulatedInstance(buffer_bytes=512)
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
--- a/tests/resp/test_client_connections.py
+++ b/tests/resp/test_client_connections.py
@@ -10,7 +10,7 @@
 from tests.support.simulated_instance import SimulatedInstance, read_command
 
 
-def test_a_client_that_closes_has_left_and_its_attempt_is_stopped() -> None:
+def test_the_attempt_of_a_client_that_closes_is_stopped() -> None:
     w = SimulatedInstance()
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
@@ -24,7 +24,7 @@
     assert w.core.finals == [[]]
 
 
-def test_a_client_that_sends_half_a_command_or_reads_nothing_is_cut_off() -> None:
+def test_a_client_that_stalls_in_sending_or_reading_is_closed() -> None:
     w = SimulatedInstance(buffer_bytes=512, unsent_bytes=20_000)
     brick = w.server(Brick)
     brick.data[b"k"] = b"x" * 60_000
@@ -42,7 +42,7 @@
     assert len(front) == 0, "what it leaves unread is bounded in bytes and time"
 
 
-def test_connections_are_bounded_and_the_one_idle_longest_makes_room() -> None:
+def test_at_the_limit_the_longest_idle_connection_is_evicted() -> None:
     w = SimulatedInstance(client_conns=2)
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
@@ -59,7 +59,7 @@
     assert idle.closed
 
 
-def test_a_crowd_that_only_greets_makes_room_before_those_that_ask() -> None:
+def test_clients_that_only_ping_are_evicted_before_those_with_requests() -> None:
     """Hundreds sent a PING and stayed: their places were theirs for 2 s, and nobody else was heard."""
     w = SimulatedInstance(client_conns=2, idle_us=100 * MS)
     w.list()
@@ -75,7 +75,7 @@
     assert not asker.closed
 
 
-def test_who_says_nothing_makes_room_sooner_unless_its_request_has_come_unread() -> None:
+def test_silent_clients_are_evicted_sooner_unless_their_request_waits_unread() -> None:
     w = SimulatedInstance(client_conns=2)
     front = w.front()
     silent, late = w.peer(front.address), w.peer(front.address)
@@ -100,7 +100,7 @@
     assert third.closed, "half a command is little more than nothing"
 
 
-def test_connections_kept_for_good_are_closed_once_there_are_many() -> None:
+def test_many_idle_connections_are_closed_down_to_the_limit() -> None:
     """Clients that ask once and stay used up what clients may hold: others had no connection left."""
     w = SimulatedInstance(idle_clients=2)
     brick = w.server(Brick)
@@ -117,7 +117,7 @@
     assert not peers[0].closed, "that one has just been used"
 
 
-def test_clients_have_the_places_that_bricks_do_not_need_and_give_them_back() -> None:
+def test_clients_borrow_descriptors_that_backends_do_not_need_and_return_them() -> None:
     """A fixed share left connections waiting that had been answered for within a moment."""
     w = SimulatedInstance(
         make_settings(max_attempts=4, parallel_attempts=False, instances=1),
--- a/tests/resp/test_codec.py
+++ b/tests/resp/test_codec.py
@@ -22,7 +22,7 @@
 
 
 @given(st.lists(WORDS, max_size=5), st.lists(st.integers(0, 30), max_size=20))
-def test_commands_are_read_alike_however_they_are_cut(commands: list[list[bytes]], sizes: list[int]) -> None:
+def test_commands_decode_the_same_at_any_split(commands: list[list[bytes]], sizes: list[int]) -> None:
     buffers = pool()
     decoder = codec.Decoder(buffers, LIMITS, commands_only=True)
     data = b"".join(map(codec.command, commands))
@@ -32,11 +32,11 @@
     assert buffers.in_use <= 1, "an emptied buffer goes back"
 
 
-def test_replies_of_every_kind() -> None:
+def test_every_kind_of_reply_is_decoded() -> None:
     data = b"+OK\r\n-ERR x\r\n:-7\r\n$-1\r\n*-1\r\n*0\r\n*2\r\n*1\r\n:1\r\n$2\r\nab\r\n"
     assert list(codec.Decoder(pool(), LIMITS).feed(data)) == [
-        codec.Simple(b"OK"),
-        codec.Error(b"ERR x"),
+        codec.SimpleString(b"OK"),
+        codec.ErrorReply(b"ERR x"),
         -7,
         None,
         None,
@@ -61,8 +61,22 @@
         b"*1\r\n*1\r\n",
         b"*1\r\n$-5\r\n",
     ],
+    ids=[
+        "inline command",
+        "length not a number",
+        "negative array",
+        "array too long",
+        "integer element",
+        "bulk too long",
+        "null element",
+        "bulk without its end",
+        "line too long",
+        "length of 20 digits",
+        "nested array",
+        "negative bulk",
+    ],
 )
-def test_lost_framing_gets_an_error_and_a_closed_connection(data: bytes) -> None:
+def test_lost_framing_gets_an_error_reply_and_a_close(data: bytes) -> None:
     w = SimulatedInstance()
     peer = w.peer(w.front().address)
     assert peer.say(b"*1\r\n$4\r\nPING\r\n" + data).startswith(b"+PONG\r\n-ERR Protocol error")
--- a/tests/resp/test_front.py
+++ b/tests/resp/test_front.py
@@ -39,8 +39,27 @@
         (("hosts=1", "hosts=1,c=read"), "field c: there twice"),
         (("v,", "v" * 600 + ","), "fields: too long"),
     ],
+    ids=[
+        "class missing",
+        "units not a number",
+        "units zero",
+        "shard not a number",
+        "negative timeout",
+        "no hosts",
+        "class unknown",
+        "plan unknown",
+        "digits grouped",
+        "timeout not a number",
+        "too many units",
+        "shard unknown",
+        "too many hosts",
+        "volume empty",
+        "volume too long",
+        "field repeated",
+        "fields too long",
+    ],
 )
-def test_a_command_that_cannot_be_taken_names_its_field(change: tuple[str, str], words: str) -> None:
+def test_an_invalid_command_gets_an_error_that_names_its_field(change: tuple[str, str], words: str) -> None:
     w = SimulatedInstance(make_settings(cells=9))
     peer = w.peer(w.front().address)
     args = "c=read,t=gold,d=1000,volume=v,units=2,shard=0,hosts=1".replace(*change).encode()
@@ -52,14 +71,16 @@
     assert peer.got == answer + b"+PONG\r\n", "the connection goes on"
 
 
-@pytest.mark.parametrize("id", [b"", b"a b", b"\xff", b"x" * 65])
-def test_an_id_must_be_there_and_be_one(id: bytes) -> None:
+@pytest.mark.parametrize(
+    "id", [b"", b"a b", b"\xff", b"x" * 65], ids=["empty", "with a space", "not ASCII", "too long"]
+)
+def test_a_malformed_request_id_raises(id: bytes) -> None:
     words = [b"BLK.READ", b"k", id, b"c=read,t=gold,d=1,volume=v,units=2,shard=0,hosts=1"]
     with pytest.raises(InvalidCommandError, match="id: missing"):
         read_request(words, LIMITS)
 
 
-def test_the_id_of_an_open_request_is_turned_away_and_its_owner_is_served() -> None:
+def test_a_duplicate_of_an_open_id_is_rejected_and_the_first_is_served() -> None:
     w = SimulatedInstance()
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
@@ -75,7 +96,7 @@
     assert owner.say(read_command("r1")) == b"$0\r\n\r\n", "it is free again"
 
 
-def test_hundreds_of_commands_at_once_and_error_after_error_are_turned_away() -> None:
+def test_too_many_commands_or_errors_end_the_connection() -> None:
     """They were parked, answered as they came to it, and the loop was theirs."""
     w = SimulatedInstance(pipeline=4)
     brick = w.server(Brick)
@@ -97,7 +118,7 @@
     assert len(front) == 0
 
 
-def test_what_has_lost_its_framing_gets_its_error_at_once_whatever_it_has_open() -> None:
+def test_lost_framing_gets_its_error_at_once_whatever_is_open() -> None:
     w = SimulatedInstance()
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
@@ -108,7 +129,7 @@
     assert w.core.open_requests == 0
 
 
-def test_what_a_client_still_sends_after_its_error_does_not_reset_the_connection() -> None:
+def test_input_after_the_final_error_is_drained_within_a_limit() -> None:
     """A close with unread input resets it, and the error line may be lost with that."""
     w = SimulatedInstance(linger_bytes=1000)
     front = w.front()
@@ -122,7 +143,7 @@
     assert len(front) == 0, "but it is not read for good"
 
 
-def test_silence_and_half_commands_end_in_time_but_no_open_request_does() -> None:
+def test_silent_and_incomplete_clients_time_out_but_no_open_request_does() -> None:
     w = SimulatedInstance(command_us=SECOND)
     brick = w.server(Brick)
     w.list(Box("b0", brick.address, 0))
@@ -150,7 +171,7 @@
     assert good.closed
 
 
-def test_small_commands_and_arguments() -> None:
+def test_connection_commands_get_their_fixed_replies() -> None:
     w = SimulatedInstance()
     peer = w.peer(w.front().address)
     assert peer.say(codec.command([b"CLIENT", b"INFO"])) == b"+OK\r\n"
@@ -163,7 +184,7 @@
     assert peer.closed
 
 
-def test_a_brick_gets_the_command_unchanged_but_for_the_time_left() -> None:
+def test_a_backend_gets_the_command_unchanged_but_for_the_time_left() -> None:
     words = [b"BLK.WRITE", b"key", b"id", b"c=w,t=g,d=480,volume=v,units=2,shard=-1,hosts=3,k=ab", b"BODY"]
     ask = read_request(words, LIMITS)
     assert (ask.cell, ask.timeout_us, ask.is_write) == (-1, 480 * MS, True)
@@ -174,7 +195,7 @@
         read_request([*words[:3], b"c=\xff", b""], LIMITS)
 
 
-def test_answers_as_the_protocol_words_them() -> None:
+def test_answers_are_encoded_as_the_protocol_words_them() -> None:
     assert encode_answer(Served(b"")) == b"$0\r\n\r\n"
     assert encode_answer(Rejected()) == b"-BUSY\r\n"
     assert encode_answer(Rejected(1500)) == b"-BUSY 2\r\n", "never sooner than meant"
