--- a/garnetlanding/daemon/assembly.py
+++ b/garnetlanding/daemon/assembly.py
@@ -62,7 +62,7 @@
     from garnetlanding.daemon.telemetry import TelemetryExport
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(eq=False, repr=False)  # neither is used, and making them costs time at each start
 class Assembly:
     """The parts of one instance; what is off is None, and missing in the orders."""
 
@@ -77,7 +77,7 @@
 
 
 def assemble(config: Config, clock: Callable[[], int]) -> Assembly:
-    """Build every part that the configuration turns on; `clock` gives monotonic time in microseconds.
+    """Build the parts that the configuration turns on; `clock` gives monotonic time in microseconds.
 
     Nothing listens yet. Raises OSError and StoreFileError for files of the instance that cannot be used.
     """
@@ -92,12 +92,7 @@
     admin = _build_admin(instance, clients, discovery, settings, group, link)
     replication = _build_replication(instance)
     telemetry = _build_telemetry(instance)
-    if history:
-        settings.on_version.append(history.settings_applied)
-    if audit:
-        settings.on_rejected.append(audit.settings_rejected)
-    settings.on_applied.append(discovery.watch.keep_open)
-    settings.on_applied.append(link.place)
+    _subscribe_to_settings(settings, history, audit, discovery, link)
     start_order = _those_on(
         history,
         group,
@@ -114,16 +109,25 @@
         _build_fencing(instance, group, link, replication, history),
         link,
     )
-    return Assembly(
-        instance=instance,
-        discovery=discovery,
-        peer_link=link,
-        history=history,
-        admin=admin,
-        start_order=start_order,
-        reload_order=(settings, link, discovery),
-        stop_order=_those_on(admin, telemetry, link, audit, instance.process),
-    )
+    reload_order = (settings, link, discovery)
+    stop_order = _those_on(admin, telemetry, link, audit, instance.process)
+    return Assembly(instance, discovery, link, history, admin, start_order, reload_order, stop_order)
+
+
+def _subscribe_to_settings(
+    settings: SettingsManager,
+    history: HistoryRecording | None,
+    audit: AuditRecording | None,
+    discovery: DiscoveryWatch,
+    link: PeerLinkManager,
+) -> None:
+    """Let those know of new settings that depend on them, in this order."""
+    if history:
+        settings.on_version.append(history.settings_applied)
+    if audit:
+        settings.on_rejected.append(audit.settings_rejected)
+    settings.on_applied.append(discovery.watch.keep_open)
+    settings.on_applied.append(link.place)
 
 
 def _those_on(*subsystems: Subsystem | None) -> tuple[Subsystem, ...]:
--- a/garnetlanding/daemon/instance.py
+++ b/garnetlanding/daemon/instance.py
@@ -27,7 +27,7 @@
     return time.time_ns() // 1_000_000 + shift_s * 1000
 
 
-@dataclass(slots=True)
+@dataclass(eq=False, repr=False)  # neither is used, and making them costs time at each start
 class Instance:
     """The parts of an instance that always exist."""
 
