--- /dev/null
+++ b/tests/decision/test_token_bucket.py
@@ -0,0 +1,66 @@
+"""Token buckets and the budgets of retries and hedged requests."""
+
+from __future__ import annotations
+
+import pytest
+
+from garnetlanding.decision.token_bucket import HedgeBudget, RetryBudget, TokenBucket
+from tests.support.clock import MS, SECOND, T0
+from tests.support.decision_bench import make_settings
+
+
+def test_bucket_fills_by_its_rate_up_to_its_capacity() -> None:
+    bucket = TokenBucket(rate=4.0, capacity=10.0, now=T0, level=1.0)
+    assert bucket.available(T0 + SECOND) == 5.0
+    assert bucket.available(T0 + 10 * SECOND) == 10.0
+
+
+def test_refit_bucket_loses_tokens_above_its_new_capacity() -> None:
+    bucket = TokenBucket(rate=4.0, capacity=10.0, now=T0, level=10.0)
+    bucket.refit(T0, rate=1.0, capacity=3.0)
+    assert bucket.level == 3.0
+    bucket.level = 0.0
+    assert bucket.available(T0 + 2 * SECOND) == 2.0
+
+
+def test_retry_budget_allows_the_free_ones_and_what_arrivals_earn() -> None:
+    settings = make_settings(
+        retry_budget_floor=1.0, retry_budget_ratio=0.5, retry_budget_window_us=5 * SECOND
+    )
+    budget = RetryBudget(settings.retry_budget_window_us)
+    for _ in range(2):
+        budget.record_arrival(T0)
+    for _ in range(2):
+        assert budget.allows_retry(T0, settings, share=1.0)
+        budget.record_retry(T0)
+    assert not budget.allows_retry(T0, settings, share=1.0)
+    assert budget.allows_retry(T0, settings, share=2.0), "a greater share of the free ones"
+    assert budget.allows_retry(T0 + 6 * SECOND, settings, share=1.0), "the window has moved on"
+
+
+def test_retry_budget_without_a_window_allows_every_retry() -> None:
+    settings = make_settings(retry_budget_window_us=0)
+    budget = RetryBudget(settings.retry_budget_window_us)
+    for _ in range(100):
+        budget.record_retry(T0)
+    assert budget.allows_retry(T0, settings, share=1.0)
+
+
+def test_hedge_budget_is_used_up_without_lost_answers_and_refilled_by_a_win() -> None:
+    budget = HedgeBudget()
+    while budget.has_token():
+        budget.spend()
+    for _ in range(1000):
+        budget.earn_by_arrival(lost_share=0.0)
+    assert not budget.has_token()
+    budget.earn_by_win()
+    assert budget.has_token()
+
+
+@pytest.mark.parametrize("age_us", [0, 10 * MS, 5 * SECOND], ids=["at once", "soon", "later"])
+def test_bucket_that_is_asked_often_has_what_one_asked_once_has(age_us: int) -> None:
+    often = TokenBucket(rate=8.0, capacity=36.0, now=T0, level=0.0)
+    once = TokenBucket(rate=8.0, capacity=36.0, now=T0, level=0.0)
+    for now in range(T0, T0 + age_us, MS):
+        often.available(now)
+    assert often.available(T0 + age_us) == pytest.approx(once.available(T0 + age_us))
