--- /dev/null
+++ b/tests/core/test_admission.py
@@ -0,0 +1,43 @@
+"""What one instance accepts by its own means."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from garnetlanding.core.admission import Capacity, validate
+from garnetlanding.core.ports import InvalidRequestError, RequestSpec
+from garnetlanding.limits import Limits
+from tests.support.clock import SECOND
+from tests.support.decision_bench import make_settings
+
+VALID = RequestSpec("read", "gold", "v", "k", 6.0, 3, SECOND, 3, None)
+
+
+@pytest.mark.parametrize(
+    ("spec", "problem"),
+    [
+        pytest.param(replace(VALID, cls="x"), "unknown class", id="class"),
+        pytest.param(replace(VALID, plan="x"), "unknown plan", id="plan"),
+        pytest.param(replace(VALID, cell=4), "unknown shard", id="cell"),
+        pytest.param(replace(VALID, units=6.1), "more units than the largest request has", id="units"),
+        pytest.param(replace(VALID, volume_hosts=4), "more hosts than there are", id="instances"),
+    ],
+)
+def test_a_request_outside_the_settings_is_invalid(spec: RequestSpec, problem: str) -> None:
+    settings = make_settings(cells=4)
+    validate(VALID, settings)
+    with pytest.raises(InvalidRequestError, match=f"^{problem}$"):
+        validate(spec, settings)
+
+
+def test_capacity_is_used_by_the_scarcer_of_requests_and_bytes() -> None:
+    capacity = Capacity(replace(Limits(), open_items=10, open_bytes=1000))
+    capacity.open_requests = 5
+    capacity.held_bytes = 800
+    assert capacity.used == 0.8 and not capacity.is_exceeded
+    capacity.share = 0.5
+    assert capacity.is_exceeded, "another process of the instance has the rest"
+    capacity.held_bytes = 0
+    assert capacity.used == 0.5 and not capacity.is_exceeded
--- /dev/null
+++ b/tests/core/test_fencing.py
@@ -0,0 +1,60 @@
+"""An instance that cannot show that it is current: what becomes of its requests."""
+
+from __future__ import annotations
+
+from garnetlanding.core.fencing import Fence
+from garnetlanding.core.ports import Failed, Rejected, Served
+from garnetlanding.decision.interface import EndpointState, Outcome
+from tests.support.clock import MS, SECOND
+from tests.support.engine_instance import EngineInstance
+
+
+def test_without_a_check_the_fence_never_changes() -> None:
+    fence = Fence()
+    assert not fence.has_changed(0) and not fence.is_fenced
+
+
+def test_each_change_is_noticed_once() -> None:
+    current = {0: True, 1: False, 2: False, 3: True}
+    fence = Fence()
+    fence.may_act = current.__getitem__
+    states: list[bool] = []
+    fence.on_change.append(states.append)
+    changes = []
+    for now in current:
+        changes.append(fence.has_changed(now))
+        if changes[-1]:
+            fence.notify()
+    assert changes == [False, True, False, True] and states == [True, False]
+
+
+def test_a_fenced_instance_rejects_what_is_queued_and_finishes_what_is_in_flight() -> None:
+    instance = EngineInstance()
+    instance.submit("in flight", cls="write", timeout_us=2 * SECOND)
+    instance.list_endpoint("n0", EndpointState.DRAINING)
+    instance.submit("queued")
+    assert len(instance.backend.in_flight) == 1
+    is_current = False
+    instance.core.fence.may_act = lambda _now: is_current
+    instance.settle()
+    assert instance.core.fence.is_fenced and instance.answers == {"queued": Rejected(SECOND)}
+    instance.submit("later")
+    assert instance.answers["later"] == Rejected(SECOND)
+    instance.finish_oldest(Outcome.SERVED, b"v")
+    assert instance.answers["in flight"] == Served(b"v")
+    is_current = True
+    instance.settle()
+    instance.list_endpoint("n0", EndpointState.UP)
+    instance.submit("after")
+    assert not instance.core.fence.is_fenced and len(instance.backend.in_flight) == 1
+
+
+def test_a_fenced_instance_fails_what_may_have_run_and_is_not_safe_to_repeat() -> None:
+    instance = EngineInstance()
+    instance.submit("write", cls="write", timeout_us=2 * SECOND)
+    instance.list_endpoint("n0", EndpointState.DRAINING)
+    instance.finish_oldest(Outcome.RESET)
+    assert not instance.answers, "it waits for a backend"
+    instance.core.fence.may_act = lambda _now: False
+    instance.run(10 * MS)
+    assert instance.answers == {"write": Failed("not current")}
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -7,10 +7,7 @@
 
 import pytest
 
-from garnetlanding.core.endpoint_registry import EndpointRegistry
-from garnetlanding.core.ports import EndpointListing
 from garnetlanding.decision import interface as api
-from garnetlanding.decision.interface import Endpoint, EndpointState
 from garnetlanding.discovery.watch import Watch, WatchCallbacks, WatchRuntime
 from garnetlanding.emulator.discovery import Box, Discovery, DiscoveryConn
 from garnetlanding.limits import Limits
@@ -120,21 +117,6 @@
     assert instance.discovery.calls[-1].endswith("since=0")  # the whole list, whatever its version
 
 
-def test_inconsistent_entries_are_named_and_the_last_one_for_a_backend_holds() -> None:
-    registry = EndpointRegistry()
-
-    def listing(*entries: Endpoint, complete: bool = True) -> EndpointListing:
-        return EndpointListing(entries, {e.node: "10.0.0.1:1" for e in entries}, complete)
-
-    assert registry.apply(listing(up_endpoint("a", 0), up_endpoint("b", 1))) == []
-    drains = Endpoint("a", 0, "z", EndpointState.DRAINING)
-    assert registry.apply(listing(up_endpoint("a", 0), drains, complete=False)) == ["a is named twice"]
-    assert registry.address_of("a") is None and registry.address_of("b")
-    assert registry.apply(listing(up_endpoint("b", 7), complete=False)) == ["b moved from cell 1 to 7"]
-    assert registry.apply(listing()) == ["whole list is empty, 2 servers were known"]
-    assert registry.address_of("b") is None
-
-
 def test_each_call_that_fails_is_reported() -> None:
     instance = WatchedDiscovery()
     instance.discovery.down = True
--- /dev/null
+++ b/tests/support/engine_instance.py
@@ -0,0 +1,77 @@
+"""A request engine over a simulated clock, whose backend a test plays."""
+
+from __future__ import annotations
+
+from garnetlanding.core.ports import Answer, AttemptHandle, EndpointListing, RequestSpec
+from garnetlanding.decision import interface as api
+from garnetlanding.decision.interface import EndpointState, Outcome
+from tests.support.clock import SECOND
+from tests.support.simulated_instance import SimulatedInstance
+
+
+class ManualBackend:
+    """A backend whose attempts end only when a test ends them."""
+
+    def __init__(self) -> None:
+        self.in_flight: list[AttemptHandle] = []
+        self.stopped: list[AttemptHandle] = []
+
+    def start(self, attempt: AttemptHandle) -> None:
+        self.in_flight.append(attempt)
+
+    def stop(self, attempt: AttemptHandle) -> None:
+        self.in_flight.remove(attempt)
+        self.stopped.append(attempt)
+
+
+class EngineInstance(SimulatedInstance):
+    """An engine with one listed backend, `n0`, and a manual backend behind it."""
+
+    answers: dict[str, Answer]
+
+    def __init__(self, config: api.Settings | None = None, **limits: int) -> None:
+        super().__init__(config, **limits)
+        self.backend, self.answers = ManualBackend(), {}
+        self.list_endpoint("n0", EndpointState.UP, complete=True)
+
+    def list_endpoint(
+        self, node: str, state: EndpointState, complete: bool = False, started: int = 0
+    ) -> None:
+        entry = api.Endpoint(node, 0, "z", state, started)
+        self.core.update_endpoints(EndpointListing((entry,), {node: "x:1"}, complete, at_start=complete))
+        self.settle()
+
+    def submit(
+        self,
+        name: str,
+        timeout_us: int = SECOND,
+        cls: str = "read",
+        held_bytes: int = 0,
+        volume: str = "v",
+        allow_hedging: bool = True,
+    ) -> str:
+        ticket = self.core.submit(
+            RequestSpec(
+                cls,
+                "gold",
+                volume,
+                "k",
+                2,
+                0,
+                timeout_us,
+                1,
+                name,
+                held_bytes=held_bytes,
+                allow_hedging=allow_hedging,
+            ),
+            self.backend,
+            lambda answer: self.answers.__setitem__(name, answer),
+        )
+        self.settle()
+        return ticket
+
+    def finish_oldest(self, outcome: Outcome, value: bytes | None = None) -> AttemptHandle:
+        attempt = self.backend.in_flight.pop(0)
+        attempt.finish(outcome, value)
+        self.settle()
+        return attempt
