--- a/garnetlanding/audit/timeline.py
+++ b/garnetlanding/audit/timeline.py
@@ -127,14 +127,15 @@
     """
     if one.owner == other.owner:
         return one.start_us <= other.start_us
-    if _had_heard_of(one, other):
+    if _had_received_from(one, other):
         return True
-    if _had_heard_of(other, one):
+    if _had_received_from(other, one):
         return False
     return None
 
 
-def _had_heard_of(span: Span, later: Span) -> bool:
+def _had_received_from(span: Span, later: Span) -> bool:
+    """Whether `later` began after its instance received a message sent after `span` began."""
     message = later.last_received
     if message is None or (message.sender, message.incarnation) != (span.instance_number, span.incarnation):
         return False
--- a/tests/audit/test_segments.py
+++ b/tests/audit/test_segments.py
@@ -85,3 +85,15 @@
     without = whole[: ends[1]] + whole[ends[2] :]
     with pytest.raises(CorruptSegmentError, match="does not follow"):
         segments.read_segment("f", without, True)
+
+
+def test_a_corrupt_segment_error_carries_file_offset_and_what_is_intact() -> None:
+    payloads = [{"n": n} for n in range(3)]
+    offset = len(built(payloads[:1]))
+    data = bytearray(built(payloads))
+    data[offset + 9] ^= 1
+    with pytest.raises(CorruptSegmentError, match="the sum does not hold") as caught:
+        segments.read_segment("f", bytes(data), True)
+    assert (caught.value.file, caught.value.offset) == ("f", offset)
+    assert caught.value.intact is not None
+    assert caught.value.intact.records == payloads[:1]
