--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -37,9 +37,9 @@
 ALONE = BudgetScenario(calm=True, other_demand=0.0, shift_us=60 * SECOND, length_us=30 * SECOND)
 SCOPES = [
     Scope(moves=9),
-    Scope(moves=10, starts=0),
+    Scope(moves=10, restarts=0),
     Scope(seeds=1, moves=13),
-    Scope(heads=4, moves=7, starts=0),
+    Scope(instances=4, moves=7, restarts=0),
 ]
 
 
@@ -93,9 +93,9 @@
     for scope in track(SCOPES, "every course"):
         found = explore(scope)
         lines.append(
-            f"| {scope.heads} heads, {scope.seeds} seeds{'' if found.whole else ', given up'} "
-            f"| {scope.moves} | {scope.starts} | {found.states} | {found.moves} | {found.most:.4f} "
-            f"| {found.joined} |"
+            f"| {scope.instances} heads, {scope.seeds} seeds{'' if found.is_complete else ', given up'} "
+            f"| {scope.moves} | {scope.restarts} | {found.states} | {found.moves} "
+            f"| {found.max_share_sum:.4f} | {found.max_joined} |"
         )
     RESULTS.write_text("\n".join(lines) + "\n")
     print("\n".join(lines))
--- a/garnetlanding/emulator/group_model.py
+++ b/garnetlanding/emulator/group_model.py
@@ -1,6 +1,7 @@
-"""Every course that a small group of heads can take within a number of moves, explored breadth first: heads
-start, speak, hear what was said (at any later moment, or never), crash, start anew, and end in order. In each
-state the even parts of all heads that run are added up.
+"""Every course that a small group of instances can take within a number of moves, explored breadth first.
+
+Instances start, send, receive what was sent (at any later moment, or never), crash, start anew, and leave in
+order. In each state the even shares of all running instances are added up.
 
 Time does not pass: whatever waits for it (the beginning of a group) may happen at any moment.
 """
@@ -16,122 +17,175 @@
 from garnetlanding.peers.membership import InstanceRecord, Membership
 
 LIMITS = PeerLimits(bootstrap_us=0)
+RESTART_INCARNATION = 10  # of the first instance that starts anew; all others begin at 1
+ROUNDING_SLACK = 1e-9  # of a sum of shares
 
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    heads: int = 3
+    """How much is explored."""
+
+    instances: int = 3
     seeds: int = 2  # the first so many
     moves: int = 8
-    starts: int = 1  # beyond the first of each: heads that start anew, after a crash or an end
-    most: int = 300_000  # states, after which exploring is given up
+    restarts: int = 1  # instances that start anew, after a crash or in order
+    max_states: int = 300_000  # after which exploring is given up
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
-    """What one head told another: its table, and whether it had joined."""
+class TableMessage:
+    """What one instance sends another: its table, and whether it has joined."""
 
     records: tuple[InstanceRecord, ...]
     digest: bytes
     joined: bool
 
 
+@dataclass(frozen=True, slots=True)
+class Delivery:
+    """A message on its way."""
+
+    sender: int
+    receiver: int
+    message: TableMessage
+
+
 @dataclass(frozen=True, slots=True)
 class State:
-    heads: tuple[Membership | None, ...]  # None: does not run
-    mail: tuple[tuple[int, int, Word], ...]  # from, to: the last on each link
-    starts: int
+    """The running instances, and what is on its way between them."""
+
+    instances: tuple[Membership | None, ...]  # None: does not run
+    deliveries: tuple[Delivery, ...]  # the last on each link
+    restarts: int
+
+    def with_instance(self, number: int, members: Membership | None) -> State:
+        """Return the state with another table of one instance, or without that instance (None)."""
+        return replace(self, instances=(*self.instances[:number], members, *self.instances[number + 1 :]))
 
 
 @dataclass(slots=True)
 class Explored:
+    """What was found."""
+
     states: int = 0
     moves: int = 0
-    most: float = 0.0
-    joined: int = 0  # most heads that had joined at once
-    whole: bool = True
+    max_share_sum: float = 0.0
+    max_joined: int = 0  # instances that had joined at once
+    is_complete: bool = True
 
 
-def at(head: int) -> str:
-    return f"127.0.0.{head + 1}:7946"
+def address_of(number: int) -> str:
+    """Return where an instance receives."""
+    return f"127.0.0.{number + 1}:7946"
 
 
-def begun(scope: Scope, head: int, life: int) -> Membership:
-    return Membership(LIMITS, head, life, at(head), [at(seed) for seed in range(scope.seeds)], 0)
+def new_instance(scope: Scope, number: int, incarnation: int) -> Membership:
+    """Return the table of an instance that has just started."""
+    seeds = [address_of(seed) for seed in range(scope.seeds)]
+    return Membership(LIMITS, number, incarnation, address_of(number), seeds, 0)
 
 
-def key(s: State) -> object:
-    heads = tuple(
-        None
-        if m is None
-        else (
-            tuple(sorted(m.records.values())),
-            tuple(sorted(m._confirmed_by)),
-            m._sponsored,
-            m._joined,
-            m._bootstrap_at is None,
-        )
-        for m in s.heads
+def key(state: State) -> object:
+    """Return what tells states apart: tables, who has confirmed them, and what is on its way."""
+    instances = tuple(None if members is None else _instance_key(members) for members in state.instances)
+    deliveries = sorted(
+        (delivery.sender, delivery.receiver, delivery.message.digest, delivery.message.joined)
+        for delivery in state.deliveries
     )
-    return heads, tuple(sorted((a, b, w.digest, w.joined) for a, b, w in s.mail)), s.starts
+    return instances, tuple(deliveries), state.restarts
 
 
-def _with(s: State, head: int, new: Membership | None) -> tuple[Membership | None, ...]:
-    return (*s.heads[:head], new, *s.heads[head + 1 :])
+def _instance_key(members: Membership) -> object:
+    return (
+        tuple(sorted(members.records.values())),
+        tuple(sorted(members._confirmed_by)),
+        members._sponsored,
+        members._joined,
+        members._bootstrap_at is None,
+    )
 
 
-def moves(s: State, scope: Scope) -> Iterator[State]:
-    for me, members in enumerate(s.heads):
+def moves(state: State, scope: Scope) -> Iterator[State]:
+    """Yield every state that one move leads to."""
+    for number, members in enumerate(state.instances):
         if members is None:
-            if s.starts < scope.starts:
-                yield replace(s, heads=_with(s, me, begun(scope, me, 10 + s.starts)), starts=s.starts + 1)
+            if state.restarts < scope.restarts:
+                started = new_instance(scope, number, RESTART_INCARNATION + state.restarts)
+                yield replace(state.with_instance(number, started), restarts=state.restarts + 1)
             continue
-        word = Word(tuple(members.records.values()), members.digest, members.joined)
-        for you in range(scope.heads):
-            if you != me and (you in members.records or you < scope.seeds):
-                rest = tuple(m for m in s.mail if m[:2] != (me, you))
-                yield replace(s, mail=(*rest, (me, you, word)))
-        yield from _looks(s, me, members)
-        others = [m for i, m in enumerate(s.heads) if i != me]
-        # As the law asks: not all seeds are down at once.
-        if me >= scope.seeds or any(m is not None for m in others[: scope.seeds - 1]):
-            yield replace(s, heads=_with(s, me, None))
-            yield from _leaves(s, me, members, scope)
-    for sender, receiver, word in s.mail:
-        if (hearing := s.heads[receiver]) is not None:
-            new = copy.deepcopy(hearing)
-            new.merge(word.records)
-            new.record_contact(sender, word.digest, word.joined, 0)
-            rest = tuple(m for m in s.mail if m != (sender, receiver, word))
-            yield replace(s, heads=_with(s, receiver, new), mail=rest)
-
-
-def _looks(s: State, me: int, members: Membership) -> Iterator[State]:
-    new = copy.deepcopy(members)
-    new.update_joined(0)
-    if new.joined != members.joined:
-        yield replace(s, heads=_with(s, me, new))
-
-
-def _leaves(s: State, me: int, members: Membership, scope: Scope) -> Iterator[State]:
-    """It has stopped; its last word is on its way to all."""
+        yield from _sends(state, number, members, scope)
+        yield from _joins(state, number, members)
+        if _may_stop(state, number, scope):
+            yield state.with_instance(number, None)
+            yield from _leaves(state, number, members, scope)
+    yield from _receives(state)
+
+
+def _sends(state: State, number: int, members: Membership, scope: Scope) -> Iterator[State]:
+    message = TableMessage(tuple(members.records.values()), members.digest, members.joined)
+    for receiver in range(scope.instances):
+        if receiver != number and (receiver in members.records or receiver < scope.seeds):
+            others = tuple(
+                delivery
+                for delivery in state.deliveries
+                if (delivery.sender, delivery.receiver) != (number, receiver)
+            )
+            yield replace(state, deliveries=(*others, Delivery(number, receiver, message)))
+
+
+def _joins(state: State, number: int, members: Membership) -> Iterator[State]:
+    updated = copy.deepcopy(members)
+    updated.update_joined(0)
+    if updated.joined != members.joined:
+        yield state.with_instance(number, updated)
+
+
+def _may_stop(state: State, number: int, scope: Scope) -> bool:
+    """Return whether an instance may stop: operators see to it that not all seeds are down at once."""
+    others = [members for i, members in enumerate(state.instances) if i != number]
+    return number >= scope.seeds or any(members is not None for members in others[: scope.seeds - 1])
+
+
+def _leaves(state: State, number: int, members: Membership, scope: Scope) -> Iterator[State]:
+    """Stop in order: its last message is on its way to all."""
     last = copy.deepcopy(members)
     last.leave()
-    word = Word(tuple(last.records.values()), last.digest, False)
-    rest = tuple(m for m in s.mail if m[0] != me)
-    told = tuple((me, you, word) for you in range(scope.heads) if you != me and you in members.records)
-    yield replace(s, heads=_with(s, me, None), mail=(*rest, *told))
+    message = TableMessage(tuple(last.records.values()), last.digest, False)
+    others = tuple(delivery for delivery in state.deliveries if delivery.sender != number)
+    sent = tuple(
+        Delivery(number, receiver, message)
+        for receiver in range(scope.instances)
+        if receiver != number and receiver in members.records
+    )
+    yield replace(state.with_instance(number, None), deliveries=(*others, *sent))
+
+
+def _receives(state: State) -> Iterator[State]:
+    for delivery in state.deliveries:
+        members = state.instances[delivery.receiver]
+        if members is None:
+            continue
+        updated = copy.deepcopy(members)
+        updated.merge(delivery.message.records)
+        updated.record_contact(delivery.sender, delivery.message.digest, delivery.message.joined, 0)
+        others = tuple(other for other in state.deliveries if other != delivery)
+        yield replace(state.with_instance(delivery.receiver, updated), deliveries=others)
 
 
 def explore(scope: Scope) -> Explored:
-    """Ends at the first state whose even parts add up to more than 1."""
-    start = State(tuple(begun(scope, head, 1) for head in range(scope.heads)), (), 0)
-    found, walk = Explored(), Walk(start, key, lambda s: moves(s, scope), scope.most, scope.moves)
+    """Explore all states; stop at the first one whose even shares add up to more than 1."""
+    instances = tuple(new_instance(scope, number, 1) for number in range(scope.instances))
+    found = Explored()
+    walk = Walk(
+        State(instances, (), 0), key, lambda state: moves(state, scope), scope.max_states, scope.moves
+    )
     for state in walk:
-        running = [m for m in state.heads if m is not None]
-        found.most = max(found.most, sum(m.even_share for m in running))
-        found.joined = max(found.joined, sum(m.joined for m in running))
-        if found.most > 1 + 1e-9:
+        running = [members for members in state.instances if members is not None]
+        found.max_share_sum = max(found.max_share_sum, sum(members.even_share for members in running))
+        found.max_joined = max(found.max_joined, sum(members.joined for members in running))
+        if found.max_share_sum > 1 + ROUNDING_SLACK:
             break
-    found.states, found.moves, found.whole = walk.states, walk.moves, walk.whole
+    found.states = walk.states
+    found.moves = walk.moves
+    found.is_complete = walk.whole
     return found
--- a/garnetlanding/peers/__init__.py
+++ b/garnetlanding/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What heads tell each other where the settings allow it: short datagrams, each head's word with an age."""
+"""What the instances of a fleet exchange where the settings allow it: short datagrams over UDP."""
--- a/garnetlanding/peers/codec.py
+++ b/garnetlanding/peers/codec.py
@@ -34,10 +34,10 @@
 from garnetlanding.peers.errors import PeersError
 
 VERSION = 1
-HEAD = struct.Struct(">BB6sI6sIBB")
+HEADER = struct.Struct(">BB6sI6sIBB")
 ASK = struct.Struct(">IBB")
 GRANT = struct.Struct(">IB")
-SUM = struct.Struct(">I")
+CHECKSUM = struct.Struct(">I")
 SHARE_STEPS = 250  # a share is sent as a whole number of these steps
 MAX_ENTRIES = 255  # asks, or grants, of one message: each count is one byte
 ROUNDING_SLACK = 1e-9  # a share that is a whole number of steps but for float error keeps that number
@@ -117,7 +117,7 @@
 
 def paginate(asks: dict[int, Ask], grants: dict[int, float], size: int) -> Iterator[LeasePage]:
     """Divide asks, then grants, into as many pages as it takes for each to fit a datagram of `size` bytes."""
-    capacity = size - HEAD.size - SUM.size
+    capacity = size - HEADER.size - CHECKSUM.size
     page = LeasePage({}, {})
     used = 0
     for volume, ask in asks.items():
@@ -140,7 +140,7 @@
 
 def encode_envelope(envelope: Envelope) -> bytes:
     """Return the datagram of an envelope, checksum included."""
-    head = HEAD.pack(
+    header = HEADER.pack(
         VERSION,
         envelope.kind,
         envelope.incarnation.to_bytes(6, "big"),
@@ -149,7 +149,7 @@
         envelope.acked_number,
         *envelope.counts,
     )
-    return head + envelope.body + SUM.pack(zlib.crc32(head + envelope.body))
+    return header + envelope.body + CHECKSUM.pack(zlib.crc32(header + envelope.body))
 
 
 def decode_envelope(data: bytes, max_bytes: int) -> Envelope:
@@ -159,13 +159,13 @@
     """
     if len(data) > max_bytes:
         raise MessageError("too long", max_bytes)
-    if len(data) < HEAD.size + SUM.size:
+    if len(data) < HEADER.size + CHECKSUM.size:
         raise MessageError("torn", len(data))
-    version, kind, incarnation, number, acked_incarnation, acked_number, *counts = HEAD.unpack_from(data)
+    version, kind, incarnation, number, acked_incarnation, acked_number, *counts = HEADER.unpack_from(data)
     if version != VERSION:
         raise MessageError("other version", 0)
-    end = len(data) - SUM.size
-    if SUM.unpack_from(data, end)[0] != zlib.crc32(data[:end]):
+    end = len(data) - CHECKSUM.size
+    if CHECKSUM.unpack_from(data, end)[0] != zlib.crc32(data[:end]):
         raise MessageError("torn", end)
     return Envelope(
         kind,
@@ -174,7 +174,7 @@
         int.from_bytes(acked_incarnation, "big"),
         acked_number,
         (counts[0], counts[1]),
-        data[HEAD.size : end],
+        data[HEADER.size : end],
     )
 
 
@@ -217,18 +217,18 @@
     body = envelope.body
     grants_at = ask_count * ASK.size
     if len(body) != grants_at + grant_count * GRANT.size:
-        raise MessageError("torn", HEAD.size + len(body))
+        raise MessageError("torn", HEADER.size + len(body))
     asks: dict[int, Ask] = {}
     for offset in range(0, grants_at, ASK.size):
         volume, steps, hosts = ASK.unpack_from(body, offset)
         if steps > SHARE_STEPS or not hosts:
-            raise MessageError("no share", HEAD.size + offset)
+            raise MessageError("no share", HEADER.size + offset)
         asks[volume] = Ask(steps / SHARE_STEPS, hosts)
     grants: dict[int, float] = {}
     for offset in range(grants_at, len(body), GRANT.size):
         volume, steps = GRANT.unpack_from(body, offset)
         if steps > SHARE_STEPS:
-            raise MessageError("no share", HEAD.size + offset)
+            raise MessageError("no share", HEADER.size + offset)
         grants[volume] = steps / SHARE_STEPS
     return LeaseMessage(
         envelope.incarnation,
--- a/garnetlanding/peers/gossip_message.py
+++ b/garnetlanding/peers/gossip_message.py
@@ -19,7 +19,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from garnetlanding.peers.codec import HEAD, SUM, Envelope, MessageError, MessageKind, tag
+from garnetlanding.peers.codec import CHECKSUM, HEADER, Envelope, MessageError, MessageKind, tag
 from garnetlanding.peers.disabled_backends import DIGEST, DisableRecord
 
 __all__ = ["Evidence", "EvidenceKind", "GossipMessage", "fit", "read", "tag", "to_envelope"]
@@ -84,7 +84,7 @@
 
 def fit(evidence: Sequence[Evidence], records: Sequence[DisableRecord], size: int) -> Fit:
     """Return how many of each, from the first on, a datagram of `size` bytes holds; evidence goes first."""
-    left = size - HEAD.size - SUM.size - DIGEST
+    left = size - HEADER.size - CHECKSUM.size - DIGEST
     evidence_count = min(len(evidence), left // EVIDENCE.size)
     left -= evidence_count * EVIDENCE.size
     record_count = 0
@@ -133,7 +133,7 @@
     body = envelope.body
     records_at = DIGEST + evidence_count * EVIDENCE.size
     if len(body) < records_at:
-        raise MessageError("torn", HEAD.size + len(body))
+        raise MessageError("torn", HEADER.size + len(body))
     evidence = [_read_evidence(body, at) for at in range(DIGEST, records_at, EVIDENCE.size)]
     records: list[DisableRecord] = []
     offset = records_at
@@ -141,25 +141,25 @@
         record, offset = _read_record(body, offset)
         records.append(record)
     if offset != len(body):
-        raise MessageError("torn", HEAD.size + offset)
+        raise MessageError("torn", HEADER.size + offset)
     return GossipMessage(body[:DIGEST], tuple(evidence), tuple(records))
 
 
 def _read_evidence(body: bytes, offset: int) -> Evidence:
     kind, backend_tag, uptime, count, age_ms = EVIDENCE.unpack_from(body, offset)
     if not EvidenceKind.UNREACHABLE <= kind <= EvidenceKind.RECOVERED:
-        raise MessageError("no such verdict", HEAD.size + offset)
+        raise MessageError("no such verdict", HEADER.size + offset)
     return Evidence(EvidenceKind(kind), backend_tag, uptime, count, age_ms)
 
 
 def _read_record(body: bytes, offset: int) -> tuple[DisableRecord, int]:
     """Return the record at an offset of the body, and the offset behind it."""
     if len(body) < offset + RECORD.size:
-        raise MessageError("torn", HEAD.size + offset)
+        raise MessageError("torn", HEADER.size + offset)
     version, by, out, length = RECORD.unpack_from(body, offset)
     name_at = offset + RECORD.size
     name = body[name_at : name_at + length]
     if len(name) != length or not name.isascii() or not name or out > 1:
-        raise MessageError("no ban", HEAD.size + offset)
+        raise MessageError("no ban", HEADER.size + offset)
     record = DisableRecord(name.decode(), int.from_bytes(version, "big"), by, bool(out))
     return record, name_at + length
--- a/garnetlanding/peers/link.py
+++ b/garnetlanding/peers/link.py
@@ -50,9 +50,9 @@
         self._membership = membership
         self._addresses = {peer: parse_address(address) for peer, address in setup.peers.items()}
         self._peers_by_address = {address: peer for peer, address in self._addresses.items()}
-        self._broadcast = (
-            [parse_address(setup.broadcast)] if setup.broadcast else list(self._addresses.values())
-        )
+        self._broadcast = list(self._addresses.values())
+        if setup.broadcast:
+            self._broadcast = [parse_address(setup.broadcast)]
         self._named_by_route = {route: named for named, route in setup.routes.items()}
         self._socket = _bind(parse_address(setup.listen))
         host, port = self._socket.getsockname()[:2]
@@ -85,7 +85,7 @@
                 self.dropped["not sent"] += 1
 
     def _targets(self, to: int) -> list[SocketAddress]:
-        if self._membership:
+        if self._membership is not None:
             address = self._membership.members.address_of(to)
             return [parse_address(self.setup.routes.get(address, address))] if address else []
         if to == ALL_PEERS:
--- a/garnetlanding/peers/membership_message.py
+++ b/garnetlanding/peers/membership_message.py
@@ -17,7 +17,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from garnetlanding.peers.codec import HEAD, SUM, Envelope, MessageError, MessageKind
+from garnetlanding.peers.codec import CHECKSUM, HEADER, Envelope, MessageError, MessageKind
 from garnetlanding.peers.disabled_backends import DIGEST
 from garnetlanding.peers.membership import InstanceRecord
 from garnetlanding.runtime.stream import parse_address
@@ -44,7 +44,7 @@
     """
     own = records[0]
     pages = [[own]]
-    capacity = size - HEAD.size - SUM.size - DIGEST - _encoded_size(own)
+    capacity = size - HEADER.size - CHECKSUM.size - DIGEST - _encoded_size(own)
     left = capacity
     for record in records[1:]:
         if _encoded_size(record) > left:
@@ -70,10 +70,10 @@
     for record in message.records:
         host, port = parse_address(record.address)
         address = ipaddress.ip_address(host).packed
-        head = RECORD.pack(
+        fixed_part = RECORD.pack(
             record.instance, record.incarnation.to_bytes(6, "big"), record.terminated, len(address)
         )
-        parts.append(head + address + PORT.pack(port))
+        parts.append(fixed_part + address + PORT.pack(port))
     return Envelope(
         MessageKind.MEMBERSHIP,
         incarnation,
@@ -97,20 +97,20 @@
         record, offset = _read_record(body, offset)
         records.append(record)
     if offset != len(body) or not records or joined > 1:
-        raise MessageError("torn", HEAD.size + offset)
+        raise MessageError("torn", HEADER.size + offset)
     return MembershipMessage(body[:DIGEST], tuple(records), bool(joined))
 
 
 def _read_record(body: bytes, offset: int) -> tuple[InstanceRecord, int]:
     """Return the record at an offset of the body, and the offset behind it."""
     if len(body) < offset + RECORD.size:
-        raise MessageError("torn", HEAD.size + offset)
+        raise MessageError("torn", HEADER.size + offset)
     instance, incarnation, terminated, length = RECORD.unpack_from(body, offset)
     address_at = offset + RECORD.size
     port_at = address_at + length
     end = port_at + PORT.size
     if length not in (IPV4_BYTES, IPV6_BYTES) or len(body) < end or terminated > 1:
-        raise MessageError("no record", HEAD.size + offset)
+        raise MessageError("no record", HEADER.size + offset)
     host = str(ipaddress.ip_address(body[address_at:port_at]))
     (port,) = PORT.unpack_from(body, port_at)
     address = f"[{host}]:{port}" if length == IPV6_BYTES else f"{host}:{port}"
--- a/garnetlanding/peers/setup.py
+++ b/garnetlanding/peers/setup.py
@@ -52,9 +52,7 @@
     suspicions: bool = True  # key `verdicts`: observations of backends
     disables: bool = True  # key `bans`: administratively disabled backends
     budgets: bool = False  # what all instances share moves by leases
-    backend_connections: int = (
-        0  # key `server_connections`: to one backend, of all instances; 0: no such bound
-    )
+    backend_connections: int = 0  # key `server_connections`: of all instances to one backend; 0: any number
     seeds: tuple[str, ...] = ()  # instances are discovered from these, in place of those the platform names
     advertised_address: str = ""  # key `advertise`: where peers reach this instance; empty: where it listens
     routes: dict[str, str] = field(default_factory=dict)  # where an address that an instance names is reached
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -516,7 +516,7 @@
 
 
 def resealed(data: bytes) -> bytes:
-    return data + codec.SUM.pack(zlib.crc32(data))
+    return data + codec.CHECKSUM.pack(zlib.crc32(data))
 
 
 def test_many_entries_are_paged_as_recorded() -> None:
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -185,15 +185,16 @@
 
 def test_no_course_of_a_small_group_makes_its_even_parts_more_than_the_whole() -> None:
     found = explore(Scope(moves=6))
-    assert found.whole and found.states > 2000 and found.most == pytest.approx(1.0) and found.joined == 2
-    assert explore(Scope(seeds=1, moves=8)).most <= 1 + 1e-9
+    assert found.is_complete and found.states > 2000
+    assert found.max_share_sum == pytest.approx(1.0) and found.max_joined == 2
+    assert explore(Scope(seeds=1, moves=8)).max_share_sum <= 1 + 1e-9
 
 
 @pytest.mark.parametrize("bug", ["a newcomer uses its part at once", "only who is heard counts"])
 def test_some_course_of_a_small_group_shows_a_bug(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
     name, instead = GROUP_BUGS[bug]
     monkeypatch.setattr(Membership, name, instead)
-    assert explore(Scope(seeds=1, moves=9)).most > 1.1
+    assert explore(Scope(seeds=1, moves=9)).max_share_sum > 1.1
 
 
 def test_a_head_that_does_not_act_has_no_part_until_it_acts_again() -> None:
