--- a/garnetlanding/peers/local_observations.py
+++ b/garnetlanding/peers/local_observations.py
@@ -83,7 +83,12 @@
     def __init__(self, limits: PeerLimits) -> None:
         self._limits = limits
         self.backends: dict[str, Observation] = {}
-        self.names_by_tag: dict[int, str] = {}
+        self._names_by_tag: dict[int, str] = {}
+
+    def by_tag(self, backend_tag: int) -> Observation | None:
+        """Return the observation of the listed backend whose name has that tag."""
+        name = self._names_by_tag.get(backend_tag)
+        return None if name is None else self.backends.get(name)
 
     def observe_events(self, now: int, events: Iterable[api.Event], tightest_us: int) -> None:
         """Observe events before the decision module handles them.
@@ -117,11 +122,11 @@
                 self._drop(name)
             elif known is None or known.endpoint.started_us != endpoint.started_us:
                 self.backends[name] = Observation(endpoint)
-                self.names_by_tag[tag(name)] = name
+                self._names_by_tag[tag(name)] = name
 
     def _drop(self, name: str) -> None:
         if self.backends.pop(name, None):
-            self.names_by_tag.pop(tag(name), None)
+            self._names_by_tag.pop(tag(name), None)
 
     def _observe_result(
         self, observation: Observation, result: api.Result, now: int, tightest_us: int
--- a/garnetlanding/peers/suspicions.py
+++ b/garnetlanding/peers/suspicions.py
@@ -14,7 +14,7 @@
 from garnetlanding.peers.drop_reasons import DropReason
 from garnetlanding.peers.gossip_message import MAX_UPTIME, Evidence, EvidenceKind
 from garnetlanding.peers.limits import MS, PeerLimits
-from garnetlanding.peers.local_observations import UPTIME_UNIT_US, LocalObservations, uptime_of
+from garnetlanding.peers.local_observations import UPTIME_UNIT_US, LocalObservations, Observation, uptime_of
 from garnetlanding.peers.status import ClaimRow, SuspicionRow
 
 
@@ -78,39 +78,32 @@
         dropped: Counter[DropReason] = Counter()
         claimed: set[str] = set()
         for one in evidence:
-            backend = observations.names_by_tag.get(one.backend_tag)
-            reason = self._reason_to_drop(one, backend, sent_at, now, observations)
-            if reason is not None:
-                dropped[reason] += 1
+            observation = observations.by_tag(one.backend_tag)
+            if observation is None:
+                dropped[DropReason.UNKNOWN_BACKEND] += 1
                 continue
-            assert backend is not None
-            assert sent_at is not None
-            claimed.add(backend)
-            latest_at = now - one.age_ms * MS
-            claim = PeerClaim(one.kind, one.count, latest_at, self._expires_at(one, sent_at))
-            self._take(backend, sender, claim, now, observations)
+            claim = self._check(one, observation, sent_at, now)
+            if isinstance(claim, DropReason):
+                dropped[claim] += 1
+                continue
+            claimed.add(observation.endpoint.node)
+            self._take(claim, sender, observation, now)
         self._withdraw(sender, claimed)
         return dropped
 
-    def _reason_to_drop(
-        self,
-        evidence: Evidence,
-        backend: str | None,
-        sent_at: int | None,
-        now: int,
-        observations: LocalObservations,
-    ) -> DropReason | None:
-        observation = None if backend is None else observations.backends.get(backend)
-        if observation is None:
-            return DropReason.UNKNOWN_BACKEND
+    def _check(
+        self, evidence: Evidence, observation: Observation, sent_at: int | None, now: int
+    ) -> PeerClaim | DropReason:
+        """Return the claim that a peer's evidence makes, or why it is dropped."""
         if not self._is_same_incarnation(evidence.uptime, uptime_of(observation.endpoint, now)):
             return DropReason.OTHER_INCARNATION
-        if sent_at is None or self._expires_at(evidence, sent_at) <= now:
+        if sent_at is None:
+            return DropReason.EXPIRED_EVIDENCE  # without an exchange its age has no bound
+        age_us = evidence.age_ms * MS
+        expires_at = sent_at - age_us + self._limits.evidence_us
+        if expires_at <= now:
             return DropReason.EXPIRED_EVIDENCE
-        return None
-
-    def _expires_at(self, evidence: Evidence, sent_at: int) -> int:
-        return sent_at - evidence.age_ms * MS + self._limits.evidence_us
+        return PeerClaim(evidence.kind, evidence.count, now - age_us, expires_at)
 
     def _is_same_incarnation(self, claimed_uptime: int, known_uptime: int) -> bool:
         slack = self._limits.uptime_slack_us // UPTIME_UNIT_US
@@ -127,37 +120,32 @@
             if not claims:
                 del self._claims[backend]
 
-    def _take(
-        self, backend: str, sender: int, claim: PeerClaim, now: int, observations: LocalObservations
-    ) -> None:
+    def _take(self, claim: PeerClaim, sender: int, observation: Observation, now: int) -> None:
         """Take a claim in place of the peer's last one.
 
         A peer that goes on claiming what this instance's own traffic refutes loses credit, and so does one
         that claims it once more after withdrawing it. One that was merely late to learn of a change does not.
         """
-        observation = observations.backends[backend]
+        backend = observation.endpoint.node
         claims = self._claims.setdefault(backend, {})
         last = claims.get(sender)
         withdrawn = self._withdrawn.pop((backend, sender), None)
-        if withdrawn is not None:
-            earliest = max(withdrawn.latest_at, claim.latest_at - self._limits.evidence_us)
-            contradicted_at = observation.contradicted_at(withdrawn.kind)
-            # Claimed, refuted, withdrawn and soon claimed again: as good as gone on claiming.
-            if contradicted_at is not None and earliest < contradicted_at < claim.latest_at:
-                self._lower_credit(sender, now)
+        if withdrawn is not None and self._is_repeated(claim, withdrawn, observation):
+            self._lower_credit(sender, now)
         if last is not None and last.kind is claim.kind:
-            claim.refuted_at = last.refuted_at
-            contradicted_at = observation.contradicted_at(claim.kind)
-            if claim.refuted_at is None and contradicted_at is not None and contradicted_at > last.latest_at:
-                claim.refuted_at = contradicted_at
-            if (
-                claim.refuted_at is not None
-                and claim.refuted_at < claim.latest_at - self._limits.refutation_grace_us
-            ):
+            claim.refuted_at = _refuted_at(last, observation)
+            grace_us = self._limits.refutation_grace_us
+            if claim.refuted_at is not None and claim.refuted_at < claim.latest_at - grace_us:
                 self._lower_credit(sender, now)
                 claim.refuted_at = None
         claims[sender] = claim
 
+    def _is_repeated(self, claim: PeerClaim, withdrawn: PeerClaim, observation: Observation) -> bool:
+        """Return whether a claim was refuted, withdrawn and soon made again: as good as never withdrawn."""
+        earliest = max(withdrawn.latest_at, claim.latest_at - self._limits.evidence_us)
+        contradicted_at = observation.contradicted_at(withdrawn.kind)
+        return contradicted_at is not None and earliest < contradicted_at < claim.latest_at
+
     def _lower_credit(self, peer: int, now: int) -> None:
         self._credit[peer] = Credit(self.credit(peer, now) * self._limits.refuted_credit_factor, now)
 
@@ -231,3 +219,13 @@
             for peer, claim in claims
             if claim.expires_at > now
         )
+
+
+def _refuted_at(claim: PeerClaim, observation: Observation) -> int | None:
+    """Return when this instance first observed the contrary of a claim, or of the same one before it."""
+    if claim.refuted_at is not None:
+        return claim.refuted_at
+    contradicted_at = observation.contradicted_at(claim.kind)
+    if contradicted_at is None or contradicted_at <= claim.latest_at:
+        return None
+    return contradicted_at
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -164,9 +164,9 @@
 
 
 def claims_too_long(
-    self: SuspicionTable, node: str, sender: int, claim: PeerClaim, now: int, observations: LocalObservations
+    self: SuspicionTable, claim: PeerClaim, sender: int, observation: Observation, now: int
 ) -> None:
-    real_take(self, node, sender, replace(claim, expires_at=claim.expires_at + SECOND), now, observations)
+    real_take(self, replace(claim, expires_at=claim.expires_at + SECOND), sender, observation, now)
 
 
 def own_responses_ignored(_self: Observation, _kind: EvidenceKind) -> None:
