--- a/garnetlanding/core/engine.py
+++ b/garnetlanding/core/engine.py
@@ -105,7 +105,7 @@
             self.abort(request.ticket, reason)
 
     def client_disconnected(self, ticket: str) -> None:
-        """The client has gone away: nobody is owed an answer any more."""
+        """Note that the client has gone away: nobody is owed an answer any more."""
         if request := self._requests.get(ticket):
             request.on_answer = _discard_answer
         self.abort(ticket, "client left")
@@ -144,7 +144,7 @@
         )
 
     def endpoint_update_failed(self, queued: bool = False, unheard_us: int = 0) -> None:
-        """A call to discovery or its watch has failed; the list in force stands.
+        """Note that a call to discovery or its watch has failed; the list in force stands.
 
         `queued`: discovery rejected the call after it had waited in discovery's queue. `unheard_us`: for how
         long before the failure discovery may have had a change that could not be received.
--- a/garnetlanding/daemon/process_share.py
+++ b/garnetlanding/daemon/process_share.py
@@ -1,4 +1,4 @@
-"""This process's share of the instance's capacity, which the two processes of an upgrade divide."""
+"""The share that a process has of its instance's capacity, which the two processes of an upgrade divide."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ProcessShare(Subsystem):
-    """This process among those of its instance, and the share (0 to 1) of the capacity that it keeps to.
+    """The process among those of its instance, and the share (0 to 1) of the capacity that it keeps to.
 
     Without an admin service there is one process only, whose share is always 1.
     """
--- a/garnetlanding/discovery/watch_state.py
+++ b/garnetlanding/discovery/watch_state.py
@@ -81,7 +81,7 @@
         self.has_unreported_failure = False
 
     def end_call(self, is_pushed: bool) -> OnFailure:
-        """The newest call has ended, for whatever cause: every end is a failure."""
+        """Note that the newest call has ended, for whatever cause: every end is a failure."""
         self.is_following = False
         if not is_pushed:
             return OnFailure.REPORT
@@ -105,6 +105,6 @@
         self._quiet_us = quiet_us
 
     def line_received(self, now: int) -> None:
-        """A complete line has come."""
+        """Note that a complete line has come."""
         self.last_received_at = now
         self.until = now + self._quiet_us
--- a/garnetlanding/history/writer.py
+++ b/garnetlanding/history/writer.py
@@ -49,11 +49,11 @@
         self._write("up", {})
 
     def settings_applied(self, epoch: int, revision: int, digest: int, at_us: int) -> None:
-        """Settings of this version are in force from `at_us` on."""
+        """Record that settings of this version are in force from `at_us` on."""
         self._write("settings", {"epoch": epoch, "revision": revision, "digest": digest, "at": at_us})
 
     def fencing_changed(self, fenced: bool, at_us: int) -> None:
-        """The instance is fenced, or no longer is, from `at_us` on."""
+        """Record that the instance is fenced, or no longer is, from `at_us` on."""
         self._write("current", {"out": fenced, "at": at_us})
 
     # The request engine
@@ -66,7 +66,7 @@
         ended_us: int,  # noqa: ARG002 - of the Observer protocol; the line has its own time
         attempts: list[AttemptSummary],
     ) -> None:
-        """A request was answered, after these attempts."""
+        """Record that a request was answered, after these attempts."""
         fields = {
             "id": _request_id(spec),
             "volume": spec.volume,
@@ -80,7 +80,7 @@
     # The peer protocols
 
     def members_changed(self, entitled: Collection[int], even_share: float) -> None:
-        """The membership changed: these instances are entitled to quota shares, and this is an even share."""
+        """Record a new membership: the instances entitled to quota shares, and what an even share is."""
         self._write("heads", {"entitled": sorted(entitled), "even": even_share})
 
     def disabled_backends_changed(self, backends: Collection[str]) -> None:
@@ -88,7 +88,7 @@
         self._write("bans", {"out": sorted(backends)})
 
     def suspicions_changed(self, suspected: Mapping[str, int]) -> None:
-        """The decision module suspects exactly these backends from now on, each until the time given."""
+        """Record that exactly these backends are suspected from now on, each until the time given."""
         self._write("doubted", {"servers": dict(suspected)})
 
     def observations_sent(self, observations: Mapping[str, tuple[str, int]]) -> None:
@@ -97,11 +97,11 @@
         self._write("seen", {"servers": servers})
 
     def volume_shares_changed(self, shares: Mapping[str, float], until_us: int) -> None:
-        """These are the instance's shares of the volumes' limits until they are looked at again."""
+        """Record the instance's shares of the volumes' limits until they are looked at again."""
         self._write("parts", _share_fields(shares, until_us))
 
     def limit_shares_changed(self, shares: Mapping[str, float], until_us: int) -> None:
-        """These are the instance's shares of the other limits that all instances have in common."""
+        """Record the instance's shares of the other limits that all instances have in common."""
         self._write("shares", _share_fields(shares, until_us))
 
     def _write(self, kind: str, fields: Mapping[str, Any]) -> None:
--- a/garnetlanding/ops/process_registry.py
+++ b/garnetlanding/ops/process_registry.py
@@ -28,7 +28,7 @@
 
 
 class ProcessRegistry:
-    """This process among those of its instance.
+    """The own process among those of its instance.
 
     It is registered from construction to `close`, at first with no share. Raises OSError where the folder
     cannot be used.
--- a/garnetlanding/runtime/signals.py
+++ b/garnetlanding/runtime/signals.py
@@ -63,7 +63,7 @@
             self._scheduler.spawn(self._terminate)
 
     def _reload_guarded(self) -> None:
-        """A reload that fails must not leave a process that cannot be terminated."""
+        """Reload, so that a failure does not leave a process that cannot be terminated."""
         try:
             self._reload()
         except Exception:
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -25,7 +25,7 @@
 
 
 class ConnectionQuota(Protocol):
-    """This instance's share of the connections that all instances together may have at a backend."""
+    """The own share of the connections that all instances together may have at a backend."""
 
     def max_connections(self, backend: str) -> int:
         """Return how many connections to the backend this instance may have now."""
