--- a/garnetlanding/peers/membership.py
+++ b/garnetlanding/peers/membership.py
@@ -241,7 +241,7 @@
 
     @property
     def even_share(self) -> float:
-        """This instance's even share of everything that all divide; 0 until it has joined."""
+        """The own even share of everything that all instances divide; 0 until this one has joined."""
         return 1 / len(self.quota_holders) if self.joined else 0.0
 
     def state(self, instance: int, now: int) -> MemberState:
--- a/garnetlanding/peers/quota_use.py
+++ b/garnetlanding/peers/quota_use.py
@@ -28,7 +28,7 @@
 
 
 class QuotaUse:
-    """This process's leases on volume limits and on shared budgets, and whether it may use them."""
+    """The own leases on volume limits and on shared budgets, and whether this process may use them."""
 
     def __init__(
         self,
