--- a/garnetlanding/core/admission.py
+++ b/garnetlanding/core/admission.py
@@ -1,6 +1,7 @@
 """Admission by this instance's own means: what it can never serve, and what exceeds its capacity.
 
-Both are decided before the decision module hears of a request, whose capacity is that of the backends.
+Both are decided before the decision module gets a request's `Arrival`, whose capacity is that of the
+backends.
 """
 
 from __future__ import annotations
--- a/garnetlanding/core/body.py
+++ b/garnetlanding/core/body.py
@@ -35,7 +35,7 @@
 
     States:
 
-    - buffering, from the start: the client's turn has not come, `feed` collects; the body is `blocked`;
+    - buffering, from the start: answers before it are still owed, `feed` collects; the body is `blocked`;
     - streaming, from `attach_sink` on: `feed` writes through; `blocked` while the sink is full;
     - ended, from `end` on, by either side: complete or cut short; further calls change nothing.
 
@@ -69,7 +69,7 @@
             self._sink.when_writable(self.on_writable)
 
     def attach_sink(self, sink: Sink) -> None:
-        """Begin to stream: the client's turn has come. Called once."""
+        """Begin to stream: every answer before it has been sent. Called once."""
         self._sink = sink
         buffered = self._buffered
         self._buffered = []
--- a/garnetlanding/core/endpoint_registry.py
+++ b/garnetlanding/core/endpoint_registry.py
@@ -37,7 +37,8 @@
             self._addresses.clear()
         for entry in listing.entries:
             if entry.state is EndpointState.GONE:
-                # Replaced backends come back under other names: kept, these would grow without end.
+                # Replaced backends come back under other names: the entries of old ones would grow without
+                # end.
                 self._entries.pop(entry.node, None)
                 self._addresses.pop(entry.node, None)
             else:
@@ -67,7 +68,7 @@
         """Return a listed entry as the decision module is to see it, with the operators' overlay."""
         if entry.node in self.disabled and entry.state is EndpointState.UP:
             return replace(entry, state=EndpointState.DRAINING, admin_disabled=True)
-        # While it was disabled it was restarted, which the list may say late: it comes back warming up.
+        # While it was disabled it was restarted, which the list may show late: it comes back warming up.
         enabled_at = self._enabled_at.get(entry.node, 0)
         if enabled_at > entry.started_us:
             return replace(entry, started_us=enabled_at)
--- a/garnetlanding/core/engine.py
+++ b/garnetlanding/core/engine.py
@@ -160,7 +160,7 @@
     # The event-loop iteration
 
     def run_iteration(self) -> None:
-        """Give the decision module what has happened and do what it says, until nothing is left.
+        """Give the decision module what has happened and perform its actions, until nothing is left.
 
         An action that fails is logged; the ones behind it concern other requests and are still carried out.
         """
--- a/garnetlanding/core/metrics.py
+++ b/garnetlanding/core/metrics.py
@@ -8,10 +8,10 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from garnetlanding.core.ports import Answer, Rejected, Served
+from garnetlanding.core.ports import Answer, CoreError, Rejected, Served
 
 
-class MetricsFormatError(ValueError):
+class MetricsFormatError(CoreError):
     """A line that is not in the form of the metrics page; `line` is that line."""
 
     def __init__(self, line: str) -> None:
--- a/garnetlanding/core/ports.py
+++ b/garnetlanding/core/ports.py
@@ -32,7 +32,11 @@
     allow_hedging: bool = True  # whether a hedged request may run beside the first, where settings allow it
 
 
-class InvalidRequestError(ValueError):
+class CoreError(ValueError):
+    """Something that was handed to the core, or read by it, cannot be used."""
+
+
+class InvalidRequestError(CoreError):
     """A request that the settings in force have no place for; the text says why, and reaches clients."""
 
 
