--- a/tests/conform/test_conformance_suite.py
+++ b/tests/conform/test_conformance_suite.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("version", BOTH)
-def test_the_stand_in_passes_and_the_head_gives_the_same_verdict_case_by_case(version: str) -> None:
+def test_stand_in_passes_every_case_and_the_instance_gives_the_same_results(version: str) -> None:
     w = NinepInstance(access="rw", offer=version, tree={})
     direct = verdicts(w, w.files[0].address, version)
     assert [r for r in direct if r.verdict != suite.PASS] == []
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("flaw", VARIANTS)
-def test_each_broken_variant_of_the_stand_in_is_caught(flaw: str) -> None:
+def test_suite_detects_each_seeded_fault(flaw: str) -> None:
     """A suite that cannot fail proves nothing."""
     _, _, _, version, name = VARIANTS[flaw]
     w = NinepInstance(access="rw", offer=version, tree={})
@@ -56,7 +56,7 @@
     assert (sound.verdict, flawed.verdict) == (suite.PASS, suite.FAIL), flawed.why
 
 
-def test_a_server_that_is_not_there_breaks_each_case() -> None:
+def test_unreachable_server_makes_each_case_an_error() -> None:
     def dial() -> SimulatedWire:
         raise OSError("refused")
 
@@ -65,7 +65,7 @@
     assert {r.verdict for r in results} == {suite.BROKEN}
 
 
-def test_a_silent_server_fails_a_case_in_time() -> None:
+def test_unresponsive_server_fails_a_case_in_time() -> None:
     w = NinepInstance(access="rw", tree={})
     w.files[0].script.add(Rule(p9.Tread, Fault.STALL, times=-1))
     [result] = verdicts(w, w.files[0].address, p9.VERSION, "^read-nothing$")
@@ -79,7 +79,7 @@
     return code[0]
 
 
-def test_the_command_tells_verdicts_by_table_json_and_exit_code(
+def test_command_reports_results_as_table_json_and_exit_code(
     capsys: pytest.CaptureFixture[str], tmp_path: pathlib.Path
 ) -> None:
     w = NinepInstance(access="rw", tree={})
@@ -105,13 +105,13 @@
         ([], "--address"),
     ],
 )
-def test_a_wrong_call_is_told_with_exit_code_2(
+def test_invalid_arguments_give_exit_code_2(
     words: list[str], told: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert cli.main(["conform", "9p", *words]) == 2
     assert told in capsys.readouterr().err
 
 
-def test_the_cases_can_be_listed(capsys: pytest.CaptureFixture[str]) -> None:
+def test_list_option_prints_the_cases(capsys: pytest.CaptureFixture[str]) -> None:
     assert cli.main(["conform", "9p", "--address", "x:1", "--list", "--only", "^walk-"]) == 0
     assert "walk-sixteen-names" in capsys.readouterr().out
--- a/tests/integration/test_choices_of_processes.py
+++ b/tests/integration/test_choices_of_processes.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("name", ["subset", "resend-budget"])
-def test_choices_of_real_processes_add_up(name: str, tmp_path: pathlib.Path) -> None:
+def test_subsets_and_retry_budgets_of_real_processes_add_up(name: str, tmp_path: pathlib.Path) -> None:
     """Eight heads, of which one joins, one leaves and one is cut off; six whose connections break."""
     result = run(load(str(ROOT / "experiments" / f"{name}.toml")), tmp_path / "run")
     assert result.findings.sound, result.findings.broken
--- a/tests/integration/test_fencing.py
+++ b/tests/integration/test_fencing.py
@@ -14,7 +14,7 @@
 ROOT = pathlib.Path(__file__).parents[2]
 
 
-def test_an_operator_shuts_a_head_out_from_another_and_lets_it_in_from_a_third(
+def test_operator_fences_an_instance_from_a_second_and_unfences_it_from_a_third(
     tmp_path: pathlib.Path,
 ) -> None:
     result = run(load(str(ROOT / "experiments" / "shut-out.toml")), tmp_path / "run")
@@ -43,7 +43,7 @@
     )
 
 
-def test_stragglers_among_real_processes_stop_in_time_and_the_audit_says_who_used_what(
+def test_stale_processes_are_fenced_in_time_and_the_audit_names_their_versions(
     tmp_path: pathlib.Path,
 ) -> None:
     result = run(load(str(ROOT / "experiments" / "stragglers.toml")), tmp_path / "run")
--- a/tests/integration/test_mixed_protocols.py
+++ b/tests/integration/test_mixed_protocols.py
@@ -84,7 +84,7 @@
 
 
 @given(STEPS)
-def test_every_accepted_item_of_either_front_ends_once_under_the_rules(steps: list[str]) -> None:
+def test_every_accepted_request_of_either_protocol_ends_once_under_the_rules(steps: list[str]) -> None:
     w = MixedWorld()
     tool, client = w.peer(w.nine_front.address), w.peer(w.resp_front.address)
     tool.say(HELLO)
@@ -124,7 +124,7 @@
     assert set(tags) - set(answered) <= flushed, "one answer a tag"
 
 
-def test_a_drain_told_while_both_wait_for_connections_stops_both() -> None:
+def test_drain_while_both_protocols_connect_stops_both() -> None:
     w = MixedWorld()
     tool, client = w.peer(w.nine_front.address), w.peer(w.resp_front.address)
     # All three are in the head before its loop turns again: connects begin, then the drain is told.
@@ -140,7 +140,7 @@
     assert {a.outcome for a in w.core.starts} == {Outcome.UNREACHABLE}
 
 
-def test_a_9p_server_may_have_a_port_of_its_own_on_the_machine() -> None:
+def test_9p_server_may_have_its_own_port_on_the_backends_host() -> None:
     w = SimulatedInstance()
     assert file_servers(w.scheduler, w.pool, w.limits, 564)._place("10.0.0.1:6379") == "10.0.0.1:564"
     assert parse_address("[::1]:564") == ("::1", 564)
--- a/tests/lab/test_checks.py
+++ b/tests/lab/test_checks.py
@@ -20,7 +20,7 @@
     return lines
 
 
-def test_the_checks_find_what_is_broken_and_nothing_else() -> None:
+def test_checks_report_each_violation_and_nothing_else() -> None:
     slow = replace(CALM, load=replace(CALM.load, rate=30.0))
     requests = plan.draw(slow)
     sound = answered(requests)
@@ -59,7 +59,7 @@
     assert not [b for b in checks.check(killed, requests, lost).broken if "one answer" in b]
 
 
-def test_a_ban_that_does_not_hold_is_found() -> None:
+def test_checks_report_a_disabled_backend_that_was_sent_requests() -> None:
     banned = replace(CALM, heads=2, faults=(fault("disable", 1, 4, who=0, brick=1),))
     out = [{"t": 2, "what": "bans", "who": f"n{n}", "out": ["b1"]} for n in (0, 1)]
     ran = {"t": SECOND, "who": "bricks", "what": "ran", "id": "r", "brick": 1, "volume": "v"}
@@ -73,7 +73,7 @@
     assert "which" not in found(out[0], ran)
 
 
-def test_a_limit_that_is_passed_is_found() -> None:
+def test_checks_report_an_exceeded_limit() -> None:
     requests = plan.draw(replace(CALM, load=replace(CALM.load, rate=200.0)))
     findings = checks.check(CALM, requests, answered(requests))
     assert findings.over > 20
--- a/tests/lab/test_experiment.py
+++ b/tests/lab/test_experiment.py
@@ -52,20 +52,18 @@
         ),
     ],
 )
-def test_a_fault_in_an_experiments_file_names_its_key(change: dict[str, Any], key: str) -> None:
+def test_invalid_experiment_file_names_the_bad_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigError, match=key):
         read({"name": "x"} | change)
 
 
-def test_every_experiment_that_is_delivered_is_sound() -> None:
+def test_every_delivered_experiment_loads() -> None:
     files = sorted((ROOT / "experiments").glob("*.toml"))
     assert len(files) >= 5
     assert all(load(str(path)).name == path.stem for path in files)
 
 
-def test_the_command_line_says_what_is_wrong(
-    tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_command_line_names_what_is_wrong(tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert cli.main(["lab", "run", str(tmp_path / "none.toml")]) == 2
     bad = tmp_path / "bad.toml"
     bad.write_text("name = 'x'\nheads = 0\n")
--- a/tests/lab/test_network_faults.py
+++ b/tests/lab/test_network_faults.py
@@ -13,7 +13,7 @@
 # Decisions
 
 
-def test_the_same_seed_asks_the_same_and_has_the_same_weather() -> None:
+def test_same_seed_gives_the_same_requests_and_network_faults() -> None:
     half = dict(share=0.5, span_us=9)
     storm = replace(CALM, faults=(fault("loss", 0, 4, **half), fault("double", 0, 4, **half)))
     assert plan.draw(storm) == plan.draw(storm) != plan.draw(replace(storm, seed=6))
@@ -24,7 +24,7 @@
     assert 70 < one.fates["loss"] < 130
 
 
-def test_a_cut_holds_one_way_and_between_its_times() -> None:
+def test_partition_holds_in_one_direction_between_its_times() -> None:
     weather = Weather(replace(CALM, faults=(fault("cut", 1, 2, sender=0, receiver=1),)))
     assert weather.fate(0, 1, SECOND) == []
     assert weather.fate(1, 0, SECOND) == [0]
@@ -32,7 +32,7 @@
     assert weather.fate(0, 2, SECOND) == [0]
 
 
-def test_a_stream_fares_as_its_link_and_its_time_say() -> None:
+def test_stream_is_delayed_or_broken_by_its_link_and_time() -> None:
     faults = (
         fault("lag", 1, 2, link="brick", who=0, brick=1, span_us=9),
         fault("freeze", 1, 2, link="client"),
@@ -51,7 +51,7 @@
     assert not Streams(CALM, 32).named("brick")
 
 
-def test_the_busiest_head_moves_when_it_should() -> None:
+def test_busiest_instance_changes_at_the_set_times() -> None:
     moving = replace(CALM, load=replace(CALM.load, shift_us=SECOND, lead=1.0))
     heads = {(r.volume, r.at_us // SECOND): r.head for r in plan.draw(moving)}
     assert len({heads[plan.volume_name(1), second] for second in (0, 1)}) == 2
--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -40,7 +40,7 @@
 ONE_HEAD = Load(volumes=3, rate=90.0, lead=1.0)  # each volume's requests come through its first head alone
 
 
-def test_processes_leave_a_limit_to_the_head_that_is_asked(tmp_path: pathlib.Path) -> None:
+def test_processes_lend_their_quota_to_the_instance_with_the_demand(tmp_path: pathlib.Path) -> None:
     result = play(tmp_path, replace(CALM, load=ONE_HEAD, length_us=5 * SECOND))
     assert max(part for _, part in believed(result, 0)) > 0.9
     assert result.findings.lives == {"n0": 1, "n1": 1, "n2": 1}
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("how", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
-def test_whatever_ends_the_lab_ends_every_process_that_it_started(
+def test_lab_ends_every_process_it_started_however_it_ends(
     how: signal.Signals, tmp_path: pathlib.Path
 ) -> None:
     def interrupt(_done: float) -> None:
@@ -72,7 +72,7 @@
             os.kill(pid, 0)
 
 
-def test_a_process_that_is_cut_off_keeps_to_its_even_part_and_comes_back(tmp_path: pathlib.Path) -> None:
+def test_partitioned_process_keeps_to_its_even_share_and_returns(tmp_path: pathlib.Path) -> None:
     cut = (fault("cut", 2, 4, sender=0), fault("cut", 2, 4, receiver=0))
     result = play(tmp_path, replace(CALM, load=ONE_HEAD, length_us=7 * SECOND, faults=cut))
     parts = believed(result, 0)
@@ -80,7 +80,7 @@
     assert any(part > 0.9 and at > 4 for at, part in parts), "and heard again"
 
 
-def test_a_process_that_is_killed_comes_back_with_nothing_of_its_earlier_life(tmp_path: pathlib.Path) -> None:
+def test_killed_process_restarts_with_nothing_of_its_earlier_incarnation(tmp_path: pathlib.Path) -> None:
     kill = (fault("kill", 2, 2.5, who=0),)
     result = play(tmp_path, replace(CALM, load=ONE_HEAD, length_us=7 * SECOND, faults=kill))
     assert result.findings.lives["n0"] == 2
@@ -95,7 +95,7 @@
     assert any(part >= 0.5 for at, part in believed(result, 0) if at > 2.5)
 
 
-def test_a_process_that_stood_still_past_its_lease_sends_nothing_on_it(tmp_path: pathlib.Path) -> None:
+def test_process_paused_past_its_lease_sends_nothing_under_it(tmp_path: pathlib.Path) -> None:
     stop = (fault("stop", 2, 4, who=0),)
     load_both = replace(ONE_HEAD, lead=0.6)
     result = play(tmp_path, replace(CALM, load=load_both, length_us=6 * SECOND, faults=stop))
@@ -104,7 +104,7 @@
     assert after[0] <= 0.5, "what others had left to it had gone back meanwhile"
 
 
-def test_lost_doubled_late_and_overtaken_messages_between_processes(tmp_path: pathlib.Path) -> None:
+def test_lost_duplicated_late_and_reordered_messages_break_no_rule(tmp_path: pathlib.Path) -> None:
     storm = tuple(
         fault(kind, 0, 5, share=0.3, span_us=60_000) for kind in ("loss", "double", "delay", "reorder")
     )
@@ -117,7 +117,7 @@
     assert all(result.fates[kind] for kind in ("loss", "double", "delay", "reorder"))
 
 
-def test_a_brick_that_falls_silent_and_a_head_that_is_replaced_cost_no_answer(tmp_path: pathlib.Path) -> None:
+def test_unresponsive_backend_and_replaced_instance_lose_no_request(tmp_path: pathlib.Path) -> None:
     both = (fault("silent", 1, 2.5, who=1), fault("term", 1.5, 2, who=2))
     result = play(tmp_path, replace(CALM, length_us=5 * SECOND, faults=both))
     assert result.findings.lives["n2"] == 2
@@ -126,7 +126,7 @@
     assert ran == {0, 1, 2}, "no healthy brick is shunned"
 
 
-def test_a_ban_said_at_one_process_holds_at_all_and_is_lifted_at_another(tmp_path: pathlib.Path) -> None:
+def test_disable_at_one_process_holds_at_all_and_is_enabled_at_another(tmp_path: pathlib.Path) -> None:
     """One head is cut off meanwhile, and one is killed: it comes back with what it had on disk."""
     calls = (
         fault("disable", 0.5, 6, who=0, brick=1),
@@ -142,7 +142,7 @@
     assert [sorted(who for who, out in said[-3:]), said[-1][1]] == [["n0", "n1", "n2"], []]
 
 
-def test_heads_hear_of_a_brick_that_refuses_and_none_doubts_what_nobody_saw(tmp_path: pathlib.Path) -> None:
+def test_peers_learn_of_a_refusing_backend_and_suspect_no_other(tmp_path: pathlib.Path) -> None:
     down = (fault("down", 1, 3, who=2),)
     result = play(tmp_path, replace(CALM, length_us=4 * SECOND, faults=down))
     seen = {line["who"] for line in result.lines if line["what"] == "seen" and "b2" in line["servers"]}
@@ -152,7 +152,7 @@
     assert any(line["what"] == "ran" and line["brick"] == 2 and line["t"] > late for line in result.lines)
 
 
-def test_a_process_that_lies_does_not_take_the_others_servers(tmp_path: pathlib.Path) -> None:
+def test_lying_process_does_not_deprive_others_of_backends(tmp_path: pathlib.Path) -> None:
     """Every brick goes on serving what comes through the heads that are lied to."""
     lie = (fault("lie", 0.5, 4, who=0),)
     result = play(tmp_path, replace(CALM, faults=lie))
@@ -168,7 +168,9 @@
 
 
 @pytest.mark.parametrize(("name", "lost"), [("upgrade", 0), ("upgrade-stalled", 30), ("ban-moving", 0)])
-def test_the_hard_cases_of_two_processes_of_one_head(name: str, lost: int, tmp_path: pathlib.Path) -> None:
+def test_upgrade_under_faults_loses_no_more_than_allowed(
+    name: str, lost: int, tmp_path: pathlib.Path
+) -> None:
     """Both banning at the moment of SIGTERM; the old one standing still with its locks; a ban while a reload
     moves the head to another discovery. Bans hold at every head in the end."""
     result = play(tmp_path, load(str(ROOT / "experiments" / f"{name}.toml")))
@@ -178,7 +180,7 @@
 
 
 @pytest.mark.parametrize("name", ["split-group", "twin", "clock-steps"])
-def test_processes_that_come_and_go_at_sides_that_do_not_hear_each_other(
+def test_membership_changes_on_both_sides_of_a_partition_keep_the_limits(
     name: str, tmp_path: pathlib.Path
 ) -> None:
     """Heads found from seeds join on both sides of a cut; a second process has a head's number; wall clocks
@@ -198,14 +200,14 @@
         assert not any(parts[-1].values()), "stood back"
 
 
-def test_a_cold_brick_is_sent_no_more_than_it_bears_by_all_heads(tmp_path: pathlib.Path) -> None:
+def test_all_instances_together_send_a_warming_backend_no_more_than_it_bears(tmp_path: pathlib.Path) -> None:
     result = play(tmp_path, load(str(ROOT / "experiments" / "cold-shared.toml")))
     assert 0 < result.findings.cold_most <= 1.0
     shares = [line["parts"].get("cold:b0", 0) for line in result.lines if line["what"] == "shares"]
     assert max(shares) > 0.4, "the head that is asked has more than an even part, which is a third"
 
 
-def test_streams_that_stand_open_drip_or_break_cost_no_answer(tmp_path: pathlib.Path) -> None:
+def test_stalled_trickling_or_broken_streams_lose_no_request(tmp_path: pathlib.Path) -> None:
     broken = (
         fault("freeze", 1, 2.5, link="brick", who=0, brick=0),
         fault("reset", 3, 3.3, link="brick"),
--- a/tests/lab/test_results.py
+++ b/tests/lab/test_results.py
@@ -11,7 +11,7 @@
 from garnetlanding.lab.limits import SECOND
 
 
-def test_a_runs_figures_second_by_second() -> None:
+def test_results_of_a_run_are_counted_by_second() -> None:
     lines: list[dict[str, Any]] = [
         {"t": 5 * SECOND + at, "who": who, "what": what, **more}
         for at, who, what, more in (
@@ -30,7 +30,7 @@
     assert [figures.percentile(range(0, 100_000, 1000), share) for share in (0, 0.5, 0.99)] == [0, 50, 99]
 
 
-def test_latencies_add_up_over_runs() -> None:
+def test_latency_histograms_merge_over_runs() -> None:
     lines: list[dict[str, Any]] = [
         {"what": "answer", "outcome": "served", "took": n * 1000} for n in range(1, 101)
     ]
@@ -45,7 +45,7 @@
     assert latency.milliseconds(latency.histogram([])) == {}
 
 
-def test_a_history_cut_short_is_read_and_a_damaged_one_is_an_error(tmp_path: pathlib.Path) -> None:
+def test_truncated_history_is_read_and_a_corrupt_one_is_an_error(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "n0.history"
     path.write_bytes(b'{"t":2,"what":"b"}\n{"t":1,"what":"a"}\n{"t":3,"wh')
     assert [line["what"] for line in history.read([path])] == ["a", "b"]
--- a/tests/ninep/test_change_order.py
+++ b/tests/ninep/test_change_order.py
@@ -13,7 +13,7 @@
 # Order, and what may have happened.
 
 
-def test_changes_of_one_file_go_in_the_order_they_came_also_after_a_lost_attempt() -> None:
+def test_changes_of_one_file_keep_their_order_after_a_lost_attempt() -> None:
     """Writes went out together: the second overtook the first, whose attempt was sent again over it."""
     w, tool = rw(servers=2)
     tool.open(5, "readme", mode=p9.OWRITE)
@@ -25,7 +25,7 @@
     assert [r[3] for r in w.disk.ran if r[0] == "write"] == [b"first", b"secnd", b"third"]
 
 
-def test_a_late_first_attempt_does_not_undo_what_came_after_it() -> None:
+def test_delayed_first_attempt_does_not_undo_a_later_change() -> None:
     """A server that was given up ran the first write after the second was acknowledged."""
     w, tool = rw()
     tool.open(5, "readme", mode=p9.OWRITE)
@@ -41,7 +41,7 @@
     assert w.disk.read("readme") == b"other"
 
 
-def test_what_is_renamed_by_one_request_is_written_by_the_next() -> None:
+def test_write_after_a_rename_reaches_the_renamed_file() -> None:
     w, tool = rw()
     tool.open(5, "sv", "notes", mode=p9.OWRITE)
     tool.walk(6, "sv")
@@ -60,7 +60,7 @@
         (Fault.RESET_BEFORE, 0, "may have happened"),
     ],
 )
-def test_what_may_not_run_twice_is_not_sent_twice(fault: Fault, ran: int, words: str) -> None:
+def test_change_that_is_not_idempotent_is_not_sent_twice(fault: Fault, ran: int, words: str) -> None:
     w, tool = rw(servers=2)
     tool.walk(6)
     w.files[0].script.add(Rule(p9.Tcreate, fault))
@@ -71,7 +71,7 @@
     assert len(received_messages(w, p9.Tcreate, 0)) + len(received_messages(w, p9.Tcreate, 1)) == 1
 
 
-def test_a_walk_that_is_lost_ahead_of_a_create_proves_that_nothing_ran() -> None:
+def test_walk_lost_before_a_create_proves_that_the_create_never_ran() -> None:
     """Such an attempt counted as one that may have run, and the create was given up for nothing."""
     w, tool = rw(servers=2)
     tool.walk(6)
@@ -81,7 +81,7 @@
     assert isinstance(tool.answers[-1][1], p9.Rcreate)
 
 
-def test_a_refused_change_that_was_never_sent_may_come_again() -> None:
+def test_rejected_change_that_was_never_sent_may_be_retried() -> None:
     w, tool = rw()
     tool.open(5, "readme", mode=p9.OWRITE)
     w.drained(0)
@@ -90,7 +90,7 @@
     assert error_text(tool.answers[-1][1]) == "busy; come again after 1000 ms"
 
 
-def test_a_large_write_goes_in_parts_and_a_drain_half_way_sends_no_more_there() -> None:
+def test_large_write_is_split_and_stops_at_a_backend_that_drains() -> None:
     w = NinepInstance(2, access="rw")
     for server in w.files:
         server.msize = 1024
@@ -109,7 +109,7 @@
     assert len(received_messages(w, p9.Twrite, 0)) == sent == 2
 
 
-def test_a_server_that_drains_between_the_walk_and_the_open_is_not_sent_the_open() -> None:
+def test_backend_that_drains_between_walk_and_open_is_not_sent_the_open() -> None:
     w, tool = rw(servers=2)
     tool.walk(5, "readme")
     w.drained(0)
@@ -121,7 +121,7 @@
     assert w.disk.read("readme") == b"HELLO"
 
 
-def test_a_server_that_drains_within_an_open_is_sent_no_further_message() -> None:
+def test_backend_that_drains_within_an_open_is_sent_no_further_message() -> None:
     """The walk of the attempt was out when the drain was told; the open behind it is new work."""
     w, tool = rw(servers=2)
     tool.walk(5, "readme")
@@ -146,7 +146,7 @@
     ],
 )
 @pytest.mark.parametrize("end", ["flush", "clunk"])
-def test_a_flush_or_a_clunk_in_the_middle_leaves_one_answer_a_tag(message: p9.Message, end: str) -> None:
+def test_flush_or_clunk_within_a_change_leaves_one_reply_per_tag(message: p9.Message, end: str) -> None:
     w, tool = rw()
     tool.open(5, "readme", mode=p9.OWRITE)
     tool.walk(6)
--- a/tests/ninep/test_client_library.py
+++ b/tests/ninep/test_client_library.py
@@ -12,7 +12,7 @@
 
 @pytest.mark.parametrize("version", [p9.VERSION, p9l.VERSION])
 @pytest.mark.parametrize("offer", [p9.VERSION, p9l.VERSION])
-def test_a_session_of_p9fs_reads_and_writes(version: str, offer: str) -> None:
+def test_p9fs_client_reads_and_writes_through_the_instance(version: str, offer: str) -> None:
     w = NinepInstance(access="rw", offer=offer)
     port = int(w.listener.address.rpartition(":")[2])
     data = bytes(range(256)) * 400
--- a/tests/ninep/test_codec.py
+++ b/tests/ninep/test_codec.py
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("dialect", DIALECTS)
 @given(data=st.data())
-def test_every_message_survives_a_round_trip(dialect: str, data: st.DataObject) -> None:
+def test_every_message_survives_encoding_and_decoding(dialect: str, data: st.DataObject) -> None:
     table = DIALECTS[dialect]
     plan = table[data.draw(st.sampled_from(sorted(table)))]
     message = plan.cls(*(data.draw(value) for value in field_values(plan)))
@@ -51,7 +51,9 @@
 
 @pytest.mark.parametrize("dialect", DIALECTS)
 @given(data=st.data(), body=st.binary(max_size=80))
-def test_no_body_raises_out_of_a_codec(dialect: str, data: st.DataObject, body: bytes) -> None:
+def test_random_body_decodes_or_is_malformed_without_raising(
+    dialect: str, data: st.DataObject, body: bytes
+) -> None:
     table = DIALECTS[dialect]
     number = data.draw(st.integers(0, 255) | st.sampled_from(sorted(table)))
     message = p9.decode(number, body, table)
@@ -61,7 +63,7 @@
 
 @pytest.mark.parametrize("dialect", DIALECTS)
 @given(pieces=st.lists(st.binary(min_size=1, max_size=300), max_size=20), most=st.integers(7, 400))
-def test_a_framer_never_holds_more_than_the_largest_message(
+def test_framer_buffers_no_more_than_the_largest_message(
     dialect: str, pieces: list[bytes], most: int
 ) -> None:
     pool = BufferPool(64, 4, 1 << 12)
@@ -79,12 +81,12 @@
 
 
 @given(st.binary(max_size=120))
-def test_no_stat_and_no_entry_raises_but_value_errors(data: bytes) -> None:
+def test_random_stats_and_entries_raise_only_value_errors(data: bytes) -> None:
     for parse in (model.parse_stat, model.read_entries):
         with contextlib.suppress(ValueError):
             parse(data)
 
 
-def test_plans_and_fields_agree() -> None:
+def test_message_with_a_layout_that_misses_its_fields_is_rejected() -> None:
     with pytest.raises(TypeError, match="Tread"):
         p9.Plan(1, p9.Tread, "48")
--- a/tests/ninep/test_flush_clunk_disconnect.py
+++ b/tests/ninep/test_flush_clunk_disconnect.py
@@ -13,7 +13,7 @@
 # Flush, clunk, hang up.
 
 
-def test_a_flush_of_a_change_that_may_have_run_waits_for_its_answer() -> None:
+def test_flush_of_a_change_in_flight_waits_for_its_reply() -> None:
     w, tool = rw()
     tool.walk(6)
     w.files[0].script.add(Rule(p9.Tcreate, Fault.SLOW, delay_us=100 * MS))
@@ -26,7 +26,7 @@
     assert tool.ask(p9.Twrite(6, 0, b"x"), tag=1) == p9.Rwrite(1), "the tag is free"
 
 
-def test_a_flush_of_a_change_that_waits_takes_it_back() -> None:
+def test_flush_of_a_queued_change_cancels_it() -> None:
     w, tool = rw()
     tool.open(5, "readme", mode=p9.OWRITE)
     w.files[0].script.add(Rule(p9.Twrite, Fault.SLOW, delay_us=100 * MS))
@@ -38,7 +38,7 @@
     assert tool.answers[-1] == (1, p9.Rwrite(5))
 
 
-def test_a_clunk_waits_for_changes_and_gives_up_reads() -> None:
+def test_clunk_waits_for_changes_and_cancels_reads() -> None:
     w, tool = rw()
     tool.open(5, "readme", mode=p9.ORDWR)
     w.files[0].script.add(Rule(p9.Twrite, Fault.SLOW, delay_us=100 * MS), Rule(p9.Tread, Fault.STALL))
@@ -61,7 +61,7 @@
         p9.Tread(7, 0, 200),
     ],
 )
-def test_a_client_that_hangs_up_half_way_leaves_nothing_behind(message: p9.Message) -> None:
+def test_disconnect_within_a_change_leaves_nothing_behind(message: p9.Message) -> None:
     w, tool = rw()
     tool.open(5, "readme", mode=p9.OWRITE)
     tool.walk(6)
@@ -77,7 +77,7 @@
         assert w.disk.read("readme") == b"HELLO", "what was sent whole runs to its end"
 
 
-def test_a_new_version_lets_a_change_run_to_its_end_unheard() -> None:
+def test_new_version_lets_a_change_complete_without_a_reply() -> None:
     w, tool = rw()
     tool.open(5, "readme", mode=p9.OWRITE)
     w.files[0].script.add(Rule(p9.Twrite, Fault.SLOW, delay_us=100 * MS))
@@ -94,7 +94,7 @@
     assert len(reply.data) == 512 - 24
 
 
-def test_a_client_that_vanishes_with_a_clunk_waiting_for_a_change() -> None:
+def test_disconnect_with_a_clunk_queued_behind_a_change_releases_the_fid() -> None:
     """Dropping the change ended the clunk, which the reset then missed: its removals were lost."""
     w, tool = rw()
     tool.open(5, "readme", mode=p9.OWRITE)
@@ -111,7 +111,7 @@
     assert len(w.front_9p.order) == 0
 
 
-def test_a_burst_of_messages_is_taken_a_few_a_turn() -> None:
+def test_burst_of_messages_is_processed_a_few_per_iteration() -> None:
     """A hundred messages in one segment held the loop up until all were taken."""
     w, tool = rw(ninep_messages_per_iteration=4)
     tool.open(5, "readme")
@@ -128,7 +128,7 @@
     assert sorted(tag for tag, _ in tool.answers if 50 <= tag < 80) == list(range(50, 80))
 
 
-def test_a_client_that_floods_waits_for_itself_and_not_others_for_it() -> None:
+def test_flooding_client_delays_itself_and_no_other() -> None:
     """All of a client's requests were with the core at once: others waited behind a hundred of them."""
     w, tool = rw(ninep_requests=3)
     tool.open(5, "readme")
--- a/tests/ninep/test_locks.py
+++ b/tests/ninep/test_locks.py
@@ -17,7 +17,7 @@
         max_size=40,
     )
 )
-def test_locks_against_a_map_of_single_bytes(steps: list[tuple[int, str, int, int]]) -> None:
+def test_locks_agree_with_a_map_of_single_bytes(steps: list[tuple[int, str, int, int]]) -> None:
     locks, held = Locks(1000), [dict[int, bool]() for _ in range(20)]  # by byte: owner to whether it writes
     for who, kind, start, length in steps:
         owner, span = Owner(who, 1, "x"), range(start, start + length)
--- a/tests/ninep/test_operations.py
+++ b/tests/ninep/test_operations.py
@@ -10,7 +10,7 @@
 # The table of operations.
 
 
-def test_what_may_not_run_twice_asks_under_a_class_that_forbids_it() -> None:
+def test_operations_that_are_not_idempotent_use_a_class_without_retries() -> None:
     config = with_twins(make_settings(), ["write"])
     assert config.classes["write/once"].effect is Effect.UNSAFE
     unsafe = {**config.classes, "hard": WRITE.__class__("hard", 1, 0, 1, 1, Effect.UNSAFE)}
@@ -23,7 +23,7 @@
     assert with_twins(make_settings(), ["gone"]).classes == {"read": READ, "write": WRITE}
 
 
-def test_errors_of_one_dialect_are_told_in_the_other() -> None:
+def test_errors_of_one_dialect_translate_to_the_other() -> None:
     for number, texts in problems.TEXTS:
         for text in texts:
             assert problems.from_text(text).number == number
--- a/tests/ninep/test_order.py
+++ b/tests/ninep/test_order.py
@@ -77,7 +77,7 @@
 
 
 @given(MOVES)
-def test_changes_that_touch_go_one_by_one_in_their_order_and_none_is_forgotten(
+def test_overlapping_changes_run_one_by_one_in_order_and_none_is_lost(
     moves: list[tuple[object, ...]],
 ) -> None:
     """Against a plain model: what is out never touches what is out before it, of one client, or a rest."""
@@ -99,7 +99,7 @@
     assert len(model.order) == 0
 
 
-def test_a_rename_is_known_to_what_waits() -> None:
+def test_queued_changes_follow_a_rename() -> None:
     order = Order(100, 10)
     first, _ = order.enter(1, (("x", ("a",)), ("x", ("b",))), 0)
     second, free = order.enter(1, (("x", ("a", "f")),), 0)
@@ -110,7 +110,7 @@
     assert not free, "it goes by its new name"
 
 
-def test_rests_are_bounded_and_exports_apart() -> None:
+def test_resting_paths_are_bounded_and_separate_per_export() -> None:
     order = Order(100, 2)
     for name in "abc":
         ticket, _ = order.enter(1, (("x", (name,)),), 0)
@@ -119,7 +119,7 @@
     assert order.enter(2, (("y", ("b",)),), 1)[1]
 
 
-def test_a_client_has_all_places_alone_and_its_part_beside_others() -> None:
+def test_client_has_the_whole_quota_alone_and_its_share_beside_others() -> None:
     shares = Shares(8, 100)
     assert shares.of(1, 0) == 8
     for client in range(1, 5):
--- a/tests/ninep/test_random_fault_schedules.py
+++ b/tests/ninep/test_random_fault_schedules.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_random_schedule_keeps_the_rules(seed: int) -> None:
+def test_random_fault_schedule_keeps_the_rules(seed: int) -> None:
     told = run(seed, 120).told
     assert sum(told.values()) > 60, told
     assert told["write ok"], told
@@ -39,7 +39,7 @@
     ("broken", "seeds"),
     [(out_of_order, (6, 8, 2, 3, 4)), (repeated, (1, 2, 6, 3)), (flushed_while_it_runs, (1, 2, 4, 3))],
 )
-def test_the_checker_sees_a_head_that_breaks_the_rules(
+def test_checker_reports_an_instance_that_breaks_the_rules(
     broken: Callable[[pytest.MonkeyPatch], None], seeds: tuple[int, ...]
 ) -> None:
     """A checker that cannot fail proves nothing: each of these was not seen by its first form."""
--- a/tests/ninep/test_replaced_files.py
+++ b/tests/ninep/test_replaced_files.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("how", ["replaced", "restarted", "removed"])
-def test_a_path_that_names_another_file_gives_an_error_not_its_bytes(how: str) -> None:
+def test_path_that_names_another_file_gives_an_error_not_its_bytes(how: str) -> None:
     """Only the qid's type was compared: after a reset, a read returned the bytes of a new file."""
     w, tool = rw()
     tool.open(5, "readme", mode=p9.ORDWR)
@@ -33,7 +33,7 @@
     assert ("readme" in w.disk.root.names) == (how != "removed")
 
 
-def test_a_file_removed_while_open_is_read_on_where_it_is_open() -> None:
+def test_file_removed_while_open_stays_readable_where_it_is_open() -> None:
     w, tool = rw()
     tool.open(5, "readme")
     assert tool.ask(p9.Tread(5, 0, 2)) == p9.Rread(b"he")
@@ -41,7 +41,7 @@
     assert tool.ask(p9.Tread(5, 2, 9)) == p9.Rread(b"llo")
 
 
-def test_two_clients_make_the_same_file_through_two_servers_and_one_wins() -> None:
+def test_two_creates_of_one_file_through_two_servers_let_one_win() -> None:
     w, tool = rw(servers=2)
     other = NinepClient(w)
     tool.walk(6)
--- a/tests/ninep/test_server_faults.py
+++ b/tests/ninep/test_server_faults.py
@@ -21,7 +21,7 @@
     "fault",
     [Fault.WRONG_COUNT, Fault.WRONG_TYPE, Fault.WRONG_TAG, Fault.HALF, Fault.RESET_AFTER, Fault.RESET_BEFORE],
 )
-def test_a_write_whose_answer_is_spoilt_is_sent_again_and_is_there(fault: Fault) -> None:
+def test_write_with_a_malformed_reply_is_retried_and_stored(fault: Fault) -> None:
     w, tool = rw()
     tool.open(5, "readme", mode=p9.OWRITE)
     w.files[0].script.add(Rule(p9.Twrite, fault))
@@ -32,7 +32,9 @@
 
 
 @pytest.mark.parametrize(("client", "code"), [(PLAIN, "no space left on device"), (LINUX, problems.ENOSPC)])
-def test_a_full_disk_and_a_denied_permission_are_told_in_the_clients_words(client: str, code: object) -> None:
+def test_full_disk_and_denied_permission_are_reported_in_the_clients_dialect(
+    client: str, code: object
+) -> None:
     w, tool = rw(client, PLAIN)
     tool.open(5, "readme", mode=p9.OWRITE)
     w.disk.capacity = w.disk.used
@@ -49,7 +51,7 @@
     )
 
 
-def test_offsets_past_what_a_server_can_hold() -> None:
+def test_offsets_beyond_the_servers_range_are_errors() -> None:
     w, tool = rw()
     tool.open(5, "readme", mode=p9.ORDWR)
     for message in (
@@ -61,7 +63,7 @@
     assert tool.ask(p9.Tread(5, 1 << 62, 9)) == p9.Rread(b"")
 
 
-def test_in_an_export_that_is_read_only_nothing_reaches_a_server() -> None:
+def test_changes_in_a_read_only_export_never_reach_a_server() -> None:
     w = NinepInstance(offer=LINUX)
     tool = NinepClient(w, version=LINUX)
     tool.open(5, "readme")
--- a/tests/ninep/test_session_changes.py
+++ b/tests/ninep/test_session_changes.py
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize("client", BOTH)
 @pytest.mark.parametrize("server", BOTH)
-def test_a_file_is_made_written_read_and_removed(client: str, server: str) -> None:
+def test_file_is_created_written_read_and_removed(client: str, server: str) -> None:
     w, tool = rw(client, server)
     assert isinstance(create(tool, 5, "new"), p9.Rcreate | p9l.Rlcreate)
     assert tool.ask(p9.Twrite(5, 0, b"hello world")) == p9.Rwrite(11)
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("server", BOTH)
-def test_each_field_of_a_wstat_and_what_it_leaves_alone(server: str) -> None:
+def test_wstat_changes_its_field_and_no_other(server: str) -> None:
     w, tool = rw(PLAIN, server)
     create(tool, 5, "f", perm=0o640)
     tool.ask(p9.Twrite(5, 0, b"0123456789"))
@@ -67,7 +67,7 @@
     assert "directory" in error_text(tool.ask(p9.Twstat(5, wstat(mode=DMDIR | 0o700))))
 
 
-def test_a_name_together_with_other_changes_is_atomic_or_refused() -> None:
+def test_wstat_of_a_name_with_other_fields_is_atomic_or_rejected() -> None:
     w, tool = rw(PLAIN, PLAIN)
     create(tool, 5, "f")
     assert tool.ask(p9.Twstat(5, wstat(name="g", mode=0o600))) == p9.Rwstat()
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("server", BOTH)
-def test_truncating_and_removing_on_close(server: str) -> None:
+def test_truncate_on_open_and_remove_on_close_take_effect(server: str) -> None:
     w, tool = rw(PLAIN, server)
     tool.open(5, "readme", mode=p9.OWRITE | p9.OTRUNC)
     assert w.disk.read("readme") == b""
@@ -91,7 +91,7 @@
     assert "temp" not in w.disk.root.names
 
 
-def test_remove_on_close_when_the_client_vanishes() -> None:
+def test_remove_on_close_happens_when_the_client_disconnects() -> None:
     w, tool = rw()
     create(tool, 6, "temp", mode=p9.ORDWR | p9.ORCLOSE)
     tool.close()
@@ -100,7 +100,7 @@
     assert w.core.open_requests == 0
 
 
-def test_append_only_files_take_each_write_once_at_their_end() -> None:
+def test_append_only_file_takes_each_write_once_at_its_end() -> None:
     w, tool = rw()
     create(tool, 5, "log", perm=DMAPPEND | 0o600, mode=p9.OWRITE)
     tool.ask(p9.Twrite(5, 0, b"one "))
@@ -113,7 +113,7 @@
     assert w.disk.read("log") == b"one two!", "not sent again, though it may be"
 
 
-def test_exclusive_files_are_open_once() -> None:
+def test_exclusive_file_is_open_once_at_a_time() -> None:
     w, tool = rw()
     create(tool, 5, "lock", perm=DMEXCL | 0o600)
     other = NinepClient(w)
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("server", BOTH)
-def test_linux_names_links_and_directories(server: str) -> None:
+def test_linux_dialect_creates_links_and_directories(server: str) -> None:
     w, tool = rw(LINUX, server)
     made = tool.ask(p9l.Tmkdir(0, "dir", 0o755, p9l.NOGID))
     assert isinstance(made, p9l.Rmkdir)
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize("server", BOTH)
-def test_linux_attributes(server: str) -> None:
+def test_linux_dialect_reads_and_sets_attributes(server: str) -> None:
     w, tool = rw(LINUX, server)
     create(tool, 5, "f", perm=0o640)
     tool.ask(p9.Twrite(5, 0, b"0123456789"))
@@ -181,7 +181,7 @@
 
 @pytest.mark.parametrize("client", BOTH)
 @pytest.mark.parametrize("server", BOTH)
-def test_directories_are_read_in_small_pieces(client: str, server: str) -> None:
+def test_directory_is_read_whole_in_small_pieces(client: str, server: str) -> None:
     names = [f"file{i:03}" for i in range(60)]
     w, tool = rw(client, server, tree={"d": {name: b"x" * i for i, name in enumerate(names)}})
     tool.open(5, "d")
@@ -216,7 +216,7 @@
     assert small == (p9l.Rlerror(22) if tool.linux else p9.Rerror("count too small for a directory entry"))
 
 
-def test_locks_are_kept_by_the_head() -> None:
+def test_locks_are_held_by_the_instance() -> None:
     w, tool = rw(LINUX, LINUX)
     tool.open(5, "readme", mode=p9.ORDWR)
     other = NinepClient(w, version=LINUX)
--- a/tests/ninep/test_session_reads.py
+++ b/tests/ninep/test_session_reads.py
@@ -14,7 +14,7 @@
 from tests.support.ninep_instance import GLOSSARY, NinepClient, NinepInstance, error_text, received_messages
 
 
-def test_a_glossary_is_walked_opened_read_to_its_end_and_clunked() -> None:
+def test_file_is_walked_opened_read_to_its_end_and_clunked() -> None:
     w = NinepInstance()
     tool = NinepClient(w)
     tool.open(5, "sv", "law", "terms")
@@ -33,7 +33,7 @@
     assert len(received_messages(w, p9.Topen)) == 1
 
 
-def test_a_folder_is_read_in_steps_and_again_from_its_start() -> None:
+def test_directory_is_read_in_steps_and_again_from_its_start() -> None:
     w = NinepInstance()
     tool = NinepClient(w)
     tool.open(5, "sv")
@@ -48,12 +48,12 @@
     assert first.data + rest.data == whole.data
 
 
-def test_without_a_name_a_client_attaches_the_only_export() -> None:
+def test_attach_without_a_name_gets_the_only_export() -> None:
     tool = NinepClient(NinepInstance())
     assert isinstance(tool.ask(p9.Tattach(7, p9.NOFID, "ann", "")), p9.Rattach)
 
 
-def test_a_connection_lost_in_a_later_message_does_not_prove_that_nothing_ran() -> None:
+def test_connection_lost_in_a_later_message_reports_may_have_run() -> None:
     w = NinepInstance()
     tool = NinepClient(w)
     w.hold(p9.Topen)
@@ -68,7 +68,7 @@
     assert w.core.starts[-1].outcome is Outcome.RESET
 
 
-def test_a_partial_walk_tells_how_far_it_came_and_makes_no_fid() -> None:
+def test_partial_walk_reports_its_steps_and_creates_no_fid() -> None:
     tool = NinepClient(NinepInstance())
     reply = tool.ask(p9.Twalk(0, 5, ("sv", "gone", "terms")))
     assert isinstance(reply, p9.Rwalk)
@@ -99,13 +99,13 @@
         (p9.Rclunk(), "not a request"),
     ],
 )
-def test_what_cannot_be_done_gets_an_error(message: p9.Message, words: str) -> None:
+def test_invalid_message_gets_an_error(message: p9.Message, words: str) -> None:
     w = NinepInstance()
     assert words in error_text(NinepClient(w).ask(message))
     assert len(w.core.starts) == 1, "only the attach needed a server"
 
 
-def test_a_clunk_gives_up_the_read_in_flight_which_is_answered_first() -> None:
+def test_clunk_cancels_the_read_in_flight_which_is_answered_first() -> None:
     w = NinepInstance()
     tool = NinepClient(w)
     tool.open(5, "readme")
@@ -119,7 +119,7 @@
     assert len(tool.answers) == 6, "nothing more comes for the tag"
 
 
-def test_a_flush_is_answered_after_the_read_is_forgotten_and_its_tag_is_free() -> None:
+def test_flush_is_answered_after_the_read_is_cancelled_and_frees_its_tag() -> None:
     w = NinepInstance()
     tool = NinepClient(w)
     tool.open(5, "readme")
@@ -131,7 +131,7 @@
     assert tool.ask(p9.Tflush(77)) == p9.Rflush()
 
 
-def test_an_answer_already_given_stands_before_its_flush() -> None:
+def test_reply_already_sent_precedes_the_reply_to_its_flush() -> None:
     w = NinepInstance()
     tool = NinepClient(w)
     tool.open(5, "readme")
@@ -141,7 +141,7 @@
     assert tool.answers[before:] == [(2, p9.Rread(b"hello")), (3, p9.Rflush())]
 
 
-def test_a_flushed_walk_leaves_its_new_fid_free() -> None:
+def test_flushed_walk_leaves_its_new_fid_free() -> None:
     w = NinepInstance()
     tool = NinepClient(w)
     w.hold(p9.Twalk)
@@ -152,7 +152,7 @@
     assert isinstance(tool.ask(p9.Twalk(0, 5, ("readme",)), tag=4), p9.Rwalk)
 
 
-def test_a_walk_in_flight_outlives_the_clunk_of_the_fid_it_began_at() -> None:
+def test_walk_in_flight_survives_the_clunk_of_its_first_fid() -> None:
     w = NinepInstance()
     tool = NinepClient(w)
     tool.ask(p9.Twalk(0, 4, ()))
@@ -165,7 +165,7 @@
     assert isinstance(tool.ask(p9.Tstat(5)), p9.Rstat)
 
 
-def test_a_client_that_disconnects_takes_its_attempts_with_it() -> None:
+def test_disconnect_cancels_the_clients_attempts() -> None:
     w = NinepInstance()
     tool = NinepClient(w)
     tool.open(5, "readme")
@@ -177,7 +177,7 @@
     assert len(w.files[0].conns) == 0
 
 
-def test_a_new_version_ends_the_session() -> None:
+def test_new_version_ends_the_session() -> None:
     w = NinepInstance()
     tool = NinepClient(w)
     tool.open(5, "readme")
@@ -190,7 +190,7 @@
     assert error_text(tool.ask(p9.Tstat(5))) == "no version agreed"
 
 
-def test_a_duplicate_tag_is_turned_away_and_the_first_goes_on() -> None:
+def test_duplicate_tag_is_rejected_and_the_first_continues() -> None:
     w = NinepInstance()
     tool = NinepClient(w)
     tool.open(5, "readme")
@@ -203,7 +203,7 @@
     assert tool.answers[before:] == [(2, p9.Rread(b"hello"))]
 
 
-def test_a_fid_being_opened_takes_nothing_else() -> None:
+def test_fid_that_is_being_opened_rejects_other_messages() -> None:
     w = NinepInstance()
     tool = NinepClient(w)
     tool.ask(p9.Twalk(0, 5, ("readme",)))
@@ -229,7 +229,7 @@
     assert error_text(raw.ask(p9.Tversion(100, "9P2000"), p9.NOTAG)) == "msize too small"
 
 
-def test_a_malformed_body_gets_an_error_and_the_session_goes_on() -> None:
+def test_malformed_body_gets_an_error_and_the_session_continues() -> None:
     tool = NinepClient(NinepInstance())
     bad = p9.encode(9, p9.Tstat(0))[:-1]
     tool.say(bytes([len(bad)]) + bad[1:])
@@ -241,7 +241,7 @@
     assert isinstance(tool.ask(p9.Tstat(0)), p9.Rstat)
 
 
-def test_a_server_drained_halfway_through_a_walk_hears_no_more_of_it() -> None:
+def test_backend_that_drains_within_a_walk_is_sent_no_more_of_it() -> None:
     """The walk's first part is out when the drain is told; the rest goes to the cell's other server."""
     w = NinepInstance(servers=2)
     deep: dict[str, Any] = {"end": b"here"}
@@ -268,7 +268,7 @@
     assert [a.outcome.value for a in w.core.starts[-2:] if a.outcome] == ["reset", "served"]
 
 
-def test_a_read_goes_on_at_another_server_when_its_own_dies() -> None:
+def test_read_continues_at_another_backend_when_its_own_fails() -> None:
     w = NinepInstance(servers=2)
     tool = NinepClient(w)
     tool.open(5, "sv", "law", "terms")
@@ -286,7 +286,7 @@
     assert isinstance(tool.ask(p9.Tread(5, 0, 10)), p9.Rread)
 
 
-def test_a_refusal_tells_when_to_come_again() -> None:
+def test_rejection_says_when_to_retry() -> None:
     w = NinepInstance()
     tool = NinepClient(w)
     tool.open(5, "readme")
@@ -298,7 +298,7 @@
     assert isinstance(w.core.finals[-1][0], Rejected)
 
 
-def test_a_silent_server_costs_no_more_than_the_deadline() -> None:
+def test_unresponsive_backend_costs_no_more_than_the_deadline() -> None:
     w = NinepInstance()
     tool = NinepClient(w)
     tool.open(5, "readme")
@@ -322,7 +322,7 @@
     assert error_text(tool.ask(p9.Tstat(2), tag=3)) == "too many requests in flight"
 
 
-def test_open_files_on_a_server_connection_are_bounded() -> None:
+def test_open_files_per_backend_connection_are_bounded() -> None:
     w = NinepInstance(ninep_keep_open=1)
     tool = NinepClient(w)
     tool.open(5, "readme")
@@ -341,7 +341,7 @@
         lambda conn, tag: conn.write(p9.encode(tag, p9.Rread(b"x" * 101))),
     ],
 )
-def test_a_server_that_breaks_the_protocol_is_left(spoil: Callable[[Any, int], None]) -> None:
+def test_connection_to_a_server_that_breaks_the_protocol_is_closed(spoil: Callable[[Any, int], None]) -> None:
     w = NinepInstance()
     tool = NinepClient(w)
     tool.open(5, "readme")
--- a/tests/runtime/test_attempt_ends.py
+++ b/tests/runtime/test_attempt_ends.py
@@ -18,7 +18,7 @@
 # Attempts
 
 
-def test_what_a_brick_said_unasked_is_not_taken_for_the_next_answer() -> None:
+def test_unsolicited_bytes_of_a_backend_are_not_taken_for_the_next_reply() -> None:
     """A second answer, some milliseconds late, lay unread on a kept connection as the next request came."""
     w = Waiting()
     w.appear()
@@ -39,7 +39,7 @@
     ("effect", "window", "repeats"),
     [(api.Effect.KEYED, 300 * MS, 0), (api.Effect.KEYED, 900 * MS, 1), (api.Effect.SAFE, 0, 1)],
 )
-def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_sent(
+def test_retry_is_not_sent_when_its_connection_opens_after_the_deduplication_window(
     effect: api.Effect, window: int, repeats: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The window was looked at before the connection was begun, which takes up to 0.25 s."""
@@ -60,7 +60,7 @@
     assert len(brick.heard) == 1 + repeats
 
 
-def test_an_answer_that_is_reset_has_not_ended() -> None:
+def test_reset_within_a_streamed_reply_is_not_a_complete_reply() -> None:
     """Without a length it ends with its stream; a reset looked like that end."""
     w = SimulatedInstance()
     listener = socket.create_server(("127.0.0.1", 0))
--- a/tests/runtime/test_buffers.py
+++ b/tests/runtime/test_buffers.py
@@ -11,7 +11,7 @@
 
 
 @given(st.lists(st.one_of(st.binary(max_size=30), st.integers(0, 40)), max_size=30))
-def test_a_chain_is_a_queue_of_bytes(steps: list[bytes | int]) -> None:
+def test_chain_returns_bytes_in_order_for_any_append_and_take(steps: list[bytes | int]) -> None:
     pool = BufferPool(8, 2, 100)
     chain, model = Chain(pool), b""
     for step in steps:
@@ -28,7 +28,7 @@
     assert pool.in_use == 0
 
 
-def test_a_line_ends_at_crlf_and_is_bounded() -> None:
+def test_line_ends_at_crlf_and_too_long_a_line_raises() -> None:
     chain = Chain(BufferPool(4, 2, 100))
     chain.append(b"abc\r")
     assert chain.line(10) is None
@@ -39,7 +39,7 @@
         chain.line(2)
 
 
-def test_a_pool_gives_no_more_than_it_may() -> None:
+def test_pool_raises_beyond_its_bound() -> None:
     pool = BufferPool(8, 1, 1)
     first = pool.take()
     with pytest.raises(BufferPoolExhaustedError):
--- a/tests/runtime/test_connection_close.py
+++ b/tests/runtime/test_connection_close.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("let_go", [evict, end])
-def test_a_request_that_crosses_the_close_is_not_sent_on_and_the_last_answer_arrives(
+def test_request_that_crosses_the_close_is_not_forwarded_and_last_reply_arrives(
     let_go: Callable[[Waiting], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Closed with input unread, the connection was reset, and the answer before it could go with that."""
@@ -55,7 +55,7 @@
     assert head_end.closing.state is CloseState.CLOSED
 
 
-def test_a_request_that_has_come_before_the_look_is_served() -> None:
+def test_request_received_before_the_idle_check_is_served() -> None:
     w = Waiting()
     w.appear()
     client = Raw(w, w.listener.address)
@@ -69,7 +69,7 @@
     assert client.read() == b"$0\r\n\r\n" * 2, "and then it is let go"
 
 
-def test_clients_that_stay_when_let_go_hold_few_descriptors_and_not_for_long() -> None:
+def test_clients_that_ignore_the_close_hold_few_descriptors_for_a_bounded_time() -> None:
     w = SimulatedInstance(client_conns=6, linger_conns=2)
     front = w.front()
     stay = [Raw(w, front.address) for _ in range(6)]
@@ -86,7 +86,7 @@
 
 
 @given(st.lists(st.sampled_from(CloseEvent), max_size=12))
-def test_a_connection_once_told_that_this_is_the_end_never_takes_anything_again(
+def test_closing_connection_accepts_nothing_more_after_any_events(
     events: list[CloseEvent],
 ) -> None:
     closing, over = ConnectionClose(), False
--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -8,7 +8,7 @@
 from tests.support.simulated_instance import LoopbackClient, read_command
 
 
-def test_answers_to_pipelined_commands_come_in_order_though_served_out_of_order() -> None:
+def test_pipelined_replies_keep_command_order_when_served_out_of_order() -> None:
     w = BrickWorld()
     w.brick.data = {b"k1": b"one", b"k2": b"two"}
     w.brick.script = [None]
@@ -19,7 +19,7 @@
     assert w.client.got == codec.bulk(b"one") + codec.bulk(b"two")
 
 
-def test_ending_closes_idle_clients_and_waits_for_the_rest() -> None:
+def test_shutdown_closes_idle_clients_and_waits_for_busy_ones() -> None:
     w = BrickWorld()
     front = w.front()
     idle, busy = w.peer(front.address), w.peer(front.address)
--- a/tests/runtime/test_scheduler.py
+++ b/tests/runtime/test_scheduler.py
@@ -9,7 +9,7 @@
 from garnetlanding.runtime.stream import parse_address
 
 
-def test_a_defect_in_one_task_leaves_the_others_running(caplog: pytest.LogCaptureFixture) -> None:
+def test_exception_in_one_task_leaves_the_others_running(caplog: pytest.LogCaptureFixture) -> None:
     scheduler, seen = Scheduler(), []
 
     def bad() -> None:
@@ -24,7 +24,7 @@
     assert caplog.text.count("RuntimeError: defect") == 3
 
 
-def test_a_wait_ends_at_its_deadline_and_a_cancelled_timer_never_fires() -> None:
+def test_wait_ends_at_its_deadline_and_cancelled_timer_never_fires() -> None:
     clock, seen = [0], []
     scheduler = Scheduler(lambda: clock[0])
     scheduler.call_at(5, lambda: seen.append("cancelled")).cancel()
@@ -41,7 +41,7 @@
     assert seen == ["expired at 10"]
 
 
-def test_cancelled_timers_do_not_gather_and_the_others_fire_in_order() -> None:
+def test_cancelled_timers_do_not_accumulate_and_the_others_fire_in_order() -> None:
     """A request's timer stood in the heap until its deadline, long after its answer."""
     clock, seen = [0], []
     scheduler = Scheduler(lambda: clock[0])
@@ -57,6 +57,6 @@
 
 
 @pytest.mark.parametrize("text", ["", "host", "host:", ":1", "h:x", "h:70000"])
-def test_an_address_that_is_none_is_named(text: str) -> None:
+def test_malformed_address_is_named_in_the_error(text: str) -> None:
     with pytest.raises(ValueError, match="HOST:PORT"):
         parse_address(text)
--- a/tests/runtime/test_upstream.py
+++ b/tests/runtime/test_upstream.py
@@ -13,7 +13,7 @@
 from tests.support.simulated_instance import read_command
 
 
-def test_connections_are_used_again_and_closed_before_the_brick_would() -> None:
+def test_idle_connections_are_reused_and_closed_before_the_backend_closes_them() -> None:
     w = BrickWorld()
     for i in range(3):
         w.client.say(read_command(f"r{i}"))
@@ -24,7 +24,7 @@
     assert w.client.say(read_command("again")) == b"$0\r\n\r\n"
 
 
-def test_a_connection_closed_behind_its_answer_is_not_written_to_again() -> None:
+def test_connection_closed_after_its_reply_is_not_reused() -> None:
     """The next request goes out in the turn that brought the answer, before the close has been read."""
     w = BrickWorld()
     w.client.say(read_command("r1"))
@@ -38,7 +38,7 @@
     assert w.brick.accepted == 2
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_refused_connection_reports_that_the_request_never_ran() -> None:
     w = BrickWorld()
     w.brick.listener.stop_accepting()
     w.client.say(read_command(d=400))
@@ -47,7 +47,7 @@
     assert w.client.got.startswith(b"-BUSY ")
 
 
-def test_a_connection_that_never_comes_up_is_given_up_in_time() -> None:
+def test_connect_that_never_completes_times_out() -> None:
     # Its listen queue is full: the kernel drops what else comes, as a vanished machine would.
     w = BrickWorld(backlog=0)
     full = w.server(Brick)
@@ -63,7 +63,7 @@
     assert w.outcomes()[0] == Outcome.UNREACHABLE.value
 
 
-def test_an_attempt_stopped_before_its_connection_began_leaves_nothing(
+def test_attempt_stopped_before_connecting_leaves_no_connection(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     w = BrickWorld()
@@ -81,7 +81,7 @@
     assert "task failed" not in caplog.text
 
 
-def test_a_break_after_the_last_byte_may_have_run() -> None:
+def test_break_after_the_last_byte_was_sent_reports_may_have_run() -> None:
     w = BrickWorld()
     w.brick.script = [None]
     w.client.say(read_command())
@@ -90,7 +90,7 @@
     assert w.outcomes() == [Outcome.RESET.value]
 
 
-def test_a_break_before_the_last_byte_never_ran() -> None:
+def test_break_before_the_last_byte_was_sent_reports_never_ran() -> None:
     w = BrickWorld(buffer_bytes=4096, unsent_bytes=1 << 24, value_bytes=1 << 23)
     w.client.say(read_command())
     brick_side = next(iter(w.brick.listener._clients))
@@ -103,7 +103,7 @@
     assert w.outcomes()[1] == Outcome.UNREACHABLE.value
 
 
-def test_time_out_closes_the_connection_before_anything_else_is_sent() -> None:
+def test_timeout_closes_the_connection_before_anything_else_is_sent() -> None:
     w = BrickWorld()
     w.brick.script = [None]
     w.client.say(read_command(d=300))
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("noise", [b"+OK\r\n+OK\r\n", b"?"])
-def test_a_brick_that_breaks_the_protocol_is_left(noise: bytes) -> None:
+def test_protocol_violation_closes_the_backend_connection(noise: bytes) -> None:
     w = BrickWorld()
     w.client.say(read_command())
     w.brick.conns[0].write(noise)
@@ -123,7 +123,7 @@
     assert w.client.say(read_command("next")) == b"$0\r\n\r\n"
 
 
-def test_connections_are_bounded_for_each_brick_and_in_all() -> None:
+def test_connections_are_bounded_per_backend_and_in_total() -> None:
     w = BrickWorld(conns_per_backend=2, backend_conns=3)
     other = w.server(Brick)
     w.list(Box("b0", w.brick.address, 0), Box("b1", other.address, 1))
@@ -141,7 +141,7 @@
     assert not other.conns, "the connection idle longest made room"
 
 
-def test_a_move_of_the_server_while_connecting_is_no_send_there() -> None:
+def test_backend_that_moves_while_connecting_is_not_sent_the_request() -> None:
     w = BrickWorld()
     moved = w.server(Brick)
     assert w.client.stream
--- a/tests/support/simulated_instance.py
+++ b/tests/support/simulated_instance.py
@@ -99,8 +99,7 @@
     _open: SimulatedInstance | None = None
 
     def __init__(self, config: api.Settings | None = None, **limits: int) -> None:
-        if SimulatedInstance._open:
-            SimulatedInstance._open.scheduler.close()
+        self.close_open()
         SimulatedInstance._open = self
         self.time: int = T0
         self.limits = replace(Limits(), **limits)
@@ -115,6 +114,13 @@
         self.scheduler.turn_end.append(self.core.run_iteration)
         self.bricks = resp_backends(self.scheduler, self.pool, self.limits)
 
+    @classmethod
+    def close_open(cls) -> None:
+        """Close the scheduler, and with it the sockets, of the instance that is open, if there is one."""
+        if SimulatedInstance._open:
+            SimulatedInstance._open.scheduler.close()
+            SimulatedInstance._open = None
+
     def server(self, kind: type[S], **more: Any) -> S:
         return kind(self.scheduler, self.pool, self.limits, **more)
 
