--- a/garnetlanding/decision/admission.py
+++ b/garnetlanding/decision/admission.py
@@ -64,6 +64,8 @@
         if queue is None:
             state.schedule(state.now + tuning.QUEUE_TICK, self.enqueue, request)
             return
+        # A further attempt in the same cell goes in front, with the tags that its first has paid for.
+        request.keeps_tags = bool(request.attempts) and request.attempts[-1].cell == queue.cell
         queue.enqueue(request)
         state.mark_pending(queue)
 
--- a/garnetlanding/decision/fair_queue.py
+++ b/garnetlanding/decision/fair_queue.py
@@ -65,10 +65,9 @@
     usual_load: EwmaRate = field(default_factory=EwmaRate)  # units a second, served to this instance
 
     def enqueue(self, request: Request) -> None:
-        """Queue a request: with new tags, or after an attempt in this cell in front and with its old ones."""
+        """Queue a request: one that keeps its tags in front of its flow, another with new tags at the end."""
         volume = request.volume
         flow = self.flows.setdefault(request.arrival.volume, Flow())
-        request.keeps_tags = bool(request.attempts) and request.attempts[-1].cell == self.cell
         if request.keeps_tags:
             flow.queued.appendleft(request)
         else:
--- a/garnetlanding/decision/requests.py
+++ b/garnetlanding/decision/requests.py
@@ -97,7 +97,7 @@
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False  # has its final answer, or needs none
     queued_cell: int | None = None  # in whose queue it is
-    keeps_tags: bool = False  # a further attempt in the same cell keeps the tags that are paid for
+    keeps_tags: bool = False  # in its queue: they were paid for by an earlier attempt
     virtual_time: float = 0.0  # of the queue when it joined
     start_tag: float = 0.0
     finish_tag: float = 0.0
