--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -13,16 +13,20 @@
 
 from garnetlanding.emulator.budget_net import BudgetScenario, BudgetSimulation
 from garnetlanding.emulator.group_model import Scope, explore
-from garnetlanding.emulator.group_net import SECOND, GroupNet, GroupRun, GroupSeen
+from garnetlanding.emulator.group_net import GroupResult, GroupScenario, GroupSimulation
+from garnetlanding.peers.limits import SECOND
 
 RESULTS = pathlib.Path(__file__).parent / "results" / "members.md"
-LARGE = GroupNet(heads=40, seeds=3, events=40, length_us=40 * SECOND, all_at_once=True)
-HUGE = replace(LARGE, heads=200, events=60, length_us=90 * SECOND, calm_us=30 * SECOND)
+LARGE = GroupScenario(instances=40, seeds=3, events=40, length_us=40 * SECOND, all_at_once=True)
+HUGE = replace(LARGE, instances=200, events=60, length_us=90 * SECOND, calm_us=30 * SECOND)
 GROUPS = {
-    "6 heads, 12 events": (GroupNet(), 1),
-    "12 heads, 30 events": (GroupNet(heads=12, events=30), 1),
-    "6 heads, 40 events, 0.4 of messages lost": (GroupNet(events=40, loss=0.4, length_us=30 * SECOND), 1),
-    "one seed": (GroupNet(seeds=1, events=20), 1),
+    "6 heads, 12 events": (GroupScenario(), 1),
+    "12 heads, 30 events": (GroupScenario(instances=12, events=30), 1),
+    "6 heads, 40 events, 0.4 of messages lost": (
+        GroupScenario(events=40, loss=0.4, length_us=30 * SECOND),
+        1,
+    ),
+    "one seed": (GroupScenario(seeds=1, events=20), 1),
     "40 heads, 40 events": (LARGE, 20),
     "200 heads, 60 events": (HUGE, 100),
 }
@@ -43,12 +47,12 @@
 ]
 
 
-def group_row(name: str, net: GroupNet, seen: list[GroupSeen]) -> str:
-    known = sorted(us for s in seen for us in s.known_us)
-    size = sum(s.bytes for s in seen) / len(seen) / net.heads / (net.length_us / SECOND)
+def group_row(name: str, net: GroupScenario, seen: list[GroupResult]) -> str:
+    known = sorted(us for s in seen for us in s.known_after_us)
+    size = sum(s.bytes_sent for s in seen) / len(seen) / net.instances / (net.length_us / SECOND)
     return (
-        f"| {name} | {len(seen)} | {sum(s.joins for s in seen)} | {max(s.most for s in seen):.4f} "
-        f"| {sum(s.agreed for s in seen)} | {sum(s.least_end for s in seen) / len(seen):.3f} "
+        f"| {name} | {len(seen)} | {sum(s.starts for s in seen)} | {max(s.max_share_sum for s in seen):.4f} "
+        f"| {sum(s.agreed for s in seen)} | {sum(s.final_share_sum for s in seen) / len(seen):.3f} "
         f"| {known[len(known) // 2] / SECOND:.1f}, {known[-1] / SECOND:.1f} | {size:.0f} |"
     )
 
@@ -70,7 +74,7 @@
     ]
     for name, (net, divided) in GROUPS.items():
         count = max(1, seeds // divided)
-        seen = [GroupRun(replace(net, seed=seed)).run() for seed in track(range(count), name)]
+        seen = [GroupSimulation(replace(net, seed=seed)).run() for seed in track(range(count), name)]
         lines.append(group_row(name, net, seen))
         print(lines[-1], flush=True)
     lines += [
--- a/garnetlanding/emulator/group_net.py
+++ b/garnetlanding/emulator/group_net.py
@@ -1,5 +1,7 @@
-"""Heads that find each other, on one simulated network: joins, ends, crashes, restarts, cut links, lost and
-late messages. The same seed gives the same run. At each step the even parts of all that run are added up.
+"""Instances that discover each other, on one simulated network.
+
+Instances join, leave, crash and start again, links are cut, messages are lost and late. The same seed gives
+the same run. At each step the even shares of all running instances are added up. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -7,162 +9,247 @@
 import heapq
 import random
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from garnetlanding.peers import codec
-from garnetlanding.peers.codec import Envelope
 from garnetlanding.peers.gossip_schedule import GossipSchedule
-from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.leases import NO_MESSAGE
+from garnetlanding.peers.limits import MS, SECOND, PeerLimits
 from garnetlanding.peers.membership import FIRST_SEED, Membership
 from garnetlanding.peers.membership_protocol import MembershipProtocol
 
-MS, SECOND = 1_000, 1_000_000
+CLOCK_KEPT = 0.8  # of starts; at the others the wall clock has been set back, and the incarnation is smaller
+CUT = 0.4  # of events at a running instance: its links are cut; at the others it stops
+CUT_BOTH_WAYS = 0.5  # of cut links
+LEFT_IN_ORDER = 0.5  # of instances that stop; the others crash
 
 
 @dataclass(frozen=True, slots=True)
-class GroupNet:
-    """What a run is made of. Times are microseconds."""
+class GroupScenario:
+    """What a run is made of."""
 
     seed: int = 1
-    heads: int = 6  # numbers that are ever used
+    instances: int = 6  # numbers that are ever used
     seeds: int = 3  # the first so many begin the group; never are all of them down
     length_us: int = 20 * SECOND
     step_us: int = 50 * MS
     loss: float = 0.1
     delay_us: int = 400 * MS  # at most
     events: int = 12  # joins, ends, crashes and cuts, drawn
-    all_at_once: bool = False  # every head starts at the beginning
+    all_at_once: bool = False  # every instance starts at the beginning
     calm_us: int = 10 * SECOND  # at the end: nothing more happens, nothing is lost
 
 
 @dataclass(slots=True)
-class Node:
-    group: MembershipProtocol
-    turns: GossipSchedule
-    life: int
+class Instance:
+    """One running instance."""
+
+    protocol: MembershipProtocol
+    schedule: GossipSchedule
+    incarnation: int
+
+    @property
+    def members(self) -> Membership:
+        """Its table."""
+        return self.protocol.members
 
 
 @dataclass(slots=True)
-class GroupSeen:
-    most: float = 0.0  # greatest sum of even parts
-    most_at: int = 0
-    least_end: float = 1.0  # of the sum, once all is calm
-    agreed: bool = False  # all that run have one table at the end
-    joins: int = 0
-    known_us: list[int] = field(default_factory=list)  # until all that ran knew of a start
-    bytes: int = 0
+class GroupResult:
+    """What a run came to."""
+
+    max_share_sum: float = 0.0  # of the even shares
+    max_share_sum_at: int = 0
+    final_share_sum: float = 1.0  # once all is calm
+    agreed: bool = False  # all running instances have one table at the end
+    starts: int = 0
+    known_after_us: list[int] = field(default_factory=list)  # until all that ran knew of a start
+    bytes_sent: int = 0
+
+
+class Start(NamedTuple):
+    """A start of which not all instances know yet."""
+
+    at: int
+    instance: int
+    incarnation: int
+
 
+class Delivery(NamedTuple):
+    """A datagram on its way, in the order of arrival; `number` tells those of one moment apart."""
 
-def address(head: int) -> str:
-    return f"127.1.{head // 250}.{head % 250 + 1}:7946"
+    at: int
+    number: int
+    sender: int
+    receiver: int
+    data: bytes
 
 
-class GroupRun:
-    def __init__(self, net: GroupNet, limits: PeerLimits | None = None) -> None:
-        self.net, self.limits, self.rng = net, limits or PeerLimits(), random.Random(net.seed)
-        self.now, self.seen, self._lives, self._count = 0, GroupSeen(), 0, 0
-        self.nodes: dict[int, Node] = {}
+class Event(NamedTuple):
+    """Something that happens to the group, drawn from a seed of its own."""
+
+    at: int
+    seed: int
+
+
+def address(number: int) -> str:
+    """Return where an instance receives."""
+    return f"127.1.{number // 250}.{number % 250 + 1}:7946"
+
+
+class GroupSimulation:
+    """Runs a scenario."""
+
+    def __init__(self, scenario: GroupScenario, limits: PeerLimits | None = None) -> None:
+        self.scenario = scenario
+        self.limits = limits or PeerLimits()
+        self.result = GroupResult()
+        self.instances: dict[int, Instance] = {}  # those that run
+        self._rng = random.Random(scenario.seed)
+        self._now = 0
+        self._start_count = 0
+        self._sent_count = 0
         self._crashed: set[int] = set()
-        self._new: list[tuple[int, int, int]] = []  # starts that not all know of: when, head, life
-        self._mail: list[tuple[int, int, int, int, bytes]] = []
-        self._cut: dict[tuple[int, int], int] = {}
-        for head in range(net.heads if net.all_at_once else net.seeds):
-            self._start(head)
-        last = net.length_us - net.calm_us
+        self._unknown_starts: list[Start] = []
+        self._deliveries: list[Delivery] = []
+        self._cut_until: dict[tuple[int, int], int] = {}  # by sender and receiver
+        for number in range(scenario.instances if scenario.all_at_once else scenario.seeds):
+            self._start(number)
+        self._calm_from = scenario.length_us - scenario.calm_us
         self._events = sorted(
-            (self.rng.randrange(max(1, last)), self.rng.randrange(1 << 30)) for _ in range(net.events)
+            Event(self._rng.randrange(max(1, self._calm_from)), self._rng.randrange(1 << 30))
+            for _ in range(scenario.events)
         )
 
-    def _start(self, head: int) -> None:
-        self._lives += 1
-        # Some starts have the wall clock set back: their lives are no greater than the ones before.
-        life = 1000 + self._lives if self.rng.random() < 0.8 else 900 + self._lives
-        seeds = [address(seed) for seed in range(self.net.seeds)]
-        members = Membership(self.limits, head, life, address(head), seeds, self.now)
-        self.nodes[head] = Node(
-            MembershipProtocol(self.limits, members), GossipSchedule(self.limits, head), life
-        )
-        self.seen.joins += 1
-        self._new.append((self.now, head, members.records[head].incarnation))
-
-    def run(self) -> GroupSeen:
-        net = self.net
-        for self.now in range(0, net.length_us, net.step_us):
-            while self._events and self._events[0][0] <= self.now:
-                self._strike(random.Random(self._events.pop(0)[1]))
-            while self._mail and self._mail[0][0] <= self.now:
-                _, _, sender, receiver, data = heapq.heappop(self._mail)
-                if receiver in self.nodes:
-                    self._hear(receiver, sender, data)
-                    self._add_up()
-            if self.now in (net.length_us - net.calm_us, net.length_us - net.calm_us // 2):
-                # Operators know by now who will not come back; the second time with all that is known.
-                for head in sorted(self._crashed):
-                    next(iter(self.nodes.values())).group.members.mark_terminated(head)
-            if self.now % self.limits.send_interval_us < net.step_us:
-                self._look_who_knows()
-                for head in self.rng.sample(sorted(self.nodes), len(self.nodes)):
-                    self._say(head)
-        digests = {node.group.members.digest for node in self.nodes.values()}
-        self.seen.agreed = len(digests) == 1
-        self.seen.least_end = sum(node.group.members.even_share for node in self.nodes.values())
-        return self.seen
-
-    def _look_who_knows(self) -> None:
-        for new in list(self._new):
-            when, head, life = new
-            tables = [node.group.members.records for node in self.nodes.values()]
-            if head not in self.nodes:
-                self._new.remove(new)
-            elif all(head in table and table[head].incarnation >= life for table in tables):
-                self._new.remove(new)
-                self.seen.known_us.append(self.now - when)
-
-    def _add_up(self) -> None:
-        total = sum(node.group.members.even_share for node in self.nodes.values())
-        if total > self.seen.most:
-            self.seen.most, self.seen.most_at = total, self.now
-
-    def _strike(self, rng: random.Random) -> None:
-        head = rng.randrange(self.net.heads)
-        running = head in self.nodes
-        if not running:
-            self._crashed.discard(head)
-            self._start(head)
-        elif rng.random() < 0.4:
-            for you in range(self.net.heads):
-                until = self.now + rng.randrange(SECOND, 5 * SECOND)
-                self._cut[head, you] = until
-                if rng.random() < 0.5:
-                    self._cut[you, head] = until
-        elif head >= self.net.seeds or sum(n < self.net.seeds for n in self.nodes) > 1:
-            self._crashed.add(head)
-            if rng.random() < 0.5:
-                self.nodes[head].group.members.leave()
-                others = self.nodes[head].group.members.quota_holders
-                self._tell(head, {who: (0, 0) for who in others})
-            del self.nodes[head]
-
-    def _hear(self, me: int, sender: int, data: bytes) -> None:
-        group = self.nodes[me].group
-        e: Envelope = codec.decode_envelope(data, self.limits.datagram_bytes)
-        group.record_contact(sender, group.merge(e), self.now)
-
-    def _say(self, me: int) -> None:
-        members, turns = self.nodes[me].group.members, self.nodes[me].turns
-        self.nodes[me].group.update_joined(self.now)
-        to = turns.round(members.quota_holders - {me}, ())
-        self._tell(me, {who: (0, 0) for who in [*to, *members.extra_receivers(self.now)]})
-
-    def _tell(self, me: int, heads: dict[int, tuple[int, int]]) -> None:
-        net, node = self.net, self.nodes[me]
-        calm = self.now >= net.length_us - net.calm_us
-        seeds = {at: head for head, at in ((n, address(n)) for n in range(net.heads))}
-        for who, e in node.group.compose(heads, node.life, lambda: 1):
-            receiver = seeds[node.group.members.address_of(who)] if who >= FIRST_SEED else who
-            data = codec.encode_envelope(e)
-            self.seen.bytes += len(data)
-            if not calm and (self._cut.get((me, receiver), 0) > self.now or self.rng.random() < net.loss):
+    def _start(self, number: int) -> None:
+        self._start_count += 1
+        clock_kept = self._rng.random() < CLOCK_KEPT
+        incarnation = (1000 if clock_kept else 900) + self._start_count
+        seeds = [address(seed) for seed in range(self.scenario.seeds)]
+        members = Membership(self.limits, number, incarnation, address(number), seeds, self._now)
+        protocol = MembershipProtocol(self.limits, members)
+        self.instances[number] = Instance(protocol, GossipSchedule(self.limits, number), incarnation)
+        self.result.starts += 1
+        self._unknown_starts.append(Start(self._now, number, members.records[number].incarnation))
+
+    def run(self) -> GroupResult:
+        """Run to the end and return what it came to."""
+        scenario = self.scenario
+        for self._now in range(0, scenario.length_us, scenario.step_us):
+            self._let_events_happen()
+            self._deliver()
+            # Operators know by then who will not come back; the second time with all that is known.
+            if self._now in (self._calm_from, scenario.length_us - scenario.calm_us // 2):
+                self._mark_crashed_terminated()
+            if self._now % self.limits.send_interval_us < scenario.step_us:
+                self._check_known_starts()
+                for number in self._rng.sample(sorted(self.instances), len(self.instances)):
+                    self._send_round(number)
+        digests = {instance.members.digest for instance in self.instances.values()}
+        self.result.agreed = len(digests) == 1
+        self.result.final_share_sum = self._share_sum()
+        return self.result
+
+    # What happens to the group
+
+    def _let_events_happen(self) -> None:
+        while self._events and self._events[0].at <= self._now:
+            self._happen(random.Random(self._events.pop(0).seed))
+
+    def _happen(self, rng: random.Random) -> None:
+        number = rng.randrange(self.scenario.instances)
+        if number not in self.instances:
+            self._crashed.discard(number)
+            self._start(number)
+        elif rng.random() < CUT:
+            self._cut_links(number, rng)
+        elif self._may_stop(number):
+            self._stop(number, rng)
+
+    def _cut_links(self, number: int, rng: random.Random) -> None:
+        for peer in range(self.scenario.instances):
+            until = self._now + rng.randrange(SECOND, 5 * SECOND)
+            self._cut_until[number, peer] = until
+            if rng.random() < CUT_BOTH_WAYS:
+                self._cut_until[peer, number] = until
+
+    def _may_stop(self, number: int) -> bool:
+        """Return whether an instance may stop: not all seeds may be down at once."""
+        seeds = self.scenario.seeds
+        return number >= seeds or sum(running < seeds for running in self.instances) > 1
+
+    def _stop(self, number: int, rng: random.Random) -> None:
+        self._crashed.add(number)
+        if rng.random() < LEFT_IN_ORDER:
+            members = self.instances[number].members
+            members.leave()
+            self._send(number, list(members.quota_holders))
+        del self.instances[number]
+
+    def _mark_crashed_terminated(self) -> None:
+        for number in sorted(self._crashed):
+            next(iter(self.instances.values())).members.mark_terminated(number)
+
+    # What is observed
+
+    def _check_known_starts(self) -> None:
+        for start in list(self._unknown_starts):
+            if start.instance not in self.instances:
+                self._unknown_starts.remove(start)
+            elif self._is_known_to_all(start):
+                self._unknown_starts.remove(start)
+                self.result.known_after_us.append(self._now - start.at)
+
+    def _is_known_to_all(self, start: Start) -> bool:
+        records = [instance.members.records.get(start.instance) for instance in self.instances.values()]
+        return all(record is not None and record.incarnation >= start.incarnation for record in records)
+
+    def _share_sum(self) -> float:
+        return sum(instance.members.even_share for instance in self.instances.values())
+
+    # Messages
+
+    def _deliver(self) -> None:
+        while self._deliveries and self._deliveries[0].at <= self._now:
+            delivery = heapq.heappop(self._deliveries)
+            if delivery.receiver not in self.instances:
                 continue
-            self._count += 1
-            delay = self.rng.randrange(net.step_us, net.delay_us)
-            heapq.heappush(self._mail, (self.now + delay, self._count, me, receiver, data))
+            protocol = self.instances[delivery.receiver].protocol
+            envelope = codec.decode_envelope(delivery.data, self.limits.datagram_bytes)
+            message = protocol.merge(envelope)
+            protocol.record_contact(delivery.sender, message, self._now)
+            share_sum = self._share_sum()
+            if share_sum > self.result.max_share_sum:
+                self.result.max_share_sum = share_sum
+                self.result.max_share_sum_at = self._now
+
+    def _send_round(self, number: int) -> None:
+        instance = self.instances[number]
+        instance.protocol.update_joined(self._now)
+        receivers = instance.schedule.round(instance.members.quota_holders - {number}, ())
+        self._send(number, [*receivers, *instance.members.extra_receivers(self._now)])
+
+    def _send(self, number: int, receivers: list[int]) -> None:
+        instance = self.instances[number]
+        numbers_by_address = {address(peer): peer for peer in range(self.scenario.instances)}
+        acknowledged = dict.fromkeys(receivers, NO_MESSAGE)
+        for receiver, envelope in instance.protocol.compose(acknowledged, instance.incarnation, lambda: 1):
+            if receiver >= FIRST_SEED:
+                receiver = numbers_by_address[instance.members.address_of(receiver)]
+            data = codec.encode_envelope(envelope)
+            self.result.bytes_sent += len(data)
+            if not self._is_lost(number, receiver):
+                self._post(number, receiver, data)
+
+    def _is_lost(self, sender: int, receiver: int) -> bool:
+        if self._now >= self._calm_from:
+            return False
+        is_cut = self._cut_until.get((sender, receiver), 0) > self._now
+        return is_cut or self._rng.random() < self.scenario.loss
+
+    def _post(self, sender: int, receiver: int, data: bytes) -> None:
+        self._sent_count += 1
+        delay_us = self._rng.randrange(self.scenario.step_us, self.scenario.delay_us)
+        heapq.heappush(
+            self._deliveries, Delivery(self._now + delay_us, self._sent_count, sender, receiver, data)
+        )
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -742,7 +742,7 @@
         )
         net = budget_net.BudgetScenario(seed, length_us=6 * SECOND)
         text += "budgets " + seen_text(budget_net.BudgetSimulation(net).run())
-        text += "group " + seen_text(group_net.GroupRun(group_net.GroupNet(seed)).run())
+        text += "group " + seen_text(group_net.GroupSimulation(group_net.GroupScenario(seed)).run())
     for failure in suspicion_net.Failure:
         verdicts = suspicion_net.Scenario(
             failure=failure, fails_at=2 * SECOND, recovers_at=4 * SECOND, length_us=5 * SECOND
--- a/tests/peers/test_connection_quota.py
+++ b/tests/peers/test_connection_quota.py
@@ -4,10 +4,10 @@
 
 from garnetlanding.emulator.brick import Brick
 from garnetlanding.emulator.discovery import Box
-from garnetlanding.emulator.group_net import SECOND
 from garnetlanding.peers import codec
 from garnetlanding.peers.connection_quota import ConnectionQuota
 from garnetlanding.peers.leases import InstanceIdentity, Leases, SharedLeases
+from garnetlanding.peers.limits import SECOND
 from tests.support.clock import T0
 from tests.support.membership import LIMITS
 from tests.support.simulated_instance import LoopbackClient, SimulatedInstance, read_command
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -12,9 +12,10 @@
 
 from garnetlanding.decision.control import Controller
 from garnetlanding.emulator.group_model import Scope, explore
-from garnetlanding.emulator.group_net import SECOND, GroupNet, GroupRun
+from garnetlanding.emulator.group_net import GroupScenario, GroupSimulation
 from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
 from garnetlanding.peers.gossip_schedule import GossipSchedule
+from garnetlanding.peers.limits import SECOND
 from garnetlanding.peers.membership import InstanceRecord, Membership, MemberState
 from garnetlanding.peers.membership_protocol import MembershipProtocol
 from garnetlanding.peers.shared_budgets import SharedBudgets
@@ -118,17 +119,19 @@
 
 
 NETS = {
-    "six": GroupNet(),
-    "twelve": GroupNet(heads=12, events=30),
-    "a storm": GroupNet(events=40, loss=0.4, length_us=30 * SECOND),
+    "six": GroupScenario(),
+    "twelve": GroupScenario(instances=12, events=30),
+    "a storm": GroupScenario(events=40, loss=0.4, length_us=30 * SECOND),
 }
 
 
 @pytest.mark.parametrize("name", NETS)
 def test_even_parts_of_a_group_that_changes_never_add_up_to_more_than_the_whole(name: str) -> None:
     for seed in range(15):
-        seen = GroupRun(replace(NETS[name], seed=seed)).run()
-        assert seen.most <= 1 + 1e-9, f"seed {seed}: {seen.most} at {seen.most_at} us"
+        seen = GroupSimulation(replace(NETS[name], seed=seed)).run()
+        assert (
+            seen.max_share_sum <= 1 + 1e-9
+        ), f"seed {seed}: {seen.max_share_sum} at {seen.max_share_sum_at} us"
         assert seen.agreed, f"seed {seed}: tables differ once all is calm"
 
 
@@ -175,10 +178,10 @@
 def test_a_bug_put_into_membership_on_purpose_is_found(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
     name, instead = GROUP_BUGS[bug]
     monkeypatch.setattr(Membership, name, instead)
-    nets = [*NETS.values(), GroupNet(seeds=1, events=20), GroupNet(heads=4, seeds=2, events=40)]
+    nets = [*NETS.values(), GroupScenario(seeds=1, events=20), GroupScenario(instances=4, seeds=2, events=40)]
     for seed in range(60):
-        seen = GroupRun(replace(nets[seed % len(nets)], seed=seed)).run()
-        if seen.most > 1 + 1e-9 or not seen.agreed:
+        seen = GroupSimulation(replace(nets[seed % len(nets)], seed=seed)).run()
+        if seen.max_share_sum > 1 + 1e-9 or not seen.agreed:
             return
     raise AssertionError("no seed shows it")
 
--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -11,10 +11,10 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.emulator.budget_net import BudgetScenario, BudgetSimulation
-from garnetlanding.emulator.group_net import SECOND
 from garnetlanding.peers import codec
 from garnetlanding.peers.demand import Demand
 from garnetlanding.peers.leases import Leases
+from garnetlanding.peers.limits import SECOND
 from garnetlanding.peers.shared_budgets import SharedBudgets
 from tests.support.clock import T0
 from tests.support.decision_bench import up_endpoint
--- a/tests/support/membership.py
+++ b/tests/support/membership.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from garnetlanding.emulator.group_net import SECOND
-from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.limits import SECOND, PeerLimits
 from garnetlanding.peers.membership import Membership
 from tests.support.decision_bench import make_settings
 
