--- a/tests/audit/test_commands.py
+++ b/tests/audit/test_commands.py
@@ -53,7 +53,9 @@
     empty.mkdir()
     assert cli.main(["audit", "show", str(empty)]) == 2
     output = capsys.readouterr()
-    assert "no audit in" in output.err and "n5: no files" in output.out and "1.2" in output.out
+    assert "no audit in" in output.err
+    assert "n5: no files" in output.out
+    assert "1.2" in output.out
     assert len((tmp_path / "all").read_text().splitlines()) == 2
     assert (tmp_path / "c.png").stat().st_size > 1000
     assert parse_wall_ms("2023-11-14T22:13:20") == 1_700_000_000_000
--- a/tests/audit/test_files.py
+++ b/tests/audit/test_files.py
@@ -35,7 +35,8 @@
         audit.write({"kind": "checkpoint", "n": n, "text": "x" * 100})
     audit.close()
     found, problems = read_all(tmp_path)
-    assert not problems and sum(map(len, map(json.dumps, (s.records for s in found)))) < 4000
+    assert not problems
+    assert sum(map(len, map(json.dumps, (s.records for s in found)))) < 4000
     dropped = [r["up_to"] for s in found for r in s.records if r["kind"] == "dropped"]
     assert max(dropped) == [1, min(s.number for s in found) - 1]
     assert not merge_segments(found, LIMITS).problems
@@ -66,9 +67,12 @@
     later.close()
     found, problems = read_all(tmp_path)
     start = found[-1].records[0]
-    assert not problems and start["follows"] == 1 and start["torn"].startswith("cut short at offset")
+    assert not problems
+    assert start["follows"] == 1
+    assert start["torn"].startswith("cut short at offset")
     fleet = merge_segments(found, LIMITS)
-    assert len(fleet.problems) == 1 and "was cut short at offset" in fleet.problems[0]
+    assert len(fleet.problems) == 1
+    assert "was cut short at offset" in fleet.problems[0]
     assert merge_segments(found[1:], LIMITS).problems == ["n0: the files of life 1 are missing"]
     path.write_bytes(b"nonsense")
     opened(tmp_path, life=3).close()
@@ -120,4 +124,6 @@
     audit.write({"kind": "checkpoint"})
     monkeypatch.undo()
     found, problems = read_all(tmp_path)
-    assert not problems and found[0].torn_at and len(found[0].records) == 1
+    assert not problems
+    assert found[0].torn_at
+    assert len(found[0].records) == 1
--- a/tests/audit/test_merge.py
+++ b/tests/audit/test_merge.py
@@ -41,7 +41,8 @@
 def test_a_lag_names_the_first_and_the_last_instance() -> None:
     fleet = merge_segments(FLEET, LIMITS)
     [lag] = lags(fleet, "settings")
-    assert lag.last_holder and (
+    assert lag.last_holder
+    assert (
         lag.first_instance,
         lag.last_holder.instance,
         lag.instances,
@@ -85,7 +86,8 @@
     late = life("n3", 1, on(0, "1.1#a"), still(1, "1.1#a"), *[dict(r) for r in more], me=3)
     first = life("n0", 1, on(0, "1.1#a"), on(0.9, "1.2#b"))
     [lag] = lags(merge_segments([first, late], LIMITS), "settings")
-    assert lag.last_holder and lag.last_holder.instance == "n3"
+    assert lag.last_holder
+    assert lag.last_holder.instance == "n3"
     assert lag.last_holder.reason.value.endswith(why)
 
 
@@ -95,7 +97,8 @@
     found = merge_segments([*FLEET[:1], two, back], LIMITS, ["n9"]).problems
     assert any("settings 1.2 has two texts" in p for p in found)
     assert any("number 0 is that of n0 and n1" in p for p in found)
-    assert any("clock went back by 3000 ms" in p for p in found) and "n9: no files" in found
+    assert any("clock went back by 3000 ms" in p for p in found)
+    assert "n9: no files" in found
 
 
 def test_spans_of_two_instances_are_ordered_by_messages_alone() -> None:
@@ -104,5 +107,6 @@
     fleet = merge_segments([one, heard], LIMITS)
     spans = {(s.instance, s.versions["settings"]): s for s in fleet.spans}
     new, other = spans["n0", "1.2#b"], spans["n1", "1.2#b"]
-    assert happened_before(new, other) is True and happened_before(other, new) is False
+    assert happened_before(new, other) is True
+    assert happened_before(other, new) is False
     assert happened_before(spans["n1", "1.1#a"], new) is None, "nobody had heard of the other"
--- a/tests/audit/test_recorder.py
+++ b/tests/audit/test_recorder.py
@@ -38,5 +38,8 @@
         (160, "refused"),
         (170, "end"),
     ]
-    assert kept[1]["changed"] == ["settings"] and kept[1]["heard"] == [2, 8, 4] and kept[1]["me"] == 3
-    assert kept[0]["vector"]["settings"] == "1.1#a" and kept[1]["vector"]["list"] == "1"
+    assert kept[1]["changed"] == ["settings"]
+    assert kept[1]["heard"] == [2, 8, 4]
+    assert kept[1]["me"] == 3
+    assert kept[0]["vector"]["settings"] == "1.1#a"
+    assert kept[1]["vector"]["list"] == "1"
--- a/tests/choices/test_stagger.py
+++ b/tests/choices/test_stagger.py
@@ -22,4 +22,5 @@
 
 def test_the_order_of_slots_depends_on_the_signal() -> None:
     last = {max(range(10), key=lambda n: stagger_offset(n, 10, f"signal {i}")) for i in range(60)}
-    assert len(last) >= 8 and stagger_offset(3, 0) == 0.0
+    assert len(last) >= 8
+    assert stagger_offset(3, 0) == 0.0
--- a/tests/choices/test_subset_tracker.py
+++ b/tests/choices/test_subset_tracker.py
@@ -22,8 +22,11 @@
 def test_the_subset_is_computed_only_when_its_inputs_change() -> None:
     tracker, zones = SubsetTracker(2), {f"s{i}": "a" for i in range(6)}
     first = tracker.update(1, range(4), zones)
-    assert len(first) == 2 and tracker.update(1, [3, 2, 1, 0], dict(zones)) == first and tracker.changes == 1
-    assert len(tracker.update(1, range(4), zones | {"s9": "b"})) == 2 and tracker.changes == 2
+    assert len(first) == 2
+    assert tracker.update(1, [3, 2, 1, 0], dict(zones)) == first
+    assert tracker.changes == 1
+    assert len(tracker.update(1, range(4), zones | {"s9": "b"})) == 2
+    assert tracker.changes == 2
     assert tracker.update(9, range(4), zones) == frozenset(), "the fleet has excluded it"
 
 
@@ -65,4 +68,5 @@
         5 * SECOND,
     )
     theirs = replace(plain, retry_budget_ratio=0.5, retry_budget_window_us=SECOND)
-    assert chosen.with_retry_budget(theirs) == theirs and ChoicesSetup().with_retry_budget(plain) == plain
+    assert chosen.with_retry_budget(theirs) == theirs
+    assert ChoicesSetup().with_retry_budget(plain) == plain
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -27,11 +27,9 @@
 def test_platform_configuration_is_read_with_fitted_limits() -> None:
     c = config.read(PLATFORM_CONFIG)
     assert (c.name, c.seed, c.settings.max_attempts) == ("n1", 0x8C1F30D27A5BE964, 4)
-    assert (
-        c.settings.may_cancel
-        and c.settings.poll_endpoints
-        and c.settings.classes["read"].latency_objective_us == 300_000
-    )
+    assert c.settings.may_cancel
+    assert c.settings.poll_endpoints
+    assert c.settings.classes["read"].latency_objective_us == 300_000
     assert (c.limits.backend_idle_us, c.limits.dial_us) == (16 * SECOND, 300 * MS)
     assert (c.limits.client_conns, c.limits.backend_conns, c.limits.backend_conns_reserved) == (822, 341, 170)
     both = config.read(PLATFORM_CONFIG, {"ninep": NINEP}).limits
@@ -147,7 +145,8 @@
     ) <= 32 << 20
     busy = small.linger_conns + small.ops_linger_conns + 8  # standard streams, listeners, signals, discovery
     assert busy <= small.reserved_sockets
-    assert small.open_items >= small.client_conns and small.unsent_bytes > 2 * small.value_bytes
+    assert small.open_items >= small.client_conns
+    assert small.unsent_bytes > 2 * small.value_bytes
     with pytest.raises(config.ConfigError, match="limits.memory_mb"):
         config.read(PLATFORM_CONFIG | {"limits": {"memory_mb": 31, "sockets": 256}})
 
@@ -163,19 +162,23 @@
     }
     parsed = tomllib.loads("\n".join(lines))
     c = config.read(PLATFORM_CONFIG | {"name": "n2", "settings": settings}, parsed)
-    assert c.operator.ninep and c.operator.telemetry and c.operator.store.role == "follower"
+    assert c.operator.ninep
+    assert c.operator.telemetry
+    assert c.operator.store.role == "follower"
 
 
 def test_example_configurations_are_valid_and_match_the_example_servers() -> None:
     c = config.load(str(ROOT / "example/config.json"), str(ROOT / "example/operator.toml"), env={})
-    assert c.operator.ninep and c.operator.ninep.server_port == int(example.FILES.rpartition(":")[2])
+    assert c.operator.ninep
+    assert c.operator.ninep.server_port == int(example.FILES.rpartition(":")[2])
     assert c.discovery == example.DISCOVERY
     pair = [config.load(str(ROOT / f"example/pushed-{me}.json"), env={}) for me in (0, 1)]
-    assert [c.settings.instance_id for c in pair] == [0, 1] and not any(
-        c.settings.poll_endpoints for c in pair
-    )
+    assert [c.settings.instance_id for c in pair] == [0, 1]
+    assert not any(c.settings.poll_endpoints for c in pair)
     for c, other in zip(pair, reversed(pair), strict=True):
-        assert c.peers and other.peers and list(c.peers.peers.values()) == [other.peers.listen]
+        assert c.peers
+        assert other.peers
+        assert list(c.peers.peers.values()) == [other.peers.listen]
         assert c.discovery == example.DISCOVERY
 
 
@@ -183,10 +186,8 @@
     operator = one_export(access="rw", change_deadline_ms=2000)
     daemon = Daemon(config.read(PLATFORM_CONFIG, operator), lambda: T0)
     twin = daemon.core.settings.classes["read/once"]
-    assert (
-        twin.effect is Effect.UNSAFE
-        and twin.priority_weight == daemon.core.settings.classes["read"].priority_weight
-    )
+    assert twin.effect is Effect.UNSAFE
+    assert twin.priority_weight == daemon.core.settings.classes["read"].priority_weight
     assert (
         "read/once"
         not in Daemon(config.read(PLATFORM_CONFIG, one_export()), lambda: T0).core.settings.classes
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -36,8 +36,10 @@
     capacity = Capacity(replace(Limits(), open_items=10, open_bytes=1000))
     capacity.open_requests = 5
     capacity.held_bytes = 800
-    assert capacity.used == 0.8 and not capacity.is_exceeded
+    assert capacity.used == 0.8
+    assert not capacity.is_exceeded
     capacity.share = 0.5
     assert capacity.is_exceeded, "another process of the instance has the rest"
     capacity.held_bytes = 0
-    assert capacity.used == 0.5 and not capacity.is_exceeded
+    assert capacity.used == 0.5
+    assert not capacity.is_exceeded
--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -43,7 +43,8 @@
     w.run(100 * MS)
     w.appear()
     w.run(SECOND, 50 * MS)
-    assert not w.brick.heard and w.core.open_requests == 0
+    assert not w.brick.heard
+    assert w.core.open_requests == 0
 
 
 @pytest.mark.parametrize("how", LEAVE)
@@ -56,7 +57,8 @@
     assert len(w.brick.heard) == 1
     LEAVE[how](client)
     w.run(SECOND)
-    assert len(w.brick.heard) == 1 and w.core.open_requests == 0
+    assert len(w.brick.heard) == 1
+    assert w.core.open_requests == 0
 
 
 def test_a_request_whose_client_disconnects_while_the_backend_connects_is_not_forwarded(
@@ -82,7 +84,9 @@
         client.fin()
     w.appear()
     w.run(SECOND)
-    assert not w.brick.heard and w.core.open_requests == 0 and len(w.listener) == 0
+    assert not w.brick.heard
+    assert w.core.open_requests == 0
+    assert len(w.listener) == 0
 
 
 def take_all(pool: BufferPool) -> None:
@@ -103,10 +107,8 @@
     w.settle()
     assert w.core.open_requests == 1
     stays.say(read_command("r3")[:-9])
-    assert (
-        stays.read().startswith(b"-ERR out of buffers\r\n-ERR out of buffers\r\n")
-        and w.core.open_requests == 0
-    )
+    assert stays.read().startswith(b"-ERR out of buffers\r\n-ERR out of buffers\r\n")
+    assert w.core.open_requests == 0
 
 
 def test_queued_messages_are_dropped_with_their_client() -> None:
--- a/tests/core/test_endpoint_registry.py
+++ b/tests/core/test_endpoint_registry.py
@@ -17,7 +17,8 @@
     assert registry.apply(listing(up_endpoint("a", 0), up_endpoint("b", 1))) == []
     drains = Endpoint("a", 0, "z", EndpointState.DRAINING)
     assert registry.apply(listing(up_endpoint("a", 0), drains, complete=False)) == ["a is named twice"]
-    assert registry.address_of("a") is None and registry.address_of("b")
+    assert registry.address_of("a") is None
+    assert registry.address_of("b")
     assert registry.apply(listing(up_endpoint("b", 7), complete=False)) == ["b moved from cell 1 to 7"]
     assert registry.apply(listing()) == ["whole list is empty, 2 servers were known"]
     assert registry.address_of("b") is None
@@ -28,13 +29,17 @@
     entries = (up_endpoint("a", 0), up_endpoint("b", 1))
     registry.apply(EndpointListing(entries, {"a": "10.0.0.1:1", "b": "10.0.0.2:1"}, True))
     [disabled] = registry.set_disabled(frozenset({"a", "not-listed"}), 100)
-    assert disabled.state is EndpointState.DRAINING and disabled.admin_disabled
-    assert registry.address_of("a") is None and registry.unavailable == 1
-    assert registry.is_known("not-listed") and not registry.is_known("c")
+    assert disabled.state is EndpointState.DRAINING
+    assert disabled.admin_disabled
+    assert registry.address_of("a") is None
+    assert registry.unavailable == 1
+    assert registry.is_known("not-listed")
+    assert not registry.is_known("c")
     assert registry.effective_entry(up_endpoint("a", 0)) == disabled, "whatever a list says meanwhile"
     [enabled] = registry.set_disabled(frozenset({"not-listed"}), 200)
     assert (enabled.node, enabled.state, enabled.started_us) == ("a", EndpointState.UP, 200)
-    assert registry.address_of("a") == "10.0.0.1:1" and registry.unavailable == 0
+    assert registry.address_of("a") == "10.0.0.1:1"
+    assert registry.unavailable == 0
 
 
 def test_the_digest_of_disabled_names_depends_on_the_set_alone() -> None:
@@ -42,7 +47,9 @@
     assert registry.disabled_digest == ""
     registry.set_disabled(frozenset({"a", "head/1"}), 0)
     digest = registry.disabled_digest
-    assert len(digest) == 8 and registry.instance_disabled(1) and not registry.instance_disabled(0)
+    assert len(digest) == 8
+    assert registry.instance_disabled(1)
+    assert not registry.instance_disabled(0)
     registry.set_disabled(frozenset(), 0)
     registry.set_disabled(frozenset({"head/1", "a"}), 0)
     assert registry.disabled_digest == digest
--- a/tests/core/test_fencing.py
+++ b/tests/core/test_fencing.py
@@ -11,7 +11,8 @@
 
 def test_without_a_check_the_fence_never_changes() -> None:
     fence = Fence()
-    assert not fence.has_changed(0) and not fence.is_fenced
+    assert not fence.has_changed(0)
+    assert not fence.is_fenced
 
 
 def test_each_change_is_noticed_once() -> None:
@@ -25,7 +26,8 @@
         changes.append(fence.has_changed(now))
         if changes[-1]:
             fence.notify()
-    assert changes == [False, True, False, True] and states == [True, False]
+    assert changes == [False, True, False, True]
+    assert states == [True, False]
 
 
 def test_a_fenced_instance_rejects_what_is_queued_and_finishes_what_is_in_flight() -> None:
@@ -37,7 +39,8 @@
     is_current = False
     instance.core.fence.may_act = lambda _now: is_current
     instance.settle()
-    assert instance.core.fence.is_fenced and instance.answers == {"queued": Rejected(SECOND)}
+    assert instance.core.fence.is_fenced
+    assert instance.answers == {"queued": Rejected(SECOND)}
     instance.submit("later")
     assert instance.answers["later"] == Rejected(SECOND)
     instance.finish_oldest(Outcome.SERVED, b"v")
@@ -46,7 +49,8 @@
     instance.settle()
     instance.list_endpoint("n0", EndpointState.UP)
     instance.submit("after")
-    assert not instance.core.fence.is_fenced and len(instance.backend.in_flight) == 1
+    assert not instance.core.fence.is_fenced
+    assert len(instance.backend.in_flight) == 1
 
 
 def test_a_fenced_instance_fails_what_may_have_run_and_is_not_safe_to_repeat() -> None:
--- a/tests/core/test_request_engine.py
+++ b/tests/core/test_request_engine.py
@@ -31,7 +31,8 @@
     assert instance.answers == {"a": Served(b"v")}, "before the iteration ends"
     attempt.finish(Outcome.RESET)
     instance.settle()
-    assert not instance.core._requests and instance.core.open_requests == 0
+    assert not instance.core._requests
+    assert instance.core.open_requests == 0
 
 
 def test_after_the_last_of_four_attempts_the_rejection_comes_at_once() -> None:
@@ -48,9 +49,8 @@
     """Submit a request and let its hedged attempt start beside the first."""
     instance.submit("a", cls="write", **more)  # its latency objective is later than the hedging delay
     instance.run(300 * MS)
-    assert [attempt.number for attempt in instance.core.starts] == [0, 1] and len(
-        instance.backend.in_flight
-    ) == 2
+    assert [attempt.number for attempt in instance.core.starts] == [0, 1]
+    assert len(instance.backend.in_flight) == 2
 
 
 def test_of_two_hedged_attempts_the_first_answer_counts_and_the_other_is_dropped() -> None:
@@ -62,25 +62,23 @@
     first.finish(Outcome.SERVED, b"first")  # in the same iteration
     assert instance.answers == {"a": Served(b"second")}
     instance.settle()
-    assert (
-        not instance.core._requests and instance.core.open_requests == 0 and instance.core.metrics.ended == 1
-    )
+    assert not instance.core._requests
+    assert instance.core.open_requests == 0
+    assert instance.core.metrics.ended == 1
     start_hedged(instance := EngineInstance(make_settings()))
     instance.finish_oldest(Outcome.SERVED, b"first")
-    assert (
-        instance.answers == {"a": Served(b"first")}
-        and len(instance.backend.stopped) == 1
-        and not instance.core._requests
-    )
+    assert instance.answers == {"a": Served(b"first")}
+    assert len(instance.backend.stopped) == 1
+    assert not instance.core._requests
 
 
 def test_at_the_deadline_both_hedged_attempts_are_stopped() -> None:
     instance = EngineInstance(make_settings())
     start_hedged(instance, timeout_us=SECOND)
     instance.run(SECOND)
-    assert (
-        len(instance.backend.stopped) == 2 and list(instance.answers) == ["a"] and not instance.core._requests
-    )
+    assert len(instance.backend.stopped) == 2
+    assert list(instance.answers) == ["a"]
+    assert not instance.core._requests
 
 
 @pytest.mark.parametrize(
@@ -119,7 +117,8 @@
     module = instance.core.module
     assert isinstance(module, Controller)
     state = module.state
-    assert list(state.endpoints) == ["n30"] and len(state.volumes) <= 21
+    assert list(state.endpoints) == ["n30"]
+    assert len(state.volumes) <= 21
     assert all(set(queue.flows) <= set(state.volumes) for queue in state.cells.values())
 
 
@@ -129,9 +128,8 @@
         EndpointListing((api.Endpoint("n1", 1, "z", EndpointState.UP),), {"n1": "y:1"}, True)
     )
     instance.settle()
-    assert (
-        instance.core.endpoints.address_of("n0") is None and instance.core.endpoints.address_of("n1") == "y:1"
-    )
+    assert instance.core.endpoints.address_of("n0") is None
+    assert instance.core.endpoints.address_of("n1") == "y:1"
     instance.core.endpoint_update_failed()
     instance.settle()
     assert instance.core.endpoints.address_of("n1") == "y:1", "after a failure the old list stands"
@@ -181,10 +179,10 @@
     ticket = instance.submit("a", timeout_us=100 * MS)
     monkeypatch.setattr(instance.core.module, "handle", lambda _now, _events: [])
     instance.run(110 * MS)
-    assert [attempt.node for attempt in instance.backend.stopped] == [
-        "n0"
-    ] and ticket not in instance.core._requests
-    assert instance.core.starts[0].outcome is Outcome.TIMEOUT and isinstance(instance.answers["a"], Failed)
+    assert [attempt.node for attempt in instance.backend.stopped] == ["n0"]
+    assert ticket not in instance.core._requests
+    assert instance.core.starts[0].outcome is Outcome.TIMEOUT
+    assert isinstance(instance.answers["a"], Failed)
 
 
 def test_an_action_that_fails_does_not_keep_the_others_from_being_performed(
@@ -197,9 +195,8 @@
     )
     instance.submit("bad", timeout_us=100 * MS)
     instance.submit("good")
-    assert [attempt.work for attempt in instance.backend.in_flight] == [
-        "good"
-    ] and "action failed" in caplog.text
+    assert [attempt.work for attempt in instance.backend.in_flight] == ["good"]
+    assert "action failed" in caplog.text
     monkeypatch.setattr(instance.backend, "stop", lambda _trial: None)
     instance.run(110 * MS)
     assert isinstance(instance.answers["bad"], Rejected), "it still gets its answer"
@@ -219,7 +216,8 @@
     )
     instance.submit("a", timeout_us=300 * MS)
     instance.run(50 * MS)
-    assert instance.core.starts[0].outcome is Outcome.TIMEOUT and "a" not in instance.answers
+    assert instance.core.starts[0].outcome is Outcome.TIMEOUT
+    assert "a" not in instance.answers
     instance.run(60 * MS)
     assert len(instance.core.starts) == 2, "the old attempt is off before the next goes out"
 
@@ -274,8 +272,6 @@
             if name not in instance.answers and name not in left
         )
     instance.run(900 * MS, 25 * MS)
-    assert (
-        set(instance.answers) == set(due) - left
-        and not instance.core._requests
-        and instance.core.open_requests == 0
-    )
+    assert set(instance.answers) == set(due) - left
+    assert not instance.core._requests
+    assert instance.core.open_requests == 0
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -64,22 +64,19 @@
 def test_a_long_value_reaches_its_client_before_the_backend_has_sent_all_of_it() -> None:
     instance, value = Store(), bytes(range(256)) * 256
     client = instance.begun(value, 30_000)
-    assert client.got.startswith(b"$65536\r\n") and 20_000 < len(client.got) < 30_000
-    assert (
-        len(instance.core.finals[0]) == 1 and instance.core.open_requests == 1
-    ), "answered, and open to its last byte"
+    assert client.got.startswith(b"$65536\r\n")
+    assert 20_000 < len(client.got) < 30_000
+    assert len(instance.core.finals[0]) == 1, "answered, and open to its last byte"
+    assert instance.core.open_requests == 1, "answered, and open to its last byte"
     assert [a.outcome for a in instance.core.starts] == [api.Outcome.SERVED]
     [conn] = instance.brick.conns
     conn.write(answer(value)[30_000:])
     instance.settle()
-    assert (
-        client.got == codec.bulk(value)
-        and instance.core.open_requests == 0
-        and instance.core.metrics.success["read"] == 1
-    )
-    assert (
-        client.say(read_command("r2")) == b"$0\r\n\r\n" and len(instance.brick.conns) == 1
-    ), "both are used again"
+    assert client.got == codec.bulk(value)
+    assert instance.core.open_requests == 0
+    assert instance.core.metrics.success["read"] == 1
+    assert client.say(read_command("r2")) == b"$0\r\n\r\n", "both are used again"
+    assert len(instance.brick.conns) == 1, "both are used again"
 
 
 def test_the_result_reports_the_time_to_the_first_byte_not_to_the_last() -> None:
@@ -101,12 +98,11 @@
     client = instance.begun(b"v" * (4 * MIB), MIB)
     instance.brick.drop()
     instance.settle()
-    assert client.closed and MIB - 100 <= len(client.got) <= MIB
-    assert (
-        len(instance.core.starts) == 1
-        and instance.core.metrics.error["read"] == 1
-        and instance.core.open_requests == 0
-    )
+    assert client.closed
+    assert MIB - 100 <= len(client.got) <= MIB
+    assert len(instance.core.starts) == 1
+    assert instance.core.metrics.error["read"] == 1
+    assert instance.core.open_requests == 0
 
 
 def test_a_backend_that_stops_mid_value_has_failed_and_a_slow_one_has_not() -> None:
@@ -119,7 +115,8 @@
         instance.settle()
     assert not client.closed
     instance.run(instance.limits.stream_stall_us + 100 * MS, step_us=100 * MS)
-    assert client.closed and not instance.brick.conns
+    assert client.closed
+    assert not instance.brick.conns
 
 
 def test_a_client_that_reads_nothing_holds_one_window_and_delays_no_other() -> None:
@@ -143,7 +140,8 @@
     assert (
         most <= instance.limits.stream_window_bytes + 2 * instance.pool.size
     ), "what one client may leave unread"
-    assert len(deaf.got) < 4 * MIB and not deaf.closed
+    assert len(deaf.got) < 4 * MIB
+    assert not deaf.closed
     instance.run(instance.limits.write_stall_us + SECOND, step_us=100 * MS)
     assert len(instance.listener) == len(others), "and for so long"
 
@@ -152,7 +150,9 @@
     instance = Store()
     client = instance.begun(b"v" * MIB, 30_000)
     client.close()
-    assert not instance.brick.conns and instance.core.open_requests == 0 and len(instance.listener) == 0
+    assert not instance.brick.conns
+    assert instance.core.open_requests == 0
+    assert len(instance.listener) == 0
 
 
 def test_a_streamed_value_keeps_its_place_among_pipelined_answers() -> None:
@@ -178,7 +178,8 @@
     instance.settle()
     instance.brick.release()
     instance.settle()
-    assert client.got == b"$0\r\n\r\n-ERR cut short\r\n" and not client.closed
+    assert client.got == b"$0\r\n\r\n-ERR cut short\r\n"
+    assert not client.closed
 
 
 def test_a_body_ends_once_and_later_calls_are_ignored() -> None:
@@ -190,4 +191,5 @@
     body.end(False)
     body.end(True)
     body.feed(b"cd")
-    assert told == [False] and not body.blocked
+    assert told == [False]
+    assert not body.blocked
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -27,7 +27,8 @@
     h.discovery.tell(Box("b0", h.brick.address, 0, "DRAINING"), Box("b1", other.address, 0))
     h.settle()
     h.client().say(read_command("r2"))
-    assert len(other.heard) == 1 and set(h.daemon.store.with_prefix(ENDPOINT_PREFIX)) == {
+    assert len(other.heard) == 1
+    assert set(h.daemon.store.with_prefix(ENDPOINT_PREFIX)) == {
         ENDPOINT_PREFIX + "b0",
         ENDPOINT_PREFIX + "b1",
     }
@@ -50,7 +51,8 @@
     h.discovery.tell(Box("b0", h.brick.address, 0, "DRAINING"), Box("b1", other.address, 0))
     h.settle()
     h.client().say(read_command("r2"))
-    assert len(other.heard) == 1 and not h.brick.heard
+    assert len(other.heard) == 1
+    assert not h.brick.heard
 
 
 def test_backend_drained_with_an_attempt_in_flight_answers_it_and_gets_no_new_one() -> None:
@@ -68,7 +70,8 @@
     h.settle()
     assert client.got == b"$0\r\n\r\n", "what was out is answered"
     h.run(SECOND, 50 * MS)
-    assert late.got.startswith(b"-BUSY") and len(h.brick.heard) == 1
+    assert late.got.startswith(b"-BUSY")
+    assert len(h.brick.heard) == 1
 
 
 def test_shutdown_serves_clients_until_draining_and_answers_every_open_request() -> None:
@@ -80,16 +83,22 @@
     h.daemon.scheduler.spawn(h.daemon.end)
     h.run(300 * MS)
     late = h.client()
-    assert late.say(read_command("r2", d=3000, volume="w")) == b"$0\r\n\r\n" and not idle.closed
+    assert late.say(read_command("r2", d=3000, volume="w")) == b"$0\r\n\r\n"
+    assert not idle.closed
     h.run(h.daemon.limits.term_serve_us - 350 * MS)
-    assert idle.say(read_command("r3", d=3000, volume="w")) == b"$0\r\n\r\n" and not late.closed
+    assert idle.say(read_command("r3", d=3000, volume="w")) == b"$0\r\n\r\n"
+    assert not late.closed
     h.run(100 * MS)
-    assert late.closed and idle.closed and not busy.closed
+    assert late.closed
+    assert idle.closed
+    assert not busy.closed
     assert h.peer(h.daemon.listeners[0].address).closed, "no longer accepting"
     h.brick.release()
     h.settle()
     h.run(50 * MS)
-    assert busy.got == b"$0\r\n\r\n" and busy.closed and h.daemon.scheduler._stopped
+    assert busy.got == b"$0\r\n\r\n"
+    assert busy.closed
+    assert h.daemon.scheduler._stopped
 
 
 def test_shutdown_rejects_requests_still_open_before_sigkill() -> None:
@@ -100,7 +109,9 @@
     h.run(SECOND)
     slow.say(read_command(d=60_000))
     h.run(h.daemon.limits.term_reject_us - SECOND + 50 * MS)
-    assert slow.got == b"-ERR ending\r\n" and slow.closed and h.daemon.scheduler._stopped
+    assert slow.got == b"-ERR ending\r\n"
+    assert slow.closed
+    assert h.daemon.scheduler._stopped
 
 
 def test_shutdown_without_clients_ends_as_soon_as_accepting_may() -> None:
--- a/tests/daemon/test_graceful_shutdown.py
+++ b/tests/daemon/test_graceful_shutdown.py
@@ -81,7 +81,8 @@
     h.run(400 * MS)
     client.say(read_command(d=60_000))
     h.run(min(longest_us, 3 * SECOND) + 700 * MS - 400 * MS - 100 * MS)
-    assert client.read() == b"-ERR ending\r\n" and h.daemon.scheduler._stopped
+    assert client.read() == b"-ERR ending\r\n"
+    assert h.daemon.scheduler._stopped
 
 
 @pytest.mark.parametrize("left", [read_command()[:-5], QUIT[:3], b""], ids=["read", "quit", "nothing"])
@@ -130,7 +131,8 @@
         )
     assert ended_within(h, SECOND)
     assert ended == [name for name in STOPPED if name != failing]
-    assert len(ended) == 4 and "subsystem failed to stop" in caplog.text
+    assert len(ended) == 4
+    assert "subsystem failed to stop" in caplog.text
 
 
 def test_signals_during_shutdown_change_nothing() -> None:
@@ -146,7 +148,8 @@
             os.kill(os.getpid(), number)
             h.run(100 * MS)
             client.say(read_command(f"r{number}"))
-        assert client.sock.recv(100) == b"$0\r\n\r\n" * 3 and not second.calls
+        assert client.sock.recv(100) == b"$0\r\n\r\n" * 3
+        assert not second.calls
         h.run(4 * SECOND, 50 * MS)
         assert h.daemon.scheduler._stopped
 
@@ -173,6 +176,7 @@
         sock.sendall(read_command(f"w{n}"))
     w.listener.close_idle()
     w.listener.stop_accepting()
-    assert len(w.listener._clients) == 3 and len(w.listener) <= 3 + w.limits.linger_conns
+    assert len(w.listener._clients) == 3
+    assert len(w.listener) <= 3 + w.limits.linger_conns
     w.settle()
     assert len(w.brick.heard) == 6, "three that were idle, three that waited"
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -27,10 +27,12 @@
     h.daemon.reload()
     h.settle()
     assert second.calls == ["/v1/servers?follow=1&since=0"], "another's versions mean nothing here"
-    assert not h.discovery.conns and h.daemon.core.endpoints.address_of("b1")
+    assert not h.discovery.conns
+    assert h.daemon.core.endpoints.address_of("b1")
     h.brick.release()
     h.settle()
-    assert client.got == b"$0\r\n\r\n" and not client.closed
+    assert client.got == b"$0\r\n\r\n"
+    assert not client.closed
     h.daemon.reload()
     h.settle()
     assert len(second.calls) == 1, "nothing new in the file: the watch goes on"
@@ -67,8 +69,10 @@
     h.daemon.reload()
     h.settle()
     [record] = [r for r in caplog.records if "reload rejected" in r.message]
-    assert key in str(record.__dict__["kv"]["why"]) and h.daemon.config is before
-    assert len(h.discovery.calls) == calls and h.client().say(read_command()) == b"$0\r\n\r\n"
+    assert key in str(record.__dict__["kv"]["why"])
+    assert h.daemon.config is before
+    assert len(h.discovery.calls) == calls
+    assert h.client().say(read_command()) == b"$0\r\n\r\n"
 
 
 def test_sigterm_ends_the_daemon_after_sighup_reloaded_it() -> None:
@@ -80,7 +84,8 @@
         h.file = h.file | {"discovery": second.address}
         os.kill(os.getpid(), signal.SIGHUP)
         h.settle()
-        assert len(second.calls) == 1 and not h.daemon.scheduler._stopped
+        assert len(second.calls) == 1
+        assert not h.daemon.scheduler._stopped
         os.kill(os.getpid(), signal.SIGHUP)
         os.kill(os.getpid(), signal.SIGTERM)
         h.run(SECOND, 50 * MS)
--- a/tests/daemon/test_store_roles.py
+++ b/tests/daemon/test_store_roles.py
@@ -33,7 +33,8 @@
         h.daemon.core.settings.instance_id == 0
     ), "the writer's number is the writer's: heads would all be one"
     h.daemon.store.apply(5, Entry(2, SETTINGS_KEY, {}))
-    assert h.daemon.core.settings.max_attempts == 2 and "settings rejected" in caplog.text
+    assert h.daemon.core.settings.max_attempts == 2
+    assert "settings rejected" in caplog.text
 
 
 def test_restart_uses_the_newer_of_the_stored_and_the_configured_list(tmp_path: pathlib.Path) -> None:
@@ -43,12 +44,14 @@
     first.discovery.tell(Box("b9", first.brick.address, 5))
     first.run(SECOND, 100 * MS)
     kept = load(path)
-    assert kept and ENDPOINT_PREFIX + "b9" in kept.values
+    assert kept
+    assert ENDPOINT_PREFIX + "b9" in kept.values
     second = Daemon(config.read(PLATFORM_CONFIG, operator), lambda: T0)
     assert second.core.endpoints.address_of("b9") is None, "the list of the configuration is newer"
     older = PLATFORM_CONFIG | {"known": PLATFORM_CONFIG["known"] | {"generation": 1}}
     third = Daemon(config.read(older, operator), lambda: T0)
-    assert third.core.endpoints.address_of("b9") and third.store.epoch > kept.epoch
+    assert third.core.endpoints.address_of("b9")
+    assert third.store.epoch > kept.epoch
 
 
 def test_follower_starts_with_the_stored_settings_of_its_writer(tmp_path: pathlib.Path) -> None:
--- a/tests/decision/test_backend_health.py
+++ b/tests/decision/test_backend_health.py
@@ -26,7 +26,8 @@
         bench.run(10 * MS)
         bench.end(f"r{i}", api.Outcome.RESET if i % 3 else api.Outcome.SERVED, over=i % 3 == 0)
     health = bench.c.state.cells[0].health
-    assert health is not None and health.warming_since < bench.now - bench.c.settings.warmup_us
+    assert health is not None
+    assert health.warming_since < bench.now - bench.c.settings.warmup_us
 
 
 def test_backend_with_timeouts_gets_no_low_priority_request_until_its_latency_fades() -> None:
@@ -64,7 +65,8 @@
     while not bench.answers("held"):
         bench.run(10 * MS)
     assert bench.now - before <= READ.deadline_us // 2
-    assert not bench.answers("out") and not bench.answers("seen")
+    assert not bench.answers("out")
+    assert not bench.answers("seen")
 
 
 def test_unresponsive_backend_that_refuses_connections_warms_up_afterwards() -> None:
@@ -205,9 +207,11 @@
         bench.ask(f"cheap{i}", volume="c", units=1, plan="tin", hosts=3)
     bench.ask("dear", volume="d", units=1, hosts=3)
     refused = [a.request for _, a in bench.log if isinstance(a, api.Reject)]
-    assert refused and all(name.startswith("cheap") for name in refused)
+    assert refused
+    assert all(name.startswith("cheap") for name in refused)
     bench.run(300 * MS)
-    assert bench.sends("dear") and not bench.answers("dear")
+    assert bench.sends("dear")
+    assert not bench.answers("dear")
 
 
 def test_queued_request_waits_for_the_backend_that_replaces_a_draining_one() -> None:
@@ -227,7 +231,8 @@
     bench.ask("large", units=6)
     bench.run(170 * MS)
     bench.end("large", took=170 * MS)
-    assert health.latency_us <= before * 1.01 and health.depth_factor == 1.0
+    assert health.latency_us <= before * 1.01
+    assert health.depth_factor == 1.0
 
 
 def test_polls_after_many_errors_stay_frequent_enough_to_learn_of_a_drain_in_6_s() -> None:
--- a/tests/decision/test_decision_rules.py
+++ b/tests/decision/test_decision_rules.py
@@ -44,7 +44,8 @@
     assert at < 50 * SECOND + WRITE.deadline_us
     late = bench.end("a", over=True)  # a late reply sends and answers nothing
     assert not [x for x in late if isinstance(x, api.Send | api.Reject | api.Fail)]
-    assert len(bench.answers("a")) == 1 and len(bench.sends("a")) <= 2  # one copy of an overdue attempt
+    assert len(bench.answers("a")) == 1
+    assert len(bench.sends("a")) <= 2  # one copy of an overdue attempt
 
 
 def test_queued_request_is_refused_in_time_when_no_backend_serves_its_cell() -> None:
@@ -76,7 +77,8 @@
     bench.ask("a", cls="write", cell=-1)
     bench.end("a", ERROR)
     bench.run(90 * MS)
-    assert len(bench.sends("a")) == 2 and len({s.node for s in bench.sends("a")}) == 1
+    assert len(bench.sends("a")) == 2
+    assert len({s.node for s in bench.sends("a")}) == 1
     bench.run(1200 * MS)
     bench.end("a", ERROR, attempt=1)  # the window of 2 s, counted from the first send, is over
     bench.run(2 * SECOND)
@@ -93,7 +95,8 @@
     bench.ask("not", cls="unsafe")
     bench.end("not", UNREACHABLE)
     bench.run(SECOND)
-    assert len(bench.sends("ran")) == 1 and isinstance(bench.answers("ran")[0], api.Fail)
+    assert len(bench.sends("ran")) == 1
+    assert isinstance(bench.answers("ran")[0], api.Fail)
     assert len(bench.sends("not")) == 2
 
 
--- a/tests/decision/test_fair_queueing.py
+++ b/tests/decision/test_fair_queueing.py
@@ -148,7 +148,8 @@
         bench.ask(f"e{i}")
         bench.end(f"e{i}", api.Outcome.ERROR, took=MS)
     health = bench.c.state.cells[0].health
-    assert health is not None and concurrency_limit(bench.c.state, health) == 4.0
+    assert health is not None
+    assert concurrency_limit(bench.c.state, health) == 4.0
 
 
 def test_slow_answers_shrink_the_concurrency_limit_below_the_floor() -> None:
@@ -156,7 +157,8 @@
     for name in FOUR:
         bench.end(name, took=900 * MS)
     health = bench.c.state.cells[0].health
-    assert health is not None and concurrency_limit(bench.c.state, health) < 4.0
+    assert health is not None
+    assert concurrency_limit(bench.c.state, health) < 4.0
 
 
 def test_weight_stays_without_a_usage_figure_and_is_clamped_with_one() -> None:
@@ -192,4 +194,6 @@
     for i in range(40):
         bench.ask(f"q{i}", units=2, volume="surge")
     refused = [f"q{i}" for i in range(40) if bench.answers(f"q{i}")]
-    assert refused and "q0" not in refused and refused[-1] == "q39"
+    assert refused
+    assert "q0" not in refused
+    assert refused[-1] == "q39"
--- a/tests/decision/test_many_instances.py
+++ b/tests/decision/test_many_instances.py
@@ -110,7 +110,8 @@
 def test_new_instance_sends_a_warming_backend_the_load_that_the_plans_foresee() -> None:
     """Of 2 units for all of 40 hosts its part is a request in 40 s; most of its one volume went unserved."""
     sent, rest = restarted(asked=12)
-    assert len(sent) >= 5 and rest <= 7
+    assert len(sent) >= 5
+    assert rest <= 7
 
 
 @pytest.mark.parametrize("hosts", [1, 3], ids=["one instance", "three instances"])
@@ -129,10 +130,8 @@
                 if bench.sends(f"r{n}"):
                     bench.end(f"r{n}")
         sent += [t + life * life_us for t, a in bench.log if isinstance(a, api.Send)]
-    assert (
-        sent
-        and max(sum(t <= at < t + config.overload_window_us for at in sent) for t in sent) <= 12.0 / hosts + 1
-    )
+    assert sent
+    assert max(sum(t <= at < t + config.overload_window_us for at in sent) for t in sent) <= 12.0 / hosts + 1
 
 
 def test_surge_at_a_warming_backend_gets_no_more_than_its_usual_rate_allows() -> None:
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -70,7 +70,8 @@
     assert instance.heard == ["b0:up", "b0:draining"]
     instance.watch.subscribe()  # asked again while it runs: one call more, no failure
     instance.settle()
-    assert instance.discovery.calls[1].endswith("since=2") and "failed" not in instance.heard
+    assert instance.discovery.calls[1].endswith("since=2")
+    assert "failed" not in instance.heard
 
 
 def test_a_watch_without_a_line_within_the_quiet_time_fails() -> None:
@@ -82,7 +83,8 @@
     instance.run(2500 * MS, step_us=100 * MS)
     assert "failed" not in instance.heard
     instance.run(500 * MS, step_us=100 * MS)
-    assert instance.heard[-1] == "failed" and instance.heard.count("failed") == 1
+    assert instance.heard[-1] == "failed"
+    assert instance.heard.count("failed") == 1
     assert instance.unheard == [instance.limits.discovery_silence_us]
 
 
@@ -100,7 +102,8 @@
     instance = WatchedDiscovery()
     instance.discovery.conns[0].write(say)
     instance.settle()
-    assert instance.heard == ["b0:up", "failed"] and not instance.discovery.conns
+    assert instance.heard == ["b0:up", "failed"]
+    assert not instance.discovery.conns
 
 
 def test_changes_of_an_older_list_are_refused_and_the_complete_list_is_asked_for() -> None:
@@ -177,7 +180,8 @@
     instance.discovery.boxes[0].state = "DRAINING"
     instance.discovery.conns[0].write(b"0\r\n\r\n")
     instance.run(instance.limits.agent_retry_us)
-    assert instance.heard == ["b0:up", "b0:draining"] and len(instance.discovery.calls) == 2
+    assert instance.heard == ["b0:up", "b0:draining"]
+    assert len(instance.discovery.calls) == 2
 
 
 def test_an_unresponsive_agent_is_called_again_until_it_answers(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -186,7 +190,8 @@
         silent.setattr(Discovery, "answer", lambda _self, _conn: None)
         instance.discovery.conns[0].write(b"0\r\n\r\n")
         instance.run(3 * SECOND)
-        assert len(instance.discovery.calls) > 3 and instance.heard == ["b0:up"], "the core need not ask"
+        assert len(instance.discovery.calls) > 3, "the core need not ask"
+        assert instance.heard == ["b0:up"], "the core need not ask"
     instance.discovery.boxes[0].state = "DRAINING"
     instance.run(instance.limits.agent_answer_us + instance.limits.agent_retry_us)
     assert instance.heard[-1] == "b0:draining"
@@ -265,10 +270,12 @@
             break  # it is on its way, and not yet up
     instance.watch.switch_to(other.address)
     instance.settle()
-    assert len(old.calls) == 1 and not old.conns, "nobody follows the old one"
+    assert len(old.calls) == 1, "nobody follows the old one"
+    assert not old.conns, "nobody follows the old one"
     old.tell(Box("b0", "127.0.0.1:9", 0, "DRAINING"))
     instance.settle()
-    assert instance.heard == ["b0:up", "b7:up"] and instance.watch.version == 9
+    assert instance.heard == ["b0:up", "b7:up"]
+    assert instance.watch.version == 9
 
 
 def test_a_list_received_during_a_stall_is_read_and_the_watch_does_not_fail() -> None:
@@ -280,7 +287,8 @@
     instance.discovery.tell(*instance.discovery.boxes)
     instance.time += SECOND  # written, not yet read
     instance.settle()
-    assert instance.heard == ["b0:up", "b0:draining"] and len(instance.discovery.calls) == 1
+    assert instance.heard == ["b0:up", "b0:draining"]
+    assert len(instance.discovery.calls) == 1
 
 
 @pytest.mark.parametrize("instances", [1, 3, 8, 40, 200])
--- a/tests/discovery/test_watch_state.py
+++ b/tests/discovery/test_watch_state.py
@@ -20,7 +20,9 @@
     state = WatchState(0)
     first = state.begin_call()
     second = state.begin_call()
-    assert not state.is_newest(first) and state.is_newest(second) and state.is_following
+    assert not state.is_newest(first)
+    assert state.is_newest(second)
+    assert state.is_following
 
 
 def test_a_polled_watch_reports_each_failure_and_takes_no_step_of_its_own() -> None:
@@ -29,7 +31,8 @@
         state.begin_call()
         assert state.next_step(is_pushed=False) is NextStep.NOTHING
         assert state.end_call(is_pushed=False) is OnFailure.REPORT
-        assert state.next_step(is_pushed=False) is NextStep.NOTHING and not state.is_following
+        assert state.next_step(is_pushed=False) is NextStep.NOTHING
+        assert not state.is_following
 
 
 def test_a_pushed_watch_is_kept_open_and_its_failures_are_logged_once() -> None:
@@ -58,7 +61,9 @@
     state = WatchState(6)
     with pytest.raises(ListError, match="^field generation: 3 after 6$") as error:
         state.take_up(received(3, complete=False))
-    assert error.value.field == "generation" and state.version == 0 and not state.is_synced
+    assert error.value.field == "generation"
+    assert state.version == 0
+    assert not state.is_synced
 
 
 @pytest.mark.parametrize(
@@ -73,7 +78,8 @@
 def test_any_other_list_is_taken_up(version: int, complete: bool, empty: bool) -> None:
     state = WatchState(6)
     state.take_up(received(version, complete=complete, empty=empty))
-    assert state.version == version and state.is_synced
+    assert state.version == version
+    assert state.is_synced
 
 
 def test_a_call_has_its_answer_time_from_its_first_moment_and_then_the_quiet_time() -> None:
--- a/tests/ops/test_admin_client.py
+++ b/tests/ops/test_admin_client.py
@@ -21,9 +21,11 @@
     reply = admin_client.Reply(200, encode(metrics, 7, 3, 1))
     lines = admin_output.as_text("metrics", reply).splitlines()
     assert lines[0].split() == ["class", "success", "overload", "error"]
-    assert lines[2].split() == ["save.big", "0", "1", "0"] and "concurrent: 7" in lines
+    assert lines[2].split() == ["save.big", "0", "1", "0"]
+    assert "concurrent: 7" in lines
     shown = json.loads(admin_output.as_json("metrics", reply))
-    assert shown["yes"] and shown["figures"]["app.overload.save.big"] == 1
+    assert shown["yes"]
+    assert shown["figures"]["app.overload.save.big"] == 1
     assert (
         json.loads(admin_output.as_json("drain", admin_client.Reply(500, "failed\n")))["answer"] == "failed"
     )
@@ -42,6 +44,8 @@
     malformed = cli.main(["ops", "ready", "--address", "nowhere"])
     monkeypatch.setattr(admin_client, "send_call", call)
     to = ["--address", instance.ops.address]
-    assert (unreachable, malformed) == (1, 2) and "127.0.0.1:1: " in capsys.readouterr().err
-    assert cli.main(["ops", "disable", "b0", *to]) == 0 and cli.main(["ops", "disable", "b9", *to]) == 1
+    assert (unreachable, malformed) == (1, 2)
+    assert "127.0.0.1:1: " in capsys.readouterr().err
+    assert cli.main(["ops", "disable", "b0", *to]) == 0
+    assert cli.main(["ops", "disable", "b9", *to]) == 1
     assert capsys.readouterr().out == "b0 disabled\nno brick b9\n"
--- a/tests/ops/test_admin_connection.py
+++ b/tests/ops/test_admin_connection.py
@@ -29,9 +29,9 @@
     for size in [*sizes, len(call)]:
         machine.feed(call[at : at + size])
         at += size
-    assert (
-        machine.ended and len(written) == 1 and written[0].startswith(b"HTTP/1.1 404 ")
-    ), "one call, one answer"
+    assert machine.ended, "one call, one answer"
+    assert len(written) == 1, "one call, one answer"
+    assert written[0].startswith(b"HTTP/1.1 404 "), "one call, one answer"
 
 
 @pytest.mark.parametrize(
@@ -76,13 +76,15 @@
 def test_malformed_or_unknown_call_gets_its_status(call: bytes, status: int) -> None:
     machine, written = connection()
     machine.feed(call)
-    assert machine.ended and written[0].startswith(b"HTTP/1.1 %d " % status)
+    assert machine.ended
+    assert written[0].startswith(b"HTTP/1.1 %d " % status)
 
 
 def test_exception_behind_a_call_is_answered_with_500_and_logged(caplog: pytest.LogCaptureFixture) -> None:
     machine, written = connection(target=None)
     machine.feed(b"GET /-/ready HTTP/1.1\r\n\r\n")
-    assert written[0].startswith(b"HTTP/1.1 500 ") and "call failed" in caplog.text
+    assert written[0].startswith(b"HTTP/1.1 500 ")
+    assert "call failed" in caplog.text
 
 
 def test_call_is_answered_beside_unfinished_calls_and_with_all_client_connections_in_use(
--- a/tests/ops/test_admin_service.py
+++ b/tests/ops/test_admin_service.py
@@ -31,7 +31,8 @@
     instance.peer(instance.clients.address).say(read_command(id="r2", d=400))
     instance.run(500 * MS)
     assert len(instance.brick.heard) == seen
-    assert instance.metrics()["targets_disabled"] == 1 and instance.metrics()["targets"] == 2
+    assert instance.metrics()["targets_disabled"] == 1
+    assert instance.metrics()["targets"] == 2
     assert instance.call("/-/bricks/b0/enable")[0] == 200, "one call back undoes both"
     assert instance.call("/-/bricks/b0/enable")[0] == 200, "one that isn't out is in use"
     assert client.say(read_command(id="r3")).startswith(b"$")
--- a/tests/ops/test_admin_state.py
+++ b/tests/ops/test_admin_state.py
@@ -25,7 +25,8 @@
     assert other.load() == AdminState(frozenset({"b0"}))
     other.update(lambda state: state.disable("b1").with_draining(True))
     instance.run(instance.limits.ops_poll_us + 10 * MS)
-    assert instance.core.endpoints.disabled == {"b0", "b1"} and not instance.service.accepts_clients
+    assert instance.core.endpoints.disabled == {"b0", "b1"}
+    assert not instance.service.accepts_clients
     instance.call("/-/resume")
     both = AdminState(frozenset({"b0", "b1"}))
     assert other.load_if_changed() == both, "neither undoes what the other set"
@@ -57,7 +58,8 @@
         decode("n1", data)
     (tmp_path / "garnetlanding-n1-operators.json").write_bytes(data)
     instance = AdministeredInstance(tmp_path)
-    assert instance.call("/-/ready", "GET")[0] == 200 and "state file rejected" in caplog.text
+    assert instance.call("/-/ready", "GET")[0] == 200
+    assert "state file rejected" in caplog.text
     assert instance.call("/-/bricks/b0/disable")[0] == 200
     kept = (tmp_path / "garnetlanding-n1-operators.json").read_bytes()
     assert decode("n1", kept) == AdminState(frozenset({"b0"}))
--- a/tests/ops/test_drain.py
+++ b/tests/ops/test_drain.py
@@ -19,20 +19,27 @@
     late = instance.peer(instance.clients.address)
     assert late.say(read_command(id="r1")).startswith(b"$"), "those that still come are served"
     instance.run(1200 * MS)
-    assert used.say(read_command(id="r2")).startswith(b"$") and not idle.closed
+    assert used.say(read_command(id="r2")).startswith(b"$")
+    assert not idle.closed
     instance.brick.hold = True
     busy.say(read_command(id="r3", d=1500))
     instance.run(300 * MS)
-    assert idle.closed and used.closed and late.closed and not busy.closed
+    assert idle.closed
+    assert used.closed
+    assert late.closed
+    assert not busy.closed
     instance.brick.release()
     instance.settle()
-    assert busy.got.startswith(b"$") and busy.closed, "after its answer"
+    assert busy.got.startswith(b"$"), "after its answer"
+    assert busy.closed, "after its answer"
     instance.brick.hold = False
     instance.call("/-/resume")
     again = instance.peer(instance.clients.address)
     assert again.say(b"*1\r\n$4\r\nPING\r\n") == b"+PONG\r\n"
     instance.run(4 * SECOND)
-    assert not again.closed and again.say(read_command(id="r4")).startswith(b"$") and not again.closed
+    assert not again.closed
+    assert again.say(read_command(id="r4")).startswith(b"$")
+    assert not again.closed
     assert instance.call("/-/resume")[0] == 200, "resumed undrained: nothing to do"
 
 
@@ -44,4 +51,5 @@
     client.stream.write(read_command(id="r1"))
     instance.clients.close_idle()
     instance.settle()
-    assert client.got.endswith(b"\r\n") and b"$" in client.got
+    assert client.got.endswith(b"\r\n")
+    assert b"$" in client.got
--- a/tests/ops/test_process_quota.py
+++ b/tests/ops/test_process_quota.py
@@ -48,10 +48,8 @@
 def test_predecessor_lowers_its_share_to_half_or_its_use_and_further_when_ending() -> None:
     predecessor, successor = ProcessRecord(1, 1.0), ProcessRecord(2, 0.0)
     assert next_share(successor, [predecessor], 0, False) == 0, "nothing until the predecessor has come down"
-    assert (
-        next_share(predecessor, [successor], 0.1, False) == 0.5
-        and next_share(predecessor, [successor], 0.6, False) == 0.75
-    )
+    assert next_share(predecessor, [successor], 0.1, False) == 0.5
+    assert next_share(predecessor, [successor], 0.6, False) == 0.75
     assert next_share(predecessor, [successor], 0.01, True) == MIN_ENDING_SHARE
     assert next_share(replace(predecessor, share=0.5), [successor], 0.9, False) == 0.5, "it never raises it"
     assert next_share(successor, [], 0, False) == 1
@@ -69,9 +67,8 @@
     ids=["empty", "no-checksum", "another-instance", "cut-at-the-start", "checksum-does-not-hold"],
 )
 def test_unreadable_process_record_decodes_to_none(data: bytes) -> None:
-    assert decode("n1", data) is None and decode("n1", encode("n1", ProcessRecord(7, 0.25))) == ProcessRecord(
-        7, 0.25
-    )
+    assert decode("n1", data) is None
+    assert decode("n1", encode("n1", ProcessRecord(7, 0.25))) == ProcessRecord(7, 0.25)
 
 
 # The decision module under a changing share.
@@ -81,14 +78,17 @@
     config = make_settings(instances=1, parallel_attempts=False)
     b = DecisionBench(config, [up_endpoint("n0", 0)])
     h = b.c.state.cells[0].health
-    assert h and concurrency_limit(b.c.state, h) == 4
+    assert h
+    assert concurrency_limit(b.c.state, h) == 4
     b.ask("a")
     b.c.state.volumes["v"].weight = 9
     b.tell(api.NewSettings(replace(config, process_share=0.5)))
-    assert concurrency_limit(b.c.state, h) == 2 and b.c.state.warmup_share == 0.5
+    assert concurrency_limit(b.c.state, h) == 2
+    assert b.c.state.warmup_share == 0.5
     assert b.c.state.volumes["v"].weight == 9, "what was learnt of a volume is not forgotten"
     b.tell(api.NewSettings(replace(config, process_share=1.0)))
-    assert concurrency_limit(b.c.state, h) == 4 and b.c.state.warmup_share == 0.5
+    assert concurrency_limit(b.c.state, h) == 4
+    assert b.c.state.warmup_share == 0.5
     b.run(config.overload_window_us - 10 * MS)
     b.tell()
     assert b.c.state.warmup_share == 0.5
--- a/tests/ops/test_process_registry.py
+++ b/tests/ops/test_process_registry.py
@@ -22,12 +22,15 @@
     stale.write_bytes(encode("n1", ProcessRecord(1, 1.0)))
     predecessor = ProcessRegistry(str(tmp_path), "n1")
     predecessor.publish(predecessor.next_share(0, False))
-    assert predecessor.record.share == 1 and not stale.exists() and "terminated process" in caplog.text
+    assert predecessor.record.share == 1
+    assert not stale.exists()
+    assert "terminated process" in caplog.text
     successor, stranger = ProcessRegistry(str(tmp_path), "n1"), ProcessRegistry(str(tmp_path), "n2")
-    assert successor.next_share(0, False) == 0 and stranger.next_share(0, False) == 1
-    assert (
-        predecessor.next_share(0, False) == 0.5 and predecessor.has_successor and not successor.has_successor
-    )
+    assert successor.next_share(0, False) == 0
+    assert stranger.next_share(0, False) == 1
+    assert predecessor.next_share(0, False) == 0.5
+    assert predecessor.has_successor
+    assert not successor.has_successor
     assert successor.next_share(0, False) == 0, "lowered, and not published yet"
     predecessor.publish(0.5)
     assert successor.next_share(0, False) == 0.5
--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -28,7 +28,8 @@
 @given(MESSAGES)
 def test_what_is_told_is_heard_and_fits(message: LeaseMessage) -> None:
     data = codec.encode_leases(message)
-    assert len(data) <= LIMITS.datagram_bytes and codec.decode_leases(data, LIMITS.datagram_bytes) == message
+    assert len(data) <= LIMITS.datagram_bytes
+    assert codec.decode_leases(data, LIMITS.datagram_bytes) == message
 
 
 @given(MESSAGES, st.data())
--- a/tests/peers/test_connection_quota.py
+++ b/tests/peers/test_connection_quota.py
@@ -51,10 +51,8 @@
     shared.exchange(3)
     assert shared.quota.max_connections("n0") == 4
     shared.exchange(3, own=4, lacking=True)
-    assert (
-        shared.quota.max_connections("n0") > 5
-        and shared.quota.max_connections("n0") + shared.peers_quota() <= 8
-    )
+    assert shared.quota.max_connections("n0") > 5
+    assert shared.quota.max_connections("n0") + shared.peers_quota() <= 8
     more = Shared()
     more.exchange(3)
     more.exchange(3, own=4, peers=4, lacking=True)
@@ -89,9 +87,11 @@
     peers = [LoopbackClient(w, front.address) for _ in range(3)]
     for i, peer in enumerate(peers):
         peer.say(read_command(f"r{i}"))
-    assert len(brick.conns) == 2 and (2, True) in quota.reported, "the third lacks a connection"
+    assert len(brick.conns) == 2, "the third lacks a connection"
+    assert (2, True) in quota.reported, "the third lacks a connection"
     quota.allowed = 1
     brick.hold = False
     brick.release()
     w.run(SECOND)
-    assert len(brick.conns) == 1 and quota.reported[-1][0] == 1, "the other was closed as it came free"
+    assert len(brick.conns) == 1, "the other was closed as it came free"
+    assert quota.reported[-1][0] == 1, "the other was closed as it came free"
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -83,10 +83,12 @@
     f.run(4)
     assert 70 <= len(f.sent[0]) - before <= 82, "40 units a second, where a fixed half allowed 20"
     f.run(2, cut=(0,))
-    assert volume(f.talks[0]).limit.rate == pytest.approx(20) and volume(f.talks[0]).limit.capacity == 30
+    assert volume(f.talks[0]).limit.rate == pytest.approx(20)
+    assert volume(f.talks[0]).limit.capacity == 30
     f.run(4, asked=(0, 1))
     parts = [volume(f.talks[me]).quota_share for me in (0, 1)]
-    assert sum(parts) <= 1 + 1e-9 and min(parts) > 0.4, "two that ask alike have a half each"
+    assert sum(parts) <= 1 + 1e-9, "two that ask alike have a half each"
+    assert min(parts) > 0.4, "two that ask alike have a half each"
 
 
 def test_a_volume_with_another_part_than_an_even_one_is_not_forgotten() -> None:
@@ -94,7 +96,8 @@
     f = FailureDetector()
     f.run(3, asked=(0, 1))
     f.run(70)
-    assert volume(f.talks[1]).quota_share < 0.1 and volume(f.talks[0]).quota_share > 0.9
+    assert volume(f.talks[1]).quota_share < 0.1
+    assert volume(f.talks[0]).quota_share > 0.9
     f.run(0.04, asked=(1,))
     assert volume(f.talks[1]).limit.rate < 4
 
@@ -128,7 +131,8 @@
         T0, [api.PeerMessage(1, p) for p in (b"", whole[:-1], whole + b"x", b"\x09" + whole[1:], bytes(300))]
     )
     assert talk.dropped == {"torn": 3, "other version": 1, "too long": 1}
-    assert talk.leases and not talk.leases.contacts
+    assert talk.leases
+    assert not talk.leases.contacts
 
 
 def test_the_link_hears_its_peers_alone(caplog: pytest.LogCaptureFixture) -> None:
@@ -143,10 +147,12 @@
     for sock, text in ((peer, b"one"), (stranger, b"forged"), (peer, bytes(257)), (peer, b"two")):
         sock.sendto(text, to)
     w.settle()
-    assert heard == [(4, b"one"), (4, b"two")] and link.dropped == {"no peer": 1, "too long": 1}
+    assert heard == [(4, b"one"), (4, b"two")]
+    assert link.dropped == {"no peer": 1, "too long": 1}
     link.send(b"hello")
     link.send(bytes(257))
-    assert peer.recv(300) == b"hello" and link.dropped["too long to send"] == 1
+    assert peer.recv(300) == b"hello"
+    assert link.dropped["too long to send"] == 1
     peer.close()
     link.send(b"to a head that is down")
     link.send(b"again")
@@ -154,10 +160,12 @@
     assert not caplog.records
     w.run(LIMITS.drop_report_us, SECOND)
     [line] = caplog.records
-    assert line.__dict__["kv"]["count"] >= 3 and not link.dropped, "one line for all of them"
+    assert line.__dict__["kv"]["count"] >= 3, "one line for all of them"
+    assert not link.dropped, "one line for all of them"
     link.close()
     w.settle()
-    assert link.closed and len(heard) == 2
+    assert link.closed
+    assert len(heard) == 2
     stranger.close()
 
 
@@ -209,33 +217,40 @@
     h = TalkingHead()
     h.ask()
     told = h.heard()
-    assert len(told[0]) == len(told[1]) >= 3 and told[0][-1].asks[codec.tag("v")][1] == 2
-    assert {use.incarnation for use in told[0]} == {h.talk.incarnation} and h.talk.incarnation > 10**12
+    assert len(told[0]) == len(told[1]) >= 3
+    assert told[0][-1].asks[codec.tag("v")][1] == 2
+    assert {use.incarnation for use in told[0]} == {h.talk.incarnation}
+    assert h.talk.incarnation > 10**12
     link = h.daemon.assembly.peer_link.link
-    assert link and h.daemon.core.send_to_peer
+    assert link
+    assert h.daemon.core.send_to_peer
     host, port = link.address.split(":")
     h.others[1].sendto(codec.encode_leases(LeaseMessage(1, 1)), (host, int(port)))
     h.settle()
-    assert h.talk.leases and list(h.talk.leases.contacts) == [2]
+    assert h.talk.leases
+    assert list(h.talk.leases.contacts) == [2]
 
 
 def test_operators_see_who_has_which_part_until_when() -> None:
     h = TalkingHead()
     h.ask()
     link = h.daemon.assembly.peer_link.link
-    assert link and h.talk.leases
+    assert link
+    assert h.talk.leases
     host, port = link.address.split(":")
     tag, sent = codec.tag("v"), h.heard()[0][-1]
     grant = LeaseMessage(1, 1, sent.incarnation, sent.number, {tag: codec.Ask(1.0, 2)}, {tag: 0.6})
     h.others[0].sendto(codec.encode_leases(grant), (host, int(port)))
     h.settle()
     [row] = [row.as_json() for row in h.talk.limit_rows(h.time)]
-    assert row["volume"] == "v" and row["hosts"] == 2
+    assert row["volume"] == "v"
+    assert row["hosts"] == 2
     assert row["had"] == [{"head": 1, "share": 0.6, "for_ms": row["had"][0]["for_ms"]}]  # type: ignore[index]
     rows = [row.as_json() for row in h.talk.member_rows(h.time)]
     assert [(r["head"], r["life"]) for r in rows] == [(0, h.talk.incarnation), (1, 1), (2, None)]
     shown = admin_output.as_text("fleet/limits", admin_client.Reply(200, json.dumps([row])))
-    assert "n1 0.6 for" in shown and "volume" in shown
+    assert "n1 0.6 for" in shown
+    assert "volume" in shown
     assert (
         json.loads(admin_output.as_json("fleet/members", admin_client.Reply(200, json.dumps(rows))))[
             "members"
@@ -271,17 +286,21 @@
     h.ask()
     h.heard()
     h.ask()
-    assert link.closed and h.daemon.assembly.peer_link.link is None and h.heard() == [[], []]
+    assert link.closed
+    assert h.daemon.assembly.peer_link.link is None
+    assert h.heard() == [[], []]
     assert h.client().say(read_command()) == b"$0\r\n\r\n"
     h.file = h.file | {"settings": TELLS}
     h.daemon.reload()
     h.ask()
-    assert h.daemon.assembly.peer_link.link and len(h.heard()[0]) >= 3
+    assert h.daemon.assembly.peer_link.link
+    assert len(h.heard()[0]) >= 3
 
 
 def test_where_messages_are_forbidden_no_socket_is_opened_and_nothing_is_imported() -> None:
     h = TalkingHead(PLATFORM_SETTINGS)
-    assert h.daemon.config.peers is None and h.daemon.assembly.peer_link.link is None
+    assert h.daemon.config.peers is None
+    assert h.daemon.assembly.peer_link.link is None
     assert not isinstance(h.daemon.core.module, PeerCoordinator)
     program = (
         "import json, sys; from garnetlanding import config; from garnetlanding.daemon import Daemon;"
@@ -303,16 +322,19 @@
     taken.bind(("127.0.0.1", 0))
     at = f"127.0.0.1:{taken.getsockname()[1]}"
     h = SimulatedDaemon(settings=TELLS, peer_listen=at, peers=["127.0.0.1:9"] * 3)
-    assert h.daemon.assembly.peer_link.link is None and "peer link not opened" in caplog.text
+    assert h.daemon.assembly.peer_link.link is None
+    assert "peer link not opened" in caplog.text
     assert h.client().say(read_command()) == b"$0\r\n\r\n"
     taken.close()
     client = h.client()
     ask = read_command("r2").replace(b"hosts=1", b"hosts=2")
     assert client.say(ask).startswith(b"-BUSY") or not h.brick.heard[1:], "the other one has this head's part"
     talk = h.daemon.assembly.peer_link.coordinator
-    assert talk and volume(talk).quota_share == 0.0
+    assert talk
+    assert volume(talk).quota_share == 0.0
     h.run(LIMITS.open_retry_us, 100 * MS)
-    assert h.daemon.assembly.peer_link.link and h.daemon.assembly.peer_link.link.address == at
+    assert h.daemon.assembly.peer_link.link
+    assert h.daemon.assembly.peer_link.link.address == at
     client.say(ask.replace(b"r2", b"r3"))
     assert volume(talk).quota_share == 0.0, "nor may it have given nothing away"
     h.run(2 * LIMITS.lease_us, 100 * MS)
@@ -325,7 +347,8 @@
     h = TalkingHead()
     h.ask()
     h.ask()
-    assert volume(h.talk).quota_share == 0.5 and h.daemon.assembly.peer_link.link
+    assert volume(h.talk).quota_share == 0.5
+    assert h.daemon.assembly.peer_link.link
     link = h.daemon.assembly.peer_link.link
 
     class Newer:
@@ -336,7 +359,9 @@
     h.daemon.assembly.instance.process.registry = Newer()  # type: ignore[assignment]
     h.daemon.scheduler.spawn(h.daemon.end)
     h.settle()
-    assert link.closed and h.talk.leases and h.talk.leases.usable_share(codec.tag("v"), h.time) == 0.0
+    assert link.closed
+    assert h.talk.leases
+    assert h.talk.leases.usable_share(codec.tag("v"), h.time) == 0.0
 
 
 @pytest.mark.parametrize(
--- a/tests/peers/test_disabled_backends.py
+++ b/tests/peers/test_disabled_backends.py
@@ -31,7 +31,8 @@
     group.detectors[0].replace_disabled(disabled)
     group.run(10)
     for fleet in group.detectors[1:]:
-        assert [r.backend for r in fleet.take_received()] == ["n1"] and not fleet.take_received()
+        assert [r.backend for r in fleet.take_received()] == ["n1"]
+        assert not fleet.take_received()
         fleet.replace_disabled(DisabledBackends(LIMITS, disabled.records.values()))
     group.run(10)
     assert not any(
@@ -64,7 +65,8 @@
         for record in order:
             table.merge([record])
         tables.append((table.digest, table.disabled_names))
-    assert set(tables) == {(tables[0][0], frozenset({"b"}))} and tables[0][0] != EMPTY_DIGEST
+    assert set(tables) == {(tables[0][0], frozenset({"b"}))}
+    assert tables[0][0] != EMPTY_DIGEST
 
 
 def test_version_without_a_successor_and_record_beyond_the_bound_are_rejected() -> None:
@@ -74,7 +76,8 @@
     )
     most = LIMITS.max_version
     assert table.merge([DisableRecord("c", most + 1, 0, True)]) == Merged((), 1)
-    assert table.set_disabled("c", True, 0, 0).version == 3 and set(table.records) == {
+    assert table.set_disabled("c", True, 0, 0).version == 3, "the oldest enabled one was dropped"
+    assert set(table.records) == {
         "a",
         "c",
     }, "the oldest enabled one was dropped"
@@ -82,18 +85,16 @@
         table.set_disabled("d", True, 0, 0)
     with pytest.raises(DisabledBackendError, match="bytes"):
         table.set_disabled("x" * 181, True, 0, 0)
-    assert table.merge([DisableRecord("d", 9, 0, True)]) == Merged((), 1) and table.disabled_names == {
+    assert table.merge([DisableRecord("d", 9, 0, True)]) == Merged((), 1)
+    assert table.disabled_names == {
         "a",
         "c",
     }
-    assert (
-        table.merge([DisableRecord("a", most, 9, True)]).rejected == 0
-        and table.set_disabled("a", False, 0, 0).version == most + 1
-    )
+    assert table.merge([DisableRecord("a", most, 9, True)]).rejected == 0
+    assert table.set_disabled("a", False, 0, 0).version == most + 1
     other = DisabledBackends(LIMITS, [DisableRecord("a", most, 9, True)])
-    assert (
-        other.merge([table.records["a"]]).news and not other.disabled_names
-    ), "the last record of a liar is outbid"
+    assert other.merge([table.records["a"]]).news, "the last record of a liar is outbid"
+    assert not other.disabled_names, "the last record of a liar is outbid"
 
 
 def test_instance_whose_clock_is_behind_merges_records() -> None:
@@ -112,12 +113,14 @@
     fleet, file = FailureDetector(LIMITS), StateFile(str(tmp_path), "n1")
     replicated = shared(fleet)
     state = file.update(lambda s: replicated.set_disabled(s, "b1", True))
-    assert state.disabled == {"b1"} and file.load() == state
+    assert state.disabled == {"b1"}
+    assert file.load() == state
     replicated.publish(state)
     assert fleet.disabled.records["b1"] == DisableRecord("b1", 1000, 0, True)
     later = DisableRecord("b1", 2000, 1, False)
     state = file.update(lambda s: replicated.merge(s, [later]))
-    assert not state.disabled and state.records == (StoredDisable("b1", 2000, 1, False),)
+    assert not state.disabled
+    assert state.records == (StoredDisable("b1", 2000, 1, False),)
     assert replicated.merge(state, [DisableRecord("b1", 1500, 2, True)]) == state, "last week's record"
     older = decode("n1", encode("n1", AdminState(frozenset({"b2"}), records=state.records)))
     assert replicated.table(older).disabled_names == {"b2"}, "disabled by a process that had no versions"
--- a/tests/peers/test_gossip_message.py
+++ b/tests/peers/test_gossip_message.py
@@ -64,7 +64,8 @@
     assert len(data) <= LIMITS.datagram_bytes
     assert (some, more) == (len(evidence), len(records)) or len(data) > 200 - 40 * (more < len(records))
     e = codec.decode_envelope(data, LIMITS.datagram_bytes)
-    assert read(e) == told and (e.incarnation, e.number, e.acked_incarnation, e.acked_number) == (9, 8, 7, 6)
+    assert read(e) == told
+    assert (e.incarnation, e.number, e.acked_incarnation, e.acked_number) == (9, 8, 7, 6)
     for body in (e.body[:-1], e.body + b"x"):
         with pytest.raises(MessageError):
             read(replace(e, body=body))
@@ -83,4 +84,5 @@
     assert f.coordinators[0].dropped == {"word too old": 1, "no such verdict": 1}
     off = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), incarnation=1)
     off.handle(T0, [api.PeerMessage(1, codec.encode_envelope(good))])
-    assert off.dropped == {"other kind": 1} and list(off.suspicion_rows(T0)) == []
+    assert off.dropped == {"other kind": 1}
+    assert list(off.suspicion_rows(T0)) == []
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -51,8 +51,10 @@
     moving = Simulation(
         Scenario(calm=True, other_demand=0.0, shift_us=12 * SECOND, length_us=60 * SECOND)
     ).run()
-    assert steady.usable > 0.95 and moving.usable > 0.9
-    assert steady.greatest_sum <= 1 + 1e-9 and moving.greatest_sum <= 1 + 1e-9
+    assert steady.usable > 0.95
+    assert moving.usable > 0.9
+    assert steady.greatest_sum <= 1 + 1e-9
+    assert moving.greatest_sum <= 1 + 1e-9
 
 
 def fleet_of(instances: int = 3) -> list[Leases]:
@@ -124,10 +126,12 @@
 def test_started_instance_uses_nothing_until_grants_of_its_earlier_incarnation_have_expired() -> None:
     group = fleet_of()
     group[1].record_demand("v", 2, 40.0, 1, 0)
-    assert group[1].usable_share(TAG, 0) == 0.0 and group[1].changed_shares(0) == {"v": 0.0}
+    assert group[1].usable_share(TAG, 0) == 0.0
+    assert group[1].changed_shares(0) == {"v": 0.0}
     at = group[1].resumes_at
     assert at is not None
-    assert group[1].usable_share(TAG, at) == 0.5 and group[1].changed_shares(at) == {"v": 0.5}
+    assert group[1].usable_share(TAG, at) == 0.5
+    assert group[1].changed_shares(at) == {"v": 0.5}
 
 
 def test_changed_number_of_hosts_changes_the_even_share_of_an_instance_without_contacts() -> None:
@@ -336,7 +340,9 @@
 def test_usable_shares_never_add_up_to_more_than_the_limit_in_any_course_of_three_instances() -> None:
     """Every one within three steps, and within two with an instance that starts anew."""
     found = explore(Scope(steps=3, starts=0))
-    assert found.whole and found.states > 10_000 and found.greatest_sum == pytest.approx(1.0)
+    assert found.whole
+    assert found.states > 10_000
+    assert found.greatest_sum == pytest.approx(1.0)
     assert (1.0, 0.0) in found.shares, "some course leaves all of it to one instance"
     assert explore(Scope(steps=2)).greatest_sum <= 1 + 1e-9
 
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -47,7 +47,8 @@
         for word in order:
             table.merge([word])
         digests.add(table.digest)
-        assert table.quota_holders == {0, 1, 2} and table.address_of(1) == at(2)
+        assert table.quota_holders == {0, 1, 2}
+        assert table.address_of(1) == at(2)
     assert len(digests) == 1
 
 
@@ -57,16 +58,20 @@
         x.merge(y.records.values())
     a.record_contact(1, b.digest, False, LIMITS.bootstrap_us)
     b.record_contact(0, a.digest, False, LIMITS.bootstrap_us)
-    assert a.joined and b.joined and a.even_share == 0.5, "all seeds begin it together"
+    assert a.joined, "all seeds begin it together"
+    assert b.joined, "all seeds begin it together"
+    assert a.even_share == 0.5, "all seeds begin it together"
     new.merge([a.records[0], a.records[1]])
     new.record_contact(0, a.digest, True, 9 * SECOND)
     assert not new.joined, "head 0 told the table that it had before it heard of this one"
     a.merge([new.records[2]])
     new.record_contact(0, a.digest, True, 9 * SECOND)
-    assert not new.joined and a.even_share == pytest.approx(1 / 3)
+    assert not new.joined
+    assert a.even_share == pytest.approx(1 / 3)
     b.merge([new.records[2]])
     new.record_contact(1, b.digest, True, 9 * SECOND)
-    assert new.joined and a.even_share + b.even_share + new.even_share == pytest.approx(1)
+    assert new.joined
+    assert a.even_share + b.even_share + new.even_share == pytest.approx(1)
 
 
 def test_newcomers_that_know_only_each_other_begin_no_second_group() -> None:
@@ -74,7 +79,8 @@
     for x, y in ((a, b), (b, a)):
         x.merge(y.records.values())
     a.record_contact(3, b.digest, False, 60 * SECOND)
-    assert not a.joined and len(a.extra_receivers(0)) == 2, "no seed has been heard"
+    assert not a.joined, "no seed has been heard"
+    assert len(a.extra_receivers(0)) == 2, "no seed has been heard"
 
 
 def test_a_head_that_is_put_out_or_replaced_stands_back_and_an_earlier_life_of_it_does_not_matter() -> None:
@@ -82,14 +88,16 @@
     alone.update_joined(LIMITS.bootstrap_us)
     assert alone.joined
     alone.merge([InstanceRecord(0, 9, False, at(0))])
-    assert (
-        alone.fence_reason == "" and alone.records[0].incarnation == 10
-    ), "its own, before its clock was set back"
+    assert alone.fence_reason == "", "its own, before its clock was set back"
+    assert alone.records[0].incarnation == 10, "its own, before its clock was set back"
     alone.merge([InstanceRecord(0, 11, False, at(7))])
-    assert alone.fence_reason == "another process has its number" and alone.even_share == 0.0
+    assert alone.fence_reason == "another process has its number"
+    assert alone.even_share == 0.0
     other = one(1)
-    assert other.mark_terminated(1) and not other.mark_terminated(5)
-    assert other.fence_reason == "put out" and other.state(1, 0) is MemberState.TERMINATED
+    assert other.mark_terminated(1)
+    assert not other.mark_terminated(5)
+    assert other.fence_reason == "put out"
+    assert other.state(1, 0) is MemberState.TERMINATED
     assert other.rows(0)[0].as_json()["part"] == 0.0
 
 
@@ -98,7 +106,8 @@
     a.merge([InstanceRecord(n, 1, False, at(n)) for n in range(1, 9)])
     a.update_joined(LIMITS.bootstrap_us)
     a.record_contact(1, b"", True, 0)
-    assert a.suspect_after_us == 2 * LIMITS.stale_us and len(a.quota_holders) == 9
+    assert a.suspect_after_us == 2 * LIMITS.stale_us
+    assert len(a.quota_holders) == 9
     assert [a.state(1, when) for when in (a.suspect_after_us, a.suspect_after_us + 1)] == [
         MemberState.UP,
         MemberState.SUSPECT,
@@ -113,9 +122,11 @@
     seen: set[int] = set()
     for _ in range(-(-heads // LIMITS.fanout)):
         chosen = turns.round(others, range(1, partners + 1))
-        assert len(chosen) <= LIMITS.fanout + LIMITS.max_partners and len(set(chosen)) == len(chosen)
+        assert len(chosen) <= LIMITS.fanout + LIMITS.max_partners
+        assert len(set(chosen)) == len(chosen)
         seen |= set(chosen)
-    assert seen == others and turns.round((), (1,)) == []
+    assert seen == others
+    assert turns.round((), (1,)) == []
 
 
 NETS = {
@@ -188,8 +199,10 @@
 
 def test_no_course_of_a_small_group_makes_its_even_parts_more_than_the_whole() -> None:
     found = explore(Scope(moves=6))
-    assert found.is_complete and found.states > 2000
-    assert found.max_share_sum == pytest.approx(1.0) and found.max_joined == 2
+    assert found.is_complete
+    assert found.states > 2000
+    assert found.max_share_sum == pytest.approx(1.0)
+    assert found.max_joined == 2
     assert explore(Scope(seeds=1, moves=8)).max_share_sum <= 1 + 1e-9
 
 
@@ -215,12 +228,17 @@
     group.update_joined(now + LIMITS.bootstrap_us)
     talk.handle(now, [])
     budgets = talk.budgets
-    assert group.members.joined and budgets and budgets.leases.resumes_at is not None
+    assert group.members.joined
+    assert budgets
+    assert budgets.leases.resumes_at is not None
     talk.set_suspended(True, now)
     talk.handle(now + SECOND, [])
     talk.activate(now + SECOND)
     talk.handle(now + SECOND, [])
-    assert budgets.leases.resumes_at is None and talk.leases and talk.leases.resumes_at is None
+    assert budgets.leases.resumes_at is None
+    assert talk.leases
+    assert talk.leases.resumes_at is None
     talk.set_suspended(False, now + SECOND)
     talk.handle(now + SECOND, [])
-    assert budgets.leases.resumes_at is not None and talk.leases.resumes_at is not None, "as after a start"
+    assert budgets.leases.resumes_at is not None, "as after a start"
+    assert talk.leases.resumes_at is not None, "as after a start"
--- a/tests/peers/test_setup.py
+++ b/tests/peers/test_setup.py
@@ -34,4 +34,5 @@
     assert read_fleet({}) == FleetSetup()
     routes = {"127.0.0.1:7": "127.0.0.2:8"}
     told = read_fleet({"seeds": ["127.0.0.1:7"], "advertise": "[::1]:9", "routes": routes})
-    assert told.seeds == ("127.0.0.1:7",) and told.routes == routes
+    assert told.seeds == ("127.0.0.1:7",)
+    assert told.routes == routes
--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -98,7 +98,8 @@
     )
     budgets.observe_actions(later, [api.Subscribe()], COLD)
     told = budgets.changed_shares(later, 3)
-    assert told and told[api.LIST_CALLS] >= LIMITS.min_list_share
+    assert told
+    assert told[api.LIST_CALLS] >= LIMITS.min_list_share
     assert "r1" in budgets._units
     budgets.observe_events(later, [api.ClientLeft("r1")], COLD, 3)
     assert not budgets._units, "its client has left"
@@ -120,4 +121,5 @@
         ]
         actions = module.handle(T0, told + asks)
         sent[share] = sum(isinstance(a, api.Send) for a in actions)
-    assert sent[0.0] == 0 and 0 < sent[1.0] <= sent[3.0]
+    assert sent[0.0] == 0
+    assert 0 < sent[1.0] <= sent[3.0]
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -39,16 +39,16 @@
     assert table.receive(1, [make_evidence()], None, T0, observations) == {DropReason.EXPIRED_EVIDENCE: 1}
     assert table.receive(1, [make_evidence(age_ms=500)], T0 - 300 * MS, T0, observations) == {}
     until = T0 - 800 * MS + LIMITS.evidence_us
-    assert table.suspected(T0, observations) == {"n0": until} and not table.suspected(until, observations)
+    assert table.suspected(T0, observations) == {"n0": until}
+    assert not table.suspected(until, observations)
     late = T0 - LIMITS.evidence_us
     assert table.receive(1, [make_evidence()], late, T0, observations) == {DropReason.EXPIRED_EVIDENCE: 1}
     assert table.receive(1, [make_evidence("x"), make_evidence("n1", uptime=7)], T0, T0, observations) == {
         DropReason.UNKNOWN_BACKEND: 1,
         DropReason.OTHER_INCARNATION: 1,
     }
-    assert table.receive(1, [], T0, T0, observations) == {} and not table.suspected(
-        T0, observations
-    ), "not repeated: withdrawn"
+    assert table.receive(1, [], T0, T0, observations) == {}, "not repeated: withdrawn"
+    assert not table.suspected(T0, observations), "not repeated: withdrawn"
 
 
 def test_incarnations_of_a_backend_are_compared_by_uptime() -> None:
@@ -127,7 +127,8 @@
     observations, table = observations_after(), SuspicionTable(LIMITS)
     table.receive(1, [make_evidence(f"n{i}") for i in range(6)], T0, T0, observations)
     table.receive(2, [make_evidence("n5")], T0, T0, observations)
-    assert len(table.suspected(T0, observations)) == 2 and "n5" in table.suspected(T0, observations)
+    assert len(table.suspected(T0, observations)) == 2
+    assert "n5" in table.suspected(T0, observations)
 
 
 def arrival(name: str, now: int) -> api.Arrival:
@@ -143,13 +144,17 @@
     fleet.run(1, (0, result("n0", SERVED, request="r0")))
     assert fleet.sends[0] == ["r0", "r1", "r2"], "a response to its own request ends the suspicion"
     shown = [row.as_json() for row in fleet.coordinators[0].suspicion_rows(fleet.now)]
-    assert [w["head"] for w in shown[0]["words"]] == [1] and shown[0]["doubted_ms"] is None  # type: ignore
+    assert [w["head"] for w in shown[0]["words"]] == [1]  # type: ignore[attr-defined]  # a row of JSON
+    assert shown[0]["doubted_ms"] is None
 
 
 def test_no_course_of_claims_leads_to_a_suspicion_without_recent_observation() -> None:
     """Every course of two instances within three steps; with three instances, `benchmarks.verdicts`."""
     found = explore(Scope(instances=2, steps=3))
-    assert found.whole and not found.violation and found.states > 5000 and found.suspicious > 500
+    assert found.whole
+    assert not found.violation
+    assert found.states > 5000
+    assert found.suspicious > 500
 
 
 def claim_from_arrival(
@@ -208,5 +213,7 @@
 def test_simulated_fleet_suspects_no_healthy_backend_and_is_reproducible() -> None:
     net = suspicion_net.Scenario(length_us=9 * SECOND)
     one, two = suspicion_net.Simulation(net).run(), suspicion_net.Simulation(net).run()
-    assert one == two and one.attempts and not one.suspected
+    assert one == two
+    assert one.attempts
+    assert not one.suspected
     assert suspicion_net.Simulation(replace(net, gossip=False)).run().bytes == 0 < one.bytes
--- a/tests/store/test_persister.py
+++ b/tests/store/test_persister.py
@@ -17,7 +17,8 @@
     path = str(tmp_path / "store.json")
     assert load(path) is None
     save(path, Snapshot(2, 7, {"a": [1]}))
-    assert load(path) == Snapshot(2, 7, {"a": [1]}) and [p.name for p in tmp_path.iterdir()] == ["store.json"]
+    assert load(path) == Snapshot(2, 7, {"a": [1]})
+    assert [p.name for p in tmp_path.iterdir()] == ["store.json"]
     for text in ("{", '{"epoch": 1}'):
         pathlib.Path(path).write_text(text)
         with pytest.raises(StoreFileError, match="store.json"):
@@ -39,4 +40,5 @@
     monkeypatch.setattr("os.fsync", full)
     store.put("a", 2)
     world.run(100 * MS)
-    assert load(path) == Snapshot(0, 1, {"a": 1}) and "store not saved" in caplog.text
+    assert load(path) == Snapshot(0, 1, {"a": 1})
+    assert "store not saved" in caplog.text
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -52,12 +52,14 @@
 
 def test_new_follower_gets_a_snapshot_and_then_every_change() -> None:
     pair = ReplicationPair()
-    assert pair.is_in_sync() and pair.follower.connected
+    assert pair.is_in_sync()
+    assert pair.follower.connected
     for i in range(9):
         pair.store.put(f"k{i % 3}", i)
     pair.store.put("k0", None)
     pair.settle()
-    assert pair.is_in_sync() and pair.copy.revision == 10
+    assert pair.is_in_sync()
+    assert pair.copy.revision == 10
 
 
 @pytest.mark.parametrize(
@@ -73,7 +75,8 @@
     for i in range(missed):
         pair.store.put("a", 10 + i)
     pair.run(3 * SECOND, 100 * MS)
-    assert pair.copy.get("a") == 1 and not pair.follower.connected, "it goes on with what it has"
+    assert pair.copy.get("a") == 1, "it goes on with what it has"
+    assert not pair.follower.connected, "it goes on with what it has"
     restored: list[Snapshot] = []
 
     def restore(snapshot: Snapshot) -> None:
@@ -83,7 +86,8 @@
     monkeypatch.setattr(pair.copy, "restore", restore)
     pair.serve(pair.listener.address)
     pair.run(pair.limits.store_retry_us, 100 * MS)
-    assert pair.is_in_sync() and bool(restored) == with_snapshot
+    assert pair.is_in_sync()
+    assert bool(restored) == with_snapshot
 
 
 def test_follower_reconnects_after_the_writer_was_unresponsive() -> None:
@@ -92,7 +96,8 @@
     next(iter(pair.listener._clients)).machine.close()  # sends nothing more and stays open
     pair.store.put("a", 1)
     pair.run(pair.limits.store_silence_us, 100 * MS)
-    assert not pair.follower.connected and pair.copy.get("a") is None
+    assert not pair.follower.connected
+    assert pair.copy.get("a") is None
     pair.run(pair.limits.store_retry_us, 100 * MS)
     assert pair.is_in_sync()
 
@@ -112,20 +117,21 @@
     pair.store.put("b", 2)
     pair.serve(pair.listener.address)
     pair.run(pair.limits.store_retry_us, 100 * MS)
-    assert pair.is_in_sync() and pair.copy.epoch == 11
+    assert pair.is_in_sync()
+    assert pair.copy.epoch == 11
     pair.partition()
     pair.store = Store("w", True, 4, epoch=10)  # the old process, still there
     pair.store.put("a", 9)
     pair.serve(pair.listener.address)
     pair.run(2 * pair.limits.store_retry_us, 100 * MS)
-    assert pair.copy.snapshot().values == {"b": 2} and logged_reason(caplog).startswith(
-        "stale writer: epoch 10"
-    )
+    assert pair.copy.snapshot().values == {"b": 2}
+    assert logged_reason(caplog).startswith("stale writer: epoch 10")
     pair.partition()
     pair.store = Store("other", True, 4, epoch=99)  # a second writer
     pair.serve(pair.listener.address)
     pair.run(2 * pair.limits.store_retry_us, 100 * MS)
-    assert pair.copy.epoch == 11 and "not the configured writer" in logged_reason(caplog)
+    assert pair.copy.epoch == 11
+    assert "not the configured writer" in logged_reason(caplog)
 
 
 def test_revision_gap_is_mended_by_a_snapshot() -> None:
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -97,12 +97,14 @@
     request, first, second, refused = resource["scopeSpans"][0]["spans"]
     assert first["traceId"] == second["traceId"] == request["traceId"] != refused["traceId"]
     assert first["parentSpanId"] == second["parentSpanId"] == request["spanId"]
-    assert len(request["traceId"]) == 32 and len(request["spanId"]) == 16 and "parentSpanId" not in request
+    assert len(request["traceId"]) == 32
+    assert len(request["spanId"]) == 16
+    assert "parentSpanId" not in request
     took = int(request["endTimeUnixNano"]) - int(request["startTimeUnixNano"])
-    assert (
-        took == 30 * 10**6 and int(request["startTimeUnixNano"]) == world.wall + (BEGAN - 50 * SECOND) * 1000
-    )
-    assert first["status"] == {"code": 2, "message": "reset"} and "status" not in second
+    assert took == 30 * 10**6
+    assert int(request["startTimeUnixNano"]) == world.wall + (BEGAN - 50 * SECOND) * 1000
+    assert first["status"] == {"code": 2, "message": "reset"}
+    assert "status" not in second
     [scope] = world.collector.calls[1][1]["resourceMetrics"][0]["scopeMetrics"]
     metrics = {m["name"]: m for m in scope["metrics"]}
     points = metrics["garnetlanding.requests"]["sum"]["dataPoints"]
@@ -111,7 +113,9 @@
         ("served", "1"),
     ]
     [spread] = metrics["garnetlanding.request.duration"]["histogram"]["dataPoints"]
-    assert spread["count"] == "2" and spread["bucketCounts"][3] == "1" and spread["bucketCounts"][-1] == "1"
+    assert spread["count"] == "2"
+    assert spread["bucketCounts"][3] == "1"
+    assert spread["bucketCounts"][-1] == "1"
     assert metrics["garnetlanding.clients"]["gauge"]["dataPoints"][0]["asInt"] == "4"
 
 
@@ -135,7 +139,8 @@
     world.run(SECOND + 2900 * MS, 100 * MS)
     assert world.paths() == ["/otlp/v1/traces"]
     world.run(200 * MS, 100 * MS)
-    assert world.paths() == ["/otlp/v1/traces"] * 2 + ["/otlp/v1/metrics"] and world.exporter.dropped == 0
+    assert world.paths() == ["/otlp/v1/traces"] * 2 + ["/otlp/v1/metrics"]
+    assert world.exporter.dropped == 0
     assert world.collector.calls[0] == world.collector.calls[1]
 
 
@@ -144,7 +149,8 @@
     world.collector.script = [reply(400)]
     world.ended(3)
     world.run(SECOND, 100 * MS)
-    assert world.paths() == ["/otlp/v1/traces", "/otlp/v1/metrics"] and world.exporter.dropped == 3
+    assert world.paths() == ["/otlp/v1/traces", "/otlp/v1/metrics"]
+    assert world.exporter.dropped == 3
 
 
 def test_a_partial_success_counts_rejected_spans_as_dropped() -> None:
@@ -165,7 +171,8 @@
     world.collector.listener.stop_accepting()
     world.collector.drop()
     world.run(3 * SECOND, 100 * MS)
-    assert world.exporter.dropped >= 41 and len(world.exporter._queue) <= 60
+    assert world.exporter.dropped >= 41
+    assert len(world.exporter._queue) <= 60
 
 
 def test_finish_exports_the_whole_queue_in_small_batches() -> None:
@@ -174,7 +181,8 @@
     world.ended(3)
     world.exporter.finish()
     world.run(10 * MS, MS)
-    assert world.paths() == ["/otlp/v1/traces"] * 2 + ["/otlp/v1/metrics"] and world.exporter.done
+    assert world.paths() == ["/otlp/v1/traces"] * 2 + ["/otlp/v1/metrics"]
+    assert world.exporter.done
     assert len(world.collector.conns) <= 1, "one connection serves all"
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,14 +17,19 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(PLATFORM_CONFIG))
     monkeypatch.setattr(logs, "set_up", lambda _level: None)
-    assert cli.main(["version"]) == 0 and capsys.readouterr().out.startswith("garnetlanding ")
+    assert cli.main(["version"]) == 0
+    assert capsys.readouterr().out.startswith("garnetlanding ")
     monkeypatch.setenv("RELAY_CONFIG", str(path))
     monkeypatch.setenv("RELAY_NAME", "n7")
-    assert cli.main(["check-config"]) == 0 and "'n7' is sound" in capsys.readouterr().out
+    assert cli.main(["check-config"]) == 0
+    assert "'n7' is sound" in capsys.readouterr().out
     path.write_text("{")
-    assert cli.main(["check-config"]) == 2 and "not JSON" in capsys.readouterr().err
+    assert cli.main(["check-config"]) == 2
+    assert "not JSON" in capsys.readouterr().err
     assert cli.main(["check-config", "--config", str(tmp_path / "none")]) == 2
     monkeypatch.delenv("RELAY_CONFIG")
-    assert cli.main(["serve"]) == 2 and "RELAY_CONFIG" in capsys.readouterr().err
+    assert cli.main(["serve"]) == 2
+    assert "RELAY_CONFIG" in capsys.readouterr().err
     path.write_text(json.dumps(PLATFORM_CONFIG | {"listen": "203.0.113.1:1"}))
-    assert cli.main(["serve", "--config", str(path)]) == 1 and "cannot serve" in capsys.readouterr().err
+    assert cli.main(["serve", "--config", str(path)]) == 1
+    assert "cannot serve" in capsys.readouterr().err
