--- a/garnetlanding/daemon/reload.py
+++ b/garnetlanding/daemon/reload.py
@@ -24,7 +24,10 @@
         self._subsystems = subsystems
 
     def reload(self) -> None:
-        """Nothing changes before the whole file has been read and found sound; open requests run on."""
+        """Take up the configuration, once the whole of it has been read and checked.
+
+        A faulty one changes nothing. Open requests run on in either case.
+        """
         previous = self._instance.config
         try:
             config, for_restart = merge_reloaded(previous, self._read_again())
