--- a/garnetlanding/emulator/lease_model.py
+++ b/garnetlanding/emulator/lease_model.py
@@ -17,8 +17,9 @@
 from garnetlanding.emulator.walk import Walk
 from garnetlanding.peers.codec import LeaseMessage, tag
 from garnetlanding.peers.demand import Demand
-from garnetlanding.peers.leases import InstanceIdentity, Leases, PeerContact
+from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.peer_contacts import InstanceIdentity, PeerContact
 
 VOLUME = "v"
 VOLUME_TAG = tag(VOLUME)
@@ -83,12 +84,8 @@
     """Return a copy that changes by itself; it shares what is never changed in place."""
     new = object.__new__(type(leases))
     new.__dict__.update(leases.__dict__)
-    new.contacts = {
-        peer: PeerContact(contact.last_message, contact.received_at, dict(contact.requests))
-        for peer, contact in leases.contacts.items()
-    }
+    new.contacts = leases.contacts.copy()
     new.demands = {volume: _clone_demand(demand) for volume, demand in leases.demands.items()}
-    new._sent = dict(leases._sent)
     new._shares = dict(leases._shares)
     new._received = leases._received.copy()
     new._granted = leases._granted.copy()
@@ -114,7 +111,7 @@
 
 def _sent_ago(state: State, number: int, incarnation: int, message: int) -> int | None:
     """Return how long ago an instance sent that message; None where an answer to it counts for nothing."""
-    sent_at = state.instances[number].sent_at(incarnation, message)
+    sent_at = state.instances[number].contacts.sent_at(incarnation, message)
     if sent_at is None or sent_at + LIMITS.lease_us <= state.now:
         return None
     return state.now - sent_at
@@ -125,7 +122,7 @@
     now = state.now
     contacts = tuple(
         _contact_key(state, peer, contact)
-        for peer, contact in sorted(leases.contacts.items())
+        for peer, contact in sorted(leases.contacts.by_peer.items())
         if now - contact.received_at <= LIMITS.stale_us
     )
     demands = tuple(
@@ -234,14 +231,14 @@
     """Return the instance after it has sent, and the messages on their way then."""
     new = clone(leases)
     pages = new.compose(now)
-    number = new.next_number(now)
+    number = new.contacts.next_number(now)
     sender = new.identity.number
     sent = [
         SentMessage(
             sender,
             peer,
             now,
-            LeaseMessage(new.identity.incarnation, number, *new.last_received(peer), *page),
+            LeaseMessage(new.identity.incarnation, number, *new.contacts.last_received(peer), *page),
         )
         for peer, page in pages.items()
     ]
--- a/garnetlanding/emulator/lease_net.py
+++ b/garnetlanding/emulator/lease_net.py
@@ -15,8 +15,9 @@
 
 from garnetlanding.peers import codec
 from garnetlanding.peers.demand import Demand
-from garnetlanding.peers.leases import InstanceIdentity, Leases
+from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.peer_contacts import InstanceIdentity
 
 MS = 1_000
 SECOND = 1_000_000
@@ -245,11 +246,11 @@
             return {}
         instance.next_send_at = now + self.limits.send_interval_us
         leases = instance.leases
-        number = leases.next_number(now)
+        number = leases.contacts.next_number(now)
         payloads: dict[int, bytes] = {}
         for peer, page in leases.compose(now).items():
             message = codec.LeaseMessage(
-                leases.identity.incarnation, number, *leases.last_received(peer), *page
+                leases.identity.incarnation, number, *leases.contacts.last_received(peer), *page
             )
             payloads[peer] = codec.encode_leases(message)
         return payloads
--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -100,7 +100,7 @@
     @property
     def last_sent(self) -> int:
         """The number of this instance's last message; 0: it has sent none."""
-        return self.leases.last_number if self.leases else 0
+        return self.leases.contacts.last_number if self.leases else 0
 
     @property
     def last_received(self) -> ReceivedMessage | None:
@@ -135,7 +135,7 @@
         if membership is None or self.leases is None:
             return
         membership.leave()
-        receivers = list(self.leases.peer_numbers)
+        receivers = list(self.leases.contacts.peers)
         for message in self._round.membership_messages(self.leases, receivers, now):
             send(message.payload, message.to)
 
--- a/garnetlanding/peers/failure_detector.py
+++ b/garnetlanding/peers/failure_detector.py
@@ -15,9 +15,9 @@
 from garnetlanding.peers.drop_reasons import DropReason
 from garnetlanding.peers.gossip_message import Evidence, GossipMessage, fit, read, to_envelope
 from garnetlanding.peers.history import PeerHistory
-from garnetlanding.peers.leases import MessageId
 from garnetlanding.peers.limits import MS, PeerLimits
 from garnetlanding.peers.local_observations import LocalObservations
+from garnetlanding.peers.peer_contacts import MessageId
 from garnetlanding.peers.status import DisabledBackendRow, SuspicionRow
 from garnetlanding.peers.suspicions import SuspicionTable
 
--- a/garnetlanding/peers/leases.py
+++ b/garnetlanding/peers/leases.py
@@ -10,20 +10,20 @@
 
 This is the protocol's state: no clock and no socket. Times are microseconds of this instance's clock; volumes
 and budgets are named by their `tag`. The estimate of what is needed is in demand.py, the arithmetic of grants
-in quota_shares.py.
+in quota_shares.py, the exchange of messages in peer_contacts.py.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field, replace
-from typing import NamedTuple
+from dataclasses import dataclass, replace
 
 from garnetlanding.decision.estimators import SlidingWindowSum
 from garnetlanding.peers.codec import Ask, LeaseMessage, LeasePage, tag
 from garnetlanding.peers.demand import Demand
 from garnetlanding.peers.drop_reasons import DropReason
 from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.peer_contacts import InstanceIdentity, PeerContacts, ShareRequest
 from garnetlanding.peers.quota_shares import Grant, GrantLedger, ReceivedGrants, spare_share
 from garnetlanding.peers.status import GrantRow, LimitRow, PeerRow
 
@@ -31,43 +31,6 @@
 NEVER_US = 1 << 62
 
 
-class MessageId(NamedTuple):
-    """Which message of an instance: numbers grow within an incarnation, incarnations with each start."""
-
-    incarnation: int
-    number: int
-
-
-NO_MESSAGE = MessageId(0, 0)  # in place of the last message of a peer that has sent none
-
-
-@dataclass(frozen=True, slots=True)
-class InstanceIdentity:
-    """Which instance this is. `instances` is the size of the fleet; it numbers its members from 0."""
-
-    number: int
-    instances: int
-    incarnation: int  # greater after each start
-
-
-@dataclass(frozen=True, slots=True)
-class ShareRequest:
-    """What a peer wants of a limit, as last received."""
-
-    share: float
-    hosts: int
-    received_at: int
-
-
-@dataclass(slots=True)
-class PeerContact:
-    """The last message of a peer, and what it requests by volume."""
-
-    last_message: MessageId
-    received_at: int
-    requests: dict[int, ShareRequest] = field(default_factory=dict)
-
-
 class Leases:
     """One instance's side of the protocol: what it needs, what it has granted, and what was granted to it."""
 
@@ -88,12 +51,10 @@
         self._limits = limits
         self.identity = identity
         self.window_us = window_us
-        self.peer_numbers = frozenset(range(identity.instances)) - {identity.number}
+        last_number: int = 0 if earlier is None else earlier.contacts.last_number
+        self.contacts: PeerContacts = PeerContacts(limits, identity, last_number)
         self._members_discovered = False
-        self.contacts: dict[int, PeerContact] = {}
         self.demands: dict[int, Demand] = {} if earlier is None else earlier.demands
-        self._sent: dict[int, int] = {}  # when this instance sent its last messages, by their numbers
-        self._number: int = 0 if earlier is None else earlier._number
         self._received = ReceivedGrants()
         self._granted = GrantLedger()
         self.resumes_at: int | None = now + self._quarantine_us  # None: not until `resume`
@@ -103,9 +64,9 @@
     def set_peers(self, peers: frozenset[int]) -> None:
         """Take up which peers have been discovered; what was granted by one that has left is void."""
         self._members_discovered = True
-        if peers != self.peer_numbers:
-            self._received.forget_peers(self.peer_numbers - peers)
-            self.peer_numbers = peers
+        if peers != self.contacts.peers:
+            self._received.forget_peers(self.contacts.peers - peers)
+            self.contacts.peers = peers
             self.recheck_at = 0
 
     def suspend(self, now: int) -> None:
@@ -178,16 +139,16 @@
 
     def receive(self, sender: int, message: LeaseMessage, now: int) -> DropReason | None:
         """Take up a peer's requests and grants; return why the message is dropped, if it is."""
-        reason = self.accept_contact(sender, message.incarnation, message.number, now)
+        reason = self.contacts.accept(sender, message.incarnation, message.number, now)
         if reason is not None:
             return reason
-        requests = self.contacts[sender].requests
+        requests = self.contacts.by_peer[sender].requests
         for volume, ask in message.asks.items():
             if volume in requests or len(requests) < self._limits.max_volumes:
                 requests[volume] = ShareRequest(ask.share, ask.hosts, now)
             if volume in self.demands:
                 self.demands[volume].requested_by[sender] = now
-        sent_at = self.sent_at(message.acked_incarnation, message.acked_number)
+        sent_at = self.contacts.sent_at(message.acked_incarnation, message.acked_number)
         if sent_at is not None:
             self._take_grants(sender, message.grants, sent_at + self._limits.lease_us)
             self.recheck_at = now
@@ -199,41 +160,6 @@
             if volume in self.demands:
                 self._received.add(volume, sender, Grant(share, expires_at))
 
-    def accept_contact(self, sender: int, incarnation: int, number: int, now: int) -> DropReason | None:
-        """Register any message of a peer; return why it is dropped, if it is.
-
-        A peer that was not heard for `stale_us` is taken at its word again: its clock may have been set back,
-        so that its new incarnation is smaller.
-        """
-        if sender not in self.peer_numbers:
-            return DropReason.UNKNOWN_PEER
-        message = MessageId(incarnation, number)
-        contact = self.contacts.get(sender)
-        if contact is not None and now - contact.received_at > self._limits.stale_us:
-            contact = None
-        if contact is not None and message <= contact.last_message:
-            return DropReason.OUTDATED
-        if contact is None or incarnation != contact.last_message.incarnation:
-            self.contacts[sender] = PeerContact(message, now)
-        else:
-            contact.last_message = message
-            contact.received_at = now
-        return None
-
-    def sent_at(self, incarnation: int, number: int) -> int | None:
-        """Return when this instance sent the message that a peer acknowledges.
-
-        None: not lately, or by another incarnation.
-        """
-        if incarnation != self.identity.incarnation:
-            return None
-        return self._sent.get(number)
-
-    def last_received(self, peer: int) -> MessageId:
-        """Return which message was the last of a peer; `NO_MESSAGE` where it has sent none."""
-        contact = self.contacts.get(peer)
-        return NO_MESSAGE if contact is None else contact.last_message
-
     # Sending
 
     def active_peers(self, now: int) -> list[int]:
@@ -244,12 +170,7 @@
             for peer, requested_at in demand.requested_by.items()
             if now - requested_at <= self._limits.demand_memory_us
         }
-        requesters = {
-            peer
-            for peer, contact in self.contacts.items()
-            if contact.requests and now - contact.received_at <= self._limits.stale_us
-        }
-        return sorted(grantors | requesters)
+        return sorted(grantors | self.contacts.requesters(now))
 
     def compose(self, now: int, receivers: Iterable[int] | None = None) -> dict[int, LeasePage]:
         """Return what to send to each receiver now: this instance's requests, and grants to that peer.
@@ -259,7 +180,7 @@
         """
         asks = self._asks(now)
         pages: dict[int, LeasePage] = {}
-        for peer in sorted(self.peer_numbers) if receivers is None else receivers:
+        for peer in sorted(self.contacts.peers) if receivers is None else receivers:
             grants = self._make_grants(peer, now)
             if asks or grants:
                 pages[peer] = LeasePage(asks, grants)
@@ -277,24 +198,11 @@
             if share > 0
         }
 
-    def next_number(self, now: int) -> int:
-        """Return the number of a message that is sent now, and remember when it was sent."""
-        self._number += 1
-        self._sent[self._number] = now
-        while len(self._sent) > self._limits.remembered_messages:
-            del self._sent[next(iter(self._sent))]
-        return self._number
-
-    @property
-    def last_number(self) -> int:
-        """The number of the last message that was sent."""
-        return self._number
-
     # Granting
 
     def _make_grants(self, peer: int, now: int) -> dict[int, float]:
         """Grant a peer what can be spared of each volume that it requests; return the shares."""
-        contact = self.contacts.get(peer)
+        contact = self.contacts.by_peer.get(peer)
         if contact is None or self.is_quarantined(now):
             return {}
         grants: dict[int, float] = {}
@@ -316,7 +224,7 @@
         """
         demand = self.demands.get(volume)
         wanted = 0.0 if demand is None else demand.wanted_share(now, self._limits)
-        spare = spare_share(wanted, self._current_requests(volume, now), hosts, peer)
+        spare = spare_share(wanted, self.contacts.requested_shares(volume, now), hosts, peer)
         if not spare:
             return 0.0
         granted = self._granted.total(volume, now, except_peer=peer)
@@ -324,15 +232,6 @@
         steps = int(min(spare, 1 - granted - locked) * self._limits.share_steps)
         return max(0, steps) / self._limits.share_steps
 
-    def _current_requests(self, volume: int, now: int) -> dict[int, float]:
-        """Return the share that each peer requests of a volume, in the order of their numbers."""
-        requests: dict[int, float] = {}
-        for peer, contact in sorted(self.contacts.items(), key=lambda item: item[0]):
-            request = contact.requests.get(volume)
-            if request is not None and now - request.received_at <= self._limits.stale_us:
-                requests[peer] = request.share
-        return requests
-
     # Using
 
     def usable_share(self, volume: int, now: int) -> float:
@@ -363,7 +262,7 @@
         shares = [received.get(peer, 0.0) for peer in hosts]
         if self._members_discovered and not self.window_us:
             return shares  # a host may be an instance that is not discovered yet; of a budget, all are hosts
-        others = sorted(received.get(peer, 0.0) for peer in self.peer_numbers if peer not in hosts)
+        others = sorted(received.get(peer, 0.0) for peer in self.contacts.peers if peer not in hosts)
         return shares + others[: demand.hosts - 1 - len(hosts)]
 
     def changed_shares(self, now: int) -> dict[str, float]:
@@ -429,7 +328,7 @@
         """Return each instance of the fleet, with the last incarnation that was heard of it."""
         return [
             self._own_row(now) if number == self.identity.number else self._peer_row(number, now)
-            for number in sorted(self.peer_numbers | {self.identity.number})
+            for number in sorted(self.contacts.peers | {self.identity.number})
         ]
 
     def _own_row(self, now: int) -> PeerRow:
@@ -437,7 +336,7 @@
         return PeerRow(self.identity.number, True, self.identity.incarnation, 0, wanted)
 
     def _peer_row(self, number: int, now: int) -> PeerRow:
-        contact = self.contacts.get(number)
+        contact = self.contacts.by_peer.get(number)
         if contact is None:
             return PeerRow(number, False, None, None, 0)
         last_received_ms = (now - contact.received_at) // 1000
--- a/garnetlanding/peers/quota_use.py
+++ b/garnetlanding/peers/quota_use.py
@@ -11,8 +11,9 @@
 
 from garnetlanding.decision import interface as api
 from garnetlanding.peers.history import PeerHistory
-from garnetlanding.peers.leases import InstanceIdentity, Leases, SharedLeases
+from garnetlanding.peers.leases import Leases, SharedLeases
 from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.peer_contacts import InstanceIdentity
 
 if TYPE_CHECKING:  # what is off is not imported
     from garnetlanding.peers.membership_protocol import MembershipProtocol
@@ -62,7 +63,7 @@
     @property
     def instance_count(self) -> int:
         """The number of instances that budgets are divided among, this one included."""
-        return 1 + len(self.leases.peer_numbers)
+        return 1 + len(self.leases.contacts.peers)
 
     def follow(self, settings: api.Settings, now: int, is_discovered: bool) -> bool:
         """Begin anew where the settings name another fleet than before; return whether they do.
--- a/garnetlanding/peers/receiver.py
+++ b/garnetlanding/peers/receiver.py
@@ -74,7 +74,7 @@
         # Records are merged whoever sent them, and first: the sender may be known by its own record alone.
         message = membership.merge(envelope)
         self._quota.follow_members(membership, now)
-        reason = self._quota.leases.accept_contact(sender, envelope.incarnation, envelope.number, now)
+        reason = self._quota.leases.contacts.accept(sender, envelope.incarnation, envelope.number, now)
         if reason is None:
             membership.record_contact(sender, message, now)
         return reason
@@ -83,10 +83,10 @@
         self, detector: FailureDetector, sender: int, envelope: Envelope, now: int
     ) -> DropReason | None:
         leases = self._quota.leases
-        reason = leases.accept_contact(sender, envelope.incarnation, envelope.number, now)
+        reason = leases.contacts.accept(sender, envelope.incarnation, envelope.number, now)
         if reason is not None:
             return reason
-        sent_at = leases.sent_at(envelope.acked_incarnation, envelope.acked_number)
+        sent_at = leases.contacts.sent_at(envelope.acked_incarnation, envelope.acked_number)
         for entry_reason, count in detector.receive(sender, envelope, sent_at, now).items():
             self.dropped[entry_reason.value] += count
         return None
--- a/garnetlanding/peers/send_round.py
+++ b/garnetlanding/peers/send_round.py
@@ -8,8 +8,9 @@
 from garnetlanding.peers import codec
 from garnetlanding.peers.codec import LeaseMessage, MessageKind
 from garnetlanding.peers.gossip_schedule import GossipSchedule
-from garnetlanding.peers.leases import Leases, MessageId
+from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.peer_contacts import MessageId
 from garnetlanding.peers.quota_use import QuotaUse
 
 if TYPE_CHECKING:  # what is off is not imported
@@ -46,7 +47,7 @@
         if quota.budgets:
             divided.append((quota.budgets.leases, MessageKind.BUDGETS))
         partners = dict.fromkeys(peer for some, _ in divided for peer in some.active_peers(now))
-        receivers = self._schedule.round(leases.peer_numbers, partners)
+        receivers = self._schedule.round(leases.contacts.peers, partners)
         messages: list[api.SendPeerMessage] = []
         for some, kind in divided:
             messages += self._lease_messages(some, kind, receivers, now)
@@ -67,8 +68,8 @@
             pages = codec.paginate(asks, grants, self._limits.datagram_bytes)
             for place, page in enumerate(pages):
                 if place == len(numbers):
-                    numbers.append(leases.next_number(now))
-                last_received = leases.last_received(receiver)
+                    numbers.append(leases.contacts.next_number(now))
+                last_received = leases.contacts.last_received(receiver)
                 message = LeaseMessage(self._incarnation, numbers[place], *last_received, *page)
                 messages.append(api.SendPeerMessage(codec.encode_leases(message, kind), receiver))
         return messages
@@ -76,8 +77,8 @@
     def _gossip(
         self, detector: FailureDetector, leases: Leases, receivers: list[int], now: int, objective_us: int
     ) -> list[api.SendPeerMessage]:
-        last_received = {receiver: leases.last_received(receiver) for receiver in receivers}
-        message_id = MessageId(self._incarnation, leases.next_number(now))
+        last_received = {receiver: leases.contacts.last_received(receiver) for receiver in receivers}
+        message_id = MessageId(self._incarnation, leases.contacts.next_number(now))
         envelopes = detector.compose(last_received, message_id, now, objective_us)
         return [
             api.SendPeerMessage(codec.encode_envelope(envelope), receiver)
@@ -90,9 +91,9 @@
         """Return the messages about membership alone, to these receivers."""
         if self._membership is None:
             return []
-        last_received = {receiver: leases.last_received(receiver) for receiver in receivers}
+        last_received = {receiver: leases.contacts.last_received(receiver) for receiver in receivers}
         envelopes = self._membership.compose(
-            last_received, self._incarnation, lambda: leases.next_number(now)
+            last_received, self._incarnation, lambda: leases.contacts.next_number(now)
         )
         return [
             api.SendPeerMessage(codec.encode_envelope(envelope), receiver) for receiver, envelope in envelopes
--- a/garnetlanding/peers/shared_budgets.py
+++ b/garnetlanding/peers/shared_budgets.py
@@ -15,8 +15,9 @@
 from garnetlanding.peers.codec import LeaseMessage
 from garnetlanding.peers.demand import Demand
 from garnetlanding.peers.drop_reasons import DropReason
-from garnetlanding.peers.leases import InstanceIdentity, Leases
+from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import SECOND, PeerLimits
+from garnetlanding.peers.peer_contacts import InstanceIdentity
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/peers/test_connection_quota.py
+++ b/tests/peers/test_connection_quota.py
@@ -6,8 +6,9 @@
 from garnetlanding.emulator.discovery import Box
 from garnetlanding.peers import codec
 from garnetlanding.peers.connection_quota import ConnectionQuota
-from garnetlanding.peers.leases import InstanceIdentity, Leases, SharedLeases
+from garnetlanding.peers.leases import Leases, SharedLeases
 from garnetlanding.peers.limits import SECOND
+from garnetlanding.peers.peer_contacts import InstanceIdentity
 from tests.support.clock import T0
 from tests.support.membership import LIMITS
 from tests.support.simulated_instance import LoopbackClient, SimulatedInstance, read_command
@@ -34,9 +35,9 @@
             self.instances[1].record_demand("places:n0", 2, 4.0, 0, self.now, 2 * SECOND)
             self.instances[1].set_in_use("places:n0", peers)
             for sender, receiver in ((0, 1), (1, 0)):
-                number = self.instances[sender].next_number(self.now)
+                number = self.instances[sender].contacts.next_number(self.now)
                 for page in self.instances[sender].compose(self.now).values():
-                    heard = self.instances[sender].last_received(receiver)
+                    heard = self.instances[sender].contacts.last_received(receiver)
                     self.instances[receiver].receive(
                         sender, codec.LeaseMessage(7, number, *heard, *page), self.now
                     )
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -132,7 +132,7 @@
     )
     assert talk.dropped == {"torn": 3, "other version": 1, "too long": 1}
     assert talk.leases
-    assert not talk.leases.contacts
+    assert not talk.leases.contacts.by_peer
 
 
 def test_the_link_hears_its_peers_alone(caplog: pytest.LogCaptureFixture) -> None:
@@ -228,7 +228,7 @@
     h.others[1].sendto(codec.encode_leases(LeaseMessage(1, 1)), (host, int(port)))
     h.settle()
     assert h.talk.leases
-    assert list(h.talk.leases.contacts) == [2]
+    assert list(h.talk.leases.contacts.by_peer) == [2]
 
 
 def test_operators_see_who_has_which_part_until_when() -> None:
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -13,8 +13,9 @@
 from garnetlanding.peers import codec
 from garnetlanding.peers.codec import LeaseMessage
 from garnetlanding.peers.drop_reasons import DropReason
-from garnetlanding.peers.leases import InstanceIdentity, Leases
+from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.peer_contacts import InstanceIdentity
 from garnetlanding.peers.quota_shares import Grant, GrantLedger
 from tests.support.leases import LIMITS
 
@@ -82,12 +83,14 @@
 def exchange(group: list[Leases], now: int, silent: tuple[int, ...] = ()) -> None:
     """Each instance sends to every other; messages of and to the `silent` are lost."""
     for sender in group:
-        number = sender.next_number(now)
+        number = sender.contacts.next_number(now)
         for who, page in sender.compose(now).items():
             if sender.identity.number not in silent and who not in silent:
                 group[who].receive(
                     sender.identity.number,
-                    LeaseMessage(sender.identity.incarnation, number, *sender.last_received(who), *page),
+                    LeaseMessage(
+                        sender.identity.incarnation, number, *sender.contacts.last_received(who), *page
+                    ),
                     now,
                 )
 
@@ -160,7 +163,7 @@
         DropReason.UNKNOWN_PEER
     ] * 3 + [None]
     one.receive(1, LeaseMessage(1, 1, 0, 0, {v: codec.Ask(1.0, 2) for v in range(30)}), 0)
-    assert len(one.contacts[1].requests) == 5
+    assert len(one.contacts.by_peer[1].requests) == 5
     one.receive(1, LeaseMessage(1, 2, 1, 1, {}, {v: 1.0 for v in range(30)}), 0)
     assert not one._received.by_volume, "no grant is kept that was not requested"
 
@@ -189,13 +192,13 @@
 
 
 def lease_from_arrival(self: Leases, sender: int, m: LeaseMessage, now: int) -> DropReason | None:
-    self._sent[m.acked_number] = now if m.acked_incarnation == self.identity.incarnation else 0
+    self.contacts.sent[m.acked_number] = now if m.acked_incarnation == self.identity.incarnation else 0
     return real_receive(self, sender, m, now)
 
 
 def lease_doubled(self: Leases, sender: int, m: LeaseMessage, now: int) -> DropReason | None:
-    if m.acked_number in self._sent:
-        self._sent[m.acked_number] = now + LIMITS.lease_us
+    if m.acked_number in self.contacts.sent:
+        self.contacts.sent[m.acked_number] = now + LIMITS.lease_us
     return real_receive(self, sender, m, now)
 
 
