--- a/garnetlanding/emulator/group_net.py
+++ b/garnetlanding/emulator/group_net.py
@@ -13,10 +13,10 @@
 
 from garnetlanding.peers import codec
 from garnetlanding.peers.gossip_schedule import GossipSchedule
-from garnetlanding.peers.leases import NO_MESSAGE
 from garnetlanding.peers.limits import MS, SECOND, PeerLimits
 from garnetlanding.peers.membership import FIRST_SEED, Membership
 from garnetlanding.peers.membership_protocol import MembershipProtocol
+from garnetlanding.peers.peer_contacts import NO_MESSAGE
 
 CLOCK_KEPT = 0.8  # of starts; at the others the wall clock has been set back, and the incarnation is smaller
 CUT = 0.4  # of events at a running instance: its links are cut; at the others it stops
