--- a/tests/conform/seeded_faults.py
+++ b/tests/conform/seeded_faults.py
@@ -23,7 +23,7 @@
         reply = real(self, fid, newfid, names)
         if isinstance(reply, p9.Rwalk) and len(reply.qids) < len(names):
             self.fids[newfid] = replace(self.fids[fid])
-        return reply  # type: ignore[no-any-return]
+        return reply  # type: ignore[no-any-return]  # the real method is untyped here
 
     return walk
 
@@ -32,7 +32,7 @@
     def walk(self: FileConn, fid: int, newfid: int, names: tuple[str, ...]) -> p9.Message:
         if newfid != fid:
             self.fids.pop(newfid, None)
-        return real(self, fid, newfid, names)  # type: ignore[no-any-return]
+        return real(self, fid, newfid, names)  # type: ignore[no-any-return]  # the real method is untyped here
 
     return walk
 
@@ -46,7 +46,7 @@
         at = self.fids.get(fid)
         if at and at.access == p9.OWRITE:
             return p9.Rread(bytes(at.node.data[offset : offset + count]))
-        return real(self, fid, offset, count)  # type: ignore[no-any-return]
+        return real(self, fid, offset, count)  # type: ignore[no-any-return]  # the real method is untyped here
 
     return read
 
@@ -97,7 +97,7 @@
         at = self.fid(fid)
         if self.qid(at.node).type & p9.QTAPPEND:
             return p9.Rwrite(self.server.disk.write(at.node, offset, data, at.user))
-        return real(self, fid, offset, data)  # type: ignore[no-any-return]
+        return real(self, fid, offset, data)  # type: ignore[no-any-return]  # the real method is untyped here
 
     return write
 
@@ -131,7 +131,7 @@
 def _directory_seek_allowed(real: Any) -> Any:
     def read_dir(conn: FileConn, at: OpenFid, offset: int, count: int) -> p9.Message:
         at.dir_at = offset
-        return real(conn, at, offset, count)  # type: ignore[no-any-return]
+        return real(conn, at, offset, count)  # type: ignore[no-any-return]  # the real method is untyped here
 
     return read_dir
 
@@ -173,7 +173,7 @@
         if isinstance(message, p9.Tflush):
             self._say(message.oldtag, p9.Rread(b""))
             self._say(message.oldtag, p9.Rread(b""))
-        return real(self, message)  # type: ignore[no-any-return]
+        return real(self, message)  # type: ignore[no-any-return]  # the real method is untyped here
 
     return shared
 
--- a/tests/conform/test_conformance_suite.py
+++ b/tests/conform/test_conformance_suite.py
@@ -36,23 +36,23 @@
 
 @pytest.mark.parametrize("version", BOTH)
 def test_stand_in_passes_every_case_and_the_instance_gives_the_same_results(version: str) -> None:
-    w = NinepInstance(access="rw", offer=version, tree={})
-    direct = verdicts(w, w.files[0].address, version)
+    instance = NinepInstance(access="rw", offer=version, tree={})
+    direct = verdicts(instance, instance.files[0].address, version)
     assert [r for r in direct if r.verdict != suite.PASS] == []
-    through = verdicts(w, w.listener.address, version)
+    through = verdicts(instance, instance.listener.address, version)
     assert [(r.name, r.verdict, r.why) for r in through if r.verdict != suite.PASS] == []
     assert len(direct) == len(through) > 150, "each case cleans up"
-    assert not w.disk.root.names, "each case cleans up"
+    assert not instance.disk.root.names, "each case cleans up"
 
 
 @pytest.mark.parametrize("flaw", VARIANTS)
 def test_suite_detects_each_seeded_fault(flaw: str) -> None:
     """A suite that cannot fail proves nothing."""
     _, _, _, version, name = VARIANTS[flaw]
-    w = NinepInstance(access="rw", offer=version, tree={})
-    [sound] = [r for r in verdicts(w, w.files[0].address, version, f"^{name}$")]
+    instance = NinepInstance(access="rw", offer=version, tree={})
+    [sound] = [r for r in verdicts(instance, instance.files[0].address, version, f"^{name}$")]
     with broken(flaw):
-        [flawed] = verdicts(w, w.files[0].address, version, f"^{name}$")
+        [flawed] = verdicts(instance, instance.files[0].address, version, f"^{name}$")
     assert (sound.verdict, flawed.verdict) == (suite.PASS, suite.FAIL), flawed.why
 
 
@@ -66,9 +66,9 @@
 
 
 def test_unresponsive_server_fails_a_case_in_time() -> None:
-    w = NinepInstance(access="rw", tree={})
-    w.files[0].script.add(Rule(p9.Tread, Fault.STALL, times=-1))
-    [result] = verdicts(w, w.files[0].address, p9.VERSION, "^read-nothing$")
+    instance = NinepInstance(access="rw", tree={})
+    instance.files[0].script.add(Rule(p9.Tread, Fault.STALL, times=-1))
+    [result] = verdicts(instance, instance.files[0].address, p9.VERSION, "^read-nothing$")
     assert result.verdict == suite.FAIL
     assert "no answer" in result.why
 
@@ -82,17 +82,17 @@
 def test_command_reports_results_as_table_json_and_exit_code(
     capsys: pytest.CaptureFixture[str], tmp_path: pathlib.Path
 ) -> None:
-    w = NinepInstance(access="rw", tree={})
-    quick = ["--address", w.files[0].address, "--quiet", "0.01", "--only", "^remove-(clunks|file)$"]
+    instance = NinepInstance(access="rw", tree={})
+    quick = ["--address", instance.files[0].address, "--quiet", "0.01", "--only", "^remove-(clunks|file)$"]
     file = tmp_path / "out.json"
-    assert called(w, *quick, "--json", str(file)) == 0
+    assert called(instance, *quick, "--json", str(file)) == 0
     told = json.loads(file.read_text())
     assert [run["counts"]["pass"] for run in told] == [2, 2]
     assert "9P2000.L: 2 pass" in capsys.readouterr().out
     with broken("a remove keeps its fid"):
-        assert called(w, *quick, "--dialect", "9P2000") == 1
+        assert called(instance, *quick, "--dialect", "9P2000") == 1
     assert "remove-clunks" in capsys.readouterr().out
-    assert called(w, *quick, "--json", str(tmp_path / "no" / "out.json")) == 2
+    assert called(instance, *quick, "--json", str(tmp_path / "no" / "out.json")) == 2
 
 
 @pytest.mark.parametrize(
--- a/tests/daemon/test_assembly.py
+++ b/tests/daemon/test_assembly.py
@@ -12,7 +12,7 @@
 
 
 def names(subsystems: tuple[object, ...]) -> list[str]:
-    return [str(subsystem.name) for subsystem in subsystems]  # type: ignore[attr-defined]
+    return [str(subsystem.name) for subsystem in subsystems]  # type: ignore[attr-defined]  # each has a name
 
 
 def test_subsystems_start_reload_and_stop_in_their_orders_with_everything_on(
--- a/tests/decision/test_fair_queueing.py
+++ b/tests/decision/test_fair_queueing.py
@@ -30,7 +30,7 @@
         name = next(n for n in [s.request for s in bench.sends()] if n not in done)
         done.add(name)
         order += sent_requests(bench.end(name, took=5 * MS))
-    bench.done = done  # type: ignore[attr-defined]
+    bench.done = done  # type: ignore[attr-defined]  # a field of this test
     assert out is not None
     return order
 
--- a/tests/integration/test_mixed_protocols.py
+++ b/tests/integration/test_mixed_protocols.py
@@ -85,8 +85,8 @@
 
 @given(STEPS)
 def test_every_accepted_request_of_either_protocol_ends_once_under_the_rules(steps: list[str]) -> None:
-    w = MixedWorld()
-    tool, client = w.peer(w.nine_front.address), w.peer(w.resp_front.address)
+    instance = MixedWorld()
+    tool, client = instance.peer(instance.nine_front.address), instance.peer(instance.resp_front.address)
     tool.say(HELLO)
     sent, tags, flushed, left = 0, [1], set(), 0
     for n, step in enumerate(steps):
@@ -101,22 +101,24 @@
                 tool.say(p9.encode(90, p9.Tflush(tags[-1])))
                 flushed.add(tags[-1])
             case "leave":
-                other = w.peer(w.resp_front.address)
+                other = instance.peer(instance.resp_front.address)
                 other.say(read_command(f"x{n}"))
                 left += 1
                 other.close()
             case "pass":
-                w.run(50 * MS, step_us=25 * MS)
+                instance.run(50 * MS, step_us=25 * MS)
             case _:
-                w.disturb(step)
-        w.settle()
-    w.run(1200 * MS, step_us=40 * MS)
+                instance.disturb(step)
+        instance.settle()
+    instance.run(1200 * MS, step_us=40 * MS)
 
     # At most four attempts, never two at once, none to a drained server: CheckedCore has seen to it.
-    assert w.core.open_requests == 0
-    assert not w.core._requests
-    assert all(len(finals) <= 1 for finals in w.core.finals)
-    assert sum(not finals for finals in w.core.finals) <= left + len(flushed), "only who left gets none"
+    assert instance.core.open_requests == 0
+    assert not instance.core._requests
+    assert all(len(finals) <= 1 for finals in instance.core.finals)
+    assert sum(not finals for finals in instance.core.finals) <= left + len(
+        flushed
+    ), "only who left gets none"
     assert client.got.count(b"\r\n$4\r\n") + client.got.count(b"$0\r\n") + client.got.count(b"-") == sent
     answered = [tag for tag, _ in messages(tool) if tag not in (90, p9.NOTAG)]
     assert len(answered) == len(set(answered))
@@ -125,22 +127,25 @@
 
 
 def test_drain_while_both_protocols_connect_stops_both() -> None:
-    w = MixedWorld()
-    tool, client = w.peer(w.nine_front.address), w.peer(w.resp_front.address)
+    instance = MixedWorld()
+    tool, client = instance.peer(instance.nine_front.address), instance.peer(instance.resp_front.address)
     # All three are in the head before its loop turns again: connects begin, then the drain is told.
     for peer, data in ((tool, HELLO), (client, read_command())):
         assert peer.stream
         peer.stream.write(data)
-    while len(w.core.starts) < 2:
-        w.scheduler.turn(1)
-    w.core.endpoints.set_disabled(frozenset({"b0", "b1"}), w.time)
-    w.settle()
-    assert not any(b.heard for b in w.bricks_up)
-    assert not any(f.heard for f in w.files_up)
-    assert {a.outcome for a in w.core.starts} == {Outcome.UNREACHABLE}
+    while len(instance.core.starts) < 2:
+        instance.scheduler.turn(1)
+    instance.core.endpoints.set_disabled(frozenset({"b0", "b1"}), instance.time)
+    instance.settle()
+    assert not any(b.heard for b in instance.bricks_up)
+    assert not any(f.heard for f in instance.files_up)
+    assert {a.outcome for a in instance.core.starts} == {Outcome.UNREACHABLE}
 
 
 def test_9p_server_may_have_its_own_port_on_the_backends_host() -> None:
-    w = SimulatedInstance()
-    assert file_servers(w.scheduler, w.pool, w.limits, 564)._place("10.0.0.1:6379") == "10.0.0.1:564"
+    instance = SimulatedInstance()
+    assert (
+        file_servers(instance.scheduler, instance.pool, instance.limits, 564)._place("10.0.0.1:6379")
+        == "10.0.0.1:564"
+    )
     assert parse_address("[::1]:564") == ("::1", 564)
--- a/tests/ninep/random_fault_schedules.py
+++ b/tests/ninep/random_fault_schedules.py
@@ -69,12 +69,14 @@
 
     @property
     def may(self) -> set[bytes]:
-        return {w.data for w in (*self.ended, *self.out.values())}
+        return {instance.data for instance in (*self.ended, *self.out.values())}
 
     def end(self, number: int, at: int, acknowledged: bool) -> None:
         if number in self.out:
             self.ended.append(replace(self.out.pop(number), end=at, acknowledged=acknowledged))
-            self.ended = [w for w in self.ended if not any(other.over(w) for other in self.ended)]
+            self.ended = [
+                instance for instance in self.ended if not any(other.over(instance) for other in self.ended)
+            ]
 
 
 @dataclass
--- a/tests/ninep/test_change_order.py
+++ b/tests/ninep/test_change_order.py
@@ -15,40 +15,40 @@
 
 def test_changes_of_one_file_keep_their_order_after_a_lost_attempt() -> None:
     """Writes went out together: the second overtook the first, whose attempt was sent again over it."""
-    w, tool = rw(servers=2)
+    instance, tool = rw(servers=2)
     tool.open(5, "readme", mode=p9.OWRITE)
-    w.files[0].script.add(Rule(p9.Twrite, Fault.RESET_BEFORE))
+    instance.files[0].script.add(Rule(p9.Twrite, Fault.RESET_BEFORE))
     for tag, data in ((1, b"first"), (2, b"secnd"), (3, b"third")):
         tool.say(p9.encode(tag, p9.Twrite(5, 0, data)))
-    w.run(2 * SECOND)
+    instance.run(2 * SECOND)
     assert [m for t, m in tool.answers[-3:]] == [p9.Rwrite(5)] * 3
-    assert [r[3] for r in w.disk.ran if r[0] == "write"] == [b"first", b"secnd", b"third"]
+    assert [r[3] for r in instance.disk.ran if r[0] == "write"] == [b"first", b"secnd", b"third"]
 
 
 def test_delayed_first_attempt_does_not_undo_a_later_change() -> None:
     """A server that was given up ran the first write after the second was acknowledged."""
-    w, tool = rw()
+    instance, tool = rw()
     tool.open(5, "readme", mode=p9.OWRITE)
-    other = NinepClient(w)
+    other = NinepClient(instance)
     other.open(5, "readme", mode=p9.OWRITE)
-    w.files[0].script.add(Rule(p9.Twrite, Fault.LATE, delay_us=300 * MS))
+    instance.files[0].script.add(Rule(p9.Twrite, Fault.LATE, delay_us=300 * MS))
     tool.send(p9.Twrite(5, 0, b"first"), tag=1)
-    w.run(200 * MS)
+    instance.run(200 * MS)
     assert tool.answers[-1] == (1, p9.Rwrite(5)), "by its second attempt"
     other.send(p9.Twrite(5, 0, b"other"), tag=2)
-    w.run(SECOND)
+    instance.run(SECOND)
     assert other.answers[-1] == (2, p9.Rwrite(5))
-    assert w.disk.read("readme") == b"other"
+    assert instance.disk.read("readme") == b"other"
 
 
 def test_write_after_a_rename_reaches_the_renamed_file() -> None:
-    w, tool = rw()
+    instance, tool = rw()
     tool.open(5, "sv", "notes", mode=p9.OWRITE)
     tool.walk(6, "sv")
     tool.say(p9.encode(1, p9.Twstat(6, wstat(name="se"))) + p9.encode(2, p9.Twrite(5, 0, b"DRAFT")))
-    w.run(SECOND)
+    instance.run(SECOND)
     assert tool.answers[-2:] == [(1, p9.Rwstat()), (2, p9.Rwrite(5))]
-    assert w.disk.read("se", "notes") == b"DRAFT"
+    assert instance.disk.read("se", "notes") == b"DRAFT"
 
 
 @pytest.mark.parametrize(
@@ -61,79 +61,81 @@
     ],
 )
 def test_change_that_is_not_idempotent_is_not_sent_twice(fault: Fault, ran: int, words: str) -> None:
-    w, tool = rw(servers=2)
+    instance, tool = rw(servers=2)
     tool.walk(6)
-    w.files[0].script.add(Rule(p9.Tcreate, fault))
+    instance.files[0].script.add(Rule(p9.Tcreate, fault))
     tool.send(p9.Tcreate(6, "once", 0o644, p9.ORDWR), tag=1)
-    w.run(2 * SECOND)
+    instance.run(2 * SECOND)
     assert error_text(tool.answers[-1][1]).startswith(words)
-    assert len([r for r in w.disk.ran if r[0] == "make"]) == ran
-    assert len(received_messages(w, p9.Tcreate, 0)) + len(received_messages(w, p9.Tcreate, 1)) == 1
+    assert len([r for r in instance.disk.ran if r[0] == "make"]) == ran
+    assert (
+        len(received_messages(instance, p9.Tcreate, 0)) + len(received_messages(instance, p9.Tcreate, 1)) == 1
+    )
 
 
 def test_walk_lost_before_a_create_proves_that_the_create_never_ran() -> None:
     """Such an attempt counted as one that may have run, and the create was given up for nothing."""
-    w, tool = rw(servers=2)
+    instance, tool = rw(servers=2)
     tool.walk(6)
-    w.files[0].script.add(Rule(p9.Twalk, Fault.RESET_BEFORE))
+    instance.files[0].script.add(Rule(p9.Twalk, Fault.RESET_BEFORE))
     tool.send(p9.Tcreate(6, "once", 0o644, p9.ORDWR), tag=1)
-    w.run(2 * SECOND)
+    instance.run(2 * SECOND)
     assert isinstance(tool.answers[-1][1], p9.Rcreate)
 
 
 def test_rejected_change_that_was_never_sent_may_be_retried() -> None:
-    w, tool = rw()
+    instance, tool = rw()
     tool.open(5, "readme", mode=p9.OWRITE)
-    w.drained(0)
+    instance.drained(0)
     tool.send(p9.Twrite(5, 0, b"x"), tag=2)
-    w.run(2 * SECOND)
+    instance.run(2 * SECOND)
     assert error_text(tool.answers[-1][1]) == "busy; come again after 1000 ms"
 
 
 def test_large_write_is_split_and_stops_at_a_backend_that_drains() -> None:
-    w = NinepInstance(2, access="rw")
-    for server in w.files:
+    instance = NinepInstance(2, access="rw")
+    for server in instance.files:
         server.msize = 1024
-    big = NinepClient(w, msize=8192)
+    big = NinepClient(instance, msize=8192)
     big.open(5, "readme", mode=p9.OWRITE)
-    w.files[0].script.add(Rule(p9.Twrite, Fault.STALL, after=1))
+    instance.files[0].script.add(Rule(p9.Twrite, Fault.STALL, after=1))
     data = bytes(range(250)) * 12
     big.send(p9.Twrite(5, 0, data), tag=1)
-    sent = len(received_messages(w, p9.Twrite, 0))
-    w.drained(0)
-    w.list(w.boxes[1], whole=False)
-    w.files[0].release()
-    w.run(2 * SECOND)
+    sent = len(received_messages(instance, p9.Twrite, 0))
+    instance.drained(0)
+    instance.list(instance.boxes[1], whole=False)
+    instance.files[0].release()
+    instance.run(2 * SECOND)
     assert big.answers[-1] == (1, p9.Rwrite(len(data)))
-    assert w.disk.read("readme") == data
-    assert len(received_messages(w, p9.Twrite, 0)) == sent == 2
+    assert instance.disk.read("readme") == data
+    assert len(received_messages(instance, p9.Twrite, 0)) == sent == 2
 
 
 def test_backend_that_drains_between_walk_and_open_is_not_sent_the_open() -> None:
-    w, tool = rw(servers=2)
+    instance, tool = rw(servers=2)
     tool.walk(5, "readme")
-    w.drained(0)
-    w.list(w.boxes[1], whole=False)
-    before = len(w.files[0].heard)
+    instance.drained(0)
+    instance.list(instance.boxes[1], whole=False)
+    before = len(instance.files[0].heard)
     assert isinstance(tool.ask(p9.Topen(5, p9.ORDWR)), p9.Ropen)
     assert tool.ask(p9.Twrite(5, 0, b"HELLO")) == p9.Rwrite(5)
-    assert len(w.files[0].heard) == before
-    assert w.disk.read("readme") == b"HELLO"
+    assert len(instance.files[0].heard) == before
+    assert instance.disk.read("readme") == b"HELLO"
 
 
 def test_backend_that_drains_within_an_open_is_sent_no_further_message() -> None:
     """The walk of the attempt was out when the drain was told; the open behind it is new work."""
-    w, tool = rw(servers=2)
+    instance, tool = rw(servers=2)
     tool.walk(5, "readme")
-    w.hold(p9.Twalk)
+    instance.hold(p9.Twalk)
     tool.send(p9.Topen(5, p9.OWRITE | p9.OTRUNC), tag=1)
-    w.drained(0)
-    w.list(w.boxes[1], whole=False)
-    w.files[0].release()
-    w.run(SECOND)
+    instance.drained(0)
+    instance.list(instance.boxes[1], whole=False)
+    instance.files[0].release()
+    instance.run(SECOND)
     assert isinstance(tool.answers[-1][1], p9.Ropen)
-    assert not received_messages(w, p9.Topen, 0)
-    assert len(received_messages(w, p9.Topen, 1)) == 1
+    assert not received_messages(instance, p9.Topen, 0)
+    assert len(received_messages(instance, p9.Topen, 1)) == 1
 
 
 @pytest.mark.parametrize(
@@ -147,18 +149,18 @@
 )
 @pytest.mark.parametrize("end", ["flush", "clunk"])
 def test_flush_or_clunk_within_a_change_leaves_one_reply_per_tag(message: p9.Message, end: str) -> None:
-    w, tool = rw()
+    instance, tool = rw()
     tool.open(5, "readme", mode=p9.OWRITE)
     tool.walk(6)
     tool.open(7, "sv")
-    w.files[0].script.add(Rule(type(message), Fault.SLOW, delay_us=100 * MS))
+    instance.files[0].script.add(Rule(type(message), Fault.SLOW, delay_us=100 * MS))
     fid = {p9.Twalk: 0, p9.Tcreate: 6, p9.Tread: 7, p9.Twrite: 5}[type(message)]
     tool.send(message, tag=71)
     tool.send(p9.Tflush(71) if end == "flush" else p9.Tclunk(fid), tag=72)
-    w.run(SECOND)
+    instance.run(SECOND)
     tags = [tag for tag, _ in tool.answers]
     assert tags.count(72) == 1
     assert tags.count(71) == (0 if end == "flush" and isinstance(message, p9.Twalk | p9.Tread) else 1)
     assert tags[-1] == 72 or isinstance(message, p9.Twalk), "what it ends is answered first, or not at all"
-    assert w.core.open_requests == 0
-    assert len(w.front_9p.order) == 0
+    assert instance.core.open_requests == 0
+    assert len(instance.front_9p.order) == 0
--- a/tests/ninep/test_client_library.py
+++ b/tests/ninep/test_client_library.py
@@ -13,8 +13,8 @@
 @pytest.mark.parametrize("version", [p9.VERSION, p9l.VERSION])
 @pytest.mark.parametrize("offer", [p9.VERSION, p9l.VERSION])
 def test_p9fs_client_reads_and_writes_through_the_instance(version: str, offer: str) -> None:
-    w = NinepInstance(access="rw", offer=offer)
-    port = int(w.listener.address.rpartition(":")[2])
+    instance = NinepInstance(access="rw", offer=offer)
+    port = int(instance.listener.address.rpartition(":")[2])
     data = bytes(range(256)) * 400
 
     def session() -> None:
@@ -32,6 +32,6 @@
         with pytest.raises(p9fs.P9FileNotFound):
             fs.info("made/file")
 
-    run_beside(w, session)
-    assert not w.disk.find("made").names
-    assert w.core.open_requests == 0
+    run_beside(instance, session)
+    assert not instance.disk.find("made").names
+    assert instance.core.open_requests == 0
--- a/tests/ninep/test_front_model.py
+++ b/tests/ninep/test_front_model.py
@@ -37,7 +37,7 @@
         self.out = p9.Framer(pool, 1 << 16)
         self.got: list[tuple[int, object]] = []
         clock = SimpleNamespace(now=0)
-        front = Front(self.core, None, exports, pool, Limits(), clock)  # type: ignore[arg-type]
+        front = Front(self.core, None, exports, pool, Limits(), clock)  # type: ignore[arg-type]  # no backends are needed
         self.machine = ClientMachine(front, self.write)
         self.fids: dict[int, tuple[p9.Qid, tuple[str, ...], bool]] = {}
         self.flying: dict[int, tuple[str, p9.Message]] = {}  # tag: ticket and message
--- a/tests/ninep/test_replaced_files.py
+++ b/tests/ninep/test_replaced_files.py
@@ -15,44 +15,50 @@
 @pytest.mark.parametrize("how", ["replaced", "restarted", "removed"])
 def test_path_that_names_another_file_gives_an_error_not_its_bytes(how: str) -> None:
     """Only the qid's type was compared: after a reset, a read returned the bytes of a new file."""
-    w, tool = rw()
+    instance, tool = rw()
     tool.open(5, "readme", mode=p9.ORDWR)
     tool.walk(6, "readme")
     if how == "restarted":
-        w.files[0].restart(new_qids=True)
+        instance.files[0].restart(new_qids=True)
     else:
-        w.disk.unlink(w.disk.root, "readme", "root")
-        w.files[0].restart()
+        instance.disk.unlink(instance.disk.root, "readme", "root")
+        instance.files[0].restart()
     if how == "replaced":
-        w.disk.write(w.disk.make(w.disk.root, "readme", 0o100666, "root"), 0, b"other", "root")
-    w.settle()
+        instance.disk.write(
+            instance.disk.make(instance.disk.root, "readme", 0o100666, "root"), 0, b"other", "root"
+        )
+    instance.settle()
     words = "does not exist" if how == "removed" else "replaced by another"
     for message in (p9.Tread(5, 0, 9), p9.Twrite(5, 0, b"x"), p9.Tstat(6), p9.Topen(6, p9.OREAD)):
         assert words in error_text(tool.ask(message))
     assert words in error_text(tool.ask(p9.Tremove(6)))
-    assert ("readme" in w.disk.root.names) == (how != "removed")
+    assert ("readme" in instance.disk.root.names) == (how != "removed")
 
 
 def test_file_removed_while_open_stays_readable_where_it_is_open() -> None:
-    w, tool = rw()
+    instance, tool = rw()
     tool.open(5, "readme")
     assert tool.ask(p9.Tread(5, 0, 2)) == p9.Rread(b"he")
-    w.disk.unlink(w.disk.root, "readme", "root")
+    instance.disk.unlink(instance.disk.root, "readme", "root")
     assert tool.ask(p9.Tread(5, 2, 9)) == p9.Rread(b"llo")
 
 
 def test_two_creates_of_one_file_through_two_servers_let_one_win() -> None:
-    w, tool = rw(servers=2)
-    other = NinepClient(w)
+    instance, tool = rw(servers=2)
+    other = NinepClient(instance)
     tool.walk(6)
     other.walk(6)
-    w.hold(p9.Tcreate)
+    instance.hold(p9.Tcreate)
     tool.send(p9.Tcreate(6, "one", 0o644, p9.ORDWR), tag=71)
-    w.drained(0)
-    w.list(w.boxes[1], whole=False)
+    instance.drained(0)
+    instance.list(instance.boxes[1], whole=False)
     assert isinstance(other.ask(p9.Tcreate(6, "one", 0o644, p9.ORDWR)), p9.Rcreate)
-    w.files[0].release()
-    w.run(SECOND)
+    instance.files[0].release()
+    instance.run(SECOND)
     assert tool.answers[-1] == (71, p9.Rerror("file already exists"))
-    assert len(received_messages(w, p9.Tcreate, 0)) == len(received_messages(w, p9.Tcreate, 1)) == 1
-    assert len([r for r in w.disk.ran if r[0] == "make"]) == 1
+    assert (
+        len(received_messages(instance, p9.Tcreate, 0))
+        == len(received_messages(instance, p9.Tcreate, 1))
+        == 1
+    )
+    assert len([r for r in instance.disk.ran if r[0] == "make"]) == 1
--- a/tests/ninep/test_server_faults.py
+++ b/tests/ninep/test_server_faults.py
@@ -22,27 +22,27 @@
     [Fault.WRONG_COUNT, Fault.WRONG_TYPE, Fault.WRONG_TAG, Fault.HALF, Fault.RESET_AFTER, Fault.RESET_BEFORE],
 )
 def test_write_with_a_malformed_reply_is_retried_and_stored(fault: Fault) -> None:
-    w, tool = rw()
+    instance, tool = rw()
     tool.open(5, "readme", mode=p9.OWRITE)
-    w.files[0].script.add(Rule(p9.Twrite, fault))
+    instance.files[0].script.add(Rule(p9.Twrite, fault))
     tool.send(p9.Twrite(5, 0, b"HELLO"), tag=1)
-    w.run(2 * SECOND)
+    instance.run(2 * SECOND)
     assert tool.answers[-1] == (1, p9.Rwrite(5))
-    assert w.disk.read("readme") == b"HELLO"
+    assert instance.disk.read("readme") == b"HELLO"
 
 
 @pytest.mark.parametrize(("client", "code"), [(PLAIN, "no space left on device"), (LINUX, errors.ENOSPC)])
 def test_full_disk_and_denied_permission_are_reported_in_the_clients_dialect(
     client: str, code: object
 ) -> None:
-    w, tool = rw(client, PLAIN)
+    instance, tool = rw(client, PLAIN)
     tool.open(5, "readme", mode=p9.OWRITE)
-    w.disk.capacity = w.disk.used
+    instance.disk.capacity = instance.disk.used
     reply = tool.ask(p9.Twrite(5, 0, b"x" * 100))
     assert code == (number(reply) if tool.linux else error_text(reply))
-    w.disk.find("sv").mode = stat.S_IFDIR | 0o500
+    instance.disk.find("sv").mode = stat.S_IFDIR | 0o500
     tool.walk(7, "sv")
-    w.disk.find("sv", "notes").mode = stat.S_IFREG | 0o400
+    instance.disk.find("sv", "notes").mode = stat.S_IFREG | 0o400
     denied = tool.ask(
         p9l.Tlcreate(7, "x", p9l.L_CREATE, 0o644, 0) if tool.linux else p9.Tcreate(7, "x", 0o644, p9.OWRITE)
     )
@@ -52,7 +52,7 @@
 
 
 def test_offsets_beyond_the_servers_range_are_errors() -> None:
-    w, tool = rw()
+    instance, tool = rw()
     tool.open(5, "readme", mode=p9.ORDWR)
     for message in (
         p9.Tread(5, 1 << 63, 9),
@@ -64,10 +64,10 @@
 
 
 def test_changes_in_a_read_only_export_never_reach_a_server() -> None:
-    w = NinepInstance(offer=LINUX)
-    tool = NinepClient(w, version=LINUX)
+    instance = NinepInstance(offer=LINUX)
+    tool = NinepClient(instance, version=LINUX)
     tool.open(5, "readme")
-    heard_before = len(w.files[0].heard)
+    heard_before = len(instance.files[0].heard)
     for message in (
         p9l.Tlcreate(0, "x", 1, 0, 0),
         p9l.Tmkdir(0, "x", 0, 0),
@@ -79,4 +79,4 @@
     ):
         assert number(tool.ask(message)) == errors.EROFS, message
     assert tool.ask(p9l.Tfsync(5, 0)) == p9l.Rfsync()
-    assert len(w.files[0].heard) == heard_before
+    assert len(instance.files[0].heard) == heard_before
--- a/tests/ninep/test_session_changes.py
+++ b/tests/ninep/test_session_changes.py
@@ -28,27 +28,27 @@
 @pytest.mark.parametrize("client", BOTH)
 @pytest.mark.parametrize("server", BOTH)
 def test_file_is_created_written_read_and_removed(client: str, server: str) -> None:
-    w, tool = rw(client, server)
+    instance, tool = rw(client, server)
     assert isinstance(create(tool, 5, "new"), p9.Rcreate | p9l.Rlcreate)
     assert tool.ask(p9.Twrite(5, 0, b"hello world")) == p9.Rwrite(11)
     assert tool.ask(p9.Twrite(5, 6, b"there")) == p9.Rwrite(5)
     assert tool.ask(p9.Tread(5, 0, 100)) == p9.Rread(b"hello there")
-    assert w.disk.read("new") == b"hello there"
+    assert instance.disk.read("new") == b"hello there"
     assert tool.ask(p9.Tremove(5)) == p9.Rremove()
-    assert "new" not in w.disk.root.names
+    assert "new" not in instance.disk.root.names
     assert tool.ask(p9.Tclunk(5)) == (p9l.Rlerror(9) if tool.linux else p9.Rerror("unknown fid"))
 
 
 @pytest.mark.parametrize("server", BOTH)
 def test_wstat_changes_its_field_and_no_other(server: str) -> None:
-    w, tool = rw(PLAIN, server)
+    instance, tool = rw(PLAIN, server)
     create(tool, 5, "f", perm=0o640)
     tool.ask(p9.Twrite(5, 0, b"0123456789"))
-    node = w.disk.find("f")
+    node = instance.disk.find("f")
     for change in ({"mode": 0o600}, {"length": 4}, {"mtime": 12345}, {"gid": "77"}, {"name": "g"}, {}):
-        before = w.disk.attr(node)
+        before = instance.disk.attr(node)
         assert tool.ask(p9.Twstat(5, wstat(**change))) == p9.Rwstat()
-        after = w.disk.attr(node)
+        after = instance.disk.attr(node)
         kept = {"mode": after.mode & 0o777, "length": after.length, "mtime": after.mtime.s, "gid": after.gid}
         was = {
             "mode": before.mode & 0o777,
@@ -59,7 +59,7 @@
         wanted = was | {k: v for k, v in change.items() if k != "name"}
         kept.pop("mtime" if "length" in change else "none", None)
         assert all(wanted[key] == value for key, value in kept.items()), change
-    assert list(w.disk.root.names)[-1] == "g"
+    assert list(instance.disk.root.names)[-1] == "g"
     reply = tool.ask(p9.Tstat(5))
     assert isinstance(reply, p9.Rstat), "the fid follows its file"
     assert parse_stat(reply.stat).name == "g", "the fid follows its file"
@@ -68,67 +68,67 @@
 
 
 def test_wstat_of_a_name_with_other_fields_is_atomic_or_rejected() -> None:
-    w, tool = rw(PLAIN, PLAIN)
+    instance, tool = rw(PLAIN, PLAIN)
     create(tool, 5, "f")
     assert tool.ask(p9.Twstat(5, wstat(name="g", mode=0o600))) == p9.Rwstat()
-    w, tool = rw(PLAIN, LINUX)
+    instance, tool = rw(PLAIN, LINUX)
     create(tool, 5, "f")
     assert "together" in error_text(tool.ask(p9.Twstat(5, wstat(name="g", mode=0o600))))
-    assert "f" in w.disk.root.names
+    assert "f" in instance.disk.root.names
     create(tool, 6, "h")
     assert error_text(tool.ask(p9.Twstat(6, wstat(name="f")))) == "file already exists"
 
 
 @pytest.mark.parametrize("server", BOTH)
 def test_truncate_on_open_and_remove_on_close_take_effect(server: str) -> None:
-    w, tool = rw(PLAIN, server)
+    instance, tool = rw(PLAIN, server)
     tool.open(5, "readme", mode=p9.OWRITE | p9.OTRUNC)
-    assert w.disk.read("readme") == b""
+    assert instance.disk.read("readme") == b""
     create(tool, 6, "temp", mode=p9.ORDWR | p9.ORCLOSE)
     tool.ask(p9.Twrite(6, 0, b"x"))
-    assert "temp" in w.disk.root.names
+    assert "temp" in instance.disk.root.names
     assert tool.ask(p9.Tclunk(6)) == p9.Rclunk()
-    assert "temp" not in w.disk.root.names
+    assert "temp" not in instance.disk.root.names
 
 
 def test_remove_on_close_happens_when_the_client_disconnects() -> None:
-    w, tool = rw()
+    instance, tool = rw()
     create(tool, 6, "temp", mode=p9.ORDWR | p9.ORCLOSE)
     tool.close()
-    w.run(100 * MS)
-    assert "temp" not in w.disk.root.names
-    assert w.core.open_requests == 0
+    instance.run(100 * MS)
+    assert "temp" not in instance.disk.root.names
+    assert instance.core.open_requests == 0
 
 
 def test_append_only_file_takes_each_write_once_at_its_end() -> None:
-    w, tool = rw()
+    instance, tool = rw()
     create(tool, 5, "log", perm=DMAPPEND | 0o600, mode=p9.OWRITE)
     tool.ask(p9.Twrite(5, 0, b"one "))
     assert tool.ask(p9.Twrite(5, 0, b"two")) == p9.Rwrite(3)
-    assert w.disk.read("log") == b"one two"
-    w.files[0].script.add(Rule(p9.Twrite, Fault.RESET_AFTER))
+    assert instance.disk.read("log") == b"one two"
+    instance.files[0].script.add(Rule(p9.Twrite, Fault.RESET_AFTER))
     tool.send(p9.Twrite(5, 0, b"!"))
-    w.run(3 * SECOND)
+    instance.run(3 * SECOND)
     assert error_text(tool.answers[-1][1]).startswith("may have happened")
-    assert w.disk.read("log") == b"one two!", "not sent again, though it may be"
+    assert instance.disk.read("log") == b"one two!", "not sent again, though it may be"
 
 
 def test_exclusive_file_is_open_once_at_a_time() -> None:
-    w, tool = rw()
+    instance, tool = rw()
     create(tool, 5, "lock", perm=DMEXCL | 0o600)
-    other = NinepClient(w)
+    other = NinepClient(instance)
     other.walk(6, "lock")
     assert error_text(other.ask(p9.Topen(6, p9.OREAD))) == "exclusive use file already open"
     tool.ask(p9.Twrite(5, 0, b"mine"))
     tool.close()
-    w.settle()
+    instance.settle()
     assert isinstance(other.ask(p9.Topen(6, p9.OREAD)), p9.Ropen)
     assert other.ask(p9.Tread(6, 0, 9)) == p9.Rread(b"mine")
 
 
 @pytest.mark.parametrize("server", BOTH)
 def test_linux_dialect_creates_links_and_directories(server: str) -> None:
-    w, tool = rw(LINUX, server)
+    instance, tool = rw(LINUX, server)
     made = tool.ask(p9l.Tmkdir(0, "dir", 0o755, p9l.NOGID))
     assert isinstance(made, p9l.Rmkdir)
     assert made.qid.type == p9.QTDIR
@@ -139,13 +139,13 @@
     if server == LINUX:
         assert moved == p9l.Rrename()
         assert tool.ask(p9.Twrite(5, 0, b"x")) == p9.Rwrite(1)
-        assert w.disk.read("dir", "g") == b"x"
+        assert instance.disk.read("dir", "g") == b"x"
         assert isinstance(tool.ask(p9l.Tsymlink(0, "link", "dir/g", p9l.NOGID)), p9l.Rsymlink)
         tool.walk(8, "link")
         assert tool.ask(p9l.Treadlink(8)) == p9l.Rreadlink("dir/g")
         assert number(tool.ask(p9l.Tlopen(8, 0))) == errors.ELOOP
         assert tool.ask(p9l.Tlink(0, 5, "second")) == p9l.Rlink()
-        assert w.disk.find("second") is w.disk.find("dir", "g")
+        assert instance.disk.find("second") is instance.disk.find("dir", "g")
         assert tool.ask(p9l.Trenameat(0, "second", 7, "g")) == p9l.Rrenameat()
         assert isinstance(tool.ask(p9l.Tstatfs(0)), p9l.Rstatfs)
     else:
@@ -165,7 +165,7 @@
 
 @pytest.mark.parametrize("server", BOTH)
 def test_linux_dialect_reads_and_sets_attributes(server: str) -> None:
-    w, tool = rw(LINUX, server)
+    instance, tool = rw(LINUX, server)
     create(tool, 5, "f", perm=0o640)
     tool.ask(p9.Twrite(5, 0, b"0123456789"))
     valid = p9l.SET_MODE | p9l.SET_SIZE | p9l.SET_MTIME | p9l.SET_MTIME_TO
@@ -183,7 +183,7 @@
 @pytest.mark.parametrize("server", BOTH)
 def test_directory_is_read_whole_in_small_pieces(client: str, server: str) -> None:
     names = [f"file{i:03}" for i in range(60)]
-    w, tool = rw(client, server, tree={"d": {name: b"x" * i for i, name in enumerate(names)}})
+    instance, tool = rw(client, server, tree={"d": {name: b"x" * i for i, name in enumerate(names)}})
     tool.open(5, "d")
     got: list[str] = []
     offset, sizes = 0, set()
@@ -217,9 +217,9 @@
 
 
 def test_locks_are_held_by_the_instance() -> None:
-    w, tool = rw(LINUX, LINUX)
+    instance, tool = rw(LINUX, LINUX)
     tool.open(5, "readme", mode=p9.ORDWR)
-    other = NinepClient(w, version=LINUX)
+    other = NinepClient(instance, version=LINUX)
     other.open(5, "readme", mode=p9.ORDWR)
     take = p9l.Tlock(5, p9l.LOCK_WRITE, 0, 10, 20, 7, "a")
     assert tool.ask(take) == p9l.Rlock(p9l.LOCK_DONE)
@@ -231,7 +231,7 @@
     assert other.ask(replace(take, start=15, length=5, client_id="b")) == p9l.Rlock(p9l.LOCK_DONE)
     assert other.ask(replace(take, start=20, length=5, client_id="b")) == p9l.Rlock(p9l.LOCK_BLOCKED)
     tool.close()
-    w.settle()
+    instance.settle()
     assert other.ask(replace(take, start=20, length=5, client_id="b")) == p9l.Rlock(p9l.LOCK_DONE)
     other.ask(p9.Tclunk(5))
-    assert w.front_9p.locks.count == 0
+    assert instance.front_9p.locks.count == 0
--- a/tests/ninep/test_session_reads.py
+++ b/tests/ninep/test_session_reads.py
@@ -15,8 +15,8 @@
 
 
 def test_file_is_walked_opened_read_to_its_end_and_clunked() -> None:
-    w = NinepInstance()
-    tool = NinepClient(w)
+    instance = NinepInstance()
+    tool = NinepClient(instance)
     tool.open(5, "sv", "law", "terms")
     got = b""
     while True:
@@ -28,14 +28,14 @@
     assert got == GLOSSARY
     assert isinstance(tool.ask(p9.Tstat(5)), p9.Rstat)
     assert tool.ask(p9.Tclunk(5)) == p9.Rclunk()
-    assert all(len(f) == 1 for f in w.core.finals)
+    assert all(len(f) == 1 for f in instance.core.finals)
     # A file stays open at its server from read to read.
-    assert len(received_messages(w, p9.Topen)) == 1
+    assert len(received_messages(instance, p9.Topen)) == 1
 
 
 def test_directory_is_read_in_steps_and_again_from_its_start() -> None:
-    w = NinepInstance()
-    tool = NinepClient(w)
+    instance = NinepInstance()
+    tool = NinepClient(instance)
     tool.open(5, "sv")
     whole = tool.ask(p9.Tread(5, 0, 4096))
     assert isinstance(whole, p9.Rread)
@@ -54,18 +54,18 @@
 
 
 def test_connection_lost_in_a_later_message_reports_may_have_run() -> None:
-    w = NinepInstance()
-    tool = NinepClient(w)
-    w.hold(p9.Topen)
+    instance = NinepInstance()
+    tool = NinepClient(instance)
+    instance.hold(p9.Topen)
     tool.ask(p9.Twalk(0, 5, ("readme",)))
     tool.send(p9.Topen(5, p9.OREAD), tag=2)
-    [conn] = w.nine._busy.values()
+    [conn] = instance.nine._busy.values()
     assert conn._stream
     conn._stream.on_flushed = None
     conn._write(b"")  # a further message, none of it with the kernel yet
-    w.files[0].drop()
-    w.settle()
-    assert w.core.starts[-1].outcome is Outcome.RESET
+    instance.files[0].drop()
+    instance.settle()
+    assert instance.core.starts[-1].outcome is Outcome.RESET
 
 
 def test_partial_walk_reports_its_steps_and_creates_no_fid() -> None:
@@ -100,40 +100,40 @@
     ],
 )
 def test_invalid_message_gets_an_error(message: p9.Message, words: str) -> None:
-    w = NinepInstance()
-    assert words in error_text(NinepClient(w).ask(message))
-    assert len(w.core.starts) == 1, "only the attach needed a server"
+    instance = NinepInstance()
+    assert words in error_text(NinepClient(instance).ask(message))
+    assert len(instance.core.starts) == 1, "only the attach needed a server"
 
 
 def test_clunk_cancels_the_read_in_flight_which_is_answered_first() -> None:
-    w = NinepInstance()
-    tool = NinepClient(w)
+    instance = NinepInstance()
+    tool = NinepClient(instance)
     tool.open(5, "readme")
-    w.hold(p9.Tread)
+    instance.hold(p9.Tread)
     assert tool.send(p9.Tread(5, 0, 100), tag=2) == []
     answers = tool.send(p9.Tclunk(5), tag=3)
     assert answers == [(2, p9.Rerror("fid clunked")), (3, p9.Rclunk())]
-    assert len(w.files[0].conns) == 0, "the attempt's connection is closed"
-    w.files[0].release()
-    w.settle()
+    assert len(instance.files[0].conns) == 0, "the attempt's connection is closed"
+    instance.files[0].release()
+    instance.settle()
     assert len(tool.answers) == 6, "nothing more comes for the tag"
 
 
 def test_flush_is_answered_after_the_read_is_cancelled_and_frees_its_tag() -> None:
-    w = NinepInstance()
-    tool = NinepClient(w)
+    instance = NinepInstance()
+    tool = NinepClient(instance)
     tool.open(5, "readme")
-    w.hold(p9.Tread)
+    instance.hold(p9.Tread)
     tool.send(p9.Tread(5, 0, 100), tag=2)
     assert tool.send(p9.Tflush(2), tag=3) == [(3, p9.Rflush())]
-    w.files[0].release()
+    instance.files[0].release()
     assert tool.ask(p9.Tread(5, 0, 100), tag=2) == p9.Rread(b"hello")
     assert tool.ask(p9.Tflush(77)) == p9.Rflush()
 
 
 def test_reply_already_sent_precedes_the_reply_to_its_flush() -> None:
-    w = NinepInstance()
-    tool = NinepClient(w)
+    instance = NinepInstance()
+    tool = NinepClient(instance)
     tool.open(5, "readme")
     before = len(tool.answers)
     tool.say(p9.encode(2, p9.Tread(5, 0, 100)))
@@ -142,76 +142,76 @@
 
 
 def test_flushed_walk_leaves_its_new_fid_free() -> None:
-    w = NinepInstance()
-    tool = NinepClient(w)
-    w.hold(p9.Twalk)
+    instance = NinepInstance()
+    tool = NinepClient(instance)
+    instance.hold(p9.Twalk)
     tool.send(p9.Twalk(0, 5, ("sv",)), tag=2)
     assert error_text(tool.ask(p9.Twalk(0, 5, ("readme",)), tag=4)) == "fid already in use"
     tool.send(p9.Tflush(2), tag=3)
-    w.files[0].release()
+    instance.files[0].release()
     assert isinstance(tool.ask(p9.Twalk(0, 5, ("readme",)), tag=4), p9.Rwalk)
 
 
 def test_walk_in_flight_survives_the_clunk_of_its_first_fid() -> None:
-    w = NinepInstance()
-    tool = NinepClient(w)
+    instance = NinepInstance()
+    tool = NinepClient(instance)
     tool.ask(p9.Twalk(0, 4, ()))
-    w.hold(p9.Twalk)
+    instance.hold(p9.Twalk)
     tool.send(p9.Twalk(4, 5, ("sv",)), tag=2)
     assert tool.ask(p9.Tclunk(4), tag=3) == p9.Rclunk()
-    w.files[0].release()
-    w.settle()
+    instance.files[0].release()
+    instance.settle()
     assert isinstance(tool.answers[-1][1], p9.Rwalk)
     assert isinstance(tool.ask(p9.Tstat(5)), p9.Rstat)
 
 
 def test_disconnect_cancels_the_clients_attempts() -> None:
-    w = NinepInstance()
-    tool = NinepClient(w)
+    instance = NinepInstance()
+    tool = NinepClient(instance)
     tool.open(5, "readme")
-    w.hold(p9.Tread)
+    instance.hold(p9.Tread)
     tool.send(p9.Tread(5, 0, 100), tag=2)
     tool.close()
-    assert w.core.open_requests == 0
-    assert not w.core._requests
-    assert len(w.files[0].conns) == 0
+    assert instance.core.open_requests == 0
+    assert not instance.core._requests
+    assert len(instance.files[0].conns) == 0
 
 
 def test_new_version_ends_the_session() -> None:
-    w = NinepInstance()
-    tool = NinepClient(w)
+    instance = NinepInstance()
+    tool = NinepClient(instance)
     tool.open(5, "readme")
-    w.hold(p9.Tread)
+    instance.hold(p9.Tread)
     tool.send(p9.Tread(5, 0, 100), tag=2)
     assert tool.ask(p9.Tversion(4096, "9P2000.u"), p9.NOTAG) == p9.Rversion(4096, "9P2000")
-    assert w.core.open_requests == 0
+    assert instance.core.open_requests == 0
     assert error_text(tool.ask(p9.Tstat(5))) == "unknown fid"
     assert tool.ask(p9.Tversion(4096, "8P"), p9.NOTAG) == p9.Rversion(4096, "unknown")
     assert error_text(tool.ask(p9.Tstat(5))) == "no version agreed"
 
 
 def test_duplicate_tag_is_rejected_and_the_first_continues() -> None:
-    w = NinepInstance()
-    tool = NinepClient(w)
+    instance = NinepInstance()
+    tool = NinepClient(instance)
     tool.open(5, "readme")
-    w.hold(p9.Tread)
+    instance.hold(p9.Tread)
     tool.send(p9.Tread(5, 0, 100), tag=2)
     assert error_text(tool.ask(p9.Tstat(5), tag=2)) == "duplicate tag"
     before = len(tool.answers)
-    w.files[0].release()
-    w.settle()
+    instance.files[0].release()
+    instance.settle()
     assert tool.answers[before:] == [(2, p9.Rread(b"hello"))]
 
 
 def test_fid_that_is_being_opened_rejects_other_messages() -> None:
-    w = NinepInstance()
-    tool = NinepClient(w)
+    instance = NinepInstance()
+    tool = NinepClient(instance)
     tool.ask(p9.Twalk(0, 5, ("readme",)))
-    w.hold(p9.Topen)
+    instance.hold(p9.Topen)
     tool.send(p9.Topen(5, p9.OREAD), tag=2)
     assert "being opened" in error_text(tool.ask(p9.Topen(5, p9.OREAD), tag=3))
-    w.files[0].release()
-    w.settle()
+    instance.files[0].release()
+    instance.settle()
     assert error_text(tool.ask(p9.Topen(5, p9.OREAD))) == "fid already open"
     assert error_text(tool.ask(p9.Twalk(5, 6, ("x",)))) == "cannot walk an open fid"
 
@@ -243,43 +243,43 @@
 
 def test_backend_that_drains_within_a_walk_is_sent_no_more_of_it() -> None:
     """The walk's first part is out when the drain is told; the rest goes to the cell's other server."""
-    w = NinepInstance(servers=2)
+    instance = NinepInstance(servers=2)
     deep: dict[str, Any] = {"end": b"here"}
     names = tuple(f"n{i}" for i in range(19))
     for name in reversed(names):
         deep = {name: deep}
-    for server in w.files:
+    for server in instance.files:
         server.tree = deep
-    tool = NinepClient(w)
-    w.hold(p9.Twalk)
+    tool = NinepClient(instance)
+    instance.hold(p9.Twalk)
     tool.send(p9.Twalk(0, 5, names[:16]), tag=2)
-    w.files[0].release()
-    w.settle()
-    w.hold(p9.Twalk)
+    instance.files[0].release()
+    instance.settle()
+    instance.hold(p9.Twalk)
     assert tool.send(p9.Twalk(5, 6, (*names[16:], "end")), tag=2) == []
-    w.drained(0)
-    w.list(w.boxes[1], whole=False)
-    w.files[0].release()  # its half is answered; the second part would be new work
-    w.run(200 * MS)
-    assert len(received_messages(w, p9.Twalk, 0)) == 2
-    assert len(received_messages(w, p9.Twalk, 1)) == 2
+    instance.drained(0)
+    instance.list(instance.boxes[1], whole=False)
+    instance.files[0].release()  # its half is answered; the second part would be new work
+    instance.run(200 * MS)
+    assert len(received_messages(instance, p9.Twalk, 0)) == 2
+    assert len(received_messages(instance, p9.Twalk, 1)) == 2
     assert isinstance(tool.answers[-1][1], p9.Rwalk)
     assert len(tool.answers[-1][1].qids) == 4
-    assert [a.outcome.value for a in w.core.starts[-2:] if a.outcome] == ["reset", "served"]
+    assert [a.outcome.value for a in instance.core.starts[-2:] if a.outcome] == ["reset", "served"]
 
 
 def test_read_continues_at_another_backend_when_its_own_fails() -> None:
-    w = NinepInstance(servers=2)
-    tool = NinepClient(w)
+    instance = NinepInstance(servers=2)
+    tool = NinepClient(instance)
     tool.open(5, "sv", "law", "terms")
     first = tool.ask(p9.Tread(5, 0, 4000))
-    w.hold(p9.Tread)
+    instance.hold(p9.Tread)
     tool.send(p9.Tread(5, 4000, 4000), tag=2)
-    w.files[0].listener.stop_accepting()
-    w.files[0].drop()
-    w.boxes[0].state = "DELETED"
-    w.list(w.boxes[0], w.boxes[1], whole=False)
-    w.run(300 * MS)
+    instance.files[0].listener.stop_accepting()
+    instance.files[0].drop()
+    instance.boxes[0].state = "DELETED"
+    instance.list(instance.boxes[0], instance.boxes[1], whole=False)
+    instance.run(300 * MS)
     second = tool.answers[-1]
     assert isinstance(first, p9.Rread)
     assert second == (2, p9.Rread(GLOSSARY[4000:8000]))
@@ -287,47 +287,47 @@
 
 
 def test_rejection_says_when_to_retry() -> None:
-    w = NinepInstance()
-    tool = NinepClient(w)
+    instance = NinepInstance()
+    tool = NinepClient(instance)
     tool.open(5, "readme")
     # Nothing serves the cell any more; the controller gives the item up before the client's time.
-    w.drained(0)
+    instance.drained(0)
     assert tool.send(p9.Tread(5, 0, 100), tag=2) == []
-    w.run(1500 * MS)
+    instance.run(1500 * MS)
     assert error_text(tool.answers[-1][1]) == "busy; come again after 1000 ms"
-    assert isinstance(w.core.finals[-1][0], Rejected)
+    assert isinstance(instance.core.finals[-1][0], Rejected)
 
 
 def test_unresponsive_backend_costs_no_more_than_the_deadline() -> None:
-    w = NinepInstance()
-    tool = NinepClient(w)
+    instance = NinepInstance()
+    tool = NinepClient(instance)
     tool.open(5, "readme")
-    w.hold(p9.Message)
+    instance.hold(p9.Message)
     tool.send(p9.Tread(5, 0, 100), tag=2)
-    w.run(1500 * MS)
+    instance.run(1500 * MS)
     assert tool.answers[-1][0] == 2
     assert error_text(tool.answers[-1][1]).startswith("busy")
-    assert w.core.open_requests == 0
-    assert len(w.files[0].conns) == 0
+    assert instance.core.open_requests == 0
+    assert len(instance.files[0].conns) == 0
 
 
 def test_fids_and_tags_are_bounded() -> None:
-    w = NinepInstance(ninep_fids=3, ninep_tags=2)
-    tool = NinepClient(w)
+    instance = NinepInstance(ninep_fids=3, ninep_tags=2)
+    tool = NinepClient(instance)
     assert tool.ask(p9.Twalk(0, 1, ())) == tool.ask(p9.Twalk(0, 2, ())) == p9.Rwalk(())
     assert error_text(tool.ask(p9.Twalk(0, 3, ()))) == "too many fids"
-    w.hold(p9.Message)
+    instance.hold(p9.Message)
     tool.send(p9.Tstat(0), tag=1)
     tool.send(p9.Tstat(1), tag=2)
     assert error_text(tool.ask(p9.Tstat(2), tag=3)) == "too many requests in flight"
 
 
 def test_open_files_per_backend_connection_are_bounded() -> None:
-    w = NinepInstance(ninep_keep_open=1)
-    tool = NinepClient(w)
+    instance = NinepInstance(ninep_keep_open=1)
+    tool = NinepClient(instance)
     tool.open(5, "readme")
     tool.open(6, "sv", "notes")
-    conn = w.files[0].conns[0]
+    conn = instance.files[0].conns[0]
     assert len(getattr(conn, "fids")) == 2, "the root and one file"  # noqa: B009
     assert isinstance(tool.ask(p9.Tread(5, 0, 9)), p9.Rread)
 
@@ -342,14 +342,14 @@
     ],
 )
 def test_connection_to_a_server_that_breaks_the_protocol_is_closed(spoil: Callable[[Any, int], None]) -> None:
-    w = NinepInstance()
-    tool = NinepClient(w)
+    instance = NinepInstance()
+    tool = NinepClient(instance)
     tool.open(5, "readme")
-    w.hold(p9.Tread)
+    instance.hold(p9.Tread)
     tool.send(p9.Tread(5, 0, 100), tag=2)
-    [(tag, _, conn)] = w.files[0].held
-    w.files[0].held, w.files[0].hold = [], None
+    [(tag, _, conn)] = instance.files[0].held
+    instance.files[0].held, instance.files[0].hold = [], None
     spoil(conn, tag)
-    w.run(SECOND // 2)
+    instance.run(SECOND // 2)
     assert tool.answers[-1] == (2, p9.Rread(b"hello"))
-    assert [a.outcome.value for a in w.core.starts[-2:] if a.outcome] == ["reset", "served"]
+    assert [a.outcome.value for a in instance.core.starts[-2:] if a.outcome] == ["reset", "served"]
--- a/tests/ops/test_admin_service.py
+++ b/tests/ops/test_admin_service.py
@@ -79,7 +79,7 @@
         told.extend(e for event in events if isinstance(event, api.EndpointListUpdate) for e in event.entries)
         return handle(now, events)
 
-    instance.core.module.handle = listen  # type: ignore[method-assign]
+    instance.core.module.handle = listen  # type: ignore[method-assign]  # listens in on the module
     instance.call("/-/bricks/b0/disable")
     assert told[-1].state is api.EndpointState.DRAINING
     instance.run(SECOND)
--- a/tests/resp/test_backend_connection.py
+++ b/tests/resp/test_backend_connection.py
@@ -117,52 +117,52 @@
 )
 def test_a_malformed_reply_resets_the_attempt_and_closes_the_connection(spoilt: bytes) -> None:
     """Some are still being sent, or wait for what never comes: they must not hold the attempt for good."""
-    w = SimulatedInstance()
-    brick = w.server(Brick)
-    w.list(Box("b0", brick.address, 0))
+    instance = SimulatedInstance()
+    brick = instance.server(Brick)
+    instance.list(Box("b0", brick.address, 0))
     brick.data[b"k"], brick.script = b"value", [spoilt]
-    peer = w.peer(w.front().address)
+    peer = instance.peer(instance.front().address)
     peer.say(read_command())
-    w.run(w.limits.partial_reply_us)
-    assert w.core.starts[0].outcome is Outcome.RESET
-    w.run(100 * MS)
+    instance.run(instance.limits.partial_reply_us)
+    assert instance.core.starts[0].outcome is Outcome.RESET
+    instance.run(100 * MS)
     assert peer.got == codec.bulk(b"value")
     assert len(brick.heard) == brick.accepted == 2
 
 
 def test_a_reply_that_trickles_without_an_end_is_given_up() -> None:
-    w = SimulatedInstance()
-    brick = w.server(Brick)
-    w.list(Box("b0", brick.address, 0))
+    instance = SimulatedInstance()
+    brick = instance.server(Brick)
+    instance.list(Box("b0", brick.address, 0))
     brick.script = [b"*3\r\n$60000\r\n"]
-    w.peer(w.front().address).say(read_command())
-    for _ in range(w.limits.partial_reply_us // (10 * MS)):
-        assert w.core.starts[0].outcome is None
-        w.run(10 * MS)
+    instance.peer(instance.front().address).say(read_command())
+    for _ in range(instance.limits.partial_reply_us // (10 * MS)):
+        assert instance.core.starts[0].outcome is None
+        instance.run(10 * MS)
         for conn in list(brick.conns):
             conn.write(b"x")
-        w.settle()
-    assert w.core.starts[0].outcome is Outcome.RESET
+        instance.settle()
+    assert instance.core.starts[0].outcome is Outcome.RESET
 
 
 @pytest.mark.parametrize("behind", [b"noise", b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", b"\r\n"])
 def test_a_reply_with_bytes_behind_it_is_served_and_its_connection_closed(behind: bytes) -> None:
     """It was thrown away with its connection, and the work done a second time."""
-    w = SimulatedInstance()
-    brick = w.server(Brick)
-    w.list(Box("b0", brick.address, 0))
+    instance = SimulatedInstance()
+    brick = instance.server(Brick)
+    instance.list(Box("b0", brick.address, 0))
     brick.script = [b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n" + behind]
-    peer = w.peer(w.front().address)
+    peer = instance.peer(instance.front().address)
     assert peer.say(read_command()) == codec.bulk(b"value")
     assert not brick.conns
     assert len(brick.heard) == 1
 
 
 def test_a_value_longer_than_many_buffers_is_served_complete() -> None:
-    w = SimulatedInstance(buffer_bytes=512)
-    brick = w.server(Brick)
-    w.list(Box("b0", brick.address, 0))
-    peer = w.peer(w.front().address)
+    instance = SimulatedInstance(buffer_bytes=512)
+    brick = instance.server(Brick)
+    instance.list(Box("b0", brick.address, 0))
+    peer = instance.peer(instance.front().address)
     body = bytes(range(256)) * 256
     assert peer.say(read_command(verb="BLK.WRITE", body=body)) == b"$2\r\nOK\r\n"
     assert peer.say(read_command("r2")) == codec.bulk(body)
--- a/tests/resp/test_codec.py
+++ b/tests/resp/test_codec.py
@@ -77,8 +77,8 @@
     ],
 )
 def test_lost_framing_gets_an_error_reply_and_a_close(data: bytes) -> None:
-    w = SimulatedInstance()
-    peer = w.peer(w.front().address)
+    instance = SimulatedInstance()
+    peer = instance.peer(instance.front().address)
     assert peer.say(b"*1\r\n$4\r\nPING\r\n" + data).startswith(b"+PONG\r\n-ERR Protocol error")
     assert peer.closed
-    assert w.core.open_requests == 0
+    assert instance.core.open_requests == 0
--- a/tests/resp/test_front.py
+++ b/tests/resp/test_front.py
@@ -60,14 +60,14 @@
     ],
 )
 def test_an_invalid_command_gets_an_error_that_names_its_field(change: tuple[str, str], words: str) -> None:
-    w = SimulatedInstance(make_settings(cells=9))
-    peer = w.peer(w.front().address)
+    instance = SimulatedInstance(make_settings(cells=9))
+    peer = instance.peer(instance.front().address)
     args = "c=read,t=gold,d=1000,volume=v,units=2,shard=0,hosts=1".replace(*change).encode()
     answer = peer.say(codec.command([b"BLK.READ", b"k", b"id", args]))
     assert answer.startswith(b"-ERR")
     assert words.encode() in answer
     assert peer.say(PING) == b"", "not read at once: it could send the same at full speed"
-    w.run(w.limits.misuse_pause_us)
+    instance.run(instance.limits.misuse_pause_us)
     assert peer.got == answer + b"+PONG\r\n", "the connection goes on"
 
 
@@ -81,16 +81,16 @@
 
 
 def test_a_duplicate_of_an_open_id_is_rejected_and_the_first_is_served() -> None:
-    w = SimulatedInstance()
-    brick = w.server(Brick)
-    w.list(Box("b0", brick.address, 0))
+    instance = SimulatedInstance()
+    brick = instance.server(Brick)
+    instance.list(Box("b0", brick.address, 0))
     brick.script = [None]
-    front = w.front()
-    owner, thief = w.peer(front.address), w.peer(front.address)
+    front = instance.front()
+    owner, thief = instance.peer(front.address), instance.peer(front.address)
     owner.say(read_command("r1"))
     assert thief.say(read_command("r1", volume="w")).startswith(b"-ERR id: of a request that is open")
     brick.release()
-    w.settle()
+    instance.settle()
     assert owner.got == b"$0\r\n\r\n"
     assert len(brick.heard) == 1
     assert owner.say(read_command("r1")) == b"$0\r\n\r\n", "it is free again"
@@ -98,42 +98,42 @@
 
 def test_too_many_commands_or_errors_end_the_connection() -> None:
     """They were parked, answered as they came to it, and the loop was theirs."""
-    w = SimulatedInstance(pipeline=4)
-    brick = w.server(Brick)
-    w.list(Box("b0", brick.address, 0))
+    instance = SimulatedInstance(pipeline=4)
+    brick = instance.server(Brick)
+    instance.list(Box("b0", brick.address, 0))
     brick.script = [None] * 9
-    front = w.front()
-    many, rude = w.peer(front.address), w.peer(front.address)
+    front = instance.front()
+    many, rude = instance.peer(front.address), instance.peer(front.address)
     many.say(b"".join(read_command(f"r{i}") for i in range(300)))
     assert many.got == b"-ERR too many commands at once\r\n" * 5
     assert many.closed
-    w.run(w.limits.linger_us)
-    assert w.core.open_requests == 0
+    instance.run(instance.limits.linger_us)
+    assert instance.core.open_requests == 0
     assert not brick.conns
-    assert all(len(f) == 1 for f in w.core.finals)
+    assert all(len(f) == 1 for f in instance.core.finals)
     rude.say(codec.command([b"NO"]) * 300)
-    w.run(w.limits.linger_us)
+    instance.run(instance.limits.linger_us)
     assert rude.got == b"-ERR unknown command\r\n" * 8 + b"-ERR too many errors\r\n"
     assert rude.closed
     assert len(front) == 0
 
 
 def test_lost_framing_gets_its_error_at_once_whatever_is_open() -> None:
-    w = SimulatedInstance()
-    brick = w.server(Brick)
-    w.list(Box("b0", brick.address, 0))
+    instance = SimulatedInstance()
+    brick = instance.server(Brick)
+    instance.list(Box("b0", brick.address, 0))
     brick.script = [None]
-    peer = w.peer(w.front().address)
+    peer = instance.peer(instance.front().address)
     peer.say(read_command(d=1400) + b"?\r\n")
     assert peer.got.count(b"-ERR Protocol error") == 2
-    assert w.core.open_requests == 0
+    assert instance.core.open_requests == 0
 
 
 def test_input_after_the_final_error_is_drained_within_a_limit() -> None:
     """A close with unread input resets it, and the error line may be lost with that."""
-    w = SimulatedInstance(linger_bytes=1000)
-    front = w.front()
-    peer = w.peer(front.address)
+    instance = SimulatedInstance(linger_bytes=1000)
+    front = instance.front()
+    peer = instance.peer(front.address)
     peer.stays = True
     assert peer.say(b"*1\r\n$60000000\r\n") == b"-ERR Protocol error: length over the limit\r\n"
     assert len(front) == 1
@@ -144,42 +144,42 @@
 
 
 def test_silent_and_incomplete_clients_time_out_but_no_open_request_does() -> None:
-    w = SimulatedInstance(command_us=SECOND)
-    brick = w.server(Brick)
-    w.list(Box("b0", brick.address, 0))
+    instance = SimulatedInstance(command_us=SECOND)
+    brick = instance.server(Brick)
+    instance.list(Box("b0", brick.address, 0))
     brick.script = [None]
-    front = w.front()
-    silent, half, drip, good, busy = (w.peer(front.address) for _ in range(5))
+    front = instance.front()
+    silent, half, drip, good, busy = (instance.peer(front.address) for _ in range(5))
     half.say(read_command("h")[:-5])
     good.say(PING)
     busy.say(read_command("b", d=1400) + b"*1")
     for i in range(12):
         drip.say(b"*1\r\n$4\r\nPING"[i : i + 1])
-        w.run(100 * MS)
+        instance.run(100 * MS)
     assert silent.closed
     assert half.closed
     assert drip.closed
     assert not good.closed
     assert busy.got == b""
     assert not busy.closed
-    w.run(200 * MS)
+    instance.run(200 * MS)
     assert busy.got.startswith(b"-BUSY"), "it was owed its answer"
     good.say(PING[:9])
-    w.run(990 * MS)
+    instance.run(990 * MS)
     assert not good.closed, "an established connection has the whole time for each command"
-    w.run(10 * MS)
+    instance.run(10 * MS)
     assert good.closed
 
 
 def test_connection_commands_get_their_fixed_replies() -> None:
-    w = SimulatedInstance()
-    peer = w.peer(w.front().address)
+    instance = SimulatedInstance()
+    peer = instance.peer(instance.front().address)
     assert peer.say(codec.command([b"CLIENT", b"INFO"])) == b"+OK\r\n"
     assert peer.say(codec.command([b"HELLO", b"3"])) == b"-ERR unknown command\r\n"
-    w.run(w.limits.misuse_pause_us)
+    instance.run(instance.limits.misuse_pause_us)
     assert peer.say(b"*0\r\n" + codec.command([b"ping", b"a"])) == b"$1\r\na\r\n"
     assert peer.say(codec.command([b"BLK.READ", b"k"])).startswith(b"-ERR wrong number")
-    w.run(w.limits.misuse_pause_us)
+    instance.run(instance.limits.misuse_pause_us)
     assert peer.say(codec.command([b"QUIT"])) == b"+OK\r\n"
     assert peer.closed
 
--- a/tests/resp/test_front_model.py
+++ b/tests/resp/test_front_model.py
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.core, self.out = FakeRequestEngine(), b""
-        self.machine = ClientMachine(Front(self.core, None, pool(), LIMITS), self.write)  # type: ignore
+        self.machine = ClientMachine(Front(self.core, None, pool(), LIMITS), self.write)  # type: ignore[arg-type]  # no backends
         self.expected: list[tuple[str, bytes | None]] = []
         self.rest, self.over = b"", False
 
--- a/tests/runtime/test_attempt_ends.py
+++ b/tests/runtime/test_attempt_ends.py
@@ -20,19 +20,19 @@
 
 def test_unsolicited_bytes_of_a_backend_are_not_taken_for_the_next_reply() -> None:
     """A second answer, some milliseconds late, lay unread on a kept connection as the next request came."""
-    w = Waiting()
-    w.appear()
-    client = Raw(w, w.listener.address)
+    instance = Waiting()
+    instance.appear()
+    client = Raw(instance, instance.listener.address)
     client.say(read_command("r1"))
-    [[kept]] = w.bricks._idle.values()
+    [[kept]] = instance.bricks._idle.values()
     assert kept._stream
-    w.mute(kept._stream._sock.fileno())
-    w.brick.conns[0].write(b"*3\r\n$5\r\nwrong\r\n$-1\r\n$-1\r\n")
-    w.settle()
+    instance.mute(kept._stream._sock.fileno())
+    instance.brick.conns[0].write(b"*3\r\n$5\r\nwrong\r\n$-1\r\n$-1\r\n")
+    instance.settle()
     client.sock.recv(100)
     client.say(read_command("r2"))
     assert client.sock.recv(100) == b"$0\r\n\r\n"
-    assert w.brick.accepted == 2
+    assert instance.brick.accepted == 2
 
 
 @pytest.mark.parametrize(
@@ -44,45 +44,49 @@
 ) -> None:
     """The window was looked at before the connection was begun, which takes up to 0.25 s."""
     cls = api.ClassSpec("read", 2.0, 0.1, 300 * MS, 1500 * MS, effect, api.DeduplicationScope.ALL, window)
-    w = SimulatedInstance(
+    instance = SimulatedInstance(
         make_settings(parallel_attempts=False, max_attempts=2, instances=1, classes={"read": cls})
     )
-    brick = w.server(Brick)
+    brick = instance.server(Brick)
     brick.script = [None]
-    w.list(Box("b0", brick.address, 0))
-    client = Raw(w, w.front().address)
+    instance.list(Box("b0", brick.address, 0))
+    client = Raw(instance, instance.front().address)
     client.say(read_command(d=1500))
-    w.run(200 * MS)
-    connect_late(w, monkeypatch)
+    instance.run(200 * MS)
+    connect_late(instance, monkeypatch)
     brick.drop()
-    w.run(1200 * MS)
-    assert len(w.core.starts) >= 2, "the module sends it again in time"
+    instance.run(1200 * MS)
+    assert len(instance.core.starts) >= 2, "the module sends it again in time"
     assert len(brick.heard) == 1 + repeats
 
 
 def test_reset_within_a_streamed_reply_is_not_a_complete_reply() -> None:
     """Without a length it ends with its stream; a reset looked like that end."""
-    w = SimulatedInstance()
+    instance = SimulatedInstance()
     listener = socket.create_server(("127.0.0.1", 0))
     stream: list[Stream] = []
     seen: list[bool] = []
 
     def read() -> None:
         address = f"127.0.0.1:{listener.getsockname()[1]}"
-        stream.append(Stream.connect(w.scheduler, address, w.pool, w.limits, w.time + SECOND))
+        stream.append(
+            Stream.connect(
+                instance.scheduler, address, instance.pool, instance.limits, instance.time + SECOND
+            )
+        )
         while stream[0].read(lambda _data: None):
             pass
         seen.append(stream[0].read_failed)
 
     for how in (Raw.abort, Raw.fin):
-        w.scheduler.spawn(read)
-        w.settle()
+        instance.scheduler.spawn(read)
+        instance.settle()
         raw = Raw.__new__(Raw)
         raw.sock = listener.accept()[0]
         raw.sock.sendall(b"HTTP/1.1 200 OK\r\n\r\nhalf")
-        w.settle()
+        instance.settle()
         how(raw)
-        w.settle()
+        instance.settle()
         stream.clear()
     assert seen == [True, False]
     listener.close()
--- a/tests/runtime/test_connection_close.py
+++ b/tests/runtime/test_connection_close.py
@@ -23,12 +23,12 @@
     monkeypatch.setattr(Stream, "quiet", lambda _self: True)
 
 
-def evict(w: Waiting) -> None:
-    w.listener.shed(0)
+def evict(instance: Waiting) -> None:
+    instance.listener.shed(0)
 
 
-def end(w: Waiting) -> None:
-    w.listener.close_idle()
+def end(instance: Waiting) -> None:
+    instance.listener.close_idle()
 
 
 @pytest.mark.parametrize("let_go", [evict, end])
@@ -36,51 +36,51 @@
     let_go: Callable[[Waiting], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Closed with input unread, the connection was reset, and the answer before it could go with that."""
-    w = Waiting()
-    w.appear()
-    w.brick.data[b"k"] = b"x" * 30_000
-    client = Raw(w, w.listener.address)
+    instance = Waiting()
+    instance.appear()
+    instance.brick.data[b"k"] = b"x" * 30_000
+    client = Raw(instance, instance.listener.address)
     client.say(read_command())
-    w.run(3 * SECOND, 100 * MS)
-    [head_end] = w.listener._clients
+    instance.run(3 * SECOND, 100 * MS)
+    [head_end] = instance.listener._clients
     crossing(monkeypatch)
     client.sock.sendall(read_command("r2"))  # not read yet: the head has had no turn since
-    let_go(w)
-    w.settle()
+    let_go(instance)
+    instance.settle()
     assert client.read() == codec.bulk(b"x" * 30_000), "whole, and then an end and no reset"
     client.fin()
-    w.settle()
-    assert len(w.brick.heard) == 1
-    assert len(w.listener) == 0
+    instance.settle()
+    assert len(instance.brick.heard) == 1
+    assert len(instance.listener) == 0
     assert head_end.closing.state is CloseState.CLOSED
 
 
 def test_request_received_before_the_idle_check_is_served() -> None:
-    w = Waiting()
-    w.appear()
-    client = Raw(w, w.listener.address)
+    instance = Waiting()
+    instance.appear()
+    client = Raw(instance, instance.listener.address)
     client.say(read_command())
-    w.run(3 * SECOND, 100 * MS)
+    instance.run(3 * SECOND, 100 * MS)
     client.sock.sendall(read_command("r2"))
-    w.listener.shed(0)
-    w.listener.close_idle()
-    w.settle()
-    assert len(w.brick.heard) == 2, "and then it is let go"
+    instance.listener.shed(0)
+    instance.listener.close_idle()
+    instance.settle()
+    assert len(instance.brick.heard) == 2, "and then it is let go"
     assert client.read() == b"$0\r\n\r\n" * 2, "and then it is let go"
 
 
 def test_clients_that_ignore_the_close_hold_few_descriptors_for_a_bounded_time() -> None:
-    w = SimulatedInstance(client_conns=6, linger_conns=2)
-    front = w.front()
-    stay = [Raw(w, front.address) for _ in range(6)]
-    w.run(w.limits.new_us)
-    late = [Raw(w, front.address) for _ in range(4)]
-    w.run(20 * MS, 10 * MS)
+    instance = SimulatedInstance(client_conns=6, linger_conns=2)
+    front = instance.front()
+    stay = [Raw(instance, front.address) for _ in range(6)]
+    instance.run(instance.limits.new_us)
+    late = [Raw(instance, front.address) for _ in range(4)]
+    instance.run(20 * MS, 10 * MS)
     for client in late:
         client.say(PING)
     assert [client.sock.recv(16) for client in late] == [b"+PONG\r\n"] * 4, "places are free at once"
     assert len(front) <= 6 + 2
-    w.run(w.limits.linger_us)
+    instance.run(instance.limits.linger_us)
     assert len(front) == 6
     assert len(stay) == 6
 
--- a/tests/runtime/test_scheduler.py
+++ b/tests/runtime/test_scheduler.py
@@ -48,7 +48,7 @@
     for i in range(1000):
         scheduler.call_at(10_000 - i, lambda: seen.append(scheduler.now)).cancel()
         if i % 100 == 0:
-            scheduler.call_at(10_000 - i, lambda i=i: seen.append(i))  # type: ignore[misc]
+            scheduler.call_at(10_000 - i, lambda i=i: seen.append(i))  # type: ignore[misc]  # mypy does not type the default
         assert len(scheduler._timers) <= 2 * (i // 100 + 2)
     clock[0] = 10_000
     scheduler.turn(0)
--- a/tests/runtime/test_upstream.py
+++ b/tests/runtime/test_upstream.py
@@ -14,144 +14,144 @@
 
 
 def test_idle_connections_are_reused_and_closed_before_the_backend_closes_them() -> None:
-    w = BrickWorld()
+    instance = BrickWorld()
     for i in range(3):
-        w.client.say(read_command(f"r{i}"))
-    assert len(w.brick.conns) == 1
-    w.run(w.limits.backend_idle_us + w.limits.sweep_us, step_us=500 * MS)
-    assert not w.brick.conns
-    assert w.bricks.count == 0
-    assert w.client.say(read_command("again")) == b"$0\r\n\r\n"
+        instance.client.say(read_command(f"r{i}"))
+    assert len(instance.brick.conns) == 1
+    instance.run(instance.limits.backend_idle_us + instance.limits.sweep_us, step_us=500 * MS)
+    assert not instance.brick.conns
+    assert instance.bricks.count == 0
+    assert instance.client.say(read_command("again")) == b"$0\r\n\r\n"
 
 
 def test_connection_closed_after_its_reply_is_not_reused() -> None:
     """The next request goes out in the turn that brought the answer, before the close has been read."""
-    w = BrickWorld()
-    w.client.say(read_command("r1"))
-    [[idle]] = w.bricks._idle.values()
+    instance = BrickWorld()
+    instance.client.say(read_command("r1"))
+    [[idle]] = instance.bricks._idle.values()
     assert idle._stream
-    w.mute(idle._stream._sock.fileno())
-    w.brick.drop()
-    w.settle()
-    assert w.client.say(read_command("r2")) == b"$0\r\n\r\n"
-    assert w.outcomes() == ["served", "served"]
-    assert w.brick.accepted == 2
+    instance.mute(idle._stream._sock.fileno())
+    instance.brick.drop()
+    instance.settle()
+    assert instance.client.say(read_command("r2")) == b"$0\r\n\r\n"
+    assert instance.outcomes() == ["served", "served"]
+    assert instance.brick.accepted == 2
 
 
 def test_refused_connection_reports_that_the_request_never_ran() -> None:
-    w = BrickWorld()
-    w.brick.listener.stop_accepting()
-    w.client.say(read_command(d=400))
-    assert w.outcomes() == [Outcome.UNREACHABLE.value]
-    w.run(400 * MS)
-    assert w.client.got.startswith(b"-BUSY ")
+    instance = BrickWorld()
+    instance.brick.listener.stop_accepting()
+    instance.client.say(read_command(d=400))
+    assert instance.outcomes() == [Outcome.UNREACHABLE.value]
+    instance.run(400 * MS)
+    assert instance.client.got.startswith(b"-BUSY ")
 
 
 def test_connect_that_never_completes_times_out() -> None:
     # Its listen queue is full: the kernel drops what else comes, as a vanished machine would.
-    w = BrickWorld(backlog=0)
-    full = w.server(Brick)
+    instance = BrickWorld(backlog=0)
+    full = instance.server(Brick)
     assert full.listener._sock
-    w.settle()
-    w.mute(full.listener._sock.fileno())
+    instance.settle()
+    instance.mute(full.listener._sock.fileno())
     for _ in range(3):
-        w.peer(full.address)
-    w.list(Box("b0", full.address, 0))
-    w.client.say(read_command(d=400))
-    assert w.outcomes() == ["out"]
-    w.run(w.limits.dial_us)
-    assert w.outcomes()[0] == Outcome.UNREACHABLE.value
+        instance.peer(full.address)
+    instance.list(Box("b0", full.address, 0))
+    instance.client.say(read_command(d=400))
+    assert instance.outcomes() == ["out"]
+    instance.run(instance.limits.dial_us)
+    assert instance.outcomes()[0] == Outcome.UNREACHABLE.value
 
 
 def test_attempt_stopped_before_connecting_leaves_no_connection(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    w = BrickWorld()
-    start = w.bricks.start
+    instance = BrickWorld()
+    start = instance.bricks.start
 
     def start_and_stop(trial: AttemptHandle) -> None:
         start(trial)
-        w.bricks.stop(trial)
+        instance.bricks.stop(trial)
         trial.finish(Outcome.CANCELLED)
 
-    w.bricks.start = start_and_stop  # type: ignore[method-assign]
-    w.client.say(read_command())
-    assert w.bricks.count == 0
-    assert not w.brick.heard
+    instance.bricks.start = start_and_stop  # type: ignore[method-assign]  # wraps the method for one attempt
+    instance.client.say(read_command())
+    assert instance.bricks.count == 0
+    assert not instance.brick.heard
     assert "task failed" not in caplog.text
 
 
 def test_break_after_the_last_byte_was_sent_reports_may_have_run() -> None:
-    w = BrickWorld()
-    w.brick.script = [None]
-    w.client.say(read_command())
-    w.brick.drop()
-    w.settle()
-    assert w.outcomes() == [Outcome.RESET.value]
+    instance = BrickWorld()
+    instance.brick.script = [None]
+    instance.client.say(read_command())
+    instance.brick.drop()
+    instance.settle()
+    assert instance.outcomes() == [Outcome.RESET.value]
 
 
 def test_break_before_the_last_byte_was_sent_reports_never_ran() -> None:
-    w = BrickWorld(buffer_bytes=4096, unsent_bytes=1 << 24, value_bytes=1 << 23)
-    w.client.say(read_command())
-    brick_side = next(iter(w.brick.listener._clients))
-    w.mute(brick_side.stream._sock.fileno())  # the brick reads nothing more
+    instance = BrickWorld(buffer_bytes=4096, unsent_bytes=1 << 24, value_bytes=1 << 23)
+    instance.client.say(read_command())
+    brick_side = next(iter(instance.brick.listener._clients))
+    instance.mute(brick_side.stream._sock.fileno())  # the brick reads nothing more
     body = b"x" * (7 << 20)  # more than the kernel takes
-    w.client.say(read_command("big", verb="BLK.WRITE", d=1400, body=body))
-    assert w.outcomes() == ["served", "out"]
+    instance.client.say(read_command("big", verb="BLK.WRITE", d=1400, body=body))
+    assert instance.outcomes() == ["served", "out"]
     brick_side.stream.close()
-    w.settle()
-    assert w.outcomes()[1] == Outcome.UNREACHABLE.value
+    instance.settle()
+    assert instance.outcomes()[1] == Outcome.UNREACHABLE.value
 
 
 def test_timeout_closes_the_connection_before_anything_else_is_sent() -> None:
-    w = BrickWorld()
-    w.brick.script = [None]
-    w.client.say(read_command(d=300))
-    w.run(300 * MS)
-    assert not w.brick.conns
-    assert w.client.got.startswith(b"-BUSY")
-    assert w.client.say(read_command("next")) == b"$0\r\n\r\n"
+    instance = BrickWorld()
+    instance.brick.script = [None]
+    instance.client.say(read_command(d=300))
+    instance.run(300 * MS)
+    assert not instance.brick.conns
+    assert instance.client.got.startswith(b"-BUSY")
+    assert instance.client.say(read_command("next")) == b"$0\r\n\r\n"
 
 
 @pytest.mark.parametrize("noise", [b"+OK\r\n+OK\r\n", b"?"])
 def test_protocol_violation_closes_the_backend_connection(noise: bytes) -> None:
-    w = BrickWorld()
-    w.client.say(read_command())
-    w.brick.conns[0].write(noise)
-    w.settle()
-    assert not w.brick.conns
-    assert w.client.say(read_command("next")) == b"$0\r\n\r\n"
+    instance = BrickWorld()
+    instance.client.say(read_command())
+    instance.brick.conns[0].write(noise)
+    instance.settle()
+    assert not instance.brick.conns
+    assert instance.client.say(read_command("next")) == b"$0\r\n\r\n"
 
 
 def test_connections_are_bounded_per_backend_and_in_total() -> None:
-    w = BrickWorld(conns_per_backend=2, backend_conns=3)
-    other = w.server(Brick)
-    w.list(Box("b0", w.brick.address, 0), Box("b1", other.address, 1))
-    w.brick.script = [None] * 9
-    w.client.say(b"".join(read_command(f"r{i}", volume=f"v{i}") for i in range(3)))
-    assert w.outcomes().count("out") == 2
-    assert Outcome.UNREACHABLE.value in w.outcomes()
-    w.client.say(read_command("o", cell=1))
-    assert w.bricks.count == 3
+    instance = BrickWorld(conns_per_backend=2, backend_conns=3)
+    other = instance.server(Brick)
+    instance.list(Box("b0", instance.brick.address, 0), Box("b1", other.address, 1))
+    instance.brick.script = [None] * 9
+    instance.client.say(b"".join(read_command(f"r{i}", volume=f"v{i}") for i in range(3)))
+    assert instance.outcomes().count("out") == 2
+    assert Outcome.UNREACHABLE.value in instance.outcomes()
+    instance.client.say(read_command("o", cell=1))
+    assert instance.bricks.count == 3
     assert len(other.conns) == 1
-    third = w.server(Brick)
-    w.list(Box("b0", w.brick.address, 0), Box("b2", third.address, 2))
-    w.client.say(read_command("p", cell=2))
+    third = instance.server(Brick)
+    instance.list(Box("b0", instance.brick.address, 0), Box("b2", third.address, 2))
+    instance.client.say(read_command("p", cell=2))
     assert len(third.conns) == 1, "the connection idle longest made room"
     assert not other.conns, "the connection idle longest made room"
 
 
 def test_backend_that_moves_while_connecting_is_not_sent_the_request() -> None:
-    w = BrickWorld()
-    moved = w.server(Brick)
-    assert w.client.stream
-    w.client.stream.write(read_command(d=900))
-    while not w.core.starts:
-        w.scheduler.turn(1)
-    w.core.endpoints._addresses["b0"] = moved.address
-    w.settle()
-    assert not w.brick.heard
-    assert w.outcomes() == [Outcome.UNREACHABLE.value]
-    w.run(200 * MS)
+    instance = BrickWorld()
+    moved = instance.server(Brick)
+    assert instance.client.stream
+    instance.client.stream.write(read_command(d=900))
+    while not instance.core.starts:
+        instance.scheduler.turn(1)
+    instance.core.endpoints._addresses["b0"] = moved.address
+    instance.settle()
+    assert not instance.brick.heard
+    assert instance.outcomes() == [Outcome.UNREACHABLE.value]
+    instance.run(200 * MS)
     assert len(moved.heard) == 1
-    assert w.client.got == b"$0\r\n\r\n"
+    assert instance.client.got == b"$0\r\n\r\n"
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -103,7 +103,7 @@
 
 
 def logged_reason(caplog: pytest.LogCaptureFixture) -> str:
-    return str(caplog.records[-1].kv["why"])  # type: ignore[attr-defined]
+    return str(caplog.records[-1].kv["why"])  # type: ignore[attr-defined]  # logs.py adds `kv`
 
 
 def test_follower_accepts_a_greater_epoch_and_rejects_stale_and_foreign_writers(
--- a/tests/support/decision_bench.py
+++ b/tests/support/decision_bench.py
@@ -15,6 +15,7 @@
 
 
 def make_settings(**changes: object) -> api.Settings:
+    """Settings of three instances, two classes and two plans, with `changes` on top."""
     base: dict[str, object] = dict(
         instances=3,
         instance_id=0,
@@ -41,15 +42,16 @@
         idle_value_share=0.05,
         max_units=6.0,
     )
-    return api.Settings(**(base | changes))  # type: ignore[arg-type]
+    return api.Settings(**(base | changes))  # type: ignore[arg-type]  # fields by name
 
 
 def up_endpoint(node: str, cell: int, started: int = 0, zone: str = "z") -> api.Endpoint:
+    """An endpoint that is UP; `started` is its start in microseconds, 0 when unknown."""
     return api.Endpoint(node, cell, zone, api.EndpointState.UP, started)
 
 
 class DecisionBench:
-    """One host on a fake clock; keeps every action with its time."""
+    """One Controller on a simulated clock; it keeps every action with its time."""
 
     def __init__(self, config: api.Settings, entries: list[api.Endpoint], seed: int = 1) -> None:
         self.c = Controller(config, seed)
@@ -59,13 +61,14 @@
         self.tell(api.EndpointListUpdate(tuple(entries), whole=True, at_start=True))
 
     def tell(self, *events: api.Event) -> list[api.Action]:
+        """Give the controller events at the present time and return its actions."""
         actions = self.c.handle(self.now, list(events))
         self.log += [(self.now, a) for a in actions]
         self.wakes += [self.now + a.span_us for a in actions if isinstance(a, api.WakeAfter)]
         return actions
 
     def run(self, span_us: int) -> list[api.Action]:
-        """Lets time pass, waking the host whenever it asked for it."""
+        """Let time pass, with a timer event whenever the controller asked for one; return the actions."""
         end, seen = self.now + span_us, len(self.log)
         while self.wakes and min(self.wakes) <= end:
             self.now = max(self.now, min(self.wakes))
@@ -86,6 +89,7 @@
         hosts: int = 1,
         patience: int | None = None,
     ) -> list[api.Action]:
+        """A request arrives; `patience` is its deadline from now in microseconds, else that of its class."""
         spec = self.c.settings.classes[cls]
         return self.tell(
             api.Arrival(
@@ -102,15 +106,19 @@
         over: bool | None = None,
         used: int = 0,
     ) -> list[api.Action]:
+        """An attempt of the request ends; `over` says whether its outcome is final."""
         over = outcome is api.Outcome.SERVED if over is None else over
         return self.tell(api.Result(name, attempt, "", outcome, took, over, used))
 
     def sends(self, name: str | None = None) -> list[api.Send]:
+        """What was sent so far, of one request or of all."""
         return [a for _, a in self.log if isinstance(a, api.Send) and name in (None, a.request)]
 
     def answers(self, name: str) -> list[api.Action]:
+        """The rejections and failures that the request was answered with."""
         return [a for _, a in self.log if isinstance(a, api.Reject | api.Fail) and a.request == name]
 
 
 def sent_requests(actions: list[api.Action]) -> list[str]:
+    """The requests that these actions send, in their order."""
     return [a.request for a in actions if isinstance(a, api.Send)]
--- a/tests/support/departures.py
+++ b/tests/support/departures.py
@@ -76,12 +76,12 @@
         self.list(Box("b0", self.brick.address, 0), whole=False)
 
 
-def connect_late(w: SimulatedInstance, monkeypatch: pytest.MonkeyPatch) -> None:
+def connect_late(instance: SimulatedInstance, monkeypatch: pytest.MonkeyPatch) -> None:
     """From now on a connection takes 0.2 s to come up."""
     connect = Stream.connect
 
     def late(_cls: type[Stream], *args: Any) -> Stream:
-        w.scheduler.sleep(200 * MS)
+        instance.scheduler.sleep(200 * MS)
         return connect(*args)
 
     monkeypatch.setattr(Stream, "connect", classmethod(late))
--- a/tests/support/ninep_changes.py
+++ b/tests/support/ninep_changes.py
@@ -35,8 +35,8 @@
 def rw(
     client: str = PLAIN, server: str = PLAIN, servers: int = 1, **more: object
 ) -> tuple[NinepInstance, NinepClient]:
-    w = NinepInstance(servers, access="rw", offer=server, **more)  # type: ignore[arg-type]
-    return w, NinepClient(w, version=client)
+    instance = NinepInstance(servers, access="rw", offer=server, **more)  # type: ignore[arg-type]  # settings by name
+    return instance, NinepClient(instance, version=client)
 
 
 def create(tool: NinepClient, fid: int, name: str, perm: int = 0o644, mode: int = p9.ORDWR) -> p9.Message:
--- a/tests/support/ninep_instance.py
+++ b/tests/support/ninep_instance.py
@@ -32,7 +32,7 @@
 
 
 class NinepClient(LoopbackClient):
-    """An editing tool: speaks 9P and knows which answers it still waits for."""
+    """A 9P client in either dialect; it keeps every reply with its tag."""
 
     def __init__(
         self,
@@ -56,25 +56,29 @@
             assert isinstance(self.ask(hello), p9.Rattach)
 
     def _feed(self, data: memoryview) -> None:
-        self.answers += self._framer.feed(data)  # type: ignore[arg-type]
+        self.answers += self._framer.feed(data)  # type: ignore[arg-type]  # replies are not malformed here
 
     def send(self, message: p9.Message, tag: int = 1) -> list[tuple[int, p9.Message]]:
+        """Send a message and return the replies that arrived, with their tags."""
         before = len(self.answers)
         self._framer.among = codec_linux.LINUX if self.linux else p9.PLAIN
         self.say(p9.encode(tag, message))
         return self.answers[before:]
 
     def ask(self, message: p9.Message, tag: int = 1) -> p9.Message:
+        """Send a message and return its one reply."""
         [(answered, reply)] = self.send(message, tag)
         assert answered == tag
         return reply
 
     def walk(self, fid: int, *names: str) -> None:
+        """Walk from the root to a new fid; every step must succeed."""
         walked = self.ask(p9.Twalk(0, fid, names))
         assert isinstance(walked, p9.Rwalk)
         assert len(walked.qids) == len(names)
 
     def open(self, fid: int, *names: str, mode: int = p9.OREAD) -> None:
+        """Walk to a file and open it."""
         self.walk(fid, *names)
         if self.linux:
             assert isinstance(self.ask(codec_linux.Tlopen(fid, mode)), codec_linux.Rlopen)
@@ -121,24 +125,28 @@
         self.list(self.boxes[0])
 
     def drained(self, index: int) -> None:
+        """List the server as draining."""
         self.boxes[index].state = "DRAINING"
         self.list(self.boxes[index], whole=False)
 
     def hold(self, kind: type[p9.Message], server: int = 0) -> None:
+        """Have the server withhold its replies to messages of this kind."""
         self.files[server].hold = lambda m: isinstance(m, kind)
 
 
 def received_messages(world: NinepInstance, kind: type[p9.Message], server: int = 0) -> list[Any]:
+    """The messages of this kind that the server has received."""
     return [m for m in world.files[server].heard if isinstance(m, kind)]
 
 
 def error_text(reply: p9.Message) -> str:
+    """The text of an error reply; any other reply fails the test."""
     assert isinstance(reply, p9.Rerror), reply
     return reply.ename
 
 
 class SimulatedWire:
-    """A conformance suite's way into a world: its waiting moves the clock."""
+    """The conformance suite's connection to a simulated instance: waiting advances the simulated clock."""
 
     def __init__(self, world: SimulatedInstance, address: str) -> None:
         self._world, self._peer, self._had = world, LoopbackClient(world, address, settle=False), 0
@@ -174,7 +182,7 @@
 
 
 def run_beside(world: NinepInstance, body: Callable[[], None]) -> None:
-    """Runs a client that blocks in a thread of its own, while the world turns here."""
+    """Run a blocking client in a thread of its own while the event loop runs here."""
     failed: list[BaseException] = []
 
     def run() -> None:
--- a/tests/support/simulated_instance.py
+++ b/tests/support/simulated_instance.py
@@ -30,7 +30,7 @@
 
 
 class CheckedBackend:
-    """Checks the rules at each attempt's start, whatever the protocol behind it."""
+    """A backend that checks the rules when an attempt starts, whatever the protocol behind it."""
 
     def __init__(self, inner: Backend, core: CheckedRequestEngine) -> None:
         self.inner, self.core = inner, core
@@ -54,7 +54,7 @@
 
 
 class CheckedRequestEngine(RequestEngine):
-    """A core that fails a test when it breaks a rule."""
+    """A request engine that fails the test when it breaks a rule, such as a second final answer."""
 
     starts: list[Attempt]
     finals: list[list[Answer]]
@@ -72,7 +72,7 @@
 
 
 class FakeRequestEngine:
-    """Takes items from a front and answers when told to."""
+    """Stands in for the engine behind a front: records requests, and the test answers them."""
 
     def __init__(self) -> None:
         self.items: dict[str, tuple[RequestSpec, ResponseCallback]] = {}
@@ -94,7 +94,7 @@
 
 
 class SimulatedInstance:
-    """A head's parts on a clock that moves only when a test moves it. One world at a time is open."""
+    """An instance's parts on a clock that only the test advances. One is open at a time."""
 
     _open: SimulatedInstance | None = None
 
@@ -122,9 +122,11 @@
             SimulatedInstance._open = None
 
     def server(self, kind: type[S], **more: Any) -> S:
+        """Start a stand-in server of this kind on the simulated clock."""
         return kind(self.scheduler, self.pool, self.limits, **more)
 
     def front(self) -> Listener:
+        """Start a listener for RESP clients."""
         front = resp_front.Front(self.core, self.bricks, self.pool, self.limits)
         return Listener(
             self.scheduler,
@@ -136,17 +138,19 @@
         )
 
     def list(self, *boxes: Box, whole: bool = True) -> None:
+        """Deliver an endpoint list, or a change to it where `whole` is false."""
         data = {"generation": 1, "reset": whole, "instances": [b.entry() for b in boxes]}
         self.core.update_endpoints(read_list(data, lambda us: us, at_start=whole)[1])
         self.settle()
 
     def settle(self) -> None:
-        """Until nothing moves any more; loopback sockets have then said all they had to say."""
+        """Run the event loop until three iterations in a row find nothing to do on the loopback sockets."""
         quiet = 0
         while quiet < 3:
             quiet = 0 if self.scheduler.turn(1) else quiet + 1
 
     def run(self, span_us: int, step_us: int = 10 * MS) -> None:
+        """Let simulated time pass in steps; sockets are quiet after each."""
         end = self.time + span_us
         self.settle()
         while self.time < end:
@@ -154,16 +158,17 @@
             self.settle()
 
     def mute(self, fd: int) -> None:
-        """Whoever waits on the descriptor never hears of it again."""
+        """Stop delivering readiness of this descriptor to the task that waits for it."""
         self.scheduler._waits[fd].clear()
         self.scheduler._register(fd)
 
     def peer(self, address: str) -> LoopbackClient:
+        """Connect a client."""
         return LoopbackClient(self, address)
 
 
 class LoopbackClient:
-    """A client's end of a connection: what it got, and whether the other side has closed."""
+    """A client's end of a connection: the bytes received, and whether the other side has closed."""
 
     def __init__(self, world: SimulatedInstance, address: str, settle: bool = True) -> None:
         self.world, self.got, self.closed = world, b"", False
@@ -190,7 +195,7 @@
         self.got += bytes(data)
 
     def say(self, data: bytes) -> bytes:
-        """Sends, and gives back what came in answer once all is quiet."""
+        """Send bytes and return what was received in reply once nothing moves any more."""
         assert self.stream
         before = len(self.got)
         self.stream.write(data)
@@ -198,6 +203,7 @@
         return self.got[before:]
 
     def close(self) -> None:
+        """Close the connection, and let the instance notice."""
         assert self.stream
         self.stream.close()
         self.world.settle()
@@ -213,6 +219,7 @@
     verb: str = "BLK.READ",
     body: bytes | None = None,
 ) -> bytes:
+    """A read or write command in RESP; `d` is the deadline in milliseconds."""
     words = [
         verb.encode(),
         key.encode(),
