--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -26,14 +26,14 @@
 
 
 @given(MESSAGES)
-def test_what_is_told_is_heard_and_fits(message: LeaseMessage) -> None:
+def test_lease_message_is_decoded_as_encoded_and_fits(message: LeaseMessage) -> None:
     data = codec.encode_leases(message)
     assert len(data) <= LIMITS.datagram_bytes
     assert codec.decode_leases(data, LIMITS.datagram_bytes) == message
 
 
 @given(MESSAGES, st.data())
-def test_torn_and_spoilt_messages_are_told_from_whole_ones(
+def test_cut_changed_and_lengthened_datagrams_are_rejected(
     message: LeaseMessage, data: st.DataObject
 ) -> None:
     whole = codec.encode_leases(message)
@@ -48,7 +48,7 @@
     st.dictionaries(NAMES, st.builds(codec.Ask, SHARES, st.integers(1, 255)), max_size=300),
     st.dictionaries(NAMES, SHARES, max_size=300),
 )
-def test_pages_hold_everything_once_and_fit(asks: dict[int, codec.Ask], grants: dict[int, float]) -> None:
+def test_pages_hold_every_entry_once_and_fit(asks: dict[int, codec.Ask], grants: dict[int, float]) -> None:
     pages = list(codec.paginate(asks, grants, LIMITS.datagram_bytes))
     assert [a for p in pages for a in p[0].items()] == list(asks.items())
     assert [g for p in pages for g in p[1].items()] == list(grants.items())
--- a/tests/peers/test_gossip_message.py
+++ b/tests/peers/test_gossip_message.py
@@ -56,7 +56,9 @@
         max_size=8,
     ),
 )
-def test_what_fits_is_read_back_and_torn_bytes_are_refused(seen: list[Any], said: list[Any]) -> None:
+def test_gossip_that_fits_is_decoded_as_encoded_and_cut_bytes_are_rejected(
+    seen: list[Any], said: list[Any]
+) -> None:
     evidence, records = [Evidence(*e) for e in seen], [DisableRecord(*r) for r in said]
     some, more = fit(evidence, records, LIMITS.datagram_bytes)
     told = GossipMessage(b"digest 8", tuple(evidence[:some]), tuple(records[:more]))
@@ -71,7 +73,7 @@
             read(replace(e, body=body))
 
 
-def test_forged_words_are_counted_by_cause() -> None:
+def test_forged_gossip_is_counted_by_cause() -> None:
     f = GossipingInstances()
     f.run(10)
     good = to_envelope(GossipMessage(EMPTY_DIGEST, (make_evidence(),)), 1, 999, 0, 0)
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -34,7 +34,7 @@
 # The table
 
 
-def test_tables_of_heads_merge_to_the_same_one_in_any_order() -> None:
+def test_records_merge_to_the_same_table_in_any_order() -> None:
     words = [
         InstanceRecord(1, 5, False, at(1)),
         InstanceRecord(1, 5, True, at(1)),
@@ -52,7 +52,7 @@
     assert len(digests) == 1
 
 
-def test_a_head_uses_nothing_until_all_that_it_knows_have_its_record() -> None:
+def test_instance_has_no_share_until_all_that_it_knows_have_its_record() -> None:
     a, b, new = one(0), one(1), one(2)
     for x, y in ((a, b), (b, a)):
         x.merge(y.records.values())
@@ -83,7 +83,7 @@
     assert len(a.extra_receivers(0)) == 2, "no seed has been heard"
 
 
-def test_a_head_that_is_put_out_or_replaced_stands_back_and_an_earlier_life_of_it_does_not_matter() -> None:
+def test_terminated_or_replaced_instance_is_fenced_and_its_earlier_incarnation_is_not() -> None:
     alone = one(0, seeds=1)
     alone.update_joined(LIMITS.bootstrap_us)
     assert alone.joined
@@ -101,7 +101,7 @@
     assert other.rows(0)[0].as_json()["part"] == 0.0
 
 
-def test_who_is_not_heard_is_suspect_and_keeps_its_part() -> None:
+def test_unresponsive_instance_is_suspect_and_keeps_its_share() -> None:
     a = one(0, seeds=1)
     a.merge([InstanceRecord(n, 1, False, at(n)) for n in range(1, 9)])
     a.update_joined(LIMITS.bootstrap_us)
@@ -117,7 +117,7 @@
 
 
 @given(st.integers(2, 300), st.integers(0, 20), st.integers(0, 500))
-def test_a_round_has_a_bounded_cost_and_everybody_has_a_turn(heads: int, partners: int, me: int) -> None:
+def test_round_has_a_bounded_cost_and_every_peer_has_a_turn(heads: int, partners: int, me: int) -> None:
     turns, others = GossipSchedule(LIMITS, me), set(range(1, heads))
     seen: set[int] = set()
     for _ in range(-(-heads // LIMITS.fanout)):
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("name", NETS)
-def test_even_parts_of_a_group_that_changes_never_add_up_to_more_than_the_whole(name: str) -> None:
+def test_even_shares_of_a_changing_group_never_exceed_the_whole(name: str) -> None:
     for seed in range(15):
         seen = GroupSimulation(replace(NETS[name], seed=seed)).run()
         assert (
@@ -186,7 +186,7 @@
 
 
 @pytest.mark.parametrize("bug", GROUP_BUGS)
-def test_a_bug_put_into_membership_on_purpose_is_found(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_seeded_bug_in_membership_is_found_by_simulation(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
     name, instead = GROUP_BUGS[bug]
     monkeypatch.setattr(Membership, name, instead)
     nets = [*NETS.values(), GroupScenario(seeds=1, events=20), GroupScenario(instances=4, seeds=2, events=40)]
@@ -197,7 +197,7 @@
     raise AssertionError("no seed shows it")
 
 
-def test_no_course_of_a_small_group_makes_its_even_parts_more_than_the_whole() -> None:
+def test_no_course_of_a_small_group_makes_even_shares_exceed_the_whole() -> None:
     found = explore(Scope(moves=6))
     assert found.is_complete
     assert found.states > 2000
@@ -207,16 +207,16 @@
 
 
 @pytest.mark.parametrize("bug", ["a newcomer uses its part at once", "only who is heard counts"])
-def test_some_course_of_a_small_group_shows_a_bug(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_seeded_bug_in_membership_is_found_by_exploration(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
     name, instead = GROUP_BUGS[bug]
     monkeypatch.setattr(Membership, name, instead)
     assert explore(Scope(seeds=1, moves=9)).max_share_sum > 1.1
 
 
-def test_a_head_that_does_not_act_has_no_part_until_it_acts_again() -> None:
+def test_suspended_instance_has_no_share_until_it_resumes() -> None:
     """In a group that it has joined, its part of the budgets came back with the next message."""
     group = MembershipProtocol(LIMITS, one(0, seeds=1))
-    talk = PeerCoordinator(
+    coordinator = PeerCoordinator(
         Controller(COLD, 1),
         incarnation=1,
         subsystems=PeerSubsystems(
@@ -224,21 +224,21 @@
         ),
     )
     now = T0
-    talk.handle(now, [])
+    coordinator.handle(now, [])
     group.update_joined(now + LIMITS.bootstrap_us)
-    talk.handle(now, [])
-    budgets = talk.budgets
+    coordinator.handle(now, [])
+    budgets = coordinator.budgets
     assert group.members.joined
     assert budgets
     assert budgets.leases.resumes_at is not None
-    talk.set_suspended(True, now)
-    talk.handle(now + SECOND, [])
-    talk.activate(now + SECOND)
-    talk.handle(now + SECOND, [])
+    coordinator.set_suspended(True, now)
+    coordinator.handle(now + SECOND, [])
+    coordinator.activate(now + SECOND)
+    coordinator.handle(now + SECOND, [])
     assert budgets.leases.resumes_at is None
-    assert talk.leases
-    assert talk.leases.resumes_at is None
-    talk.set_suspended(False, now + SECOND)
-    talk.handle(now + SECOND, [])
+    assert coordinator.leases
+    assert coordinator.leases.resumes_at is None
+    coordinator.set_suspended(False, now + SECOND)
+    coordinator.handle(now + SECOND, [])
     assert budgets.leases.resumes_at is not None, "as after a start"
-    assert talk.leases.resumes_at is not None, "as after a start"
+    assert coordinator.leases.resumes_at is not None, "as after a start"
--- a/tests/peers/test_membership_message.py
+++ b/tests/peers/test_membership_message.py
@@ -24,7 +24,7 @@
 
 
 @given(st.binary(min_size=8, max_size=8), st.lists(RECORDS, min_size=1, max_size=8), st.booleans())
-def test_words_about_heads_are_heard_as_told_and_fit(
+def test_membership_message_is_decoded_as_encoded_and_fits(
     digest: bytes, records: list[InstanceRecord], joined: bool
 ) -> None:
     pages = membership_message.paginate(records, LIMITS.datagram_bytes, 9)
@@ -38,7 +38,7 @@
 
 
 @given(st.binary(max_size=60), st.tuples(st.integers(0, 5), st.integers(0, 3)))
-def test_words_about_heads_that_make_no_sense_are_bad(body: bytes, counts: tuple[int, int]) -> None:
+def test_arbitrary_membership_body_is_decoded_whole_or_rejected(body: bytes, counts: tuple[int, int]) -> None:
     e = codec.Envelope(codec.MessageKind.MEMBERSHIP, 1, 1, 0, 0, counts, body)
     try:
         told = membership_message.read(e)
--- a/tests/peers/test_setup.py
+++ b/tests/peers/test_setup.py
@@ -15,22 +15,30 @@
 @pytest.mark.parametrize(
     ("data", "key"),
     [
-        ({"budgets": 1}, "key fleet.budgets"),
-        ({"server_connections": 9}, "server_connections: only with"),
-        ({"seeds": "x"}, "key fleet.seeds: expected a list"),
-        ({"seeds": ["nowhere"]}, "key fleet.seeds.0"),
-        ({"seeds": ["host:7"]}, "names no machine by number"),
-        ({"advertise": "127.0.0.1:7"}, "key fleet.advertise: only with seeds"),
-        ({"other": 1}, "key fleet.other"),
-        ({"seeds": ["127.0.0.1:7"], "routes": {"127.0.0.1:7": 5}}, "key fleet.routes.127.0.0.1:7"),
+        pytest.param({"budgets": 1}, "key fleet.budgets", id="number for a flag"),
+        pytest.param(
+            {"server_connections": 9}, "server_connections: only with", id="connections without budgets"
+        ),
+        pytest.param({"seeds": "x"}, "key fleet.seeds: expected a list", id="seeds no list"),
+        pytest.param({"seeds": ["nowhere"]}, "key fleet.seeds.0", id="seed without port"),
+        pytest.param({"seeds": ["host:7"]}, "names no machine by number", id="seed by name"),
+        pytest.param(
+            {"advertise": "127.0.0.1:7"}, "key fleet.advertise: only with seeds", id="advertise without seeds"
+        ),
+        pytest.param({"other": 1}, "key fleet.other", id="unknown key"),
+        pytest.param(
+            {"seeds": ["127.0.0.1:7"], "routes": {"127.0.0.1:7": 5}},
+            "key fleet.routes.127.0.0.1:7",
+            id="number for a route",
+        ),
     ],
 )
-def test_a_fault_in_the_operators_section_names_its_key(data: dict[str, Any], key: str) -> None:
+def test_invalid_fleet_setting_names_its_key(data: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
         read_fleet(data)
 
 
-def test_the_operators_section_is_read() -> None:
+def test_fleet_section_is_read_with_defaults() -> None:
     assert read_fleet({}) == FleetSetup()
     routes = {"127.0.0.1:7": "127.0.0.2:8"}
     told = read_fleet({"seeds": ["127.0.0.1:7"], "advertise": "[::1]:9", "routes": routes})
