--- a/garnetlanding/emulator/files_plain.py
+++ b/garnetlanding/emulator/files_plain.py
@@ -93,7 +93,7 @@
             raise DiskError(errors.EINVAL, "bad stat") from None
         disk, node = conn.server.disk, at.node
         wanted = raw_changes(raw)
-        self._no_odd(conn, at, raw, wanted.odd)
+        self._no_odd(conn, at, raw, wanted.unchangeable)
         owner = at.user in (node.uid, "root")
         if wanted.flags is not None and bool(wanted.flags & DMDIR) != node.is_dir:
             raise DiskError(errors.EINVAL, "wstat cannot make a file a directory, or the reverse")
@@ -116,7 +116,7 @@
             disk.truncate(node, wanted.length, at.user)
         if wanted.mtime is not None:
             node.mtime = Time(wanted.mtime.s)
-        if replace(wanted, odd=()) != type(wanted)():
+        if replace(wanted, unchangeable=()) != type(wanted)():
             disk.ran.append(("wstat", node.number, wanted))
 
     @staticmethod
--- a/garnetlanding/emulator/fileserver.py
+++ b/garnetlanding/emulator/fileserver.py
@@ -210,7 +210,7 @@
         self.msize = min(message.msize, self.server.msize)
         self.dialect = self.server.dialects[version] if version else None
         self._framer.most = self.msize
-        self._framer.among = self.dialect.table if self.dialect else p9.PLAIN
+        self._framer.table = self.dialect.table if self.dialect else p9.PLAIN
         return p9.Rversion(self.msize, version or "unknown")
 
     def reset(self) -> None:
--- a/garnetlanding/ninep/client.py
+++ b/garnetlanding/ninep/client.py
@@ -11,7 +11,7 @@
 from garnetlanding.ninep import codec, codec_linux
 from garnetlanding.ninep.client_dialect import may_change
 from garnetlanding.ninep.operations import Read, ReadDirectory, Work, Write
-from garnetlanding.ninep.session import Session, Steps, tidy_up
+from garnetlanding.ninep.session import Session, Steps, clunk_surplus_fids
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.errors import BackendProtocolError
 from garnetlanding.runtime.scheduler import Scheduler
@@ -39,7 +39,7 @@
     ) -> None:
         self._write, self._done = write, done
         self._session = Session(
-            work.who, limits.ninep_msize, limits.ninep_msize_min, limits.ninep_keep_open, offer
+            work.identity, limits.ninep_msize, limits.ninep_msize_min, limits.ninep_keep_open, offer
         )
         self._framer = codec.Framer(pool, limits.ninep_msize)
         self._trial: AttemptHandle | None = None
@@ -50,10 +50,10 @@
         self.exposed = False
         self.body = None  # what file servers send is bounded by msize
 
-    def begin(self, trial: AttemptHandle) -> None:
-        self._trial, self._work = trial, trial.work
+    def begin(self, attempt: AttemptHandle) -> None:
+        self._trial, self._work = attempt, attempt.work
         self.exposed = False
-        self._program = trial.work.program(self._session)
+        self._program = attempt.work.program(self._session)
         self._step(None)
 
     def _step(self, reply: codec.Message | None) -> None:
@@ -68,7 +68,7 @@
         if self._trial and self._trial.address() is None:
             raise BackendProtocolError("server drains")
         self._expose(message)
-        self._framer.among = self._session.among
+        self._framer.table = self._session.table
         self._write(codec.encode(codec.NOTAG if isinstance(message, codec.Tversion) else TAG, message))
 
     def _expose(self, message: codec.Message) -> None:
@@ -83,24 +83,24 @@
     def _end(self, answer: object) -> None:
         """The attempt has its end, and the connection is free: what it leaves open serves the next one, which
         another connection might not be allowed to open. Clunks of the rest go out behind it."""
-        trial, self._trial = self._trial, None
-        if trial:
-            work: Work = trial.work
+        attempt, self._trial = self._trial, None
+        if attempt:
+            work: Work = attempt.work
             if work.spec.change and self.exposed:
                 work.trace.unsure -= 1
             self._work = None
-            if self._session.free_first:
-                self._program = tidy_up(self._session)
-                trial.finish(Outcome.SERVED, answer)
+            if self._session.clunk_before_next:
+                self._program = clunk_surplus_fids(self._session)
+                attempt.finish(Outcome.SERVED, answer)
                 return self._step(None)
-            trial.finish(Outcome.SERVED, answer)
+            attempt.finish(Outcome.SERVED, answer)
         self._program = None
         self._clunk()
         self._done()
 
     def _clunk(self) -> None:
-        tidy, self._session.tidy = self._session.tidy, []
-        for fid in tidy:
+        surplus_fids, self._session.surplus_fids = self._session.surplus_fids, []
+        for fid in surplus_fids:
             tag = self._next_clunk
             self._next_clunk = tag + 1 if tag + 1 in CLUNK_TAGS else CLUNK_TAGS[0]
             self._clunks.add(tag)
@@ -124,9 +124,12 @@
     def midway(self) -> bool:
         return self._framer.midway
 
-    def suits(self, trial: AttemptHandle) -> bool:
-        work = trial.work
-        return isinstance(work, Read | ReadDirectory | Write) and (work.path, work.how) in self._session.open
+    def suits(self, attempt: AttemptHandle) -> bool:
+        work = attempt.work
+        return (
+            isinstance(work, Read | ReadDirectory | Write)
+            and (work.path, work.open_mode) in self._session.open
+        )
 
     def close(self) -> None:
         self._framer.close()
@@ -141,12 +144,17 @@
     def place(endpoint: str) -> str:
         return f"{parse_address(endpoint)[0]}:{port}" if port else endpoint
 
+    def identity_key(attempt: AttemptHandle) -> str:
+        """A connection is attached as one user to one tree; only attempts of the same may share it."""
+        identity = attempt.work.identity
+        return f"{identity.uname}\0{identity.n_uname}\0{identity.aname}"
+
     return Upstream(
         scheduler,
         pool,
         limits,
         limits.ninep_server_conns,
-        lambda trial, write, done: ServerMachine(trial.work, pool, limits, OFFERS[dialect], write, done),
+        lambda attempt, write, done: ServerMachine(attempt.work, pool, limits, OFFERS[dialect], write, done),
         place,
-        lambda trial: f"{trial.work.who.uname}\0{trial.work.who.n_uname}\0{trial.work.who.aname}",
+        identity_key,
     )
--- a/garnetlanding/ninep/client_dialect.py
+++ b/garnetlanding/ninep/client_dialect.py
@@ -11,10 +11,10 @@
 from garnetlanding.ninep.codec import Message, Qid
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.model import Attr, Changes, Entry, Path, Space
-from garnetlanding.ninep.session import How, OpenFile, OperationFailedError, Session, Steps, Who
+from garnetlanding.ninep.session import Identity, OpenFile, OpenMode, OperationFailedError, Session, Steps
 
 
-def cannot(what: str, dialect: str) -> OperationFailedError:
+def unsupported(what: str, dialect: str) -> OperationFailedError:
     words = f"operation not supported: {what} cannot be expressed in {dialect}"
     return OperationFailedError(Problem(errors.EOPNOTSUPP, words))
 
@@ -23,11 +23,13 @@
     version: str
     table: codec.Table
 
-    def attach(self, fid: int, who: Who) -> Message: ...
+    def attach(self, fid: int, identity: Identity) -> Message: ...
 
-    def open(self, session: Session, fid: int, how: How, truncate: bool) -> Steps[OpenFile]: ...
+    def open(self, session: Session, fid: int, open_mode: OpenMode, truncate: bool) -> Steps[OpenFile]: ...
 
-    def create(self, session: Session, parent: Path, name: str, new: New, how: How) -> Steps[OpenFile]: ...
+    def create(
+        self, session: Session, parent: Path, name: str, new: NewFile, open_mode: OpenMode
+    ) -> Steps[OpenFile]: ...
 
     def stat(self, session: Session, fid: int) -> Steps[Attr]: ...
 
@@ -39,22 +41,24 @@
         self,
         session: Session,
         path: Path,
-        how: How,
+        open_mode: OpenMode,
         qid: Qid,
         cookie: int,
         count: int,
     ) -> Steps[list[Entry]]: ...
 
-    def sync(self, session: Session, path: Path, qid: Qid, how: How, data_only: bool) -> Steps[None]: ...
+    def sync(
+        self, session: Session, path: Path, qid: Qid, open_mode: OpenMode, data_only: bool
+    ) -> Steps[None]: ...
 
-    def make_dir(self, session: Session, fid: int, name: str, new: New) -> Steps[Qid]: ...
+    def make_directory(self, session: Session, fid: int, name: str, new: NewFile) -> Steps[Qid]: ...
 
     def make_node(
         self,
         session: Session,
         fid: int,
         name: str,
-        new: New,
+        new: NewFile,
         major: int,
         minor: int,
     ) -> Steps[Qid]: ...
@@ -88,7 +92,7 @@
 )
 
 
-class New:
+class NewFile:
     """What a file to be created is to be: its mode in both forms, and how its name may be taken already."""
 
     __slots__ = ("perm", "flags", "gid", "exclusive", "truncate")
--- a/garnetlanding/ninep/client_dialect_linux.py
+++ b/garnetlanding/ninep/client_dialect_linux.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from garnetlanding.ninep import codec, codec_linux, errors
-from garnetlanding.ninep.client_dialect import New, cannot
+from garnetlanding.ninep.client_dialect import NewFile, unsupported
 from garnetlanding.ninep.codec import Message, Qid
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.model import (
@@ -21,12 +21,12 @@
     user_number,
 )
 from garnetlanding.ninep.session import (
-    How,
+    Identity,
     OpenFile,
+    OpenMode,
     OperationFailedError,
     Session,
     Steps,
-    Who,
     expect,
     open_file,
     walk,
@@ -34,36 +34,38 @@
 from garnetlanding.runtime.errors import BackendProtocolError
 
 
-def lopen_flags(how: How) -> int:
+def lopen_flags(open_mode: OpenMode) -> int:
     # Who may execute a file may have it read: Linux servers know no OEXEC.
-    access = codec.OREAD if how.access == codec.OEXEC else how.access
-    return access | (codec_linux.L_APPEND if how.append else 0) | how.sync
+    access = codec.OREAD if open_mode.access == codec.OEXEC else open_mode.access
+    return access | (codec_linux.L_APPEND if open_mode.append else 0) | open_mode.sync
 
 
 class LinuxClientDialect:
     version, table = codec_linux.VERSION, codec_linux.LINUX
 
-    def attach(self, fid: int, who: Who) -> Message:
-        return codec_linux.Tlattach(fid, codec.NOFID, who.uname, who.aname, who.n_uname)
+    def attach(self, fid: int, identity: Identity) -> Message:
+        return codec_linux.Tlattach(fid, codec.NOFID, identity.uname, identity.aname, identity.n_uname)
 
-    def open(self, session: Session, fid: int, how: How, truncate: bool) -> Steps[OpenFile]:
-        flags = lopen_flags(how) | (codec_linux.L_TRUNC if truncate else 0)
+    def open(self, session: Session, fid: int, open_mode: OpenMode, truncate: bool) -> Steps[OpenFile]:
+        flags = lopen_flags(open_mode) | (codec_linux.L_TRUNC if truncate else 0)
         reply = expect((yield codec_linux.Tlopen(fid, flags)), codec_linux.Rlopen)
         return OpenFile(fid, reply.qid, reply.iounit)
 
-    def create(self, session: Session, parent: Path, name: str, new: New, how: How) -> Steps[OpenFile]:
+    def create(
+        self, session: Session, parent: Path, name: str, new: NewFile, open_mode: OpenMode
+    ) -> Steps[OpenFile]:
         if new.flags & DM_FLAGS:
-            raise cannot("an append-only or exclusive-use file", codec_linux.VERSION)
+            raise unsupported("an append-only or exclusive-use file", codec_linux.VERSION)
         fid, _ = yield from walk(session, parent, None)
         flags = (
             codec_linux.L_CREATE
-            | lopen_flags(how)
+            | lopen_flags(open_mode)
             | (codec_linux.L_EXCL if new.exclusive else 0)
             | (codec_linux.L_TRUNC if new.truncate else 0)
         )
         mode = posix.S_IFREG | new.perm & 0o7777
         reply = expect((yield codec_linux.Tlcreate(fid, name, flags, mode, new.gid)), codec_linux.Rlcreate)
-        session.tidy.remove(fid)
+        session.surplus_fids.remove(fid)
         return OpenFile(fid, reply.qid, reply.iounit)
 
     def stat(self, session: Session, fid: int) -> Steps[Attr]:
@@ -72,14 +74,16 @@
         )
 
     def change(self, session: Session, fid: int, qid: Qid, changes: Changes) -> Steps[None]:
-        if changes.odd:
-            raise OperationFailedError(Problem(errors.EPERM, f"wstat cannot change {', '.join(changes.odd)}"))
+        if changes.unchangeable:
+            raise OperationFailedError(
+                Problem(errors.EPERM, f"wstat cannot change {', '.join(changes.unchangeable)}")
+            )
         if changes.flags is not None and changes.flags & DM_FLAGS:
-            raise cannot("an append-only or exclusive-use file", codec_linux.VERSION)
-        if changes.nothing:
+            raise unsupported("an append-only or exclusive-use file", codec_linux.VERSION)
+        if changes.is_empty:
             # Only an open file can be synced here.
-            how = How(codec.OREAD)
-            file = yield from self.open(session, fid, how, False)
+            open_mode = OpenMode(codec.OREAD)
+            file = yield from self.open(session, fid, open_mode, False)
             expect((yield codec_linux.Tfsync(file.fid, 0)), codec_linux.Rfsync)
             return
         valid, values = 0, [0] * 8  # mode uid gid size atime mtime
@@ -103,7 +107,7 @@
     @staticmethod
     def _user(name: str | None) -> int | None:
         if name is not None and not name.isdigit():
-            raise cannot(f"the user {name!r:.40}, who has no number,", codec_linux.VERSION)
+            raise unsupported(f"the user {name!r:.40}, who has no number,", codec_linux.VERSION)
         return None if name is None else user_number(name)
 
     def move(self, session: Session, old: Path, new: Path, qid: Qid | None) -> Steps[None]:
@@ -119,12 +123,12 @@
         self,
         session: Session,
         path: Path,
-        how: How,
+        open_mode: OpenMode,
         qid: Qid,
         cookie: int,
         count: int,
     ) -> Steps[list[Entry]]:
-        file = yield from open_file(session, path, how, qid)
+        file = yield from open_file(session, path, open_mode, qid)
         ask = min(count, session.room)
         data = expect((yield codec_linux.Treaddir(file.fid, cookie, ask)), codec_linux.Rreaddir).data
         if len(data) > ask:
@@ -149,8 +153,8 @@
             try:
                 fid, _ = yield from walk(session, (*path, entry.name), None)
                 attr = yield from self.stat(session, fid)
-            except OperationFailedError as told:
-                if told.problem.number not in (errors.ENOENT, errors.ESTALE):
+            except OperationFailedError as error:
+                if error.problem.number not in (errors.ENOENT, errors.ESTALE):
                     raise
                 known.append(replace(entry, name="."))  # its cookie still counts
                 continue
@@ -158,11 +162,13 @@
             room -= 49 + len(entry.name.encode()) + len(attr.uid) + len(attr.gid) + len(attr.muid)
         return known
 
-    def sync(self, session: Session, path: Path, qid: Qid, how: How, data_only: bool) -> Steps[None]:
-        file = yield from open_file(session, path, how, qid)
+    def sync(
+        self, session: Session, path: Path, qid: Qid, open_mode: OpenMode, data_only: bool
+    ) -> Steps[None]:
+        file = yield from open_file(session, path, open_mode, qid)
         expect((yield codec_linux.Tfsync(file.fid, int(data_only))), codec_linux.Rfsync)
 
-    def make_dir(self, session: Session, fid: int, name: str, new: New) -> Steps[Qid]:
+    def make_directory(self, session: Session, fid: int, name: str, new: NewFile) -> Steps[Qid]:
         reply = yield codec_linux.Tmkdir(fid, name, new.perm & 0o7777, new.gid)
         return expect(reply, codec_linux.Rmkdir).qid
 
@@ -171,7 +177,7 @@
         session: Session,
         fid: int,
         name: str,
-        new: New,
+        new: NewFile,
         major: int,
         minor: int,
     ) -> Steps[Qid]:
--- a/garnetlanding/ninep/client_dialect_plain.py
+++ b/garnetlanding/ninep/client_dialect_plain.py
@@ -5,7 +5,7 @@
 import stat as posix
 
 from garnetlanding.ninep import codec, codec_linux, errors
-from garnetlanding.ninep.client_dialect import New, cannot
+from garnetlanding.ninep.client_dialect import NewFile, unsupported
 from garnetlanding.ninep.codec import OTRUNC, Message, Qid, Reader
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.model import (
@@ -24,12 +24,12 @@
     read_stat,
 )
 from garnetlanding.ninep.session import (
-    How,
+    Identity,
     OpenFile,
+    OpenMode,
     OperationFailedError,
     Session,
     Steps,
-    Who,
     expect,
     open_file,
     walk,
@@ -42,42 +42,44 @@
 class PlainClientDialect:
     version, table = codec.VERSION, codec.PLAIN
 
-    def attach(self, fid: int, who: Who) -> Message:
-        number = "" if who.n_uname == codec_linux.NONUNAME else str(who.n_uname)
-        return codec.Tattach(fid, codec.NOFID, who.uname or number, who.aname)
+    def attach(self, fid: int, identity: Identity) -> Message:
+        number = "" if identity.n_uname == codec_linux.NONUNAME else str(identity.n_uname)
+        return codec.Tattach(fid, codec.NOFID, identity.uname or number, identity.aname)
 
-    def open(self, session: Session, fid: int, how: How, truncate: bool) -> Steps[OpenFile]:
-        self._can(how)
-        reply = expect((yield codec.Topen(fid, how.access | (OTRUNC if truncate else 0))), codec.Ropen)
+    def open(self, session: Session, fid: int, open_mode: OpenMode, truncate: bool) -> Steps[OpenFile]:
+        self._can(open_mode)
+        reply = expect((yield codec.Topen(fid, open_mode.access | (OTRUNC if truncate else 0))), codec.Ropen)
         return OpenFile(fid, reply.qid, reply.iounit)
 
     @staticmethod
-    def _can(how: How) -> None:
-        if how.append:
-            raise cannot("opening a file to append", codec.VERSION)
-        if how.sync:
-            raise cannot("a synchronous open", codec.VERSION)
-
-    def create(self, session: Session, parent: Path, name: str, new: New, how: How) -> Steps[OpenFile]:
+    def _can(open_mode: OpenMode) -> None:
+        if open_mode.append:
+            raise unsupported("opening a file to append", codec.VERSION)
+        if open_mode.sync:
+            raise unsupported("a synchronous open", codec.VERSION)
+
+    def create(
+        self, session: Session, parent: Path, name: str, new: NewFile, open_mode: OpenMode
+    ) -> Steps[OpenFile]:
         """Tcreate alone is exclusive; without that, a file that is there is opened."""
-        self._can(how)
+        self._can(open_mode)
         if not new.exclusive:
             try:
                 fid, _ = yield from walk(session, (*parent, name), None)
-            except OperationFailedError as told:
-                if told.problem.number != errors.ENOENT:
+            except OperationFailedError as error:
+                if error.problem.number != errors.ENOENT:
                     raise
             else:
-                session.tidy.remove(fid)
+                session.surplus_fids.remove(fid)
                 try:
-                    return (yield from self.open(session, fid, how, new.truncate))
+                    return (yield from self.open(session, fid, open_mode, new.truncate))
                 except OperationFailedError:
-                    session.tidy.append(fid)
+                    session.surplus_fids.append(fid)
                     raise
         fid, _ = yield from walk(session, parent, None)
         perm = new.perm & PERM | new.flags & DM_FLAGS
-        reply = expect((yield codec.Tcreate(fid, name, perm, how.access)), codec.Rcreate)
-        session.tidy.remove(fid)
+        reply = expect((yield codec.Tcreate(fid, name, perm, open_mode.access)), codec.Rcreate)
+        session.surplus_fids.remove(fid)
         return OpenFile(fid, reply.qid, reply.iounit)
 
     def stat(self, session: Session, fid: int) -> Steps[Attr]:
@@ -88,12 +90,14 @@
             raise BackendProtocolError(f"bad stat: {problem}") from None
 
     def change(self, session: Session, fid: int, qid: Qid, changes: Changes) -> Steps[None]:
-        if changes.odd:
-            raise OperationFailedError(Problem(errors.EPERM, f"wstat cannot change {', '.join(changes.odd)}"))
+        if changes.unchangeable:
+            raise OperationFailedError(
+                Problem(errors.EPERM, f"wstat cannot change {', '.join(changes.unchangeable)}")
+            )
         if changes.uid is not None:
-            raise cannot("a change of owner", codec.VERSION)
+            raise unsupported("a change of owner", codec.VERSION)
         if changes.atime is not None and changes.mtime is None:
-            raise cannot("a change of the access time alone", codec.VERSION)
+            raise unsupported("a change of the access time alone", codec.VERSION)
         if changes.perm is not None and changes.flags is None:
             # The mode goes as a whole: what it says beside the permissions stays as it is.
             attr = yield from self.stat(session, fid)
@@ -112,17 +116,17 @@
         self,
         session: Session,
         path: Path,
-        how: How,
+        open_mode: OpenMode,
         qid: Qid,
         cookie: int,
         count: int,
     ) -> Steps[list[Entry]]:
         """A directory is read from its start on. On a fid that stands elsewhere (another attempt opened it)
         the entries before the cookie, which is a byte offset here, are read again and dropped."""
-        file = yield from open_file(session, path, how, qid)
+        file = yield from open_file(session, path, open_mode, qid)
         if file.dir_at > cookie:
-            session.tidy.append(session.open.pop((path, how)).fid)
-            file = yield from open_file(session, path, how, qid)
+            session.surplus_fids.append(session.open.pop((path, open_mode)).fid)
+            file = yield from open_file(session, path, open_mode, qid)
         while True:
             skip = cookie - file.dir_at
             ask = min(skip or max(count, ROOM_FOR_ENTRIES), session.room)
@@ -149,12 +153,14 @@
             raise BackendProtocolError(f"bad directory entry: {problem}") from None
         return entries
 
-    def sync(self, session: Session, path: Path, qid: Qid, how: How, data_only: bool) -> Steps[None]:
+    def sync(
+        self, session: Session, path: Path, qid: Qid, open_mode: OpenMode, data_only: bool
+    ) -> Steps[None]:
         """A wstat that leaves all alone asks for what was written to be kept (stat(5))."""
         fid, found = yield from walk(session, path, qid)
         yield from self.change(session, fid, found, Changes())
 
-    def make_dir(self, session: Session, fid: int, name: str, new: New) -> Steps[Qid]:
+    def make_directory(self, session: Session, fid: int, name: str, new: NewFile) -> Steps[Qid]:
         perm = DMDIR | new.perm & PERM
         return expect((yield codec.Tcreate(fid, name, perm, codec.OREAD)), codec.Rcreate).qid
 
@@ -163,17 +169,17 @@
         session: Session,
         fid: int,
         name: str,
-        new: New,
+        new: NewFile,
         major: int,
         minor: int,
     ) -> Steps[Qid]:
         if not posix.S_ISREG(new.perm):
-            raise cannot("a device or pipe", codec.VERSION)
+            raise unsupported("a device or pipe", codec.VERSION)
         reply = expect((yield codec.Tcreate(fid, name, new.perm & PERM, codec.OREAD)), codec.Rcreate)
         return reply.qid
 
     def symlink(self, session: Session, fid: int, name: str, target: str, gid: int) -> Steps[Qid]:
-        raise cannot("a symbolic link", codec.VERSION)
+        raise unsupported("a symbolic link", codec.VERSION)
         yield
 
     def read_link(self, session: Session, fid: int) -> Steps[str]:
@@ -181,16 +187,16 @@
         yield
 
     def link(self, session: Session, parent: int, fid: int, name: str) -> Steps[None]:
-        raise cannot("a link", codec.VERSION)
+        raise unsupported("a link", codec.VERSION)
         yield
 
     def unlink(self, session: Session, parent: Path, name: str, directory: bool) -> Steps[None]:
         fid, qid = yield from walk(session, (*parent, name), None)
         if bool(qid.type & codec.QTDIR) != directory:
             raise OperationFailedError(Problem(errors.ENOTDIR if directory else errors.EISDIR))
-        session.tidy.remove(fid)  # a remove clunks it, whatever comes of it
+        session.surplus_fids.remove(fid)  # a remove clunks it, whatever comes of it
         expect((yield codec.Tremove(fid)), codec.Rremove)
 
     def stat_fs(self, session: Session, fid: int) -> Steps[Space]:
-        raise cannot("the room of a file system", codec.VERSION)
+        raise unsupported("the room of a file system", codec.VERSION)
         yield
--- a/garnetlanding/ninep/codec.py
+++ b/garnetlanding/ninep/codec.py
@@ -370,21 +370,21 @@
     return PLANS[type(message)].encode(tag, message)
 
 
-def decode(number: int, body: bytes, among: Table = PLAIN) -> Message | Malformed:
-    plan = among.get(number)
+def decode(number: int, body: bytes, table: Table = PLAIN) -> Message | Malformed:
+    plan = table.get(number)
     return plan.decode(body) if plan else Malformed(f"unknown message type {number}")
 
 
 class Framer:
     """Yields tag and message; a message longer than a buffer waits in several.
 
-    `most` bounds a message, and with it what waits here; `among` is the dialect. Both hold from the next
+    `most` bounds a message, and with it what waits here; `table` is the dialect. Both hold from the next
     message on, so that one answered in between may change them.
     """
 
-    def __init__(self, pool: BufferPool, most: int, among: Table = PLAIN) -> None:
+    def __init__(self, pool: BufferPool, most: int, table: Table = PLAIN) -> None:
         self._in = Chain(pool)
-        self.most, self.among = most, among
+        self.most, self.table = most, table
 
     @property
     def midway(self) -> bool:
@@ -409,7 +409,7 @@
             if self._in.length < size:
                 return
             raw = self._in.take(size)
-            yield int.from_bytes(raw[5:7], "little"), decode(raw[4], raw[HEADER:], self.among)
+            yield int.from_bytes(raw[5:7], "little"), decode(raw[4], raw[HEADER:], self.table)
 
     def close(self) -> None:
         self._in.clear()
--- a/garnetlanding/ninep/fids.py
+++ b/garnetlanding/ninep/fids.py
@@ -9,7 +9,7 @@
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.model import Path
 from garnetlanding.ninep.operations import Work
-from garnetlanding.ninep.session import How, Who
+from garnetlanding.ninep.session import Identity, OpenMode
 from garnetlanding.ninep.setup import Export
 
 
@@ -26,10 +26,10 @@
     """A logical path with its qid. It binds the client to no server."""
 
     export: Export
-    who: Who
+    identity: Identity
     path: Path
     qid: Qid
-    how: How | None = None  # set once it is open
+    open_mode: OpenMode | None = None  # set once it is open
     remove_on_close: bool = False
     listing: tuple[int, int] = (0, 0)  # 9P2000: a directory is read on from this offset, which is that cookie
 
--- a/garnetlanding/ninep/front.py
+++ b/garnetlanding/ninep/front.py
@@ -19,7 +19,7 @@
 from garnetlanding.ninep.model import Path, good_name
 from garnetlanding.ninep.operation_table import class_for
 from garnetlanding.ninep.operations import Attach, Read, Remove, Walk, Work, Write
-from garnetlanding.ninep.session import How, OpenFile, Who
+from garnetlanding.ninep.session import Identity, OpenFile, OpenMode
 from garnetlanding.ninep.shared import Front
 
 OFFSET_END = 1 << 63  # offsets are signed at every server
@@ -168,7 +168,7 @@
 
     def _version(self, tag: int, message: codec.Tversion) -> None:
         self.msize, self.speaker = 0, None
-        self._framer.most, self._framer.among = self.limits.ninep_msize, codec.PLAIN
+        self._framer.most, self._framer.table = self.limits.ninep_msize, codec.PLAIN
         if message.msize < self.limits.ninep_msize_min:
             self.say(tag, codec.Rerror("msize too small"))
             return
@@ -176,7 +176,7 @@
         msize = min(message.msize, self.limits.ninep_msize)
         if speaker:
             self.speaker, self.msize = speaker, msize
-            self._framer.most, self._framer.among = msize, speaker.table
+            self._framer.most, self._framer.table = msize, speaker.table
         self.say(tag, codec.Rversion(msize, speaker.version if speaker else "unknown"))
 
     def _speaker(self, version: str) -> Speaker | None:
@@ -227,15 +227,15 @@
         if len(path) > self.limits.ninep_path_names or sum(map(len, path)) > self.limits.ninep_path_bytes:
             raise RequestRejectedError(errors.ENAMETOOLONG, "path too long")
 
-    def opened(self, fid: int) -> tuple[Fid, How]:
+    def opened(self, fid: int) -> tuple[Fid, OpenMode]:
         at = self.fid(fid)
-        if at.how is None:
+        if at.open_mode is None:
             raise RequestRejectedError(errors.EBADF, "fid not open")
-        return at, at.how
+        return at, at.open_mode
 
     def unopened(self, fid: int) -> Fid:
         at = self.fid(fid)
-        if at.how is not None:
+        if at.open_mode is not None:
             raise RequestRejectedError(errors.EBADF, "fid already open")
         return at
 
@@ -256,18 +256,18 @@
         if export is None:
             raise RequestRejectedError(errors.ENOENT, "no such export")
         self._free_fid(fid)
-        at = Fid(export, Who(uname, n_uname, export.aname), (), Qid(codec.QTDIR, 0, 0))
+        at = Fid(export, Identity(uname, n_uname, export.aname), (), Qid(codec.QTDIR, 0, 0))
 
         def told(qid: Any) -> Message:
             at.qid = qid
             self.fids[fid] = at
             return codec.Rattach(qid)
 
-        self.ask(tag, Pending(NOFID, Attach(at.who, ()), fid), at, told)
+        self.ask(tag, Pending(NOFID, Attach(at.identity, ()), fid), at, told)
 
     def _walk(self, tag: int, message: codec.Twalk) -> None:
         at, newfid = self.fid(message.fid), message.newfid
-        if at.how is not None:
+        if at.open_mode is not None:
             raise RequestRejectedError(errors.EBADF, "cannot walk an open fid")
         if newfid != message.fid:
             self._free_fid(newfid)
@@ -276,21 +276,21 @@
         path = normal(at.path, message.names)
         self.bounded(path)
         if not message.names:
-            self.fids[newfid] = Fid(at.export, at.who, at.path, at.qid)
+            self.fids[newfid] = Fid(at.export, at.identity, at.path, at.qid)
             self.say(tag, codec.Rwalk(()))
             return
 
         def told(qids: Any) -> Message:
             # The new fid exists only when every name was found.
             if len(qids) == len(message.names):
-                self.fids[newfid] = Fid(at.export, at.who, path, qids[-1])
+                self.fids[newfid] = Fid(at.export, at.identity, path, qids[-1])
             return codec.Rwalk(qids)
 
         self.ask(
             tag,
             Pending(
                 message.fid,
-                Walk(at.who, at.path, at.qid, message.names),
+                Walk(at.identity, at.path, at.qid, message.names),
                 None if newfid == message.fid else newfid,
                 alone=newfid == message.fid,
             ),
@@ -298,22 +298,22 @@
             told,
         )
 
-    def take_open(self, fid: int, at: Fid, file: OpenFile, how: How) -> int:
+    def take_open(self, fid: int, at: Fid, file: OpenFile, open_mode: OpenMode) -> int:
         """The fid is open now; returns the iounit to tell. Raises RequestRejectedError for an exclusive
         file in use."""
         if file.qid.type & QTEXCL and not self.front.exclusive.open(
             (at.export.name, file.qid.path), self.id, fid
         ):
             raise RequestRejectedError(errors.EBUSY)
-        at.qid, at.how = file.qid, how
+        at.qid, at.open_mode = file.qid, open_mode
         most = self.msize - READ_OVERHEAD
         return min(file.iounit or most, most)
 
     # Data
 
     def _read(self, tag: int, fid: int, offset: int, count: int, speaker: Speaker) -> None:
-        at, how = self.opened(fid)
-        if not how.reads:
+        at, open_mode = self.opened(fid)
+        if not open_mode.reads:
             raise RequestRejectedError(errors.EBADF, "fid not open for reading")
         count = min(count, self.msize - READ_OVERHEAD)
         if at.is_dir:
@@ -323,7 +323,7 @@
             return self.say(tag, codec.Rread(b""))
         self.ask(
             tag,
-            Pending(fid, Read(at.who, at.path, at.qid, how, offset, count)),
+            Pending(fid, Read(at.identity, at.path, at.qid, open_mode, offset, count)),
             at,
             lambda data: codec.Rread(data),
             count,
@@ -334,17 +334,17 @@
             raise RequestRejectedError(errors.EINVAL, "illegal offset")
 
     def _write_to(self, tag: int, fid: int, offset: int, data: bytes) -> None:
-        at, how = self.opened(fid)
-        if not how.writes:
+        at, open_mode = self.opened(fid)
+        if not open_mode.writes:
             raise RequestRejectedError(errors.EBADF, "fid not open for writing")
-        append = how.append or bool(at.qid.type & codec.QTAPPEND)
+        append = open_mode.append or bool(at.qid.type & codec.QTAPPEND)
         if not append:
             self.good_offset(offset, len(data))
         if not data:
             return self.say(tag, codec.Rwrite(0))
         self.ask(
             tag,
-            Pending(fid, Write(at.who, at.path, at.qid, how, offset, data, append)),
+            Pending(fid, Write(at.identity, at.path, at.qid, open_mode, offset, data, append)),
             at,
             lambda count: codec.Rwrite(count),
             len(data),
@@ -390,12 +390,12 @@
         self._ask_removal(tag, at, codec.Rremove())
 
     def _ask_removal(self, tag: int, at: Fid, reply: Message) -> None:
-        pending = Pending(NOFID, Remove(at.who, at.path, at.qid), stays=True)
+        pending = Pending(NOFID, Remove(at.identity, at.path, at.qid), stays=True)
         self.ask(tag, pending, at, lambda _: reply)
 
     def _remove_unseen(self, at: Fid) -> None:
         """Remove on close, for a client that has gone: nobody hears what comes of it."""
-        pending = Pending(NOFID, Remove(at.who, at.path, at.qid), settled=True)
+        pending = Pending(NOFID, Remove(at.identity, at.path, at.qid), settled=True)
         self._enter(-1, pending, at, lambda _: codec.Rclunk(), 1)
 
     # Items
--- a/garnetlanding/ninep/model.py
+++ b/garnetlanding/ninep/model.py
@@ -86,10 +86,10 @@
     length: int | None = None
     atime: Time | None = None
     mtime: Time | None = None
-    odd: tuple[str, ...] = ()  # fields that no wstat may change, and this one names
+    unchangeable: tuple[str, ...] = ()  # fields that no wstat may change, and this one names
 
     @property
-    def nothing(self) -> bool:
+    def is_empty(self) -> bool:
         return self == Changes()
 
 
@@ -209,7 +209,7 @@
 
 def raw_changes(raw: RawStat) -> Changes:
     """What a wstat asks for. Only name, mode, length, mtime and gid may change (stat(5))."""
-    odd = [
+    unchangeable = [
         field
         for field, kept in (
             ("type", raw.type == 0xFFFF),
@@ -229,7 +229,7 @@
         gid=raw.gid or None,
         length=None if raw.length == KEEP8 else raw.length,
         mtime=None if raw.mtime == KEEP4 else Time(raw.mtime),
-        odd=tuple(odd),
+        unchangeable=tuple(unchangeable),
     )
 
 
--- a/garnetlanding/ninep/operations.py
+++ b/garnetlanding/ninep/operations.py
@@ -11,7 +11,7 @@
 from typing import Any, ClassVar
 
 from garnetlanding.ninep import codec, errors
-from garnetlanding.ninep.client_dialect import ClientDialect, New, cannot
+from garnetlanding.ninep.client_dialect import ClientDialect, NewFile, unsupported
 from garnetlanding.ninep.client_dialect_linux import LinuxClientDialect
 from garnetlanding.ninep.client_dialect_plain import ROOM_FOR_ENTRIES
 from garnetlanding.ninep.codec import Qid
@@ -21,17 +21,17 @@
 from garnetlanding.ninep.session import (
     NO_FILE,
     REPLACED,
-    How,
+    Identity,
     OpenFile,
+    OpenMode,
     OperationFailedError,
     Session,
     Steps,
-    Who,
     expect,
     open_file,
     set_up,
     walk,
-    walk_far,
+    walk_prefix,
 )
 from garnetlanding.runtime.errors import BackendProtocolError
 
@@ -54,7 +54,7 @@
     """One item for a file server; `path` is the file that it is about, `qid` what the client was told of it
     (None: it was told nothing yet)."""
 
-    who: Who
+    identity: Identity
     path: Path
     qid: Qid | None = None
     trace: Trace = field(default_factory=Trace, compare=False, kw_only=True)
@@ -81,14 +81,14 @@
     def program(self, session: Session) -> Steps[Any]:
         """The whole attempt: a fresh connection is set up first. Ends with a neutral value or a Problem."""
         try:
-            if session.talk is None:
+            if session.dialect is None:
                 yield from set_up(session)
-            assert session.talk
-            return (yield from self.steps(session, session.talk))
-        except OperationFailedError as told:
-            return told.problem
+            assert session.dialect
+            return (yield from self.steps(session, session.dialect))
+        except OperationFailedError as error:
+            return error.problem
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[Any]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[Any]:
         raise NotImplementedError
 
 
@@ -96,7 +96,7 @@
 class Attach(Work):
     OP = Op.ATTACH
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[Qid]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[Qid]:
         assert session.root
         return session.root
         yield
@@ -107,9 +107,9 @@
     OP = Op.WALK
     names: Path = ()
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[tuple[Qid, ...]]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[tuple[Qid, ...]]:
         """The qids of the names found; the first one's absence is an error."""
-        _, qids = yield from walk_far(session, self.path + self.names)
+        _, qids = yield from walk_prefix(session, self.path + self.names)
         here = len(self.path)
         if here and self.qid and len(qids) >= here and qids[here - 1].path != self.qid.path:
             raise OperationFailedError(REPLACED)
@@ -121,19 +121,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Open(Work):
-    how: How = How()
+    open_mode: OpenMode = OpenMode()
     truncate: bool = False
 
     @property
     def op(self) -> Op:
         return Op.OPEN_TRUNCATE if self.truncate else Op.OPEN
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[OpenFile]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[OpenFile]:
         """Always asks the server, which may allow it no longer, also where the file is open already."""
         fid, _ = yield from walk(session, self.path, self.qid)
-        file = yield from talk.open(session, fid, self.how, self.truncate)
-        session.tidy.remove(fid)
-        session.keep(self.path, self.how, file)
+        file = yield from dialect.open(session, fid, self.open_mode, self.truncate)
+        session.surplus_fids.remove(fid)
+        session.keep_open_file(self.path, self.open_mode, file)
         return file
 
 
@@ -142,8 +142,8 @@
     """`path` is the directory, `qid` its own."""
 
     name: str = ""
-    new: New = New(0o644)
-    how: How = How()
+    new: NewFile = NewFile(0o644)
+    open_mode: OpenMode = OpenMode()
 
     @property
     def op(self) -> Op:
@@ -153,23 +153,23 @@
     def paths(self) -> tuple[Path, ...]:
         return ((*self.path, self.name),)
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[OpenFile]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[OpenFile]:
         yield from walk(session, self.path, self.qid)
-        file = yield from talk.create(session, self.path, self.name, self.new, self.how)
-        session.keep((*self.path, self.name), self.how, file)
+        file = yield from dialect.create(session, self.path, self.name, self.new, self.open_mode)
+        session.keep_open_file((*self.path, self.name), self.open_mode, file)
         return file
 
 
 @dataclass(frozen=True, slots=True)
 class Read(Work):
     OP = Op.READ
-    how: How = How()
+    open_mode: OpenMode = OpenMode()
     offset: int = 0
     count: int = 0
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[bytes]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[bytes]:
         assert self.qid
-        file = yield from open_file(session, self.path, self.how, self.qid)
+        file = yield from open_file(session, self.path, self.open_mode, self.qid)
         count = min(self.count, session.room)
         reply = yield codec.Tread(file.fid, self.offset, count)
         data = expect(reply, codec.Rread).data
@@ -181,26 +181,26 @@
 @dataclass(frozen=True, slots=True)
 class ReadDirectory(Work):
     OP = Op.READ_DIRECTORY
-    how: How = How()
+    open_mode: OpenMode = OpenMode()
     cookie: int = 0
     count: int = 0
     attributes: bool = False  # the client's dialect tells them with the names
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[list[Entry]]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[list[Entry]]:
         assert self.qid
         cookie = self.cookie
         while True:
-            entries = yield from talk.entries(
+            entries = yield from dialect.entries(
                 session,
                 self.path,
-                self.how,
+                self.open_mode,
                 self.qid,
                 cookie,
                 max(self.count, ROOM_FOR_ENTRIES) if self.attributes else self.count,
             )
-            if not self.attributes or not isinstance(talk, LinuxClientDialect):
+            if not self.attributes or not isinstance(dialect, LinuxClientDialect):
                 return entries
-            entries = yield from talk.with_attributes(session, self.path, entries, self.count)
+            entries = yield from dialect.with_attributes(session, self.path, entries, self.count)
             if not entries or any(entry.attr for entry in entries):
                 return entries
             cookie = entries[-1].cookie  # nothing that a 9P2000 client is told of: that is not the end yet
@@ -208,7 +208,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write(Work):
-    how: How = How(codec.OWRITE)
+    open_mode: OpenMode = OpenMode(codec.OWRITE)
     offset: int = 0
     data: bytes = field(default=b"", repr=False)
     append: bool = False
@@ -217,10 +217,10 @@
     def op(self) -> Op:
         return Op.APPEND if self.append else Op.WRITE
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[int]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[int]:
         """As many messages as the server's msize makes of it. Bytes written; fewer when it takes no more."""
         assert self.qid
-        file = yield from open_file(session, self.path, self.how, self.qid)
+        file = yield from open_file(session, self.path, self.open_mode, self.qid)
         room = min(session.room, file.iounit or session.room)
         done = 0
         while True:
@@ -243,9 +243,9 @@
 class Stat(Work):
     OP = Op.STAT
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[Attr]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[Attr]:
         fid, _ = yield from walk(session, self.path, self.qid)
-        return (yield from talk.stat(session, fid))
+        return (yield from dialect.stat(session, fid))
 
 
 @dataclass(frozen=True, slots=True)
@@ -256,7 +256,7 @@
 
     @property
     def op(self) -> Op:
-        if self.changes.nothing:
+        if self.changes.is_empty:
             return Op.SYNC
         return Op.SET_ATTRIBUTES if self.changes.name is None else Op.RENAME
 
@@ -265,11 +265,11 @@
         new = self.changes.name
         return (self.path,) if new is None else (self.path, (*self.path[:-1], new))
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[None]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:
         changes = self.changes
         fid, qid = yield from walk(session, self.path, self.qid)
-        if changes.name is None or not isinstance(talk, LinuxClientDialect):
-            yield from talk.change(session, fid, qid, changes)
+        if changes.name is None or not isinstance(dialect, LinuxClientDialect):
+            yield from dialect.change(session, fid, qid, changes)
         elif changes == Changes(name=changes.name):
             # A wstat must not take a name that another file has; a renameat would replace that.
             target = (*self.path[:-1], changes.name)
@@ -277,25 +277,25 @@
                 return
             try:
                 yield from walk(session, target, None)
-            except OperationFailedError as told:
-                if told.problem.number != errors.ENOENT:
+            except OperationFailedError as error:
+                if error.problem.number != errors.ENOENT:
                     raise
-                yield from talk.move(session, self.path, target, None)
+                yield from dialect.move(session, self.path, target, None)
             else:
                 raise OperationFailedError(Problem(errors.EEXIST))
         else:
-            raise cannot("a new name together with other changes", talk.version)
+            raise unsupported("a new name together with other changes", dialect.version)
 
 
 @dataclass(frozen=True, slots=True)
 class Sync(Work):
     OP = Op.SYNC
-    how: How = How()
+    open_mode: OpenMode = OpenMode()
     data_only: bool = False
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[None]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:
         assert self.qid
-        yield from talk.sync(session, self.path, self.qid, self.how, self.data_only)
+        yield from dialect.sync(session, self.path, self.qid, self.open_mode, self.data_only)
 
 
 @dataclass(frozen=True, slots=True)
@@ -304,9 +304,9 @@
 
     OP = Op.REMOVE
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[None]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:
         fid, _ = yield from walk(session, self.path, self.qid)
-        session.tidy.remove(fid)  # a remove clunks it, whatever comes of it
+        session.surplus_fids.remove(fid)  # a remove clunks it, whatever comes of it
         expect((yield codec.Tremove(fid)), codec.Rremove)
 
 
@@ -326,31 +326,31 @@
     OP = Op.REMOVE
     directory: bool = False
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[None]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:
         yield from walk(session, self.path, self.qid)
-        yield from talk.unlink(session, self.path, self.name, self.directory)
+        yield from dialect.unlink(session, self.path, self.name, self.directory)
 
 
 @dataclass(frozen=True, slots=True)
 class MakeDirectory(_InDirectory):
     OP = Op.MAKE_DIRECTORY
-    new: New = New(0o755)
+    new: NewFile = NewFile(0o755)
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[Qid]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[Qid]:
         fid, _ = yield from walk(session, self.path, self.qid)
-        return (yield from talk.make_dir(session, fid, self.name, self.new))
+        return (yield from dialect.make_directory(session, fid, self.name, self.new))
 
 
 @dataclass(frozen=True, slots=True)
 class MakeNode(_InDirectory):
     OP = Op.MAKE_NODE
-    new: New = New(0o644)
+    new: NewFile = NewFile(0o644)
     major: int = 0
     minor: int = 0
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[Qid]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[Qid]:
         fid, _ = yield from walk(session, self.path, self.qid)
-        return (yield from talk.make_node(session, fid, self.name, self.new, self.major, self.minor))
+        return (yield from dialect.make_node(session, fid, self.name, self.new, self.major, self.minor))
 
 
 @dataclass(frozen=True, slots=True)
@@ -359,9 +359,9 @@
     target: str = ""
     gid: int = 0
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[Qid]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[Qid]:
         fid, _ = yield from walk(session, self.path, self.qid)
-        return (yield from talk.symlink(session, fid, self.name, self.target, self.gid))
+        return (yield from dialect.symlink(session, fid, self.name, self.target, self.gid))
 
 
 @dataclass(frozen=True, slots=True)
@@ -381,10 +381,10 @@
             self, path=moved(self.path, old, new), target=moved(self.target, old, new), trace=self.trace
         )
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[None]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:
         fid, _ = yield from walk(session, self.target, self.target_qid)
         parent, _ = yield from walk(session, self.path, self.qid)
-        yield from talk.link(session, parent, fid, self.name)
+        yield from dialect.link(session, parent, fid, self.name)
 
 
 @dataclass(frozen=True, slots=True)
@@ -401,23 +401,23 @@
     def under(self, old: Path, new: Path) -> Work:
         return replace(self, path=moved(self.path, old, new), new=moved(self.new, old, new), trace=self.trace)
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[None]:
-        yield from talk.move(session, self.path, self.new, self.qid)
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:
+        yield from dialect.move(session, self.path, self.new, self.qid)
 
 
 @dataclass(frozen=True, slots=True)
 class ReadLink(Work):
     OP = Op.READ_LINK
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[str]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[str]:
         fid, _ = yield from walk(session, self.path, self.qid)
-        return (yield from talk.read_link(session, fid))
+        return (yield from dialect.read_link(session, fid))
 
 
 @dataclass(frozen=True, slots=True)
 class StatFs(Work):
     OP = Op.STAT_FS
 
-    def steps(self, session: Session, talk: ClientDialect) -> Steps[Space]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[Space]:
         fid, _ = yield from walk(session, self.path, self.qid)
-        return (yield from talk.stat_fs(session, fid))
+        return (yield from dialect.stat_fs(session, fid))
--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from garnetlanding.ninep import codec, codec_linux, errors
-from garnetlanding.ninep.client_dialect import New
+from garnetlanding.ninep.client_dialect import NewFile
 from garnetlanding.ninep.codec import Message
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.fids import Fid, Pending, RequestRejectedError
@@ -28,7 +28,7 @@
     Unlink,
     Work,
 )
-from garnetlanding.ninep.session import How
+from garnetlanding.ninep.session import OpenMode
 
 if TYPE_CHECKING:
     from garnetlanding.ninep.front import ClientMachine
@@ -50,7 +50,7 @@
         match message:
             case codec_linux.Tgetattr(fid, _):
                 at = self._m.fid(fid)
-                self._m.ask(tag, Pending(fid, Stat(at.who, at.path, at.qid)), at, getattr_reply)
+                self._m.ask(tag, Pending(fid, Stat(at.identity, at.path, at.qid)), at, getattr_reply)
             case codec_linux.Tlopen(fid, flags):
                 self._open(tag, fid, flags)
             case codec_linux.Tlcreate():
@@ -60,8 +60,8 @@
             case codec_linux.Treaddir(fid, offset, count):
                 self._readdir(tag, fid, offset, count)
             case codec_linux.Tfsync(fid, datasync):
-                at, how = self._m.opened(fid)
-                work: Work = Sync(at.who, at.path, at.qid, how, bool(datasync))
+                at, open_mode = self._m.opened(fid)
+                work: Work = Sync(at.identity, at.path, at.qid, open_mode, bool(datasync))
                 if not at.export.writable:
                     return self._m.say(tag, codec_linux.Rfsync())  # there is nothing to keep
                 self._m.ask(tag, Pending(fid, work), at, lambda _: codec_linux.Rfsync())
@@ -71,7 +71,7 @@
                 at = self._m.fid(fid)
                 self._m.ask(
                     tag,
-                    Pending(fid, StatFs(at.who, at.path, at.qid)),
+                    Pending(fid, StatFs(at.identity, at.path, at.qid)),
                     at,
                     lambda s: codec_linux.Rstatfs(
                         s.type, s.bsize, s.blocks, s.bfree, s.bavail, s.files, s.ffree, s.fsid, s.namelen
@@ -82,7 +82,7 @@
                 raise RequestRejectedError(errors.EOPNOTSUPP)
             case codec_linux.Treadlink(fid):
                 at = self._m.fid(fid)
-                self._m.ask(tag, Pending(fid, ReadLink(at.who, at.path, at.qid)), at, self._link_told)
+                self._m.ask(tag, Pending(fid, ReadLink(at.identity, at.path, at.qid)), at, self._link_told)
             case _:
                 self._name(tag, message)
 
@@ -95,7 +95,7 @@
                     tag,
                     dfid,
                     at,
-                    MakeDirectory(at.who, at.path, at.qid, name, New(mode & PERM, gid=gid)),
+                    MakeDirectory(at.identity, at.path, at.qid, name, NewFile(mode & PERM, gid=gid)),
                     codec_linux.Rmkdir,
                 )
             case codec_linux.Tmknod(dfid, name, mode, major, minor, gid):
@@ -104,13 +104,17 @@
                     tag,
                     dfid,
                     at,
-                    MakeNode(at.who, at.path, at.qid, name, New(mode, gid=gid), major, minor),
+                    MakeNode(at.identity, at.path, at.qid, name, NewFile(mode, gid=gid), major, minor),
                     codec_linux.Rmknod,
                 )
             case codec_linux.Tsymlink(dfid, name, target, gid):
                 at = self._m.directory(dfid, name)
                 self._make(
-                    tag, dfid, at, Symlink(at.who, at.path, at.qid, name, target, gid), codec_linux.Rsymlink
+                    tag,
+                    dfid,
+                    at,
+                    Symlink(at.identity, at.path, at.qid, name, target, gid),
+                    codec_linux.Rsymlink,
                 )
             case codec_linux.Tlink(dfid, fid, name):
                 at, to = self._m.directory(dfid, name), self._m.fid(fid)
@@ -119,7 +123,7 @@
                     raise RequestRejectedError(errors.EPERM)
                 self._m.ask(
                     tag,
-                    Pending(dfid, Link(at.who, at.path, at.qid, name, to.path, to.qid)),
+                    Pending(dfid, Link(at.identity, at.path, at.qid, name, to.path, to.qid)),
                     at,
                     lambda _: codec_linux.Rlink(),
                 )
@@ -129,7 +133,7 @@
                     raise RequestRejectedError(errors.EINVAL)
                 self._m.ask(
                     tag,
-                    Pending(dfid, Unlink(at.who, at.path, at.qid, name, bool(flags))),
+                    Pending(dfid, Unlink(at.identity, at.path, at.qid, name, bool(flags))),
                     at,
                     lambda _: codec_linux.Runlinkat(),
                 )
@@ -149,7 +153,7 @@
 
     @staticmethod
     def _same(a: Fid, b: Fid) -> None:
-        if a.export is not b.export or a.who != b.who:
+        if a.export is not b.export or a.identity != b.identity:
             raise RequestRejectedError(errors.EXDEV)
 
     def _rename(
@@ -174,43 +178,43 @@
             self._m.front.moved(at.export.name, old, new)
             return reply
 
-        work = Rename(at.who, old, file.qid if file else None, new)
+        work = Rename(at.identity, old, file.qid if file else None, new)
         self._m.ask(tag, Pending(fid, work), at, told)
 
     # Open files
 
-    def _how(self, at: Fid, flags: int) -> How:
+    def _how(self, at: Fid, flags: int) -> OpenMode:
         access = flags & codec_linux.L_ACCESS
         if access == codec_linux.L_ACCESS:
             raise RequestRejectedError(errors.EINVAL)
-        how = How(
+        open_mode = OpenMode(
             access, bool(flags & codec_linux.L_APPEND), flags & (codec_linux.L_DSYNC | codec_linux.L_SYNC)
         )
-        if not at.export.writable and (how.writes or flags & codec_linux.L_TRUNC):
+        if not at.export.writable and (open_mode.writes or flags & codec_linux.L_TRUNC):
             raise RequestRejectedError(errors.EROFS)
-        return how
+        return open_mode
 
     def _open(self, tag: int, fid: int, flags: int) -> None:
         at = self._m.unopened(fid)
-        how = self._how(at, flags)
+        open_mode = self._how(at, flags)
         truncate = bool(flags & codec_linux.L_TRUNC)
-        if at.is_dir and (how.writes or truncate):
+        if at.is_dir and (open_mode.writes or truncate):
             raise RequestRejectedError(errors.EISDIR)
         if flags & codec_linux.L_DIRECTORY and not at.is_dir:
             raise RequestRejectedError(errors.ENOTDIR)
         self._m.ask(
             tag,
-            Pending(fid, Open(at.who, at.path, at.qid, how, truncate), alone=True),
+            Pending(fid, Open(at.identity, at.path, at.qid, open_mode, truncate), alone=True),
             at,
-            lambda file: codec_linux.Rlopen(file.qid, self._m.take_open(fid, at, file, how)),
+            lambda file: codec_linux.Rlopen(file.qid, self._m.take_open(fid, at, file, open_mode)),
         )
 
     def _create(self, tag: int, message: codec_linux.Tlcreate) -> None:
         self._m.unopened(message.fid)
         at = self._m.directory(message.fid, message.name)
-        how = self._how(at, message.flags)
+        open_mode = self._how(at, message.flags)
         path = (*at.path, message.name)
-        new = New(
+        new = NewFile(
             message.mode & PERM,
             gid=message.gid,
             exclusive=bool(message.flags & codec_linux.L_EXCL),
@@ -219,9 +223,9 @@
 
         def told(file: Any) -> Message:
             at.path, at.qid = path, file.qid
-            return codec_linux.Rlcreate(file.qid, self._m.take_open(message.fid, at, file, how))
+            return codec_linux.Rlcreate(file.qid, self._m.take_open(message.fid, at, file, open_mode))
 
-        work = Create(at.who, at.path, at.qid, message.name, new, how)
+        work = Create(at.identity, at.path, at.qid, message.name, new, open_mode)
         self._m.ask(tag, Pending(message.fid, work, alone=True), at, told)
 
     def _setattr(self, tag: int, message: codec_linux.Tsetattr) -> None:
@@ -249,12 +253,12 @@
             atime=time(codec_linux.SET_ATIME, codec_linux.SET_ATIME_TO, message.atime_s, message.atime_ns),
             mtime=time(codec_linux.SET_MTIME, codec_linux.SET_MTIME_TO, message.mtime_s, message.mtime_ns),
         )
-        if changes.nothing:
+        if changes.is_empty:
             # The time of the last change of attributes is the server's own to set.
             return self._m.say(tag, codec_linux.Rsetattr())
         self._m.ask(
             tag,
-            Pending(message.fid, Change(at.who, at.path, at.qid, changes)),
+            Pending(message.fid, Change(at.identity, at.path, at.qid, changes)),
             at,
             lambda _: codec_linux.Rsetattr(),
         )
@@ -265,11 +269,11 @@
         raise RequestRejectedError(errors.EISDIR)
 
     def _readdir(self, tag: int, fid: int, offset: int, count: int) -> None:
-        at, how = self._m.opened(fid)
+        at, open_mode = self._m.opened(fid)
         if not at.is_dir:
             raise RequestRejectedError(errors.ENOTDIR)
         count = min(count, self._m.msize - codec.READ_OVERHEAD)
-        work = ReadDirectory(at.who, at.path, at.qid, how, offset, count)
+        work = ReadDirectory(at.identity, at.path, at.qid, open_mode, offset, count)
         self._m.ask(tag, Pending(fid, work), at, lambda entries: self._fill(entries, count), count)
 
     @staticmethod
@@ -294,7 +298,7 @@
     # Locks
 
     def _lock(self, tag: int, message: codec_linux.Tlock | codec_linux.Tgetlock) -> None:
-        at, how = self._m.opened(message.fid)
+        at, open_mode = self._m.opened(message.fid)
         if at.is_dir:
             raise RequestRejectedError(errors.EISDIR)
         if len(message.client_id.encode()) > self._m.limits.ninep_lock_owner_bytes:
@@ -315,7 +319,7 @@
             return self._m.say(tag, codec_linux.Rlock(codec_linux.LOCK_DONE))
         if message.type not in (codec_linux.LOCK_READ, codec_linux.LOCK_WRITE):
             raise RequestRejectedError(errors.EINVAL)
-        if not (how.writes if wanted.write else how.reads):
+        if not (open_mode.writes if wanted.write else open_mode.reads):
             raise RequestRejectedError(errors.EBADF)
         try:
             taken = locks.take(at.file, wanted)
--- a/garnetlanding/ninep/server_dialect_plain.py
+++ b/garnetlanding/ninep/server_dialect_plain.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from garnetlanding.ninep import codec, errors
-from garnetlanding.ninep.client_dialect import New
+from garnetlanding.ninep.client_dialect import NewFile
 from garnetlanding.ninep.codec import ORCLOSE, OREAD, OTRUNC, Message
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.fids import Fid, Pending, RequestRejectedError
@@ -22,7 +22,7 @@
     raw_changes,
 )
 from garnetlanding.ninep.operations import Change, Create, MakeDirectory, Open, ReadDirectory, Stat
-from garnetlanding.ninep.session import How
+from garnetlanding.ninep.session import OpenMode
 
 if TYPE_CHECKING:
     from garnetlanding.ninep.front import ClientMachine
@@ -48,7 +48,7 @@
                 at = self._m.fid(fid)
                 self._m.ask(
                     tag,
-                    Pending(fid, Stat(at.who, at.path, at.qid)),
+                    Pending(fid, Stat(at.identity, at.path, at.qid)),
                     at,
                     lambda attr: self._stat_told(at, attr),
                 )
@@ -67,33 +67,35 @@
             raise RequestRejectedError(errors.ERANGE, "stat does not fit msize")
         return codec.Rstat(stat)
 
-    def _mode(self, at: Fid, mode: int) -> How:
+    def _mode(self, at: Fid, mode: int) -> OpenMode:
         if mode & ~(ACCESS | OTRUNC | ORCLOSE):
             raise RequestRejectedError(errors.EINVAL, f"unknown open mode {mode:#x}")
-        how = How(mode & ACCESS)
-        if not at.export.writable and (how.writes or mode & (OTRUNC | ORCLOSE)):
+        open_mode = OpenMode(mode & ACCESS)
+        if not at.export.writable and (open_mode.writes or mode & (OTRUNC | ORCLOSE)):
             raise RequestRejectedError(errors.EROFS)
-        return how
+        return open_mode
 
     def _open(self, tag: int, fid: int, mode: int) -> None:
         at = self._m.unopened(fid)
-        how = self._mode(at, mode)
+        open_mode = self._mode(at, mode)
         truncate = bool(mode & OTRUNC)
-        if at.is_dir and (how.writes or truncate):
+        if at.is_dir and (open_mode.writes or truncate):
             raise RequestRejectedError(errors.EISDIR)
         if mode & ORCLOSE and not at.path:
             raise RequestRejectedError(errors.EBUSY, "cannot remove the root")
 
         def told(file: Any) -> Message:
-            iounit = self._m.take_open(fid, at, file, how)
+            iounit = self._m.take_open(fid, at, file, open_mode)
             at.remove_on_close = bool(mode & ORCLOSE)
             return codec.Ropen(plain_qid(file.qid), iounit)
 
-        self._m.ask(tag, Pending(fid, Open(at.who, at.path, at.qid, how, truncate), alone=True), at, told)
+        self._m.ask(
+            tag, Pending(fid, Open(at.identity, at.path, at.qid, open_mode, truncate), alone=True), at, told
+        )
 
     def _create(self, tag: int, message: codec.Tcreate) -> None:
         at = self._m.unopened(message.fid)
-        how = self._mode(at, message.mode & ~OTRUNC)  # a new file is empty anyhow
+        open_mode = self._mode(at, message.mode & ~OTRUNC)  # a new file is empty anyhow
         if not at.export.writable:
             raise RequestRejectedError(errors.EROFS)
         self._m.directory(message.fid, message.name)
@@ -101,25 +103,25 @@
             raise RequestRejectedError(errors.EINVAL, f"unknown kind of file {message.perm:#x}")
         path = (*at.path, message.name)
         self._m.bounded(path)
-        new = New(message.perm & PERM, message.perm & DM_FLAGS)
+        new = NewFile(message.perm & PERM, message.perm & DM_FLAGS)
 
         def told(file: Any) -> Message:
             at.path, at.qid = path, file.qid
-            iounit = self._m.take_open(message.fid, at, file, how)
+            iounit = self._m.take_open(message.fid, at, file, open_mode)
             at.remove_on_close = bool(message.mode & ORCLOSE)
             return codec.Rcreate(plain_qid(file.qid), iounit)
 
         def told_dir(qid: Any) -> Message:
-            at.path, at.qid, at.how = path, qid, how
+            at.path, at.qid, at.open_mode = path, qid, open_mode
             at.remove_on_close = bool(message.mode & ORCLOSE)
             return codec.Rcreate(plain_qid(qid), self._m.msize - codec.READ_OVERHEAD)
 
         if not message.perm & DMDIR:
-            work = Create(at.who, at.path, at.qid, message.name, new, how)
+            work = Create(at.identity, at.path, at.qid, message.name, new, open_mode)
             return self._m.ask(tag, Pending(message.fid, work, alone=True), at, told)
-        if how.access != OREAD:
+        if open_mode.access != OREAD:
             raise RequestRejectedError(errors.EISDIR)
-        made = MakeDirectory(at.who, at.path, at.qid, message.name, new)
+        made = MakeDirectory(at.identity, at.path, at.qid, message.name, new)
         self._m.ask(tag, Pending(message.fid, made, alone=True), at, told_dir)
 
     def _wstat(self, tag: int, fid: int, stat: bytes) -> None:
@@ -154,11 +156,11 @@
                 self._m.front.moved(at.export.name, old, (*old[:-1], name))
             return codec.Rwstat()
 
-        self._m.ask(tag, Pending(fid, Change(at.who, at.path, at.qid, changes)), at, told)
+        self._m.ask(tag, Pending(fid, Change(at.identity, at.path, at.qid, changes)), at, told)
 
     def read_directory(self, tag: int, fid: int, at: Fid, offset: int, count: int) -> None:
         """A stream of stats, whole ones only, to be read from its start on (read(5))."""
-        assert at.how
+        assert at.open_mode
         if offset not in (0, at.listing[0]):
             raise RequestRejectedError(errors.EINVAL, "bad offset in directory read")
         cookie = at.listing[1] if offset else 0
@@ -168,7 +170,7 @@
             at.listing = offset + len(data), to
             return codec.Rread(data)
 
-        work = ReadDirectory(at.who, at.path, at.qid, at.how, cookie, count, attributes=True)
+        work = ReadDirectory(at.identity, at.path, at.qid, at.open_mode, cookie, count, attributes=True)
         self._m.ask(tag, Pending(fid, work), at, told, count)
 
     @staticmethod
--- a/garnetlanding/ninep/session.py
+++ b/garnetlanding/ninep/session.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class How:
+class OpenMode:
     """How a file is opened, beside what opening does once (truncate, create)."""
 
     access: int = codec.OREAD  # OREAD, OWRITE, ORDWR, OEXEC
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Who:
+class Identity:
     uname: str
     n_uname: int
     aname: str
@@ -71,20 +71,20 @@
     """Bound to one user and tree; `offer`: the versions to offer, the best first."""
 
     def __init__(
-        self, who: Who, msize: int, least_msize: int, keep_open: int, offer: tuple[str, ...]
+        self, identity: Identity, msize: int, min_msize: int, max_open_files: int, offer: tuple[str, ...]
     ) -> None:
-        self.who, self.msize, self.least_msize = who, msize, least_msize
-        self.keep_open, self.offer = keep_open, offer
+        self.identity, self.msize, self.min_msize = identity, msize, min_msize
+        self.max_open_files, self.offer = max_open_files, offer
         self.root: Qid | None = None
-        self.talk: ClientDialect | None = None
-        self.open: OrderedDict[tuple[Path, How], OpenFile] = OrderedDict()
-        self.tidy: list[int] = []  # fids to clunk once the attempt has its end
-        self.free_first = False  # one of them keeps others out: the next attempt waits for its clunk
+        self.dialect: ClientDialect | None = None
+        self.open: OrderedDict[tuple[Path, OpenMode], OpenFile] = OrderedDict()
+        self.surplus_fids: list[int] = []  # fids to clunk once the attempt has its end
+        self.clunk_before_next = False  # one of them keeps others out: the next attempt waits for its clunk
         self._next_fid = ROOT + 1
 
     @property
-    def among(self) -> codec.Table:
-        return self.talk.table if self.talk else codec.PLAIN
+    def table(self) -> codec.Table:
+        return self.dialect.table if self.dialect else codec.PLAIN
 
     @property
     def room(self) -> int:
@@ -95,17 +95,17 @@
         self._next_fid += 1
         return self._next_fid
 
-    def keep(self, path: Path, how: How, file: OpenFile) -> None:
+    def keep_open_file(self, path: Path, open_mode: OpenMode, file: OpenFile) -> None:
         """Leaves a file open for the next attempt, unless nobody else may open it meanwhile."""
         if file.qid.type & QTEXCL:
-            self.tidy.append(file.fid)
-            self.free_first = True
+            self.surplus_fids.append(file.fid)
+            self.clunk_before_next = True
             return
-        if old := self.open.pop((path, how), None):
-            self.tidy.append(old.fid)
-        self.open[path, how] = file
-        while len(self.open) > self.keep_open:
-            self.tidy.append(self.open.popitem(last=False)[1].fid)
+        if old := self.open.pop((path, open_mode), None):
+            self.surplus_fids.append(old.fid)
+        self.open[path, open_mode] = file
+        while len(self.open) > self.max_open_files:
+            self.surplus_fids.append(self.open.popitem(last=False)[1].fid)
 
 
 def expect(reply: Message, kind: type[M]) -> M:
@@ -124,24 +124,24 @@
 
     for version in session.offer:
         reply = expect((yield codec.Tversion(session.msize, version)), codec.Rversion)
-        if reply.msize < session.least_msize or reply.msize > session.msize:
+        if reply.msize < session.min_msize or reply.msize > session.msize:
             raise BackendProtocolError("msize out of bounds")
         if reply.version in session.offer:
             session.msize = reply.msize
-            session.talk = CLIENT_DIALECTS[reply.version]
+            session.dialect = CLIENT_DIALECTS[reply.version]
             break
         if reply.version != "unknown":
             raise BackendProtocolError("a version that was not offered")
     else:
         raise BackendProtocolError("no common version")
-    attached = expect((yield session.talk.attach(ROOT, session.who)), codec.Rattach)
+    attached = expect((yield session.dialect.attach(ROOT, session.identity)), codec.Rattach)
     session.root = attached.qid
 
 
 def walk(session: Session, path: Path, want: Qid | None) -> Steps[tuple[int, Qid]]:
     """From the root to a new fid, which is clunked afterwards. `want`: what the client was told of the file;
     under its name another one may stand by now."""
-    fid, qids = yield from walk_far(session, path)
+    fid, qids = yield from walk_prefix(session, path)
     if len(qids) < len(path):
         raise OperationFailedError(NO_FILE)
     assert session.root
@@ -151,7 +151,7 @@
     return fid, qid
 
 
-def walk_far(session: Session, path: Path) -> Steps[tuple[int, list[Qid]]]:
+def walk_prefix(session: Session, path: Path) -> Steps[tuple[int, list[Qid]]]:
     """As far as the names go; the fid is good only when all were found. Raises
     OperationFailedError when the first is not."""
     fid, source = session.new_fid(), ROOT
@@ -169,38 +169,38 @@
             raise BackendProtocolError("more qids than names")
         qids += got
         if len(got) == len(part) and source == ROOT:
-            session.tidy.append(fid)
+            session.surplus_fids.append(fid)
         if len(got) < len(part):
             return fid, qids
         source = fid
     return fid, qids
 
 
-def open_file(session: Session, path: Path, how: How, want: Qid) -> Steps[OpenFile]:
+def open_file(session: Session, path: Path, open_mode: OpenMode, want: Qid) -> Steps[OpenFile]:
     """The file as an earlier attempt left it open here, or opened anew. Never truncates or creates. Whoever
     uses it hands it back with `session.keep`."""
-    assert session.talk
-    if file := session.open.get((path, how)):
+    assert session.dialect
+    if file := session.open.get((path, open_mode)):
         if file.qid.path == want.path:
-            session.open.move_to_end((path, how))
+            session.open.move_to_end((path, open_mode))
             return file
         # Another file had this name when it was opened.
-        session.tidy.append(session.open.pop((path, how)).fid)
+        session.surplus_fids.append(session.open.pop((path, open_mode)).fid)
     fid, _ = yield from walk(session, path, want)
-    session.tidy.remove(fid)
+    session.surplus_fids.remove(fid)
     try:
-        file = yield from session.talk.open(session, fid, how, truncate=False)
+        file = yield from session.dialect.open(session, fid, open_mode, truncate=False)
     except OperationFailedError:
-        session.tidy.append(fid)
+        session.surplus_fids.append(fid)
         raise
     if file.qid.path != want.path:
-        session.tidy.append(fid)
+        session.surplus_fids.append(fid)
         raise OperationFailedError(REPLACED)
-    session.keep(path, how, file)
+    session.keep_open_file(path, open_mode, file)
     return file
 
 
-def tidy_up(session: Session) -> Steps[None]:
-    while session.tidy:
-        expect((yield codec.Tclunk(session.tidy.pop())), codec.Rclunk)
-    session.free_first = False
+def clunk_surplus_fids(session: Session) -> Steps[None]:
+    while session.surplus_fids:
+        expect((yield codec.Tclunk(session.surplus_fids.pop())), codec.Rclunk)
+    session.clunk_before_next = False
--- a/tests/ninep/test_front_model.py
+++ b/tests/ninep/test_front_model.py
@@ -186,7 +186,7 @@
 
     @invariant()
     def agrees(self) -> None:
-        fids = {f: (at.qid, at.path, at.how is not None) for f, at in self.machine.fids.items()}
+        fids = {f: (at.qid, at.path, at.open_mode is not None) for f, at in self.machine.fids.items()}
         assert fids == self.fids
         assert self.machine.owed == len(self.flying)
         assert sorted(self.core.gone) == sorted(self.gone)
