--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -143,28 +143,35 @@
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         """Handle events as the decision module does; the actions are its own, and messages to peers."""
+        settings = self.module.settings
+        quota = self._quota
+        subsystems = self.subsystems
         own_actions: list[api.Action] = []
-        if self._quota.follow(self.settings, now, self.subsystems.membership is not None):
+        if quota.follow(settings, now, subsystems.membership is not None):
             # Instances that start together would all send at once: each has its own place in the first round.
-            place = stagger_offset(self.settings.instance_id, self.settings.instances, STAGGER_SIGNAL)
+            place = stagger_offset(settings.instance_id, settings.instances, STAGGER_SIGNAL)
             own_actions.append(self._schedule_round(now, 1 + int(self.limits.send_interval_us * place)))
         module_events = self._receive(now, events)
-        if self.subsystems.membership:
-            self._quota.follow_members(self.subsystems.membership, now)
-        if self.budgets:
-            self.budgets.observe_events(now, module_events, self.settings, self._quota.instance_count)
+        if subsystems.membership:
+            quota.follow_members(subsystems.membership, now)
+        if quota.budgets:
+            quota.budgets.observe_events(now, module_events, settings, quota.instance_count)
         if now >= self._next_round_at:
             own_actions.append(self._schedule_round(now, self.limits.send_interval_us))
-            if self.settings.may_message_peers and self._quota.is_active:
-                own_actions += self._round.compose(self._quota, now, self._tightest_objective_us)
-        self._add_suspicions(now, module_events)
+            if settings.may_message_peers and quota.is_active:
+                own_actions += self._round.compose(quota, now, self._tightest_objective_us)
+        if subsystems.detector:
+            self._add_suspicions(subsystems.detector, now, module_events)
         # In the same call as all that was received: the module sends only once it has everything, so that no
         # share is used any more that has been granted away or has expired.
-        shares = self._quota.changed_shares(now, self.settings.instances, self.subsystems.history)
+        shares = quota.changed_shares(now, settings.instances, subsystems.history)
         if shares is not None:
             module_events.append(shares)
         actions = self.module.handle(now, module_events)
-        self._observe_actions(now, actions)
+        if subsystems.detector:
+            subsystems.detector.observations.observe_actions(now, actions)
+        if quota.budgets:
+            quota.budgets.observe_actions(now, actions, settings)
         return actions + own_actions
 
     def _receive(self, now: int, events: list[api.Event]) -> list[api.Event]:
@@ -181,22 +188,13 @@
             module_events.append(event)
         return module_events
 
-    def _add_suspicions(self, now: int, module_events: list[api.Event]) -> None:
+    def _add_suspicions(self, detector: FailureDetector, now: int, module_events: list[api.Event]) -> None:
         """Observe the events for what they say of backends, and add what peers say where that has changed."""
-        detector = self.subsystems.detector
-        if detector is None:
-            return
         detector.observations.observe_events(now, module_events, self._tightest_objective_us)
         suspicions = detector.changed_suspicions(now)
         if suspicions is not None:
             module_events.append(suspicions)
 
-    def _observe_actions(self, now: int, actions: list[api.Action]) -> None:
-        if self.subsystems.detector:
-            self.subsystems.detector.observations.observe_actions(now, actions)
-        if self.budgets:
-            self.budgets.observe_actions(now, actions, self.settings)
-
     def _schedule_round(self, now: int, span_us: int) -> api.WakeAfter:
         self._next_round_at = now + span_us
         return api.WakeAfter(span_us, SEND_TIMER)
--- a/garnetlanding/peers/quota_use.py
+++ b/garnetlanding/peers/quota_use.py
@@ -148,6 +148,8 @@
         """
         leases = self.leases
         is_due = now >= leases.recheck_at
+        if not is_due and self.budgets is None:
+            return None  # the usual case
         volume_shares = leases.changed_shares(now)
         if is_due and history:
             history.volume_shares_changed(leases.current_shares() | volume_shares, leases.recheck_at)
