--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -171,7 +171,8 @@
         if subsystems.detector:
             subsystems.detector.observations.observe_actions(now, actions)
         if quota.budgets:
-            quota.budgets.observe_actions(now, actions, settings)
+            # By the settings in force now: the events may have brought new ones.
+            quota.budgets.observe_actions(now, actions, self.module.settings)
         return actions + own_actions
 
     def _receive(self, now: int, events: list[api.Event]) -> list[api.Event]:
