--- a/garnetlanding/conform/client.py
+++ b/garnetlanding/conform/client.py
@@ -130,7 +130,7 @@
         try:
             for tag, message in self._framer.feed(data):
                 if isinstance(message, p9.Malformed):
-                    raise Failure(f"an answer that cannot be read: {message.why}")
+                    raise Failure(f"an answer that cannot be read: {message.reason}")
                 self.got.append((tag, message))
         except p9.FrameError as problem:
             raise Failure(f"the answers' framing is lost: {problem}") from None
--- a/garnetlanding/emulator/fileserver.py
+++ b/garnetlanding/emulator/fileserver.py
@@ -74,7 +74,7 @@
     def _hear(self, tag: int, message: p9.Message | p9.Malformed) -> None:
         server = self.server
         if isinstance(message, p9.Malformed):
-            self._say(tag, self._error(Problem(errors.EPROTO, message.why)))
+            self._say(tag, self._error(Problem(errors.EPROTO, message.reason)))
             return
         server.heard.append(message)
         if tag in self._waiting and not isinstance(message, p9.Tversion):
@@ -209,7 +209,7 @@
         version = self.server.version_for(message.version)
         self.msize = min(message.msize, self.server.msize)
         self.dialect = self.server.dialects[version] if version else None
-        self._framer.most = self.msize
+        self._framer.max_size = self.msize
         self._framer.table = self.dialect.table if self.dialect else p9.PLAIN
         return p9.Rversion(self.msize, version or "unknown")
 
--- a/garnetlanding/ninep/client_dialect.py
+++ b/garnetlanding/ninep/client_dialect.py
@@ -9,9 +9,9 @@
 
 from garnetlanding.ninep import codec, codec_linux, errors
 from garnetlanding.ninep.codec import Message, Qid
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import OperationFailedError, Problem
 from garnetlanding.ninep.model import Attr, Changes, Entry, Path, Space
-from garnetlanding.ninep.session import Identity, OpenFile, OpenMode, OperationFailedError, Session, Steps
+from garnetlanding.ninep.session import Identity, OpenFile, OpenMode, Session, Steps
 
 
 def unsupported(what: str, dialect: str) -> OperationFailedError:
--- a/garnetlanding/ninep/client_dialect_linux.py
+++ b/garnetlanding/ninep/client_dialect_linux.py
@@ -8,7 +8,7 @@
 from garnetlanding.ninep import codec, codec_linux, errors
 from garnetlanding.ninep.client_dialect import NewFile, unsupported
 from garnetlanding.ninep.codec import Message, Qid
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import OperationFailedError, Problem
 from garnetlanding.ninep.model import (
     DM_FLAGS,
     Attr,
@@ -24,7 +24,6 @@
     Identity,
     OpenFile,
     OpenMode,
-    OperationFailedError,
     Session,
     Steps,
     expect,
--- a/garnetlanding/ninep/client_dialect_plain.py
+++ b/garnetlanding/ninep/client_dialect_plain.py
@@ -7,7 +7,7 @@
 from garnetlanding.ninep import codec, codec_linux, errors
 from garnetlanding.ninep.client_dialect import NewFile, unsupported
 from garnetlanding.ninep.codec import OTRUNC, Message, Qid, Reader
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import OperationFailedError, Problem
 from garnetlanding.ninep.model import (
     DM_FLAGS,
     DMDIR,
@@ -27,7 +27,6 @@
     Identity,
     OpenFile,
     OpenMode,
-    OperationFailedError,
     Session,
     Steps,
     expect,
--- a/garnetlanding/ninep/codec.py
+++ b/garnetlanding/ninep/codec.py
@@ -1,107 +1,144 @@
-"""9P messages and their framing, as a state machine that is fed bytes.
+"""The messages of 9P2000 (Plan 9 manual, section 5) and the framing, as a state machine that is fed bytes.
 
-One table a dialect names the fields of every message; packing and unpacking both follow it. The messages
-here are those of 9P2000 (Plan 9 manual, section 5); `codec_linux.py` adds those of 9P2000.L.
+`codec_linux.py` adds the messages of 9P2000.L; `wire_format.py` packs the fields of both.
 """
 
 from __future__ import annotations
 
-import struct
 from collections.abc import Iterator
-from dataclasses import dataclass, fields
-from operator import attrgetter
-from typing import Any
-
+from dataclasses import dataclass
+
+from garnetlanding.ninep.errors import NinepError
+from garnetlanding.ninep.wire_format import MAX_WALK as MAX_WALK
+from garnetlanding.ninep.wire_format import Malformed as Malformed
+from garnetlanding.ninep.wire_format import Message as Message
+from garnetlanding.ninep.wire_format import MessageLayout, message_table
+from garnetlanding.ninep.wire_format import Qid as Qid
+from garnetlanding.ninep.wire_format import Reader as Reader
+from garnetlanding.ninep.wire_format import Table as Table
+from garnetlanding.ninep.wire_format import encode as encode
+from garnetlanding.ninep.wire_format import pack as pack
 from garnetlanding.runtime.buffers import BufferPool, Chain
 
 VERSION = "9P2000"
-NOTAG, NOFID = 0xFFFF, 0xFFFFFFFF
-HEADER = 7  # size[4] type[1] tag[2]
-READ_OVERHEAD = 24  # what the protocol keeps free of msize in a read or a write
-MAX_WALK = 16
-QTDIR, QTAPPEND, QTEXCL, QTAUTH, QTTMP, QTSYMLINK = 0x80, 0x40, 0x20, 0x08, 0x04, 0x02
-OREAD, OWRITE, ORDWR, OEXEC = 0, 1, 2, 3
-OTRUNC, ORCLOSE = 0x10, 0x40
 
+NOTAG = 0xFFFF  # the tag of a Tversion
+NOFID = 0xFFFFFFFF  # no fid, as the afid of an attach without authentication
 
-class FrameError(ValueError):
-    """The size field cannot be right: nothing after it can be read."""
+HEADER = 7  # bytes: size[4] type[1] tag[2]
+READ_OVERHEAD = 24  # bytes that the protocol keeps free of msize in a read or a write
 
+# Type bits of a qid. QTSYMLINK is 9P2000.L's.
+QTDIR = 0x80
+QTAPPEND = 0x40
+QTEXCL = 0x20
+QTAUTH = 0x08
+QTTMP = 0x04
+QTSYMLINK = 0x02
+
+# Modes of open and create: one of four, and flags beside it.
+OREAD = 0
+OWRITE = 1
+ORDWR = 2
+OEXEC = 3
+OTRUNC = 0x10
+ORCLOSE = 0x40
 
-@dataclass(frozen=True, slots=True)
-class Qid:
-    type: int
-    version: int
-    path: int
 
+class FrameError(NinepError, ValueError):
+    """The size field cannot be right, so nothing after it can be read. `size`: what it says, in bytes."""
 
-class Message:
-    """Base of all messages."""
+    def __init__(self, size: int) -> None:
+        super().__init__(f"message of {size} bytes")
+        self.size = size
 
-    __slots__ = ()
+
+# Fields that several messages have in common. The classes below that add none differ by their type alone.
 
 
 @dataclass(frozen=True, slots=True)
-class Malformed:
-    """Framed well, but not a message that can be read; its tag can be answered."""
+class FidRequest(Message):
+    """A request about one fid and nothing else."""
 
-    why: str
+    fid: int
 
 
 @dataclass(frozen=True, slots=True)
-class Tversion(Message):
-    msize: int
-    version: str
+class RangeRequest(Message):
+    """A request for at most `count` bytes from `offset` on."""
+
+    fid: int
+    offset: int
+    count: int
 
 
 @dataclass(frozen=True, slots=True)
-class Rversion(Message):
-    msize: int
-    version: str
+class EmptyReply(Message):
+    """A reply that says only that the request was done."""
 
 
 @dataclass(frozen=True, slots=True)
-class Tauth(Message):
-    afid: int
-    uname: str
-    aname: str
+class QidReply(Message):
+    """A reply with the qid of the file that was attached or made."""
+
+    qid: Qid
 
 
 @dataclass(frozen=True, slots=True)
-class Rauth(Message):
-    aqid: Qid
+class OpenReply(Message):
+    """The opened file, and how many bytes one message moves atomically; `iounit` 0: as msize allows."""
+
+    qid: Qid
+    iounit: int
+
+
+# Both dialects
 
 
 @dataclass(frozen=True, slots=True)
-class Tattach(Message):
-    fid: int
-    afid: int
-    uname: str
-    aname: str
+class Tversion(Message):
+    """Client to server: offers a dialect and the largest message in bytes; ends any session there was."""
+
+    msize: int
+    version: str
 
 
 @dataclass(frozen=True, slots=True)
-class Rattach(Message):
-    qid: Qid
+class Rversion(Message):
+    """Server to client: the agreed msize, at most the offered one, and dialect, or `unknown`."""
+
+    msize: int
+    version: str
 
 
 @dataclass(frozen=True, slots=True)
-class Rerror(Message):
-    ename: str
+class Rauth(Message):
+    """Server to client: the qid of the authentication file."""
+
+    aqid: Qid
+
+
+@dataclass(frozen=True, slots=True)
+class Rattach(QidReply):
+    """Server to client: the qid of the tree's root."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tflush(Message):
+    """Client to server: the answer to the request with tag `oldtag` is not needed any more."""
+
     oldtag: int
 
 
 @dataclass(frozen=True, slots=True)
-class Rflush(Message):
-    pass
+class Rflush(EmptyReply):
+    """Server to client: the flushed request will not be answered after this."""
 
 
 @dataclass(frozen=True, slots=True)
 class Twalk(Message):
+    """Client to server: `newfid` is to stand for the file that `names` lead to from `fid`."""
+
     fid: int
     newfid: int
     names: tuple[str, ...]
@@ -109,307 +146,227 @@
 
 @dataclass(frozen=True, slots=True)
 class Rwalk(Message):
+    """Server to client: the qids of the names found; `newfid` is in use only when all were found."""
+
     qids: tuple[Qid, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Topen(Message):
-    fid: int
-    mode: int
+class Tread(RangeRequest):
+    """Client to server: asks for bytes of an open file, or for whole stats of an open 9P2000 directory."""
 
 
 @dataclass(frozen=True, slots=True)
-class Ropen(Message):
-    qid: Qid
-    iounit: int
+class Rread(Message):
+    """Server to client: the bytes; fewer than asked for at the end of the file."""
+
+    data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Tcreate(Message):
+class Twrite(Message):
+    """Client to server: writes `data` at byte `offset`, or at the end of an append-only file."""
+
     fid: int
-    name: str
-    perm: int
-    mode: int
+    offset: int
+    data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Tread(Message):
-    fid: int
-    offset: int
+class Rwrite(Message):
+    """Server to client: how many bytes were written."""
+
     count: int
 
 
 @dataclass(frozen=True, slots=True)
-class Rread(Message):
-    data: bytes
+class Tclunk(FidRequest):
+    """Client to server: the fid is not needed any more."""
 
 
 @dataclass(frozen=True, slots=True)
-class Twrite(Message):
-    fid: int
-    offset: int
-    data: bytes
+class Rclunk(EmptyReply):
+    """Server to client: the fid is free."""
 
 
 @dataclass(frozen=True, slots=True)
-class Rwrite(Message):
-    count: int
+class Tremove(FidRequest):
+    """Client to server: removes the file; the fid is free afterwards, even if that fails."""
 
 
 @dataclass(frozen=True, slots=True)
-class Tclunk(Message):
-    fid: int
+class Rremove(EmptyReply):
+    """Server to client: the file is removed."""
+
+
+# 9P2000 alone
 
 
 @dataclass(frozen=True, slots=True)
-class Rclunk(Message):
-    pass
+class Tauth(Message):
+    """Client to server: begins authentication of `uname` for the tree `aname` on `afid`."""
+
+    afid: int
+    uname: str
+    aname: str
 
 
 @dataclass(frozen=True, slots=True)
-class Tremove(Message):
+class Tattach(Message):
+    """Client to server: `fid` is to stand for the root of the tree `aname`, used by `uname`."""
+
     fid: int
+    afid: int
+    uname: str
+    aname: str
 
 
 @dataclass(frozen=True, slots=True)
-class Rcreate(Message):
-    qid: Qid
-    iounit: int
+class Rerror(Message):
+    """Server to client: the request failed, with the error's text."""
+
+    ename: str
+
+
+@dataclass(frozen=True, slots=True)
+class Topen(Message):
+    """Client to server: opens the fid's file; `mode` is one of OREAD to OEXEC, with OTRUNC and ORCLOSE."""
+
+    fid: int
+    mode: int
 
 
 @dataclass(frozen=True, slots=True)
-class Rremove(Message):
-    pass
+class Ropen(OpenReply):
+    """Server to client: the file is open."""
 
 
 @dataclass(frozen=True, slots=True)
-class Tstat(Message):
+class Tcreate(Message):
+    """Client to server: makes `name` in the fid's directory and opens it; the fid then stands for it.
+
+    `perm` has the permission bits and the DM bits; `mode` is as in Topen.
+    """
+
     fid: int
+    name: str
+    perm: int
+    mode: int
 
 
 @dataclass(frozen=True, slots=True)
-class Rstat(Message):
-    stat: bytes
+class Rcreate(OpenReply):
+    """Server to client: the new file is open."""
 
 
 @dataclass(frozen=True, slots=True)
-class Twstat(Message):
-    fid: int
-    stat: bytes
+class Tstat(FidRequest):
+    """Client to server: asks for the file's attributes."""
 
 
 @dataclass(frozen=True, slots=True)
-class Rwstat(Message):
-    pass
-
-
-QID = struct.Struct("<BIQ")
-COUNTS = {
-    "s": struct.Struct("<H"),
-    "n": struct.Struct("<H"),
-    "d": struct.Struct("<I"),
-    "S": struct.Struct("<H"),
-    "Q": struct.Struct("<H"),
-}
-FIXED = {"1": "B", "2": "H", "4": "I", "8": "Q"}
-
-
-def pack(kind: str, value: Any) -> bytes:
-    """One field. Raises ValueError or struct.error for a value that has no place in it."""
-    match kind:
-        case "s":
-            raw: bytes = value.encode()
-            return COUNTS["s"].pack(len(raw)) + raw
-        case "q":
-            return QID.pack(value.type, value.version, value.path)
-        case "d" | "n":
-            return COUNTS[kind].pack(len(value)) + bytes(value)
-        case "S" | "Q":
-            return COUNTS[kind].pack(len(value)) + b"".join(pack(kind.lower(), v) for v in value)
-    return struct.pack("<" + FIXED[kind], value)
-
-
-class Reader:
-    """Takes fields off a body, front to back; ValueError where it does not hold them."""
-
-    def __init__(self, data: bytes, at: int = 0) -> None:
-        self._data, self._at = data, at
-
-    def raw(self, n: int) -> bytes:
-        if self._at + n > len(self._data):
-            raise ValueError("message cut short")
-        self._at += n
-        return self._data[self._at - n : self._at]
-
-    def number(self, size: int) -> int:
-        return int.from_bytes(self.raw(size), "little")
-
-    def value(self, kind: str) -> Any:
-        match kind:
-            case "s":
-                raw = self.raw(self.number(2))
-                if b"\0" in raw:
-                    raise ValueError("NUL in text")
-                return raw.decode()  # a UnicodeDecodeError is a ValueError
-            case "q":
-                return Qid(*QID.unpack(self.raw(QID.size)))
-            case "d" | "n":
-                return self.raw(self.number(COUNTS[kind].size))
-            case "S" | "Q":
-                count = self.number(2)
-                if count > MAX_WALK:
-                    raise ValueError("too many names in a walk")
-                return tuple(self.value(kind.lower()) for _ in range(count))
-        return self.number(int(kind))
+class Rstat(Message):
+    """Server to client: the attributes, packed as `model.RawStat`."""
 
-    @property
-    def left(self) -> int:
-        return len(self._data) - self._at
+    stat: bytes
 
-    def end(self) -> None:
-        if self.left:
-            raise ValueError("bytes left over")
 
+@dataclass(frozen=True, slots=True)
+class Twstat(Message):
+    """Client to server: changes attributes; a field of all ones, or an empty text, leaves one alone."""
 
-class Plan:
-    """How one message is packed: its leading numbers by one struct, the rest field by field.
+    fid: int
+    stat: bytes
 
-    Kinds, in order: 1 2 4 8 unsigned integers of that many bytes, s text, q qid, d data with a four-byte
-    count, n a stat with a two-byte count, S and Q sequences of texts and qids with a two-byte count.
-    """
 
-    __slots__ = ("number", "cls", "_get", "_lead", "_head", "_body", "_rest", "_single")
-
-    def __init__(self, number: int, cls: type[Any], kinds: str) -> None:
-        names = [field.name for field in fields(cls)]
-        if len(names) != len(kinds):
-            raise TypeError(f"{cls.__name__}: {len(names)} fields, {len(kinds)} kinds")
-        self.number, self.cls = number, cls
-        self._get = attrgetter(*names) if names else lambda message: ()
-        self._single = len(names) == 1
-        self._lead = next((i for i, kind in enumerate(kinds) if kind not in FIXED), len(kinds))
-        lead = "".join(FIXED[kind] for kind in kinds[: self._lead])
-        self._head, self._body = struct.Struct("<IBH" + lead), struct.Struct("<" + lead)
-        self._rest = kinds[self._lead :]
-
-    def encode(self, tag: int, message: Message) -> bytes:
-        values = self._get(message)
-        if self._single:
-            values = (values,)
-        rest = b"".join(
-            [pack(kind, value) for kind, value in zip(self._rest, values[self._lead :], strict=True)]
-        )
-        return self._head.pack(self._head.size + len(rest), self.number, tag, *values[: self._lead]) + rest
-
-    def decode(self, body: bytes) -> Message | Malformed:
-        size = self._body.size
-        try:
-            if len(body) < size:
-                raise ValueError("message cut short")
-            values = self._body.unpack_from(body)
-            reader = Reader(body, size)
-            if self._rest:
-                values += tuple([reader.value(kind) for kind in self._rest])
-            reader.end()
-        except ValueError as problem:
-            return Malformed(f"bad {self.cls.__name__}: {problem}")
-        message: Message = self.cls(*values)
-        return message
-
-
-Table = dict[int, Plan]
-PLANS: dict[type[Any], Plan] = {}
-
-
-def table(messages: dict[int, tuple[type[Any], str]]) -> Table:
-    """The plans of a dialect by their numbers; also how each of its messages is encoded from now on."""
-    plans = {number: Plan(number, cls, kinds) for number, (cls, kinds) in messages.items()}
-    PLANS.update({plan.cls: plan for plan in plans.values()})
-    return plans
-
-
-# What both dialects have.
-SHARED = table(
-    {
-        100: (Tversion, "4s"),
-        101: (Rversion, "4s"),
-        103: (Rauth, "q"),
-        105: (Rattach, "q"),
-        108: (Tflush, "2"),
-        109: (Rflush, ""),
-        110: (Twalk, "44S"),
-        111: (Rwalk, "Q"),
-        116: (Tread, "484"),
-        117: (Rread, "d"),
-        118: (Twrite, "48d"),
-        119: (Rwrite, "4"),
-        120: (Tclunk, "4"),
-        121: (Rclunk, ""),
-        122: (Tremove, "4"),
-        123: (Rremove, ""),
-    }
+@dataclass(frozen=True, slots=True)
+class Rwstat(EmptyReply):
+    """Server to client: the attributes are changed, all or none."""
+
+
+SHARED = message_table(
+    MessageLayout(100, "Tversion", Tversion, "4s"),
+    MessageLayout(101, "Rversion", Rversion, "4s"),
+    MessageLayout(103, "Rauth", Rauth, "q"),
+    MessageLayout(105, "Rattach", Rattach, "q"),
+    MessageLayout(108, "Tflush", Tflush, "2"),
+    MessageLayout(109, "Rflush", Rflush, ""),
+    MessageLayout(110, "Twalk", Twalk, "44S"),
+    MessageLayout(111, "Rwalk", Rwalk, "Q"),
+    MessageLayout(116, "Tread", Tread, "484"),
+    MessageLayout(117, "Rread", Rread, "d"),
+    MessageLayout(118, "Twrite", Twrite, "48d"),
+    MessageLayout(119, "Rwrite", Rwrite, "4"),
+    MessageLayout(120, "Tclunk", Tclunk, "4"),
+    MessageLayout(121, "Rclunk", Rclunk, ""),
+    MessageLayout(122, "Tremove", Tremove, "4"),
+    MessageLayout(123, "Rremove", Rremove, ""),
 )
-PLAIN = SHARED | table(
-    {
-        102: (Tauth, "4ss"),
-        104: (Tattach, "44ss"),
-        107: (Rerror, "s"),
-        112: (Topen, "41"),
-        113: (Ropen, "q4"),
-        114: (Tcreate, "4s41"),
-        115: (Rcreate, "q4"),
-        124: (Tstat, "4"),
-        125: (Rstat, "n"),
-        126: (Twstat, "4n"),
-        127: (Rwstat, ""),
-    }
+"""The messages that both dialects have."""
+
+PLAIN = SHARED | message_table(
+    MessageLayout(102, "Tauth", Tauth, "4ss"),
+    MessageLayout(104, "Tattach", Tattach, "44ss"),
+    MessageLayout(107, "Rerror", Rerror, "s"),
+    MessageLayout(112, "Topen", Topen, "41"),
+    MessageLayout(113, "Ropen", Ropen, "q4"),
+    MessageLayout(114, "Tcreate", Tcreate, "4s41"),
+    MessageLayout(115, "Rcreate", Rcreate, "q4"),
+    MessageLayout(124, "Tstat", Tstat, "4"),
+    MessageLayout(125, "Rstat", Rstat, "n"),
+    MessageLayout(126, "Twstat", Twstat, "4n"),
+    MessageLayout(127, "Rwstat", Rwstat, ""),
 )
-
-
-def encode(tag: int, message: Message) -> bytes:
-    return PLANS[type(message)].encode(tag, message)
+"""The messages of 9P2000."""
 
 
 def decode(number: int, body: bytes, table: Table = PLAIN) -> Message | Malformed:
-    plan = table.get(number)
-    return plan.decode(body) if plan else Malformed(f"unknown message type {number}")
+    """Return the message of type `number` in the dialect of `table`; `body` is what follows the header."""
+    layout = table.get(number)
+    return layout.decode(body) if layout else Malformed(f"unknown message type {number}")
 
 
 class Framer:
-    """Yields tag and message; a message longer than a buffer waits in several.
+    """Takes messages off the bytes that are fed in; a message longer than a buffer waits in several.
 
-    `most` bounds a message, and with it what waits here; `table` is the dialect. Both hold from the next
-    message on, so that one answered in between may change them.
+    `max_size` bounds a message in bytes, and with it what waits here; `table` is the dialect. Both hold from
+    the next message on, so that the answer to a message may change them before the next is taken.
     """
 
-    def __init__(self, pool: BufferPool, most: int, table: Table = PLAIN) -> None:
-        self._in = Chain(pool)
-        self.most, self.table = most, table
+    def __init__(self, pool: BufferPool, max_size: int, table: Table = PLAIN) -> None:
+        self._received = Chain(pool)
+        self.max_size = max_size
+        self.table = table
 
     @property
     def midway(self) -> bool:
-        return bool(self._in.length)
+        """Whether bytes are waiting here."""
+        return bool(self._received.length)
 
     @property
-    def whole(self) -> bool:
-        """Something is there to be yielded, or to be refused."""
-        if self._in.length < 4:
+    def has_complete_message(self) -> bool:
+        """Whether the bytes here hold a message to be taken, or a size to be rejected."""
+        if self._received.length < 4:
             return False
-        size = int.from_bytes(self._in.peek(4), "little")
-        return size < HEADER or size > self.most or self._in.length >= size
+        size = int.from_bytes(self._received.peek(4), "little")
+        return size < HEADER or size > self.max_size or self._received.length >= size
 
     def feed(self, data: bytes | memoryview) -> Iterator[tuple[int, Message | Malformed]]:
-        """What is not taken off the iterator waits for the next call. Raises FrameError when a size cannot be
-        right."""
-        self._in.append(data)
-        while self._in.length >= 4:
-            size = int.from_bytes(self._in.peek(4), "little")
-            if size < HEADER or size > self.most:
-                raise FrameError(f"message of {size} bytes")
-            if self._in.length < size:
+        """Yield tag and message, one after another.
+
+        Messages that are not taken off the iterator wait for the next call. Raises FrameError when a size
+        cannot be right.
+        """
+        self._received.append(data)
+        while self._received.length >= 4:
+            size = int.from_bytes(self._received.peek(4), "little")
+            if size < HEADER or size > self.max_size:
+                raise FrameError(size)
+            if self._received.length < size:
                 return
-            raw = self._in.take(size)
+            raw = self._received.take(size)
             yield int.from_bytes(raw[5:7], "little"), decode(raw[4], raw[HEADER:], self.table)
 
     def close(self) -> None:
-        self._in.clear()
+        """Give the buffers back."""
+        self._received.clear()
--- a/garnetlanding/ninep/errors.py
+++ b/garnetlanding/ninep/errors.py
@@ -1,19 +1,45 @@
-"""Errors of both dialects: numbers of 9P2000.L and texts of 9P2000, by one table.
+"""Errors of both dialects: numbers of 9P2000.L and texts of 9P2000, by one table; the package's exceptions.
 
-A 9P2000 server words its errors as it likes; what the table does not know becomes EIO for a Linux client,
-and keeps its words for a 9P2000 client. Numbers are those of Linux, whatever the head runs on.
+A 9P2000 server words its errors as it likes. A text that the table does not have becomes EIO for a 9P2000.L
+client, and stays as it is for a 9P2000 client. Numbers are those of Linux, whatever the instance runs on.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-EPERM, ENOENT, EIO, EBADF, EAGAIN, ENOMEM, EACCES, EBUSY, EEXIST = 1, 2, 5, 9, 11, 12, 13, 16, 17
-EXDEV, ENODEV, ENOTDIR, EISDIR, EINVAL, EFBIG, ENOSPC, EROFS, EMLINK = 18, 19, 20, 21, 22, 27, 28, 30, 31
-ERANGE, ENAMETOOLONG, ENOLCK, ENOSYS, ENOTEMPTY, ELOOP, ENODATA = 34, 36, 37, 38, 39, 40, 61
-EPROTO, EOPNOTSUPP, ETIMEDOUT, ESTALE, EDQUOT = 71, 95, 110, 116, 122
+EPERM = 1
+ENOENT = 2
+EIO = 5
+EBADF = 9
+EAGAIN = 11
+ENOMEM = 12
+EACCES = 13
+EBUSY = 16
+EEXIST = 17
+EXDEV = 18
+ENODEV = 19
+ENOTDIR = 20
+EISDIR = 21
+EINVAL = 22
+EFBIG = 27
+ENOSPC = 28
+EROFS = 30
+EMLINK = 31
+ERANGE = 34
+ENAMETOOLONG = 36
+ENOLCK = 37
+ENOSYS = 38
+ENOTEMPTY = 39
+ELOOP = 40
+ENODATA = 61
+EPROTO = 71
+EOPNOTSUPP = 95
+ETIMEDOUT = 110
+ESTALE = 116
+EDQUOT = 122
 
-# The first text of a number is how it is told in 9P2000; the others are understood as well.
+# The first text of a number is the one sent in 9P2000; the others are understood as well.
 TEXTS: tuple[tuple[int, tuple[str, ...]], ...] = (
     (EPERM, ("operation not permitted", "not owner", "wstat prohibited")),
     (
@@ -69,26 +95,52 @@
 NUMBER_OF = {text: number for number, texts in TEXTS for text in texts}
 
 
+class NinepError(Exception):
+    """Base of this package's exceptions."""
+
+
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """What went wrong with one request, as either dialect can tell it."""
+    """What went wrong with one request, as either dialect can tell it: no exception, but a reply's content.
+
+    `words` is the text for a 9P2000 client; empty: the table's.
+    """
 
     number: int
-    words: str = ""  # empty: as the table has it
+    words: str = ""
 
     @property
     def text(self) -> str:
+        """The text for a 9P2000 client."""
         return self.words or TEXT_OF.get(self.number, f"error {self.number}")
 
 
+class OperationFailedError(NinepError):
+    """A file server answered with an error, or its dialect cannot express the operation.
+
+    `problem` is passed on to the client: it is an answer, not a fault of the connection.
+    """
+
+    def __init__(self, problem: Problem) -> None:
+        super().__init__(problem.text)
+        self.problem = problem
+
+
 def from_text(ename: str) -> Problem:
-    """Servers put a file's name before or behind the text, after a colon: each part is looked up."""
-    whole = ename.strip()
-    for part in (whole, *whole.split(":")):
-        if (number := NUMBER_OF.get(part.strip(" '\"").lower())) is not None:
-            return Problem(number, whole)
-    return Problem(EIO, whole)
+    """Return the problem of a 9P2000 error text.
+
+    Servers put a file's name before or behind the text, after a colon: each part is looked up.
+    """
+    whole_text = ename.strip()
+    for part in (whole_text, *whole_text.split(":")):
+        number = NUMBER_OF.get(part.strip(" '\"").lower())
+        if number is not None:
+            return Problem(number, whole_text)
+    return Problem(EIO, whole_text)
 
 
 def from_number(ecode: int) -> Problem:
-    return Problem(ecode) if ecode in TEXT_OF else Problem(ecode, f"error {ecode}")
+    """Return the problem of a 9P2000.L error number."""
+    if ecode in TEXT_OF:
+        return Problem(ecode)
+    return Problem(ecode, f"error {ecode}")
--- a/garnetlanding/ninep/front.py
+++ b/garnetlanding/ninep/front.py
@@ -82,7 +82,7 @@
                     return self.close()
                 left -= 1
                 if not left:
-                    self.waiting = self._framer.whole
+                    self.waiting = self._framer.has_complete_message
                     return
         except codec.FrameError:
             # No tag can be trusted to answer with; what is in flight has lost its client.
@@ -138,7 +138,7 @@
                 raise RequestRejectedError(errors.EPROTO, "duplicate tag")
             if isinstance(message, codec.Malformed):
                 self.bad += 1
-                raise RequestRejectedError(errors.EPROTO, message.why)
+                raise RequestRejectedError(errors.EPROTO, message.reason)
             self._handle(tag, message, self.speaker)
         except RequestRejectedError as refusal:
             self.fail(tag, refusal.problem)
@@ -168,7 +168,7 @@
 
     def _version(self, tag: int, message: codec.Tversion) -> None:
         self.msize, self.speaker = 0, None
-        self._framer.most, self._framer.table = self.limits.ninep_msize, codec.PLAIN
+        self._framer.max_size, self._framer.table = self.limits.ninep_msize, codec.PLAIN
         if message.msize < self.limits.ninep_msize_min:
             self.say(tag, codec.Rerror("msize too small"))
             return
@@ -176,7 +176,7 @@
         msize = min(message.msize, self.limits.ninep_msize)
         if speaker:
             self.speaker, self.msize = speaker, msize
-            self._framer.most, self._framer.table = msize, speaker.table
+            self._framer.max_size, self._framer.table = msize, speaker.table
         self.say(tag, codec.Rversion(msize, speaker.version if speaker else "unknown"))
 
     def _speaker(self, version: str) -> Speaker | None:
--- a/garnetlanding/ninep/operations.py
+++ b/garnetlanding/ninep/operations.py
@@ -15,7 +15,7 @@
 from garnetlanding.ninep.client_dialect_linux import LinuxClientDialect
 from garnetlanding.ninep.client_dialect_plain import ROOM_FOR_ENTRIES
 from garnetlanding.ninep.codec import Qid
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import OperationFailedError, Problem
 from garnetlanding.ninep.model import Attr, Changes, Entry, Path, Space
 from garnetlanding.ninep.operation_table import TABLE, Op, Spec
 from garnetlanding.ninep.session import (
@@ -24,7 +24,6 @@
     Identity,
     OpenFile,
     OpenMode,
-    OperationFailedError,
     Session,
     Steps,
     expect,
--- a/garnetlanding/ninep/session.py
+++ b/garnetlanding/ninep/session.py
@@ -12,8 +12,9 @@
 
 from garnetlanding.ninep import codec, codec_linux, errors
 from garnetlanding.ninep.codec import MAX_WALK, QTDIR, QTEXCL, Message, Qid
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import OperationFailedError, Problem
 from garnetlanding.ninep.model import Path
+from garnetlanding.ninep.wire_format import message_name
 from garnetlanding.runtime.errors import BackendProtocolError
 
 if TYPE_CHECKING:
@@ -27,14 +28,6 @@
 NO_FILE = Problem(errors.ENOENT)
 
 
-class OperationFailedError(Exception):
-    """The server's own error: an answer, which is passed on."""
-
-    def __init__(self, problem: Problem) -> None:
-        super().__init__(problem.text)
-        self.problem = problem
-
-
 @dataclass(frozen=True, slots=True)
 class OpenMode:
     """How a file is opened, beside what opening does once (truncate, create)."""
@@ -115,7 +108,7 @@
         raise OperationFailedError(errors.from_text(reply.ename))
     if isinstance(reply, codec_linux.Rlerror):
         raise OperationFailedError(errors.from_number(reply.ecode))
-    raise BackendProtocolError(f"{type(reply).__name__} in place of {kind.__name__}")
+    raise BackendProtocolError(f"{message_name(type(reply))} in place of {message_name(kind)}")
 
 
 def set_up(session: Session) -> Steps[None]:
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -560,7 +560,7 @@
     lines = []
     for what, (number, body) in MALFORMED.items():
         got = p9.decode(number, body, table)
-        told = f"malformed: {got.why}" if isinstance(got, p9.Malformed) else "read"
+        told = f"malformed: {got.reason}" if isinstance(got, p9.Malformed) else "read"
         lines.append(f"{what}: {number} {body.hex() or '-'}: {told}")
     for size in (6, 65561):
         with pytest.raises(p9.FrameError) as problem:
--- a/tests/ninep/test_codec.py
+++ b/tests/ninep/test_codec.py
@@ -12,6 +12,7 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import model
+from garnetlanding.ninep.wire_format import MessageLayout
 from garnetlanding.runtime.buffers import BufferPool
 
 DIALECTS = {"9P2000": p9.PLAIN, "9P2000.L": p9l.LINUX}
@@ -19,9 +20,9 @@
 QIDS = st.builds(p9.Qid, st.integers(0, 255), st.integers(0, 2**32 - 1), st.integers(0, 2**64 - 1))
 
 
-def field_values(plan: p9.Plan) -> list[st.SearchStrategy[object]]:
-    """What may stand in each field, by the struct and kinds of its plan."""
-    lead = [{"B": 8, "H": 16, "I": 32, "Q": 64}[c] for c in plan._body.format[1:]]
+def field_values(layout: MessageLayout) -> list[st.SearchStrategy[object]]:
+    """Return what may stand in each field, by the struct and kinds of its layout."""
+    lead = [{"B": 8, "H": 16, "I": 32, "Q": 64}[c] for c in layout._lead.format[1:]]
     rest = {
         "s": TEXT,
         "q": QIDS,
@@ -32,7 +33,7 @@
     }
     ints = {"1": 8, "2": 16, "4": 32, "8": 64}
     return [st.integers(0, 2**bits - 1) for bits in lead] + [
-        rest[k] if k in rest else st.integers(0, 2 ** ints[k] - 1) for k in plan._rest
+        rest[k] if k in rest else st.integers(0, 2 ** ints[k] - 1) for k in layout._rest
     ]
 
 
@@ -40,10 +41,10 @@
 @given(data=st.data())
 def test_every_message_survives_encoding_and_decoding(dialect: str, data: st.DataObject) -> None:
     table = DIALECTS[dialect]
-    plan = table[data.draw(st.sampled_from(sorted(table)))]
-    message = plan.cls(*(data.draw(value) for value in field_values(plan)))
+    layout = table[data.draw(st.sampled_from(sorted(table)))]
+    message = layout.cls(*(data.draw(value) for value in field_values(layout)))
     raw = p9.encode(77, message)
-    assert struct.unpack("<IBH", raw[:7]) == (len(raw), plan.number, 77)
+    assert struct.unpack("<IBH", raw[:7]) == (len(raw), layout.number, 77)
     assert p9.decode(raw[4], raw[7:], table) == message
     for cut in range(7, len(raw), 1 + len(raw) // 8):
         assert isinstance(p9.decode(raw[4], raw[7:cut], table), p9.Malformed), "a part is not the whole"
@@ -89,4 +90,4 @@
 
 def test_message_with_a_layout_that_misses_its_fields_is_rejected() -> None:
     with pytest.raises(TypeError, match="Tread"):
-        p9.Plan(1, p9.Tread, "48")
+        MessageLayout(1, "Tread", p9.Tread, "48")
