--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -21,10 +21,11 @@
 from garnetlanding.ops import admin_client, admin_output
 from garnetlanding.peers import codec
 from garnetlanding.peers.codec import LeaseMessage
-from garnetlanding.peers.coordinator import PeerCoordinator
+from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.link import PeerLink
 from garnetlanding.peers.setup import PeerSetup
+from garnetlanding.peers.shared_budgets import SharedBudgets
 from tests.support.clock import MS, SECOND, T0
 from tests.support.daemon import PLATFORM_CONFIG, PLATFORM_SETTINGS, SimulatedDaemon
 from tests.support.decision_bench import make_settings, up_endpoint
@@ -126,6 +127,27 @@
     assert volume(coordinator).quota_share == 0.5
 
 
+def test_budgets_observe_actions_by_the_settings_that_the_same_events_brought(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    observed: list[int] = []
+
+    def observe(*call: Any) -> None:
+        observed.append(call[-1].retry_budget_window_us)
+
+    monkeypatch.setattr(SharedBudgets, "observe_actions", observe)
+    coordinator = PeerCoordinator(
+        Controller(replace(LIMITED, retry_budget_window_us=SECOND), 1),
+        incarnation=1,
+        subsystems=PeerSubsystems(
+            make_budgets=lambda settings, incarnation, now: SharedBudgets(LIMITS, settings, incarnation, now)
+        ),
+    )
+    coordinator.handle(T0, [])
+    coordinator.handle(T0, [api.NewSettings(replace(LIMITED, retry_budget_window_us=2 * SECOND))])
+    assert observed == [SECOND, 2 * SECOND]
+
+
 def test_forged_datagrams_are_counted_by_cause_and_change_nothing() -> None:
     coordinator = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), incarnation=1)
     whole = codec.encode_leases(
