--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,39 +1,64 @@
-"""The three troubles of a large fleet by number of heads: worth served, and sums over all heads.
+"""The three faults of a large fleet by number of instances: value served, and sums over all instances.
 
     python -m benchmarks.fleet [--heads 4,10,40,100] [--seeds 1,2,3] [--json FILE]
 
 Writes a table to standard output. Days are drawn by seed on a fake clock, so that the figures are the same
-on every machine; compare two versions of the module by running each on the same seeds. Load, bricks and
-volumes stay the same whatever the number of heads: more heads see less each.
+on every machine; compare two versions of the module by running each on the same seeds. Load, backends and
+volumes stay the same whatever the number of instances: the more there are, the less each one sees.
 """
 
 from __future__ import annotations
 
 import json
-from dataclasses import asdict
 
 import click
 
-from garnetlanding.emulator.fleet import Tally, play
+from garnetlanding.emulator.fleet import FleetFault, Tally, play
 
-KINDS = ("herd", "zone", "join")
+FAULTS = (FleetFault.HERD, FleetFault.ZONE, FleetFault.JOIN)
 
 
 def numbers(text: str) -> list[int]:
+    """Return the whole numbers of a list with commas, or raise `click.BadParameter`."""
     try:
         return [int(part) for part in text.split(",")]
     except ValueError:
         raise click.BadParameter(f"not whole numbers with commas between: {text!r}") from None
 
 
-def row(kind: str, heads: int, tallies: list[Tally]) -> str:
-    n = len(tallies)
-    return (
-        f"| {kind} | {heads} | {sum(t.served for t in tallies) / n:.3f} "
-        f"| {sum(t.calls for t in tallies) / n:.0f} | {sum(t.calls_failed for t in tallies) / n:.0f} "
-        f"| {sum(t.handshakes for t in tallies) / n:.0f} | {max(t.cold_peak for t in tallies):.2f} "
-        f"| {max(t.worst_queue for t in tallies)} |"
+def row(fault: FleetFault, instances: int, tallies: list[Tally]) -> str:
+    """Return the table's line for days that differ in their seed alone: means, and the greatest peaks."""
+    days = len(tallies)
+    cells = (
+        fault.value,
+        str(instances),
+        f"{sum(tally.served_share for tally in tallies) / days:.3f}",
+        f"{sum(tally.list_calls for tally in tallies) / days:.0f}",
+        f"{sum(tally.list_calls_failed for tally in tallies) / days:.0f}",
+        f"{sum(tally.handshakes for tally in tallies) / days:.0f}",
+        f"{max(tally.max_warmup_load for tally in tallies):.2f}",
+        str(max(tally.max_queue for tally in tallies)),
     )
+    return f"| {' | '.join(cells)} |"
+
+
+def day_record(fault: FleetFault, instances: int, seed: int, tally: Tally) -> dict[str, object]:
+    """Return a day's figures under the names that the JSON file has for them."""
+    return {
+        "kind": fault.value,
+        "heads": instances,
+        "seed": seed,
+        "served": tally.served_share,
+        "asked": tally.requested_value,
+        "earned": tally.earned_value,
+        "calls": tally.list_calls,
+        "calls_failed": tally.list_calls_failed,
+        "handshakes": tally.handshakes,
+        "worst_queue": tally.max_queue,
+        "cold_peak": tally.max_warmup_load,
+        "unanswered": tally.unanswered,
+        "twice": tally.answered_twice,
+    }
 
 
 @click.command()
@@ -46,15 +71,16 @@
     days = []
     print("| kind | heads | worth served | list calls | failed | handshakes | cold peak | worst queue |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
-    for kind in KINDS:
-        for count in numbers(heads):
-            tallies = [play(kind, count, seed, bricks=bricks) for seed in numbers(seeds)]
+    for fault in FAULTS:
+        for instances in numbers(heads):
+            tallies = [play(fault.value, instances, seed, backends=bricks) for seed in numbers(seeds)]
             for seed, tally in zip(numbers(seeds), tallies, strict=True):
-                if tally.unanswered or tally.twice:
-                    raise click.ClickException(f"{kind} {count} {seed}: a rule was broken: {tally}")
-                day = {"kind": kind, "heads": count, "seed": seed, "served": tally.served}
-                days.append(day | asdict(tally))
-            print(row(kind, count, tallies), flush=True)
+                if tally.unanswered or tally.answered_twice:
+                    raise click.ClickException(
+                        f"{fault.value} {instances} {seed}: a rule was broken: {tally}"
+                    )
+                days.append(day_record(fault, instances, seed, tally))
+            print(row(fault, instances, tallies), flush=True)
     if json_file:
         json.dump(days, json_file, indent=1)
 
--- /dev/null
+++ b/garnetlanding/emulator/fleet_discovery.py
@@ -0,0 +1,88 @@
+"""Discovery of a simulated fleet: it answers one call after another and sends changes to those that watch."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Sequence
+from dataclasses import dataclass
+from functools import partial
+
+from garnetlanding.decision import interface as api
+from garnetlanding.emulator.fleet_backends import BackendPool
+from garnetlanding.emulator.fleet_clock import EventQueue
+from garnetlanding.emulator.fleet_config import SECOND, FleetConfig, FleetFault
+from garnetlanding.emulator.fleet_instances import SimulatedInstance
+from garnetlanding.emulator.fleet_tally import Tally
+
+
+@dataclass(frozen=True, slots=True)
+class ListCall:
+    """An instance's call for the whole list."""
+
+    called_at_us: int
+    instance: SimulatedInstance
+    incarnation: int
+
+
+class SimulatedDiscovery:
+    """A discovery of a fixed capacity. An answered call is followed by a watch, until `end_watches`."""
+
+    def __init__(self, config: FleetConfig, clock: EventQueue, backends: BackendPool, tally: Tally) -> None:
+        self._config = config
+        self._clock = clock
+        self._backends = backends
+        self._tally = tally
+        self._calls: deque[ListCall] = deque()
+        self._is_busy = False
+        self._calls_per_s = config.list_calls_per_s
+        self._watching: dict[int, SimulatedInstance] = {}  # by number
+
+    def call(self, instance: SimulatedInstance) -> None:
+        """Queue a call for the whole list."""
+        self._calls.append(ListCall(self._clock.now, instance, instance.incarnation))
+        if not self._is_busy:
+            self._begin_next()
+
+    def forget(self, instance: SimulatedInstance) -> None:
+        """End the watch of an instance that is gone."""
+        self._watching.pop(instance.number, None)
+
+    def publish(self, instances: Sequence[SimulatedInstance], *changed: api.Endpoint) -> None:
+        """Send changed entries: late to all instances where lists are pushed, at once to those that watch."""
+        update = api.EndpointListUpdate(changed)
+        if self._config.pushed_lists:
+            at_us = self._clock.now + self._config.push_delay_us
+            for instance in instances:
+                self._clock.schedule(at_us, partial(instance.receive_in, instance.incarnation, update))
+        for number in sorted(self._watching):
+            self._watching[number].receive(update)
+
+    def end_watches(self) -> None:
+        """End every watch; under HERD this also leaves discovery overloaded."""
+        if self._config.fault is FleetFault.HERD:
+            self._calls_per_s = self._config.overloaded_list_calls_per_s
+        ended = self._watching
+        self._watching = {}
+        for number in sorted(ended):
+            ended[number].receive(api.EndpointListUpdate(failed=True))
+
+    def _begin_next(self) -> None:
+        self._is_busy = bool(self._calls)
+        if self._is_busy:
+            self._clock.schedule(self._clock.now + int(SECOND / self._calls_per_s), self._finish_call)
+
+    def _finish_call(self) -> None:
+        call = self._calls.popleft()
+        instance = call.instance
+        has_timed_out = self._clock.now - call.called_at_us > self._config.list_call_timeout_us
+        if self._is_out() or has_timed_out:
+            self._tally.list_calls_failed += 1
+            instance.receive_in(call.incarnation, api.EndpointListUpdate(failed=True, queued=has_timed_out))
+        elif instance.incarnation == call.incarnation:
+            self._watching[instance.number] = instance
+            instance.receive(api.EndpointListUpdate(self._backends.endpoints(), whole=True))
+        self._begin_next()
+
+    def _is_out(self) -> bool:
+        begins_us = self._config.fault_at_us
+        return begins_us <= self._clock.now < begins_us + self._config.discovery_outage_us
--- /dev/null
+++ b/garnetlanding/emulator/fleet_tally.py
@@ -0,0 +1,25 @@
+"""What a simulated day of a fleet came to."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(slots=True)
+class Tally:
+    """Sums over all instances."""
+
+    requested_value: float = 0.0  # priority weight times price and units, as if all were served in time
+    earned_value: float = 0.0
+    list_calls: int = 0
+    list_calls_failed: int = 0
+    handshakes: int = 0
+    max_queue: int = 0  # at any backend
+    max_warmup_load: float = 0.0  # sent to a warming backend in any window, by what it bears; 1 is the limit
+    unanswered: int = 0
+    answered_twice: int = 0
+
+    @property
+    def served_share(self) -> float:
+        """The earned part of the requested value."""
+        return self.earned_value / self.requested_value if self.requested_value else 0.0
--- a/tests/golden/test_decision_digest.py
+++ b/tests/golden/test_decision_digest.py
@@ -185,23 +185,28 @@
 
 
 PUSHED: dict[str, Any] = dict(
-    pushed=True, warmup_initial_share=0.15, overload_multiple=2.0, warmup_units=10.0, rate=40.0
+    pushed_lists=True, warmup_initial_share=0.15, overload_multiple=2.0, warmup_units=10.0, service_rate=40.0
 )
 
 FLEETS: dict[str, tuple[str, int, Change, dict[str, Any]]] = {
-    "calm": ("zone", 3, as_it_is, dict(part=0.0, bricks=10)),
-    "restart-with-cold-nodes": ("zone", 30, as_it_is, dict(bricks=12)),
-    "heads-killed": ("herd", 20, as_it_is, dict(bricks=12)),
-    "discovery-outage": ("join", 12, keyed, dict(bricks=12, down_us=6 * SECOND)),
-    "lists-pushed-late": ("zone", 5, limited, dict(bricks=10, part=0.5, **PUSHED)),
-    "answers-lost": ("zone", 8, parallel, dict(bricks=12, part=0.0, silent=0.25, load=1.2)),
+    "calm": ("zone", 3, as_it_is, dict(affected_share=0.0, backends=10)),
+    "restart-with-cold-nodes": ("zone", 30, as_it_is, dict(backends=12)),
+    "heads-killed": ("herd", 20, as_it_is, dict(backends=12)),
+    "discovery-outage": ("join", 12, keyed, dict(backends=12, discovery_outage_us=6 * SECOND)),
+    "lists-pushed-late": ("zone", 5, limited, dict(backends=10, affected_share=0.5, **PUSHED)),
+    "answers-lost": (
+        "zone",
+        8,
+        parallel,
+        dict(backends=12, affected_share=0.0, unresponsive_share=0.25, load=1.2),
+    ),
     "one-head-of-quick-bricks": (
         "zone",
         1,
         as_it_is,
-        dict(bricks=3, rate=150.0, load=20.0, length_us=10 * SECOND),
+        dict(backends=3, service_rate=150.0, load=20.0, length_us=10 * SECOND),
     ),
-    "overload-refusals": ("join", 6, limited, dict(bricks=10, load=2.5, queue=6, connections=4)),
+    "overload-refusals": ("join", 6, limited, dict(backends=10, load=2.5, queue_limit=6, connection_limit=4)),
 }
 
 
@@ -211,7 +216,8 @@
     record = Record()
     monkeypatch.setattr(fleet, "Controller", lambda settings, seed: Recorded(record, change(settings), seed))
     tally = fleet.play(kind, heads, seed=7, **day)
-    record.write("=", f"tally {tally.asked!r} {tally.earned!r} {tally.calls} {tally.calls_failed}")
+    values = f"{tally.requested_value!r} {tally.earned_value!r}"
+    record.write("=", f"tally {values} {tally.list_calls} {tally.list_calls_failed}")
     check("fleet-" + name, record)
 
 
