--- a/garnetlanding/config/operator.py
+++ b/garnetlanding/config/operator.py
@@ -16,7 +16,7 @@
     from garnetlanding.audit.setup import AuditSetup
     from garnetlanding.choices.setup import ChoicesSetup
     from garnetlanding.history.setup import HistorySetup
-    from garnetlanding.ninep.setup import Ninep
+    from garnetlanding.ninep.setup import NinepSetup
     from garnetlanding.peers.setup import FleetSetup
     from garnetlanding.telemetry.setup import TelemetrySetup
 
@@ -27,7 +27,7 @@
 class OperatorConfig:
     """The settings of each optional subsystem; None where it is off. The platform's own file has none."""
 
-    ninep: Ninep | None = None
+    ninep: NinepSetup | None = None
     telemetry: TelemetrySetup | None = None
     store: StoreSetup = StoreSetup()
     history: HistorySetup | None = None
@@ -54,7 +54,7 @@
     )
 
 
-def _read_ninep(data: object, settings: api.Settings) -> Ninep:
+def _read_ninep(data: object, settings: api.Settings) -> NinepSetup:
     from garnetlanding.ninep import setup
 
     return setup.read(data, settings)
--- a/garnetlanding/config/platform.py
+++ b/garnetlanding/config/platform.py
@@ -18,7 +18,7 @@
 from garnetlanding.runtime.stream import parse_address
 
 if TYPE_CHECKING:
-    from garnetlanding.ninep.setup import Ninep
+    from garnetlanding.ninep.setup import NinepSetup
     from garnetlanding.peers.setup import PeerSetup
 
 # The platform's variables, each with the key of the file that it overrides.
@@ -86,7 +86,7 @@
     return str(value)
 
 
-def _share_with_ninep(limits: Limits, ninep: Ninep) -> Limits:
+def _share_with_ninep(limits: Limits, ninep: NinepSetup) -> Limits:
     """Return the limits with 9P's connections taken out of the descriptors of the other clients.
 
     A fifth each is for 9P's clients and for its server connections, unless the operator says how many.
--- a/garnetlanding/daemon/ninep.py
+++ b/garnetlanding/daemon/ninep.py
@@ -6,8 +6,8 @@
 from garnetlanding.daemon.lifecycle import Subsystem
 from garnetlanding.ninep.client import file_servers
 from garnetlanding.ninep.front import ClientMachine
-from garnetlanding.ninep.setup import Ninep
-from garnetlanding.ninep.shared import Front
+from garnetlanding.ninep.setup import NinepSetup
+from garnetlanding.ninep.shared_state import SharedState
 
 
 class NinepClients(Subsystem):
@@ -15,7 +15,7 @@
 
     name = "9P clients"
 
-    def __init__(self, instance: Instance, setup: Ninep) -> None:
+    def __init__(self, instance: Instance, setup: NinepSetup) -> None:
         self._instance = instance
         self._setup = setup
 
@@ -25,9 +25,9 @@
         servers = file_servers(
             instance.scheduler, instance.pool, instance.limits, setup.server_port, setup.server_dialect
         )
-        front = Front(
+        shared = SharedState(
             instance.core, servers, setup.exports, instance.pool, instance.limits, instance.scheduler
         )
         instance.listen(
-            "9P", setup.listen, instance.limits.ninep_conns, lambda write: ClientMachine(front, write)
+            "9P", setup.listen, instance.limits.ninep_conns, lambda write: ClientMachine(shared, write)
         )
--- a/garnetlanding/emulator/files_linux.py
+++ b/garnetlanding/emulator/files_linux.py
@@ -10,7 +10,7 @@
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
 from garnetlanding.ninep.errors import Problem
-from garnetlanding.ninep.locks import END, Owner, Range, span
+from garnetlanding.ninep.locks import END, LockOwner, LockRange, byte_span
 from garnetlanding.ninep.model import Entry, Time, d_type, getattr_reply, good_name, pack_entry
 
 PERM = 0o7777
@@ -246,10 +246,10 @@
             raise DiskError(errors.EBADF)
         if at.node.is_dir:
             raise DiskError(errors.EISDIR)
-        start, end = span(message.start, message.length)
-        owner, file = Owner(conn.id, message.proc_id, message.client_id), ("", at.node.number)
+        start, end = byte_span(message.start, message.length)
+        owner, file = LockOwner(conn.id, message.proc_id, message.client_id), ("", at.node.number)
         write = message.type == p9l.LOCK_WRITE
-        wanted = Range(owner, message.fid, write, start, end)
+        wanted = LockRange(owner, message.fid, write, start, end)
         if message.type > p9l.LOCK_NONE or start >= SIGNED_END:
             raise DiskError(errors.EINVAL)
         if isinstance(message, p9l.Tgetlock):
@@ -270,4 +270,4 @@
             return p9l.Rlock(p9l.LOCK_DONE)
         if at.access not in ((p9.OWRITE, p9.ORDWR) if write else (p9.OREAD, p9.ORDWR)):
             raise DiskError(errors.EBADF)
-        return p9l.Rlock(p9l.LOCK_DONE if locks.take(file, wanted) else p9l.LOCK_BLOCKED)
+        return p9l.Rlock(p9l.LOCK_DONE if locks.acquire(file, wanted) else p9l.LOCK_BLOCKED)
--- a/garnetlanding/emulator/fileserver.py
+++ b/garnetlanding/emulator/fileserver.py
@@ -17,7 +17,7 @@
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
 from garnetlanding.ninep.errors import Problem
-from garnetlanding.ninep.locks import Exclusive, Locks
+from garnetlanding.ninep.locks import ExclusiveUse, LockTable
 from garnetlanding.runtime.listener import Write
 
 LEAST_MSIZE = 256
@@ -217,7 +217,7 @@
         self._waiting.clear()
         for fid in list(self.fids):
             self.clunk(fid)
-        self.server.locks.clunked(self.id, None)
+        self.server.locks.release_session(self.id)
 
     def close(self) -> None:
         if not self.ended:
@@ -331,7 +331,7 @@
         return self.qid(node)
 
     def exclude(self, fid: int, node: Inode) -> None:
-        if self.qid(node).type & p9.QTEXCL and not self.server.exclusive.open(
+        if self.qid(node).type & p9.QTEXCL and not self.server.exclusive_use.acquire(
             ("", node.number), self.id, fid
         ):
             raise DiskError(errors.EBUSY)
@@ -339,8 +339,8 @@
     def clunk(self, fid: int, removed: bool = False) -> None:
         at = self.fid(fid)
         del self.fids[fid]
-        self.server.locks.clunked(self.id, fid)
-        self.server.exclusive.clunked(self.id, fid)
+        self.server.locks.release_fid(self.id, fid)
+        self.server.exclusive_use.release_fid(self.id, fid)
         if at.remove_on_close and not removed:
             try:
                 self.remove(at)
@@ -382,7 +382,8 @@
         self.hold: Callable[[p9.Message], bool] | None = None
         self.held: list[tuple[int, p9.Message, FileConn]] = []
         self.script = Script()
-        self.locks, self.exclusive = Locks(LOCKS), Exclusive()
+        self.locks = LockTable(LOCKS)
+        self.exclusive_use = ExclusiveUse()
         self._ids = 0
 
     def next_id(self) -> int:
--- /dev/null
+++ b/garnetlanding/ninep/dispatcher.py
@@ -0,0 +1,240 @@
+"""Hands the requests of one client connection to the core and writes one reply to each tag.
+
+A change takes its place in the order of changes first. What exceeds the client's share of the core waits
+here, in order of arrival.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from garnetlanding.core.ports import Answer, InvalidRequestError, RequestSpec, Served
+from garnetlanding.ninep import codec, errors
+from garnetlanding.ninep.codec import Message
+from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.fids import Fid, RequestRejectedError
+from garnetlanding.ninep.operation_table import class_for
+from garnetlanding.ninep.operations import Read, ReadDirectory, Remove, Work, Write
+from garnetlanding.ninep.outcome import reply_for
+from garnetlanding.ninep.pending import PendingRequest
+from garnetlanding.ninep.shared_state import SharedState
+
+NO_TAG = -1
+"""In place of the tag of a request that no client waits for."""
+
+
+@dataclass(frozen=True, slots=True)
+class ReplyWriter:
+    """Writes to the client: `message` a reply, `problem` an error in the words of the agreed dialect."""
+
+    message: Callable[[int, Message], None]
+    problem: Callable[[int, Problem], None]
+
+
+def held_bytes(operation: Work) -> int:
+    """Return the memory that an operation holds while it has no answer, in bytes."""
+    if isinstance(operation, Write):
+        return len(operation.data)
+    if isinstance(operation, Read | ReadDirectory):
+        return operation.count
+    return 0
+
+
+class RequestDispatcher:
+    """The requests of one client that have no reply yet.
+
+    Invariant: each tag gets one reply, and a flush is answered after the reply to what it flushes, if that
+    gets one.
+    """
+
+    def __init__(self, shared: SharedState, client: int, replies: ReplyWriter) -> None:
+        self._shared = shared
+        self._client = client
+        self._replies = replies
+        self._limits = shared.limits
+        self.pending: dict[int, PendingRequest] = {}
+        """By tag."""
+        self._flushed: dict[int, PendingRequest] = {}
+        """What is being flushed, by the tag of the flush."""
+        self._queue: deque[tuple[int, PendingRequest]] = deque()
+        """Tags and requests that are not with the core yet, in order of arrival."""
+        self._open_requests = 0
+        self.submitted = 0
+        """Requests for the core so far."""
+
+    def uses_tag(self, tag: int) -> bool:
+        """Return whether the tag's message has no reply yet."""
+        return tag in self.pending or tag in self._flushed
+
+    # Cancelling
+
+    def flush(self, tag: int, oldtag: int) -> None:
+        """Process Tflush: "the server should answer the flush message immediately" (flush(5)).
+
+        What may have changed something cannot be cancelled; its own reply is written first.
+        """
+        old = self.pending.get(oldtag) or self._flushed.get(oldtag)
+        if old is None or (oldtag in self.pending and self.cancel(oldtag)):
+            self._replies.message(tag, codec.Rflush())
+            return
+        old.flush_tags.append(tag)
+        self._flushed[tag] = old
+
+    def cancel(self, tag: int) -> bool:
+        """Take a request back as though it had never arrived; return False when that would not be true."""
+        pending = self.pending[tag]
+        if pending.must_complete:
+            return False
+        del self.pending[tag]
+        pending.settled = True
+        pending.cancelled = True
+        if pending.ticket:
+            self._shared.core.client_disconnected(pending.ticket)
+            self._request_ended()
+        if pending.change_ticket:
+            self._shared.finish_change(self._client, pending.change_ticket, outcome_unknown=False)
+        return True
+
+    def cancel_all(self) -> None:
+        """End the session's requests: reads are cancelled, changes that may have run complete unanswered."""
+        # The last first, so that none is submitted because one before it was cancelled. A clunk that waits
+        # may end by the cancelling of another.
+        for tag in reversed(list(self.pending)):
+            if tag in self.pending and not self.cancel(tag):
+                self.pending.pop(tag).settled = True
+        self._flushed.clear()
+
+    # Submitting
+
+    def submit(self, tag: int, pending: PendingRequest) -> None:
+        """Pass a request on. Raise RequestRejectedError when the client has too many, or may not change."""
+        if len(self.pending) >= self._limits.ninep_tags:
+            raise RequestRejectedError(errors.EAGAIN, "too many requests in flight")
+        if pending.is_change and not pending.target.export.writable:
+            raise RequestRejectedError(errors.EROFS)
+        self.pending[tag] = pending
+        self.submitted += 1
+        if pending.is_change:
+            self._enqueue_change(tag, pending)
+        else:
+            pending.deadline = self._shared.timers.now + pending.target.export.deadline_us
+            self._admit(tag, pending)
+
+    def remove_unanswered(self, fid: Fid) -> None:
+        """Remove the file of a fid that was open to be removed on close, for a client that has left."""
+        operation = Remove(fid.identity, fid.path, fid.qid)
+        pending = PendingRequest(fid, operation, lambda _: codec.Rclunk(), settled=True)
+        self._enqueue_change(NO_TAG, pending)
+
+    def wait_for_changes(self, tag: int, fid: Fid, reply: Message) -> None:
+        """Reply once the changes of the fid's file that are queued or in flight have ended."""
+        pending = PendingRequest(fid, None, lambda _: reply, must_run=True)
+        self.pending[tag] = pending
+
+        def start() -> None:
+            self._shared.finish_change(self._client, pending.change_ticket, outcome_unknown=False)
+            self._settle(tag, pending, reply)
+
+        self._enqueue(pending, ((fid.export.name, fid.path),), start)
+
+    def _enqueue_change(self, tag: int, pending: PendingRequest) -> None:
+        """Queue a change behind those that it must not overtake. Its deadline counts from now on."""
+        operation = pending.operation
+        assert operation
+        fid = pending.target
+        export = fid.export
+        path = fid.path
+        pending.deadline = self._shared.timers.now + (export.change_deadline_us or export.deadline_us)
+
+        def start() -> None:
+            if fid.path != path:
+                # Renamed by a change before it.
+                pending.operation = operation.under(path, fid.path)
+            self._admit(tag, pending)
+
+        self._enqueue(pending, tuple((export.name, changed) for changed in operation.paths), start)
+
+    def _enqueue(
+        self,
+        pending: PendingRequest,
+        paths: tuple[tuple[str, tuple[str, ...]], ...],
+        start: Callable[[], None],
+    ) -> None:
+        enqueued = self._shared.enqueue_change(self._client, pending.target, paths, start)
+        pending.change_ticket = enqueued.ticket
+        if enqueued.may_start:
+            start()
+
+    def _admit(self, tag: int, pending: PendingRequest) -> None:
+        """Submit a request once the client's share allows it; its deadline does not move meanwhile."""
+        self._shared.admission.record_request(self._client, self._shared.timers.now)
+        self._queue.append((tag, pending))
+        self._submit_queued()
+
+    def _submit_queued(self) -> None:
+        limit = self._shared.admission.limit_for(self._client, self._shared.timers.now)
+        while self._queue and self._open_requests < limit:
+            tag, pending = self._queue.popleft()
+            if not pending.cancelled:
+                self._open_requests += 1
+                self._submit(tag, pending)
+
+    def _request_ended(self) -> None:
+        self._open_requests -= 1
+        self._submit_queued()
+
+    def _submit(self, tag: int, pending: PendingRequest) -> None:
+        operation = pending.operation
+        assert operation
+
+        def answered(answer: Answer) -> None:
+            self._settle(tag, pending, reply_for(operation, answer, pending.build_reply))
+            self._request_ended()
+            if pending.change_ticket:
+                self._shared.finish_change(
+                    self._client, pending.change_ticket, outcome_unknown=operation.trace.unsure > 0
+                )
+
+        core = self._shared.core
+        try:
+            pending.ticket = core.submit(self._spec(pending, operation), self._shared.backend, answered)
+        except InvalidRequestError as error:  # the operator's export and the settings do not go together
+            answered(Served(Problem(errors.EINVAL, str(error))))
+
+    def _spec(self, pending: PendingRequest, operation: Work) -> RequestSpec:
+        export = pending.target.export
+        classes = self._shared.core.settings.classes
+        units = max(1, -(-pending.size // export.unit_bytes))
+        return RequestSpec(
+            cls=class_for(operation.op, export.cls, export.change_cls or export.cls, classes),
+            plan=export.plan,
+            volume=export.volume,
+            key="/" + "/".join(operation.path),
+            units=float(units),
+            cell=export.cell,
+            # One whose deadline passed while it waited still goes to the decision module, which rejects it.
+            timeout_us=max(1, pending.deadline - self._shared.timers.now),
+            volume_hosts=export.hosts,
+            work=operation,
+            is_write=operation.spec.change,
+            held_bytes=held_bytes(operation),
+            allow_hedging=False,  # an operation's trace is for one attempt at a time
+        )
+
+    # Replies
+
+    def _settle(self, tag: int, pending: PendingRequest, reply: Message | Problem) -> None:
+        """Write the one reply to a tag, and then those of the flushes that wait for it."""
+        if pending.settled:
+            return
+        pending.settled = True
+        del self.pending[tag]
+        if isinstance(reply, Problem):
+            self._replies.problem(tag, reply)
+        else:
+            self._replies.message(tag, reply)
+        for flush_tag in pending.flush_tags:
+            del self._flushed[flush_tag]
+            self._replies.message(flush_tag, codec.Rflush())
--- a/garnetlanding/ninep/order.py
+++ b/garnetlanding/ninep/order.py
@@ -1,126 +1,161 @@
-"""Decides when each change may go to a server: those of one client that touch each other, one at a time.
+"""Decides when each change may be sent to a file server: overlapping changes of a client run one at a time.
 
-A file server runs what comes on two connections in any order, so a head that spreads attempts over
-connections must hold back a change until the one before it has its end. Two changes touch each other when
-a path of one is a path of the other or leads to it: a rename of a directory waits for writes below it.
+A file server runs what arrives on two connections in any order, so an instance that spreads attempts over
+connections must hold a change back until the one before it has ended. Two changes overlap when a path of one
+is a path of the other or an ancestor of it: the rename of a directory waits for writes below it.
 
-A change whose attempt may still be in work when its item ends (the connection was given up, no end was
-heard) could run late, over what came after it. Its paths rest for a while, for every client of the head.
+A change whose attempt may still be running when its request ends (the connection was given up, no end was
+seen) could take effect late, over what came after it. Its paths are paused for a while, for every client of
+the instance.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from dataclasses import dataclass, replace
+from typing import NamedTuple
 
 Path = tuple[str, ...]
-Paths = tuple[tuple[str, Path], ...]  # each with the export that it lies in
+ExportPath = tuple[str, Path]
+"""The name of an export, and a path in it."""
+ExportPaths = tuple[ExportPath, ...]
 
 
-def touch(a: tuple[str, Path], b: tuple[str, Path]) -> bool:
-    """One is the other, or lies below it."""
-    n = min(len(a[1]), len(b[1]))
-    return a[0] == b[0] and a[1][:n] == b[1][:n]
+def overlap(first: ExportPath, second: ExportPath) -> bool:
+    """Return whether the two paths are the same or one lies below the other."""
+    first_export, first_path = first
+    second_export, second_path = second
+    shared = min(len(first_path), len(second_path))
+    return first_export == second_export and first_path[:shared] == second_path[:shared]
 
 
-def moved(path: tuple[str, Path], old: tuple[str, Path], new: Path) -> tuple[str, Path]:
-    """Where a path lies once `old` is called `new`."""
-    if path[0] == old[0] and path[1][: len(old[1])] == old[1]:
-        return path[0], new + path[1][len(old[1]) :]
+def renamed(path: ExportPath, old: ExportPath, new: Path) -> ExportPath:
+    """Return where a path leads once `old` has been renamed to `new` in its export."""
+    export, names = path
+    old_export, old_names = old
+    if export == old_export and names[: len(old_names)] == old_names:
+        return export, new + names[len(old_names) :]
     return path
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class Change:
+    """A change that is queued or in flight, and the paths that it touches."""
+
     ticket: int
     client: int
-    paths: Paths
+    paths: ExportPaths
+
+    def overlaps(self, paths: ExportPaths) -> bool:
+        """Return whether one of its paths overlaps one of these."""
+        return any(overlap(mine, other) for mine in self.paths for other in paths)
 
-    def touches(self, paths: Paths) -> bool:
-        return any(touch(mine, other) for mine in self.paths for other in paths)
 
+class Enqueued(NamedTuple):
+    """The ticket of a change, and whether it may be sent at once."""
+
+    ticket: int
+    may_start: bool
 
-class Order:
-    """All changes of one head. Times are microseconds; nothing here looks at a clock."""
 
-    def __init__(self, rest_us: int, most_rests: int) -> None:
-        self._rest_us, self._most_rests = rest_us, most_rests
-        self._waiting: dict[int, list[Entry]] = {}  # by client, as they came
-        self._out: dict[int, list[Entry]] = {}
-        self._rests: OrderedDict[tuple[str, Path], int] = OrderedDict()  # until when
-        self._count = 0
+class ChangeOrder:
+    """The changes of all clients of one instance, with a per-client ordering by path.
+
+    Times are microseconds and are passed in; no clock is read here.
+    """
+
+    def __init__(self, pause_us: int, max_pauses: int) -> None:
+        """`pause_us` is how long paths are paused; past `max_pauses` of them the oldest is dropped."""
+        self._pause_us = pause_us
+        self._max_pauses = max_pauses
+        self._queued: dict[int, list[Change]] = {}  # by client, in order of arrival
+        self._in_flight: dict[int, list[Change]] = {}  # by client
+        self._paused_until: OrderedDict[ExportPath, int] = OrderedDict()  # the earliest end first
+        self._last_ticket = 0
 
     def __len__(self) -> int:
-        return sum(map(len, self._waiting.values())) + sum(map(len, self._out.values()))
-
-    def enter(self, client: int, paths: Paths, now: int) -> tuple[int, bool]:
-        """A change, with its ticket, and whether it may go at once; else `ended` or `rested` will name it."""
-        self._count += 1
-        entry = Entry(self._count, client, paths)
-        if self._free(entry, self._waiting.get(client, []), now):
-            self._out.setdefault(client, []).append(entry)
-            return entry.ticket, True
-        self._waiting.setdefault(client, []).append(entry)
-        return entry.ticket, False
-
-    def _free(self, entry: Entry, before: list[Entry], now: int) -> bool:
-        ahead = [*self._out.get(entry.client, ()), *before]
-        return not any(other.touches(entry.paths) for other in ahead) and not self._rests_on(entry, now)
-
-    def _rests_on(self, entry: Entry, now: int) -> bool:
+        return sum(map(len, self._queued.values())) + sum(map(len, self._in_flight.values()))
+
+    def enqueue(self, client: int, paths: ExportPaths, now: int) -> Enqueued:
+        """Add a change. Where it may not start, `finish` or `expire_pauses` will name its ticket later."""
+        self._last_ticket += 1
+        change = Change(self._last_ticket, client, paths)
+        may_start = self._may_start(change, self._queued.get(client, []), now)
+        changes = self._in_flight if may_start else self._queued
+        changes.setdefault(client, []).append(change)
+        return Enqueued(change.ticket, may_start)
+
+    def _may_start(self, change: Change, queued_before: list[Change], now: int) -> bool:
+        ahead = [*self._in_flight.get(change.client, ()), *queued_before]
+        if any(other.overlaps(change.paths) for other in ahead):
+            return False
+        return not self._is_paused(change, now)
+
+    def _is_paused(self, change: Change, now: int) -> bool:
         return any(
-            until > now and any(touch(path, mine) for mine in entry.paths)
-            for path, until in self._rests.items()
+            until > now and any(overlap(path, mine) for mine in change.paths)
+            for path, until in self._paused_until.items()
         )
 
-    def ended(self, client: int, ticket: int, now: int, unsure: bool) -> list[int]:
-        """The change is over, or was given up before it went. Returns the tickets that may go now."""
-        for among in (self._out, self._waiting):
-            entries = among.get(client, [])
-            for entry in [e for e in entries if e.ticket == ticket]:
-                entries.remove(entry)
-                if unsure:
-                    self._rest(entry, now)
-            if not entries:
-                among.pop(client, None)
-        return self._release(client, now)
-
-    def _rest(self, entry: Entry, now: int) -> None:
-        for path in entry.paths:
-            self._rests.pop(path, None)
-            self._rests[path] = now + self._rest_us
-        while len(self._rests) > self._most_rests:
-            self._rests.popitem(last=False)
-
-    def rested(self, now: int) -> list[int]:
-        """Forgets the rests that are over; the tickets that may go since."""
-        while self._rests and next(iter(self._rests.values())) <= now:
-            self._rests.popitem(last=False)
-        return [ticket for client in list(self._waiting) for ticket in self._release(client, now)]
-
-    def moved(self, old: tuple[str, Path], new: Path) -> None:
-        """A rename has taken effect: what waits or is out goes by the new name."""
-        for among in (self._waiting, self._out):
-            for entries in among.values():
-                entries[:] = [replace(e, paths=tuple(moved(p, old, new) for p in e.paths)) for e in entries]
-        self._rests = OrderedDict((moved(path, old, new), until) for path, until in self._rests.items())
+    def finish(self, client: int, ticket: int, now: int, outcome_unknown: bool) -> list[int]:
+        """Remove a change that has ended or was cancelled; return the tickets that may start now.
+
+        `outcome_unknown`: one of its attempts may still be running, so its paths are paused.
+        """
+        for changes in (self._in_flight, self._queued):
+            of_client = changes.get(client, [])
+            for change in [change for change in of_client if change.ticket == ticket]:
+                of_client.remove(change)
+                if outcome_unknown:
+                    self._pause(change, now)
+            if not of_client:
+                changes.pop(client, None)
+        return self._start_queued(client, now)
+
+    def _pause(self, change: Change, now: int) -> None:
+        for path in change.paths:
+            self._paused_until.pop(path, None)
+            self._paused_until[path] = now + self._pause_us
+        while len(self._paused_until) > self._max_pauses:
+            self._paused_until.popitem(last=False)
+
+    def expire_pauses(self, now: int) -> list[int]:
+        """Forget the pauses that are over; return the tickets that may start since."""
+        while self._paused_until and next(iter(self._paused_until.values())) <= now:
+            self._paused_until.popitem(last=False)
+        return [ticket for client in list(self._queued) for ticket in self._start_queued(client, now)]
+
+    def rename(self, old: ExportPath, new: Path) -> None:
+        """Follow a rename that has taken effect, in all that is queued, in flight or paused."""
+        for changes in (self._queued, self._in_flight):
+            for of_client in changes.values():
+                of_client[:] = [
+                    replace(change, paths=tuple(renamed(path, old, new) for path in change.paths))
+                    for change in of_client
+                ]
+        self._paused_until = OrderedDict(
+            (renamed(path, old, new), until) for path, until in self._paused_until.items()
+        )
 
     @property
-    def next_at(self) -> int | None:
-        """When a rest ends that something may wait for."""
-        return next(iter(self._rests.values())) if self._rests and self._waiting else None
-
-    def _release(self, client: int, now: int) -> list[int]:
-        free: list[int] = []
-        before: list[Entry] = []
-        for entry in self._waiting.get(client, []):
-            if self._free(entry, before, now):
-                self._out.setdefault(client, []).append(entry)
-                free.append(entry.ticket)
+    def next_expiry(self) -> int | None:
+        """Return when the next pause ends, or None while no queued change could wait for it."""
+        if self._paused_until and self._queued:
+            return next(iter(self._paused_until.values()))
+        return None
+
+    def _start_queued(self, client: int, now: int) -> list[int]:
+        """Move the client's changes that may start from the queue to those in flight."""
+        started: list[int] = []
+        still_queued: list[Change] = []
+        for change in self._queued.get(client, []):
+            if self._may_start(change, still_queued, now):
+                self._in_flight.setdefault(client, []).append(change)
+                started.append(change.ticket)
             else:
-                before.append(entry)
-        if before:
-            self._waiting[client] = before
+                still_queued.append(change)
+        if still_queued:
+            self._queued[client] = still_queued
         else:
-            self._waiting.pop(client, None)
-        return free
+            self._queued.pop(client, None)
+        return started
--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -1,16 +1,22 @@
-"""What only 9P2000.L clients say. Errors are numbers; locks are the head's own (`locks.py`)."""
+"""The messages that only 9P2000.L clients send. Errors are numbers; locks are the instance's (`locks.py`).
+
+The sentences of the protocol are from its published description (Linux's Documentation/filesystems/9p and
+diod's protocol page); where they name a system call, that call's manual page holds.
+"""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
 
 from garnetlanding.ninep import codec, codec_linux, errors
 from garnetlanding.ninep.client_dialect import NewFile
-from garnetlanding.ninep.codec import Message
+from garnetlanding.ninep.client_session import ClientSession
+from garnetlanding.ninep.codec import Message, Qid
 from garnetlanding.ninep.errors import Problem
-from garnetlanding.ninep.fids import Fid, Pending, RequestRejectedError
-from garnetlanding.ninep.locks import END, Owner, Range, span
-from garnetlanding.ninep.model import Changes, Entry, Time, getattr_reply, pack_entry
+from garnetlanding.ninep.fid_table import check_offset
+from garnetlanding.ninep.fids import Fid, RequestRejectedError
+from garnetlanding.ninep.locks import END, LockLimitError, LockOwner, LockRange, byte_span
+from garnetlanding.ninep.model import Changes, Entry, Space, Time, getattr_reply, pack_entry
 from garnetlanding.ninep.operations import (
     Change,
     Create,
@@ -28,316 +34,372 @@
     Unlink,
     Work,
 )
-from garnetlanding.ninep.session import OpenMode
-
-if TYPE_CHECKING:
-    from garnetlanding.ninep.front import ClientMachine
-
-PERM = 0o7777
-READLINK_FRAME = codec.HEADER + 2
-
-
-class LinuxSpeaker:
-    version, table = codec_linux.VERSION, codec_linux.LINUX
-
-    def __init__(self, machine: ClientMachine) -> None:
-        self._m = machine
-
-    def error(self, problem: Problem, msize: int) -> Message:
+from garnetlanding.ninep.pending import PendingRequest
+from garnetlanding.ninep.server_dialect import Handlers
+from garnetlanding.ninep.session import OpenFile, OpenMode
+
+_PERMISSIONS = 0o7777
+_READLINK_OVERHEAD = codec.HEADER + 2
+"""Bytes of an Rreadlink beside its target."""
+
+
+class LinuxServerDialect:
+    """Implements `ServerDialect` for 9P2000.L, which Linux clients use: its messages follow system calls."""
+
+    version = codec_linux.VERSION
+    table = codec_linux.LINUX
+    unsupported = Problem(errors.EOPNOTSUPP)
+
+    def __init__(self, session: ClientSession) -> None:
+        self._session = session
+        self.handlers: Handlers = {
+            codec_linux.Tlauth: session.reject_authentication,
+            codec_linux.Tlattach: self._attach,
+            codec_linux.Tlopen: self._open,
+            codec_linux.Tlcreate: self._create,
+            codec_linux.Tgetattr: self._getattr,
+            codec_linux.Tsetattr: self._setattr,
+            codec_linux.Tstatfs: self._statfs,
+            codec_linux.Treaddir: self._readdir,
+            codec_linux.Treadlink: self._readlink,
+            codec_linux.Tfsync: self._fsync,
+            codec_linux.Tlock: self._lock,
+            codec_linux.Tgetlock: self._getlock,
+            codec_linux.Txattrwalk: self._reject_xattr,
+            codec_linux.Txattrcreate: self._reject_xattr,
+            codec_linux.Tmkdir: self._mkdir,
+            codec_linux.Tmknod: self._mknod,
+            codec_linux.Tsymlink: self._symlink,
+            codec_linux.Tlink: self._link,
+            codec_linux.Tunlinkat: self._unlinkat,
+            codec_linux.Trename: self._rename,
+            codec_linux.Trenameat: self._renameat,
+        }
+
+    def error_reply(self, problem: Problem, _msize: int) -> Message:
+        """Return an Rlerror, which has the error's number in Linux and no text."""
         return codec_linux.Rlerror(problem.number)
 
-    def handle(self, tag: int, message: Message) -> None:
-        match message:
-            case codec_linux.Tgetattr(fid, _):
-                at = self._m.fid(fid)
-                self._m.ask(tag, Pending(fid, Stat(at.identity, at.path, at.qid)), at, getattr_reply)
-            case codec_linux.Tlopen(fid, flags):
-                self._open(tag, fid, flags)
-            case codec_linux.Tlcreate():
-                self._create(tag, message)
-            case codec_linux.Tsetattr():
-                self._setattr(tag, message)
-            case codec_linux.Treaddir(fid, offset, count):
-                self._readdir(tag, fid, offset, count)
-            case codec_linux.Tfsync(fid, datasync):
-                at, open_mode = self._m.opened(fid)
-                work: Work = Sync(at.identity, at.path, at.qid, open_mode, bool(datasync))
-                if not at.export.writable:
-                    return self._m.say(tag, codec_linux.Rfsync())  # there is nothing to keep
-                self._m.ask(tag, Pending(fid, work), at, lambda _: codec_linux.Rfsync())
-            case codec_linux.Tlock() | codec_linux.Tgetlock():
-                self._lock(tag, message)
-            case codec_linux.Tstatfs(fid):
-                at = self._m.fid(fid)
-                self._m.ask(
-                    tag,
-                    Pending(fid, StatFs(at.identity, at.path, at.qid)),
-                    at,
-                    lambda s: codec_linux.Rstatfs(
-                        s.type, s.bsize, s.blocks, s.bfree, s.bavail, s.files, s.ffree, s.fsid, s.namelen
-                    ),
-                )
-            case codec_linux.Txattrwalk(fid) | codec_linux.Txattrcreate(fid):
-                self._m.fid(fid)
-                raise RequestRejectedError(errors.EOPNOTSUPP)
-            case codec_linux.Treadlink(fid):
-                at = self._m.fid(fid)
-                self._m.ask(tag, Pending(fid, ReadLink(at.identity, at.path, at.qid)), at, self._link_told)
-            case _:
-                self._name(tag, message)
-
-    def _name(self, tag: int, message: Message) -> None:
-        """What makes, moves or takes away names."""
-        match message:
-            case codec_linux.Tmkdir(dfid, name, mode, gid):
-                at = self._m.directory(dfid, name)
-                self._make(
-                    tag,
-                    dfid,
-                    at,
-                    MakeDirectory(at.identity, at.path, at.qid, name, NewFile(mode & PERM, gid=gid)),
-                    codec_linux.Rmkdir,
-                )
-            case codec_linux.Tmknod(dfid, name, mode, major, minor, gid):
-                at = self._m.directory(dfid, name)
-                self._make(
-                    tag,
-                    dfid,
-                    at,
-                    MakeNode(at.identity, at.path, at.qid, name, NewFile(mode, gid=gid), major, minor),
-                    codec_linux.Rmknod,
-                )
-            case codec_linux.Tsymlink(dfid, name, target, gid):
-                at = self._m.directory(dfid, name)
-                self._make(
-                    tag,
-                    dfid,
-                    at,
-                    Symlink(at.identity, at.path, at.qid, name, target, gid),
-                    codec_linux.Rsymlink,
-                )
-            case codec_linux.Tlink(dfid, fid, name):
-                at, to = self._m.directory(dfid, name), self._m.fid(fid)
-                self._same(at, to)
-                if to.is_dir:
-                    raise RequestRejectedError(errors.EPERM)
-                self._m.ask(
-                    tag,
-                    Pending(dfid, Link(at.identity, at.path, at.qid, name, to.path, to.qid)),
-                    at,
-                    lambda _: codec_linux.Rlink(),
-                )
-            case codec_linux.Tunlinkat(dfid, name, flags):
-                at = self._m.directory(dfid, name)
-                if flags & ~codec_linux.AT_REMOVEDIR:
-                    raise RequestRejectedError(errors.EINVAL)
-                self._m.ask(
-                    tag,
-                    Pending(dfid, Unlink(at.identity, at.path, at.qid, name, bool(flags))),
-                    at,
-                    lambda _: codec_linux.Runlinkat(),
-                )
-            case codec_linux.Trename(fid, dfid, name):
-                at, to = self._m.fid(fid), self._m.directory(dfid, name)
-                self._rename(tag, fid, at, at.path, to, name, at, codec_linux.Rrename())
-            case codec_linux.Trenameat(olddfid, oldname, newdfid, newname):
-                old, to = self._m.directory(olddfid, oldname), self._m.directory(newdfid, newname)
-                self._rename(
-                    tag, olddfid, old, (*old.path, oldname), to, newname, None, codec_linux.Rrenameat()
-                )
-            case _:
-                raise RequestRejectedError(errors.EOPNOTSUPP)
-
-    def _make(self, tag: int, dfid: int, at: Fid, work: Work, reply: Any) -> None:
-        self._m.ask(tag, Pending(dfid, work), at, lambda qid: reply(qid))
-
-    @staticmethod
-    def _same(a: Fid, b: Fid) -> None:
-        if a.export is not b.export or a.identity != b.identity:
-            raise RequestRejectedError(errors.EXDEV)
-
-    def _rename(
-        self,
-        tag: int,
-        fid: int,
-        at: Fid,
-        old: tuple[str, ...],
-        to: Fid,
-        name: str,
-        file: Fid | None,
-        reply: Message,
-    ) -> None:
-        self._same(at, to)
-        new = (*to.path, name)
-        if not old:
-            raise RequestRejectedError(errors.EBUSY, "cannot rename the root")
-        if new[: len(old)] == old and new != old:
-            raise RequestRejectedError(errors.EINVAL, "a directory cannot move below itself")
-
-        def told(_: Any) -> Message:
-            self._m.front.moved(at.export.name, old, new)
-            return reply
+    def _attach(self, tag: int, message: codec_linux.Tlattach) -> None:
+        user = (message.uname, message.n_uname)
+        self._session.attach(tag, message.fid, message.afid, user, message.aname)
 
-        work = Rename(at.identity, old, file.qid if file else None, new)
-        self._m.ask(tag, Pending(fid, work), at, told)
+    # Open and create
 
-    # Open files
-
-    def _how(self, at: Fid, flags: int) -> OpenMode:
+    def _open_flags(self, fid: Fid, flags: int) -> OpenMode:
         access = flags & codec_linux.L_ACCESS
         if access == codec_linux.L_ACCESS:
             raise RequestRejectedError(errors.EINVAL)
-        open_mode = OpenMode(
-            access, bool(flags & codec_linux.L_APPEND), flags & (codec_linux.L_DSYNC | codec_linux.L_SYNC)
-        )
-        if not at.export.writable and (open_mode.writes or flags & codec_linux.L_TRUNC):
+        append = bool(flags & codec_linux.L_APPEND)
+        open_mode = OpenMode(access, append, flags & (codec_linux.L_DSYNC | codec_linux.L_SYNC))
+        changes = open_mode.writes or flags & codec_linux.L_TRUNC
+        if changes and not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
         return open_mode
 
-    def _open(self, tag: int, fid: int, flags: int) -> None:
-        at = self._m.unopened(fid)
-        open_mode = self._how(at, flags)
+    def _open(self, tag: int, message: codec_linux.Tlopen) -> None:
+        """Process Tlopen: "prepares fid for file I/O"; its flags are those of open(2)."""
+        number = message.fid
+        flags = message.flags
+        fid = self._session.fids.get_unopened(number)
+        open_mode = self._open_flags(fid, flags)
         truncate = bool(flags & codec_linux.L_TRUNC)
-        if at.is_dir and (open_mode.writes or truncate):
+        if fid.is_dir and (open_mode.writes or truncate):
             raise RequestRejectedError(errors.EISDIR)
-        if flags & codec_linux.L_DIRECTORY and not at.is_dir:
+        if flags & codec_linux.L_DIRECTORY and not fid.is_dir:
             raise RequestRejectedError(errors.ENOTDIR)
-        self._m.ask(
-            tag,
-            Pending(fid, Open(at.identity, at.path, at.qid, open_mode, truncate), alone=True),
-            at,
-            lambda file: codec_linux.Rlopen(file.qid, self._m.take_open(fid, at, file, open_mode)),
-        )
+
+        def opened(file: OpenFile) -> Message:
+            return codec_linux.Rlopen(file.qid, self._session.mark_open(number, fid, file, open_mode))
+
+        operation = Open(fid.identity, fid.path, fid.qid, open_mode, truncate)
+        self._session.requests.submit(tag, PendingRequest(fid, operation, opened, number, alters_fid=True))
 
     def _create(self, tag: int, message: codec_linux.Tlcreate) -> None:
-        self._m.unopened(message.fid)
-        at = self._m.directory(message.fid, message.name)
-        open_mode = self._how(at, message.flags)
-        path = (*at.path, message.name)
+        """Process Tlcreate: "creates a regular file in directory fid and prepares it for I/O"."""
+        number = message.fid
+        self._session.fids.get_unopened(number)
+        fid = self._session.fids.get_directory(number, message.name)
+        open_mode = self._open_flags(fid, message.flags)
+        path = (*fid.path, message.name)
         new = NewFile(
-            message.mode & PERM,
+            message.mode & _PERMISSIONS,
             gid=message.gid,
             exclusive=bool(message.flags & codec_linux.L_EXCL),
             truncate=bool(message.flags & codec_linux.L_TRUNC),
         )
 
-        def told(file: Any) -> Message:
-            at.path, at.qid = path, file.qid
-            return codec_linux.Rlcreate(file.qid, self._m.take_open(message.fid, at, file, open_mode))
+        def created(file: OpenFile) -> Message:
+            fid.path = path
+            fid.qid = file.qid
+            return codec_linux.Rlcreate(file.qid, self._session.mark_open(number, fid, file, open_mode))
+
+        operation = Create(fid.identity, fid.path, fid.qid, message.name, new, open_mode)
+        self._session.requests.submit(tag, PendingRequest(fid, operation, created, number, alters_fid=True))
+
+    def _fsync(self, tag: int, message: codec_linux.Tfsync) -> None:
+        """Process Tfsync: "flushes any cached data associated with fid to stable storage"."""
+        fid, open_mode = self._session.fids.get_open(message.fid)
+        if not fid.export.writable:
+            self._session.reply(tag, codec_linux.Rfsync())  # there is nothing to flush
+            return
+        operation = Sync(fid.identity, fid.path, fid.qid, open_mode, bool(message.datasync))
+        self._submit(tag, message.fid, fid, operation, lambda _: codec_linux.Rfsync())
 
-        work = Create(at.identity, at.path, at.qid, message.name, new, open_mode)
-        self._m.ask(tag, Pending(message.fid, work, alone=True), at, told)
+    # Attributes
+
+    def _getattr(self, tag: int, message: codec_linux.Tgetattr) -> None:
+        """Process Tgetattr, as stat(2). All attributes are given, whatever the request's mask asks for."""
+        fid = self._session.fids.get(message.fid)
+        operation = Stat(fid.identity, fid.path, fid.qid)
+        self._session.requests.submit(tag, PendingRequest(fid, operation, getattr_reply, message.fid))
 
     def _setattr(self, tag: int, message: codec_linux.Tsetattr) -> None:
-        at = self._m.fid(message.fid)
-        valid = message.valid
-        if not at.export.writable:
+        """Process Tsetattr: "sets attributes of a file system object"; `valid` selects which."""
+        fid = self._session.fids.get(message.fid)
+        if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
-        if valid & codec_linux.SET_SIZE:
-            if at.is_dir:
+        if message.valid & codec_linux.SET_SIZE:
+            if fid.is_dir:
                 raise RequestRejectedError(errors.EISDIR)
-            self._m.good_offset(message.size, 0)
-        now = self._m.front.wall_time()
-
-        def time(what: int, given: int, s: int, ns: int) -> Time | None:
-            """Without a value it is the time now; the client leaves that to the server."""
-            if not valid & what:
-                return None
-            return Time(s, ns) if valid & given else now
-
-        changes = Changes(
-            perm=message.mode & PERM if valid & codec_linux.SET_MODE else None,
-            uid=str(message.uid) if valid & codec_linux.SET_UID else None,
-            gid=str(message.gid) if valid & codec_linux.SET_GID else None,
-            length=message.size if valid & codec_linux.SET_SIZE else None,
-            atime=time(codec_linux.SET_ATIME, codec_linux.SET_ATIME_TO, message.atime_s, message.atime_ns),
-            mtime=time(codec_linux.SET_MTIME, codec_linux.SET_MTIME_TO, message.mtime_s, message.mtime_ns),
-        )
+            check_offset(message.size, 0)
+        changes = _read_changes(message, self._session.shared.wall_time())
         if changes.is_empty:
             # The time of the last change of attributes is the server's own to set.
-            return self._m.say(tag, codec_linux.Rsetattr())
-        self._m.ask(
-            tag,
-            Pending(message.fid, Change(at.identity, at.path, at.qid, changes)),
-            at,
-            lambda _: codec_linux.Rsetattr(),
-        )
+            self._session.reply(tag, codec_linux.Rsetattr())
+            return
+        operation = Change(fid.identity, fid.path, fid.qid, changes)
+        self._submit(tag, message.fid, fid, operation, lambda _: codec_linux.Rsetattr())
+
+    def _statfs(self, tag: int, message: codec_linux.Tstatfs) -> None:
+        """Process Tstatfs: "requests file system information, as statfs(2)"."""
+        fid = self._session.fids.get(message.fid)
+        operation = StatFs(fid.identity, fid.path, fid.qid)
+        self._session.requests.submit(tag, PendingRequest(fid, operation, _statfs_reply, message.fid))
+
+    def _reject_xattr(self, _tag: int, message: codec_linux.Txattrwalk | codec_linux.Txattrcreate) -> None:
+        """Process Txattrwalk and Txattrcreate: extended attributes are not supported."""
+        self._session.fids.get(message.fid)
+        raise RequestRejectedError(errors.EOPNOTSUPP)
 
     # Directories and links
 
-    def read_directory(self, tag: int, fid: int, at: Fid, offset: int, count: int) -> None:
+    def read_directory(self, _tag: int, _number: int, _fid: Fid, _offset: int, _count: int) -> None:
+        """Reject a Tread of a directory: this dialect has Treaddir."""
         raise RequestRejectedError(errors.EISDIR)
 
-    def _readdir(self, tag: int, fid: int, offset: int, count: int) -> None:
-        at, open_mode = self._m.opened(fid)
-        if not at.is_dir:
+    def _readdir(self, tag: int, message: codec_linux.Treaddir) -> None:
+        """Process Treaddir: offset is 0 or that of the last entry of the previous Rreaddir."""
+        fid, open_mode = self._session.fids.get_open(message.fid)
+        if not fid.is_dir:
             raise RequestRejectedError(errors.ENOTDIR)
-        count = min(count, self._m.msize - codec.READ_OVERHEAD)
-        work = ReadDirectory(at.identity, at.path, at.qid, open_mode, offset, count)
-        self._m.ask(tag, Pending(fid, work), at, lambda entries: self._fill(entries, count), count)
-
-    @staticmethod
-    def _fill(entries: list[Entry], count: int) -> Message:
-        out: list[bytes] = []
-        room = count
-        for entry in entries:
-            packed = pack_entry(entry)
-            room -= len(packed)
-            if room < 0:
-                break
-            out.append(packed)
-        if entries and not out:
-            raise RequestRejectedError(errors.EINVAL)  # not even one fits
-        return codec_linux.Rreaddir(b"".join(out))
-
-    def _link_told(self, target: str) -> Message:
-        if len(target.encode()) + READLINK_FRAME > self._m.msize:
-            raise RequestRejectedError(errors.ENAMETOOLONG)
-        return codec_linux.Rreadlink(target)
+        count = min(message.count, self._session.max_data)
+
+        def answered(entries: list[Entry]) -> Message:
+            return codec_linux.Rreaddir(_pack_entries(entries, count))
+
+        operation = ReadDirectory(fid.identity, fid.path, fid.qid, open_mode, message.offset, count)
+        self._session.requests.submit(tag, PendingRequest(fid, operation, answered, message.fid, size=count))
+
+    def _readlink(self, tag: int, message: codec_linux.Treadlink) -> None:
+        """Process Treadlink: returns the contents of a symbolic link."""
+        fid = self._session.fids.get(message.fid)
+
+        def answered(target: str) -> Message:
+            if len(target.encode()) + _READLINK_OVERHEAD > self._session.msize:
+                raise RequestRejectedError(errors.ENAMETOOLONG)
+            return codec_linux.Rreadlink(target)
+
+        operation = ReadLink(fid.identity, fid.path, fid.qid)
+        self._session.requests.submit(tag, PendingRequest(fid, operation, answered, message.fid))
+
+    # Names: what makes, moves or removes them
+
+    def _mkdir(self, tag: int, message: codec_linux.Tmkdir) -> None:
+        """Process Tmkdir: makes a directory in the directory dfid."""
+        fid = self._session.fids.get_directory(message.dfid, message.name)
+        new = NewFile(message.mode & _PERMISSIONS, gid=message.gid)
+        operation = MakeDirectory(fid.identity, fid.path, fid.qid, message.name, new)
+        self._submit(tag, message.dfid, fid, operation, codec_linux.Rmkdir)
+
+    def _mknod(self, tag: int, message: codec_linux.Tmknod) -> None:
+        """Process Tmknod: makes a device node, a FIFO or a socket, as mknod(2)."""
+        fid = self._session.fids.get_directory(message.dfid, message.name)
+        new = NewFile(message.mode, gid=message.gid)
+        operation = MakeNode(fid.identity, fid.path, fid.qid, message.name, new, message.major, message.minor)
+        self._submit(tag, message.dfid, fid, operation, codec_linux.Rmknod)
+
+    def _symlink(self, tag: int, message: codec_linux.Tsymlink) -> None:
+        """Process Tsymlink: makes a symbolic link in the directory dfid."""
+        fid = self._session.fids.get_directory(message.dfid, message.name)
+        operation = Symlink(fid.identity, fid.path, fid.qid, message.name, message.target, message.gid)
+        self._submit(tag, message.dfid, fid, operation, codec_linux.Rsymlink)
+
+    def _link(self, tag: int, message: codec_linux.Tlink) -> None:
+        """Process Tlink: makes a hard link to fid in the directory dfid; not to a directory (link(2))."""
+        directory = self._session.fids.get_directory(message.dfid, message.name)
+        fid = self._session.fids.get(message.fid)
+        _check_same_tree(directory, fid)
+        if fid.is_dir:
+            raise RequestRejectedError(errors.EPERM)
+        operation = Link(directory.identity, directory.path, directory.qid, message.name, fid.path, fid.qid)
+        self._submit(tag, message.dfid, directory, operation, lambda _: codec_linux.Rlink())
+
+    def _unlinkat(self, tag: int, message: codec_linux.Tunlinkat) -> None:
+        """Process Tunlinkat: removes a name from the directory dirfd, as unlinkat(2)."""
+        fid = self._session.fids.get_directory(message.dirfd, message.name)
+        if message.flags & ~codec_linux.AT_REMOVEDIR:
+            raise RequestRejectedError(errors.EINVAL)
+        operation = Unlink(fid.identity, fid.path, fid.qid, message.name, bool(message.flags))
+        self._submit(tag, message.dirfd, fid, operation, lambda _: codec_linux.Runlinkat())
+
+    def _rename(self, tag: int, message: codec_linux.Trename) -> None:
+        """Process Trename: gives the file of fid a name in the directory dfid."""
+        fid = self._session.fids.get(message.fid)
+        directory = self._session.fids.get_directory(message.dfid, message.name)
+        _check_same_tree(fid, directory)
+        operation = Rename(fid.identity, fid.path, fid.qid, (*directory.path, message.name))
+        self._submit_rename(tag, message.fid, fid, operation, codec_linux.Rrename())
+
+    def _renameat(self, tag: int, message: codec_linux.Trenameat) -> None:
+        """Process Trenameat: gives a name in one directory up for a name in another, as renameat(2)."""
+        directory = self._session.fids.get_directory(message.olddirfid, message.oldname)
+        new_directory = self._session.fids.get_directory(message.newdirfid, message.newname)
+        _check_same_tree(directory, new_directory)
+        old = (*directory.path, message.oldname)
+        operation = Rename(directory.identity, old, None, (*new_directory.path, message.newname))
+        self._submit_rename(tag, message.olddirfid, directory, operation, codec_linux.Rrenameat())
+
+    def _submit_rename(self, tag: int, number: int, fid: Fid, operation: Rename, reply: Message) -> None:
+        old = operation.path
+        new = operation.new
+        if not old:
+            raise RequestRejectedError(errors.EBUSY, "cannot rename the root")
+        if new[: len(old)] == old and new != old:
+            raise RequestRejectedError(errors.EINVAL, "a directory cannot move below itself")
+
+        def renamed(_: object) -> Message:
+            self._session.shared.rename(fid.export.name, old, new)
+            return reply
+
+        self._session.requests.submit(tag, PendingRequest(fid, operation, renamed, number))
+
+    def _submit(
+        self, tag: int, number: int, fid: Fid, operation: Work, build_reply: Callable[[Qid], Message]
+    ) -> None:
+        self._session.requests.submit(tag, PendingRequest(fid, operation, build_reply, number))
 
     # Locks
 
-    def _lock(self, tag: int, message: codec_linux.Tlock | codec_linux.Tgetlock) -> None:
-        at, open_mode = self._m.opened(message.fid)
-        if at.is_dir:
-            raise RequestRejectedError(errors.EISDIR)
-        if len(message.client_id.encode()) > self._m.limits.ninep_lock_owner_bytes:
-            raise RequestRejectedError(errors.EINVAL)
-        self._m.good_offset(message.start, 0)
-        start, end = span(message.start, message.length)
-        owner = Owner(self._m.id, message.proc_id, message.client_id)
-        locks, wanted = (
-            self._m.front.locks,
-            Range(owner, message.fid, message.type == codec_linux.LOCK_WRITE, start, end),
-        )
-        if isinstance(message, codec_linux.Tgetlock):
-            if message.type not in (codec_linux.LOCK_READ, codec_linux.LOCK_WRITE):
-                raise RequestRejectedError(errors.EINVAL)
-            return self._m.say(tag, self._blocker(message, locks.conflict(at.file, wanted)))
+    def _lock(self, tag: int, message: codec_linux.Tlock) -> None:
+        """Process Tlock: "acquires or releases a POSIX record lock on fid", as fcntl(2) with F_SETLK.
+
+        A client that would wait (LOCK_BLOCK) gets the same reply as one that would not, and asks again.
+        """
+        fid, open_mode, wanted = self._read_lock(message)
+        locks = self._session.shared.locks
         if message.type == codec_linux.LOCK_NONE:
-            locks.release(at.file, owner, start, end)
-            return self._m.say(tag, codec_linux.Rlock(codec_linux.LOCK_DONE))
-        if message.type not in (codec_linux.LOCK_READ, codec_linux.LOCK_WRITE):
-            raise RequestRejectedError(errors.EINVAL)
-        if not (open_mode.writes if wanted.write else open_mode.reads):
+            locks.release(fid.file, wanted.owner, wanted.start, wanted.end)
+            self._session.reply(tag, codec_linux.Rlock(codec_linux.LOCK_DONE))
+            return
+        _check_lock_type(message.type)
+        permitted = open_mode.writes if wanted.write else open_mode.reads
+        if not permitted:
             raise RequestRejectedError(errors.EBADF)
         try:
-            taken = locks.take(at.file, wanted)
-        except OverflowError:
-            raise RequestRejectedError(errors.ENOLCK) from None
-        # A client that would wait asks again; it is told the same (Documentation/filesystems/9p).
-        self._m.say(tag, codec_linux.Rlock(codec_linux.LOCK_DONE if taken else codec_linux.LOCK_BLOCKED))
-
-    @staticmethod
-    def _blocker(asked: codec_linux.Tgetlock, held: Range | None) -> Message:
-        if held is None:
-            return codec_linux.Rgetlock(
-                codec_linux.LOCK_NONE, asked.start, asked.length, asked.proc_id, asked.client_id
-            )
+            acquired = locks.acquire(fid.file, wanted)
+        except LockLimitError as error:
+            raise RequestRejectedError(errors.ENOLCK) from error
+        status = codec_linux.LOCK_DONE if acquired else codec_linux.LOCK_BLOCKED
+        self._session.reply(tag, codec_linux.Rlock(status))
+
+    def _getlock(self, tag: int, message: codec_linux.Tgetlock) -> None:
+        """Process Tgetlock: "tests for the existence of a POSIX record lock", as fcntl(2) with F_GETLK."""
+        fid, _, wanted = self._read_lock(message)
+        _check_lock_type(message.type)
+        conflict = self._session.shared.locks.conflict(fid.file, wanted)
+        self._session.reply(tag, _getlock_reply(message, conflict))
+
+    def _read_lock(
+        self, message: codec_linux.Tlock | codec_linux.Tgetlock
+    ) -> tuple[Fid, OpenMode, LockRange]:
+        """Return the open fid that is to be locked, how it is open, and the wanted range."""
+        fid, open_mode = self._session.fids.get_open(message.fid)
+        if fid.is_dir:
+            raise RequestRejectedError(errors.EISDIR)
+        if len(message.client_id.encode()) > self._session.shared.limits.ninep_lock_owner_bytes:
+            raise RequestRejectedError(errors.EINVAL)
+        check_offset(message.start, 0)
+        start, end = byte_span(message.start, message.length)
+        owner = LockOwner(self._session.client, message.proc_id, message.client_id)
+        write = message.type == codec_linux.LOCK_WRITE
+        return fid, open_mode, LockRange(owner, message.fid, write, start, end)
+
+
+def _check_lock_type(lock_type: int) -> None:
+    if lock_type not in (codec_linux.LOCK_READ, codec_linux.LOCK_WRITE):
+        raise RequestRejectedError(errors.EINVAL)
+
+
+def _check_same_tree(first: Fid, second: Fid) -> None:
+    """Raise RequestRejectedError unless both fids were attached to one export by one user."""
+    if first.export is not second.export or first.identity != second.identity:
+        raise RequestRejectedError(errors.EXDEV)
+
+
+def _read_changes(message: codec_linux.Tsetattr, now: Time) -> Changes:
+    """Return what a Tsetattr asks for; `now` is set where it gives no time of its own."""
+    valid = message.valid
+    atime = Time(message.atime_s, message.atime_ns) if valid & codec_linux.SET_ATIME_TO else now
+    mtime = Time(message.mtime_s, message.mtime_ns) if valid & codec_linux.SET_MTIME_TO else now
+    return Changes(
+        perm=message.mode & _PERMISSIONS if valid & codec_linux.SET_MODE else None,
+        uid=str(message.uid) if valid & codec_linux.SET_UID else None,
+        gid=str(message.gid) if valid & codec_linux.SET_GID else None,
+        length=message.size if valid & codec_linux.SET_SIZE else None,
+        atime=atime if valid & codec_linux.SET_ATIME else None,
+        mtime=mtime if valid & codec_linux.SET_MTIME else None,
+    )
+
+
+def _statfs_reply(space: Space) -> Message:
+    return codec_linux.Rstatfs(
+        space.type,
+        space.bsize,
+        space.blocks,
+        space.bfree,
+        space.bavail,
+        space.files,
+        space.ffree,
+        space.fsid,
+        space.namelen,
+    )
+
+
+def _pack_entries(entries: list[Entry], count: int) -> bytes:
+    """Return as many whole entries as `count` bytes hold."""
+    packed_entries: list[bytes] = []
+    remaining = count
+    for entry in entries:
+        packed = pack_entry(entry)
+        remaining -= len(packed)
+        if remaining < 0:
+            break
+        packed_entries.append(packed)
+    if entries and not packed_entries:
+        raise RequestRejectedError(errors.EINVAL)  # not even one fits
+    return b"".join(packed_entries)
+
+
+def _getlock_reply(message: codec_linux.Tgetlock, conflict: LockRange | None) -> Message:
+    if conflict is None:
         return codec_linux.Rgetlock(
-            codec_linux.LOCK_WRITE if held.write else codec_linux.LOCK_READ,
-            held.start,
-            0 if held.end == END else held.end - held.start,
-            held.owner.proc_id,
-            held.owner.client_id,
+            codec_linux.LOCK_NONE, message.start, message.length, message.proc_id, message.client_id
         )
+    return codec_linux.Rgetlock(
+        codec_linux.LOCK_WRITE if conflict.write else codec_linux.LOCK_READ,
+        conflict.start,
+        0 if conflict.end == END else conflict.end - conflict.start,
+        conflict.owner.proc_id,
+        conflict.owner.client_id,
+    )
--- a/garnetlanding/ninep/server_dialect_plain.py
+++ b/garnetlanding/ninep/server_dialect_plain.py
@@ -1,20 +1,22 @@
-"""What only 9P2000 clients say: open, create, stat, wstat, directories as streams of stats."""
+"""The messages that only 9P2000 clients send: attach, open, create, stat, wstat, directories as streams."""
 
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import TYPE_CHECKING, Any
 
-from garnetlanding.ninep import codec, errors
+from garnetlanding.ninep import codec, codec_linux, errors
 from garnetlanding.ninep.client_dialect import NewFile
-from garnetlanding.ninep.codec import ORCLOSE, OREAD, OTRUNC, Message
+from garnetlanding.ninep.client_session import ClientSession
+from garnetlanding.ninep.codec import ORCLOSE, OREAD, OTRUNC, Message, Qid
 from garnetlanding.ninep.errors import Problem
-from garnetlanding.ninep.fids import Fid, Pending, RequestRejectedError
+from garnetlanding.ninep.fid_table import check_name, check_offset
+from garnetlanding.ninep.fids import DirectoryPosition, Fid, RequestRejectedError
 from garnetlanding.ninep.model import (
     DM_FLAGS,
     DMDIR,
     PERM,
     Attr,
+    Changes,
     Entry,
     pack_stat,
     parse_stat,
@@ -22,172 +24,221 @@
     raw_changes,
 )
 from garnetlanding.ninep.operations import Change, Create, MakeDirectory, Open, ReadDirectory, Stat
-from garnetlanding.ninep.session import OpenMode
-
-if TYPE_CHECKING:
-    from garnetlanding.ninep.front import ClientMachine
-
-ACCESS = 0x03
-STAT_FRAME = codec.HEADER + 2  # what an Rstat takes beside its stat
-ERROR_FRAME = codec.HEADER + 2
-
-
-class PlainSpeaker:
-    version, table = codec.VERSION, codec.PLAIN
-
-    def __init__(self, machine: ClientMachine) -> None:
-        self._m = machine
-
-    def handle(self, tag: int, message: Message) -> None:
-        match message:
-            case codec.Topen(fid, mode):
-                self._open(tag, fid, mode)
-            case codec.Tcreate():
-                self._create(tag, message)
-            case codec.Tstat(fid):
-                at = self._m.fid(fid)
-                self._m.ask(
-                    tag,
-                    Pending(fid, Stat(at.identity, at.path, at.qid)),
-                    at,
-                    lambda attr: self._stat_told(at, attr),
-                )
-            case codec.Twstat(fid, stat):
-                self._wstat(tag, fid, stat)
-            case _:
-                raise RequestRejectedError(errors.EPROTO, "not a request")
-
-    def error(self, problem: Problem, msize: int) -> Message:
-        # An error text is cut rather than break the agreed size.
-        return codec.Rerror(problem.text.encode()[: msize - ERROR_FRAME].decode(errors="ignore"))
-
-    def _stat_told(self, at: Fid, attr: Attr) -> Message:
-        stat = pack_stat(at.path[-1] if at.path else "/", attr)
-        if len(stat) + STAT_FRAME > self._m.msize:
-            raise RequestRejectedError(errors.ERANGE, "stat does not fit msize")
-        return codec.Rstat(stat)
-
-    def _mode(self, at: Fid, mode: int) -> OpenMode:
-        if mode & ~(ACCESS | OTRUNC | ORCLOSE):
+from garnetlanding.ninep.pending import PendingRequest
+from garnetlanding.ninep.server_dialect import Handlers
+from garnetlanding.ninep.session import OpenFile, OpenMode
+
+_ACCESS_MASK = 0x03
+_STAT_OVERHEAD = codec.HEADER + 2
+"""Bytes of an Rstat beside its stat."""
+_ERROR_OVERHEAD = codec.HEADER + 2
+"""Bytes of an Rerror beside its text."""
+
+
+class PlainServerDialect:
+    """Implements `ServerDialect` for 9P2000, as section 5 of the Plan 9 manual has it."""
+
+    version = codec.VERSION
+    table = codec.PLAIN
+    unsupported = Problem(errors.EPROTO, "not a request")
+
+    def __init__(self, session: ClientSession) -> None:
+        self._session = session
+        self.handlers: Handlers = {
+            codec.Tauth: session.reject_authentication,
+            codec.Tattach: self._attach,
+            codec.Topen: self._open,
+            codec.Tcreate: self._create,
+            codec.Tstat: self._stat,
+            codec.Twstat: self._wstat,
+        }
+
+    def error_reply(self, problem: Problem, msize: int) -> Message:
+        """Return an Rerror; its text is cut rather than exceed the agreed size."""
+        text = problem.text.encode()[: msize - _ERROR_OVERHEAD]
+        return codec.Rerror(text.decode(errors="ignore"))
+
+    def _attach(self, tag: int, message: codec.Tattach) -> None:
+        user = (message.uname, codec_linux.NONUNAME)
+        self._session.attach(tag, message.fid, message.afid, user, message.aname)
+
+    # Open and create
+
+    def _open_mode(self, fid: Fid, mode: int) -> OpenMode:
+        if mode & ~(_ACCESS_MASK | OTRUNC | ORCLOSE):
             raise RequestRejectedError(errors.EINVAL, f"unknown open mode {mode:#x}")
-        open_mode = OpenMode(mode & ACCESS)
-        if not at.export.writable and (open_mode.writes or mode & (OTRUNC | ORCLOSE)):
+        open_mode = OpenMode(mode & _ACCESS_MASK)
+        changes = open_mode.writes or mode & (OTRUNC | ORCLOSE)
+        if changes and not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
         return open_mode
 
-    def _open(self, tag: int, fid: int, mode: int) -> None:
-        at = self._m.unopened(fid)
-        open_mode = self._mode(at, mode)
-        truncate = bool(mode & OTRUNC)
-        if at.is_dir and (open_mode.writes or truncate):
+    def _open(self, tag: int, message: codec.Topen) -> None:
+        """Process Topen: "prepares a file for I/O"; OTRUNC truncates it, ORCLOSE removes it when clunked."""
+        number = message.fid
+        fid = self._session.fids.get_unopened(number)
+        open_mode = self._open_mode(fid, message.mode)
+        truncate = bool(message.mode & OTRUNC)
+        remove_on_close = bool(message.mode & ORCLOSE)
+        if fid.is_dir and (open_mode.writes or truncate):
             raise RequestRejectedError(errors.EISDIR)
-        if mode & ORCLOSE and not at.path:
+        if remove_on_close and not fid.path:
             raise RequestRejectedError(errors.EBUSY, "cannot remove the root")
 
-        def told(file: Any) -> Message:
-            iounit = self._m.take_open(fid, at, file, open_mode)
-            at.remove_on_close = bool(mode & ORCLOSE)
+        def opened(file: OpenFile) -> Message:
+            iounit = self._session.mark_open(number, fid, file, open_mode)
+            fid.remove_on_close = remove_on_close
             return codec.Ropen(plain_qid(file.qid), iounit)
 
-        self._m.ask(
-            tag, Pending(fid, Open(at.identity, at.path, at.qid, open_mode, truncate), alone=True), at, told
-        )
+        operation = Open(fid.identity, fid.path, fid.qid, open_mode, truncate)
+        self._session.requests.submit(tag, PendingRequest(fid, operation, opened, number, alters_fid=True))
 
     def _create(self, tag: int, message: codec.Tcreate) -> None:
-        at = self._m.unopened(message.fid)
-        open_mode = self._mode(at, message.mode & ~OTRUNC)  # a new file is empty anyhow
-        if not at.export.writable:
+        """Process Tcreate: the directory's fid becomes the new file's, opened in the mode given (open(5))."""
+        fid = self._session.fids.get_unopened(message.fid)
+        open_mode = self._open_mode(fid, message.mode & ~OTRUNC)  # a new file is empty anyhow
+        if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
-        self._m.directory(message.fid, message.name)
+        self._session.fids.get_directory(message.fid, message.name)
         if message.perm & ~(DMDIR | DM_FLAGS | PERM):
             raise RequestRejectedError(errors.EINVAL, f"unknown kind of file {message.perm:#x}")
-        path = (*at.path, message.name)
-        self._m.bounded(path)
+        self._session.fids.check_path((*fid.path, message.name))
+        if message.perm & DMDIR:
+            pending = self._directory_creation(message, fid, open_mode)
+        else:
+            pending = self._file_creation(message, fid, open_mode)
+        self._session.requests.submit(tag, pending)
+
+    def _file_creation(self, message: codec.Tcreate, fid: Fid, open_mode: OpenMode) -> PendingRequest:
+        path = (*fid.path, message.name)
         new = NewFile(message.perm & PERM, message.perm & DM_FLAGS)
 
-        def told(file: Any) -> Message:
-            at.path, at.qid = path, file.qid
-            iounit = self._m.take_open(message.fid, at, file, open_mode)
-            at.remove_on_close = bool(message.mode & ORCLOSE)
+        def created(file: OpenFile) -> Message:
+            fid.path = path
+            fid.qid = file.qid
+            iounit = self._session.mark_open(message.fid, fid, file, open_mode)
+            fid.remove_on_close = bool(message.mode & ORCLOSE)
             return codec.Rcreate(plain_qid(file.qid), iounit)
 
-        def told_dir(qid: Any) -> Message:
-            at.path, at.qid, at.open_mode = path, qid, open_mode
-            at.remove_on_close = bool(message.mode & ORCLOSE)
-            return codec.Rcreate(plain_qid(qid), self._m.msize - codec.READ_OVERHEAD)
+        operation = Create(fid.identity, fid.path, fid.qid, message.name, new, open_mode)
+        return PendingRequest(fid, operation, created, message.fid, alters_fid=True)
 
-        if not message.perm & DMDIR:
-            work = Create(at.identity, at.path, at.qid, message.name, new, open_mode)
-            return self._m.ask(tag, Pending(message.fid, work, alone=True), at, told)
+    def _directory_creation(self, message: codec.Tcreate, fid: Fid, open_mode: OpenMode) -> PendingRequest:
         if open_mode.access != OREAD:
             raise RequestRejectedError(errors.EISDIR)
-        made = MakeDirectory(at.identity, at.path, at.qid, message.name, new)
-        self._m.ask(tag, Pending(message.fid, made, alone=True), at, told_dir)
+        path = (*fid.path, message.name)
+        new = NewFile(message.perm & PERM, message.perm & DM_FLAGS)
+
+        def created(qid: Qid) -> Message:
+            fid.path = path
+            fid.qid = qid
+            fid.open_mode = open_mode
+            fid.remove_on_close = bool(message.mode & ORCLOSE)
+            return codec.Rcreate(plain_qid(qid), self._session.max_data)
+
+        operation = MakeDirectory(fid.identity, fid.path, fid.qid, message.name, new)
+        return PendingRequest(fid, operation, created, message.fid, alters_fid=True)
+
+    # Attributes
+
+    def _stat(self, tag: int, message: codec.Tstat) -> None:
+        """Process Tstat: "inquires about the file identified by fid" (stat(5))."""
+        fid = self._session.fids.get(message.fid)
 
-    def _wstat(self, tag: int, fid: int, stat: bytes) -> None:
-        at = self._m.fid(fid)
-        if not at.export.writable:
+        def answered(attr: Attr) -> Message:
+            stat = pack_stat(fid.path[-1] if fid.path else "/", attr)
+            if len(stat) + _STAT_OVERHEAD > self._session.msize:
+                raise RequestRejectedError(errors.ERANGE, "stat does not fit msize")
+            return codec.Rstat(stat)
+
+        operation = Stat(fid.identity, fid.path, fid.qid)
+        self._session.requests.submit(tag, PendingRequest(fid, operation, answered, message.fid))
+
+    def _wstat(self, tag: int, message: codec.Twstat) -> None:
+        """Process Twstat: changes some of a file's attributes, its name among them (stat(5))."""
+        fid = self._session.fids.get(message.fid)
+        if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
         try:
-            changes = raw_changes(parse_stat(stat))
-        except ValueError as problem:
-            raise RequestRejectedError(errors.EINVAL, f"bad stat: {problem}") from None
-        if changes.flags is not None:
-            if bool(changes.flags & DMDIR) != at.is_dir:
-                raise RequestRejectedError(
-                    errors.EINVAL, "wstat cannot make a file a directory, or the reverse"
-                )
-            changes = replace(changes, flags=changes.flags & DM_FLAGS)
-        if changes.length is not None:
-            if at.is_dir and changes.length:
-                raise RequestRejectedError(errors.EISDIR)
-            self._m.good_offset(changes.length, 0)
-            changes = replace(changes, length=None if at.is_dir else changes.length)
-        if changes.name is not None:
-            self._m.good_name(changes.name)
-            if not at.path:
-                raise RequestRejectedError(errors.EBUSY, "cannot rename the root")
-            if changes.name == at.path[-1]:
-                changes = replace(changes, name=None)
-        old, name = at.path, changes.name
-
-        def told(_: Any) -> Message:
-            if name is not None:
-                self._m.front.moved(at.export.name, old, (*old[:-1], name))
+            wanted = raw_changes(parse_stat(message.stat))
+        except ValueError as error:
+            raise RequestRejectedError(errors.EINVAL, f"bad stat: {error}") from error
+        changes = _checked_name(fid, _checked_length(fid, _checked_flags(fid, wanted)))
+        old = fid.path
+
+        def changed(_: object) -> Message:
+            if changes.name is not None:
+                self._session.shared.rename(fid.export.name, old, (*old[:-1], changes.name))
             return codec.Rwstat()
 
-        self._m.ask(tag, Pending(fid, Change(at.identity, at.path, at.qid, changes)), at, told)
+        operation = Change(fid.identity, fid.path, fid.qid, changes)
+        self._session.requests.submit(tag, PendingRequest(fid, operation, changed, message.fid))
+
+    # Directories
 
-    def read_directory(self, tag: int, fid: int, at: Fid, offset: int, count: int) -> None:
-        """A stream of stats, whole ones only, to be read from its start on (read(5))."""
-        assert at.open_mode
-        if offset not in (0, at.listing[0]):
+    def read_directory(self, tag: int, number: int, fid: Fid, offset: int, count: int) -> None:
+        """Process Tread of a directory: "an integral number of directory entries" (read(5)).
+
+        The offset must be 0 or where the previous read ended.
+        """
+        assert fid.open_mode
+        if offset not in (0, fid.position.offset):
             raise RequestRejectedError(errors.EINVAL, "bad offset in directory read")
-        cookie = at.listing[1] if offset else 0
+        cookie = fid.position.cookie if offset else 0
 
-        def told(entries: Any) -> Message:
-            data, to = self._fill(entries, cookie, count)
-            at.listing = offset + len(data), to
+        def answered(entries: list[Entry]) -> Message:
+            data, next_cookie = _pack_stats(entries, cookie, count)
+            fid.position = DirectoryPosition(offset + len(data), next_cookie)
             return codec.Rread(data)
 
-        work = ReadDirectory(at.identity, at.path, at.qid, at.open_mode, cookie, count, attributes=True)
-        self._m.ask(tag, Pending(fid, work), at, told, count)
-
-    @staticmethod
-    def _fill(entries: list[Entry], cookie: int, count: int) -> tuple[bytes, int]:
-        """As many entries as fit, and where the next read goes on."""
-        out: list[bytes] = []
-        room = count
-        for entry in entries:
-            if entry.name not in (".", ".."):
-                if entry.attr is None:
-                    break
-                stat = pack_stat(entry.name, entry.attr)
-                if len(stat) > room:
-                    if not out:
-                        raise RequestRejectedError(errors.EINVAL, "count too small for a directory entry")
-                    break
-                out.append(stat)
-                room -= len(stat)
-            cookie = entry.cookie
-        return b"".join(out), cookie
+        operation = ReadDirectory(
+            fid.identity, fid.path, fid.qid, fid.open_mode, cookie, count, attributes=True
+        )
+        self._session.requests.submit(tag, PendingRequest(fid, operation, answered, number, size=count))
+
+
+def _checked_flags(fid: Fid, changes: Changes) -> Changes:
+    if changes.flags is None:
+        return changes
+    if bool(changes.flags & DMDIR) != fid.is_dir:
+        raise RequestRejectedError(errors.EINVAL, "wstat cannot make a file a directory, or the reverse")
+    return replace(changes, flags=changes.flags & DM_FLAGS)
+
+
+def _checked_length(fid: Fid, changes: Changes) -> Changes:
+    if changes.length is None:
+        return changes
+    if fid.is_dir and changes.length:
+        raise RequestRejectedError(errors.EISDIR)
+    check_offset(changes.length, 0)
+    return replace(changes, length=None if fid.is_dir else changes.length)
+
+
+def _checked_name(fid: Fid, changes: Changes) -> Changes:
+    if changes.name is None:
+        return changes
+    check_name(changes.name)
+    if not fid.path:
+        raise RequestRejectedError(errors.EBUSY, "cannot rename the root")
+    if changes.name == fid.path[-1]:
+        return replace(changes, name=None)
+    return changes
+
+
+def _pack_stats(entries: list[Entry], cookie: int, count: int) -> tuple[bytes, int]:
+    """Return as many whole stats as `count` bytes hold, and the cookie where the next read goes on."""
+    stats: list[bytes] = []
+    remaining = count
+    for entry in entries:
+        if entry.name not in (".", ".."):
+            if entry.attr is None:
+                break
+            stat = pack_stat(entry.name, entry.attr)
+            if len(stat) > remaining:
+                if not stats:
+                    raise RequestRejectedError(errors.EINVAL, "count too small for a directory entry")
+                break
+            stats.append(stat)
+            remaining -= len(stat)
+        cookie = entry.cookie
+    return b"".join(stats), cookie
--- a/tests/conform/seeded_faults.py
+++ b/tests/conform/seeded_faults.py
@@ -15,7 +15,7 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import model
-from garnetlanding.ninep.locks import Locks
+from garnetlanding.ninep.locks import LockTable
 
 
 def _partial_walk_makes_fid(real: Any) -> Any:
@@ -254,7 +254,7 @@
     ),
     "a rename does not replace": (Disk, "rename", _rename_does_not_replace, p9l.VERSION, "renameat-replaces"),
     "all errors are one": (files_linux.LinuxDialect, "error", _errors_are_one, p9l.VERSION, "mkdir-existing"),
-    "locks do not exclude": (Locks, "conflict", _locks_overlap, p9l.VERSION, "lock-excludes"),
+    "locks do not exclude": (LockTable, "conflict", _locks_overlap, p9l.VERSION, "lock-excludes"),
     "readdir repeats entries": (
         files_linux.LinuxDialect,
         "_readdir",
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -53,7 +53,7 @@
 from garnetlanding.ninep import errors
 from garnetlanding.ninep.front import ClientMachine as NinepClient
 from garnetlanding.ninep.setup import Export
-from garnetlanding.ninep.shared import Front as NinepFront
+from garnetlanding.ninep.shared_state import SharedState as NinepSharedState
 from garnetlanding.ops.admin_client import method_and_path, send_call
 from garnetlanding.ops.admin_connection import AdminConnection
 from garnetlanding.ops.fleet_access import FleetView
@@ -703,7 +703,7 @@
     version, _, _ = DIALECTS[dialect]
     world, core, sink = SimulatedInstance(), FakeRequestEngine(), Sink()
     export = Export("tree", "v", "gold", "read", 0, 1500 * MS, access="rw", change_cls="write")
-    front = NinepFront(core, None, {"tree": export}, buffers(), Limits(), world.scheduler)  # type: ignore[arg-type]
+    front = NinepSharedState(core, None, {"tree": export}, buffers(), Limits(), world.scheduler)  # type: ignore[arg-type]
     client = NinepClient(front, sink)
     linux = version == p9l.VERSION
     lines: list[str] = []
--- a/tests/integration/test_mixed_protocols.py
+++ b/tests/integration/test_mixed_protocols.py
@@ -13,7 +13,7 @@
 from garnetlanding.ninep.client import file_servers
 from garnetlanding.ninep.front import ClientMachine
 from garnetlanding.ninep.setup import Export
-from garnetlanding.ninep.shared import Front
+from garnetlanding.ninep.shared_state import SharedState
 from garnetlanding.runtime.listener import Listener
 from garnetlanding.runtime.stream import parse_address
 from tests.support.clock import MS, SECOND
@@ -43,7 +43,7 @@
         nine = file_servers(self.scheduler, self.pool, self.limits, 0)
         nine._place = self.nine_at.__getitem__
         exports = {"": Export("", "v9", "gold", "read", 0, SECOND)}
-        front = Front(self.core, nine, exports, self.pool, self.limits, self.scheduler)
+        front = SharedState(self.core, nine, exports, self.pool, self.limits, self.scheduler)
         self.nine_front = Listener(
             self.scheduler,
             "127.0.0.1:0",
--- a/tests/ninep/test_front_model.py
+++ b/tests/ninep/test_front_model.py
@@ -11,13 +11,13 @@
 from garnetlanding.core.ports import Answer, Failed, Rejected, Served
 from garnetlanding.limits import MS, Limits
 from garnetlanding.ninep import codec as p9
-from garnetlanding.ninep.fids import normal
+from garnetlanding.ninep.fids import resolve
 from garnetlanding.ninep.front import ClientMachine
 from garnetlanding.ninep.model import Attr, pack_stat
 from garnetlanding.ninep.operations import Attach, Open, Read, Stat, Walk
 from garnetlanding.ninep.session import OpenFile
 from garnetlanding.ninep.setup import Export
-from garnetlanding.ninep.shared import Front
+from garnetlanding.ninep.shared_state import SharedState
 from garnetlanding.runtime.buffers import BufferPool
 from tests.support.simulated_instance import FakeRequestEngine
 
@@ -37,7 +37,7 @@
         self.out = p9.Framer(pool, 1 << 16)
         self.got: list[tuple[int, object]] = []
         clock = SimpleNamespace(now=0)
-        front = Front(self.core, None, exports, pool, Limits(), clock)  # type: ignore[arg-type]  # no backends are needed
+        front = SharedState(self.core, None, exports, pool, Limits(), clock)  # type: ignore[arg-type]  # no backends are needed
         self.machine = ClientMachine(front, self.write)
         self.fids: dict[int, tuple[p9.Qid, tuple[str, ...], bool]] = {}
         self.flying: dict[int, tuple[str, p9.Message]] = {}  # tag: ticket and message
@@ -171,7 +171,7 @@
             case Walk(path=path, names=names), p9.Twalk(_, newfid):
                 qids = (QID,) * (len(names) - short)
                 if not short:
-                    self.fids[newfid] = QID, normal(path, names), False
+                    self.fids[newfid] = QID, resolve(path, names), False
                 return Served(qids), p9.Rwalk(qids)
             case Open(), p9.Topen(fid):
                 self.fids[fid] = QID, self.fids[fid][1], True
--- a/tests/ninep/test_locks.py
+++ b/tests/ninep/test_locks.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from garnetlanding.ninep.locks import Exclusive, Locks, Owner, Range
+from garnetlanding.ninep.locks import ExclusiveUse, LockLimitError, LockOwner, LockRange, LockTable
 
 # Locks.
 
@@ -18,9 +18,12 @@
     )
 )
 def test_locks_agree_with_a_map_of_single_bytes(steps: list[tuple[int, str, int, int]]) -> None:
-    locks, held = Locks(1000), [dict[int, bool]() for _ in range(20)]  # by byte: owner to whether it writes
+    locks, held = (
+        LockTable(1000),
+        [dict[int, bool]() for _ in range(20)],
+    )  # by byte: owner to whether it writes
     for who, kind, start, length in steps:
-        owner, span = Owner(who, 1, "x"), range(start, start + length)
+        owner, span = LockOwner(who, 1, "x"), range(start, start + length)
         if kind == "u":
             locks.release(("e", 1), owner, start, start + length)
             for byte in span:
@@ -30,25 +33,25 @@
         blocked = any(
             other != who and (write or theirs) for byte in span for other, theirs in held[byte].items()
         )
-        assert locks.take(("e", 1), Range(owner, 1, write, start, start + length)) is not blocked
+        assert locks.acquire(("e", 1), LockRange(owner, 1, write, start, start + length)) is not blocked
         if not blocked:
             for byte in span:
                 held[byte][who] = write
     for who in range(3):
-        locks.clunked(who, None)
+        locks.release_session(who)
     assert locks.count == 0
 
 
 def test_locks_are_bounded_and_exclusive_use_ends_with_its_fid() -> None:
-    locks = Locks(3)
+    locks = LockTable(3)
     for start in (0, 10, 20):
-        assert locks.take(("e", 1), Range(Owner(1, 1, "x"), 1, True, start, start + 1))
-    with pytest.raises(OverflowError):
-        locks.take(("e", 1), Range(Owner(1, 1, "x"), 1, True, 30, 31))
-    exclusive = Exclusive()
-    assert exclusive.open(("e", 1), 1, 5)
-    assert not exclusive.open(("e", 1), 1, 6)
-    exclusive.clunked(1, 6)
-    assert not exclusive.open(("e", 1), 2, 5)
-    exclusive.clunked(1, 5)
-    assert exclusive.open(("e", 1), 2, 5)
+        assert locks.acquire(("e", 1), LockRange(LockOwner(1, 1, "x"), 1, True, start, start + 1))
+    with pytest.raises(LockLimitError):
+        locks.acquire(("e", 1), LockRange(LockOwner(1, 1, "x"), 1, True, 30, 31))
+    exclusive = ExclusiveUse()
+    assert exclusive.acquire(("e", 1), 1, 5)
+    assert not exclusive.acquire(("e", 1), 1, 6)
+    exclusive.release_fid(1, 6)
+    assert not exclusive.acquire(("e", 1), 2, 5)
+    exclusive.release_fid(1, 5)
+    assert exclusive.acquire(("e", 1), 2, 5)
--- a/tests/ninep/test_order.py
+++ b/tests/ninep/test_order.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from garnetlanding.ninep.order import Order
-from garnetlanding.ninep.shares import Shares
+from garnetlanding.ninep.fair_admission import FairAdmission
+from garnetlanding.ninep.order import ChangeOrder
 
 # The order of changes.
 
@@ -28,10 +28,10 @@
 
 
 class OrderModel:
-    """An `Order` beside plain lists of changes in flight and queued, and of paths that rest."""
+    """A `ChangeOrder` beside plain lists of changes in flight and queued, and of paths that rest."""
 
     def __init__(self) -> None:
-        self.order = Order(100, 1000)
+        self.order = ChangeOrder(100, 1000)
         self.now = 0
         self.entered: dict[int, tuple[int, list[Path]]] = {}
         self.in_flight: list[int] = []
@@ -50,7 +50,7 @@
         return not blocked and not rests
 
     def enter(self, client: int, paths: list[Path]) -> None:
-        ticket, free = self.order.enter(client, tuple(("x", path) for path in paths), self.now)
+        ticket, free = self.order.enqueue(client, tuple(("x", path) for path in paths), self.now)
         self.entered[ticket] = client, paths
         assert free == self.may_go(ticket)
         (self.in_flight if free else self.queued).append(ticket)
@@ -62,18 +62,18 @@
             self.in_flight.append(ticket)
         assert not any(self.may_go(ticket) for ticket in self.queued), "one that may go was forgotten"
 
-    def end(self, ticket: int, unsure: bool) -> None:
+    def end(self, ticket: int, outcome_unknown: bool) -> None:
         (self.in_flight if ticket in self.in_flight else self.queued).remove(ticket)
-        if unsure:
+        if outcome_unknown:
             self.resting.extend((path, self.now + 100) for path in self.entered[ticket][1])
         client = self.entered[ticket][0]
-        self.release(self.order.ended(client, ticket, self.now, unsure))
+        self.release(self.order.finish(client, ticket, self.now, outcome_unknown))
 
     def advance(self, span: int) -> None:
         self.now += span
-        due = self.order.next_at
+        due = self.order.next_expiry
         if due is not None and due <= self.now:
-            self.release(self.order.rested(self.now))
+            self.release(self.order.expire_pauses(self.now))
 
 
 @given(MOVES)
@@ -86,48 +86,52 @@
         match move:
             case "enter", int(client), list(paths):
                 model.enter(client, paths)
-            case "end", int(index), bool(unsure) if model.in_flight or model.queued:
+            case "end", int(index), bool(outcome_unknown) if model.in_flight or model.queued:
                 live = model.in_flight + model.queued
-                model.end(live[index % len(live)], unsure)
+                model.end(live[index % len(live)], outcome_unknown)
             case "pass", int(span):
                 model.advance(span)
     while model.in_flight or model.queued:
         model.now += 100
-        model.release(model.order.rested(model.now))
+        model.release(model.order.expire_pauses(model.now))
         if model.in_flight:
-            model.end(model.in_flight[0], unsure=False)
+            model.end(model.in_flight[0], outcome_unknown=False)
     assert len(model.order) == 0
 
 
 def test_queued_changes_follow_a_rename() -> None:
-    order = Order(100, 10)
-    first, _ = order.enter(1, (("x", ("a",)), ("x", ("b",))), 0)
-    second, free = order.enter(1, (("x", ("a", "f")),), 0)
+    order = ChangeOrder(100, 10)
+    first, _ = order.enqueue(1, (("x", ("a",)), ("x", ("b",))), 0)
+    second, free = order.enqueue(1, (("x", ("a", "f")),), 0)
     assert not free
-    order.moved(("x", ("a",)), ("b",))
-    assert order.ended(1, first, 0, False) == [second]
-    _, free = order.enter(1, (("x", ("b", "f")),), 0)
+    order.rename(("x", ("a",)), ("b",))
+    assert order.finish(1, first, 0, False) == [second]
+    _, free = order.enqueue(1, (("x", ("b", "f")),), 0)
     assert not free, "it goes by its new name"
 
 
 def test_resting_paths_are_bounded_and_separate_per_export() -> None:
-    order = Order(100, 2)
+    order = ChangeOrder(100, 2)
     for name in "abc":
-        ticket, _ = order.enter(1, (("x", (name,)),), 0)
-        order.ended(1, ticket, 0, unsure=True)
-    assert [order.enter(2, (("x", (name,)),), 1)[1] for name in "abc"] == [True, False, False]
-    assert order.enter(2, (("y", ("b",)),), 1)[1]
+        ticket, _ = order.enqueue(1, (("x", (name,)),), 0)
+        order.finish(1, ticket, 0, outcome_unknown=True)
+    assert [order.enqueue(2, (("x", (name,)),), 1)[1] for name in "abc"] == [True, False, False]
+    assert order.enqueue(2, (("y", ("b",)),), 1)[1]
 
 
 def test_client_has_the_whole_quota_alone_and_its_share_beside_others() -> None:
-    shares = Shares(8, 100)
-    assert shares.of(1, 0) == 8
+    admission = FairAdmission(8, 100)
+    assert admission.limit_for(1, 0) == 8
     for client in range(1, 5):
-        shares.asks(client, client)
-    assert [shares.of(client, 50) for client in (1, 4, 9)] == [2, 2, 1], "1 of 5 for one that is new"
-    assert shares.of(4, 103) == 8, "the others have not asked for a while"
-    shares.left(4)
-    assert shares.of(3, 102) == 8
+        admission.record_request(client, client)
+    assert [admission.limit_for(client, 50) for client in (1, 4, 9)] == [
+        2,
+        2,
+        1,
+    ], "1 of 5 for one that is new"
+    assert admission.limit_for(4, 103) == 8, "the others have not asked for a while"
+    admission.forget(4)
+    assert admission.limit_for(3, 102) == 8
     for client in range(100):
-        shares.asks(client, 200)
-    assert shares.of(5, 200) == 1
+        admission.record_request(client, 200)
+    assert admission.limit_for(5, 200) == 1
--- a/tests/ninep/test_random_fault_schedules.py
+++ b/tests/ninep/test_random_fault_schedules.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from garnetlanding.ninep import front
-from garnetlanding.ninep.fids import Pending
+from garnetlanding.ninep import dispatcher
 from garnetlanding.ninep.operation_table import TABLE
-from garnetlanding.ninep.order import Order
+from garnetlanding.ninep.order import ChangeOrder
+from garnetlanding.ninep.pending import PendingRequest
 from tests.ninep.random_fault_schedules import run
 
 
@@ -22,17 +22,17 @@
 
 
 def out_of_order(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Order, "_free", lambda _self, _entry, _before, _now: True)
+    patch.setattr(ChangeOrder, "_may_start", lambda _self, _change, _before, _now: True)
 
 
 def repeated(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        front, "class_for", lambda op, reads, changes, _classes: changes if TABLE[op].change else reads
+        dispatcher, "class_for", lambda op, reads, changes, _classes: changes if TABLE[op].change else reads
     )
 
 
 def flushed_while_it_runs(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Pending, "must_end", property(lambda self: self.stays))
+    patch.setattr(PendingRequest, "must_complete", property(lambda self: self.must_run))
 
 
 @pytest.mark.parametrize(
--- a/tests/support/ninep_instance.py
+++ b/tests/support/ninep_instance.py
@@ -16,7 +16,7 @@
 from garnetlanding.ninep.front import ClientMachine
 from garnetlanding.ninep.operation_table import with_twins
 from garnetlanding.ninep.setup import Export
-from garnetlanding.ninep.shared import Front
+from garnetlanding.ninep.shared_state import SharedState
 from garnetlanding.runtime.listener import Listener
 from tests.support.clock import MS, SECOND
 from tests.support.decision_bench import (
@@ -113,7 +113,7 @@
                 "glossaries", "v", "gold", "read", 0, 1500 * MS, access=access, change_cls="read"
             )
         }
-        self.front_9p = Front(self.core, self.nine, exports, self.pool, self.limits, self.scheduler)
+        self.front_9p = SharedState(self.core, self.nine, exports, self.pool, self.limits, self.scheduler)
         self.listener: Listener = Listener(
             self.scheduler,
             "127.0.0.1:0",
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -21,7 +21,6 @@
     frozenset(
         {"ninep.client_dialect_linux", "ninep.session", "ninep.client_dialect_plain", "ninep.client_dialect"}
     ),
-    frozenset({"ninep.server_dialect_linux", "ninep.shared", "ninep.server_dialect_plain", "ninep.front"}),
     frozenset({"emulator.files_plain", "emulator.fileserver", "emulator.files_linux"}),
 }
 # What a package may import of the others; the rest may import anything that makes no circle.
