--- a/benchmarks/costs.py
+++ b/benchmarks/costs.py
@@ -11,19 +11,33 @@
 from dataclasses import replace
 from typing import Any
 
-from garnetlanding.lab.experiment import Experiment, Load
+from garnetlanding.lab.experiment import Experiment, Workload
 from garnetlanding.lab.limits import SECOND
 from garnetlanding.lab.run import run
 
 RESULTS = pathlib.Path(__file__).parent / "results" / "costs.md"
-BASE = Experiment("costs", 1, 4, 4, 15 * SECOND, Load(volumes=6, rate=200.0, lead=0.6), fleet=False)
+BASE = Experiment(
+    "costs",
+    1,
+    4,
+    4,
+    15 * SECOND,
+    Workload(volumes=6, requests_per_s=200.0, busiest_share=0.6),
+    peer_links=False,
+)
 VARIANTS: dict[str, dict[str, Any]] = {
     "without": {},
-    "verdicts and bans": {"fleet": True},
-    "and budgets": {"fleet": True, "budgets": True},
-    "and heads that find each other": {"fleet": True, "budgets": True, "group": 2},
-    "and the audit": {"fleet": True, "budgets": True, "group": 2, "audit": True},
-    "and subsets": {"fleet": True, "budgets": True, "group": 2, "audit": True, "choices": {"subset": 2}},
+    "verdicts and bans": {"peer_links": True},
+    "and budgets": {"peer_links": True, "quota_leases": True},
+    "and heads that find each other": {"peer_links": True, "quota_leases": True, "seed_instances": 2},
+    "and the audit": {"peer_links": True, "quota_leases": True, "seed_instances": 2, "audit": True},
+    "and subsets": {
+        "peer_links": True,
+        "quota_leases": True,
+        "seed_instances": 2,
+        "audit": True,
+        "choices": {"subset": 2},
+    },
 }
 
 
@@ -34,10 +48,12 @@
         for name, more in VARIANTS.items():
             with tempfile.TemporaryDirectory() as folder:
                 found = run(replace(BASE, seed=seed, **more), pathlib.Path(folder) / "run")
-            costs = list(found.costs.values())
-            cpu[name] += sum(c["cpu_s"] for c in costs) / len(costs) / seeds
-            memory[name] += sum(c["memory_mb"] for c in costs) / len(costs) / seeds
-            messages[name] += found.fates.get("arrived", 0) / BASE.heads / (BASE.length_us / SECOND) / seeds
+            costs = list(found.usage.values())
+            cpu[name] += sum(used.cpu_s for used in costs) / len(costs) / seeds
+            memory[name] += sum(used.memory_mb for used in costs) / len(costs) / seeds
+            messages[name] += (
+                found.fates.get("arrived", 0) / BASE.instances / (BASE.duration_us / SECOND) / seeds
+            )
     first = next(iter(VARIANTS))
     lines = [
         "# What the fleet's parts cost a head",
--- a/benchmarks/lab_runs.py
+++ b/benchmarks/lab_runs.py
@@ -16,9 +16,10 @@
 
 from rich.progress import Progress
 
-from garnetlanding.lab.experiment import load
-from garnetlanding.lab.findings import Findings
-from garnetlanding.lab.run import LabError, run
+from garnetlanding.lab.errors import LabError
+from garnetlanding.lab.experiment_file import load
+from garnetlanding.lab.run import run
+from garnetlanding.lab.violations import InvariantReport
 
 ROOT = pathlib.Path(__file__).parent.parent
 RESULTS = ROOT / "benchmarks" / "results" / "lab.md"
@@ -31,42 +32,47 @@
 )
 
 
-def row(name: str, found: list[Findings]) -> str:
+def row(name: str, reports: list[InvariantReport]) -> str:
+    """Return the table's row of an experiment, over its runs."""
+
     def total(outcome: str) -> int:
-        return sum(f.outcomes[outcome] for f in found)
+        return sum(report.outcomes[outcome] for report in reports)
 
+    suspicions = sum(report.suspicions for report in reports)
+    unfounded = sum(report.suspicions_unfounded for report in reports)
     cells: list[object] = [
         name,
-        len(found),
-        sum(f.asked for f in found),
+        len(reports),
+        sum(report.requests for report in reports),
         total("served"),
         total("refused"),
         total("failed"),
         total("lost") + total("none"),
-        f"{max(f.over for f in found):.2f}",
-        f"{sum(f.used for f in found) / len(found):.2f}",
-        f"{max(f.parts_most for f in found):.3f}",
-        f"{max(f.evens_most for f in found):.3f}",
-        f"{max(f.cold_most for f in found):.2f}",
-        f"{sum(f.doubts for f in found)}, {sum(f.doubts_unfounded for f in found)}",
-        sum(len(f.broken) for f in found),
+        f"{max(report.limit_overshoot_units for report in reports):.2f}",
+        f"{sum(report.limit_use for report in reports) / len(reports):.2f}",
+        f"{max(report.quota_sum_max for report in reports):.3f}",
+        f"{max(report.even_share_sum_max for report in reports):.3f}",
+        f"{max(report.warming_load_max for report in reports):.2f}",
+        f"{suspicions}, {unfounded}",
+        sum(len(report.violations) for report in reports),
     ]
     return f"| {' | '.join(map(str, cells))} |"
 
 
-def play(path: pathlib.Path, seed: int) -> Findings | None:
+def play(path: pathlib.Path, seed: int) -> InvariantReport | None:
     """One run; None where it could not be carried through. Its folder stays where something was wrong."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="lab-"))
     try:
-        found = run(replace(load(str(path)), seed=seed), folder / "run").findings
+        report = run(replace(load(str(path)), seed=seed), folder / "run").report
     except LabError as problem:
         print(f"{path.stem}, seed {seed}: {problem}; see {folder}", file=sys.stderr)
         return None
-    if found.sound:
+    if report.is_sound:
         shutil.rmtree(folder)
     else:
-        print(f"{path.stem}, seed {seed}: {found.broken[:3]}; see {folder}", file=sys.stderr)
-    return found
+        shown = [str(violation) for violation in report.violations[:3]]
+        print(f"{path.stem}, seed {seed}: {shown}; see {folder}", file=sys.stderr)
+    return report
 
 
 def recorded() -> dict[str, str]:
@@ -83,17 +89,17 @@
         task = bar.add_task("experiments", total=len(files) * seeds)
         runs = {path: [pool.submit(play, path, seed) for seed in range(1, seeds + 1)] for path in files}
         for path, futures in runs.items():
-            found: list[Findings] = []
+            reports: list[InvariantReport] = []
             for future in futures:
                 result = future.result()
-                broken += 1 if result is None else len(result.broken)
-                found += [result] if result else []
+                broken += 1 if result is None else len(result.violations)
+                reports += [result] if result else []
                 bar.advance(task)
-            if found:
-                rows[path.stem] = row(path.stem, found)
+            if reports:
+                rows[path.stem] = row(path.stem, reports)
                 print(rows[path.stem], flush=True)
-    told = ["# Real processes under faults", "", HEADER, *(rows[name] for name in sorted(rows))]
-    RESULTS.write_text("\n".join(told) + "\n")
+    page = ["# Real processes under faults", "", HEADER, *(rows[name] for name in sorted(rows))]
+    RESULTS.write_text("\n".join(page) + "\n")
     return 1 if broken else 0
 
 
--- a/garnetlanding/lab/charts.py
+++ b/garnetlanding/lab/charts.py
@@ -1,83 +1,118 @@
-"""Charts of a run, by matplotlib (of the tools that CI has, not of those that a head needs)."""
+"""Charts of a run, by matplotlib (of the tools that CI has, not of those that an instance needs)."""
 
 from __future__ import annotations
 
 import pathlib
 from collections.abc import Sequence
+from typing import Any
 
-from garnetlanding.lab.figures import ANSWERS, Second, percentile
+from garnetlanding.lab.time_series import OUTCOMES, SecondSummary, ShareSeries, percentile_ms
 
-COLOURS = dict(zip(ANSWERS, ("#2a7f62", "#e0a030", "#b03030", "#707070", "#303030"), strict=True))
+COLOURS = dict(zip(OUTCOMES, ("#2a7f62", "#e0a030", "#b03030", "#707070", "#303030"), strict=True))
+_LATENCY_STYLES = ((0.5, "-"), (0.99, "--"))
+_LATENCY_COLOUR = "#2a4f8f"
+_DPI = 120
+_TIME_LABEL = "seconds after the clients began"
 
 
-def draw(
-    folder: pathlib.Path, rows: Sequence[Second], parts: dict[tuple[str, str], list[tuple[float, float]]]
-) -> list[pathlib.Path]:
-    """Answers and latency by second, with the faults; the parts of each limited volume. Gives back the files.
-    Raises ImportError where matplotlib is not there."""
+def draw(folder: pathlib.Path, rows: Sequence[SecondSummary], shares: ShareSeries) -> list[pathlib.Path]:
+    """Draw answers and latency by second, with the faults, and the quota shares of each limited volume.
+
+    Returns the files. Raises ImportError where matplotlib is not there.
+    """
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    drawn = []
+    drawn = [_draw_answers(pyplot, folder / "answers.png", rows)]
+    if shares:
+        drawn.append(_draw_shares(pyplot, folder / "parts.png", shares, float(len(rows))))
+    return drawn
+
+
+def _draw_answers(pyplot: Any, path: pathlib.Path, rows: Sequence[SecondSummary]) -> pathlib.Path:
     figure, (answers, latency) = pyplot.subplots(2, 1, sharex=True, figsize=(9, 6))
-    at, floor = [row.number for row in rows], [0] * len(rows)
-    for name in ANSWERS:
-        counts = [row.outcomes[name] for row in rows]
+    top = _plot_outcomes(answers, rows)
+    _plot_latency(latency, rows)
+    _mark_faults(answers, rows, top)
+    return _save(pyplot, figure, path)
+
+
+def _plot_outcomes(axis: Any, rows: Sequence[SecondSummary]) -> int:
+    """Stack the outcomes of each second; return the greatest height."""
+    numbers = [row.number for row in rows]
+    floor = [0] * len(rows)
+    for outcome in OUTCOMES:
+        counts = [row.outcomes[outcome] for row in rows]
         if any(counts):
-            answers.bar(at, counts, bottom=floor, color=COLOURS[name], label=name, width=1, align="edge")
-            floor = [a + b for a, b in zip(floor, counts, strict=True)]
-    answers.set_ylabel("answers a second")
-    answers.legend(loc="upper right", fontsize=8)
-    for share, style in ((0.5, "-"), (0.99, "--")):
-        latency.step(
-            at,
-            [percentile(row.took_us, share) or 0 for row in rows],
+            axis.bar(
+                numbers, counts, bottom=floor, color=COLOURS[outcome], label=outcome, width=1, align="edge"
+            )
+            floor = [below + count for below, count in zip(floor, counts, strict=True)]
+    axis.set_ylabel("answers a second")
+    axis.legend(loc="upper right", fontsize=8)
+    return max(floor)
+
+
+def _plot_latency(axis: Any, rows: Sequence[SecondSummary]) -> None:
+    for share, style in _LATENCY_STYLES:
+        axis.step(
+            [row.number for row in rows],
+            [percentile_ms(row.latencies_us, share) or 0 for row in rows],
             style,
             where="post",
-            color="#2a4f8f",
+            color=_LATENCY_COLOUR,
             label=f"served, {share:.0%} within",
         )
-    latency.set_ylabel("ms")
-    latency.set_xlabel("seconds after the clients began")
-    latency.legend(loc="upper right", fontsize=8)
+    axis.set_ylabel("ms")
+    axis.set_xlabel(_TIME_LABEL)
+    axis.legend(loc="upper right", fontsize=8)
+
+
+def _mark_faults(axis: Any, rows: Sequence[SecondSummary], top: int) -> None:
+    """Draw a line and a label for each fault; those of one second stand side by side."""
     for row in rows:
-        for i, fault in enumerate(row.faults):
-            answers.axvline(row.number, color="black", linewidth=0.6)
-            answers.annotate(
+        for index, fault in enumerate(row.faults):
+            axis.axvline(row.number, color="black", linewidth=0.6)
+            axis.annotate(
                 fault,
-                (row.number, max(floor)),
+                (row.number, top),
                 fontsize=7,
                 rotation=90,
                 va="top",
-                xytext=(2 + 9 * i, 0),
+                xytext=(2 + 9 * index, 0),
                 textcoords="offset points",
             )
-    drawn.append(folder / "answers.png")
-    figure.savefig(drawn[-1], dpi=120)
+
+
+def _draw_shares(pyplot: Any, path: pathlib.Path, shares: ShareSeries, end_s: float) -> pathlib.Path:
+    volumes = sorted({owner.volume for owner in shares})
+    figure, axes = pyplot.subplots(
+        len(volumes), 1, sharex=True, squeeze=False, figsize=(9, 1 + 1.4 * len(volumes))
+    )
+    for axis, volume in zip(axes[:, 0], volumes, strict=True):
+        _plot_volume_shares(axis, volume, shares, end_s)
+    axes[-1, 0].set_xlabel(_TIME_LABEL)
+    axes[0, 0].set_title("part of each volume's limit that a head believes its own", fontsize=9)
+    return _save(pyplot, figure, path)
+
+
+def _plot_volume_shares(axis: Any, volume: str, shares: ShareSeries, end_s: float) -> None:
+    for owner, changes in sorted(shares.items(), key=lambda entry: entry[0]):
+        if owner.volume == volume:
+            axis.step(
+                [*(change.at_s for change in changes), end_s],
+                [*(change.quota_share for change in changes), changes[-1].quota_share],
+                where="post",
+                label=owner.instance,
+            )
+    axis.set_ylabel(volume[-4:], fontsize=8)
+    axis.set_ylim(-0.05, 1.05)
+    axis.legend(loc="upper right", fontsize=7)
+
+
+def _save(pyplot: Any, figure: Any, path: pathlib.Path) -> pathlib.Path:
+    figure.savefig(path, dpi=_DPI)
     pyplot.close(figure)
-    if parts:
-        volumes = sorted({volume for volume, _ in parts})
-        figure, axes = pyplot.subplots(
-            len(volumes), 1, sharex=True, squeeze=False, figsize=(9, 1 + 1.4 * len(volumes))
-        )
-        end = float(len(rows))
-        for axis, volume in zip(axes[:, 0], volumes, strict=True):
-            for (of, head), steps in sorted(parts.items()):
-                if of == volume:
-                    axis.step(
-                        [*(at for at, _ in steps), end],
-                        [*(part for _, part in steps), steps[-1][1]],
-                        where="post",
-                        label=head,
-                    )
-            axis.set_ylabel(volume[-4:], fontsize=8)
-            axis.set_ylim(-0.05, 1.05)
-            axis.legend(loc="upper right", fontsize=7)
-        axes[-1, 0].set_xlabel("seconds after the clients began")
-        axes[0, 0].set_title("part of each volume's limit that a head believes its own", fontsize=9)
-        drawn.append(folder / "parts.png")
-        figure.savefig(drawn[-1], dpi=120)
-        pyplot.close(figure)
-    return drawn
+    return path
--- a/garnetlanding/lab/clients.py
+++ b/garnetlanding/lab/clients.py
@@ -1,6 +1,6 @@
-"""The clients of an experiment, in a process of their own: python -m garnetlanding.lab.clients PLAN HISTORY
+"""The clients of an experiment, in a process of their own: python -m garnetlanding.lab.clients PLAN HISTORY.
 
-Open loop: each request goes out at its time, whatever became of those before it, on a connection that nobody
+Open loop: each request is sent at its time, whatever became of those before it, on a connection that nobody
 else uses at that moment. Each answer that comes is written down, so that a second one shows.
 """
 
@@ -9,10 +9,13 @@
 import json
 import os
 import sys
-from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
 from typing import Any
 
+from garnetlanding.lab.history import encode_line
 from garnetlanding.lab.limits import LIMITS
+from garnetlanding.lab.workload import Request, decode_request
 from garnetlanding.limits import Limits
 from garnetlanding.resp import codec
 from garnetlanding.resp.errors import ProtocolError
@@ -21,118 +24,152 @@
 from garnetlanding.runtime.scheduler import Scheduler, monotonic_us
 from garnetlanding.runtime.stream import Stream
 
+_PROCESS = "clients"
+"""The process that the history's lines name."""
 
-class Connection:
-    """One connection to a head; its answers in the order in which they come."""
 
-    def __init__(self, clients: Clients, stream: Stream) -> None:
-        self.stream, self._decoder = stream, codec.Decoder(clients.pool, clients.limits)
+@dataclass(frozen=True, slots=True)
+class ClientPlan:
+    """What the clients are to do; times are microseconds of the machine's monotonic clock."""
+
+    instances: list[str]  # their addresses
+    began_us: int  # from which the requests' times count
+    requests: list[Request]
+
+    @classmethod
+    def decode(cls, fields: dict[str, Any]) -> ClientPlan:
+        """Return the plan that plan.json describes."""
+        return cls(
+            instances=fields["heads"],
+            began_us=fields["begins"],
+            requests=[decode_request(request) for request in fields["requests"]],
+        )
+
+
+class ClientConnection:
+    """One connection to an instance; `answers` are those read and not yet taken, in order."""
+
+    def __init__(self, stream: Stream, decoder: codec.Decoder) -> None:
+        self.stream = stream
+        self._decoder = decoder
         self.answers: list[codec.Value] = []
 
-    def read(self, deadline: int) -> bool:
-        return self.stream.read(lambda data: self.answers.extend(self._decoder.feed(data)), deadline)
+    def read(self, deadline_us: int) -> bool:
+        """Read once; return False at the connection's end. Raises DeadlineExceededError or OSError."""
+        return self.stream.read(lambda data: self.answers.extend(self._decoder.feed(data)), deadline_us)
 
 
 class Clients:
-    def __init__(self, plan: dict[str, Any], history: int) -> None:
-        self.scheduler, self.limits = Scheduler(), Limits()
-        self.pool = BufferPool(self.limits.buffer_bytes, self.limits.pool_free_max, self.limits.pool_max)
-        self._heads: list[str] = plan["heads"]
-        self._began: int = plan["begins"]
-        self._requests: list[dict[str, Any]] = plan["requests"]
+    """Sends every request of a plan at its time and notes its outcome in a history."""
+
+    def __init__(self, plan: ClientPlan, history: int) -> None:
+        """`history` is the descriptor of the open history file."""
+        self.scheduler = Scheduler()
+        self._limits = Limits()
+        self._pool = BufferPool(self._limits.buffer_bytes, self._limits.pool_free_max, self._limits.pool_max)
+        self._plan = plan
         self._history = history
-        self._free: dict[int, list[Connection]] = {}
-        self._left = len(self._requests)
+        self._idle: dict[int, list[ClientConnection]] = {}
+        self._unfinished = len(plan.requests)
 
     def run(self) -> None:
-        for request in self._requests:
-            self.scheduler.call_at(self._began + request["at_us"], self._asking(request))
-        while self._left:
+        """Run until every request has its outcome."""
+        for request in self._plan.requests:
+            self.scheduler.call_at(
+                self._plan.began_us + request.start_us, partial(self._start_request, request)
+            )
+        while self._unfinished:
             self.scheduler.turn()
 
-    def _asking(self, request: dict[str, Any]) -> Callable[[], None]:
-        def begin() -> None:
-            self.scheduler.spawn(lambda: self._ask(request))
-
-        return begin
-
-    def _note(self, what: str, request: dict[str, Any], **more: Any) -> None:
-        line = {
-            "t": monotonic_us(),
-            "who": "clients",
-            "what": what,
-            "id": request["id"],
-            "head": request["head"],
-            "volume": request["volume"],
-            "units": request["units"],
-            **more,
+    def _start_request(self, request: Request) -> None:
+        self.scheduler.spawn(lambda: self._send_request(request))
+
+    def _note(self, kind: str, request: Request, **fields: Any) -> None:
+        subject = {
+            "id": request.id,
+            "head": request.instance,
+            "volume": request.volume,
+            "units": request.units,
         }
-        os.write(self._history, json.dumps(line, separators=(",", ":")).encode() + b"\n")
+        os.write(self._history, encode_line(monotonic_us(), _PROCESS, kind, {**subject, **fields}))
 
-    def _ask(self, request: dict[str, Any]) -> None:
-        asked = self.scheduler.now
+    def _send_request(self, request: Request) -> None:
+        sent_us = self.scheduler.now
         self._note("asked", request)
         try:
-            outcome = self._answer(request, asked + request["wait_us"] + LIMITS.answer_late_us)
-        except (OSError, ProtocolError) as problem:
-            outcome = "lost" if isinstance(problem, OSError) else "spoilt"
+            outcome = self._outcome(request, sent_us + request.patience_us + LIMITS.answer_late_us)
+        except OSError:
+            outcome = "lost"
+        except ProtocolError:
+            outcome = "spoilt"
         except DeadlineExceededError:
             outcome = "none"
-        self._note("answer", request, outcome=outcome, took=self.scheduler.now - asked)
-        self._left -= 1
+        self._note("answer", request, outcome=outcome, took=self.scheduler.now - sent_us)
+        self._unfinished -= 1
 
-    def _answer(self, request: dict[str, Any], until: int) -> str:
-        free = self._free.setdefault(request["head"], [])
+    def _outcome(self, request: Request, deadline_us: int) -> str:
+        """Send the request until an answer comes or a fresh connection is lost; return its outcome."""
+        idle = self._idle.setdefault(request.instance, [])
         while True:
-            conn = free.pop() if free else None
-            used = conn is not None
-            if conn is None or conn.stream.ended():
-                used = False
-                conn = Connection(
-                    self,
-                    Stream.connect(
-                        self.scheduler, self._heads[request["head"]], self.pool, self.limits, until
-                    ),
-                )
-            if self._exchange(conn, request, until):
+            connection = idle.pop() if idle else None
+            is_reused = connection is not None and not connection.stream.ended()
+            if connection is None or not is_reused:
+                connection = self._connect(request.instance, deadline_us)
+            if self._exchange(connection, request, deadline_us):
                 break
-            if not used:
-                return "lost"  # on one that crossed its close it is asked once more
-        answer = conn.answers.pop(0)
-        if conn.answers:
-            self._note("extra", request, count=len(conn.answers))
-            conn.stream.close()
+            if not is_reused:
+                return "lost"  # on one that crossed the instance's close the request is sent once more
+        answer = connection.answers.pop(0)
+        if connection.answers:
+            self._note("extra", request, count=len(connection.answers))
+            connection.stream.close()
         else:
-            free.append(conn)
-        match answer:
-            case bytes():
-                return "served" if answer == request["id"].encode() else "other's"
-            case codec.ErrorReply(text) if text.startswith(b"BUSY"):
-                return "refused"
-        return "failed"
-
-    def _exchange(self, conn: Connection, request: dict[str, Any], until: int) -> bool:
-        """Whether an answer came before the connection ended."""
-        pairs = (
-            f"c=read,t=gold,d={request['wait_us'] // 1000},volume={request['volume']},"
-            f"units={request['units']},shard={request['cell']},hosts={request['hosts']}"
+            idle.append(connection)
+        return _outcome_of(answer, request)
+
+    def _connect(self, instance: int, deadline_us: int) -> ClientConnection:
+        stream = Stream.connect(
+            self.scheduler, self._plan.instances[instance], self._pool, self._limits, deadline_us
+        )
+        return ClientConnection(stream, codec.Decoder(self._pool, self._limits))
+
+    def _exchange(self, connection: ClientConnection, request: Request, deadline_us: int) -> bool:
+        """Send the request; return whether an answer came before the connection ended."""
+        attributes = (
+            f"c=read,t=gold,d={request.patience_us // 1000},volume={request.volume},"
+            f"units={request.units},shard={request.cell},hosts={request.instances_per_volume}"
         )
-        name = request["id"].encode()
-        conn.stream.write(codec.command([b"BLK.READ", name, name, pairs.encode()]))
+        name = request.id.encode()
+        connection.stream.write(codec.command([b"BLK.READ", name, name, attributes.encode()]))
         try:
-            while not conn.answers and conn.read(until):
+            while not connection.answers and connection.read(deadline_us):
                 pass
         finally:
-            if not conn.answers:
-                conn.stream.close()
-        return bool(conn.answers)
-
-
-def main(argv: list[str]) -> int:
-    with open(argv[0], encoding="utf-8") as file:
-        plan = json.load(file)
-    history = os.open(argv[1], os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
-    Clients(plan, history).run()
+            if not connection.answers:
+                connection.stream.close()
+        return bool(connection.answers)
+
+
+def _outcome_of(answer: codec.Value, request: Request) -> str:
+    """Return the word that histories have for an answer."""
+    match answer:
+        case bytes():
+            return "served" if answer == request.id.encode() else "other's"
+        case codec.ErrorReply(text) if text.startswith(b"BUSY"):
+            return "refused"
+    return "failed"
+
+
+def main(arguments: list[str]) -> int:
+    """Carry out the plan in the first file and append the history to the second."""
+    plan_path, history_path = arguments
+    with open(plan_path, encoding="utf-8") as file:
+        plan = ClientPlan.decode(json.load(file))
+    history = os.open(history_path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
+    try:
+        Clients(plan, history).run()
+    finally:
+        os.close(history)
     return 0
 
 
--- /dev/null
+++ b/garnetlanding/lab/datagram_proxy.py
@@ -0,0 +1,100 @@
+"""The links between instances: each datagram passes here and fares as the network fault model says.
+
+For each pair of instances there are two sockets: one stands for the second towards the first, one for the
+first towards the second. So each instance sees the other at one address, as `addresses_seen_by` names it.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import socket
+from functools import partial
+from types import TracebackType
+
+from garnetlanding.lab.byzantine import falsify
+from garnetlanding.lab.limits import LIMITS
+from garnetlanding.lab.network_faults import NetworkFaultModel
+from garnetlanding.lab.run_clock import RunClock
+from garnetlanding.runtime.scheduler import READ, Scheduler
+
+
+def _bound_socket(host: str) -> socket.socket:
+    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    sock.setblocking(False)
+    sock.bind((host, 0))
+    return sock
+
+
+class DatagramProxy:
+    """Carries all datagrams between instances. A context manager, which closes its sockets."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        host: str,
+        clock: RunClock,
+        faults: NetworkFaultModel,
+        instances: list[tuple[str, int]],
+        backends: list[str],
+    ) -> None:
+        """Open the sockets at `host`.
+
+        `instances` are the addresses at which each listens for peers; `backends` are the names that false
+        messages are about.
+        """
+        self._scheduler = scheduler
+        self._clock = clock
+        self._faults = faults
+        self._instances = instances
+        self._backends = backends
+        numbers = range(len(instances))
+        self._sockets = {
+            (sender, receiver): _bound_socket(host)
+            for sender in numbers
+            for receiver in numbers
+            if sender != receiver
+        }
+        for sender, receiver in self._sockets:
+            scheduler.spawn(partial(self._carry, sender, receiver))
+
+    def addresses_seen_by(self, instance: int) -> list[str]:
+        """Return each instance's address as this one reaches it; its own is where it listens."""
+        addresses = []
+        for peer, own in enumerate(self._instances):
+            host, port = own if peer == instance else self._sockets[instance, peer].getsockname()
+            addresses.append(f"{host}:{port}")
+        return addresses
+
+    def _carry(self, sender: int, receiver: int) -> None:
+        """Pass on what one instance sends to another, for as long as the run lasts."""
+        sock = self._sockets[sender, receiver]
+        while True:
+            self._scheduler.wait(sock.fileno(), READ)
+            try:
+                datagram, source = sock.recvfrom(LIMITS.datagram_bytes)
+            except OSError:
+                continue
+            if source != self._instances[sender]:
+                continue
+            now_us = self._clock.elapsed_us()
+            behaviour = self._faults.byzantine_behaviour(sender, now_us)
+            if behaviour:
+                datagram = falsify(datagram, self._backends, behaviour)
+            for delay_us in self._faults.delays_us(sender, receiver, now_us):
+                self._scheduler.call_at(
+                    self._scheduler.now + delay_us, partial(self._deliver, sender, receiver, datagram)
+                )
+
+    def _deliver(self, sender: int, receiver: int, datagram: bytes) -> None:
+        with contextlib.suppress(OSError):  # an instance that is down: as on any network
+            self._sockets[receiver, sender].sendto(datagram, self._instances[receiver])
+
+    def __enter__(self) -> DatagramProxy:
+        return self
+
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        for sock in self._sockets.values():
+            self._scheduler.forget(sock.fileno(), OSError("closed"))
+            sock.close()
--- /dev/null
+++ b/garnetlanding/lab/environment.py
@@ -0,0 +1,131 @@
+"""What surrounds the instances of an experiment: discovery for each, and backends that work at a rate."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from typing import Any
+
+from garnetlanding.emulator.base import Conn
+from garnetlanding.emulator.brick import Brick, BrickConn
+from garnetlanding.emulator.discovery import Box, Discovery
+from garnetlanding.lab.environment_history import Note
+from garnetlanding.lab.experiment import Experiment
+from garnetlanding.lab.limits import LIMITS
+from garnetlanding.limits import SECOND, Limits
+from garnetlanding.resp import codec as resp
+from garnetlanding.runtime.buffers import BufferPool
+from garnetlanding.runtime.listener import Listener, Write
+from garnetlanding.runtime.scheduler import Scheduler
+
+_READ_COMMAND = b"BLK.READ"
+_READ_WORDS = 4  # the command, the block, the request's id, and its attributes
+
+
+class LabBackend(Brick):
+    """A backend that serves one request after the other, at a rate.
+
+    It answers with the block's name, so that a client knows its own answer.
+    """
+
+    def __init__(self, *args: Any, note: Note, number: int, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
+        self._note = note
+        self.number = number
+        self._answers = True
+        self._free_at_us = 0
+        self._connections_max = 0  # at once, so far
+
+    def _make(self, write: Write) -> Conn:
+        conn = super()._make(write)
+        if len(self.conns) > self._connections_max:
+            self._connections_max = len(self.conns)
+            self._note("open", brick=self.number, count=self._connections_max)
+        return conn
+
+    def command(self, words: list[bytes], conn: BrickConn) -> None:
+        """Execute one command: note it, and answer once the work is done."""
+        if words[0].upper() != _READ_COMMAND or len(words) != _READ_WORDS:
+            conn.write(b"-SYNTAX\r\n")
+            return
+        attributes = dict(pair.partition(b"=")[::2] for pair in words[3].split(b","))
+        self._note("ran", id=words[2].decode(), brick=self.number, volume=attributes[b"volume"].decode())
+        if not self._answers:
+            return
+        work_us = int(float(attributes[b"units"]) / LIMITS.backend_units_per_s * SECOND)
+        self._free_at_us = max(self._free_at_us, self.scheduler.now) + work_us
+        answer = b"*3\r\n" + resp.bulk(words[1]) + b"$-1\r\n$-1\r\n"
+
+        def send_answer() -> None:
+            if not conn.ended:
+                conn.write(answer)
+
+        self.scheduler.call_at(self._free_at_us, send_answer)
+
+    def stop_answering(self) -> None:
+        """Take requests from now on and answer none."""
+        self._answers = False
+
+    def resume_answering(self) -> None:
+        """Answer requests again; those taken meanwhile stay unanswered."""
+        self._answers = True
+
+    def refuse_connections(self) -> None:
+        """Close all connections and refuse new ones; the endpoint list goes on naming it."""
+        self.listener.stop_accepting()
+        self.drop()
+
+    def accept_connections(self) -> None:
+        """Listen again, at the same address."""
+        self.listener = Listener(
+            self.scheduler, self.address, self.pool, self.limits, LIMITS.backend_connections, self._make
+        )
+
+
+class LabEnvironment:
+    """The backends and the discoveries of an experiment; `pool` and `limits` serve its other connections."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        host: str,
+        experiment: Experiment,
+        note: Note,
+        route: Callable[[int, LabBackend], str],
+    ) -> None:
+        """Start all; `route` returns the address at which an instance reaches a backend."""
+        self.limits = Limits()
+        self.pool = BufferPool(self.limits.buffer_bytes, self.limits.pool_free_max, self.limits.pool_max)
+        self.backends = [
+            LabBackend(scheduler, self.pool, self.limits, f"{host}:0", note=note, number=number)
+            for number in range(experiment.backends)
+        ]
+        self.discoveries = [
+            Discovery(scheduler, self.pool, self.limits, f"{host}:0") for _ in range(experiment.instances)
+        ]
+        # One more, to which an instance may be moved.
+        self.spare_discovery = Discovery(scheduler, self.pool, self.limits, f"{host}:0")
+        for instance, discovery in enumerate(self.discoveries):
+            discovery.boxes = [
+                Box(f"b{backend.number}", route(instance, backend), backend.number)
+                for backend in self.backends
+            ]
+        self.spare_discovery.boxes = [
+            Box(f"b{backend.number}", backend.address, backend.number) for backend in self.backends
+        ]
+        self._scheduler = scheduler
+        scheduler.spawn(self._send_heartbeats)
+
+    def restart(self, backend: LabBackend) -> None:
+        """Bring a backend back as a new, cold process; the endpoint list says since when it runs."""
+        backend.accept_connections()
+        for discovery in [*self.discoveries, self.spare_discovery]:
+            box = discovery.boxes[backend.number]
+            box.extra = {"startedAtMs": time.time_ns() // 1_000_000}
+            discovery.tell(box)
+
+    def _send_heartbeats(self) -> None:
+        while True:
+            self._scheduler.sleep(LIMITS.heartbeat_us)
+            for discovery in [*self.discoveries, self.spare_discovery]:
+                discovery.beat()
--- /dev/null
+++ b/garnetlanding/lab/fault_injector.py
@@ -0,0 +1,154 @@
+"""Lets the faults of an experiment happen, each at its time, and notes them in the history."""
+
+from __future__ import annotations
+
+import signal
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+
+from garnetlanding.lab.environment import LabEnvironment
+from garnetlanding.lab.environment_history import Note
+from garnetlanding.lab.faults import (
+    BACKEND_FAULTS,
+    INSTANCE_FAULTS,
+    MEMBERSHIP_CHANGES,
+    OPERATOR_CALLS,
+    PROCESS_FAULTS,
+    RELOADS,
+    Fault,
+    FaultKind,
+)
+from garnetlanding.lab.instances import InstanceProcesses
+from garnetlanding.runtime.scheduler import Scheduler
+
+Action = Callable[[], None]
+
+_PROCESS_SIGNALS = {
+    FaultKind.KILL: signal.SIGKILL,
+    FaultKind.STOP: signal.SIGSTOP,
+    FaultKind.TERMINATE: signal.SIGTERM,
+}
+
+
+@dataclass(frozen=True, slots=True)
+class Step:
+    """One thing that a fault does, at a time after the clients began; `noted` is its word in the history."""
+
+    at_us: int
+    noted: str
+    act: Action
+
+
+def _nothing() -> None:
+    """Do nothing: links look at the time themselves."""
+
+
+class FaultInjector:
+    """Schedules what faults do to processes and backends; those of links are only noted."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        environment: LabEnvironment,
+        instances: InstanceProcesses,
+        call: Callable[[Fault], None],
+        note: Note,
+    ) -> None:
+        """`call` makes an operator's call, in a task of its own."""
+        self._scheduler = scheduler
+        self._environment = environment
+        self._instances = instances
+        self._call = call
+        self._note = note
+
+    def schedule(self, fault: Fault, began_us: int) -> None:
+        """Schedule every step of a fault; the clients begin at `began_us`."""
+        for step in self.steps(fault):
+            self._scheduler.call_at(began_us + step.at_us, self._noted(fault, step))
+
+    def steps(self, fault: Fault) -> Iterator[Step]:
+        """Yield what a fault does, by time."""
+        if fault.kind in BACKEND_FAULTS:
+            return self._backend_steps(fault)
+        if fault.instance is not None and fault.kind in INSTANCE_FAULTS - {FaultKind.BYZANTINE}:
+            return self._instance_steps(fault, fault.instance)
+        return self._link_steps(fault)
+
+    def _noted(self, fault: Fault, step: Step) -> Action:
+        def happen() -> None:
+            self._note("fault", kind=step.noted, which=fault.noted_subject)
+            step.act()
+
+        return happen
+
+    def _backend_steps(self, fault: Fault) -> Iterator[Step]:
+        assert fault.backend is not None
+        backend = self._environment.backends[fault.backend]
+        match fault.kind:
+            case FaultKind.UNRESPONSIVE:
+                yield Step(fault.start_us, "silent", backend.stop_answering)
+                yield Step(fault.end_us, "heard", backend.resume_answering)
+            case FaultKind.DOWN:
+                yield Step(fault.start_us, "down", backend.refuse_connections)
+                yield Step(fault.end_us, "up", backend.accept_connections)
+            case FaultKind.RESTART:
+                yield Step(fault.start_us, "down", backend.refuse_connections)
+                yield Step(fault.end_us, "up", lambda: self._environment.restart(backend))
+
+    def _link_steps(self, fault: Fault) -> Iterator[Step]:
+        yield Step(fault.start_us, fault.kind.value, _nothing)
+        yield Step(fault.end_us, f"{fault.kind.value} over", _nothing)
+
+    def _instance_steps(self, fault: Fault, instance: int) -> Iterator[Step]:
+        if fault.kind in PROCESS_FAULTS:
+            yield from self._process_steps(fault, instance)
+        elif fault.kind is FaultKind.UPGRADE:
+            yield Step(fault.start_us, "upgrade", lambda: self._instances.start_successor(instance))
+            yield Step(
+                fault.end_us,
+                fault.predecessor_end.value,
+                lambda: self._instances.end_predecessor(instance, fault.predecessor_end),
+            )
+        else:
+            yield Step(fault.start_us, fault.kind.value, self._momentary_action(fault, instance))
+
+    def _process_steps(self, fault: Fault, instance: int) -> Iterator[Step]:
+        number = _PROCESS_SIGNALS[fault.kind]
+        yield Step(fault.start_us, fault.kind.value, lambda: self._send_signal(instance, number))
+        if fault.kind is FaultKind.STOP:
+            yield Step(fault.end_us, "cont", lambda: self._send_signal(instance, signal.SIGCONT))
+        else:
+            yield Step(fault.end_us, "start", lambda: self._restart(fault, instance))
+
+    def _momentary_action(self, fault: Fault, instance: int) -> Action:
+        if fault.kind in OPERATOR_CALLS:
+            return lambda: self._start_call(fault)
+        if fault.kind in RELOADS:
+            return lambda: self._reload(fault, instance)
+        if fault.kind in MEMBERSHIP_CHANGES:
+            return self._membership_action(fault, instance)
+        return lambda: self._instances.set_wall_offset(instance, fault.wall_offset_s)
+
+    def _membership_action(self, fault: Fault, instance: int) -> Action:
+        process = self._instances.process(instance)
+        if fault.kind is FaultKind.LEAVE:
+            return lambda: process.send_signal(signal.SIGTERM)
+        return process.start
+
+    def _start_call(self, fault: Fault) -> None:
+        self._scheduler.spawn(lambda: self._call(fault))
+
+    def _send_signal(self, instance: int, number: int) -> None:
+        self._instances.process(instance).send_signal(number)
+
+    def _restart(self, fault: Fault, instance: int) -> None:
+        if fault.wall_offset_s:
+            self._instances.set_wall_offset(instance, fault.wall_offset_s)
+        self._instances.process(instance).start()
+
+    def _reload(self, fault: Fault, instance: int) -> None:
+        if fault.kind is FaultKind.MOVE_DISCOVERY:
+            self._instances.move_to_spare_discovery(instance)
+        elif fault.kind is FaultKind.CHANGE_SETTINGS:
+            self._instances.set_weight(instance, fault.weight)
+        self._send_signal(instance, signal.SIGHUP)
--- a/garnetlanding/lab/history.py
+++ b/garnetlanding/lab/history.py
@@ -6,6 +6,8 @@
 import pathlib
 from typing import Any
 
+from garnetlanding.lab.errors import CorruptHistoryError
+
 Line = dict[str, Any]
 """A line as `garnetlanding.history.writer` and the lab's own processes write it, by its stored keys.
 
@@ -14,14 +16,13 @@
 
 _EXCERPT_BYTES = 40
 
+__all__ = ["CorruptHistoryError", "Line", "encode_line", "read"]
 
-class CorruptHistoryError(ValueError):
-    """A line that cannot be decoded; `file` and `line_number`, from 1, say where it stands."""
 
-    def __init__(self, file: pathlib.Path, line_number: int, text: bytes) -> None:
-        super().__init__(f"{file} line {line_number}: cannot read {text[:_EXCERPT_BYTES]!r}")
-        self.file = file
-        self.line_number = line_number
+def encode_line(now_us: int, process: str, kind: str, fields: dict[str, Any]) -> bytes:
+    """Return a line in its stored form, with its end."""
+    line = {"t": now_us, "who": process, "what": kind, **fields}
+    return json.dumps(line, separators=(",", ":")).encode() + b"\n"
 
 
 def read(paths: list[pathlib.Path]) -> list[Line]:
@@ -43,5 +44,5 @@
         line: Line = json.loads(text)
         line["t"], line["what"]
     except (ValueError, TypeError, KeyError) as error:
-        raise CorruptHistoryError(path, line_number, text) from error
+        raise CorruptHistoryError(path, line_number, text[:_EXCERPT_BYTES]) from error
     return line
--- /dev/null
+++ b/garnetlanding/lab/instances.py
@@ -0,0 +1,241 @@
+"""The instances of an experiment: their addresses, files and processes."""
+
+from __future__ import annotations
+
+import json
+import pathlib
+import signal
+from dataclasses import dataclass
+from types import TracebackType
+
+from garnetlanding.lab.datagram_proxy import DatagramProxy
+from garnetlanding.lab.environment import LabEnvironment
+from garnetlanding.lab.experiment import Experiment
+from garnetlanding.lab.faults import LATE_STARTS, LinkKind, ProcessEnd
+from garnetlanding.lab.instance_config import (
+    InstanceAddresses,
+    OperatorOptions,
+    operator_file,
+    platform_configuration,
+)
+from garnetlanding.lab.limits import LIMITS
+from garnetlanding.lab.processes import TEMPORARY_FOLDER, Process, ProcessUsage
+from garnetlanding.lab.stream_faults import StreamLink
+from garnetlanding.lab.stream_proxy import StreamProxy
+from garnetlanding.runtime.scheduler import Scheduler
+
+STORE_WRITER = 0
+_FIRST_HOST = 10
+"""The last octet of the first instance's address."""
+
+_END_SIGNALS = {
+    ProcessEnd.KILL: signal.SIGKILL,
+    ProcessEnd.STOP: signal.SIGSTOP,
+    ProcessEnd.TERMINATE: signal.SIGTERM,
+}
+
+
+@dataclass(frozen=True, slots=True)
+class AddressBlock:
+    """The loopback addresses of one run; `network` is their first three octets."""
+
+    network: str
+
+    @property
+    def environment_host(self) -> str:
+        """The host of everything but the instances."""
+        return f"{self.network}.1"
+
+    def host(self, instance: int) -> str:
+        """Return an instance's host."""
+        return f"{self.network}.{_FIRST_HOST + instance}"
+
+    def listen(self, instance: int) -> str:
+        """Return where an instance listens for clients."""
+        return f"{self.host(instance)}:{LIMITS.port}"
+
+    def ops(self, instance: int, is_successor: bool = False) -> str:
+        """Return where an instance listens for operators; an upgrade's successor has a port of its own."""
+        return f"{self.host(instance)}:{LIMITS.ops_port + is_successor}"
+
+    def peer_listen(self, instance: int) -> str:
+        """Return where an instance listens for its peers."""
+        return f"{self.host(instance)}:{LIMITS.peer_port}"
+
+    @property
+    def store(self) -> str:
+        """Where the store's writer listens."""
+        return f"{self.host(STORE_WRITER)}:{LIMITS.store_port}"
+
+
+@dataclass(frozen=True, slots=True)
+class Surroundings:
+    """What instances are connected to."""
+
+    environment: LabEnvironment
+    peer_links: DatagramProxy
+    streams: StreamProxy
+
+
+def replace_file(path: pathlib.Path, text: str) -> None:
+    """Replace a file as a whole: an instance may be reading it."""
+    new = path.with_suffix(".new")
+    new.write_text(text)
+    new.replace(path)
+
+
+class InstanceProcesses:
+    """The processes of all instances. A context manager, which ends every one of them, whatever happened."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        experiment: Experiment,
+        folder: pathlib.Path,
+        addresses: AddressBlock,
+        surroundings: Surroundings,
+    ) -> None:
+        """Take what instances need; `start` starts them."""
+        self._scheduler = scheduler
+        self._experiment = experiment
+        self._folder = folder
+        self._addresses = addresses
+        self._surroundings = surroundings
+        self._current: list[Process] = []  # by instance
+        self._successors: dict[int, Process] = {}  # of upgrades that are under way, by instance
+        self._predecessors: list[Process] = []  # whose instances go on in their successors
+        self._discovery_addresses: dict[int, str] = {}
+        self._store_addresses: dict[int, str] = {}
+        self.late = experiment.instances_struck_by(*LATE_STARTS)  # those that a fault starts
+
+    def start(self) -> None:
+        """Write every instance's files and start those that are there from the first."""
+        (self._folder / TEMPORARY_FOLDER).mkdir()
+        for instance in range(self._experiment.instances):
+            name = self._write_files(instance, self._discovery_address(instance))
+            self._current.append(self._launch(name, start_now=instance not in self.late))
+        pids = [process.pid for process in self._current]
+        (self._folder / "pids.json").write_text(json.dumps(pids))
+
+    def process(self, instance: int) -> Process:
+        """Return an instance's process; of the two of an upgrade the one that goes on."""
+        return self._current[instance]
+
+    def exit_codes(self) -> list[int | None]:
+        """Return every instance's exit code; None for one that runs."""
+        return [process.exit_code for process in self._current]
+
+    def usage(self) -> dict[str, ProcessUsage]:
+        """Return what the instances that run have used, by name."""
+        usage = {f"n{instance}": process.usage() for instance, process in enumerate(self._current)}
+        return {name: used for name, used in usage.items() if used}
+
+    def set_wall_offset(self, instance: int, offset_s: int) -> None:
+        """Put an instance's wall clock so many seconds off the machine's."""
+        replace_file(self._folder / f"n{instance}.wall", str(offset_s))
+
+    def set_weight(self, instance: int, weight: float) -> None:
+        """Change the weight of the plan in an instance's configuration, for its next reload."""
+        path = self._folder / f"n{instance}.json"
+        configuration = json.loads(path.read_text())
+        configuration["settings"]["Contracts"][0]["Weight"] = weight
+        replace_file(path, json.dumps(configuration, indent=1))
+
+    def move_to_spare_discovery(self, instance: int) -> None:
+        """Name another discovery in an instance's configuration, for its next reload."""
+        self._write_files(instance, self._surroundings.environment.spare_discovery.address)
+
+    def start_successor(self, instance: int) -> None:
+        """Start the second process of an upgrade."""
+        name = self._write_files(instance, self._discovery_address(instance), is_successor=True)
+        self._successors[instance] = self._launch(name)
+
+    def end_predecessor(self, instance: int, how: ProcessEnd) -> None:
+        """Tell the first process of an upgrade to end; from now on the instance is the second."""
+        predecessor = self._current[instance]
+        predecessor.send_signal(_END_SIGNALS[how])
+        if how is ProcessEnd.STOP:
+            # As whoever supervises it would, once it has not ended in time.
+            self._scheduler.call_at(
+                self._scheduler.now + LIMITS.supervise_us, lambda: predecessor.send_signal(signal.SIGKILL)
+            )
+        self._predecessors.append(predecessor)
+        self._current[instance] = self._successors.pop(instance)
+
+    def _write_files(self, instance: int, discovery: str, is_successor: bool = False) -> str:
+        """Write an instance's files; return the name that they have in common."""
+        name = f"n{instance}-newer" if is_successor else f"n{instance}"
+        addresses = self._addresses
+        configuration = platform_configuration(
+            self._experiment,
+            instance,
+            InstanceAddresses(
+                listen=addresses.listen(instance),
+                ops=addresses.ops(instance, is_successor),
+                discovery=discovery,
+                peer_listen=addresses.peer_listen(instance),
+                peers=self._surroundings.peer_links.addresses_seen_by(instance),
+            ),
+        )
+        (self._folder / f"{name}.json").write_text(json.dumps(configuration, indent=1))
+        wall_file = self._folder / f"n{instance}.wall"
+        if not wall_file.exists():
+            wall_file.write_text("0")
+        options = self._operator_options(instance, wall_file)
+        (self._folder / f"{name}.toml").write_text(operator_file(self._experiment, options))
+        return name
+
+    def _operator_options(self, instance: int, wall_file: pathlib.Path) -> OperatorOptions:
+        own = [self._addresses.peer_listen(peer) for peer in range(self._experiment.instances)]
+        routes = self._surroundings.peer_links.addresses_seen_by(instance)
+        return OperatorOptions(
+            history=str(self._folder / f"n{instance}.history"),
+            wall_file=str(wall_file),
+            seeds=own[: self._experiment.seed_instances],
+            routes=dict(zip(own, routes, strict=True)),
+            store=self._store_address(instance),
+            is_writer=instance == STORE_WRITER,
+            audit=str(self._folder / "audit"),
+        )
+
+    def _discovery_address(self, instance: int) -> str:
+        """Return where an instance finds discovery: one address for all its processes."""
+        if instance not in self._discovery_addresses:
+            own = self._surroundings.environment.discoveries[instance].address
+            link = StreamLink(LinkKind.DISCOVERY, instance)
+            self._discovery_addresses[instance] = self._surroundings.streams.open_link(link, own)
+        return self._discovery_addresses[instance]
+
+    def _store_address(self, instance: int) -> str:
+        """Return where an instance reaches the store's writer: one address for all its processes."""
+        if not self._experiment.store or instance == STORE_WRITER:
+            return self._addresses.store
+        if instance not in self._store_addresses:
+            link = StreamLink(LinkKind.STORE, instance)
+            self._store_addresses[instance] = self._surroundings.streams.open_link(
+                link, self._addresses.store
+            )
+        return self._store_addresses[instance]
+
+    def _launch(self, name: str, start_now: bool = True) -> Process:
+        configuration = str(self._folder / f"{name}.json")
+        operator = str(self._folder / f"{name}.toml")
+        return Process(
+            ["garnetlanding", "serve", "--config", configuration, "--operator", operator],
+            self._folder / f"{name}.log",
+            start_now,
+        )
+
+    def __enter__(self) -> InstanceProcesses:
+        return self
+
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        processes = [*self._predecessors, *self._current, *self._successors.values()]
+        for process in processes:
+            process.send_signal(signal.SIGCONT)  # one that is stopped has to go on to end
+        for process in processes:
+            process.send_signal(signal.SIGTERM)
+        for process in processes:
+            process.terminate()
--- /dev/null
+++ b/garnetlanding/lab/invariants.py
@@ -0,0 +1,91 @@
+"""The invariants that every run must keep, in the order in which violations are reported."""
+
+from __future__ import annotations
+
+import pathlib
+
+from garnetlanding.lab.experiment import Experiment
+from garnetlanding.lab.history import Line
+from garnetlanding.lab.invariant import Invariant, RecordedRun
+from garnetlanding.lab.log_invariants import NoDefectLogged
+from garnetlanding.lab.peer_invariants import (
+    DisabledBackendsConverge,
+    MembershipConverges,
+    SuspicionEvidence,
+)
+from garnetlanding.lab.quota_invariants import (
+    BackendConnectionLimit,
+    DuplicateQuotaSum,
+    QuotaSum,
+    WarmingLoad,
+    measure_quota_sums,
+)
+from garnetlanding.lab.request_invariants import (
+    AttemptLimit,
+    EveryRequestAnswered,
+    RateLimit,
+    RetryBudget,
+    ServedWasExecuted,
+    SingleResponse,
+)
+from garnetlanding.lab.settings_invariants import (
+    AuditAgrees,
+    FencedSendsNothing,
+    SettingsReplicated,
+    SettingsStaleness,
+)
+from garnetlanding.lab.violations import InvariantReport
+from garnetlanding.lab.workload import Request
+
+HISTORY_INVARIANTS: tuple[Invariant, ...] = (
+    SingleResponse(),
+    EveryRequestAnswered(),
+    AttemptLimit(),
+    ServedWasExecuted(),
+    DuplicateQuotaSum(),
+    QuotaSum(),
+    RateLimit(),
+    SuspicionEvidence(),
+    DisabledBackendsConverge(),
+    MembershipConverges(),
+    WarmingLoad(),
+    BackendConnectionLimit(),
+    SettingsReplicated(),
+    RetryBudget(),
+    SettingsStaleness(),
+    FencedSendsNothing(),
+)
+"""Those that are checked on the histories alone."""
+
+FILE_INVARIANTS: tuple[Invariant, ...] = (AuditAgrees(), NoDefectLogged())
+"""Those that read other files of the run's folder as well."""
+
+
+def check(
+    experiment: Experiment,
+    requests: list[Request],
+    lines: list[Line],
+    folder: pathlib.Path | None = None,
+) -> InvariantReport:
+    """Check a run by its histories and, if the folder is given, by the audit and the logs in it.
+
+    Without a folder there is no I/O; with one, raises OSError where it cannot be read.
+    """
+    run = RecordedRun(experiment, requests, lines, InvariantReport(requests=len(requests)), folder)
+    _measure(run)
+    for invariant in HISTORY_INVARIANTS:
+        invariant.check(run)
+    if folder is not None:
+        for invariant in FILE_INVARIANTS:
+            invariant.check(run)
+    return run.report
+
+
+def _measure(run: RecordedRun) -> None:
+    """Count what the invariants, or only the reader of the report, need."""
+    report = run.report
+    report.attempts = sum(1 for _ in run.lines_of("ran"))
+    for line in run.lines_of("start"):
+        report.incarnations[line["who"]] = report.incarnations.get(line["who"], 0) + 1
+    report.connections_at_end = sum(line["count"] for line in run.lines_of("kept"))
+    measure_quota_sums(run)
--- a/garnetlanding/lab/latency.py
+++ b/garnetlanding/lab/latency.py
@@ -1,5 +1,6 @@
-"""How long served requests took: HDR histograms, which add up over runs without losing their tails. For
-experiments alone: needs the extra `lab`, and no head imports it.
+"""How long served requests took: HDR histograms, which add up over runs without losing their tails.
+
+For experiments alone: needs the extra `lab`, and no instance imports it.
 """
 
 from __future__ import annotations
@@ -10,23 +11,32 @@
 from garnetlanding.lab.history import Line
 from garnetlanding.lab.limits import LIMITS
 
-SHOWN = (50.0, 90.0, 99.0, 99.9)
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 def histogram(lines: Iterable[Line]) -> Any:
-    """Of the microseconds that each served request took at its client. Raises ImportError."""
+    """Return an HdrHistogram of the microseconds that each served request took at its client.
+
+    Raises ImportError where the library is not installed.
+    """
     from hdrh.histogram import HdrHistogram
 
-    found = HdrHistogram(1, LIMITS.latency_most_us, LIMITS.latency_digits)
+    latencies = HdrHistogram(1, LIMITS.latency_most_us, LIMITS.latency_digits)
     for line in lines:
         if line["what"] == "answer" and line["outcome"] == "served":
-            found.record_value(max(1, min(line["took"], LIMITS.latency_most_us)))
-    return found
+            latencies.record_value(max(1, min(line["took"], LIMITS.latency_most_us)))
+    return latencies
 
 
-def milliseconds(found: Any) -> dict[str, float]:
-    """Its percentiles, and how many it counts."""
-    if not found.get_total_count():
+def percentiles_ms(latencies: Any) -> dict[str, float]:
+    """Return a histogram's percentiles and greatest value in milliseconds, and how many it counts."""
+    if not latencies.get_total_count():
         return {}
-    shown = {f"p{share:g}": round(found.get_value_at_percentile(share) / 1000, 1) for share in SHOWN}
-    return shown | {"max": round(found.get_max_value() / 1000, 1), "count": found.get_total_count()}
+    shown = {
+        f"p{percentile:g}": round(latencies.get_value_at_percentile(percentile) / 1000, 1)
+        for percentile in PERCENTILES
+    }
+    return shown | {
+        "max": round(latencies.get_max_value() / 1000, 1),
+        "count": latencies.get_total_count(),
+    }
--- /dev/null
+++ b/garnetlanding/lab/operator_call.py
@@ -0,0 +1,69 @@
+"""An operator's call at one instance of an experiment, over its administrative HTTP interface."""
+
+from __future__ import annotations
+
+import contextlib
+from dataclasses import dataclass
+
+from garnetlanding.lab.environment import LabEnvironment
+from garnetlanding.lab.environment_history import Note
+from garnetlanding.lab.faults import PEER_CALLS, Fault
+from garnetlanding.lab.instances import AddressBlock
+from garnetlanding.lab.limits import LIMITS, SECOND
+from garnetlanding.ops.admin_client import method_and_path
+from garnetlanding.runtime.errors import DeadlineExceededError
+from garnetlanding.runtime.scheduler import Scheduler
+from garnetlanding.runtime.stream import Stream
+
+NO_STATUS = 0
+"""What the history notes as the status of a call that had no answer."""
+_NO_SUBJECT = -1
+"""What the history notes as the subject of a call about no backend and no peer."""
+
+
+@dataclass(frozen=True, slots=True)
+class OperatorCalls:
+    """Makes the calls that faults ask for; `send` may only be called in a task."""
+
+    scheduler: Scheduler
+    environment: LabEnvironment
+    addresses: AddressBlock
+    note: Note
+
+    def send(self, fault: Fault) -> None:
+        """Make one call and note the answer's status, or that there was none."""
+        subject = fault.peer if fault.kind in PEER_CALLS else fault.backend
+        method, path = _method_and_path(fault)
+        assert fault.instance is not None
+        address = self.addresses.ops(fault.instance, fault.at_successor)
+        answer = bytearray()
+        with contextlib.suppress(OSError, DeadlineExceededError):
+            self._exchange(address, f"{method} {path} HTTP/1.1\r\nHost: lab\r\n\r\n".encode(), answer)
+        status = answer.split(b" ")[1:2]
+        self.note(
+            "called",
+            kind=fault.kind.value,
+            which=fault.instance,
+            brick=_NO_SUBJECT if subject is None else subject,
+            status=int(status[0]) if status else NO_STATUS,
+        )
+
+    def _exchange(self, address: str, request: bytes, answer: bytearray) -> None:
+        """Send a request and read into `answer` until the other end closes."""
+        deadline_us = self.scheduler.now + LIMITS.call_s * SECOND
+        stream = Stream.connect(
+            self.scheduler, address, self.environment.pool, self.environment.limits, deadline_us
+        )
+        try:
+            stream.write(request)
+            while stream.read(answer.extend, deadline_us):
+                pass
+        finally:
+            stream.close()
+
+
+def _method_and_path(fault: Fault) -> tuple[str, str]:
+    if fault.kind in PEER_CALLS:
+        return method_and_path(f"fleet/{fault.kind.value}", str(fault.peer))
+    name = "" if fault.backend is None else f"b{fault.backend}"
+    return method_and_path(fault.kind.value, name)
--- /dev/null
+++ b/garnetlanding/lab/peer_invariants.py
@@ -0,0 +1,160 @@
+"""What must hold between instances: suspicions, disabled backends, membership."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+
+from garnetlanding.lab.faults import BACKEND_CALLS, BACKEND_FAULTS, FaultKind
+from garnetlanding.lab.history import Line
+from garnetlanding.lab.invariant import Invariant, RecordedRun
+from garnetlanding.lab.limits import LIMITS
+from garnetlanding.peers.limits import PeerLimits
+
+
+class SuspicionEvidence(Invariant):
+    """A suspicion has recent evidence of another instance, and few backends are suspected at once.
+
+    A byzantine instance has observed nothing: its claims are not in its history, so with one no evidence is
+    asked for.
+    """
+
+    name = "suspicion evidence"
+    label = "words"
+    statement = (
+        "No instance suspects a backend that no peer observed within the greatest age of evidence, "
+        "nor more than a third of all backends at once."
+    )
+    shown_by = "test_peer_invariants.py::test_suspicion_without_recent_evidence_is_a_violation"
+
+    def violations(self, run: RecordedRun) -> Iterator[str]:
+        """Yield unfounded and too many suspicions, and count them."""
+        needs_evidence = not run.experiment.faults_of(FaultKind.BYZANTINE)
+        struck = {f"b{fault.backend}" for fault in run.experiment.faults_of(*BACKEND_FAULTS)}
+        suspected_max = max(1, run.experiment.backends // 3)
+        observed_us: dict[tuple[str, str], int] = {}  # by instance and backend, the latest that it sent
+        suspected: dict[str, set[str]] = defaultdict(set)
+        for line in run.lines_of("seen", "start", "doubted"):
+            instance = line["who"]
+            if line["what"] == "seen":
+                observed_us |= {(instance, backend): at_us for backend, (_, at_us) in line["servers"].items()}
+                continue
+            if line["what"] == "start":
+                suspected.pop(instance, None)
+                continue
+            new = set(line["servers"]) - suspected[instance]
+            suspected[instance] = set(line["servers"])
+            run.report.suspicions += len(new)
+            run.report.suspicions_unfounded += len(new - struck)
+            if needs_evidence:
+                yield from self._without_evidence(line, observed_us)
+            if len(line["servers"]) > suspected_max:
+                yield f"{instance} doubts {len(line['servers'])} servers at once"
+
+    @staticmethod
+    def _without_evidence(line: Line, observed_us: dict[tuple[str, str], int]) -> Iterator[str]:
+        evidence_us = PeerLimits().evidence_us
+        for backend, until_us in line["servers"].items():
+            latest_us = max(
+                (
+                    at_us
+                    for (observer, observed), at_us in observed_us.items()
+                    if observed == backend and observer != line["who"]
+                ),
+                default=0,
+            )
+            if until_us > latest_us + evidence_us:
+                yield f"{line['who']} believes of {backend} what nobody has seen in time"
+
+
+class DisabledBackendsConverge(Invariant):
+    """Disabled backends are the same everywhere at the end, and one that is disabled everywhere is idle."""
+
+    name = "disabled backends converge"
+    label = "bans"
+    statement = (
+        "A backend that is disabled at every instance is sent nothing, and at the end every instance has the "
+        "same backends disabled."
+    )
+    shown_by = "test_peer_invariants.py::test_request_at_a_disabled_backend_is_a_violation"
+
+    def violations(self, run: RecordedRun) -> Iterator[str]:
+        """Yield requests at disabled backends, and a difference at the end."""
+        if not run.experiment.peer_links or not run.experiment.faults_of(*BACKEND_CALLS):
+            return
+        disabled: dict[str, set[str]] = {f"n{number}": set() for number in range(run.experiment.instances)}
+        since_us: dict[str, int] = {}  # by backend, since when every instance has it disabled
+        for line in run.lines_of("bans", "ran"):
+            if line["what"] == "bans":
+                disabled[line["who"]] = set(line["out"])
+                everywhere = set.intersection(*disabled.values())
+                since_us = {backend: since_us.get(backend, line["t"]) for backend in everywhere}
+                continue
+            backend = f"b{line['brick']}"
+            if backend in since_us and line["t"] > since_us[backend] + LIMITS.send_us:
+                yield f"{line['id']} ran at {backend}, which all heads had out"
+        if len({frozenset(backends) for backends in disabled.values()}) > 1:
+            listed = {instance: sorted(backends) for instance, backends in disabled.items()}
+            yield f"heads differ at the end: {listed}"
+
+
+@dataclass(slots=True)
+class _MembershipHistory:
+    """By instance, its even share of shared limits and the peers that it knows, as last noted."""
+
+    even_share: dict[str, float] = field(default_factory=dict)
+    known: dict[str, set[int]] = field(default_factory=dict)
+
+
+class MembershipConverges(Invariant):
+    """Instances that find each other know the same members at the end, and share at most the whole.
+
+    The even shares of instances that were killed count on, until they start again.
+    """
+
+    name = "membership converges"
+    label = "heads"
+    statement = (
+        "Even shares never add up to more than the whole; at the end every running instance knows just the "
+        "running ones, and of two with one number at most one uses its share."
+    )
+    shown_by = "test_peer_invariants.py::test_diverging_membership_is_a_violation"
+
+    def violations(self, run: RecordedRun) -> Iterator[str]:
+        """Yield an exceeded sum, a number used twice, and wrong members at the end."""
+        if not run.experiment.seed_instances:
+            return
+        history = self._replay(run)
+        if run.report.even_share_sum_max > 1 + LIMITS.share_slack:
+            yield f"even parts add up to {run.report.even_share_sum_max:.3f}"
+        duplicates = {
+            fault.instance: fault.claimed_instance
+            for fault in run.experiment.faults_of(FaultKind.DUPLICATE_IDENTITY)
+        }
+        for instance, claimed in duplicates.items():
+            if history.even_share[f"n{instance}"] and history.even_share[f"n{claimed}"]:
+                yield f"n{instance} and n{claimed} both use the part of one number"
+        running = set(range(run.experiment.instances)) - run.instances_that_left() - set(duplicates)
+        for instance in sorted(running):
+            known = history.known.get(f"n{instance}")
+            if known != running:
+                yield f"n{instance} knows {sorted(known or ())} at the end, there are {sorted(running)}"
+
+    @staticmethod
+    def _replay(run: RecordedRun) -> _MembershipHistory:
+        """Return what stood when the clients had ended; after that the lab ends every instance."""
+        history = _MembershipHistory()
+        end_us = max((line["t"] for line in run.lines if line["who"] == "clients"), default=0)
+        for line in run.lines_of("start", "heads"):
+            if line["t"] > end_us:
+                break
+            if line["what"] == "start":
+                history.even_share[line["who"]] = 0.0
+                continue
+            history.even_share[line["who"]] = line["even"]
+            history.known[line["who"]] = set(line["entitled"])
+            run.report.even_share_sum_max = max(
+                run.report.even_share_sum_max, sum(history.even_share.values())
+            )
+        return history
--- a/garnetlanding/lab/processes.py
+++ b/garnetlanding/lab/processes.py
@@ -2,79 +2,106 @@
 
 from __future__ import annotations
 
+import contextlib
 import os
 import pathlib
 import signal
 import subprocess
 import sys
+from dataclasses import dataclass
 
 from garnetlanding.lab.limits import LIMITS
 
-PACKAGE = pathlib.Path(__file__).parent.parent.parent
+SOURCE_ROOT = pathlib.Path(__file__).parent.parent.parent
+TEMPORARY_FOLDER = "tmp"
+"""Beside a process's log: where it keeps what outlasts it."""
+
+_CPU_USER_FIELD = 11  # of /proc/PID/stat, behind the command's name
+_CPU_SYSTEM_FIELD = 12
+_RESIDENT_PAGES_FIELD = 1  # of /proc/PID/statm
+_MEGABYTE = 1 << 20
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessUsage:
+    """What a process has used since its start, as the kernel counts it."""
+
+    cpu_s: float
+    memory_mb: float
+
+    def encode(self) -> dict[str, float]:
+        """Return it in the form of result.json."""
+        return {"cpu_s": self.cpu_s, "memory_mb": self.memory_mb}
 
 
 class Process:
-    """One process; its output goes to a file, to which a restart adds."""
+    """One process that can be started again; its output is appended to its log file."""
 
-    def __init__(self, arguments: list[str], log: pathlib.Path, begins: bool = True) -> None:
-        """Beside the log, `tmp` is the folder in which it keeps what outlasts a process. Not `begins`: it is
-        started later."""
-        self._arguments, self._log = arguments, log
+    def __init__(self, arguments: list[str], log: pathlib.Path, start_now: bool = True) -> None:
+        """Take the arguments of `python -m`, and start the process unless it is to be started later."""
+        self._arguments = arguments
+        self._log = log
         self._child: subprocess.Popen[bytes] | None = None
-        if begins:
+        if start_now:
             self.start()
 
     def start(self) -> None:
-        self.end()
-        # Only what the program itself needs: an address in the environment would stand above the file's.
-        env = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
-        env["PYTHONPATH"] = str(PACKAGE)
-        env["TMPDIR"] = str(self._log.parent / "tmp")
+        """Start the process; one that still runs is killed first."""
+        self.kill()
+        # Only what the program itself needs: an address in the environment would override the file's.
+        environment = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
+        environment["PYTHONPATH"] = str(SOURCE_ROOT)
+        environment["TMPDIR"] = str(self._log.parent / TEMPORARY_FOLDER)
         with open(self._log, "ab") as log:
             self._child = subprocess.Popen(
                 [sys.executable, "-m", *self._arguments],
                 stdout=log,
                 stderr=log,
                 stdin=subprocess.DEVNULL,
-                env=env,
+                env=environment,
             )
 
     @property
-    def id(self) -> int:
+    def pid(self) -> int:
+        """Its process id; 0 before its first start."""
         return self._child.pid if self._child else 0
 
     @property
-    def code(self) -> int | None:
-        """Its exit code; None while it runs."""
+    def exit_code(self) -> int | None:
+        """None while it runs; 0 before its first start."""
         return self._child.poll() if self._child else 0
 
-    def cost(self) -> dict[str, float]:
-        """CPU in seconds since its start, and memory in MB, as the kernel counts them; empty where it does
-        not run."""
+    def usage(self) -> ProcessUsage | None:
+        """Return what it has used; None where it does not run."""
         try:
-            stat = pathlib.Path(f"/proc/{self.id}/stat").read_text().rpartition(")")[2].split()
-            size = pathlib.Path(f"/proc/{self.id}/statm").read_text().split()
+            stat = pathlib.Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
+            memory = pathlib.Path(f"/proc/{self.pid}/statm").read_text().split()
         except OSError:
-            return {}
-        ticks, page = os.sysconf("SC_CLK_TCK"), os.sysconf("SC_PAGE_SIZE")
-        return {
-            "cpu_s": (int(stat[11]) + int(stat[12])) / ticks,
-            "memory_mb": round(int(size[1]) * page / (1 << 20), 1),
-        }
-
-    def signal(self, number: int) -> None:
+            return None
+        ticks = int(stat[_CPU_USER_FIELD]) + int(stat[_CPU_SYSTEM_FIELD])
+        resident_bytes = int(memory[_RESIDENT_PAGES_FIELD]) * os.sysconf("SC_PAGE_SIZE")
+        return ProcessUsage(
+            cpu_s=ticks / os.sysconf("SC_CLK_TCK"),
+            memory_mb=round(resident_bytes / _MEGABYTE, 1),
+        )
+
+    def send_signal(self, number: int) -> None:
+        """Send a signal, if it runs."""
         if self._child and self._child.poll() is None:
             self._child.send_signal(number)
 
-    def end(self, orderly: bool = False) -> None:
-        if self._child is None:
-            return
-        if orderly and self._child.poll() is None:
+    def terminate(self) -> None:
+        """End it by SIGTERM, and by SIGKILL where it takes too long; wait for its end."""
+        if self._child and self._child.poll() is None:
             self._child.terminate()
-            try:
+            with contextlib.suppress(subprocess.TimeoutExpired):
                 self._child.wait(LIMITS.end_s)
-            except subprocess.TimeoutExpired:
-                pass
+        self.kill()
+
+    def kill(self) -> None:
+        """End it by SIGKILL if it still runs; wait for its end."""
+        if self._child is None:
+            return
         if self._child.poll() is None:
             self._child.send_signal(signal.SIGKILL)
         self._child.wait()
--- a/garnetlanding/lab/report.py
+++ b/garnetlanding/lab/report.py
@@ -1,4 +1,4 @@
-"""The lab's results for people: progress, tables, JSON."""
+"""The lab's results for people and programs: progress, tables, JSON."""
 
 from __future__ import annotations
 
@@ -8,22 +8,25 @@
 import sys
 import time
 from collections.abc import Sequence
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from typing import Any
 
 from rich.console import Console
 from rich.progress import Progress
 from rich.table import Table
 
-from garnetlanding.lab import experiment as files
-from garnetlanding.lab import figures, history
-from garnetlanding.lab.latency import histogram, milliseconds
+from garnetlanding.lab import experiment_file, history, result, time_series
+from garnetlanding.lab.errors import LabError, MissingDependencyError, MissingResultError
+from garnetlanding.lab.latency import histogram, percentiles_ms
 from garnetlanding.lab.limits import LIMITS
-from garnetlanding.lab.run import LabError, Result
+from garnetlanding.lab.result import RunResult, encode_result
 from garnetlanding.lab.run import run as carry_out
 
 __all__ = ["LabError", "compare", "report", "run"]
-COLUMNS = (
+
+_SOUND = 0  # exit code
+_VIOLATED = 1  # exit code: an invariant did not hold
+_COLUMNS = (
     "asked",
     "served",
     "refused",
@@ -39,95 +42,138 @@
 
 
 def run(path: str, out: str | None, seed: int | None, as_json: bool) -> int:
-    """Raises ConfigError, LabError or OSError."""
-    experiment = files.load(path)
+    """Run one experiment and print its result; return the exit code.
+
+    Raises ConfigError, LabError or OSError.
+    """
+    experiment = experiment_file.load(path)
     if seed is not None:
         experiment = replace(experiment, seed=seed)
     folder = pathlib.Path(out or f"lab-runs/{experiment.name}-{experiment.seed}-{time.strftime('%H%M%S')}")
     with Progress(console=Console(stderr=True), disable=not sys.stderr.isatty()) as bar:
         task = bar.add_task(experiment.name, total=1.0)
-        result = carry_out(experiment, folder, lambda done: bar.update(task, completed=done))
+        finished = carry_out(experiment, folder, lambda done: bar.update(task, completed=done))
     (folder / "experiment.toml").write_bytes(pathlib.Path(path).read_bytes())
     if as_json:
-        print(json.dumps(result.as_json()))
+        print(json.dumps(encode_result(finished)))
     else:
-        show([(experiment.name, result.as_json())])
-        _told(result)
-    return 0 if result.findings.sound else 1
-
-
-def _told(result: Result) -> None:
-    broken, most = result.findings.broken, LIMITS.broken_shown
-    for what in broken[:most]:
-        print(f"broken: {what}")
-    if len(broken) > most:
-        print(f"broken: {len(broken) - most} more, see result.json")
-    print(f"histories, logs and result: {result.folder}")
-
-
-def row(told: dict[str, Any]) -> list[str]:
-    outcomes = told["outcomes"]
-    return [str(told[name]) if name in told else str(outcomes.get(name, 0)) for name in COLUMNS]
-
-
-def show(results: list[tuple[str, dict[str, Any]]]) -> None:
-    table = Table("run", *COLUMNS)
-    for name, told in results:
-        table.add_row(name, *row(told))
-    Console(width=None if sys.stdout.isatty() else LIMITS.table_columns).print(table)
+        _print_results([(experiment.name, encode_result(finished))])
+        _print_violations(finished)
+    return _SOUND if finished.report.is_sound else _VIOLATED
 
 
 def compare(folders: Sequence[str], as_json: bool) -> int:
-    """Raises LabError for a folder without a result."""
+    """Print the results of finished runs side by side; return the exit code.
+
+    Raises MissingResultError for a folder without a result, ValueError for one that is no JSON.
+    """
     results: list[tuple[str, dict[str, Any]]] = []
     for folder in folders:
-        path = pathlib.Path(folder) / "result.json"
+        path = pathlib.Path(folder) / result.FILE_NAME
         if not path.exists():
-            raise LabError(f"{folder}: no result.json")
+            raise MissingResultError(folder, f"no {result.FILE_NAME}")
         results.append((pathlib.Path(folder).name, json.loads(path.read_text())))
     if as_json:
         print(json.dumps(dict(results)))
     else:
-        show(results)
-    return 0
+        _print_results(results)
+    return _SOUND
 
 
 def report(folder: str, charts: bool, as_json: bool) -> int:
-    """One run second by second; writes `series.csv` and, if asked to, charts beside its histories. Raises
-    LabError for a folder without histories, CorruptHistoryError for one that cannot be read."""
+    """Print one run second by second; write `series.csv` and, if asked to, charts beside its histories.
+
+    Raises MissingResultError for a folder without histories, CorruptHistoryError for one that cannot be read,
+    MissingDependencyError where a library of the extra `lab` is not installed.
+    """
     place = pathlib.Path(folder)
     lines = history.read(sorted(place.glob("*.history")))
     if not lines:
-        raise LabError(f"{folder}: no histories")
-    start = figures.began(lines)
-    rows = figures.seconds(lines, start)
-    table = [row.as_row() for row in rows]
-    if not table:
-        raise LabError(f"{folder}: nothing was answered")
-    with open(place / "series.csv", "w", newline="", encoding="utf-8") as file:
-        writer = csv.DictWriter(file, list(table[0]))
-        writer.writeheader()
-        writer.writerows(table)
+        raise MissingResultError(folder, "no histories")
+    series = _RunSeries.of(lines)
+    if not series.table:
+        raise MissingResultError(folder, "nothing was answered")
+    series_path = place / "series.csv"
+    _write_csv(series_path, series.table)
     try:
-        latency = milliseconds(histogram(lines))
+        latency = percentiles_ms(histogram(lines))
     except ImportError as problem:
-        raise LabError(f"latencies need the extra `lab`: {problem}") from None
-    drawn: list[pathlib.Path] = []
-    if charts:
-        from garnetlanding.lab.charts import draw
-
-        try:
-            drawn = draw(place, rows, figures.parts(lines, start))
-        except ImportError as problem:
-            raise LabError(f"charts need matplotlib: {problem}") from None
+        raise MissingDependencyError(f"latencies need the extra `lab`: {problem}") from problem
+    drawn = _draw_charts(place, series) if charts else []
     if as_json:
-        print(json.dumps({"seconds": table, "latency_ms": latency, "charts": [path.name for path in drawn]}))
-        return 0
-    shown = Table(*table[0])
-    for row in table:
-        shown.add_row(*("" if value is None else str(value) for value in row.values()))
-    Console(width=None if sys.stdout.isatty() else LIMITS.table_columns).print(shown)
+        names = [path.name for path in drawn]
+        print(json.dumps({"seconds": series.table, "latency_ms": latency, "charts": names}))
+        return _SOUND
+    _print_table(series.table)
     print("served, ms: " + ", ".join(f"{name} {value:g}" for name, value in latency.items()))
-    for path in [place / "series.csv", *drawn]:
+    for path in [series_path, *drawn]:
         print(path)
-    return 0
+    return _SOUND
+
+
+@dataclass(frozen=True, slots=True)
+class _RunSeries:
+    """A run second by second."""
+
+    rows: list[time_series.SecondSummary]
+    table: list[dict[str, object]]  # the rows, encoded
+    shares: time_series.ShareSeries
+
+    @classmethod
+    def of(cls, lines: Sequence[history.Line]) -> _RunSeries:
+        start_us = time_series.first_request_us(lines)
+        rows = time_series.summarize_by_second(lines, start_us)
+        return cls(rows, [row.encode() for row in rows], time_series.share_changes(lines, start_us))
+
+
+def _write_csv(path: pathlib.Path, table: list[dict[str, object]]) -> None:
+    with open(path, "w", newline="", encoding="utf-8") as file:
+        writer = csv.DictWriter(file, list(table[0]))
+        writer.writeheader()
+        writer.writerows(table)
+
+
+def _draw_charts(folder: pathlib.Path, series: _RunSeries) -> list[pathlib.Path]:
+    from garnetlanding.lab.charts import draw
+
+    try:
+        return draw(folder, series.rows, series.shares)
+    except ImportError as problem:
+        raise MissingDependencyError(f"charts need matplotlib: {problem}") from problem
+
+
+def _console() -> Console:
+    return Console(width=None if sys.stdout.isatty() else LIMITS.table_columns)
+
+
+def _print_table(rows: list[dict[str, object]]) -> None:
+    table = Table(*rows[0])
+    for row in rows:
+        table.add_row(*("" if value is None else str(value) for value in row.values()))
+    _console().print(table)
+
+
+def _print_results(results: Sequence[tuple[str, dict[str, Any]]]) -> None:
+    """Print one row for each run, by its name."""
+    table = Table("run", *_COLUMNS)
+    for name, encoded in results:
+        table.add_row(name, *_result_cells(encoded))
+    _console().print(table)
+
+
+def _result_cells(encoded: dict[str, Any]) -> list[str]:
+    """Return the cells of one run; a column that is no key of the result is an outcome."""
+    return [
+        str(encoded[column]) if column in encoded else str(encoded["outcomes"].get(column, 0))
+        for column in _COLUMNS
+    ]
+
+
+def _print_violations(finished: RunResult) -> None:
+    violations = finished.report.violations
+    shown = LIMITS.violations_shown
+    for violation in violations[:shown]:
+        print(f"broken: {violation}")
+    if len(violations) > shown:
+        print(f"broken: {len(violations) - shown} more, see {result.FILE_NAME}")
+    print(f"histories, logs and result: {finished.folder}")
--- /dev/null
+++ b/garnetlanding/lab/stream_faults.py
@@ -0,0 +1,77 @@
+"""What becomes of a connection between two processes of an experiment: decided from its faults, no I/O."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from garnetlanding.lab.experiment import Experiment
+from garnetlanding.lab.faults import STREAM_FAULTS, Fault, FaultKind, LinkKind
+
+
+@dataclass(frozen=True, slots=True)
+class StreamLink:
+    """The connections of one instance that a stream fault can name; `backend` for those to backends."""
+
+    kind: LinkKind
+    instance: int
+    backend: int | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class Passage:
+    """How received bytes are passed on.
+
+    Not before `hold_us` from now; in pieces of `piece_bytes`, each `interval_us` after the one before. None:
+    all at once.
+    """
+
+    hold_us: int = 0
+    piece_bytes: int | None = None
+    interval_us: int = 0
+
+
+class StreamFaultModel:
+    """Decides, at any time after the clients began, how a connection on a link fares."""
+
+    def __init__(self, experiment: Experiment, trickle_bytes: int) -> None:
+        """Take the experiment's stream faults; a trickle passes on `trickle_bytes` at a time."""
+        self._faults = experiment.faults_of(*STREAM_FAULTS)
+        self._trickle_bytes = trickle_bytes
+
+    def concerns(self, kind: LinkKind) -> bool:
+        """Return whether any fault is about links of that kind; the others need no proxy."""
+        return any(fault.link is kind for fault in self._faults)
+
+    def refuses(self, link: StreamLink, now_us: int) -> bool:
+        """Return whether a connection is reset as soon as it is made."""
+        return any(fault.kind is FaultKind.RESET for fault in self._active_on(link, now_us))
+
+    def passage(self, link: StreamLink, now_us: int) -> Passage:
+        """Return how bytes received at that time are passed on."""
+        hold_us = 0
+        piece_bytes = None
+        interval_us = 0
+        for fault in self._active_on(link, now_us):
+            match fault.kind:
+                case FaultKind.FREEZE:
+                    hold_us = max(hold_us, fault.end_us - now_us)
+                case FaultKind.LAG:
+                    hold_us = max(hold_us, fault.span_us)
+                case FaultKind.TRICKLE:
+                    piece_bytes = self._trickle_bytes
+                    interval_us = max(interval_us, fault.span_us)
+        return Passage(hold_us, piece_bytes, interval_us)
+
+    def reset_times_us(self) -> list[int]:
+        """Return the times at which established connections are reset."""
+        return sorted({fault.start_us for fault in self._faults if fault.kind is FaultKind.RESET})
+
+    def _active_on(self, link: StreamLink, now_us: int) -> list[Fault]:
+        return [
+            fault
+            for fault in self._faults
+            if fault.link is link.kind
+            and fault.instance in (None, link.instance)
+            and fault.backend in (None, link.backend)
+            and fault.is_active(now_us)
+        ]
--- /dev/null
+++ b/garnetlanding/lab/time_series.py
@@ -0,0 +1,117 @@
+"""A run's measurements second by second, from its histories alone. No I/O."""
+
+from __future__ import annotations
+
+from collections import Counter, defaultdict
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass, field
+
+from garnetlanding.lab.history import Line
+from garnetlanding.lab.limits import SECOND
+
+OUTCOMES = ("served", "refused", "failed", "lost", "none")
+"""The outcomes that tables and charts show, by the words of histories."""
+
+
+@dataclass(frozen=True, slots=True)
+class ShareChange:
+    """From `at_s` on, in seconds after the start, an instance believes `quota_share` its own."""
+
+    at_s: float
+    quota_share: float
+
+
+@dataclass(frozen=True, slots=True, order=True)
+class ShareOwner:
+    """Whose quota share of which volume's limit."""
+
+    volume: str
+    instance: str
+
+
+ShareSeries = dict[ShareOwner, list[ShareChange]]
+
+
+@dataclass(slots=True)
+class SecondSummary:
+    """What was answered in one second after the clients began, by outcome, and how long the served took."""
+
+    number: int
+    outcomes: Counter[str] = field(default_factory=Counter)
+    latencies_us: list[int] = field(default_factory=list)  # of those served
+    attempts: int = 0
+    suspected: int = 0  # backends, over all instances, at the second's end
+    faults: list[str] = field(default_factory=list)
+
+    def encode(self) -> dict[str, object]:
+        """Return the second as a row of series.csv and of `lab report --json`."""
+        return {
+            "second": self.number,
+            **{outcome: self.outcomes[outcome] for outcome in OUTCOMES},
+            "p50_ms": percentile_ms(self.latencies_us, 0.5),
+            "p99_ms": percentile_ms(self.latencies_us, 0.99),
+            "attempts": self.attempts,
+            "doubted": self.suspected,
+            "faults": "; ".join(self.faults),
+        }
+
+
+def percentile_ms(values_us: Sequence[int], share: float) -> float | None:
+    """Return, in milliseconds, the least value that `share` of them do not exceed; None of no values."""
+    if not values_us:
+        return None
+    ordered = sorted(values_us)
+    index = min(len(ordered) - 1, int(share * len(ordered)))
+    return round(ordered[index] / 1000, 1)
+
+
+def first_request_us(lines: Iterable[Line]) -> int:
+    """Return when the first request was sent; 0 where none was."""
+    return min((line["t"] for line in lines if line["what"] == "asked"), default=0)
+
+
+def summarize_by_second(lines: Sequence[Line], start_us: int) -> list[SecondSummary]:
+    """Return every second from the start to the last answer, in order; what came before counts to none."""
+    summaries: dict[int, SecondSummary] = {}
+    suspected: dict[str, int] = {}  # by instance, how many backends
+    last_us = max((line["t"] for line in lines if line["what"] == "answer"), default=start_us)
+    for line in lines:
+        if not start_us <= line["t"] <= last_us:
+            continue
+        number = (line["t"] - start_us) // SECOND
+        summary = summaries.setdefault(number, SecondSummary(number))
+        _count(line, summary, suspected)
+        summary.suspected = sum(suspected.values())
+    return [summaries.get(number, SecondSummary(number)) for number in range(max(summaries, default=-1) + 1)]
+
+
+def _count(line: Line, summary: SecondSummary, suspected: dict[str, int]) -> None:
+    """Add one line to its second and to what each instance suspects."""
+    match line["what"]:
+        case "answer":
+            summary.outcomes[line["outcome"]] += 1
+            if line["outcome"] == "served":
+                summary.latencies_us.append(line["took"])
+        case "ran":
+            summary.attempts += 1
+        case "doubted":
+            suspected[line["who"]] = len(line["servers"])
+        case "start":
+            suspected.pop(line["who"], None)
+        case "fault":
+            subject = line["which"] if line["which"] >= 0 else "all"
+            summary.faults.append(f"{line['kind']} {subject}")
+
+
+def share_changes(lines: Iterable[Line], start_us: int) -> ShareSeries:
+    """Return the quota shares that each instance believed its own, by volume and instance."""
+    series: ShareSeries = defaultdict(list)
+    for line in lines:
+        if line["what"] != "parts":
+            continue
+        at_s = (line["t"] - start_us) / SECOND
+        for volume, quota_share in line["parts"].items():
+            changes = series[ShareOwner(volume, line["who"])]
+            if not changes or changes[-1].quota_share != quota_share:
+                changes.append(ShareChange(at_s, quota_share))
+    return dict(series)
--- a/tests/integration/test_fencing.py
+++ b/tests/integration/test_fencing.py
@@ -7,7 +7,7 @@
 from garnetlanding.audit.limits import LIMITS
 from garnetlanding.audit.merging import merge_segments
 from garnetlanding.audit.segment_reader import read_segments
-from garnetlanding.lab.experiment import load
+from garnetlanding.lab import experiment_file
 from garnetlanding.lab.run import run
 from tests.support.clock import SECOND
 
@@ -17,8 +17,8 @@
 def test_operator_fences_an_instance_from_a_second_and_unfences_it_from_a_third(
     tmp_path: pathlib.Path,
 ) -> None:
-    result = run(load(str(ROOT / "experiments" / "shut-out.toml")), tmp_path / "run")
-    assert result.findings.sound, result.findings.broken
+    result = run(experiment_file.load(str(ROOT / "experiments" / "shut-out.toml")), tmp_path / "run")
+    assert result.report.is_sound, result.report.violations
     called = [(line["kind"], line["status"]) for line in result.lines if line["what"] == "called"]
     assert called == [
         ("shut-out", 200),
@@ -33,7 +33,7 @@
     assert not any(who == "n0" for who, _ in words)
     last = {line["who"]: line["out"] for line in result.lines if line["what"] == "current"}
     assert last == {"n1": False, "n3": False}
-    late = result.began + 9 * SECOND
+    late = result.began_us + 9 * SECOND
     assert any(
         line["what"] == "answered"
         and line["who"] == "n1"
@@ -46,10 +46,10 @@
 def test_stale_processes_are_fenced_in_time_and_the_audit_names_their_versions(
     tmp_path: pathlib.Path,
 ) -> None:
-    result = run(load(str(ROOT / "experiments" / "stragglers.toml")), tmp_path / "run")
-    assert result.findings.sound, result.findings.broken
-    assert result.findings.audited > 500
-    assert result.findings.outcomes["served"] > 500
+    result = run(experiment_file.load(str(ROOT / "experiments" / "stragglers.toml")), tmp_path / "run")
+    assert result.report.is_sound, result.report.violations
+    assert result.report.audited_attempts > 500
+    assert result.report.outcomes["served"] > 500
     outs = [line for line in result.lines if line["what"] == "current" and line["out"]]
     assert {"n1", "n2", "n3"} <= {line["who"] for line in outs}
     fleet = merge_segments(read_segments([str(tmp_path / "run" / "audit")]).segments, LIMITS)
--- a/tests/lab/test_experiment.py
+++ b/tests/lab/test_experiment.py
@@ -10,7 +10,7 @@
 
 from garnetlanding import cli
 from garnetlanding.config.section import ConfigError
-from garnetlanding.lab.experiment import load, read
+from garnetlanding.lab.experiment_file import load, read
 from tests.support.lab import ROOT
 
 # Files
--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -11,39 +11,45 @@
 import pytest
 
 from garnetlanding import cli
-from garnetlanding.lab import plan
-from garnetlanding.lab.experiment import Experiment, Load, load
+from garnetlanding.lab import experiment_file
+from garnetlanding.lab.errors import InterruptedRunError, LabError
+from garnetlanding.lab.experiment import Experiment, Workload
+from garnetlanding.lab.faults import FaultKind, LinkKind
 from garnetlanding.lab.limits import SECOND
-from garnetlanding.lab.run import Interrupted, LabError, Result, run
+from garnetlanding.lab.result import RunResult
+from garnetlanding.lab.run import run
+from garnetlanding.lab.workload import volume_name
 from tests.support.lab import CALM, ROOT, fault
 
 # Processes. Judged by counts and histories.
 
 
-def play(tmp_path: pathlib.Path, experiment: Experiment) -> Result:
+def play(tmp_path: pathlib.Path, experiment: Experiment) -> RunResult:
     result = run(experiment, tmp_path / "run")
-    assert result.findings.sound, result.findings.broken
-    assert result.findings.outcomes["served"] > 0
+    assert result.report.is_sound, result.report.violations
+    assert result.report.outcomes["served"] > 0
     return result
 
 
-def believed(result: Result, head: int, volume: int = 0) -> list[tuple[float, float]]:
+def believed(result: RunResult, head: int, volume: int = 0) -> list[tuple[float, float]]:
     """The parts of a volume that a head has believed its own: seconds after the clients began, and which."""
-    name = plan.volume_name(volume)
+    name = volume_name(volume)
     return [
-        ((line["t"] - result.began) / SECOND, line["parts"][name])
+        ((line["t"] - result.began_us) / SECOND, line["parts"][name])
         for line in result.lines
         if line["what"] == "parts" and line["who"] == f"n{head}" and name in line["parts"]
     ]
 
 
-ONE_HEAD = Load(volumes=3, rate=90.0, lead=1.0)  # each volume's requests come through its first head alone
+STORM = (FaultKind.LOSS, FaultKind.DUPLICATE, FaultKind.DELAY, FaultKind.REORDER)
+# Each volume's requests come through its first instance alone.
+ONE_INSTANCE = Workload(volumes=3, requests_per_s=90.0, busiest_share=1.0)
 
 
 def test_processes_lend_their_quota_to_the_instance_with_the_demand(tmp_path: pathlib.Path) -> None:
-    result = play(tmp_path, replace(CALM, load=ONE_HEAD, length_us=5 * SECOND))
+    result = play(tmp_path, replace(CALM, workload=ONE_INSTANCE, duration_us=5 * SECOND))
     assert max(part for _, part in believed(result, 0)) > 0.9
-    assert result.findings.lives == {"n0": 1, "n1": 1, "n2": 1}
+    assert result.report.incarnations == {"n0": 1, "n1": 1, "n2": 1}
     assert cli.main(["lab", "report", str(tmp_path / "run"), "--charts", "--json"]) == 0
     assert {path.name for path in (tmp_path / "run").iterdir()} >= {"series.csv", "answers.png", "parts.png"}
     assert cli.main(["lab", "report", str(tmp_path)]) == 2
@@ -61,8 +67,8 @@
     # A shell that starts tests in the background has them ignore Ctrl-C, and Python then leaves it ignored.
     old = signal.signal(signal.SIGINT, signal.default_int_handler)
     try:
-        with pytest.raises(KeyboardInterrupt if how == signal.SIGINT else Interrupted):
-            run(replace(CALM, faults=(fault("stop", 0, 4, who=1),)), tmp_path / "run", interrupt)
+        with pytest.raises(KeyboardInterrupt if how == signal.SIGINT else InterruptedRunError):
+            run(replace(CALM, faults=(fault(FaultKind.STOP, 0, 4, instance=1),)), tmp_path / "run", interrupt)
     finally:
         signal.signal(signal.SIGINT, old)
     pids = json.loads((tmp_path / "run/pids.json").read_text())
@@ -73,17 +79,17 @@
 
 
 def test_partitioned_process_keeps_to_its_even_share_and_returns(tmp_path: pathlib.Path) -> None:
-    cut = (fault("cut", 2, 4, sender=0), fault("cut", 2, 4, receiver=0))
-    result = play(tmp_path, replace(CALM, load=ONE_HEAD, length_us=7 * SECOND, faults=cut))
+    cut = (fault(FaultKind.PARTITION, 2, 4, sender=0), fault(FaultKind.PARTITION, 2, 4, receiver=0))
+    result = play(tmp_path, replace(CALM, workload=ONE_INSTANCE, duration_us=7 * SECOND, faults=cut))
     parts = believed(result, 0)
     assert any(part == 0.5 and 2 < at < 4.5 for at, part in parts), "alone"
     assert any(part > 0.9 and at > 4 for at, part in parts), "and heard again"
 
 
 def test_killed_process_restarts_with_nothing_of_its_earlier_incarnation(tmp_path: pathlib.Path) -> None:
-    kill = (fault("kill", 2, 2.5, who=0),)
-    result = play(tmp_path, replace(CALM, load=ONE_HEAD, length_us=7 * SECOND, faults=kill))
-    assert result.findings.lives["n0"] == 2
+    kill = (fault(FaultKind.KILL, 2, 2.5, instance=0),)
+    result = play(tmp_path, replace(CALM, workload=ONE_INSTANCE, duration_us=7 * SECOND, faults=kill))
+    assert result.report.incarnations["n0"] == 2
     lives = [line["life"] for line in result.lines if line["what"] == "start" and line["who"] == "n0"]
     assert lives == sorted(lives)
     first = next(
@@ -96,32 +102,33 @@
 
 
 def test_process_paused_past_its_lease_sends_nothing_under_it(tmp_path: pathlib.Path) -> None:
-    stop = (fault("stop", 2, 4, who=0),)
-    load_both = replace(ONE_HEAD, lead=0.6)
-    result = play(tmp_path, replace(CALM, load=load_both, length_us=6 * SECOND, faults=stop))
+    stop = (fault(FaultKind.STOP, 2, 4, instance=0),)
+    load_both = replace(ONE_INSTANCE, busiest_share=0.6)
+    result = play(tmp_path, replace(CALM, workload=load_both, duration_us=6 * SECOND, faults=stop))
     after = [part for at, part in believed(result, 0) if at >= 4]
     assert after, "what others had left to it had gone back meanwhile"
     assert after[0] <= 0.5, "what others had left to it had gone back meanwhile"
 
 
 def test_lost_duplicated_late_and_reordered_messages_break_no_rule(tmp_path: pathlib.Path) -> None:
-    storm = tuple(
-        fault(kind, 0, 5, share=0.3, span_us=60_000) for kind in ("loss", "double", "delay", "reorder")
-    )
+    storm = tuple(fault(kind, 0, 5, probability=0.3, span_us=60_000) for kind in STORM)
     result = play(
         tmp_path,
         replace(
-            CALM, length_us=5 * SECOND, faults=storm, load=replace(ONE_HEAD, lead=0.5, shift_us=2 * SECOND)
+            CALM,
+            duration_us=5 * SECOND,
+            faults=storm,
+            workload=replace(ONE_INSTANCE, busiest_share=0.5, shift_us=2 * SECOND),
         ),
     )
-    assert all(result.fates[kind] for kind in ("loss", "double", "delay", "reorder"))
+    assert all(result.fates[kind.value] for kind in STORM)
 
 
 def test_unresponsive_backend_and_replaced_instance_lose_no_request(tmp_path: pathlib.Path) -> None:
-    both = (fault("silent", 1, 2.5, who=1), fault("term", 1.5, 2, who=2))
-    result = play(tmp_path, replace(CALM, length_us=5 * SECOND, faults=both))
-    assert result.findings.lives["n2"] == 2
-    late = result.began + 4 * SECOND
+    both = (fault(FaultKind.UNRESPONSIVE, 1, 2.5, backend=1), fault(FaultKind.TERMINATE, 1.5, 2, instance=2))
+    result = play(tmp_path, replace(CALM, duration_us=5 * SECOND, faults=both))
+    assert result.report.incarnations["n2"] == 2
+    late = result.began_us + 4 * SECOND
     ran = {line["brick"] for line in result.lines if line["what"] == "ran" and line["t"] > late}
     assert ran == {0, 1, 2}, "no healthy brick is shunned"
 
@@ -129,12 +136,12 @@
 def test_disable_at_one_process_holds_at_all_and_is_enabled_at_another(tmp_path: pathlib.Path) -> None:
     """One head is cut off meanwhile, and one is killed: it comes back with what it had on disk."""
     calls = (
-        fault("disable", 0.5, 6, who=0, brick=1),
-        fault("cut", 0.2, 1.5, receiver=2),
-        fault("kill", 1.6, 2.0, who=1),
-        fault("enable", 3.6, 6, who=2, brick=1),
+        fault(FaultKind.DISABLE, 0.5, 6, instance=0, backend=1),
+        fault(FaultKind.PARTITION, 0.2, 1.5, receiver=2),
+        fault(FaultKind.KILL, 1.6, 2.0, instance=1),
+        fault(FaultKind.ENABLE, 3.6, 6, instance=2, backend=1),
     )
-    result = play(tmp_path, replace(CALM, length_us=6 * SECOND, faults=calls))
+    result = play(tmp_path, replace(CALM, duration_us=6 * SECOND, faults=calls))
     called = [line["status"] for line in result.lines if line["what"] == "called"]
     assert called == [200, 200]
     said = [(line["who"], line["out"]) for line in result.lines if line["what"] == "bans"]
@@ -143,26 +150,26 @@
 
 
 def test_peers_learn_of_a_refusing_backend_and_suspect_no_other(tmp_path: pathlib.Path) -> None:
-    down = (fault("down", 1, 3, who=2),)
-    result = play(tmp_path, replace(CALM, length_us=4 * SECOND, faults=down))
+    down = (fault(FaultKind.DOWN, 1, 3, backend=2),)
+    result = play(tmp_path, replace(CALM, duration_us=4 * SECOND, faults=down))
     seen = {line["who"] for line in result.lines if line["what"] == "seen" and "b2" in line["servers"]}
     assert seen
-    assert result.findings.doubts
-    late = result.began + 3.5 * SECOND
+    assert result.report.suspicions
+    late = result.began_us + 3.5 * SECOND
     assert any(line["what"] == "ran" and line["brick"] == 2 and line["t"] > late for line in result.lines)
 
 
 def test_lying_process_does_not_deprive_others_of_backends(tmp_path: pathlib.Path) -> None:
     """Every brick goes on serving what comes through the heads that are lied to."""
-    lie = (fault("lie", 0.5, 4, who=0),)
+    lie = (fault(FaultKind.BYZANTINE, 0.5, 4, instance=0),)
     result = play(tmp_path, replace(CALM, faults=lie))
     assert result.fates["lie"]
-    assert result.findings.doubts
+    assert result.report.suspicions
     served = {line["id"] for line in result.lines if line["what"] == "answer" and line["outcome"] == "served"}
     ran = {
         line["brick"]
         for line in result.lines
-        if line["what"] == "ran" and line["id"] in served and line["t"] > result.began + 2 * SECOND
+        if line["what"] == "ran" and line["id"] in served and line["t"] > result.began_us + 2 * SECOND
     }
     assert ran == {0, 1, 2}
 
@@ -173,9 +180,9 @@
 ) -> None:
     """Both banning at the moment of SIGTERM; the old one standing still with its locks; a ban while a reload
     moves the head to another discovery. Bans hold at every head in the end."""
-    result = play(tmp_path, load(str(ROOT / "experiments" / f"{name}.toml")))
+    result = play(tmp_path, experiment_file.load(str(ROOT / "experiments" / f"{name}.toml")))
     assert all(line["status"] == 200 for line in result.lines if line["what"] == "called")
-    outcomes = result.findings.outcomes
+    outcomes = result.report.outcomes
     assert outcomes["lost"] + outcomes["none"] + outcomes["failed"] <= lost
 
 
@@ -185,11 +192,11 @@
 ) -> None:
     """Heads found from seeds join on both sides of a cut; a second process has a head's number; wall clocks
     step around bans."""
-    result = play(tmp_path, load(str(ROOT / "experiments" / f"{name}.toml")))
+    result = play(tmp_path, experiment_file.load(str(ROOT / "experiments" / f"{name}.toml")))
     evens = [line for line in result.lines if line["what"] == "heads" and line["even"]]
     if name == "split-group":
         first = min(line["t"] for line in evens if line["who"] in ("n4", "n5"))
-        assert (first - result.began) / SECOND > 10, "neither uses a part before the cut has healed"
+        assert (first - result.began_us) / SECOND > 10, "neither uses a part before the cut has healed"
     if name == "twin":
         parts = [
             line["parts"]
@@ -201,20 +208,20 @@
 
 
 def test_all_instances_together_send_a_warming_backend_no_more_than_it_bears(tmp_path: pathlib.Path) -> None:
-    result = play(tmp_path, load(str(ROOT / "experiments" / "cold-shared.toml")))
-    assert 0 < result.findings.cold_most <= 1.0
+    result = play(tmp_path, experiment_file.load(str(ROOT / "experiments" / "cold-shared.toml")))
+    assert 0 < result.report.warming_load_max <= 1.0
     shares = [line["parts"].get("cold:b0", 0) for line in result.lines if line["what"] == "shares"]
     assert max(shares) > 0.4, "the head that is asked has more than an even part, which is a third"
 
 
 def test_stalled_trickling_or_broken_streams_lose_no_request(tmp_path: pathlib.Path) -> None:
     broken = (
-        fault("freeze", 1, 2.5, link="brick", who=0, brick=0),
-        fault("reset", 3, 3.3, link="brick"),
-        fault("trickle", 1, 3, link="brick", who=1, span_us=2000),
-        fault("reset", 1, 2, link="discovery"),
+        fault(FaultKind.FREEZE, 1, 2.5, link=LinkKind.BACKEND, instance=0, backend=0),
+        fault(FaultKind.RESET, 3, 3.3, link=LinkKind.BACKEND),
+        fault(FaultKind.TRICKLE, 1, 3, link=LinkKind.BACKEND, instance=1, span_us=2000),
+        fault(FaultKind.RESET, 1, 2, link=LinkKind.DISCOVERY),
     )
-    result = play(tmp_path, replace(CALM, length_us=5 * SECOND, faults=broken))
+    result = play(tmp_path, replace(CALM, duration_us=5 * SECOND, faults=broken))
     assert result.fates["connections"] > 9
-    late = result.began + 4 * SECOND
+    late = result.began_us + 4 * SECOND
     assert {line["brick"] for line in result.lines if line["what"] == "ran" and line["t"] > late} == {0, 1, 2}
--- /dev/null
+++ b/tests/lab/test_request_invariants.py
@@ -0,0 +1,68 @@
+"""Invariants of requests: each test shows that one finds its violation and nothing else."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from garnetlanding.lab import invariants
+from garnetlanding.lab.faults import FaultKind
+from garnetlanding.lab.limits import SECOND
+from garnetlanding.lab.workload import draw_requests
+from tests.support.lab import CALM, fault
+from tests.support.run_histories import MODERATE, REQUESTS, SOUND, answered, violations, violations_with
+
+FIRST = REQUESTS[0]
+EXECUTED = {"t": 9, "who": "bricks", "what": "ran", "id": FIRST.id, "volume": FIRST.volume}
+ANSWERED = {"t": 9, "who": "clients", "what": "answer", "id": FIRST.id, "outcome": "served"}
+
+
+def test_sound_history_has_no_violation() -> None:
+    assert invariants.check(MODERATE, REQUESTS, SOUND).is_sound
+
+
+def test_second_response_on_a_connection_is_a_violation() -> None:
+    extra = {"t": 9, "who": "clients", "what": "extra", "id": FIRST.id, "count": 1}
+    assert violations_with(extra) == f"one answer: 1 more behind that of {FIRST.id}"
+
+
+def test_request_without_exactly_one_answer_is_a_violation() -> None:
+    assert "one answer" in violations_with(ANSWERED)
+    assert "never noted" in violations_with(without=2)
+    lost = answered(REQUESTS, "lost")
+    assert len(invariants.check(MODERATE, REQUESTS, lost).violations) >= len(REQUESTS)
+
+
+def test_lost_request_of_a_killed_instance_is_excused_until_it_is_back() -> None:
+    lost = answered(REQUESTS, "lost")
+    kills = tuple(fault(FaultKind.KILL, 0, 4, instance=number) for number in range(3))
+    killed = replace(MODERATE, faults=kills)
+    restarted = replace(MODERATE, faults=tuple(replace(kill, end_us=SECOND) for kill in kills))
+    back = [{"t": SECOND + 9, "who": f"n{number}", "what": "up"} for number in range(3)]
+    assert "one answer" in violations(restarted, REQUESTS, lost + back), "came back"
+    assert "one answer" not in violations(restarted, REQUESTS, lost), "has not yet"
+    assert "one answer" not in violations(killed, REQUESTS, lost)
+
+
+def test_too_many_attempts_of_a_request_are_a_violation() -> None:
+    assert "ran 4 times" in violations_with(*[EXECUTED] * 3)
+
+
+def test_served_request_that_no_backend_executed_is_a_violation() -> None:
+    assert "no brick ran it" in violations_with(without=1)
+
+
+def test_exceeded_rate_limit_is_a_violation() -> None:
+    busy = replace(CALM, workload=replace(CALM.workload, requests_per_s=200.0))
+    requests = draw_requests(busy)
+    report = invariants.check(CALM, requests, answered(requests))
+    assert report.limit_overshoot_units > 20
+    assert any(violation.label == "limits" for violation in report.violations)
+
+
+def test_exceeded_retry_budget_is_a_violation() -> None:
+    budgeted = replace(MODERATE, choices={"resend_share": 0.01})
+    assert violations(budgeted, REQUESTS, SOUND) == ""
+    retried = [EXECUTED | {"id": request.id, "volume": request.volume} for request in REQUESTS[:9]]
+    assert violations(budgeted, REQUESTS, [*SOUND, *retried]) == (
+        "attempts: 9 further ones, the budgets allow 1"
+    )
--- a/tests/lab/test_results.py
+++ b/tests/lab/test_results.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from garnetlanding.lab import figures, history, latency
+from garnetlanding.lab import history, latency, time_series
 from garnetlanding.lab.limits import SECOND
 
 
@@ -23,11 +23,17 @@
             (2 * SECOND, "clients", "answer", {"outcome": "refused", "took": 1}),
         )
     ]
-    rows = [row.as_row() for row in figures.seconds(lines, figures.began(lines))]
+    rows = [
+        row.encode() for row in time_series.summarize_by_second(lines, time_series.first_request_us(lines))
+    ]
     assert [row["served"] for row in rows] == [1, 0, 0]
     assert rows[2]["refused"] == 1
     assert (rows[0]["p50_ms"], rows[0]["doubted"], rows[0]["faults"]) == (2.0, 1, "cut all")
-    assert [figures.percentile(range(0, 100_000, 1000), share) for share in (0, 0.5, 0.99)] == [0, 50, 99]
+    assert [time_series.percentile_ms(range(0, 100_000, 1000), share) for share in (0, 0.5, 0.99)] == [
+        0,
+        50,
+        99,
+    ]
 
 
 def test_latency_histograms_merge_over_runs() -> None:
@@ -35,14 +41,14 @@
         {"what": "answer", "outcome": "served", "took": n * 1000} for n in range(1, 101)
     ]
     one = latency.histogram([*lines, {"what": "answer", "outcome": "refused", "took": 9 * SECOND}])
-    told = latency.milliseconds(one)
-    assert told["count"] == 100
-    assert told["max"] == pytest.approx(100, rel=0.01)
-    assert told["p50"] == pytest.approx(50, rel=0.01)
-    assert told["p99"] == pytest.approx(99, rel=0.01)
+    shown = latency.percentiles_ms(one)
+    assert shown["count"] == 100
+    assert shown["max"] == pytest.approx(100, rel=0.01)
+    assert shown["p50"] == pytest.approx(50, rel=0.01)
+    assert shown["p99"] == pytest.approx(99, rel=0.01)
     one.add(latency.histogram([{"what": "answer", "outcome": "served", "took": 3600 * SECOND}]))
-    assert latency.milliseconds(one)["max"] == pytest.approx(60_000, rel=0.01)
-    assert latency.milliseconds(latency.histogram([])) == {}
+    assert latency.percentiles_ms(one)["max"] == pytest.approx(60_000, rel=0.01)
+    assert latency.percentiles_ms(latency.histogram([])) == {}
 
 
 def test_truncated_history_is_read_and_a_corrupt_one_is_an_error(tmp_path: pathlib.Path) -> None:
