--- a/garnetlanding/ninep/client_session.py
+++ b/garnetlanding/ninep/client_session.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from garnetlanding.ninep import codec, errors
 from garnetlanding.ninep.codec import NOFID, QTEXCL, READ_OVERHEAD, Message, Qid
@@ -23,6 +24,18 @@
 from garnetlanding.ninep.shared_state import SharedState
 
 
+@dataclass(frozen=True, slots=True)
+class AttachRequest:
+    """An attach, whose dialects name the user in different ways."""
+
+    fid: int
+    afid: int
+    uname: str
+    n_uname: int
+    """The user's number; NONUNAME where the dialect has none."""
+    aname: str
+
+
 class ClientSession:
     """The state between a client's Tversion and its next one, or its end.
 
@@ -81,24 +94,21 @@
 
     # Fids
 
-    def attach(self, tag: int, number: int, afid: int, user: tuple[str, int], aname: str) -> None:
-        """Process an attach: "a fresh introduction from a user on the client machine" (attach(5)).
-
-        `user`: name and number, as the dialect has them.
-        """
-        if afid != NOFID:
+    def attach(self, tag: int, request: AttachRequest) -> None:
+        """Process an attach: "a fresh introduction from a user on the client machine" (attach(5))."""
+        if request.afid != NOFID:
             raise RequestRejectedError(errors.EOPNOTSUPP, "authentication not required")
-        export = self._export(aname)
-        self.fids.check_unused(number)
-        uname, n_uname = user
-        fid = Fid(export, Identity(uname, n_uname, export.aname), (), Qid(codec.QTDIR, 0, 0))
+        export = self._export(request.aname)
+        self.fids.check_unused(request.fid)
+        identity = Identity(request.uname, request.n_uname, export.aname)
+        fid = Fid(export, identity, (), Qid(codec.QTDIR, 0, 0))
 
         def attached(qid: Qid) -> Message:
             fid.qid = qid
-            self.fids.by_number[number] = fid
+            self.fids.by_number[request.fid] = fid
             return codec.Rattach(qid)
 
-        self.requests.submit(tag, PendingRequest(fid, Attach(fid.identity, ()), attached, newfid=number))
+        self.requests.submit(tag, PendingRequest(fid, Attach(fid.identity, ()), attached, newfid=request.fid))
 
     def _export(self, aname: str) -> Export:
         exports = self.shared.exports
--- a/garnetlanding/ninep/fids.py
+++ b/garnetlanding/ninep/fids.py
@@ -5,18 +5,18 @@
 from dataclasses import dataclass
 
 from garnetlanding.ninep.codec import QTDIR, Qid
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import NinepError, Problem
 from garnetlanding.ninep.model import Path
 from garnetlanding.ninep.session import Identity, OpenMode
 from garnetlanding.ninep.setup import Export
 
 
-class RequestRejectedError(Exception):
+class RequestRejectedError(NinepError):
     """A message asks for what cannot be done, whatever a file server would say; `problem` is the reply."""
 
     def __init__(self, number: int, words: str = "") -> None:
-        super().__init__(number, words)
         self.problem = Problem(number, words)
+        super().__init__(self.problem.text)
 
 
 @dataclass(frozen=True, slots=True)
--- a/garnetlanding/ninep/locks.py
+++ b/garnetlanding/ninep/locks.py
@@ -9,6 +9,8 @@
 
 from dataclasses import dataclass, replace
 
+from garnetlanding.ninep.errors import NinepError
+
 END = 1 << 64
 """The end of a range of length 0, which reaches to the end of the file, wherever that comes to be."""
 
@@ -16,7 +18,7 @@
 """The name of an export, and the path field of the file's qid."""
 
 
-class LockLimitError(OverflowError):
+class LockLimitError(NinepError, OverflowError):
     """The lock would exceed the bound on all locks, `max_locks`."""
 
     def __init__(self, max_locks: int) -> None:
--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -10,7 +10,7 @@
 
 from garnetlanding.ninep import codec, codec_linux, errors
 from garnetlanding.ninep.client_dialect import NewFile
-from garnetlanding.ninep.client_session import ClientSession
+from garnetlanding.ninep.client_session import AttachRequest, ClientSession
 from garnetlanding.ninep.codec import Message, Qid
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.fid_table import check_offset
@@ -81,8 +81,8 @@
         return codec_linux.Rlerror(problem.number)
 
     def _attach(self, tag: int, message: codec_linux.Tlattach) -> None:
-        user = (message.uname, message.n_uname)
-        self._session.attach(tag, message.fid, message.afid, user, message.aname)
+        request = AttachRequest(message.fid, message.afid, message.uname, message.n_uname, message.aname)
+        self._session.attach(tag, request)
 
     # Open and create
 
--- a/garnetlanding/ninep/server_dialect_plain.py
+++ b/garnetlanding/ninep/server_dialect_plain.py
@@ -6,7 +6,7 @@
 
 from garnetlanding.ninep import codec, codec_linux, errors
 from garnetlanding.ninep.client_dialect import NewFile
-from garnetlanding.ninep.client_session import ClientSession
+from garnetlanding.ninep.client_session import AttachRequest, ClientSession
 from garnetlanding.ninep.codec import ORCLOSE, OREAD, OTRUNC, Message, Qid
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.fid_table import check_name, check_offset
@@ -59,8 +59,8 @@
         return codec.Rerror(text.decode(errors="ignore"))
 
     def _attach(self, tag: int, message: codec.Tattach) -> None:
-        user = (message.uname, codec_linux.NONUNAME)
-        self._session.attach(tag, message.fid, message.afid, user, message.aname)
+        request = AttachRequest(message.fid, message.afid, message.uname, codec_linux.NONUNAME, message.aname)
+        self._session.attach(tag, request)
 
     # Open and create
 
--- a/tests/ninep/test_flush_clunk_disconnect.py
+++ b/tests/ninep/test_flush_clunk_disconnect.py
@@ -60,6 +60,7 @@
         p9.Twalk(0, 9, ("sv",)),
         p9.Tread(7, 0, 200),
     ],
+    ids=["write", "create", "walk", "read"],
 )
 def test_disconnect_within_a_change_leaves_nothing_behind(message: p9.Message) -> None:
     instance, tool = rw()
--- a/tests/ninep/test_random_fault_schedules.py
+++ b/tests/ninep/test_random_fault_schedules.py
@@ -38,6 +38,7 @@
 @pytest.mark.parametrize(
     ("broken", "seeds"),
     [(out_of_order, (6, 8, 2, 3, 4)), (repeated, (1, 2, 6, 3)), (flushed_while_it_runs, (1, 2, 4, 3))],
+    ids=["changes out of order", "changes repeated", "flushed while it runs"],
 )
 def test_checker_reports_an_instance_that_breaks_the_rules(
     broken: Callable[[pytest.MonkeyPatch], None], seeds: tuple[int, ...]
