--- a/garnetlanding/ninep/client_session.py
+++ b/garnetlanding/ninep/client_session.py
@@ -67,7 +67,7 @@
         return self.msize - READ_OVERHEAD
 
     def reset(self) -> None:
-        """End the session: "any outstanding I/O is aborted and all fids are clunked" (version(5)).
+        """End the session: what is outstanding is aborted, and all fids are clunked (version(5)).
 
         What may have changed something already runs to its end, so that what comes after it stays behind it.
         """
@@ -95,7 +95,7 @@
     # Fids
 
     def attach(self, tag: int, request: AttachRequest) -> None:
-        """Process an attach: "a fresh introduction from a user on the client machine" (attach(5))."""
+        """Process an attach, which introduces a user and gives it the root of a tree (attach(5))."""
         if request.afid != NOFID:
             raise RequestRejectedError(errors.EOPNOTSUPP, "authentication not required")
         export = self._export(request.aname)
@@ -120,11 +120,11 @@
         return export
 
     def reject_authentication(self, _tag: int, _message: Message) -> None:
-        """Process an auth: "if the server does not require authentication, it returns Rerror" (attach(5))."""
+        """Process an auth: an error says that no authentication is required (attach(5))."""
         raise RequestRejectedError(errors.EOPNOTSUPP, "authentication not required")
 
     def _walk(self, tag: int, message: codec.Twalk) -> None:
-        """Process Twalk: newfid is made when all names were found, "otherwise newfid is unaffected"."""
+        """Process Twalk: newfid is made only when all names were found (walk(5))."""
         fid = self.fids.get(message.fid)
         newfid = message.newfid
         names = message.names
@@ -186,7 +186,7 @@
         self.requests.submit(tag, PendingRequest(fid, operation, codec.Rread, message.fid, size=count))
 
     def _write_file(self, tag: int, message: codec.Twrite) -> None:
-        """Process Twrite; in an append-only file "the offset is ignored" (write(5))."""
+        """Process Twrite; an append-only file is written at its end, whatever the offset (write(5))."""
         fid, open_mode = self.fids.get_open(message.fid)
         if not open_mode.writes:
             raise RequestRejectedError(errors.EBADF, "fid not open for writing")
@@ -217,7 +217,7 @@
         return self.fids.by_number.pop(number)
 
     def _clunk(self, tag: int, message: codec.Tclunk) -> None:
-        """Process Tclunk: "the actual file is not removed unless the fid had been opened with ORCLOSE"."""
+        """Process Tclunk: ends the fid; a file that was opened with ORCLOSE is removed (clunk(5))."""
         fid = self._release(message.fid)
         if fid.remove_on_close:
             self._submit_removal(tag, fid, codec.Rclunk())
@@ -230,7 +230,7 @@
             self.reply(tag, codec.Rclunk())
 
     def _remove(self, tag: int, message: codec.Tremove) -> None:
-        """Process Tremove: the fid is clunked "even if the remove fails" (remove(5))."""
+        """Process Tremove: the fid is clunked also when the file cannot be removed (remove(5))."""
         fid = self._release(message.fid)
         if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
--- a/garnetlanding/ninep/dispatcher.py
+++ b/garnetlanding/ninep/dispatcher.py
@@ -17,6 +17,7 @@
 from garnetlanding.ninep.fids import Fid, RequestRejectedError
 from garnetlanding.ninep.operation_table import class_for
 from garnetlanding.ninep.operations import Read, ReadDirectory, Remove, Work, Write
+from garnetlanding.ninep.order import ExportPaths
 from garnetlanding.ninep.outcome import reply_for
 from garnetlanding.ninep.pending import PendingRequest
 from garnetlanding.ninep.shared_state import SharedState
@@ -71,7 +72,7 @@
     # Cancelling
 
     def flush(self, tag: int, oldtag: int) -> None:
-        """Process Tflush: "the server should answer the flush message immediately" (flush(5)).
+        """Process Tflush: cancel the message that has this tag, and answer at once (flush(5)).
 
         What may have changed something cannot be cancelled; its own reply is written first.
         """
@@ -159,7 +160,7 @@
     def _enqueue(
         self,
         pending: PendingRequest,
-        paths: tuple[tuple[str, tuple[str, ...]], ...],
+        paths: ExportPaths,
         start: Callable[[], None],
     ) -> None:
         enqueued = self._shared.enqueue_change(self._client, pending.target, paths, start)
--- a/garnetlanding/ninep/fid_table.py
+++ b/garnetlanding/ninep/fid_table.py
@@ -72,7 +72,7 @@
         return fid
 
     def check_unused(self, number: int) -> None:
-        """Check that a message may make a fid of this number: "newfid must be unused" (walk(5))."""
+        """Check that a message may make a fid of this number, which must not be in use (walk(5))."""
         reserved = [pending.newfid for pending in self._pending.values() if pending.newfid is not None]
         if number in self.by_number or number in reserved or number == NOFID:
             raise RequestRejectedError(errors.EBADF, "fid already in use")
--- a/garnetlanding/ninep/front.py
+++ b/garnetlanding/ninep/front.py
@@ -125,7 +125,7 @@
         self.asked = self._session.requests.submitted
 
     def _negotiate(self, tag: int, message: codec.Tversion) -> None:
-        """Process Tversion: "a successful version request initializes the connection" (version(5))."""
+        """Process Tversion, which agrees on the dialect and the largest message (version(5))."""
         session = self._session
         session.msize = 0
         session.dialect = None
--- a/garnetlanding/ninep/locks.py
+++ b/garnetlanding/ninep/locks.py
@@ -124,7 +124,7 @@
 
 
 class ExclusiveUse:
-    """Which fid has each exclusive-use file open: "only one client may have it open at a time" (open(5))."""
+    """Which fid has each exclusive-use file open: one at a time may (open(5))."""
 
     def __init__(self) -> None:
         self._holders: dict[File, tuple[int, int]] = {}  # session and fid
--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -1,7 +1,7 @@
 """The messages that only 9P2000.L clients send. Errors are numbers; locks are the instance's (`locks.py`).
 
-The sentences of the protocol are from its published description (Linux's Documentation/filesystems/9p and
-diod's protocol page); where they name a system call, that call's manual page holds.
+The protocol is described beside the Linux client (Documentation/filesystems/9p). Most messages stand for a
+system call, whose manual page says what is expected.
 """
 
 from __future__ import annotations
@@ -98,7 +98,7 @@
         return open_mode
 
     def _open(self, tag: int, message: codec_linux.Tlopen) -> None:
-        """Process Tlopen: "prepares fid for file I/O"; its flags are those of open(2)."""
+        """Process Tlopen: open the file of fid; the flags are those of open(2)."""
         number = message.fid
         flags = message.flags
         fid = self._session.fids.get_unopened(number)
@@ -116,7 +116,7 @@
         self._session.requests.submit(tag, PendingRequest(fid, operation, opened, number, alters_fid=True))
 
     def _create(self, tag: int, message: codec_linux.Tlcreate) -> None:
-        """Process Tlcreate: "creates a regular file in directory fid and prepares it for I/O"."""
+        """Process Tlcreate: make a file in the directory of fid, which becomes the open fid of that file."""
         number = message.fid
         self._session.fids.get_unopened(number)
         fid = self._session.fids.get_directory(number, message.name)
@@ -138,7 +138,7 @@
         self._session.requests.submit(tag, PendingRequest(fid, operation, created, number, alters_fid=True))
 
     def _fsync(self, tag: int, message: codec_linux.Tfsync) -> None:
-        """Process Tfsync: "flushes any cached data associated with fid to stable storage"."""
+        """Process Tfsync: flush what was written through fid to stable storage, as fsync(2)."""
         fid, open_mode = self._session.fids.get_open(message.fid)
         if not fid.export.writable:
             self._session.reply(tag, codec_linux.Rfsync())  # there is nothing to flush
@@ -155,7 +155,7 @@
         self._session.requests.submit(tag, PendingRequest(fid, operation, getattr_reply, message.fid))
 
     def _setattr(self, tag: int, message: codec_linux.Tsetattr) -> None:
-        """Process Tsetattr: "sets attributes of a file system object"; `valid` selects which."""
+        """Process Tsetattr: set those attributes that `valid` selects."""
         fid = self._session.fids.get(message.fid)
         if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
@@ -172,7 +172,7 @@
         self._submit(tag, message.fid, fid, operation, lambda _: codec_linux.Rsetattr())
 
     def _statfs(self, tag: int, message: codec_linux.Tstatfs) -> None:
-        """Process Tstatfs: "requests file system information, as statfs(2)"."""
+        """Process Tstatfs: return figures of the file system, as statfs(2)."""
         fid = self._session.fids.get(message.fid)
         operation = StatFs(fid.identity, fid.path, fid.qid)
         self._session.requests.submit(tag, PendingRequest(fid, operation, _statfs_reply, message.fid))
@@ -292,7 +292,7 @@
     # Locks
 
     def _lock(self, tag: int, message: codec_linux.Tlock) -> None:
-        """Process Tlock: "acquires or releases a POSIX record lock on fid", as fcntl(2) with F_SETLK.
+        """Process Tlock: acquire or release a POSIX record lock, as fcntl(2) with F_SETLK.
 
         A client that would wait (LOCK_BLOCK) gets the same reply as one that would not, and asks again.
         """
@@ -314,7 +314,7 @@
         self._session.reply(tag, codec_linux.Rlock(status))
 
     def _getlock(self, tag: int, message: codec_linux.Tgetlock) -> None:
-        """Process Tgetlock: "tests for the existence of a POSIX record lock", as fcntl(2) with F_GETLK."""
+        """Process Tgetlock: return a record lock that conflicts, as fcntl(2) with F_GETLK."""
         fid, _, wanted = self._read_lock(message)
         _check_lock_type(message.type)
         conflict = self._session.shared.locks.conflict(fid.file, wanted)
--- a/garnetlanding/ninep/server_dialect_plain.py
+++ b/garnetlanding/ninep/server_dialect_plain.py
@@ -74,7 +74,7 @@
         return open_mode
 
     def _open(self, tag: int, message: codec.Topen) -> None:
-        """Process Topen: "prepares a file for I/O"; OTRUNC truncates it, ORCLOSE removes it when clunked."""
+        """Process Topen: OTRUNC truncates the file, ORCLOSE removes it when the fid is clunked (open(5))."""
         number = message.fid
         fid = self._session.fids.get_unopened(number)
         open_mode = self._open_mode(fid, message.mode)
@@ -142,7 +142,7 @@
     # Attributes
 
     def _stat(self, tag: int, message: codec.Tstat) -> None:
-        """Process Tstat: "inquires about the file identified by fid" (stat(5))."""
+        """Process Tstat: return the attributes of the file of fid (stat(5))."""
         fid = self._session.fids.get(message.fid)
 
         def answered(attr: Attr) -> Message:
@@ -177,7 +177,7 @@
     # Directories
 
     def read_directory(self, tag: int, number: int, fid: Fid, offset: int, count: int) -> None:
-        """Process Tread of a directory: "an integral number of directory entries" (read(5)).
+        """Process Tread of a directory: return whole entries only, each as a stat (read(5)).
 
         The offset must be 0 or where the previous read ended.
         """
--- a/garnetlanding/ninep/server_dialects.py
+++ b/garnetlanding/ninep/server_dialects.py
@@ -12,8 +12,7 @@
 def choose_dialect(version: str, session: ClientSession) -> ServerDialect | None:
     """Return the dialect for the version that a client proposes, or None where none fits.
 
-    "If the server does not understand the client's version string, it should respond with a version string
-    that it does": a 9P2000 with an unknown suffix gets plain 9P2000 (version(5)).
+    A 9P2000 with an unknown suffix after a period gets plain 9P2000 (version(5)).
     """
     if version == codec_linux.VERSION:
         return LinuxServerDialect(session)
--- a/tests/ninep/test_front_model.py
+++ b/tests/ninep/test_front_model.py
@@ -24,7 +24,7 @@
 FIDS, TAGS = st.integers(0, 2), st.integers(0, 4)
 NAMES = st.lists(st.sampled_from(["a", "b", ".."]), max_size=3).map(tuple)
 QID, DIR = p9.Qid(0, 0, 1), p9.Qid(p9.QTDIR, 0, 2)
-REFUSED = Rejected(250 * MS), p9.Rerror("busy; come again after 250 ms")
+REJECTED = Rejected(250 * MS), p9.Rerror("busy; come again after 250 ms")
 
 
 class SessionModel(RuleBasedStateMachine):
@@ -34,136 +34,138 @@
         super().__init__()
         self.core = FakeRequestEngine()
         pool, exports = BufferPool(64, 4, 1 << 12), {"x": Export("x", "v", "gold", "read", 0, 1000 * MS)}
-        self.out = p9.Framer(pool, 1 << 16)
-        self.got: list[tuple[int, object]] = []
+        self.framer = p9.Framer(pool, 1 << 16)
+        self.received: list[tuple[int, object]] = []
         clock = SimpleNamespace(now=0)
-        front = SharedState(self.core, None, exports, pool, Limits(), clock)  # type: ignore[arg-type]  # no backends are needed
-        self.machine = ClientMachine(front, self.write)
+        shared = SharedState(self.core, None, exports, pool, Limits(), clock)  # type: ignore[arg-type]  # no backends are needed
+        self.machine = ClientMachine(shared, self.write)
         self.fids: dict[int, tuple[p9.Qid, tuple[str, ...], bool]] = {}
-        self.flying: dict[int, tuple[str, p9.Message]] = {}  # tag: ticket and message
-        self.gone: list[str] = []
-        self.say(p9.NOTAG, p9.Tversion(8192, "9P2000"), p9.Rversion(8192, "9P2000"))
+        self.in_flight: dict[int, tuple[str, p9.Message]] = {}  # tag: ticket and message
+        self.disconnected: list[str] = []
+        self.send_and_expect(p9.NOTAG, p9.Tversion(8192, "9P2000"), p9.Rversion(8192, "9P2000"))
         self.attach(0, 0)
         self.finish(0, "served")
 
     def write(self, data: bytes) -> None:
-        self.got += self.out.feed(data)
+        self.received += self.framer.feed(data)
 
-    def say(
+    def send_and_expect(
         self, tag: int, message: p9.Message, want: p9.Message | None, *before: tuple[int, p9.Message]
     ) -> None:
         """Sends it in two pieces; what must come at once is checked to be all that comes."""
-        data, self.got = p9.encode(tag, message), []
+        data, self.received = p9.encode(tag, message), []
         self.machine.feed(data[:5])
         self.machine.feed(data[5:])
         answers = [*before, *([(tag, want)] if want else [])]
         assert [
             (t, m if not isinstance(m, p9.Rerror) or m in dict(answers).values() else p9.Rerror(""))
-            for t, m in self.got
+            for t, m in self.received
         ] == answers
 
-    def ask(self, tag: int, message: p9.Message, fine: bool, at_once: p9.Message | None = None) -> None:
+    def request(self, tag: int, message: p9.Message, valid: bool, at_once: p9.Message | None = None) -> None:
         """A message that is turned away, answered at once, or becomes one item."""
         items = len(self.core.items)
-        wanted = at_once if fine and tag not in self.flying else p9.Rerror("")
-        if fine and tag not in self.flying and at_once is None:
+        wanted = at_once if valid and tag not in self.in_flight else p9.Rerror("")
+        if valid and tag not in self.in_flight and at_once is None:
             wanted = None
-        self.say(tag, message, wanted)
+        self.send_and_expect(tag, message, wanted)
         assert len(self.core.items) == items + (wanted is None), "one item, or none"
         if wanted is None:
-            self.flying[tag] = self.core.last, message
+            self.in_flight[tag] = self.core.last, message
 
-    def free(self, fid: int) -> bool:
+    def is_unused(self, fid: int) -> bool:
         return fid not in self.fids and all(
             getattr(m, "newfid", None) != fid and not (isinstance(m, p9.Tattach) and m.fid == fid)
-            for _, m in self.flying.values()
+            for _, m in self.in_flight.values()
         )
 
-    def usable(self, fid: int) -> bool:
+    def is_usable(self, fid: int) -> bool:
         return fid in self.fids and not any(
             isinstance(m, p9.Topen) and m.fid == fid or isinstance(m, p9.Twalk) and m.fid == m.newfid == fid
-            for _, m in self.flying.values()
+            for _, m in self.in_flight.values()
         )
 
     @rule(tag=TAGS, fid=FIDS)
     def attach(self, tag: int, fid: int) -> None:
-        self.ask(tag, p9.Tattach(fid, p9.NOFID, "u", "x"), self.free(fid))
+        self.request(tag, p9.Tattach(fid, p9.NOFID, "u", "x"), self.is_unused(fid))
 
     @rule(tag=TAGS, fid=FIDS, newfid=FIDS, names=NAMES)
     def walk(self, tag: int, fid: int, newfid: int, names: tuple[str, ...]) -> None:
-        fine = self.usable(fid) and not self.fids[fid][2] and (fid == newfid or self.free(newfid))
-        clone = fine and not names and tag not in self.flying
-        self.ask(tag, p9.Twalk(fid, newfid, names), fine, p9.Rwalk(()) if not names else None)
+        valid = self.is_usable(fid) and not self.fids[fid][2] and (fid == newfid or self.is_unused(newfid))
+        clone = valid and not names and tag not in self.in_flight
+        self.request(tag, p9.Twalk(fid, newfid, names), valid, p9.Rwalk(()) if not names else None)
         if clone:
             self.fids[newfid] = self.fids[fid]
 
     @rule(tag=TAGS, fid=FIDS, mode=st.sampled_from([p9.OREAD, p9.OEXEC, 1, 64]))
     def open(self, tag: int, fid: int, mode: int) -> None:
-        fine = self.usable(fid) and not self.fids[fid][2] and mode in (p9.OREAD, p9.OEXEC)
-        self.ask(tag, p9.Topen(fid, mode), fine)
+        valid = self.is_usable(fid) and not self.fids[fid][2] and mode in (p9.OREAD, p9.OEXEC)
+        self.request(tag, p9.Topen(fid, mode), valid)
 
     @rule(tag=TAGS, fid=FIDS, count=st.integers(0, 9000))
     def read(self, tag: int, fid: int, count: int) -> None:
-        fine = self.usable(fid) and self.fids[fid][2]
-        self.ask(tag, p9.Tread(fid, 0, count), fine, None if count else p9.Rread(b""))
+        valid = self.is_usable(fid) and self.fids[fid][2]
+        self.request(tag, p9.Tread(fid, 0, count), valid, None if count else p9.Rread(b""))
 
     @rule(tag=TAGS, fid=FIDS)
     def stat(self, tag: int, fid: int) -> None:
-        self.ask(tag, p9.Tstat(fid), self.usable(fid))
+        self.request(tag, p9.Tstat(fid), self.is_usable(fid))
 
     @rule(tag=TAGS, fid=FIDS, remove=st.booleans())
     def clunk(self, tag: int, fid: int, remove: bool) -> None:
         message = p9.Tremove(fid) if remove else p9.Tclunk(fid)
-        if tag in self.flying or fid not in self.fids:
-            self.say(tag, message, p9.Rerror(""))
+        if tag in self.in_flight or fid not in self.fids:
+            self.send_and_expect(tag, message, p9.Rerror(""))
             return
-        on_it = [
+        using_fid = [
             t
-            for t, (_, m) in self.flying.items()
+            for t, (_, m) in self.in_flight.items()
             if getattr(m, "fid", None) == fid
             and not isinstance(m, p9.Tattach)
             and not (isinstance(m, p9.Twalk) and m.newfid != fid)
         ]
-        self.say(tag, message, p9.Rerror("") if remove else p9.Rclunk(), *((t, p9.Rerror("")) for t in on_it))
-        for t in on_it:
-            self.gone.append(self.flying.pop(t)[0])
+        self.send_and_expect(
+            tag, message, p9.Rerror("") if remove else p9.Rclunk(), *((t, p9.Rerror("")) for t in using_fid)
+        )
+        for t in using_fid:
+            self.disconnected.append(self.in_flight.pop(t)[0])
         del self.fids[fid]
 
     @rule(tag=st.integers(10, 12), old=TAGS)
     def flush(self, tag: int, old: int) -> None:
-        self.say(tag, p9.Tflush(old), p9.Rflush())
-        if old in self.flying:
-            self.gone.append(self.flying.pop(old)[0])
+        self.send_and_expect(tag, p9.Tflush(old), p9.Rflush())
+        if old in self.in_flight:
+            self.disconnected.append(self.in_flight.pop(old)[0])
 
-    @rule(msize=st.sampled_from([4096, 8192]), rarely=st.integers(0, 7))
-    def version(self, msize: int, rarely: int) -> None:
-        if rarely:  # or no session would live long enough to get anywhere
+    @rule(msize=st.sampled_from([4096, 8192]), skipped=st.integers(0, 7))
+    def version(self, msize: int, skipped: int) -> None:
+        if skipped:  # or no session would live long enough to get anywhere
             return
-        self.say(p9.NOTAG, p9.Tversion(msize, "9P2000"), p9.Rversion(msize, "9P2000"))
-        self.gone += [ticket for ticket, _ in self.flying.values()]
-        self.flying, self.fids = {}, {}
+        self.send_and_expect(p9.NOTAG, p9.Tversion(msize, "9P2000"), p9.Rversion(msize, "9P2000"))
+        self.disconnected += [ticket for ticket, _ in self.in_flight.values()]
+        self.in_flight, self.fids = {}, {}
 
-    @precondition(lambda self: bool(self.flying))
+    @precondition(lambda self: bool(self.in_flight))
     @rule(data=st.data(), kind=st.sampled_from(["served", "served", "short", "refused", "failed"]))
     def answer(self, data: st.DataObject, kind: str) -> None:
-        self.finish(data.draw(st.sampled_from(sorted(self.flying))), kind)
+        self.finish(data.draw(st.sampled_from(sorted(self.in_flight))), kind)
 
     def finish(self, tag: int, kind: str) -> None:
-        ticket, message = self.flying.pop(tag)
+        ticket, message = self.in_flight.pop(tag)
         ask, answered = self.core.items.pop(ticket)
         answer: Answer
         want: p9.Message
         if kind in ("served", "short"):
-            answer, want = self.served(ask.work, message, kind == "short")
+            answer, want = self.result_of(ask.work, message, kind == "short")
         elif kind == "refused":
-            answer, want = REFUSED
+            answer, want = REJECTED
         else:
             answer, want = Failed("gave up"), p9.Rerror("gave up")
-        self.got = []
+        self.received = []
         answered(answer)
-        assert self.got == [(tag, want)]
+        assert self.received == [(tag, want)]
 
-    def served(self, work: object, message: p9.Message, short: bool) -> tuple[Answer, p9.Message]:
+    def result_of(self, work: object, message: p9.Message, short: bool) -> tuple[Answer, p9.Message]:
         match work, message:
             case Attach(), p9.Tattach(fid):
                 self.fids[fid] = DIR, (), False
@@ -185,15 +187,15 @@
         raise AssertionError(work)
 
     @invariant()
-    def agrees(self) -> None:
+    def machine_agrees_with_the_model(self) -> None:
         fids = {f: (at.qid, at.path, at.open_mode is not None) for f, at in self.machine.fids.items()}
         assert fids == self.fids
-        assert self.machine.owed == len(self.flying)
-        assert sorted(self.core.gone) == sorted(self.gone)
+        assert self.machine.owed == len(self.in_flight)
+        assert sorted(self.core.gone) == sorted(self.disconnected)
 
     def teardown(self) -> None:
         self.machine.close()
-        assert sorted(self.core.gone) == sorted(self.gone + [t for t, _ in self.flying.values()])
+        assert sorted(self.core.gone) == sorted(self.disconnected + [t for t, _ in self.in_flight.values()])
 
 
 TestSessionModel = SessionModel.TestCase
