--- a/benchmarks/ninep_cost.py
+++ b/benchmarks/ninep_cost.py
@@ -28,7 +28,7 @@
 
 from garnetlanding.conform.client import Client, Options
 from garnetlanding.conform.wire import SocketWire
-from garnetlanding.emulator.discovery import Box, Discovery
+from garnetlanding.emulator.discovery import Discovery, EmulatedEndpoint
 from garnetlanding.emulator.fileserver import FileServer
 from garnetlanding.limits import Limits
 from garnetlanding.ninep import codec as p9
@@ -51,12 +51,12 @@
     tree = {"data": bytes(FILE), **{f"f{i}": b"x" * 100 for i in range(20)}}
     files = FileServer(scheduler, pool, limits, tree=tree)
     files.disk.root.mode |= 0o777
-    discovery.boxes.append(Box("f0", files.address, 0))
+    discovery.endpoints.append(EmulatedEndpoint("f0", files.address, 0))
 
     def beat() -> None:
         while True:
             scheduler.sleep(2_000_000)
-            discovery.beat()
+            discovery.send_heartbeat()
 
     scheduler.spawn(beat)
     pipe.send((discovery.address, files.address))
--- a/example/__main__.py
+++ b/example/__main__.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box, Discovery
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import Discovery, EmulatedEndpoint
 from garnetlanding.emulator.fileserver import FileServer
 from garnetlanding.limits import SECOND, Limits
 from garnetlanding.runtime.buffers import BufferPool
@@ -18,14 +18,14 @@
     pool = BufferPool(limits.buffer_bytes, limits.pool_free_max, limits.pool_max)
     discovery = Discovery(scheduler, pool, limits, DISCOVERY)
     for cell, address in enumerate(BRICKS):
-        Brick(scheduler, pool, limits, address)
-        discovery.boxes.append(Box(f"brick-{cell}", address, cell))
+        EmulatedBackend(scheduler, pool, limits, address)
+        discovery.endpoints.append(EmulatedEndpoint(f"brick-{cell}", address, cell))
     FileServer(scheduler, pool, limits, FILES, tree=TREE)
 
     def beat() -> None:
         while True:
             scheduler.sleep(2 * SECOND)
-            discovery.beat()
+            discovery.send_heartbeat()
 
     scheduler.spawn(beat)
     print(f"discovery {DISCOVERY}, bricks {', '.join(BRICKS)}, files {FILES}; end with Ctrl-C", flush=True)
--- a/garnetlanding/emulator/base.py
+++ b/garnetlanding/emulator/base.py
@@ -1,4 +1,4 @@
-"""What every emulated server shares: a listener and connections that record what they hear."""
+"""What every emulated server shares: a listener and connections that record what they receive."""
 
 from __future__ import annotations
 
@@ -7,59 +7,71 @@
 from garnetlanding.runtime.listener import Listener, Write
 from garnetlanding.runtime.scheduler import Scheduler
 
+FREE_PORT = "127.0.0.1:0"
+MAX_CONNECTIONS = 256
 
-class Conn:
-    """What every emulated server's connections share; a subclass says what to do with bytes."""
 
-    def __init__(self, server: Server, write: Write) -> None:
-        self.server, self.write = server, write
-        self.ended = self.session = False
-        self.owed = self.bad = 0
-        self.taken = self.asked = 1  # a server whose clients may take their time
-        self.midway = self.waiting = False
+class EmulatedConnection:
+    """One connection of an emulated server; a subclass says what to do with bytes.
+
+    The attributes besides `server` and `write` are what the runtime's listener asks of a machine.
+    """
+
+    def __init__(self, server: EmulatedServer, write: Write) -> None:
+        self.server = server
+        self.write = write
+        self.ended = False
+        self.session = False
+        self.owed = 0
+        self.bad = 0
+        # Clients of an emulated server may take their time: they count as ones that have made a request.
+        self.taken = 1
+        self.asked = 1
+        self.midway = False
+        self.waiting = False
 
     def feed(self, data: bytes | memoryview) -> None:
+        """Take in bytes of the client."""
         raise NotImplementedError
 
     def close(self) -> None:
+        """Note that the connection has ended."""
         self.ended = True
-        self.server.lost(self)
+        self.server.forget(self)
 
 
-class Server:
-    """A listener, on a free port unless told otherwise, with the machine of its protocol."""
+class EmulatedServer:
+    """A listener, on a free port unless given an address; a subclass names its connections' class."""
+
+    machine: type[EmulatedConnection]
 
     def __init__(
-        self,
-        scheduler: Scheduler,
-        pool: BufferPool,
-        limits: Limits,
-        address: str = "127.0.0.1:0",
-        machine: type[Conn] | None = None,
+        self, scheduler: Scheduler, pool: BufferPool, limits: Limits, address: str = FREE_PORT
     ) -> None:
-        self.scheduler, self.pool, self.limits = scheduler, pool, limits
-        self.conns: list[Conn] = []
-        self.accepted = 0
-        self.listener = Listener(scheduler, address, pool, limits, 256, self._make)
+        self.scheduler = scheduler
+        self.pool = pool
+        self.limits = limits
+        self.connections: list[EmulatedConnection] = []
+        self.accepted = 0  # connections so far
+        self.listener = Listener(scheduler, address, pool, limits, MAX_CONNECTIONS, self._make)
         self.address = self.listener.address
 
-    machine: type[Conn]
-
-    def _make(self, write: Write) -> Conn:
+    def _make(self, write: Write) -> EmulatedConnection:
         self.accepted += 1
-        self.conns.append(self.machine(self, write))
-        return self.conns[-1]
+        self.connections.append(self.machine(self, write))
+        return self.connections[-1]
 
-    def lost(self, conn: Conn) -> None:
-        self.conns.remove(conn)
+    def forget(self, connection: EmulatedConnection) -> None:
+        """Drop a connection that has ended."""
+        self.connections.remove(connection)
 
-    def cut(self, conn: Conn) -> None:
-        """Ends one connection, with whatever is unanswered on it."""
+    def close_connection(self, connection: EmulatedConnection) -> None:
+        """End one connection, with whatever is unanswered on it."""
         for client in list(self.listener._clients):
-            if client.machine is conn:
+            if client.machine is connection:
                 client.stream.close()
 
-    def drop(self) -> None:
-        """Ends every connection, as a dying process does."""
+    def close_connections(self) -> None:
+        """End every connection, as a dying process does."""
         for client in list(self.listener._clients):
             client.stream.close()
--- a/garnetlanding/emulator/discovery.py
+++ b/garnetlanding/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: a list of instances, and watches on it."""
+"""Discovery: a list of endpoints, and watches on it."""
 
 from __future__ import annotations
 
@@ -6,41 +6,48 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from garnetlanding.emulator.base import Conn, Server
+from garnetlanding.emulator.base import EmulatedConnection, EmulatedServer
 from garnetlanding.runtime.listener import Write
 
+END_OF_HEADERS = b"\r\n\r\n"
+
+
+class DiscoveryConnection(EmulatedConnection):
+    """A connection that asks for the list, and may go on to watch it."""
 
-class DiscoveryConn(Conn):
     server: Discovery
 
     def __init__(self, server: Discovery, write: Write) -> None:
         super().__init__(server, write)
         self._text = b""
-        self.following = False
+        self.is_watching = False
 
     def feed(self, data: bytes | memoryview) -> None:
+        """Answer every request that is whole with these bytes."""
         self._text += bytes(data)
-        while b"\r\n\r\n" in self._text:
-            request, _, self._text = self._text.partition(b"\r\n\r\n")
-            self.following = b"follow=1" in request
+        while END_OF_HEADERS in self._text:
+            request, _, self._text = self._text.partition(END_OF_HEADERS)
+            self.is_watching = b"follow=1" in request
             self.server.calls.append(request.split(b" ")[1].decode())
             self.server.answer(self)
 
-    def line(self, text: bytes) -> None:
+    def send_line(self, text: bytes) -> None:
+        """Send one line of a watch, as an HTTP chunk of its own."""
         self.write(b"%x\r\n%b\r\n" % (len(text) + 1, text + b"\n"))
 
 
 @dataclass
-class Box:
-    """One instance in the list."""
+class EmulatedEndpoint:
+    """One backend in the list."""
 
     name: str
     address: str
     cell: int
     state: str = "SERVING"
-    extra: dict[str, Any] = field(default_factory=dict)
+    extra: dict[str, Any] = field(default_factory=dict)  # fields of its entry to add or replace
 
     def entry(self) -> dict[str, Any]:
+        """Return its entry as discovery sends it."""
         return {
             "instanceId": self.name,
             "hostPort": self.address,
@@ -54,39 +61,47 @@
         }
 
 
-class Discovery(Server):
-    machine = DiscoveryConn
+class Discovery(EmulatedServer):
+    """A discovery whose list a test sets in `endpoints` and whose changes it publishes."""
+
+    machine = DiscoveryConnection
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
         self.version = 1
-        self.boxes: list[Box] = []
-        self.calls: list[str] = []
-        self.down = False
-
-    def listing(self, boxes: list[Box], whole: bool) -> dict[str, Any]:
-        return {"generation": self.version, "reset": whole, "instances": [b.entry() for b in boxes]}
-
-    def answer(self, conn: DiscoveryConn) -> None:
-        body = json.dumps(self.listing(self.boxes, True)).encode()
-        if self.down:
-            conn.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-        elif conn.following:
-            conn.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            conn.line(body)
+        self.endpoints: list[EmulatedEndpoint] = []
+        self.calls: list[str] = []  # the path of every request
+        self.is_down = False  # every request is answered with 503
+
+    def listing(self, endpoints: list[EmulatedEndpoint], whole: bool) -> dict[str, Any]:
+        """Return a whole list, or a change of it, as discovery sends it."""
+        return {
+            "generation": self.version,
+            "reset": whole,
+            "instances": [endpoint.entry() for endpoint in endpoints],
+        }
+
+    def answer(self, connection: DiscoveryConnection) -> None:
+        """Send the whole list; on a watch, as its first line."""
+        body = json.dumps(self.listing(self.endpoints, True)).encode()
+        if self.is_down:
+            connection.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+        elif connection.is_watching:
+            connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            connection.send_line(body)
         else:
-            conn.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+            connection.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
-    def tell(self, *boxes: Box) -> None:
-        """Tells every watch of the boxes that changed."""
+    def publish(self, *endpoints: EmulatedEndpoint) -> None:
+        """Send the endpoints that changed to every watch."""
         self.version += 1
-        self._say(json.dumps(self.listing(list(boxes), False)).encode())
+        self._send_to_watches(json.dumps(self.listing(list(endpoints), False)).encode())
 
-    def beat(self) -> None:
-        """Nothing has changed: an empty line shows that the watch stands."""
-        self._say(b"")
+    def send_heartbeat(self) -> None:
+        """Send an empty line to every watch: nothing has changed, and it stands."""
+        self._send_to_watches(b"")
 
-    def _say(self, text: bytes) -> None:
-        for conn in self.conns:
-            if isinstance(conn, DiscoveryConn) and conn.following:
-                conn.line(text)
+    def _send_to_watches(self, text: bytes) -> None:
+        for connection in self.connections:
+            if isinstance(connection, DiscoveryConnection) and connection.is_watching:
+                connection.send_line(text)
--- a/garnetlanding/emulator/fileserver.py
+++ b/garnetlanding/emulator/fileserver.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from garnetlanding.emulator.base import Conn, Server
+from garnetlanding.emulator.base import EmulatedConnection, EmulatedServer
 from garnetlanding.emulator.disk import Disk, DiskError, Inode, Tree
 from garnetlanding.emulator.faults import Fault, Rule, Script
 from garnetlanding.ninep import codec as p9
@@ -52,7 +52,7 @@
         raise NotImplementedError
 
 
-class FileConn(Conn):
+class FileConn(EmulatedConnection):
     server: FileServer
 
     def __init__(self, server: FileServer, write: Write) -> None:
@@ -69,7 +69,7 @@
             for tag, message in self._framer.feed(data):
                 self._hear(tag, message)
         except p9.FrameError:
-            self.server.cut(self)
+            self.server.close_connection(self)
 
     def _hear(self, tag: int, message: p9.Message | p9.Malformed) -> None:
         server = self.server
@@ -103,12 +103,12 @@
             case Fault.LATE:
                 fids = {fid: replace(at) for fid, at in self.fids.items()}
                 server.later(rule.delay_us, lambda: self._run_late(message, fids))
-                server.cut(self)
+                server.close_connection(self)
             case Fault.RESET_BEFORE:
-                server.cut(self)
+                server.close_connection(self)
             case Fault.RESET_AFTER:
                 self.run(message)
-                server.cut(self)
+                server.close_connection(self)
             case Fault.REFUSE:
                 self._say(tag, self._error(Problem(rule.number)))
             case Fault.HALF:
@@ -357,7 +357,7 @@
         disk.unlink(at.parent, at.name, at.user)
 
 
-class FileServer(Server):
+class FileServer(EmulatedServer):
     machine = FileConn
 
     def __init__(
@@ -417,7 +417,7 @@
         """Every connection ends; with new qids, no file is the one it was to its clients."""
         self.held.clear()
         self.salt += (1 << 40) * new_qids
-        self.drop()
+        self.close_connections()
 
     def place(self, node: Inode, user: str) -> OpenFid:
         """A directory by its own place in the tree."""
@@ -428,7 +428,7 @@
 
     def renamed(self, parent: Inode, name: str, to: Inode, new: str, node: Inode) -> None:
         """Fids follow their file."""
-        for conn in self.conns:
+        for conn in self.connections:
             if isinstance(conn, FileConn):
                 for at in conn.fids.values():
                     if at.node is node and at.parent is parent and at.name == name:
--- a/garnetlanding/lab/environment.py
+++ b/garnetlanding/lab/environment.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from garnetlanding.emulator.base import Conn
-from garnetlanding.emulator.brick import Brick, BrickConn
-from garnetlanding.emulator.discovery import Box, Discovery
+from garnetlanding.emulator.backend import EmulatedBackend, EmulatedBackendConnection
+from garnetlanding.emulator.base import EmulatedConnection
+from garnetlanding.emulator.discovery import Discovery, EmulatedEndpoint
 from garnetlanding.lab.environment_history import Note
 from garnetlanding.lab.experiment import Experiment
 from garnetlanding.lab.limits import LIMITS
@@ -22,7 +22,7 @@
 _READ_WORDS = 4  # the command, the block, the request's id, and its attributes
 
 
-class LabBackend(Brick):
+class LabBackend(EmulatedBackend):
     """A backend that serves one request after the other, at a rate.
 
     It answers with the block's name, so that a client knows its own answer.
@@ -36,14 +36,14 @@
         self._free_at_us = 0
         self._connections_max = 0  # at once, so far
 
-    def _make(self, write: Write) -> Conn:
+    def _make(self, write: Write) -> EmulatedConnection:
         conn = super()._make(write)
-        if len(self.conns) > self._connections_max:
-            self._connections_max = len(self.conns)
+        if len(self.connections) > self._connections_max:
+            self._connections_max = len(self.connections)
             self._note("open", brick=self.number, count=self._connections_max)
         return conn
 
-    def command(self, words: list[bytes], conn: BrickConn) -> None:
+    def command(self, words: list[bytes], conn: EmulatedBackendConnection) -> None:
         """Execute one command: note it, and answer once the work is done."""
         if words[0].upper() != _READ_COMMAND or len(words) != _READ_WORDS:
             conn.write(b"-SYNTAX\r\n")
@@ -73,7 +73,7 @@
     def refuse_connections(self) -> None:
         """Close all connections and refuse new ones; the endpoint list goes on naming it."""
         self.listener.stop_accepting()
-        self.drop()
+        self.close_connections()
 
     def accept_connections(self) -> None:
         """Listen again, at the same address."""
@@ -106,12 +106,13 @@
         # One more, to which an instance may be moved.
         self.spare_discovery = Discovery(scheduler, self.pool, self.limits, f"{host}:0")
         for instance, discovery in enumerate(self.discoveries):
-            discovery.boxes = [
-                Box(f"b{backend.number}", route(instance, backend), backend.number)
+            discovery.endpoints = [
+                EmulatedEndpoint(f"b{backend.number}", route(instance, backend), backend.number)
                 for backend in self.backends
             ]
-        self.spare_discovery.boxes = [
-            Box(f"b{backend.number}", backend.address, backend.number) for backend in self.backends
+        self.spare_discovery.endpoints = [
+            EmulatedEndpoint(f"b{backend.number}", backend.address, backend.number)
+            for backend in self.backends
         ]
         self._scheduler = scheduler
         scheduler.spawn(self._send_heartbeats)
@@ -120,12 +121,12 @@
         """Bring a backend back as a new, cold process; the endpoint list says since when it runs."""
         backend.accept_connections()
         for discovery in [*self.discoveries, self.spare_discovery]:
-            box = discovery.boxes[backend.number]
+            box = discovery.endpoints[backend.number]
             box.extra = {"startedAtMs": time.time_ns() // 1_000_000}
-            discovery.tell(box)
+            discovery.publish(box)
 
     def _send_heartbeats(self) -> None:
         while True:
             self._scheduler.sleep(LIMITS.heartbeat_us)
             for discovery in [*self.discoveries, self.spare_discovery]:
-                discovery.beat()
+                discovery.send_heartbeat()
--- a/garnetlanding/lab/run.py
+++ b/garnetlanding/lab/run.py
@@ -146,7 +146,7 @@
         clients = self._start_clients(requests, began_us)
         self._wait_for(clients, began_us, progress)
         for backend in self._environment.backends:
-            self._history.note("kept", brick=backend.number, count=len(backend.conns))
+            self._history.note("kept", brick=backend.number, count=len(backend.connections))
         return began_us
 
     def usage(self) -> dict[str, ProcessUsage]:
--- a/tests/choices/test_subset_tracker.py
+++ b/tests/choices/test_subset_tracker.py
@@ -10,8 +10,8 @@
 from garnetlanding import config
 from garnetlanding.choices.setup import ChoicesSetup, read
 from garnetlanding.choices.subset_tracker import SubsetTracker
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from tests.support import decision_bench
 from tests.support.clock import SECOND
 from tests.support.simulated_instance import LoopbackClient, SimulatedInstance, read_command
@@ -32,14 +32,17 @@
 
 def test_idle_connections_outside_the_subset_are_closed() -> None:
     instance = SimulatedInstance()
-    bricks = [instance.server(Brick), instance.server(Brick)]
-    instance.list(Box("n0", bricks[0].address, 0), Box("n1", bricks[1].address, 1))
+    bricks = [instance.server(EmulatedBackend), instance.server(EmulatedBackend)]
+    instance.list(EmulatedEndpoint("n0", bricks[0].address, 0), EmulatedEndpoint("n1", bricks[1].address, 1))
     instance.bricks.keeps, instance.bricks.outside_idle_us = lambda: frozenset({"n1"}), SECOND
     peer = LoopbackClient(instance, instance.front().address)
     assert all(peer.say(read_command(f"r{cell}", cell=cell)).startswith(b"$") for cell in (0, 1))
-    assert [len(brick.conns) for brick in bricks] == [1, 1]
+    assert [len(brick.connections) for brick in bricks] == [1, 1]
     instance.run(3 * SECOND)
-    assert [len(brick.conns) for brick in bricks] == [0, 1], "n0 is asked on a new one when it is asked again"
+    assert [len(brick.connections) for brick in bricks] == [
+        0,
+        1,
+    ], "n0 is asked on a new one when it is asked again"
     assert peer.say(read_command("r2")).startswith(b"$")
 
 
--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -43,7 +43,7 @@
     w.run(100 * MS)
     w.appear()
     w.run(SECOND, 50 * MS)
-    assert not w.brick.heard
+    assert not w.brick.received
     assert w.core.open_requests == 0
 
 
@@ -51,13 +51,13 @@
 def test_no_retry_starts_for_a_client_that_disconnected_between_attempts(how: str) -> None:
     w = Waiting()
     w.appear()
-    w.brick.script = [b"-BUSY\r\n"]
+    w.brick.scripted_responses = [b"-BUSY\r\n"]
     client = Raw(w, w.listener.address)
     client.say(read_command(d=1400) + BAD)
-    assert len(w.brick.heard) == 1
+    assert len(w.brick.received) == 1
     LEAVE[how](client)
     w.run(SECOND)
-    assert len(w.brick.heard) == 1
+    assert len(w.brick.received) == 1
     assert w.core.open_requests == 0
 
 
@@ -72,7 +72,7 @@
     assert w.core.starts
     client.fin()
     w.run(SECOND)
-    assert not w.brick.heard
+    assert not w.brick.received
 
 
 def test_clients_that_disconnect_in_the_iteration_in_which_their_backend_appears_are_not_forwarded() -> None:
@@ -84,7 +84,7 @@
         client.fin()
     w.appear()
     w.run(SECOND)
-    assert not w.brick.heard
+    assert not w.brick.received
     assert w.core.open_requests == 0
     assert len(w.listener) == 0
 
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -7,8 +7,8 @@
 
 from garnetlanding.core.body import Body
 from garnetlanding.decision import interface as api
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.limits import Limits
 from garnetlanding.resp import codec
 from garnetlanding.runtime.buffers import BufferPool
@@ -31,14 +31,14 @@
         super().__init__(
             None, **({"stream_window_bytes": 16 * KIB, "stream_threshold_bytes": 4 * KIB} | limits)
         )
-        self.brick = self.server(Brick)
-        self.list(Box("b0", self.brick.address, 0))
+        self.brick = self.server(EmulatedBackend)
+        self.list(EmulatedEndpoint("b0", self.brick.address, 0))
         self.listener: Listener = self.front()
 
     def begun(self, value: bytes, given: int, id: str = "r1") -> LoopbackClient:
         """A client whose value is on its way: the brick has given so many bytes of its answer."""
         client = self.peer(self.listener.address)
-        self.brick.script = [answer(value)[:given]]
+        self.brick.scripted_responses = [answer(value)[:given]]
         client.say(read_command(id, d=1000))
         return client
 
@@ -69,23 +69,23 @@
     assert len(instance.core.finals[0]) == 1, "answered, and open to its last byte"
     assert instance.core.open_requests == 1, "answered, and open to its last byte"
     assert [a.outcome for a in instance.core.starts] == [api.Outcome.SERVED]
-    [conn] = instance.brick.conns
+    [conn] = instance.brick.connections
     conn.write(answer(value)[30_000:])
     instance.settle()
     assert client.got == codec.bulk(value)
     assert instance.core.open_requests == 0
     assert instance.core.metrics.success["read"] == 1
     assert client.say(read_command("r2")) == b"$0\r\n\r\n", "both are used again"
-    assert len(instance.brick.conns) == 1, "both are used again"
+    assert len(instance.brick.connections) == 1, "both are used again"
 
 
 def test_the_result_reports_the_time_to_the_first_byte_not_to_the_last() -> None:
     instance = Store()
-    instance.brick.script = [None]
+    instance.brick.scripted_responses = [None]
     client = instance.peer(instance.listener.address)
     client.say(read_command(d=1000))
     instance.run(40 * MS)
-    [(_, conn)] = instance.brick.held
+    [(_, conn)] = instance.brick.held_commands
     for piece in (b"*3\r\n$1000\r\n", b"x" * 1000, b"\r\n$-1\r\n$-1\r\n"):
         conn.write(piece)
         instance.run(30 * MS)
@@ -96,7 +96,7 @@
 def test_a_backend_reset_after_1_of_4_mib_closes_the_clients_connection_without_a_retry() -> None:
     instance = Store()
     client = instance.begun(b"v" * (4 * MIB), MIB)
-    instance.brick.drop()
+    instance.brick.close_connections()
     instance.settle()
     assert client.closed
     assert MIB - 100 <= len(client.got) <= MIB
@@ -108,7 +108,7 @@
 def test_a_backend_that_stops_mid_value_has_failed_and_a_slow_one_has_not() -> None:
     instance, value = Store(), b"v" * (64 * KIB)
     client = instance.begun(value, 20_000)
-    [conn] = instance.brick.conns
+    [conn] = instance.brick.connections
     for at in range(20_000, 60_000, 10_000):
         instance.run(instance.limits.stream_stall_us - 100 * MS, step_us=100 * MS)
         conn.write(answer(value)[at : at + 10_000])
@@ -116,7 +116,7 @@
     assert not client.closed
     instance.run(instance.limits.stream_stall_us + 100 * MS, step_us=100 * MS)
     assert client.closed
-    assert not instance.brick.conns
+    assert not instance.brick.connections
 
 
 def test_a_client_that_reads_nothing_holds_one_window_and_delays_no_other() -> None:
@@ -150,7 +150,7 @@
     instance = Store()
     client = instance.begun(b"v" * MIB, 30_000)
     client.close()
-    assert not instance.brick.conns
+    assert not instance.brick.connections
     assert instance.core.open_requests == 0
     assert len(instance.listener) == 0
 
@@ -158,7 +158,7 @@
 def test_a_streamed_value_keeps_its_place_among_pipelined_answers() -> None:
     instance, value = Store(), b"v" * (200 * KIB)
     client = instance.peer(instance.listener.address)
-    instance.brick.script = [None, answer(value), answer(b"last")]
+    instance.brick.scripted_responses = [None, answer(value), answer(b"last")]
     client.say(b"".join(read_command(f"r{i}", volume=f"v{i}") for i in range(3)))
     assert client.got == b""
     instance.brick.data[b"k"] = b"first"
@@ -170,7 +170,7 @@
 def test_a_value_cut_short_before_streaming_is_an_error_and_the_connection_stays() -> None:
     instance = Store()
     client = instance.peer(instance.listener.address)
-    instance.brick.script = [None, answer(b"v" * (200 * KIB))[:30_000]]
+    instance.brick.scripted_responses = [None, answer(b"v" * (200 * KIB))[:30_000]]
     client.say(read_command("r0") + read_command("r1", volume="v1"))
     for conns in list(instance.bricks._conns.values()):
         for conn in [c for c in conns if c.machine.body]:
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux
 from garnetlanding.store.cached_endpoints import ENDPOINT_PREFIX
@@ -23,11 +23,13 @@
     walked = tool.say(p9.encode(1, p9.Twalk(0, 1, ("doc",))))
     assert p9.decode(walked[4], walked[7:]) == p9.Rwalk((h.files.disk.qid(h.files.disk.find("doc")),))
     assert [type(m) for m in h.files.heard] == [p9.Tversion, codec_linux.Tlattach, p9.Twalk, p9.Tclunk]
-    other = h.server(Brick)
-    h.discovery.tell(Box("b0", h.brick.address, 0, "DRAINING"), Box("b1", other.address, 0))
+    other = h.server(EmulatedBackend)
+    h.discovery.publish(
+        EmulatedEndpoint("b0", h.brick.address, 0, "DRAINING"), EmulatedEndpoint("b1", other.address, 0)
+    )
     h.settle()
     h.client().say(read_command("r2"))
-    assert len(other.heard) == 1
+    assert len(other.received) == 1
     assert set(h.daemon.store.with_prefix(ENDPOINT_PREFIX)) == {
         ENDPOINT_PREFIX + "b0",
         ENDPOINT_PREFIX + "b1",
@@ -44,40 +46,42 @@
     h.daemon.reload()
     h.settle()
     assert len(h.discovery.calls) == 1, "the watch that stands goes on"
-    h.discovery.conns[0].write(b"0\r\n\r\n")
+    h.discovery.connections[0].write(b"0\r\n\r\n")
     h.run(2 * SECOND)
     assert len(h.discovery.calls) == 2
-    other = h.server(Brick)
-    h.discovery.tell(Box("b0", h.brick.address, 0, "DRAINING"), Box("b1", other.address, 0))
+    other = h.server(EmulatedBackend)
+    h.discovery.publish(
+        EmulatedEndpoint("b0", h.brick.address, 0, "DRAINING"), EmulatedEndpoint("b1", other.address, 0)
+    )
     h.settle()
     h.client().say(read_command("r2"))
-    assert len(other.heard) == 1
-    assert not h.brick.heard
+    assert len(other.received) == 1
+    assert not h.brick.received
 
 
 def test_backend_drained_with_an_attempt_in_flight_answers_it_and_gets_no_new_one() -> None:
     h = SimulatedDaemon(settings=PLATFORM_SETTINGS | {"MembershipMode": "pushed"})
-    h.brick.script = [None]
+    h.brick.scripted_responses = [None]
     client, late = h.client(), h.client()
     client.say(read_command())
     half = read_command("r2", volume="w")
     late.say(half[:-8])
-    h.discovery.tell(Box("b0", h.brick.address, 0, "DRAINING"))
+    h.discovery.publish(EmulatedEndpoint("b0", h.brick.address, 0, "DRAINING"))
     h.settle()
     late.say(half[-8:])
-    assert len(h.brick.heard) == 1, "what came half before the drain goes nowhere"
+    assert len(h.brick.received) == 1, "what came half before the drain goes nowhere"
     h.brick.release()
     h.settle()
     assert client.got == b"$0\r\n\r\n", "what was out is answered"
     h.run(SECOND, 50 * MS)
     assert late.got.startswith(b"-BUSY")
-    assert len(h.brick.heard) == 1
+    assert len(h.brick.received) == 1
 
 
 def test_shutdown_serves_clients_until_draining_and_answers_every_open_request() -> None:
     """Closed at once, a client's connection leaves it nobody to ask until the head is back."""
     h = SimulatedDaemon(settings=SLOW_SETTINGS)
-    h.brick.script = [None]
+    h.brick.scripted_responses = [None]
     busy, idle = h.client(), h.client()
     busy.say(read_command(d=3000))
     h.daemon.scheduler.spawn(h.daemon.end)
@@ -103,7 +107,7 @@
 
 def test_shutdown_rejects_requests_still_open_before_sigkill() -> None:
     h = SimulatedDaemon(settings=SLOW_SETTINGS)
-    h.brick.script = [None]
+    h.brick.scripted_responses = [None]
     slow = h.client()
     h.daemon.scheduler.spawn(h.daemon.end)
     h.run(SECOND)
--- a/tests/daemon/test_graceful_shutdown.py
+++ b/tests/daemon/test_graceful_shutdown.py
@@ -75,7 +75,7 @@
     h = SimulatedDaemon(
         settings=PLATFORM_SETTINGS | {"Classes": [PLATFORM_SETTINGS["Classes"][0] | {"GiveUpUs": longest_us}]}
     )
-    h.brick.hold = True
+    h.brick.holds_responses = True
     client = Raw(h, h.daemon.listeners[0].address)
     h.daemon.scheduler.spawn(h.daemon.end)
     h.run(400 * MS)
@@ -179,4 +179,4 @@
     assert len(w.listener._clients) == 3
     assert len(w.listener) <= 3 + w.limits.linger_conns
     w.settle()
-    assert len(w.brick.heard) == 6, "three that were idle, three that waited"
+    assert len(w.brick.received) == 6, "three that were idle, three that waited"
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from garnetlanding.emulator.discovery import Box, Discovery
+from garnetlanding.emulator.discovery import Discovery, EmulatedEndpoint
 from garnetlanding.store.cached_endpoints import SETTINGS as SETTINGS_KEY
 from tests.support.clock import MS, SECOND
 from tests.support.daemon import PLATFORM_SETTINGS, SimulatedDaemon, restored_signal_handlers
@@ -17,17 +17,20 @@
 
 def test_reload_switches_to_the_new_discovery_at_once_while_requests_run_on() -> None:
     h = SimulatedDaemon()
-    h.brick.script = [None]
+    h.brick.scripted_responses = [None]
     client = h.client()
     client.say(read_command(d=1400))
     second = h.server(Discovery)
-    second.boxes = [Box("b0", h.brick.address, 0), Box("b1", h.brick.address, 1)]
+    second.endpoints = [
+        EmulatedEndpoint("b0", h.brick.address, 0),
+        EmulatedEndpoint("b1", h.brick.address, 1),
+    ]
     # The environment still has the old address: it must not hide what the file newly says.
     h.file = h.file | {"discovery": second.address}
     h.daemon.reload()
     h.settle()
     assert second.calls == ["/v1/servers?follow=1&since=0"], "another's versions mean nothing here"
-    assert not h.discovery.conns
+    assert not h.discovery.connections
     assert h.daemon.core.endpoints.address_of("b1")
     h.brick.release()
     h.settle()
--- a/tests/daemon/test_store_roles.py
+++ b/tests/daemon/test_store_roles.py
@@ -9,7 +9,7 @@
 
 from garnetlanding import config
 from garnetlanding.daemon import Daemon
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.store.cached_endpoints import ENDPOINT_PREFIX
 from garnetlanding.store.cached_endpoints import SETTINGS as SETTINGS_KEY
 from garnetlanding.store.persister import load
@@ -41,7 +41,7 @@
     path = str(tmp_path / "store.json")
     operator = {"store": {"role": "alone", "file": path}}
     first = SimulatedDaemon(operator)
-    first.discovery.tell(Box("b9", first.brick.address, 5))
+    first.discovery.publish(EmulatedEndpoint("b9", first.brick.address, 5))
     first.run(SECOND, 100 * MS)
     kept = load(path)
     assert kept
--- a/tests/discovery/test_listing.py
+++ b/tests/discovery/test_listing.py
@@ -8,10 +8,10 @@
 
 from garnetlanding.decision.interface import EndpointState
 from garnetlanding.discovery.listing import ListError, read_list
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from tests.support.clock import SECOND
 
-ENTRY = Box("s-1", "10.1.0.18:6379", 3).entry()
+ENTRY = EmulatedEndpoint("s-1", "10.1.0.18:6379", 3).entry()
 
 
 def test_an_entry_is_read_into_the_cores_terms() -> None:
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -9,7 +9,7 @@
 
 from garnetlanding.decision import interface as api
 from garnetlanding.discovery.watch import Watch, WatchCallbacks, WatchRuntime
-from garnetlanding.emulator.discovery import Box, Discovery, DiscoveryConn
+from garnetlanding.emulator.discovery import Discovery, DiscoveryConnection, EmulatedEndpoint
 from garnetlanding.limits import Limits
 from tests.support.clock import MS, SECOND
 from tests.support.decision_bench import DecisionBench, make_settings, up_endpoint
@@ -21,7 +21,7 @@
         super().__init__()
         self.pushed = pushed
         self.discovery = self.server(Discovery)
-        self.discovery.boxes = [Box("b0", "127.0.0.1:9", 0)]
+        self.discovery.endpoints = [EmulatedEndpoint("b0", "127.0.0.1:9", 0)]
         self.heard: list[str] = []
         callbacks = WatchCallbacks(
             lambda listing: self.heard.extend(e.node + ":" + e.state.value for e in listing.entries),
@@ -52,20 +52,20 @@
     def __init__(self, instances: int = 6) -> None:
         super().__init__(make_settings(instances=instances, poll_endpoints=True))
         self.discovery = self.server(Discovery)
-        self.discovery.boxes = [Box("b0", "127.0.0.1:9", 0)]
+        self.discovery.endpoints = [EmulatedEndpoint("b0", "127.0.0.1:9", 0)]
         callbacks = WatchCallbacks(
             self.core.update_endpoints, self.core.endpoint_update_failed, lambda _data: None
         )
         runtime = WatchRuntime(self.scheduler, self.pool, self.limits, lambda us: us)
         self.watch = self.core.subscriptions = Watch(runtime, callbacks, self.discovery.address)
-        self.list(*self.discovery.boxes)
+        self.list(*self.discovery.endpoints)
 
 
 def test_a_watch_starts_at_the_cached_version_and_delivers_changes() -> None:
     instance = WatchedDiscovery()
     assert instance.discovery.calls == ["/v1/servers?follow=1&since=41"]
-    instance.discovery.tell(Box("b0", "127.0.0.1:9", 0, "DRAINING"))
-    instance.discovery.conns[0].write(b"1\r\n\n\r\n")  # nothing has changed
+    instance.discovery.publish(EmulatedEndpoint("b0", "127.0.0.1:9", 0, "DRAINING"))
+    instance.discovery.connections[0].write(b"1\r\n\n\r\n")  # nothing has changed
     instance.settle()
     assert instance.heard == ["b0:up", "b0:draining"]
     instance.watch.subscribe()  # asked again while it runs: one call more, no failure
@@ -79,7 +79,7 @@
     instance = WatchedDiscovery()
     instance.run(2500 * MS, step_us=100 * MS)
     assert "failed" not in instance.heard
-    instance.discovery.conns[0].write(b"1\r\n\n\r\n")
+    instance.discovery.connections[0].write(b"1\r\n\n\r\n")
     instance.run(2500 * MS, step_us=100 * MS)
     assert "failed" not in instance.heard
     instance.run(500 * MS, step_us=100 * MS)
@@ -100,19 +100,19 @@
 )
 def test_a_watch_that_ends_or_is_malformed_fails_once(say: bytes) -> None:
     instance = WatchedDiscovery()
-    instance.discovery.conns[0].write(say)
+    instance.discovery.connections[0].write(say)
     instance.settle()
     assert instance.heard == ["b0:up", "failed"]
-    assert not instance.discovery.conns
+    assert not instance.discovery.connections
 
 
 def test_changes_of_an_older_list_are_refused_and_the_complete_list_is_asked_for() -> None:
     instance = WatchedDiscovery()
     instance.discovery.version = 6
-    instance.discovery.tell(Box("b0", "127.0.0.1:9", 0, "DRAINING"))
+    instance.discovery.publish(EmulatedEndpoint("b0", "127.0.0.1:9", 0, "DRAINING"))
     instance.settle()
     instance.discovery.version = 3
-    instance.discovery.tell(Box("b0", "127.0.0.1:9", 0))
+    instance.discovery.publish(EmulatedEndpoint("b0", "127.0.0.1:9", 0))
     instance.settle()
     assert instance.heard == ["b0:up", "b0:draining", "failed"]
     instance.watch.subscribe()
@@ -122,7 +122,7 @@
 
 def test_each_call_that_fails_is_reported() -> None:
     instance = WatchedDiscovery()
-    instance.discovery.down = True
+    instance.discovery.is_down = True
     instance.watch.subscribe()
     instance.settle()
     assert instance.heard[-1] == "failed"
@@ -136,7 +136,7 @@
     """Were it not told, nobody would ask again, and drains would go unheard."""
     instance = WatchedDiscovery()
     monkeypatch.setattr(instance, "persist", lambda _data: 1 / 0)
-    instance.discovery.tell(Box("b0", "127.0.0.1:9", 0, "DRAINING"))
+    instance.discovery.publish(EmulatedEndpoint("b0", "127.0.0.1:9", 0, "DRAINING"))
     instance.settle()
     assert instance.heard[-1] == "failed"
 
@@ -150,9 +150,9 @@
     instance.watch.subscribe()
     instance.run(2100 * MS, step_us=100 * MS)
     assert "failed" not in instance.heard
-    instance.discovery.down = True
-    latest = instance.discovery.conns[-1]
-    assert isinstance(latest, DiscoveryConn)
+    instance.discovery.is_down = True
+    latest = instance.discovery.connections[-1]
+    assert isinstance(latest, DiscoveryConnection)
     answer(instance.discovery, latest)
     instance.settle()
     assert instance.heard[-1] == "queued", "it had waited its turn for nothing: the next is to come later"
@@ -177,8 +177,8 @@
     instance.watch.keep_open()  # new settings of the same form: the watch that stands goes on
     instance.settle()
     assert len(instance.discovery.calls) == 1
-    instance.discovery.boxes[0].state = "DRAINING"
-    instance.discovery.conns[0].write(b"0\r\n\r\n")
+    instance.discovery.endpoints[0].state = "DRAINING"
+    instance.discovery.connections[0].write(b"0\r\n\r\n")
     instance.run(instance.limits.agent_retry_us)
     assert instance.heard == ["b0:up", "b0:draining"]
     assert len(instance.discovery.calls) == 2
@@ -188,25 +188,25 @@
     instance = WatchedDiscovery(pushed=True)
     with monkeypatch.context() as silent:
         silent.setattr(Discovery, "answer", lambda _self, _conn: None)
-        instance.discovery.conns[0].write(b"0\r\n\r\n")
+        instance.discovery.connections[0].write(b"0\r\n\r\n")
         instance.run(3 * SECOND)
         assert len(instance.discovery.calls) > 3, "the core need not ask"
         assert instance.heard == ["b0:up"], "the core need not ask"
-    instance.discovery.boxes[0].state = "DRAINING"
+    instance.discovery.endpoints[0].state = "DRAINING"
     instance.run(instance.limits.agent_answer_us + instance.limits.agent_retry_us)
     assert instance.heard[-1] == "b0:draining"
 
 
 def test_a_change_to_polled_lists_leaves_the_next_call_to_the_engine() -> None:
     instance = WatchedDiscovery(pushed=True)
-    instance.discovery.down = True
-    instance.discovery.conns[0].write(b"0\r\n\r\n")
+    instance.discovery.is_down = True
+    instance.discovery.connections[0].write(b"0\r\n\r\n")
     instance.settle()
     instance.pushed = False
     instance.run(2 * instance.limits.agent_retry_us)
     assert instance.heard == ["b0:up", "failed"]
     instance.pushed = True
-    instance.discovery.down = False
+    instance.discovery.is_down = False
     instance.watch.keep_open()
     instance.settle()
     assert instance.heard[-1] == "b0:up"
@@ -216,15 +216,15 @@
     """Ways of an answer that leave an instance without its list, though the connection stands."""
 
     @staticmethod
-    def nothing(discovery: Discovery, conn: DiscoveryConn) -> None:
+    def nothing(discovery: Discovery, conn: DiscoveryConnection) -> None:
         pass
 
     @staticmethod
-    def headers_only(_discovery: Discovery, conn: DiscoveryConn) -> None:
+    def headers_only(_discovery: Discovery, conn: DiscoveryConnection) -> None:
         conn.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
     @staticmethod
-    def partial_line(discovery: Discovery, conn: DiscoveryConn) -> None:
+    def partial_line(discovery: Discovery, conn: DiscoveryConnection) -> None:
         UnresponsiveAnswer.headers_only(discovery, conn)
         conn.write(b'9\r\n{"genera\r\n')
 
@@ -236,7 +236,7 @@
 )
 @pytest.mark.parametrize("drips", [False, True], ids=["silent", "dripping"])
 def test_after_an_unresponsive_call_the_next_list_is_there_within_6_s(
-    way: Callable[[Discovery, DiscoveryConn], None], drips: bool, monkeypatch: pytest.MonkeyPatch
+    way: Callable[[Discovery, DiscoveryConnection], None], drips: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A call that hung was waited for 6 s, and headers alone or a line in drips kept it for good: a drain was
     received 2.4 s after it counted as notified (close range, first site, seed 35, two instances of six)."""
@@ -248,10 +248,10 @@
     instance.settle()
     monkeypatch.setattr(Discovery, "answer", answer)
     silent_from = instance.time
-    instance.discovery.boxes[0].state = "DRAINING"
+    instance.discovery.endpoints[0].state = "DRAINING"
     while instance.core.endpoints.address_of("b0"):
-        if drips and instance.discovery.conns and len(instance.discovery.calls) == 2:
-            instance.discovery.conns[-1].write(b"1\r\n \r\n")
+        if drips and instance.discovery.connections and len(instance.discovery.calls) == 2:
+            instance.discovery.connections[-1].write(b"1\r\n \r\n")
         instance.run(50 * MS)
         assert instance.time <= silent_from + 5 * SECOND, "of the 6 s the rest is for discovery's answer"
 
@@ -261,7 +261,7 @@
     and what the old one said of its own list was taken for the new one's."""
     instance = WatchedDiscovery()
     other = instance.server(Discovery)
-    other.version, other.boxes = 9, [Box("b7", "127.0.0.1:9", 7)]
+    other.version, other.endpoints = 9, [EmulatedEndpoint("b7", "127.0.0.1:9", 7)]
     old = instance.discovery
     instance.watch.subscribe()
     for _ in range(100):
@@ -271,8 +271,8 @@
     instance.watch.switch_to(other.address)
     instance.settle()
     assert len(old.calls) == 1, "nobody follows the old one"
-    assert not old.conns, "nobody follows the old one"
-    old.tell(Box("b0", "127.0.0.1:9", 0, "DRAINING"))
+    assert not old.connections, "nobody follows the old one"
+    old.publish(EmulatedEndpoint("b0", "127.0.0.1:9", 0, "DRAINING"))
     instance.settle()
     assert instance.heard == ["b0:up", "b7:up"]
     assert instance.watch.version == 9
@@ -282,9 +282,9 @@
     """The clock had passed the deadline when the process ran again, and the bytes that had come were not
     looked at: a watch that stood was given up, and its call made once more."""
     instance = WatchedDiscovery()
-    instance.discovery.boxes[0].state = "DRAINING"
+    instance.discovery.endpoints[0].state = "DRAINING"
     instance.run(2 * SECOND, step_us=100 * MS)
-    instance.discovery.tell(*instance.discovery.boxes)
+    instance.discovery.publish(*instance.discovery.endpoints)
     instance.time += SECOND  # written, not yet read
     instance.settle()
     assert instance.heard == ["b0:up", "b0:draining"]
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -43,7 +43,7 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.discovery.listing import ListError, read_list
 from garnetlanding.discovery.watch import Watch, WatchCallbacks, WatchRuntime
-from garnetlanding.emulator.base import Conn, Server
+from garnetlanding.emulator.base import EmulatedConnection, EmulatedServer
 from garnetlanding.http.errors import HttpError
 from garnetlanding.http.request import RequestParser
 from garnetlanding.http.response import ResponseParser
@@ -741,7 +741,7 @@
 # 3. HTTP.
 
 
-class RecordingConn(Conn):
+class RecordingConn(EmulatedConnection):
     """Keeps what it is fed and says nothing, or what the server's answer is once a call is whole."""
 
     server: RecordingServer
@@ -756,7 +756,7 @@
             self.write(self.server.reply)
 
 
-class RecordingServer(Server):
+class RecordingServer(EmulatedServer):
     machine = RecordingConn
     reply = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -44,7 +44,7 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.emulator import budget_net, group_net, lease_net, suspicion_net
-from garnetlanding.emulator.base import Conn, Server
+from garnetlanding.emulator.base import EmulatedConnection, EmulatedServer
 from garnetlanding.history.writer import HistoryWriter
 from garnetlanding.lab.history import CorruptHistoryError
 from garnetlanding.lab.history import read as read_history
@@ -754,7 +754,7 @@
 # OTLP
 
 
-class CollectorConn(Conn):
+class CollectorConn(EmulatedConnection):
     """Keeps each request as it came, and takes it."""
 
     server: CollectorServer
@@ -769,7 +769,7 @@
             self.write(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\n{}")
 
 
-class CollectorServer(Server):
+class CollectorServer(EmulatedServer):
     machine = CollectorConn
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -30,7 +30,7 @@
 from garnetlanding import cli
 from garnetlanding.core.metrics import RequestMetrics
 from garnetlanding.core.ports import Failed, Rejected, Served
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.ops import admin_client
 from garnetlanding.ops.admin_connection import AdminConnection
 from garnetlanding.ops.admin_service import AdminService
@@ -585,7 +585,7 @@
             endpoints_known=lambda: True,
         )
         self.service = AdminService(instance, StateFile(str(folder), "n1"), access, shared)
-        self.list(Box("b0", "127.0.0.1:1", 0), Box("b1", "127.0.0.1:1", 1))
+        self.list(EmulatedEndpoint("b0", "127.0.0.1:1", 0), EmulatedEndpoint("b1", "127.0.0.1:1", 1))
         self.core.metrics = RequestMetrics(["read", "write", "save.big"])
         for cls, answer in (("read", Served(b"")), ("read", Failed("x")), ("save.big", Rejected())):
             self.core.metrics.record(cls, answer)
--- a/tests/integration/test_mixed_protocols.py
+++ b/tests/integration/test_mixed_protocols.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from garnetlanding.decision.interface import Outcome
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.emulator.fileserver import FileServer
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep.client import file_servers
@@ -34,12 +34,12 @@
         self.nine_at: dict[str, str] = {}
         self.bricks_up, self.files_up, self.boxes = [], [], []
         for i in range(2):
-            brick = self.server(Brick)
+            brick = self.server(EmulatedBackend)
             files = self.server(FileServer, tree={"doc": b"text"})
             self.bricks_up.append(brick)
             self.files_up.append(files)
             self.nine_at[brick.address] = files.address
-            self.boxes.append(Box(f"b{i}", brick.address, 0))
+            self.boxes.append(EmulatedEndpoint(f"b{i}", brick.address, 0))
         nine = file_servers(self.scheduler, self.pool, self.limits, 0)
         nine._place = self.nine_at.__getitem__
         exports = {"": Export("", "v9", "gold", "read", 0, SECOND)}
@@ -63,14 +63,14 @@
         """What may happen to the first backend of each protocol."""
         match step:
             case "hold":
-                self.bricks_up[0].script.append(None)
+                self.bricks_up[0].scripted_responses.append(None)
                 self.files_up[0].hold = lambda _: True
             case "release":
                 self.bricks_up[0].release()
                 self.files_up[0].release()
             case "drop":
-                self.bricks_up[0].drop()
-                self.files_up[0].drop()
+                self.bricks_up[0].close_connections()
+                self.files_up[0].close_connections()
             case "drain":
                 self.change(0, "DRAINING")
             case "back":
@@ -137,7 +137,7 @@
         instance.scheduler.turn(1)
     instance.core.endpoints.set_disabled(frozenset({"b0", "b1"}), instance.time)
     instance.settle()
-    assert not any(b.heard for b in instance.bricks_up)
+    assert not any(b.received for b in instance.bricks_up)
     assert not any(f.heard for f in instance.files_up)
     assert {a.outcome for a in instance.core.starts} == {Outcome.UNREACHABLE}
 
--- a/tests/integration/test_process_signals.py
+++ b/tests/integration/test_process_signals.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box, Discovery, DiscoveryConn
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import Discovery, DiscoveryConnection, EmulatedEndpoint
 from garnetlanding.resp import codec
 from tests.support.daemon import PLATFORM_CONFIG, PLATFORM_SETTINGS
 from tests.support.simulated_instance import SimulatedInstance
@@ -145,23 +145,27 @@
     assert child.wait(LONGEST_S) == 0
 
 
-def silent(discovery: Discovery, conn: DiscoveryConn) -> None:
+def silent(discovery: Discovery, conn: DiscoveryConnection) -> None:
     """Takes the call and says nothing."""
 
 
-def refuses(_discovery: Discovery, conn: DiscoveryConn) -> None:
+def refuses(_discovery: Discovery, conn: DiscoveryConnection) -> None:
     conn.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 
 
 @pytest.mark.parametrize("way", [silent, refuses])
 def test_drain_reaches_three_processes_within_6_s_while_idle_clients_hold_every_place(
-    way: Callable[[Discovery, DiscoveryConn], None], heads: Heads, monkeypatch: pytest.MonkeyPatch
+    way: Callable[[Discovery, DiscoveryConnection], None], heads: Heads, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All lose their watch at once, and the calls that follow hang or are refused for a while. Then discovery
     is back, with a drain: from then on it counts as told after 6 s."""
     world = SimulatedInstance()
-    discovery, old, new = world.server(Discovery), world.server(Brick), world.server(Brick)
-    discovery.boxes = [Box("b0", old.address, 0)]
+    discovery, old, new = (
+        world.server(Discovery),
+        world.server(EmulatedBackend),
+        world.server(EmulatedBackend),
+    )
+    discovery.endpoints = [EmulatedEndpoint("b0", old.address, 0)]
     ports = [free_port() for _ in range(3)]
     children = []
     for n, port in enumerate(ports):
@@ -174,7 +178,7 @@
                     "listen": f"127.0.0.1:{port}",
                     "discovery": discovery.address,
                     "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 128},
-                    "known": {"generation": 0, "reset": True, "instances": [discovery.boxes[0].entry()]},
+                    "known": {"generation": 0, "reset": True, "instances": [discovery.endpoints[0].entry()]},
                     "settings": PLATFORM_SETTINGS | {"Balancers": 3, "Me": n},
                 }
             )
@@ -189,7 +193,9 @@
             world.scheduler.turn(10)
         return until()
 
-    assert turns(lambda: sum(isinstance(c, DiscoveryConn) for c in discovery.conns) == 3, LONGEST_S)
+    assert turns(
+        lambda: sum(isinstance(c, DiscoveryConnection) for c in discovery.connections) == 3, LONGEST_S
+    )
     crowd = []
     for port in ports:
         for _ in range(100):
@@ -199,14 +205,17 @@
                 break
     answer = Discovery.answer
     monkeypatch.setattr(Discovery, "answer", way)
-    discovery.drop()
+    discovery.close_connections()
     calls = len(discovery.calls)
     assert turns(lambda: len(discovery.calls) >= calls + 6, LONGEST_S), "each has asked twice in vain"
-    discovery.boxes = [Box("b0", old.address, 0, "DRAINING"), Box("b1", new.address, 0)]
+    discovery.endpoints = [
+        EmulatedEndpoint("b0", old.address, 0, "DRAINING"),
+        EmulatedEndpoint("b1", new.address, 0),
+    ]
     back = time.monotonic()
-    told: dict[DiscoveryConn, float] = {}
+    told: dict[DiscoveryConnection, float] = {}
 
-    def tells(self: Discovery, conn: DiscoveryConn) -> None:
+    def tells(self: Discovery, conn: DiscoveryConnection) -> None:
         told[conn] = time.monotonic()
         answer(self, conn)
 
--- a/tests/integration/test_rolling_upgrade.py
+++ b/tests/integration/test_rolling_upgrade.py
@@ -8,8 +8,8 @@
 
 from garnetlanding import config
 from garnetlanding.daemon import Daemon
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from tests.support.clock import MS, SECOND
 from tests.support.daemon import PLATFORM_CONFIG
 from tests.support.simulated_instance import LoopbackClient, SimulatedInstance, read_command
@@ -23,7 +23,7 @@
     def __init__(self, folder: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
         super().__init__()
         monkeypatch.setattr("tempfile.gettempdir", lambda: str(folder))
-        self.brick = self.server(Brick)
+        self.brick = self.server(EmulatedBackend)
         probe = self.front()
         self.address = probe.address
         probe.stop_accepting()
@@ -40,7 +40,7 @@
                     "known": {
                         "generation": 4,
                         "reset": True,
-                        "instances": [Box("b0", self.brick.address, 0).entry()],
+                        "instances": [EmulatedEndpoint("b0", self.brick.address, 0).entry()],
                     },
                 }
             ),
@@ -86,12 +86,12 @@
     assert upgrade.call(new, "/-/ready", "GET") == "503", "no list yet, and discovery is away"
     upgrade.run(1300 * MS)
     assert upgrade.call(new, "/-/ready", "GET") == "200", "with the list it was started with"
-    upgrade.brick.hold = True
+    upgrade.brick.holds_responses = True
     clients[0].say(read_command("busy"))
     old.scheduler.spawn(old.end)
     upgrade.run(100 * MS)
     assert [c.closed for c in clients] == [False] + [True] * 5, "idle ones have somewhere to go"
-    upgrade.brick.hold = False
+    upgrade.brick.holds_responses = False
     upgrade.brick.release()
     upgrade.run(300 * MS)
     assert clients[0].got.endswith(b"$0\r\n\r\n")
--- a/tests/ninep/test_flush_clunk_disconnect.py
+++ b/tests/ninep/test_flush_clunk_disconnect.py
@@ -102,7 +102,7 @@
     create(tool, 6, "temp", mode=p9.ORDWR | p9.ORCLOSE)
     instance.files[0].script.add(Rule(p9.Twalk, Fault.STALL))
     instance.nine._idle.clear()
-    instance.files[0].drop()
+    instance.files[0].close_connections()
     tool.send(p9.Twrite(5, 0, b"x"), tag=1)
     tool.send(p9.Tclunk(5), tag=2)
     tool.close()
--- a/tests/ninep/test_session_reads.py
+++ b/tests/ninep/test_session_reads.py
@@ -63,7 +63,7 @@
     assert conn._stream
     conn._stream.on_flushed = None
     conn._write(b"")  # a further message, none of it with the kernel yet
-    instance.files[0].drop()
+    instance.files[0].close_connections()
     instance.settle()
     assert instance.core.starts[-1].outcome is Outcome.RESET
 
@@ -113,7 +113,7 @@
     assert tool.send(p9.Tread(5, 0, 100), tag=2) == []
     answers = tool.send(p9.Tclunk(5), tag=3)
     assert answers == [(2, p9.Rerror("fid clunked")), (3, p9.Rclunk())]
-    assert len(instance.files[0].conns) == 0, "the attempt's connection is closed"
+    assert len(instance.files[0].connections) == 0, "the attempt's connection is closed"
     instance.files[0].release()
     instance.settle()
     assert len(tool.answers) == 6, "nothing more comes for the tag"
@@ -174,7 +174,7 @@
     tool.close()
     assert instance.core.open_requests == 0
     assert not instance.core._requests
-    assert len(instance.files[0].conns) == 0
+    assert len(instance.files[0].connections) == 0
 
 
 def test_new_version_ends_the_session() -> None:
@@ -276,7 +276,7 @@
     instance.hold(p9.Tread)
     tool.send(p9.Tread(5, 4000, 4000), tag=2)
     instance.files[0].listener.stop_accepting()
-    instance.files[0].drop()
+    instance.files[0].close_connections()
     instance.boxes[0].state = "DELETED"
     instance.list(instance.boxes[0], instance.boxes[1], whole=False)
     instance.run(300 * MS)
@@ -308,7 +308,7 @@
     assert tool.answers[-1][0] == 2
     assert error_text(tool.answers[-1][1]).startswith("busy")
     assert instance.core.open_requests == 0
-    assert len(instance.files[0].conns) == 0
+    assert len(instance.files[0].connections) == 0
 
 
 def test_fids_and_tags_are_bounded() -> None:
@@ -327,7 +327,7 @@
     tool = NinepClient(instance)
     tool.open(5, "readme")
     tool.open(6, "sv", "notes")
-    conn = instance.files[0].conns[0]
+    conn = instance.files[0].connections[0]
     assert len(getattr(conn, "fids")) == 2, "the root and one file"  # noqa: B009
     assert isinstance(tool.ask(p9.Tread(5, 0, 9)), p9.Rread)
 
--- a/tests/ops/test_admin_service.py
+++ b/tests/ops/test_admin_service.py
@@ -25,12 +25,12 @@
     client = instance.peer(instance.clients.address)
     assert client.say(read_command(id="r1")).startswith(b"$")
     assert [instance.call(f"/-/bricks/b0/{what}")[0] for what in ("disable", "disable")] == [200, 200]
-    seen = len(instance.brick.heard)
+    seen = len(instance.brick.received)
     instance.list(*instance.boxes)
     instance.list(instance.boxes[0], whole=False)
     instance.peer(instance.clients.address).say(read_command(id="r2", d=400))
     instance.run(500 * MS)
-    assert len(instance.brick.heard) == seen
+    assert len(instance.brick.received) == seen
     assert instance.metrics()["targets_disabled"] == 1
     assert instance.metrics()["targets"] == 2
     assert instance.call("/-/bricks/b0/enable")[0] == 200, "one call back undoes both"
@@ -43,11 +43,11 @@
 def test_requests_queued_for_the_only_backend_of_a_cell_are_rejected_when_it_is_disabled(
     instance: AdministeredInstance,
 ) -> None:
-    instance.brick.hold = True
+    instance.brick.holds_responses = True
     clients = [instance.peer(instance.clients.address) for _ in range(8)]
     for i, client in enumerate(clients):
         client.say(read_command(f"r{i}", volume=f"v{i}", d=1500))
-    assert len(instance.brick.heard) == 4, "the rest are held"
+    assert len(instance.brick.received) == 4, "the rest are held"
     instance.call("/-/bricks/b0/disable")
     assert [c.got for c in clients[4:]] == [b"-BUSY 1000\r\n"] * 4
     late = instance.peer(instance.clients.address)
@@ -92,10 +92,10 @@
 
 
 def test_attempt_in_flight_to_a_disabled_backend_may_finish(instance: AdministeredInstance) -> None:
-    instance.brick.hold = True
+    instance.brick.holds_responses = True
     client = instance.peer(instance.clients.address)
     client.say(read_command(id="r1"))
-    assert len(instance.brick.heard) == 1, "written whole before the ban"
+    assert len(instance.brick.received) == 1, "written whole before the ban"
     instance.call("/-/bricks/b0/disable")
     instance.brick.release()
     instance.settle()
--- a/tests/ops/test_drain.py
+++ b/tests/ops/test_drain.py
@@ -21,7 +21,7 @@
     instance.run(1200 * MS)
     assert used.say(read_command(id="r2")).startswith(b"$")
     assert not idle.closed
-    instance.brick.hold = True
+    instance.brick.holds_responses = True
     busy.say(read_command(id="r3", d=1500))
     instance.run(300 * MS)
     assert idle.closed
@@ -32,7 +32,7 @@
     instance.settle()
     assert busy.got.startswith(b"$"), "after its answer"
     assert busy.closed, "after its answer"
-    instance.brick.hold = False
+    instance.brick.holds_responses = False
     instance.call("/-/resume")
     again = instance.peer(instance.clients.address)
     assert again.say(b"*1\r\n$4\r\nPING\r\n") == b"+PONG\r\n"
--- a/tests/peers/test_connection_quota.py
+++ b/tests/peers/test_connection_quota.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.peers import codec
 from garnetlanding.peers.connection_quota import ConnectionQuota
 from garnetlanding.peers.leases import Leases, SharedLeases
@@ -81,18 +81,18 @@
 def test_pool_opens_no_more_connections_than_the_quota_and_closes_those_beyond_it() -> None:
     w, quota = SimulatedInstance(), FixedQuota()
     w.bricks.quota = quota
-    brick = w.server(Brick)
-    brick.hold = True
-    w.list(Box("n0", brick.address, 0))
+    brick = w.server(EmulatedBackend)
+    brick.holds_responses = True
+    w.list(EmulatedEndpoint("n0", brick.address, 0))
     front = w.front()
     peers = [LoopbackClient(w, front.address) for _ in range(3)]
     for i, peer in enumerate(peers):
         peer.say(read_command(f"r{i}"))
-    assert len(brick.conns) == 2, "the third lacks a connection"
+    assert len(brick.connections) == 2, "the third lacks a connection"
     assert (2, True) in quota.reported, "the third lacks a connection"
     quota.allowed = 1
-    brick.hold = False
+    brick.holds_responses = False
     brick.release()
     w.run(SECOND)
-    assert len(brick.conns) == 1, "the other was closed as it came free"
+    assert len(brick.connections) == 1, "the other was closed as it came free"
     assert quota.reported[-1][0] == 1, "the other was closed as it came free"
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -361,7 +361,7 @@
     client = instance.client()
     ask = read_command("r2").replace(b"hosts=1", b"hosts=2")
     assert (
-        client.say(ask).startswith(b"-BUSY") or not instance.brick.heard[1:]
+        client.say(ask).startswith(b"-BUSY") or not instance.brick.received[1:]
     ), "the other one has this head's part"
     coordinator = instance.daemon.assembly.peer_link.coordinator
     assert coordinator
--- a/tests/resp/test_backend_connection.py
+++ b/tests/resp/test_backend_connection.py
@@ -5,8 +5,8 @@
 import pytest
 
 from garnetlanding.decision.interface import Outcome
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.limits import MS
 from garnetlanding.resp import codec
 from garnetlanding.resp.backend_reply import read_reply
@@ -118,28 +118,28 @@
 def test_a_malformed_reply_resets_the_attempt_and_closes_the_connection(spoilt: bytes) -> None:
     """Some are still being sent, or wait for what never comes: they must not hold the attempt for good."""
     instance = SimulatedInstance()
-    brick = instance.server(Brick)
-    instance.list(Box("b0", brick.address, 0))
-    brick.data[b"k"], brick.script = b"value", [spoilt]
+    brick = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", brick.address, 0))
+    brick.data[b"k"], brick.scripted_responses = b"value", [spoilt]
     peer = instance.peer(instance.front().address)
     peer.say(read_command())
     instance.run(instance.limits.partial_reply_us)
     assert instance.core.starts[0].outcome is Outcome.RESET
     instance.run(100 * MS)
     assert peer.got == codec.bulk(b"value")
-    assert len(brick.heard) == brick.accepted == 2
+    assert len(brick.received) == brick.accepted == 2
 
 
 def test_a_reply_that_trickles_without_an_end_is_given_up() -> None:
     instance = SimulatedInstance()
-    brick = instance.server(Brick)
-    instance.list(Box("b0", brick.address, 0))
-    brick.script = [b"*3\r\n$60000\r\n"]
+    brick = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", brick.address, 0))
+    brick.scripted_responses = [b"*3\r\n$60000\r\n"]
     instance.peer(instance.front().address).say(read_command())
     for _ in range(instance.limits.partial_reply_us // (10 * MS)):
         assert instance.core.starts[0].outcome is None
         instance.run(10 * MS)
-        for conn in list(brick.conns):
+        for conn in list(brick.connections):
             conn.write(b"x")
         instance.settle()
     assert instance.core.starts[0].outcome is Outcome.RESET
@@ -149,23 +149,23 @@
 def test_a_reply_with_bytes_behind_it_is_served_and_its_connection_closed(behind: bytes) -> None:
     """It was thrown away with its connection, and the work done a second time."""
     instance = SimulatedInstance()
-    brick = instance.server(Brick)
-    instance.list(Box("b0", brick.address, 0))
-    brick.script = [b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n" + behind]
+    brick = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", brick.address, 0))
+    brick.scripted_responses = [b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n" + behind]
     peer = instance.peer(instance.front().address)
     assert peer.say(read_command()) == codec.bulk(b"value")
-    assert not brick.conns
-    assert len(brick.heard) == 1
+    assert not brick.connections
+    assert len(brick.received) == 1
 
 
 def test_a_value_longer_than_many_buffers_is_served_complete() -> None:
     instance = SimulatedInstance(buffer_bytes=512)
-    brick = instance.server(Brick)
-    instance.list(Box("b0", brick.address, 0))
+    brick = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", brick.address, 0))
     peer = instance.peer(instance.front().address)
     body = bytes(range(256)) * 256
     assert peer.say(read_command(verb="BLK.WRITE", body=body)) == b"$2\r\nOK\r\n"
     assert peer.say(read_command("r2")) == codec.bulk(body)
     brick.data[b"k"] = body * 6  # more than the protocol says, and seen: run four times over and never served
     assert peer.say(read_command("r3")) == codec.bulk(body * 6)
-    assert len(brick.heard) == 3
+    assert len(brick.received) == 3
--- a/tests/resp/test_client_connections.py
+++ b/tests/resp/test_client_connections.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.limits import MS
 from tests.support.decision_bench import make_settings
 from tests.support.resp import PING
@@ -12,23 +12,23 @@
 
 def test_the_attempt_of_a_client_that_closes_is_stopped() -> None:
     instance = SimulatedInstance()
-    brick = instance.server(Brick)
-    instance.list(Box("b0", brick.address, 0))
-    brick.script = [None]
+    brick = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", brick.address, 0))
+    brick.scripted_responses = [None]
     peer = instance.peer(instance.front().address)
     peer.say(read_command())
-    assert len(brick.held) == 1
+    assert len(brick.held_commands) == 1
     peer.close()
     assert instance.core.open_requests == 0
-    assert not brick.conns
+    assert not brick.connections
     assert instance.core.finals == [[]]
 
 
 def test_a_client_that_stalls_in_sending_or_reading_is_closed() -> None:
     instance = SimulatedInstance(buffer_bytes=512, unsent_bytes=20_000)
-    brick = instance.server(Brick)
+    brick = instance.server(EmulatedBackend)
     brick.data[b"k"] = b"x" * 60_000
-    instance.list(Box("b0", brick.address, 0))
+    instance.list(EmulatedEndpoint("b0", brick.address, 0))
     front = instance.front()
     half = instance.peer(front.address)
     half.say(read_command()[:-5])
@@ -44,12 +44,12 @@
 
 def test_at_the_limit_the_longest_idle_connection_is_evicted() -> None:
     instance = SimulatedInstance(client_conns=2)
-    brick = instance.server(Brick)
-    instance.list(Box("b0", brick.address, 0))
+    brick = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", brick.address, 0))
     front = instance.front()
     busy, idle = instance.peer(front.address), instance.peer(front.address)
     idle.say(read_command())
-    brick.script = [None]
+    brick.scripted_responses = [None]
     busy.say(read_command("r2", d=1400))
     third = instance.peer(front.address)
     assert third.say(PING) == b"", "a good client may be idle for a moment"
@@ -103,8 +103,8 @@
 def test_many_idle_connections_are_closed_down_to_the_limit() -> None:
     """Clients that ask once and stay used up what clients may hold: others had no connection left."""
     instance = SimulatedInstance(idle_clients=2)
-    brick = instance.server(Brick)
-    instance.list(Box("b0", brick.address, 0))
+    brick = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", brick.address, 0))
     front = instance.front()
     peers = [instance.peer(front.address) for _ in range(5)]
     for i, peer in enumerate(peers):
@@ -124,10 +124,10 @@
         backend_conns_reserved=1,
         client_conns=4,
     )
-    boxes = [instance.server(Brick) for _ in range(4)]
+    boxes = [instance.server(EmulatedBackend) for _ in range(4)]
     for brick in boxes:
-        brick.script = [None]
-    instance.list(*(Box(f"b{i}", brick.address, i) for i, brick in enumerate(boxes)))
+        brick.scripted_responses = [None]
+    instance.list(*(EmulatedEndpoint(f"b{i}", brick.address, i) for i, brick in enumerate(boxes)))
     front = instance.front()
     front.lent, instance.bricks.borrow = lambda: max(0, instance.bricks.count - 1), front.lend
     busy, idle, late = (instance.peer(front.address) for _ in range(3))
--- a/tests/runtime/test_attempt_ends.py
+++ b/tests/runtime/test_attempt_ends.py
@@ -7,8 +7,8 @@
 import pytest
 
 from garnetlanding.decision import interface as api
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.runtime.stream import Stream
 from tests.support.clock import MS, SECOND
 from tests.support.decision_bench import make_settings
@@ -27,7 +27,7 @@
     [[kept]] = instance.bricks._idle.values()
     assert kept._stream
     instance.mute(kept._stream._sock.fileno())
-    instance.brick.conns[0].write(b"*3\r\n$5\r\nwrong\r\n$-1\r\n$-1\r\n")
+    instance.brick.connections[0].write(b"*3\r\n$5\r\nwrong\r\n$-1\r\n$-1\r\n")
     instance.settle()
     client.sock.recv(100)
     client.say(read_command("r2"))
@@ -47,17 +47,17 @@
     instance = SimulatedInstance(
         make_settings(parallel_attempts=False, max_attempts=2, instances=1, classes={"read": cls})
     )
-    brick = instance.server(Brick)
-    brick.script = [None]
-    instance.list(Box("b0", brick.address, 0))
+    brick = instance.server(EmulatedBackend)
+    brick.scripted_responses = [None]
+    instance.list(EmulatedEndpoint("b0", brick.address, 0))
     client = Raw(instance, instance.front().address)
     client.say(read_command(d=1500))
     instance.run(200 * MS)
     connect_late(instance, monkeypatch)
-    brick.drop()
+    brick.close_connections()
     instance.run(1200 * MS)
     assert len(instance.core.starts) >= 2, "the module sends it again in time"
-    assert len(brick.heard) == 1 + repeats
+    assert len(brick.received) == 1 + repeats
 
 
 def test_reset_within_a_streamed_reply_is_not_a_complete_reply() -> None:
--- a/tests/runtime/test_connection_close.py
+++ b/tests/runtime/test_connection_close.py
@@ -50,7 +50,7 @@
     assert client.read() == codec.bulk(b"x" * 30_000), "whole, and then an end and no reset"
     client.fin()
     instance.settle()
-    assert len(instance.brick.heard) == 1
+    assert len(instance.brick.received) == 1
     assert len(instance.listener) == 0
     assert head_end.closing.state is CloseState.CLOSED
 
@@ -65,7 +65,7 @@
     instance.listener.shed(0)
     instance.listener.close_idle()
     instance.settle()
-    assert len(instance.brick.heard) == 2, "and then it is let go"
+    assert len(instance.brick.received) == 2, "and then it is let go"
     assert client.read() == b"$0\r\n\r\n" * 2, "and then it is let go"
 
 
--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -11,7 +11,7 @@
 def test_pipelined_replies_keep_command_order_when_served_out_of_order() -> None:
     instance = BrickWorld()
     instance.brick.data = {b"k1": b"one", b"k2": b"two"}
-    instance.brick.script = [None]
+    instance.brick.scripted_responses = [None]
     instance.client.say(read_command("r1", key="k1"))
     assert instance.client.say(read_command("r2", key="k2")) == b""
     instance.brick.release()
@@ -23,7 +23,7 @@
     instance = BrickWorld()
     front = instance.front()
     idle, busy = instance.peer(front.address), instance.peer(front.address)
-    instance.brick.script = [None]
+    instance.brick.scripted_responses = [None]
     busy.say(read_command())
     front.stop_accepting()
     front.close_idle()
--- a/tests/runtime/test_upstream.py
+++ b/tests/runtime/test_upstream.py
@@ -6,8 +6,8 @@
 
 from garnetlanding.core.ports import AttemptHandle
 from garnetlanding.decision.interface import Outcome
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from tests.support.clock import MS
 from tests.support.runtime import BrickWorld
 from tests.support.simulated_instance import read_command
@@ -17,9 +17,9 @@
     instance = BrickWorld()
     for i in range(3):
         instance.client.say(read_command(f"r{i}"))
-    assert len(instance.brick.conns) == 1
+    assert len(instance.brick.connections) == 1
     instance.run(instance.limits.backend_idle_us + instance.limits.sweep_us, step_us=500 * MS)
-    assert not instance.brick.conns
+    assert not instance.brick.connections
     assert instance.bricks.count == 0
     assert instance.client.say(read_command("again")) == b"$0\r\n\r\n"
 
@@ -31,7 +31,7 @@
     [[idle]] = instance.bricks._idle.values()
     assert idle._stream
     instance.mute(idle._stream._sock.fileno())
-    instance.brick.drop()
+    instance.brick.close_connections()
     instance.settle()
     assert instance.client.say(read_command("r2")) == b"$0\r\n\r\n"
     assert instance.outcomes() == ["served", "served"]
@@ -50,13 +50,13 @@
 def test_connect_that_never_completes_times_out() -> None:
     # Its listen queue is full: the kernel drops what else comes, as a vanished machine would.
     instance = BrickWorld(backlog=0)
-    full = instance.server(Brick)
+    full = instance.server(EmulatedBackend)
     assert full.listener._sock
     instance.settle()
     instance.mute(full.listener._sock.fileno())
     for _ in range(3):
         instance.peer(full.address)
-    instance.list(Box("b0", full.address, 0))
+    instance.list(EmulatedEndpoint("b0", full.address, 0))
     instance.client.say(read_command(d=400))
     assert instance.outcomes() == ["out"]
     instance.run(instance.limits.dial_us)
@@ -77,15 +77,15 @@
     instance.bricks.start = start_and_stop  # type: ignore[method-assign]  # wraps the method for one attempt
     instance.client.say(read_command())
     assert instance.bricks.count == 0
-    assert not instance.brick.heard
+    assert not instance.brick.received
     assert "task failed" not in caplog.text
 
 
 def test_break_after_the_last_byte_was_sent_reports_may_have_run() -> None:
     instance = BrickWorld()
-    instance.brick.script = [None]
+    instance.brick.scripted_responses = [None]
     instance.client.say(read_command())
-    instance.brick.drop()
+    instance.brick.close_connections()
     instance.settle()
     assert instance.outcomes() == [Outcome.RESET.value]
 
@@ -105,10 +105,10 @@
 
 def test_timeout_closes_the_connection_before_anything_else_is_sent() -> None:
     instance = BrickWorld()
-    instance.brick.script = [None]
+    instance.brick.scripted_responses = [None]
     instance.client.say(read_command(d=300))
     instance.run(300 * MS)
-    assert not instance.brick.conns
+    assert not instance.brick.connections
     assert instance.client.got.startswith(b"-BUSY")
     assert instance.client.say(read_command("next")) == b"$0\r\n\r\n"
 
@@ -117,41 +117,41 @@
 def test_protocol_violation_closes_the_backend_connection(noise: bytes) -> None:
     instance = BrickWorld()
     instance.client.say(read_command())
-    instance.brick.conns[0].write(noise)
+    instance.brick.connections[0].write(noise)
     instance.settle()
-    assert not instance.brick.conns
+    assert not instance.brick.connections
     assert instance.client.say(read_command("next")) == b"$0\r\n\r\n"
 
 
 def test_connections_are_bounded_per_backend_and_in_total() -> None:
     instance = BrickWorld(conns_per_backend=2, backend_conns=3)
-    other = instance.server(Brick)
-    instance.list(Box("b0", instance.brick.address, 0), Box("b1", other.address, 1))
-    instance.brick.script = [None] * 9
+    other = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", instance.brick.address, 0), EmulatedEndpoint("b1", other.address, 1))
+    instance.brick.scripted_responses = [None] * 9
     instance.client.say(b"".join(read_command(f"r{i}", volume=f"v{i}") for i in range(3)))
     assert instance.outcomes().count("out") == 2
     assert Outcome.UNREACHABLE.value in instance.outcomes()
     instance.client.say(read_command("o", cell=1))
     assert instance.bricks.count == 3
-    assert len(other.conns) == 1
-    third = instance.server(Brick)
-    instance.list(Box("b0", instance.brick.address, 0), Box("b2", third.address, 2))
+    assert len(other.connections) == 1
+    third = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", instance.brick.address, 0), EmulatedEndpoint("b2", third.address, 2))
     instance.client.say(read_command("p", cell=2))
-    assert len(third.conns) == 1, "the connection idle longest made room"
-    assert not other.conns, "the connection idle longest made room"
+    assert len(third.connections) == 1, "the connection idle longest made room"
+    assert not other.connections, "the connection idle longest made room"
 
 
 def test_backend_that_moves_while_connecting_is_not_sent_the_request() -> None:
     instance = BrickWorld()
-    moved = instance.server(Brick)
+    moved = instance.server(EmulatedBackend)
     assert instance.client.stream
     instance.client.stream.write(read_command(d=900))
     while not instance.core.starts:
         instance.scheduler.turn(1)
     instance.core.endpoints._addresses["b0"] = moved.address
     instance.settle()
-    assert not instance.brick.heard
+    assert not instance.brick.received
     assert instance.outcomes() == [Outcome.UNREACHABLE.value]
     instance.run(200 * MS)
-    assert len(moved.heard) == 1
+    assert len(moved.received) == 1
     assert instance.client.got == b"$0\r\n\r\n"
--- a/tests/support/admin.py
+++ b/tests/support/admin.py
@@ -4,8 +4,8 @@
 
 import pathlib
 
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.ops.admin_connection import AdminConnection
 from garnetlanding.ops.admin_service import AdminService
 from garnetlanding.ops.managed_instance import ManagedInstance
@@ -20,8 +20,11 @@
 
     def __init__(self, folder: pathlib.Path, **limits: int) -> None:
         super().__init__(None, **limits)
-        self.brick = self.server(Brick)
-        self.boxes = [Box("b0", self.brick.address, 0), Box("b1", self.brick.address, 1)]
+        self.brick = self.server(EmulatedBackend)
+        self.boxes = [
+            EmulatedEndpoint("b0", self.brick.address, 0),
+            EmulatedEndpoint("b1", self.brick.address, 1),
+        ]
         self.endpoints_known = True
         self.clients = Listener(
             self.scheduler,
--- a/tests/support/daemon.py
+++ b/tests/support/daemon.py
@@ -9,8 +9,8 @@
 
 from garnetlanding import config
 from garnetlanding.daemon import Daemon
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box, Discovery
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import Discovery, EmulatedEndpoint
 from garnetlanding.emulator.fileserver import FileServer
 from garnetlanding.runtime.signals import HANDLED
 from tests.support.simulated_instance import LoopbackClient, SimulatedInstance
@@ -51,7 +51,11 @@
     "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
     "settings": PLATFORM_SETTINGS,
-    "known": {"generation": 4, "reset": True, "instances": [Box("b0", "127.0.0.1:9", 0).entry()]},
+    "known": {
+        "generation": 4,
+        "reset": True,
+        "instances": [EmulatedEndpoint("b0", "127.0.0.1:9", 0).entry()],
+    },
 }
 EXPORT = {"name": "x", "volume": "v", "plan": "gold", "class": "read", "cell": 0, "deadline_ms": 1000}
 NINEP: dict[str, Any] = {"listen": "127.0.0.1:0", "export": [EXPORT]}
@@ -82,9 +86,9 @@
         **more: Any,
     ) -> None:
         super().__init__()
-        self.discovery, self.brick = self.server(Discovery), self.server(Brick)
+        self.discovery, self.brick = self.server(Discovery), self.server(EmulatedBackend)
         self.files = self.server(FileServer, tree={"doc": b"text"})
-        self.discovery.boxes = [Box("b0", self.brick.address, 0)]
+        self.discovery.endpoints = [EmulatedEndpoint("b0", self.brick.address, 0)]
         port = int(self.files.address.rpartition(":")[2])
         if operator and "ninep" in operator:
             operator["ninep"] = NINEP | {"server_port": port}
--- a/tests/support/departures.py
+++ b/tests/support/departures.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.resp import codec
 from garnetlanding.runtime.stream import Stream, parse_address
 from tests.support.clock import MS
@@ -68,12 +68,12 @@
 
     def __init__(self, **limits: int) -> None:
         super().__init__(make_settings(parallel_attempts=False, max_attempts=4, instances=1), **limits)
-        self.brick = self.server(Brick)
+        self.brick = self.server(EmulatedBackend)
         self.listener = self.front()
         self.list()
 
     def appear(self) -> None:
-        self.list(Box("b0", self.brick.address, 0), whole=False)
+        self.list(EmulatedEndpoint("b0", self.brick.address, 0), whole=False)
 
 
 def connect_late(instance: SimulatedInstance, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/support/ninep_instance.py
+++ b/tests/support/ninep_instance.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from garnetlanding.decision import interface as api
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.emulator.disk import Disk, Tree
 from garnetlanding.emulator.fileserver import FileServer
 from garnetlanding.ninep import codec as p9
@@ -105,7 +105,8 @@
         self.disk = Disk(FILE_TREE if tree is None else tree, clock=lambda: self.time)
         self.files = [self.server(FileServer, disk=self.disk) for _ in range(servers)]
         self.boxes = [
-            Box(f"f{i}", s.address, cells[i], extra={"startedAtMs": 0}) for i, s in enumerate(self.files)
+            EmulatedEndpoint(f"f{i}", s.address, cells[i], extra={"startedAtMs": 0})
+            for i, s in enumerate(self.files)
         ]
         self.nine = file_servers(self.scheduler, self.pool, self.limits, 0, offer)
         exports = {
--- a/tests/support/runtime.py
+++ b/tests/support/runtime.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from garnetlanding.emulator.brick import Brick
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from tests.support.decision_bench import make_settings
 from tests.support.simulated_instance import SimulatedInstance
 
@@ -13,8 +13,8 @@
 class BrickWorld(SimulatedInstance):
     def __init__(self, **limits: int) -> None:
         super().__init__(make_settings(parallel_attempts=False, max_attempts=4, instances=1), **limits)
-        self.brick = self.server(Brick)
-        self.list(Box("b0", self.brick.address, 0))
+        self.brick = self.server(EmulatedBackend)
+        self.list(EmulatedEndpoint("b0", self.brick.address, 0))
         self.client = self.peer(self.front().address)
 
     def outcomes(self) -> list[str]:
--- a/tests/support/simulated_instance.py
+++ b/tests/support/simulated_instance.py
@@ -11,8 +11,8 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.discovery.listing import read_list
-from garnetlanding.emulator.base import Server
-from garnetlanding.emulator.discovery import Box
+from garnetlanding.emulator.base import EmulatedServer
+from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.limits import Limits
 from garnetlanding.resp import codec as resp
 from garnetlanding.resp import front as resp_front
@@ -26,7 +26,7 @@
     make_settings,
 )
 
-S = TypeVar("S", bound=Server)
+S = TypeVar("S", bound=EmulatedServer)
 
 
 class CheckedBackend:
@@ -137,7 +137,7 @@
             lambda write: resp_front.ClientMachine(front, write),
         )
 
-    def list(self, *boxes: Box, whole: bool = True) -> None:
+    def list(self, *boxes: EmulatedEndpoint, whole: bool = True) -> None:
         """Deliver an endpoint list, or a change to it where `whole` is false."""
         data = {"generation": 1, "reset": whole, "instances": [b.entry() for b in boxes]}
         self.core.update_endpoints(read_list(data, lambda us: us, at_start=whole)[1])
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -8,7 +8,7 @@
 import pytest
 
 from garnetlanding.core.ports import AttemptSummary, Rejected, RequestSpec, Served
-from garnetlanding.emulator.base import Conn, Server
+from garnetlanding.emulator.base import EmulatedConnection, EmulatedServer
 from garnetlanding.telemetry.collector_client import retry_after_us
 from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
 from garnetlanding.telemetry.otlp import Histogram, encode_attributes
@@ -20,7 +20,7 @@
 BEGAN = 60 * SECOND
 
 
-class CollectorConn(Conn):
+class CollectorConn(EmulatedConnection):
     server: Collector
 
     def feed(self, data: bytes | memoryview) -> None:
@@ -35,7 +35,7 @@
                 self.write(answer)
 
 
-class Collector(Server):
+class Collector(EmulatedServer):
     machine = CollectorConn
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
@@ -169,7 +169,7 @@
     world.run(SECOND + world.limits.telemetry_answer_us, 100 * MS)
     assert world.paths() == ["/otlp/v1/traces"]
     world.collector.listener.stop_accepting()
-    world.collector.drop()
+    world.collector.close_connections()
     world.run(3 * SECOND, 100 * MS)
     assert world.exporter.dropped >= 41
     assert len(world.exporter._queue) <= 60
@@ -183,7 +183,7 @@
     world.run(10 * MS, MS)
     assert world.paths() == ["/otlp/v1/traces"] * 2 + ["/otlp/v1/metrics"]
     assert world.exporter.done
-    assert len(world.collector.conns) <= 1, "one connection serves all"
+    assert len(world.collector.connections) <= 1, "one connection serves all"
 
 
 @pytest.mark.parametrize(
