--- a/garnetlanding/conform/cases/stats.py
+++ b/garnetlanding/conform/cases/stats.py
@@ -5,7 +5,8 @@
 from garnetlanding.conform.client import ROOT, Client, check, wstat
 from garnetlanding.conform.suite import case, plain
 from garnetlanding.ninep import codec as p9
-from garnetlanding.ninep.model import DMDIR, RawStat
+from garnetlanding.ninep.model import DMDIR
+from garnetlanding.ninep.stat_format import RawStat
 
 
 def unchanged(c: Client, before: RawStat, fid: int, *but: str) -> None:
--- a/garnetlanding/conform/client.py
+++ b/garnetlanding/conform/client.py
@@ -11,16 +11,9 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
-from garnetlanding.ninep.model import (
-    DMDIR,
-    KEEP4,
-    KEEP8,
-    STAT_HEAD,
-    Entry,
-    RawStat,
-    parse_stat,
-    read_entries,
-)
+from garnetlanding.ninep.attribute_format import read_entries
+from garnetlanding.ninep.model import DMDIR, Entry
+from garnetlanding.ninep.stat_format import KEEP4, KEEP8, STAT_HEAD, RawStat, parse_stat
 from garnetlanding.runtime.buffers import BufferPool
 
 M = TypeVar("M", bound=p9.Message)
--- a/garnetlanding/daemon/settings.py
+++ b/garnetlanding/daemon/settings.py
@@ -42,9 +42,11 @@
     ninep = config.operator.ninep
     if not ninep or not any(export.writable for export in ninep.exports.values()):
         return settings
-    from garnetlanding.ninep.operation_table import with_twins
+    from garnetlanding.ninep.operation_table import with_unsafe_variants
 
-    return with_twins(settings, (export.change_cls for export in ninep.exports.values() if export.writable))
+    return with_unsafe_variants(
+        settings, (export.change_cls for export in ninep.exports.values() if export.writable)
+    )
 
 
 class SettingsManager(Subsystem):
--- a/garnetlanding/emulator/files_linux.py
+++ b/garnetlanding/emulator/files_linux.py
@@ -9,9 +9,10 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
+from garnetlanding.ninep.attribute_format import getattr_reply, pack_entry
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.locks import END, LockOwner, LockRange, byte_span
-from garnetlanding.ninep.model import Entry, Time, d_type, getattr_reply, good_name, pack_entry
+from garnetlanding.ninep.model import Entry, Time, d_type, good_name
 
 PERM = 0o7777
 FS_MAGIC = 0x01021997  # of 9P, as statfs(2) tells it
--- a/garnetlanding/emulator/files_plain.py
+++ b/garnetlanding/emulator/files_plain.py
@@ -10,16 +10,8 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import errors
 from garnetlanding.ninep.errors import Problem
-from garnetlanding.ninep.model import (
-    DM_FLAGS,
-    DMDIR,
-    RawStat,
-    Time,
-    good_name,
-    pack_stat,
-    parse_stat,
-    raw_changes,
-)
+from garnetlanding.ninep.model import DM_FLAGS, DMDIR, Time, good_name
+from garnetlanding.ninep.stat_format import RawStat, pack_stat, parse_stat, raw_changes
 
 PERM = 0o777
 
--- a/garnetlanding/ninep/client.py
+++ b/garnetlanding/ninep/client.py
@@ -193,7 +193,7 @@
         return f"{parse_address(endpoint)[0]}:{port}" if port else endpoint
 
     def identity_key(attempt: AttemptHandle) -> str:
-        """A connection is attached as one user to one tree; only attempts of the same may share it."""
+        """Return what a connection is attached as: only attempts of the same user and tree may share it."""
         identity = attempt.work.identity
         return f"{identity.uname}\0{identity.n_uname}\0{identity.aname}"
 
--- a/garnetlanding/ninep/client_dialect_linux.py
+++ b/garnetlanding/ninep/client_dialect_linux.py
@@ -5,21 +5,11 @@
 import stat as posix
 
 from garnetlanding.ninep import codec, codec_linux
+from garnetlanding.ninep.attribute_format import getattr_attr, read_entries
 from garnetlanding.ninep.client_dialect import NewFile, check_changeable, open_file, unsupported
 from garnetlanding.ninep.codec import Message, Qid
 from garnetlanding.ninep.errors import OperationFailedError
-from garnetlanding.ninep.model import (
-    DM_FLAGS,
-    Attr,
-    Changes,
-    Entry,
-    Path,
-    Space,
-    Time,
-    getattr_attr,
-    read_entries,
-    user_number,
-)
+from garnetlanding.ninep.model import DM_FLAGS, Attr, Changes, Entry, Path, Space, Time, user_number
 from garnetlanding.ninep.session import Identity, OpenFile, OpenMode, Session, Steps, expect, walk
 from garnetlanding.runtime.errors import BackendProtocolError
 
@@ -66,7 +56,7 @@
         return OpenFile(fid, created.qid, created.iounit)
 
     def stat(self, fid: int) -> Steps[Attr]:
-        """Ask for the attributes of stat(2)."""
+        """Ask by Tgetattr."""
         reply = yield codec_linux.Tgetattr(fid, codec_linux.GETATTR_BASIC)
         return getattr_attr(expect(reply, codec_linux.Rgetattr))
 
--- a/garnetlanding/ninep/client_dialect_plain.py
+++ b/garnetlanding/ninep/client_dialect_plain.py
@@ -14,22 +14,9 @@
 )
 from garnetlanding.ninep.codec import Message, Qid, Reader
 from garnetlanding.ninep.errors import OperationFailedError, Problem
-from garnetlanding.ninep.model import (
-    DM_FLAGS,
-    DMDIR,
-    PERM,
-    Attr,
-    Changes,
-    Entry,
-    Path,
-    Space,
-    d_type,
-    pack_changes,
-    parse_stat,
-    raw_attr,
-    read_stat,
-)
+from garnetlanding.ninep.model import DM_FLAGS, DMDIR, PERM, Attr, Changes, Entry, Path, Space, d_type
 from garnetlanding.ninep.session import Identity, OpenFile, OpenMode, Session, Steps, expect, walk
+from garnetlanding.ninep.stat_format import pack_changes, parse_stat, raw_attr, read_stat
 from garnetlanding.runtime.errors import BackendProtocolError
 
 
--- a/garnetlanding/ninep/codec.py
+++ b/garnetlanding/ninep/codec.py
@@ -266,7 +266,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rstat(Message):
-    """Server to client: the attributes, packed as `model.RawStat`."""
+    """Server to client: the attributes, packed as `stat_format.RawStat`."""
 
     stat: bytes
 
--- a/garnetlanding/ninep/codec_linux.py
+++ b/garnetlanding/ninep/codec_linux.py
@@ -273,7 +273,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rreaddir(Message):
-    """Server to client: whole entries, packed as `model.pack_entry` does; none at the directory's end."""
+    """Server to client: whole entries, see `attribute_format.pack_entry`; none at the directory's end."""
 
     data: bytes
 
--- a/garnetlanding/ninep/operation_table.py
+++ b/garnetlanding/ninep/operation_table.py
@@ -12,20 +12,29 @@
 
 from garnetlanding.decision import interface as api
 
-TWIN = "once"  # a derived class is named CLASS/once
+UNSAFE_VARIANT = "once"
+"""The name of a class's unsafe variant is CLASS/once."""
 
 
 @dataclass(frozen=True, slots=True)
-class Spec:
-    change: bool  # of the tree, or of a promise about it
-    repeat: bool  # running it twice leaves what running it once does
+class OperationSpec:
+    """What an operation does to the tree.
 
+    `change`: it changes the tree, or a promise about it. `repeatable`: running it twice leaves what running
+    it once does.
+    """
 
-READS, SETS, ONCE = Spec(False, True), Spec(True, True), Spec(True, False)
+    change: bool
+    repeatable: bool
+
+
+_READS = OperationSpec(change=False, repeatable=True)
+_SETS = OperationSpec(change=True, repeatable=True)
+_ONCE = OperationSpec(change=True, repeatable=False)
 
 
 class Op(Enum):
-    """The value is the name that logs and figures use."""
+    """An operation; the value is its name in error texts to clients."""
 
     ATTACH = "attach"
     WALK = "walk"
@@ -50,50 +59,59 @@
     REMOVE = "remove"
 
 
-TABLE: dict[Op, Spec] = {
-    Op.ATTACH: READS,
-    Op.WALK: READS,
-    Op.OPEN: READS,
-    Op.READ: READS,
-    Op.READ_DIRECTORY: READS,
-    Op.STAT: READS,
-    Op.READ_LINK: READS,
-    Op.STAT_FS: READS,
-    # A place is given with each of these: what a second run writes is there already.
-    Op.WRITE: SETS,
-    Op.SET_ATTRIBUTES: SETS,
-    Op.SYNC: SETS,
-    Op.OPEN_TRUNCATE: SETS,
-    Op.CREATE: SETS,  # opens the file that is there
+TABLE: dict[Op, OperationSpec] = {
+    Op.ATTACH: _READS,
+    Op.WALK: _READS,
+    Op.OPEN: _READS,
+    Op.READ: _READS,
+    Op.READ_DIRECTORY: _READS,
+    Op.STAT: _READS,
+    Op.READ_LINK: _READS,
+    Op.STAT_FS: _READS,
+    # Each of these names a place: what a second run writes is there already.
+    Op.WRITE: _SETS,
+    Op.SET_ATTRIBUTES: _SETS,
+    Op.SYNC: _SETS,
+    Op.OPEN_TRUNCATE: _SETS,
+    Op.CREATE: _SETS,  # opens the file that is there
     # A second run adds again, fails on its own first run, or hits what came in between.
-    Op.APPEND: ONCE,
-    Op.CREATE_EXCLUSIVE: ONCE,
-    Op.MAKE_DIRECTORY: ONCE,
-    Op.MAKE_NODE: ONCE,
-    Op.SYMLINK: ONCE,
-    Op.LINK: ONCE,
-    Op.RENAME: ONCE,
-    Op.REMOVE: ONCE,
+    Op.APPEND: _ONCE,
+    Op.CREATE_EXCLUSIVE: _ONCE,
+    Op.MAKE_DIRECTORY: _ONCE,
+    Op.MAKE_NODE: _ONCE,
+    Op.SYMLINK: _ONCE,
+    Op.LINK: _ONCE,
+    Op.RENAME: _ONCE,
+    Op.REMOVE: _ONCE,
 }
 
 
 def class_for(op: Op, reads: str, changes: str, classes: dict[str, api.ClassSpec]) -> str:
-    """The class that an operation asks under, of an export's two."""
+    """Return the class that an operation is requested under.
+
+    `reads` and `changes` are the classes of an export; an operation that may not run twice gets the unsafe
+    variant of `changes`, unless that class is unsafe itself.
+    """
     spec = TABLE[op]
     if not spec.change:
         return reads
-    if spec.repeat or classes[changes].effect is api.Effect.UNSAFE:
+    if spec.repeatable or classes[changes].effect is api.Effect.UNSAFE:
         return changes
-    return f"{changes}/{TWIN}"
+    return f"{changes}/{UNSAFE_VARIANT}"
+
 
+def with_unsafe_variants(settings: api.Settings, change_classes: Iterable[str]) -> api.Settings:
+    """Return the settings with an unsafe variant of each of these classes that would allow a repeat.
 
-def with_twins(settings: api.Settings, change_classes: Iterable[str]) -> api.Settings:
-    """The settings with an UNSAFE twin for each of these classes that would allow a repeat: the same worth,
-    aim and deadline. Classes that the settings do not (or no longer) have are left out."""
-    twins = {}
-    for name in change_classes:
-        spec = settings.classes.get(name)
+    It has the same priority weight, latency objective and deadline. Classes that the settings do not have, or
+    no longer, are left out.
+    """
+    variants = {}
+    for class_name in change_classes:
+        spec = settings.classes.get(class_name)
         if spec and spec.effect is not api.Effect.UNSAFE:
-            twin = f"{name}/{TWIN}"
-            twins[twin] = replace(spec, name=twin, effect=api.Effect.UNSAFE)
-    return replace(settings, classes=settings.classes | twins) if twins else settings
+            variant_name = f"{class_name}/{UNSAFE_VARIANT}"
+            variants[variant_name] = replace(spec, name=variant_name, effect=api.Effect.UNSAFE)
+    if not variants:
+        return settings
+    return replace(settings, classes=settings.classes | variants)
--- a/garnetlanding/ninep/operations.py
+++ b/garnetlanding/ninep/operations.py
@@ -21,8 +21,8 @@
 from garnetlanding.ninep.codec import Qid
 from garnetlanding.ninep.errors import OperationFailedError, Problem
 from garnetlanding.ninep.handshake import shake_hands
-from garnetlanding.ninep.model import STAT_FIXED_BYTES, Attr, Changes, Entry, Path, Space
-from garnetlanding.ninep.operation_table import TABLE, Op, Spec
+from garnetlanding.ninep.model import Attr, Changes, Entry, Path, Space
+from garnetlanding.ninep.operation_table import TABLE, Op, OperationSpec
 from garnetlanding.ninep.session import (
     NO_FILE,
     REPLACED,
@@ -35,6 +35,7 @@
     walk,
     walk_prefix,
 )
+from garnetlanding.ninep.stat_format import STAT_FIXED_BYTES
 from garnetlanding.runtime.errors import BackendProtocolError
 
 
@@ -78,7 +79,7 @@
         return self.OP
 
     @property
-    def spec(self) -> Spec:
+    def spec(self) -> OperationSpec:
         """Return whether it changes the tree, and may run twice."""
         return TABLE[self.op]
 
--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable
 
 from garnetlanding.ninep import codec, codec_linux, errors
+from garnetlanding.ninep.attribute_format import getattr_reply, pack_entry
 from garnetlanding.ninep.client_dialect import NewFile
 from garnetlanding.ninep.client_session import AttachRequest, ClientSession
 from garnetlanding.ninep.codec import Message, Qid
@@ -16,7 +17,7 @@
 from garnetlanding.ninep.fid_table import check_offset
 from garnetlanding.ninep.fids import Fid, RequestRejectedError
 from garnetlanding.ninep.locks import END, LockLimitError, LockOwner, LockRange, byte_span
-from garnetlanding.ninep.model import Changes, Entry, Space, Time, getattr_reply, pack_entry
+from garnetlanding.ninep.model import Changes, Entry, Space, Time
 from garnetlanding.ninep.operations import (
     Change,
     Create,
--- a/garnetlanding/ninep/server_dialect_plain.py
+++ b/garnetlanding/ninep/server_dialect_plain.py
@@ -11,22 +11,12 @@
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.fid_table import check_name, check_offset
 from garnetlanding.ninep.fids import DirectoryPosition, Fid, RequestRejectedError
-from garnetlanding.ninep.model import (
-    DM_FLAGS,
-    DMDIR,
-    PERM,
-    Attr,
-    Changes,
-    Entry,
-    pack_stat,
-    parse_stat,
-    plain_qid,
-    raw_changes,
-)
+from garnetlanding.ninep.model import DM_FLAGS, DMDIR, PERM, Attr, Changes, Entry
 from garnetlanding.ninep.operations import Change, Create, MakeDirectory, Open, ReadDirectory, Stat
 from garnetlanding.ninep.pending import PendingRequest
 from garnetlanding.ninep.server_dialect import Handlers
 from garnetlanding.ninep.session import OpenFile, OpenMode
+from garnetlanding.ninep.stat_format import pack_stat, parse_stat, plain_qid, raw_changes
 
 _ACCESS_MASK = 0x03
 _STAT_OVERHEAD = codec.HEADER + 2
--- a/tests/conform/seeded_faults.py
+++ b/tests/conform/seeded_faults.py
@@ -14,7 +14,7 @@
 from garnetlanding.emulator.fileserver import FileConn, FileServer, OpenFid
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
-from garnetlanding.ninep import model
+from garnetlanding.ninep import stat_format
 from garnetlanding.ninep.locks import LockTable
 
 
@@ -116,7 +116,7 @@
 
 def _wstat_in_two_halves(real: Any) -> Any:
     def wstat(self: Any, conn: FileConn, at: OpenFid, data: bytes) -> None:
-        raw = model.parse_stat(data)
+        raw = stat_format.parse_stat(data)
         if raw.length < 1 << 32 and not at.node.is_dir:
             conn.server.disk.truncate(at.node, raw.length, at.user)
         real(self, conn, at, data)
--- a/tests/ninep/test_codec.py
+++ b/tests/ninep/test_codec.py
@@ -11,7 +11,8 @@
 
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
-from garnetlanding.ninep import model
+from garnetlanding.ninep.attribute_format import read_entries
+from garnetlanding.ninep.stat_format import parse_stat
 from garnetlanding.ninep.wire_format import MessageLayout
 from garnetlanding.runtime.buffers import BufferPool
 
@@ -83,7 +84,7 @@
 
 @given(st.binary(max_size=120))
 def test_random_stats_and_entries_raise_only_value_errors(data: bytes) -> None:
-    for parse in (model.parse_stat, model.read_entries):
+    for parse in (parse_stat, read_entries):
         with contextlib.suppress(ValueError):
             parse(data)
 
--- a/tests/ninep/test_front_model.py
+++ b/tests/ninep/test_front_model.py
@@ -13,11 +13,12 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep.fids import resolve
 from garnetlanding.ninep.front import ClientMachine
-from garnetlanding.ninep.model import Attr, pack_stat
+from garnetlanding.ninep.model import Attr
 from garnetlanding.ninep.operations import Attach, Open, Read, Stat, Walk
 from garnetlanding.ninep.session import OpenFile
 from garnetlanding.ninep.setup import Export
 from garnetlanding.ninep.shared_state import SharedState
+from garnetlanding.ninep.stat_format import pack_stat
 from garnetlanding.runtime.buffers import BufferPool
 from tests.support.simulated_instance import FakeRequestEngine
 
--- a/tests/ninep/test_session_changes.py
+++ b/tests/ninep/test_session_changes.py
@@ -11,13 +11,9 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
-from garnetlanding.ninep.model import (
-    DMAPPEND,
-    DMDIR,
-    DMEXCL,
-    parse_stat,
-    read_entries,
-)
+from garnetlanding.ninep.attribute_format import read_entries
+from garnetlanding.ninep.model import DMAPPEND, DMDIR, DMEXCL
+from garnetlanding.ninep.stat_format import parse_stat
 from tests.support.clock import MS, SECOND
 from tests.support.ninep_changes import LINUX, PLAIN, create, number, rw, wstat
 from tests.support.ninep_instance import NinepClient, error_text
--- a/tests/support/ninep_changes.py
+++ b/tests/support/ninep_changes.py
@@ -4,11 +4,7 @@
 
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
-from garnetlanding.ninep.model import (
-    KEEP4,
-    KEEP8,
-    STAT_HEAD,
-)
+from garnetlanding.ninep.stat_format import KEEP4, KEEP8, STAT_HEAD
 from tests.support.ninep_instance import NinepClient, NinepInstance
 
 PLAIN, LINUX = p9.VERSION, p9l.VERSION
--- a/tests/support/ninep_instance.py
+++ b/tests/support/ninep_instance.py
@@ -14,7 +14,7 @@
 from garnetlanding.ninep import codec_linux
 from garnetlanding.ninep.client import file_servers
 from garnetlanding.ninep.front import ClientMachine
-from garnetlanding.ninep.operation_table import with_twins
+from garnetlanding.ninep.operation_table import with_unsafe_variants
 from garnetlanding.ninep.setup import Export
 from garnetlanding.ninep.shared_state import SharedState
 from garnetlanding.runtime.listener import Listener
@@ -100,7 +100,8 @@
         **limits: int,
     ) -> None:
         super().__init__(
-            with_twins(config or make_settings(parallel_attempts=False, max_attempts=4), ["read"]), **limits
+            with_unsafe_variants(config or make_settings(parallel_attempts=False, max_attempts=4), ["read"]),
+            **limits,
         )
         self.disk = Disk(FILE_TREE if tree is None else tree, clock=lambda: self.time)
         self.files = [self.server(FileServer, disk=self.disk) for _ in range(servers)]
