--- a/benchmarks/costs.py
+++ b/benchmarks/costs.py
@@ -42,6 +42,7 @@
 
 
 def main(seeds: int) -> None:
+    """Run every variant with so many seeds, and write the table."""
     cpu: dict[str, float] = dict.fromkeys(VARIANTS, 0.0)
     memory, messages = dict(cpu), dict(cpu)
     for seed in range(1, seeds + 1):
--- a/benchmarks/lab_runs.py
+++ b/benchmarks/lab_runs.py
@@ -60,7 +60,10 @@
 
 
 def play(path: pathlib.Path, seed: int) -> InvariantReport | None:
-    """One run; None where it could not be carried through. Its folder stays where something was wrong."""
+    """Run one experiment; return None where it could not be carried through.
+
+    Its folder stays where something was wrong.
+    """
     folder = pathlib.Path(tempfile.mkdtemp(prefix="lab-"))
     try:
         report = run(replace(load(str(path)), seed=seed), folder / "run").report
@@ -76,13 +79,14 @@
 
 
 def recorded() -> dict[str, str]:
-    """The rows that stand in the results, by experiment."""
+    """Return the rows that stand in the results, by experiment."""
     lines = RESULTS.read_text().splitlines() if RESULTS.exists() else []
     rows = [line for line in lines if line.startswith("| ") and line not in HEADER.splitlines()]
     return {line.split(" | ")[0].strip("| "): line for line in rows}
 
 
 def main(seeds: int, jobs: int, only: list[str]) -> int:
+    """Run all experiments, or those named, and write the table; return 1 where an invariant was violated."""
     rows, broken = recorded() if only else {}, 0
     files = [path for path in sorted((ROOT / "experiments").glob("*.toml")) if not only or path.stem in only]
     with Progress() as bar, ProcessPoolExecutor(jobs) as pool:
--- a/garnetlanding/lab/charts.py
+++ b/garnetlanding/lab/charts.py
@@ -47,7 +47,13 @@
         counts = [row.outcomes[outcome] for row in rows]
         if any(counts):
             axis.bar(
-                numbers, counts, bottom=floor, color=COLOURS[outcome], label=outcome, width=1, align="edge"
+                numbers,
+                counts,
+                bottom=floor,
+                color=COLOURS[outcome],
+                label=outcome.value,
+                width=1,
+                align="edge",
             )
             floor = [below + count for below, count in zip(floor, counts, strict=True)]
     axis.set_ylabel("answers a second")
--- a/garnetlanding/lab/clients.py
+++ b/garnetlanding/lab/clients.py
@@ -13,8 +13,9 @@
 from functools import partial
 from typing import Any
 
-from garnetlanding.lab.history import encode_line
+from garnetlanding.lab.history import LineKind, encode_line
 from garnetlanding.lab.limits import LIMITS
+from garnetlanding.lab.outcomes import Outcome
 from garnetlanding.lab.workload import Request, decode_request
 from garnetlanding.limits import Limits
 from garnetlanding.resp import codec
@@ -84,7 +85,7 @@
     def _start_request(self, request: Request) -> None:
         self.scheduler.spawn(lambda: self._send_request(request))
 
-    def _note(self, kind: str, request: Request, **fields: Any) -> None:
+    def _note(self, kind: LineKind, request: Request, **fields: Any) -> None:
         subject = {
             "id": request.id,
             "head": request.instance,
@@ -95,19 +96,19 @@
 
     def _send_request(self, request: Request) -> None:
         sent_us = self.scheduler.now
-        self._note("asked", request)
+        self._note(LineKind.SENT, request)
         try:
             outcome = self._outcome(request, sent_us + request.patience_us + LIMITS.answer_late_us)
         except OSError:
-            outcome = "lost"
+            outcome = Outcome.LOST
         except ProtocolError:
-            outcome = "spoilt"
+            outcome = Outcome.MALFORMED
         except DeadlineExceededError:
-            outcome = "none"
-        self._note("answer", request, outcome=outcome, took=self.scheduler.now - sent_us)
+            outcome = Outcome.TIMED_OUT
+        self._note(LineKind.ENDED, request, outcome=outcome.value, took=self.scheduler.now - sent_us)
         self._unfinished -= 1
 
-    def _outcome(self, request: Request, deadline_us: int) -> str:
+    def _outcome(self, request: Request, deadline_us: int) -> Outcome:
         """Send the request until an answer comes or a fresh connection is lost; return its outcome."""
         idle = self._idle.setdefault(request.instance, [])
         while True:
@@ -118,10 +119,10 @@
             if self._exchange(connection, request, deadline_us):
                 break
             if not is_reused:
-                return "lost"  # on one that crossed the instance's close the request is sent once more
+                return Outcome.LOST  # on one that crossed the instance's close the request is sent once more
         answer = connection.answers.pop(0)
         if connection.answers:
-            self._note("extra", request, count=len(connection.answers))
+            self._note(LineKind.SURPLUS_ANSWERS, request, count=len(connection.answers))
             connection.stream.close()
         else:
             idle.append(connection)
@@ -150,14 +151,14 @@
         return bool(connection.answers)
 
 
-def _outcome_of(answer: codec.Value, request: Request) -> str:
-    """Return the word that histories have for an answer."""
+def _outcome_of(answer: codec.Value, request: Request) -> Outcome:
+    """Return the outcome that an answer means."""
     match answer:
         case bytes():
-            return "served" if answer == request.id.encode() else "other's"
+            return Outcome.SERVED if answer == request.id.encode() else Outcome.MISMATCHED
         case codec.ErrorReply(text) if text.startswith(b"BUSY"):
-            return "refused"
-    return "failed"
+            return Outcome.REJECTED
+    return Outcome.FAILED
 
 
 def main(arguments: list[str]) -> int:
--- a/garnetlanding/lab/environment.py
+++ b/garnetlanding/lab/environment.py
@@ -11,6 +11,7 @@
 from garnetlanding.emulator.discovery import Discovery, EmulatedEndpoint
 from garnetlanding.lab.environment_history import Note
 from garnetlanding.lab.experiment import Experiment
+from garnetlanding.lab.history import LineKind
 from garnetlanding.lab.limits import LIMITS
 from garnetlanding.limits import SECOND, Limits
 from garnetlanding.resp import codec as resp
@@ -40,7 +41,7 @@
         conn = super()._make(write)
         if len(self.connections) > self._connections_max:
             self._connections_max = len(self.connections)
-            self._note("open", brick=self.number, count=self._connections_max)
+            self._note(LineKind.CONNECTIONS_OPEN, brick=self.number, count=self._connections_max)
         return conn
 
     def command(self, words: list[bytes], conn: EmulatedBackendConnection) -> None:
@@ -49,7 +50,9 @@
             conn.write(b"-SYNTAX\r\n")
             return
         attributes = dict(pair.partition(b"=")[::2] for pair in words[3].split(b","))
-        self._note("ran", id=words[2].decode(), brick=self.number, volume=attributes[b"volume"].decode())
+        self._note(
+            LineKind.EXECUTED, id=words[2].decode(), brick=self.number, volume=attributes[b"volume"].decode()
+        )
         if not self._answers:
             return
         work_us = int(float(attributes[b"units"]) / LIMITS.backend_units_per_s * SECOND)
--- a/garnetlanding/lab/environment_history.py
+++ b/garnetlanding/lab/environment_history.py
@@ -7,7 +7,7 @@
 from types import TracebackType
 from typing import Any, Protocol
 
-from garnetlanding.lab.history import encode_line
+from garnetlanding.lab.history import LineKind, encode_line
 from garnetlanding.runtime.scheduler import monotonic_us
 
 FILE_NAME = "bricks.history"
@@ -18,7 +18,7 @@
 class Note(Protocol):
     """Appends one line of a kind, with these fields by their stored keys."""
 
-    def __call__(self, kind: str, /, **fields: Any) -> None:
+    def __call__(self, kind: LineKind, /, **fields: Any) -> None:
         """Append the line."""
 
 
@@ -30,7 +30,7 @@
         path = folder / FILE_NAME
         self._descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
 
-    def note(self, kind: str, /, **fields: Any) -> None:
+    def note(self, kind: LineKind, /, **fields: Any) -> None:
         """Append a line of this kind at the present time."""
         os.write(self._descriptor, encode_line(monotonic_us(), PROCESS, kind, fields))
 
--- a/garnetlanding/lab/excuses.py
+++ b/garnetlanding/lab/excuses.py
@@ -7,6 +7,7 @@
 
 from garnetlanding.lab.experiment import Experiment
 from garnetlanding.lab.faults import LATE_STARTS, PROCESS_FAULTS, Fault, FaultKind, LinkKind, ProcessEnd
+from garnetlanding.lab.history import LineKind
 from garnetlanding.lab.invariant import RecordedRun
 from garnetlanding.lab.limits import LIMITS
 from garnetlanding.lab.workload import Request
@@ -21,10 +22,10 @@
     A request is sent at its time or later, so the clients began no later than the earliest says.
     """
     start_us = {request.id: request.start_us for request in run.requests}
-    sent = (line for line in run.lines_of("asked") if line["id"] in start_us)
+    sent = (line for line in run.lines_of(LineKind.SENT) if line["id"] in start_us)
     clients_began_us = min((line["t"] - start_us[line["id"]] for line in sent), default=0)
     ready: ReadyTimes = defaultdict(list)
-    for line in run.lines_of("up"):
+    for line in run.lines_of(LineKind.READY):
         ready[int(line["who"][1:])].append(line["t"] - clients_began_us)
     return ready
 
--- a/garnetlanding/lab/fault_injector.py
+++ b/garnetlanding/lab/fault_injector.py
@@ -18,6 +18,7 @@
     Fault,
     FaultKind,
 )
+from garnetlanding.lab.history import LineKind
 from garnetlanding.lab.instances import InstanceProcesses
 from garnetlanding.runtime.scheduler import Scheduler
 
@@ -76,7 +77,7 @@
 
     def _noted(self, fault: Fault, step: Step) -> Action:
         def happen() -> None:
-            self._note("fault", kind=step.noted, which=fault.noted_subject)
+            self._note(LineKind.FAULT, kind=step.noted, which=fault.noted_subject)
             step.act()
 
         return happen
--- a/garnetlanding/lab/history.py
+++ b/garnetlanding/lab/history.py
@@ -4,6 +4,7 @@
 
 import json
 import pathlib
+from enum import StrEnum
 from typing import Any
 
 from garnetlanding.lab.errors import CorruptHistoryError
@@ -11,17 +12,44 @@
 Line = dict[str, Any]
 """A line as `garnetlanding.history.writer` and the lab's own processes write it, by its stored keys.
 
-Every line has `t`, monotonic microseconds, and `what`, its kind.
+Every line has `t`, monotonic microseconds, `who`, the process that wrote it, and `what`, a LineKind.
 """
 
 _EXCERPT_BYTES = 40
 
-__all__ = ["CorruptHistoryError", "Line", "encode_line", "read"]
+__all__ = ["CorruptHistoryError", "Line", "LineKind", "encode_line", "read"]
 
 
-def encode_line(now_us: int, process: str, kind: str, fields: dict[str, Any]) -> bytes:
+class LineKind(StrEnum):
+    """What a line records; the value is its stored form, and the comment names the fields that it brings."""
+
+    # Written by the clients.
+    SENT = "asked"  # a client sends a request: id
+    ENDED = "answer"  # a request has its outcome at its client: id outcome took
+    SURPLUS_ANSWERS = "extra"  # more answers came behind the one: id count
+    # Written by the environment.
+    EXECUTED = "ran"  # a request reaches a backend: id brick volume
+    CONNECTIONS_OPEN = "open"  # a backend has more connections at once than before: brick count
+    CONNECTIONS_LEFT = "kept"  # a backend has these connections at the end: brick count
+    FAULT = "fault"  # a step of a fault happens: kind which
+    OPERATOR_CALL = "called"  # an operator's call was answered, or not: kind which brick status
+    # Written by the instances (`garnetlanding.history.writer`).
+    STARTED = "start"  # an incarnation starts: life
+    READY = "up"  # all parts of an instance have started: life
+    SETTINGS_APPLIED = "settings"  # settings are in force: epoch revision digest at
+    FENCING_CHANGED = "current"  # an instance is fenced, or no longer: out at
+    REQUEST_ENDED = "answered"  # an instance has answered a request: id attempts
+    MEMBERS_CHANGED = "heads"  # the members that share limits changed: entitled even
+    DISABLED_CHANGED = "bans"  # exactly these backends are disabled: out
+    SUSPICIONS_CHANGED = "doubted"  # exactly these backends are suspected: servers
+    OBSERVATIONS_SENT = "seen"  # an instance sends its peers what it observed: servers
+    VOLUME_SHARES = "parts"  # quota shares of volumes' limits: parts until
+    LIMIT_SHARES = "shares"  # quota shares of other common limits: parts until
+
+
+def encode_line(now_us: int, process: str, kind: LineKind, fields: dict[str, Any]) -> bytes:
     """Return a line in its stored form, with its end."""
-    line = {"t": now_us, "who": process, "what": kind, **fields}
+    line = {"t": now_us, "who": process, "what": kind.value, **fields}
     return json.dumps(line, separators=(",", ":")).encode() + b"\n"
 
 
--- a/garnetlanding/lab/invariant.py
+++ b/garnetlanding/lab/invariant.py
@@ -11,7 +11,7 @@
 
 from garnetlanding.lab.experiment import Experiment
 from garnetlanding.lab.faults import FaultKind
-from garnetlanding.lab.history import Line
+from garnetlanding.lab.history import Line, LineKind
 from garnetlanding.lab.instance_config import SETTINGS, merged
 from garnetlanding.lab.violations import InvariantReport, InvariantViolation
 from garnetlanding.lab.workload import Request
@@ -35,7 +35,7 @@
         """The settings that every instance started with, in the platform's form."""
         return merged(SETTINGS, self.experiment.settings)
 
-    def lines_of(self, *kinds: str) -> Iterator[Line]:
+    def lines_of(self, *kinds: LineKind) -> Iterator[Line]:
         """Yield the lines of these kinds by time."""
         return (line for line in self.lines if line["what"] in kinds)
 
--- a/garnetlanding/lab/invariants.py
+++ b/garnetlanding/lab/invariants.py
@@ -5,7 +5,7 @@
 import pathlib
 
 from garnetlanding.lab.experiment import Experiment
-from garnetlanding.lab.history import Line
+from garnetlanding.lab.history import Line, LineKind
 from garnetlanding.lab.invariant import Invariant, RecordedRun
 from garnetlanding.lab.log_invariants import NoDefectLogged
 from garnetlanding.lab.peer_invariants import (
@@ -84,8 +84,8 @@
 def _measure(run: RecordedRun) -> None:
     """Count what the invariants, or only the reader of the report, need."""
     report = run.report
-    report.attempts = sum(1 for _ in run.lines_of("ran"))
-    for line in run.lines_of("start"):
+    report.attempts = sum(1 for _ in run.lines_of(LineKind.EXECUTED))
+    for line in run.lines_of(LineKind.STARTED):
         report.incarnations[line["who"]] = report.incarnations.get(line["who"], 0) + 1
-    report.connections_at_end = sum(line["count"] for line in run.lines_of("kept"))
+    report.connections_at_end = sum(line["count"] for line in run.lines_of(LineKind.CONNECTIONS_LEFT))
     measure_quota_sums(run)
--- a/garnetlanding/lab/latency.py
+++ b/garnetlanding/lab/latency.py
@@ -8,8 +8,9 @@
 from collections.abc import Iterable
 from typing import Any
 
-from garnetlanding.lab.history import Line
+from garnetlanding.lab.history import Line, LineKind
 from garnetlanding.lab.limits import LIMITS
+from garnetlanding.lab.outcomes import Outcome
 
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
@@ -23,7 +24,7 @@
 
     latencies = HdrHistogram(1, LIMITS.latency_most_us, LIMITS.latency_digits)
     for line in lines:
-        if line["what"] == "answer" and line["outcome"] == "served":
+        if line["what"] == LineKind.ENDED and line["outcome"] == Outcome.SERVED:
             latencies.record_value(max(1, min(line["took"], LIMITS.latency_most_us)))
     return latencies
 
--- a/garnetlanding/lab/operator_call.py
+++ b/garnetlanding/lab/operator_call.py
@@ -8,6 +8,7 @@
 from garnetlanding.lab.environment import LabEnvironment
 from garnetlanding.lab.environment_history import Note
 from garnetlanding.lab.faults import PEER_CALLS, Fault
+from garnetlanding.lab.history import LineKind
 from garnetlanding.lab.instances import AddressBlock
 from garnetlanding.lab.limits import LIMITS, SECOND
 from garnetlanding.ops.admin_client import method_and_path
@@ -41,7 +42,7 @@
             self._exchange(address, f"{method} {path} HTTP/1.1\r\nHost: lab\r\n\r\n".encode(), answer)
         status = answer.split(b" ")[1:2]
         self.note(
-            "called",
+            LineKind.OPERATOR_CALL,
             kind=fault.kind.value,
             which=fault.instance,
             brick=_NO_SUBJECT if subject is None else subject,
--- a/garnetlanding/lab/peer_invariants.py
+++ b/garnetlanding/lab/peer_invariants.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from garnetlanding.lab.faults import BACKEND_CALLS, BACKEND_FAULTS, FaultKind
-from garnetlanding.lab.history import Line
+from garnetlanding.lab.history import Line, LineKind
 from garnetlanding.lab.invariant import Invariant, RecordedRun
 from garnetlanding.lab.limits import LIMITS
 from garnetlanding.peers.limits import PeerLimits
@@ -35,12 +35,12 @@
         suspected_max = max(1, run.experiment.backends // 3)
         observed_us: dict[tuple[str, str], int] = {}  # by instance and backend, the latest that it sent
         suspected: dict[str, set[str]] = defaultdict(set)
-        for line in run.lines_of("seen", "start", "doubted"):
+        for line in run.lines_of(LineKind.OBSERVATIONS_SENT, LineKind.STARTED, LineKind.SUSPICIONS_CHANGED):
             instance = line["who"]
-            if line["what"] == "seen":
+            if line["what"] == LineKind.OBSERVATIONS_SENT:
                 observed_us |= {(instance, backend): at_us for backend, (_, at_us) in line["servers"].items()}
                 continue
-            if line["what"] == "start":
+            if line["what"] == LineKind.STARTED:
                 suspected.pop(instance, None)
                 continue
             new = set(line["servers"]) - suspected[instance]
@@ -85,8 +85,8 @@
             return
         disabled: dict[str, set[str]] = {f"n{number}": set() for number in range(run.experiment.instances)}
         since_us: dict[str, int] = {}  # by backend, since when every instance has it disabled
-        for line in run.lines_of("bans", "ran"):
-            if line["what"] == "bans":
+        for line in run.lines_of(LineKind.DISABLED_CHANGED, LineKind.EXECUTED):
+            if line["what"] == LineKind.DISABLED_CHANGED:
                 disabled[line["who"]] = set(line["out"])
                 everywhere = set.intersection(*disabled.values())
                 since_us = {backend: since_us.get(backend, line["t"]) for backend in everywhere}
@@ -146,10 +146,10 @@
         """Return what stood when the clients had ended; after that the lab ends every instance."""
         history = _MembershipHistory()
         end_us = max((line["t"] for line in run.lines if line["who"] == "clients"), default=0)
-        for line in run.lines_of("start", "heads"):
+        for line in run.lines_of(LineKind.STARTED, LineKind.MEMBERS_CHANGED):
             if line["t"] > end_us:
                 break
-            if line["what"] == "start":
+            if line["what"] == LineKind.STARTED:
                 history.even_share[line["who"]] = 0.0
                 continue
             history.even_share[line["who"]] = line["even"]
--- a/garnetlanding/lab/quota_invariants.py
+++ b/garnetlanding/lab/quota_invariants.py
@@ -8,7 +8,7 @@
 
 from garnetlanding.lab.experiment import Experiment
 from garnetlanding.lab.faults import FaultKind
-from garnetlanding.lab.history import Line
+from garnetlanding.lab.history import Line, LineKind
 from garnetlanding.lab.invariant import Invariant, RecordedRun
 from garnetlanding.lab.limits import LIMITS
 from garnetlanding.lab.time_series import first_request_us
@@ -73,8 +73,8 @@
     first_us = first_request_us(run.lines)
     duplicates_us = [fault.start_us for fault in run.experiment.faults_of(FaultKind.DUPLICATE_IDENTITY)]
     table = QuotaShareTable(run.experiment)
-    for line in run.lines_of("start", "parts"):
-        if line["what"] == "start":
+    for line in run.lines_of(LineKind.STARTED, LineKind.VOLUME_SHARES):
+        if line["what"] == LineKind.STARTED:
             table.forget(line["who"])
             continue
         elapsed_us = line["t"] - first_us
@@ -147,8 +147,8 @@
         went_down: set[int] = set()
         cold_until_us: dict[int, int] = {}
         recent_us: dict[int, deque[int]] = defaultdict(deque)
-        for line in run.lines_of("fault", "ran"):
-            if line["what"] == "fault":
+        for line in run.lines_of(LineKind.FAULT, LineKind.EXECUTED):
+            if line["what"] == LineKind.FAULT:
                 backend = line["which"]
                 if line["kind"] == "down":
                     went_down.add(backend)
@@ -173,6 +173,8 @@
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
         """Yield an excess, and measure the greatest number."""
-        run.report.backend_connections_max = max((line["count"] for line in run.lines_of("open")), default=0)
+        run.report.backend_connections_max = max(
+            (line["count"] for line in run.lines_of(LineKind.CONNECTIONS_OPEN)), default=0
+        )
         if 0 < run.experiment.backend_connections < run.report.backend_connections_max:
             yield f"a brick had {run.report.backend_connections_max} connections at once"
--- a/garnetlanding/lab/request_invariants.py
+++ b/garnetlanding/lab/request_invariants.py
@@ -6,12 +6,13 @@
 from collections.abc import Iterator
 
 from garnetlanding.lab.excuses import is_excused, ready_times
+from garnetlanding.lab.history import LineKind
 from garnetlanding.lab.invariant import Invariant, RecordedRun
 from garnetlanding.lab.limits import LIMITS, SECOND
+from garnetlanding.lab.outcomes import Outcome
 
-ANSWERED = ("served", "refused", "failed")
-NEVER_NOTED = "never noted"
-"""The outcome of a request that the clients' history does not end."""
+ANSWERED = frozenset({Outcome.SERVED, Outcome.REJECTED, Outcome.FAILED})
+"""The outcomes for which an answer came that the protocol has."""
 
 
 class SingleResponse(Invariant):
@@ -24,7 +25,7 @@
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
         """Yield each surplus of answers."""
-        for line in run.lines_of("extra"):
+        for line in run.lines_of(LineKind.SURPLUS_ANSWERS):
             yield f"{line['count']} more behind that of {line['id']}"
 
 
@@ -39,13 +40,13 @@
     def violations(self, run: RecordedRun) -> Iterator[str]:
         """Yield requests with several or no answers, and count the outcomes."""
         outcomes: dict[str, list[str]] = defaultdict(list)
-        for line in run.lines_of("answer"):
+        for line in run.lines_of(LineKind.ENDED):
             outcomes[line["id"]].append(line["outcome"])
         ready = ready_times(run)
         requests = {request.id: request for request in run.requests}
         for name, request in requests.items():
             noted = outcomes[name]
-            outcome = noted[0] if noted else NEVER_NOTED
+            outcome = noted[0] if noted else Outcome.NEVER_NOTED.value
             run.report.outcomes[outcome] += 1
             if len(noted) > 1:
                 yield f"{name} has {len(noted)}"
@@ -66,7 +67,7 @@
     def violations(self, run: RecordedRun) -> Iterator[str]:
         """Yield the requests with too many attempts."""
         allowed = run.experiment.settings.get("Limits", {}).get("MaxAttempts", 3)
-        for name, attempts in Counter(line["id"] for line in run.lines_of("ran")).items():
+        for name, attempts in Counter(line["id"] for line in run.lines_of(LineKind.EXECUTED)).items():
             if attempts > allowed:
                 yield f"{name} ran {attempts} times, {allowed} are allowed"
 
@@ -81,8 +82,8 @@
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
         """Yield the requests that were served from nowhere, by name."""
-        executed = {line["id"] for line in run.lines_of("ran")}
-        served = {line["id"] for line in run.lines_of("answer") if line["outcome"] == "served"}
+        executed = {line["id"] for line in run.lines_of(LineKind.EXECUTED)}
+        served = {line["id"] for line in run.lines_of(LineKind.ENDED) if line["outcome"] == Outcome.SERVED}
         for name in sorted(served - executed):
             yield f"{name} was, and no brick ran it"
 
@@ -121,7 +122,7 @@
         executed: set[str] = set()
         level: dict[str, float] = {}
         updated_us: dict[str, int] = {}
-        for line in run.lines_of("ran"):
+        for line in run.lines_of(LineKind.EXECUTED):
             if line["id"] in executed:
                 continue
             executed.add(line["id"])
@@ -153,7 +154,7 @@
         window_us = choices.get("resend_span_s", 10) * SECOND
         active_us = run.experiment.duration_us + run.experiment.workload.patience_us
         windows = 1 + active_us / window_us
-        attempts = Counter(line["id"] for line in run.lines_of("ran"))
+        attempts = Counter(line["id"] for line in run.lines_of(LineKind.EXECUTED))
         retries = sum(count - 1 for count in attempts.values())
         allowed = share * run.report.requests + free * sum(run.report.incarnations.values()) * windows
         if retries > allowed:
--- a/garnetlanding/lab/run.py
+++ b/garnetlanding/lab/run.py
@@ -19,6 +19,7 @@
 from garnetlanding.lab.experiment import Experiment
 from garnetlanding.lab.fault_injector import FaultInjector
 from garnetlanding.lab.faults import LinkKind
+from garnetlanding.lab.history import LineKind
 from garnetlanding.lab.instances import AddressBlock, InstanceProcesses, Surroundings
 from garnetlanding.lab.limits import LIMITS, SECOND
 from garnetlanding.lab.network_faults import NetworkFaultModel
@@ -146,7 +147,9 @@
         clients = self._start_clients(requests, began_us)
         self._wait_for(clients, began_us, progress)
         for backend in self._environment.backends:
-            self._history.note("kept", brick=backend.number, count=len(backend.connections))
+            self._history.note(
+                LineKind.CONNECTIONS_LEFT, brick=backend.number, count=len(backend.connections)
+            )
         return began_us
 
     def usage(self) -> dict[str, ProcessUsage]:
--- a/garnetlanding/lab/settings_invariants.py
+++ b/garnetlanding/lab/settings_invariants.py
@@ -12,7 +12,7 @@
 from garnetlanding.audit.records import SETTINGS, Incarnation
 from garnetlanding.audit.segment import Segment
 from garnetlanding.audit.segment_reader import read_segments
-from garnetlanding.lab.history import Line
+from garnetlanding.lab.history import Line, LineKind
 from garnetlanding.lab.invariant import Invariant, RecordedRun
 from garnetlanding.lab.limits import LIMITS, SECOND
 
@@ -56,7 +56,7 @@
             return
         digests: dict[SettingsVersion, int] = {}
         latest: dict[str, int] = {}
-        for line in run.lines_of("settings"):
+        for line in run.lines_of(LineKind.SETTINGS_APPLIED):
             version = _version(line)
             digest = line["digest"]
             latest[line["who"]] = digest
@@ -87,11 +87,11 @@
             return
         made_us: dict[SettingsVersion, int] = {}
         applied: dict[Incarnation, list[tuple[int, SettingsVersion]]] = defaultdict(list)
-        for line in run.lines_of("settings"):
+        for line in run.lines_of(LineKind.SETTINGS_APPLIED):
             if line["who"] == WRITER:
                 made_us.setdefault(_version(line), line["at"])
             applied[Incarnation(line["who"], line["life"])].append((line["at"], _version(line)))
-        for line in run.lines_of("answered"):
+        for line in run.lines_of(LineKind.REQUEST_ENDED):
             if line["who"] == WRITER:
                 continue
             changes = applied[Incarnation(line["who"], line["life"])]
@@ -122,9 +122,9 @@
     def violations(self, run: RecordedRun) -> Iterator[str]:
         """Yield each attempt of a fenced instance."""
         changes: dict[str, list[tuple[int, bool]]] = defaultdict(list)
-        for line in run.lines_of("current"):
+        for line in run.lines_of(LineKind.FENCING_CHANGED):
             changes[line["who"]].append((line["at"], line["out"]))
-        for line in run.lines_of("answered"):
+        for line in run.lines_of(LineKind.REQUEST_ENDED):
             for _, _, sent_us in line["attempts"]:
                 states = [is_fenced for at_us, is_fenced in changes[line["who"]] if at_us <= sent_us]
                 if states and states[-1]:
@@ -154,7 +154,7 @@
         yield from (str(problem) for problem in read.problems)
         audited = _audited_settings(read.segments)
         applied = _applied_settings(run)
-        for line in run.lines_of("answered"):
+        for line in run.lines_of(LineKind.REQUEST_ENDED):
             incarnation = Incarnation(line["who"], line["life"])
             for _, _, sent_us in line["attempts"]:
                 by_history = _version_at(applied[incarnation], sent_us)
@@ -177,7 +177,7 @@
 
 def _applied_settings(run: RecordedRun) -> dict[Incarnation, _Changes]:
     changes: dict[Incarnation, _Changes] = defaultdict(list)
-    for line in run.lines_of("settings"):
+    for line in run.lines_of(LineKind.SETTINGS_APPLIED):
         version = f"{line['epoch']}.{line['revision']}#{line['digest']:08x}"
         changes[Incarnation(line["who"], line["life"])].append((line["at"], version))
     return changes
--- a/garnetlanding/lab/time_series.py
+++ b/garnetlanding/lab/time_series.py
@@ -6,11 +6,12 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from garnetlanding.lab.history import Line
+from garnetlanding.lab.history import Line, LineKind
 from garnetlanding.lab.limits import SECOND
+from garnetlanding.lab.outcomes import Outcome
 
-OUTCOMES = ("served", "refused", "failed", "lost", "none")
-"""The outcomes that tables and charts show, by the words of histories."""
+OUTCOMES = (Outcome.SERVED, Outcome.REJECTED, Outcome.FAILED, Outcome.LOST, Outcome.TIMED_OUT)
+"""The outcomes that tables and charts show."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +48,7 @@
         """Return the second as a row of series.csv and of `lab report --json`."""
         return {
             "second": self.number,
-            **{outcome: self.outcomes[outcome] for outcome in OUTCOMES},
+            **{outcome.value: self.outcomes[outcome] for outcome in OUTCOMES},
             "p50_ms": percentile_ms(self.latencies_us, 0.5),
             "p99_ms": percentile_ms(self.latencies_us, 0.99),
             "attempts": self.attempts,
@@ -67,14 +68,14 @@
 
 def first_request_us(lines: Iterable[Line]) -> int:
     """Return when the first request was sent; 0 where none was."""
-    return min((line["t"] for line in lines if line["what"] == "asked"), default=0)
+    return min((line["t"] for line in lines if line["what"] == LineKind.SENT), default=0)
 
 
 def summarize_by_second(lines: Sequence[Line], start_us: int) -> list[SecondSummary]:
     """Return every second from the start to the last answer, in order; what came before counts to none."""
     summaries: dict[int, SecondSummary] = {}
     suspected: dict[str, int] = {}  # by instance, how many backends
-    last_us = max((line["t"] for line in lines if line["what"] == "answer"), default=start_us)
+    last_us = max((line["t"] for line in lines if line["what"] == LineKind.ENDED), default=start_us)
     for line in lines:
         if not start_us <= line["t"] <= last_us:
             continue
@@ -88,17 +89,17 @@
 def _count(line: Line, summary: SecondSummary, suspected: dict[str, int]) -> None:
     """Add one line to its second and to what each instance suspects."""
     match line["what"]:
-        case "answer":
+        case LineKind.ENDED:
             summary.outcomes[line["outcome"]] += 1
-            if line["outcome"] == "served":
+            if line["outcome"] == Outcome.SERVED:
                 summary.latencies_us.append(line["took"])
-        case "ran":
+        case LineKind.EXECUTED:
             summary.attempts += 1
-        case "doubted":
+        case LineKind.SUSPICIONS_CHANGED:
             suspected[line["who"]] = len(line["servers"])
-        case "start":
+        case LineKind.STARTED:
             suspected.pop(line["who"], None)
-        case "fault":
+        case LineKind.FAULT:
             subject = line["which"] if line["which"] >= 0 else "all"
             summary.faults.append(f"{line['kind']} {subject}")
 
@@ -107,7 +108,7 @@
     """Return the quota shares that each instance believed its own, by volume and instance."""
     series: ShareSeries = defaultdict(list)
     for line in lines:
-        if line["what"] != "parts":
+        if line["what"] != LineKind.VOLUME_SHARES:
             continue
         at_s = (line["t"] - start_us) / SECOND
         for volume, quota_share in line["parts"].items():
--- a/tests/lab/test_experiment.py
+++ b/tests/lab/test_experiment.py
@@ -16,39 +16,44 @@
 # Files
 
 
+def of_fault(**table: Any) -> dict[str, Any]:
+    """Return a change of the file: one table of a fault, between 1 and 2 s unless it says otherwise."""
+    return {"fault": [{"at_s": 1, "until_s": 2} | table]}
+
+
 @pytest.mark.parametrize(
     ("change", "key"),
     [
-        ({"name": ""}, "key name"),
-        ({"heads": 99}, "key heads"),
-        ({"extra": 1}, "key extra: not known"),
-        ({"load": {"rate": 0}}, "key load.rate"),
-        ({"load": {"hosts": 4}}, "key load.hosts"),
-        ({"fault": [{"kind": "rain"}]}, "key fault.0.kind"),
-        ({"fault": [{"kind": "kill", "at_s": 1, "until_s": 2}]}, "key fault.0.who: which head"),
-        (
-            {"fault": [{"kind": "kill", "who": "n3", "at_s": 1, "until_s": 2}]},
+        pytest.param({"name": ""}, "key name", id="empty name"),
+        pytest.param({"heads": 99}, "key heads", id="too many instances"),
+        pytest.param({"extra": 1}, "key extra: not known", id="unknown key"),
+        pytest.param({"load": {"rate": 0}}, "key load.rate", id="no requests"),
+        pytest.param({"load": {"hosts": 4}}, "key load.hosts", id="more instances per volume than all"),
+        pytest.param({"fault": [{"kind": "rain"}]}, "key fault.0.kind", id="unknown kind of fault"),
+        pytest.param(of_fault(kind="kill"), "key fault.0.who: which head", id="kill of no instance"),
+        pytest.param(
+            of_fault(kind="kill", who="n3"),
             "key fault.0.who: 'n3' is none of",
+            id="kill of a missing instance",
+        ),
+        pytest.param(
+            of_fault(kind="cut", at_s=2), "key fault.0.until_s: not after", id="fault that ends as it starts"
         ),
-        ({"fault": [{"kind": "cut", "at_s": 2, "until_s": 2}]}, "key fault.0.until_s: not after"),
-        ({"fault": [{"kind": "cut", "at_s": 9, "until_s": 10}]}, "key fault.0.at_s"),
-        ({"fault": [{"kind": "loss", "at_s": 1, "until_s": 2, "share": 2}]}, "key fault.0.share"),
-        ({"fleet": False, "group": 2}, "key group: only with"),
-        ({"budgets": 1}, "key budgets: expected"),
-        (
-            {"fault": [{"kind": "join", "who": "n1", "at_s": 1, "until_s": 2}]},
-            "fault.0.until_s: join has one",
+        pytest.param(
+            of_fault(kind="cut", at_s=9, until_s=10), "key fault.0.at_s", id="fault after the experiment"
         ),
-        ({"fault": {"kind": "cut"}}, "key fault: expected"),
-        ({"fleet": 1}, "key fleet: expected"),
-        (
-            {"fault": [{"kind": "upgrade", "who": "n1", "at_s": 1, "until_s": 2, "how": "x"}]},
-            "key fault.0.how",
+        pytest.param(of_fault(kind="loss", share=2), "key fault.0.share", id="probability above one"),
+        pytest.param({"fleet": False, "group": 2}, "key group: only with", id="seeds without peer links"),
+        pytest.param({"budgets": 1}, "key budgets: expected", id="leases not true or false"),
+        pytest.param(of_fault(kind="join", who="n1"), "fault.0.until_s: join has one", id="join with an end"),
+        pytest.param({"fault": {"kind": "cut"}}, "key fault: expected", id="fault that is no list"),
+        pytest.param({"fleet": 1}, "key fleet: expected", id="peer links not true or false"),
+        pytest.param(
+            of_fault(kind="upgrade", who="n1", how="x"), "key fault.0.how", id="unknown end of a predecessor"
         ),
-        ({"fault": [{"kind": "lag", "at_s": 1, "until_s": 2}]}, "key fault.0.link"),
-        (
-            {"fault": [{"kind": "drain", "who": "n1", "at_s": 1, "until_s": 2}]},
-            "fault.0.until_s: drain has one",
+        pytest.param(of_fault(kind="lag"), "key fault.0.link", id="stream fault of no link"),
+        pytest.param(
+            of_fault(kind="drain", who="n1"), "fault.0.until_s: drain has one", id="call with an end"
         ),
     ],
 )
