--- a/example/client.py
+++ b/example/client.py
@@ -1,8 +1,8 @@
 """A toy client: writes and reads a piece of data over RESP2, then reads a glossary over 9P.
 
-    python -m example.client [HEAD]
+    python -m example.client [ADDRESS]
 
-With the address of a head, it speaks RESP2 to that one alone.
+With the address of an instance, it speaks RESP2 with that one alone.
 """
 
 from __future__ import annotations
@@ -17,30 +17,34 @@
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.stream import parse_address
 
-HEAD, HEAD_9P = ("127.0.0.1", 7379), ("127.0.0.1", 7640)
+RESP_ADDRESS = ("127.0.0.1", 7379)
+NINEP_ADDRESS = ("127.0.0.1", 7640)
+MAX_NINEP_MESSAGE = 1 << 16  # bytes
 POOL = BufferPool(8192, 4, 1024)
 
 
-def over_resp(head: tuple[str, int]) -> None:
-    with socket.create_connection(head, timeout=5) as sock:
+def write_and_read(address: tuple[str, int]) -> None:
+    """Write a block and read it over RESP2."""
+    with socket.create_connection(address, timeout=5) as sock:
         decoder = resp.Decoder(POOL, Limits())
-        for verb, kind, id, *body in (
+        for verb, request_class, request_id, *body in (
             ("BLK.WRITE", "draft-save", "1", b"a translation memory"),
             ("BLK.READ", "segment-read", "2"),
         ):
-            pairs = f"c={kind},t=standard,d=1000,volume=0000000000000001,units=2,shard=0,hosts=1"
-            words = [verb, "00000000000000aa", id, pairs]
-            sock.sendall(resp.command([*(w.encode() for w in words), *body]))
+            pairs = f"c={request_class},t=standard,d=1000,volume=0000000000000001,units=2,shard=0,hosts=1"
+            words = [verb, "00000000000000aa", request_id, pairs]
+            sock.sendall(resp.command([*(word.encode() for word in words), *body]))
             answers: list[resp.Value] = []
             while not answers:
                 answers += decoder.feed(sock.recv(4096))
             print(verb, "->", answers[0])
 
 
-def over_9p() -> None:
-    with socket.create_connection(HEAD_9P, timeout=5) as sock:
-        framer = p9.Framer(POOL, 1 << 16)
-        for reply in talk(
+def read_glossary() -> None:
+    """Read a file over 9P."""
+    with socket.create_connection(NINEP_ADDRESS, timeout=5) as sock:
+        framer = p9.Framer(POOL, MAX_NINEP_MESSAGE)
+        for reply in exchange(
             sock,
             framer,
             [
@@ -55,7 +59,8 @@
             print("9P ->", reply)
 
 
-def talk(sock: socket.socket, framer: p9.Framer, messages: list[p9.Message]) -> Iterator[object]:
+def exchange(sock: socket.socket, framer: p9.Framer, messages: list[p9.Message]) -> Iterator[object]:
+    """Send one message after another and yield the reply to each."""
     for message in messages:
         sock.sendall(p9.encode(p9.NOTAG if isinstance(message, p9.Tversion) else 1, message))
         replies: list[object] = []
@@ -66,7 +71,7 @@
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
-        over_resp(parse_address(sys.argv[1]))
+        write_and_read(parse_address(sys.argv[1]))
     else:
-        over_resp(HEAD)
-        over_9p()
+        write_and_read(RESP_ADDRESS)
+        read_glossary()
--- a/garnetlanding/emulator/__init__.py
+++ b/garnetlanding/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the systems around a head, on loopback: bricks, file servers, discovery.
+"""Stand-ins for the systems around an instance, on loopback: backends, file servers, discovery.
 
-They run on the head's own runtime, so tests move them with a fake clock. Nothing of the head imports them.
+They run on the instance's own runtime, so tests move them with a fake clock. No instance imports them.
 """
--- a/garnetlanding/emulator/faults.py
+++ b/garnetlanding/emulator/faults.py
@@ -9,51 +9,69 @@
 
 
 class Fault(Enum):
-    STALL = "stall"  # held until released; not run before
+    """What goes wrong with one message of a client."""
+
+    STALL = "stall"  # not run, and held until released
     SLOW = "slow"  # run and answered after `delay_us`; run also when the connection has ended by then
-    LATE = "late"  # the connection ends, and what was read from it runs all the same after `delay_us`
-    HALF = "half"  # run; half of the answer comes
-    RESET_BEFORE = "reset-before"  # the connection ends, and nothing ran
-    RESET_AFTER = "reset-after"  # run; the connection ends in place of the answer
+    LATE = "late"  # the connection ends, and what was read from it is run all the same after `delay_us`
+    HALF = "half"  # run; half of the response is sent
+    RESET_BEFORE = "reset-before"  # not run; the connection ends
+    RESET_AFTER = "reset-after"  # run; the connection ends in place of the response
     WRONG_TAG = "wrong-tag"
     WRONG_TYPE = "wrong-type"
     WRONG_COUNT = "wrong-count"
-    REFUSE = "refuse"  # answered with the error `number`, and not run
+    REFUSE = "refuse"  # not run, and answered with the error `error_number`
+
+
+Selector = type[Any] | tuple[type[Any], ...] | Callable[[Any], bool]
 
 
 @dataclass
 class Rule:
-    """Strikes at messages of a kind (a class, or several, or a test of one), so many times."""
+    """A fault at messages of a class, of several, or that pass a test."""
 
-    at: type[Any] | tuple[type[Any], ...] | Callable[[Any], bool]
+    messages: Selector
     fault: Fault
-    times: int = 1
-    after: int = 0  # so many that match pass unharmed first
+    times: int | None = 1  # how often it is still to happen; None: without end
+    after: int = 0  # messages that match and pass unharmed first
     delay_us: int = 0
-    number: int = 0
+    error_number: int = 0
 
-    def strikes(self, message: object) -> bool:
-        kinds = isinstance(self.at, type | tuple)
-        if not (isinstance(message, self.at) if kinds else self.at(message)):  # type: ignore[arg-type,operator]
+    @property
+    def is_used_up(self) -> bool:
+        """Whether it has happened as often as it was to."""
+        return self.times == 0
+
+    def applies_to(self, message: object) -> bool:
+        """Return whether the fault happens at this message, and count it."""
+        if not self._selects(message):
             return False
         if self.after:
             self.after -= 1
             return False
-        self.times -= self.times > 0
+        if self.times:
+            self.times -= 1
         return True
 
+    def _selects(self, message: object) -> bool:
+        if isinstance(self.messages, type | tuple):
+            return isinstance(message, self.messages)
+        return self.messages(message)
+
 
-class Script:
-    """Rules in order; the first that matches strikes, and is gone once its times are used up."""
+class FaultScript:
+    """Rules in order; the first that matches a message applies, until it is used up."""
 
     def __init__(self) -> None:
         self.rules: list[Rule] = []
 
     def add(self, *rules: Rule) -> None:
+        """Append rules."""
         self.rules += rules
 
-    def strike(self, message: object) -> Rule | None:
+    def rule_for(self, message: object) -> Rule | None:
+        """Return the rule that applies to this message, and count it; None: the message is served."""
         for rule in self.rules:
-            if rule.times and rule.strikes(message):
+            if not rule.is_used_up and rule.applies_to(message):
                 return rule
         return None
--- a/garnetlanding/emulator/fileserver.py
+++ b/garnetlanding/emulator/fileserver.py
@@ -12,7 +12,7 @@
 
 from garnetlanding.emulator.base import EmulatedConnection, EmulatedServer
 from garnetlanding.emulator.disk import Disk, DiskError, Inode, Tree
-from garnetlanding.emulator.faults import Fault, Rule, Script
+from garnetlanding.emulator.faults import Fault, FaultScript, Rule
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
@@ -84,7 +84,7 @@
             self._waiting[tag] = message
             server.held.append((tag, message, self))
             return
-        rule = server.script.strike(message)
+        rule = server.script.rule_for(message)
         if rule is None:
             self.answer(tag, message)
         else:
@@ -110,7 +110,7 @@
                 self.run(message)
                 server.close_connection(self)
             case Fault.REFUSE:
-                self._say(tag, self._error(Problem(rule.number)))
+                self._say(tag, self._error(Problem(rule.error_number)))
             case Fault.HALF:
                 whole = p9.encode(tag, self.run(message))
                 self.write(whole[: len(whole) // 2])
@@ -381,7 +381,7 @@
         self.heard: list[p9.Message] = []
         self.hold: Callable[[p9.Message], bool] | None = None
         self.held: list[tuple[int, p9.Message, FileConn]] = []
-        self.script = Script()
+        self.script = FaultScript()
         self.locks = LockTable(LOCKS)
         self.exclusive_use = ExclusiveUse()
         self._ids = 0
--- a/tests/conform/test_conformance_suite.py
+++ b/tests/conform/test_conformance_suite.py
@@ -67,7 +67,7 @@
 
 def test_unresponsive_server_fails_a_case_in_time() -> None:
     instance = NinepInstance(access="rw", tree={})
-    instance.files[0].script.add(Rule(p9.Tread, Fault.STALL, times=-1))
+    instance.files[0].script.add(Rule(p9.Tread, Fault.STALL, times=None))
     [result] = verdicts(instance, instance.files[0].address, p9.VERSION, "^read-nothing$")
     assert result.verdict == suite.FAIL
     assert "no answer" in result.why
--- a/tests/ninep/random_fault_schedules.py
+++ b/tests/ninep/random_fault_schedules.py
@@ -283,12 +283,12 @@
             kind,
             fault,
             delay_us=self.random.choice([20, 100, 400]) * MS,
-            number=28,
+            error_number=28,
             after=self.random.randrange(2),
         )
         for server in self.world.files:  # at whichever of them it comes to
             server.script.add(rule)
-            server.script.rules[:] = [r for r in server.script.rules if r.times][-3:]
+            server.script.rules[:] = [r for r in server.script.rules if not r.is_used_up][-3:]
 
     def server(self, _client: Client) -> None:
         world = self.world
--- a/tests/ninep/test_flush_clunk_disconnect.py
+++ b/tests/ninep/test_flush_clunk_disconnect.py
@@ -135,7 +135,7 @@
     tool.open(5, "readme")
     other = NinepClient(instance)
     other.open(5, "readme")
-    instance.files[0].script.add(Rule(p9.Tread, Fault.SLOW, times=-1, delay_us=10 * MS))
+    instance.files[0].script.add(Rule(p9.Tread, Fault.SLOW, times=None, delay_us=10 * MS))
     instance.run(200 * MS)
     tool.say(b"".join(p9.encode(tag, p9.Tread(5, 0, 9)) for tag in range(10, 40)))
     assert instance.core.open_requests == 3
