--- a/garnetlanding/core/retry_safety.py
+++ b/garnetlanding/core/retry_safety.py
@@ -1,19 +1,14 @@
 """When a request may run again: the engine's own check of what the decision module asks for.
 
-The decision module plans retries; these rules are looked at once more at the moment of sending, because a
-connection that is slow to come up may outlast the window in which a repeat is deduplicated.
+The decision module plans retries by `decision/attempt_rules.py`. What may have changed since is checked once
+more at the moment of sending, because a connection that is slow to come up may outlast the window in which a
+repeat is deduplicated. The deduplication scope is not checked again: the backend is the one that was planned.
 """
 
 from __future__ import annotations
 
 from garnetlanding.core.request import Attempt, Request
-from garnetlanding.decision.interface import ClassSpec, Effect, Outcome
-
-NEVER_RAN = (
-    Outcome.FULL,
-    Outcome.UNREACHABLE,
-    Outcome.NEVER_DISPATCHED,
-)  # these outcomes prove that nothing ran
+from garnetlanding.decision.interface import NEVER_RAN, ClassSpec, Effect
 
 
 def may_repeat(attempt: Attempt, spec: ClassSpec | None, now: int) -> bool:
--- a/garnetlanding/decision/interface.py
+++ b/garnetlanding/decision/interface.py
@@ -66,6 +66,10 @@
     """The attempt ended before anything was sent."""
 
 
+NEVER_RAN = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.NEVER_DISPATCHED)
+"""Outcomes which prove that the attempt had no effect."""
+
+
 class EndpointState(Enum):
     """The state of a backend process in the endpoint list."""
 
--- a/garnetlanding/decision/requests.py
+++ b/garnetlanding/decision/requests.py
@@ -12,9 +12,6 @@
 UNLIMITED = 1e12
 """Units a second, and units at once, of a plan without a limit."""
 
-NEVER_RAN = (api.Outcome.FULL, api.Outcome.UNREACHABLE, api.Outcome.NEVER_DISPATCHED)
-"""Outcomes which prove that the attempt had no effect."""
-
 NEVER_SEEN = (api.Outcome.UNREACHABLE, api.Outcome.NEVER_DISPATCHED)
 """Outcomes which prove that no backend has had the whole request."""
 
@@ -120,7 +117,7 @@
 
     def attempts_that_may_have_run(self) -> list[Attempt]:
         """Return the attempts whose outcome does not prove that they had no effect."""
-        return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
+        return [attempt for attempt in self.attempts if attempt.outcome not in api.NEVER_RAN]
 
     def seen_by_a_backend(self) -> bool:
         """Return whether an attempt may have reached a backend whole."""
--- a/garnetlanding/decision/state.py
+++ b/garnetlanding/decision/state.py
@@ -38,7 +38,7 @@
         self.retry_budget = RetryBudget(settings.retry_budget_window_us)
         self.hedge_budget = HedgeBudget()
         self.started_at = 0
-        self.warmup_share = settings.process_share  # this process's part of the warm-up budgets
+        self.process_warmup_share = settings.process_share  # this process's part of the warm-up budgets
         self.follow_settings(settings)
         self.statistics = ResponseStatistics(float(self.tightest_objective_us))
 
@@ -46,10 +46,10 @@
         """Take up new settings and what follows from them."""
         self.settings = settings
         # What is given up holds at once; what is gained, once the other's attempts have left the window.
-        self.warmup_share = min(self.warmup_share, settings.process_share)
-        if settings.process_share > self.warmup_share:
+        self.process_warmup_share = min(self.process_warmup_share, settings.process_share)
+        if settings.process_share > self.process_warmup_share:
             gained_at = self.now + settings.overload_window_us
-            self.schedule(gained_at, self._raise_warmup_share, settings.process_share)
+            self.schedule(gained_at, self._raise_process_warmup_share, settings.process_share)
         classes = settings.classes.values()
         self.tightest_objective_us = min(one.latency_objective_us for one in classes)
         highest_price = max(plan.price for plan in settings.plans.values())
@@ -57,8 +57,8 @@
         # 0 to 1: how far the instances' smallest concurrency limits fail to protect a backend by themselves.
         self.contention = max(0.0, 1 - tuning.DEPTH_FLOOR / max(1, settings.instances))
 
-    def _raise_warmup_share(self, share: float) -> None:
-        self.warmup_share = max(self.warmup_share, min(share, self.settings.process_share))
+    def _raise_process_warmup_share(self, share: float) -> None:
+        self.process_warmup_share = max(self.process_warmup_share, min(share, self.settings.process_share))
 
     def budget_share(self, name: str) -> float:
         """Return this instance's part of a budget of all instances, as a multiple of the even one."""
--- a/garnetlanding/decision/warmup.py
+++ b/garnetlanding/decision/warmup.py
@@ -48,16 +48,20 @@
 
 
 def _budget(state: ControllerState, queue: CellQueue, health: BackendHealth, age: int) -> float:
-    """Return the units within an overload window: a set amount, or more by the usual load of the cell."""
+    """Return the units within an overload window: a set amount, or more by the usual load of the cell.
+
+    Of the set amount this instance has its share among all instances; of the result, this process has its
+    share beside the other process of an upgrade.
+    """
     settings = state.settings
     initial = settings.warmup_initial_share
     warmth = initial + (1 - initial) * max(0, age) / settings.warmup_us
     usual = max(queue.usual_load.rate, planned_load(state, queue))
     usual_units = usual * settings.overload_window_us / SECOND
     learnt = usual_units * settings.overload_multiple * warmth * tuning.WARMUP_SAFETY
-    share = state.budget_share(api.warmup_budget(health.endpoint.node))
-    least = settings.warmup_units / max(1, settings.instances) * share
-    return max(max(least, learnt) * state.warmup_share, 1e-9)
+    instance_share = state.budget_share(api.warmup_budget(health.endpoint.node))
+    least = settings.warmup_units / max(1, settings.instances) * instance_share
+    return max(max(least, learnt) * state.process_warmup_share, 1e-9)
 
 
 def planned_load(state: ControllerState, queue: CellQueue) -> float:
--- a/garnetlanding/ops/client_drain.py
+++ b/garnetlanding/ops/client_drain.py
@@ -1,4 +1,4 @@
-"""Moving clients away from a drained instance."""
+"""An operator's drain: moving clients away from an instance that goes on running."""
 
 from __future__ import annotations
 
@@ -7,9 +7,11 @@
 
 
 class ClientDrain:
-    """Serves clients on their connections for a while after a drain begins, then closes idle ones.
+    """Serves clients on their connections for a while after a drain begins, then closes the connections.
 
-    Clients that probe before they send find another instance meanwhile; `serve_us` is that time.
+    Idle ones are closed at once then, the others as they become idle (`Listener.close_idle`). Clients that
+    probe before they send find another instance meanwhile; `serve_us` is that time. This is not the draining
+    phase of a graceful shutdown (`daemon/shutdown.py`).
     """
 
     def __init__(self, scheduler: Scheduler, clients: Listener, serve_us: int) -> None:
--- a/garnetlanding/peers/leases.py
+++ b/garnetlanding/peers/leases.py
@@ -57,7 +57,7 @@
         self.demands: dict[int, Demand] = {} if earlier is None else earlier.demands
         self._received = ReceivedGrants()
         self._granted = GrantLedger()
-        self.resumes_at: int | None = now + self._quarantine_us  # None: not until `resume`
+        self.resumes_at: int | None = now + self._counted_as_used_us  # None: not until `resume`
         self._shares: dict[int, float] = {} if earlier is None else earlier._shares  # as last reported
         self.recheck_at = now  # the next time at which a share may change by itself
 
@@ -77,7 +77,7 @@
 
     def resume(self, now: int) -> None:
         """Use and grant shares again, as after a start: once what was granted before must have expired."""
-        self.resumes_at = now + self._quarantine_us
+        self.resumes_at = now + self._counted_as_used_us
         self._received.clear()
         self.recheck_at = now
 
@@ -86,7 +86,7 @@
         return self.resumes_at is None or now < self.resumes_at
 
     @property
-    def _quarantine_us(self) -> int:
+    def _counted_as_used_us(self) -> int:
         """For how long a grant counts as in use at the grantor.
 
         The receiver's clock may be slower, and what it spends of a budget at the last moment is locked until
@@ -213,7 +213,7 @@
             share = self._grantable_share(volume, request.hosts, peer, now)
             if share > 0:
                 grants[volume] = share
-                self._granted.add(volume, peer, Grant(share, now + self._quarantine_us))
+                self._granted.add(volume, peer, Grant(share, now + self._counted_as_used_us))
                 self.recheck_at = now
         return grants
 
--- a/garnetlanding/runtime/connection_close.py
+++ b/garnetlanding/runtime/connection_close.py
@@ -34,7 +34,9 @@
     INPUT_ENDED = "no more is read"  # the client quit, was rejected, or is late and still owed something
     COMMAND_LATE = "command late, nothing owed"
     RESPONSES_SENT = "all responses sent"
-    RELEASED = "released between requests"  # the instance needs the descriptor, or terminates
+    RELEASED = (
+        "released between requests"  # the descriptor is needed, the instance is drained, or it terminates
+    )
     CLIENT_CLOSED = "client closed"
     BROKEN = "reset or stall"
     LINGER_ENDED = "lingered long enough"
--- a/tests/core/test_retry_safety.py
+++ b/tests/core/test_retry_safety.py
@@ -8,8 +8,8 @@
 
 from garnetlanding.core.ports import Backend, RequestSpec
 from garnetlanding.core.request import Attempt, AttemptOwner, Request
-from garnetlanding.core.retry_safety import NEVER_RAN, may_repeat, may_run_elsewhere
-from garnetlanding.decision.interface import ClassSpec, DeduplicationScope, Effect, Outcome
+from garnetlanding.core.retry_safety import may_repeat, may_run_elsewhere
+from garnetlanding.decision.interface import NEVER_RAN, ClassSpec, DeduplicationScope, Effect, Outcome
 from tests.support.clock import MS, SECOND, T0
 
 WINDOW_US = 2000 * MS
--- a/tests/ops/test_process_quota.py
+++ b/tests/ops/test_process_quota.py
@@ -84,17 +84,17 @@
     b.c.state.volumes["v"].weight = 9
     b.tell(api.NewSettings(replace(config, process_share=0.5)))
     assert concurrency_limit(b.c.state, h) == 2
-    assert b.c.state.warmup_share == 0.5
+    assert b.c.state.process_warmup_share == 0.5
     assert b.c.state.volumes["v"].weight == 9, "what was learnt of a volume is not forgotten"
     b.tell(api.NewSettings(replace(config, process_share=1.0)))
     assert concurrency_limit(b.c.state, h) == 4
-    assert b.c.state.warmup_share == 0.5
+    assert b.c.state.process_warmup_share == 0.5
     b.run(config.overload_window_us - 10 * MS)
     b.tell()
-    assert b.c.state.warmup_share == 0.5
+    assert b.c.state.process_warmup_share == 0.5
     b.run(20 * MS)
     b.tell()
-    assert b.c.state.warmup_share == 1.0
+    assert b.c.state.process_warmup_share == 1.0
 
 
 def fullest_window(config: api.Settings, *parts: dict[int, float]) -> int:
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -305,7 +305,7 @@
     "only the last grant counts": (GrantLedger, "share_of", last_grant_only),
     "granted shares come back before the lease expires": (
         Leases,
-        "_quarantine_us",
+        "_counted_as_used_us",
         property(quarantine_too_short),
     ),
     "shares are rechecked only now and then": (Leases, "changed_shares", rechecked_seldom),
--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -54,7 +54,9 @@
 @pytest.mark.parametrize(
     ("where", "name", "instead"),
     [
-        pytest.param(Leases, "_quarantine_us", property(lease_alone), id="grants do not outlast the window"),
+        pytest.param(
+            Leases, "_counted_as_used_us", property(lease_alone), id="grants do not outlast the window"
+        ),
         pytest.param(Demand, "locked_share", nothing_locked, id="spent units are granted"),
     ],
 )
