--- a/garnetlanding/conform/cases/creates.py
+++ b/garnetlanding/conform/cases/creates.py
@@ -12,12 +12,21 @@
 from garnetlanding.ninep.model import DMAPPEND, DMDIR, DMEXCL
 
 
-def bad_name(client: Client, name: str) -> None:
+def expect_bad_name(client: Client, name: str) -> None:
+    """Fail unless creating this name is an error."""
     client.call_failing(client.create_message(client.walk_to(), name))
 
 
+def create_with_mode(client: Client, name: str, mode: int) -> tuple[int, p9.Qid]:
+    """Create a file with this bit in its mode, which a server need not have; return its open fid and qid."""
+    fid = client.walk_to()
+    reply = client.skip_if_unsupported(client.request(p9.Tcreate(fid, name, mode | 0o644, p9.ORDWR)))
+    return fid, client.expect(p9.Rcreate, reply).qid
+
+
 @case("open(5): a file is created and open")
 def create_opens(client: Client) -> None:
+    """open(5): a create makes the file and opens it as the mode says."""
     fid = client.create_file("f")
     client.write(fid, b"at once")
     check(client.read_file("f") == b"at once", "it reads otherwise")
@@ -25,6 +34,7 @@
 
 @case("open(5): the fid stands for the new file")
 def create_fid_is_file(client: Client) -> None:
+    """open(5): after a create the fid represents the new file in place of the directory."""
     fid = client.create_file("f")
     check(
         client.attributes(fid).qid.path == client.attributes(client.walk_to("f")).qid.path,
@@ -34,8 +44,9 @@
 
 @case("open(5): the answer's qid is the new file's")
 def create_tells_qid(client: Client) -> None:
+    """open(5): the reply's qid is that of the new file."""
     reply = client.request(client.create_message(client.walk_to(), "f"))
-    qid = client.expect(p9l.Rlcreate, reply).qid if client.linux else client.expect(p9.Rcreate, reply).qid
+    qid = client.expect_created(reply)
     check(
         qid.path == client.attributes(client.walk_to("f")).qid.path and not qid.type & p9.QTDIR, qid_text(qid)
     )
@@ -43,11 +54,13 @@
 
 @case("open(5): a new file is empty")
 def create_empty(client: Client) -> None:
+    """open(5): a newly created file has no content."""
     check(client.attributes(client.create_file("f")).length == 0, "it has a length")
 
 
 @case("open(5): a new file is in its directory")
 def create_is_listed(client: Client) -> None:
+    """open(5): the new file is an entry of the directory that the fid represented."""
     client.create_file("f")
     fid = client.walk_to()
     client.open(fid)
@@ -56,6 +69,7 @@
 
 @case("open(5): a name that is taken is not created again")
 def create_existing(client: Client) -> None:
+    """open(5): a create of a name that exists is an error, and the existing file is left alone."""
     client.create_file("f", b"first")
     client.call_failing(client.create_message(client.walk_to(), "f"), errors.EEXIST)
     check(client.read_file("f") == b"first", "it changed")
@@ -63,12 +77,12 @@
 
 @case("open(5): of two who create one name, one does")
 def create_race(client: Client) -> None:
+    """open(5): a create is atomic: of two clients that create one name exactly one succeeds."""
     other = client.connect_again()
-    mine, theirs = client.walk_to(), other.walk_to()
-    tag, their_tag = (
-        client.send(client.create_message(mine, "f")),
-        other.send(other.create_message(theirs, "f")),
-    )
+    mine = client.walk_to()
+    theirs = other.walk_to()
+    tag = client.send(client.create_message(mine, "f"))
+    their_tag = other.send(other.create_message(theirs, "f"))
     replies = [client.wait_reply(tag), other.wait_reply(their_tag)]
     check(sum(client.error_of(reply) is None for reply in replies) == 1, "both, or neither, did")
     other.close()
@@ -76,51 +90,59 @@
 
 @case("open(5): files are created in directories")
 def create_in_file(client: Client) -> None:
+    """open(5): the fid of a create must represent a directory."""
     client.create_file("f")
     client.call_failing(client.create_message(client.walk_to("f"), "g"), errors.ENOTDIR)
 
 
 @case("open(5): `.` is not created")
 def create_dot(client: Client) -> None:
-    bad_name(client, ".")
+    """open(5): the name `.` cannot be created."""
+    expect_bad_name(client, ".")
 
 
 @case("open(5): `..` is not created")
 def create_dotdot(client: Client) -> None:
-    bad_name(client, "..")
+    """open(5): the name `..` cannot be created."""
+    expect_bad_name(client, "..")
 
 
 @case("open(5): a name is not empty")
 def create_empty_name(client: Client) -> None:
-    bad_name(client, "")
+    """intro(5): a name has at least one character; the empty one cannot be created."""
+    expect_bad_name(client, "")
 
 
 @case("open(5): a name has no slash")
 def create_name_with_slash(client: Client) -> None:
+    """intro(5): the slash is illegal in a name, so none can be created with it."""
     client.create_directory("d")
-    bad_name(client, "d/f")
+    expect_bad_name(client, "d/f")
 
 
 @case("open(5): a name of 200 bytes")
 def create_long_name(client: Client) -> None:
+    """intro(5): names are counted strings; one of 200 bytes is kept whole."""
     client.create_file("n" * 200, b"long")
     check(client.read_file("n" * 200) == b"long", "it reads otherwise")
 
 
 @case("intro(5): a name in any script")
 def create_unicode_name(client: Client) -> None:
+    """intro(5): a name is UTF-8 text in any script and is returned byte for byte."""
     name = "Wörterbuch-日本語-ⴰⵎⴰⵣⵉⵖ"
     client.create_file(name, b"text")
     fid = client.walk_to()
     client.open(fid)
     check(
-        client.read_file(name) == b"text" and [n for n, _ in client.list_directory(fid)] == [name],
+        client.read_file(name) == b"text" and [listed for listed, _ in client.list_directory(fid)] == [name],
         "another name",
     )
 
 
 @case("open(5): a name with spaces and marks")
 def create_name_with_marks(client: Client) -> None:
+    """intro(5): any character but slash and NUL may be in a name, spaces and marks included."""
     for name in ("with space", "a:b", "semi;colon", "-dash", "tab\there", "...", ".hidden"):
         client.create_file(name, name.encode())
         check(client.read_file(name) == name.encode(), f"{name!r} reads otherwise")
@@ -128,29 +150,34 @@
 
 @case("open(5): permissions are those asked for, less what the directory keeps from others")
 def create_permissions(client: Client) -> None:
+    """open(5): the new file has the permissions asked for, masked by the directory's."""
     check(client.attributes(client.create_file("f", b"", 0o600)).permissions == 0o600, "others")
 
 
 @case("open(5): created for reading, it is not written")
 def create_for_reading(client: Client) -> None:
+    """open(5): a create opens the file by its mode: with OREAD it cannot be written."""
     fid = client.create_file("f", access=p9.OREAD)
     client.call_failing(p9.Twrite(fid, 0, b"x"), errors.EBADF)
 
 
 @case("open(5): created for writing, it is not read")
 def create_for_writing(client: Client) -> None:
+    """open(5): a create opens the file by its mode: with OWRITE it cannot be read."""
     fid = client.create_file("f", b"x", access=p9.OWRITE)
     client.call_failing(p9.Tread(fid, 0, 1), errors.EBADF)
 
 
 @case("open(5): created without permission to write, it is written through the new fid")
 def create_read_only_is_written(client: Client) -> None:
+    """open(5): the permissions of a new file do not limit the fid of its create."""
     client.write(client.create_file("f", permissions=0o444), b"first")
     check(client.read_file("f") == b"first", "it reads otherwise")
 
 
 @case("open(5): the fid must not be open")
 def create_on_open_fid(client: Client) -> None:
+    """open(5): it is an error if the fid of a create has already been opened."""
     fid = client.walk_to()
     client.open(fid)
     client.call_failing(client.create_message(fid, "f"))
@@ -158,6 +185,7 @@
 
 @case("open(5): creating needs permission to write the directory")
 def create_denied(client: Client) -> None:
+    """open(5): a create needs permission to write in the directory."""
     client.create_directory("d")
     fid = client.walk_to("d")
     client.set_permissions(fid, 0o555)
@@ -169,17 +197,17 @@
 
 @case("open(5): after a failed create the fid stands for the directory")
 def create_failed_fid_stays(client: Client) -> None:
+    """open(5): only a create that succeeds moves the fid; after an error it is the directory's."""
     client.create_file("f")
     fid = client.walk_to()
     client.expect_error(client.request(client.create_message(fid, "f")))
     check(client.attributes(fid).is_dir, "it does not")
-    client.expect(
-        p9l.Rlcreate if client.linux else p9.Rcreate, client.request(client.create_message(fid, "g"))
-    )
+    client.expect_created(client.request(client.create_message(fid, "g")))
 
 
 @case("open(5): DMDIR creates a directory, open for reading", PLAIN_ONLY)
 def create_directory(client: Client) -> None:
+    """open(5): with DMDIR in the permissions a directory is created, which can be read."""
     fid = client.walk_to()
     reply = client.call(p9.Rcreate, p9.Tcreate(fid, "d", DMDIR | 0o750, p9.OREAD))
     check(bool(reply.qid.type & p9.QTDIR), "its qid is no directory's")
@@ -189,12 +217,14 @@
 
 @case("open(5): a directory is not created for writing", PLAIN_ONLY)
 def create_directory_for_writing(client: Client) -> None:
+    """open(5): a directory must be created with OREAD, for it cannot be written."""
     client.call_failing(p9.Tcreate(client.walk_to(), "d", DMDIR | 0o755, p9.ORDWR))
     check(not client.exists("d"), "it was created")
 
 
 @case("open(5): a file gets no permission that its directory keeps from others", PLAIN_ONLY)
 def create_masked_by_directory(client: Client) -> None:
+    """open(5): a file's permissions are `perm & (~0666 | (dir.perm & 0666))`."""
     client.create_directory("d", permissions=0o750)
     check(
         client.attributes(client.create_file("f", b"", 0o666, "d")).permissions == 0o640, "other permissions"
@@ -203,10 +233,9 @@
 
 @case("open(5): what is written to an append-only file goes to its end", PLAIN_ONLY)
 def append_only(client: Client) -> None:
-    reply = client.skip_if_unsupported(
-        client.request(p9.Tcreate(fid := client.walk_to(), "log", DMAPPEND | 0o644, p9.ORDWR))
-    )
-    check(bool(client.expect(p9.Rcreate, reply).qid.type & p9.QTAPPEND), "its qid does not say append-only")
+    """open(5): in a file created with DMAPPEND each write goes to its end, whatever the offset."""
+    fid, qid = create_with_mode(client, "log", DMAPPEND)
+    check(bool(qid.type & p9.QTAPPEND), "its qid does not say append-only")
     client.write(fid, b"one ")
     client.write(fid, b"two", 0)
     check(client.read_file("log") == b"one two", "it was written elsewhere")
@@ -214,12 +243,8 @@
 
 @case("open(5): an append-only file is not truncated", PLAIN_ONLY)
 def append_only_not_truncated(client: Client) -> None:
-    client.expect(
-        p9.Rcreate,
-        client.skip_if_unsupported(
-            client.request(p9.Tcreate(fid := client.walk_to(), "log", DMAPPEND | 0o644, p9.ORDWR))
-        ),
-    )
+    """open(5): OTRUNC has no effect on an append-only file."""
+    fid, _ = create_with_mode(client, "log", DMAPPEND)
     client.write(fid, b"kept")
     client.request(client.open_message(client.walk_to("log"), p9.OWRITE, truncate=True))
     check(client.read_file("log") == b"kept", "it was")
@@ -227,23 +252,15 @@
 
 @case("stat(5): an append-only file says so", PLAIN_ONLY)
 def append_only_in_stat(client: Client) -> None:
-    client.expect(
-        p9.Rcreate,
-        client.skip_if_unsupported(
-            client.request(p9.Tcreate(fid := client.walk_to(), "log", DMAPPEND | 0o644, p9.ORDWR))
-        ),
-    )
+    """stat(5): the mode of an append-only file has the bit DMAPPEND."""
+    fid, _ = create_with_mode(client, "log", DMAPPEND)
     check(bool(client.stat(fid).mode & DMAPPEND), "its mode does not")
 
 
 @case("open(5): an exclusive-use file is open once", PLAIN_ONLY)
 def exclusive_use(client: Client) -> None:
-    client.expect(
-        p9.Rcreate,
-        client.skip_if_unsupported(
-            client.request(p9.Tcreate(client.walk_to(), "lock", DMEXCL | 0o644, p9.ORDWR))
-        ),
-    )
+    """open(5): a file created with DMEXCL may be open by one client at a time."""
+    create_with_mode(client, "lock", DMEXCL)
     other = client.connect_again()
     other.call_failing(other.open_message(other.walk_to("lock")))
     other.close()
@@ -251,12 +268,8 @@
 
 @case("open(5): an exclusive-use file is free once it is clunked", PLAIN_ONLY)
 def exclusive_use_released(client: Client) -> None:
-    client.expect(
-        p9.Rcreate,
-        client.skip_if_unsupported(
-            client.request(p9.Tcreate(fid := client.walk_to(), "lock", DMEXCL | 0o644, p9.ORDWR))
-        ),
-    )
+    """open(5): an exclusive-use file may be opened again once its fid is clunked."""
+    fid, _ = create_with_mode(client, "lock", DMEXCL)
     client.clunk(fid)
     other = client.connect_again()
     other.open(other.walk_to("lock"))
@@ -266,6 +279,7 @@
 
 @case("open(5): ORCLOSE in a create removes the file when the fid is clunked", PLAIN_ONLY)
 def create_orclose(client: Client) -> None:
+    """open(5): with ORCLOSE in a create's mode the file is removed when the fid is clunked."""
     fid = client.walk_to()
     client.call(p9.Rcreate, p9.Tcreate(fid, "temp", 0o644, p9.ORDWR | p9.ORCLOSE))
     client.write(fid, b"x")
@@ -276,6 +290,7 @@
 
 @case("open(2): without O_EXCL a file that is there is opened", LINUX_ONLY)
 def lcreate_opens_existing(client: Client) -> None:
+    """Tlcreate: without O_EXCL in its flags a file that exists is opened, as by open(2)."""
     client.create_file("f", b"kept")
     fid = client.walk_to()
     client.call(p9l.Rlcreate, p9l.Tlcreate(fid, "f", p9.ORDWR | p9l.L_CREATE, 0o644, p9l.NOGID))
@@ -284,6 +299,7 @@
 
 @case("open(2): O_TRUNC in an lcreate empties a file that is there", LINUX_ONLY)
 def lcreate_truncates(client: Client) -> None:
+    """Tlcreate: with O_TRUNC in its flags a file that exists is truncated, as by open(2)."""
     client.create_file("f", b"gone")
     flags = p9.ORDWR | p9l.L_CREATE | p9l.L_TRUNC
     client.call(p9l.Rlcreate, p9l.Tlcreate(client.walk_to(), "f", flags, 0o644, p9l.NOGID))
@@ -292,6 +308,7 @@
 
 @case("open(2): O_EXCL fails on a name that is taken", LINUX_ONLY)
 def lcreate_exclusive(client: Client) -> None:
+    """Tlcreate: with O_EXCL in its flags a name that exists is the error EEXIST, as by open(2)."""
     client.create_file("f")
     flags = p9.ORDWR | p9l.L_CREATE | p9l.L_EXCL
     client.call_failing(p9l.Tlcreate(client.walk_to(), "f", flags, 0o644, p9l.NOGID), errors.EEXIST)
--- a/garnetlanding/conform/cases/flushes.py
+++ b/garnetlanding/conform/cases/flushes.py
@@ -8,17 +8,20 @@
 from garnetlanding.ninep import codec as p9
 
 
-def order(client: Client, *tags: int) -> list[int]:
+def reply_order(client: Client, *tags: int) -> list[int]:
+    """Return these tags in the order in which replies to them arrived."""
     return [tag for tag, _ in client.replies if tag in tags]
 
 
 @case("flush(5): a tag that nobody waits for is flushed all the same")
 def flush_unknown_tag(client: Client) -> None:
+    """flush(5): a flush is always answered with Rflush, also if its oldtag is not outstanding."""
     client.call(p9.Rflush, p9.Tflush(0x1234))
 
 
 @case("flush(5): what has been answered can be flushed")
 def flush_answered(client: Client) -> None:
+    """flush(5): a flush of a request that has been answered is answered with Rflush."""
     fid = client.create_file("f", b"x")
     client.call(p9.Rread, p9.Tread(fid, 0, 1), 40)
     client.call(p9.Rflush, p9.Tflush(40))
@@ -26,6 +29,7 @@
 
 @case("flush(5): nothing comes for the old tag after Rflush")
 def flush_is_last(client: Client) -> None:
+    """flush(5): a reply to the old request may come before Rflush and never after it."""
     fid = client.create_file("f", b"x" * 1000)
     for tag in range(40, 50):
         client.send(p9.Tread(fid, 0, 1000), tag)
@@ -33,12 +37,13 @@
         client.send(p9.Tflush(tag), tag + 100)
     client.drain_replies()
     for tag in range(40, 50):
-        seen = order(client, tag, tag + 100)
+        seen = reply_order(client, tag, tag + 100)
         check(seen in ([tag, tag + 100], [tag + 100]), f"answers in the order {seen}")
 
 
 @case("flush(5): the old tag is free after Rflush")
 def flush_frees_tag(client: Client) -> None:
+    """flush(5): once Rflush is received the old tag may be used again."""
     fid = client.create_file("f", b"0123")
     client.send(p9.Tread(fid, 0, 2), 40)
     client.call(p9.Rflush, p9.Tflush(40), 41)
@@ -51,27 +56,33 @@
 
 @case("flush(5): a flush can be flushed; both are answered, the earlier first")
 def flush_of_flush(client: Client) -> None:
+    """flush(5): a flush may itself be flushed; replies come in the order of the flushes."""
     fid = client.create_file("f", b"x")
     client.send(p9.Tread(fid, 0, 1), 40)
     client.send(p9.Tflush(40), 41)
     client.send(p9.Tflush(41), 42)
     client.drain_replies()
-    seen = order(client, 41, 42)
+    seen = reply_order(client, 41, 42)
     check(seen in ([41, 42], [42]), f"answers in the order {seen}")
 
 
 @case("flush(5): several flushes of one tag are answered in their order")
 def flush_twice(client: Client) -> None:
+    """flush(5): several flushes of one tag must be answered in the order in which they were sent."""
     fid = client.create_file("f", b"x")
     client.send(p9.Tread(fid, 0, 1), 40)
     for tag in (41, 42, 43):
         client.send(p9.Tflush(40), tag)
     client.drain_replies()
-    check(order(client, 41, 42, 43) == [41, 42, 43], f"answers in the order {order(client, 41, 42, 43)}")
+    check(
+        reply_order(client, 41, 42, 43) == [41, 42, 43],
+        f"answers in the order {reply_order(client, 41, 42, 43)}",
+    )
 
 
 @case("flush(5): a write that was answered was done, one that was not may be")
 def flush_of_write(client: Client) -> None:
+    """flush(5): a request that was answered before Rflush has been done; any other may have been."""
     fid = client.create_file("f", b"....")
     client.send(p9.Twrite(fid, 0, b"done"), 40)
     client.send(p9.Tflush(40), 41)
@@ -84,8 +95,10 @@
 
 @case("flush(5): a walk that was flushed without an answer made no fid")
 def flush_of_walk(client: Client) -> None:
+    """flush(5): a client that sees Rflush without Rwalk takes it that the walk did not happen."""
     client.create_file("f", b"x")
-    fid, newfid = client.walk_to(), client.new_fid()
+    fid = client.walk_to()
+    newfid = client.new_fid()
     client.send(p9.Twalk(fid, newfid, ("f",)), 40)
     client.send(p9.Tflush(40), 41)
     client.expect(p9.Rflush, client.wait_reply(41))
@@ -98,6 +111,7 @@
 
 @case("flush(5): others are not touched")
 def flush_leaves_others(client: Client) -> None:
+    """flush(5): a flush concerns the request with oldtag and no other."""
     fid = client.create_file("f", b"0123456789")
     client.send(p9.Tread(fid, 0, 5), 40)
     client.send(p9.Tread(fid, 5, 5), 41)
--- a/garnetlanding/conform/cases/framing.py
+++ b/garnetlanding/conform/cases/framing.py
@@ -11,7 +11,8 @@
 from garnetlanding.ninep import errors
 
 
-def answered_or_ended(client: Client, tag: int) -> None:
+def expect_error_or_close(client: Client, tag: int) -> None:
+    """Fail unless the reply to the tag is an error or the server closes the connection."""
     client.drain_replies()
     check(
         client.closed_by_server or any(client.error_of(reply) for reply in client.replies_to(tag)),
@@ -21,6 +22,7 @@
 
 @case("intro(5): a message may come in any number of pieces")
 def message_byte_by_byte(client: Client) -> None:
+    """intro(5): the size field alone delimits a message, so it may arrive byte by byte."""
     for byte in p9.encode(7, p9.Twalk(ROOT, client.new_fid(), ())):
         client.send_bytes(bytes([byte]))
     client.expect(p9.Rwalk, client.wait_reply(7))
@@ -28,14 +30,18 @@
 
 @case("intro(5): messages may come close behind each other")
 def messages_in_one_piece(client: Client) -> None:
+    """intro(5): the next message begins where the size of the one before ends, without any gap."""
     fids = [client.new_fid() for _ in range(5)]
-    client.send_bytes(b"".join(p9.encode(10 + i, p9.Twalk(ROOT, fid, ())) for i, fid in enumerate(fids)))
-    for i in range(5):
-        client.expect(p9.Rwalk, client.wait_reply(10 + i))
+    client.send_bytes(
+        b"".join(p9.encode(10 + index, p9.Twalk(ROOT, fid, ())) for index, fid in enumerate(fids))
+    )
+    for index in range(5):
+        client.expect(p9.Rwalk, client.wait_reply(10 + index))
 
 
 @case("intro(5): an unknown type is answered with an error, and the connection goes on")
 def unknown_type(client: Client) -> None:
+    """intro(5): a request that cannot be done is answered with an error; only the listed types exist."""
     client.send_bytes(struct.pack("<IBH", 7, 255, 9))
     client.expect_error(client.wait_reply(9))
     client.call(p9.Rwalk, p9.Twalk(ROOT, client.new_fid(), ()))
@@ -43,53 +49,61 @@
 
 @case("intro(5): a body cut short is answered with an error, or ends the connection")
 def body_cut_short(client: Client) -> None:
+    """intro(5): a message consists of all the fields of its type; a shorter body is no message."""
     whole = p9.encode(9, p9.Twalk(ROOT, client.new_fid(), ("x",)))
     client.send_bytes(struct.pack("<I", len(whole) - 2) + whole[4:-2])
-    answered_or_ended(client, 9)
+    expect_error_or_close(client, 9)
 
 
 @case("intro(5): bytes behind the last field are answered with an error, or end the connection")
 def bytes_left_over(client: Client) -> None:
+    """intro(5): the size of a message is the sum of its fields, so no bytes may follow the last one."""
     whole = p9.encode(9, p9.Tclunk(client.walk_to()))
     client.send_bytes(struct.pack("<I", len(whole) + 3) + whole[4:] + b"\0\0\0")
-    answered_or_ended(client, 9)
+    expect_error_or_close(client, 9)
 
 
 @case("intro(5): a size below that of a header cannot be right: the connection ends")
 def size_below_header(client: Client) -> None:
+    """intro(5): the size counts itself, the type and the tag, so it is never less than seven."""
     client.send_bytes(struct.pack("<IBH", 3, 120, 9))
-    answered_or_ended(client, 9)
+    expect_error_or_close(client, 9)
 
 
 @case("version(5): a message over the agreed msize is not taken")
 def size_over_msize(client: Client) -> None:
+    """version(5): no message of the session may be longer than the msize of Rversion."""
     fid = client.create_file("f")
     client.send_bytes(p9.encode(9, p9.Twrite(fid, 0, b"x" * (client.msize + 100))))
-    answered_or_ended(client, 9)
+    expect_error_or_close(client, 9)
 
 
 @case("intro(5): text is UTF-8")
 def text_not_utf8(client: Client) -> None:
+    """intro(5): a string is sent as a length and that many bytes of UTF-8."""
     body = struct.pack("<IIHH", ROOT, client.new_fid(), 1, 2) + b"\xff\xfe"
     client.send_bytes(struct.pack("<IBH", 7 + len(body), 110, 9) + body)
-    answered_or_ended(client, 9)
+    expect_error_or_close(client, 9)
 
 
 @case("intro(5): text holds no NUL")
 def text_with_nul(client: Client) -> None:
+    """intro(5): the NUL character is illegal in text strings, and so in the names of a walk."""
     body = struct.pack("<IIHH", ROOT, client.new_fid(), 1, 3) + b"a\0b"
     client.send_bytes(struct.pack("<IBH", 7 + len(body), 110, 9) + body)
-    answered_or_ended(client, 9)
+    expect_error_or_close(client, 9)
 
 
 @case("intro(5): a client sends T-messages only")
 def answer_sent_by_client(client: Client) -> None:
+    """intro(5): clients send T-messages and servers R-messages; an Rclunk from a client is neither."""
     client.send_bytes(p9.encode(9, p9.Rclunk()))
-    answered_or_ended(client, 9)
+    expect_error_or_close(client, 9)
 
 
 @case("intro(5): the answer carries the tag of its message, whatever the order")
 def tags_are_echoed(client: Client) -> None:
+    """intro(5): a reply has the tag of its request; replies may come in any order, one for each."""
     fid = client.create_file("f", b"data")
     tags = [5000, 0x7FFF, 0xFFFE, 7700]
     for tag in tags:
@@ -104,6 +118,7 @@
 
 @case("intro(5): after an error the connection and its fids stand")
 def error_leaves_session(client: Client) -> None:
+    """error(5): Rerror tells that one request failed; neither the connection nor other fids suffer."""
     fid = client.create_file("f", b"data")
     client.call_failing(p9.Tread(client.new_fid(), 0, 4), errors.EBADF)
     check(client.read(fid) == b"data", "the file reads otherwise")
--- a/garnetlanding/conform/cases/linux_attributes.py
+++ b/garnetlanding/conform/cases/linux_attributes.py
@@ -12,12 +12,16 @@
 from garnetlanding.ninep import errors
 
 
-def setattr(fid: int, valid: int, mode: int = 0, size: int = 0, mtime: int = 0, uid: int = 0) -> p9l.Tsetattr:
+def setattr_message(
+    fid: int, valid: int, mode: int = 0, size: int = 0, mtime: int = 0, uid: int = 0
+) -> p9l.Tsetattr:
+    """Return a Tsetattr of the attributes in `valid`; the others are sent as zeros."""
     return p9l.Tsetattr(fid, valid, mode, uid, 0, size, 0, 0, mtime, 0)
 
 
 @case("getattr: type and permissions of a file", LINUX_ONLY)
 def getattr_file(client: Client) -> None:
+    """Rgetattr: mode has type and permissions as stat(2) has them, size the length in bytes."""
     found = client.linux_attributes(client.create_file("f", b"12345", 0o640))
     check(
         stat.S_ISREG(found.mode) and stat.S_IMODE(found.mode) == 0o640 and found.size == 5,
@@ -27,48 +31,56 @@
 
 @case("getattr: type of a directory", LINUX_ONLY)
 def getattr_directory(client: Client) -> None:
+    """Rgetattr: mode and qid of a directory both say that it is one."""
     found = client.linux_attributes(client.walk_to())
     check(stat.S_ISDIR(found.mode) and found.qid.type == 0x80, getattr_text(found))
 
 
 @case("getattr: the basic attributes are told", LINUX_ONLY)
 def getattr_valid(client: Client) -> None:
+    """Rgetattr: valid has the bits of the basic attributes when these were asked for."""
     found = client.linux_attributes(client.create_file("f"))
     check(found.valid & p9l.GETATTR_BASIC == p9l.GETATTR_BASIC, f"valid {found.valid:#x}")
 
 
 @case("getattr: the owner is who created it", LINUX_ONLY)
 def getattr_owner(client: Client) -> None:
+    """Rgetattr: uid is the number of the user who created the file."""
     found = client.linux_attributes(client.create_file("f"))
     check(found.uid == client.options.uid, f"owner {found.uid}")
 
 
 @case("getattr: the fid must be one", LINUX_ONLY)
 def getattr_unknown_fid(client: Client) -> None:
+    """Tgetattr: the fid must be established; an unknown one is the error EBADF."""
     client.call_failing(p9l.Tgetattr(client.new_fid(), p9l.GETATTR_BASIC), errors.EBADF)
 
 
 @case("setattr: a smaller size cuts", LINUX_ONLY)
 def setattr_size_cuts(client: Client) -> None:
-    client.call(p9l.Rsetattr, setattr(client.create_file("f", b"0123456789"), p9l.SET_SIZE, size=4))
+    """Tsetattr: a smaller size truncates the file."""
+    client.call(p9l.Rsetattr, setattr_message(client.create_file("f", b"0123456789"), p9l.SET_SIZE, size=4))
     check(client.read_file("f") == b"0123", "it was not cut there")
 
 
 @case("setattr: a larger size adds zeros", LINUX_ONLY)
 def setattr_size_adds(client: Client) -> None:
-    client.call(p9l.Rsetattr, setattr(client.create_file("f", b"01"), p9l.SET_SIZE, size=5))
+    """Tsetattr: a greater size extends the file, with zeros."""
+    client.call(p9l.Rsetattr, setattr_message(client.create_file("f", b"01"), p9l.SET_SIZE, size=5))
     check(client.read_file("f") == b"01\0\0\0", "it reads otherwise")
 
 
 @case("setattr: a directory has no size to set", LINUX_ONLY)
 def setattr_size_of_directory(client: Client) -> None:
-    client.call_failing(setattr(client.walk_to(), p9l.SET_SIZE, size=5), errors.EISDIR, errors.EINVAL)
+    """Tsetattr: the size of a directory cannot be set (truncate(2): EISDIR or EINVAL)."""
+    client.call_failing(setattr_message(client.walk_to(), p9l.SET_SIZE, size=5), errors.EISDIR, errors.EINVAL)
 
 
 @case("setattr: permissions alone", LINUX_ONLY)
 def setattr_mode(client: Client) -> None:
+    """Tsetattr: only the attributes in valid change: permissions alone leave size and type."""
     fid = client.create_file("f", b"kept", 0o600)
-    client.call(p9l.Rsetattr, setattr(fid, p9l.SET_MODE, mode=0o640))
+    client.call(p9l.Rsetattr, setattr_message(fid, p9l.SET_MODE, mode=0o640))
     found = client.linux_attributes(fid)
     check(
         stat.S_IMODE(found.mode) == 0o640 and stat.S_ISREG(found.mode) and found.size == 4,
@@ -78,32 +90,36 @@
 
 @case("setattr: a given time", LINUX_ONLY)
 def setattr_mtime(client: Client) -> None:
+    """Tsetattr: with the bits for mtime and its explicit value the file gets the given time."""
     fid = client.create_file("f")
-    client.call(p9l.Rsetattr, setattr(fid, p9l.SET_MTIME | p9l.SET_MTIME_TO, mtime=1234567))
+    client.call(p9l.Rsetattr, setattr_message(fid, p9l.SET_MTIME | p9l.SET_MTIME_TO, mtime=1234567))
     check(client.linux_attributes(fid).mtime_s == 1234567, f"mtime {client.linux_attributes(fid).mtime_s}")
 
 
 @case("setattr: size and permissions in one", LINUX_ONLY)
 def setattr_two(client: Client) -> None:
+    """Tsetattr: several attributes may be valid, and all of them are set."""
     fid = client.create_file("f", b"0123456789", 0o600)
-    client.call(p9l.Rsetattr, setattr(fid, p9l.SET_SIZE | p9l.SET_MODE, mode=0o640, size=3))
+    client.call(p9l.Rsetattr, setattr_message(fid, p9l.SET_SIZE | p9l.SET_MODE, mode=0o640, size=3))
     found = client.linux_attributes(fid)
     check((stat.S_IMODE(found.mode), found.size) == (0o640, 3), getattr_text(found))
 
 
 @case("setattr: with nothing valid nothing changes", LINUX_ONLY)
 def setattr_nothing(client: Client) -> None:
+    """Tsetattr: without any bit in valid no attribute changes, whatever the fields hold."""
     fid = client.create_file("f", b"kept", 0o600)
     before = client.linux_attributes(fid)
-    client.call(p9l.Rsetattr, setattr(fid, 0, mode=0o777, size=1, mtime=5))
+    client.call(p9l.Rsetattr, setattr_message(fid, 0, mode=0o777, size=1, mtime=5))
     after = client.linux_attributes(fid)
     check((after.mode, after.size, after.mtime_s) == (before.mode, before.size, before.mtime_s), "it did")
 
 
 @case("setattr: who is not root does not give files away", LINUX_ONLY)
 def setattr_owner(client: Client) -> None:
+    """Tsetattr: only root may give a file to another owner (chown(2): EPERM)."""
     client.call_failing(
-        setattr(client.create_file("f"), p9l.SET_UID, uid=client.options.uid + 1),
+        setattr_message(client.create_file("f"), p9l.SET_UID, uid=client.options.uid + 1),
         errors.EPERM,
         errors.EOPNOTSUPP,
     )
@@ -111,11 +127,13 @@
 
 @case("setattr: the fid must be one", LINUX_ONLY)
 def setattr_unknown_fid(client: Client) -> None:
-    client.call_failing(setattr(client.new_fid(), p9l.SET_MODE), errors.EBADF)
+    """Tsetattr: the fid must be established; an unknown one is the error EBADF."""
+    client.call_failing(setattr_message(client.new_fid(), p9l.SET_MODE), errors.EBADF)
 
 
 @case("statfs: figures that can be", LINUX_ONLY)
 def statfs_figures(client: Client) -> None:
+    """Rstatfs: available blocks are among the free ones and these among all, as statfs(2) has them."""
     reply = client.expect(
         p9l.Rstatfs, client.skip_if_unsupported(client.request(p9l.Tstatfs(client.walk_to())))
     )
@@ -127,6 +145,7 @@
 
 @case("fsync: an open file", LINUX_ONLY)
 def fsync_open_file(client: Client) -> None:
+    """Tfsync: an open file is flushed to storage, with or without its attributes (datasync)."""
     fid = client.create_file("f", b"x")
     for data_only in (0, 1):
         client.call(p9l.Rfsync, p9l.Tfsync(fid, data_only))
@@ -134,12 +153,14 @@
 
 @case("fsync: the fid must be open", LINUX_ONLY)
 def fsync_unopened(client: Client) -> None:
+    """Tfsync: the fid must be open (EBADF)."""
     client.create_file("f")
     client.call_failing(p9l.Tfsync(client.walk_to("f"), 0), errors.EBADF)
 
 
 @case("xattrwalk: attributes, or 'not supported'", LINUX_ONLY)
 def xattrwalk_answered(client: Client) -> None:
+    """Txattrwalk: newfid gets the attribute; a missing one, or a server without any, is an error."""
     reply = client.request(p9l.Txattrwalk(client.create_file("f"), client.new_fid(), "user.none"))
     if not isinstance(reply, p9l.Rxattrwalk):
         client.expect_error(reply, errors.EOPNOTSUPP, errors.ENODATA, errors.ENOSYS)
--- a/garnetlanding/conform/cases/linux_locks.py
+++ b/garnetlanding/conform/cases/linux_locks.py
@@ -65,6 +65,7 @@
 
 @case("fcntl(2): a write lock keeps others from any lock there", LINUX_ONLY)
 def lock_excludes(client: Client) -> None:
+    """Tlock: a write lock keeps other owners from any lock in its range, as by fcntl(2)."""
     fid, other, other_fid = open_on_two_connections(client)
     expect_granted(client, fid, WRITE, 0, 5)
     expect_blocked(other, other_fid, WRITE, 4, 1)
@@ -73,6 +74,7 @@
 
 @case("fcntl(2): read locks are shared", LINUX_ONLY)
 def lock_read_shared(client: Client) -> None:
+    """Tlock: several owners may have read locks on a range, which exclude write locks, as by fcntl(2)."""
     fid, other, other_fid = open_on_two_connections(client)
     expect_granted(client, fid, READ, 0, 5)
     expect_granted(other, other_fid, READ, 0, 5, OWNER_B)
@@ -81,6 +83,7 @@
 
 @case("fcntl(2): ranges that do not overlap do not conflict", LINUX_ONLY)
 def lock_ranges_apart(client: Client) -> None:
+    """Tlock: locks on ranges that do not overlap do not conflict, as by fcntl(2)."""
     fid, other, other_fid = open_on_two_connections(client)
     expect_granted(client, fid, WRITE, 0, 5)
     expect_granted(other, other_fid, WRITE, 5, 5, OWNER_B)
@@ -88,6 +91,7 @@
 
 @case("fcntl(2): a length of zero reaches to the end", LINUX_ONLY)
 def lock_to_the_end(client: Client) -> None:
+    """Tlock: a length of zero reaches to the end of the file, however far it grows, as by fcntl(2)."""
     fid, other, other_fid = open_on_two_connections(client)
     expect_granted(client, fid, WRITE, 5, 0)
     expect_blocked(other, other_fid, WRITE, 1 << 40, 1)
@@ -96,6 +100,7 @@
 
 @case("fcntl(2): an owner's own locks do not stand in its way", LINUX_ONLY)
 def lock_own(client: Client) -> None:
+    """Tlock: an owner's new lock replaces its own old one in the range, as by fcntl(2)."""
     fid, other, other_fid = open_on_two_connections(client)
     expect_granted(client, fid, WRITE, 0, 5)
     expect_granted(client, fid, READ, 0, 5)
@@ -104,6 +109,7 @@
 
 @case("fcntl(2): unlocking the middle leaves both ends", LINUX_ONLY)
 def lock_split(client: Client) -> None:
+    """Tlock: unlocking the middle of a range leaves locks on both ends, as by fcntl(2)."""
     fid, other, other_fid = open_on_two_connections(client)
     expect_granted(client, fid, WRITE, 0, 9)
     expect_granted(client, fid, NONE, 3, 3)
@@ -114,6 +120,7 @@
 
 @case("getlock: nothing in the way", LINUX_ONLY)
 def getlock_free(client: Client) -> None:
+    """Tgetlock: when the lock could be had, the type of the reply is LOCK_NONE, as by F_GETLK."""
     fid, _, _ = open_on_two_connections(client)
     reply = client.expect(
         p9l.Rgetlock, client.skip_if_unsupported(client.request(p9l.Tgetlock(fid, WRITE, 0, 5, 1, "a")))
@@ -123,6 +130,7 @@
 
 @case("getlock: what stands in the way, and whose it is", LINUX_ONLY)
 def getlock_taken(client: Client) -> None:
+    """Rgetlock: when a lock is in the way, the reply has its type, range and process, as by F_GETLK."""
     fid, other, other_fid = open_on_two_connections(client)
     expect_granted(client, fid, WRITE, 2, 5, LockOwner(77, "a"))
     reply = other.call(p9l.Rgetlock, p9l.Tgetlock(other_fid, READ, 0, 0, 1, "b"))
@@ -131,6 +139,7 @@
 
 @case("fcntl(2): a lock ends with its fid", LINUX_ONLY)
 def lock_ends_with_fid(client: Client) -> None:
+    """Tclunk: the locks that were taken through a fid end with it, as by close(2)."""
     fid, other, other_fid = open_on_two_connections(client)
     expect_granted(client, fid, WRITE, 0, 5)
     client.clunk(fid)
@@ -139,6 +148,7 @@
 
 @case("fcntl(2): a lock ends with its connection", LINUX_ONLY)
 def lock_ends_with_connection(client: Client) -> None:
+    """Tlock: the end of a connection clunks its fids, and with them their locks end."""
     fid, other, other_fid = open_on_two_connections(client)
     expect_granted(other, other_fid, WRITE, 0, 5, OWNER_B)
     other.close()
@@ -151,6 +161,7 @@
 
 @case("fcntl(2): a write lock needs a file open for writing", LINUX_ONLY)
 def lock_write_needs_writing(client: Client) -> None:
+    """Tlock: a write lock needs a fid open for writing (fcntl(2): EBADF)."""
     client.create_file("f")
     fid = client.walk_to("f")
     client.open(fid)
@@ -161,6 +172,7 @@
 
 @case("fcntl(2): the file must be open", LINUX_ONLY)
 def lock_unopened(client: Client) -> None:
+    """Tlock: the fid must be open (fcntl(2): EBADF)."""
     client.create_file("f")
     client.expect_error(
         client.skip_if_unsupported(client.request(p9l.Tlock(client.walk_to("f"), READ, 0, 0, 5, 1, "a"))),
--- a/garnetlanding/conform/cases/sessions.py
+++ b/garnetlanding/conform/cases/sessions.py
@@ -8,46 +8,54 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
+from garnetlanding.ninep.wire_format import message_name
 
 
-def version(client: Client, msize: int, text: str) -> p9.Message:
+def request_version(client: Client, msize: int, text: str) -> p9.Message:
+    """Send a Tversion and return its reply."""
     return client.request(p9.Tversion(msize, text), p9.NOTAG)
 
 
 @case("version(5): a version that the server has is echoed", without_session=True)
 def version_echoed(client: Client) -> None:
-    reply = client.expect(p9.Rversion, version(client, 8192, client.options.version))
+    """version(5): the server answers a version that it understands with that version."""
+    reply = client.expect(p9.Rversion, request_version(client, 8192, client.options.version))
     check(reply.version == client.options.version, f"answered {reply.version!r}")
 
 
 @case("version(5): the server's msize is not above the client's", without_session=True)
 def version_msize_not_raised(client: Client) -> None:
+    """version(5): the server's msize must not be greater than the client's."""
     for msize in (1024, 8192, 1 << 20):
-        reply = client.expect(p9.Rversion, version(client, msize, client.options.version))
+        reply = client.expect(p9.Rversion, request_version(client, msize, client.options.version))
         check(reply.msize <= msize, f"{reply.msize} for {msize}")
 
 
 @case("version(5): what the server does not understand is answered with 'unknown'", without_session=True)
 def version_unknown(client: Client) -> None:
-    reply = client.expect(p9.Rversion, version(client, 8192, "8P1987"))
+    """version(5): a server that does not understand the version answers with the text 'unknown'."""
+    reply = client.expect(p9.Rversion, request_version(client, 8192, "8P1987"))
     check(reply.version == "unknown", f"answered {reply.version!r}")
 
 
 @case("version(5): a suffix behind a dot may be dropped, and nothing else", without_session=True)
 def version_suffix(client: Client) -> None:
-    reply = client.expect(p9.Rversion, version(client, 8192, "9P2000.nobody"))
+    """version(5): what follows a period may be left off; the answer is then the version before it."""
+    reply = client.expect(p9.Rversion, request_version(client, 8192, "9P2000.nobody"))
     check(reply.version in ("9P2000", "unknown"), f"answered {reply.version!r}")
 
 
 @case("version(5): after 'unknown' a version can still be agreed on", without_session=True)
 def version_after_unknown(client: Client) -> None:
-    version(client, 8192, "8P1987")
+    """version(5): an answer of 'unknown' fails no connection; the client may propose another version."""
+    request_version(client, 8192, "8P1987")
     client.negotiate()
     client.attach()
 
 
 @case("version(5): an msize no message fits in is not agreed to", without_session=True)
 def version_msize_tiny(client: Client) -> None:
+    """version(5): the msize agreed on is at most the one proposed, also when that is too small for use."""
     client.send(p9.Tversion(10, client.options.version), p9.NOTAG)
     client.drain_replies()
     for reply in client.replies_to(p9.NOTAG):
@@ -59,6 +67,7 @@
 
 @case("version(5): Tversion comes first", without_session=True)
 def version_first(client: Client) -> None:
+    """version(5): Tversion must be the first message of a connection; others wait for its reply."""
     client.send(p9.Tstat(ROOT) if not client.linux else p9l.Tgetattr(ROOT, 0), 5)
     client.drain_replies()
     check(
@@ -69,6 +78,7 @@
 
 @case("version(5): Tversion ends the session: its fids are gone")
 def version_drops_fids(client: Client) -> None:
+    """version(5): Tversion starts a new session: all fids of the old one are clunked."""
     fid = client.walk_to()
     client.negotiate()
     client.call_failing(p9.Tclunk(fid), errors.EBADF)
@@ -77,19 +87,21 @@
 
 @case("version(5): nothing of the old session is answered after Rversion")
 def version_aborts_requests(client: Client) -> None:
+    """version(5): Tversion aborts all outstanding requests; none is answered after Rversion."""
     fid = client.create_file("f", b"x" * 1000)
     for tag in range(20, 30):
         client.send(p9.Tread(fid, 0, 1000), tag)
     client.negotiate()
-    at = max(i for i, (_, m) in enumerate(client.replies) if isinstance(m, p9.Rversion))
+    positions = [at for at, (_, reply) in enumerate(client.replies) if isinstance(reply, p9.Rversion)]
     client.drain_replies()
-    check(len(client.replies) == at + 1, "an answer of the old session came behind Rversion")
+    check(len(client.replies) == positions[-1] + 1, "an answer of the old session came behind Rversion")
 
 
 @case("version(5): a smaller msize holds from its answer on")
 def version_smaller_msize(client: Client) -> None:
+    """version(5): a later Tversion may lower msize, and replies keep to the new one."""
     client.create_file("f", b"y" * 4000)
-    reply = client.expect(p9.Rversion, version(client, 512, client.options.version))
+    reply = client.expect(p9.Rversion, request_version(client, 512, client.options.version))
     check(reply.msize <= 512, f"{reply.msize} for 512")
     client.attach()
     fid = client.walk_to("f")
@@ -100,12 +112,14 @@
 
 @case("attach(5): the root of a tree is a directory")
 def attach_gives_directory(client: Client) -> None:
+    """attach(5): the qid of Rattach is that of the tree's root, which is a directory."""
     qid = client.attach(client.new_fid())
     check(bool(qid.type & p9.QTDIR), f"qid type {qid.type:#x}")
 
 
 @case("attach(5): the same tree has the same root")
 def attach_same_root(client: Client) -> None:
+    """attach(5): each attach to the same tree connects its fid to the same root."""
     check(
         client.attach(client.new_fid()).path == client.attach(client.new_fid()).path, "two roots for one tree"
     )
@@ -113,30 +127,40 @@
 
 @case("attach(5): the fid must not be in use")
 def attach_fid_in_use(client: Client) -> None:
+    """attach(5): an error is returned if the fid is already in use."""
     client.expect_error(client.request(client.attach_message(ROOT)))
 
 
 @case("attach(5): NOFID is no fid")
 def attach_nofid(client: Client) -> None:
+    """attach(5): NOFID stands for 'no fid' and cannot be given to the root."""
     client.expect_error(client.request(client.attach_message(p9.NOFID)))
 
 
 @case("attach(5): an afid must be one that auth has made")
 def attach_afid_unknown(client: Client) -> None:
+    """attach(5): afid must be one that a Tauth has established, or NOFID."""
     client.expect_error(client.request(client.attach_message(client.new_fid(), afid=client.new_fid())))
 
 
 @case("auth(5): a server without authentication answers with an error")
 def auth_is_answered(client: Client) -> None:
-    o, fid = client.options, client.new_fid()
-    reply = client.request(
-        p9l.Tlauth(fid, o.uname, o.aname, o.uid) if client.linux else p9.Tauth(fid, o.uname, o.aname)
+    """attach(5): a server that needs no authentication answers Tauth with an error."""
+    options = client.options
+    fid = client.new_fid()
+    message: p9.Message = p9.Tauth(fid, options.uname, options.aname)
+    if client.linux:
+        message = p9l.Tlauth(fid, options.uname, options.aname, options.uid)
+    reply = client.request(message)
+    check(
+        isinstance(reply, p9.Rauth) or client.error_of(reply) is not None,
+        f"found {message_name(type(reply))}",
     )
-    check(isinstance(reply, p9.Rauth) or client.error_of(reply) is not None, f"found {type(reply).__name__}")
 
 
 @case("attach(5): fids belong to their connection")
 def fids_are_per_connection(client: Client) -> None:
+    """intro(5): fids belong to the connection; the same number on another one means nothing there."""
     other = client.connect_again()
     fid = client.walk_to()
     other.call_failing(p9.Tclunk(fid), errors.EBADF)
@@ -145,6 +169,7 @@
 
 @case("intro(5): what a request of the other dialect asks is not done", PLAIN_ONLY)
 def other_dialects_messages(client: Client) -> None:
+    """intro(5): message types beyond the agreed version's are errors and have no effect."""
     client.send(p9l.Tmkdir(client.walk_to(), "linux", 0o755, 0), 9)
     client.expect_error(client.wait_reply(9))
     check(not client.exists("linux"), "it was done")
@@ -152,6 +177,7 @@
 
 @case("clunk(5): when a connection ends its fids are clunked, and its files stay")
 def end_keeps_files(client: Client) -> None:
+    """clunk(5): clunking, also by the end of a connection, ends the fid and not its file."""
     other = client.connect_again()
     other.create_file("kept", b"kept")
     other.close()
--- a/garnetlanding/conform/cases/walks.py
+++ b/garnetlanding/conform/cases/walks.py
@@ -9,15 +9,18 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import errors
 
-ENOENT, EBADF = errors.ENOENT, errors.EBADF
+ENOENT = errors.ENOENT
+EBADF = errors.EBADF
 
 
-def walk(client: Client, fid: int, newfid: int, *names: str) -> p9.Message:
+def request_walk(client: Client, fid: int, newfid: int, *names: str) -> p9.Message:
+    """Send a Twalk and return its reply, whatever it is."""
     return client.request(p9.Twalk(fid, newfid, names))
 
 
 @case("walk(5): one qid for each name")
 def walk_to_file(client: Client) -> None:
+    """walk(5): a successful walk returns as many qids as names, one for each element of the path."""
     client.create_directory("d")
     client.create_file("f", b"", 0o644, "d")
     qids = client.call(p9.Rwalk, p9.Twalk(client.walk_to(), client.new_fid(), ("d", "f"))).qids
@@ -26,8 +29,10 @@
 
 @case("walk(5): without names newfid stands for the same file")
 def walk_clone(client: Client) -> None:
+    """walk(5): with zero names newfid represents the same file as fid, and no qids are returned."""
     client.create_file("f", b"clone")
-    fid, copy = client.walk_to("f"), client.new_fid()
+    fid = client.walk_to("f")
+    copy = client.new_fid()
     check(client.call(p9.Rwalk, p9.Twalk(fid, copy, ())).qids == (), "qids for no names")
     check(client.attributes(copy).qid == client.attributes(fid).qid, "the clone is another file")
     client.clunk(fid)
@@ -37,63 +42,74 @@
 
 @case("walk(5): newfid may be fid itself, also without names")
 def walk_clone_onto_itself(client: Client) -> None:
+    """walk(5): newfid may be equal to fid; without names nothing changes then."""
     fid = client.walk_to()
-    client.expect(p9.Rwalk, walk(client, fid, fid))
+    client.expect(p9.Rwalk, request_walk(client, fid, fid))
     client.attributes(fid)
 
 
 @case("walk(5): with newfid the same, the fid moves")
 def walk_moves_fid(client: Client) -> None:
+    """walk(5): if newfid is equal to fid, the fid represents the file that the walk reached."""
     client.create_file("f", b"moved")
     fid = client.walk_to()
-    client.expect(p9.Rwalk, walk(client, fid, fid, "f"))
+    client.expect(p9.Rwalk, request_walk(client, fid, fid, "f"))
     client.open(fid)
     check(client.read(fid) == b"moved", "it stands elsewhere")
 
 
 @case("walk(5): an error when the first name is missing")
 def walk_first_missing(client: Client) -> None:
+    """walk(5): if the first element cannot be walked for any reason, Rerror is returned."""
     client.call_failing(p9.Twalk(client.walk_to(), client.new_fid(), ("gone",)), ENOENT)
 
 
 @case("walk(5): after a failed walk newfid is not in use")
 def walk_failed_newfid_free(client: Client) -> None:
+    """walk(5): newfid is not affected by a walk that fails, and may be used again."""
     client.create_file("f")
-    fid, newfid = client.walk_to(), client.new_fid()
+    fid = client.walk_to()
+    newfid = client.new_fid()
     client.call_failing(p9.Twalk(fid, newfid, ("gone",)), ENOENT)
     client.call_failing(p9.Tclunk(newfid), EBADF)
-    client.expect(p9.Rwalk, walk(client, fid, newfid, "f"))
+    client.expect(p9.Rwalk, request_walk(client, fid, newfid, "f"))
 
 
 @case("walk(5): as many qids as names were found, when not the first is missing")
 def walk_partial(client: Client) -> None:
+    """walk(5): if a later element fails, Rwalk has the qids of the elements before it, and no newfid."""
     client.create_directory("d")
-    fid, newfid = client.walk_to(), client.new_fid()
-    reply = client.expect(p9.Rwalk, walk(client, fid, newfid, "d", "gone", "further"))
+    fid = client.walk_to()
+    newfid = client.new_fid()
+    reply = client.expect(p9.Rwalk, request_walk(client, fid, newfid, "d", "gone", "further"))
     check(len(reply.qids) == 1, f"{len(reply.qids)} qids")
     client.call_failing(p9.Tclunk(newfid), EBADF)
 
 
 @case("walk(5): a partial walk leaves fid where it was, also when newfid is the same")
 def walk_partial_fid_stays(client: Client) -> None:
+    """walk(5): fid is not affected by a walk that does not reach its end, even if newfid is the same."""
     client.create_directory("d")
     client.create_file("here")
     fid = client.walk_to()
-    client.expect(p9.Rwalk, walk(client, fid, fid, "d", "gone"))
-    client.expect(p9.Rwalk, walk(client, fid, client.new_fid(), "here"))
+    client.expect(p9.Rwalk, request_walk(client, fid, fid, "d", "gone"))
+    client.expect(p9.Rwalk, request_walk(client, fid, client.new_fid(), "here"))
 
 
 @case("walk(5): only directories are walked through")
 def walk_through_file(client: Client) -> None:
+    """walk(5): names are looked up in directories only; a file ends the walk where it stands."""
     client.create_file("f")
-    fid, newfid = client.walk_to(), client.new_fid()
-    reply = client.expect(p9.Rwalk, walk(client, fid, newfid, "f", "below"))
+    fid = client.walk_to()
+    newfid = client.new_fid()
+    reply = client.expect(p9.Rwalk, request_walk(client, fid, newfid, "f", "below"))
     check(len(reply.qids) == 1, f"{len(reply.qids)} qids")
     client.call_failing(p9.Twalk(client.walk_to("f"), client.new_fid(), ("below",)), errors.ENOTDIR, ENOENT)
 
 
 @case("walk(5): `..` leads to the parent")
 def walk_dotdot(client: Client) -> None:
+    """walk(5): the name `..` represents the parent directory."""
     client.create_directory("d")
     qids = client.call(p9.Rwalk, p9.Twalk(client.walk_to("d"), client.new_fid(), ("..",))).qids
     check(qids[0].path == client.attributes(client.walk_to()).qid.path, "it leads elsewhere")
@@ -101,6 +117,7 @@
 
 @case("walk(5): `..` may stand between other names")
 def walk_dotdot_between(client: Client) -> None:
+    """walk(5): `..` is a name as any other and may stand anywhere in a walk."""
     client.create_directory("d")
     client.create_file("f")
     qids = client.call(p9.Rwalk, p9.Twalk(client.walk_to(), client.new_fid(), ("d", "..", "f"))).qids
@@ -112,6 +129,7 @@
 
 @case("walk(5): `..` in the root stays there")
 def walk_dotdot_at_root(client: Client) -> None:
+    """walk(5): a walk of `..` in the root of the server's tree is the same as one with no names."""
     fid = client.new_fid()
     qids = client.call(p9.Rwalk, p9.Twalk(ROOT, fid, ("..", "..", client.scratch_directory))).qids
     check(len(qids) == 3 and qids[0].path == qids[1].path, qids_text(qids))
@@ -122,10 +140,11 @@
 
 @case("walk(5): sixteen names in one walk")
 def walk_sixteen_names(client: Client) -> None:
+    """walk(5): a walk may have up to MAXWELEM names, which is sixteen."""
     names: list[str] = []
-    for i in range(15):
-        client.create_directory(f"n{i}", *names)
-        names.append(f"n{i}")
+    for depth in range(15):
+        client.create_directory(f"n{depth}", *names)
+        names.append(f"n{depth}")
     client.create_file("leaf", b"deep", 0o644, *names)
     fid = client.new_fid()
     qids = client.call(p9.Rwalk, p9.Twalk(client.walk_to(), fid, (*names, "leaf"))).qids
@@ -136,6 +155,7 @@
 
 @case("walk(5): no more than sixteen names")
 def walk_seventeen_names(client: Client) -> None:
+    """walk(5): a maximum of sixteen names may be in one walk message."""
     client.send(p9.Twalk(client.walk_to(), client.new_fid(), ("x",) * 17), 9)
     client.drain_replies()
     check(
@@ -146,22 +166,26 @@
 
 @case("walk(5): newfid must not be in use")
 def walk_newfid_in_use(client: Client) -> None:
+    """walk(5): newfid must not be in use unless it is the same as fid."""
     client.create_file("f")
     client.call_failing(p9.Twalk(client.walk_to(), client.walk_to(), ("f",)))
 
 
 @case("walk(5): the fid must be one")
 def walk_unknown_fid(client: Client) -> None:
+    """walk(5): the fid must be one that an earlier attach or walk has established."""
     client.call_failing(p9.Twalk(client.new_fid(), client.new_fid(), ()), EBADF)
 
 
 @case("walk(5): NOFID is no newfid")
 def walk_to_nofid(client: Client) -> None:
+    """attach(5): NOFID is no valid fid, so a walk cannot establish it either."""
     client.call_failing(p9.Twalk(client.walk_to(), p9.NOFID, ()))
 
 
 @case("walk(5): the fid must not be open")
 def walk_open_fid(client: Client) -> None:
+    """walk(5): the fid must not have been opened for I/O by an open or a create."""
     fid = client.walk_to()
     client.open(fid)
     client.call_failing(p9.Twalk(fid, client.new_fid(), ()))
@@ -169,6 +193,7 @@
 
 @case("walk(5): a name has no slash")
 def walk_name_with_slash(client: Client) -> None:
+    """intro(5): a name is one path element: the slash separates elements and is illegal in one."""
     client.create_directory("d")
     client.create_file("f", b"", 0o644, "d")
     client.call_failing(p9.Twalk(client.walk_to(), client.new_fid(), ("d/f",)))
@@ -176,11 +201,13 @@
 
 @case("walk(5): a name is not empty")
 def walk_empty_name(client: Client) -> None:
+    """intro(5): a name has at least one character; the empty string names no file."""
     client.call_failing(p9.Twalk(client.walk_to(), client.new_fid(), ("",)))
 
 
 @case("intro(5): a file's qid path does not change")
 def qid_stays(client: Client) -> None:
+    """intro(5): the path of a qid is unique to its file among all files; a write does not change it."""
     fid = client.create_file("f")
     before = client.attributes(client.walk_to("f")).qid
     client.write(fid, b"changed")
@@ -189,6 +216,7 @@
 
 @case("intro(5): two files have two qid paths")
 def qid_differs(client: Client) -> None:
+    """intro(5): two files are the same if and only if their qids' paths are the same."""
     client.create_file("f")
     client.create_file("g")
     check(
@@ -199,6 +227,7 @@
 
 @case("walk(5): names are told apart by case and by every byte")
 def walk_names_exact(client: Client) -> None:
+    """walk(5): a name is found when a file has exactly that name: each byte counts, case included."""
     client.create_file("Name")
     check(
         not client.exists("name") and not client.exists("Name ") and client.exists("Name"),
@@ -208,11 +237,12 @@
 
 @case("walk(5): a file without search permission on the way is not reached")
 def walk_needs_search(client: Client) -> None:
+    """walk(5): the user must have permission to search a directory to walk through it."""
     client.create_directory("d")
     client.create_file("f", b"", 0o644, "d")
     fid = client.walk_to("d")
     client.set_permissions(fid, 0o600)
-    reply = walk(client, client.walk_to(), client.new_fid(), "d", "f")
+    reply = request_walk(client, client.walk_to(), client.new_fid(), "d", "f")
     found = isinstance(reply, p9.Rwalk) and len(reply.qids) == 2
     client.set_permissions(fid, 0o755)
     check(not found, "it was reached")
