--- a/tests/conform/seeded_faults.py
+++ b/tests/conform/seeded_faults.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from typing import Any
 
 import pytest
@@ -178,111 +178,95 @@
     return shared
 
 
-# By name: what is patched, the dialect that shows it, and the case that must be among those that fail.
-VARIANTS: dict[str, tuple[Any, str, Callable[..., Any], str, str]] = {
-    "a partial walk makes a fid": (FileConn, "_walk", _partial_walk_makes_fid, p9.VERSION, "walk-partial"),
-    "a fid in use is taken over": (
-        FileConn,
-        "_walk",
-        _walk_ignores_newfid_in_use,
-        p9.VERSION,
-        "walk-newfid-in-use",
+@dataclass(frozen=True, slots=True)
+class SeededFault:
+    """One way in which a file server is wrong.
+
+    `replace` makes the faulty method from the real one, which is `method` of `owner` (a class or a module).
+    `case` is a case that must fail then, in the dialect `version`.
+    """
+
+    owner: Any
+    method: str
+    replace: Callable[..., Any]
+    version: str
+    case: str
+
+
+VARIANTS: dict[str, SeededFault] = {
+    "a partial walk makes a fid": SeededFault(
+        FileConn, "_walk", _partial_walk_makes_fid, p9.VERSION, "walk-partial"
+    ),
+    "a fid in use is taken over": SeededFault(
+        FileConn, "_walk", _walk_ignores_newfid_in_use, p9.VERSION, "walk-newfid-in-use"
+    ),
+    "a read gives more than asked for": SeededFault(
+        FileConn, "_read", _read_gives_more, p9.VERSION, "read-no-more-than-asked"
+    ),
+    "a file open for writing is read": SeededFault(
+        FileConn, "_read", _read_ignores_access, p9l.VERSION, "open-for-writing-not-read"
+    ),
+    "a remove keeps its fid": SeededFault(FileConn, "clunk", _remove_keeps_fid, p9.VERSION, "remove-clunks"),
+    "ORCLOSE is forgotten": SeededFault(
+        FileConn, "clunk", _orclose_forgotten, p9.VERSION, "orclose-removes-at-clunk"
+    ),
+    "truncation is forgotten": SeededFault(
+        FileConn, "open", _truncate_forgotten, p9l.VERSION, "open-truncates"
+    ),
+    "permissions are not looked at": SeededFault(
+        Disk, "need", _permissions_forgotten, p9.VERSION, "open-read-denied"
+    ),
+    "qid paths are shared": SeededFault(Disk, "qid", _qid_reused, p9l.VERSION, "qid-differs"),
+    "msize is raised": SeededFault(
+        FileConn, "_version", _version_raises_msize, p9.VERSION, "version-msize-not-raised"
+    ),
+    "a new version keeps the old fids": SeededFault(
+        FileConn, "reset", _version_keeps_fids, p9.VERSION, "version-drops-fids"
+    ),
+    "append-only files are written anywhere": SeededFault(
+        FileConn, "_write", _append_at_offset, p9.VERSION, "append-only"
     ),
-    "a read gives more than asked for": (
-        FileConn,
-        "_read",
-        _read_gives_more,
-        p9.VERSION,
-        "read-no-more-than-asked",
+    "exclusive use is not kept": SeededFault(
+        FileConn, "exclude", _exclusive_forgotten, p9.VERSION, "exclusive-use"
     ),
-    "a file open for writing is read": (
-        FileConn,
-        "_read",
-        _read_ignores_access,
-        p9l.VERSION,
-        "open-for-writing-not-read",
+    "a full directory is removed": SeededFault(
+        Disk, "unlink", _full_directory_removed, p9l.VERSION, "remove-full-directory"
     ),
-    "a remove keeps its fid": (FileConn, "clunk", _remove_keeps_fid, p9.VERSION, "remove-clunks"),
-    "ORCLOSE is forgotten": (FileConn, "clunk", _orclose_forgotten, p9.VERSION, "orclose-removes-at-clunk"),
-    "truncation is forgotten": (FileConn, "open", _truncate_forgotten, p9l.VERSION, "open-truncates"),
-    "permissions are not looked at": (Disk, "need", _permissions_forgotten, p9.VERSION, "open-read-denied"),
-    "qid paths are shared": (Disk, "qid", _qid_reused, p9l.VERSION, "qid-differs"),
-    "msize is raised": (FileConn, "_version", _version_raises_msize, p9.VERSION, "version-msize-not-raised"),
-    "a new version keeps the old fids": (
-        FileConn,
-        "reset",
-        _version_keeps_fids,
-        p9.VERSION,
-        "version-drops-fids",
+    "a wstat is done by halves": SeededFault(
+        files_plain.PlainDialect, "_wstat", _wstat_in_two_halves, p9.VERSION, "wstat-all-or-nothing"
     ),
-    "append-only files are written anywhere": (
-        FileConn,
-        "_write",
-        _append_at_offset,
-        p9.VERSION,
-        "append-only",
+    "a stat tells half the length": SeededFault(
+        files_plain, "pack_stat", _stat_cut, p9.VERSION, "stat-fields"
     ),
-    "exclusive use is not kept": (FileConn, "exclude", _exclusive_forgotten, p9.VERSION, "exclusive-use"),
-    "a full directory is removed": (
-        Disk,
-        "unlink",
-        _full_directory_removed,
-        p9l.VERSION,
-        "remove-full-directory",
+    "a directory is read from anywhere": SeededFault(
+        files_plain, "read_dir", _directory_seek_allowed, p9.VERSION, "directory-seek"
     ),
-    "a wstat is done by halves": (
-        files_plain.PlainDialect,
-        "_wstat",
-        _wstat_in_two_halves,
-        p9.VERSION,
-        "wstat-all-or-nothing",
+    "a rename leaves its fids behind": SeededFault(
+        FileServer, "renamed", _rename_by_fid_leaves_fid, p9.VERSION, "wstat-name"
     ),
-    "a stat tells half the length": (files_plain, "pack_stat", _stat_cut, p9.VERSION, "stat-fields"),
-    "a directory is read from anywhere": (
-        files_plain,
-        "read_dir",
-        _directory_seek_allowed,
-        p9.VERSION,
-        "directory-seek",
+    "a rename does not replace": SeededFault(
+        Disk, "rename", _rename_does_not_replace, p9l.VERSION, "renameat-replaces"
     ),
-    "a rename leaves its fids behind": (
-        FileServer,
-        "renamed",
-        _rename_by_fid_leaves_fid,
-        p9.VERSION,
-        "wstat-name",
+    "all errors are one": SeededFault(
+        files_linux.LinuxDialect, "error", _errors_are_one, p9l.VERSION, "mkdir-existing"
     ),
-    "a rename does not replace": (Disk, "rename", _rename_does_not_replace, p9l.VERSION, "renameat-replaces"),
-    "all errors are one": (files_linux.LinuxDialect, "error", _errors_are_one, p9l.VERSION, "mkdir-existing"),
-    "locks do not exclude": (LockTable, "conflict", _locks_overlap, p9l.VERSION, "lock-excludes"),
-    "readdir repeats entries": (
-        files_linux.LinuxDialect,
-        "_readdir",
-        _readdir_repeats,
-        p9l.VERSION,
-        "readdir-any-offset",
+    "locks do not exclude": SeededFault(LockTable, "conflict", _locks_overlap, p9l.VERSION, "lock-excludes"),
+    "readdir repeats entries": SeededFault(
+        files_linux.LinuxDialect, "_readdir", _readdir_repeats, p9l.VERSION, "readdir-any-offset"
     ),
-    "unlinkat ignores its flag": (
-        files_linux.LinuxDialect,
-        "_unlink",
-        _unlink_ignores_flag,
-        p9l.VERSION,
-        "unlinkat-directory",
+    "unlinkat ignores its flag": SeededFault(
+        files_linux.LinuxDialect, "_unlink", _unlink_ignores_flag, p9l.VERSION, "unlinkat-directory"
     ),
-    "a flushed request is answered": (
-        FileConn,
-        "_shared",
-        _flush_answers_twice,
-        p9l.VERSION,
-        "flush-is-last",
+    "a flushed request is answered": SeededFault(
+        FileConn, "_shared", _flush_answers_twice, p9l.VERSION, "flush-is-last"
     ),
 }
 
 
 @contextmanager
 def broken(name: str) -> Iterator[None]:
-    """File servers have that flaw meanwhile."""
-    owner, method, make, _, _ = VARIANTS[name]
+    """Give all file servers the named fault for the time of the block."""
+    fault = VARIANTS[name]
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(owner, method, make(getattr(owner, method)))
+        patch.setattr(fault.owner, fault.method, fault.replace(getattr(fault.owner, fault.method)))
         yield
--- a/tests/conform/test_conformance_suite.py
+++ b/tests/conform/test_conformance_suite.py
@@ -50,11 +50,13 @@
 @pytest.mark.parametrize("fault", VARIANTS)
 def test_suite_detects_each_seeded_fault(fault: str) -> None:
     """A suite that cannot fail proves nothing."""
-    _, _, _, version, name = VARIANTS[fault]
-    instance = NinepInstance(access="rw", offer=version, tree={})
-    [sound] = [result for result in run_suite(instance, instance.files[0].address, version, f"^{name}$")]
+    seeded = VARIANTS[fault]
+    instance = NinepInstance(access="rw", offer=seeded.version, tree={})
+    address = instance.files[0].address
+    pattern = f"^{seeded.case}$"
+    [sound] = run_suite(instance, address, seeded.version, pattern)
     with broken(fault):
-        [faulty] = run_suite(instance, instance.files[0].address, version, f"^{name}$")
+        [faulty] = run_suite(instance, address, seeded.version, pattern)
     assert (sound.outcome, faulty.outcome) == (Outcome.PASS, Outcome.FAIL), faulty.reason
 
 
