--- a/tests/conform/test_conformance_suite.py
+++ b/tests/conform/test_conformance_suite.py
@@ -108,6 +108,7 @@
         (["--address", "x:1", "--msize", "5"], "--msize"),
         ([], "--address"),
     ],
+    ids=["address-unreadable", "only-no-regex", "only-matches-none", "msize-too-small", "address-missing"],
 )
 def test_invalid_arguments_give_exit_code_2(
     arguments: list[str], message: str, capsys: pytest.CaptureFixture[str]
