--- a/tests/conform/test_descriptions.py
+++ b/tests/conform/test_descriptions.py
@@ -16,7 +16,7 @@
 )
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
-from garnetlanding.ninep.model import RawStat
+from garnetlanding.ninep.stat_format import RawStat
 
 QID = p9.Qid(0x80, 3, 77)
 QID_TEXT = "Qid(type=128, version=3, path=77)"
