--- /dev/null
+++ b/garnetlanding/emulator/file_connection.py
@@ -0,0 +1,458 @@
+"""The emulated file server and its connections, apart from what differs between the dialects.
+
+Written from the manual (Plan 9, section 5) and the description of 9P2000.L, apart from the instance's front:
+tests compare the two. The dialects are in `files_plain.py` and `files_linux.py`, and `fileserver.py` puts all
+together.
+"""
+
+from __future__ import annotations
+
+import contextlib
+from collections.abc import Callable
+from dataclasses import dataclass, replace
+from typing import Any
+
+from garnetlanding.emulator.base import EmulatedConnection, EmulatedServer
+from garnetlanding.emulator.disk import Disk, DiskError, Inode, Tree
+from garnetlanding.emulator.faults import Fault, FaultScript, Rule
+from garnetlanding.ninep import codec as p9
+from garnetlanding.ninep import codec_linux as p9l
+from garnetlanding.ninep import errors
+from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.locks import ExclusiveUse, LockTable
+from garnetlanding.runtime.listener import Write
+
+LEAST_MSIZE = 256
+LOCKS = 1024
+SIGNED_END = 1 << 63
+
+
+@dataclass(eq=False, slots=True)
+class OpenFid:
+    """What a fid stands for; `parent` and `name` are where it was found, `parent` is None at the root.
+
+    `access` is None until it is open. A 9P2000 directory is read on at `dir_at`, from `listing`: what is left
+    of its stats as they were at the last read from the start.
+    """
+
+    node: Inode
+    user: str
+    parent: Inode | None = None
+    name: str = "/"
+    access: int | None = None
+    append: bool = False
+    remove_on_close: bool = False
+    dir_at: int = 0
+    listing: list[bytes] | None = None
+
+
+class Dialect:
+    """The part of the server that differs between the dialects."""
+
+    table: p9.Table
+
+    def reply(self, conn: FileConnection, message: p9.Message) -> p9.Message | None:
+        """Answer a message that only this dialect has; None when it has no such request."""
+        raise NotImplementedError
+
+    def error(self, problem: Problem) -> p9.Message:
+        """Return the reply to a request that failed."""
+        raise NotImplementedError
+
+    def read_directory(self, conn: FileConnection, at: OpenFid, offset: int, count: int) -> p9.Message:  # noqa: ARG002 - 9P2000's
+        """Answer a Tread of a directory, which only 9P2000 has."""
+        raise DiskError(errors.EISDIR)
+
+
+class FileConnection(EmulatedConnection):
+    """One client's connection: its fids, and the messages of both dialects."""
+
+    server: BaseFileServer
+
+    def __init__(self, server: BaseFileServer, write: Write) -> None:
+        super().__init__(server, write)
+        self.msize = 0
+        self.dialect: Dialect | None = None
+        self._framer = p9.Framer(server.pool, 1 << 17)
+        self.fids: dict[int, OpenFid] = {}
+        self.id = server.next_id()
+        self._waiting: dict[int, p9.Message] = {}  # held or slow, by tag
+
+    def feed(self, data: bytes | memoryview) -> None:
+        """Take in bytes of the client."""
+        try:
+            for tag, message in self._framer.feed(data):
+                self._hear(tag, message)
+        except p9.FrameError:
+            self.server.close_connection(self)
+
+    def _hear(self, tag: int, message: p9.Message | p9.Malformed) -> None:
+        server = self.server
+        if isinstance(message, p9.Malformed):
+            self._say(tag, self._error(Problem(errors.EPROTO, message.reason)))
+            return
+        server.heard.append(message)
+        if tag in self._waiting and not isinstance(message, p9.Tversion):
+            self._say(tag, self._error(Problem(errors.EPROTO, "duplicate tag")))
+            return
+        if server.hold and server.hold(message):
+            self._waiting[tag] = message
+            server.held.append((tag, message, self))
+            return
+        rule = server.script.rule_for(message)
+        if rule is None:
+            self.answer(tag, message)
+        else:
+            self._fault(tag, message, rule)
+
+    def _fault(self, tag: int, message: p9.Message, rule: Rule) -> None:
+        server = self.server
+        match rule.fault:
+            case Fault.STALL:
+                self._waiting[tag] = message
+                server.held.append((tag, message, self))
+            case Fault.SLOW:
+                self._waiting[tag] = message
+                slow_fids = {fid: replace(at) for fid, at in self.fids.items()}
+                server.later(rule.delay_us, lambda: self._slowly(tag, message, slow_fids))
+            case Fault.LATE:
+                fids = {fid: replace(at) for fid, at in self.fids.items()}
+                server.later(rule.delay_us, lambda: self._run_late(message, fids))
+                server.close_connection(self)
+            case Fault.RESET_BEFORE:
+                server.close_connection(self)
+            case Fault.RESET_AFTER:
+                self.run(message)
+                server.close_connection(self)
+            case Fault.REFUSE:
+                self._say(tag, self._error(Problem(rule.error_number)))
+            case _:
+                self._reply_wrongly(tag, message, rule.fault)
+
+    def _reply_wrongly(self, tag: int, message: p9.Message, fault: Fault) -> None:
+        reply = self.run(message)
+        match fault:
+            case Fault.HALF:
+                frame = p9.encode(tag, reply)
+                self.write(frame[: len(frame) // 2])
+            case Fault.WRONG_TAG:
+                self._say(tag + 1, reply)
+            case Fault.WRONG_TYPE:
+                self._say(tag, p9.Rclunk() if isinstance(reply, p9.Rflush) else p9.Rflush())
+            case Fault.WRONG_COUNT:
+                self._say(tag, self._miscount(message, reply))
+
+    def _slowly(self, tag: int, message: p9.Message, fids: dict[int, OpenFid]) -> None:
+        if self.ended:
+            self._run_late(message, fids)
+        else:
+            self.answer(tag, message)
+
+    def _run_late(self, message: p9.Message, fids: dict[int, OpenFid]) -> None:
+        """Run a message with the fids as they were when it was received."""
+        self.fids = fids
+        self.run(message)
+
+    @staticmethod
+    def _miscount(message: p9.Message, reply: p9.Message) -> p9.Message:
+        match message, reply:
+            case ((p9.Tread(count=count) | p9l.Treaddir(count=count)), p9.Rread(_)):
+                return p9.Rread(b"\xff" * (count + 1))
+            case p9l.Treaddir(count=count), _:
+                return p9l.Rreaddir(b"\xff" * (count + 1))
+            case p9.Twrite(data=data), p9.Rwrite(_):
+                return p9.Rwrite(len(data) + 1)
+            case _, p9.Rwalk(qids):
+                return p9.Rwalk((*qids, p9.Qid(0, 0, 0)))
+        return reply
+
+    def answer(self, tag: int, message: p9.Message) -> None:
+        """Run a message and reply, unless its client is gone or has flushed it meanwhile."""
+        held = self._waiting.pop(tag, None)
+        if not self.ended and (held is message or held is None):
+            self._say(tag, self.run(message))
+
+    def _say(self, tag: int, message: p9.Message) -> None:
+        if not self.ended:
+            self.write(p9.encode(tag, message))
+
+    def _error(self, problem: Problem) -> p9.Message:
+        return self.dialect.error(problem) if self.dialect else p9.Rerror(problem.text)
+
+    # What both dialects have
+
+    def run(self, message: p9.Message) -> p9.Message:
+        """Do what a message asks for and return the reply."""
+        try:
+            if isinstance(message, p9.Tversion):
+                return self._version(message)
+            if self.dialect is None:
+                raise DiskError(errors.EPROTO, "no version agreed")
+            reply = self._shared(message) or self.dialect.reply(self, message)
+            if reply is None:
+                raise DiskError(errors.EOPNOTSUPP, "not a request")
+            return reply
+        except DiskError as error:
+            return self._error(error.problem)
+
+    def _shared(self, message: p9.Message) -> p9.Message | None:
+        match message:
+            case p9.Tflush(oldtag):
+                self._flush(oldtag)
+                return p9.Rflush()
+            case p9.Tattach(fid, afid, uname, aname):
+                return self._attach(fid, afid, uname, p9l.NONUNAME, aname)
+            case p9l.Tlattach(fid, afid, uname, aname, n_uname):
+                return self._attach(fid, afid, uname, n_uname, aname)
+            case p9.Tauth() | p9l.Tlauth():
+                raise DiskError(errors.EOPNOTSUPP, "authentication not required")
+            case p9.Twalk(fid, newfid, names):
+                return self._walk(fid, newfid, names)
+            case p9.Tread(fid, offset, count):
+                return self._read(fid, offset, count)
+            case p9.Twrite(fid, offset, data):
+                return self._write(fid, offset, data)
+            case p9.Tclunk(fid):
+                self.clunk(fid)
+                return p9.Rclunk()
+            case p9.Tremove(fid):
+                at = self.fid(fid)
+                self.clunk(fid, removed=True)
+                self.remove(at)
+                return p9.Rremove()
+        return None
+
+    def _version(self, message: p9.Tversion) -> p9.Message:
+        self.reset()
+        self.dialect, self.msize = None, 0
+        if message.msize < LEAST_MSIZE:
+            return p9.Rerror("msize too small")
+        version = self.server.version_for(message.version)
+        self.msize = min(message.msize, self.server.msize)
+        self.dialect = self.server.dialects[version] if version else None
+        self._framer.max_size = self.msize
+        self._framer.table = self.dialect.table if self.dialect else p9.PLAIN
+        return p9.Rversion(self.msize, version or "unknown")
+
+    def reset(self) -> None:
+        """End the session: its fids and locks are released, what waits gets no reply."""
+        self._waiting.clear()
+        for fid in list(self.fids):
+            self.clunk(fid)
+        self.server.locks.release_session(self.id)
+
+    def close(self) -> None:
+        """End the session with its connection."""
+        if not self.ended:
+            super().close()
+            self.reset()
+
+    def _flush(self, oldtag: int) -> None:
+        self._waiting.pop(oldtag, None)
+
+    def fid(self, fid: int) -> OpenFid:
+        """Return what the fid stands for."""
+        if fid not in self.fids:
+            raise DiskError(errors.EBADF, "unknown fid")
+        return self.fids[fid]
+
+    def unopened(self, fid: int) -> OpenFid:
+        """Return what the fid stands for, which must not be open."""
+        at = self.fid(fid)
+        if at.access is not None:
+            raise DiskError(errors.EBADF, "fid already open")
+        return at
+
+    def new_fid(self, fid: int, at: OpenFid) -> None:
+        """Have an unused fid stand for a file."""
+        if fid in self.fids or fid == p9.NOFID:
+            raise DiskError(errors.EBADF, "fid already in use")
+        self.fids[fid] = at
+
+    def qid(self, node: Inode) -> p9.Qid:
+        """Return the file's qid on this server."""
+        return self.server.disk.qid(node, self.server.salt)
+
+    def _attach(self, fid: int, afid: int, uname: str, n_uname: int, aname: str) -> p9.Message:
+        if afid != p9.NOFID:
+            raise DiskError(errors.EOPNOTSUPP, "authentication not required")
+        if self.server.aname is not None and aname != self.server.aname:
+            raise DiskError(errors.ENOENT, "no such export")
+        user = str(n_uname) if n_uname != p9l.NONUNAME else uname
+        self.new_fid(fid, OpenFid(self.server.disk.root, user))
+        return p9.Rattach(self.qid(self.server.disk.root))
+
+    def _walk(self, fid: int, newfid: int, names: tuple[str, ...]) -> p9.Message:
+        at, disk = self.fid(fid), self.server.disk
+        if at.access is not None:
+            raise DiskError(errors.EBADF, "cannot walk an open fid")
+        if newfid != fid and (newfid in self.fids or newfid == p9.NOFID):
+            raise DiskError(errors.EBADF, "fid already in use")
+        if any(not name or name == "." or "/" in name for name in names):
+            raise DiskError(errors.EINVAL, "bad name in walk")
+        to = replace(at)
+        qids: list[p9.Qid] = []
+        for name in names:
+            try:
+                if to.node.is_dir:
+                    disk.need(to.node, at.user, 1)
+                child = disk.child(to.node, name)
+            except DiskError:
+                if not qids:
+                    raise
+                break
+            to = self.server.place(child, at.user) if name == ".." else OpenFid(child, at.user, to.node, name)
+            qids.append(self.qid(child))
+        if len(qids) == len(names):
+            self.fids[newfid] = to
+        return p9.Rwalk(tuple(qids))
+
+    def _read(self, fid: int, offset: int, count: int) -> p9.Message:
+        at = self.fid(fid)
+        if at.access is None or at.access == p9.OWRITE:
+            raise DiskError(errors.EBADF, "fid not open for reading")
+        count = min(count, self.msize - p9.READ_OVERHEAD)
+        if at.node.is_dir:
+            assert self.dialect
+            return self.dialect.read_directory(self, at, offset, count)
+        if offset + count > SIGNED_END:
+            raise DiskError(errors.EINVAL, "illegal offset")
+        return p9.Rread(bytes(at.node.data[offset : offset + count]))
+
+    def _write(self, fid: int, offset: int, data: bytes) -> p9.Message:
+        at, disk = self.fid(fid), self.server.disk
+        if at.access not in (p9.OWRITE, p9.ORDWR):
+            raise DiskError(errors.EBADF, "fid not open for writing")
+        if at.append or self.qid(at.node).type & p9.QTAPPEND:
+            offset = len(at.node.data)
+        elif offset + len(data) > SIGNED_END:
+            raise DiskError(errors.EINVAL, "illegal offset")
+        return p9.Rwrite(disk.write(at.node, offset, data, at.user) if data else 0)
+
+    def open(self, fid: int, at: OpenFid, access: int, truncate: bool) -> p9.Qid:
+        """Open a file, with the checks and effects of either dialect."""
+        disk, node = self.server.disk, at.node
+        writes = access in (p9.OWRITE, p9.ORDWR)
+        if node.is_dir and (writes or truncate):
+            raise DiskError(errors.EISDIR)
+        want = (
+            (4 if access in (p9.OREAD, p9.ORDWR) else 0)
+            | (2 if writes or truncate else 0)
+            | (1 if access == p9.OEXEC else 0)
+        )
+        disk.need(node, at.user, want)
+        self.exclude(fid, node)
+        if truncate and not self.qid(node).type & p9.QTAPPEND:
+            disk.truncate(node, 0, at.user)
+        at.access = access
+        return self.qid(node)
+
+    def exclude(self, fid: int, node: Inode) -> None:
+        """Take an exclusive-use file for this fid; raises DiskError when another has it open."""
+        if self.qid(node).type & p9.QTEXCL and not self.server.exclusive_use.acquire(
+            ("", node.number), self.id, fid
+        ):
+            raise DiskError(errors.EBUSY)
+
+    def clunk(self, fid: int, removed: bool = False) -> None:
+        """Release a fid; with `removed`, its file is being removed already."""
+        at = self.fid(fid)
+        del self.fids[fid]
+        self.server.locks.release_fid(self.id, fid)
+        self.server.exclusive_use.release_fid(self.id, fid)
+        if at.remove_on_close and not removed:
+            with contextlib.suppress(DiskError):  # a clunk does not fail
+                self.remove(at)
+
+    def remove(self, at: OpenFid) -> None:
+        """Remove the file from the directory where it was found."""
+        if at.parent is None:
+            raise DiskError(errors.EBUSY, "cannot remove the root")
+        disk = self.server.disk
+        if at.parent.names.get(at.name, (None,))[0] is not at.node:
+            raise DiskError(errors.ENOENT)
+        disk.need(at.parent, at.user, 2)
+        disk.unlink(at.parent, at.name, at.user)
+
+
+class BaseFileServer(EmulatedServer):
+    """A file server that is given its dialects, by version; it has one disk and any number of connections."""
+
+    machine = FileConnection
+
+    def __init__(
+        self,
+        *args: Any,
+        tree: Tree | None = None,
+        disk: Disk | None = None,
+        dialects: dict[str, Dialect],
+        **kwargs: Any,
+    ) -> None:
+        super().__init__(*args, **kwargs)
+        self.disk = disk or Disk(tree)
+        self.dialects = dialects
+        self.msize = 1 << 16
+        self.aname: str | None = None  # the one tree it has; None: whatever is asked for
+        self.salt = 0  # added to every qid's path
+        self.heard: list[p9.Message] = []
+        self.hold: Callable[[p9.Message], bool] | None = None
+        self.held: list[tuple[int, p9.Message, FileConnection]] = []
+        self.script = FaultScript()
+        self.locks = LockTable(LOCKS)
+        self.exclusive_use = ExclusiveUse()
+        self._ids = 0
+
+    def next_id(self) -> int:
+        """Return the number of a new connection."""
+        self._ids += 1
+        return self._ids
+
+    def version_for(self, wanted: str) -> str:
+        """Return the version for an offered one, empty if none fits.
+
+        An unknown suffix gets what stands before it (version(5)).
+        """
+        if wanted in self.dialects:
+            return wanted
+        base = wanted.split(".")[0]
+        return base if base in self.dialects else ""
+
+    @property
+    def tree(self) -> Tree:
+        """Raise: the tree can be set, but is read from the disk."""
+        raise AttributeError("the tree is on the disk")
+
+    @tree.setter
+    def tree(self, tree: Tree) -> None:
+        self.disk = Disk(tree)
+
+    def release(self) -> None:
+        """Answer what was held, and hold nothing any more."""
+        held, self.held, self.hold = self.held, [], None
+        for tag, message, conn in held:
+            conn.answer(tag, message)
+
+    def later(self, delay_us: int, call: Callable[[], Any]) -> None:
+        """Call something after a delay in microseconds."""
+        self.scheduler.call_at(self.scheduler.now + delay_us, call)
+
+    def restart(self, new_qids: bool = False) -> None:
+        """End every connection; with new qids, no file is the one it was to its clients."""
+        self.held.clear()
+        self.salt += (1 << 40) * new_qids
+        self.close_connections()
+
+    def place(self, node: Inode, user: str) -> OpenFid:
+        """Return a fid for a directory at its own place in the tree."""
+        if node is self.disk.root or node.parent is None:
+            return OpenFid(node, user)
+        name = next((n for n, (child, _) in node.parent.names.items() if child is node), "")
+        return OpenFid(node, user, node.parent, name)
+
+    def renamed(self, parent: Inode, name: str, to: Inode, new: str, node: Inode) -> None:
+        """Have every fid of a renamed file follow it."""
+        for conn in self.connections:
+            if isinstance(conn, FileConnection):
+                for at in conn.fids.values():
+                    if at.node is node and at.parent is parent and at.name == name:
+                        at.parent, at.name = to, new
--- a/garnetlanding/emulator/files_linux.py
+++ b/garnetlanding/emulator/files_linux.py
@@ -5,7 +5,7 @@
 import stat
 
 from garnetlanding.emulator.disk import BLOCK, DiskError
-from garnetlanding.emulator.fileserver import SIGNED_END, Dialect, FileConn, OpenFid
+from garnetlanding.emulator.file_connection import SIGNED_END, Dialect, FileConnection, OpenFid
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
@@ -24,10 +24,10 @@
     def error(self, problem: Problem) -> p9.Message:
         return p9l.Rlerror(problem.number)
 
-    def reply(self, conn: FileConn, message: p9.Message) -> p9.Message | None:
+    def reply(self, conn: FileConnection, message: p9.Message) -> p9.Message | None:
         return self._file(conn, message) or self._names(conn, message) or self._rest(conn, message)
 
-    def _file(self, conn: FileConn, message: p9.Message) -> p9.Message | None:
+    def _file(self, conn: FileConnection, message: p9.Message) -> p9.Message | None:
         disk = conn.server.disk
         match message:
             case p9l.Tgetattr(fid, _):
@@ -60,7 +60,7 @@
         if flags & 3 == 3:
             raise DiskError(errors.EINVAL)
 
-    def _parent(self, conn: FileConn, fid: int, name: str) -> OpenFid:
+    def _parent(self, conn: FileConnection, fid: int, name: str) -> OpenFid:
         at = conn.fid(fid)
         if not at.node.is_dir:
             raise DiskError(errors.ENOTDIR)
@@ -69,12 +69,12 @@
         conn.server.disk.need(at.node, at.user, 1)
         return at
 
-    def _writable(self, conn: FileConn, fid: int, name: str) -> OpenFid:
+    def _writable(self, conn: FileConnection, fid: int, name: str) -> OpenFid:
         at = self._parent(conn, fid, name)
         conn.server.disk.need(at.node, at.user, 2)
         return at
 
-    def _create(self, conn: FileConn, message: p9l.Tlcreate) -> p9.Message:
+    def _create(self, conn: FileConnection, message: p9l.Tlcreate) -> p9.Message:
         conn.unopened(message.fid)
         at, disk = self._parent(conn, message.fid, message.name), conn.server.disk
         self._flags(message.flags)
@@ -97,7 +97,7 @@
     def _gid(gid: int, at: OpenFid) -> str:
         return at.user if gid == p9l.NOGID else str(gid)
 
-    def _setattr(self, conn: FileConn, message: p9l.Tsetattr) -> None:
+    def _setattr(self, conn: FileConnection, message: p9l.Tsetattr) -> None:
         at, disk, valid = conn.fid(message.fid), conn.server.disk, message.valid
         node = at.node
         owner = at.user in (node.uid, "root", "0")
@@ -129,7 +129,7 @@
         node.ctime = disk.now
         disk.ran.append(("setattr", node.number, valid))
 
-    def _readdir(self, conn: FileConn, at: OpenFid, offset: int, count: int) -> p9.Message:
+    def _readdir(self, conn: FileConnection, at: OpenFid, offset: int, count: int) -> p9.Message:
         if at.access is None:
             raise DiskError(errors.EBADF)
         if not at.node.is_dir:
@@ -152,7 +152,7 @@
             raise DiskError(errors.EINVAL)
         return p9l.Rreaddir(b"".join(out))
 
-    def _names(self, conn: FileConn, message: p9.Message) -> p9.Message | None:
+    def _names(self, conn: FileConnection, message: p9.Message) -> p9.Message | None:
         disk = conn.server.disk
         match message:
             case p9l.Tmkdir(dfid, name, mode, gid):
@@ -200,7 +200,7 @@
         return None
 
     @staticmethod
-    def _unlink(conn: FileConn, at: OpenFid, name: str, flags: int) -> None:
+    def _unlink(conn: FileConnection, at: OpenFid, name: str, flags: int) -> None:
         if flags & ~p9l.AT_REMOVEDIR:
             raise DiskError(errors.EINVAL)
         is_dir = conn.server.disk.child(at.node, name).is_dir
@@ -209,7 +209,7 @@
         conn.server.disk.unlink(at.node, name, at.user)
 
     @staticmethod
-    def _rename(conn: FileConn, parent: object, name: str, to: OpenFid, new: str) -> None:
+    def _rename(conn: FileConnection, parent: object, name: str, to: OpenFid, new: str) -> None:
         from garnetlanding.emulator.disk import Inode
 
         assert isinstance(parent, Inode)
@@ -219,7 +219,7 @@
         disk.rename(parent, name, to.node, new, to.user, replace=True)
         conn.server.renamed(parent, name, to.node, new, node)
 
-    def _rest(self, conn: FileConn, message: p9.Message) -> p9.Message | None:
+    def _rest(self, conn: FileConnection, message: p9.Message) -> p9.Message | None:
         match message:
             case p9l.Treadlink(fid):
                 at = conn.fid(fid)
@@ -241,7 +241,7 @@
         return None
 
     @staticmethod
-    def _lock(conn: FileConn, message: p9l.Tlock | p9l.Tgetlock) -> p9.Message:
+    def _lock(conn: FileConnection, message: p9l.Tlock | p9l.Tgetlock) -> p9.Message:
         at, locks = conn.fid(message.fid), conn.server.locks
         if at.access is None:
             raise DiskError(errors.EBADF)
--- a/garnetlanding/emulator/files_plain.py
+++ b/garnetlanding/emulator/files_plain.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from garnetlanding.emulator.disk import DiskError
-from garnetlanding.emulator.fileserver import SIGNED_END, Dialect, FileConn, OpenFid
+from garnetlanding.emulator.file_connection import SIGNED_END, Dialect, FileConnection, OpenFid
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import errors
 from garnetlanding.ninep.errors import Problem
@@ -22,7 +22,7 @@
     def error(self, problem: Problem) -> p9.Message:
         return p9.Rerror(problem.text)
 
-    def reply(self, conn: FileConn, message: p9.Message) -> p9.Message | None:
+    def reply(self, conn: FileConnection, message: p9.Message) -> p9.Message | None:
         match message:
             case p9.Topen(fid, mode):
                 return self._open(conn, fid, mode)
@@ -39,7 +39,11 @@
                 return p9.Rwstat()
         return None
 
-    def _open(self, conn: FileConn, fid: int, mode: int) -> p9.Message:
+    def read_directory(self, conn: FileConnection, at: OpenFid, offset: int, count: int) -> p9.Message:
+        """Answer with whole stats."""
+        return read_dir(conn, at, offset, count)
+
+    def _open(self, conn: FileConnection, fid: int, mode: int) -> p9.Message:
         at = conn.unopened(fid)
         if mode & ~(3 | p9.OTRUNC | p9.ORCLOSE):
             raise DiskError(errors.EINVAL, "unknown open mode")
@@ -50,12 +54,12 @@
         return p9.Ropen(qid, 0)
 
     @staticmethod
-    def _may_remove(conn: FileConn, at: OpenFid) -> None:
+    def _may_remove(conn: FileConnection, at: OpenFid) -> None:
         if at.parent is None:
             raise DiskError(errors.EBUSY, "cannot remove the root")
         conn.server.disk.need(at.parent, at.user, 2)
 
-    def _create(self, conn: FileConn, message: p9.Tcreate) -> p9.Message:
+    def _create(self, conn: FileConnection, message: p9.Tcreate) -> p9.Message:
         at, disk = conn.unopened(message.fid), conn.server.disk
         if not at.node.is_dir:
             raise DiskError(errors.ENOTDIR)
@@ -77,7 +81,7 @@
         conn.fids[message.fid] = made
         return p9.Rcreate(conn.qid(node), 0)
 
-    def _wstat(self, conn: FileConn, at: OpenFid, data: bytes) -> None:
+    def _wstat(self, conn: FileConnection, at: OpenFid, data: bytes) -> None:
         """All of it or nothing: everything is checked before anything changes (stat(5))."""
         try:
             raw = parse_stat(data)
@@ -112,14 +116,14 @@
             disk.ran.append(("wstat", node.number, wanted))
 
     @staticmethod
-    def _no_odd(conn: FileConn, at: OpenFid, raw: RawStat, odd: tuple[str, ...]) -> None:
+    def _no_odd(conn: FileConnection, at: OpenFid, raw: RawStat, odd: tuple[str, ...]) -> None:
         """What may not change may be given as it is."""
         now = parse_stat(pack_stat(at.name, conn.server.disk.attr(at.node, conn.server.salt)))
         changed = [name for name in odd if getattr(raw, name) != getattr(now, name)]
         if changed:
             raise DiskError(errors.EPERM, f"wstat cannot change {', '.join(changed)}")
 
-    def _rename(self, conn: FileConn, at: OpenFid, name: str) -> None:
+    def _rename(self, conn: FileConnection, at: OpenFid, name: str) -> None:
         if not good_name(name):
             raise DiskError(errors.EINVAL, "illegal name")
         self._may_remove(conn, at)
@@ -129,7 +133,7 @@
         conn.server.renamed(at.parent, old, at.parent, name, at.node)
 
 
-def read_dir(conn: FileConn, at: OpenFid, offset: int, count: int) -> p9.Message:
+def read_dir(conn: FileConnection, at: OpenFid, offset: int, count: int) -> p9.Message:
     """Whole stats, from the start or from where the last read ended (read(5))."""
     disk = conn.server.disk
     if offset == 0:
--- a/tests/conform/seeded_faults.py
+++ b/tests/conform/seeded_faults.py
@@ -11,7 +11,8 @@
 
 from garnetlanding.emulator import files_linux, files_plain
 from garnetlanding.emulator.disk import Disk, DiskError, Inode
-from garnetlanding.emulator.fileserver import FileConn, FileServer, OpenFid
+from garnetlanding.emulator.file_connection import FileConnection, OpenFid
+from garnetlanding.emulator.fileserver import FileServer
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import stat_format
@@ -19,7 +20,7 @@
 
 
 def _partial_walk_makes_fid(real: Any) -> Any:
-    def walk(self: FileConn, fid: int, newfid: int, names: tuple[str, ...]) -> p9.Message:
+    def walk(self: FileConnection, fid: int, newfid: int, names: tuple[str, ...]) -> p9.Message:
         reply = real(self, fid, newfid, names)
         if isinstance(reply, p9.Rwalk) and len(reply.qids) < len(names):
             self.fids[newfid] = replace(self.fids[fid])
@@ -29,7 +30,7 @@
 
 
 def _walk_ignores_newfid_in_use(real: Any) -> Any:
-    def walk(self: FileConn, fid: int, newfid: int, names: tuple[str, ...]) -> p9.Message:
+    def walk(self: FileConnection, fid: int, newfid: int, names: tuple[str, ...]) -> p9.Message:
         if newfid != fid:
             self.fids.pop(newfid, None)
         return real(self, fid, newfid, names)  # type: ignore[no-any-return]  # the real method is untyped here
@@ -42,7 +43,7 @@
 
 
 def _read_ignores_access(real: Any) -> Any:
-    def read(self: FileConn, fid: int, offset: int, count: int) -> p9.Message:
+    def read(self: FileConnection, fid: int, offset: int, count: int) -> p9.Message:
         at = self.fids.get(fid)
         if at and at.access == p9.OWRITE:
             return p9.Rread(bytes(at.node.data[offset : offset + count]))
@@ -52,7 +53,7 @@
 
 
 def _remove_keeps_fid(real: Any) -> Any:
-    def clunk(self: FileConn, fid: int, removed: bool = False) -> None:
+    def clunk(self: FileConnection, fid: int, removed: bool = False) -> None:
         if not removed:
             real(self, fid, removed)
 
@@ -60,7 +61,7 @@
 
 
 def _orclose_forgotten(real: Any) -> Any:
-    def clunk(self: FileConn, fid: int, removed: bool = False) -> None:
+    def clunk(self: FileConnection, fid: int, removed: bool = False) -> None:
         if fid in self.fids:
             self.fids[fid].remove_on_close = False
         real(self, fid, removed)
@@ -81,7 +82,7 @@
 
 
 def _version_raises_msize(real: Any) -> Any:
-    def version(self: FileConn, message: p9.Tversion) -> p9.Message:
+    def version(self: FileConnection, message: p9.Tversion) -> p9.Message:
         reply = real(self, message)
         return replace(reply, msize=reply.msize + 1) if isinstance(reply, p9.Rversion) else reply
 
@@ -93,7 +94,7 @@
 
 
 def _append_at_offset(real: Any) -> Any:
-    def write(self: FileConn, fid: int, offset: int, data: bytes) -> p9.Message:
+    def write(self: FileConnection, fid: int, offset: int, data: bytes) -> p9.Message:
         at = self.fid(fid)
         if self.qid(at.node).type & p9.QTAPPEND:
             return p9.Rwrite(self.server.disk.write(at.node, offset, data, at.user))
@@ -115,7 +116,7 @@
 
 
 def _wstat_in_two_halves(real: Any) -> Any:
-    def wstat(self: Any, conn: FileConn, at: OpenFid, data: bytes) -> None:
+    def wstat(self: Any, conn: FileConnection, at: OpenFid, data: bytes) -> None:
         raw = stat_format.parse_stat(data)
         if raw.length < 1 << 32 and not at.node.is_dir:
             conn.server.disk.truncate(at.node, raw.length, at.user)
@@ -129,7 +130,7 @@
 
 
 def _directory_seek_allowed(real: Any) -> Any:
-    def read_dir(conn: FileConn, at: OpenFid, offset: int, count: int) -> p9.Message:
+    def read_dir(conn: FileConnection, at: OpenFid, offset: int, count: int) -> p9.Message:
         at.dir_at = offset
         return real(conn, at, offset, count)  # type: ignore[no-any-return]  # the real method is untyped here
 
@@ -162,14 +163,14 @@
 
 
 def _unlink_ignores_flag(_real: Any) -> Any:
-    def unlink(conn: FileConn, at: OpenFid, name: str, _flags: int) -> None:
+    def unlink(conn: FileConnection, at: OpenFid, name: str, _flags: int) -> None:
         conn.server.disk.unlink(at.node, name, at.user)
 
     return staticmethod(unlink)
 
 
 def _flush_answers_twice(real: Any) -> Any:
-    def shared(self: FileConn, message: p9.Message) -> p9.Message | None:
+    def shared(self: FileConnection, message: p9.Message) -> p9.Message | None:
         if isinstance(message, p9.Tflush):
             self._say(message.oldtag, p9.Rread(b""))
             self._say(message.oldtag, p9.Rread(b""))
@@ -195,39 +196,41 @@
 
 VARIANTS: dict[str, SeededFault] = {
     "a partial walk makes a fid": SeededFault(
-        FileConn, "_walk", _partial_walk_makes_fid, p9.VERSION, "walk-partial"
+        FileConnection, "_walk", _partial_walk_makes_fid, p9.VERSION, "walk-partial"
     ),
     "a fid in use is taken over": SeededFault(
-        FileConn, "_walk", _walk_ignores_newfid_in_use, p9.VERSION, "walk-newfid-in-use"
+        FileConnection, "_walk", _walk_ignores_newfid_in_use, p9.VERSION, "walk-newfid-in-use"
     ),
     "a read gives more than asked for": SeededFault(
-        FileConn, "_read", _read_gives_more, p9.VERSION, "read-no-more-than-asked"
+        FileConnection, "_read", _read_gives_more, p9.VERSION, "read-no-more-than-asked"
     ),
     "a file open for writing is read": SeededFault(
-        FileConn, "_read", _read_ignores_access, p9l.VERSION, "open-for-writing-not-read"
+        FileConnection, "_read", _read_ignores_access, p9l.VERSION, "open-for-writing-not-read"
+    ),
+    "a remove keeps its fid": SeededFault(
+        FileConnection, "clunk", _remove_keeps_fid, p9.VERSION, "remove-clunks"
     ),
-    "a remove keeps its fid": SeededFault(FileConn, "clunk", _remove_keeps_fid, p9.VERSION, "remove-clunks"),
     "ORCLOSE is forgotten": SeededFault(
-        FileConn, "clunk", _orclose_forgotten, p9.VERSION, "orclose-removes-at-clunk"
+        FileConnection, "clunk", _orclose_forgotten, p9.VERSION, "orclose-removes-at-clunk"
     ),
     "truncation is forgotten": SeededFault(
-        FileConn, "open", _truncate_forgotten, p9l.VERSION, "open-truncates"
+        FileConnection, "open", _truncate_forgotten, p9l.VERSION, "open-truncates"
     ),
     "permissions are not looked at": SeededFault(
         Disk, "need", _permissions_forgotten, p9.VERSION, "open-read-denied"
     ),
     "qid paths are shared": SeededFault(Disk, "qid", _qid_reused, p9l.VERSION, "qid-differs"),
     "msize is raised": SeededFault(
-        FileConn, "_version", _version_raises_msize, p9.VERSION, "version-msize-not-raised"
+        FileConnection, "_version", _version_raises_msize, p9.VERSION, "version-msize-not-raised"
     ),
     "a new version keeps the old fids": SeededFault(
-        FileConn, "reset", _version_keeps_fids, p9.VERSION, "version-drops-fids"
+        FileConnection, "reset", _version_keeps_fids, p9.VERSION, "version-drops-fids"
     ),
     "append-only files are written anywhere": SeededFault(
-        FileConn, "_write", _append_at_offset, p9.VERSION, "append-only"
+        FileConnection, "_write", _append_at_offset, p9.VERSION, "append-only"
     ),
     "exclusive use is not kept": SeededFault(
-        FileConn, "exclude", _exclusive_forgotten, p9.VERSION, "exclusive-use"
+        FileConnection, "exclude", _exclusive_forgotten, p9.VERSION, "exclusive-use"
     ),
     "a full directory is removed": SeededFault(
         Disk, "unlink", _full_directory_removed, p9l.VERSION, "remove-full-directory"
@@ -258,7 +261,7 @@
         files_linux.LinuxDialect, "_unlink", _unlink_ignores_flag, p9l.VERSION, "unlinkat-directory"
     ),
     "a flushed request is answered": SeededFault(
-        FileConn, "_shared", _flush_answers_twice, p9l.VERSION, "flush-is-last"
+        FileConnection, "_shared", _flush_answers_twice, p9l.VERSION, "flush-is-last"
     ),
 }
 
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -16,10 +16,6 @@
 PACKAGE = "garnetlanding"
 PAGE = ROOT / "docs" / "architecture.md"
 
-# Circles that are still to be broken up (issue 33): one that is gone must be taken off this list.
-KNOWN_CIRCLES = {
-    frozenset({"emulator.files_plain", "emulator.fileserver", "emulator.files_linux"}),
-}
 # What a package may import of the others; the rest may import anything that makes no circle.
 LAYERS = {
     "decision": {"decision"},
@@ -80,14 +76,14 @@
     return seen
 
 
-def test_import_circles_are_only_the_known_ones() -> None:
+def test_no_modules_import_one_another_in_a_circle() -> None:
     after = {name: reachable(name) for name in MODULES}
     circles = {
         frozenset(other for other in after[name] if name in after[other])
         for name in MODULES
         if name in after[name]
     }
-    assert circles == KNOWN_CIRCLES
+    assert circles == set()
 
 
 @pytest.mark.parametrize("package", LAYERS)
