--- a/garnetlanding/daemon/assembly.py
+++ b/garnetlanding/daemon/assembly.py
@@ -143,7 +143,7 @@
     settings = read_settings(stored_settings(config, store))
     controller = Controller(effective_settings(config, process.share, settings), config.seed)
     core = RequestEngine(controller, scheduler, limits)
-    scheduler.turn_end.append(core.run_iteration)
+    scheduler.iteration_hooks.append(core.run_iteration)
     return Instance(
         config=config,
         scheduler=scheduler,
--- a/garnetlanding/daemon/clients.py
+++ b/garnetlanding/daemon/clients.py
@@ -41,7 +41,7 @@
         )
         # Clients and backends share descriptors: what backends do not need takes clients.
         backends = instance.backends
-        self.listener.lent = lambda: max(0, backends.count - backends.kept)
+        self.listener.lent = lambda: max(0, backends.count - backends.reserved)
         backends.borrow = self.listener.lend
 
     def _make_machine(self, client: Client) -> ClientMachine:
--- a/garnetlanding/daemon/peer_link.py
+++ b/garnetlanding/daemon/peer_link.py
@@ -99,7 +99,7 @@
             return
         coordinator.activate(instance.scheduler.now)
         instance.core.send_to_peer = self.link.send
-        instance.log_listening("other heads", self.link.address)
+        instance.log_listening("peers", self.link.address)
 
     def _retry(self) -> None:
         self._retry_planned = False
--- a/garnetlanding/lab/clients.py
+++ b/garnetlanding/lab/clients.py
@@ -80,7 +80,7 @@
                 self._plan.began_us + request.start_us, partial(self._start_request, request)
             )
         while self._unfinished:
-            self.scheduler.turn()
+            self.scheduler.run_iteration()
 
     def _start_request(self, request: Request) -> None:
         self.scheduler.spawn(lambda: self._send_request(request))
--- a/garnetlanding/lab/run.py
+++ b/garnetlanding/lab/run.py
@@ -177,7 +177,7 @@
         for instance in sorted(waiting):
             self._scheduler.spawn(partial(self._ping_until_answered, instance, waiting, deadline_us))
         while waiting:
-            self._scheduler.turn(LIMITS.turn_ms)
+            self._scheduler.run_iteration(LIMITS.turn_ms)
             for instance, exit_code in enumerate(self._instances.exit_codes()):
                 if exit_code is not None and instance not in self._instances.late:
                     name = f"n{instance}"
@@ -236,7 +236,7 @@
             + LIMITS.clients_end_s * SECOND
         )
         while clients.exit_code is None:
-            self._scheduler.turn(LIMITS.turn_ms)
+            self._scheduler.run_iteration(LIMITS.turn_ms)
             elapsed_us = max(0, self._scheduler.now - began_us)
             progress(min(1.0, elapsed_us / experiment.duration_us))
             if self._scheduler.now > last_us:
--- a/garnetlanding/peers/codec.py
+++ b/garnetlanding/peers/codec.py
@@ -65,7 +65,7 @@
         self.offset = offset
 
 
-class Ask(NamedTuple):
+class QuotaRequest(NamedTuple):
     """What an instance wants of one volume's limit."""
 
     share: float  # of the plan's rate, 0 to 1
@@ -78,7 +78,7 @@
     A grant is the share of the sender's own even share that it leaves to the receiver.
     """
 
-    asks: dict[int, Ask]
+    asks: dict[int, QuotaRequest]
     grants: dict[int, float]
 
 
@@ -103,7 +103,7 @@
     number: int
     acked_incarnation: int = 0
     acked_number: int = 0
-    asks: dict[int, Ask] = field(default_factory=dict)
+    asks: dict[int, QuotaRequest] = field(default_factory=dict)
     grants: dict[int, float] = field(default_factory=dict)
 
 
@@ -115,7 +115,7 @@
     return zlib.crc32(name.encode())
 
 
-def paginate(asks: dict[int, Ask], grants: dict[int, float], size: int) -> Iterator[LeasePage]:
+def paginate(asks: dict[int, QuotaRequest], grants: dict[int, float], size: int) -> Iterator[LeasePage]:
     """Divide asks, then grants, into as many pages as it takes for each to fit a datagram of `size` bytes."""
     capacity = size - HEADER.size - CHECKSUM.size
     page = LeasePage({}, {})
@@ -218,12 +218,12 @@
     grants_at = ask_count * ASK.size
     if len(body) != grants_at + grant_count * GRANT.size:
         raise MessageError("torn", HEADER.size + len(body))
-    asks: dict[int, Ask] = {}
+    asks: dict[int, QuotaRequest] = {}
     for offset in range(0, grants_at, ASK.size):
         volume, steps, hosts = ASK.unpack_from(body, offset)
         if steps > SHARE_STEPS or not hosts:
             raise MessageError("no share", HEADER.size + offset)
-        asks[volume] = Ask(steps / SHARE_STEPS, hosts)
+        asks[volume] = QuotaRequest(steps / SHARE_STEPS, hosts)
     grants: dict[int, float] = {}
     for offset in range(grants_at, len(body), GRANT.size):
         volume, steps = GRANT.unpack_from(body, offset)
--- a/garnetlanding/peers/leases.py
+++ b/garnetlanding/peers/leases.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, replace
 
 from garnetlanding.decision.estimators import SlidingWindowSum
-from garnetlanding.peers.codec import Ask, LeaseMessage, LeasePage, tag
+from garnetlanding.peers.codec import LeaseMessage, LeasePage, QuotaRequest, tag
 from garnetlanding.peers.demand import Demand
 from garnetlanding.peers.drop_reasons import DropReason
 from garnetlanding.peers.limits import PeerLimits
@@ -186,14 +186,14 @@
                 pages[peer] = LeasePage(asks, grants)
         return pages
 
-    def _asks(self, now: int) -> dict[int, Ask]:
+    def _asks(self, now: int) -> dict[int, QuotaRequest]:
         """Return the requests to send, those for the greatest shares first."""
         wanted = sorted(
             ((demand.wanted_share(now, self._limits), volume) for volume, demand in self.demands.items()),
             reverse=True,
         )
         return {
-            volume: Ask(share, self.demands[volume].hosts)
+            volume: QuotaRequest(share, self.demands[volume].hosts)
             for share, volume in wanted[: self._limits.max_asks]
             if share > 0
         }
--- a/garnetlanding/runtime/scheduler.py
+++ b/garnetlanding/runtime/scheduler.py
@@ -1,7 +1,7 @@
 """A scheduler of greenlets over `select.poll`, with timers and one reading of the clock per iteration.
 
 An iteration of the event loop polls, reads the clock once, fires the timers that are due, runs every task
-that is ready, and then calls the hooks in `turn_end`. The hooks see all that the iteration brought at once;
+that is ready, and then calls the `iteration_hooks`. The hooks see all that the iteration brought at once;
 this is how the core gets its events in batches.
 """
 
@@ -84,7 +84,7 @@
         self._timer_count = 0
         self._current: Task | None = None
         self._stopped = False
-        self.turn_end: list[Callable[[], None]] = []
+        self.iteration_hooks: list[Callable[[], None]] = []
 
     # Tasks
 
@@ -215,9 +215,9 @@
     def run(self) -> None:
         """Iterate until stopped."""
         while not self._stopped:
-            self.turn()
+            self.run_iteration()
 
-    def turn(self, most_ms: float | None = None) -> bool:
+    def run_iteration(self, most_ms: float | None = None) -> bool:
         """Do one iteration, waiting at most `most_ms` where given; return whether anything happened."""
         polled = self._poll.poll(self._poll_timeout_ms(most_ms))
         self.now = self._clock()
@@ -225,7 +225,7 @@
         fired = self._fire_timers()
         busy = bool(polled or fired or self._ready)
         self._run_ready()
-        for hook in self.turn_end:
+        for hook in self.iteration_hooks:
             self._guarded(hook)
         return busy
 
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -100,7 +100,7 @@
             self.quota.set_open(trial.node, len(conns), lacking=True)
             trial.finish(Outcome.NEVER_DISPATCHED)
             return
-        if len(conns) >= self.limits.conns_per_backend or not self._make_room():
+        if len(conns) >= self.limits.conns_per_backend or not self._make_capacity():
             trial.finish(Outcome.UNREACHABLE)
             return
         self.count += 1
@@ -113,7 +113,7 @@
         idle = self._idle.get(key, [])
         while idle:
             # The one used last unless another suits better: the rest idle long enough to be closed.
-            conn = next((c for c in reversed(idle) if c.machine.suits(trial)), idle[-1])
+            conn = next((free for free in reversed(idle) if free.machine.suits(trial)), idle[-1])
             if conn.quiet():
                 return conn
             # Closed right behind its last response, in this very iteration: a request written now is
@@ -131,7 +131,7 @@
     # Capacity
 
     @property
-    def kept(self) -> int:
+    def reserved(self) -> int:
         """Return the number of connections that nobody else may take."""
         return int(self.limits.backend_conns_reserved * self.part)
 
@@ -140,9 +140,9 @@
         """Return the part of the connections that is open, from 0 to 1."""
         return self.count / self._most
 
-    def _make_room(self) -> bool:
+    def _make_capacity(self) -> bool:
         """Return whether one more connection is possible, closing an idle one where necessary."""
-        if self.count < int(self._most * self.part) and (self.count < self.kept or self.borrow()):
+        if self.count < int(self._most * self.part) and (self.count < self.reserved or self.borrow()):
             return True
         return self._close_oldest()
 
--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -120,7 +120,7 @@
     assert tool.stream
     tool.stream.write(b"".join(p9.encode(10 + n, p9.Tread(1, n * 64, 64)) for n in range(60)))
     for _ in range(4):
-        w.scheduler.turn(1)
+        w.scheduler.run_iteration(1)
     assert tool.stream
     tool.stream.close()
     begun = len(w.core.starts)
@@ -144,5 +144,5 @@
         except BlockingIOError:
             break
     assert sent > 16 * w.limits.read_bytes_per_iteration
-    w.scheduler.turn(1)
+    w.scheduler.run_iteration(1)
     assert 0 < head_end.machine.taken * len(PING) <= w.limits.read_bytes_per_iteration + w.limits.buffer_bytes
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -135,7 +135,7 @@
         other.stream.write(read_command(f"s{i}", d=1400))
     while not all(len(other.got) > 4 * MIB for other in others):
         # A busy machine delivers late, also on loopback: only long quiet means that nothing moves any more.
-        assert any(instance.scheduler.turn(10) for _ in range(100))
+        assert any(instance.scheduler.run_iteration(10) for _ in range(100))
         most = max(most, instance.unread())
     assert (
         most <= instance.limits.stream_window_bytes + 2 * instance.pool.size
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -265,7 +265,7 @@
     old = instance.discovery
     instance.watch.subscribe()
     for _ in range(100):
-        instance.scheduler.turn(0)
+        instance.scheduler.run_iteration(0)
         if instance.watch._stream is None or instance.watch._stream.closed:
             break  # it is on its way, and not yet up
     instance.watch.switch_to(other.address)
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -1079,7 +1079,7 @@
 
 def peer_text(number: int) -> str:
     """What head 0 tells of a volume that comes through both heads."""
-    asks = {peers_codec.tag("vol-all"): peers_codec.Ask(0.5, 2)}
+    asks = {peers_codec.tag("vol-all"): peers_codec.QuotaRequest(0.5, 2)}
     return peers_codec.encode_leases(peers_codec.LeaseMessage(900, number, asks=asks)).hex()
 
 
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -402,10 +402,14 @@
 HEADER = (7_000_000_001, 12, 6_000_000_009, 3)  # life and number, and those answered
 VOLUME, OTHER = codec.tag("vol-1"), codec.tag("vol-2")
 LEASES = codec.LeaseMessage(
-    *HEADER, {VOLUME: codec.Ask(0.5, 3), OTHER: codec.Ask(1.0, 255)}, {VOLUME: 0.252, 9: 0.0}
+    *HEADER,
+    {VOLUME: codec.QuotaRequest(0.5, 3), OTHER: codec.QuotaRequest(1.0, 255)},
+    {VOLUME: 0.252, 9: 0.0},
 )
 BUDGETS = codec.LeaseMessage(
-    *HEADER, {codec.tag(api.warmup_budget("n0")): codec.Ask(0.004, 4)}, {codec.tag(api.LIST_CALLS): 1.0}
+    *HEADER,
+    {codec.tag(api.warmup_budget("n0")): codec.QuotaRequest(0.004, 4)},
+    {codec.tag(api.LIST_CALLS): 1.0},
 )
 BANS = DisabledBackends(PEER_LIMITS, [Ban("n1", 1_764_640_800_000, 2, True), Ban("head/3", 9, 65535, False)])
 EVIDENCE = tuple(
@@ -446,7 +450,7 @@
             codec.LeaseMessage((1 << 48) - 1, (1 << 32) - 1, (1 << 48) - 1, (1 << 32) - 1)
         ),
         "leases-rounded": codec.encode_leases(
-            codec.LeaseMessage(1, 2, 0, 0, {1: codec.Ask(0.0011, 1)}, {1: 0.0079})
+            codec.LeaseMessage(1, 2, 0, 0, {1: codec.QuotaRequest(0.0011, 1)}, {1: 0.0079})
         ),
         "budgets": codec.encode_leases(BUDGETS, codec.MessageKind.BUDGETS),
         "words": codec.encode_envelope(gossip_message.to_envelope(TOLD, *HEADER)),
@@ -487,7 +491,9 @@
     assert (read["roll"], read["roll-one"]) == (rolls()["roll"], rolls()["roll-one"])
     assert read["words-empty"] == gossip_message.GossipMessage(bytes(8))
     assert read["leases-empty"] == codec.LeaseMessage(1, 1)
-    assert read["leases-rounded"] == codec.LeaseMessage(1, 2, 0, 0, {1: codec.Ask(0.004, 1)}, {1: 0.004})
+    assert read["leases-rounded"] == codec.LeaseMessage(
+        1, 2, 0, 0, {1: codec.QuotaRequest(0.004, 1)}, {1: 0.004}
+    )
     assert read["leases-greatest"] == codec.LeaseMessage(
         (1 << 48) - 1, (1 << 32) - 1, (1 << 48) - 1, (1 << 32) - 1
     )
@@ -521,7 +527,7 @@
 
 def test_many_entries_are_paged_as_recorded() -> None:
     """What does not fit into one datagram: leases, evidence and bans, and records of heads."""
-    asks = {i * 7919: codec.Ask((i % 251) / 250, 1 + i % 255) for i in range(400)}
+    asks = {i * 7919: codec.QuotaRequest((i % 251) / 250, 1 + i % 255) for i in range(400)}
     grants = {i * 104729: (i % 251) / 250 for i in range(300)}
     paged = [
         codec.encode_leases(codec.LeaseMessage(1, 1, 0, 0, *page))
--- a/tests/integration/test_mixed_protocols.py
+++ b/tests/integration/test_mixed_protocols.py
@@ -134,7 +134,7 @@
         assert peer.stream
         peer.stream.write(data)
     while len(instance.core.starts) < 2:
-        instance.scheduler.turn(1)
+        instance.scheduler.run_iteration(1)
     instance.core.endpoints.set_disabled(frozenset({"b0", "b1"}), instance.time)
     instance.settle()
     assert not any(b.received for b in instance.bricks_up)
--- a/tests/integration/test_process_signals.py
+++ b/tests/integration/test_process_signals.py
@@ -190,7 +190,7 @@
         last = time.monotonic() + span_s
         while not until() and time.monotonic() < last:
             world.time = time.monotonic_ns() // 1000
-            world.scheduler.turn(10)
+            world.scheduler.run_iteration(10)
         return until()
 
     assert turns(
--- a/tests/integration/test_rolling_upgrade.py
+++ b/tests/integration/test_rolling_upgrade.py
@@ -54,9 +54,9 @@
     def settle(self) -> None:
         quiet = 0
         while quiet < 3:
-            busy = self.scheduler.turn(1)
+            busy = self.scheduler.run_iteration(1)
             for daemon in getattr(self, "daemons", []):
-                busy = (not daemon.scheduler._stopped and daemon.scheduler.turn(0)) or busy
+                busy = (not daemon.scheduler._stopped and daemon.scheduler.run_iteration(0)) or busy
             quiet = 0 if busy else quiet + 1
 
     def call(self, daemon: Daemon, what: str, method: str = "POST") -> str:
--- a/tests/peers/test_codec.py
+++ b/tests/peers/test_codec.py
@@ -12,7 +12,7 @@
 
 SHARES = st.integers(0, codec.SHARE_STEPS).map(lambda n: n / codec.SHARE_STEPS)
 NAMES = st.integers(0, 2**32 - 1)
-ASKS = st.dictionaries(NAMES, st.builds(codec.Ask, SHARES, st.integers(1, 255)), max_size=15)
+ASKS = st.dictionaries(NAMES, st.builds(codec.QuotaRequest, SHARES, st.integers(1, 255)), max_size=15)
 GRANTS = st.dictionaries(NAMES, SHARES, max_size=15)
 MESSAGES = st.builds(
     LeaseMessage,
@@ -45,10 +45,12 @@
 
 
 @given(
-    st.dictionaries(NAMES, st.builds(codec.Ask, SHARES, st.integers(1, 255)), max_size=300),
+    st.dictionaries(NAMES, st.builds(codec.QuotaRequest, SHARES, st.integers(1, 255)), max_size=300),
     st.dictionaries(NAMES, SHARES, max_size=300),
 )
-def test_pages_hold_every_entry_once_and_fit(asks: dict[int, codec.Ask], grants: dict[int, float]) -> None:
+def test_pages_hold_every_entry_once_and_fit(
+    asks: dict[int, codec.QuotaRequest], grants: dict[int, float]
+) -> None:
     pages = list(codec.paginate(asks, grants, LIMITS.datagram_bytes))
     assert [a for p in pages for a in p[0].items()] == list(asks.items())
     assert [g for p in pages for g in p[1].items()] == list(grants.items())
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -151,7 +151,7 @@
 def test_forged_datagrams_are_counted_by_cause_and_change_nothing() -> None:
     coordinator = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), incarnation=1)
     whole = codec.encode_leases(
-        LeaseMessage(1, 1, 0, 0, {codec.tag("v"): codec.Ask(1.0, 2)}, {codec.tag("v"): 1.0})
+        LeaseMessage(1, 1, 0, 0, {codec.tag("v"): codec.QuotaRequest(1.0, 2)}, {codec.tag("v"): 1.0})
     )
     coordinator.handle(
         T0, [api.PeerMessage(1, p) for p in (b"", whole[:-1], whole + b"x", b"\x09" + whole[1:], bytes(300))]
@@ -267,7 +267,7 @@
     assert instance.coordinator.leases
     host, port = link.address.split(":")
     tag, sent = codec.tag("v"), instance.received()[0][-1]
-    grant = LeaseMessage(1, 1, sent.incarnation, sent.number, {tag: codec.Ask(1.0, 2)}, {tag: 0.6})
+    grant = LeaseMessage(1, 1, sent.incarnation, sent.number, {tag: codec.QuotaRequest(1.0, 2)}, {tag: 0.6})
     instance.others[0].sendto(codec.encode_leases(grant), (host, int(port)))
     instance.settle()
     [row] = [row.as_json() for row in instance.coordinator.limit_rows(instance.time)]
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -162,7 +162,7 @@
     assert [one.receive(who, LeaseMessage(1, 1), 0) for who in (0, 3, -1, 2)] == [
         DropReason.UNKNOWN_PEER
     ] * 3 + [None]
-    one.receive(1, LeaseMessage(1, 1, 0, 0, {v: codec.Ask(1.0, 2) for v in range(30)}), 0)
+    one.receive(1, LeaseMessage(1, 1, 0, 0, {v: codec.QuotaRequest(1.0, 2) for v in range(30)}), 0)
     assert len(one.contacts.by_peer[1].requests) == 5
     one.receive(1, LeaseMessage(1, 2, 1, 1, {}, {v: 1.0 for v in range(30)}), 0)
     assert not one._received.by_volume, "no grant is kept that was not requested"
--- a/tests/runtime/test_scheduler.py
+++ b/tests/runtime/test_scheduler.py
@@ -17,9 +17,9 @@
 
     scheduler.spawn(bad)
     scheduler.call_at(0, bad)
-    scheduler.turn_end.append(bad)
+    scheduler.iteration_hooks.append(bad)
     scheduler.spawn(lambda: seen.append("on"))
-    scheduler.turn(0)
+    scheduler.run_iteration(0)
     assert seen == ["on"]
     assert caplog.text.count("RuntimeError: defect") == 3
 
@@ -37,7 +37,7 @@
 
     scheduler.spawn(body)
     for clock[0] in (0, 9, 10, 10):
-        scheduler.turn(0)
+        scheduler.run_iteration(0)
     assert seen == ["expired at 10"]
 
 
@@ -51,7 +51,7 @@
             scheduler.call_at(10_000 - i, lambda i=i: seen.append(i))  # type: ignore[misc]  # mypy does not type the default
         assert len(scheduler._timers) <= 2 * (i // 100 + 2)
     clock[0] = 10_000
-    scheduler.turn(0)
+    scheduler.run_iteration(0)
     assert seen == list(range(900, -1, -100))
     assert scheduler.cancelled == len(scheduler._timers) == 0
 
--- a/tests/runtime/test_upstream.py
+++ b/tests/runtime/test_upstream.py
@@ -147,7 +147,7 @@
     assert instance.client.stream
     instance.client.stream.write(read_command(d=900))
     while not instance.core.starts:
-        instance.scheduler.turn(1)
+        instance.scheduler.run_iteration(1)
     instance.core.endpoints._addresses["b0"] = moved.address
     instance.settle()
     assert not instance.brick.received
--- a/tests/support/daemon.py
+++ b/tests/support/daemon.py
@@ -104,7 +104,7 @@
         quiet = 0
         while quiet < 3:
             head = self.daemon.scheduler if hasattr(self, "daemon") else None
-            moved = [s.turn(1) for s in (self.scheduler, head) if s and not s._stopped]
+            moved = [s.run_iteration(1) for s in (self.scheduler, head) if s and not s._stopped]
             quiet = 0 if any(moved) else quiet + 1
 
     def client(self, at: int = 0) -> LoopbackClient:
--- a/tests/support/ninep_instance.py
+++ b/tests/support/ninep_instance.py
@@ -164,7 +164,7 @@
         until = world.time + int(wait_s * SECOND)
         while True:
             # What is on its way on loopback mostly needs no waiting for; settling is for the rest.
-            while len(peer.got) == self._had and not peer.closed and world.scheduler.turn(0):
+            while len(peer.got) == self._had and not peer.closed and world.scheduler.run_iteration(0):
                 pass
             if len(peer.got) == self._had and not peer.closed:
                 world.settle()
@@ -180,7 +180,7 @@
     def close(self) -> None:
         if self._peer.stream and not self._peer.closed:
             self._peer.stream.close()
-            self._world.scheduler.turn(0)
+            self._world.scheduler.run_iteration(0)
 
 
 def run_beside(world: NinepInstance, body: Callable[[], None]) -> None:
@@ -197,7 +197,7 @@
     thread.start()
     turns = 0
     while thread.is_alive():
-        world.scheduler.turn(1)
+        world.scheduler.run_iteration(1)
         turns += 1
         assert turns < 200_000, "the client waits for ever"
     if failed:
--- a/tests/support/simulated_instance.py
+++ b/tests/support/simulated_instance.py
@@ -111,7 +111,7 @@
             self.limits,
         )
         self.core.starts, self.core.finals = [], []
-        self.scheduler.turn_end.append(self.core.run_iteration)
+        self.scheduler.iteration_hooks.append(self.core.run_iteration)
         self.bricks = resp_backends(self.scheduler, self.pool, self.limits)
 
     @classmethod
@@ -147,7 +147,7 @@
         """Run the event loop until three iterations in a row find nothing to do on the loopback sockets."""
         quiet = 0
         while quiet < 3:
-            quiet = 0 if self.scheduler.turn(1) else quiet + 1
+            quiet = 0 if self.scheduler.run_iteration(1) else quiet + 1
 
     def run(self, span_us: int, step_us: int = 10 * MS) -> None:
         """Let simulated time pass in steps; sockets are quiet after each."""
