--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -13,7 +13,7 @@
 
 
 def tables(text: str) -> list[Table]:
-    """Every table of a page, each row by the names of its columns."""
+    """Return every table of a page, each row by the names of its columns."""
     found: list[Table] = []
     names: list[str] = []
     for line in text.splitlines():
@@ -29,8 +29,9 @@
     return found
 
 
-def bars(axes: Any, rows: Table, name: str, columns: list[str]) -> None:
-    labels = [row[name] for row in rows]
+def bars(axes: Any, rows: Table, label_column: str, columns: list[str]) -> None:
+    """Draw a group of horizontal bars for each row, one bar for each column."""
+    labels = [row[label_column] for row in rows]
     height = 0.8 / len(columns)
     for i, column in enumerate(columns):
         values = [float(row[column].split(",")[0]) for row in rows]
@@ -40,46 +41,59 @@
     axes.legend(fontsize=7)
 
 
-def main() -> None:
-    import matplotlib
-
-    matplotlib.use("Agg")
-    from matplotlib import pyplot
-
-    leases = tables((RESULTS / "leases.md").read_text())
+def draw_leases(pyplot: Any) -> None:
+    """Draw the shares of a limit with leases beside those with fixed shares."""
+    sums, uses = tables((RESULTS / "leases.md").read_text())[:2]
     figure, axes = pyplot.subplots(1, 2, figsize=(11, 3.5))
-    bars(axes[0], leases[1], next(iter(leases[1][0])), ["fixed parts", "leases"])
+    bars(axes[0], uses, next(iter(uses[0])), ["fixed parts", "leases"])
     axes[0].axvline(0.9, color="grey", linestyle=":")
-    bars(axes[1], leases[0], next(iter(leases[0][0])), ["greatest sum of parts"])
+    bars(axes[1], sums, next(iter(sums[0])), ["greatest sum of parts"])
     axes[1].axvline(1.0, color="red", linestyle=":")
-    figure.tight_layout()
-    figure.savefig(RESULTS / "leases.png", dpi=110)
+    save(figure, "leases.png")
+
 
-    heads = tables((RESULTS / "verdicts.md").read_text())[0]
+def draw_verdicts(pyplot: Any) -> None:
+    """Draw by the number of instances what an unresponsive backend costs, with gossip and without."""
+    rows = tables((RESULTS / "verdicts.md").read_text())[0]
     figure, axes = pyplot.subplots(1, 2, figsize=(11, 3.5))
-    count = [int(row["heads"]) for row in heads]
-    axes[0].plot(
-        count,
-        [float(row["ratio"]) for row in heads],
-        marker="o",
-        label="sent to a silent server, told / untold",
-    )
+    instances = [int(row["heads"]) for row in rows]
+    ratios = [float(row["ratio"]) for row in rows]
+    axes[0].plot(instances, ratios, marker="o", label="sent to a silent server, told / untold")
     for column in ("s until under a tenth, untold", "s until under a tenth, told"):
-        axes[1].plot(count, [float(row[column]) for row in heads], marker="o", label=column)
-    for one in axes:
-        one.set_xlabel("heads")
-        one.set_ylim(0)
-        one.legend(fontsize=8)
-    figure.tight_layout()
-    figure.savefig(RESULTS / "verdicts.png", dpi=110)
+        axes[1].plot(instances, [float(row[column]) for row in rows], marker="o", label=column)
+    for axis in axes:
+        axis.set_xlabel("heads")
+        axis.set_ylim(0)
+        axis.legend(fontsize=8)
+    save(figure, "verdicts.png")
+
 
-    runs = tables((RESULTS / "lab.md").read_text())[0]
+def draw_lab_runs(pyplot: Any) -> None:
+    """Draw every experiment's greatest sums of shares and its use of the limits."""
+    rows = tables((RESULTS / "lab.md").read_text())[0]
     figure, axes = pyplot.subplots(1, 2, figsize=(11, 8))
-    bars(axes[0], runs, "experiment", ["greatest sum of parts", "greatest sum of even parts"])
+    bars(axes[0], rows, "experiment", ["greatest sum of parts", "greatest sum of even parts"])
     axes[0].axvline(1.0, color="red", linestyle=":")
-    bars(axes[1], runs, "experiment", ["share of the limits used"])
+    bars(axes[1], rows, "experiment", ["share of the limits used"])
+    save(figure, "lab.png")
+
+
+def save(figure: Any, name: str) -> None:
+    """Write a figure to the results."""
     figure.tight_layout()
-    figure.savefig(RESULTS / "lab.png", dpi=110)
+    figure.savefig(RESULTS / name, dpi=110)
+
+
+def main() -> None:
+    """Draw all charts."""
+    import matplotlib
+
+    matplotlib.use("Agg")
+    from matplotlib import pyplot
+
+    draw_leases(pyplot)
+    draw_verdicts(pyplot)
+    draw_lab_runs(pyplot)
 
 
 if __name__ == "__main__":
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -47,49 +47,56 @@
 ]
 
 
-def group_row(name: str, net: GroupScenario, seen: list[GroupResult]) -> str:
-    known = sorted(us for s in seen for us in s.known_after_us)
-    size = sum(s.bytes_sent for s in seen) / len(seen) / net.instances / (net.length_us / SECOND)
+def group_row(name: str, scenario: GroupScenario, results: list[GroupResult]) -> str:
+    """Return the line of one group, over its runs."""
+    known = sorted(us for result in results for us in result.known_after_us)
+    seconds = scenario.length_us / SECOND
+    size = sum(result.bytes_sent for result in results) / len(results) / scenario.instances / seconds
+    final_sum = sum(result.final_share_sum for result in results) / len(results)
     return (
-        f"| {name} | {len(seen)} | {sum(s.starts for s in seen)} | {max(s.max_share_sum for s in seen):.4f} "
-        f"| {sum(s.agreed for s in seen)} | {sum(s.final_share_sum for s in seen) / len(seen):.3f} "
+        f"| {name} | {len(results)} | {sum(result.starts for result in results)} "
+        f"| {max(result.max_share_sum for result in results):.4f} "
+        f"| {sum(result.agreed for result in results)} | {final_sum:.3f} "
         f"| {known[len(known) // 2] / SECOND:.1f}, {known[-1] / SECOND:.1f} | {size:.0f} |"
     )
 
 
-def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seeds", type=int, default=300)
-    seeds = parser.parse_args().seeds
+def group_rows(seeds: int) -> list[str]:
+    """Return the table of groups whose instances join, end, crash and are cut off."""
     lines = [
-        "# Heads that find each other, and budgets that all share",
-        "",
-        f"`python -m benchmarks.members --seeds {seeds}`. Runs end with 10 calm s (200 heads: 30).",
-        "",
         "| heads that join, end, crash, are cut off | runs | starts | greatest sum of even parts "
         "| runs with one table at the end | mean sum at the end "
         "| s until all know of a start: median, most "
         "| bytes a head a second |",
         "| --- " * 8 + "|",
     ]
-    for name, (net, divided) in GROUPS.items():
-        count = max(1, seeds // divided)
-        seen = [GroupSimulation(replace(net, seed=seed)).run() for seed in track(range(count), name)]
-        lines.append(group_row(name, net, seen))
+    for name, (scenario, divisor) in GROUPS.items():
+        count = max(1, seeds // divisor)
+        drawn = track(range(count), name)
+        results = [GroupSimulation(replace(scenario, seed=seed)).run() for seed in drawn]
+        lines.append(group_row(name, scenario, results))
         print(lines[-1], flush=True)
-    lines += [
-        "",
+    return lines
+
+
+def budget_rows(seeds: int) -> list[str]:
+    """Return the table of what all instances spend of a budget within one window."""
+    lines = [
         "| budget of a window | runs | greatest part spent within one window, all heads |",
         "| --- | --- | --- |",
     ]
     for name, budget in BUDGETS.items():
-        spent = [BudgetSimulation(replace(budget, seed=seed)).run() for seed in track(range(seeds), name)]
-        lines.append(f"| {name} | {seeds} | {max(s.greatest_sum for s in spent):.4f} |")
+        drawn = track(range(seeds), name)
+        results = [BudgetSimulation(replace(budget, seed=seed)).run() for seed in drawn]
+        lines.append(f"| {name} | {seeds} | {max(result.greatest_sum for result in results):.4f} |")
     usable = sum(BudgetSimulation(replace(ALONE, seed=seed)).run().usable for seed in range(5)) / 5
-    lines += [
-        "",
-        f"One of three heads alone spends {usable:.3f} of a budget; an even part is 0.333.",
-        "",
+    note = f"One of three heads alone spends {usable:.3f} of a budget; an even part is 0.333."
+    return [*lines, "", note]
+
+
+def exploration_rows() -> list[str]:
+    """Return the table of what was explored whole."""
+    lines = [
         "| explored whole | moves | starts anew | states | moves tried | greatest sum "
         "| heads joined at once |",
         "| --- " * 7 + "|",
@@ -101,6 +108,25 @@
             f"| {scope.moves} | {scope.restarts} | {found.states} | {found.moves} "
             f"| {found.max_share_sum:.4f} | {found.max_joined} |"
         )
+    return lines
+
+
+def main() -> None:
+    """Run everything, print the tables and write them to `RESULTS`."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--seeds", type=int, default=300)
+    seeds = parser.parse_args().seeds
+    lines = [
+        "# Heads that find each other, and budgets that all share",
+        "",
+        f"`python -m benchmarks.members --seeds {seeds}`. Runs end with 10 calm s (200 heads: 30).",
+        "",
+        *group_rows(seeds),
+        "",
+        *budget_rows(seeds),
+        "",
+        *exploration_rows(),
+    ]
     RESULTS.write_text("\n".join(lines) + "\n")
     print("\n".join(lines))
 
--- a/benchmarks/ninep_chaos.py
+++ b/benchmarks/ninep_chaos.py
@@ -22,6 +22,7 @@
 
 
 def play(job: tuple[int, int]) -> tuple[int, str, Counter[str], float]:
+    """Play a schedule of that seed and steps; return the seed, why it failed, its counts and its seconds."""
     seed, steps = job
     logging.disable(logging.WARNING)
     began = time.monotonic()
--- a/benchmarks/ninep_cost.py
+++ b/benchmarks/ninep_cost.py
@@ -46,6 +46,7 @@
 
 
 def servers(pipe: multiprocessing.connection.Connection) -> None:
+    """Run discovery and a file server; their addresses go to the pipe."""
     scheduler, limits = Scheduler(), Limits()
     pool = BufferPool(limits.buffer_bytes, limits.pool_free_max, 1 << 16)
     discovery = Discovery(scheduler, pool, limits)
@@ -65,50 +66,49 @@
 
 
 def free_port() -> int:
+    """Return a port that nobody listens on."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
+def write_config(folder: pathlib.Path, discovery: str) -> tuple[pathlib.Path, pathlib.Path, str]:
+    """Write an instance's two configuration files; return their paths and its 9P address."""
+    config = json.loads((ROOT / "example/config.json").read_text())
+    config |= {"listen": f"127.0.0.1:{free_port()}", "discovery": discovery}
+    operator = tomllib.loads((ROOT / "example/operator.toml").read_text())["ninep"]["export"][0]
+    listen = f"127.0.0.1:{free_port()}"
+    lines = ["[ninep]", f'listen = "{listen}"', "clients = 520"]
+    for volume in VOLUMES:
+        export = operator | {"name": volume, "volume": f"00000000000000{volume}0"}
+        lines += ["[[ninep.export]]"] + [f"{key} = {json.dumps(value)}" for key, value in export.items()]
+    config_path = folder / "c.json"
+    operator_path = folder / "o.toml"
+    config_path.write_text(json.dumps(config))
+    operator_path.write_text("\n".join(lines))
+    return config_path, operator_path, listen
+
+
+def wait_until_it_listens(address: str) -> None:
+    """Wait until connections are accepted there, for ten seconds at most."""
+    for _ in range(200):
+        try:
+            socket.create_connection(("127.0.0.1", int(address.rpartition(":")[2])), 1).close()
+            return
+        except OSError:
+            time.sleep(0.05)
+
+
 @contextmanager
-def head(discovery: str) -> Iterator[tuple[int, str]]:
-    """A head as an operator starts it; its process id and 9P address."""
+def running_instance(discovery: str) -> Iterator[tuple[int, str]]:
+    """Run an instance as an operator starts it; yield its process id and 9P address."""
     with tempfile.TemporaryDirectory() as folder:
-        config = json.loads((ROOT / "example/config.json").read_text())
-        config |= {"listen": f"127.0.0.1:{free_port()}", "discovery": discovery}
-        operator = tomllib.loads((ROOT / "example/operator.toml").read_text())["ninep"]["export"][0]
-        listen = f"127.0.0.1:{free_port()}"
-        lines = ["[ninep]", f'listen = "{listen}"', "clients = 520"]
-        for volume in VOLUMES:
-            lines += ["[[ninep.export]]"] + [
-                f"{key} = {json.dumps(value)}"
-                for key, value in (operator | {"name": volume, "volume": f"00000000000000{volume}0"}).items()
-            ]
-        paths = pathlib.Path(folder, "c.json"), pathlib.Path(folder, "o.toml")
-        paths[0].write_text(json.dumps(config))
-        paths[1].write_text("\n".join(lines))
-        process = subprocess.Popen(
-            [
-                sys.executable,
-                "-m",
-                "garnetlanding",
-                "serve",
-                "--config",
-                str(paths[0]),
-                "--operator",
-                str(paths[1]),
-                "--log-level",
-                "error",
-            ],
-            cwd=ROOT,
-        )
+        config_path, operator_path, listen = write_config(pathlib.Path(folder), discovery)
+        command = [sys.executable, "-m", "garnetlanding", "serve", "--config", str(config_path)]
+        command += ["--operator", str(operator_path), "--log-level", "error"]
+        process = subprocess.Popen(command, cwd=ROOT)
         try:
-            for _ in range(200):
-                try:
-                    socket.create_connection(("127.0.0.1", int(listen.rpartition(":")[2])), 1).close()
-                    break
-                except OSError:
-                    time.sleep(0.05)
+            wait_until_it_listens(listen)
             yield process.pid, listen
         finally:
             process.send_signal(signal.SIGTERM)
@@ -116,16 +116,19 @@
 
 
 def cpu_s(pid: int) -> float:
+    """Return the CPU seconds that a process has used."""
     words = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(words[11]) + int(words[12])) / TICK
 
 
 def rss_kb(pid: int) -> int:
+    """Return the resident memory of a process in kB."""
     status = pathlib.Path(f"/proc/{pid}/status").read_text()
     return int(next(line for line in status.splitlines() if line.startswith("VmRSS")).split()[1])
 
 
 def attached(address: str, aname: str, version: str = p9.VERSION) -> Client:
+    """Return a client that has attached to an export."""
     client = Client(lambda: SocketTransport(address, 10.0), Options(version, aname, reply_timeout_s=20.0))
     client.negotiate()
     client.attach()
@@ -133,16 +136,18 @@
 
 
 def opened(client: Client, fid: int, name: str, mode: int) -> None:
+    """Open a file of the root directory."""
     client.call(p9.Rwalk, p9.Twalk(0, fid, (name,)))
     client.open(fid, mode)
 
 
 def percentile(values: list[float], share: float) -> float:
+    """Return the value below which that share of the values is."""
     return sorted(values)[min(len(values) - 1, int(len(values) * share))]
 
 
 def cost_each(address: str, pid: int, version: str, count: int) -> dict[str, float]:
-    """CPU of the head for one read and one write of 4 KiB, one at a time."""
+    """Measure the CPU of the instance for one read and one write of 4 KiB, one at a time."""
     client = attached(address, "a", version)
     opened(client, 1, "data", p9.ORDWR)
     out = {}
@@ -159,8 +164,10 @@
 
 
 def steady(address: str, seconds: float, pipe: multiprocessing.connection.Connection) -> None:
-    """One client that reads 4 KiB every 20 ms; latencies in milliseconds, each from when it was due: a late
-    answer does not hide those behind it."""
+    """Read 4 KiB every 20 ms and send the latencies to the pipe, in milliseconds.
+
+    Each counts from when it was due: a late answer does not hide those behind it.
+    """
     client = attached(address, "a")
     opened(client, 1, "data", p9.OREAD)
     took: list[float] = []
@@ -176,7 +183,7 @@
 
 
 def flood(address: str, seconds: float) -> None:
-    """Keeps as many reads out as the head takes."""
+    """Keep as many reads in flight as the instance takes."""
     client = attached(address, "b")
     opened(client, 1, "data", p9.OREAD)
     end = time.monotonic() + seconds
@@ -193,7 +200,7 @@
 
 
 def slow_reader(address: str, seconds: float) -> None:
-    """Asks for a lot and reads one answer's worth now and then."""
+    """Ask for a lot and read one answer's worth now and then."""
     client = attached(address, "c")
     opened(client, 1, "data", p9.OREAD)
     sock = client.transport._socket  # type: ignore[attr-defined]
@@ -212,6 +219,7 @@
 
 
 def latency(address: str, seconds: float, *beside: object) -> list[float]:
+    """Return the latencies of the steady clients, in milliseconds, with others beside them."""
     mine, theirs = multiprocessing.Pipe()
     others = [
         multiprocessing.Process(target=body, args=(address, seconds + 1.5), daemon=True)  # type: ignore[arg-type]
@@ -236,6 +244,7 @@
 
 
 def crowd(address: str, pid: int, clients: int, fids: int) -> tuple[dict[str, float], list[Client]]:
+    """Attach many clients; return the memory that each costs, and the clients."""
     before = rss_kb(pid)
     held = []
     for _ in range(clients):
@@ -246,6 +255,30 @@
     return {"memory kB a client": (rss_kb(pid) - before) / clients}, held
 
 
+def latency_results(series: dict[str, list[list[float]]]) -> dict[str, dict[str, float]]:
+    """Return the medians over the rounds; the ratio to the clients alone is taken round by round."""
+    alone = [percentile(took, 0.99) for took in series["alone"]]
+    results: dict[str, dict[str, float]] = {}
+    for name, runs in series.items():
+        results[f"latency, {name}"] = {
+            "p50 ms": statistics.median(percentile(took, 0.5) for took in runs),
+            "p99 ms": statistics.median(percentile(took, 0.99) for took in runs),
+            "p99 to alone": statistics.median(
+                percentile(took, 0.99) / base for took, base in zip(runs, alone, strict=True)
+            ),
+        }
+    return results
+
+
+def show(console: Console, results: dict[str, dict[str, float]]) -> None:
+    """Print the results as a table."""
+    table = Table("what", "figure", "value", box=None)
+    for what, values in results.items():
+        for name, value in values.items():
+            table.add_row(what, name, f"{value:.2f}")
+    console.print(table)
+
+
 @click.command()
 @click.option("--seconds", default=3.0, show_default=True, help="Of each latency measurement.")
 @click.option("--count", default=1500, show_default=True, help="Reads and writes of each cost measurement.")
@@ -260,7 +293,7 @@
     discovery, _ = mine.recv()
     results: dict[str, dict[str, float]] = {}
     series: dict[str, list[list[float]]] = {}
-    with head(discovery) as (pid, address), console.status("measuring") as status:
+    with running_instance(discovery) as (pid, address), console.status("measuring") as status:
         for version in (p9.VERSION, p9l.VERSION):
             status.update(f"cost, {version}")
             results[f"one client, {version}"] = cost_each(address, pid, version, count)
@@ -276,24 +309,13 @@
         for client in held:
             client.close()
     process.terminate()
-    alone = [percentile(took, 0.99) for took in series["alone"]]
-    for name, runs in series.items():
-        results[f"latency, {name}"] = {
-            "p50 ms": statistics.median(percentile(took, 0.5) for took in runs),
-            "p99 ms": statistics.median(percentile(took, 0.99) for took in runs),
-            "p99 to alone": statistics.median(
-                percentile(took, 0.99) / base for took, base in zip(runs, alone, strict=True)
-            ),
-        }
+    results |= latency_results(series)
     keep(results, series)
-    table = Table("what", "figure", "value", box=None)
-    for what, values in results.items():
-        for name, value in values.items():
-            table.add_row(what, name, f"{value:.2f}")
-    console.print(table)
+    show(console, results)
 
 
 def keep(results: dict[str, dict[str, float]], series: dict[str, list[list[float]]]) -> None:
+    """Write the results as JSON, a table and a chart."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -21,6 +21,7 @@
 
 
 def at_random(heads: Sequence[int], servers: Sequence[str], k: int) -> dict[int, set[str]]:
+    """Draw each subset at random."""
     return {head: set(random.Random(head).sample(list(servers), k)) for head in heads}
 
 
@@ -35,6 +36,7 @@
 
 
 def by_weight(heads: Sequence[int], servers: Sequence[str], k: int) -> dict[int, set[str]]:
+    """Give each instance the servers of the highest rendezvous weight."""
     return {head: set(sorted(servers, key=lambda s: weight(head, s), reverse=True)[:k]) for head in heads}
 
 
@@ -56,6 +58,7 @@
 
 
 def with_quotas(heads: Sequence[int], servers: Sequence[str], k: int) -> dict[int, set[str]]:
+    """Give each instance the highest weights within quotas, as the load balancer does."""
     return subsets(heads, dict.fromkeys(servers, ""), k)
 
 
@@ -70,12 +73,14 @@
 
 
 def moved(before: dict[int, set[str]], after: dict[int, set[str]]) -> int:
-    """Pairs that are new."""
+    """Return how many pairs are new."""
     return sum(len(servers - before.get(head, set())) for head, servers in after.items())
 
 
 def row(name: str, way: Way, heads: int, servers: int, k: int) -> tuple[str, float]:
-    names, numbers = [f"s{i}" for i in range(servers)], list(range(heads))
+    """Return the table's line of one way, and the most instances at a server over their mean."""
+    names = [f"s{i}" for i in range(servers)]
+    numbers = list(range(heads))
     began = time.perf_counter()
     now = way(numbers, names, k)
     took = time.perf_counter() - began
@@ -94,8 +99,11 @@
 
 
 def steered(gain: float, delay_s: float, heads: int, seconds: int = 120) -> tuple[float, float]:
-    """Overshoot (of the logarithm, over the first error) and the seconds until it stays within a tenth, of a
-    volume that gets twice its plan's rate. Every head steps on the same late figure, each at its own time."""
+    """Return the overshoot and the settling time of a volume that gets twice its plan's rate.
+
+    The overshoot is of the logarithm, over the first error; the time is in seconds, until it stays within a
+    tenth. Every instance steps on the same late figure, each at its own time.
+    """
     every, step, most = WEIGHT_INTERVAL / 1e6, 0.1, math.log(WEIGHT_CLAMP)
     weights = [math.log(2.0)] * heads
     past: list[float] = []
@@ -114,6 +122,7 @@
 
 
 def draw(spread: dict[str, list[tuple[int, float]]]) -> None:
+    """Draw how unevenly each way loads the servers, by the number of instances."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -131,6 +140,7 @@
 
 
 def main() -> None:
+    """Compare all ways, print the tables and write them to `RESULTS`."""
     lines = [
         "# Subsets, and the weight's step",
         "",
