--- a/tests/core/test_request_engine.py
+++ b/tests/core/test_request_engine.py
@@ -72,6 +72,19 @@
     assert not instance.core._requests
 
 
+def test_a_request_is_answered_once_though_the_decision_module_asks_for_another_answer() -> None:
+    instance = EngineInstance(make_settings())
+    start_hedged(instance)
+    [request] = instance.core._requests
+    first, _ = instance.backend.in_flight
+    first.finish(Outcome.SERVED, b"first")
+    assert instance.answers == {"a": Served(b"first")}
+    assert list(instance.core._requests) == [request], "its other attempt is still in flight"
+    instance.core._requests.answer(request.ticket, Failed("asked for by a defective module"))
+    assert instance.answers == {"a": Served(b"first")}
+    assert instance.core.metrics.ended == 1
+
+
 def test_at_the_deadline_both_hedged_attempts_are_stopped() -> None:
     instance = EngineInstance(make_settings())
     start_hedged(instance, timeout_us=SECOND)
--- a/tests/decision/test_decision_rules.py
+++ b/tests/decision/test_decision_rules.py
@@ -126,6 +126,18 @@
     assert len(bench.sends("b")) == 1
 
 
+def test_ordered_key_waits_for_an_attempt_in_flight_of_a_request_that_was_answered_before() -> None:
+    bench = one(ordered_key_rest_us=200 * MS, may_cancel=False)
+    bench.ask("a", cls="ordered", key="k")
+    bench.tell(api.ClientLeft("a"))  # needs no answer any more, but its attempt is not cancelled
+    bench.ask("b", cls="ordered", key="k")
+    bench.run(300 * MS)
+    assert not bench.sends("b")
+    bench.end("a", over=True)
+    bench.run(10 * MS)
+    assert len(bench.sends("b")) == 1
+
+
 def test_retry_budget_counts_every_further_attempt_in_a_sliding_window() -> None:
     bench = one(retry_budget_floor=2.0, retry_budget_ratio=0.1, retry_budget_window_us=5 * SECOND)
     for i in range(20):
