--- a/garnetlanding/emulator/disk.py
+++ b/garnetlanding/emulator/disk.py
@@ -21,6 +21,8 @@
 
 
 class DiskError(Exception):
+    """A request on the tree that fails; `problem` has the POSIX error number and the 9P2000 text."""
+
     def __init__(self, number: int, words: str = "") -> None:
         super().__init__(number, words)
         self.problem = errors.Problem(number, words)
@@ -28,6 +30,8 @@
 
 @dataclass(eq=False, slots=True)
 class Inode:
+    """A file, directory, symbolic link or device: what a stat message reports, and its contents."""
+
     number: int
     mode: int  # as in POSIX
     uid: str
@@ -48,19 +52,37 @@
 
     @property
     def is_dir(self) -> bool:
+        """Whether this is a directory."""
         return stat.S_ISDIR(self.mode)
 
     @property
     def is_link(self) -> bool:
+        """Whether this is a symbolic link."""
         return stat.S_ISLNK(self.mode)
 
 
+@dataclass(frozen=True, slots=True)
+class InodeExtras:
+    """What only some new inodes have: flags are 9P2000's, target a Tsymlink's, rdev a Tmknod's."""
+
+    gid: str = ""  # empty: the user's
+    flags: int = 0  # DMAPPEND, DMEXCL
+    target: str = ""
+    rdev: int = 0
+
+
+NO_EXTRAS = InodeExtras()
+
+
 class Disk:
+    """The tree, its clock and its capacity in bytes; every operation that cannot be done raises DiskError."""
+
     def __init__(
         self, tree: Tree | None = None, capacity: int = 1 << 30, clock: Callable[[], int] = lambda: 0
     ) -> None:
         """`clock`: microseconds."""
-        self.capacity, self._clock = capacity, clock
+        self.capacity = capacity
+        self._clock = clock
         self._numbers = 0
         self.used = 0
         self.ran: list[tuple[Any, ...]] = []
@@ -78,6 +100,7 @@
 
     @property
     def now(self) -> Time:
+        """The clock's time as a stat has it."""
         return Time(self._clock() // 1_000_000, self._clock() % 1_000_000 * 1000)
 
     def _inode(self, mode: int, uid: str, gid: str) -> Inode:
@@ -86,9 +109,10 @@
         node.atime = node.mtime = node.ctime = self.now
         return node
 
-    # Looking
+    # Reading
 
     def child(self, at: Inode, name: str) -> Inode:
+        """Return the inode of a name in a directory, as one step of Twalk does."""
         if not at.is_dir:
             raise DiskError(errors.ENOTDIR)
         if name == "..":
@@ -99,20 +123,24 @@
         return at.names[name][0]
 
     def find(self, *path: str) -> Inode:
+        """Return the inode at a path from the root, without checks of permissions."""
         at = self.root
         for name in path:
             at = self.child(at, name)
         return at
 
     def read(self, *path: str) -> bytes:
+        """Return the contents of the file at a path."""
         return bytes(self.find(*path).data)
 
     def qid(self, node: Inode, salt: int = 0) -> Qid:
+        """Return an inode's qid; `salt` is added to its path."""
         kind = (QTDIR if node.is_dir else 0) | (QTSYMLINK if node.is_link else 0)
         kind |= (QTAPPEND if node.flags & DMAPPEND else 0) | (QTEXCL if node.flags & DMEXCL else 0)
         return Qid(kind, node.version & 0xFFFFFFFF, node.number + salt)
 
     def attr(self, node: Inode, salt: int = 0) -> Attr:
+        """Return an inode's attributes, as Tstat and Tgetattr report them."""
         length = len(node.target.encode()) if node.is_link else len(node.data)
         return Attr(
             self.qid(node, salt),
@@ -139,42 +167,43 @@
         """`want`: of 4 read, 2 write, 1 execute or search."""
         if user == ROOT_USER:
             return True
-        shift = 6 if user == node.uid else 3 if user == node.gid else 0
+        if user == node.uid:
+            shift = 6
+        elif user == node.gid:
+            shift = 3
+        else:
+            shift = 0
         return node.mode >> shift & want == want
 
     def need(self, node: Inode, user: str, want: int) -> None:
+        """Raise EACCES unless the user has these permissions."""
         if not self.allows(node, user, want):
             raise DiskError(errors.EACCES)
 
-    # Changing
+    # Changes
 
     def touch(self, node: Inode, user: str) -> None:
+        """Note a change of an inode's contents by a user: version, times and muid."""
         node.version += 1
         node.mtime = node.ctime = self.now
         node.muid = user
 
-    def _room(self, more: int) -> None:
+    def _check_capacity(self, more: int) -> None:
         if self.used + more > self.capacity:
             raise DiskError(errors.ENOSPC)
 
-    def make(
-        self,
-        at: Inode,
-        name: str,
-        mode: int,
-        user: str,
-        gid: str = "",
-        flags: int = 0,
-        target: str = "",
-        rdev: int = 0,
-    ) -> Inode:
+    def make(self, at: Inode, name: str, mode: int, user: str, extras: InodeExtras = NO_EXTRAS) -> Inode:
+        """Make an inode in a directory, for Tcreate, Tlcreate, Tmkdir, Tmknod and Tsymlink."""
         if name in at.names:
             raise DiskError(errors.EEXIST)
-        self._room(BLOCK)
-        node = self._inode(mode, user, gid or user)
-        node.flags, node.target, node.rdev = flags, target, rdev
+        self._check_capacity(BLOCK)
+        node = self._inode(mode, user, extras.gid or user)
+        node.flags = extras.flags
+        node.target = extras.target
+        node.rdev = extras.rdev
         if node.is_dir:
-            node.parent, node.nlink = at, 2
+            node.parent = at
+            node.nlink = 2
             at.nlink += 1
         self._attach(at, name, node, user)
         self.used += BLOCK
@@ -187,6 +216,7 @@
         self.touch(at, user)
 
     def write(self, node: Inode, offset: int, data: bytes, user: str) -> int:
+        """Write bytes at an offset, for Twrite, and return how many; a gap is filled with zeros."""
         end = offset + len(data)
         if end >= 1 << 63:
             raise DiskError(errors.EFBIG)
@@ -198,11 +228,12 @@
 
     def _grow(self, node: Inode, end: int) -> None:
         more = max(0, end - len(node.data))
-        self._room(more)
+        self._check_capacity(more)
         node.data.extend(bytes(more))
         self.used += more
 
     def truncate(self, node: Inode, length: int, user: str) -> None:
+        """Cut or extend a file to a length in bytes, for Twstat, Tsetattr and opening with truncation."""
         if length > len(node.data):
             self._grow(node, length)
         self.used -= len(node.data) - length
@@ -211,6 +242,7 @@
         self.ran.append(("truncate", node.number, length))
 
     def unlink(self, at: Inode, name: str, user: str) -> None:
+        """Remove a name from a directory, for Tremove and Tunlinkat; a directory must be empty."""
         node = self.child(at, name)
         if node.names:
             raise DiskError(errors.ENOTEMPTY)
@@ -227,6 +259,7 @@
         self.touch(at, user)
 
     def link(self, at: Inode, name: str, node: Inode, user: str) -> None:
+        """Give an inode one more name, for Tlink."""
         if name in at.names:
             raise DiskError(errors.EEXIST)
         node.nlink += 1
@@ -234,22 +267,18 @@
         self.ran.append(("link", name, node.number))
 
     def rename(self, at: Inode, name: str, to: Inode, new: str, user: str, replace: bool) -> None:
+        """Move a name to another directory or name, for Twstat, Trename and Trenameat.
+
+        With `replace` a file that has the new name is removed, or an empty directory by a directory. A
+        directory does not go below itself.
+        """
         node = self.child(at, name)
-        up: Inode | None = to
-        while up and up is not up.parent:
-            if up is node:
-                raise DiskError(errors.EINVAL)
-            up = up.parent
+        self._check_not_below(node, to)
         if new in to.names:
             old = to.names[new][0]
             if old is node:
                 return
-            if not replace:
-                raise DiskError(errors.EEXIST)
-            if old.is_dir != node.is_dir:
-                raise DiskError(errors.EISDIR if old.is_dir else errors.ENOTDIR)
-            if old.names:
-                raise DiskError(errors.ENOTEMPTY)
+            self._check_replaceable(old, node, replace)
             self._detach(to, new, old, user)
         del at.names[name]
         if node.is_dir:
@@ -260,3 +289,20 @@
         self._attach(to, new, node, user)
         node.ctime = self.now
         self.ran.append(("rename", name, new, node.number))
+
+    @staticmethod
+    def _check_not_below(node: Inode, directory: Inode) -> None:
+        ancestor: Inode | None = directory
+        while ancestor and ancestor is not ancestor.parent:
+            if ancestor is node:
+                raise DiskError(errors.EINVAL)
+            ancestor = ancestor.parent
+
+    @staticmethod
+    def _check_replaceable(old: Inode, node: Inode, replace: bool) -> None:
+        if not replace:
+            raise DiskError(errors.EEXIST)
+        if old.is_dir != node.is_dir:
+            raise DiskError(errors.EISDIR if old.is_dir else errors.ENOTDIR)
+        if old.names:
+            raise DiskError(errors.ENOTEMPTY)
--- a/garnetlanding/emulator/file_connection.py
+++ b/garnetlanding/emulator/file_connection.py
@@ -22,17 +22,20 @@
 from garnetlanding.ninep.locks import ExclusiveUse, LockTable
 from garnetlanding.runtime.listener import Write
 
-LEAST_MSIZE = 256
-LOCKS = 1024
-SIGNED_END = 1 << 63
+MIN_MSIZE = 256  # bytes
+DEFAULT_MSIZE = 1 << 16  # bytes
+MAX_FRAME_BYTES = 1 << 17  # until a Tversion has agreed on an msize
+MAX_LOCKS = 1024
+SIGNED_END = 1 << 63  # offsets are signed numbers of 64 bits
+NEW_QIDS_SALT = 1 << 40
 
 
 @dataclass(eq=False, slots=True)
 class OpenFid:
     """What a fid stands for; `parent` and `name` are where it was found, `parent` is None at the root.
 
-    `access` is None until it is open. A 9P2000 directory is read on at `dir_at`, from `listing`: what is left
-    of its stats as they were at the last read from the start.
+    `access` is None until it is open. The next read of a 9P2000 directory is at `directory_offset` and takes
+    its stats from `listing`, the rest of those that the last read from the start found.
     """
 
     node: Inode
@@ -42,7 +45,7 @@
     access: int | None = None
     append: bool = False
     remove_on_close: bool = False
-    dir_at: int = 0
+    directory_offset: int = 0
     listing: list[bytes] | None = None
 
 
@@ -51,16 +54,16 @@
 
     table: p9.Table
 
-    def reply(self, conn: FileConnection, message: p9.Message) -> p9.Message | None:
-        """Answer a message that only this dialect has; None when it has no such request."""
+    def reply(self, connection: FileConnection, message: p9.Message) -> p9.Message | None:
+        """Run a message that only this dialect has and return the reply; None when it has no such request."""
         raise NotImplementedError
 
     def error(self, problem: Problem) -> p9.Message:
         """Return the reply to a request that failed."""
         raise NotImplementedError
 
-    def read_directory(self, conn: FileConnection, at: OpenFid, offset: int, count: int) -> p9.Message:  # noqa: ARG002 - 9P2000's
-        """Answer a Tread of a directory, which only 9P2000 has."""
+    def read_directory(self, connection: FileConnection, at: OpenFid, offset: int, count: int) -> p9.Message:  # noqa: ARG002 - 9P2000's
+        """Serve a Tread of a directory, which only 9P2000 has."""
         raise DiskError(errors.EISDIR)
 
 
@@ -73,7 +76,7 @@
         super().__init__(server, write)
         self.msize = 0
         self.dialect: Dialect | None = None
-        self._framer = p9.Framer(server.pool, 1 << 17)
+        self._framer = p9.Framer(server.pool, MAX_FRAME_BYTES)
         self.fids: dict[int, OpenFid] = {}
         self.id = server.next_id()
         self._waiting: dict[int, p9.Message] = {}  # held or slow, by tag
@@ -82,41 +85,43 @@
         """Take in bytes of the client."""
         try:
             for tag, message in self._framer.feed(data):
-                self._hear(tag, message)
+                self._receive(tag, message)
         except p9.FrameError:
             self.server.close_connection(self)
 
-    def _hear(self, tag: int, message: p9.Message | p9.Malformed) -> None:
+    def _receive(self, tag: int, message: p9.Message | p9.Malformed) -> None:
         server = self.server
         if isinstance(message, p9.Malformed):
-            self._say(tag, self._error(Problem(errors.EPROTO, message.reason)))
+            self._send(tag, self._error(Problem(errors.EPROTO, message.reason)))
             return
-        server.heard.append(message)
+        server.received.append(message)
         if tag in self._waiting and not isinstance(message, p9.Tversion):
-            self._say(tag, self._error(Problem(errors.EPROTO, "duplicate tag")))
+            self._send(tag, self._error(Problem(errors.EPROTO, "duplicate tag")))
             return
-        if server.hold and server.hold(message):
-            self._waiting[tag] = message
-            server.held.append((tag, message, self))
+        if server.holds_reply and server.holds_reply(message):
+            self._hold(tag, message)
             return
         rule = server.script.rule_for(message)
         if rule is None:
             self.answer(tag, message)
         else:
-            self._fault(tag, message, rule)
+            self._inject_fault(tag, message, rule)
 
-    def _fault(self, tag: int, message: p9.Message, rule: Rule) -> None:
+    def _hold(self, tag: int, message: p9.Message) -> None:
+        self._waiting[tag] = message
+        self.server.held_messages.append((tag, message, self))
+
+    def _inject_fault(self, tag: int, message: p9.Message, rule: Rule) -> None:
         server = self.server
         match rule.fault:
             case Fault.STALL:
-                self._waiting[tag] = message
-                server.held.append((tag, message, self))
+                self._hold(tag, message)
             case Fault.SLOW:
                 self._waiting[tag] = message
-                slow_fids = {fid: replace(at) for fid, at in self.fids.items()}
-                server.later(rule.delay_us, lambda: self._slowly(tag, message, slow_fids))
+                slow_fids = self._copy_fids()
+                server.later(rule.delay_us, lambda: self._answer_slowly(tag, message, slow_fids))
             case Fault.LATE:
-                fids = {fid: replace(at) for fid, at in self.fids.items()}
+                fids = self._copy_fids()
                 server.later(rule.delay_us, lambda: self._run_late(message, fids))
                 server.close_connection(self)
             case Fault.RESET_BEFORE:
@@ -125,7 +130,7 @@
                 self.run(message)
                 server.close_connection(self)
             case Fault.REFUSE:
-                self._say(tag, self._error(Problem(rule.error_number)))
+                self._send(tag, self._error(Problem(rule.error_number)))
             case _:
                 self._reply_wrongly(tag, message, rule.fault)
 
@@ -136,13 +141,16 @@
                 frame = p9.encode(tag, reply)
                 self.write(frame[: len(frame) // 2])
             case Fault.WRONG_TAG:
-                self._say(tag + 1, reply)
+                self._send(tag + 1, reply)
             case Fault.WRONG_TYPE:
-                self._say(tag, p9.Rclunk() if isinstance(reply, p9.Rflush) else p9.Rflush())
+                self._send(tag, p9.Rclunk() if isinstance(reply, p9.Rflush) else p9.Rflush())
             case Fault.WRONG_COUNT:
-                self._say(tag, self._miscount(message, reply))
+                self._send(tag, self._miscount(message, reply))
+
+    def _copy_fids(self) -> dict[int, OpenFid]:
+        return {fid: replace(at) for fid, at in self.fids.items()}
 
-    def _slowly(self, tag: int, message: p9.Message, fids: dict[int, OpenFid]) -> None:
+    def _answer_slowly(self, tag: int, message: p9.Message, fids: dict[int, OpenFid]) -> None:
         if self.ended:
             self._run_late(message, fids)
         else:
@@ -167,22 +175,22 @@
         return reply
 
     def answer(self, tag: int, message: p9.Message) -> None:
-        """Run a message and reply, unless its client is gone or has flushed it meanwhile."""
+        """Run a message and reply, unless the connection has ended or its client has flushed the message."""
         held = self._waiting.pop(tag, None)
         if not self.ended and (held is message or held is None):
-            self._say(tag, self.run(message))
+            self._send(tag, self.run(message))
 
-    def _say(self, tag: int, message: p9.Message) -> None:
+    def _send(self, tag: int, message: p9.Message) -> None:
         if not self.ended:
             self.write(p9.encode(tag, message))
 
     def _error(self, problem: Problem) -> p9.Message:
         return self.dialect.error(problem) if self.dialect else p9.Rerror(problem.text)
 
-    # What both dialects have
+    # Messages of both dialects
 
     def run(self, message: p9.Message) -> p9.Message:
-        """Do what a message asks for and return the reply."""
+        """Run a message of either dialect and return the reply, which is an error if it fails."""
         try:
             if isinstance(message, p9.Tversion):
                 return self._version(message)
@@ -224,8 +232,9 @@
 
     def _version(self, message: p9.Tversion) -> p9.Message:
         self.reset()
-        self.dialect, self.msize = None, 0
-        if message.msize < LEAST_MSIZE:
+        self.dialect = None
+        self.msize = 0
+        if message.msize < MIN_MSIZE:
             return p9.Rerror("msize too small")
         version = self.server.version_for(message.version)
         self.msize = min(message.msize, self.server.msize)
@@ -235,7 +244,7 @@
         return p9.Rversion(self.msize, version or "unknown")
 
     def reset(self) -> None:
-        """End the session: its fids and locks are released, what waits gets no reply."""
+        """End the session, as a Tversion does: release its fids and locks; pending messages get no reply."""
         self._waiting.clear()
         for fid in list(self.fids):
             self.clunk(fid)
@@ -283,7 +292,7 @@
         return p9.Rattach(self.qid(self.server.disk.root))
 
     def _walk(self, fid: int, newfid: int, names: tuple[str, ...]) -> p9.Message:
-        at, disk = self.fid(fid), self.server.disk
+        at = self.fid(fid)
         if at.access is not None:
             raise DiskError(errors.EBADF, "cannot walk an open fid")
         if newfid != fid and (newfid in self.fids or newfid == p9.NOFID):
@@ -294,19 +303,25 @@
         qids: list[p9.Qid] = []
         for name in names:
             try:
-                if to.node.is_dir:
-                    disk.need(to.node, at.user, 1)
-                child = disk.child(to.node, name)
+                to = self._walk_step(to, name)
             except DiskError:
                 if not qids:
                     raise
                 break
-            to = self.server.place(child, at.user) if name == ".." else OpenFid(child, at.user, to.node, name)
-            qids.append(self.qid(child))
+            qids.append(self.qid(to.node))
         if len(qids) == len(names):
             self.fids[newfid] = to
         return p9.Rwalk(tuple(qids))
 
+    def _walk_step(self, at: OpenFid, name: str) -> OpenFid:
+        disk = self.server.disk
+        if at.node.is_dir:
+            disk.need(at.node, at.user, 1)
+        child = disk.child(at.node, name)
+        if name == "..":
+            return self.server.place(child, at.user)
+        return OpenFid(child, at.user, at.node, name)
+
     def _read(self, fid: int, offset: int, count: int) -> p9.Message:
         at = self.fid(fid)
         if at.access is None or at.access == p9.OWRITE:
@@ -320,18 +335,19 @@
         return p9.Rread(bytes(at.node.data[offset : offset + count]))
 
     def _write(self, fid: int, offset: int, data: bytes) -> p9.Message:
-        at, disk = self.fid(fid), self.server.disk
+        at = self.fid(fid)
         if at.access not in (p9.OWRITE, p9.ORDWR):
             raise DiskError(errors.EBADF, "fid not open for writing")
         if at.append or self.qid(at.node).type & p9.QTAPPEND:
             offset = len(at.node.data)
         elif offset + len(data) > SIGNED_END:
             raise DiskError(errors.EINVAL, "illegal offset")
-        return p9.Rwrite(disk.write(at.node, offset, data, at.user) if data else 0)
+        return p9.Rwrite(self.server.disk.write(at.node, offset, data, at.user) if data else 0)
 
     def open(self, fid: int, at: OpenFid, access: int, truncate: bool) -> p9.Qid:
-        """Open a file, with the checks and effects of either dialect."""
-        disk, node = self.server.disk, at.node
+        """Open a file, for Topen, Tlopen and Tlcreate, and return its qid."""
+        disk = self.server.disk
+        node = at.node
         writes = access in (p9.OWRITE, p9.ORDWR)
         if node.is_dir and (writes or truncate):
             raise DiskError(errors.EISDIR)
@@ -355,7 +371,7 @@
             raise DiskError(errors.EBUSY)
 
     def clunk(self, fid: int, removed: bool = False) -> None:
-        """Release a fid; with `removed`, its file is being removed already."""
+        """Release a fid, for Tclunk and Tremove; with `removed`, its file is being removed already."""
         at = self.fid(fid)
         del self.fids[fid]
         self.server.locks.release_fid(self.id, fid)
@@ -365,7 +381,7 @@
                 self.remove(at)
 
     def remove(self, at: OpenFid) -> None:
-        """Remove the file from the directory where it was found."""
+        """Remove the file from the directory where it was found, for Tremove and ORCLOSE."""
         if at.parent is None:
             raise DiskError(errors.EBUSY, "cannot remove the root")
         disk = self.server.disk
@@ -391,14 +407,14 @@
         super().__init__(*args, **kwargs)
         self.disk = disk or Disk(tree)
         self.dialects = dialects
-        self.msize = 1 << 16
-        self.aname: str | None = None  # the one tree it has; None: whatever is asked for
+        self.msize = DEFAULT_MSIZE
+        self.aname: str | None = None  # the one tree that may be attached; None: any name
         self.salt = 0  # added to every qid's path
-        self.heard: list[p9.Message] = []
-        self.hold: Callable[[p9.Message], bool] | None = None
-        self.held: list[tuple[int, p9.Message, FileConnection]] = []
+        self.received: list[p9.Message] = []  # every message, in order
+        self.holds_reply: Callable[[p9.Message], bool] | None = None
+        self.held_messages: list[tuple[int, p9.Message, FileConnection]] = []
         self.script = FaultScript()
-        self.locks = LockTable(LOCKS)
+        self.locks = LockTable(MAX_LOCKS)
         self.exclusive_use = ExclusiveUse()
         self._ids = 0
 
@@ -408,7 +424,7 @@
         return self._ids
 
     def version_for(self, wanted: str) -> str:
-        """Return the version for an offered one, empty if none fits.
+        """Return the version that a Tversion's offer gets, empty if none fits.
 
         An unknown suffix gets what stands before it (version(5)).
         """
@@ -427,32 +443,35 @@
         self.disk = Disk(tree)
 
     def release(self) -> None:
-        """Answer what was held, and hold nothing any more."""
-        held, self.held, self.hold = self.held, [], None
-        for tag, message, conn in held:
-            conn.answer(tag, message)
+        """Reply to the messages that were held, and hold none any more."""
+        held = self.held_messages
+        self.held_messages = []
+        self.holds_reply = None
+        for tag, message, connection in held:
+            connection.answer(tag, message)
 
     def later(self, delay_us: int, call: Callable[[], Any]) -> None:
         """Call something after a delay in microseconds."""
         self.scheduler.call_at(self.scheduler.now + delay_us, call)
 
     def restart(self, new_qids: bool = False) -> None:
-        """End every connection; with new qids, no file is the one it was to its clients."""
-        self.held.clear()
-        self.salt += (1 << 40) * new_qids
+        """End every connection; with `new_qids`, every file has a new qid, as if it were replaced."""
+        self.held_messages.clear()
+        self.salt += NEW_QIDS_SALT * new_qids
         self.close_connections()
 
     def place(self, node: Inode, user: str) -> OpenFid:
         """Return a fid for a directory at its own place in the tree."""
         if node is self.disk.root or node.parent is None:
             return OpenFid(node, user)
-        name = next((n for n, (child, _) in node.parent.names.items() if child is node), "")
+        name = next((name for name, (child, _) in node.parent.names.items() if child is node), "")
         return OpenFid(node, user, node.parent, name)
 
     def renamed(self, parent: Inode, name: str, to: Inode, new: str, node: Inode) -> None:
         """Have every fid of a renamed file follow it."""
-        for conn in self.connections:
-            if isinstance(conn, FileConnection):
-                for at in conn.fids.values():
+        for connection in self.connections:
+            if isinstance(connection, FileConnection):
+                for at in connection.fids.values():
                     if at.node is node and at.parent is parent and at.name == name:
-                        at.parent, at.name = to, new
+                        at.parent = to
+                        at.name = new
--- a/garnetlanding/emulator/group_model.py
+++ b/garnetlanding/emulator/group_model.py
@@ -187,5 +187,5 @@
             break
     found.states = walk.states
     found.moves = walk.moves
-    found.is_complete = walk.whole
+    found.is_complete = walk.is_complete
     return found
--- a/garnetlanding/emulator/lease_model.py
+++ b/garnetlanding/emulator/lease_model.py
@@ -269,5 +269,5 @@
             break
     found.states = walk.states
     found.moves = walk.moves
-    found.whole = walk.whole
+    found.whole = walk.is_complete
     return found
--- a/garnetlanding/emulator/suspicion_model.py
+++ b/garnetlanding/emulator/suspicion_model.py
@@ -224,5 +224,5 @@
             break
     found.states = walk.states
     found.moves = walk.moves
-    found.whole = walk.whole and not found.violation
+    found.whole = walk.is_complete and not found.violation
     return found
--- a/garnetlanding/emulator/walk.py
+++ b/garnetlanding/emulator/walk.py
@@ -9,35 +9,49 @@
 
 
 class Walk(Generic[S]):
-    """Yields the states; afterwards tells how many there were, how many moves led to them, and whether
-    none was left out. States that have one key count as one."""
+    """Yield the reachable states; count them and the moves that led to them.
+
+    `states` and `moves` are the counts so far; `is_complete` is False once the walk was given up. States with
+    equal keys count as one.
+    """
 
     def __init__(
         self,
         start: S,
         key: Callable[[S], object],
         moves: Callable[[S], Iterable[S]],
-        most: int,
-        waves: int | None = None,
+        max_states: int,
+        max_depth: int | None = None,
     ) -> None:
-        """`most`: states, after which the walk is given up. `waves`: moves one after another, at most."""
-        self._start, self._key, self._moves, self._most, self._waves = start, key, moves, most, waves
-        self.states = self.moves = 0
-        self.whole = True
+        """`max_states`: it gives up after these. `max_depth`: moves in succession, None: any number."""
+        self._start = start
+        self._key = key
+        self._moves = moves
+        self._max_states = max_states
+        self._max_depth = max_depth
+        self.states = 0
+        self.moves = 0
+        self.is_complete = True
 
     def __iter__(self) -> Iterator[S]:
-        seen, wave, waves = {hash(self._key(self._start))}, [self._start], 0
-        while wave:
+        seen = {hash(self._key(self._start))}
+        frontier = [self._start]
+        depth = 0
+        while frontier:
             following: list[S] = []
-            for state in wave:
+            for state in frontier:
                 self.states += 1
                 yield state
-                if self.states >= self._most:
-                    self.whole = False
+                if self.states >= self._max_states:
+                    self.is_complete = False
                     return
-                for new in self._moves(state) if self._waves is None or waves < self._waves else ():
+                if self._max_depth is not None and depth >= self._max_depth:
+                    continue
+                for new in self._moves(state):
                     self.moves += 1
-                    if (name := hash(self._key(new))) not in seen:
-                        seen.add(name)
+                    fingerprint = hash(self._key(new))
+                    if fingerprint not in seen:
+                        seen.add(fingerprint)
                         following.append(new)
-            wave, waves = following, waves + 1
+            frontier = following
+            depth += 1
--- a/tests/conform/seeded_faults.py
+++ b/tests/conform/seeded_faults.py
@@ -131,7 +131,7 @@
 
 def _directory_seek_allowed(real: Any) -> Any:
     def read_dir(conn: FileConnection, at: OpenFid, offset: int, count: int) -> p9.Message:
-        at.dir_at = offset
+        at.directory_offset = offset
         return real(conn, at, offset, count)  # type: ignore[no-any-return]  # the real method is untyped here
 
     return read_dir
@@ -172,8 +172,8 @@
 def _flush_answers_twice(real: Any) -> Any:
     def shared(self: FileConnection, message: p9.Message) -> p9.Message | None:
         if isinstance(message, p9.Tflush):
-            self._say(message.oldtag, p9.Rread(b""))
-            self._say(message.oldtag, p9.Rread(b""))
+            self._send(message.oldtag, p9.Rread(b""))
+            self._send(message.oldtag, p9.Rread(b""))
         return real(self, message)  # type: ignore[no-any-return]  # the real method is untyped here
 
     return shared
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -22,7 +22,7 @@
     tool.say(p9.encode(1, p9.Tattach(0, p9.NOFID, "ann", "x")))
     walked = tool.say(p9.encode(1, p9.Twalk(0, 1, ("doc",))))
     assert p9.decode(walked[4], walked[7:]) == p9.Rwalk((h.files.disk.qid(h.files.disk.find("doc")),))
-    assert [type(m) for m in h.files.heard] == [p9.Tversion, codec_linux.Tlattach, p9.Twalk, p9.Tclunk]
+    assert [type(m) for m in h.files.received] == [p9.Tversion, codec_linux.Tlattach, p9.Twalk, p9.Tclunk]
     other = h.server(EmulatedBackend)
     h.discovery.publish(
         EmulatedEndpoint("b0", h.brick.address, 0, "DRAINING"), EmulatedEndpoint("b1", other.address, 0)
--- a/tests/integration/test_mixed_protocols.py
+++ b/tests/integration/test_mixed_protocols.py
@@ -64,7 +64,7 @@
         match step:
             case "hold":
                 self.bricks_up[0].scripted_responses.append(None)
-                self.files_up[0].hold = lambda _: True
+                self.files_up[0].holds_reply = lambda _: True
             case "release":
                 self.bricks_up[0].release()
                 self.files_up[0].release()
@@ -138,7 +138,7 @@
     instance.core.endpoints.set_disabled(frozenset({"b0", "b1"}), instance.time)
     instance.settle()
     assert not any(b.received for b in instance.bricks_up)
-    assert not any(f.heard for f in instance.files_up)
+    assert not any(f.received for f in instance.files_up)
     assert {a.outcome for a in instance.core.starts} == {Outcome.UNREACHABLE}
 
 
--- a/tests/ninep/random_fault_schedules.py
+++ b/tests/ninep/random_fault_schedules.py
@@ -12,7 +12,7 @@
 from collections import Counter
 from dataclasses import dataclass, field, replace
 
-from garnetlanding.emulator.disk import Tree
+from garnetlanding.emulator.disk import InodeExtras, Tree
 from garnetlanding.emulator.faults import Fault, Rule
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
@@ -150,7 +150,7 @@
             servers, access="rw", offer=offer or ("auto" if seed % 2 else p9.VERSION), tree=tree
         )
         disk = self.world.disk
-        disk.make(disk.root, "log", 0o100666, "root", flags=DMAPPEND)
+        disk.make(disk.root, "log", 0o100666, "root", InodeExtras(flags=DMAPPEND))
         self.world.list(*self.world.boxes[:1])
         self.blocks: dict[tuple[int, int], Block] = {
             (f, b): Block() for f in range(FILES) for b in range(BLOCKS)
--- a/tests/ninep/test_change_order.py
+++ b/tests/ninep/test_change_order.py
@@ -116,10 +116,10 @@
     tool.walk(5, "readme")
     instance.drained(0)
     instance.list(instance.boxes[1], whole=False)
-    before = len(instance.files[0].heard)
+    before = len(instance.files[0].received)
     assert isinstance(tool.ask(p9.Topen(5, p9.ORDWR)), p9.Ropen)
     assert tool.ask(p9.Twrite(5, 0, b"HELLO")) == p9.Rwrite(5)
-    assert len(instance.files[0].heard) == before
+    assert len(instance.files[0].received) == before
     assert instance.disk.read("readme") == b"HELLO"
 
 
--- a/tests/ninep/test_server_faults.py
+++ b/tests/ninep/test_server_faults.py
@@ -67,7 +67,7 @@
     instance = NinepInstance(offer=LINUX)
     tool = NinepClient(instance, version=LINUX)
     tool.open(5, "readme")
-    heard_before = len(instance.files[0].heard)
+    received_before = len(instance.files[0].received)
     for message in (
         p9l.Tlcreate(0, "x", 1, 0, 0),
         p9l.Tmkdir(0, "x", 0, 0),
@@ -79,4 +79,4 @@
     ):
         assert number(tool.ask(message)) == errors.EROFS, message
     assert tool.ask(p9l.Tfsync(5, 0)) == p9l.Rfsync()
-    assert len(instance.files[0].heard) == heard_before
+    assert len(instance.files[0].received) == received_before
--- a/tests/ninep/test_session_reads.py
+++ b/tests/ninep/test_session_reads.py
@@ -347,8 +347,9 @@
     tool.open(5, "readme")
     instance.hold(p9.Tread)
     tool.send(p9.Tread(5, 0, 100), tag=2)
-    [(tag, _, conn)] = instance.files[0].held
-    instance.files[0].held, instance.files[0].hold = [], None
+    [(tag, _, conn)] = instance.files[0].held_messages
+    instance.files[0].held_messages = []
+    instance.files[0].holds_reply = None
     spoil(conn, tag)
     instance.run(SECOND // 2)
     assert tool.answers[-1] == (2, p9.Rread(b"hello"))
--- a/tests/support/ninep_instance.py
+++ b/tests/support/ninep_instance.py
@@ -133,12 +133,12 @@
 
     def hold(self, kind: type[p9.Message], server: int = 0) -> None:
         """Have the server withhold its replies to messages of this kind."""
-        self.files[server].hold = lambda m: isinstance(m, kind)
+        self.files[server].holds_reply = lambda m: isinstance(m, kind)
 
 
 def received_messages(world: NinepInstance, kind: type[p9.Message], server: int = 0) -> list[Any]:
     """The messages of this kind that the server has received."""
-    return [m for m in world.files[server].heard if isinstance(m, kind)]
+    return [m for m in world.files[server].received if isinstance(m, kind)]
 
 
 def error_text(reply: p9.Message) -> str:
