--- a/garnetlanding/emulator/disk.py
+++ b/garnetlanding/emulator/disk.py
@@ -17,7 +17,10 @@
 
 Tree = dict[str, Any]  # folders are maps, files bytes
 ROOT_USER = "root"
-BLOCK = 512
+BLOCK = 512  # bytes
+READ = 4  # permissions, as in a mode's three bits
+WRITE = 2
+SEARCH = 1  # or execute
 
 
 class DiskError(Exception):
@@ -91,12 +94,12 @@
         self._fill(self.root, tree or {})
         self.ran.clear()
 
-    def _fill(self, at: Inode, tree: Tree) -> None:
+    def _fill(self, directory: Inode, tree: Tree) -> None:
         for name, value in tree.items():
             if isinstance(value, dict):
-                self._fill(self.make(at, name, stat.S_IFDIR | 0o777, ROOT_USER), value)
+                self._fill(self.make(directory, name, stat.S_IFDIR | 0o777, ROOT_USER), value)
             else:
-                self.write(self.make(at, name, stat.S_IFREG | 0o666, ROOT_USER), 0, value, ROOT_USER)
+                self.write(self.make(directory, name, stat.S_IFREG | 0o666, ROOT_USER), 0, value, ROOT_USER)
 
     @property
     def now(self) -> Time:
@@ -111,23 +114,23 @@
 
     # Reading
 
-    def child(self, at: Inode, name: str) -> Inode:
+    def child(self, directory: Inode, name: str) -> Inode:
         """Return the inode of a name in a directory, as one step of Twalk does."""
-        if not at.is_dir:
+        if not directory.is_dir:
             raise DiskError(errors.ENOTDIR)
         if name == "..":
-            assert at.parent
-            return at.parent
-        if name not in at.names:
+            assert directory.parent
+            return directory.parent
+        if name not in directory.names:
             raise DiskError(errors.ENOENT)
-        return at.names[name][0]
+        return directory.names[name][0]
 
     def find(self, *path: str) -> Inode:
         """Return the inode at a path from the root, without checks of permissions."""
-        at = self.root
+        directory = self.root
         for name in path:
-            at = self.child(at, name)
-        return at
+            directory = self.child(directory, name)
+        return directory
 
     def read(self, *path: str) -> bytes:
         """Return the contents of the file at a path."""
@@ -158,13 +161,13 @@
             blocks=-(-length // BLOCK),
         )
 
-    def entries(self, at: Inode) -> Iterator[tuple[str, Inode, int]]:
+    def entries(self, directory: Inode) -> Iterator[tuple[str, Inode, int]]:
         """Names in the order they came, each with its cookie."""
-        for name, (node, cookie) in at.names.items():
+        for name, (node, cookie) in directory.names.items():
             yield name, node, cookie
 
     def allows(self, node: Inode, user: str, want: int) -> bool:
-        """`want`: of 4 read, 2 write, 1 execute or search."""
+        """Return whether the user has the permissions `want`: READ, WRITE and SEARCH."""
         if user == ROOT_USER:
             return True
         if user == node.uid:
@@ -192,9 +195,11 @@
         if self.used + more > self.capacity:
             raise DiskError(errors.ENOSPC)
 
-    def make(self, at: Inode, name: str, mode: int, user: str, extras: InodeExtras = NO_EXTRAS) -> Inode:
+    def make(
+        self, directory: Inode, name: str, mode: int, user: str, extras: InodeExtras = NO_EXTRAS
+    ) -> Inode:
         """Make an inode in a directory, for Tcreate, Tlcreate, Tmkdir, Tmknod and Tsymlink."""
-        if name in at.names:
+        if name in directory.names:
             raise DiskError(errors.EEXIST)
         self._check_capacity(BLOCK)
         node = self._inode(mode, user, extras.gid or user)
@@ -202,18 +207,18 @@
         node.target = extras.target
         node.rdev = extras.rdev
         if node.is_dir:
-            node.parent = at
+            node.parent = directory
             node.nlink = 2
-            at.nlink += 1
-        self._attach(at, name, node, user)
+            directory.nlink += 1
+        self._attach(directory, name, node, user)
         self.used += BLOCK
         self.ran.append(("make", name, node.number))
         return node
 
-    def _attach(self, at: Inode, name: str, node: Inode, user: str) -> None:
-        at.cookies += 1
-        at.names[name] = node, at.cookies
-        self.touch(at, user)
+    def _attach(self, directory: Inode, name: str, node: Inode, user: str) -> None:
+        directory.cookies += 1
+        directory.names[name] = node, directory.cookies
+        self.touch(directory, user)
 
     def write(self, node: Inode, offset: int, data: bytes, user: str) -> int:
         """Write bytes at an offset, for Twrite, and return how many; a gap is filled with zeros."""
@@ -241,38 +246,38 @@
         self.touch(node, user)
         self.ran.append(("truncate", node.number, length))
 
-    def unlink(self, at: Inode, name: str, user: str) -> None:
+    def unlink(self, directory: Inode, name: str, user: str) -> None:
         """Remove a name from a directory, for Tremove and Tunlinkat; a directory must be empty."""
-        node = self.child(at, name)
+        node = self.child(directory, name)
         if node.names:
             raise DiskError(errors.ENOTEMPTY)
-        self._detach(at, name, node, user)
+        self._detach(directory, name, node, user)
         self.ran.append(("unlink", name, node.number))
 
-    def _detach(self, at: Inode, name: str, node: Inode, user: str) -> None:
-        del at.names[name]
-        at.nlink -= node.is_dir
+    def _detach(self, directory: Inode, name: str, node: Inode, user: str) -> None:
+        del directory.names[name]
+        directory.nlink -= node.is_dir
         node.nlink -= 2 if node.is_dir else 1
         node.ctime = self.now
         if node.nlink <= 0:
             self.used -= BLOCK + len(node.data)
-        self.touch(at, user)
+        self.touch(directory, user)
 
-    def link(self, at: Inode, name: str, node: Inode, user: str) -> None:
+    def link(self, directory: Inode, name: str, node: Inode, user: str) -> None:
         """Give an inode one more name, for Tlink."""
-        if name in at.names:
+        if name in directory.names:
             raise DiskError(errors.EEXIST)
         node.nlink += 1
-        self._attach(at, name, node, user)
+        self._attach(directory, name, node, user)
         self.ran.append(("link", name, node.number))
 
-    def rename(self, at: Inode, name: str, to: Inode, new: str, user: str, replace: bool) -> None:
+    def rename(self, directory: Inode, name: str, to: Inode, new: str, user: str, replace: bool) -> None:
         """Move a name to another directory or name, for Twstat, Trename and Trenameat.
 
         With `replace` a file that has the new name is removed, or an empty directory by a directory. A
         directory does not go below itself.
         """
-        node = self.child(at, name)
+        node = self.child(directory, name)
         self._check_not_below(node, to)
         if new in to.names:
             old = to.names[new][0]
@@ -280,12 +285,12 @@
                 return
             self._check_replaceable(old, node, replace)
             self._detach(to, new, old, user)
-        del at.names[name]
+        del directory.names[name]
         if node.is_dir:
-            at.nlink -= 1
+            directory.nlink -= 1
             to.nlink += 1
             node.parent = to
-        self.touch(at, user)
+        self.touch(directory, user)
         self._attach(to, new, node, user)
         node.ctime = self.now
         self.ran.append(("rename", name, new, node.number))
--- a/garnetlanding/emulator/file_connection.py
+++ b/garnetlanding/emulator/file_connection.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from garnetlanding.emulator.base import EmulatedConnection, EmulatedServer
-from garnetlanding.emulator.disk import Disk, DiskError, Inode, Tree
+from garnetlanding.emulator.disk import READ, SEARCH, WRITE, Disk, DiskError, Inode, Tree
 from garnetlanding.emulator.faults import Fault, FaultScript, Rule
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
@@ -316,7 +316,7 @@
     def _walk_step(self, at: OpenFid, name: str) -> OpenFid:
         disk = self.server.disk
         if at.node.is_dir:
-            disk.need(at.node, at.user, 1)
+            disk.need(at.node, at.user, SEARCH)
         child = disk.child(at.node, name)
         if name == "..":
             return self.server.place(child, at.user)
@@ -352,9 +352,9 @@
         if node.is_dir and (writes or truncate):
             raise DiskError(errors.EISDIR)
         want = (
-            (4 if access in (p9.OREAD, p9.ORDWR) else 0)
-            | (2 if writes or truncate else 0)
-            | (1 if access == p9.OEXEC else 0)
+            (READ if access in (p9.OREAD, p9.ORDWR) else 0)
+            | (WRITE if writes or truncate else 0)
+            | (SEARCH if access == p9.OEXEC else 0)
         )
         disk.need(node, at.user, want)
         self.exclude(fid, node)
@@ -387,7 +387,7 @@
         disk = self.server.disk
         if at.parent.names.get(at.name, (None,))[0] is not at.node:
             raise DiskError(errors.ENOENT)
-        disk.need(at.parent, at.user, 2)
+        disk.need(at.parent, at.user, WRITE)
         disk.unlink(at.parent, at.name, at.user)
 
 
--- a/garnetlanding/emulator/files_linux.py
+++ b/garnetlanding/emulator/files_linux.py
@@ -5,7 +5,7 @@
 import stat
 from dataclasses import replace
 
-from garnetlanding.emulator.disk import BLOCK, DiskError, Inode, InodeExtras
+from garnetlanding.emulator.disk import BLOCK, SEARCH, WRITE, DiskError, Inode, InodeExtras
 from garnetlanding.emulator.file_connection import SIGNED_END, Dialect, FileConnection, OpenFid
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
@@ -16,6 +16,7 @@
 from garnetlanding.ninep.model import Entry, Time, d_type, good_name
 
 PERM = 0o7777
+ACCESS = 3  # the bits of open flags for reading, writing or both; all of them are no access
 FS_MAGIC = 0x01021997  # of 9P, as statfs(2) reports it
 
 
@@ -63,13 +64,13 @@
             raise DiskError(errors.ELOOP)
         if flags & p9l.L_DIRECTORY and not at.node.is_dir:
             raise DiskError(errors.ENOTDIR)
-        qid = connection.open(fid, at, flags & 3, bool(flags & p9l.L_TRUNC))
+        qid = connection.open(fid, at, flags & ACCESS, bool(flags & p9l.L_TRUNC))
         at.append = bool(flags & p9l.L_APPEND)
         return p9l.Rlopen(qid, 0)
 
     @staticmethod
     def _check_flags(flags: int) -> None:
-        if flags & 3 == 3:
+        if flags & ACCESS == ACCESS:
             raise DiskError(errors.EINVAL)
 
     def _parent(self, connection: FileConnection, fid: int, name: str) -> OpenFid:
@@ -78,12 +79,12 @@
             raise DiskError(errors.ENOTDIR)
         if not good_name(name):
             raise DiskError(errors.EINVAL)
-        connection.server.disk.need(at.node, at.user, 1)
+        connection.server.disk.need(at.node, at.user, SEARCH)
         return at
 
     def _writable(self, connection: FileConnection, fid: int, name: str) -> OpenFid:
         at = self._parent(connection, fid, name)
-        connection.server.disk.need(at.node, at.user, 2)
+        connection.server.disk.need(at.node, at.user, WRITE)
         return at
 
     def _create(self, connection: FileConnection, message: p9l.Tlcreate) -> p9.Message:
@@ -96,12 +97,12 @@
                 raise DiskError(errors.EEXIST)
             node = at.node.names[message.name][0]
             to = OpenFid(node, at.user, at.node, message.name)
-            connection.open(message.fid, to, message.flags & 3, bool(message.flags & p9l.L_TRUNC))
+            connection.open(message.fid, to, message.flags & ACCESS, bool(message.flags & p9l.L_TRUNC))
         else:
-            disk.need(at.node, at.user, 2)
+            disk.need(at.node, at.user, WRITE)
             mode = stat.S_IFREG | message.mode & PERM
             node = disk.make(at.node, message.name, mode, at.user, self._group(message.gid, at))
-            to = OpenFid(node, at.user, at.node, message.name, message.flags & 3)
+            to = OpenFid(node, at.user, at.node, message.name, message.flags & ACCESS)
         to.append = bool(message.flags & p9l.L_APPEND)
         connection.fids[message.fid] = to
         return p9l.Rlcreate(connection.qid(node), 0)
@@ -134,7 +135,7 @@
         if valid & (p9l.SET_ATIME_TO | p9l.SET_MTIME_TO) and not owner:
             raise DiskError(errors.EPERM)
         if valid & (p9l.SET_ATIME | p9l.SET_MTIME) and not owner:
-            connection.server.disk.need(node, at.user, 2)
+            connection.server.disk.need(node, at.user, WRITE)
 
     @staticmethod
     def _check_size(connection: FileConnection, at: OpenFid, size: int) -> None:
@@ -142,7 +143,7 @@
             raise DiskError(errors.EISDIR)
         if size > SIGNED_END:
             raise DiskError(errors.EINVAL)
-        connection.server.disk.need(at.node, at.user, 2)
+        connection.server.disk.need(at.node, at.user, WRITE)
 
     @staticmethod
     def _set_ownership(node: Inode, message: p9l.Tsetattr) -> None:
@@ -259,7 +260,7 @@
     @staticmethod
     def _rename(connection: FileConnection, parent: Inode, name: str, to: OpenFid, new: str) -> None:
         disk = connection.server.disk
-        disk.need(parent, to.user, 2)
+        disk.need(parent, to.user, WRITE)
         node = disk.child(parent, name)
         disk.rename(parent, name, to.node, new, to.user, replace=True)
         connection.server.renamed(parent, name, to.node, new, node)
--- a/garnetlanding/emulator/files_plain.py
+++ b/garnetlanding/emulator/files_plain.py
@@ -5,7 +5,7 @@
 import stat
 from dataclasses import replace
 
-from garnetlanding.emulator.disk import DiskError, InodeExtras
+from garnetlanding.emulator.disk import WRITE, DiskError, InodeExtras
 from garnetlanding.emulator.file_connection import SIGNED_END, Dialect, FileConnection, OpenFid
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import errors
@@ -14,6 +14,8 @@
 from garnetlanding.ninep.stat_format import RawStat, pack_stat, parse_stat, raw_changes
 
 PERM = 0o777
+ACCESS = 3  # the bits of an open mode that tell reading, writing, both and executing apart
+STAT_OVERHEAD = 9  # bytes of an Rstat besides the stat
 
 
 class PlainDialect(Dialect):
@@ -35,7 +37,7 @@
             case p9.Tstat(fid):
                 at = connection.fid(fid)
                 packed = pack_stat(at.name, connection.server.disk.attr(at.node, connection.server.salt))
-                if len(packed) + 9 > connection.msize:
+                if len(packed) + STAT_OVERHEAD > connection.msize:
                     raise DiskError(errors.ERANGE, "stat does not fit msize")
                 return p9.Rstat(packed)
             case p9.Twstat(fid, data):
@@ -49,11 +51,11 @@
 
     def _open(self, connection: FileConnection, fid: int, mode: int) -> p9.Message:
         at = connection.unopened(fid)
-        if mode & ~(3 | p9.OTRUNC | p9.ORCLOSE):
+        if mode & ~(ACCESS | p9.OTRUNC | p9.ORCLOSE):
             raise DiskError(errors.EINVAL, "unknown open mode")
         if mode & p9.ORCLOSE:
             self._may_remove(connection, at)
-        qid = connection.open(fid, at, mode & 3, bool(mode & p9.OTRUNC))
+        qid = connection.open(fid, at, mode & ACCESS, bool(mode & p9.OTRUNC))
         at.remove_on_close = bool(mode & p9.ORCLOSE)
         return p9.Ropen(qid, 0)
 
@@ -61,7 +63,7 @@
     def _may_remove(connection: FileConnection, at: OpenFid) -> None:
         if at.parent is None:
             raise DiskError(errors.EBUSY, "cannot remove the root")
-        connection.server.disk.need(at.parent, at.user, 2)
+        connection.server.disk.need(at.parent, at.user, WRITE)
 
     def _create(self, connection: FileConnection, message: p9.Tcreate) -> p9.Message:
         at = connection.unopened(message.fid)
@@ -71,12 +73,12 @@
         if not good_name(message.name):
             raise DiskError(errors.EINVAL, "illegal name")
         is_dir = bool(message.perm & DMDIR)
-        access = message.mode & 3
-        if message.perm & ~(DMDIR | DM_FLAGS | PERM) or message.mode & ~(3 | p9.OTRUNC | p9.ORCLOSE):
+        access = message.mode & ACCESS
+        if message.perm & ~(DMDIR | DM_FLAGS | PERM) or message.mode & ~(ACCESS | p9.OTRUNC | p9.ORCLOSE):
             raise DiskError(errors.EINVAL)
         if is_dir and access != p9.OREAD:
             raise DiskError(errors.EISDIR)
-        disk.need(at.node, at.user, 2)
+        disk.need(at.node, at.user, WRITE)
         # What the directory does not allow to others, nothing made in it does (open(5)).
         inheritable = 0o777 if is_dir else 0o666
         mask = ~inheritable | at.node.mode & inheritable
@@ -117,7 +119,7 @@
                 raise DiskError(errors.EISDIR)
             if wanted.length > SIGNED_END:
                 raise DiskError(errors.EINVAL, "illegal offset")
-            connection.server.disk.need(node, at.user, 2)
+            connection.server.disk.need(node, at.user, WRITE)
 
     @staticmethod
     def _apply_changes(connection: FileConnection, at: OpenFid, wanted: Changes) -> None:
