--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -13,6 +13,7 @@
 from garnetlanding.ninep.client_dialect import NewFile
 from garnetlanding.ninep.client_session import AttachRequest, ClientSession
 from garnetlanding.ninep.codec import Message, Qid
+from garnetlanding.ninep.directory_operations import Link, MakeDirectory, MakeNode, Rename, Symlink, Unlink
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.fid_table import check_offset
 from garnetlanding.ninep.fids import Fid, RequestRejectedError
@@ -21,18 +22,12 @@
 from garnetlanding.ninep.operations import (
     Change,
     Create,
-    Link,
-    MakeDirectory,
-    MakeNode,
     Open,
     ReadDirectory,
     ReadLink,
-    Rename,
     Stat,
     StatFs,
-    Symlink,
     Sync,
-    Unlink,
     Work,
 )
 from garnetlanding.ninep.pending import PendingRequest
--- a/garnetlanding/ninep/server_dialect_plain.py
+++ b/garnetlanding/ninep/server_dialect_plain.py
@@ -8,11 +8,12 @@
 from garnetlanding.ninep.client_dialect import NewFile
 from garnetlanding.ninep.client_session import AttachRequest, ClientSession
 from garnetlanding.ninep.codec import ORCLOSE, OREAD, OTRUNC, Message, Qid
+from garnetlanding.ninep.directory_operations import MakeDirectory
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.fid_table import check_name, check_offset
 from garnetlanding.ninep.fids import DirectoryPosition, Fid, RequestRejectedError
 from garnetlanding.ninep.model import DM_FLAGS, DMDIR, PERM, Attr, Changes, Entry
-from garnetlanding.ninep.operations import Change, Create, MakeDirectory, Open, ReadDirectory, Stat
+from garnetlanding.ninep.operations import Change, Create, Open, ReadDirectory, Stat
 from garnetlanding.ninep.pending import PendingRequest
 from garnetlanding.ninep.server_dialect import Handlers
 from garnetlanding.ninep.session import OpenFile, OpenMode
