--- a/garnetlanding/audit/segment_files.py
+++ b/garnetlanding/audit/segment_files.py
@@ -54,7 +54,9 @@
         match = _SEGMENT_NAME.fullmatch(name)
         if match is None:
             continue
-        stem, incarnation, number = match[1], int(match[2]), int(match[3])
+        stem = match[1]
+        incarnation = int(match[2])
+        number = int(match[3])
         of_incarnation = found.setdefault(stem, InstanceFiles()).by_incarnation.setdefault(incarnation, [])
         of_incarnation.append(SegmentFile(SegmentPosition(incarnation, number), os.path.join(folder, name)))
     return found
--- a/garnetlanding/audit/segments.py
+++ b/garnetlanding/audit/segments.py
@@ -117,7 +117,8 @@
                     raise self._corrupt(begin, "cut short, and another segment follows")
                 segment.torn_at = begin
                 return
-            record_hash, text = body[:HASH_BYTES], body[HASH_BYTES:]
+            record_hash = body[:HASH_BYTES]
+            text = body[HASH_BYTES:]
             if len(record_hash) < HASH_BYTES or _chained_hash(segment.last_hash, text) != record_hash:
                 raise self._corrupt(begin, "does not follow on the record before it")
             segment.records.append(self._payload(begin, text))
--- a/garnetlanding/daemon/assembly.py
+++ b/garnetlanding/daemon/assembly.py
@@ -166,7 +166,8 @@
 
 
 def _build_group(instance: Instance, history: HistoryRecording | None) -> PeerGroup | None:
-    setup, peers = instance.config.operator.fleet, instance.config.peers
+    setup = instance.config.operator.fleet
+    peers = instance.config.peers
     if setup is None or peers is None:
         return None
     from garnetlanding.daemon.peer_group import PeerGroup
--- a/garnetlanding/daemon/audit.py
+++ b/garnetlanding/daemon/audit.py
@@ -46,7 +46,8 @@
 
     def start(self) -> None:
         """Record from now on. Raises OSError where the audit cannot be written."""
-        instance, link = self._instance, self._link
+        instance = self._instance
+        link = self._link
         self.trail = start_audit(
             self._setup,
             instance.core,
--- a/garnetlanding/daemon/discovery.py
+++ b/garnetlanding/daemon/discovery.py
@@ -21,7 +21,9 @@
 
     def __init__(self, instance: Instance, clock: Callable[[], int]) -> None:
         self._instance = instance
-        limits, core, store = instance.limits, instance.core, instance.store
+        limits = instance.limits
+        core = instance.core
+        store = instance.store
         # One offset for good: were it read anew, a server's start time would seem to move.
         offset_us = time.time_ns() // 1000 - clock()
         cached = newest_listing(store, instance.config.known)
--- a/garnetlanding/daemon/ninep.py
+++ b/garnetlanding/daemon/ninep.py
@@ -21,7 +21,8 @@
 
     def start(self) -> None:
         """Listen for 9P clients."""
-        instance, setup = self._instance, self._setup
+        instance = self._instance
+        setup = self._setup
         servers = file_servers(
             instance.scheduler, instance.pool, instance.limits, setup.server_port, setup.server_dialect
         )
--- a/garnetlanding/daemon/peer_group.py
+++ b/garnetlanding/daemon/peer_group.py
@@ -38,7 +38,8 @@
 
     def start(self) -> None:
         """Build what the operator's file turns on."""
-        setup, limits = self._setup, self._peers.limits
+        setup = self._setup
+        limits = self._peers.limits
         history = self._history.writer if self._history else None
         self.failure_detector = FailureDetector(limits, setup.suspicions, setup.disables, history)
         if setup.seeds:
@@ -88,7 +89,8 @@
         self._look()
 
     def _look(self) -> None:
-        detector, scheduler = self._group.failure_detector, self._instance.scheduler
+        detector = self._group.failure_detector
+        scheduler = self._instance.scheduler
         scheduler.call_at(scheduler.now + detector.limits.disables_poll_us, self._look)
         if detector.merge_received():
             self._instance.core.set_disabled(detector.disabled.disabled_names)
--- a/garnetlanding/daemon/replication.py
+++ b/garnetlanding/daemon/replication.py
@@ -44,7 +44,8 @@
         from garnetlanding.choices.stagger import stagger_offset
         from garnetlanding.store.follower import Follower, FollowerOptions
 
-        instance, setup = self._instance, self._setup
+        instance = self._instance
+        setup = self._setup
         if setup.max_staleness_us:
             from garnetlanding.store.staleness_guard import StalenessGuard
 
--- a/garnetlanding/daemon/shared_connections.py
+++ b/garnetlanding/daemon/shared_connections.py
@@ -21,7 +21,8 @@
 
     def start(self) -> None:
         """Bound the connections to backends from now on."""
-        instance, link = self._instance, self._link
+        instance = self._instance
+        link = self._link
         instance.backends.quota = ConnectionQuota(
             self._each_max,
             instance.longest_attempt_us,
--- a/garnetlanding/ninep/client_dialect_plain.py
+++ b/garnetlanding/ninep/client_dialect_plain.py
@@ -159,7 +159,7 @@
         name: str,
         new_file: NewFile,
         major: int,  # noqa: ARG002 - of ClientDialect; a device is an error here
-        minor: int,  # noqa: ARG002
+        minor: int,  # noqa: ARG002 - the interface of both dialects has it
     ) -> Steps[Qid]:
         """Make a regular file by Tcreate; there are no others in this dialect."""
         if not posix.S_ISREG(new_file.perm):
--- a/garnetlanding/ninep/operations.py
+++ b/garnetlanding/ninep/operations.py
@@ -129,7 +129,7 @@
     OP = Op.WALK
     names: Path = ()
 
-    def steps(self, session: Session, dialect: ClientDialect) -> Steps[tuple[Qid, ...]]:  # noqa: ARG002
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[tuple[Qid, ...]]:  # noqa: ARG002 - an operation like the others
         """Return the qids of the names found; it is an error when already the first does not exist."""
         _, qids = yield from walk_prefix(session, self.path + self.names)
         depth = len(self.path)
