--- a/garnetlanding/__main__.py
+++ b/garnetlanding/__main__.py
@@ -8,6 +8,6 @@
 
     block_until_handled()
 
-from garnetlanding.cli import main  # noqa: E402 - signals may come while this is read
+from garnetlanding.cli import main
 
 sys.exit(main())
--- a/garnetlanding/runtime/listener.py
+++ b/garnetlanding/runtime/listener.py
@@ -35,7 +35,7 @@
         most: int,
         make: Callable[[Client], ClientMachine],
         shared: bool = False,
-    ) -> None:  # noqa: PLR0913 - the loop's three collaborators are passed together everywhere
+    ) -> None:
         self.scheduler = scheduler
         self.pool = pool
         self.limits = limits
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -54,7 +54,7 @@
         make: MakeMachine,
         place: Callable[[str], str] = lambda endpoint: endpoint,
         bind: Callable[[AttemptHandle], str] = lambda _trial: "",
-    ) -> None:  # noqa: PLR0913 - the loop's three collaborators are passed together everywhere
+    ) -> None:
         self.scheduler = scheduler
         self.pool = pool
         self.limits = limits
