--- a/garnetlanding/cli/__init__.py
+++ b/garnetlanding/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line. Each command imports what it needs when it runs: `serve` pays for nothing else.
+"""The command line. Each command imports its modules when it runs, so that `serve` loads nothing else.
 
-Each module of this package holds the commands of one group; the root imports it when one is called. The
-command's help is what operators read, so it keeps the words of their pages.
+Each module of this package holds the commands of one group; the root imports the module when one of them is
+called. Help texts are read by operators and keep the words of their pages.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 
 import click
 
-from garnetlanding.cli.root import FAILED, commands
+from garnetlanding.cli.root import EXIT_FAILURE, commands
 
 __all__ = ["commands", "main"]
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run one command and return its exit code, also for a call that is wrong (2)."""
+    """Run one command and return its exit code, which is 2 for wrong usage."""
     try:
         code = commands.main(
             list(sys.argv[1:] if argv is None else argv), "garnetlanding", standalone_mode=False
@@ -26,5 +26,5 @@
         problem.show()
         return problem.exit_code
     except click.Abort:
-        return FAILED
+        return EXIT_FAILURE
     return code if isinstance(code, int) else 0
--- a/garnetlanding/cli/admin.py
+++ b/garnetlanding/cli/admin.py
@@ -1,6 +1,6 @@
-"""Calls to an instance's admin service: `ops` and `ops fleet`. Each command is one call.
+"""Calls to an instance's admin service: `ops` and `ops fleet`. Each command sends one call.
 
-The words of the command line are the service's: a call's name is the last part of its HTTP path.
+A command's name is the last part of its call's HTTP path.
 """
 
 from __future__ import annotations
@@ -10,9 +10,10 @@
 
 import click
 
-from garnetlanding.cli.root import FAILED, WRONG, commands, print_problem, with_options
+from garnetlanding.cli.root import EXIT_FAILURE, EXIT_USAGE, commands, print_problem, with_options
+from garnetlanding.ops.admin_calls import BACKEND_CALLS, INSTANCE_CALLS
 
-INSTANCE_CALLS = {
+CALL_HELP = {
     "ready": "Ask whether the head takes clients.",
     "metrics": "Show the head's figures: requests by class and outcome, attempts, bricks.",
     "disable": "Take a brick out: nothing more is sent to it, whatever the list says, until it is put back.",
@@ -20,7 +21,7 @@
     "drain": "Send clients away: PING is answered with an error, and connections are closed within 4 s.",
     "resume": "End a drain.",
 }
-FLEET_CALLS = {
+FLEET_CALL_HELP = {
     "fleet/limits": "Show who has which part of each limited volume, and until when.",
     "fleet/members": "Show the heads: which life of each was heard last, and how long ago.",
     "fleet/verdicts": "Show what is believed of each server, from which heads, and how old it is.",
@@ -30,8 +31,6 @@
     "fleet/shut-out": "Have a head act no more: it refuses at once, sends nothing, until it is let in.",
     "fleet/let-in": "Let a head act again that was shut out.",
 }
-CALLS_ON_A_BACKEND = ("disable", "enable")
-CALLS_ON_AN_INSTANCE = ("fleet/forget", "fleet/shut-out", "fleet/let-in")
 
 call_options = with_options(
     click.option(
@@ -58,38 +57,39 @@
     help="Call a head that runs, as an operator. The exit code is 0 on a yes, 1 on a no or without an answer."
 )
 def ops() -> None:
-    """Hold a command for each call on one instance."""
+    """Group the commands for calls to one instance."""
 
 
 @ops.group(help="What a head knows of the others, where heads hear each other.")
 def fleet() -> None:
-    """Hold a command for each call about the group of instances."""
+    """Group the commands for calls about the fleet."""
 
 
 def _add_command(group: click.Group, call: str, help_text: str) -> None:
-    def run(address: str, wait_s: float, as_json: bool, brick: str = "") -> int:
+    def run(*, address: str, wait_s: float, as_json: bool, target: str | int | None = None) -> int:
         from garnetlanding.ops import admin_client, admin_output
         from garnetlanding.ops.errors import InstanceUnreachableError
 
+        target_text = None if target is None else str(target)
         try:
-            reply = admin_client.send_call(address, call, brick, wait_s)
+            reply = admin_client.send_call(address, call, target_text, wait_s)
             render = admin_output.as_json if as_json else admin_output.as_text
             click.echo(render(call, reply))
         except InstanceUnreachableError as problem:
-            return print_problem(FAILED, problem)
+            return print_problem(EXIT_FAILURE, problem)
         except ValueError as problem:
-            return print_problem(WRONG, problem)
-        return 0 if reply.ok else FAILED
+            return print_problem(EXIT_USAGE, problem)
+        return 0 if reply.ok else EXIT_FAILURE
 
     command: Callable[..., Any] = run
-    if call in CALLS_ON_A_BACKEND:
-        command = click.argument("brick")(command)
-    if call in CALLS_ON_AN_INSTANCE:
-        command = click.argument("brick", metavar="HEAD", type=click.IntRange(0, 65535))(command)
+    if call in BACKEND_CALLS:
+        command = click.argument("target", metavar="BRICK")(command)
+    if call in INSTANCE_CALLS:
+        command = click.argument("target", metavar="HEAD", type=click.IntRange(0, 65535))(command)
     group.command(call.rpartition("/")[2], help=help_text)(call_options(command))
 
 
-for _call, _help in INSTANCE_CALLS.items():
+for _call, _help in CALL_HELP.items():
     _add_command(ops, _call, _help)
-for _call, _help in FLEET_CALLS.items():
+for _call, _help in FLEET_CALL_HELP.items():
     _add_command(fleet, _call, _help)
--- a/garnetlanding/cli/audit.py
+++ b/garnetlanding/cli/audit.py
@@ -1,4 +1,4 @@
-"""The audits of many instances, read from their files: `audit show`, `merge`, `who`, `lag` and `verify`."""
+"""Reports from the audit files of many instances: `audit show`, `merge`, `who`, `lag` and `verify`."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import click
 
-from garnetlanding.cli.root import WRONG, commands, print_problem
+from garnetlanding.cli.root import EXIT_USAGE, commands, print_problem
 
 PLACES = click.argument("places", nargs=-1, required=True, type=click.Path(exists=True))
 AS_JSON = click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
@@ -19,18 +19,18 @@
     help="Read the audits of many heads: files, or folders of them (`[audit]` of their operators' files)."
 )
 def audit() -> None:
-    """Hold the commands that read audits."""
+    """Group the commands that read audits."""
 
 
 def reading_files(command: Callable[Parameters, int]) -> Callable[Parameters, int]:
-    """End the command with 2 and a line on standard error where files or values cannot be read."""
+    """Make a command print unreadable files and invalid values as an error, and return exit code 2."""
 
     @wraps(command)
     def run(*args: Parameters.args, **kwargs: Parameters.kwargs) -> int:
         try:
             return command(*args, **kwargs)
         except (OSError, ValueError) as problem:
-            return print_problem(WRONG, f"audit: {problem}")
+            return print_problem(EXIT_USAGE, f"audit: {problem}")
 
     return run
 
@@ -40,7 +40,7 @@
 @click.option("--chart", metavar="FILE", help="Draw versions by head over time as PNG.")
 @AS_JSON
 @reading_files
-def audit_show(places: tuple[str, ...], chart: str | None, as_json: bool) -> int:
+def audit_show(*, places: tuple[str, ...], chart: str | None, as_json: bool) -> int:
     """Show every span of every instance in time order."""
     from garnetlanding.audit import report
 
@@ -51,7 +51,7 @@
 @PLACES
 @click.option("--out", metavar="FILE", required=True, help="A span a line, by time.")
 @reading_files
-def audit_merge(places: tuple[str, ...], out: str) -> int:
+def audit_merge(*, places: tuple[str, ...], out: str) -> int:
     """Write every span of every instance to one file."""
     from garnetlanding.audit import report
 
@@ -67,12 +67,12 @@
 @click.option("--version", metavar="COMPONENT=VERSION", help="Who acted on that (settings=5.2, list=41).")
 @AS_JSON
 @reading_files
-def audit_who(places: tuple[str, ...], when: str | None, version: str | None, as_json: bool) -> int:
+def audit_who(*, places: tuple[str, ...], when: str | None, version: str | None, as_json: bool) -> int:
     """Show the spans that cover a time or carry a version; return 1 where there are none."""
     from garnetlanding.audit import report
 
     if (when is None) == (version is None):
-        return print_problem(WRONG, "audit: one of --at and --version")
+        return print_problem(EXIT_USAGE, "audit: one of --at and --version")
     return report.who(places, when, version, as_json)
 
 
@@ -84,7 +84,7 @@
 @click.option("--component", default="settings", show_default=True, help="settings, list, bans, heads, code.")
 @AS_JSON
 @reading_files
-def audit_lag(places: tuple[str, ...], component: str, as_json: bool) -> int:
+def audit_lag(*, places: tuple[str, ...], component: str, as_json: bool) -> int:
     """Show how long each version of a component took to reach every instance."""
     from garnetlanding.audit import report
 
@@ -98,7 +98,7 @@
 @click.option("--head", "heads", metavar="NAME", multiple=True, help="A head that must have files.")
 @AS_JSON
 @reading_files
-def audit_verify(places: tuple[str, ...], heads: tuple[str, ...], as_json: bool) -> int:
+def audit_verify(*, places: tuple[str, ...], heads: tuple[str, ...], as_json: bool) -> int:
     """Check every file; return 1 where one is damaged or missing."""
     from garnetlanding.audit import report
 
--- a/garnetlanding/cli/conform.py
+++ b/garnetlanding/cli/conform.py
@@ -4,7 +4,7 @@
 
 import click
 
-from garnetlanding.cli.root import WRONG, commands, print_problem, with_options
+from garnetlanding.cli.root import EXIT_USAGE, commands, print_problem, with_options
 
 DIALECTS = ("9P2000", "9P2000.L")
 
@@ -17,10 +17,10 @@
 
 @commands.group(help="Check a server against its protocol, case by case.")
 def conform() -> None:
-    """Hold a command for each suite."""
+    """Group the commands for the suites."""
 
 
-how_to_attach = with_options(
+attach_options = with_options(
     click.option("--address", metavar="HOST:PORT", required=True, help="Where the server listens."),
     click.option(
         "--dialect",
@@ -39,7 +39,7 @@
         help="The user's number, for 9P2000.L.",
     ),
 )
-how_to_wait = with_options(
+timing_options = with_options(
     click.option(
         "--msize",
         default=8192,
@@ -64,7 +64,7 @@
         help="Seconds without anything after which no more is expected.",
     ),
 )
-what_to_run = with_options(
+case_options = with_options(
     click.option("--only", default="", metavar="REGEX", help="Run the cases whose names match."),
     click.option("--list", "list_only", is_flag=True, help="Show the cases and their rules, and run none."),
     click.option(
@@ -74,10 +74,11 @@
 
 
 @conform.command("9p", help=CONFORM_9P_HELP)
-@how_to_attach
-@how_to_wait
-@what_to_run
+@attach_options
+@timing_options
+@case_options
 def conform_9p(  # noqa: PLR0913 - one parameter for each option of the command line
+    *,
     address: str,
     dialect: str,
     aname: str,
@@ -90,7 +91,7 @@
     list_only: bool,
     json_file: str | None,
 ) -> int:
-    """Run or list the cases; return 0 when none failed, 1 when one did, 2 when the call is wrong."""
+    """Run or list the cases; return 0 if none failed, 1 if one did, and 2 for wrong usage."""
     from garnetlanding.conform import report
     from garnetlanding.conform.connection import Options
     from garnetlanding.conform.errors import UsageError
@@ -102,4 +103,4 @@
             return report.list_cases(options, only)
         return report.run(address, options, only, json_file)
     except UsageError as problem:
-        return print_problem(WRONG, problem)
+        return print_problem(EXIT_USAGE, problem)
--- a/garnetlanding/cli/lab.py
+++ b/garnetlanding/cli/lab.py
@@ -4,7 +4,7 @@
 
 import click
 
-from garnetlanding.cli.root import FAILED, WRONG, commands, print_problem
+from garnetlanding.cli.root import EXIT_FAILURE, EXIT_USAGE, commands, print_problem
 
 RUN_HELP = """Run EXPERIMENT (TOML). The exit code is 0 when every rule held, 1 when one was broken
 or the run could not be carried through, 2 when the file is wrong."""
@@ -12,7 +12,7 @@
 
 @commands.group(help="Experiments on many processes of the program, with faults between them.")
 def lab() -> None:
-    """Hold the commands of the laboratory."""
+    """Group the commands for experiments."""
 
 
 @lab.command("run", help=RUN_HELP)
@@ -24,41 +24,41 @@
 )
 @click.option("--seed", type=click.IntRange(0), help="In place of the file's.")
 @click.option("--json", "as_json", is_flag=True, help="The result as one JSON object.")
-def lab_run(experiment: str, out: str | None, seed: int | None, as_json: bool) -> int:
-    """Run one experiment; return 0 when every rule held, 1 when not, 2 when its file is wrong."""
+def lab_run(*, experiment: str, out: str | None, seed: int | None, as_json: bool) -> int:
+    """Run one experiment; return 0 if every invariant held, 1 if not, and 2 for an invalid file."""
     from garnetlanding.config.section import ConfigError
     from garnetlanding.lab import report
 
     try:
         return report.run(experiment, out, seed, as_json)
     except ConfigError as problem:
-        return print_problem(WRONG, problem)
+        return print_problem(EXIT_USAGE, problem)
     except (OSError, report.LabError) as problem:
-        return print_problem(FAILED, f"lab: {problem}")
+        return print_problem(EXIT_FAILURE, f"lab: {problem}")
 
 
 @lab.command("compare", help="Put the results of runs side by side.")
 @click.argument("folders", nargs=-1, required=True, type=click.Path(exists=True))
 @click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
-def lab_compare(folders: tuple[str, ...], as_json: bool) -> int:
-    """Compare finished runs by their results; return 2 for a folder that has none."""
+def lab_compare(*, folders: tuple[str, ...], as_json: bool) -> int:
+    """Compare the results of finished runs; return 2 for a folder without a result."""
     from garnetlanding.lab import report
 
     try:
         return report.compare(folders, as_json)
     except (OSError, ValueError, report.LabError) as problem:
-        return print_problem(WRONG, f"lab: {problem}")
+        return print_problem(EXIT_USAGE, f"lab: {problem}")
 
 
 @lab.command("report", help="Show one run second by second, and write it as series.csv beside its histories.")
 @click.argument("folder", type=click.Path(exists=True))
 @click.option("--charts", is_flag=True, help="Draw answers, latency and parts as PNG beside the histories.")
 @click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
-def lab_report(folder: str, charts: bool, as_json: bool) -> int:
-    """Report one finished run as a time series; return 2 where its histories cannot be read."""
+def lab_report(*, folder: str, charts: bool, as_json: bool) -> int:
+    """Show one finished run as a time series; return 2 where its histories cannot be read."""
     from garnetlanding.lab import report
 
     try:
         return report.report(folder, charts, as_json)
     except (OSError, ValueError, report.LabError) as problem:
-        return print_problem(WRONG, f"lab: {problem}")
+        return print_problem(EXIT_USAGE, f"lab: {problem}")
--- a/garnetlanding/cli/root.py
+++ b/garnetlanding/cli/root.py
@@ -1,4 +1,4 @@
-"""The root of all commands, with what they share: exit codes, error output, groups of options."""
+"""The root command, and what all commands share: exit codes, error output, groups of options."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 import click
 
-FAILED = 1  # exit code: it could not be done
-WRONG = 2  # exit code: the call or the configuration is wrong
+EXIT_FAILURE = 1  # the command could not be carried out
+EXIT_USAGE = 2  # wrong usage, or an invalid configuration
 
-# Which module of this package registers a command. Only the module of the command that runs is imported, so
-# that `serve` holds no other command's options in memory.
+# The module of this package that registers each command. Only that of the command that runs is imported, so
+# that `serve` does not hold other commands' options in memory.
 COMMAND_MODULES = {
     "audit": "audit",
     "check-config": "serve",
@@ -27,18 +27,18 @@
 
 
 class LazyCommands(click.Group):
-    """A group that imports the module of a command when the command is looked up."""
+    """A group that imports a command's module when the command is looked up."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return the names of all commands, in the order in which the help shows them."""
+        """Return the names of all commands in alphabetical order, which is that of the help."""
         return sorted({*COMMAND_MODULES, *super().list_commands(ctx)})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return a command by its name; `None` where there is none."""
+        """Return the command of this name, or `None` if there is none."""
         if cmd_name in COMMAND_MODULES:
             modules = {COMMAND_MODULES[cmd_name]}
         else:
-            modules = set(COMMAND_MODULES.values())  # click suggests the name that was meant
+            modules = set(COMMAND_MODULES.values())  # for click's suggestion of similar names
         for module in modules:
             import_module(f"{__package__}.{module}")
         return super().get_command(ctx, cmd_name)
@@ -50,11 +50,11 @@
     help="A head for shared storage nodes: fair queues, exactly one answer a request.",
 )
 def commands() -> None:
-    """Hold every command and group of commands."""
+    """Group all commands."""
 
 
 def with_options(*options: Decorator) -> Decorator:
-    """Return one decorator in place of several options, listed in the order in which the help shows them."""
+    """Combine options into one decorator; the help shows them in the order given."""
 
     def decorate(command: Callable[..., Any]) -> Callable[..., Any]:
         for option in reversed(options):
@@ -65,6 +65,6 @@
 
 
 def print_problem(code: int, problem: object) -> int:
-    """Print a problem on standard error; return the exit code, for the command to end with."""
+    """Print a problem on standard error and return `code`, for the command to return."""
     click.echo(f"garnetlanding: {problem}", err=True)
     return code
--- a/garnetlanding/cli/serve.py
+++ b/garnetlanding/cli/serve.py
@@ -1,11 +1,11 @@
-"""The commands that need a configuration, `serve` and `check-config`, and `version`."""
+"""The commands `serve` and `check-config`, which need a configuration, and `version`."""
 
 from __future__ import annotations
 
 import click
 
 from garnetlanding import __version__
-from garnetlanding.cli.root import FAILED, WRONG, commands, print_problem, with_options
+from garnetlanding.cli.root import EXIT_FAILURE, EXIT_USAGE, commands, print_problem, with_options
 
 configured = with_options(
     click.option("--config", metavar="FILE", help="JSON file.  [default: $RELAY_CONFIG]"),
@@ -35,20 +35,20 @@
     try:
         settings = read()
     except configuration.ConfigError as problem:
-        return print_problem(WRONG, problem)
+        return print_problem(EXIT_USAGE, problem)
     from garnetlanding.daemon import Daemon
     from garnetlanding.store.errors import StoreFileError
 
     try:
-        return Daemon(settings, read_again=read).run()
+        return Daemon(settings, load_config=read).run()
     except (OSError, StoreFileError) as problem:
-        return print_problem(FAILED, f"cannot serve: {problem}")
+        return print_problem(EXIT_FAILURE, f"cannot serve: {problem}")
 
 
 @commands.command("check-config", help="Read the configuration, name the key that is wrong with it, and end.")
 @configured
 def check_config(config: str | None, operator: str | None, log_level: str) -> int:
-    """Check a configuration without serving; return 2 where it cannot be used."""
+    """Check a configuration without serving; return 2 for an invalid one."""
     from garnetlanding import config as configuration
     from garnetlanding import logs
 
@@ -56,7 +56,7 @@
     try:
         settings = configuration.load(config, operator)
     except configuration.ConfigError as problem:
-        return print_problem(WRONG, problem)
+        return print_problem(EXIT_USAGE, problem)
     click.echo(f"garnetlanding: configuration of {settings.name!r} is sound")
     return 0
 
--- a/garnetlanding/daemon/__init__.py
+++ b/garnetlanding/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""One running instance of the load balancer: composed from its configuration, reloaded and shut down."""
+"""The daemon: composes an instance of the load balancer from its configuration, reloads and stops it."""
 
 from garnetlanding.daemon.daemon import Daemon
 
--- a/garnetlanding/daemon/admin.py
+++ b/garnetlanding/daemon/admin.py
@@ -1,4 +1,4 @@
-"""The admin service of an instance: its listener, its state on disk, and what it reaches of the instance."""
+"""The admin service of an instance: its listener, its state on disk, and its access to the instance."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from garnetlanding.daemon.capacity_sharing import CapacitySharing
 from garnetlanding.daemon.clients import RespClients
 from garnetlanding.daemon.discovery import DiscoveryWatch
 from garnetlanding.daemon.instance import Instance
 from garnetlanding.daemon.lifecycle import Subsystem
 from garnetlanding.daemon.peer_link import PeerLinkManager
+from garnetlanding.daemon.quota_enforcement import QuotaEnforcement
 from garnetlanding.ops.admin_connection import AdminConnection
 from garnetlanding.ops.admin_service import AdminService
 from garnetlanding.ops.fleet_access import FleetView
@@ -19,13 +19,13 @@
 from garnetlanding.ops.state_file import StateFile
 from garnetlanding.runtime.listener import Listener
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # a subsystem that is off is not imported
     from garnetlanding.daemon.peer_group import PeerGroup
     from garnetlanding.ops.replicated_disables import ReplicatedDisables
 
 
 class PeerAccess:
-    """What operators may read and change of the other instances, while this process has a link to them."""
+    """Implements FleetAccess by the peer link, while this process has one, and by the peer group."""
 
     def __init__(self, instance: Instance, group: PeerGroup | None, link: PeerLinkManager) -> None:
         self._instance = instance
@@ -33,7 +33,7 @@
         self._link = link
 
     def rows(self, view: FleetView) -> list[dict[str, object]] | None:
-        """Return a table's rows; None while this instance receives no gossip."""
+        """Return a table's rows, or None while this instance receives no gossip."""
         coordinator = self._link.coordinator
         if coordinator is None:
             return None
@@ -50,7 +50,7 @@
         return [row.as_json() for row in rows]
 
     def forget(self, instance: int) -> bool | None:
-        """Remove a terminated instance; None where membership is not discovered by gossip."""
+        """Remove a terminated instance; return None where membership is not discovered by gossip."""
         return self._group.forget(instance) if self._group else None
 
 
@@ -58,54 +58,60 @@
     """Owns the admin service and its listener."""
 
     name = "admin"
-    service: AdminService  # from the start on
-    listener: Listener  # from the start on
+    service: AdminService  # set by `start`
+    listener: Listener  # set by `start`
 
     def __init__(
         self,
         instance: Instance,
         clients: RespClients,
         discovery: DiscoveryWatch,
-        capacity: CapacitySharing,
+        quota: QuotaEnforcement,
         group: PeerGroup | None,
         link: PeerLinkManager,
     ) -> None:
         self._instance = instance
         self._clients = clients
         self._discovery = discovery
-        self._capacity = capacity
+        self._quota = quota
+        self._endpoints_deadline_us = 0  # set by `start`
         self._group = group
         self._link = link
 
     def start(self) -> None:
-        """Take up the state that operators left, and listen for them."""
+        """Restore the state that operators left, and listen for operators."""
         instance = self._instance
-        service = AdminService(
+        # A new process waits this long for discovery's list; then it relies on the cached one.
+        self._endpoints_deadline_us = instance.scheduler.now + instance.limits.ops_endpoints_wait_us
+        self.service = AdminService(
             self._managed_instance(),
             StateFile(tempfile.gettempdir(), instance.config.name),
             PeerAccess(instance, self._group, self._link),
             self._replicated_disables(),
         )
-        self.service = service
-        self._clients.accepts_clients = lambda: service.accepts_clients
-        self._capacity.apply_current()
-        self.listener = self._listen(service)
+        self._clients.accepts_clients = self._accepts_clients
+        self._quota.apply_current()
+        self.listener = self._listen()
         instance.log_listening("operators", self.listener.address)
 
     def _managed_instance(self) -> ManagedInstance:
         instance = self._instance
-        watch = self._discovery.watch
-        # A new process waits so long for discovery's list; then the cached one counts as known.
-        known_by_us = instance.scheduler.now + instance.limits.ops_endpoints_wait_us
         return ManagedInstance(
             scheduler=instance.scheduler,
             engine=instance.core,
             clients=self._clients.listener,
             limits=instance.limits,
-            endpoints_known=lambda: watch.is_synced or instance.scheduler.now >= known_by_us,
-            refresh_quota=self._capacity.update,
+            endpoints_known=self._endpoints_known,
+            refresh_quota=self._quota.update,
         )
 
+    def _endpoints_known(self) -> bool:
+        now = self._instance.scheduler.now
+        return self._discovery.watch.is_synced or now >= self._endpoints_deadline_us
+
+    def _accepts_clients(self) -> bool:
+        return self.service.accepts_clients
+
     def _replicated_disables(self) -> ReplicatedDisables | None:
         instance = self._instance
         setup = instance.config.operator.fleet
@@ -117,11 +123,11 @@
             self._group.failure_detector, lambda: instance.core.settings.instance_id, instance.wall_ms
         )
 
-    def _listen(self, service: AdminService) -> Listener:
+    def _listen(self) -> Listener:
         instance = self._instance
         limits = instance.limits
-        # Places and times of its own: operators are answered however many clients, or half calls, there are.
-        own = replace(
+        # Separate limits: operators are answered however many clients and incomplete calls there are.
+        own_limits = replace(
             limits,
             new_us=limits.ops_new_us,
             idle_us=limits.ops_new_us,
@@ -132,12 +138,12 @@
             instance.scheduler,
             instance.config.ops,
             instance.pool,
-            own,
+            own_limits,
             limits.ops_conns,
-            lambda write: AdminConnection(service, instance.pool, limits, write),
+            lambda write: AdminConnection(self.service, instance.pool, limits, write),
         )
 
     def stop(self) -> None:
-        """Answer what still comes for `ops_flush_us`, so that an operator who calls now is answered too."""
+        """Stop listening, and wait up to `ops_flush_us` for calls in progress to be answered."""
         self.listener.stop_accepting()
         self._instance.wait_for(lambda: not len(self.listener), self._instance.limits.ops_flush_us)
--- a/garnetlanding/daemon/assembly.py
+++ b/garnetlanding/daemon/assembly.py
@@ -1,30 +1,30 @@
-"""Composes an instance from its configuration, and writes down in which orders its subsystems work.
+"""Composes an instance from its configuration, and defines the orders of start, reload and stop.
 
-They start in this order, each with the reason why it comes no later:
+Subsystems start in this order, each before those that depend on it:
 
-1. history: it observes requests, and what follows writes to it.
-2. peer group, and with it the shared connections: audit, subset and peer link use its membership.
-3. settings: the version that holds from the start, where history or audit ask for it.
-4. audit: before anything else stands around the decision module, so that it sees what the module decides by.
-5. backend subset, which uses the membership.
-6. RESP2 clients: the admin service drains and sheds them.
-7. admin service, which takes up the state that operators left; then the 9P clients.
-8. replication: a follower must be current to act, if so configured, which fencing asks for.
-9. telemetry; then what peers' operators disabled, where there is no admin service.
-10. fencing, and last the peer link: its coordinator stands outermost around the decision module.
+1. history: it observes requests, and later subsystems write to it.
+2. peer group and shared connections: audit, backend subset and peer link use the membership.
+3. settings: where history or audit record the version that the instance starts with.
+4. audit: it has to wrap the decision module directly, before the peers' coordinator does.
+5. backend subset: it uses the membership.
+6. RESP2 clients: the admin service drains them and limits their number.
+7. admin service, which restores the state that operators left; then the 9P clients.
+8. replication: fencing depends on whether a follower's settings are recent.
+9. telemetry; then the disables received from peers, where there is no admin service.
+10. fencing, and last the peer link, whose coordinator is the outermost wrapper of the decision module.
 
-A reload reaches the settings, then the peer link, then discovery. Settings in the store come first, because
-they decide whether there may be a peer link at all.
+A reload reaches the settings first, because they decide whether a peer link is allowed, then the peer link
+and discovery.
 
-They stop in this order, after the clients have been served to the end (`garnetlanding.daemon.shutdown`):
+Once the clients' requests are finished (`garnetlanding.daemon.shutdown`), subsystems stop in this order:
 
-1. admin service: an operator who calls at this moment is answered like any other.
+1. admin service: operators' calls in progress are answered.
 2. telemetry: the last requests are exported.
-3. peer link: peers are told last, since up to here this instance used its quota shares.
-4. audit: what the link sends at its end is still part of the record.
-5. process registry: until here the other process of an upgrade counts on this one.
+3. peer link: this instance has used its leased quotas until now, so peers are notified this late.
+4. audit: it still records what the link sends at its end.
+5. process registry: until now the other process of an upgrade relies on this one's record.
 
-Modules of optional subsystems are imported where they are turned on: what is off is not imported.
+Modules of optional subsystems are imported only where the subsystem is on.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 from garnetlanding.daemon.instance import Instance, wall_ms
 from garnetlanding.daemon.lifecycle import Subsystem
 from garnetlanding.daemon.peer_link import PeerLinkManager
-from garnetlanding.daemon.process_share import ProcessShare
+from garnetlanding.daemon.process_registration import ProcessRegistration
 from garnetlanding.daemon.settings import SettingsManager, effective_settings, stored_settings
 from garnetlanding.daemon.store_opening import open_store
 from garnetlanding.decision.control import Controller
@@ -49,7 +49,7 @@
 from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.store.setup import StoreRole
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # a subsystem that is off is not imported
     from garnetlanding.daemon.admin import AdminFront
     from garnetlanding.daemon.audit import AuditRecording
     from garnetlanding.daemon.fencing import Fencing
@@ -62,9 +62,9 @@
     from garnetlanding.daemon.telemetry import TelemetryExport
 
 
-@dataclass(eq=False, repr=False)  # neither is used, and making them costs time at each start
+@dataclass(eq=False, repr=False)  # generating these unused methods would cost time at each start
 class Assembly:
-    """The parts of one instance; what is off is None, and missing in the orders."""
+    """The parts of one instance. A subsystem that is off is None, and absent from the orders."""
 
     instance: Instance
     discovery: DiscoveryWatch
@@ -77,9 +77,10 @@
 
 
 def assemble(config: Config, clock: Callable[[], int]) -> Assembly:
-    """Build the parts that the configuration turns on; `clock` gives monotonic time in microseconds.
+    """Build the parts that the configuration turns on, without listening yet.
 
-    Nothing listens yet. Raises OSError and StoreFileError for files of the instance that cannot be used.
+    `clock` returns monotonic time in microseconds. Raises OSError and StoreFileError for files of the
+    instance that cannot be used.
     """
     instance = _build_instance(config, clock)
     discovery = DiscoveryWatch(instance, clock)
@@ -93,7 +94,7 @@
     replication = _build_replication(instance)
     telemetry = _build_telemetry(instance)
     _subscribe_to_settings(settings, history, audit, discovery, link)
-    start_order = _those_on(
+    start_order = _enabled(
         history,
         group,
         _build_shared_connections(instance, group, link),
@@ -110,7 +111,7 @@
         link,
     )
     reload_order = (settings, link, discovery)
-    stop_order = _those_on(admin, telemetry, link, audit, instance.process)
+    stop_order = _enabled(admin, telemetry, link, audit, instance.process)
     return Assembly(instance, discovery, link, history, admin, start_order, reload_order, stop_order)
 
 
@@ -121,16 +122,16 @@
     discovery: DiscoveryWatch,
     link: PeerLinkManager,
 ) -> None:
-    """Let those know of new settings that depend on them, in this order."""
+    """Register the subsystems that depend on the settings, in the order in which they are notified."""
     if history:
         settings.on_version.append(history.settings_applied)
     if audit:
         settings.on_rejected.append(audit.settings_rejected)
     settings.on_applied.append(discovery.watch.keep_open)
-    settings.on_applied.append(link.place)
+    settings.on_applied.append(link.reconcile)
 
 
-def _those_on(*subsystems: Subsystem | None) -> tuple[Subsystem, ...]:
+def _enabled(*subsystems: Subsystem | None) -> tuple[Subsystem, ...]:
     return tuple(subsystem for subsystem in subsystems if subsystem is not None)
 
 
@@ -139,9 +140,9 @@
     scheduler = Scheduler(clock)
     pool = BufferPool(limits.buffer_bytes, limits.pool_free_max, limits.pool_max, limits.pool_reserved)
     store = open_store(config, scheduler)
-    process = ProcessShare(config)
+    process = ProcessRegistration(config)
     settings = read_settings(stored_settings(config, store))
-    controller = Controller(effective_settings(config, process.share, settings), config.seed)
+    controller = Controller(effective_settings(config, process.quota, settings), config.seed)
     core = RequestEngine(controller, scheduler, limits)
     scheduler.iteration_hooks.append(core.run_iteration)
     return Instance(
@@ -229,10 +230,10 @@
     if not instance.config.ops:
         return None
     from garnetlanding.daemon.admin import AdminFront
-    from garnetlanding.daemon.capacity_sharing import CapacitySharing
+    from garnetlanding.daemon.quota_enforcement import QuotaEnforcement
 
-    capacity = CapacitySharing(instance, settings, clients)
-    return AdminFront(instance, clients, discovery, capacity, group, link)
+    quota = QuotaEnforcement(instance, settings, clients)
+    return AdminFront(instance, clients, discovery, quota, group, link)
 
 
 def _build_ninep(instance: Instance) -> NinepClients | None:
--- a/garnetlanding/daemon/audit.py
+++ b/garnetlanding/daemon/audit.py
@@ -1,4 +1,4 @@
-"""The audit of an instance: which versions it acted on, written to the operator's folder."""
+"""The audit of an instance, which records in the operator's folder which versions it acted on."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
 from garnetlanding.daemon.peer_link import PeerLinkManager
 from garnetlanding.daemon.settings import SettingsManager
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # a subsystem that is off is not imported
     from garnetlanding.daemon.peer_group import PeerGroup
 
 
 class AuditRecording(Subsystem):
-    """Owns the audit trail, whose recorder stands directly around the decision module.
+    """Owns the audit trail, whose recorder wraps the decision module directly.
 
-    So it starts before the coordinator of peers: it sees what the module decides by.
+    It must start before the peers' coordinator wraps the module too: the recorder then sees exactly the
+    events that the module decides by.
     """
 
     name = "audit"
-    trail: AuditTrail  # from the start on
+    trail: AuditTrail  # set by `start`
 
     def __init__(
         self,
@@ -45,7 +46,7 @@
         self._link = link
 
     def start(self) -> None:
-        """Record from now on. Raises OSError where the audit cannot be written."""
+        """Begin to record. Raises OSError where the audit cannot be written."""
         instance = self._instance
         link = self._link
         self.trail = start_audit(
@@ -58,7 +59,7 @@
         )
 
     def _version_sources(self) -> dict[str, Callable[[], str]]:
-        """Return what tells each component's version in force, by the component's name in the records."""
+        """Return functions that return the version in force of each component, by its name in the records."""
         core = self._instance.core
         sources: dict[str, Callable[[], str]] = {
             "code": lambda: __version__,
@@ -80,7 +81,7 @@
         return "shut out" if fenced_by_operator else "not current"
 
     def settings_rejected(self, reason: str) -> None:
-        """Record that new settings came and could not be used."""
+        """Record that new settings were received and rejected."""
         self.trail.change_rejected(self._instance.scheduler.now, "settings", reason)
 
     def stop(self) -> None:
--- a/garnetlanding/daemon/clients.py
+++ b/garnetlanding/daemon/clients.py
@@ -1,4 +1,4 @@
-"""The RESP2 clients of an instance, and the backend connections that their requests are sent on."""
+"""The RESP2 clients of an instance, which share its descriptors with the backend connections."""
 
 from __future__ import annotations
 
@@ -10,20 +10,24 @@
 from garnetlanding.runtime.listener import Client, Listener
 
 
+def _always() -> bool:
+    return True
+
+
 class RespClients(Subsystem):
     """Owns the listener of the RESP2 clients."""
 
     name = "RESP2 clients"
-    listener: Listener  # from the start on, as what its connections have in common
-    _front: Front
+    listener: Listener  # set by `start`
+    _front: Front  # set by `start`; shared by all connections
 
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
-        # Whether new clients are to come here; the admin service says no while the instance is drained.
-        self.accepts_clients: Callable[[], bool] = lambda: True
+        # Whether the instance reports itself healthy; the admin service replaces this.
+        self.accepts_clients: Callable[[], bool] = _always
 
     def start(self) -> None:
-        """Listen; with an admin service another process of this instance may listen there too."""
+        """Listen; with an admin service, the other process of an upgrade may listen at the same address."""
         instance = self._instance
         self._front = Front(
             engine=instance.core,
@@ -39,7 +43,7 @@
             self._make_machine,
             shared=bool(instance.config.ops),
         )
-        # Clients and backends share descriptors: what backends do not need takes clients.
+        # Clients may use the descriptors that backend connections do not need, and the other way round.
         backends = instance.backends
         self.listener.lent = lambda: max(0, backends.count - backends.reserved)
         backends.borrow = self.listener.lend
--- a/garnetlanding/daemon/daemon.py
+++ b/garnetlanding/daemon/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: one instance from its start until it has been shut down."""
+"""The daemon: runs one instance from its start to the end of its shutdown."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 
 
 class Daemon:
-    """Runs one instance: `run` until SIGTERM, or `start`, `reload` and `end` step by step."""
+    """Runs one instance: `run` until SIGTERM, or step by step by `start`, `reload` and `end`.
+
+    `clock` returns monotonic time in microseconds. `load_config` reads and checks the whole configuration for
+    a reload; without it `reload` has no effect.
+    """
 
     def __init__(
         self,
         config: Config,
         clock: Callable[[], int] = monotonic_us,
-        read_again: Callable[[], Config] | None = None,
+        load_config: Callable[[], Config] | None = None,
     ) -> None:
-        """`read_again` reads and checks the whole configuration anew, for a reload; without it there is none.
-
-        `clock` gives monotonic time in microseconds.
-        """
         self.assembly = assemble(config, clock)
         self._instance = self.assembly.instance
         self._reloader = (
-            Reloader(self._instance, read_again, self.assembly.reload_order) if read_again else None
+            Reloader(self._instance, load_config, self.assembly.reload_order) if load_config else None
         )
 
     @property
@@ -56,24 +56,24 @@
 
     @property
     def core(self) -> RequestEngine:
-        """The engine that all requests go through."""
+        """The engine that processes all requests."""
         return self._instance.core
 
     @property
     def store(self) -> Store:
-        """Settings and cached endpoints."""
+        """The store of settings and cached endpoints."""
         return self._instance.store
 
     @property
     def listeners(self) -> list[Listener]:
-        """Where clients and followers connect."""
+        """The listeners for clients and followers."""
         return self._instance.listeners
 
     def run(self) -> int:
-        """Serve until a signal ends the process; return its exit code."""
+        """Serve until a signal ends the process, and return the exit code."""
         self.catch_signals()
         self.start()
-        # What start-up made lives as long as the daemon: the collector need not walk it again.
+        # Objects made during start-up live as long as the daemon: exclude them from garbage collection.
         gc.collect()
         gc.freeze()
         self.scheduler.run()
@@ -81,31 +81,30 @@
         return 0
 
     def start(self) -> None:
-        """Start every subsystem in its order. Raises OSError where one cannot have what it needs."""
+        """Start every subsystem in order. Raises OSError where a file or address is unavailable."""
         for subsystem in self.assembly.start_order:
             subsystem.start()
         if self.assembly.history:
             self.assembly.history.serving()
 
     def catch_signals(self) -> None:
-        """Reload at SIGHUP and end at SIGTERM and SIGINT from now on."""
+        """Install handlers: reload at SIGHUP, shut down at SIGTERM and SIGINT."""
         Signals(self.scheduler, self.limits.signal_bytes, self.reload, self.end)
 
     def reload(self) -> None:
-        """Read the configuration anew; one that is faulty changes nothing."""
+        """Read and apply the configuration again; an invalid one is rejected as a whole."""
         if self._reloader:
             self._reloader.reload()
 
     def end(self) -> None:
-        """Shut down gracefully and stop the event loop.
+        """Shut down gracefully, then stop the event loop.
 
-        The instance goes on serving for a while, as clients use the connections they have for as long as
-        those stay open and have nobody else to ask; then it finishes what was accepted, stops its
-        subsystems, and stops.
+        The instance continues to serve for a while, since clients without another instance keep using their
+        open connections. Then it finishes the accepted requests and stops its subsystems.
         """
         log.info("graceful shutdown begins", extra={"kv": {"open": self.core.open_requests}})
         self._instance.process.stopping = True
-        # Beside a successor its clients have somewhere to go: they need not wait here.
+        # Clients can reconnect to a successor at once, so they need not be served here.
         superseded = self.assembly.peer_link.hand_over
         shutdown = Shutdown(self.scheduler, self.limits, self.core, self.listeners, superseded)
         try:
--- a/garnetlanding/daemon/discovery.py
+++ b/garnetlanding/daemon/discovery.py
@@ -1,9 +1,10 @@
-"""The subscription to the endpoint list: started from the newest list that is cached, moved by a reload."""
+"""The subscription to the endpoint list, which starts from the newest cached list."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
+from typing import Any
 
 from garnetlanding.config import Config
 from garnetlanding.daemon.instance import Instance
@@ -15,7 +16,7 @@
 
 
 class DiscoveryWatch(Subsystem):
-    """Owns the watch of the discovery service; it runs from the composition of the instance on."""
+    """Owns the watch of the discovery service, which is open from construction on."""
 
     name = "discovery"
 
@@ -23,31 +24,34 @@
         self._instance = instance
         limits = instance.limits
         core = instance.core
-        store = instance.store
-        # One offset for good: were it read anew, a server's start time would seem to move.
-        offset_us = time.time_ns() // 1000 - clock()
-        cached = newest_listing(store, instance.config.known)
-        cache_listing(store, cached)
-        version, listing = read_list(cached, lambda us: us - offset_us, complete=True, at_start=True)
-        # Buffers of its own: clients and servers may have all others.
-        own = BufferPool(limits.buffer_bytes, limits.discovery_buffers, limits.discovery_buffers)
+        # Read once: with an offset that varies, a backend's start time would seem to change.
+        self._wall_offset_us = time.time_ns() // 1000 - clock()
+        cached = newest_listing(instance.store, instance.config.known)
+        self._cache(cached)
+        version, listing = read_list(cached, self._to_monotonic_us, complete=True, at_start=True)
+        # A separate pool, since clients and backends may use up the shared one.
+        own_pool = BufferPool(limits.buffer_bytes, limits.discovery_buffers, limits.discovery_buffers)
         callbacks = WatchCallbacks(
-            core.update_endpoints,
-            core.endpoint_update_failed,
-            lambda data: cache_listing(store, data),
-            lambda: not core.settings.poll_endpoints,
+            core.update_endpoints, core.endpoint_update_failed, self._cache, self._is_pushed
         )
-        runtime = WatchRuntime(instance.scheduler, own, limits, lambda us: us - offset_us)
+        runtime = WatchRuntime(instance.scheduler, own_pool, limits, self._to_monotonic_us)
         self.watch = Watch(runtime, callbacks, instance.config.discovery, version)
         core.subscriptions = self.watch
         core.update_endpoints(listing)
         self.watch.keep_open()
 
-    def reload(self, previous: Config) -> None:
-        """Move the watch to a new address at once, and not when the decision module asks next.
+    def _to_monotonic_us(self, wall_us: int) -> int:
+        return wall_us - self._wall_offset_us
+
+    def _cache(self, listing: dict[str, Any]) -> None:
+        cache_listing(self._instance.store, listing)
 
-        What the new discovery has counts as known soon.
-        """
+    def _is_pushed(self) -> bool:
+        """Return whether the settings in force say that discovery pushes lists."""
+        return not self._instance.core.settings.poll_endpoints
+
+    def reload(self, previous: Config) -> None:
+        """Switch to a new address at once, without waiting for the decision module's next poll."""
         address = self._instance.config.discovery
         if address != previous.discovery:
             self.watch.switch_to(address)
--- a/garnetlanding/daemon/fencing.py
+++ b/garnetlanding/daemon/fencing.py
@@ -1,4 +1,4 @@
-"""When this instance may act: not while its settings are stale, nor after an operator has fenced it."""
+"""Fencing of this instance while its settings are stale, or while an operator has fenced it."""
 
 from __future__ import annotations
 
@@ -8,13 +8,16 @@
 from garnetlanding.daemon.lifecycle import Subsystem
 from garnetlanding.daemon.peer_link import PeerLinkManager
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # a subsystem that is off is not imported
     from garnetlanding.daemon.history import HistoryRecording
     from garnetlanding.daemon.replication import StoreReplication
 
 
 class Fencing(Subsystem):
-    """Answers the engine's question whether it may act, and passes on when the answer changes."""
+    """Decides for the engine's fence whether the instance may act, and reports changes of the fence.
+
+    `by_operator`: whether operators can fence instances of the group.
+    """
 
     name = "fencing"
 
@@ -24,9 +27,9 @@
         link: PeerLinkManager,
         replication: StoreReplication | None,
         history: HistoryRecording | None,
+        *,
         by_operator: bool,
     ) -> None:
-        """`by_operator`: whether operators can fence instances of the group."""
         self._instance = instance
         self._link = link
         self._replication = replication
@@ -34,7 +37,7 @@
         self._by_operator = by_operator
 
     def start(self) -> None:
-        """Let the engine ask from now on."""
+        """Attach to the engine's fence."""
         self._instance.core.fence.may_act = self._may_act
         self._instance.core.fence.on_change.append(self._fence_changed)
 
@@ -45,7 +48,7 @@
         guard = self._replication.staleness_guard if self._replication else None
         return guard is None or guard.is_current(now)
 
-    def _fence_changed(self, fenced: bool) -> None:
-        self._link.set_fenced(fenced)
+    def _fence_changed(self, fenced: bool) -> None:  # noqa: FBT001 - the fence calls it by position
+        self._link.set_suspended(suspended=fenced)
         if self._history:
-            self._history.fencing_changed(fenced)
+            self._history.fencing_changed(fenced=fenced)
--- a/garnetlanding/daemon/history.py
+++ b/garnetlanding/daemon/history.py
@@ -1,4 +1,4 @@
-"""The operator's history file, which experiments read: what this instance did and believed, and when."""
+"""The operator's history file, from which experiments read what this instance did and when."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """Owns the writer of the history file, which observes every request."""
 
     name = "history"
-    writer: HistoryWriter  # from the start on
+    writer: HistoryWriter  # set by `start`
 
     def __init__(self, instance: Instance, setup: HistorySetup, clock: Callable[[], int]) -> None:
         self._instance = instance
@@ -22,20 +22,20 @@
         self._clock = clock
 
     def start(self) -> None:
-        """Open the file and observe requests from now on."""
+        """Open the file and begin to observe requests."""
         instance = self._instance
         self.writer = HistoryWriter(self._setup.file, instance.config.name, instance.incarnation, self._clock)
         instance.core.observers.append(self.writer)
 
     def serving(self) -> None:
-        """Write down that the instance has started."""
+        """Record that the instance has started."""
         self.writer.serving()
 
     def settings_applied(self, digest: int) -> None:
-        """Write down which settings are in force from now on."""
+        """Record which version of the settings has come into force."""
         store = self._instance.store
         self.writer.settings_applied(store.epoch, store.revision, digest, self._instance.scheduler.now)
 
-    def fencing_changed(self, fenced: bool) -> None:
-        """Write down that the instance may act no more, or again."""
-        self.writer.fencing_changed(fenced, self._instance.scheduler.now)
+    def fencing_changed(self, *, fenced: bool) -> None:
+        """Record that the instance is fenced, or no longer is."""
+        self.writer.fencing_changed(self._instance.scheduler.now, fenced=fenced)
--- a/garnetlanding/daemon/instance.py
+++ b/garnetlanding/daemon/instance.py
@@ -1,4 +1,4 @@
-"""What all subsystems of one instance share: configuration, event loop, engine, connections and store."""
+"""The parts of an instance that its subsystems share: configuration, event loop, engine, store."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from garnetlanding.config import Config
 from garnetlanding.core.engine import RequestEngine
-from garnetlanding.daemon.process_share import ProcessShare
+from garnetlanding.daemon.process_registration import ProcessRegistration
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.listener import Client, ClientMachine, Listener
@@ -21,24 +21,24 @@
 
 
 def wall_ms(config: Config) -> int:
-    """Return the wall clock in milliseconds, shifted where an experiment's configuration says so."""
+    """Return the wall clock in milliseconds, shifted where an experiment's configuration asks for it."""
     history = config.operator.history
     shift_s = history.wall_s() if history else 0
     return time.time_ns() // 1_000_000 + shift_s * 1000
 
 
-@dataclass(eq=False, repr=False)  # neither is used, and making them costs time at each start
+@dataclass(eq=False, repr=False)  # generating these unused methods would cost time at each start
 class Instance:
-    """The parts of an instance that always exist."""
+    """The parts that every instance has."""
 
-    config: Config  # a reload replaces it before any subsystem takes it up
+    config: Config  # a reload replaces it before any subsystem reloads
     scheduler: Scheduler
     pool: BufferPool
     store: Store
-    process: ProcessShare
+    process: ProcessRegistration
     core: RequestEngine
     backends: Upstream
-    incarnation: int  # wall clock at the start in ms: greater at each, whatever the monotonic clock says
+    incarnation: int  # wall clock at the start in ms: greater at each start, unlike the monotonic clock
     listeners: list[Listener] = field(default_factory=list)  # of clients and followers; shutdown drains them
 
     @property
@@ -48,9 +48,9 @@
 
     @property
     def longest_attempt_us(self) -> int:
-        """An attempt, with the sweep of idle connections after it, lasts no longer."""
+        """The longest time that an attempt can take, including the sweep of idle connections after it."""
         classes = self.core.settings.classes.values()
-        return self.limits.sweep_us + max(cls.deadline_us for cls in classes)
+        return self.limits.sweep_us + max(request_class.deadline_us for request_class in classes)
 
     def wall_ms(self) -> int:
         """Return the wall clock in milliseconds."""
@@ -60,22 +60,28 @@
         self,
         protocol: str,
         address: str,
-        connections_max: int,
-        make: Callable[[Client], ClientMachine],
+        max_connections: int,
+        make_machine: Callable[[Client], ClientMachine],
+        *,
         shared: bool = False,
     ) -> Listener:
-        """Listen for clients of one protocol. `shared`: another process may listen there too."""
-        listener = Listener(self.scheduler, address, self.pool, self.limits, connections_max, make, shared)
+        """Listen for clients of one protocol, each of which gets a machine from `make_machine`.
+
+        `shared`: another process may listen at the same address.
+        """
+        listener = Listener(
+            self.scheduler, address, self.pool, self.limits, max_connections, make_machine, shared
+        )
         self.listeners.append(listener)
         self.log_listening(protocol, listener.address)
         return listener
 
     def log_listening(self, protocol: str, address: str) -> None:
-        """Log where the instance listens from now on, and for whom."""
+        """Log at which address the instance listens, and for which protocol."""
         log.info("listening", extra={"kv": {"name": self.config.name, "for": protocol, "at": address}})
 
-    def wait_for(self, done: Callable[[], bool], span_us: int) -> None:
-        """Sleep, in the running task, until `done` is true, but no longer than `span_us`."""
-        last_us = self.scheduler.now + span_us
-        while not done() and self.scheduler.now < last_us:
+    def wait_for(self, condition: Callable[[], bool], timeout_us: int) -> None:
+        """Suspend the current task until `condition` returns true, for at most `timeout_us`."""
+        last_us = self.scheduler.now + timeout_us
+        while not condition() and self.scheduler.now < last_us:
             self.scheduler.sleep(self.limits.term_poll_us)
--- a/garnetlanding/daemon/lifecycle.py
+++ b/garnetlanding/daemon/lifecycle.py
@@ -8,22 +8,22 @@
 
 
 class Subsystem(Protocol):
-    """One part of an instance, the only owner of its state.
+    """One part of an instance, and the only owner of its state.
 
-    Each step does nothing unless a subsystem overrides it. The orders in which subsystems start, take up a
-    reload and stop are written down in `garnetlanding.daemon.assembly`.
+    Each step does nothing unless a subsystem overrides it. `garnetlanding.daemon.assembly` defines the orders
+    in which subsystems start, reload and stop.
     """
 
-    name: str  # as log lines have it
+    name: str  # for log lines
 
     def start(self) -> None:
-        """Take up work. Raises OSError where something that the configuration names cannot be had."""
+        """Start operating. Raises OSError where a file or address of the configuration is unavailable."""
         return
 
     def reload(self, previous: Config) -> None:  # noqa: ARG002 - for those that override it
-        """Take up the new configuration, which the instance has already; `previous` is the one before."""
+        """Apply the configuration that the instance now has; `previous` is the one that it replaced."""
         return
 
     def stop(self) -> None:
-        """Finish in an orderly way; what it raises is logged and keeps no other subsystem from stopping."""
+        """Stop in an orderly way. An exception is logged and keeps no other subsystem from stopping."""
         return
--- a/garnetlanding/daemon/peer_group.py
+++ b/garnetlanding/daemon/peer_group.py
@@ -1,4 +1,4 @@
-"""What instances of one group decide together: suspicions, disabled backends, membership, shared quotas."""
+"""The state that the instances of a group share: suspicions, disabled backends, membership, quotas."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.setup import FleetSetup, PeerSetup
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # a subsystem that is off is not imported
     from garnetlanding.daemon.history import HistoryRecording
     from garnetlanding.peers.membership_protocol import MembershipProtocol
     from garnetlanding.peers.shared_budgets import SharedBudgets
 
-# Makes what divides the shared quotas, from the settings, this incarnation and the present time.
+# Creates the SharedBudgets from the settings, this incarnation and the present time.
 SharedBudgetsFactory = Callable[[api.Settings, int, int], "SharedBudgets"]
 
 
 class PeerGroup(Subsystem):
-    """Owns what is shared with peers. The peer link carries its messages once it is open."""
+    """Owns the state shared with peers. The peer link carries its messages once it is open."""
 
     name = "peer group"
-    failure_detector: FailureDetector  # from the start on
-    membership: MembershipProtocol | None = None  # where instances find each other by gossip
-    make_budgets: SharedBudgetsFactory | None = None  # where quotas move by leases
+    failure_detector: FailureDetector  # set by `start`
+    membership: MembershipProtocol | None = None  # where instances discover each other by gossip
+    make_budgets: SharedBudgetsFactory | None = None  # where quotas are leased between instances
 
     def __init__(
         self, instance: Instance, setup: FleetSetup, peers: PeerSetup, history: HistoryRecording | None
@@ -37,7 +37,7 @@
         self._history = history
 
     def start(self) -> None:
-        """Build what the operator's file turns on."""
+        """Create the parts that the operator's file turns on."""
         setup = self._setup
         limits = self._peers.limits
         history = self._history.writer if self._history else None
@@ -68,14 +68,14 @@
         )
 
     def forget(self, peer: int) -> bool | None:
-        """Remove a terminated peer; None where membership is not found by gossip."""
+        """Remove a terminated peer; return None where membership is not discovered by gossip."""
         return self.membership.members.mark_terminated(peer) if self.membership else None
 
 
 class ReceivedDisables(Subsystem):
-    """Takes up which backends operators of peers disabled, where this instance has no admin service.
+    """Applies disables received from peers, where this instance has no admin service.
 
-    They hold as long as this process lives; an admin service would keep them on disk.
+    They are kept in memory only; an admin service would store them.
     """
 
     name = "received disables"
@@ -85,12 +85,12 @@
         self._group = group
 
     def start(self) -> None:
-        """Look now, and then again and again."""
-        self._look()
+        """Apply received disables now and at regular intervals."""
+        self._poll()
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         detector = self._group.failure_detector
         scheduler = self._instance.scheduler
-        scheduler.call_at(scheduler.now + detector.limits.disables_poll_us, self._look)
+        scheduler.call_at(scheduler.now + detector.limits.disables_poll_us, self._poll)
         if detector.merge_received():
             self._instance.core.set_disabled(detector.disabled.disabled_names)
--- a/garnetlanding/daemon/peer_link.py
+++ b/garnetlanding/daemon/peer_link.py
@@ -1,4 +1,4 @@
-"""The UDP link to peer instances: opened, moved, closed, and handed over between processes of an upgrade."""
+"""The UDP link to peers: opens and closes it as configured, and hands it over during an upgrade."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from garnetlanding.daemon.instance import Instance
 from garnetlanding.daemon.lifecycle import Subsystem
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # a subsystem that is off is not imported
     from garnetlanding.daemon.history import HistoryRecording
     from garnetlanding.daemon.peer_group import PeerGroup
     from garnetlanding.peers.coordinator import PeerCoordinator
@@ -21,7 +21,10 @@
 
 
 class PeerLinkManager(Subsystem):
-    """Owns the link, and the coordinator in front of the decision module, which stays once it is there."""
+    """Owns the link, and the coordinator that wraps the decision module.
+
+    The coordinator is created with the first link and remains in place when the link is closed.
+    """
 
     name = "peer link"
 
@@ -34,25 +37,25 @@
         self._instance = instance
         self._group = group
         self._history = history
-        self._dropped: Counter[str] = Counter()  # messages of peers, by cause
-        self._retry_planned = False
+        self._dropped: Counter[str] = Counter()  # messages of peers, by the reason why they were dropped
+        self._retry_scheduled = False
         self.link: PeerLink | None = None
         self.coordinator: PeerCoordinator | None = None
 
     def start(self) -> None:
-        """Open the link where the settings allow one."""
-        self.place()
+        """Open the link if the settings allow one."""
+        self.reconcile()
 
-    def reload(self, previous: Config) -> None:  # noqa: ARG002 - the open link knows its setup
-        """Open, move or close the link."""
-        self.place()
+    def reload(self, previous: Config) -> None:  # noqa: ARG002 - the open link has its setup
+        """Open, move or close the link as the new configuration requires."""
+        self.reconcile()
 
-    def place(self) -> None:
-        """Open, move or close the link, as settings and configuration say by now."""
+    def reconcile(self) -> None:
+        """Open, move or close the link as the settings and the configuration in force require."""
         setup = self._wanted_setup()
         if self.link and self.link.setup != setup:
             self._close()
-        if setup is None or self.link or self._retry_planned:
+        if setup is None or self.link or self._retry_scheduled:
             return
         if self.coordinator is None:
             self.coordinator = self._make_coordinator(setup)
@@ -92,9 +95,9 @@
                 instance.scheduler, setup, instance.core.receive_peer_message, self._dropped, membership
             )
         except OSError as problem:
-            # The predecessor of an upgrade has it, and speaks for this instance, until its end.
+            # The predecessor of an upgrade holds the address and represents this instance until it ends.
             log.warning("peer link not opened", extra={"kv": {"at": setup.listen, "why": problem.strerror}})
-            self._retry_planned = True
+            self._retry_scheduled = True
             instance.scheduler.call_at(instance.scheduler.now + setup.limits.open_retry_us, self._retry)
             return
         coordinator.activate(instance.scheduler.now)
@@ -102,8 +105,8 @@
         instance.log_listening("peers", self.link.address)
 
     def _retry(self) -> None:
-        self._retry_planned = False
-        self.place()
+        self._retry_scheduled = False
+        self.reconcile()
 
     def _close(self) -> None:
         if self.link:
@@ -112,9 +115,10 @@
         self._instance.core.send_to_peer = None
 
     def hand_over(self) -> bool:
-        """Leave the link to a successor process, and return whether there is one.
+        """Close the link if there is a successor process, and return whether there is one.
 
-        Both would use this instance's quota shares: from now on the successor speaks for it.
+        The successor represents this instance from then on: two processes with a link would both use the
+        quotas leased to it.
         """
         superseded = self._instance.process.superseded
         if superseded and self.link and self.coordinator:
@@ -122,12 +126,12 @@
             self._close()
         return superseded
 
-    def set_fenced(self, fenced: bool) -> None:
-        """Let the coordinator know that this instance may act no more, or again."""
+    def set_suspended(self, *, suspended: bool) -> None:
+        """Suspend or resume the coordinator's use of shared quotas."""
         if self.coordinator:
-            self.coordinator.set_suspended(fenced, self._instance.scheduler.now)
+            self.coordinator.set_suspended(suspended, self._instance.scheduler.now)
 
     def stop(self) -> None:
-        """Let peers know that this instance leaves, so that its quota shares are free at once."""
+        """Notify peers that this instance leaves, which releases its quotas at once."""
         if self.link and self.coordinator:
             self.coordinator.leave(self._instance.scheduler.now, self.link.send)
--- a/garnetlanding/daemon/process_share.py
+++ b/garnetlanding/daemon/process_registration.py
@@ -1,4 +1,7 @@
-"""The share that a process has of its instance's capacity, which the two processes of an upgrade divide."""
+"""The registration of this process among those of its instance, and the quota that it has for now.
+
+`ops/process_quota.py` computes the quota, and `quota_enforcement` applies it to the parts of the instance.
+"""
 
 from __future__ import annotations
 
@@ -8,27 +11,27 @@
 from garnetlanding.config import Config
 from garnetlanding.daemon.lifecycle import Subsystem
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # a subsystem that is off is not imported
     from garnetlanding.ops.process_registry import ProcessRegistry
 
 
-class ProcessShare(Subsystem):
-    """The process among those of its instance, and the share (0 to 1) of the capacity that it keeps to.
+class ProcessRegistration(Subsystem):
+    """Owns the entry in the process registry, and the fraction (0 to 1) of the capacity to be used here.
 
-    Without an admin service there is one process only, whose share is always 1.
+    Without an admin service the instance has one process only, whose quota is always 1.
     """
 
     name = "process registry"
 
     def __init__(self, config: Config) -> None:
         self.registry: ProcessRegistry | None = None
-        self.share = 1.0
-        self.stopping = False  # from SIGTERM on, when a predecessor process gives up all it does not use
+        self.quota = 1.0
+        self.stopping = False  # from SIGTERM on, when a predecessor releases everything that it does not use
         if config.ops:
             from garnetlanding.ops.process_registry import ProcessRegistry
 
             self.registry = ProcessRegistry(tempfile.gettempdir(), config.name)
-            self.share = self.registry.next_share(0.0, False)
+            self.quota = self.registry.next_quota(0.0, stopping=False)
 
     @property
     def superseded(self) -> bool:
@@ -36,6 +39,6 @@
         return self.registry is not None and self.registry.has_successor
 
     def stop(self) -> None:
-        """Leave the registry: what this process kept is the other's from now on."""
+        """Leave the registry, which releases this process's quota to the other one."""
         if self.registry:
             self.registry.close()
--- /dev/null
+++ b/garnetlanding/daemon/quota_enforcement.py
@@ -0,0 +1,59 @@
+"""Keeps a process within its quota while another process of the same instance runs beside it."""
+
+from __future__ import annotations
+
+import logging
+
+from garnetlanding.daemon.clients import RespClients
+from garnetlanding.daemon.instance import Instance
+from garnetlanding.daemon.settings import SettingsManager
+from garnetlanding.ops.process_quota import UPGRADE_QUOTA
+
+log = logging.getLogger(__name__)
+
+
+class QuotaEnforcement:
+    """Applies the process's quota to clients, backend connections, buffers and open requests."""
+
+    def __init__(self, instance: Instance, settings: SettingsManager, clients: RespClients) -> None:
+        self._instance = instance
+        self._process = instance.process
+        self._settings = settings
+        self._clients = clients
+
+    def update(self) -> None:
+        """Adapt the quota to the instance's other process, and free capacity for a successor."""
+        registry = self._process.registry
+        assert registry
+        if registry.has_successor:
+            self._close_idle_connections()
+        quota = registry.next_quota(self._used(), stopping=self._process.stopping)
+        if quota != self._process.quota:
+            self._apply(quota)
+            self._settings.reapply()
+        # Only now that it is applied: the other process relies on what is published.
+        registry.publish(quota)
+
+    def apply_current(self) -> None:
+        """Apply the quota that this process has."""
+        self._apply(self._process.quota)
+
+    def _close_idle_connections(self) -> None:
+        instance = self._instance
+        self._clients.listener.shed(int(instance.limits.client_conns * UPGRADE_QUOTA))
+        instance.backends.shed(int(instance.limits.backend_conns * UPGRADE_QUOTA))
+
+    def _used(self) -> float:
+        """Return the fraction of the instance's limits in use here, by the scarcest of them."""
+        instance = self._instance
+        clients = self._clients.listener
+        return max(clients.used, instance.backends.used, instance.pool.used, instance.core.capacity.used)
+
+    def _apply(self, quota: float) -> None:
+        instance = self._instance
+        self._process.quota = quota
+        self._clients.listener.part = quota
+        instance.backends.part = quota
+        instance.pool.part = quota
+        instance.core.capacity.share = quota
+        log.info("process quota set", extra={"kv": {"quota": round(quota, 3)}})
--- a/garnetlanding/daemon/reload.py
+++ b/garnetlanding/daemon/reload.py
@@ -13,26 +13,30 @@
 
 
 class Reloader:
-    """Reads the configuration anew and lets the subsystems take it up, in their order."""
+    """Reads the configuration again and applies it to the subsystems, in the order given.
+
+    `load_config` reads and checks the whole configuration; it raises ConfigError.
+    """
 
     def __init__(
-        self, instance: Instance, read_again: Callable[[], Config], subsystems: Sequence[Subsystem]
+        self, instance: Instance, load_config: Callable[[], Config], subsystems: Sequence[Subsystem]
     ) -> None:
-        """`read_again` reads and checks the whole configuration; it raises ConfigError."""
         self._instance = instance
-        self._read_again = read_again
+        self._load_config = load_config
         self._subsystems = subsystems
 
     def reload(self) -> None:
-        """Take up the configuration, once the whole of it has been read and checked.
+        """Apply the configuration, or reject it as a whole where any part of it is invalid.
 
-        A faulty one changes nothing. Open requests run on in either case.
+        Open requests are not affected.
         """
         previous = self._instance.config
         try:
-            config, for_restart = merge_reloaded(previous, self._read_again())
+            config, for_restart = merge_reloaded(previous, self._load_config())
         except ConfigError as problem:
-            log.error("configuration reload rejected", extra={"kv": {"why": problem}})
+            log.error(  # noqa: TRY400 - the reason names the key; a traceback would add nothing
+                "configuration reload rejected", extra={"kv": {"why": problem}}
+            )
             return
         self._instance.config = config
         keys = ",".join(for_restart) or "nothing"
--- a/garnetlanding/daemon/replication.py
+++ b/garnetlanding/daemon/replication.py
@@ -1,4 +1,4 @@
-"""Replication of the store: a writer serves its followers, a follower reads from its writer."""
+"""Replication of the store: a writer sends changes to its followers, a follower receives its writer's."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from garnetlanding.daemon.lifecycle import Subsystem
 from garnetlanding.store.setup import StoreRole, StoreSetup
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # a subsystem that is off is not imported
     from garnetlanding.store.staleness_guard import StalenessGuard
 
 
@@ -20,16 +20,18 @@
     def __init__(self, instance: Instance, setup: StoreSetup) -> None:
         self._instance = instance
         self._setup = setup
-        self.staleness_guard: StalenessGuard | None = None  # of a follower that must be current to act
+        self.staleness_guard: StalenessGuard | None = (
+            None  # of a follower that may only act on recent settings
+        )
 
     def start(self) -> None:
-        """Listen for followers, or follow the writer."""
+        """Listen for followers, or connect to the writer."""
         if self._setup.role is StoreRole.WRITER:
-            self._serve()
+            self._listen()
         else:
             self._follow()
 
-    def _serve(self) -> None:
+    def _listen(self) -> None:
         from garnetlanding.store.writer_machine import WriterMachine
 
         instance = self._instance
--- a/garnetlanding/daemon/settings.py
+++ b/garnetlanding/daemon/settings.py
@@ -1,7 +1,7 @@
-"""Which settings are in force: taken from the store, adapted to this instance, handed to the engine.
+"""The settings in force: read from the store, adapted to this process, applied to the engine.
 
-The store has them in the platform's form. On a writer, and where there is no replication, a reload puts them
-there; on a follower the writer's come in by replication.
+The store holds them in the platform's form. A reload puts them there, except on a follower, which receives
+its writer's by replication.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 
 
 def stored_settings(config: Config, store: Store) -> dict[str, Any]:
-    """Return the settings of the store in the platform's form; the configuration's where it has none yet."""
+    """Return the stored settings in the platform's form, or the configuration's if none are stored yet."""
     raw: dict[str, Any] = store.get(SETTINGS, config.raw_settings)
     return raw
 
 
-def effective_settings(config: Config, share: float, settings: api.Settings) -> api.Settings:
-    """Return settings as this process uses them, with its share of the instance's capacity.
+def effective_settings(config: Config, process_quota: float, settings: api.Settings) -> api.Settings:
+    """Return the settings as this process uses them, with its quota of the instance's capacity.
 
-    Added are the retry budget of the operator's file and the classes that 9P exports derive from those of
+    Adds the retry budget of the operator's file, and the request classes that 9P exports derive from those of
     the settings.
     """
-    # A writer's settings hold at every instance, but for the number of each.
-    settings = replace(settings, process_share=share, instance_id=config.settings.instance_id)
+    # A writer's settings apply to every instance except for the instance's number.
+    settings = replace(settings, process_share=process_quota, instance_id=config.settings.instance_id)
     if config.operator.choices:
         settings = config.operator.choices.with_retry_budget(settings)
     ninep = config.operator.ninep
@@ -50,56 +50,58 @@
 
 
 class SettingsManager(Subsystem):
-    """Hands settings to the engine whenever the store, or this process's capacity share, changes."""
+    """Applies settings to the engine whenever the store or this process's quota changes."""
 
     name = "settings"
 
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
-        self.version = ""  # of the settings in force: EPOCH.REVISION#CHECKSUM; empty until it is first noted
+        self.version = ""  # of the settings in force: EPOCH.REVISION#CHECKSUM; empty until first recorded
         self.on_version: list[Callable[[int], None]] = []  # called with the checksum of the settings in force
         self.on_applied: list[Callable[[], None]] = []
         self.on_rejected: list[Callable[[str], None]] = []  # called with the reason
         instance.store.observers.append(self._store_changed)
 
     def start(self) -> None:
-        """Note the version that the instance starts with."""
-        self._note_version(stored_settings(self._instance.config, self._instance.store))
+        """Record the version that the instance starts with."""
+        self._record_version(stored_settings(self._instance.config, self._instance.store))
 
-    def reload(self, previous: Config) -> None:  # noqa: ARG002 - the store finds out whether they differ
-        """Put the new settings into the store, unless a writer's are in force."""
+    def reload(self, previous: Config) -> None:  # noqa: ARG002 - the store detects whether they differ
+        """Store the new settings, unless this instance follows a writer."""
         if self._instance.store.writable:
             self._instance.store.put(SETTINGS, self._instance.config.raw_settings)
 
     def reapply(self) -> None:
-        """Hand the settings in force to the engine again, as the capacity share has changed."""
+        """Apply the settings in force again, with the present quota of this process."""
         self._apply(stored_settings(self._instance.config, self._instance.store))
 
     def _apply(self, raw: dict[str, Any]) -> None:
         settings = read_settings(raw)
-        effective = effective_settings(self._instance.config, self._instance.process.share, settings)
+        effective = effective_settings(self._instance.config, self._instance.process.quota, settings)
         self._instance.core.apply_settings(effective)
 
     def _store_changed(self, entry: Entry | None) -> None:
-        """Take up settings from the store: those of a reload here, or the writer's."""
+        """Apply settings that a reload or the writer has put into the store."""
         raw = self._instance.store.get(SETTINGS)
         if raw is None or (entry and entry.key != SETTINGS):
             return
         try:
             self._apply(raw)
         except ConfigError as problem:
-            log.error("settings rejected", extra={"kv": {"why": problem}})
-            for rejected in self.on_rejected:
-                rejected(str(problem))
+            log.error(  # noqa: TRY400 - the reason names the key; a traceback would add nothing
+                "settings rejected", extra={"kv": {"why": problem}}
+            )
+            for on_rejected in self.on_rejected:
+                on_rejected(str(problem))
             return
         log.info("settings applied")
-        self._note_version(raw)
-        for applied in self.on_applied:
-            applied()
+        self._record_version(raw)
+        for on_applied in self.on_applied:
+            on_applied()
 
-    def _note_version(self, raw: dict[str, Any]) -> None:
+    def _record_version(self, raw: dict[str, Any]) -> None:
         store = self._instance.store
         digest = zlib.crc32(json.dumps(raw, sort_keys=True).encode())
         self.version = f"{store.epoch}.{store.revision}#{digest:08x}"
-        for noted in self.on_version:
-            noted(digest)
+        for on_version in self.on_version:
+            on_version(digest)
--- a/garnetlanding/daemon/shared_connections.py
+++ b/garnetlanding/daemon/shared_connections.py
@@ -1,4 +1,4 @@
-"""Divides the connections at each backend among all instances of a group."""
+"""Divides the connections to each backend among the instances of a group."""
 
 from __future__ import annotations
 
@@ -6,26 +6,31 @@
 from garnetlanding.daemon.lifecycle import Subsystem
 from garnetlanding.daemon.peer_link import PeerLinkManager
 from garnetlanding.peers.connection_quota import ConnectionQuota
+from garnetlanding.peers.leases import SharedLeases
 
 
 class SharedConnections(Subsystem):
-    """Bounds the connections at each backend by a quota share of all instances' limit."""
+    """Limits this instance's connections to each backend to its quota of the group's limit.
+
+    `max_connections` is the limit for one backend and all instances together.
+    """
 
     name = "shared connections"
 
-    def __init__(self, instance: Instance, each_max: int, link: PeerLinkManager) -> None:
-        """`each_max`: connections at one backend, of all instances together."""
+    def __init__(self, instance: Instance, max_connections: int, link: PeerLinkManager) -> None:
         self._instance = instance
-        self._each_max = each_max
+        self._max_connections = max_connections
         self._link = link
 
     def start(self) -> None:
-        """Bound the connections to backends from now on."""
-        instance = self._instance
-        link = self._link
-        instance.backends.quota = ConnectionQuota(
-            self._each_max,
-            instance.longest_attempt_us,
-            lambda: instance.scheduler.now,
-            lambda: link.coordinator.shared_leases() if link.coordinator else None,
+        """Apply the limit to the backend connections."""
+        self._instance.backends.quota = ConnectionQuota(
+            self._max_connections, self._instance.longest_attempt_us, self._now, self._shared_leases
         )
+
+    def _now(self) -> int:
+        return self._instance.scheduler.now
+
+    def _shared_leases(self) -> SharedLeases | None:
+        coordinator = self._link.coordinator
+        return coordinator.shared_leases() if coordinator else None
--- a/garnetlanding/daemon/shutdown.py
+++ b/garnetlanding/daemon/shutdown.py
@@ -1,17 +1,16 @@
-"""Graceful shutdown: what a process still owes its clients after SIGTERM, and by when.
+"""Graceful shutdown after SIGTERM: finishes clients' requests, then stops the subsystems.
 
-`Schedule` decides the phases without clock or socket; `Shutdown` drives them and then stops the subsystems.
+`shutdown_schedule` decides the phases; `Shutdown` carries them out.
 """
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
-from enum import IntEnum
 
 from garnetlanding.core.engine import RequestEngine
 from garnetlanding.daemon.lifecycle import Subsystem
+from garnetlanding.daemon.shutdown_schedule import Phase, ShutdownSchedule
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.listener import Listener
 from garnetlanding.runtime.scheduler import Scheduler
@@ -19,65 +18,12 @@
 log = logging.getLogger(__name__)
 
 
-class Phase(IntEnum):
-    """How far the shutdown has come; a greater phase never gives way to a smaller one."""
-
-    SERVING = 0  # as before: clients use the connections they have, and new ones are accepted
-    DRAINING = 1  # nothing new is accepted; connections are closed as they become idle
-    REJECTING = 2  # every open request gets its final answer now
-    TERMINATING = 3  # connections that are still open are reset
-
-
-@dataclass(frozen=True, slots=True)
-class Schedule:
-    """When each phase begins at the latest, in microseconds since SIGTERM.
+class Shutdown:
+    """Runs the phases of a shutdown, then stops every subsystem, whichever of them fail to stop.
 
-    SIGKILL comes no sooner than the longest deadline plus 0.7 s, so a schedule for long deadlines would be
-    overtaken by it where they are short.
+    `superseded` returns whether a successor process has taken over; it is called at each poll.
     """
 
-    draining_us: int
-    rejecting_us: int
-    terminating_us: int
-    accepting_us: int  # new connections may come until then: serving lasts so long even without clients
-
-    @classmethod
-    def for_deadline(cls, limits: Limits, longest_deadline_us: int) -> Schedule:
-        """Return the schedule for settings whose classes have that longest deadline (in microseconds)."""
-        kill_us = min(longest_deadline_us, limits.term_deadline_us) + limits.term_kill_us
-        terminating_us = kill_us - limits.term_margin_us
-        latest_us = min(limits.term_reject_us, terminating_us - limits.term_margin_us)
-        rejecting_us = max(limits.term_accept_us, latest_us)
-        # Half of the time is for clients that have nobody else to ask, half for what they asked.
-        draining_us = max(limits.term_accept_us, min(limits.term_serve_us, rejecting_us // 2))
-        return cls(draining_us, rejecting_us, terminating_us, limits.term_accept_us)
-
-    def next(
-        self, phase: Phase, elapsed_us: int, connections: int, open_requests: int, superseded: bool
-    ) -> Phase:
-        """Return the phase that follows `phase` by now, which may be several further or the same.
-
-        `superseded`: a successor process has taken over, so that clients need not be served here.
-        """
-        if phase is Phase.SERVING and self._ends_serving(elapsed_us, connections, superseded):
-            phase = Phase.DRAINING
-        if phase is Phase.DRAINING and elapsed_us >= self.rejecting_us:
-            phase = Phase.REJECTING
-        if phase in (Phase.DRAINING, Phase.REJECTING):
-            drained = not connections and not open_requests
-            if drained or elapsed_us >= self.terminating_us:
-                phase = Phase.TERMINATING
-        return phase
-
-    def _ends_serving(self, elapsed_us: int, connections: int, superseded: bool) -> bool:
-        if superseded or elapsed_us >= self.draining_us:
-            return True
-        return elapsed_us >= self.accepting_us and not connections
-
-
-class Shutdown:
-    """Takes a process through the phases, and then stops its subsystems, each by itself."""
-
     def __init__(
         self,
         scheduler: Scheduler,
@@ -86,7 +32,6 @@
         listeners: Iterable[Listener],
         superseded: Callable[[], bool],
     ) -> None:
-        """`superseded` is asked at each look whether a successor process has taken over."""
         self._scheduler = scheduler
         self._limits = limits
         self._core = core
@@ -94,51 +39,57 @@
         self._superseded = superseded
 
     def run(self, subsystems: Iterable[Subsystem]) -> None:
-        """Serve until the last phase, then stop the subsystems in their order.
+        """Finish the clients' requests, then stop the subsystems in the order given.
 
-        Raises nothing: one that fails is logged, and those behind it are stopped all the same.
+        Raises nothing: a subsystem that fails is logged, and the following ones are still stopped.
         """
-        self._attempt("clients", self._end_clients)
+        self._stop_one("clients", self._finish_clients)
         for subsystem in subsystems:
-            self._attempt(subsystem.name, subsystem.stop)
+            self._stop_one(subsystem.name, subsystem.stop)
 
     @staticmethod
-    def _attempt(name: str, stop: Callable[[], None]) -> None:
+    def _stop_one(name: str, stop: Callable[[], None]) -> None:
         try:
             stop()
         except Exception:
             log.exception("subsystem failed to stop", extra={"kv": {"subsystem": name}})
 
-    def _end_clients(self) -> None:
+    def _finish_clients(self) -> None:
         classes = self._core.settings.classes.values()
-        schedule = Schedule.for_deadline(self._limits, max(cls.deadline_us for cls in classes))
+        longest_deadline_us = max(request_class.deadline_us for request_class in classes)
         try:
-            self._run_phases(schedule)
+            self._run_phases(ShutdownSchedule.for_deadline(self._limits, longest_deadline_us))
         finally:
             for listener in self._listeners:
                 listener.stop_accepting()
                 listener.cut_all()
 
-    def _run_phases(self, schedule: Schedule) -> None:
+    def _run_phases(self, schedule: ShutdownSchedule) -> None:
         began_us = self._scheduler.now
         phase = Phase.SERVING
         while True:
-            elapsed_us = self._scheduler.now - began_us
-            connections = sum(map(len, self._listeners))
-            phase = schedule.next(
-                phase, elapsed_us, connections, self._core.open_requests, self._superseded()
+            phase = schedule.next_phase(
+                phase,
+                self._scheduler.now - began_us,
+                sum(map(len, self._listeners)),
+                self._core.open_requests,
+                superseded=self._superseded(),
             )
             if phase is Phase.TERMINATING:
                 return
             if phase >= Phase.DRAINING:
                 self._stop_accepting()
             if phase is Phase.REJECTING:
-                # SIGKILL is near, and would lose whatever it finds unanswered.
+                # SIGKILL is near: a request without an answer by then gets none.
                 self._core.abort_all("ending")
             self._scheduler.sleep(self._limits.term_poll_us)
 
     def _stop_accepting(self) -> None:
-        """Idle connections go first: their places take those that the kernel has accepted already."""
+        """Close idle connections, then stop accepting.
+
+        In this order, since connections that the kernel has already queued are accepted into the places of
+        the idle ones.
+        """
         for listener in self._listeners:
             listener.close_idle()
             listener.stop_accepting()
--- a/garnetlanding/daemon/store_opening.py
+++ b/garnetlanding/daemon/store_opening.py
@@ -1,4 +1,4 @@
-"""Opening of the store, which has the settings in force and the cached endpoints."""
+"""Opens the store, which holds the settings in force and the cached endpoint list."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def open_store(config: Config, scheduler: Scheduler) -> Store:
-    """Open the store, from its file where it has one; a writer puts the configuration's settings into it.
+    """Open the store, and load its file where it has one; a writer stores the configuration's settings.
 
-    Raises StoreFileError for a file that is damaged, OSError for one that cannot be read or written.
+    Raises StoreFileError for a damaged file, and OSError for one that cannot be read or written.
     """
     setup = config.operator.store
-    # Only followers read the log: without any it would hold on to lists long replaced.
+    # Only followers read the log; without any, its entries would only hold memory.
     log_entries = config.limits.store_log_entries if setup.role is StoreRole.WRITER else 0
     store = Store(setup.writer, setup.role is not StoreRole.FOLLOWER, log_entries)
     persister = None
@@ -26,7 +26,7 @@
 
         persister = StorePersister(scheduler, store, setup.file, config.limits.store_save_us)
     if store.writable:
-        # Each incarnation of the writer has a greater epoch, also when its file is lost.
+        # Each incarnation of the writer gets a greater epoch, even if the file was lost.
         store.epoch = max(store.epoch + 1, time.time_ns() // 1_000_000)
         store.put(SETTINGS, config.raw_settings)
     if persister:
--- a/garnetlanding/daemon/subset.py
+++ b/garnetlanding/daemon/subset.py
@@ -1,4 +1,4 @@
-"""Which backends this instance keeps connections to, where the operator's file has it use a subset."""
+"""The subset of backends to which this instance keeps idle connections, where one is configured."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from garnetlanding.daemon.instance import Instance
 from garnetlanding.daemon.lifecycle import Subsystem
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # a subsystem that is off is not imported
     from garnetlanding.daemon.peer_group import PeerGroup
 
 
 class BackendSubset(Subsystem):
-    """Connections to backends outside the subset are closed sooner when idle."""
+    """Closes idle connections to backends outside the subset sooner than others."""
 
     name = "backend subset"
 
@@ -25,7 +25,7 @@
         self._tracker = SubsetTracker(setup.subset_size)
 
     def start(self) -> None:
-        """Let the backend connections ask for the subset from now on."""
+        """Apply the subset to the backend connections."""
         self._instance.backends.outside_idle_us = self._setup.idle_timeout_us
         self._instance.backends.keeps = self._current
 
--- a/garnetlanding/daemon/telemetry.py
+++ b/garnetlanding/daemon/telemetry.py
@@ -1,4 +1,4 @@
-"""The export of metrics and traces to the operator's collector."""
+"""Export of metrics and traces to the operator's collector."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
     """Owns the exporter, which observes every request."""
 
     name = "telemetry"
-    exporter: Exporter  # from the start on
+    exporter: Exporter  # set by `start`
 
     def __init__(self, instance: Instance, setup: TelemetrySetup) -> None:
         self._instance = instance
         self._setup = setup
 
     def start(self) -> None:
-        """Observe requests, and export from now on."""
+        """Begin to observe requests and to export."""
         instance = self._instance
         self.exporter = Exporter(
             instance.scheduler,
@@ -29,7 +29,7 @@
             instance.limits,
         )
         instance.core.observers.append(self.exporter)
-        # By the metrics' names, which collectors know.
+        # By metric name, which is part of the interface to collectors.
         self.exporter.gauges = {
             "requests.open": lambda: instance.core.open_requests,
             "clients": lambda: sum(map(len, instance.listeners)),
@@ -39,6 +39,6 @@
         }
 
     def stop(self) -> None:
-        """Export what there still is, for at most a second (`telemetry_flush_us`)."""
+        """Export what is still queued, for at most `telemetry_flush_us`."""
         self.exporter.finish()
         self._instance.wait_for(lambda: self.exporter.done, self._instance.limits.telemetry_flush_us)
--- a/garnetlanding/history/__init__.py
+++ b/garnetlanding/history/__init__.py
@@ -1,1 +1,1 @@
-"""What an instance accepted, sent, answered and had in force, line by line; not for service."""
+"""The history of an instance: a file of what it did and when, which experiments check. Not for production."""
--- a/garnetlanding/history/setup.py
+++ b/garnetlanding/history/setup.py
@@ -3,31 +3,32 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from pathlib import Path
 
 from garnetlanding.config.section import Section
 
 
 @dataclass(frozen=True, slots=True)
 class HistorySetup:
-    """Where the history is written, and how an experiment sets the wall clock wrong."""
+    """Where the history is written, and by how much an experiment shifts the wall clock."""
 
     file: str
     wall_file: str = ""
-    """A file with the seconds to add to the wall clock; empty: the clock is right."""
+    """A file with the seconds to add to the wall clock; empty: the clock is not shifted."""
 
     def wall_s(self) -> int:
         """Return the seconds to add to the wall clock.
 
-        The file is read each time, as clocks step while a process runs. Raises `OSError` or `ValueError`.
+        The file is read at each call, since an experiment may step the clock while a process runs. Raises
+        `OSError` or `ValueError`.
         """
         if not self.wall_file:
             return 0
-        with open(self.wall_file, encoding="ascii") as file:
-            return int(file.read())
+        return int(Path(self.wall_file).read_text(encoding="ascii"))
 
 
 def read(data: object) -> HistorySetup:
-    """Read the section. Raises `ConfigError`, which names the key."""
+    """Read the section. Raises `ConfigError` that names the key."""
     section = Section(data, "history", "file wall_file")
     setup = HistorySetup(section.text("file"), section.text("wall_file", ""))
     try:
--- a/garnetlanding/history/writer.py
+++ b/garnetlanding/history/writer.py
@@ -1,14 +1,14 @@
-"""Writes an instance's history: one JSON object a line, each with the machine's monotonic time.
+"""Writes an instance's history: one JSON object per line, each with the machine's monotonic time.
 
-The history is for experiments, whose checks hold the lines of all processes against each other. The time is
-read anew for each line and is not that of the event-loop iteration: a process that is held up within an
-iteration receives what others sent after the iteration began, and its lines must not seem to precede theirs.
+Experiments compare the lines of all processes. The time is therefore read for each line instead of once per
+event-loop iteration: a process that is delayed within an iteration receives messages that were sent after the
+iteration began, and its lines must not appear to precede them.
 
-Each line is with the kernel before anything else happens, so that SIGKILL loses none that was written. That
-costs a system call for each request, which is why no history is kept in service.
+Each line is written to the file before the method returns, so that SIGKILL loses none. This costs a system
+call for each request, which is why a history is not for production.
 
-Kinds and keys of the lines are a stored format (`garnetlanding.lab` and the operators' pages read it). They
-are written out here, one method for each kind, and follow no name of the code.
+The kinds and keys of the lines are a stored format, which `garnetlanding.lab` reads and the operators' pages
+describe. They are written out here, one method for each kind, independently of names in the code.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from garnetlanding.core.ports import Answer, AttemptSummary, Failed, Rejected, RequestSpec
 from garnetlanding.resp.request import Command
 
-_SHARE_DIGITS = 4
-"""Decimal places of a quota share."""
+_QUOTA_DIGITS = 4
+"""Decimal places of a quota."""
 
 
 class HistoryWriter:
     """Appends lines to the history of one incarnation of an instance.
 
-    It is an `Observer` of the request engine and a `PeerHistory` of the peer protocols. `clock` reads the
-    machine's monotonic clock in microseconds; times that a method is given are of that clock too.
+    Implements the request engine's `Observer` and the peer protocols' `PeerHistory`. `clock` returns the
+    machine's monotonic time in microseconds; times passed to methods are of the same clock.
 
-    Creating it writes a line, behind the lines of earlier incarnations; it raises `OSError` where the file
-    cannot be written. The descriptor is open for as long as the process lives.
+    The constructor writes the first line, after the lines of earlier incarnations, and raises `OSError` where
+    the file cannot be written. The file stays open until the process ends.
     """
 
     def __init__(self, path: str, instance: str, incarnation: int, clock: Callable[[], int]) -> None:
@@ -45,15 +45,15 @@
     # The instance
 
     def serving(self) -> None:
-        """Every part of the instance has started."""
+        """Record that every subsystem of the instance has started."""
         self._write("up", {})
 
     def settings_applied(self, epoch: int, revision: int, digest: int, at_us: int) -> None:
-        """Record that settings of this version are in force from `at_us` on."""
+        """Record that settings of this version came into force at `at_us`."""
         self._write("settings", {"epoch": epoch, "revision": revision, "digest": digest, "at": at_us})
 
-    def fencing_changed(self, fenced: bool, at_us: int) -> None:
-        """Record that the instance is fenced, or no longer is, from `at_us` on."""
+    def fencing_changed(self, at_us: int, *, fenced: bool) -> None:
+        """Record that the instance was fenced, or unfenced, at `at_us`."""
         self._write("current", {"out": fenced, "at": at_us})
 
     # The request engine
@@ -63,10 +63,10 @@
         spec: RequestSpec,
         answer: Answer,
         began_us: int,
-        ended_us: int,  # noqa: ARG002 - of the Observer protocol; the line has its own time
+        ended_us: int,  # noqa: ARG002 - part of `Observer`; each line has its own time
         attempts: list[AttemptSummary],
     ) -> None:
-        """Record that a request was answered, after these attempts."""
+        """Record the answer to a request, and the attempts made for it."""
         fields = {
             "id": _request_id(spec),
             "volume": spec.volume,
@@ -80,29 +80,29 @@
     # The peer protocols
 
     def members_changed(self, entitled: Collection[int], even_share: float) -> None:
-        """Record a new membership: the instances entitled to quota shares, and what an even share is."""
+        """Record which instances are entitled to quotas, and the quota of each if they are divided evenly."""
         self._write("heads", {"entitled": sorted(entitled), "even": even_share})
 
     def disabled_backends_changed(self, backends: Collection[str]) -> None:
-        """Exactly these backends are administratively disabled from now on."""
+        """Record all backends that are administratively disabled now."""
         self._write("bans", {"out": sorted(backends)})
 
     def suspicions_changed(self, suspected: Mapping[str, int]) -> None:
-        """Record that exactly these backends are suspected from now on, each until the time given."""
+        """Record all backends that are suspected now, each with the time at which the suspicion expires."""
         self._write("doubted", {"servers": dict(suspected)})
 
     def observations_sent(self, observations: Mapping[str, tuple[str, int]]) -> None:
-        """Peers are sent these observations: of each backend, what was observed and when."""
+        """Record the observations sent to peers: for each backend, what was observed and when."""
         servers = {backend: [observed, at_us] for backend, (observed, at_us) in observations.items()}
         self._write("seen", {"servers": servers})
 
     def volume_shares_changed(self, shares: Mapping[str, float], until_us: int) -> None:
-        """Record the instance's shares of the volumes' limits until they are looked at again."""
-        self._write("parts", _share_fields(shares, until_us))
+        """Record the instance's quotas of the volumes' limits, which hold until `until_us`."""
+        self._write("parts", _quota_fields(shares, until_us))
 
     def limit_shares_changed(self, shares: Mapping[str, float], until_us: int) -> None:
-        """Record the instance's shares of the other limits that all instances have in common."""
-        self._write("shares", _share_fields(shares, until_us))
+        """Record the instance's quotas of the other shared limits, which hold until `until_us`."""
+        self._write("shares", _quota_fields(shares, until_us))
 
     def _write(self, kind: str, fields: Mapping[str, Any]) -> None:
         line = {
@@ -115,10 +115,10 @@
         os.write(self._descriptor, json.dumps(line, separators=(",", ":")).encode() + b"\n")
 
 
-def _share_fields(shares: Mapping[str, float], until_us: int) -> dict[str, Any]:
+def _quota_fields(quotas: Mapping[str, float], until_us: int) -> dict[str, Any]:
     return {
         "until": until_us,
-        "parts": {name: round(share, _SHARE_DIGITS) for name, share in shares.items()},
+        "parts": {name: round(quota, _QUOTA_DIGITS) for name, quota in quotas.items()},
     }
 
 
@@ -131,8 +131,8 @@
     return "served"
 
 
-def _request_id(ask: RequestSpec) -> str:
-    """Return the client's id of a RESP request; requests of other protocols have none."""
-    if not isinstance(ask.work, Command):
+def _request_id(spec: RequestSpec) -> str:
+    """Return the client's id of a RESP request, and an empty one for other protocols."""
+    if not isinstance(spec.work, Command):
         return ""
-    return ask.work.request_id.decode("ascii", "replace")
+    return spec.work.request_id.decode("ascii", "replace")
--- a/garnetlanding/lab/operator_call.py
+++ b/garnetlanding/lab/operator_call.py
@@ -66,5 +66,5 @@
 def _method_and_path(fault: Fault) -> tuple[str, str]:
     if fault.kind in PEER_CALLS:
         return method_and_path(f"fleet/{fault.kind.value}", str(fault.peer))
-    name = "" if fault.backend is None else f"b{fault.backend}"
-    return method_and_path(fault.kind.value, name)
+    backend = None if fault.backend is None else f"b{fault.backend}"
+    return method_and_path(fault.kind.value, backend)
--- a/garnetlanding/ops/admin_connection.py
+++ b/garnetlanding/ops/admin_connection.py
@@ -1,9 +1,10 @@
-"""The operators' HTTP front: a state machine for one connection, which carries one call."""
+"""The administrative HTTP front: a state machine for one connection, which carries one call."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
+from http import HTTPStatus
 
 from garnetlanding.http.errors import HttpError
 from garnetlanding.http.request import RequestParser
@@ -15,21 +16,22 @@
 
 log = logging.getLogger(__name__)
 
-REASONS = {
-    200: "OK",
-    400: "Bad Request",
-    404: "Not Found",
-    405: "Method Not Allowed",
-    411: "Length Required",
-    413: "Content Too Large",
-    431: "Request Header Fields Too Large",
-    500: "Internal Server Error",
-    503: "Service Unavailable",
+# Written out, since the phrases of HTTPStatus differ between Python versions.
+REASON_PHRASES = {
+    HTTPStatus.OK: "OK",
+    HTTPStatus.BAD_REQUEST: "Bad Request",
+    HTTPStatus.NOT_FOUND: "Not Found",
+    HTTPStatus.METHOD_NOT_ALLOWED: "Method Not Allowed",
+    HTTPStatus.LENGTH_REQUIRED: "Length Required",
+    HTTPStatus.REQUEST_ENTITY_TOO_LARGE: "Content Too Large",
+    HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE: "Request Header Fields Too Large",
+    HTTPStatus.INTERNAL_SERVER_ERROR: "Internal Server Error",
+    HTTPStatus.SERVICE_UNAVAILABLE: "Service Unavailable",
 }
 
 
 class AdminConnection:
-    """Reads one request, has it carried out, writes the answer and ends (a ClientMachine of the listener)."""
+    """Reads one request, dispatches it, writes the response and ends (a ClientMachine of the listener)."""
 
     waiting = False
     session = False
@@ -48,11 +50,11 @@
 
     @property
     def midway(self) -> bool:
-        """Whether part of a request has come."""
+        """Whether part of a request has been received."""
         return self._parser.midway
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Take bytes of the request; answers it once it is complete. What comes after it is ignored."""
+        """Parse received bytes and answer the request once it is complete; bytes after it are ignored."""
         if self.ended:
             return
         response = self._read_and_dispatch(data)
@@ -63,12 +65,12 @@
         self._write(self._encode(response))
 
     def close(self) -> None:
-        """Give up the connection and its buffers."""
+        """Abandon the request and release its buffers."""
         self.ended = True
         self._parser.close()
 
     def _read_and_dispatch(self, data: bytes | memoryview) -> AdminResponse | None:
-        """Return the answer, or None until the request is complete."""
+        """Return the response, or None until the request is complete."""
         try:
             if not self._parser.feed(data):
                 return None
@@ -78,19 +80,20 @@
         except HttpError as problem:
             return AdminResponse(problem.status, f"{problem}\n")
         except DisableRejectedError as problem:
-            return AdminResponse(400, f"{problem}\n")
+            return AdminResponse(HTTPStatus.BAD_REQUEST, f"{problem}\n")
         except Exception:
-            # An operator gets an answer whatever fails; the log has the cause.
+            # Operators get a response whatever fails; the log has the cause.
             log.exception("call failed")
-            return AdminResponse(500, "failed; the head's log has the cause\n")
+            return AdminResponse(HTTPStatus.INTERNAL_SERVER_ERROR, "failed; the head's log has the cause\n")
 
     def _encode(self, response: AdminResponse) -> bytes:
         body = response.text.encode()
+        status = HTTPStatus(response.status)
         allow = ""
-        if response.status == 405:
+        if status is HTTPStatus.METHOD_NOT_ALLOWED:
             allow = "Allow: POST\r\n" if self._parser.method == "GET" else "Allow: GET\r\n"
         head = (
-            f"HTTP/1.1 {response.status} {REASONS[response.status]}\r\n"
+            f"HTTP/1.1 {status.value} {REASON_PHRASES[status]}\r\n"
             "Content-Type: text/plain; charset=utf-8\r\n"
             f"Content-Length: {len(body)}\r\n"
             f"{allow}"
--- a/garnetlanding/ops/admin_output.py
+++ b/garnetlanding/ops/admin_output.py
@@ -1,4 +1,4 @@
-"""Shows the answers to operators' calls on the command line, as text with tables or as JSON."""
+"""Formats the answers to operators' calls for the command line, as text with tables or as JSON."""
 
 from __future__ import annotations
 
@@ -8,26 +8,27 @@
 from rich.table import Table
 
 from garnetlanding.core.metrics import by_class, decode
-from garnetlanding.ops.admin_client import FLEET_TABLES, Reply
+from garnetlanding.ops.admin_calls import FLEET_TABLES, name_in_fleet
+from garnetlanding.ops.admin_client import Reply
 
 OUTCOMES = ("success", "overload", "error")
 TABLE_COLUMNS = 100
 
 
 def as_json(call: str, reply: Reply) -> str:
-    """Return one object: the call, whether it succeeded, and the answer, decoded where it has a form."""
+    """Return one JSON object: the call, whether it succeeded, and the answer, with tables as data."""
     fields: dict[str, object] = {"call": call, "yes": reply.ok, "status": reply.status}
     if call == "metrics" and reply.ok:
         fields["figures"] = decode(reply.text)
     elif call in FLEET_TABLES and reply.ok:
-        fields[call.partition("/")[2]] = json.loads(reply.text)
+        fields[name_in_fleet(call)] = json.loads(reply.text)
     else:
         fields["answer"] = reply.text.strip()
     return json.dumps(fields, indent=2)
 
 
 def as_text(call: str, reply: Reply) -> str:
-    """Return the answer for reading; metrics and the fleet's tables as tables."""
+    """Return the answer as text for people, with metrics and the fleet's tables laid out as tables."""
     if call in FLEET_TABLES and reply.ok:
         return _fleet_table(json.loads(reply.text))
     if call == "metrics" and reply.ok:
@@ -36,7 +37,7 @@
 
 
 def _metrics_tables(metrics: dict[str, int]) -> str:
-    """Return a table of the outcomes by request class, and the other metrics below it, one a line."""
+    """Return a table of outcomes by request class, followed by the other metrics, one on each line."""
     table = Table("class", box=None, pad_edge=False)
     for outcome in OUTCOMES:
         table.add_column(outcome, justify="right")
@@ -66,12 +67,12 @@
 
 def _cell(value: object) -> str:
     if isinstance(value, list):
-        return ", ".join(_peer_item(item) for item in value) or "-"
+        return ", ".join(_peer_entry(entry) for entry in value) or "-"
     return "-" if value is None else str(value)
 
 
-def _peer_item(item: dict[str, object]) -> str:
-    """Return a peer's suspicion, `n2 dead 310 ms ago (1)`, or its quota share, `n2 0.8 for 900 ms`."""
-    if "says" in item:
-        return f"n{item['head']} {item['says']} {item['age_ms']} ms ago ({item['credit']:g})"
-    return f"n{item['head']} {item['share']:g} for {item['for_ms']} ms"
+def _peer_entry(entry: dict[str, object]) -> str:
+    """Return a peer's suspicion, `n2 dead 310 ms ago (1)`, or its quota, `n2 0.8 for 900 ms`."""
+    if "says" in entry:
+        return f"n{entry['head']} {entry['says']} {entry['age_ms']} ms ago ({entry['credit']:g})"
+    return f"n{entry['head']} {entry['share']:g} for {entry['for_ms']} ms"
--- a/garnetlanding/ops/admin_router.py
+++ b/garnetlanding/ops/admin_router.py
@@ -1,13 +1,14 @@
-"""Maps the paths of operators' calls to the calls of AdminTarget, and their results to HTTP answers.
+"""Maps the paths of operators' calls to the calls of AdminTarget, and their results to HTTP responses.
 
-The paths and texts are the operators' interface, and what their tools compare; so are the words in them.
+Paths and response texts are the operators' interface, which their tools compare: they keep the words of the
+operators' pages.
 
 | method | path                                                | call                       |
 | ------ | --------------------------------------------------- | -------------------------- |
 | GET    | `/-/ready`, `/-/metrics`                            | `ready`, `metrics`         |
 | GET    | `/-/fleet/` `limits`, `members`, `verdicts`, `bans` | `fleet_view`               |
 | POST   | `/-/fleet/heads/NUMBER/forget`                      | `forget_instance`          |
-| POST   | `/-/fleet/heads/NUMBER/` `shut-out`, `let-in`       | `set_fenced`               |
+| POST   | `/-/fleet/heads/NUMBER/` `shut-out`, `let-in`       | `fence`, `unfence`         |
 | POST   | `/-/bricks/ID/` `disable`, `enable`                 | `disable`, `enable`        |
 | POST   | `/-/drain`, `/-/resume`                             | `drain`, `resume`          |
 """
@@ -16,6 +17,7 @@
 
 import re
 from dataclasses import dataclass
+from http import HTTPStatus
 from urllib.parse import unquote
 
 from garnetlanding.ops.admin_target import AdminTarget
@@ -32,33 +34,33 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminResponse:
-    """An HTTP status and the text of the answer's body."""
+    """An HTTP status and the text of the response's body."""
 
     status: int
     text: str
 
 
-NO_SUCH_CALL = AdminResponse(404, "no such call\n")
-ONLY_GET = AdminResponse(405, "only GET\n")
-ONLY_POST = AdminResponse(405, "only POST\n")
+NO_SUCH_CALL = AdminResponse(HTTPStatus.NOT_FOUND, "no such call\n")
+ONLY_GET = AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "only GET\n")
+ONLY_POST = AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, "only POST\n")
 
 
 class AdminRouter:
-    """Passes each call on to one target. `max_id_bytes` bounds a backend's id."""
+    """Dispatches calls to one target. `max_id_bytes` limits the length of a backend's id."""
 
     def __init__(self, target: AdminTarget, max_id_bytes: int) -> None:
         self._target = target
         self._max_id_bytes = max_id_bytes
 
     def dispatch(self, method: str, path: str) -> AdminResponse:
-        """Carry out the call of a request; `path` is without a query. Lets the target's exceptions pass."""
+        """Carry out a request's call; `path` has no query. Exceptions of the target propagate."""
         for route in (self._observe, self._show_fleet, self._control_instance, self._control_backend):
             response = route(method, path)
             if response is not None:
                 return response
         return self._control_drain(method, path)
 
-    # Each route returns None for a path that is not its own.
+    # Each route returns None for a path that it does not handle.
 
     def _observe(self, method: str, path: str) -> AdminResponse | None:
         if path not in (READY_PATH, METRICS_PATH):
@@ -66,10 +68,10 @@
         if method != "GET":
             return ONLY_GET
         if path == METRICS_PATH:
-            return AdminResponse(200, self._target.metrics())
+            return AdminResponse(HTTPStatus.OK, self._target.metrics())
         if self._target.ready():
-            return AdminResponse(200, "ready\n")
-        return AdminResponse(503, "not ready\n")
+            return AdminResponse(HTTPStatus.OK, "ready\n")
+        return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
 
     def _show_fleet(self, method: str, path: str) -> AdminResponse | None:
         view = FLEET_VIEWS.get(path)
@@ -78,42 +80,47 @@
         text = self._target.fleet_view(view)
         if text is None:
             return NO_SUCH_CALL
-        return AdminResponse(200, text) if method == "GET" else ONLY_GET
+        return AdminResponse(HTTPStatus.OK, text) if method == "GET" else ONLY_GET
 
     def _control_instance(self, method: str, path: str) -> AdminResponse | None:
-        found = INSTANCE_PATH.fullmatch(path)
-        if not found:
+        matched = INSTANCE_PATH.fullmatch(path)
+        if not matched:
             return None
         if method != "POST":
             return NO_SUCH_CALL
-        instance = int(found[1])
-        action = found[2]
-        if action == "forget":
-            known = self._target.forget_instance(instance)
-        else:
-            known = self._target.set_fenced(instance, action == "shut-out")
+        instance = int(matched[1])
+        action = matched[2]
+        known = self._act_on_instance(action, instance)
         if known is None:
             return NO_SUCH_CALL
         if not known:
-            return AdminResponse(404, "no such head\n")
-        return AdminResponse(200, f"{action} {instance}\n")
+            return AdminResponse(HTTPStatus.NOT_FOUND, "no such head\n")
+        return AdminResponse(HTTPStatus.OK, f"{action} {instance}\n")
+
+    def _act_on_instance(self, action: str, instance: int) -> bool | None:
+        match action:
+            case "forget":
+                return self._target.forget_instance(instance)
+            case "shut-out":
+                return self._target.fence(instance)
+        return self._target.unfence(instance)
 
     def _control_backend(self, method: str, path: str) -> AdminResponse | None:
-        found = BACKEND_PATH.fullmatch(path)
-        if not found:
+        matched = BACKEND_PATH.fullmatch(path)
+        if not matched:
             return None
         if method != "POST":
             return ONLY_POST
-        backend = unquote(found[1], errors="replace")
-        action = found[2]
-        if not self._is_id(backend):
-            return AdminResponse(400, "not a brick's id\n")
+        backend = unquote(matched[1], errors="replace")
+        action = matched[2]
+        if not self._is_valid_id(backend):
+            return AdminResponse(HTTPStatus.BAD_REQUEST, "not a brick's id\n")
         known = self._target.disable(backend) if action == "disable" else self._target.enable(backend)
         if not known:
-            return AdminResponse(404, f"no brick {backend}\n")
-        return AdminResponse(200, f"{backend} {action}d\n")
+            return AdminResponse(HTTPStatus.NOT_FOUND, f"no brick {backend}\n")
+        return AdminResponse(HTTPStatus.OK, f"{backend} {action}d\n")
 
-    def _is_id(self, text: str) -> bool:
+    def _is_valid_id(self, text: str) -> bool:
         return len(text) <= self._max_id_bytes and text.isascii() and text.isprintable() and " " not in text
 
     def _control_drain(self, method: str, path: str) -> AdminResponse:
@@ -123,6 +130,6 @@
             return ONLY_POST
         if path == DRAIN_PATH:
             self._target.drain()
-            return AdminResponse(200, "drain\n")
+            return AdminResponse(HTTPStatus.OK, "drain\n")
         self._target.resume()
-        return AdminResponse(200, "resume\n")
+        return AdminResponse(HTTPStatus.OK, "resume\n")
--- a/garnetlanding/ops/admin_service.py
+++ b/garnetlanding/ops/admin_service.py
@@ -13,7 +13,7 @@
 from garnetlanding.ops.managed_instance import ManagedInstance
 from garnetlanding.ops.state_file import StateFile
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # a subsystem that is off is not imported
     from garnetlanding.ops.replicated_disables import ReplicatedDisables
 
 log = logging.getLogger(__name__)
@@ -22,10 +22,10 @@
 class AdminService:
     """Implements AdminTarget for one process of an instance.
 
-    From its construction on, the stored state is in force. `fleet` gives access to the other instances, and
-    `replicated` makes decisions on backends known to them; without it they stay at this one.
+    The stored state is applied at construction. `fleet` gives access to the other instances, and `replicated`
+    replicates decisions on backends to them; without it these decisions stay at this instance.
 
-    A change raises OSError where it cannot be stored, and then is not made.
+    A change raises OSError where it cannot be stored, and then does not take effect.
     """
 
     def __init__(
@@ -43,25 +43,25 @@
         self._replicated = replicated
         self._drain = ClientDrain(instance.scheduler, instance.clients, instance.limits.drain_serve_us)
         self._state = AdminState()
-        self._put_in_force(state_file.load())
+        self._apply(state_file.load())
         self._poll()
 
-    # Observing
+    # Observation
 
     @property
     def accepts_clients(self) -> bool:
-        """Whether clients are to stay here: a draining instance tells them that it is not healthy."""
+        """Whether this instance reports itself healthy to clients; a draining one does not."""
         return not self._state.draining
 
     def ready(self) -> bool:
-        """Whether new clients may be sent here."""
+        """Return whether new clients may be sent here."""
         clients = self._instance.clients
         if not self._instance.endpoints_known():
             return False
         return clients.accepting and clients.part > 0 and not self._engine.fence.is_fenced
 
     def metrics(self) -> str:
-        """Return the metrics as text, in their wire form."""
+        """Return the metrics as text, in their wire format."""
         return self._engine.metrics_text()
 
     def fleet_view(self, view: FleetView) -> str | None:
@@ -74,20 +74,20 @@
     # Backends
 
     def disable(self, backend: str) -> bool:
-        """Send the backend no new requests until it is enabled. Return whether it is known."""
-        return self._set_disabled(backend, True)
+        """Stop sending the backend requests until it is enabled. Return whether it is known."""
+        return self._set_disabled(backend, disabled=True)
 
     def enable(self, backend: str) -> bool:
-        """Send the backend requests again. Return whether it is known."""
-        return self._set_disabled(backend, False)
+        """Resume sending the backend requests. Return whether it is known."""
+        return self._set_disabled(backend, disabled=False)
 
-    def _set_disabled(self, backend: str, disabled: bool) -> bool:
+    def _set_disabled(self, backend: str, *, disabled: bool) -> bool:
         if not self._engine.endpoints.is_known(backend):
             return False
 
         def change(state: AdminState) -> AdminState:
             if self._replicated:
-                return self._replicated.set_disabled(state, backend, disabled)
+                return self._replicated.set_disabled(state, backend, disabled=disabled)
             return state.disable(backend) if disabled else state.enable(backend)
 
         self._change(change)
@@ -97,13 +97,13 @@
     # Clients
 
     def drain(self) -> None:
-        """Have clients leave this instance."""
-        self._change(lambda state: state.with_draining(True))
+        """Begin to drain clients from this instance."""
+        self._change(AdminState.drain)
         log.info("drain started")
 
     def resume(self) -> None:
         """End the drain."""
-        self._change(lambda state: state.with_draining(False))
+        self._change(AdminState.resume)
         log.info("drain ended")
 
     # Instances
@@ -115,34 +115,41 @@
             log.info("instance forgotten", extra={"kv": {"instance": instance}})
         return was_member
 
-    def set_fenced(self, instance: int, fenced: bool) -> bool | None:
-        """Fence an instance, so that it sends nothing, or unfence it.
+    def fence(self, instance: int) -> bool | None:
+        """Fence an instance, so that it sends nothing.
 
-        Return whether there is one of this number, or None where decisions stay at this instance. Raises
-        DisableRejectedError where too much of the fleet would be fenced.
+        Return whether an instance of this number exists, or None where decisions stay at this instance.
+        Raises TooManyFencedError where too much of the fleet would be fenced.
         """
+        return self._set_fenced(instance, fenced=True)
+
+    def unfence(self, instance: int) -> bool | None:
+        """Let a fenced instance send again. Return as `fence` does."""
+        return self._set_fenced(instance, fenced=False)
+
+    def _set_fenced(self, instance: int, *, fenced: bool) -> bool | None:
         replicated = self._replicated
         if replicated is None:
             return None
         instances = self._engine.settings.instances
         if instance >= instances:
             return False
-        self._change(lambda state: replicated.set_fenced(state, instance, fenced, instances))
+        self._change(lambda state: replicated.set_fenced(state, instance, fenced=fenced, instances=instances))
         log.info("instance fenced" if fenced else "instance unfenced", extra={"kv": {"instance": instance}})
         return True
 
-    # The state
+    # State
 
     def _change(self, change: Callable[[AdminState], AdminState]) -> None:
-        self._put_in_force(self._state_file.update(change))
+        self._apply(self._state_file.update(change))
 
     def _poll(self) -> None:
-        """Look regularly for what the other process of an upgrade, and peers, have changed."""
+        """Apply, at regular intervals, changes made by the other process of an upgrade and by peers."""
         self._scheduler.call_at(self._scheduler.now + self._instance.limits.ops_poll_us, self._poll)
         self._instance.refresh_quota()
         changed = self._state_file.load_if_changed()
         if changed is not None:
-            self._put_in_force(changed)
+            self._apply(changed)
         if self._replicated:
             self._merge_received(self._replicated)
         self._drain.close_idle_when_due()
@@ -152,11 +159,11 @@
         if records:
             self._change(lambda state: replicated.merge(state, records))
 
-    def _put_in_force(self, state: AdminState) -> None:
+    def _apply(self, state: AdminState) -> None:
         old = self._state
         self._state = state
         if state.disabled != old.disabled:
             self._engine.set_disabled(state.disabled)
         if self._replicated:
             self._replicated.publish(state)
-        self._drain.set_draining(state.draining)
+        self._drain.set_draining(draining=state.draining)
--- a/garnetlanding/ops/admin_target.py
+++ b/garnetlanding/ops/admin_target.py
@@ -1,4 +1,4 @@
-"""What operators may ask of an instance."""
+"""The interface between the administrative HTTP front and the service that carries out its calls."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class AdminTarget(Protocol):
-    """The calls that the administrative HTTP front passes on.
+    """Carries out operators' calls on an instance.
 
-    A bool says whether it could be done: False where the backend or instance is not known here. None says
-    that this instance does not offer the call at all.
+    A call on a backend or an instance returns whether that is known here, or None where this instance does
+    not offer the call at all.
     """
 
     def ready(self) -> bool:
-        """Whether new clients may be sent here."""
+        """Return whether new clients may be sent here."""
 
     def metrics(self) -> str:
         """Return the metrics as text."""
@@ -27,7 +27,7 @@
         """Enable a backend again."""
 
     def drain(self) -> None:
-        """Have clients leave."""
+        """Begin to drain clients from this instance."""
 
     def resume(self) -> None:
         """End the drain."""
@@ -38,5 +38,8 @@
     def forget_instance(self, instance: int) -> bool | None:
         """Remove a terminated instance from the membership."""
 
-    def set_fenced(self, instance: int, fenced: bool) -> bool | None:
-        """Fence or unfence an instance. Raises DisableRejectedError where too many would be fenced."""
+    def fence(self, instance: int) -> bool | None:
+        """Fence an instance. Raises DisableRejectedError where too many would be fenced."""
+
+    def unfence(self, instance: int) -> bool | None:
+        """Unfence an instance. Raises DisableRejectedError where that cannot be replicated."""
--- a/garnetlanding/ops/fleet_access.py
+++ b/garnetlanding/ops/fleet_access.py
@@ -1,4 +1,4 @@
-"""How the administration service reaches the other instances of the fleet. Interfaces only."""
+"""The interface through which the administration service reaches the other instances of the fleet."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class FleetView(Enum):
-    """A table about the fleet that operators can read; the value is its word in a call's path."""
+    """A table about the fleet that operators can read; the value is the table's name in a call's path."""
 
     LIMITS = "limits"
     MEMBERS = "members"
@@ -16,7 +16,7 @@
 
 
 class FleetAccess(Protocol):
-    """What the service needs of the peer subsystem, which may be linked to the fleet or not at any moment."""
+    """What the service needs of the peer subsystem, whose link to the fleet may come and go."""
 
     def rows(self, view: FleetView) -> list[dict[str, object]] | None:
         """Return the table's rows, ready for JSON, or None while this instance receives no gossip."""
--- a/garnetlanding/ops/managed_instance.py
+++ b/garnetlanding/ops/managed_instance.py
@@ -11,8 +11,8 @@
 from garnetlanding.runtime.scheduler import Scheduler
 
 
-def _nothing_to_share() -> None:
-    """Leave the quota as it is: no second process of this instance is expected."""
+def _keep_quota() -> None:
+    """Leave the quota unchanged: this instance has no second process."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -23,5 +23,5 @@
     engine: RequestEngine
     clients: Listener
     limits: Limits
-    endpoints_known: Callable[[], bool]  # whether the endpoint list may be relied on
-    refresh_quota: Callable[[], None] = _nothing_to_share  # adapts to the other process of an upgrade
+    endpoints_known: Callable[[], bool]  # whether the endpoint list is recent enough to route by
+    refresh_quota: Callable[[], None] = _keep_quota  # adapts to the other process of an upgrade
--- a/garnetlanding/ops/process_quota.py
+++ b/garnetlanding/ops/process_quota.py
@@ -1,82 +1,41 @@
-"""How two processes of one instance share its bounds while a new version takes over. No I/O.
+"""The arithmetic by which two processes of one instance divide its capacity during an upgrade. No I/O.
 
-Each process holds a quota share between 0 and 1 of every bound (connections, buffers, requests) and
-publishes it in a record that the others read. Invariant: the shares in force never add up to more than 1. It
-holds because a predecessor lowers its share before it publishes the lower one, and a successor takes no more
-than the published shares of its predecessors leave.
-
-A record on disk is RECORD_BYTES long: the CRC-32 of its body in hexadecimal, a space, the body
-`{"version": 1, "name": "n1", "started": 123, "part": 0.5}`, spaces, and a line end. It is always written
-whole, by one write, so that a reader sees the old or the new one or a checksum that does not hold.
+Each process has a quota: the fraction of every limit of the instance (connections, buffers, requests) that
+it may use. It publishes the quota in a record that the others read (`process_record`, `process_registry`).
+Invariant: the quotas in force never add up to more than 1. It holds because a predecessor applies a lower
+quota before it publishes it, and a successor takes no more than its predecessors' published quotas leave.
 """
 
 from __future__ import annotations
 
-import json
-import zlib
 from collections.abc import Iterable
-from dataclasses import dataclass
-
-VERSION = 1
-RECORD_BYTES = 256
-UPGRADE_SHARE = 0.5  # a predecessor comes down to this beside a successor, if it uses no more
-HEADROOM = 1.25  # times what a predecessor uses, it keeps: what it has admitted must be able to finish
-MIN_ENDING_SHARE = 0.125  # a predecessor that is ending keeps at least this
-
-
-@dataclass(frozen=True, slots=True)
-class ProcessRecord:
-    """What one process publishes: its quota share, and when it started.
-
-    `started_ns` is of the monotonic clock, which all processes of a machine have in common; of two
-    processes, the one with the greater value is the successor.
-    """
-
-    started_ns: int
-    share: float
-
-
-# What counts for a process that is alive and whose record cannot be read, whatever its version: a
-# predecessor (nothing starts earlier than 0) that has come down already.
-UNREADABLE_RECORD = ProcessRecord(0, UPGRADE_SHARE)
-
 
-def encode(name: str, record: ProcessRecord) -> bytes:
-    """Return a record's bytes for a process of the instance of this name."""
-    fields = {"version": VERSION, "name": name, "started": record.started_ns, "part": record.share}
-    body = json.dumps(fields).encode()
-    return (b"%08x %s" % (zlib.crc32(body), body)).ljust(RECORD_BYTES - 1) + b"\n"
+from garnetlanding.ops.process_record import ProcessRecord
 
+# A predecessor lowers its quota to this beside a successor, if it uses no more.
+UPGRADE_QUOTA = 0.5
+# A predecessor that uses more keeps this multiple of its use: admitted requests must be able to finish.
+HEADROOM_FACTOR = 1.25
+# A predecessor that is shutting down keeps at least this.
+MIN_SHUTDOWN_QUOTA = 0.125
 
-def decode(name: str, data: bytes) -> ProcessRecord | None:
-    """Return the record in these bytes; None where they are damaged, or of another version or instance."""
-    checksum, _, padded = data.partition(b" ")
-    body = padded.strip()
-    if checksum != b"%08x" % zlib.crc32(body):
-        return None
-    match json.loads(body):
-        case {
-            "version": int() as version,
-            "name": str() as other,
-            "started": int() as started_ns,
-            "part": int() | float() as share,
-        } if version == VERSION and other == name and 0 <= share <= 1:
-            return ProcessRecord(started_ns, share)
-    return None
+# What a live process with an unreadable record, perhaps of a later version, counts as: a predecessor (no
+# process starts before 0) that has already lowered its quota.
+UNREADABLE_RECORD = ProcessRecord(0, UPGRADE_QUOTA)
 
 
-def next_share(own: ProcessRecord, others: Iterable[ProcessRecord], used: float, ending: bool) -> float:
-    """Return the share that this process may hold from now on.
+def next_quota(own: ProcessRecord, others: Iterable[ProcessRecord], used: float, *, stopping: bool) -> float:
+    """Return the quota that this process may use from now on.
 
-    `used` is the share of the bounds in use here, `ending` whether this process is shutting down. A process
-    without a successor takes all that its predecessors leave. One with a successor never raises its share
-    again, and lowers it to UPGRADE_SHARE or to what it uses with HEADROOM.
+    `used` is the fraction of the limits in use here, `stopping` whether this process is shutting down. A
+    process without a successor takes everything that its predecessors leave. One with a successor never
+    raises its quota again: it lowers it to UPGRADE_QUOTA, or to what it uses times HEADROOM_FACTOR.
     """
     others = list(others)
-    held_by_predecessors = sum(other.share for other in others if other.started_ns < own.started_ns)
+    predecessors_quota = sum(other.quota for other in others if other.started_ns < own.started_ns)
     has_successor = any(other.started_ns >= own.started_ns for other in others)
-    available = max(0.0, 1.0 - held_by_predecessors)
+    available = max(0.0, 1.0 - predecessors_quota)
     if not has_successor:
         return available
-    floor = MIN_ENDING_SHARE if ending else UPGRADE_SHARE
-    return min(own.share, available, max(used * HEADROOM, floor))
+    floor = MIN_SHUTDOWN_QUOTA if stopping else UPGRADE_QUOTA
+    return min(own.quota, available, max(used * HEADROOM_FACTOR, floor))
--- a/garnetlanding/ops/process_registry.py
+++ b/garnetlanding/ops/process_registry.py
@@ -1,8 +1,8 @@
-"""The processes of one instance: each has a locked file in `$TMPDIR` that holds its record.
+"""The processes of one instance: each publishes its record in a locked file in `$TMPDIR`.
 
-The file's name is made of the instance's name, the process id and the start time; its content is a record of
-process_quota. The process holds an exclusive lock on it for as long as it lives, and the kernel ends the lock
-with the process, however that ends: an unlocked file is of a process that has terminated.
+The file's name consists of the instance's name, the process id and the start time; its content is a
+ProcessRecord. The process holds an exclusive lock on the file while it runs. The kernel releases the lock
+when the process ends, for whatever reason: an unlocked file belongs to a process that has terminated.
 """
 
 from __future__ import annotations
@@ -13,65 +13,61 @@
 import time
 from collections.abc import Iterator
 from contextlib import contextmanager
+from pathlib import Path
 
-from garnetlanding.ops.process_quota import (
-    RECORD_BYTES,
-    UNREADABLE_RECORD,
-    ProcessRecord,
-    decode,
-    encode,
-    next_share,
-)
+from garnetlanding.ops.process_quota import UNREADABLE_RECORD, next_quota
+from garnetlanding.ops.process_record import RECORD_BYTES, ProcessRecord, decode, encode
 from garnetlanding.runtime.files import file_name
 
 log = logging.getLogger(__name__)
 
 
 class ProcessRegistry:
-    """The own process among those of its instance.
+    """Publishes the record of this process, and reads those of the instance's other processes.
 
-    It is registered from construction to `close`, at first with no share. Raises OSError where the folder
-    cannot be used.
+    The process is registered from construction to `close`, at first with a quota of 0. Raises OSError where
+    the folder cannot be used.
     """
 
     def __init__(self, folder: str, name: str) -> None:
-        self._folder = folder
+        self._folder = Path(folder)
         self._name = name
         self._prefix = file_name(name, "life-")
         self._others: dict[str, ProcessRecord] = {}  # by file name, as last read
         started_ns = time.monotonic_ns()
         self.record = ProcessRecord(started_ns, 0.0)
-        self._path = os.path.join(folder, f"{self._prefix}{os.getpid()}-{started_ns}")
-        # It gets its name once it is locked: unlocked, it would pass for that of a terminated process.
-        unnamed = os.path.join(folder, f"{file_name(name, 'new')}-{os.getpid()}-{started_ns}")
+        self._path = self._folder / f"{self._prefix}{os.getpid()}-{started_ns}"
+        # Renamed to its final name only once it is locked: an unlocked file of that name would count as one
+        # of a terminated process.
+        unnamed = self._folder / f"{file_name(name, 'new')}-{os.getpid()}-{started_ns}"
         self._fd = os.open(unnamed, os.O_RDWR | os.O_CREAT, 0o600)
         fcntl.flock(self._fd, fcntl.LOCK_EX)
         self._write()
-        os.rename(unnamed, self._path)
+        unnamed.rename(self._path)
 
     @property
     def has_successor(self) -> bool:
-        """Whether a process of this instance has started since this one, by the last `next_share`."""
+        """Whether a process of this instance has started after this one, as of the last `next_quota`."""
         return any(other.started_ns >= self.record.started_ns for other in self._others.values())
 
-    def next_share(self, used: float, ending: bool) -> float:
-        """Read the other processes' records and return the share that this one may hold from now on.
+    def next_quota(self, used: float, *, stopping: bool) -> float:
+        """Read the other processes' records and return the quota that this process may use from now on.
 
-        `used` is the share of the bounds in use here. Call `publish` once the share is in force, not before:
-        a successor takes what is published as free.
+        `used` is the fraction of the limits in use here. Call `publish` only after the quota has been
+        applied: a successor takes what the published quotas leave.
         """
         self._others = self._read_others()
-        return next_share(self.record, self._others.values(), used, ending)
+        return next_quota(self.record, self._others.values(), used, stopping=stopping)
 
-    def publish(self, share: float) -> None:
-        """Tell the other processes that this share is in force here."""
-        if share != self.record.share:
-            self.record = ProcessRecord(self.record.started_ns, share)
+    def publish(self, quota: float) -> None:
+        """Announce to the other processes that this process keeps to `quota`."""
+        if quota != self.record.quota:
+            self.record = ProcessRecord(self.record.started_ns, quota)
             self._write()
 
     def close(self) -> None:
-        """Leave the registry: remove the file and end its lock."""
-        os.unlink(self._path)
+        """Leave the registry: remove the file and release its lock."""
+        self._path.unlink()
         os.close(self._fd)
 
     def _write(self) -> None:
@@ -79,33 +75,32 @@
 
     def _read_others(self) -> dict[str, ProcessRecord]:
         records: dict[str, ProcessRecord] = {}
-        for file in os.listdir(self._folder):
-            path = os.path.join(self._folder, file)
-            if not file.startswith(self._prefix) or path == self._path:
+        for path in self._folder.iterdir():
+            if not path.name.startswith(self._prefix) or path == self._path:
                 continue
             try:
                 with _opened_for_reading(path) as fd:
-                    record = self._read_other(file, path, fd)
+                    record = self._read_other(path, fd)
             except OSError:
-                continue  # it terminated just now
+                continue  # its process terminated and removed it in the meantime
             if record is not None:
-                records[file] = record
+                records[path.name] = record
         return records
 
-    def _read_other(self, file: str, path: str, fd: int) -> ProcessRecord | None:
-        """Return what counts for the process of this file, or None where it has terminated."""
+    def _read_other(self, path: Path, fd: int) -> ProcessRecord | None:
+        """Return the record that counts for another process, or None where that process has terminated."""
         if _is_unlocked(fd):
             log.warning("record of a terminated process removed", extra={"kv": {"path": path}})
-            os.unlink(path)
+            path.unlink()
             return None
-        record = decode(self._name, os.read(fd, RECORD_BYTES)) or self._others.get(file)
+        record = decode(self._name, os.read(fd, RECORD_BYTES)) or self._others.get(path.name)
         if record is None:
             log.warning("record of another process unreadable", extra={"kv": {"path": path}})
         return record or UNREADABLE_RECORD
 
 
 @contextmanager
-def _opened_for_reading(path: str) -> Iterator[int]:
+def _opened_for_reading(path: Path) -> Iterator[int]:
     fd = os.open(path, os.O_RDONLY)
     try:
         yield fd
@@ -114,7 +109,7 @@
 
 
 def _is_unlocked(fd: int) -> bool:
-    """Whether no process holds the file's lock; if so, this descriptor holds it until it is closed."""
+    """Return whether no process holds the file's lock; if so, this descriptor holds it until it is closed."""
     try:
         fcntl.flock(fd, fcntl.LOCK_SH | fcntl.LOCK_NB)
     except OSError:
--- a/garnetlanding/ops/replicated_disables.py
+++ b/garnetlanding/ops/replicated_disables.py
@@ -1,8 +1,8 @@
-"""Operators' decisions on backends and instances, made known to the whole fleet.
+"""Replicates operators' decisions on backends and instances to the whole fleet.
 
-A decision made here gets a version and goes into the table that gossip spreads; decisions received from peers
-go into this instance's administrative state, and so on disk, as its own do. The table is a
-last-writer-wins map (garnetlanding.peers.disabled_backends); the state keeps its records.
+A decision made here gets a version and enters the table that gossip spreads. Decisions received from peers
+enter this instance's administrative state, and so its file, like its own. The table is a last-writer-wins map
+(garnetlanding.peers.disabled_backends); the state stores its records.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from dataclasses import replace
 
 from garnetlanding.ops.admin_state import AdminState, StoredDisable
-from garnetlanding.ops.errors import DisableRejectedError
+from garnetlanding.ops.errors import DisableRejectedError, TooManyFencedError
 from garnetlanding.peers.disabled_backends import (
     INSTANCE_PREFIX,
     DisabledBackendError,
@@ -25,10 +25,10 @@
 
 
 class ReplicatedDisables:
-    """Turns operators' decisions into changes of the state, by way of the fleet's table.
+    """Applies decisions, local or received, to the administrative state by way of the fleet's table.
 
-    `instance_number` returns this instance's number, `wall_ms` the wall clock in milliseconds: new versions
-    are made of both.
+    New versions consist of this instance's number, which `instance_number` returns, and of the wall clock in
+    milliseconds, which `wall_ms` returns.
     """
 
     def __init__(
@@ -39,10 +39,10 @@
         self._wall_ms = wall_ms
 
     def take_received(self) -> list[DisableRecord]:
-        """Return the records that peers have sent since the last call and that are news here."""
+        """Return, once, the peers' records that are later than this instance's."""
         return self._detector.take_received()
 
-    def set_disabled(self, state: AdminState, name: str, disabled: bool) -> AdminState:
+    def set_disabled(self, state: AdminState, name: str, *, disabled: bool) -> AdminState:
         """Return the state after a decision made here.
 
         Raises DisableRejectedError where the name is too long or the table full.
@@ -54,20 +54,20 @@
             raise DisableRejectedError(str(problem), name) from problem
         return self._with_table(state, table)
 
-    def set_fenced(self, state: AdminState, instance: int, fenced: bool, instances: int) -> AdminState:
-        """Return the state after an instance of `instances` was fenced or unfenced, by a record of its own.
+    def set_fenced(self, state: AdminState, instance: int, *, fenced: bool, instances: int) -> AdminState:
+        """Return the state with an instance fenced or unfenced, which is a record of its own.
 
-        Raises DisableRejectedError where more than the allowed share of the fleet would be fenced: what is
-        left must be able to carry the load.
+        `instances` is the size of the fleet. Raises TooManyFencedError where more than the allowed fraction
+        of the fleet would be fenced: the others must be able to carry the load.
         """
         name = INSTANCE_PREFIX + str(instance)
         others = {other for other in state.disabled if other.startswith(INSTANCE_PREFIX)} - {name}
         if fenced and (len(others) + 1) > instances * self._detector.limits.max_fenced_share:
-            raise DisableRejectedError(f"{len(others)} of {instances} heads are out already", name)
-        return self.set_disabled(state, name, fenced)
+            raise TooManyFencedError(name, len(others), instances)
+        return self.set_disabled(state, name, disabled=fenced)
 
     def merge(self, state: AdminState, records: list[DisableRecord]) -> AdminState:
-        """Return the state after decisions of peers; the log has how many counted."""
+        """Return the state after decisions of peers; log how many of them took effect."""
         table = self.table(state)
         merged = table.merge(records)
         if merged.news or merged.rejected:
@@ -77,14 +77,14 @@
         return self._with_table(state, table)
 
     def publish(self, state: AdminState) -> None:
-        """Send peers the table of this state from now on."""
+        """Gossip the table of this state from now on."""
         self._detector.replace_disabled(self.table(state))
 
     def table(self, state: AdminState) -> DisabledBackends:
         """Return the table of a state's records.
 
-        What the state disables or enables without a record was decided before the fleet shared decisions, or
-        by an older process: it counts as decided here, now.
+        A name whose record is missing or disagrees with `state.disabled` was changed without replication, or
+        by an older program: it counts as decided here and now.
         """
         table = DisabledBackends(self._detector.limits, (_to_gossip(record) for record in state.records))
         for name in sorted(state.disabled ^ table.disabled_names):
--- a/tests/daemon/test_assembly.py
+++ b/tests/daemon/test_assembly.py
@@ -28,14 +28,14 @@
         "audit": {"folder": str(tmp_path / "audit")},
         "store": {"role": "follower", "writer": "n0", "address": "127.0.0.1:9", "current_s": 5},
     }
-    h = SimulatedDaemon(
+    instance = SimulatedDaemon(
         operator,
         settings=SETTINGS,
         ops="127.0.0.1:0",
         peer_listen="127.0.0.1:0",
         peers=["127.0.0.1:9", "127.0.0.1:9"],
     )
-    assembly = h.daemon.assembly
+    assembly = instance.daemon.assembly
     assert names(assembly.start_order) == [
         "history",
         "peer group",
@@ -53,17 +53,17 @@
     ]
     assert names(assembly.reload_order) == ["settings", "peer link", "discovery"]
     assert names(assembly.stop_order) == ["admin", "telemetry", "peer link", "audit", "process registry"]
-    h.daemon.scheduler.close()
+    instance.daemon.scheduler.close()
 
 
 def test_received_disables_start_after_telemetry_without_an_admin_service() -> None:
-    h = SimulatedDaemon(
+    instance = SimulatedDaemon(
         {"fleet": {}, "telemetry": {"endpoint": "http://127.0.0.1:9"}},
         settings=SETTINGS,
         peer_listen="127.0.0.1:0",
         peers=["127.0.0.1:9", "127.0.0.1:9"],
     )
-    assert names(h.daemon.assembly.start_order) == [
+    assert names(instance.daemon.assembly.start_order) == [
         "peer group",
         "RESP2 clients",
         "telemetry",
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -15,22 +15,30 @@
 
 
 def test_daemon_serves_resp_and_9p_clients_and_follows_the_endpoint_list() -> None:
-    h = SimulatedDaemon({"ninep": True})
-    assert h.client().say(read_command()) == b"$0\r\n\r\n"
-    tool = h.client(1)
-    tool.say(p9.encode(p9.NOTAG, p9.Tversion(8192, "9P2000")))
-    tool.say(p9.encode(1, p9.Tattach(0, p9.NOFID, "ann", "x")))
-    walked = tool.say(p9.encode(1, p9.Twalk(0, 1, ("doc",))))
-    assert p9.decode(walked[4], walked[7:]) == p9.Rwalk((h.files.disk.qid(h.files.disk.find("doc")),))
-    assert [type(m) for m in h.files.received] == [p9.Tversion, codec_linux.Tlattach, p9.Twalk, p9.Tclunk]
-    other = h.server(EmulatedBackend)
-    h.discovery.publish(
-        EmulatedEndpoint("b0", h.brick.address, 0, "DRAINING"), EmulatedEndpoint("b1", other.address, 0)
+    instance = SimulatedDaemon({"ninep": True})
+    assert instance.client().say(read_command()) == b"$0\r\n\r\n"
+    ninep_client = instance.client(1)
+    ninep_client.say(p9.encode(p9.NOTAG, p9.Tversion(8192, "9P2000")))
+    ninep_client.say(p9.encode(1, p9.Tattach(0, p9.NOFID, "ann", "x")))
+    walked = ninep_client.say(p9.encode(1, p9.Twalk(0, 1, ("doc",))))
+    assert p9.decode(walked[4], walked[7:]) == p9.Rwalk(
+        (instance.file_server.disk.qid(instance.file_server.disk.find("doc")),)
     )
-    h.settle()
-    h.client().say(read_command("r2"))
+    assert [type(m) for m in instance.file_server.received] == [
+        p9.Tversion,
+        codec_linux.Tlattach,
+        p9.Twalk,
+        p9.Tclunk,
+    ]
+    other = instance.server(EmulatedBackend)
+    instance.discovery.publish(
+        EmulatedEndpoint("b0", instance.backend.address, 0, "DRAINING"),
+        EmulatedEndpoint("b1", other.address, 0),
+    )
+    instance.settle()
+    instance.client().say(read_command("r2"))
     assert len(other.received) == 1
-    assert set(h.daemon.store.with_prefix(ENDPOINT_PREFIX)) == {
+    assert set(instance.daemon.store.with_prefix(ENDPOINT_PREFIX)) == {
         ENDPOINT_PREFIX + "b0",
         ENDPOINT_PREFIX + "b1",
     }
@@ -40,86 +48,89 @@
 def test_endpoint_list_is_followed_in_either_membership_mode_and_after_a_reload(
     before: str, after: str
 ) -> None:
-    h = SimulatedDaemon(settings=PLATFORM_SETTINGS | {"MembershipMode": before})
-    assert h.discovery.calls == ["/v1/servers?follow=1&since=4"]
-    h.file = h.file | {"settings": PLATFORM_SETTINGS | {"MembershipMode": after}}
-    h.daemon.reload()
-    h.settle()
-    assert len(h.discovery.calls) == 1, "the watch that stands goes on"
-    h.discovery.connections[0].write(b"0\r\n\r\n")
-    h.run(2 * SECOND)
-    assert len(h.discovery.calls) == 2
-    other = h.server(EmulatedBackend)
-    h.discovery.publish(
-        EmulatedEndpoint("b0", h.brick.address, 0, "DRAINING"), EmulatedEndpoint("b1", other.address, 0)
+    instance = SimulatedDaemon(settings=PLATFORM_SETTINGS | {"MembershipMode": before})
+    assert instance.discovery.calls == ["/v1/servers?follow=1&since=4"]
+    instance.platform_config = instance.platform_config | {
+        "settings": PLATFORM_SETTINGS | {"MembershipMode": after}
+    }
+    instance.daemon.reload()
+    instance.settle()
+    assert len(instance.discovery.calls) == 1, "the open watch continues"
+    instance.discovery.connections[0].write(b"0\r\n\r\n")
+    instance.run(2 * SECOND)
+    assert len(instance.discovery.calls) == 2
+    other = instance.server(EmulatedBackend)
+    instance.discovery.publish(
+        EmulatedEndpoint("b0", instance.backend.address, 0, "DRAINING"),
+        EmulatedEndpoint("b1", other.address, 0),
     )
-    h.settle()
-    h.client().say(read_command("r2"))
+    instance.settle()
+    instance.client().say(read_command("r2"))
     assert len(other.received) == 1
-    assert not h.brick.received
+    assert not instance.backend.received
 
 
 def test_backend_drained_with_an_attempt_in_flight_answers_it_and_gets_no_new_one() -> None:
-    h = SimulatedDaemon(settings=PLATFORM_SETTINGS | {"MembershipMode": "pushed"})
-    h.brick.scripted_responses = [None]
-    client, late = h.client(), h.client()
+    instance = SimulatedDaemon(settings=PLATFORM_SETTINGS | {"MembershipMode": "pushed"})
+    instance.backend.scripted_responses = [None]
+    client, late = instance.client(), instance.client()
     client.say(read_command())
     half = read_command("r2", volume="w")
     late.say(half[:-8])
-    h.discovery.publish(EmulatedEndpoint("b0", h.brick.address, 0, "DRAINING"))
-    h.settle()
+    instance.discovery.publish(EmulatedEndpoint("b0", instance.backend.address, 0, "DRAINING"))
+    instance.settle()
     late.say(half[-8:])
-    assert len(h.brick.received) == 1, "what came half before the drain goes nowhere"
-    h.brick.release()
-    h.settle()
-    assert client.got == b"$0\r\n\r\n", "what was out is answered"
-    h.run(SECOND, 50 * MS)
+    assert len(instance.backend.received) == 1, "a command completed after the drain began is not sent there"
+    instance.backend.release()
+    instance.settle()
+    assert client.got == b"$0\r\n\r\n", "the attempt in flight is answered"
+    instance.run(SECOND, 50 * MS)
     assert late.got.startswith(b"-BUSY")
-    assert len(h.brick.received) == 1
+    assert len(instance.backend.received) == 1
 
 
 def test_shutdown_serves_clients_until_draining_and_answers_every_open_request() -> None:
-    """Closed at once, a client's connection leaves it nobody to ask until the head is back."""
-    h = SimulatedDaemon(settings=SLOW_SETTINGS)
-    h.brick.scripted_responses = [None]
-    busy, idle = h.client(), h.client()
+    """A client whose connection is closed at once has no instance to send to until this one is back."""
+    instance = SimulatedDaemon(settings=SLOW_SETTINGS)
+    instance.backend.scripted_responses = [None]
+    busy, idle = instance.client(), instance.client()
     busy.say(read_command(d=3000))
-    h.daemon.scheduler.spawn(h.daemon.end)
-    h.run(300 * MS)
-    late = h.client()
+    instance.daemon.scheduler.spawn(instance.daemon.end)
+    instance.run(300 * MS)
+    late = instance.client()
     assert late.say(read_command("r2", d=3000, volume="w")) == b"$0\r\n\r\n"
     assert not idle.closed
-    h.run(h.daemon.limits.term_serve_us - 350 * MS)
+    instance.run(instance.daemon.limits.term_serve_us - 350 * MS)
     assert idle.say(read_command("r3", d=3000, volume="w")) == b"$0\r\n\r\n"
     assert not late.closed
-    h.run(100 * MS)
+    instance.run(100 * MS)
     assert late.closed
     assert idle.closed
     assert not busy.closed
-    assert h.peer(h.daemon.listeners[0].address).closed, "no longer accepting"
-    h.brick.release()
-    h.settle()
-    h.run(50 * MS)
+    assert instance.peer(instance.daemon.listeners[0].address).closed, "no longer accepting"
+    instance.backend.release()
+    instance.settle()
+    instance.run(50 * MS)
     assert busy.got == b"$0\r\n\r\n"
     assert busy.closed
-    assert h.daemon.scheduler._stopped
+    assert instance.daemon.scheduler._stopped
 
 
 def test_shutdown_rejects_requests_still_open_before_sigkill() -> None:
-    h = SimulatedDaemon(settings=SLOW_SETTINGS)
-    h.brick.scripted_responses = [None]
-    slow = h.client()
-    h.daemon.scheduler.spawn(h.daemon.end)
-    h.run(SECOND)
+    instance = SimulatedDaemon(settings=SLOW_SETTINGS)
+    instance.backend.scripted_responses = [None]
+    slow = instance.client()
+    instance.daemon.scheduler.spawn(instance.daemon.end)
+    instance.run(SECOND)
     slow.say(read_command(d=60_000))
-    h.run(h.daemon.limits.term_reject_us - SECOND + 50 * MS)
+    instance.run(instance.daemon.limits.term_reject_us - SECOND + 50 * MS)
     assert slow.got == b"-ERR ending\r\n"
     assert slow.closed
-    assert h.daemon.scheduler._stopped
+    assert instance.daemon.scheduler._stopped
 
 
 def test_shutdown_without_clients_ends_as_soon_as_accepting_may() -> None:
-    h = SimulatedDaemon()
-    h.daemon.scheduler.spawn(h.daemon.end)
-    h.run(h.daemon.limits.term_accept_us + 50 * MS)
-    assert h.daemon.scheduler._stopped
+    instance = SimulatedDaemon()
+    instance.daemon.scheduler.spawn(instance.daemon.end)
+    instance.run(instance.daemon.limits.term_accept_us + 50 * MS)
+    assert instance.daemon.scheduler._stopped
--- a/tests/daemon/test_graceful_shutdown.py
+++ b/tests/daemon/test_graceful_shutdown.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from garnetlanding.daemon.shutdown import Phase, Schedule
+from garnetlanding.daemon.shutdown_schedule import Phase, ShutdownSchedule
 from garnetlanding.emulator.discovery import Discovery
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.stream import parse_address
@@ -26,7 +26,7 @@
 @given(st.integers(10 * MS, 20 * SECOND))
 def test_schedule_terminates_before_sigkill_for_any_longest_deadline(longest_us: int) -> None:
     limits = Limits()
-    schedule = Schedule.for_deadline(limits, longest_us)
+    schedule = ShutdownSchedule.for_deadline(limits, longest_us)
     killed = min(longest_us, 3 * SECOND) + 700 * MS
     assert (
         schedule.accepting_us
@@ -35,7 +35,7 @@
         <= schedule.terminating_us
         <= killed - 200 * MS
     )
-    assert schedule.draining_us >= 400 * MS, "until then new connections come"
+    assert schedule.draining_us >= 400 * MS, "new connections are accepted until then"
     assert longest_us < 3 * SECOND or schedule.rejecting_us == limits.term_reject_us
 
 
@@ -46,12 +46,12 @@
         max_size=60,
     )
 )
-def test_phases_never_go_back_and_terminate_in_time(looks: list[tuple[int, int, int, bool]]) -> None:
-    schedule = Schedule.for_deadline(Limits(), SECOND)
+def test_phases_never_go_back_and_terminate_in_time(polls: list[tuple[int, int, int, bool]]) -> None:
+    schedule = ShutdownSchedule.for_deadline(Limits(), SECOND)
     age, phase = 0, Phase.SERVING
-    for step, connections, open_requests, superseded in looks:
+    for step, connections, open_requests, superseded in polls:
         age += step + 10 * MS
-        after = schedule.next(phase, age, connections, open_requests, superseded)
+        after = schedule.next_phase(phase, age, connections, open_requests, superseded=superseded)
         assert after >= phase
         assert (
             after is phase
@@ -63,109 +63,109 @@
         assert age < schedule.terminating_us or phase is Phase.TERMINATING
 
 
-def ended_within(h: SimulatedDaemon, span_us: int) -> bool:
-    h.daemon.scheduler.spawn(h.daemon.end)
-    h.run(span_us, 50 * MS)
-    return h.daemon.scheduler._stopped
+def ends_within(instance: SimulatedDaemon, span_us: int) -> bool:
+    instance.daemon.scheduler.spawn(instance.daemon.end)
+    instance.run(span_us, 50 * MS)
+    return instance.daemon.scheduler._stopped
 
 
 @pytest.mark.parametrize("longest_us", [400 * MS, 1500 * MS, 4000 * MS], ids=["0.4s", "1.5s", "4s"])
 def test_open_requests_are_rejected_before_sigkill_for_any_longest_deadline(longest_us: int) -> None:
-    """They were given 3.2 s after SIGTERM: with deadlines of 1.5 s and less SIGKILL was there first."""
-    h = SimulatedDaemon(
+    """A fixed 3.2 s after SIGTERM was too late: with deadlines of 1.5 s or less SIGKILL came first."""
+    instance = SimulatedDaemon(
         settings=PLATFORM_SETTINGS | {"Classes": [PLATFORM_SETTINGS["Classes"][0] | {"GiveUpUs": longest_us}]}
     )
-    h.brick.holds_responses = True
-    client = Raw(h, h.daemon.listeners[0].address)
-    h.daemon.scheduler.spawn(h.daemon.end)
-    h.run(400 * MS)
+    instance.backend.holds_responses = True
+    client = Raw(instance, instance.daemon.listeners[0].address)
+    instance.daemon.scheduler.spawn(instance.daemon.end)
+    instance.run(400 * MS)
     client.say(read_command(d=60_000))
-    h.run(min(longest_us, 3 * SECOND) + 700 * MS - 400 * MS - 100 * MS)
+    instance.run(min(longest_us, 3 * SECOND) + 700 * MS - 400 * MS - 100 * MS)
     assert client.read() == b"-ERR ending\r\n"
-    assert h.daemon.scheduler._stopped
+    assert instance.daemon.scheduler._stopped
 
 
 @pytest.mark.parametrize("left", [read_command()[:-5], QUIT[:3], b""], ids=["read", "quit", "nothing"])
 def test_client_with_an_incomplete_command_does_not_delay_shutdown(left: bytes) -> None:
-    """It had 2.5 s for the rest of it, whenever it began."""
-    h = SimulatedDaemon(settings=SLOW_SETTINGS)
-    client = Raw(h, h.daemon.listeners[0].address)
+    """It once had 2.5 s for the rest of the command, whenever that began."""
+    instance = SimulatedDaemon(settings=SLOW_SETTINGS)
+    client = Raw(instance, instance.daemon.listeners[0].address)
     client.say(read_command())
-    h.daemon.scheduler.spawn(h.daemon.end)
-    h.run(1400 * MS, 50 * MS)
+    instance.daemon.scheduler.spawn(instance.daemon.end)
+    instance.run(1400 * MS, 50 * MS)
     client.say(left)
-    h.run(2150 * MS, 50 * MS)
-    assert h.daemon.scheduler._stopped
+    instance.run(2150 * MS, 50 * MS)
+    assert instance.daemon.scheduler._stopped
 
 
 def test_client_that_reads_nothing_does_not_delay_shutdown() -> None:
-    h = SimulatedDaemon(settings=SLOW_SETTINGS)
-    h.brick.data[b"k"] = b"x" * 60_000
-    deaf = Raw(h, h.daemon.listeners[0].address)
-    [head_end] = h.daemon.listeners[0]._clients
+    instance = SimulatedDaemon(settings=SLOW_SETTINGS)
+    instance.backend.data[b"k"] = b"x" * 60_000
+    client_that_does_not_read = Raw(instance, instance.daemon.listeners[0].address)
+    [connection] = instance.daemon.listeners[0]._clients
     n = 0
-    while head_end.stream.flushed:
-        deaf.say(read_command(f"r{n}", d=3000))
+    while connection.stream.flushed:
+        client_that_does_not_read.say(read_command(f"r{n}", d=3000))
         n += 1
-    assert ended_within(h, 3600 * MS)
+    assert ends_within(instance, 3600 * MS)
 
 
-# With everything on, in the order in which they are stopped.
-STOPPED = ["admin", "telemetry", "peer link", "audit", "process registry"]
+# The subsystems with everything on, in the order in which they are stopped.
+STOP_ORDER = ["admin", "telemetry", "peer link", "audit", "process registry"]
 
 
-@pytest.mark.parametrize("failing", STOPPED)
+@pytest.mark.parametrize("failing", STOP_ORDER)
 def test_subsystem_that_fails_to_stop_does_not_keep_the_others_from_stopping(
     failing: str, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The first that failed left the process running until SIGKILL."""
+    """The first failure once left the process running until SIGKILL."""
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
     operator = {"telemetry": {"endpoint": "http://127.0.0.1:9"}, "audit": {"folder": str(tmp_path / "audit")}}
-    h, ended = SimulatedDaemon(operator, ops="127.0.0.1:0"), []
-    subsystems = h.daemon.assembly.stop_order
-    assert [subsystem.name for subsystem in subsystems] == STOPPED, "the order in which they are stopped"
+    instance, ended = SimulatedDaemon(operator, ops="127.0.0.1:0"), []
+    subsystems = instance.daemon.assembly.stop_order
+    assert [subsystem.name for subsystem in subsystems] == STOP_ORDER, "the order in which they are stopped"
     for subsystem in subsystems:
         name = subsystem.name
         monkeypatch.setattr(
             subsystem, "stop", lambda name=name: 1 / 0 if name == failing else ended.append(name)
         )
-    assert ended_within(h, SECOND)
-    assert ended == [name for name in STOPPED if name != failing]
+    assert ends_within(instance, SECOND)
+    assert ended == [name for name in STOP_ORDER if name != failing]
     assert len(ended) == 4
     assert "subsystem failed to stop" in caplog.text
 
 
 def test_signals_during_shutdown_change_nothing() -> None:
     with restored_signal_handlers():
-        h = SimulatedDaemon(settings=SLOW_SETTINGS)
-        client = Raw(h, h.daemon.listeners[0].address)
-        h.daemon.catch_signals()
+        instance = SimulatedDaemon(settings=SLOW_SETTINGS)
+        client = Raw(instance, instance.daemon.listeners[0].address)
+        instance.daemon.catch_signals()
         os.kill(os.getpid(), signal.SIGTERM)
-        h.run(100 * MS)
-        second = h.server(Discovery)
-        h.file = h.file | {"discovery": second.address}
+        instance.run(100 * MS)
+        second = instance.server(Discovery)
+        instance.platform_config = instance.platform_config | {"discovery": second.address}
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
             os.kill(os.getpid(), number)
-            h.run(100 * MS)
+            instance.run(100 * MS)
             client.say(read_command(f"r{number}"))
         assert client.sock.recv(100) == b"$0\r\n\r\n" * 3
         assert not second.calls
-        h.run(4 * SECOND, 50 * MS)
-        assert h.daemon.scheduler._stopped
+        instance.run(4 * SECOND, 50 * MS)
+        assert instance.daemon.scheduler._stopped
 
 
 def test_shutdown_completes_when_the_process_record_was_deleted(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
-    h = SimulatedDaemon(ops="127.0.0.1:0")
+    instance = SimulatedDaemon(ops="127.0.0.1:0")
     for file in tmp_path.iterdir():
         os.unlink(file)
-    assert ended_within(h, 2 * SECOND)
+    assert ends_within(instance, 2 * SECOND)
 
 
-def test_draining_gives_places_of_idle_clients_to_the_backlog_and_no_more() -> None:
-    """All of them were taken at the end, past the bound: discovery and bricks had no descriptor left."""
+def test_draining_accepts_the_backlog_only_into_the_places_of_idle_clients() -> None:
+    """The whole backlog was once accepted, which left discovery and backends without descriptors."""
     w = Waiting(client_conns=3)
     w.appear()
     idle = [Raw(w, w.listener.address) for _ in range(3)]
@@ -179,4 +179,4 @@
     assert len(w.listener._clients) == 3
     assert len(w.listener) <= 3 + w.limits.linger_conns
     w.settle()
-    assert len(w.brick.received) == 6, "three that were idle, three that waited"
+    assert len(w.brick.received) == 6, "three from idle clients, three from the backlog"
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -16,42 +16,42 @@
 
 
 def test_reload_switches_to_the_new_discovery_at_once_while_requests_run_on() -> None:
-    h = SimulatedDaemon()
-    h.brick.scripted_responses = [None]
-    client = h.client()
+    instance = SimulatedDaemon()
+    instance.backend.scripted_responses = [None]
+    client = instance.client()
     client.say(read_command(d=1400))
-    second = h.server(Discovery)
+    second = instance.server(Discovery)
     second.endpoints = [
-        EmulatedEndpoint("b0", h.brick.address, 0),
-        EmulatedEndpoint("b1", h.brick.address, 1),
+        EmulatedEndpoint("b0", instance.backend.address, 0),
+        EmulatedEndpoint("b1", instance.backend.address, 1),
     ]
-    # The environment still has the old address: it must not hide what the file newly says.
-    h.file = h.file | {"discovery": second.address}
-    h.daemon.reload()
-    h.settle()
-    assert second.calls == ["/v1/servers?follow=1&since=0"], "another's versions mean nothing here"
-    assert not h.discovery.connections
-    assert h.daemon.core.endpoints.address_of("b1")
-    h.brick.release()
-    h.settle()
+    # The environment still has the old address, which must not override the changed file.
+    instance.platform_config = instance.platform_config | {"discovery": second.address}
+    instance.daemon.reload()
+    instance.settle()
+    assert second.calls == ["/v1/servers?follow=1&since=0"], "versions of the previous discovery are not used"
+    assert not instance.discovery.connections
+    assert instance.daemon.core.endpoints.address_of("b1")
+    instance.backend.release()
+    instance.settle()
     assert client.got == b"$0\r\n\r\n"
     assert not client.closed
-    h.daemon.reload()
-    h.settle()
-    assert len(second.calls) == 1, "nothing new in the file: the watch goes on"
+    instance.daemon.reload()
+    instance.settle()
+    assert len(second.calls) == 1, "an unchanged address: the watch continues"
 
 
 def test_reload_applies_new_settings_through_the_store() -> None:
-    h = SimulatedDaemon()
-    h.file = h.file | {
+    instance = SimulatedDaemon()
+    instance.platform_config = instance.platform_config | {
         "listen": "127.0.0.1:1",
         "settings": PLATFORM_SETTINGS | {"Classes": [PLATFORM_SETTINGS["Classes"][0] | {"Name": "scan"}]},
     }
-    h.daemon.reload()
-    h.settle()
-    assert h.client().say(read_command(cls="scan")) == b"$0\r\n\r\n"
-    assert h.client().say(read_command()) == b"-ERR unknown class\r\n"
-    assert h.daemon.store.get(SETTINGS_KEY)["Classes"][0]["Name"] == "scan"
+    instance.daemon.reload()
+    instance.settle()
+    assert instance.client().say(read_command(cls="scan")) == b"$0\r\n\r\n"
+    assert instance.client().say(read_command()) == b"-ERR unknown class\r\n"
+    assert instance.daemon.store.get(SETTINGS_KEY)["Classes"][0]["Name"] == "scan"
 
 
 @pytest.mark.parametrize(
@@ -66,30 +66,30 @@
 def test_reload_of_a_faulty_configuration_is_rejected_and_logged(
     change: dict[str, Any], key: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    h = SimulatedDaemon()
-    before, calls = h.daemon.config, len(h.discovery.calls)
-    h.file = h.file | {"discovery": "127.0.0.1:9"} | change
-    h.daemon.reload()
-    h.settle()
+    instance = SimulatedDaemon()
+    before, calls = instance.daemon.config, len(instance.discovery.calls)
+    instance.platform_config = instance.platform_config | {"discovery": "127.0.0.1:9"} | change
+    instance.daemon.reload()
+    instance.settle()
     [record] = [r for r in caplog.records if "reload rejected" in r.message]
     assert key in str(record.__dict__["kv"]["why"])
-    assert h.daemon.config is before
-    assert len(h.discovery.calls) == calls
-    assert h.client().say(read_command()) == b"$0\r\n\r\n"
+    assert instance.daemon.config is before
+    assert len(instance.discovery.calls) == calls
+    assert instance.client().say(read_command()) == b"$0\r\n\r\n"
 
 
 def test_sigterm_ends_the_daemon_after_sighup_reloaded_it() -> None:
-    """SIGHUP had no handler and ended the process; the signal pipe was read for the end alone."""
+    """SIGHUP once had no handler and ended the process; the signal pipe was only read for SIGTERM."""
     with restored_signal_handlers():
-        h = SimulatedDaemon()
-        h.daemon.catch_signals()
-        second = h.server(Discovery)
-        h.file = h.file | {"discovery": second.address}
+        instance = SimulatedDaemon()
+        instance.daemon.catch_signals()
+        second = instance.server(Discovery)
+        instance.platform_config = instance.platform_config | {"discovery": second.address}
         os.kill(os.getpid(), signal.SIGHUP)
-        h.settle()
+        instance.settle()
         assert len(second.calls) == 1
-        assert not h.daemon.scheduler._stopped
+        assert not instance.daemon.scheduler._stopped
         os.kill(os.getpid(), signal.SIGHUP)
         os.kill(os.getpid(), signal.SIGTERM)
-        h.run(SECOND, 50 * MS)
-        assert h.daemon.scheduler._stopped
+        instance.run(SECOND, 50 * MS)
+        assert instance.daemon.scheduler._stopped
--- a/tests/daemon/test_store_roles.py
+++ b/tests/daemon/test_store_roles.py
@@ -21,19 +21,19 @@
 def test_follower_applies_settings_of_its_writer_but_for_the_instance_number(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    h = SimulatedDaemon({"store": {"role": "follower", "writer": "n0", "address": "127.0.0.1:9"}})
-    theirs = PLATFORM_SETTINGS | {
+    instance = SimulatedDaemon({"store": {"role": "follower", "writer": "n0", "address": "127.0.0.1:9"}})
+    writer_settings = PLATFORM_SETTINGS | {
         "Limits": PLATFORM_SETTINGS["Limits"] | {"MaxAttempts": 2},
         "Balancers": 3,
         "Me": 2,
     }
-    h.daemon.store.restore(Snapshot(5, 1, {SETTINGS_KEY: theirs}))
-    assert h.daemon.core.settings.max_attempts == 2
+    instance.daemon.store.restore(Snapshot(5, 1, {SETTINGS_KEY: writer_settings}))
+    assert instance.daemon.core.settings.max_attempts == 2
     assert (
-        h.daemon.core.settings.instance_id == 0
-    ), "the writer's number is the writer's: heads would all be one"
-    h.daemon.store.apply(5, Entry(2, SETTINGS_KEY, {}))
-    assert h.daemon.core.settings.max_attempts == 2
+        instance.daemon.core.settings.instance_id == 0
+    ), "the writer's number does not apply to its followers"
+    instance.daemon.store.apply(5, Entry(2, SETTINGS_KEY, {}))
+    assert instance.daemon.core.settings.max_attempts == 2
     assert "settings rejected" in caplog.text
 
 
@@ -41,29 +41,29 @@
     path = str(tmp_path / "store.json")
     operator = {"store": {"role": "alone", "file": path}}
     first = SimulatedDaemon(operator)
-    first.discovery.publish(EmulatedEndpoint("b9", first.brick.address, 5))
+    first.discovery.publish(EmulatedEndpoint("b9", first.backend.address, 5))
     first.run(SECOND, 100 * MS)
-    kept = load(path)
-    assert kept
-    assert ENDPOINT_PREFIX + "b9" in kept.values
+    stored = load(path)
+    assert stored
+    assert ENDPOINT_PREFIX + "b9" in stored.values
     second = Daemon(config.read(PLATFORM_CONFIG, operator), lambda: T0)
-    assert second.core.endpoints.address_of("b9") is None, "the list of the configuration is newer"
+    assert second.core.endpoints.address_of("b9") is None, "the configured list is newer"
     older = PLATFORM_CONFIG | {"known": PLATFORM_CONFIG["known"] | {"generation": 1}}
     third = Daemon(config.read(older, operator), lambda: T0)
     assert third.core.endpoints.address_of("b9")
-    assert third.store.epoch > kept.epoch
+    assert third.store.epoch > stored.epoch
 
 
 def test_follower_starts_with_the_stored_settings_of_its_writer(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "store.json"
-    theirs = PLATFORM_SETTINGS | {"Limits": PLATFORM_SETTINGS["Limits"] | {"MaxAttempts": 2}}
-    path.write_text(json.dumps({"epoch": 5, "revision": 1, "values": {"config/settings": theirs}}))
+    writer_settings = PLATFORM_SETTINGS | {"Limits": PLATFORM_SETTINGS["Limits"] | {"MaxAttempts": 2}}
+    path.write_text(json.dumps({"epoch": 5, "revision": 1, "values": {"config/settings": writer_settings}}))
     operator = {"store": {"role": "follower", "writer": "n0", "address": "127.0.0.1:9", "file": str(path)}}
     assert Daemon(config.read(PLATFORM_CONFIG, operator), lambda: T0).core.settings.max_attempts == 2
 
 
 def test_writer_sends_a_snapshot_to_followers_on_its_own_listener() -> None:
-    h = SimulatedDaemon({"store": {"role": "writer", "writer": "n1", "address": "127.0.0.1:0"}})
-    told = h.client(1).say(b'{"follow": [0, -1]}\n').split(b"\n")
-    assert json.loads(told[0])["writer"][0] == "n1"
-    assert "config/settings" in json.loads(told[1])["snapshot"][1]
+    instance = SimulatedDaemon({"store": {"role": "writer", "writer": "n1", "address": "127.0.0.1:0"}})
+    lines = instance.client(1).say(b'{"follow": [0, -1]}\n').split(b"\n")
+    assert json.loads(lines[0])["writer"][0] == "n1"
+    assert "config/settings" in json.loads(lines[1])["snapshot"][1]
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -877,7 +877,13 @@
     def forget_instance(self, head: int) -> bool | None:
         return (head == 1) if self.knows_fleet else None
 
-    def set_fenced(self, head: int, out: bool) -> bool | None:
+    def fence(self, head: int) -> bool | None:
+        return self._set_fenced(head, True)
+
+    def unfence(self, head: int) -> bool | None:
+        return self._set_fenced(head, False)
+
+    def _set_fenced(self, head: int, out: bool) -> bool | None:
         self.lines.append(f"shut {head} {out}")
         if head == 8:
             raise RuntimeError("a defect")
@@ -957,7 +963,7 @@
 
         server = threading.Thread(target=serve, daemon=True)
         server.start()
-        for what, brick in (("ready", ""), ("disable", "b0")):
+        for what, brick in (("ready", None), ("disable", "b0")):
             reply = send_call(address, what, brick, 5.0)
             lines.append(f"status {reply.status}, text {reply.text!r}, yes {reply.ok}")
         server.join(5)
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -367,7 +367,7 @@
     history = HistoryWriter(str(path), "n0", 3, lambda: next(times))
     history.settings_applied(5, 2, 0x0A0B0C0D, 990)
     history.serving()
-    history.fencing_changed(True, 1010)
+    history.fencing_changed(1010, fenced=True)
     answers: list[Answer] = [Served(b"v"), Rejected(50), Failed("no server")]
     for i, answer in enumerate(answers):
         work = Command((b"RUN", b"1", b"id-%d\xff" % i)) if i else None
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -39,8 +39,8 @@
 from garnetlanding.ops.errors import AdminStateError, InstanceUnreachableError
 from garnetlanding.ops.fleet_access import FleetView
 from garnetlanding.ops.managed_instance import ManagedInstance
-from garnetlanding.ops.process_quota import ProcessRecord
-from garnetlanding.ops.process_quota import decode as decode_process_record
+from garnetlanding.ops.process_record import ProcessRecord
+from garnetlanding.ops.process_record import decode as decode_process_record
 from garnetlanding.ops.process_registry import ProcessRegistry
 from garnetlanding.ops.replicated_disables import ReplicatedDisables
 from garnetlanding.ops.state_file import StateFile
@@ -354,7 +354,7 @@
     path = tmp_path / STATE_NAME
     assert file.update(lambda old: old) == AdminState(), "no change is not written"
     assert not path.exists(), "no change is not written"
-    file.update(lambda old: old.with_draining(True).disable("b7"))
+    file.update(lambda old: old.drain().disable("b7"))
     file.update(lambda _old: state)
     committed = golden(f"state-{name}.json", path.read_bytes())
     assert sorted(p.name for p in tmp_path.iterdir()) == [STATE_NAME, STATE_NAME + ".lock"]
@@ -420,8 +420,8 @@
     """Each record that both processes write, from the predecessor's start until the successor is alone."""
     wrote: list[str] = []
 
-    def look(registry: ProcessRegistry, name: str, used: float = 0.0, ending: bool = False) -> None:
-        registry.publish(registry.next_share(used, ending))
+    def look(registry: ProcessRegistry, name: str, used: float = 0.0, stopping: bool = False) -> None:
+        registry.publish(registry.next_quota(used, stopping=stopping))
         check(registry, name)
 
     def check(registry: ProcessRegistry, name: str) -> None:
@@ -439,7 +439,7 @@
     look(predecessor, "elder-busy", used=0.6)
     look(successor, "newer-quarter")
     look(predecessor, "elder-half", used=0.1)
-    look(predecessor, "elder-ending", ending=True)
+    look(predecessor, "elder-ending", stopping=True)
     look(successor, "newer-most")
     assert sorted(p.name for p in tmp_path.iterdir()) == [PREDECESSOR, SUCCESSOR]
     assert predecessor.has_successor
@@ -471,15 +471,15 @@
     committed = (FOLDER / "lives" / f"{name}.word").read_bytes()
     newest = registered(tmp_path, 4103, 3_000_000_000, monkeypatch)
     with locked(tmp_path / PREDECESSOR, committed):
-        assert newest.next_share(0.0, False) == 1.0 - RECORDS_BY_STAGE[name].share
+        assert newest.next_quota(0.0, stopping=False) == 1.0 - RECORDS_BY_STAGE[name].quota
         assert not newest.has_successor
-    assert newest.next_share(0.0, False) == 1.0, "unlocked: its process is gone"
+    assert newest.next_quota(0.0, stopping=False) == 1.0, "unlocked: its process is gone"
     assert not (tmp_path / PREDECESSOR).exists()
     oldest = registered(tmp_path, 4100, 5, monkeypatch)
     oldest.publish(1.0)
     newest.close()
     with locked(tmp_path / SUCCESSOR, committed):
-        assert oldest.next_share(0.1, False) == 0.5
+        assert oldest.next_quota(0.1, stopping=False) == 0.5
         assert oldest.has_successor
     oldest.close()
 
@@ -498,11 +498,11 @@
         ), length
     newest = registered(tmp_path, 4103, 3_000_000_000, monkeypatch)
     with locked(tmp_path / PREDECESSOR, committed[: needed - 1]):
-        assert newest.next_share(0.0, False) == 0.5
+        assert newest.next_quota(0.0, stopping=False) == 0.5
         (tmp_path / PREDECESSOR).write_bytes(committed[:needed])
-        assert newest.next_share(0.0, False) == 1.0 - RECORDS_BY_STAGE[name].share
+        assert newest.next_quota(0.0, stopping=False) == 1.0 - RECORDS_BY_STAGE[name].quota
         (tmp_path / PREDECESSOR).write_bytes(committed[: needed - 1])
-        assert newest.next_share(0.0, False) == 1.0 - RECORDS_BY_STAGE[name].share
+        assert newest.next_quota(0.0, stopping=False) == 1.0 - RECORDS_BY_STAGE[name].quota
     newest.close()
 
 
--- a/tests/history/test_history.py
+++ b/tests/history/test_history.py
@@ -10,10 +10,10 @@
 
 
 def test_a_line_has_the_time_at_which_it_is_written(tmp_path: pathlib.Path) -> None:
-    """The event-loop iteration's time would put what a held-up process receives before it was sent."""
+    """With the iteration's time, a delayed process would seem to receive messages before they were sent."""
     file = tmp_path / "n1.history"
-    h = SimulatedDaemon({"history": {"file": str(file)}})
-    h.time += 7 * MS
-    assert h.daemon.assembly.history
-    h.daemon.assembly.history.serving()
-    assert json.loads(file.read_text().splitlines()[-1])["t"] == h.time
+    instance = SimulatedDaemon({"history": {"file": str(file)}})
+    instance.time += 7 * MS
+    assert instance.daemon.assembly.history
+    instance.daemon.assembly.history.serving()
+    assert json.loads(file.read_text().splitlines()[-1])["t"] == instance.time
--- a/tests/integration/test_rolling_upgrade.py
+++ b/tests/integration/test_rolling_upgrade.py
@@ -82,7 +82,7 @@
         assert client.say(read_command(f"a{i}")).startswith(b"$")
     new = upgrade.start_daemon()
     upgrade.run(300 * MS)
-    assert [d.assembly.instance.process.share for d in (old, new)] == [0.5, 0.5]
+    assert [d.assembly.instance.process.quota for d in (old, new)] == [0.5, 0.5]
     assert upgrade.call(new, "/-/ready", "GET") == "503", "no list yet, and discovery is away"
     upgrade.run(1300 * MS)
     assert upgrade.call(new, "/-/ready", "GET") == "200", "with the list it was started with"
@@ -101,7 +101,7 @@
     assert late.say(PING) == b"+PONG\r\n"
     assert len(new.listeners[0]) == 1
     upgrade.run(300 * MS)
-    assert new.assembly.instance.process.share == 1
+    assert new.assembly.instance.process.quota == 1
 
 
 def test_disables_and_drain_hold_in_both_processes_whichever_was_called(upgrade: RollingUpgrade) -> None:
--- a/tests/ops/test_admin_client.py
+++ b/tests/ops/test_admin_client.py
@@ -36,8 +36,10 @@
 def test_exit_code_tells_success_failure_and_wrong_usage_apart(
     instance: AdministeredInstance, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def call(_address: str, what: str, brick: str = "", _timeout_s: float = 2.0) -> admin_client.Reply:
-        method, path = admin_client.method_and_path(what, brick)
+    def call(
+        _address: str, name: str, target: str | None = None, _timeout_s: float = 2.0
+    ) -> admin_client.Reply:
+        method, path = admin_client.method_and_path(name, target)
         return admin_client.Reply(*instance.call(path, method))
 
     unreachable = cli.main(["ops", "ready", "--address", "127.0.0.1:1", "--wait", "0.2"])
--- a/tests/ops/test_admin_connection.py
+++ b/tests/ops/test_admin_connection.py
@@ -22,7 +22,7 @@
 
 
 @given(st.lists(st.integers(1, 9), max_size=8))
-def test_call_cut_into_any_pieces_gets_one_answer(sizes: list[int]) -> None:
+def test_call_split_at_any_bytes_gets_one_answer(sizes: list[int]) -> None:
     call = b"\r\nPOST /-/nothing?x=1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcMORE"
     machine, written = connection()
     at = 0
--- a/tests/ops/test_admin_service.py
+++ b/tests/ops/test_admin_service.py
@@ -8,7 +8,7 @@
 from tests.support.simulated_instance import read_command
 
 
-def test_instance_is_ready_only_with_a_known_list_and_an_accepting_listener(
+def test_instance_is_ready_only_with_a_known_endpoint_list_and_an_accepting_listener(
     instance: AdministeredInstance,
 ) -> None:
     assert instance.call("/-/ready", "GET")[0] == 200
@@ -19,22 +19,22 @@
     assert instance.call("/-/ready", "GET")[0] == 503
 
 
-def test_disabled_backend_gets_no_request_until_enabled_whatever_lists_say(
+def test_disabled_backend_gets_no_request_until_enabled_whatever_endpoint_lists_say(
     instance: AdministeredInstance,
 ) -> None:
     client = instance.peer(instance.clients.address)
     assert client.say(read_command(id="r1")).startswith(b"$")
-    assert [instance.call(f"/-/bricks/b0/{what}")[0] for what in ("disable", "disable")] == [200, 200]
-    seen = len(instance.brick.received)
-    instance.list(*instance.boxes)
-    instance.list(instance.boxes[0], whole=False)
+    assert [instance.call(f"/-/bricks/b0/{action}")[0] for action in ("disable", "disable")] == [200, 200]
+    received = len(instance.backend.received)
+    instance.list(*instance.endpoints)
+    instance.list(instance.endpoints[0], whole=False)
     instance.peer(instance.clients.address).say(read_command(id="r2", d=400))
     instance.run(500 * MS)
-    assert len(instance.brick.received) == seen
+    assert len(instance.backend.received) == received
     assert instance.metrics()["targets_disabled"] == 1
     assert instance.metrics()["targets"] == 2
-    assert instance.call("/-/bricks/b0/enable")[0] == 200, "one call back undoes both"
-    assert instance.call("/-/bricks/b0/enable")[0] == 200, "one that isn't out is in use"
+    assert instance.call("/-/bricks/b0/enable")[0] == 200, "one enable undoes both"
+    assert instance.call("/-/bricks/b0/enable")[0] == 200, "enabling an enabled backend succeeds"
     assert client.say(read_command(id="r3")).startswith(b"$")
     assert instance.metrics()["targets_disabled"] == 0
     assert instance.call("/-/bricks/b9/disable")[0] == instance.call("/-/bricks/b9/enable")[0] == 404
@@ -43,60 +43,64 @@
 def test_requests_queued_for_the_only_backend_of_a_cell_are_rejected_when_it_is_disabled(
     instance: AdministeredInstance,
 ) -> None:
-    instance.brick.holds_responses = True
+    instance.backend.holds_responses = True
     clients = [instance.peer(instance.clients.address) for _ in range(8)]
     for i, client in enumerate(clients):
         client.say(read_command(f"r{i}", volume=f"v{i}", d=1500))
-    assert len(instance.brick.received) == 4, "the rest are held"
+    assert len(instance.backend.received) == 4, "the rest are queued"
     instance.call("/-/bricks/b0/disable")
     assert [c.got for c in clients[4:]] == [b"-BUSY 1000\r\n"] * 4
     late = instance.peer(instance.clients.address)
     assert late.say(read_command("late", d=1500)) == b"-BUSY 1000\r\n"
-    instance.brick.release()
+    instance.backend.release()
     instance.settle()
-    assert all(c.got.startswith(b"$") for c in clients[:4]), "what it has it may finish"
+    assert all(c.got.startswith(b"$") for c in clients[:4]), "attempts in flight may finish"
 
 
 def test_disable_outlasts_the_backends_absence_from_the_list(instance: AdministeredInstance) -> None:
     instance.call("/-/bricks/b0/disable")
-    instance.list(instance.boxes[1])
-    assert instance.metrics()["targets_disabled"] == 0, "only listed ones count"
-    instance.list(*instance.boxes)
+    instance.list(instance.endpoints[1])
+    assert instance.metrics()["targets_disabled"] == 0, "only listed backends count"
+    instance.list(*instance.endpoints)
     assert instance.core.endpoints.address_of("b0") is None
-    instance.list(instance.boxes[1])
-    assert instance.call("/-/bricks/b0/enable")[0] == 200, "known, as it is out"
-    instance.list(*instance.boxes)
+    instance.list(instance.endpoints[1])
+    assert instance.call("/-/bricks/b0/enable")[0] == 200, "a disabled backend is known"
+    instance.list(*instance.endpoints)
     assert instance.core.endpoints.address_of("b0")
 
 
 def test_enabled_backend_warms_up_though_its_listed_start_is_unchanged(
     instance: AdministeredInstance,
 ) -> None:
-    told: list[api.Endpoint] = []
+    observed: list[api.Endpoint] = []
     handle = instance.core.module.handle
 
-    def listen(now: int, events: list[api.Event]) -> list[api.Action]:
-        told.extend(e for event in events if isinstance(event, api.EndpointListUpdate) for e in event.entries)
+    def observe(now: int, events: list[api.Event]) -> list[api.Action]:
+        observed.extend(
+            e for event in events if isinstance(event, api.EndpointListUpdate) for e in event.entries
+        )
         return handle(now, events)
 
-    instance.core.module.handle = listen  # type: ignore[method-assign]  # listens in on the module
+    instance.core.module.handle = observe  # type: ignore[method-assign]  # records what the module receives
     instance.call("/-/bricks/b0/disable")
-    assert told[-1].state is api.EndpointState.DRAINING
+    assert observed[-1].state is api.EndpointState.DRAINING
     instance.run(SECOND)
     instance.call("/-/bricks/b0/enable")
-    enabled = told[-1]
+    enabled = observed[-1]
     assert enabled.state is api.EndpointState.UP
     assert enabled.started_us == T0 + SECOND
-    instance.list(*instance.boxes)
-    assert next(e for e in told[::-1] if e.node == "b0").started_us == T0 + SECOND, "and stays so"
+    instance.list(*instance.endpoints)
+    assert (
+        next(e for e in observed[::-1] if e.node == "b0").started_us == T0 + SECOND
+    ), "the list does not change it"
 
 
 def test_attempt_in_flight_to_a_disabled_backend_may_finish(instance: AdministeredInstance) -> None:
-    instance.brick.holds_responses = True
+    instance.backend.holds_responses = True
     client = instance.peer(instance.clients.address)
     client.say(read_command(id="r1"))
-    assert len(instance.brick.received) == 1, "written whole before the ban"
+    assert len(instance.backend.received) == 1, "completely written before it is disabled"
     instance.call("/-/bricks/b0/disable")
-    instance.brick.release()
+    instance.backend.release()
     instance.settle()
-    assert client.got.startswith(b"$"), "what it has it may finish"
+    assert client.got.startswith(b"$"), "attempts in flight may finish"
