--- a/tests/ops/test_admin_state.py
+++ b/tests/ops/test_admin_state.py
@@ -23,13 +23,13 @@
     instance.call("/-/bricks/b0/disable")
     other = StateFile(str(tmp_path), "n1")
     assert other.load() == AdminState(frozenset({"b0"}))
-    other.update(lambda state: state.disable("b1").with_draining(True))
+    other.update(lambda state: state.disable("b1").drain())
     instance.run(instance.limits.ops_poll_us + 10 * MS)
     assert instance.core.endpoints.disabled == {"b0", "b1"}
     assert not instance.service.accepts_clients
     instance.call("/-/resume")
     both = AdminState(frozenset({"b0", "b1"}))
-    assert other.load_if_changed() == both, "neither undoes what the other set"
+    assert other.load_if_changed() == both, "neither process undoes a change of the other"
     assert other.load_if_changed() is None
 
 
@@ -48,8 +48,18 @@
         (state_bytes(name="n2"), "head 'n2'"),
         (state_bytes(banned=[3]), "a field"),
         (state_bytes(draining="no"), "a field"),
+        (state_bytes(records=[["b0", 17, 1]]), "a record"),
+    ],
+    ids=[
+        "empty",
+        "truncated",
+        "changed",
+        "version",
+        "another-instance",
+        "disabled-type",
+        "draining-type",
+        "record-form",
     ],
-    ids=["empty", "cut", "changed", "version", "another-instance", "disabled-type", "draining-type"],
 )
 def test_unusable_state_file_is_logged_and_the_instance_starts_without_it(
     data: bytes, why: str, tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
@@ -61,15 +71,15 @@
     assert instance.call("/-/ready", "GET")[0] == 200
     assert "state file rejected" in caplog.text
     assert instance.call("/-/bricks/b0/disable")[0] == 200
-    kept = (tmp_path / "garnetlanding-n1-operators.json").read_bytes()
-    assert decode("n1", kept) == AdminState(frozenset({"b0"}))
+    stored = (tmp_path / "garnetlanding-n1-operators.json").read_bytes()
+    assert decode("n1", stored) == AdminState(frozenset({"b0"}))
 
 
 def test_change_that_cannot_be_stored_is_not_made(tmp_path: pathlib.Path) -> None:
     instance = AdministeredInstance(tmp_path)
     (tmp_path / "garnetlanding-n1-operators.json.new").mkdir()
     assert instance.call("/-/bricks/b0/disable")[0] == 500
-    assert instance.core.endpoints.address_of("b0"), "a yes is owed only for what outlasts the process"
+    assert instance.core.endpoints.address_of("b0"), "only a change that is stored is confirmed"
 
 
 def test_malformed_ops_address_is_named() -> None:
--- a/tests/ops/test_drain.py
+++ b/tests/ops/test_drain.py
@@ -17,22 +17,22 @@
     assert used.say(b"*1\r\n$4\r\nPING\r\n").startswith(b"-ERR")
     instance.run(200 * MS)
     late = instance.peer(instance.clients.address)
-    assert late.say(read_command(id="r1")).startswith(b"$"), "those that still come are served"
+    assert late.say(read_command(id="r1")).startswith(b"$"), "new clients are still served"
     instance.run(1200 * MS)
     assert used.say(read_command(id="r2")).startswith(b"$")
     assert not idle.closed
-    instance.brick.holds_responses = True
+    instance.backend.holds_responses = True
     busy.say(read_command(id="r3", d=1500))
     instance.run(300 * MS)
     assert idle.closed
     assert used.closed
     assert late.closed
     assert not busy.closed
-    instance.brick.release()
+    instance.backend.release()
     instance.settle()
     assert busy.got.startswith(b"$"), "after its answer"
     assert busy.closed, "after its answer"
-    instance.brick.holds_responses = False
+    instance.backend.holds_responses = False
     instance.call("/-/resume")
     again = instance.peer(instance.clients.address)
     assert again.say(b"*1\r\n$4\r\nPING\r\n") == b"+PONG\r\n"
@@ -40,7 +40,7 @@
     assert not again.closed
     assert again.say(read_command(id="r4")).startswith(b"$")
     assert not again.closed
-    assert instance.call("/-/resume")[0] == 200, "resumed undrained: nothing to do"
+    assert instance.call("/-/resume")[0] == 200, "resuming without a drain succeeds"
 
 
 def test_closing_idle_clients_spares_one_whose_request_is_unread(instance: AdministeredInstance) -> None:
--- a/tests/ops/test_metrics.py
+++ b/tests/ops/test_metrics.py
@@ -39,9 +39,9 @@
                     sent += 1
                     peer.say(read_command(id=f"r{sent}", d=rng.choice((50, 400)), cell=rng.randrange(3)))
             case 3:
-                instance.brick.holds_responses = not instance.brick.holds_responses
-                if not instance.brick.holds_responses:
-                    instance.brick.release()
+                instance.backend.holds_responses = not instance.backend.holds_responses
+                if not instance.backend.holds_responses:
+                    instance.backend.release()
             case 4:
                 instance.run(rng.randrange(1, 200) * MS)
             case 5:
@@ -50,6 +50,6 @@
                 peers[closed] = instance.peer(instance.clients.address)
         shown, metrics = instance.metrics(), instance.core.metrics
         assert metrics.accepted == sent == metrics.ended + shown["concurrent"]
-        assert shown["dispatches"] == len(instance.brick.received) == metrics.dispatches
+        assert shown["dispatches"] == len(instance.backend.received) == metrics.dispatches
     instance.run(SECOND)
     assert instance.metrics()["concurrent"] == 0
--- a/tests/ops/test_process_quota.py
+++ b/tests/ops/test_process_quota.py
@@ -1,4 +1,4 @@
-"""Quota shares of the processes of one instance."""
+"""The quotas of the processes of one instance."""
 
 from __future__ import annotations
 
@@ -10,49 +10,48 @@
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.concurrency import concurrency_limit
-from garnetlanding.ops.process_quota import (
-    MIN_ENDING_SHARE,
-    ProcessRecord,
-    decode,
-    encode,
-    next_share,
-)
+from garnetlanding.ops.process_quota import MIN_SHUTDOWN_QUOTA, next_quota
+from garnetlanding.ops.process_record import ProcessRecord, decode, encode
 from tests.support.clock import MS, T0
 from tests.support.decision_bench import DecisionBench, make_settings, up_endpoint
 
 
 @given(
     st.lists(
-        st.tuples(st.sampled_from(["born", "look", "end", "gone"]), st.integers(0, 3), st.floats(0, 1)),
+        st.tuples(st.sampled_from(["start", "update", "stop", "exit"]), st.integers(0, 3), st.floats(0, 1)),
         max_size=60,
     )
 )
-def test_shares_never_add_up_to_more_than_one(steps: list[tuple[str, int, float]]) -> None:
+def test_quotas_never_add_up_to_more_than_one(steps: list[tuple[str, int, float]]) -> None:
     records: dict[int, ProcessRecord] = {0: ProcessRecord(0, 1.0)}
-    ending: set[int] = set()
-    for n, (what, which, share) in enumerate(steps, 1):
-        who = sorted(records)[which % len(records)] if records else None
-        if what == "born" and len(records) < 4:
+    stopping: set[int] = set()
+    for n, (action, which, used_fraction) in enumerate(steps, 1):
+        process = sorted(records)[which % len(records)] if records else None
+        if action == "start" and len(records) < 4:
             records[n] = ProcessRecord(n, 0.0)
-        elif who is not None and what == "gone":
-            del records[who]
-        elif who is not None:
-            ending |= {who} if what == "end" else set()
-            others = [record for other, record in records.items() if other != who]
-            part = next_share(records[who], others, share * records[who].share, who in ending)
-            assert 0 <= part <= 1
-            records[who] = replace(records[who], share=part)
-        assert sum(record.share for record in records.values()) <= 1 + 1e-9
-
-
-def test_predecessor_lowers_its_share_to_half_or_its_use_and_further_when_ending() -> None:
+        elif process is not None and action == "exit":
+            del records[process]
+        elif process is not None:
+            stopping |= {process} if action == "stop" else set()
+            others = [record for other, record in records.items() if other != process]
+            used = used_fraction * records[process].quota
+            quota = next_quota(records[process], others, used, stopping=process in stopping)
+            assert 0 <= quota <= 1
+            records[process] = replace(records[process], quota=quota)
+        assert sum(record.quota for record in records.values()) <= 1 + 1e-9
+
+
+def test_predecessor_lowers_its_quota_to_half_or_its_use_and_further_when_stopping() -> None:
     predecessor, successor = ProcessRecord(1, 1.0), ProcessRecord(2, 0.0)
-    assert next_share(successor, [predecessor], 0, False) == 0, "nothing until the predecessor has come down"
-    assert next_share(predecessor, [successor], 0.1, False) == 0.5
-    assert next_share(predecessor, [successor], 0.6, False) == 0.75
-    assert next_share(predecessor, [successor], 0.01, True) == MIN_ENDING_SHARE
-    assert next_share(replace(predecessor, share=0.5), [successor], 0.9, False) == 0.5, "it never raises it"
-    assert next_share(successor, [], 0, False) == 1
+    halved = replace(predecessor, quota=0.5)
+    assert (
+        next_quota(successor, [predecessor], 0, stopping=False) == 0
+    ), "until the predecessor lowers its own"
+    assert next_quota(predecessor, [successor], 0.1, stopping=False) == 0.5
+    assert next_quota(predecessor, [successor], 0.6, stopping=False) == 0.75
+    assert next_quota(predecessor, [successor], 0.01, stopping=True) == MIN_SHUTDOWN_QUOTA
+    assert next_quota(halved, [successor], 0.9, stopping=False) == 0.5, "it is never raised again"
+    assert next_quota(successor, [], 0, stopping=False) == 1
 
 
 @pytest.mark.parametrize(
@@ -71,10 +70,10 @@
     assert decode("n1", encode("n1", ProcessRecord(7, 0.25))) == ProcessRecord(7, 0.25)
 
 
-# The decision module under a changing share.
+# The decision module under a changing quota.
 
 
-def test_share_changes_depth_at_once_and_grows_warmup_one_window_later() -> None:
+def test_quota_changes_the_concurrency_limit_at_once_and_raises_warmup_one_window_later() -> None:
     config = make_settings(instances=1, parallel_attempts=False)
     b = DecisionBench(config, [up_endpoint("n0", 0)])
     h = b.c.state.cells[0].health
@@ -85,7 +84,7 @@
     b.tell(api.NewSettings(replace(config, process_share=0.5)))
     assert concurrency_limit(b.c.state, h) == 2
     assert b.c.state.process_warmup_share == 0.5
-    assert b.c.state.volumes["v"].weight == 9, "what was learnt of a volume is not forgotten"
+    assert b.c.state.volumes["v"].weight == 9, "a volume's learned weight is not forgotten"
     b.tell(api.NewSettings(replace(config, process_share=1.0)))
     assert concurrency_limit(b.c.state, h) == 4
     assert b.c.state.process_warmup_share == 0.5
@@ -97,17 +96,20 @@
     assert b.c.state.process_warmup_share == 1.0
 
 
-def fullest_window(config: api.Settings, *parts: dict[int, float]) -> int:
-    """Most units that a cold brick gets in one window from processes whose parts change at those steps."""
+def fullest_window(config: api.Settings, *quotas: dict[int, float]) -> int:
+    """Return the most units that a cold backend gets in one window.
+
+    `quotas` has the quota of each process by the step from which on it holds.
+    """
     sent: list[int] = []
-    benches = [DecisionBench(replace(config, process_share=part[0]), []) for part in parts]
+    benches = [DecisionBench(replace(config, process_share=quota[0]), []) for quota in quotas]
     for bench in benches:
         bench.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=T0),), whole=True))
     for step in range(600):
-        for bench, part in zip(benches, parts, strict=True):
+        for bench, quota in zip(benches, quotas, strict=True):
             bench.now = max(bench.now, T0 + step * 10 * MS)
-            if step and step in part:
-                bench.tell(api.NewSettings(replace(config, process_share=part[step])))
+            if step and step in quota:
+                bench.tell(api.NewSettings(replace(config, process_share=quota[step])))
             done = bench.ask(f"a{step}", volume=f"v{step % 5}", units=1) + bench.run(0)
             for send in [a for a in done if isinstance(a, api.Send)]:
                 sent.append(bench.now)
@@ -116,7 +118,7 @@
 
 
 def test_two_processes_send_a_cold_backend_no_more_than_one_process_may_in_any_window() -> None:
-    """The predecessor is alone, halves, and ends; the successor has nothing, a half, and all."""
+    """The predecessor's quota goes from 1 to a half to 0, and the successor's the other way."""
     config = make_settings(instances=1, parallel_attempts=False, warmup_units=9.0)
     most = fullest_window(config, {0: 1.0})
     assert most >= 9
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -313,7 +313,7 @@
     instance = LinkedInstance()
     link = instance.daemon.assembly.peer_link.link
     assert link
-    instance.file = instance.file | {"settings": PLATFORM_SETTINGS | {"Balancers": 3}}
+    instance.platform_config = instance.platform_config | {"settings": PLATFORM_SETTINGS | {"Balancers": 3}}
     instance.daemon.reload()
     instance.ask()
     instance.received()
@@ -322,7 +322,7 @@
     assert instance.daemon.assembly.peer_link.link is None
     assert instance.received() == [[], []]
     assert instance.client().say(read_command()) == b"$0\r\n\r\n"
-    instance.file = instance.file | {"settings": TELLS}
+    instance.platform_config = instance.platform_config | {"settings": TELLS}
     instance.daemon.reload()
     instance.ask()
     assert instance.daemon.assembly.peer_link.link
@@ -361,7 +361,7 @@
     client = instance.client()
     ask = read_command("r2").replace(b"hosts=1", b"hosts=2")
     assert (
-        client.say(ask).startswith(b"-BUSY") or not instance.brick.received[1:]
+        client.say(ask).startswith(b"-BUSY") or not instance.backend.received[1:]
     ), "the other one has this head's part"
     coordinator = instance.daemon.assembly.peer_link.coordinator
     assert coordinator
--- a/tests/peers/test_disabled_backends.py
+++ b/tests/peers/test_disabled_backends.py
@@ -112,7 +112,7 @@
 def test_disabled_backends_are_stored_with_their_versions(tmp_path: pathlib.Path) -> None:
     fleet, file = FailureDetector(LIMITS), StateFile(str(tmp_path), "n1")
     replicated = shared(fleet)
-    state = file.update(lambda s: replicated.set_disabled(s, "b1", True))
+    state = file.update(lambda s: replicated.set_disabled(s, "b1", disabled=True))
     assert state.disabled == {"b1"}
     assert file.load() == state
     replicated.publish(state)
@@ -125,6 +125,6 @@
     older = decode("n1", encode("n1", AdminState(frozenset({"b2"}), records=state.records)))
     assert replicated.table(older).disabled_names == {"b2"}, "disabled by a process that had no versions"
     with pytest.raises(DisableRejectedError, match="bytes"):
-        replicated.set_disabled(state, "x" * 200, True)
+        replicated.set_disabled(state, "x" * 200, disabled=True)
     with pytest.raises(AdminStateError, match="record"):
         decode("n1", encode("n1", AdminState(records=(StoredDisable("b", "x", 0, True),))))  # type: ignore[arg-type]
--- a/tests/support/admin.py
+++ b/tests/support/admin.py
@@ -1,4 +1,4 @@
-"""An instance with its administrative service for tests."""
+"""An instance with its administrative service, for tests."""
 
 from __future__ import annotations
 
@@ -16,14 +16,17 @@
 
 
 class AdministeredInstance(SimulatedInstance):
-    """An instance with its RESP front and its administrative front, and two backends of one cell each."""
+    """An instance with a RESP listener and an administrative one; two backends, each of one cell.
+
+    Both backends are one emulated server, `backend`.
+    """
 
     def __init__(self, folder: pathlib.Path, **limits: int) -> None:
         super().__init__(None, **limits)
-        self.brick = self.server(EmulatedBackend)
-        self.boxes = [
-            EmulatedEndpoint("b0", self.brick.address, 0),
-            EmulatedEndpoint("b1", self.brick.address, 1),
+        self.backend = self.server(EmulatedBackend)
+        self.endpoints = [
+            EmulatedEndpoint("b0", self.backend.address, 0),
+            EmulatedEndpoint("b1", self.backend.address, 1),
         ]
         self.endpoints_known = True
         self.clients = Listener(
@@ -56,12 +59,12 @@
             self.limits.ops_conns,
             lambda write: AdminConnection(self.service, self.pool, self.limits, write),
         )
-        self.list(*self.boxes)
+        self.list(*self.endpoints)
 
-    def call(self, what: str, method: str = "POST") -> tuple[int, str]:
-        """Return the status and body of one call, whose connection the instance ends."""
+    def call(self, path: str, method: str = "POST") -> tuple[int, str]:
+        """Send one call and return the status and body; check that the instance closes the connection."""
         peer = self.peer(self.ops.address)
-        answer = peer.say(f"{method} {what} HTTP/1.1\r\nHost: h\r\n\r\n".encode()).decode()
+        answer = peer.say(f"{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode()).decode()
         head, _, body = answer.partition("\r\n\r\n")
         assert peer.closed
         assert "Connection: close" in head
--- a/tests/support/daemon.py
+++ b/tests/support/daemon.py
@@ -1,4 +1,4 @@
-"""Configurations and a whole in-process daemon for tests that run one on a simulated clock."""
+"""Configurations, and a complete in-process daemon on a simulated clock, for tests."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 NINEP: dict[str, Any] = {"listen": "127.0.0.1:0", "export": [EXPORT]}
 
 
-# SIGKILL comes by the longest deadline; with this one, 3.7 s after SIGTERM at the earliest.
+# The time until SIGKILL depends on the longest deadline: with this one it is 3.7 s after SIGTERM at least.
 SLOW_SETTINGS = PLATFORM_SETTINGS | {"Classes": [PLATFORM_SETTINGS["Classes"][0] | {"GiveUpUs": 3_000_000}]}
 
 
@@ -77,7 +77,10 @@
 
 
 class SimulatedDaemon(SimulatedInstance):
-    """A whole daemon, with discovery and servers, on the world's clock."""
+    """A complete daemon with discovery, a backend and a file server, on the simulated clock.
+
+    `platform_config` is the platform's configuration, which a test may change before it reloads.
+    """
 
     def __init__(
         self,
@@ -86,19 +89,22 @@
         **more: Any,
     ) -> None:
         super().__init__()
-        self.discovery, self.brick = self.server(Discovery), self.server(EmulatedBackend)
-        self.files = self.server(FileServer, tree={"doc": b"text"})
-        self.discovery.endpoints = [EmulatedEndpoint("b0", self.brick.address, 0)]
-        port = int(self.files.address.rpartition(":")[2])
+        self.discovery = self.server(Discovery)
+        self.backend = self.server(EmulatedBackend)
+        self.file_server = self.server(FileServer, tree={"doc": b"text"})
+        self.discovery.endpoints = [EmulatedEndpoint("b0", self.backend.address, 0)]
+        port = int(self.file_server.address.rpartition(":")[2])
         if operator and "ninep" in operator:
             operator["ninep"] = NINEP | {"server_port": port}
-        self.file = PLATFORM_CONFIG | {"discovery": self.discovery.address, "settings": settings} | more
-        self.daemon = Daemon(self.read(operator), lambda: self.time, self.read)
+        self.platform_config = (
+            PLATFORM_CONFIG | {"discovery": self.discovery.address, "settings": settings} | more
+        )
+        self.daemon = Daemon(self.load_config(operator), lambda: self.time, self.load_config)
         self.daemon.start()
         self.settle()
 
-    def read(self, operator: dict[str, Any] | None = None) -> config.Config:
-        return config.read(self.file, operator, {"RELAY_DISCOVERY": self.discovery.address})
+    def load_config(self, operator: dict[str, Any] | None = None) -> config.Config:
+        return config.read(self.platform_config, operator, {"RELAY_DISCOVERY": self.discovery.address})
 
     def settle(self) -> None:
         quiet = 0
@@ -107,5 +113,5 @@
             moved = [s.run_iteration(1) for s in (self.scheduler, head) if s and not s._stopped]
             quiet = 0 if any(moved) else quiet + 1
 
-    def client(self, at: int = 0) -> LoopbackClient:
-        return self.peer(self.daemon.listeners[at].address)
+    def client(self, listener_index: int = 0) -> LoopbackClient:
+        return self.peer(self.daemon.listeners[listener_index].address)
