--- a/garnetlanding/telemetry/__init__.py
+++ b/garnetlanding/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Metrics and request spans for an OTLP collector. Off unless configured."""
+"""Export of metrics and request spans to an OTLP collector. Off unless configured."""
--- a/garnetlanding/telemetry/collector_client.py
+++ b/garnetlanding/telemetry/collector_client.py
@@ -1,4 +1,4 @@
-"""Posts OTLP requests to a collector over HTTP/1.1: one connection, retries with backoff."""
+"""Posts OTLP requests to a collector over one HTTP/1.1 connection, with retries and backoff."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Any
 
 from garnetlanding.http.errors import HttpError
@@ -22,17 +23,21 @@
 log = logging.getLogger(__name__)
 
 RETRYABLE_STATUSES = frozenset({0, 429, 502, 503, 504})
-"""Those that the specification of OTLP/HTTP names; 0 is that of a status line that names none."""
+"""The statuses that OTLP/HTTP defines as retryable; 0 stands for a status line without a status."""
 
 _NS_PER_SECOND = 1e9
 _BACKOFF_JITTER = (0.5, 1.5)
 _DELAY_DIGITS = 9
-"""A Retry-After with more digits is cut; the pause is bounded far below that anyway."""
+"""How many digits of a Retry-After are read; the delay is limited to far less anyway."""
+
+# Reasons for a failed attempt, which are logged.
+_RESPONSE_RESET = "reset, which is no end"
+_RESPONSE_TOO_LONG = "answer too long"
 
 
 @dataclass(frozen=True, slots=True)
 class PostResult:
-    """Whether the collector accepted a request, and how many of its spans it rejected all the same."""
+    """Whether the collector accepted a request, and how many spans it rejected nevertheless."""
 
     accepted: bool
     rejected_spans: int = 0
@@ -44,9 +49,13 @@
     headers: dict[str, str]
     body: bytes
 
+    @property
+    def is_success(self) -> bool:
+        return HTTPStatus.OK <= self.status < HTTPStatus.MULTIPLE_CHOICES
+
 
 def retry_after_us(text: str, now_s: float) -> int | None:
-    """Return the delay that a Retry-After header asks for, in microseconds; `None` where it asks for none.
+    """Return the delay of a Retry-After header in microseconds, or `None` if the header is empty or invalid.
 
     The header is a number of seconds or a date (RFC 9110, 10.2.3); `now_s` is the wall clock in seconds.
     """
@@ -60,9 +69,9 @@
 
 
 class CollectorClient:
-    """Posts from one task, which it lets wait.
+    """Posts requests one at a time; each call suspends the current task until the request is done.
 
-    `rng` gives the backoff its jitter, `wall_ns` reads the wall clock in nanoseconds.
+    `rng` determines the backoff's jitter. `wall_ns` returns the wall clock in nanoseconds.
     """
 
     def __init__(
@@ -83,36 +92,36 @@
         self._stream: Stream | None = None
 
     def post(self, path: str, data: dict[str, Any]) -> PostResult:
-        """Post a request, several times if need be; gives up on a status that is not retryable."""
+        """Post a request, with retries while the collector is unreachable or its status is retryable."""
         body = json.dumps(data, separators=(",", ":")).encode()
         backoff_us = self._limits.telemetry_backoff_us
         wait_us = 0
         for _ in range(self._limits.telemetry_attempts):
             self._scheduler.sleep(wait_us)
             response = self._attempt(path, body)
-            if response is not None and 200 <= response.status < 300:
-                return PostResult(True, _rejected_spans(response.body))
+            if response is not None and response.is_success:
+                return PostResult(accepted=True, rejected_spans=_rejected_spans(response.body))
             if response is not None and response.status not in RETRYABLE_STATUSES:
                 log.warning(
                     "collector rejected the export", extra={"kv": {"path": path, "status": response.status}}
                 )
-                return PostResult(False)
+                return PostResult(accepted=False)
             wait_us = self._wait_us(response, backoff_us)
             backoff_us *= 2
-        return PostResult(False)
+        return PostResult(accepted=False)
 
     def _wait_us(self, response: _Response | None, backoff_us: int) -> int:
-        """Return how long to wait before the next attempt: as the collector asks, or the backoff."""
-        asked_us = None
+        """Return how long to wait before the next attempt: the collector's Retry-After, or the backoff."""
+        delay_us = None
         if response is not None:
             now_s = self._wall_ns() / _NS_PER_SECOND
-            asked_us = retry_after_us(response.headers.get("retry-after", ""), now_s)
-        if asked_us is None:
-            asked_us = int(backoff_us * self._rng.uniform(*_BACKOFF_JITTER))
-        return min(asked_us, self._limits.telemetry_backoff_max_us)
+            delay_us = retry_after_us(response.headers.get("retry-after", ""), now_s)
+        if delay_us is None:
+            delay_us = int(backoff_us * self._rng.uniform(*_BACKOFF_JITTER))
+        return min(delay_us, self._limits.telemetry_backoff_max_us)
 
     def _attempt(self, path: str, body: bytes) -> _Response | None:
-        """Post once; `None`, logged, where no response came."""
+        """Post once. Return `None`, and log why, if there is no response."""
         try:
             return self._call(path, body)
         except (
@@ -127,7 +136,7 @@
             return None
 
     def _call(self, path: str, body: bytes) -> _Response:
-        """Send one request and read its response. Raises what the connection or the parser raise."""
+        """Send one request and read its response. Exceptions of the connection and the parser propagate."""
         deadline = self._scheduler.now + self._limits.telemetry_answer_us
         stream = self._connect(deadline)
         parser = ResponseParser(self._pool, self._limits)
@@ -147,11 +156,11 @@
         while not parser.done:
             if not stream.read(lambda data: received.extend(parser.feed(data)), deadline):
                 if stream.read_failed:
-                    raise HttpError("reset, which is no end")
+                    raise HttpError(_RESPONSE_RESET)
                 parser.end()
                 self._disconnect()
             if sum(map(len, received)) > self._limits.http_line_bytes:
-                raise HttpError("answer too long")
+                raise HttpError(_RESPONSE_TOO_LONG)
 
     def _request_head(self, path: str, length: int) -> bytes:
         lines = [
@@ -179,7 +188,7 @@
 
 
 def _rejected_spans(body: bytes) -> int:
-    """Return how many spans a partial success (`ExportTracePartialSuccess`) says were rejected."""
+    """Return the number of rejected spans in a partial success (`ExportTracePartialSuccess`), else 0."""
     try:
         return int(json.loads(body)["partialSuccess"]["rejectedSpans"])
     except (ValueError, KeyError, TypeError):
--- a/garnetlanding/telemetry/ended_request.py
+++ b/garnetlanding/telemetry/ended_request.py
@@ -1,4 +1,4 @@
-"""What telemetry keeps of a request that has ended, until it is encoded."""
+"""The record of an ended request that telemetry queues until it is exported."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
     request: RequestSpec
     outcome: str
-    """`served`, `refused` or `failed`: the words of the exported attributes."""
+    """`served`, `refused` or `failed`, as in the exported attributes."""
     began_us: int
     ended_us: int
     attempts: list[AttemptSummary]
 
 
 def outcome_of(answer: Answer) -> str:
-    """Return the exported word for the answer of a request."""
+    """Return the exported name of an answer's outcome."""
     match answer:
         case Rejected():
             return "refused"
--- a/garnetlanding/telemetry/exporter.py
+++ b/garnetlanding/telemetry/exporter.py
@@ -1,7 +1,7 @@
 """Exports ended requests to a collector over OTLP/HTTP, as spans and as metrics.
 
-No request is delayed by it: an ended request is appended to a bounded queue, and what does not fit is counted
-as dropped. Encoding and posting happen in a task of their own, a small batch at a time.
+Requests are not delayed: an ended request is appended to a bounded queue, or counted as dropped if the queue
+is full. A separate task encodes and posts the queue in small batches.
 """
 
 from __future__ import annotations
@@ -32,17 +32,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceInstance:
-    """Who exports: the instance's name, and the seed of its span ids and of the backoff's jitter."""
+    """The exporting instance: its name, and the seed of its span ids and of the backoff's jitter."""
 
     name: str
     seed: int
 
 
 class Exporter:
-    """An `Observer` of the request engine that exports at intervals from a task of its own.
+    """Observes the request engine (`Observer`), and exports at intervals from a separate task.
 
-    `dropped` counts requests that were not exported as spans. `gauges` are read at each export; their names
-    are completed to `garnetlanding.NAME`. `wall_ns` reads the wall clock in nanoseconds.
+    `dropped` counts requests that were not exported as spans. `gauges` are read at each export, by their
+    names without the prefix `garnetlanding.`. `wall_ns` returns the wall clock in nanoseconds.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         ended_us: int,
         attempts: list[AttemptSummary],
     ) -> None:
-        """Count a request and queue it for export; it is dropped where the queue is full."""
+        """Count a request and queue it for export, or drop it if the queue is full."""
         ended = EndedRequest(spec, outcome_of(answer), began_us, ended_us, attempts)
         self._metrics.add(ended)
         if len(self._queue) >= self._limits.telemetry_queue:
@@ -91,11 +91,11 @@
 
     @property
     def done(self) -> bool:
-        """Whether the last export is over, after `finish`."""
+        """Whether the final export, which `finish` starts, is complete."""
         return self._task.done
 
     def finish(self) -> None:
-        """Export once more without waiting for the interval, and then no more."""
+        """Start a final export without waiting for the interval to pass."""
         self._finishing = True
         if self._asleep:
             self._scheduler.wake(self._task)
@@ -108,20 +108,20 @@
             self._export()
 
     def _export(self) -> None:
-        """Post the queue batch by batch, then the metrics.
+        """Post the queue in batches, then the metrics.
 
-        After a batch that could not be posted the others wait for the next export, bounded as ever.
+        After a batch that was not accepted, the remaining ones stay queued until the next export.
         """
         while self._queue:
             if not self._export_batch():
                 break
-            self._scheduler.sleep(0)  # requests first
+            self._scheduler.sleep(0)  # let pending requests run first
         interval = otlp.Interval(self._start_ns, self._wall_ns())
         metrics = self._metrics.encode(self.dropped, self.gauges, interval)
         self._post(_METRICS_PATH, otlp.encode_metrics(self._resource, metrics))
 
     def _export_batch(self) -> bool:
-        """Post one batch of spans and return whether it was accepted; a batch that was not is dropped."""
+        """Post one batch of spans and return whether it was accepted; otherwise it is dropped."""
         size = min(len(self._queue), self._limits.telemetry_batch)
         batch = [self._queue.popleft() for _ in range(size)]
         spans = [span for ended in batch for span in self._spans.build(ended)]
--- a/garnetlanding/telemetry/otlp.py
+++ b/garnetlanding/telemetry/otlp.py
@@ -1,9 +1,9 @@
-"""Encoders for OTLP, the OpenTelemetry protocol, in its JSON form: plain data that `json.dumps` can take.
+"""Encoders for OTLP, the OpenTelemetry protocol, in its JSON form, as plain data for `json.dumps`.
 
 They follow the OpenTelemetry Protocol Specification 1.x (OTLP/HTTP with JSON Protobuf encoding) and the
-messages of opentelemetry-proto, `trace/v1/trace.proto` and `metrics/v1/metrics.proto`. Three rules of that
-encoding show everywhere below: 64-bit integers are decimal text, enumerations are numbers, trace and span ids
-are hexadecimal text. All times are in nanoseconds since 1970.
+messages of opentelemetry-proto, `trace/v1/trace.proto` and `metrics/v1/metrics.proto`. In that encoding
+64-bit integers are decimal strings, enumerations are numbers, and trace and span ids are hexadecimal strings.
+All times are in nanoseconds since 1970.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 Json = dict[str, Any]
 AttributeValue = str | int | float | bool
 Attributes = tuple[tuple[str, str], ...]
-"""Attributes that tell the points of one metric apart."""
+"""The attributes that distinguish the data points of one metric."""
 
 
 class SpanKind(IntEnum):
-    """`Span.SpanKind` of trace.proto, as far as it is used."""
+    """The values of `Span.SpanKind` (trace.proto) that are used."""
 
     SERVER = 2
     CLIENT = 3
 
 
 class StatusCode(IntEnum):
-    """`Status.StatusCode` of trace.proto, as far as it is used; a span without a status is unset."""
+    """The values of `Status.StatusCode` (trace.proto) that are used; a span without a status is unset."""
 
     ERROR = 2
 
 
 class AggregationTemporality(IntEnum):
-    """`AggregationTemporality` of metrics.proto, as far as it is used."""
+    """The values of `AggregationTemporality` (metrics.proto) that are used."""
 
     CUMULATIVE = 2
 
@@ -46,18 +46,18 @@
     trace_id: str
     span_id: str
     parent_id: str
-    """Id of the span that this one is a part of; empty for the root of a trace."""
+    """The parent span's id; empty for the root of a trace."""
     name: str
     kind: SpanKind
     start_ns: int
     end_ns: int
     attributes: Mapping[str, AttributeValue]
     error: str = ""
-    """What went wrong; empty for an operation that succeeded."""
+    """The status message of a failed operation; empty for one that succeeded."""
 
 
 class Interval(NamedTuple):
-    """The time that cumulative points cover: from the start of the process to the moment of export."""
+    """The time that cumulative data points cover: from the start of the process to the export."""
 
     start_ns: int
     end_ns: int
@@ -65,15 +65,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Resource:
-    """What the spans and metrics are about (`Resource` and `InstrumentationScope`)."""
+    """The source of spans and metrics (`Resource` and `InstrumentationScope`)."""
 
     attributes: Mapping[str, str]
     scope_version: str
-    """Version of this program, whose name is the scope."""
+    """The version of this program; its name is the scope's name."""
 
 
 def encode_attributes(attributes: Mapping[str, AttributeValue]) -> list[Json]:
-    """Return a list of `KeyValue` messages."""
+    """Encode attributes as `KeyValue` messages."""
     return [{"key": key, "value": _encode_value(value)} for key, value in attributes.items()]
 
 
@@ -89,7 +89,7 @@
 
 
 def encode_span(span: Span) -> Json:
-    """Return a `Span` message; parent and status are left out where they are unset."""
+    """Encode a span as a `Span` message, which omits an unset parent or status."""
     encoded: Json = {
         "traceId": span.trace_id,
         "spanId": span.span_id,
@@ -107,7 +107,7 @@
 
 
 def encode_counter(name: str, unit: str, points: Mapping[Attributes, int], interval: Interval) -> Json:
-    """Return a `Metric` with a monotonic, cumulative `Sum`."""
+    """Encode a counter as a `Metric` with a monotonic, cumulative `Sum`."""
     data_points = [
         {
             "attributes": encode_attributes(dict(attributes)),
@@ -126,7 +126,7 @@
 
 
 def encode_gauge(name: str, unit: str, value: int, now_ns: int) -> Json:
-    """Return a `Metric` with a `Gauge` of one point."""
+    """Encode a gauge as a `Metric` with a `Gauge` of one data point."""
     point = {"timeUnixNano": str(now_ns), "asInt": str(value)}
     return {"name": name, "unit": unit, "gauge": {"dataPoints": [point]}}
 
@@ -134,8 +134,8 @@
 class Histogram:
     """Counts values by bucket, cumulatively (`HistogramDataPoint` of metrics.proto).
 
-    `bounds` are the buckets' upper bounds in ascending order; a bucket includes its own bound, and one more
-    bucket holds what is above the last.
+    `bounds` are the buckets' inclusive upper bounds, in ascending order. One more bucket counts the values
+    above the last bound.
     """
 
     def __init__(self, bounds: tuple[float, ...]) -> None:
@@ -149,7 +149,7 @@
         self.sum += value
 
     def encode_point(self, attributes: Mapping[str, str], interval: Interval) -> Json:
-        """Return a `HistogramDataPoint`."""
+        """Encode the counts as a `HistogramDataPoint`."""
         return {
             "attributes": encode_attributes(attributes),
             "startTimeUnixNano": str(interval.start_ns),
@@ -162,19 +162,19 @@
 
 
 def encode_histogram(name: str, unit: str, points: list[Json]) -> Json:
-    """Return a `Metric` with a cumulative `Histogram` of encoded points."""
+    """Encode a histogram as a `Metric` with the encoded data points `points`."""
     encoded = {"aggregationTemporality": AggregationTemporality.CUMULATIVE.value, "dataPoints": points}
     return {"name": name, "unit": unit, "histogram": encoded}
 
 
 def encode_traces(resource: Resource, spans: Iterable[Span]) -> Json:
-    """Return an `ExportTraceServiceRequest` with the spans of one resource."""
+    """Encode an `ExportTraceServiceRequest` with the spans of one resource."""
     scope_spans = {"scope": _encode_scope(resource), "spans": [encode_span(span) for span in spans]}
     return {"resourceSpans": [{"resource": _encode_resource(resource), "scopeSpans": [scope_spans]}]}
 
 
 def encode_metrics(resource: Resource, metrics: Iterable[Json]) -> Json:
-    """Return an `ExportMetricsServiceRequest` with the encoded metrics of one resource."""
+    """Encode an `ExportMetricsServiceRequest` with the encoded metrics of one resource."""
     scope_metrics = {"scope": _encode_scope(resource), "metrics": list(metrics)}
     return {"resourceMetrics": [{"resource": _encode_resource(resource), "scopeMetrics": [scope_metrics]}]}
 
--- a/garnetlanding/telemetry/request_metrics.py
+++ b/garnetlanding/telemetry/request_metrics.py
@@ -1,4 +1,4 @@
-"""Counts requests and attempts from the start of the process, and encodes the counts as OTLP metrics."""
+"""Counts requests and attempts since the start of the process, and encodes the counts as OTLP metrics."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 """Upper bounds of the duration histogram's buckets, in seconds."""
 
 Gauge = Callable[[], int]
-"""Reads a present value."""
+"""Returns the current value of a metric."""
 
 
 class RequestMetrics:
-    """Cumulative counts; a request that is not exported as a span counts here all the same."""
+    """Cumulative counts of all requests, including those that are not exported as spans."""
 
     def __init__(self) -> None:
         self._requests: Counter[otlp.Attributes] = Counter()
@@ -36,7 +36,7 @@
         durations.add((ended.ended_us - ended.began_us) / SECOND)
 
     def encode(self, dropped: int, gauges: Mapping[str, Gauge], interval: otlp.Interval) -> list[otlp.Json]:
-        """Return all metrics: the counts, the number of requests not exported as spans, and the gauges."""
+        """Encode the counts, the gauges, and `dropped`, the number of requests not exported as spans."""
         durations = [
             histogram.encode_point({"class": request_class}, interval)
             for request_class, histogram in self._durations.items()
--- a/garnetlanding/telemetry/request_spans.py
+++ b/garnetlanding/telemetry/request_spans.py
@@ -13,10 +13,10 @@
 
 
 class SpanBuilder:
-    """Builds spans with random ids, their times moved from the monotonic to the wall clock.
+    """Builds spans with random ids, and converts their times from the monotonic to the wall clock.
 
-    `wall_offset_ns` is what to add to monotonic time. It is fixed at the start of the process, so that steps
-    of the wall clock do not tear the spans of a trace apart.
+    `wall_offset_ns` is added to monotonic times. It stays the same for the life of the process, so that the
+    spans of a trace remain consistent when the wall clock is stepped.
     """
 
     def __init__(self, rng: random.Random, wall_offset_ns: int) -> None:
@@ -67,7 +67,7 @@
         ]
 
     def _random_id(self, digits: int) -> str:
-        """Return a number other than 0, which stands for no id, in hexadecimal digits."""
+        """Return a random id in hexadecimal; OTLP reserves 0 for a missing id."""
         return f"{self._rng.randrange(1, 16 ** digits):0{digits}x}"
 
     def _wall_ns(self, monotonic_us: int) -> int:
--- a/garnetlanding/telemetry/setup.py
+++ b/garnetlanding/telemetry/setup.py
@@ -16,14 +16,14 @@
     address: str
     """HOST:PORT."""
     path: str = ""
-    """What stands before `/v1/traces` and `/v1/metrics`."""
+    """The prefix of the paths `/v1/traces` and `/v1/metrics`."""
     service: str = "garnetlanding"
     """The resource's `service.name`."""
     interval_us: int = 10 * SECOND
 
 
 def read(data: object) -> TelemetrySetup:
-    """Read the section. Raises `ConfigError`, which names the key."""
+    """Read the section. Raises `ConfigError` that names the key."""
     section = Section(data, "telemetry", "endpoint service every_s")
     url = section.text("endpoint")
     scheme, _, rest = url.partition("://")
