--- a/garnetlanding/core/__init__.py
+++ b/garnetlanding/core/__init__.py
@@ -1,1 +1,4 @@
-"""The request engine: requests, their attempts, and the actions of the decision module. Knows no protocol."""
+"""The request engine: tracks requests and their attempts and carries out the decision module's actions.
+
+It knows no protocol, and does no I/O.
+"""
--- a/garnetlanding/core/admission.py
+++ b/garnetlanding/core/admission.py
@@ -1,54 +1,53 @@
-"""Admission by this instance's own means: what it can never serve, and what exceeds its capacity.
+"""Admission checks on the instance itself: requests that the settings rule out, and its own capacity.
 
-Both are decided before the decision module gets a request's `Arrival`, whose capacity is that of the
-backends.
+Both precede the decision module's `Arrival` event: the decision module accounts for the backends' capacity.
 """
 
 from __future__ import annotations
 
-from garnetlanding.core.ports import InvalidRequestError, RequestSpec
+from garnetlanding.core.ports import InvalidRequestError, RequestDefect, RequestSpec
 from garnetlanding.decision.interface import Settings
 from garnetlanding.limits import Limits
 
 
 class Capacity:
-    """How many requests are open and how many bytes they hold, against the instance's own limits.
+    """Counts open requests and the bytes that they hold against the instance's own limits.
 
-    `share` is the part of the limits that this process may use, in (0, 1]; below 1 while another process of
-    the same instance has the rest.
+    `quota` is the fraction of the limits that this process may use, in (0, 1]; it is below 1 while another
+    process of the same instance has the rest.
     """
 
-    __slots__ = ("_limits", "share", "open_requests", "held_bytes")
+    __slots__ = ("_limits", "held_bytes", "open_requests", "quota")
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
-        self.share = 1.0
-        self.open_requests = 0  # accepted, and not yet answered to the last byte
-        self.held_bytes = 0  # of requests without a final answer
+        self.quota = 1.0
+        self.open_requests = 0  # accepted, and the response not complete yet
+        self.held_bytes = 0  # by requests without a final answer
 
     @property
     def used(self) -> float:
-        """The part of the instance's limits in use, by the scarcer of the two."""
+        """The fraction of the instance's limits in use, of whichever limit is closer to being exhausted."""
         return max(self.open_requests / self._limits.open_items, self.held_bytes / self._limits.open_bytes)
 
     @property
     def is_exceeded(self) -> bool:
-        """Whether more is in use than this process's share."""
-        return self.used > self.share
+        """Whether this process uses more than its quota."""
+        return self.used > self.quota
 
 
 def validate(spec: RequestSpec, settings: Settings) -> None:
-    """Raise InvalidRequestError for what the settings in force have no place for.
+    """Raise InvalidRequestError for a request that contradicts the settings in force.
 
-    Such a request would corrupt what the decision module keeps for others. The texts reach clients.
+    The decision module relies on this check: such a request would corrupt its state for other requests.
     """
     if spec.cls not in settings.classes:
-        raise InvalidRequestError("unknown class")
+        raise InvalidRequestError(RequestDefect.UNKNOWN_CLASS)
     if spec.plan not in settings.plans:
-        raise InvalidRequestError("unknown plan")
+        raise InvalidRequestError(RequestDefect.UNKNOWN_PLAN)
     if settings.cells and spec.cell >= settings.cells:
-        raise InvalidRequestError("unknown shard")
+        raise InvalidRequestError(RequestDefect.UNKNOWN_CELL)
     if spec.units > settings.max_units:
-        raise InvalidRequestError("more units than the largest request has")
+        raise InvalidRequestError(RequestDefect.TOO_MANY_UNITS)
     if spec.volume_hosts > settings.instances:
-        raise InvalidRequestError("more hosts than there are")
+        raise InvalidRequestError(RequestDefect.TOO_MANY_INSTANCES)
--- a/garnetlanding/core/body.py
+++ b/garnetlanding/core/body.py
@@ -5,43 +5,46 @@
 from collections.abc import Callable
 from typing import Protocol
 
-EndCallback = Callable[[bool], None]  # gets whether the body is complete
+EndCallback = Callable[[bool], None]
+"""Called with whether the body is complete."""
+
 WritableCallback = Callable[[], None]
 
 
 class Sink(Protocol):
-    """Where a client's bytes go."""
+    """The client's end of a streamed body: a connection that bytes are written to."""
 
     def __call__(self, data: bytes) -> None:
         """Write bytes to the client, in order."""
 
     @property
     def full(self) -> bool:
-        """Whether the client leaves too much unread, so that nothing more is to be written for now."""
+        """Whether the client has left so much unread that nothing more may be written for now."""
 
     def when_writable(self, call: WritableCallback) -> None:
-        """Call once, when the client has read all that was written."""
+        """Call back once, as soon as the client has read everything that was written."""
 
     def cut(self) -> None:
-        """Close the connection at once, so that its client can tell that what was begun is not complete."""
+        """Abort the connection, so that the client can tell that the response is incomplete."""
 
 
 def _ignore_writable() -> None:
-    """Stand in until a producer registers its callback."""
+    """Do nothing: the default until a producer registers its callback."""
 
 
 class Body:
-    """One value of `length` bytes on its way from a producer (the backend's side) to a sink (the client's).
+    """One value of `length` bytes, streamed from a producer (the backend's side) to a sink (the client's).
 
     States:
 
-    - buffering, from the start: answers before it are still owed, `feed` collects; the body is `blocked`;
-    - streaming, from `attach_sink` on: `feed` writes through; `blocked` while the sink is full;
-    - ended, from `end` on, by either side: complete or cut short; further calls change nothing.
+    - buffering, from the start: earlier responses on the client's connection are still pending, `feed`
+      collects the bytes and the body is blocked;
+    - streaming, from `attach_sink` on: `feed` writes through; blocked while the sink is full;
+    - ended, from `end` on, by either side: complete or truncated; further calls have no effect.
 
-    Invariants: each `on_end` callback is called exactly once; the producer looks at `blocked` after each
-    piece and stops reading while it is set, so no more is buffered than it reads at once; `on_writable` is
-    called at each moment at which the producer may go on, which includes the end.
+    Invariants: each `on_end` callback is called exactly once; the producer checks `is_blocked` after each
+    piece and stops reading while it is set, so no more is buffered than the producer reads at once;
+    `on_writable` is called whenever the producer may continue, which includes the end.
     """
 
     def __init__(self, length: int) -> None:
@@ -53,12 +56,12 @@
         self._sink: Sink | None = None
 
     @property
-    def blocked(self) -> bool:
-        """Whether the producer is not to read further for now."""
+    def is_blocked(self) -> bool:
+        """Whether the producer has to stop reading for now."""
         return not self.ended and (self._sink is None or self._sink.full)
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes from the producer."""
+        """Accept the next bytes from the producer: write them to the sink, or buffer them without one."""
         if self.ended:
             return
         if self._sink is None:
@@ -69,7 +72,7 @@
             self._sink.when_writable(self.on_writable)
 
     def attach_sink(self, sink: Sink) -> None:
-        """Begin to stream: every answer before it has been sent. Called once."""
+        """Start streaming to the client, buffered bytes first. Called once, after all earlier responses."""
         self._sink = sink
         buffered = self._buffered
         self._buffered = []
@@ -80,8 +83,8 @@
         else:
             self.on_writable()
 
-    def end(self, complete: bool) -> None:
-        """End the body, from either side; after the first call nothing changes."""
+    def end(self, *, complete: bool) -> None:
+        """End the body, from either side, and notify both; only the first call has an effect."""
         if self.ended:
             return
         self.ended = True
--- a/garnetlanding/core/dispatcher.py
+++ b/garnetlanding/core/dispatcher.py
@@ -1,4 +1,4 @@
-"""The life of attempts: starts what the decision module sends, and reports how each attempt ended."""
+"""The life cycle of attempts: start what the decision module sends, report how each attempt ended."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatcherParts:
-    """The parts of the engine that attempts touch."""
+    """The parts of the engine that the dispatcher works with."""
 
     requests: RequestTable
     endpoints: EndpointRegistry
@@ -30,12 +30,11 @@
 
 
 class AttemptDispatcher:
-    """Starts attempts and takes up their ends; implements `AttemptOwner`.
+    """Starts attempts and processes their results; implements `AttemptOwner`.
 
-    Invariants, whatever the decision module asks for: no attempt starts after its request's answer or
-    deadline, beyond the allowed number, beside more than is allowed in parallel, at a backend that may not be
-    sent anything, or while the instance is fenced. What may not start ends at once as
-    `Outcome.NEVER_DISPATCHED`.
+    Invariants, whatever the decision module asks for: no attempt starts after its request's final answer or
+    deadline, beyond the maximum number of attempts or of concurrent ones, at a backend that is not available,
+    or while the instance is fenced. An attempt that may not start ends at once as `Outcome.NEVER_DISPATCHED`.
     """
 
     def __init__(self, parts: DispatcherParts, settings: Settings, timers: Timers, limits: Limits) -> None:
@@ -46,7 +45,7 @@
         self._metrics = parts.metrics
         self._timers = timers
         self._limits = limits
-        self.settings = settings  # those in force; the engine replaces them
+        self.settings = settings  # in force; replaced by the engine
 
     @property
     def now(self) -> int:
@@ -54,29 +53,29 @@
         return self._timers.now
 
     def send(self, send: Send) -> None:
-        """Start an attempt, or end it as never dispatched where a rule forbids it."""
+        """Start an attempt, or end it as never dispatched if it may not start."""
         request = self._requests.get(send.request)
         if request is None:
             return
         now = self._timers.now
         until = min(send.until_us or request.until_us, request.until_us)
         attempt = Attempt(self, request, len(request.attempts), send.node, until, now)
-        is_blocked = len(request.in_flight()) >= self._most_in_flight(attempt)
+        is_blocked = len(request.in_flight()) >= self._max_in_flight(attempt)
         request.attempts.append(attempt)
         if is_blocked or not self._may_dispatch(attempt, now):
             attempt.finish(Outcome.NEVER_DISPATCHED)
             return
         if until < request.until_us:
             self._timers.call_at(until, lambda: attempt.stop(Outcome.TIMEOUT))
-        request.backend.start(attempt)
+        request.transport.start(attempt)
 
     def cancel(self, ticket: str, number: int) -> None:
-        """Take an attempt off its backend, if it is in flight."""
+        """Cancel an attempt if it is in flight."""
         request = self._requests.get(ticket)
         if request and number < len(request.attempts):
             request.attempts[number].stop(Outcome.CANCELLED)
 
-    def _most_in_flight(self, attempt: Attempt) -> int:
+    def _max_in_flight(self, attempt: Attempt) -> int:
         if self.settings.parallel_attempts and attempt.request.spec.allow_hedging:
             return self._limits.copies
         return 1
@@ -93,7 +92,7 @@
     # Implementation of AttemptOwner
 
     def address_for(self, attempt: Attempt) -> str | None:
-        """Return where the attempt's first byte may go now, or None if it may not be sent any more."""
+        """Return the HOST:PORT to send the attempt to now, or None if it may not be sent any more."""
         if attempt.number:
             spec = self.settings.classes.get(attempt.request.spec.cls)
             if not may_repeat(attempt, spec, self._timers.now):
@@ -101,11 +100,11 @@
         return self._endpoints.address_of(attempt.node)
 
     def attempt_written(self) -> None:
-        """Count an attempt whose last byte is with the kernel."""
+        """Count an attempt that has been written to its backend in full."""
         self._metrics.dispatches += 1
 
     def attempt_finished(self, attempt: Attempt, value: Any, used: int, report: dict[str, float]) -> None:
-        """Answer the client where this is the first success, and report the result to the decision module."""
+        """Answer the client if this is the first success, and report the result to the decision module."""
         request = attempt.request
         outcome = attempt.outcome
         assert outcome is not None
@@ -113,7 +112,7 @@
         if outcome is Outcome.SERVED and request.answer is None:
             self._requests.finish(request, Served(value))
         elif isinstance(value, Body):
-            value.end(False)  # nobody waits for it any more
+            value.end(complete=False)  # another attempt has answered the client
         self._events.pending.append(
             Result(
                 request.ticket,
--- a/garnetlanding/core/endpoint_registry.py
+++ b/garnetlanding/core/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The backends as this instance last learnt of them: which may be sent something, and where they listen."""
+"""The backends that this instance knows: which of them are available, and their addresses."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 from garnetlanding.core.ports import EndpointListing
 from garnetlanding.decision.interface import Endpoint, EndpointState
 
-INSTANCE_PREFIX = "head/"  # before an instance's number, where instances are disabled among backends
+INSTANCE_PREFIX = "head/"
+"""Precedes the number of a load balancer instance in the set of disabled names; others are backends."""
 
 
 class EndpointRegistry:
-    """The endpoint list as discovery gave it, overlaid with what operators have administratively disabled.
+    """The endpoint list from discovery, combined with the backends that operators have disabled.
 
-    A disabled backend counts as draining until it is enabled again, whatever lists say of it meanwhile, and
-    as just started from then on.
+    A disabled backend counts as draining until it is enabled again, whatever state the list gives it, and as
+    just started from then on.
     """
 
     def __init__(self) -> None:
-        self._entries: dict[str, Endpoint] = {}  # as listed
-        self._addresses: dict[str, str] = {}  # of the same backends
-        self._enabled_at: dict[str, int] = {}  # when those once disabled were enabled again, microseconds
+        self._entries: dict[str, Endpoint] = {}  # as discovery lists them
+        self._addresses: dict[str, str] = {}  # HOST:PORT, of the same backends
+        self._enabled_at: dict[str, int] = {}  # of backends that had been disabled, microseconds
         self.disabled: frozenset[str] = frozenset()
 
     def apply(self, listing: EndpointListing) -> list[str]:
-        """Take up a listing and return its anomalies, described for the log.
+        """Apply an endpoint list or changes to it; return its anomalies as texts for the log.
 
-        A listing with anomalies can be read, and what it says counts as notified, so it holds all the same;
-        of several entries for one backend the last one does.
+        A listing with anomalies is applied all the same, because it is still the newest state that discovery
+        has. The last of several entries for one backend takes effect.
         """
         anomalies = self._anomalies(listing)
         if listing.complete:
-            # What a complete list leaves out is gone; its address is forgotten with it.
+            # Backends that a complete list does not name are gone.
             self._entries.clear()
             self._addresses.clear()
         for entry in listing.entries:
             if entry.state is EndpointState.GONE:
-                # Replaced backends come back under other names: the entries of old ones would grow without
-                # end.
+                # Replacements have new names, so keeping entries of terminated backends would leak memory.
                 self._entries.pop(entry.node, None)
                 self._addresses.pop(entry.node, None)
             else:
@@ -59,25 +59,24 @@
             named.add(entry.node)
             known = self._entries.get(entry.node, entry)
             if known.cell != entry.cell and entry.state is not EndpointState.GONE:
-                # A backend that restarts or is replaced keeps its cell: requests for either cell would go
-                # astray.
+                # A backend keeps its cell when it restarts: requests for both cells would be misrouted.
                 anomalies.append(f"{entry.node} moved from cell {known.cell} to {entry.cell}")
         return anomalies
 
     def effective_entry(self, entry: Endpoint) -> Endpoint:
-        """Return a listed entry as the decision module is to see it, with the operators' overlay."""
+        """Return an entry as the decision module must see it: with the operators' changes applied."""
         if entry.node in self.disabled and entry.state is EndpointState.UP:
             return replace(entry, state=EndpointState.DRAINING, admin_disabled=True)
-        # While it was disabled it was restarted, which the list may show late: it comes back warming up.
+        # It was probably restarted while it was disabled, which the list may show late: let it warm up.
         enabled_at = self._enabled_at.get(entry.node, 0)
         if enabled_at > entry.started_us:
             return replace(entry, started_us=enabled_at)
         return entry
 
     def set_disabled(self, disabled: frozenset[str], now: int) -> list[Endpoint]:
-        """Replace the set of disabled backends; return the effective entries that this changes, by name.
+        """Replace the set of disabled names; return the effective entries that this changes, sorted by name.
 
-        `now`: the monotonic clock in microseconds, from which those enabled again warm up.
+        Backends that are enabled again warm up from `now` on (monotonic clock, microseconds).
         """
         changed = sorted(disabled ^ self.disabled)
         self._enabled_at |= {node: now for node in changed if node not in disabled}
@@ -85,18 +84,18 @@
         return [self.effective_entry(self._entries[node]) for node in changed if node in self._entries]
 
     def instance_disabled(self, number: int) -> bool:
-        """Whether operators have disabled the load balancer's instance of that number."""
+        """Return whether operators have disabled the load balancer instance with that number."""
         return f"{INSTANCE_PREFIX}{number}" in self.disabled
 
     @property
     def disabled_digest(self) -> str:
-        """A digest that is the same for the same set of disabled names; empty where none is."""
+        """A digest of the set of disabled names; empty if the set is."""
         if not self.disabled:
             return ""
         return f"{zlib.crc32(' '.join(sorted(self.disabled)).encode()):08x}"
 
     def is_known(self, node: str) -> bool:
-        """Whether a backend of that name is listed or disabled."""
+        """Return whether a backend of that name is listed or disabled."""
         return node in self._entries or node in self.disabled
 
     def __len__(self) -> int:
@@ -104,17 +103,17 @@
 
     @property
     def unavailable(self) -> int:
-        """How many listed backends are sent nothing."""
+        """The number of listed backends that receive no requests."""
         return sum(self.address_of(node) is None for node in self._entries)
 
     def zones(self) -> dict[str, str]:
-        """Return the zone of each backend that may be sent something, by its name."""
+        """Return the zone of each available backend, by its name."""
         return {node: entry.zone for node, entry in self._entries.items() if self.address_of(node)}
 
     def address_of(self, node: str) -> str | None:
-        """Return where a backend listens, or None where it may not be sent anything.
+        """Return the HOST:PORT of a backend, or None if it is not available.
 
-        That is one which drains, is gone, is disabled or was never listed.
+        A backend is available if it is listed, is up and is not disabled.
         """
         entry = self._entries.get(node)
         if entry is None or entry.state is not EndpointState.UP or node in self.disabled:
--- a/garnetlanding/core/engine.py
+++ b/garnetlanding/core/engine.py
@@ -1,8 +1,7 @@
-"""Feeds the decision module with events and carries out its actions.
+"""Feed the decision module with events and perform its actions.
 
-The engine is the composition of the core's parts and its outward face: fronts submit requests, operators and
-discovery change what holds, and once in each event-loop iteration everything that has happened goes to the
-decision module together, under one reading of the clock.
+The engine is the core's public interface: fronts submit requests, operators and discovery change settings and
+endpoints, and once in each event-loop iteration all events go to the decision module together, with one time.
 """
 
 from __future__ import annotations
@@ -17,14 +16,14 @@
 from garnetlanding.core.fencing import Fence
 from garnetlanding.core.metrics import RequestMetrics, encode
 from garnetlanding.core.ports import (
-    Backend,
+    BackendTransport,
     DecisionModule,
     EndpointListing,
+    EndpointSubscription,
     Failed,
     Rejected,
     RequestSpec,
     ResponseCallback,
-    Subscriptions,
     Timers,
 )
 from garnetlanding.core.request import Request
@@ -39,18 +38,21 @@
 class RequestEngine:
     """One instance's requests, from submission to the final answer.
 
-    Not thread-safe: all calls come from the one event loop. Calls of fronts, operators and discovery only
-    note events; attempts start in `run_iteration` alone, which the loop calls at the end of each iteration.
+    It stays one class because it is a facade: each method delegates to one part of the core, and the order of
+    the calls is the order of the decision module's events.
+
+    Not thread-safe: all calls come from the event loop. Calls of fronts, operators and discovery only queue
+    events; attempts start in `run_iteration` alone, which the loop calls at the end of each iteration.
     """
 
     def __init__(self, module: DecisionModule, timers: Timers, limits: Limits) -> None:
-        self.module = module  # may be replaced by one that wraps it
+        self.module = module  # may be replaced by a wrapper
         self.endpoints = EndpointRegistry()
         self.metrics = RequestMetrics(module.settings.classes)
         self.capacity = Capacity(limits)
         self.fence = Fence()
-        self.subscriptions: Subscriptions | None = None  # None: the endpoint list is never asked for
-        self.send_to_peer: Callable[[bytes, int], None] | None = None  # None: instances may not send messages
+        self.endpoint_subscription: EndpointSubscription | None = None  # None: the list is never polled
+        self.send_to_peer: Callable[[bytes, int], None] | None = None  # None: there is no link to peers
         self._timers = timers
         self._events = EventFeed()
         self._requests = RequestTable(timers, self._events, self.metrics, self.capacity)
@@ -70,25 +72,24 @@
 
     @property
     def open_requests(self) -> int:
-        """How many requests are accepted and not yet answered to the last byte."""
+        """The number of accepted requests whose response is not complete yet."""
         return self.capacity.open_requests
 
     # From fronts
 
-    def submit(self, spec: RequestSpec, backend: Backend, on_answer: ResponseCallback) -> str:
+    def submit(self, spec: RequestSpec, transport: BackendTransport, on_answer: ResponseCallback) -> str:
         """Accept a request and return its ticket.
 
         `on_answer` is called exactly once, unless the client disconnects first; it may be called before this
-        returns, with a rejection. Raises InvalidRequestError for what the settings have no place for.
+        returns, with a rejection. Raises InvalidRequestError for a request that contradicts the settings.
         """
         settings = self._dispatcher.settings
         validate(spec, settings)
         self.metrics.accepted += 1
-        request = Request(f"i{self.metrics.accepted}", spec, backend, on_answer, self._timers.now)
+        request = Request(f"i{self.metrics.accepted}", spec, transport, on_answer, self._timers.now)
         self._requests.add(request)
         if self.capacity.is_exceeded or self.fence.is_fenced:
-            # The instance's own capacity, not a backend's: the one rejection that the decision module does
-            # not decide on.
+            # The instance sheds load for its own capacity; the decision module does so for the backends'.
             self._requests.finish(request, Rejected(settings.max_retry_after_us))
         else:
             self._requests.start_deadline(request)
@@ -96,16 +97,16 @@
         return request.ticket
 
     def abort(self, ticket: str, reason: str) -> None:
-        """Tell the client at once that this fails, whatever is in flight for it."""
+        """Fail the request at once, whether or not attempts are in flight."""
         self._requests.withdraw(ticket, Failed(reason))
 
     def abort_all(self, reason: str) -> None:
-        """Abort every request that has no final answer yet."""
+        """Fail every request that has no final answer yet."""
         for request in self._requests:
             self.abort(request.ticket, reason)
 
     def client_disconnected(self, ticket: str) -> None:
-        """Note that the client has gone away: nobody is owed an answer any more."""
+        """Withdraw the request of a client that has disconnected; its callback is not called any more."""
         if request := self._requests.get(ticket):
             request.on_answer = _discard_answer
         self.abort(ticket, "client left")
@@ -113,7 +114,7 @@
     # From operators
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Put new settings into force; requests accepted before go on as they were accepted."""
+        """Apply new settings; requests accepted before keep their class and deadline."""
         self._dispatcher.settings = settings
         self.metrics.add_classes(settings.classes)
         self._events.pending.append(api.NewSettings(settings))
@@ -121,19 +122,19 @@
     def set_disabled(self, disabled: frozenset[str]) -> None:
         """Replace the set of administratively disabled backends.
 
-        They are sent nothing from now on; those enabled again may be, as if they had just started.
+        They receive no requests from now on. Backends that are enabled again warm up as after a start.
         """
         if changed := self.endpoints.set_disabled(disabled, self._timers.now):
             self._events.pending.append(api.EndpointListUpdate(tuple(changed)))
 
     def metrics_text(self) -> str:
-        """Return the metrics as text, true at this moment."""
+        """Return the current metrics as a metrics page."""
         return encode(self.metrics, self.open_requests, len(self.endpoints), self.endpoints.unavailable)
 
     # From discovery
 
     def update_endpoints(self, listing: EndpointListing) -> None:
-        """Take up an endpoint list or changes of it."""
+        """Apply an endpoint list, or changes to the one in force, and notify the decision module."""
         if anomalies := self.endpoints.apply(listing):
             log.warning(
                 "endpoint list inconsistent", extra={"kv": {"first": anomalies[0], "count": len(anomalies)}}
@@ -144,7 +145,7 @@
         )
 
     def endpoint_update_failed(self, queued: bool = False, unheard_us: int = 0) -> None:
-        """Note that a call to discovery or its watch has failed; the list in force stands.
+        """Report that a poll or watch of the endpoint list has failed; the list in force stays.
 
         `queued`: discovery rejected the call after it had waited in discovery's queue. `unheard_us`: for how
         long before the failure discovery may have had a change that could not be received.
@@ -154,15 +155,16 @@
     # From peers
 
     def receive_peer_message(self, sender: int, payload: bytes) -> None:
-        """Take up a message of another instance."""
+        """Pass a message from another instance to the decision module."""
         self._events.pending.append(api.PeerMessage(sender, payload))
 
     # The event-loop iteration
 
     def run_iteration(self) -> None:
-        """Give the decision module what has happened and perform its actions, until nothing is left.
+        """Exchange all pending events for actions and perform them, until no events are left.
 
-        An action that fails is logged; the ones behind it concern other requests and are still carried out.
+        An action that raises is logged, and the ones after it are still performed: they may concern other
+        requests.
         """
         if self.fence.has_changed(self._timers.now):
             self._apply_fence()
@@ -174,10 +176,10 @@
                     log.exception("action failed")
 
     def _apply_fence(self) -> None:
-        """Take up a change of the fence, before anything is sent in this iteration.
+        """Apply a change of the fence before anything is sent in this iteration.
 
-        An instance that wakes after a stall finds here that it may not act. Requests that are queued are
-        answered at once; those in flight are finished.
+        An instance that resumes after a stall notices here that it is fenced. Queued requests are answered at
+        once; attempts in flight may finish.
         """
         is_fenced = self.fence.is_fenced
         message = "instance fenced" if is_fenced else "instance unfenced"
@@ -207,8 +209,8 @@
                 self._dispatcher.cancel(action.request, action.attempt)
             case api.WakeAfter():
                 self._wake_after(action)
-            case api.Subscribe() if self.subscriptions:
-                self.subscriptions.subscribe()
+            case api.Subscribe() if self.endpoint_subscription:
+                self.endpoint_subscription.subscribe()
             case api.SendPeerMessage() if self.send_to_peer:
                 self.send_to_peer(action.payload, action.to)
             case api.Log() | api.Probe():
@@ -237,7 +239,7 @@
 
 
 def _discard_answer(_: object) -> None:
-    """Stand in for the callback of a client that has disconnected."""
+    """Do nothing: the callback of a client that has disconnected."""
 
 
 def _log_action(action: api.Log | api.Probe) -> None:
--- a/garnetlanding/core/event_feed.py
+++ b/garnetlanding/core/event_feed.py
@@ -1,4 +1,4 @@
-"""The events on their way to the decision module, and the exchange of them for actions."""
+"""Events queued for the decision module, and their exchange for its actions."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 class EventFeed:
     """Collects the events of one event-loop iteration, in the order in which they happened.
 
-    `pending` is appended to directly: this is the hottest path of the engine.
+    `pending` is public and appended to directly because this is the engine's hottest path.
     """
 
     __slots__ = ("pending",)
@@ -22,10 +22,10 @@
         self.pending: list[Event] = []
 
     def exchange(self, module: DecisionModule, now: int) -> list[Action]:
-        """Hand over all pending events under one reading of the clock (microseconds); return the actions.
+        """Pass all pending events to the module, at the time `now` (microseconds); return its actions.
 
-        A module that fails costs its actions alone: the requests concerned get their final answer from the
-        engine once their deadline has passed.
+        An exception of the module is logged and yields no actions: the engine answers the requests concerned
+        when their deadlines have passed.
         """
         events = self.pending
         self.pending = []
--- a/garnetlanding/core/fencing.py
+++ b/garnetlanding/core/fencing.py
@@ -1,4 +1,4 @@
-"""Fencing: an instance that cannot show that it is current sends nothing until it can again."""
+"""Fencing: an instance that cannot prove that its state is current sends nothing until it can again."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 class Fence:
     """Whether this instance is fenced, as of the last check.
 
-    `may_act` is set where the instance has to show that it is current (it follows a writer, or operators can
-    take it out); it is called with the monotonic clock in microseconds. Without it the instance is never
-    fenced. `on_change` callbacks get the new state, fenced or not, at each change.
+    `may_act` decides it, given the monotonic clock in microseconds. It is set on an instance that follows a
+    writer or that operators can disable; without it the instance is never fenced. Each `on_change` callback
+    is called with the new state, true for fenced, after every change.
     """
 
-    __slots__ = ("may_act", "is_fenced", "on_change")
+    __slots__ = ("is_fenced", "may_act", "on_change")
 
     def __init__(self) -> None:
         self.may_act: Callable[[int], bool] | None = None
@@ -21,7 +21,7 @@
         self.on_change: list[Callable[[bool], None]] = []
 
     def has_changed(self, now: int) -> bool:
-        """Ask `may_act` anew and take its answer up; return whether the state differs from before."""
+        """Update the state from `may_act`; return whether it differs from the state before."""
         if self.may_act is None:
             return False
         is_fenced = not self.may_act(now)
@@ -31,6 +31,6 @@
         return True
 
     def notify(self) -> None:
-        """Tell every `on_change` callback the present state."""
+        """Call every `on_change` callback with the current state."""
         for callback in self.on_change:
             callback(self.is_fenced)
--- a/garnetlanding/core/metrics.py
+++ b/garnetlanding/core/metrics.py
@@ -12,7 +12,7 @@
 
 
 class MetricsFormatError(CoreError):
-    """A line that is not in the form of the metrics page; `line` is that line."""
+    """A line that does not have the form of the metrics page; `line` is that line."""
 
     def __init__(self, line: str) -> None:
         super().__init__(f"not a figure: {line!r:.60}")
@@ -20,7 +20,7 @@
 
 
 class RequestMetrics:
-    """Counters since the process began.
+    """Counters since the process started.
 
     Invariant: accepted = ended + open requests, at every moment.
     """
@@ -30,48 +30,48 @@
         self.overload: Counter[str] = Counter()
         self.error: Counter[str] = Counter()
         self.classes: dict[str, None] = {}  # an ordered set: in the order in which settings named them
-        self.dispatches = 0  # attempts whose last byte is with the kernel
+        self.dispatches = 0  # attempts that have been written to their backend in full
         self.accepted = 0
         self.add_classes(classes)
 
     def add_classes(self, classes: Iterable[str]) -> None:
-        """Report these classes from now on, with 0 until something is counted."""
+        """Report these request classes from now on, with 0 until something is counted."""
         self.classes |= dict.fromkeys(classes)
 
     @property
     def ended(self) -> int:
-        """How many requests have their complete answer."""
+        """The number of requests whose answer is complete."""
         return self.success.total() + self.overload.total() + self.error.total()
 
-    def record(self, cls: str, answer: Answer) -> None:
+    def record(self, request_class: str, answer: Answer) -> None:
         """Count one complete answer to a request of the class."""
         if isinstance(answer, Served):
-            self.success[cls] += 1
+            self.success[request_class] += 1
         elif isinstance(answer, Rejected):
-            self.overload[cls] += 1
+            self.overload[request_class] += 1
         else:
-            self.error[cls] += 1
+            self.error[request_class] += 1
 
 
-def encode(metrics: RequestMetrics, concurrent: int, targets: int, disabled: int) -> str:
+def encode(metrics: RequestMetrics, open_requests: int, backends: int, unavailable_backends: int) -> str:
     """Return the metrics page: a line `app.NAME:VALUE|c` for each counter, `|g` for each gauge.
 
-    `concurrent`: open requests; `targets`: listed backends; `disabled`: those of them that are sent nothing.
+    `backends` counts those that are listed, `unavailable_backends` those of them that receive no requests.
     """
     lines: list[str] = []
-    for cls in metrics.classes:
-        lines.append(f"app.success.{cls}:{metrics.success[cls]}|c")
-        lines.append(f"app.overload.{cls}:{metrics.overload[cls]}|c")
-        lines.append(f"app.error.{cls}:{metrics.error[cls]}|c")
+    for request_class in metrics.classes:
+        lines.append(f"app.success.{request_class}:{metrics.success[request_class]}|c")
+        lines.append(f"app.overload.{request_class}:{metrics.overload[request_class]}|c")
+        lines.append(f"app.error.{request_class}:{metrics.error[request_class]}|c")
     lines.append(f"app.dispatches:{metrics.dispatches}|c")
-    lines.append(f"app.concurrent:{concurrent}|g")
-    lines.append(f"app.targets:{targets}|g")
-    lines.append(f"app.targets_disabled:{disabled}|g")
+    lines.append(f"app.concurrent:{open_requests}|g")
+    lines.append(f"app.targets:{backends}|g")
+    lines.append(f"app.targets_disabled:{unavailable_backends}|g")
     return "\n".join(lines) + "\n"
 
 
 def decode(text: str) -> dict[str, int]:
-    """Return the metrics of a page by name, as `encode` writes them. Raises MetricsFormatError."""
+    """Parse a metrics page, as `encode` writes it, into values by name. Raises MetricsFormatError."""
     values: dict[str, int] = {}
     for line in text.splitlines():
         name, colon, rest = line.rpartition(":")
@@ -83,11 +83,10 @@
 
 
 def by_class(values: dict[str, int]) -> dict[str, dict[str, int]]:
-    """Return, of decoded metrics, those counted for each class: by class, then by name."""
+    """Select the decoded metrics that are counted for each request class: by class, then by name."""
     classes: dict[str, dict[str, int]] = {}
     for name, value in values.items():
-        words = name.split(".", 2)
-        if len(words) == 3:
-            _, counter, cls = words
-            classes.setdefault(cls, {})[counter] = value
+        match name.split(".", 2):
+            case [_, counter, request_class]:
+                classes.setdefault(request_class, {})[counter] = value
     return classes
--- a/garnetlanding/core/ports.py
+++ b/garnetlanding/core/ports.py
@@ -1,4 +1,4 @@
-"""The interfaces between the core and its surroundings: fronts, backends, discovery, clock, decision module.
+"""Interfaces between the core and its environment: fronts, backends, discovery, clock, decision module.
 
 No bytes and no sockets. All times are integer microseconds on the instance's monotonic clock.
 """
@@ -7,6 +7,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import Enum
 from typing import Any, NamedTuple, Protocol
 
 from garnetlanding.decision import interface as api
@@ -15,48 +16,62 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSpec:
-    """One request as a front read it."""
+    """One request as a front parsed it."""
 
     cls: str  # name of its request class in the settings
     plan: str  # name of its volume's plan in the settings
-    volume: str  # the tenant that it is queued and accounted for
-    key: str  # the object: names the order of writes, and the scope of deduplication
+    volume: str  # the tenant whose queue and quota it belongs to
+    key: str  # the object; writes with one key may have to keep their order
     units: float  # cost
     cell: int  # the shard that has the object; -1: a new object, free to go anywhere
-    timeout_us: int  # how long the client waits from now on
+    timeout_us: int  # how long the client waits, from the arrival on
     volume_hosts: int  # how many instances serve this volume
-    work: Any  # what is to be done: passed to the backend, opaque to the engine
+    work: Any  # the operation: passed to the backend, opaque to the engine
     is_retry: bool = False  # the client has sent it before
     is_write: bool = False
-    held_bytes: int = 0  # memory that it holds while it has no answer
+    held_bytes: int = 0  # memory in use until the final answer
     allow_hedging: bool = True  # whether a hedged request may run beside the first, where settings allow it
 
 
 class CoreError(ValueError):
-    """Something that was handed to the core, or read by it, cannot be used."""
+    """Base class of errors about invalid input to the core."""
+
+
+class RequestDefect(Enum):
+    """Why a request contradicts the settings in force; the values are sent to clients."""
+
+    UNKNOWN_CLASS = "unknown class"
+    UNKNOWN_PLAN = "unknown plan"
+    UNKNOWN_CELL = "unknown shard"
+    TOO_MANY_UNITS = "more units than the largest request has"
+    TOO_MANY_INSTANCES = "more hosts than there are"
 
 
 class InvalidRequestError(CoreError):
-    """A request that the settings in force have no place for; the text says why, and reaches clients."""
+    """A request contradicts the settings in force; the text, that of `defect`, is sent to the client."""
+
+    def __init__(self, defect: RequestDefect) -> None:
+        super().__init__(defect.value)
+        self.defect = defect
 
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """The backend's answer, which may still be on its way: then `value` is a `Body`."""
+    """The backend has served the request; `value` is its response, or a `Body` that is still streamed."""
 
     value: Any
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The request was shed: sending it again is harmless, best after `retry_after_us` where that is not 0."""
+    """The request was rejected: the client may safely retry it, after `retry_after_us`."""
 
     retry_after_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The request failed, and part of it may have run; `reason` is shown to the client."""
+    """The request failed and may have had an effect; `reason` is sent to the client."""
 
     reason: str
 
@@ -67,31 +82,32 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListing:
-    """An endpoint list, or changes of one."""
+    """An endpoint list, or changes to the one in force."""
 
     entries: tuple[Endpoint, ...]
-    addresses: dict[str, str]  # where each backend in `entries` listens, by its name
-    complete: bool  # whatever it does not name is gone
-    at_start: bool = False  # remembered from before the start, and perhaps stale
+    addresses: dict[str, str]  # HOST:PORT of each backend in `entries`, by its name
+    complete: bool  # a whole list: backends that it does not name are gone
+    at_start: bool = False  # cached before the start, perhaps stale
 
 
 class DecisionModule(Protocol):
-    """The decision module, or what is wrapped around it (the peers' coordinator, the audit)."""
+    """The decision module, or a wrapper around it (the peers' coordinator, the audit)."""
 
     @property
     def settings(self) -> api.Settings:
-        """The settings that it decides by."""
+        """The settings in force in the module."""
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
-        """Take up events in the order in which they happened and return actions in the order to carry out."""
+        """Process events in the order in which they happened; return the actions to perform, in order."""
 
 
 class AttemptHandle(Protocol):
-    """One attempt, as a backend sees it.
+    """One attempt, as the transport that carries it sees it.
 
-    A backend calls, in this order: `address` (any number of times, right before the first byte is written),
-    `request_written` and `response_started` (each at most once is counted, both optional), and `finish`
-    exactly once, also after `Backend.stop`, when it is ignored. All calls come from the event loop.
+    A transport calls, in this order: `address`, any number of times, the last time right before it writes the
+    first byte; `request_written` and `response_started`, both optional, of which only the first call counts;
+    and `finish` exactly once. After `BackendTransport.stop` its `finish` is ignored. All calls come from the
+    event loop.
     """
 
     @property
@@ -100,60 +116,61 @@
 
     @property
     def work(self) -> Any:
-        """What is to be done: `RequestSpec.work`."""
+        """The operation to perform: `RequestSpec.work`."""
 
     @property
     def until_us(self) -> int:
-        """When the attempt is given up: the engine calls `Backend.stop` then."""
+        """When the attempt times out: the engine then calls `BackendTransport.stop`."""
 
     def address(self) -> str | None:
-        """Return where the backend listens, or None if it may not be sent the attempt (any more).
+        """Return the backend's HOST:PORT, or None if the attempt may not be sent (any more).
 
-        Called by the backend at the first byte, however long the connection took to come up: the endpoint may
-        have begun to drain, the instance's answer may be given, the deduplication window may be over.
+        The transport checks this right before the first byte, because establishing the connection may have
+        taken long: meanwhile the backend may have started to drain, the request may have its final answer,
+        or the deduplication window may be over.
         """
 
     def request_written(self) -> None:
-        """Report that the request's last byte is with the kernel; later calls change nothing."""
+        """Report that the request has been written in full; only the first call has an effect."""
 
     def response_started(self) -> None:
-        """Report the first byte of the response, from which latency is taken; later calls change nothing."""
+        """Report the first byte of the response, where latency ends; only the first call has an effect."""
 
     def finish(
         self, outcome: Outcome, value: Any = None, used: int = 0, report: dict[str, float] | None = None
     ) -> None:
-        """Report the one end of the attempt; later calls change nothing.
+        """Report how the attempt ended; only the first call has an effect.
 
         `value`: the answer where `outcome` is SERVED. `used`: 1 + percent of the plan's rate that the volume
         got at all instances, 0 where not reported. `report`: the backend's load report by metric.
         """
 
 
-class Backend(Protocol):
+class BackendTransport(Protocol):
     """Carries attempts to backends over one protocol."""
 
     def start(self, attempt: AttemptHandle) -> None:
-        """Begin the attempt; its handle may be finished before this returns."""
+        """Start the attempt; it may finish before this returns."""
 
     def stop(self, attempt: AttemptHandle) -> None:
-        """Take the attempt off: on return the backend no longer owes it anything.
+        """Cancel the attempt: after the return the transport does no more work for it.
 
-        Called at most once, while the attempt is in flight; the caller finishes the handle.
+        Called at most once, while the attempt is in flight; the caller finishes the attempt.
         """
 
 
-class Subscriptions(Protocol):
-    """Discovery's side that can be asked to follow the endpoint list."""
+class EndpointSubscription(Protocol):
+    """The connection to discovery that follows the endpoint list."""
 
     def subscribe(self) -> None:
-        """Begin to follow the list anew; its failure is reported once, to `endpoint_update_failed`."""
+        """Poll or watch the list anew; a failure is reported once, to `endpoint_update_failed`."""
 
 
 class Timer(Protocol):
-    """A call that is due later."""
+    """A callback that is due later."""
 
     def cancel(self) -> None:
-        """Prevent the call; without effect once it was made."""
+        """Prevent the callback; without effect once it has run."""
 
 
 class Timers(Protocol):
@@ -164,20 +181,20 @@
         """The monotonic clock, in microseconds."""
 
     def call_at(self, due: int, call: Callable[[], None]) -> Timer:
-        """Make the call from the event loop once `due` has come."""
+        """Run the callback from the event loop once the time `due` has come."""
 
 
 class AttemptSummary(NamedTuple):
-    """How one attempt went, for observers."""
+    """One attempt of a finished request, for observers."""
 
     node: str
-    outcome: str  # value of an `Outcome`, or "out" where it was still in flight at the answer
+    outcome: str  # value of an `Outcome`, or "out" if it was in flight at the final answer
     sent_us: int
-    ended_us: int  # 0 where it was still in flight
+    ended_us: int  # 0 if it was in flight at the final answer
 
 
 class Observer(Protocol):
-    """Notified of each final answer."""
+    """Receives each final answer."""
 
     def request_ended(
         self,
@@ -187,4 +204,4 @@
         ended_us: int,
         attempts: list[AttemptSummary],
     ) -> None:
-        """Note a request that has its final answer; must return at once, and must not raise."""
+        """Record a request that has its final answer; must return at once, and must not raise."""
--- a/garnetlanding/core/request.py
+++ b/garnetlanding/core/request.py
@@ -1,51 +1,51 @@
 """The records of one request and of its attempts, each of which ends exactly once.
 
-No I/O and no decisions: the records change only through the parts of the engine that own them.
+No I/O and no decisions: only the dispatcher and the request table change these records.
 """
 
 from __future__ import annotations
 
 from typing import Any, Protocol
 
-from garnetlanding.core.ports import Answer, Backend, RequestSpec, ResponseCallback, Timer
+from garnetlanding.core.ports import Answer, BackendTransport, RequestSpec, ResponseCallback, Timer
 from garnetlanding.decision.interface import Outcome
 
 
 class AttemptOwner(Protocol):
-    """What an attempt reports to and asks; implemented by `AttemptDispatcher`."""
+    """The part of the engine that attempts report to; implemented by `AttemptDispatcher`."""
 
     @property
     def now(self) -> int:
         """The monotonic clock, in microseconds."""
 
     def address_for(self, attempt: Attempt) -> str | None:
-        """Return where the attempt's first byte may go now, or None if it may not be sent any more."""
+        """Return the HOST:PORT to send the attempt to now, or None if it may not be sent any more."""
 
     def attempt_written(self) -> None:
-        """Count an attempt whose last byte is with the kernel."""
+        """Count an attempt that has been written to its backend in full."""
 
     def attempt_finished(self, attempt: Attempt, value: Any, used: int, report: dict[str, float]) -> None:
-        """Take up the one end of an attempt; its `outcome` is set."""
+        """Process the end of an attempt; its `outcome` is set."""
 
 
 class Attempt:
     """One attempt of a request at one backend; the engine's implementation of `AttemptHandle`.
 
-    States: in flight (`outcome` is None), then finished. The first call of `finish` decides the outcome,
-    every later one is ignored, so a backend that reports a reset after a cancelled attempt does no harm.
+    States: in flight (`outcome` is None), then finished. The first call of `finish` decides the outcome and
+    later ones are ignored, so a transport may still report a reset of a cancelled attempt.
     """
 
     __slots__ = (
+        "_is_written",
         "_owner",
-        "request",
-        "number",
-        "node",
-        "until_us",
-        "sent_at",
+        "_response_started_at",
         "ended_at",
+        "node",
+        "number",
         "outcome",
-        "_is_written",
-        "_response_started_at",
+        "request",
+        "sent_at",
+        "until_us",
     )
 
     def __init__(
@@ -64,9 +64,9 @@
 
     @property
     def took_us(self) -> int:
-        """How long the backend took, up to the first byte of its response where that was reported.
+        """The latency: up to the first byte of the response if that was reported, otherwise up to the end.
 
-        How slowly it writes the rest says nothing about how much work it has.
+        The time that the rest of a response takes depends on its size and reader, not on the backend's load.
         """
         if self._response_started_at is None:
             return self.ended_at - self.sent_at
@@ -74,7 +74,7 @@
 
     @property
     def work(self) -> Any:
-        """What the backend is to do; opaque to the engine."""
+        """The operation to perform; opaque to the engine."""
         return self.request.spec.work
 
     def address(self) -> str | None:
@@ -103,9 +103,9 @@
             self._owner.attempt_finished(self, value, used, report or {})
 
     def stop(self, outcome: Outcome) -> None:
-        """Take the attempt off its backend and end it with `outcome`, unless it has finished."""
+        """Cancel the attempt at its transport and finish it with `outcome`, unless it has finished."""
         if self.outcome is None:
-            self.request.backend.stop(self)
+            self.request.transport.stop(self)
             self.finish(outcome)
 
 
@@ -113,35 +113,40 @@
     """One accepted request: open until `answer` is set, settled once no attempt is in flight either."""
 
     __slots__ = (
-        "ticket",
-        "spec",
-        "backend",
-        "on_answer",
+        "answer",
+        "attempts",
         "began_at",
+        "deadline_timer",
+        "on_answer",
+        "spec",
+        "ticket",
+        "transport",
         "until_us",
-        "attempts",
-        "answer",
-        "timer",
     )
 
     def __init__(
-        self, ticket: str, spec: RequestSpec, backend: Backend, on_answer: ResponseCallback, now: int
+        self,
+        ticket: str,
+        spec: RequestSpec,
+        transport: BackendTransport,
+        on_answer: ResponseCallback,
+        now: int,
     ) -> None:
         self.ticket = ticket
         self.spec = spec
-        self.backend = backend
+        self.transport = transport
         self.on_answer = on_answer
         self.began_at = now
-        self.until_us = now + spec.timeout_us  # the client gives up then
+        self.until_us = now + spec.timeout_us
         self.attempts: list[Attempt] = []
         self.answer: Answer | None = None  # set once, never changed
-        self.timer: Timer | None = None  # the deadline's
+        self.deadline_timer: Timer | None = None
 
     def in_flight(self) -> list[Attempt]:
-        """Return the attempts that have not finished, in the order in which they began."""
+        """Return the attempts that have not finished, in the order in which they were sent."""
         return [attempt for attempt in self.attempts if attempt.outcome is None]
 
     @property
     def is_settled(self) -> bool:
-        """Whether the client has its answer and no backend works on the request any more."""
+        """Whether the request has its final answer and no attempt of it is in flight."""
         return self.answer is not None and not self.in_flight()
--- a/garnetlanding/core/request_table.py
+++ b/garnetlanding/core/request_table.py
@@ -1,4 +1,4 @@
-"""The life of requests: each accepted one gets exactly one final answer, at its deadline at the latest."""
+"""The life cycle of requests: each accepted one gets exactly one final answer, by its deadline."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 
 log = logging.getLogger(__name__)
 
-# The decision module answers a request whose time is up first; after this the engine does.
 DEADLINE_GRACE_US = 2_000
-IN_FLIGHT = "out"  # of an attempt that has not finished: recorded under this word in histories
+"""How long the decision module has to answer a request past its deadline before the engine does."""
+
+IN_FLIGHT = "out"
+"""Recorded in histories in place of the outcome of an attempt that has not finished."""
 
 
 class RequestTable:
-    """The requests that are open or still have attempts in flight, by ticket.
+    """The requests that have no final answer yet or still have attempts in flight, by ticket.
 
     Invariants: `finish` is called at most once for each request; a request is in the table until it is
-    settled; `capacity` counts it from `add` until its answer is complete, which for a streamed body is its
-    last byte.
+    settled; `capacity` counts it from `add` until its response is complete, which for a streamed body is at
+    the last byte.
     """
 
     def __init__(
@@ -48,59 +50,57 @@
         return iter(list(self._requests.values()))
 
     def get(self, ticket: str) -> Request | None:
-        """Return the request, or None once it is settled."""
+        """Return the request, or None if it is unknown or settled."""
         return self._requests.get(ticket)
 
     def add(self, request: Request) -> None:
-        """Count an accepted request as open."""
+        """Add an accepted request and count it against the capacity."""
         self._capacity.open_requests += 1
         self._capacity.held_bytes += request.spec.held_bytes
         self._requests[request.ticket] = request
 
     def start_deadline(self, request: Request) -> None:
-        """From now on the request is answered by its deadline whatever the decision module does."""
-        request.timer = self._timers.call_at(request.until_us, lambda: self._deadline_reached(request))
+        """Start the timer that guarantees an answer by the deadline whatever the decision module does."""
+        request.deadline_timer = self._timers.call_at(
+            request.until_us, lambda: self._deadline_reached(request)
+        )
 
     def answer(self, ticket: str, answer: Answer) -> None:
-        """Give the final answer, unless the request has one or is unknown."""
+        """Give the request its final answer; do nothing if it has one or is unknown."""
         request = self._requests.get(ticket)
         if request and request.answer is None:
             self.finish(request, answer)
 
     def withdraw(self, ticket: str, answer: Answer) -> None:
-        """Like `answer`, for one that the decision module does not know of: it is notified."""
+        """Like `answer`, for an answer that the decision module has not decided: notify it."""
         request = self._requests.get(ticket)
         if request and request.answer is None:
             self.finish(request, answer)
             self._events.pending.append(ClientLeft(ticket))
 
     def finish(self, request: Request, answer: Answer) -> None:
-        """Give a request without an answer its final one: client first, then observers."""
+        """Give the final answer to a request that has none: notify the client, then observers."""
         request.answer = answer
         self._capacity.held_bytes -= request.spec.held_bytes
         if isinstance(answer, Served) and isinstance(answer.value, Body):
             self._count_at_end_of(answer.value, request, answer)
         else:
             self._count(request, answer)
-        if request.timer and not request.in_flight():
-            request.timer.cancel()
+        if request.deadline_timer and not request.in_flight():
+            request.deadline_timer.cancel()
         request.on_answer(answer)
         if self.observers:
             self._notify_observers(request, answer)
         self.drop_if_settled(request)
 
     def drop_if_settled(self, request: Request) -> None:
-        """Forget the request once it is answered and nothing of it is in flight."""
+        """Remove the request if it has its final answer and no attempt in flight."""
         if request.is_settled:
             self._requests.pop(request.ticket, None)
 
     def _count_at_end_of(self, body: Body, request: Request, answer: Answer) -> None:
-        """Count a streamed answer at its last byte; from its first on nothing else can be answered."""
-
-        def on_end(is_complete: bool) -> None:
-            self._count(request, answer if is_complete else Failed("cut short"))
-
-        body.on_end.append(on_end)
+        """Count a streamed response when its body has ended, complete or truncated."""
+        body.on_end.append(lambda complete: self._count(request, answer if complete else Failed("cut short")))
 
     def _count(self, request: Request, answer: Answer) -> None:
         self._metrics.record(request.spec.cls, answer)
@@ -123,14 +123,14 @@
         for attempt in request.in_flight():
             attempt.stop(Outcome.TIMEOUT)
         if request.answer is None:
-            # Counted from now: after a stall both times have passed, and the decision module is to have its
-            # iteration first.
-            request.timer = self._timers.call_at(
+            # The grace period starts now, not at the deadline: after a stall both would be over, and the
+            # decision module must get its iteration first.
+            request.deadline_timer = self._timers.call_at(
                 self._timers.now + DEADLINE_GRACE_US, lambda: self._grace_expired(request)
             )
 
     def _grace_expired(self, request: Request) -> None:
-        """Guard the one rule that no defect may break: an accepted request gets its answer."""
+        """Answer a request that a defect of the decision module has left without an answer."""
         if request.answer is None:
             log.error("controller gave no answer in time", extra={"kv": {"request": request.ticket}})
             self.finish(request, Failed("deadline passed"))
--- a/garnetlanding/core/retry_safety.py
+++ b/garnetlanding/core/retry_safety.py
@@ -1,8 +1,9 @@
-"""When a request may run again: the engine's own check of what the decision module asks for.
+"""The engine's own check that a retry is safe, made right before it is sent.
 
-The decision module plans retries by `decision/attempt_rules.py`. What may have changed since is checked once
-more at the moment of sending, because a connection that is slow to come up may outlast the window in which a
-repeat is deduplicated. The deduplication scope is not checked again: the backend is the one that was planned.
+The decision module plans retries by `decision/attempt_rules.py`. The time-dependent part of these rules is
+checked again at the moment of sending, because establishing a connection may outlast the window in which
+backends deduplicate a repeat. The deduplication scope is not checked again: it depends only on the backend,
+which has not changed.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 
 
 def may_repeat(attempt: Attempt, spec: ClassSpec | None, now: int) -> bool:
-    """Whether the first byte of an attempt that is not the request's first may be sent now.
+    """Return whether a retry or hedged request may be sent now, after the request's earlier attempts.
 
-    It may for a safe request, and for a class that is no longer in the settings (`spec` is None). For a
-    request with an idempotency key it may within the deduplication window, counted from the first attempt
-    that may have run; for any other only if no earlier attempt can have run.
+    It may if the class is safe to repeat, or no longer in the settings (`spec` is None). With an idempotency
+    key it may within the deduplication window, which starts with the first attempt that may have run. Any
+    other request may be repeated only if no earlier attempt can have run.
     """
     if spec is None or spec.effect is Effect.SAFE:
         return True
@@ -27,9 +28,9 @@
 
 
 def may_run_elsewhere(request: Request, spec: ClassSpec | None) -> bool:
-    """Whether the client may safely send the request to another instance, though this one has tried it.
+    """Return whether the client may safely retry at another instance after this one's attempts.
 
-    A class that is no longer in the settings (`spec` is None) counts as unsafe.
+    A class that is no longer in the settings (`spec` is None) counts as unsafe to repeat.
     """
     if spec is not None and spec.effect is Effect.SAFE:
         return True
--- a/garnetlanding/daemon/discovery.py
+++ b/garnetlanding/daemon/discovery.py
@@ -36,7 +36,7 @@
         )
         runtime = WatchRuntime(instance.scheduler, own_pool, limits, self._to_monotonic_us)
         self.watch = Watch(runtime, callbacks, instance.config.discovery, version)
-        core.subscriptions = self.watch
+        core.endpoint_subscription = self.watch
         core.update_endpoints(listing)
         self.watch.keep_open()
 
--- a/garnetlanding/daemon/quota_enforcement.py
+++ b/garnetlanding/daemon/quota_enforcement.py
@@ -55,5 +55,5 @@
         self._clients.listener.part = quota
         instance.backends.part = quota
         instance.pool.part = quota
-        instance.core.capacity.share = quota
+        instance.core.capacity.quota = quota
         log.info("process quota set", extra={"kv": {"quota": round(quota, 3)}})
--- a/garnetlanding/discovery/watch.py
+++ b/garnetlanding/discovery/watch.py
@@ -54,7 +54,10 @@
 
 
 class Watch:
-    """The driver of `WatchState`: one call to discovery at a time. Implements the core's `Subscriptions`."""
+    """The driver of `WatchState`: one call to discovery at a time.
+
+    Implements the core's `EndpointSubscription`.
+    """
 
     def __init__(
         self, runtime: WatchRuntime, callbacks: WatchCallbacks, address: str, version: int = 0
--- a/garnetlanding/ninep/shared_state.py
+++ b/garnetlanding/ninep/shared_state.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from garnetlanding.core.engine import RequestEngine
-from garnetlanding.core.ports import Backend, Timer, Timers
+from garnetlanding.core.ports import BackendTransport, Timer, Timers
 from garnetlanding.limits import Limits
 from garnetlanding.ninep.fair_admission import FairAdmission
 from garnetlanding.ninep.fids import Fid
@@ -39,7 +39,7 @@
     def __init__(
         self,
         core: RequestEngine,
-        backend: Backend,
+        backend: BackendTransport,
         exports: dict[str, Export],
         pool: BufferPool,
         limits: Limits,
--- a/garnetlanding/resp/backend_connection.py
+++ b/garnetlanding/resp/backend_connection.py
@@ -84,7 +84,7 @@
         """Drop what has arrived of a reply; a value that is being streamed ends cut short."""
         self._decoder.close()
         if self.body:
-            self.body.end(False)
+            self.body.end(complete=False)
 
     @property
     def _is_idle(self) -> bool:
@@ -105,7 +105,7 @@
         if attempt:
             attempt.finish(*reply)
         elif body:
-            body.end(True)
+            body.end(complete=True)
         if self._decoder.midway:
             raise BackendProtocolError("more behind an answer")
         self._done()
--- a/garnetlanding/resp/front.py
+++ b/garnetlanding/resp/front.py
@@ -12,7 +12,7 @@
 
 from garnetlanding.core.body import Body, Sink
 from garnetlanding.core.engine import RequestEngine
-from garnetlanding.core.ports import Answer, Backend, InvalidRequestError, Rejected, Served
+from garnetlanding.core.ports import Answer, BackendTransport, InvalidRequestError, Rejected, Served
 from garnetlanding.limits import MS, Limits
 from garnetlanding.resp import codec
 from garnetlanding.resp.errors import InvalidCommandError, ProtocolError
@@ -33,7 +33,7 @@
     """What all client connections of one listener have in common."""
 
     engine: RequestEngine
-    backend: Backend
+    backend: BackendTransport
     pool: BufferPool
     limits: Limits
     accepts_clients: Callable[[], bool] = _always
@@ -135,7 +135,7 @@
         self.ended = True
         for pending in list(self._pending):
             if isinstance(pending.reply, Body):
-                pending.reply.end(False)
+                pending.reply.end(complete=False)
         self._decoder.close()
         for pending in self._pending:
             ticket = pending.ticket
--- a/garnetlanding/runtime/backend_connection.py
+++ b/garnetlanding/runtime/backend_connection.py
@@ -144,7 +144,7 @@
         if self._body_reads * self._upstream.pool.size >= self._upstream.limits.stream_window_bytes:
             self._body_reads = 0
             scheduler.sleep(0)
-        while body.blocked and not self.closed:
+        while body.is_blocked and not self.closed:
             scheduler.park()
 
     def quiet(self) -> bool:
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -35,7 +35,7 @@
 
 
 class Upstream:
-    """Implements the core's Backend port for one protocol.
+    """Implements the core's BackendTransport port for one protocol.
 
     `place` returns the address that an endpoint of discovery stands for, and `bind` what a connection is
     bound to besides that address. At most `most` connections are open, and only `part` of them while another
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -38,7 +38,7 @@
     capacity.held_bytes = 800
     assert capacity.used == 0.8
     assert not capacity.is_exceeded
-    capacity.share = 0.5
+    capacity.quota = 0.5
     assert capacity.is_exceeded, "another process of the instance has the rest"
     capacity.held_bytes = 0
     assert capacity.used == 0.5
--- a/tests/core/test_retry_safety.py
+++ b/tests/core/test_retry_safety.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from garnetlanding.core.ports import Backend, RequestSpec
+from garnetlanding.core.ports import BackendTransport, RequestSpec
 from garnetlanding.core.request import Attempt, AttemptOwner, Request
 from garnetlanding.core.retry_safety import may_repeat, may_run_elsewhere
 from garnetlanding.decision.interface import NEVER_RAN, ClassSpec, DeduplicationScope, Effect, Outcome
@@ -22,7 +22,7 @@
 def request_with(*outcomes: Outcome | None) -> Request:
     """Return a request whose attempts began 100 ms apart and ended so; None: in flight."""
     spec = RequestSpec("c", "gold", "v", "k", 1.0, 0, SECOND, 1, None)
-    request = Request("i1", spec, cast(Backend, None), cast(Any, None), T0)
+    request = Request("i1", spec, cast(BackendTransport, None), cast(Any, None), T0)
     for number, outcome in enumerate(outcomes):
         attempt = Attempt(
             cast(AttemptOwner, None), request, number, "n0", T0 + SECOND, T0 + number * 100 * MS
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -187,9 +187,9 @@
     body = Body(4)
     body.on_end.append(told.append)
     body.feed(b"ab")
-    assert body.blocked, "nobody takes it yet"
-    body.end(False)
-    body.end(True)
+    assert body.is_blocked, "nobody takes it yet"
+    body.end(complete=False)
+    body.end(complete=True)
     body.feed(b"cd")
     assert told == [False]
-    assert not body.blocked
+    assert not body.is_blocked
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -57,7 +57,7 @@
             self.core.update_endpoints, self.core.endpoint_update_failed, lambda _data: None
         )
         runtime = WatchRuntime(self.scheduler, self.pool, self.limits, lambda us: us)
-        self.watch = self.core.subscriptions = Watch(runtime, callbacks, self.discovery.address)
+        self.watch = self.core.endpoint_subscription = Watch(runtime, callbacks, self.discovery.address)
         self.list(*self.discovery.endpoints)
 
 
--- a/tests/support/simulated_instance.py
+++ b/tests/support/simulated_instance.py
@@ -6,7 +6,14 @@
 from typing import Any, TypeVar
 
 from garnetlanding.core.engine import RequestEngine
-from garnetlanding.core.ports import Answer, AttemptHandle, Backend, Failed, RequestSpec, ResponseCallback
+from garnetlanding.core.ports import (
+    Answer,
+    AttemptHandle,
+    BackendTransport,
+    Failed,
+    RequestSpec,
+    ResponseCallback,
+)
 from garnetlanding.core.request import Attempt
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
@@ -32,7 +39,7 @@
 class CheckedBackend:
     """A backend that checks the rules when an attempt starts, whatever the protocol behind it."""
 
-    def __init__(self, inner: Backend, core: CheckedRequestEngine) -> None:
+    def __init__(self, inner: BackendTransport, core: CheckedRequestEngine) -> None:
         self.inner, self.core = inner, core
 
     def start(self, trial: AttemptHandle) -> None:
@@ -59,7 +66,7 @@
     starts: list[Attempt]
     finals: list[list[Answer]]
 
-    def submit(self, ask: RequestSpec, backend: Backend, answered: ResponseCallback) -> str:
+    def submit(self, ask: RequestSpec, backend: BackendTransport, answered: ResponseCallback) -> str:
         finals: list[Answer] = []
         self.finals.append(finals)
 
@@ -80,7 +87,7 @@
         self.last, self._count = "", 0
         self.settings = make_settings()
 
-    def submit(self, ask: RequestSpec, _backend: Backend, answered: ResponseCallback) -> str:
+    def submit(self, ask: RequestSpec, _backend: BackendTransport, answered: ResponseCallback) -> str:
         self._count += 1
         self.last = f"i{self._count}"
         self.items[self.last] = ask, answered
