--- a/garnetlanding/daemon/store_opening.py
+++ b/garnetlanding/daemon/store_opening.py
@@ -19,7 +19,7 @@
     setup = config.operator.store
     # Only followers read the log; without any, its entries would only hold memory.
     log_entries = config.limits.store_log_entries if setup.role is StoreRole.WRITER else 0
-    store = Store(setup.writer, setup.role is not StoreRole.FOLLOWER, log_entries)
+    store = Store(setup.writer, writable=setup.role is not StoreRole.FOLLOWER, log_entries=log_entries)
     persister = None
     if setup.file:
         from garnetlanding.store.persister import StorePersister
--- a/garnetlanding/store/__init__.py
+++ b/garnetlanding/store/__init__.py
@@ -1,7 +1,8 @@
-"""A small replicated map of settings and endpoints: one writer, any number of followers, no election.
+"""A small replicated key-value map of settings and endpoints: one writer, any number of followers.
 
-`store` holds the map, `persister` its file, `cached_endpoints` what an instance keeps in it. Replication is
-`writer_machine` and `follower_machine` (state machines without I/O), `replication_codec` (their messages on
-the wire) and `follower` (the task that keeps a connection). `staleness_guard` tells a follower whether it may
-act on its copy; `setup` reads the configuration; `errors` has the exceptions, under StoreError.
+There is no leader election: the operators configure the writer. `store` holds the map, `persister` its file
+and `cached_endpoints` the entries for the endpoint list. Replication consists of `writer_machine` and
+`follower_machine` (state machines without I/O), `replication_codec` (their wire format) and `follower` (the
+task that keeps a follower connected). `staleness_guard` tells a follower whether its copy is fresh enough to
+act on. `setup` reads the configuration; `errors` defines the exceptions, all under StoreError.
 """
--- a/garnetlanding/store/cached_endpoints.py
+++ b/garnetlanding/store/cached_endpoints.py
@@ -1,14 +1,15 @@
-"""What an instance keeps in its store: the settings in force and the endpoint list as discovery wrote it.
+"""The entries of an instance's store: the settings in force, and the endpoint list as discovery sent it.
 
-The endpoint list is what an instance starts with while discovery is unreachable. The keys are stored data:
+An instance starts with the cached endpoint list while discovery is unreachable. The keys are stored data:
 
-* `config/settings`: the settings object, as the platform's file has it;
-* `list/generation`: the number that discovery gave the list;
+* `config/settings`: the settings object, in the form of the platform's file;
+* `list/generation`: the version that discovery gave the list;
 * `list/servers/` and an endpoint's instanceId: its entry, in discovery's form.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import Any
 
 from garnetlanding.store.store import Store
@@ -17,22 +18,68 @@
 GENERATION = "list/generation"
 ENDPOINT_PREFIX = "list/servers/"
 
+DELETED = "DELETED"
+"""The lifecycle, in a change to the list, of an endpoint that no longer exists."""
 
-def cache_listing(store: Store, listing: dict[str, Any]) -> None:
-    """Store a complete list, or changes to it, in discovery's form. A copy gets them from its writer."""
+JsonObject = dict[str, Any]
+
+
+@dataclass(frozen=True, slots=True)
+class RawEntry:
+    """One endpoint as discovery sent it, of which the store interprets no more than these attributes."""
+
+    name: str
+    is_deleted: bool
+    json: JsonObject
+
+    @classmethod
+    def from_json(cls, entry: JsonObject) -> RawEntry:
+        """Wrap an entry in discovery's form."""
+        return cls(entry["instanceId"], entry["lifecycle"] == DELETED, entry)
+
+    @property
+    def key(self) -> str:
+        """The entry's key in the store."""
+        return ENDPOINT_PREFIX + self.name
+
+
+@dataclass(frozen=True, slots=True)
+class RawListing:
+    """An endpoint list or changes to it, as discovery sent it."""
+
+    generation: int
+    is_complete: bool
+    entries: tuple[RawEntry, ...]
+
+    @classmethod
+    def from_json(cls, listing: JsonObject) -> RawListing:
+        """Wrap a list in discovery's form."""
+        return cls(
+            generation=listing.get("generation", 0),
+            is_complete=bool(listing.get("reset")),
+            entries=tuple(map(RawEntry.from_json, listing["instances"])),
+        )
+
+
+def cache_listing(store: Store, listing: JsonObject) -> None:
+    """Store an endpoint list, or changes to it, in discovery's form.
+
+    A follower's store is left unchanged: it receives the list from its writer.
+    """
     if not store.writable:
         return
-    entries = {ENDPOINT_PREFIX + entry["instanceId"]: entry for entry in listing["instances"]}
-    if listing.get("reset"):
+    received = RawListing.from_json(listing)
+    entries = {entry.key: entry for entry in received.entries}
+    if received.is_complete:
         for key in [key for key in store.with_prefix(ENDPOINT_PREFIX) if key not in entries]:
             store.put(key, None)
     for key, entry in entries.items():
-        store.put(key, None if entry["lifecycle"] == "DELETED" else entry)
-    store.put(GENERATION, listing.get("generation", 0))
+        store.put(key, None if entry.is_deleted else entry.json)
+    store.put(GENERATION, received.generation)
 
 
-def cached_listing(store: Store) -> dict[str, Any]:
-    """Return the stored list, complete, in discovery's form."""
+def cached_listing(store: Store) -> JsonObject:
+    """Return the stored endpoint list, complete, in discovery's form."""
     return {
         "generation": store.get(GENERATION, 0),
         "reset": True,
@@ -40,8 +87,11 @@
     }
 
 
-def newest_listing(store: Store, configured: dict[str, Any]) -> dict[str, Any]:
-    """Return the stored list or the configured one, whichever discovery wrote last; an empty one loses."""
+def newest_listing(store: Store, configured: JsonObject) -> JsonObject:
+    """Return the cached or the configured endpoint list, whichever is newer.
+
+    The configured one is returned if the cached one has no entries.
+    """
     cached = cached_listing(store)
     if cached["instances"] and cached["generation"] >= configured.get("generation", 0):
         return cached
--- a/garnetlanding/store/errors.py
+++ b/garnetlanding/store/errors.py
@@ -1,14 +1,16 @@
-"""The store's exceptions, all under StoreError."""
+"""The store's exceptions, all under StoreError. Their texts reach operators through logs."""
 
 from __future__ import annotations
 
+from enum import Enum
+
 
 class StoreError(Exception):
     """Base class of everything that the store and its replication raise."""
 
 
-class NotWriterError(StoreError):
-    """A write was tried on a copy. Only the store of the one configured writer takes writes."""
+class ReadOnlyStoreError(StoreError):
+    """A write to a follower's copy; only the store of the writer, named by `writer`, can be written."""
 
     def __init__(self, writer: str) -> None:
         super().__init__(f"{writer} is the writer")
@@ -16,9 +18,9 @@
 
 
 class LogGapError(StoreError):
-    """An entry or a revision does not follow on what the copy holds: it needs a new snapshot.
+    """A message does not follow on the copy's revision, so that the follower needs a snapshot.
 
-    `epoch` and `revision` are those of the message that does not fit.
+    `epoch` and `revision` are those of the message.
     """
 
     def __init__(self, text: str, epoch: int, revision: int) -> None:
@@ -26,23 +28,67 @@
         self.epoch = epoch
         self.revision = revision
 
+    @classmethod
+    def out_of_order(cls, epoch: int, revision: int, copy_epoch: int, copy_revision: int) -> LogGapError:
+        """Return the error of an entry that is not the copy's next."""
+        text = f"entry {revision} of epoch {epoch} after {copy_revision} of {copy_epoch}"
+        return cls(text, epoch, revision)
+
+    @classmethod
+    def not_caught_up(cls, epoch: int, revision: int, copy_revision: int) -> LogGapError:
+        """Return the error of a copy that differs from the revision which the writer has sent in full."""
+        return cls(f"the writer is at {revision}, this store at {copy_revision}", epoch, revision)
+
 
-class StaleEpochError(StoreError):
-    """A process claims to be the writer and is not, or no longer: its epoch has been succeeded."""
+class WriterRejectedError(StoreError):
+    """A process that claims to be the writer is not, or no longer.
+
+    `writer` and `epoch` are what the process claims.
+    """
 
     def __init__(self, text: str, writer: str, epoch: int) -> None:
         super().__init__(text)
         self.writer = writer
         self.epoch = epoch
 
+    @classmethod
+    def this_is_the_writer(cls, writer: str, epoch: int) -> WriterRejectedError:
+        """Return the error of a second writer, found by the store of the first."""
+        return cls(f"{writer} claims to be the writer, which is this store", writer, epoch)
+
+    @classmethod
+    def not_configured(cls, writer: str, epoch: int, configured: str) -> WriterRejectedError:
+        """Return the error of a writer other than the configured one."""
+        return cls(f"{writer} is not the configured writer {configured}", writer, epoch)
+
+    @classmethod
+    def stale_epoch(cls, writer: str, epoch: int, current_epoch: int) -> WriterRejectedError:
+        """Return the error of a writer whose epoch is older than the copy's."""
+        return cls(f"epoch {epoch} of {writer} has been followed by {current_epoch}", writer, epoch)
+
 
 class StoreFileError(StoreError, ValueError):
-    """A file is there that cannot be read or is not a store's. The text begins with its path."""
+    """A file exists but cannot be read or is not a store's file. The text starts with its path."""
 
     def __init__(self, file: str, reason: object) -> None:
         super().__init__(f"{file}: {reason}")
         self.file = file
 
 
-class ReplicaError(StoreError, ValueError):
-    """The peer's bytes do not follow the replication protocol."""
+class ProtocolViolation(Enum):
+    """How a peer's bytes violate the replication protocol; the values are logged."""
+
+    LINE_TOO_LONG = "line too long"
+    NOT_JSON = "not JSON"
+    NOT_AN_OBJECT = "not an object"
+    UNKNOWN_MESSAGE = "unknown message"
+    NO_WRITER_IDENTITY = "the writer has not named itself"
+    NO_FOLLOW_REQUEST = "expected one follow"
+
+
+class ReplicationProtocolError(StoreError, ValueError):
+    """The peer's bytes violate the replication protocol, as `violation` says."""
+
+    def __init__(self, violation: ProtocolViolation) -> None:
+        super().__init__(violation.value)
+        self.violation = violation
--- a/garnetlanding/store/follower.py
+++ b/garnetlanding/store/follower.py
@@ -10,7 +10,7 @@
 from garnetlanding.runtime.errors import BufferPoolExhaustedError, DeadlineExceededError, StreamClosedError
 from garnetlanding.runtime.scheduler import Scheduler, Timer
 from garnetlanding.runtime.stream import Stream
-from garnetlanding.store.errors import LogGapError, ReplicaError, StaleEpochError
+from garnetlanding.store.errors import LogGapError, ReplicationProtocolError, WriterRejectedError
 from garnetlanding.store.follower_machine import FollowerMachine
 from garnetlanding.store.staleness_guard import StalenessGuard
 from garnetlanding.store.store import Store
@@ -22,20 +22,20 @@
     DeadlineExceededError,
     StreamClosedError,
     BufferPoolExhaustedError,
-    ReplicaError,
+    ReplicationProtocolError,
     LogGapError,
-    StaleEpochError,
+    WriterRejectedError,
 )
 
 
 def describe_disconnect(problem: Exception) -> str:
-    """Return what ended a connection to the writer, for operators: its kind, then the detail."""
+    """Describe for operators why a connection to the writer ended: the kind, then the details."""
     match problem:
-        case StaleEpochError():
+        case WriterRejectedError():
             kind = "stale writer"
         case LogGapError():
             kind = "gap in the log"
-        case ReplicaError():
+        case ReplicationProtocolError():
             kind = "protocol violation"
         case DeadlineExceededError():
             kind = "no answer in time"
@@ -51,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowerOptions:
-    """Where a follower copies from, and when it tries again.
+    """The writer's address, and how a follower's reconnects are spread.
 
-    `stagger` is this instance's slot in `[0, 1)` among those that the same failure disconnects, so that a
-    writer that comes back is not met by all of them at once.
+    `stagger` is this instance's slot, in `[0, 1)`, among all followers: it keeps them from reconnecting to a
+    restarted writer at the same moment.
     """
 
     writer_address: str
@@ -62,10 +62,10 @@
 
 
 class Follower:
-    """Keeps a copy following its writer: resumes by revision, and wants a snapshot after a gap.
+    """Keeps a copy connected to its writer: resumes by revision, or with a snapshot after a gap.
 
-    It runs as a task of the scheduler's from its construction on and never ends. `connected` says whether
-    the writer has sent something on the present connection.
+    It runs as a task of the scheduler from its construction on and never ends. `connected` says whether the
+    writer has sent something on the present connection.
     """
 
     def __init__(
@@ -91,17 +91,18 @@
     def _run(self) -> None:
         with_snapshot = False
         while True:
-            problem = self._follow_once(with_snapshot)
+            problem = self._follow_once(with_snapshot=with_snapshot)
             self.connected = False
-            had_snapshot = with_snapshot
-            with_snapshot = isinstance(problem, LogGapError)
             self._log_disconnect(problem)
-            # A new snapshot is wanted at once, and mends a gap; a gap after that does not pass by itself.
-            if had_snapshot or not with_snapshot:
+            has_gap = isinstance(problem, LogGapError)
+            # The snapshot that closes a gap is requested without a pause, but only once: a gap right after a
+            # snapshot is a fault that another snapshot may not mend.
+            if with_snapshot or not has_gap:
                 self._scheduler.sleep(self._retry_us)
+            with_snapshot = has_gap
 
-    def _follow_once(self, with_snapshot: bool) -> Exception:
-        """Follow over one connection until it ends, and return what ended it."""
+    def _follow_once(self, *, with_snapshot: bool) -> Exception:
+        """Follow the writer over one connection until it ends; return the reason."""
         scheduler = self._scheduler
         limits = self._limits
         stream: Stream | None = None
@@ -110,7 +111,7 @@
                 scheduler, self._writer_address, self._pool, limits, scheduler.now + limits.store_silence_us
             )
             machine = FollowerMachine(self._store, limits, self._guard)
-            stream.write(machine.follow_request(with_snapshot))
+            stream.write(machine.follow_request(with_snapshot=with_snapshot))
             if self._guard:
                 self._send_query(stream, self._guard)
             while stream.read(machine.feed, scheduler.now + limits.store_silence_us):
@@ -125,7 +126,7 @@
                 stream.close()
 
     def _send_query(self, stream: Stream, guard: StalenessGuard) -> None:
-        """Query the writer's revision now, and again at the guard's interval while the connection stands."""
+        """Query the writer's revision now, and at the guard's interval while the connection lasts."""
         now = self._scheduler.now
         stream.write(FollowerMachine.revision_query(guard.next_query(now)))
         self._query_timer = self._scheduler.call_at(
--- a/garnetlanding/store/persister.py
+++ b/garnetlanding/store/persister.py
@@ -1,8 +1,8 @@
-"""The store's optional file, which lets a restarted instance go on with what it held.
+"""The store's optional file, from which a restarted instance restores its store.
 
 The file is one JSON object, `{"epoch": int, "revision": int, "values": {key: value, ...}}`, on one line
-without a line end. It is replaced as a whole, so that a crash at any moment leaves the old or the new one.
-The log of changes is not stored: after a restart of the writer its followers get snapshots.
+without a line end. It is replaced atomically, so that a crash at any moment leaves the old or the new one.
+The log of changes is not saved: after a restart of the writer its followers get snapshots.
 """
 
 from __future__ import annotations
@@ -19,10 +19,11 @@
 log = logging.getLogger(__name__)
 
 
-def load(path: str) -> Snapshot | None:
-    """Read a store's file; None where there is none. Raises StoreFileError for one that cannot be used."""
+def load_snapshot(path: str) -> Snapshot | None:
+    """Read a store's file; return None if there is none. Raises StoreFileError for an unusable file."""
     try:
-        with open(path, encoding="utf-8") as file:
+        # `Path.open` would normalize the path, which an OSError shows to the operator who wrote it.
+        with open(path, encoding="utf-8") as file:  # noqa: PTH123
             data: Any = json.load(file)
     except FileNotFoundError:
         return None
@@ -34,17 +35,17 @@
     raise StoreFileError(path, "not a store's file")
 
 
-def save(path: str, snapshot: Snapshot) -> None:
-    """Replace the file by one of this snapshot, durably. Raises OSError; the old file then stands."""
+def save_snapshot(path: str, snapshot: Snapshot) -> None:
+    """Write a snapshot to the file, atomically and durably. Raises OSError; the old file is kept then."""
     text = json.dumps({"epoch": snapshot.epoch, "revision": snapshot.revision, "values": snapshot.values})
     replace_whole(path, text.encode())
 
 
 class StorePersister:
-    """Restores a store from its file, and writes it out a moment after each change.
+    """Restores a store from its file at the construction, and saves it shortly after each change.
 
-    Changes within `save_delay_us` of the first go to the file together. Raises StoreFileError, at its
-    construction only.
+    Changes within `save_delay_us` of the first one are saved together. Only the construction raises
+    StoreFileError.
     """
 
     def __init__(self, scheduler: Scheduler, store: Store, path: str, save_delay_us: int) -> None:
@@ -53,19 +54,20 @@
         self._path = path
         self._save_delay_us = save_delay_us
         self._save_scheduled = False
-        stored = load(path)
-        if stored:
-            store.restore(stored)
+        saved = load_snapshot(path)
+        if saved:
+            store.restore(saved)
         store.observers.append(self._schedule_save)
 
     def save(self) -> None:
-        """Write the file now. A failure is logged; the next change tries again."""
+        """Save the store now. A failure is logged; the next change tries again."""
         self._save_scheduled = False
         try:
-            save(self._path, self._store.snapshot())
+            save_snapshot(self._path, self._store.snapshot())
         except OSError as problem:
-            # An instance serves without its file too: it must not stop for a full disk.
-            log.error("store not saved", extra={"kv": {"path": self._path, "why": problem}})
+            # An instance can serve without its file, so a full disk must not stop it.
+            reason = {"path": self._path, "why": problem}
+            log.error("store not saved", extra={"kv": reason})  # noqa: TRY400 - no traceback for operators
 
     def _schedule_save(self, _: Entry | None) -> None:
         if not self._save_scheduled:
--- a/garnetlanding/store/replication_codec.py
+++ b/garnetlanding/store/replication_codec.py
@@ -10,10 +10,10 @@
 | writer   | `{"at": revision}`                 | Heartbeat        |
 | writer   | `{"re": [number, revision]}`       | QueryReply       |
 
-A follower begins with one FollowRequest. The writer answers with its identity; then, where the follower
-cannot resume from its revision, with a snapshot; then with every change as it is made, and with a heartbeat
-at regular times. A follower that must prove that it is up to date sends queries, each of which is replied to
-with the writer's revision at that moment.
+A follower starts with one FollowRequest. The writer answers with its identity, then with a snapshot if its
+log does not reach back to the follower's revision, then with each change as it is made, and with a heartbeat
+at regular intervals. A follower that must prove that its copy is fresh sends queries; the writer replies to
+each with its revision at that moment.
 """
 
 from __future__ import annotations
@@ -22,15 +22,19 @@
 from dataclasses import dataclass
 from typing import Any
 
-from garnetlanding.store.errors import ReplicaError
+from garnetlanding.store.errors import ProtocolViolation, ReplicationProtocolError
 from garnetlanding.store.store import Entry
 
-REVISION_OF_NONE = -1  # in a FollowRequest: no revision is held, so that a snapshot has to be sent
+NO_REVISION = -1
+"""In a FollowRequest: the follower has no revision to resume from and needs a snapshot."""
+
+JsonObject = dict[str, Any]
+"""One decoded line."""
 
 
 @dataclass(frozen=True, slots=True)
 class FollowRequest:
-    """The follower holds this revision of this epoch and wants what comes after it."""
+    """The follower's copy is at this revision of this epoch; the writer is to send what follows."""
 
     epoch: int
     revision: int
@@ -68,14 +72,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """The writer is alive and at this revision, which it has sent in full."""
+    """The writer is alive and has sent every change up to this revision."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class QueryReply:
-    """The answer to one query: the writer's revision when it was read."""
+    """The reply to the query with this number: the writer's revision at that moment."""
 
     number: int
     revision: int
@@ -86,10 +90,10 @@
 
 
 def encode(message: FollowerMessage | WriterMessage) -> bytes:
-    """Return a message's line, with its line end."""
+    """Encode a message as one line, with its line end."""
     match message:
         case FollowRequest(epoch, revision):
-            fields: dict[str, Any] = {"follow": [epoch, revision]}
+            fields: JsonObject = {"follow": [epoch, revision]}
         case RevisionQuery(number):
             fields = {"ask": number}
         case WriterIdentity(name, epoch):
@@ -105,24 +109,24 @@
     return json.dumps(fields).encode() + b"\n"
 
 
-def decode_follow_request(fields: dict[str, Any]) -> FollowRequest | None:
-    """Return the request of a follower's first line, or None where it is none."""
+def decode_follow_request(fields: JsonObject) -> FollowRequest | None:
+    """Decode a follower's first line; return None if it is not a follow request."""
     match fields:
         case {"follow": [int() as epoch, int() as revision]}:
             return FollowRequest(epoch, revision)
     return None
 
 
-def decode_revision_query(fields: dict[str, Any]) -> RevisionQuery | None:
-    """Return the query of a follower's later line, or None where it is none."""
+def decode_revision_query(fields: JsonObject) -> RevisionQuery | None:
+    """Decode a later line of a follower; return None if it is not a revision query."""
     match fields:
         case {"ask": int() as number}:
             return RevisionQuery(number)
     return None
 
 
-def decode_writer_message(fields: dict[str, Any]) -> WriterMessage | None:
-    """Return the message of a writer's line, or None where it is none of the protocol's."""
+def decode_writer_message(fields: JsonObject) -> WriterMessage | None:
+    """Decode a line of the writer; return None if it is not a message of the protocol."""
     match fields:
         case {"writer": [str() as name, int() as epoch]}:
             return WriterIdentity(name, epoch)
@@ -137,30 +141,31 @@
     return None
 
 
-class LineDecoder:
+class JsonLineDecoder:
     """Splits a byte stream into lines and parses each as a JSON object."""
 
     def __init__(self, max_line_bytes: int) -> None:
         self._max_line_bytes = max_line_bytes
-        self._partial = b""
+        self._partial_line = b""
 
     @property
     def has_partial_line(self) -> bool:
-        """Whether the beginning of a line has been fed, and not its end."""
-        return bool(self._partial)
+        """Whether the last line that has been fed is incomplete."""
+        return bool(self._partial_line)
 
-    def feed(self, data: bytes | memoryview) -> list[dict[str, Any]]:
-        """Return the objects of the lines that are complete now.
+    def feed(self, data: bytes | memoryview) -> list[JsonObject]:
+        """Add bytes and return the objects of the lines that are complete now.
 
-        Raises ReplicaError for a line that is no JSON object, and for an unfinished one past the bound.
+        Raises ReplicationProtocolError for a line that is not a JSON object, and for an incomplete one that
+        exceeds the limit.
         """
-        *lines, self._partial = (self._partial + bytes(data)).split(b"\n")
-        if len(self._partial) > self._max_line_bytes:
-            raise ReplicaError("line too long")
+        *lines, self._partial_line = (self._partial_line + bytes(data)).split(b"\n")
+        if len(self._partial_line) > self._max_line_bytes:
+            raise ReplicationProtocolError(ProtocolViolation.LINE_TOO_LONG)
         try:
             parsed = [json.loads(line) for line in lines]
         except ValueError as problem:
-            raise ReplicaError("not JSON") from problem
+            raise ReplicationProtocolError(ProtocolViolation.NOT_JSON) from problem
         if not all(isinstance(fields, dict) for fields in parsed):
-            raise ReplicaError("not an object")
+            raise ReplicationProtocolError(ProtocolViolation.NOT_AN_OBJECT)
         return parsed
--- a/garnetlanding/store/setup.py
+++ b/garnetlanding/store/setup.py
@@ -7,32 +7,34 @@
 
 from garnetlanding.config.section import Section
 
-MIN_STALENESS_S = 0.5  # of `current_s`: several queries and replies fit
+MIN_STALENESS_S = 0.5  # leaves time for several queries and replies
 MAX_STALENESS_S = 3600.0
 
 
 class StoreRole(StrEnum):
-    """An instance's part in replication; the values are the section's words."""
+    """An instance's role in replication; the values are those of the section's key `role`."""
 
-    ALONE = "alone"  # nobody copies from it, and it copies from nobody
+    ALONE = "alone"  # without replication
     WRITER = "writer"
     FOLLOWER = "follower"
 
 
 @dataclass(frozen=True, slots=True)
 class StoreSetup:
-    """How this instance takes part in the replicated store."""
+    """An instance's role in replication, and what the role needs."""
 
     role: StoreRole = StoreRole.ALONE
-    writer: str = ""  # the name of the one writer
-    address: str = ""  # where the writer listens for followers
-    file: str = ""  # where the store is kept over restarts; empty: nowhere
-    max_staleness_us: int = 0  # a follower that may be staler than this does not act; 0: no bound
-    drift: float = 0.01  # how far this clock and the writer's run apart at most, as a share
+    writer: str = ""  # the writer's name
+    address: str = ""  # HOST:PORT where the writer listens for followers
+    file: str = ""  # path of the file that the store is saved in; empty: it is not saved
+    max_staleness_us: int = 0  # a follower whose copy may be older is fenced; 0: no limit
+    drift: float = (
+        0.01  # upper bound of the rate difference between this clock and the writer's, as a fraction
+    )
 
 
 def read(data: object, name: str) -> StoreSetup:
-    """Check the section and return its settings; `name` is this instance's own. Raises ConfigError."""
+    """Read and check the section; `name` is this instance's own name. Raises ConfigError."""
     section = Section(data, "store", "role writer address file current_s")
     role = StoreRole(section.one_of("role", [known.value for known in StoreRole]))
     if role is StoreRole.ALONE:
--- a/garnetlanding/store/store.py
+++ b/garnetlanding/store/store.py
@@ -1,7 +1,7 @@
-"""The replicated map with its revisions and its log. Knows no wire and no file.
+"""The replicated map with its revisions and its log of changes. No wire format and no file.
 
-One configured writer counts the revisions; every other instance holds a copy. No leader is elected: while
-the writer is unreachable, followers go on with what they hold, and nothing can be written.
+The configured writer assigns revisions; every other instance holds a copy. There is no leader election:
+while the writer is unreachable, followers keep using their copies, and nothing can be written.
 
 Invariants:
 
@@ -10,9 +10,9 @@
 * Within an epoch, `revision` is the number of changes made so far. Entry `n` takes a store from revision
   `n - 1` to `n`; a copy applies entries without gaps or repeats, so equal (epoch, revision) means equal
   values.
-* The log holds the latest entries, without gaps and ending at `revision`. It may be shorter than the
-  history; `entries_since` says where it no longer reaches.
-* A value is JSON. None is no value: it deletes the key.
+* The log holds the latest entries, without gaps and ending at `revision`. Its length is bounded, so
+  `entries_since` may not reach back far enough.
+* A value is JSON. Putting None deletes the key.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from garnetlanding.store.errors import LogGapError, NotWriterError, StaleEpochError
+from garnetlanding.store.errors import LogGapError, ReadOnlyStoreError, WriterRejectedError
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One change: the revision that it leads to, the key, and the new value, or None where it deletes."""
+    """One change: the revision after it, the key, and the new value, or None if the key is deleted."""
 
     revision: int
     key: str
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Everything that a store holds at one revision."""
+    """All values of a store at one revision."""
 
     epoch: int
     revision: int
@@ -44,17 +44,17 @@
 
 
 Observer = Callable[[Entry | None], None]
-"""Called after each change with its entry, or with None when everything may have changed at once."""
+"""Called after each change with its entry, or with None after a snapshot has replaced all values."""
 
 
 class Store:
     """The map at one instance: the writer's original, or a copy.
 
-    `writer` is the configured writer's name, `writable` whether that is this instance, and `log_entries` how
-    many changes are remembered for followers that resume.
+    `writer` is the configured writer's name, `writable` whether that is this instance, and `log_entries` the
+    number of changes kept for followers that reconnect.
     """
 
-    def __init__(self, writer: str, writable: bool, log_entries: int, epoch: int = 0) -> None:
+    def __init__(self, writer: str, *, writable: bool, log_entries: int, epoch: int = 0) -> None:
         self.writer = writer
         self.writable = writable
         self.epoch = epoch
@@ -66,21 +66,21 @@
     # Reading
 
     def get(self, key: str, absent: Any = None) -> Any:
-        """Return the key's value, or `absent` where it has none."""
+        """Return the key's value, or `absent` if it has none."""
         return self._values.get(key, absent)
 
     def with_prefix(self, prefix: str) -> dict[str, Any]:
-        """Return the keys that begin so, with their values, in the order in which they were first put."""
+        """Return the keys with this prefix and their values, in the order in which they were first put."""
         return {key: value for key, value in self._values.items() if key.startswith(prefix)}
 
     def snapshot(self) -> Snapshot:
-        """Return what is held now. Later changes do not reach the snapshot's map."""
+        """Return a copy of the present values, which later changes do not affect."""
         return Snapshot(self.epoch, self.revision, dict(self._values))
 
     def entries_since(self, revision: int) -> list[Entry] | None:
         """Return the entries after a revision of this epoch.
 
-        None where the log no longer reaches back to it, or the revision has not been reached here.
+        Return None if the log does not reach back to it, or if this store has not reached it yet.
         """
         first_logged = self._log[0].revision if self._log else self.revision + 1
         if revision > self.revision or revision + 1 < first_logged:
@@ -90,28 +90,28 @@
     # Writing
 
     def put(self, key: str, value: Any) -> None:
-        """Set a key, or delete it where `value` is None. Raises NotWriterError on a copy.
+        """Set a key, or delete it if `value` is None. Raises ReadOnlyStoreError on a copy.
 
-        Setting the value that is held already is no change and takes no revision.
+        Setting the present value again is no change and takes no revision.
         """
         if not self.writable:
-            raise NotWriterError(self.writer)
+            raise ReadOnlyStoreError(self.writer)
         if self._values.get(key) != value:
             self._append(Entry(self.revision + 1, key, value))
 
     # Copying
 
     def accept_writer(self, name: str, epoch: int) -> None:
-        """Check who a peer claims to be, before anything is copied from it. Raises StaleEpochError."""
+        """Check that a peer is the configured writer in the newest epoch. Raises WriterRejectedError."""
         if self.writable:
-            raise StaleEpochError(f"{name} claims to be the writer, which is this store", name, epoch)
+            raise WriterRejectedError.this_is_the_writer(name, epoch)
         if name != self.writer:
-            raise StaleEpochError(f"{name} is not the configured writer {self.writer}", name, epoch)
+            raise WriterRejectedError.not_configured(name, epoch, self.writer)
         if epoch < self.epoch:
-            raise StaleEpochError(f"epoch {epoch} of {name} has been followed by {self.epoch}", name, epoch)
+            raise WriterRejectedError.stale_epoch(name, epoch, self.epoch)
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replace everything by a snapshot, with its epoch and revision. The log starts empty."""
+        """Replace all values, the epoch and the revision by those of a snapshot, and clear the log."""
         self.epoch = snapshot.epoch
         self.revision = snapshot.revision
         self._values = dict(snapshot.values)
@@ -119,13 +119,9 @@
         self._notify(None)
 
     def apply(self, epoch: int, entry: Entry) -> None:
-        """Apply the writer's next change. Raises LogGapError for any other, and leaves the copy as it is."""
+        """Apply the writer's next change. Raises LogGapError, without an effect, for any other entry."""
         if epoch != self.epoch or entry.revision != self.revision + 1:
-            raise LogGapError(
-                f"entry {entry.revision} of epoch {epoch} after {self.revision} of {self.epoch}",
-                epoch,
-                entry.revision,
-            )
+            raise LogGapError.out_of_order(epoch, entry.revision, self.epoch, self.revision)
         self._append(entry)
 
     def _append(self, entry: Entry) -> None:
@@ -138,6 +134,6 @@
         self._notify(entry)
 
     def _notify(self, entry: Entry | None) -> None:
-        # A copy of the list: an observer may remove itself, as a follower's connection does at its end.
+        # Iterate over a copy: an observer may remove itself, as a follower's connection does at its end.
         for observer in list(self.observers):
             observer(entry)
--- a/garnetlanding/store/writer_machine.py
+++ b/garnetlanding/store/writer_machine.py
@@ -4,16 +4,16 @@
 
 import logging
 from collections.abc import Callable
-from typing import Any
 
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.scheduler import Scheduler, Timer
-from garnetlanding.store.errors import ReplicaError
+from garnetlanding.store.errors import ProtocolViolation, ReplicationProtocolError
 from garnetlanding.store.replication_codec import (
     EntryTransfer,
     FollowRequest,
     Heartbeat,
-    LineDecoder,
+    JsonLineDecoder,
+    JsonObject,
     QueryReply,
     SnapshotTransfer,
     WriterIdentity,
@@ -27,10 +27,10 @@
 
 
 class WriterMachine:
-    """Serves one follower: what it lacks, then each change as it is made, and heartbeats in between.
+    """Sends one follower the changes that it lacks, then each change as it is made, and heartbeats.
 
-    Implements the listener's ClientMachine. `write` puts bytes on the connection. A line that breaks the
-    protocol ends the connection; the follower is not told why, the log is.
+    Implements the listener's ClientMachine. `write` sends bytes on the connection. A line that violates the
+    protocol ends the connection; the reason is logged and not sent to the follower.
     """
 
     waiting = False  # all that is fed is processed at once
@@ -42,7 +42,7 @@
         self._scheduler = scheduler
         self._limits = limits
         self._write = write
-        self._lines = LineDecoder(limits.store_line_bytes)
+        self._lines = JsonLineDecoder(limits.store_line_bytes)
         self._heartbeat_timer: Timer | None = None
         self._following = False
         self.ended = False
@@ -54,44 +54,44 @@
 
     @property
     def midway(self) -> bool:
-        """Whether part of a line has come."""
+        """Whether part of a line has been received."""
         return self._lines.has_partial_line
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Take bytes of the follower's; answers are written on the way."""
+        """Process bytes from the follower and write the responses."""
         try:
             for fields in self._lines.feed(data):
                 self.taken += 1
                 self._handle(fields)
-        except ReplicaError as problem:
+        except ReplicationProtocolError as problem:
             log.warning("follower rejected", extra={"kv": {"why": problem}})
             self.ended = True
 
     def close(self) -> None:
-        """Stop sending: the connection is gone."""
+        """Stop sending: the connection is closed."""
         self.ended = True
         if self._heartbeat_timer:
             self._heartbeat_timer.cancel()
         if self._send_entry in self._store.observers:
             self._store.observers.remove(self._send_entry)
 
-    def _handle(self, fields: dict[str, Any]) -> None:
+    def _handle(self, fields: JsonObject) -> None:
         if not self._following:
             request = decode_follow_request(fields)
             if request is None:
-                raise ReplicaError("expected one follow")
+                raise ReplicationProtocolError(ProtocolViolation.NO_FOLLOW_REQUEST)
             self._start_following(request)
             return
         query = decode_revision_query(fields)
         if query is None:
-            raise ReplicaError("expected one follow")
+            raise ReplicationProtocolError(ProtocolViolation.NO_FOLLOW_REQUEST)
         self._write(encode(QueryReply(query.number, self._store.revision)))
 
     def _start_following(self, request: FollowRequest) -> None:
         store = self._store
         self._following = True
         self._write(encode(WriterIdentity(store.writer, store.epoch)))
-        # Revisions of another epoch say nothing about this one's.
+        # Revisions of different epochs cannot be compared.
         missing = store.entries_since(request.revision) if request.epoch == store.epoch else None
         if missing is None:
             self._write(encode(SnapshotTransfer(store.revision, store.snapshot().values)))
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -48,7 +48,12 @@
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.resp.front import ClientMachine, Front
 from garnetlanding.runtime.listener import Listener
-from garnetlanding.store.errors import LogGapError, ReplicaError, StaleEpochError, StoreFileError
+from garnetlanding.store.errors import (
+    LogGapError,
+    ReplicationProtocolError,
+    StoreFileError,
+    WriterRejectedError,
+)
 from garnetlanding.store.follower_machine import FollowerMachine
 from garnetlanding.store.persister import StorePersister
 from garnetlanding.store.staleness_guard import StalenessGuard
@@ -100,7 +105,7 @@
 
 
 def filled_store(log_entries: int = 50) -> Store:
-    store = Store("w", True, log_entries, epoch=EPOCH)
+    store = Store("w", writable=True, log_entries=log_entries, epoch=EPOCH)
     for key, value in STORE_PUTS:
         store.put(key, value)
     return store
@@ -113,7 +118,7 @@
 @pytest.mark.parametrize("name", ["store-filled.json", "store-empty.json"])
 def test_store_file(name: str, tmp_path: pathlib.Path) -> None:
     world, path = SimulatedInstance(), tmp_path / "store.json"
-    store = Store("w", True, 50, epoch=EPOCH)
+    store = Store("w", writable=True, log_entries=50, epoch=EPOCH)
     persister = persister_of(world, store, path)
     if name == "store-empty.json":
         persister.save()
@@ -130,7 +135,7 @@
 
     path.write_bytes(committed)
     (tmp_path / "store.json.new").write_bytes(committed[:20])  # a crash left a half-written file beside it
-    again = Store("w", True, 50)
+    again = Store("w", writable=True, log_entries=50)
     persister = persister_of(world, again, path)
     assert again.snapshot() == expected
     assert list(again.snapshot().values) == list(expected.values)
@@ -144,7 +149,7 @@
     committed = (FOLDER / name).read_bytes()
     for length in range(len(committed)):
         path.write_bytes(committed[:length])
-        store = Store("w", True, 50, epoch=7)
+        store = Store("w", writable=True, log_entries=50, epoch=7)
         with pytest.raises(StoreFileError) as caught:
             persister_of(world, store, path)
         assert str(caught.value).startswith(f"{path}: "), f"cut to {length} bytes"
@@ -167,12 +172,12 @@
     path = tmp_path / "store.json"
     path.write_text(text)
     with pytest.raises(StoreFileError) as caught:
-        persister_of(SimulatedInstance(), Store("w", True, 50), path)
+        persister_of(SimulatedInstance(), Store("w", writable=True, log_entries=50), path)
     assert str(caught.value) == f"{path}: {why}"
 
 
 def test_store_without_a_file_starts_empty(tmp_path: pathlib.Path) -> None:
-    store = Store("w", True, 50, epoch=7)
+    store = Store("w", writable=True, log_entries=50, epoch=7)
     persister_of(SimulatedInstance(), store, tmp_path / "store.json")
     assert store.snapshot() == Snapshot(7, 0, {})
     assert not list(tmp_path.iterdir())
@@ -182,12 +187,12 @@
 
 
 def follower_store() -> Store:
-    return Store("w", False, 50)
+    return Store("w", writable=False, log_entries=50)
 
 
 def resumed_store() -> Store:
     """A follower's store that stopped after the first five entries."""
-    whole, store = Store("w", True, 50, epoch=EPOCH), follower_store()
+    whole, store = Store("w", writable=True, log_entries=50, epoch=EPOCH), follower_store()
     for key, value in STORE_PUTS[:5]:
         whole.put(key, value)
     store.restore(whole.snapshot())
@@ -314,13 +319,13 @@
 @pytest.mark.parametrize(
     ("lines", "problem", "why"),
     [
-        (b'{"at": 0}\n', ReplicaError, "the writer has not named itself"),
-        (b'{"writer": ["x", 1]}\n', StaleEpochError, "x is not the configured writer w"),
+        (b'{"at": 0}\n', ReplicationProtocolError, "the writer has not named itself"),
+        (b'{"writer": ["x", 1]}\n', WriterRejectedError, "x is not the configured writer w"),
         (b'{"writer": ["w", 1]}\n{"entry": [2, "a", 1]}\n', LogGapError, "entry 2 of epoch 1 after 0 of 0"),
         (b'{"writer": ["w", 0]}\n{"at": 3}\n', LogGapError, "the writer is at 3, this store at 0"),
-        (b'{"writer": ["w", 0]}\n{"re": [1, 0]}\n', ReplicaError, "unknown message"),
-        (b'{"writer": ["w", 0]}\n{"snapshot": [1]}\n', ReplicaError, "unknown message"),
-        (b'{"writer": ["w"\n', ReplicaError, "not JSON"),
+        (b'{"writer": ["w", 0]}\n{"re": [1, 0]}\n', ReplicationProtocolError, "unknown message"),
+        (b'{"writer": ["w", 0]}\n{"snapshot": [1]}\n', ReplicationProtocolError, "unknown message"),
+        (b'{"writer": ["w"\n', ReplicationProtocolError, "not JSON"),
     ],
 )
 def test_follower_refuses_a_wrong_stream(lines: bytes, problem: type[Exception], why: str) -> None:
--- a/tests/store/test_persister.py
+++ b/tests/store/test_persister.py
@@ -7,7 +7,7 @@
 import pytest
 
 from garnetlanding.store.errors import StoreFileError
-from garnetlanding.store.persister import StorePersister, load, save
+from garnetlanding.store.persister import StorePersister, load_snapshot, save_snapshot
 from garnetlanding.store.store import Snapshot, Store
 from tests.support.clock import MS
 from tests.support.simulated_instance import SimulatedInstance
@@ -15,14 +15,14 @@
 
 def test_saved_snapshot_loads_again_and_an_unusable_file_is_named(tmp_path: pathlib.Path) -> None:
     path = str(tmp_path / "store.json")
-    assert load(path) is None
-    save(path, Snapshot(2, 7, {"a": [1]}))
-    assert load(path) == Snapshot(2, 7, {"a": [1]})
+    assert load_snapshot(path) is None
+    save_snapshot(path, Snapshot(2, 7, {"a": [1]}))
+    assert load_snapshot(path) == Snapshot(2, 7, {"a": [1]})
     assert [p.name for p in tmp_path.iterdir()] == ["store.json"]
     for text in ("{", '{"epoch": 1}'):
         pathlib.Path(path).write_text(text)
         with pytest.raises(StoreFileError, match="store.json"):
-            load(path)
+            load_snapshot(path)
 
 
 def test_failed_write_leaves_the_old_file_and_is_logged(
@@ -33,12 +33,12 @@
 
     world = SimulatedInstance()
     path = str(tmp_path / "store.json")
-    store = Store("w", True, 5)
+    store = Store("w", writable=True, log_entries=5)
     StorePersister(world.scheduler, store, path, 100 * MS)
     store.put("a", 1)
     world.run(100 * MS)
     monkeypatch.setattr("os.fsync", full)
     store.put("a", 2)
     world.run(100 * MS)
-    assert load(path) == Snapshot(0, 1, {"a": 1})
+    assert load_snapshot(path) == Snapshot(0, 1, {"a": 1})
     assert "store not saved" in caplog.text
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -1,4 +1,4 @@
-"""Replication through restarts, partitions and false writers."""
+"""Replication through restarts, partitions and illegitimate writers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,12 @@
 
 from garnetlanding.runtime.errors import BufferPoolExhaustedError, DeadlineExceededError, StreamClosedError
 from garnetlanding.runtime.listener import Listener
-from garnetlanding.store.errors import LogGapError, ReplicaError, StaleEpochError
+from garnetlanding.store.errors import (
+    LogGapError,
+    ProtocolViolation,
+    ReplicationProtocolError,
+    WriterRejectedError,
+)
 from garnetlanding.store.follower import Follower, FollowerOptions, describe_disconnect
 from garnetlanding.store.follower_machine import FollowerMachine
 from garnetlanding.store.store import Snapshot, Store
@@ -18,12 +23,12 @@
 
 
 class ReplicationPair(SimulatedInstance):
-    """A writer on loopback and a follower of it."""
+    """A writer and its follower, connected over loopback."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.store = Store("w", True, 4, epoch=10)
-        self.copy = Store("w", False, 4)
+        self.store = Store("w", writable=True, log_entries=4, epoch=10)
+        self.copy = Store("w", writable=False, log_entries=4)
         self.serve("127.0.0.1:0")
         self.follower = Follower(
             self.scheduler, self.pool, self.limits, self.copy, FollowerOptions(self.listener.address)
@@ -75,8 +80,8 @@
     for i in range(missed):
         pair.store.put("a", 10 + i)
     pair.run(3 * SECOND, 100 * MS)
-    assert pair.copy.get("a") == 1, "it goes on with what it has"
-    assert not pair.follower.connected, "it goes on with what it has"
+    assert pair.copy.get("a") == 1, "the copy stays usable during the partition"
+    assert not pair.follower.connected
     restored: list[Snapshot] = []
 
     def restore(snapshot: Snapshot) -> None:
@@ -93,7 +98,7 @@
 def test_follower_reconnects_after_the_writer_was_unresponsive() -> None:
     pair = ReplicationPair()
     pair.mute(next(iter(pair.listener._clients)).stream._sock.fileno())
-    next(iter(pair.listener._clients)).machine.close()  # sends nothing more and stays open
+    next(iter(pair.listener._clients)).machine.close()  # sends nothing more, but its connection stays open
     pair.store.put("a", 1)
     pair.run(pair.limits.store_silence_us, 100 * MS)
     assert not pair.follower.connected
@@ -113,34 +118,36 @@
     pair.store.put("a", 1)
     pair.settle()
     pair.partition()
-    pair.store = Store("w", True, 4, epoch=11)  # its file was lost: other values, other revisions
+    pair.store = Store(
+        "w", writable=True, log_entries=4, epoch=11
+    )  # its file was lost: new values, new revisions
     pair.store.put("b", 2)
     pair.serve(pair.listener.address)
     pair.run(pair.limits.store_retry_us, 100 * MS)
     assert pair.is_in_sync()
     assert pair.copy.epoch == 11
     pair.partition()
-    pair.store = Store("w", True, 4, epoch=10)  # the old process, still there
+    pair.store = Store("w", writable=True, log_entries=4, epoch=10)  # the old process, which is still running
     pair.store.put("a", 9)
     pair.serve(pair.listener.address)
     pair.run(2 * pair.limits.store_retry_us, 100 * MS)
     assert pair.copy.snapshot().values == {"b": 2}
     assert logged_reason(caplog).startswith("stale writer: epoch 10")
     pair.partition()
-    pair.store = Store("other", True, 4, epoch=99)  # a second writer
+    pair.store = Store("other", writable=True, log_entries=4, epoch=99)  # a second writer
     pair.serve(pair.listener.address)
     pair.run(2 * pair.limits.store_retry_us, 100 * MS)
     assert pair.copy.epoch == 11
     assert "not the configured writer" in logged_reason(caplog)
 
 
-def test_revision_gap_is_mended_by_a_snapshot() -> None:
+def test_a_snapshot_closes_a_revision_gap() -> None:
     pair = ReplicationPair()
-    pair.copy.revision = 40  # as if it had copied what the writer never had
+    pair.copy.revision = 40  # a revision that the writer has not reached
     pair.store.put("a", 1)
     pair.settle()
     assert pair.is_in_sync()
-    pair.store._values["a"], pair.store.revision = 5, 7  # an entry was lost on its way
+    pair.store._values["a"], pair.store.revision = 5, 7  # an entry was lost in transit
     pair.run(pair.limits.store_heartbeat_us + pair.limits.store_retry_us, 100 * MS)
     assert pair.is_in_sync()
 
@@ -157,13 +164,13 @@
     ids=["not-json", "not-an-object", "entry-before-identity", "unknown-message", "line-too-long"],
 )
 def test_follower_machine_raises_on_a_stream_that_breaks_the_protocol(lines: bytes, reason: str) -> None:
-    machine = FollowerMachine(Store("w", False, 4), SimulatedInstance().limits)
+    machine = FollowerMachine(Store("w", writable=False, log_entries=4), SimulatedInstance().limits)
     assert json.loads(machine.follow_request(with_snapshot=True)) == {"follow": [0, -1]}
-    with pytest.raises(ReplicaError, match=reason):
+    with pytest.raises(ReplicationProtocolError, match=reason):
         machine.feed(lines)
 
 
-def test_writer_closes_a_connection_that_does_not_begin_with_a_follow_request() -> None:
+def test_writer_closes_a_connection_that_does_not_start_with_a_follow_request() -> None:
     pair = ReplicationPair()
     peer = pair.peer(pair.listener.address)
     peer.say(b"GET / HTTP/1.1\r\n\r\n")
@@ -173,9 +180,9 @@
 @pytest.mark.parametrize(
     ("problem", "text"),
     [
-        (StaleEpochError("epoch 1 of w", "w", 1), "stale writer: epoch 1 of w"),
+        (WriterRejectedError("epoch 1 of w", "w", 1), "stale writer: epoch 1 of w"),
         (LogGapError("entry 3", 1, 3), "gap in the log: entry 3"),
-        (ReplicaError("not JSON"), "protocol violation: not JSON"),
+        (ReplicationProtocolError(ProtocolViolation.NOT_JSON), "protocol violation: not JSON"),
         (DeadlineExceededError(), "no answer in time"),
         (BufferPoolExhaustedError(), "no buffer free"),
         (StreamClosedError("ended"), "connection closed: ended"),
--- a/tests/store/test_staleness_guard.py
+++ b/tests/store/test_staleness_guard.py
@@ -1,4 +1,4 @@
-"""The staleness guard: no instance acts on data that is too old."""
+"""The staleness guard: no follower acts on a copy that is too old."""
 
 from __future__ import annotations
 
@@ -12,47 +12,49 @@
 DRIFT = 0.01
 
 
-def longest_stale_action(seed: int, guard_type: type[StalenessGuard]) -> float:
-    """Return how long after a change a follower last acted without it, in bounds of staleness.
+def max_acted_staleness(seed: int, guard_type: type[StalenessGuard]) -> float:
+    """Return the age of the oldest missing change at which a follower acted, in multiples of the bound.
 
-    Its clock drifts, its queries and replies are late or lost, and it stands still at times; the writer makes
-    a change each second.
+    The writer makes a change each second. The follower's clock drifts, its queries and replies are delayed or
+    lost, and it is paused at times.
     """
     rng = random.Random(seed)
-    pace = 1 + rng.uniform(-DRIFT / 2, DRIFT / 2)
+    clock_rate = 1 + rng.uniform(-DRIFT / 2, DRIFT / 2)
     guard = guard_type(SECOND, DRIFT, 0)
-    asked, answers = list[tuple[int, int]](), list[tuple[int, int, int]]()  # when it comes, number, revision
-    known, asleep, ask_at, worst = 0, 0, 0, 0.0
+    queries: list[tuple[int, int]] = []  # time of arrival, number
+    replies: list[tuple[int, int, int]] = []  # time of arrival, number, revision
+    copied_revision, paused_until, next_query_at, max_staleness = 0, 0, 0, 0.0
     for now in range(0, 30 * SECOND, SECOND // 100):
-        revision = now // SECOND
-        for when, number in [a for a in asked if a[0] <= now]:
-            asked.remove((when, number))
+        writer_revision = now // SECOND
+        for arrives_at, number in [query for query in queries if query[0] <= now]:
+            queries.remove((arrives_at, number))
             if rng.random() < 0.8:
-                answers.append((now + rng.randrange(1, 2 * SECOND), number, revision))
-        if now < asleep:
+                replies.append((now + rng.randrange(1, 2 * SECOND), number, writer_revision))
+        if now < paused_until:
             continue
-        mine = int(now * pace)
-        for when, number, told in sorted(a for a in answers if a[0] <= now):
-            answers.remove((when, number, told))
-            known = max(known, told)
+        local_now = int(now * clock_rate)
+        for arrives_at, number, revision in sorted(reply for reply in replies if reply[0] <= now):
+            replies.remove((arrives_at, number, revision))
+            copied_revision = max(copied_revision, revision)
             guard.reply_received(number)
-        if mine >= ask_at:
-            ask_at = mine + guard.query_interval_us
-            asked.append((now + rng.randrange(1, SECOND), guard.next_query(mine)))
-        if guard.is_current(mine) and known < revision:
-            worst = max(worst, (now - (known + 1) * SECOND) / SECOND)
+        if local_now >= next_query_at:
+            next_query_at = local_now + guard.query_interval_us
+            queries.append((now + rng.randrange(1, SECOND), guard.next_query(local_now)))
+        if guard.is_current(local_now) and copied_revision < writer_revision:
+            missing_since = (copied_revision + 1) * SECOND
+            max_staleness = max(max_staleness, (now - missing_since) / SECOND)
         if rng.random() < 0.002:
-            asleep = now + rng.randrange(SECOND, 4 * SECOND)
-    return worst
+            paused_until = now + rng.randrange(SECOND, 4 * SECOND)
+    return max_staleness
 
 
 def test_guarded_instance_never_acts_on_a_copy_staler_than_its_bound() -> None:
-    worst = max(longest_stale_action(seed, StalenessGuard) for seed in range(300))
-    assert 0.5 < worst < 1.0
+    max_staleness = max(max_acted_staleness(seed, StalenessGuard) for seed in range(300))
+    assert 0.5 < max_staleness < 1.0
 
 
 class ValidFromReceipt(StalenessGuard):
-    """A fault: a reply counts from when it came."""
+    """A faulty guard: a reply proves freshness as of its arrival."""
 
     now = 0
 
@@ -65,14 +67,14 @@
 
 
 class AnyReplyForTheLastQuery(StalenessGuard):
-    """A fault: a reply to any query counts as one to the last."""
+    """A faulty guard: a reply to any query counts as the reply to the newest."""
 
     def reply_received(self, _number: int) -> None:
         super().reply_received(self._number)
 
 
 class NeverStale(StalenessGuard):
-    """A fault: once current, always current."""
+    """A faulty guard: once fresh, the copy stays so for good."""
 
     def is_current(self, _now: int) -> bool:
         return self.current_until > 0
@@ -80,4 +82,4 @@
 
 @pytest.mark.parametrize("broken_guard", [ValidFromReceipt, AnyReplyForTheLastQuery, NeverStale])
 def test_broken_guard_exceeds_the_bound(broken_guard: type[StalenessGuard]) -> None:
-    assert any(longest_stale_action(seed, broken_guard) >= 1.0 for seed in range(60))
+    assert any(max_acted_staleness(seed, broken_guard) >= 1.0 for seed in range(60))
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,4 +1,4 @@
-"""The store against a model."""
+"""The store compared with a model, and its errors."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from garnetlanding.store.errors import (
     LogGapError,
-    NotWriterError,
-    StaleEpochError,
+    ReadOnlyStoreError,
     StoreError,
     StoreFileError,
+    WriterRejectedError,
 )
-from garnetlanding.store.persister import load
+from garnetlanding.store.persister import load_snapshot
 from garnetlanding.store.store import Entry, Store
 
 KEYS = st.sampled_from(["a", "b", "c"])
@@ -26,7 +26,7 @@
 def test_copy_resumes_from_any_logged_revision_and_from_no_other(
     puts: list[tuple[str, int | None]], revision: int
 ) -> None:
-    store = Store("w", True, log_entries=5)
+    store = Store("w", writable=True, log_entries=5)
     copies = [store.snapshot()]
     model: dict[str, int | None] = {}
     for key, value in puts:
@@ -40,7 +40,7 @@
     entries = store.entries_since(revision)
     assert (entries is None) == (revision > store.revision or revision < store.revision - 5)
     if entries is not None:
-        copy = Store("w", False, 5)
+        copy = Store("w", writable=False, log_entries=5)
         copy.restore(copies[revision])
         for entry in entries:
             copy.apply(0, entry)
@@ -48,32 +48,32 @@
 
 
 def test_copy_rejects_writes_other_writers_and_entries_out_of_order() -> None:
-    copy = Store("w", False, 5, epoch=3)
-    with pytest.raises(NotWriterError):
+    copy = Store("w", writable=False, log_entries=5, epoch=3)
+    with pytest.raises(ReadOnlyStoreError):
         copy.put("a", 1)
     with pytest.raises(LogGapError):
         copy.apply(3, Entry(2, "a", 1))
     with pytest.raises(LogGapError):
         copy.apply(4, Entry(1, "a", 1))
     for name, epoch in (("x", 9), ("w", 2)):
-        with pytest.raises(StaleEpochError):
+        with pytest.raises(WriterRejectedError):
             copy.accept_writer(name, epoch)
-    with pytest.raises(StaleEpochError):
-        Store("w", True, 5).accept_writer("w", 9)
+    with pytest.raises(WriterRejectedError):
+        Store("w", writable=True, log_entries=5).accept_writer("w", 9)
 
 
 def test_store_errors_carry_their_subject_and_share_one_base(tmp_path: pathlib.Path) -> None:
-    copy = Store("w", False, 5, epoch=3)
+    copy = Store("w", writable=False, log_entries=5, epoch=3)
     with pytest.raises(LogGapError) as gap:
         copy.apply(4, Entry(7, "a", 1))
-    with pytest.raises(StaleEpochError) as stale:
+    with pytest.raises(WriterRejectedError) as stale:
         copy.accept_writer("w", 2)
-    with pytest.raises(NotWriterError) as not_writer:
+    with pytest.raises(ReadOnlyStoreError) as not_writer:
         copy.put("a", 1)
     path = tmp_path / "store.json"
     path.write_text("{")
     with pytest.raises(StoreFileError) as unreadable:
-        load(str(path))
+        load_snapshot(str(path))
     assert (gap.value.epoch, gap.value.revision) == (4, 7)
     assert (stale.value.writer, stale.value.epoch, not_writer.value.writer) == ("w", 2, "w")
     assert unreadable.value.file == str(path)
