--- a/garnetlanding/discovery/listing.py
+++ b/garnetlanding/discovery/listing.py
@@ -1,8 +1,9 @@
-"""The endpoint list in discovery's JSON, read into the core's terms, field by field."""
+"""Parse the endpoint list, in discovery's JSON format, into the core's types, field by field."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from enum import Enum
 from typing import Any, NamedTuple
 
 from garnetlanding.core.ports import EndpointListing
@@ -16,76 +17,110 @@
 
 
 class DiscoveryError(ValueError):
-    """Something that discovery sent cannot be used."""
+    """Base class of errors about what discovery has sent."""
 
 
 class ListError(DiscoveryError):
-    """A list that cannot be read or taken up; `field` is the JSON key at fault, if it is one key's."""
+    """An endpoint list that cannot be used; `field` is the faulty JSON key, or None if it is not one key."""
 
     def __init__(self, problem: str, field: str | None = None) -> None:
         super().__init__(problem if field is None else f"field {field}: {problem}")
         self.field = field
 
 
+class ListDefect(Enum):
+    """How an endpoint list deviates from its format; the values are logged."""
+
+    NOT_JSON = "not JSON"
+    NOT_AN_OBJECT = "not an object"
+    NOT_A_LIST = "not a list"
+    LINE_TOO_LONG = "line too long"
+
+
+class ListFormatError(ListError):
+    """An endpoint list, or its key `field`, does not have the expected format."""
+
+    def __init__(self, defect: ListDefect, field: str | None = None) -> None:
+        super().__init__(defect.value, field)
+        self.defect = defect
+
+
+class FieldValueError(ListError):
+    """A key has a value of the wrong type, or an unknown one."""
+
+    def __init__(self, field: str, value: object) -> None:
+        super().__init__(f"cannot read {value!r:.40}", field)
+        self.value = value
+
+
+class StaleChangesError(ListError):
+    """Changes to an older list than the one in force; `version` is theirs."""
+
+    def __init__(self, version: int, version_in_force: int) -> None:
+        super().__init__(f"{version} after {version_in_force}", "generation")
+        self.version = version
+        self.version_in_force = version_in_force
+
+
 class ListedEndpoint(NamedTuple):
-    """One entry of a list, and where its backend listens."""
+    """One entry of an endpoint list, and the backend's HOST:PORT."""
 
     endpoint: Endpoint
     address: str
 
 
 class VersionedListing(NamedTuple):
-    """A listing, and the version of the list that it makes."""
+    """An endpoint list or changes to it, and the version of the list that results."""
 
     version: int
     listing: EndpointListing
 
 
-def _get(entry: dict[str, Any], name: str, kinds: tuple[type, ...], absent: Any = None) -> Any:
-    value = entry.get(name, absent)
+def _read_field(data: dict[str, Any], name: str, kinds: tuple[type, ...], default: Any = None) -> Any:
+    value = data.get(name, default)
     if not isinstance(value, kinds) or isinstance(value, bool):
-        raise ListError(f"cannot read {value!r:.40}", name)
+        raise FieldValueError(name, value)
     return value
 
 
 def read_entry(entry: object, to_monotonic: ToMonotonic) -> ListedEndpoint:
-    """Read one entry. Raises ListError."""
+    """Parse one entry of decoded JSON. Raises ListError."""
     if not isinstance(entry, dict):
-        raise ListError("not an object", "instances")
-    lifecycle = _get(entry, "lifecycle", (str,))
+        raise ListFormatError(ListDefect.NOT_AN_OBJECT, "instances")
+    lifecycle = _read_field(entry, "lifecycle", (str,))
     if lifecycle not in STATES:
-        raise ListError(f"cannot read {lifecycle!r:.40}", "lifecycle")
-    started_ms = _get(entry, "startedAtMs", (int, float), 0)
-    started_us = 0  # long ago, on any clock
+        raise FieldValueError("lifecycle", lifecycle)
+    started_ms = _read_field(entry, "startedAtMs", (int, float), 0)
+    started_us = 0  # unknown: long ago, on any clock
     if started_ms:
         started_us = to_monotonic(int(started_ms * US_PER_MS))
     endpoint = Endpoint(
-        node=_get(entry, "instanceId", (str,)),
-        cell=_get(entry, "cell", (int,), -1),
-        zone=_get(entry, "zone", (str,), ""),
+        node=_read_field(entry, "instanceId", (str,)),
+        cell=_read_field(entry, "cell", (int,), -1),
+        zone=_read_field(entry, "zone", (str,), ""),
         state=STATES[lifecycle],
         started_us=started_us,
-        size=float(_get(entry, "weight", (int, float), 1.0)),
+        size=float(_read_field(entry, "weight", (int, float), 1.0)),
     )
-    return ListedEndpoint(endpoint, _get(entry, "hostPort", (str,), ""))
+    return ListedEndpoint(endpoint, _read_field(entry, "hostPort", (str,), ""))
 
 
 def read_list(
-    data: object, to_monotonic: ToMonotonic, complete: bool | None = None, at_start: bool = False
+    data: object, to_monotonic: ToMonotonic, *, complete: bool | None = None, at_start: bool = False
 ) -> VersionedListing:
-    """Read a list or changes of one from decoded JSON. Raises ListError.
+    """Parse an endpoint list, or changes to it, from decoded JSON. Raises ListError.
 
-    `complete` overrides what the list says of itself; `at_start` marks one remembered from before the start.
+    `complete` overrides the list's own key; `at_start` marks a list that was cached before the start.
     """
     if not isinstance(data, dict):
-        raise ListError("not an object")
+        raise ListFormatError(ListDefect.NOT_AN_OBJECT)
     instances = data.get("instances")
     if not isinstance(instances, list):
-        raise ListError("not a list", "instances")
+        raise ListFormatError(ListDefect.NOT_A_LIST, "instances")
     read = [read_entry(entry, to_monotonic) for entry in instances]
     if complete is None:
         complete = bool(data.get("reset"))
-    version = int(_get(data, "generation", (int,), 0))
+    version = int(_read_field(data, "generation", (int,), 0))
     entries = tuple(endpoint for endpoint, _ in read)
     addresses = {endpoint.node: address for endpoint, address in read}
     return VersionedListing(version, EndpointListing(entries, addresses, complete, at_start))
--- a/garnetlanding/discovery/watch.py
+++ b/garnetlanding/discovery/watch.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint list. A watch that breaks or falls silent has failed; the list in force stands."""
+"""The client that follows the endpoint list; the list in force stays after a failure."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from garnetlanding.core.ports import EndpointListing
 from garnetlanding.discovery.listing import DiscoveryError, ToMonotonic
-from garnetlanding.discovery.watch_parser import ReceivedList, WatchError, WatchParser
+from garnetlanding.discovery.watch_parser import ReceivedList, WatchDisconnectedError, WatchParser
 from garnetlanding.discovery.watch_state import CallDeadline, NextStep, OnFailure, WatchState
 from garnetlanding.http.errors import HttpError
 from garnetlanding.limits import Limits
@@ -27,12 +27,12 @@
     HttpError,
     DiscoveryError,
     BufferPoolExhaustedError,
-)  # the ways a call may end
+)  # expected reasons for the end of a call
 
 
 @dataclass(frozen=True, slots=True)
 class WatchRuntime:
-    """What a watch runs on."""
+    """The runtime services that a watch uses."""
 
     scheduler: Scheduler
     pool: BufferPool
@@ -42,19 +42,19 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchCallbacks:
-    """Whom a watch notifies, and whom it asks."""
+    """The functions by which a watch reports to its instance and queries it."""
 
     update_endpoints: Callable[[EndpointListing], None]
     update_failed: Callable[[bool, int], None]
     """See `RequestEngine.endpoint_update_failed`."""
     persist: Callable[[dict[str, Any]], None]
-    """Gets each list as discovery wrote it, to be cached for a restart."""
+    """Called with each list as discovery sent it, to be cached for a restart."""
     is_pushed: Callable[[], bool] = lambda: False
-    """Whether the settings in force say that lists are pushed."""
+    """Returns whether lists are pushed, by the settings in force."""
 
 
 class Watch:
-    """The driver of `WatchState`: one call to discovery at a time.
+    """The driver of `WatchState`, which makes one call to discovery at a time.
 
     Implements the core's `EndpointSubscription`.
     """
@@ -62,7 +62,7 @@
     def __init__(
         self, runtime: WatchRuntime, callbacks: WatchCallbacks, address: str, version: int = 0
     ) -> None:
-        """Follow discovery at `address`; `version` is that of the list in force."""
+        """Prepare to follow the list at `address`, HOST:PORT; `version` is that of the list in force."""
         self._scheduler = runtime.scheduler
         self._limits = runtime.limits
         self._runtime = runtime
@@ -82,24 +82,24 @@
         return self._state.is_synced
 
     def switch_to(self, address: str) -> None:
-        """Follow another discovery from now on; the versions of one mean nothing to the next."""
+        """Follow another discovery service from now on, whose versions are unrelated to this one's."""
         self._address = address
         self._state.version = 0
         self.subscribe()
 
     def keep_open(self) -> None:
-        """Follow a list that is pushed; to be called at the start and after new settings.
+        """Follow the list if it is pushed; called at the start and after new settings.
 
-        Where new settings say that the list is polled, the engine decides when to.
+        If new settings change to polling, the engine decides when to call discovery.
         """
-        match self._state.next_step(self._callbacks.is_pushed()):
+        match self._state.next_step(is_pushed=self._callbacks.is_pushed()):
             case NextStep.SUBSCRIBE:
                 self.subscribe()
             case NextStep.REPORT_FAILURE:
                 self._callbacks.update_failed(False, 0)
 
     def subscribe(self) -> None:
-        """Call discovery now, in place of the call or watch there is."""
+        """Call discovery now; the new call supersedes the present call or watch."""
         call = self._state.begin_call()
         if self._stream:
             self._stream.close()
@@ -112,25 +112,25 @@
         parser = WatchParser(self._runtime.pool, limits, self._runtime.to_monotonic)
         cause = self._run_call(call, parser, deadline)
         if self._state.is_newest(call):
-            # A newer call answers for itself; this one has ended, which is reported once.
+            # The end of a superseded call is not a failure: the newer call follows the list.
             self._call_ended(cause, parser, deadline)
 
     def _run_call(self, call: int, parser: WatchParser, deadline: CallDeadline) -> Exception:
-        """Connect, ask and read for as long as the watch stands; return why it ended."""
-        cause: Exception = WatchError("stream ended")
+        """Make one call and read its watch to the end; return the reason for the end."""
+        cause: Exception = WatchDisconnectedError()
         stream: Stream | None = None
         try:
             stream = Stream.connect(
                 self._scheduler, self._address, self._runtime.pool, self._limits, deadline.until
             )
-            # If superseded while it connected, its answer would be of another time, or another discovery.
+            # If superseded while it connected, its response would be outdated or of another service.
             if self._state.is_newest(call):
                 self._stream = stream
                 self._read(stream, parser, deadline)
         except CALL_ERRORS as error:
             cause = error
         except Exception as defect:
-            # Whatever it was, the engine must learn that nobody follows the list any more.
+            # Whatever the defect, the engine must learn that the list is not followed any more.
             log.exception("watch failed")
             cause = defect
         finally:
@@ -142,7 +142,7 @@
     def _read(self, stream: Stream, parser: WatchParser, deadline: CallDeadline) -> None:
         def feed(data: memoryview) -> None:
             for received in parser.feed(data):
-                self._take_up(received)
+                self._accept(received)
 
         stream.write(
             b"GET /v1/servers?follow=1&since=%d HTTP/1.1\r\nHost: %s\r\n"
@@ -154,8 +154,8 @@
                 lines = parser.complete_lines
                 deadline.line_received(self._scheduler.now)
 
-    def _take_up(self, received: ReceivedList) -> None:
-        self._state.take_up(received)
+    def _accept(self, received: ReceivedList) -> None:
+        self._state.accept(received)
         self._callbacks.persist(received.raw)
         listing = received.listing
         log.info(
@@ -173,13 +173,13 @@
     def _call_ended(self, cause: Exception, parser: WatchParser, deadline: CallDeadline) -> None:
         self._stream = None
         now = self._scheduler.now
-        on_failure = self._state.end_call(self._callbacks.is_pushed())
+        on_failure = self._state.end_call(is_pushed=self._callbacks.is_pushed())
         if on_failure is not OnFailure.RETRY_AGAIN:
-            # One line for all the calls that fail until a pushed list comes again.
+            # In pushed mode one log line for all calls that fail until the next list.
             log.warning("watch failed", extra={"kv": {"why": _describe(cause)}})
         if on_failure is OnFailure.REPORT:
-            queued = parser.rejected and now - deadline.began_at >= self._limits.discovery_queued_us
-            # A reset or an answer is noticed at once, silence only when it is over.
+            queued = parser.rejected and now - deadline.started_at >= self._limits.discovery_queued_us
+            # A reset or a response is noticed at once, but silence only after its time limit.
             unheard_us = now - deadline.last_received_at if isinstance(cause, DeadlineExceededError) else 0
             self._callbacks.update_failed(queued, unheard_us)
         else:
@@ -187,7 +187,7 @@
 
 
 def _describe(cause: Exception) -> str:
-    """Return why a call ended, for the log."""
+    """Describe for the log why a call ended."""
     match cause:
         case DeadlineExceededError():
             return "no data in time"
--- a/garnetlanding/discovery/watch_parser.py
+++ b/garnetlanding/discovery/watch_parser.py
@@ -1,4 +1,4 @@
-"""The bytes of a watch's answer, read into lists: HTTP/1.1, one JSON object a line. No I/O."""
+"""Parse the response to a watch into endpoint lists: HTTP/1.1, one JSON object a line. No I/O."""
 
 from __future__ import annotations
 
@@ -7,33 +7,62 @@
 from typing import Any, NamedTuple
 
 from garnetlanding.core.ports import EndpointListing
-from garnetlanding.discovery.listing import DiscoveryError, ListError, ToMonotonic, read_list
+from garnetlanding.discovery.listing import (
+    DiscoveryError,
+    ListDefect,
+    ListFormatError,
+    ToMonotonic,
+    read_list,
+)
 from garnetlanding.http.response import ResponseParser
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.buffers import BufferPool
 
-STATUS_UNKNOWN = 0  # of the parser of answers, until the headers are complete
+STATUS_UNKNOWN = 0  # until the headers are complete
 STATUS_OK = 200
 
 
 class WatchError(DiscoveryError):
-    """The watch cannot go on: discovery rejected the call, or has ended the answer."""
+    """Base class of the reasons for which a watch ends."""
+
+
+class WatchRejectedError(WatchError):
+    """Discovery has rejected the call with this HTTP status."""
+
+    def __init__(self, status: int) -> None:
+        super().__init__(f"status {status}")
+        self.status = status
+
+
+class WatchEndedError(WatchError):
+    """Discovery has ended its response, after `partial_line_bytes` of a line that is not complete."""
+
+    def __init__(self, partial_line_bytes: int) -> None:
+        where = f", {partial_line_bytes} bytes into a line" if partial_line_bytes else ""
+        super().__init__(f"watch ended{where}")
+        self.partial_line_bytes = partial_line_bytes
+
+
+class WatchDisconnectedError(WatchError):
+    """Discovery has closed the connection within its response."""
+
+    def __init__(self) -> None:
+        super().__init__("stream ended")
 
 
 class ReceivedList(NamedTuple):
-    """One list in a watch."""
+    """One endpoint list, or changes to it, received in a watch."""
 
     version: int
     listing: EndpointListing
-    raw: dict[str, Any]  # as discovery wrote it
+    raw: dict[str, Any]  # the JSON as discovery sent it
 
 
 class WatchParser:
-    """Feed it the bytes of one answer; it yields each list in them.
+    """Yields the endpoint lists in the bytes of one response.
 
-    An empty line says that nothing has changed. `complete_lines` counts those and the lists, each once its
-    list has been taken up: only they show that the watch is alive, not headers without a list nor part of a
-    line.
+    An empty line is a heartbeat. `complete_lines` counts heartbeats and lists, each list after the caller has
+    processed it. Only complete lines prove that the watch is alive; headers or part of a line do not.
     """
 
     def __init__(self, pool: BufferPool, limits: Limits, to_monotonic: ToMonotonic) -> None:
@@ -45,23 +74,22 @@
 
     @property
     def rejected(self) -> bool:
-        """Whether discovery has answered the call with another status than 200."""
+        """Whether discovery has answered the call with a status other than 200."""
         return self._http.status not in (STATUS_UNKNOWN, STATUS_OK)
 
     def feed(self, data: bytes | memoryview) -> Iterator[ReceivedList]:
-        """Yield the lists that `data` completes; the iterator is to be exhausted before the next call.
+        """Yield the lists that `data` completes; exhaust the iterator before the next call.
 
-        Raises HttpError, WatchError or ListError where the watch cannot go on.
+        Raises HttpError, WatchError or ListError if the watch cannot continue.
         """
         for piece in self._http.feed(data):
             if self._http.status != STATUS_OK:
                 break
             yield from self._feed_body(piece)
         if self.rejected:
-            raise WatchError(f"status {self._http.status}")
+            raise WatchRejectedError(self._http.status)
         if self._http.done:
-            where = f", {len(self._partial_line)} bytes into a line" if self._partial_line else ""
-            raise WatchError(f"watch ended{where}")
+            raise WatchEndedError(len(self._partial_line))
 
     def _feed_body(self, piece: bytes) -> Iterator[ReceivedList]:
         *lines, self._partial_line = (self._partial_line + piece).split(b"\n")
@@ -70,16 +98,16 @@
                 yield self._read(line)
             self.complete_lines += 1
         if len(self._partial_line) > self._limits.list_line_bytes:
-            raise ListError("line too long")
+            raise ListFormatError(ListDefect.LINE_TOO_LONG)
 
     def _read(self, line: bytes) -> ReceivedList:
         try:
             raw = json.loads(line)
         except ValueError as error:
-            raise ListError("not JSON") from error
+            raise ListFormatError(ListDefect.NOT_JSON) from error
         version, listing = read_list(raw, self._to_monotonic)
         return ReceivedList(version, listing, raw)
 
     def close(self) -> None:
-        """Give the buffers back."""
+        """Return the buffers to their pool."""
         self._http.close()
--- a/garnetlanding/discovery/watch_state.py
+++ b/garnetlanding/discovery/watch_state.py
@@ -1,15 +1,15 @@
-"""What a watch of the endpoint list does next, as a state machine without I/O."""
+"""The states of a watch of the endpoint list, as a state machine without I/O."""
 
 from __future__ import annotations
 
 from enum import Enum, auto
 
-from garnetlanding.discovery.listing import ListError
+from garnetlanding.discovery.listing import StaleChangesError
 from garnetlanding.discovery.watch_parser import ReceivedList
 
 
 class NextStep(Enum):
-    """What the driver is to do about a list that nobody may be following."""
+    """What the driver has to do when the endpoint list may not be followed."""
 
     NOTHING = auto()
     SUBSCRIBE = auto()
@@ -17,24 +17,24 @@
 
 
 class OnFailure(Enum):
-    """What the driver is to do when the newest call has ended."""
+    """What the driver has to do when the newest call has ended."""
 
     REPORT = auto()  # to the engine, which decides when to call again
-    RETRY = auto()  # by itself: this is the first failure since a list came
-    RETRY_AGAIN = auto()  # as well, and the failure has been logged before
+    RETRY = auto()  # without the engine: the first failure since the last list
+    RETRY_AGAIN = auto()  # likewise, after a failure that has been logged
 
 
 class WatchState:
-    """The version of the list in force, and whether anybody follows it.
+    """The version of the endpoint list in force, and whether a call is following it.
 
-    There are two modes, by the settings in force. Polled: the engine asks for each call, and each failure is
-    reported to it. Pushed: what the agent on this machine has counts as notified, so the watch is kept open
-    by itself, failed calls are repeated, and the engine learns of failures only if the mode changes
-    meanwhile.
+    There are two modes, set by the settings in force. Polled: the engine requests each call, and each failure
+    is reported to it. Pushed: an agent on this machine has every list at once, so the driver keeps the watch
+    open and retries failed calls; the engine learns of a failure only if the mode changes before the next
+    list.
 
-    States, by `is_following`: idle, until `begin_call`; following, while the newest call is on its way or its
-    watch stands, until `end_call`. A newer call supersedes the one before it, whose end then changes nothing.
-    Beside these, `has_unreported_failure` is set in pushed mode from a failure to the next list.
+    States, by `is_following`: idle, until `begin_call`; following, while the newest call connects or its
+    watch is open, until `end_call`. A newer call supersedes the one before it, whose end then has no effect.
+    In pushed mode `has_unreported_failure` is set from a failure until the next list.
     """
 
     def __init__(self, version: int) -> None:
@@ -45,17 +45,17 @@
         self._newest_call = 0
 
     def begin_call(self) -> int:
-        """Begin to follow; return the call's number."""
+        """Start following the list with a new call; return its number."""
         self.is_following = True
         self._newest_call += 1
         return self._newest_call
 
     def is_newest(self, call: int) -> bool:
-        """Whether no later call has superseded this one."""
+        """Return whether no later call has superseded this one."""
         return call == self._newest_call
 
-    def next_step(self, is_pushed: bool) -> NextStep:
-        """Return what to do at the start, when a retry is due, and after new settings."""
+    def next_step(self, *, is_pushed: bool) -> NextStep:
+        """Return what to do at the start, when a retry is due, or after new settings."""
         if self.is_following:
             return NextStep.NOTHING
         if is_pushed:
@@ -65,23 +65,23 @@
             return NextStep.REPORT_FAILURE
         return NextStep.NOTHING
 
-    def take_up(self, received: ReceivedList) -> None:
-        """Let a received list be the one in force.
+    def accept(self, received: ReceivedList) -> None:
+        """Make a received list, or the list that results from received changes, the one in force.
 
-        Raises ListError for changes of an older list than that: they would bring back what is gone. The old
-        list stands, and the next call asks for the complete one.
+        Raises StaleChangesError for changes to an older list, which could restore backends that have
+        terminated. The list in force stays, and the next call requests a complete one.
         """
         version, listing, _ = received
         if version < self.version and listing.entries and not listing.complete:
-            newer = self.version
+            version_in_force = self.version
             self.version = 0
-            raise ListError(f"{version} after {newer}", "generation")
+            raise StaleChangesError(version, version_in_force)
         self.version = version
         self.is_synced = True
         self.has_unreported_failure = False
 
-    def end_call(self, is_pushed: bool) -> OnFailure:
-        """Note that the newest call has ended, for whatever cause: every end is a failure."""
+    def end_call(self, *, is_pushed: bool) -> OnFailure:
+        """Record the end of the newest call, which is a failure whatever its cause; return what to do."""
         self.is_following = False
         if not is_pushed:
             return OnFailure.REPORT
@@ -92,19 +92,19 @@
 
 
 class CallDeadline:
-    """When a call counts as unresponsive; times are microseconds on the monotonic clock.
+    """The time at which a call counts as unresponsive, in microseconds on the monotonic clock.
 
-    Its first answer is due `answer_us` after the call's first moment, so a call that connects late has less
-    time left, not its time anew. From each complete line on, the next one is due within `quiet_us`.
+    The first complete line is due `answer_us` after the start of the call, which includes connecting. From
+    each complete line on, the next one is due within `silence_us`.
     """
 
-    def __init__(self, now: int, answer_us: int, quiet_us: int) -> None:
-        self.began_at = now
+    def __init__(self, now: int, answer_us: int, silence_us: int) -> None:
+        self.started_at = now
         self.last_received_at = now
         self.until = now + answer_us
-        self._quiet_us = quiet_us
+        self._silence_us = silence_us
 
     def line_received(self, now: int) -> None:
-        """Note that a complete line has come."""
+        """Extend the deadline after a complete line."""
         self.last_received_at = now
-        self.until = now + self._quiet_us
+        self.until = now + self._silence_us
--- a/tests/discovery/test_listing.py
+++ b/tests/discovery/test_listing.py
@@ -1,4 +1,4 @@
-"""Entries of the endpoint list and their checks."""
+"""Parsing and validation of the endpoint list."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
         {"generation": 41, "reset": True, "instances": [entry]}, lambda us: us - 1_699_999_999_000_000
     )
     assert (version, listing.complete, listing.addresses) == (41, True, {"s-1": "10.1.0.18:6379"})
-    [told] = listing.entries
-    assert (told.state, told.cell, told.started_us) == (EndpointState.DRAINING, 3, SECOND)
+    [endpoint] = listing.entries
+    assert (endpoint.state, endpoint.cell, endpoint.started_us) == (EndpointState.DRAINING, 3, SECOND)
     long_ago = read_list({"instances": [ENTRY]}, lambda us: us - 5)[1].entries[0]
     assert long_ago.started_us == 0, "0 means long ago on any clock"
 
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""Watches and polls of discovery that break, fall silent or come late."""
+"""Watches and polls of discovery that end, are unresponsive or are delayed."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         self.settle()
 
     def persist(self, data: dict[str, Any]) -> None:
-        """Forget the list: nothing here restarts."""
+        """Do nothing: these tests restart no instance."""
 
     def failed(self, queued: bool, unheard_us: int) -> None:
         self.heard.append("queued" if queued else "failed")
@@ -47,7 +47,7 @@
 
 
 class PollingInstance(SimulatedInstance):
-    """A watch with the engine and the decision module behind it, which decide when to call again."""
+    """A watch whose calls are requested by an engine and its decision module."""
 
     def __init__(self, instances: int = 6) -> None:
         super().__init__(make_settings(instances=instances, poll_endpoints=True))
@@ -65,17 +65,17 @@
     instance = WatchedDiscovery()
     assert instance.discovery.calls == ["/v1/servers?follow=1&since=41"]
     instance.discovery.publish(EmulatedEndpoint("b0", "127.0.0.1:9", 0, "DRAINING"))
-    instance.discovery.connections[0].write(b"1\r\n\n\r\n")  # nothing has changed
+    instance.discovery.connections[0].write(b"1\r\n\n\r\n")  # a heartbeat
     instance.settle()
     assert instance.heard == ["b0:up", "b0:draining"]
-    instance.watch.subscribe()  # asked again while it runs: one call more, no failure
+    instance.watch.subscribe()  # supersedes the present call, which is no failure
     instance.settle()
     assert instance.discovery.calls[1].endswith("since=2")
     assert "failed" not in instance.heard
 
 
-def test_a_watch_without_a_line_within_the_quiet_time_fails() -> None:
-    """A machine that is cut off keeps its connections open and says nothing."""
+def test_a_watch_without_a_line_within_the_time_limit_fails() -> None:
+    """A machine that is partitioned keeps its connections open and sends nothing."""
     instance = WatchedDiscovery()
     instance.run(2500 * MS, step_us=100 * MS)
     assert "failed" not in instance.heard
@@ -106,7 +106,7 @@
     assert not instance.discovery.connections
 
 
-def test_changes_of_an_older_list_are_refused_and_the_complete_list_is_asked_for() -> None:
+def test_changes_to_an_older_list_are_rejected_and_the_complete_list_is_requested() -> None:
     instance = WatchedDiscovery()
     instance.discovery.version = 6
     instance.discovery.publish(EmulatedEndpoint("b0", "127.0.0.1:9", 0, "DRAINING"))
@@ -117,7 +117,7 @@
     assert instance.heard == ["b0:up", "b0:draining", "failed"]
     instance.watch.subscribe()
     instance.settle()
-    assert instance.discovery.calls[-1].endswith("since=0")  # the whole list, whatever its version
+    assert instance.discovery.calls[-1].endswith("since=0")  # the complete list
 
 
 def test_each_call_that_fails_is_reported() -> None:
@@ -133,7 +133,7 @@
 
 
 def test_an_exception_in_a_callback_is_reported_as_a_failed_watch(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Were it not told, nobody would ask again, and drains would go unheard."""
+    """If it were not reported, discovery would not be called again, and drains would be missed."""
     instance = WatchedDiscovery()
     monkeypatch.setattr(instance, "persist", lambda _data: 1 / 0)
     instance.discovery.publish(EmulatedEndpoint("b0", "127.0.0.1:9", 0, "DRAINING"))
@@ -142,8 +142,8 @@
 
 
 def test_a_call_waits_in_the_queue_of_an_overloaded_discovery(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Discovery takes calls in turn and turns them down itself after 2 s. Forty heads that each gave up after
-    1.5 s, and asked again, lost their turn each time, and their calls still took it up."""
+    """Discovery queues calls and rejects them after 2 s. Forty instances that gave up after 1.5 s and called
+    again lost their place in the queue each time, while their old calls still occupied it."""
     instance = WatchedDiscovery()
     answer = Discovery.answer
     monkeypatch.setattr(Discovery, "answer", lambda _self, _conn: None)
@@ -155,11 +155,11 @@
     assert isinstance(latest, DiscoveryConnection)
     answer(instance.discovery, latest)
     instance.settle()
-    assert instance.heard[-1] == "queued", "it had waited its turn for nothing: the next is to come later"
+    assert instance.heard[-1] == "queued", "it was queued in vain: the next call has to wait longer"
     monkeypatch.undo()
     instance.watch.subscribe()
     instance.settle()
-    assert instance.heard[-1] == "failed", "turned down at once: there is no queue"
+    assert instance.heard[-1] == "failed", "rejected at once: there is no queue"
 
 
 def test_a_call_without_an_answer_fails_at_its_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -170,11 +170,11 @@
     assert instance.heard[-1] == "failed"
 
 
-def test_a_pushed_list_is_followed_unasked_and_again_after_its_watch_ends() -> None:
-    """Where lists are pushed the core asks for none, so nobody followed the list: drains went unheard."""
+def test_a_pushed_list_is_followed_without_a_request_and_again_after_its_watch_ends() -> None:
+    """Regression: the core does not poll pushed lists, so nothing followed them and drains were missed."""
     instance = WatchedDiscovery(pushed=True)
     assert instance.heard == ["b0:up"]
-    instance.watch.keep_open()  # new settings of the same form: the watch that stands goes on
+    instance.watch.keep_open()  # new settings with the same mode: the watch stays open
     instance.settle()
     assert len(instance.discovery.calls) == 1
     instance.discovery.endpoints[0].state = "DRAINING"
@@ -190,8 +190,8 @@
         silent.setattr(Discovery, "answer", lambda _self, _conn: None)
         instance.discovery.connections[0].write(b"0\r\n\r\n")
         instance.run(3 * SECOND)
-        assert len(instance.discovery.calls) > 3, "the core need not ask"
-        assert instance.heard == ["b0:up"], "the core need not ask"
+        assert len(instance.discovery.calls) > 3, "without a request of the core"
+        assert instance.heard == ["b0:up"], "without a request of the core"
     instance.discovery.endpoints[0].state = "DRAINING"
     instance.run(instance.limits.agent_answer_us + instance.limits.agent_retry_us)
     assert instance.heard[-1] == "b0:draining"
@@ -213,7 +213,7 @@
 
 
 class UnresponsiveAnswer:
-    """Ways of an answer that leave an instance without its list, though the connection stands."""
+    """Responses that leave an instance without a list although the connection stays open."""
 
     @staticmethod
     def nothing(discovery: Discovery, conn: DiscoveryConnection) -> None:
@@ -238,8 +238,8 @@
 def test_after_an_unresponsive_call_the_next_list_is_there_within_6_s(
     way: Callable[[Discovery, DiscoveryConnection], None], drips: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A call that hung was waited for 6 s, and headers alone or a line in drips kept it for good: a drain was
-    received 2.4 s after it counted as notified (close range, first site, seed 35, two instances of six)."""
+    """Regression: a hanging call timed out after 6 s only, and never after headers alone or with a line that
+    was sent byte by byte: a drain was received 2.4 s too late (close range, first site, seed 35)."""
     instance = PollingInstance()
     instance.run(SECOND)
     answer = Discovery.answer
@@ -253,12 +253,14 @@
         if drips and instance.discovery.connections and len(instance.discovery.calls) == 2:
             instance.discovery.connections[-1].write(b"1\r\n \r\n")
         instance.run(50 * MS)
-        assert instance.time <= silent_from + 5 * SECOND, "of the 6 s the rest is for discovery's answer"
+        assert (
+            instance.time <= silent_from + 5 * SECOND
+        ), "the rest of the 6 s is left to discovery's response"
 
 
 def test_a_call_superseded_while_it_connects_delivers_nothing() -> None:
-    """Its connection came up after the reload to another discovery, asked there for changes since nothing,
-    and what the old one said of its own list was taken for the new one's."""
+    """Regression: a connection to the old discovery was established after the reload to another one, and the
+    old one's list was taken for the new one's."""
     instance = WatchedDiscovery()
     other = instance.server(Discovery)
     other.version, other.endpoints = 9, [EmulatedEndpoint("b7", "127.0.0.1:9", 7)]
@@ -267,11 +269,11 @@
     for _ in range(100):
         instance.scheduler.run_iteration(0)
         if instance.watch._stream is None or instance.watch._stream.closed:
-            break  # it is on its way, and not yet up
+            break  # it is still connecting
     instance.watch.switch_to(other.address)
     instance.settle()
-    assert len(old.calls) == 1, "nobody follows the old one"
-    assert not old.connections, "nobody follows the old one"
+    assert len(old.calls) == 1, "the old discovery is not followed any more"
+    assert not old.connections, "the old discovery is not followed any more"
     old.publish(EmulatedEndpoint("b0", "127.0.0.1:9", 0, "DRAINING"))
     instance.settle()
     assert instance.heard == ["b0:up", "b7:up"]
@@ -279,13 +281,13 @@
 
 
 def test_a_list_received_during_a_stall_is_read_and_the_watch_does_not_fail() -> None:
-    """The clock had passed the deadline when the process ran again, and the bytes that had come were not
-    looked at: a watch that stood was given up, and its call made once more."""
+    """Regression: after a stall the deadline had passed and received bytes were not read, so that a working
+    watch was abandoned and called again."""
     instance = WatchedDiscovery()
     instance.discovery.endpoints[0].state = "DRAINING"
     instance.run(2 * SECOND, step_us=100 * MS)
     instance.discovery.publish(*instance.discovery.endpoints)
-    instance.time += SECOND  # written, not yet read
+    instance.time += SECOND  # the list has been written, and not been read yet
     instance.settle()
     assert instance.heard == ["b0:up", "b0:draining"]
     assert len(instance.discovery.calls) == 1
@@ -296,7 +298,7 @@
 def test_the_backoff_before_a_call_leaves_it_time_for_any_number_of_instances(
     instances: int, unheard_us: int
 ) -> None:
-    """It grew with the number of heads, to 50 s for 200, and to 6 s for 3."""
+    """Regression: the backoff grew with the number of instances, to 6 s for 3 and to 50 s for 200."""
     bench = DecisionBench(make_settings(instances=instances, poll_endpoints=True), [up_endpoint("n0", 0)])
     pauses = []
     for _ in range(60):
@@ -305,5 +307,5 @@
         while len([a for _, a in bench.log if isinstance(a, api.Subscribe)]) == calls:
             bench.run(10 * MS)
         pauses.append(bench.now - began)
-    assert unheard_us + max(pauses) <= 4400 * MS, "the rest of the 6 s is for the call to be answered"
-    assert max(pauses) > 3 * min(pauses), "and the calls of many heads are spread"
+    assert unheard_us + max(pauses) <= 4400 * MS, "the rest of the 6 s is left to the response"
+    assert max(pauses) > 3 * min(pauses), "the calls of many instances are spread"
--- a/tests/discovery/test_watch_state.py
+++ b/tests/discovery/test_watch_state.py
@@ -6,7 +6,7 @@
 
 from garnetlanding.core.ports import EndpointListing
 from garnetlanding.decision.interface import Endpoint, EndpointState
-from garnetlanding.discovery.listing import ListError
+from garnetlanding.discovery.listing import ListError, StaleChangesError
 from garnetlanding.discovery.watch_parser import ReceivedList
 from garnetlanding.discovery.watch_state import CallDeadline, NextStep, OnFailure, WatchState
 
@@ -45,11 +45,11 @@
     state.begin_call()
     assert state.end_call(is_pushed=True) is OnFailure.RETRY_AGAIN
     state.begin_call()
-    state.take_up(received(1))
-    assert state.end_call(is_pushed=True) is OnFailure.RETRY, "a list has come in between"
+    state.accept(received(1))
+    assert state.end_call(is_pushed=True) is OnFailure.RETRY, "a list was received in between"
 
 
-def test_a_failure_while_pushed_is_reported_once_where_lists_become_polled() -> None:
+def test_a_failure_while_pushed_is_reported_once_when_lists_become_polled() -> None:
     state = WatchState(0)
     state.begin_call()
     state.end_call(is_pushed=True)
@@ -57,11 +57,13 @@
     assert state.next_step(is_pushed=False) is NextStep.NOTHING
 
 
-def test_changes_of_an_older_list_are_refused_and_the_next_call_asks_for_all() -> None:
+def test_changes_to_an_older_list_are_rejected_and_the_next_call_requests_a_complete_one() -> None:
     state = WatchState(6)
     with pytest.raises(ListError, match="^field generation: 3 after 6$") as error:
-        state.take_up(received(3, complete=False))
+        state.accept(received(3, complete=False))
     assert error.value.field == "generation"
+    assert isinstance(error.value, StaleChangesError)
+    assert (error.value.version, error.value.version_in_force) == (3, 6)
     assert state.version == 0
     assert not state.is_synced
 
@@ -75,15 +77,15 @@
         pytest.param(3, False, True, id="older-without-changes"),
     ],
 )
-def test_any_other_list_is_taken_up(version: int, complete: bool, empty: bool) -> None:
+def test_any_other_list_is_accepted(version: int, complete: bool, empty: bool) -> None:
     state = WatchState(6)
-    state.take_up(received(version, complete=complete, empty=empty))
+    state.accept(received(version, complete=complete, empty=empty))
     assert state.version == version
     assert state.is_synced
 
 
-def test_a_call_has_its_answer_time_from_its_first_moment_and_then_the_quiet_time() -> None:
-    deadline = CallDeadline(1000, answer_us=500, quiet_us=200)
+def test_the_first_line_is_due_from_the_start_of_the_call_and_later_ones_from_the_line_before() -> None:
+    deadline = CallDeadline(1000, answer_us=500, silence_us=200)
     assert deadline.until == 1500
     deadline.line_received(1400)
-    assert (deadline.until, deadline.last_received_at, deadline.began_at) == (1600, 1400, 1000)
+    assert (deadline.until, deadline.last_received_at, deadline.started_at) == (1600, 1400, 1000)
