--- a/garnetlanding/choices/__init__.py
+++ b/garnetlanding/choices/__init__.py
@@ -1,1 +1,1 @@
-"""Choices that each instance makes alone and that add up over the fleet: functions and caches, no I/O."""
+"""Decisions that instances make alike without exchanging messages: backend subsets, staggered actions."""
--- a/garnetlanding/choices/setup.py
+++ b/garnetlanding/choices/setup.py
@@ -8,7 +8,7 @@
 from garnetlanding.decision.interface import Settings
 
 SECOND_US = 1_000_000
-MAX_COUNT = 10_000  # bound of the section's numbers without a unit
+MAX_COUNT = 10_000  # upper bound of numbers without a unit
 MAX_SPAN_S = 3600
 MIN_IDLE_S = 0.05
 MIN_WINDOW_S = 0.1
@@ -16,20 +16,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ChoicesSetup:
-    """What the section says, in the code's terms."""
+    """The settings of the section."""
 
     subset_size: int = 0
-    """Backends to which idle connections are kept; 0: to all."""
+    """Number of backends to which idle connections are kept open; 0: all."""
     idle_timeout_us: int = SECOND_US
-    """How long a connection to any other backend may be idle before it is closed."""
+    """Idle time after which a connection to any other backend is closed."""
     retry_budget_ratio: float = 0.0
-    """Retries for each first attempt over the window. Where this and the floor are 0, there is no budget."""
+    """Retries allowed for each first attempt in the window. No budget if this and the floor are 0."""
     retry_budget_floor: float = 0.0
-    """Retries over the window beyond those."""
+    """Retries allowed in the window in addition."""
     retry_budget_window_us: int = 10 * SECOND_US
 
     def with_retry_budget(self, settings: Settings) -> Settings:
-        """Return the settings with this retry budget, unless they have one of their own or this has none."""
+        """Return the settings with this retry budget, if there is one and the settings have none."""
         has_budget = self.retry_budget_ratio or self.retry_budget_floor
         if settings.retry_budget_window_us or not has_budget:
             return settings
@@ -42,7 +42,7 @@
 
 
 def read(data: object) -> ChoicesSetup:
-    """Read the section. Raises ConfigError, which names the key at fault."""
+    """Read and check the section. Raises ConfigError, which names the faulty key."""
     section = Section(data, "choices", "subset idle_s resend_share resend_free resend_span_s")
     subset_size = section.number("subset", 0, 0, MAX_COUNT)
     if subset_size != int(subset_size):
--- a/garnetlanding/choices/stagger.py
+++ b/garnetlanding/choices/stagger.py
@@ -1,17 +1,18 @@
-"""Staggers what all instances do on one signal, by their numbers alone: they need not exchange messages."""
+"""Stagger actions that one event triggers at all instances, by instance number and without messages."""
 
 from __future__ import annotations
 
 import zlib
 
 CRC32_RANGE = 1 << 32
+"""CRC-32 checksums are below this."""
 
 
 def stagger_offset(instance: int, instances: int, signal: str = "") -> float:
-    """Return the slot of one of so many instances, as a part in [0, 1) of the span that all share.
+    """Return an instance's slot as a fraction, in [0, 1), of the time over which the actions are spread.
 
-    Slots are evenly spaced. The signal's name rotates their order, so that no instance is always the last. An
-    instance that is wrong about their number has another slot and delays nobody.
+    Slots are evenly spaced. The signal's name rotates them, so that no instance is last for every signal. An
+    instance with a wrong count of instances gets another slot, which delays no other instance.
     """
     instances = max(1, instances)
     slot = instance % instances / instances
--- a/garnetlanding/choices/subset_tracker.py
+++ b/garnetlanding/choices/subset_tracker.py
@@ -1,4 +1,4 @@
-"""The backends to which this instance keeps idle connections, as the list and the fleet are now."""
+"""The subset of backends to which this instance keeps idle connections open."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 
 class SubsetTracker:
-    """Caches this instance's subset; computes it only when an instance or a backend has come or gone."""
+    """Caches this instance's subset and recomputes it when the set of instances or backends changes."""
 
     def __init__(self, size: int) -> None:
         self._size = size
         self._inputs: _Inputs | None = None
         self._subset: frozenset[str] = frozenset()
-        self.changes = 0  # how often it was computed
+        self.computations = 0
 
     def update(self, instance: int, instances: Collection[int], zones: Mapping[str, str]) -> frozenset[str]:
-        """Return the names of the backends of `instance`, the number of this one.
+        """Return the names of the backends in the subset of `instance`, the number of this one.
 
-        `zones`: the zone of each backend that may be sent anything. An instance that is not among
-        `instances`, such as one that the fleet has excluded, has no subset.
+        `zones` has the zone of each available backend. The subset of an instance that is not among
+        `instances`, for example after its exclusion by its peers, is empty.
         """
         inputs = _Inputs(instance, frozenset(instances), dict(zones))
         if inputs != self._inputs:
             self._inputs = inputs
-            self.changes += 1
+            self.computations += 1
             by_instance = subsets(inputs.instances, inputs.zones, self._size)
             self._subset = frozenset(by_instance.get(instance, ()))
         return self._subset
--- a/garnetlanding/choices/subsets.py
+++ b/garnetlanding/choices/subsets.py
@@ -1,9 +1,10 @@
-"""Which backends each instance keeps connections to: the same at every instance that has the same two sets.
+"""Assign to each instance a subset of backends, with the same result at every instance.
 
-Highest random weights with quotas (docs/design/adding-up.md): every instance wants the backends with its
-highest weights, a backend accepts the instances with the highest weights up to its quota, and who is rejected
-proposes to its next best. That is deferred acceptance (Gale and Shapley), whose outcome depends on nothing
-but the sets; here both sides rank a pair by one number, so that a change of the sets moves few pairs.
+The result depends only on the sets of instances and backends. It is rendezvous hashing with quotas
+(docs/design/adding-up.md): each instance proposes to the backends with its highest weights, a backend accepts
+the instances with the highest weights up to its quota, and a rejected instance proposes to its next backend.
+This is deferred acceptance (Gale and Shapley). Both sides rank a pair by the same weight, so that a change of
+the sets changes few pairs.
 """
 
 from __future__ import annotations
@@ -16,78 +17,83 @@
 from typing import NamedTuple
 
 Subsets = dict[int, set[str]]
-"""The names of each instance's backends, by the instance's number."""
+"""The names of the backends in each instance's subset, by the instance's number."""
+
+NO_INSTANCE = -1
+"""In place of an instance: for weights of a backend alone."""
 
-NOBODY = -1  # in place of an instance, for weights that a backend has of its own
 WEIGHT_RANGE = 1 << 64
+"""Weights are below this."""
 
 
 @lru_cache(maxsize=1 << 17)
 def weight(instance: int, backend: str) -> int:
-    """Return the rank, in [0, WEIGHT_RANGE), that an instance and a backend give each other."""
+    """Return the weight of a pair, in [0, WEIGHT_RANGE), by which instance and backend rank each other."""
     return int.from_bytes(blake2b(f"{instance} {backend}".encode(), digest_size=8).digest(), "big")
 
 
 def zone_counts(instance: int, zones: Mapping[str, Collection[str]], size: int) -> dict[str, int]:
-    """Return how many of an instance's `size` backends lie in each zone: in proportion to its backends.
+    """Return how many of an instance's `size` backends are in each zone, in proportion to the zones' sizes.
 
-    What does not divide goes to zones by lots of the instance's own, so that it does over many instances.
+    The remainder is distributed pseudo-randomly by instance, so that the proportion is met over many
+    instances.
     """
     total = sum(map(len, zones.values()))
     size = min(size, total)
     counts = {zone: size * len(backends) // total for zone, backends in zones.items()}
 
-    def lot(zone: str) -> float:
-        remainder = size * len(zones[zone]) / total - counts[zone]
-        if not remainder:
+    def sampling_key(zone: str) -> float:
+        """Return the key of weighted random sampling (Efraimidis and Spirakis): the highest are drawn."""
+        fraction = size * len(zones[zone]) / total - counts[zone]
+        if not fraction:
             return -1.0
-        draw = (weight(instance, f"zone {zone}") + 1) / WEIGHT_RANGE
-        return float(draw ** (1 / remainder))
+        uniform = (weight(instance, f"zone {zone}") + 1) / WEIGHT_RANGE
+        return float(uniform ** (1 / fraction))
 
-    undivided = size - sum(counts.values())
-    for zone in sorted(zones, key=lambda zone: (-lot(zone), zone))[:undivided]:
+    remainder = size - sum(counts.values())
+    for zone in sorted(zones, key=lambda zone: (-sampling_key(zone), zone))[:remainder]:
         counts[zone] += 1
     return counts
 
 
 def match(wanted: Mapping[int, int], quotas: Mapping[str, int]) -> Subsets:
-    """Give each instance its best backends, as many as wanted, and no backend more instances than its quota.
+    """Assign to each instance as many backends as wanted, and to no backend more instances than its quota.
 
-    For an instance that all backends have rejected another one moves.
+    If all backends have rejected an instance, another instance is moved to make room for it.
     """
     backends = list(quotas)
     ranked = {
         instance: sorted(backends, key=lambda backend: weight(instance, backend), reverse=True)
         for instance in wanted
     }
-    accepted, short = _deferred_acceptance(wanted, quotas, ranked)
-    found: Subsets = {instance: set() for instance in wanted}
+    accepted, unplaced = _deferred_acceptance(wanted, quotas, ranked)
+    assigned: Subsets = {instance: set() for instance in wanted}
     for backend, instances in accepted.items():
         for instance in instances:
-            found[instance].add(backend)
+            assigned[instance].add(backend)
     free_places = {backend: quotas[backend] - len(accepted[backend]) for backend in backends}
-    for instance in sorted(short):
-        _place(instance, ranked[instance], found, free_places)
-    return found
+    for instance in sorted(unplaced):
+        _place(instance, ranked[instance], assigned, free_places)
+    return assigned
 
 
 class _Acceptance(NamedTuple):
-    accepted: dict[str, list[int]]  # the instances that each backend accepts
-    short: list[int]  # an instance as often as places are left to it that every backend has rejected
+    accepted: dict[str, list[int]]  # the instances that each backend has accepted
+    unplaced: list[int]  # instances that every backend has rejected, once for each backend that they lack
 
 
 def _deferred_acceptance(
     wanted: Mapping[int, int], quotas: Mapping[str, int], ranked: Mapping[int, list[str]]
 ) -> _Acceptance:
-    """Let instances propose, backend by backend in their own order, until all are accepted or rejected."""
-    next_choice = dict.fromkeys(wanted, 0)  # index into `ranked`
+    """Let instances propose to backends in order of weight until each is accepted or rejected by all."""
+    next_choice = dict.fromkeys(wanted, 0)  # by instance, an index into its list in `ranked`
     accepted: dict[str, list[tuple[int, int]]] = {backend: [] for backend in quotas}  # heaps by weight
     proposing = [instance for instance, count in sorted(wanted.items()) for _ in range(count)]
-    short: list[int] = []
+    unplaced: list[int] = []
     while proposing:
         instance = proposing.pop()
         if next_choice[instance] == len(ranked[instance]):
-            short.append(instance)
+            unplaced.append(instance)
             continue
         backend = ranked[instance][next_choice[instance]]
         next_choice[instance] += 1
@@ -96,53 +102,54 @@
             _, rejected = heapq.heappop(accepted[backend])
             proposing.append(rejected)
     by_backend = {backend: [instance for _, instance in heap] for backend, heap in accepted.items()}
-    return _Acceptance(by_backend, short)
+    return _Acceptance(by_backend, unplaced)
 
 
-def _place(instance: int, ranked: list[str], found: Subsets, free_places: dict[str, int]) -> None:
-    """Find a place for an instance that every backend which it lacks has rejected, being full.
+def _place(instance: int, ranked: list[str], assigned: Subsets, free_places: dict[str, int]) -> None:
+    """Assign one more backend to an instance that all of its unassigned backends have rejected as full.
 
-    Some other instance moves from one of those to a backend with a free place, which the instance itself has
-    already, and it takes that one's place. Where none can move, it takes its best backend, over the quota.
+    Another instance moves from one of these to a backend with a free place, to which `instance` is already
+    assigned, and `instance` takes the place that it leaves. If none can move, `instance` is assigned its best
+    backend beyond the quota.
     """
-    lacking = [backend for backend in ranked if backend not in found[instance]]
+    unassigned = [backend for backend in ranked if backend not in assigned[instance]]
     for free in sorted(backend for backend, places in free_places.items() if places > 0):
-        for backend in lacking:
-            movers = [other for other, some in found.items() if backend in some and free not in some]
+        for backend in unassigned:
+            movers = [other for other, subset in assigned.items() if backend in subset and free not in subset]
             if movers:
                 mover = min(movers, key=lambda other: (weight(other, backend), other))
-                found[mover] = found[mover] - {backend} | {free}
-                found[instance].add(backend)
+                assigned[mover] = assigned[mover] - {backend} | {free}
+                assigned[instance].add(backend)
                 free_places[free] -= 1
                 return
-    found[instance].add(lacking[0])
+    assigned[instance].add(unassigned[0])
 
 
 def subsets(instances: Collection[int], zones: Mapping[str, str], size: int, slack: int = 0) -> Subsets:
-    """Return the backends of each instance.
+    """Return the subset of backends of each instance.
 
-    `zones`: the zone of each backend. `size`: how many backends each instance is to have. `slack`: how many
-    instances a backend accepts beyond its even quota: fewer pairs move at a change, and instances are spread
-    less evenly.
+    `zones` has the zone of each backend, `size` is the size of each subset. `slack` is the number of
+    instances that a backend accepts beyond its even quota: a greater one means that a change of the sets
+    changes fewer pairs, and that instances are spread less evenly.
     """
     members: dict[str, list[str]] = defaultdict(list)  # the backends of each zone
     for backend, zone in sorted(zones.items()):
         members[zone].append(backend)
-    found: Subsets = {instance: set() for instance in instances}
+    assigned: Subsets = {instance: set() for instance in instances}
     if not zones:
-        return found
+        return assigned
     counts = {instance: zone_counts(instance, members, size) for instance in instances}
     for zone, backends in members.items():
         wanted = {instance: counts[instance][zone] for instance in instances}
         quotas = _even_quotas(backends, sum(wanted.values()), slack)
-        for instance, some in match(wanted, quotas).items():
-            found[instance] |= some
-    return found
+        for instance, subset in match(wanted, quotas).items():
+            assigned[instance] |= subset
+    return assigned
 
 
 def _even_quotas(backends: list[str], places: int, slack: int) -> dict[str, int]:
-    """Spread so many places over backends; what does not divide goes to those of the highest own weights."""
-    even, undivided = divmod(places, len(backends))
-    ranked = sorted(backends, key=lambda backend: weight(NOBODY, backend), reverse=True)
-    first = set(ranked[:undivided])
-    return {backend: even + (backend in first) + slack for backend in backends}
+    """Divide the places evenly among the backends; those with the highest weights get the remainder."""
+    even, remainder = divmod(places, len(backends))
+    ranked = sorted(backends, key=lambda backend: weight(NO_INSTANCE, backend), reverse=True)
+    with_one_more = set(ranked[:remainder])
+    return {backend: even + (backend in with_one_more) + slack for backend in backends}
--- a/garnetlanding/config/__init__.py
+++ b/garnetlanding/config/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration, read and checked at start and at reload: the platform's JSON and an operator's TOML."""
+"""Configuration, read and validated at start and at reload: the platform's JSON, an operator's TOML."""
 
 from garnetlanding.config.operator import OperatorConfig
 from garnetlanding.config.platform import Config, flatten, load, merge_reloaded, read, read_settings
--- a/garnetlanding/config/operator.py
+++ b/garnetlanding/config/operator.py
@@ -1,11 +1,12 @@
-"""The operator's file (TOML): which optional subsystems it turns on, and their settings.
+"""The operator's file (TOML): which optional subsystems it enables, and their settings.
 
-A subsystem that the file leaves out is not even imported; so each reader is imported where it is needed.
+A subsystem that the file does not configure must not be imported, so each reader is imported where it is
+used.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
 from garnetlanding.config.section import Section
@@ -25,11 +26,11 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorConfig:
-    """The settings of each optional subsystem; None where it is off. The platform's own file has none."""
+    """The settings of each optional subsystem, None if it is off. By default all are."""
 
     ninep: NinepSetup | None = None
     telemetry: TelemetrySetup | None = None
-    store: StoreSetup = StoreSetup()
+    store: StoreSetup = field(default_factory=StoreSetup)
     history: HistorySetup | None = None
     fleet: FleetSetup | None = None
     choices: ChoicesSetup | None = None
@@ -37,10 +38,10 @@
 
 
 def read_operator(data: object, settings: api.Settings, name: str) -> OperatorConfig:
-    """Check an operator's file and return what it turns on. Each subsystem reads its own section.
+    """Read and validate an operator's file. Each subsystem reads its own section.
 
-    `settings` are the platform's, whose classes and plans the sections may name; `name` is this instance's.
-    The first faulty section, in the order of the fields, raises ConfigError.
+    `settings` are the platform's, whose classes and plans the sections may refer to; `name` is this
+    instance's. Raises ConfigError for the first faulty section, in the order of the fields.
     """
     top = Section(data, "", SECTIONS)
     return OperatorConfig(
--- a/garnetlanding/config/platform.py
+++ b/garnetlanding/config/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration (JSON): read, checked and given defaults."""
+"""The platform's configuration (JSON): read, validated and completed by defaults."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import tomllib
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field, replace
+from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
 from garnetlanding import wire
@@ -21,37 +22,44 @@
     from garnetlanding.ninep.setup import NinepSetup
     from garnetlanding.peers.setup import PeerSetup
 
-# The platform's variables, each with the key of the file that it overrides.
 ENVIRONMENT = {
     "name": "RELAY_NAME",
     "listen": "RELAY_LISTEN",
     "discovery": "RELAY_DISCOVERY",
     "ops": "RELAY_OPS",
 }
+"""The environment variable that overrides each of these keys of the file."""
 
-# What the list of servers is where the configuration has none: empty, and older than any other.
-NO_KNOWN_LIST: dict[str, Any] = {"generation": 0, "reset": True, "instances": []}
+PATH_VARIABLE = "RELAY_CONFIG"
+"""The environment variable with the path of the platform's file."""
+
+EMPTY_LIST: dict[str, Any] = {"generation": 0, "reset": True, "instances": []}
+"""The default of the configured endpoint list: empty, and older than any other."""
+
+NINEP_DIVISOR = 5
+"""By default a fifth of the connections is for 9P, and at least a fifth is left to other clients."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The whole configuration of one instance, checked: the platform's file and the operator's."""
+    """The validated configuration of one instance: the platform's file and the operator's."""
 
     name: str
     listen: str  # HOST:PORT for RESP2 clients
     discovery: str  # HOST:PORT
-    file_discovery: str  # as the file has it, whatever overrides it: a reload looks for a change of this
+    file_discovery: str  # from the file, without an override: a reload compares this
     seed: int
     settings: api.Settings
-    raw_settings: dict[str, Any]  # as the file has them; the store passes them on in this form
+    raw_settings: dict[str, Any]  # in the form of the file, in which the store replicates them
     limits: Limits
-    known: dict[str, Any] = field(default_factory=dict)  # the list of servers to start with
-    operator: OperatorConfig = OperatorConfig()
+    known: dict[str, Any] = field(
+        default_factory=dict
+    )  # the endpoint list to start with, as discovery has it
+    operator: OperatorConfig = field(default_factory=OperatorConfig)
     ops: str = ""  # HOST:PORT of the admin service; empty: off
-    peers: PeerSetup | None = None  # the link to other instances; None where the settings forbid it
+    peers: PeerSetup | None = None  # the link to other instances; None if the settings forbid it
 
 
-# What a reload cannot change: key of the file, and where the checked configuration has it.
 RESTART_ONLY: dict[str, Callable[[Config], object]] = {
     "name": lambda config: config.name,
     "listen": lambda config: config.listen,
@@ -59,10 +67,11 @@
     "limits": lambda config: config.limits,
     "operator": lambda config: config.operator,
 }
+"""The keys of the file that a reload cannot change, each with its value in the validated configuration."""
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Return nested JSON as the simulator's pairs `a.b.0.c=text`, so that one reader serves both."""
+    """Flatten nested JSON into the simulator's pairs `a.b.0.c=text`, so that one parser reads both."""
     if isinstance(value, dict):
         items = value.items()
     elif isinstance(value, list) and value and all(isinstance(v, dict) for v in value):
@@ -86,40 +95,42 @@
     return str(value)
 
 
-def _share_with_ninep(limits: Limits, ninep: NinepSetup) -> Limits:
-    """Return the limits with 9P's connections taken out of the descriptors of the other clients.
+def _reserve_ninep_connections(limits: Limits, ninep: NinepSetup) -> Limits:
+    """Return the limits with 9P's connections deducted from those of the other clients.
 
-    A fifth each is for 9P's clients and for its server connections, unless the operator says how many.
+    By default 9P gets a fifth of the client connections, and as many server connections as a fifth of the
+    backend connections.
     """
-    clients = ninep.clients or limits.client_conns // 5
-    servers = ninep.server_connections or limits.backend_conns // 5
-    left = limits.client_conns - clients - servers
-    if left < limits.client_conns // 5:
+    clients = ninep.clients or limits.client_conns // NINEP_DIVISOR
+    servers = ninep.server_connections or limits.backend_conns // NINEP_DIVISOR
+    remaining = limits.client_conns - clients - servers
+    required = limits.client_conns // NINEP_DIVISOR
+    if remaining < required:
         raise ConfigError.at_key(
             "ninep.clients",
-            f"{clients} and {servers} server connections leave {left} of {limits.client_conns} "
-            f"to other clients, at least {limits.client_conns // 5} are needed",
+            f"{clients} and {servers} server connections leave {remaining} of {limits.client_conns} "
+            f"to other clients, at least {required} are needed",
         )
-    return replace(limits, ninep_conns=clients, client_conns=left, ninep_server_conns=servers)
+    return replace(limits, ninep_conns=clients, client_conns=remaining, ninep_server_conns=servers)
 
 
 def _read_limits(top: Section, flat_settings: Mapping[str, str]) -> Limits:
-    """Return every bound, fitted to the platform's memory and descriptors and to its connection times."""
+    """Return the limits that fit the configured memory, descriptors and connection times."""
     given = Section(top.raw("limits") or {}, "limits")
     sockets = int(given.number("sockets", 128, 1024))
     memory_mb = given.number("memory_mb", 32, 192)
-    base = Limits().fit(int(memory_mb * (1 << 20)), sockets, bool(top.raw("ops")))
+    base = Limits().fit(int(memory_mb * (1 << 20)), sockets, has_admin_service=bool(top.raw("ops")))
     idle_us = int(float(flat_settings.get("Limits.ConnIdleUs", 0))) or base.backend_idle_us * 5 // 4
     return replace(
         base,
-        # An idle connection is closed here a fifth of the time before its server would close it.
+        # Close an idle connection well before its server does, which would fail the next request on it.
         backend_idle_us=idle_us * 4 // 5,
         dial_us=int(float(flat_settings.get("Limits.DialTimeoutUs", 0))) or base.dial_us,
     )
 
 
 def read_settings(raw: dict[str, Any]) -> api.Settings:
-    """Check settings in the platform's form, as a file or the store has them. Raises ConfigError."""
+    """Validate settings in the platform's form, from a file or the store. Raises ConfigError."""
     try:
         return wire.settings_from(flatten(raw))
     except wire.WireError as problem:
@@ -135,7 +146,7 @@
 
 
 def _read_known(top: Section) -> dict[str, Any]:
-    known: dict[str, Any] = top.raw("known") or NO_KNOWN_LIST
+    known: dict[str, Any] = top.raw("known") or EMPTY_LIST
     try:
         read_list(known, lambda us: us)
     except ListError as problem:
@@ -145,19 +156,19 @@
 
 def _read_peers(top: Section, settings: api.Settings) -> PeerSetup | None:
     if not settings.may_message_peers:
-        return None  # what the settings forbid is not imported
+        return None  # and do not import the package
     from garnetlanding.peers import setup
 
     return setup.read(top, settings.instance_id)
 
 
 def read(data: object, operator: object = None, env: Mapping[str, str] | None = None) -> Config:
-    """Check a configuration in the platform's form, and an operator's beside it.
+    """Validate a configuration in the platform's form, and the operator's in addition.
 
-    What the environment `env` sets overrides the platform's object. The first fault raises ConfigError.
+    The environment variables in `env` override the platform's object. Raises ConfigError for the first fault.
     """
     if not isinstance(data, dict):
-        raise ConfigError("the configuration is not an object")
+        raise ConfigError.not_an_object()
     overrides = (
         {key: env[variable] for key, variable in ENVIRONMENT.items() if env.get(variable)} if env else {}
     )
@@ -167,9 +178,9 @@
     seed = _read_seed(top)
     known = _read_known(top)
     limits = _read_limits(top, flatten(raw_settings))
-    extras = read_operator({} if operator is None else operator, settings, top.text("name"))
-    if extras.ninep:
-        limits = _share_with_ninep(limits, extras.ninep)
+    subsystems = read_operator({} if operator is None else operator, settings, top.text("name"))
+    if subsystems.ninep:
+        limits = _reserve_ninep_connections(limits, subsystems.ninep)
     peers = _read_peers(top, settings)
     return Config(
         name=top.text("name"),
@@ -181,34 +192,34 @@
         raw_settings=raw_settings,
         limits=limits,
         known=known,
-        operator=extras,
+        operator=subsystems,
         ops=top.address("ops") if top.raw("ops") is not None else "",
         peers=peers,
     )
 
 
 def load(path: str | None, operator: str | None = None, env: Mapping[str, str] = os.environ) -> Config:
-    """Read and check the platform's file and, if given, an operator's.
+    """Read and validate the platform's file and, if given, an operator's.
 
-    Without a `path` the file is that of RELAY_CONFIG; other RELAY_* variables override what it says.
-    A file that cannot be read, is malformed or has a faulty key raises ConfigError.
+    Without a `path` the file is that of RELAY_CONFIG; other RELAY_* variables override keys of the file.
+    Raises ConfigError for a file that cannot be read, is malformed or has a faulty key.
     """
-    path = path or env.get("RELAY_CONFIG")
+    path = path or env.get(PATH_VARIABLE)
     if not path:
-        raise ConfigError.at_key("RELAY_CONFIG", "not set, and no --config given")
+        raise ConfigError.at_key(PATH_VARIABLE, "not set, and no --config given")
     data = _parse(path, json.loads, "JSON")
     operator_data = _parse(operator, tomllib.loads, "TOML") if operator else None
     return read(data, operator_data, env)
 
 
 def merge_reloaded(old: Config, new: Config) -> tuple[Config, list[str]]:
-    """Return what a running instance goes on with after its file was read anew.
+    """Return the configuration after a reload, and the changed keys that only a restart applies.
 
-    Beside it come the keys that differ but that only a restart takes up. The environment is that of the
-    start: it must not hide a discovery address that the file newly names.
+    A changed discovery address in the file takes precedence over the environment, which is as old as the
+    process.
     """
-    moved = new.file_discovery != old.file_discovery
-    discovery = new.file_discovery if moved else old.discovery
+    has_moved = new.file_discovery != old.file_discovery
+    discovery = new.file_discovery if has_moved else old.discovery
     try:
         parse_address(discovery)
     except (ValueError, AttributeError) as problem:
@@ -225,11 +236,10 @@
     return merged, for_restart
 
 
-def _parse(path: str, parse: Callable[[str], Any], form: str) -> Any:
+def _parse(path: str, parse: Callable[[str], Any], file_format: str) -> Any:
     try:
-        with open(path, encoding="utf-8") as file:
-            return parse(file.read())
+        return parse(Path(path).read_text(encoding="utf-8"))
     except OSError as problem:
-        raise ConfigError(f"cannot read {path}: {problem.strerror}", file=path) from problem
+        raise ConfigError.unreadable(path, problem) from problem
     except ValueError as problem:
-        raise ConfigError(f"{path} is not {form}: {problem}", file=path) from problem
+        raise ConfigError.malformed(path, file_format, problem) from problem
--- a/garnetlanding/config/section.py
+++ b/garnetlanding/config/section.py
@@ -1,6 +1,6 @@
-"""Typed readers for one table of a configuration, and the error that names the faulty key.
+"""Typed accessors for one table of a configuration, and the error that names the faulty key.
 
-Each subsystem reads its own table with a `Section`; what a reader returns has been checked.
+Each subsystem reads its own table with a `Section`, whose accessors return validated values only.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 
 from garnetlanding.runtime.stream import parse_address
 
-# The greatest number that a key may have where its reader gives no smaller bound.
 NUMBER_MAX = 1e12
+"""The default upper bound of numbers."""
 
 
 class ConfigError(ValueError):
-    """A configuration that cannot be used. The text is complete; the attributes serve programs.
+    """A configuration that cannot be used.
 
     `key` is the dotted path of the faulty key, `file` the path of the file that could not be read or parsed;
-    each is None where the error is not about one.
+    each is None if the error is not about one. The text includes both.
     """
 
     def __init__(self, text: str, *, key: str | None = None, file: str | None = None) -> None:
@@ -31,15 +31,30 @@
         """Return the error of one key, given by its dotted path: `key PATH: PROBLEM`."""
         return cls(f"key {key}: {problem}", key=key)
 
+    @classmethod
+    def not_an_object(cls) -> ConfigError:
+        """Return the error of a platform's file that is not a JSON object."""
+        return cls("the configuration is not an object")
+
+    @classmethod
+    def unreadable(cls, file: str, problem: OSError) -> ConfigError:
+        """Return the error of a file that cannot be read."""
+        return cls(f"cannot read {file}: {problem.strerror}", file=file)
+
+    @classmethod
+    def malformed(cls, file: str, file_format: str, problem: ValueError) -> ConfigError:
+        """Return the error of a file that cannot be parsed as `file_format`."""
+        return cls(f"{file} is not {file_format}: {problem}", file=file)
+
 
 class Section:
-    """One table of a configuration. It knows its dotted path, so that an error can name the whole key.
+    """One table of a configuration, with its dotted path for error messages.
 
-    Every reader raises ConfigError for a value that it does not accept.
+    Every accessor raises ConfigError for a value that it does not accept.
     """
 
     def __init__(self, value: object, path: str, known: str = "") -> None:
-        """Check that `value` is a table with no keys but `known`, separated by spaces (empty: any key)."""
+        """Check that `value` is a table with no keys but `known`, a list separated by spaces; empty: any."""
         if not isinstance(value, dict):
             raise ConfigError.at_key(path, "missing or not a table")
         self.data: dict[str, Any] = value
@@ -53,33 +68,33 @@
         return f"{self._path}.{key}" if self._path else key
 
     def error(self, key: str, problem: object) -> ConfigError:
-        """Return, for the caller to raise, the error of one key of this table."""
+        """Return the error of one key of this table, for the caller to raise."""
         return ConfigError.at_key(self.name(key), problem)
 
     def has(self, key: str) -> bool:
-        """Tell whether the key is there, with whatever value."""
+        """Return whether the table has the key, with any value."""
         return key in self.data
 
     def raw(self, key: str) -> Any:
-        """Return the unchecked value, None where the key is absent."""
+        """Return the value without validation, None if the key is absent."""
         return self.data.get(key)
 
     def text(self, key: str, absent: str | None = None) -> str:
-        """Return a text; without a default (`absent`) it must be there and not be empty."""
+        """Return a text; without a default (`absent`) the key is required and must not be empty."""
         value = self.data.get(key, absent)
         if not isinstance(value, str) or (not value and absent is None):
             raise self.error(key, "missing or not text")
         return value
 
     def one_of(self, key: str, among: Collection[str]) -> str:
-        """Return a text that must be there and be one of `among`."""
+        """Return a required text that must be one of `among`."""
         value = self.text(key)
         if value not in among:
             raise self.error(key, f"{value!r:.40} is none of {', '.join(sorted(among))}")
         return value
 
     def address(self, key: str) -> str:
-        """Return an address as it is written, HOST:PORT; it must be there."""
+        """Return a required address, HOST:PORT, in its original spelling."""
         text = self.text(key)
         try:
             parse_address(text)
@@ -88,8 +103,8 @@
         return text
 
     def number(self, key: str, least: float, absent: float | None = None, most: float = NUMBER_MAX) -> float:
-        """Return a number from `least` to `most`; without a default (`absent`) it must be there."""
+        """Return a number from `least` to `most`; without a default (`absent`) the key is required."""
         value = self.data.get(key, absent)
         if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-            raise self.error(key, f"expected a number from {least:g} to {most:g}, " f"found {value!r:.40}")
+            raise self.error(key, f"expected a number from {least:g} to {most:g}, found {value!r:.40}")
         return float(value)
--- a/garnetlanding/limits.py
+++ b/garnetlanding/limits.py
@@ -1,4 +1,4 @@
-"""Every size, count and time limit of an instance in one place: filled in at the start and handed down.
+"""Every size, count and time limit of an instance, determined at the start and passed down.
 
 Names end in their unit: `_us` microseconds, `_bytes` bytes; the others are counts.
 """
@@ -15,23 +15,22 @@
 class Limits:
     """The limits of one instance. The defaults fit the platform's 192 MB and 1,024 descriptors.
 
-    `fit` gives those of another machine.
+    `fit` returns those for another machine.
     """
 
-    program_bytes: int = 20 << 20  # what the program takes by itself
-    # What an open request takes in engine and decision module, without its value.
-    request_bytes: int = 6 << 10
-    record_bytes: int = 1 << 10  # what an entry of a log or a queue takes
+    program_bytes: int = 20 << 20  # memory of the program without requests and buffers
+    request_bytes: int = 6 << 10  # of an open request in engine and decision module, without its value
+    record_bytes: int = 1 << 10  # of an entry of a log or a queue
 
-    # Descriptors. Clients with open requests hold a third at most, so backends need no more than that; a
-    # sixth is always theirs. All the rest takes clients while backends do not need it: some clients never
-    # ask, or ask once.
+    # Descriptors. Backend connections get at most a third of them, and a sixth is reserved for these. The
+    # rest is for client connections, and so is the third while backends do not need it: many clients send
+    # few requests or none.
     reserved_sockets: int = 32  # listeners, discovery, signals, telemetry, followers, files, lingering closes
-    successor_sockets: int = 24  # with an admin service: for a second process of the instance to start with
+    successor_sockets: int = 24  # with an admin service: for the start of a successor process
     client_conns: int = 822
     backend_conns: int = 341
     backend_conns_reserved: int = 170
-    idle_clients: int = 170  # so many client connections may stay idle; more are closed one after the other
+    idle_clients: int = 170  # client connections that may stay idle; more are closed
     conns_per_backend: int = 48
     backlog: int = 512
     accepts_per_iteration: int = 32  # connections accepted in one iteration of the event loop
@@ -40,24 +39,28 @@
     buffer_bytes: int = 8192
     pool_free_max: int = 256  # free buffers kept for reuse
     pool_max: int = 4096  # buffers in use at once, over all connections
-    pool_reserved: int = 16  # of these, a process's own from its start on, so that admin and discovery work
-    unsent_bytes: int = 4 << 20  # a connection that reads slowly may leave this much unsent
+    pool_reserved: int = 16  # of these, reserved for this process, so that admin service and discovery work
+    unsent_bytes: int = 4 << 20  # unsent output of a connection whose peer reads slowly
 
     # RESP2.
     line_bytes: int = 512
     value_bytes: int = 65536  # of a client
     reply_bytes: int = 4 << 20  # of a backend
-    stream_threshold_bytes: int = 65536  # a longer value of a backend is forwarded as it comes
-    # What a client may leave unread of such a value before reading from the backend pauses.
+    stream_threshold_bytes: int = 65536  # a longer value of a backend is streamed to the client
+    # Unsent output of the client at which reading a streamed value from its backend pauses.
     stream_window_bytes: int = 32 << 10
-    stream_stall_us: int = 2 * SECOND  # a backend that sends no more of it for so long has failed
+    stream_stall_us: int = (
+        2 * SECOND
+    )  # a backend that sends nothing of a streamed value for this long has failed
     elements: int = 16
     nesting: int = 4
-    name_bytes: int = 64  # of a piece, an id or a volume
-    pipeline: int = 64  # unanswered commands of one client connection; one with more is rejected
-    bad_commands: int = 8  # of one connection; one with more is rejected
+    name_bytes: int = 64  # of an object's key, a request id or a volume
+    pipeline: int = (
+        64  # unanswered commands of one client connection; a client that exceeds it is disconnected
+    )
+    bad_commands: int = 8  # of one connection, which is then closed
 
-    use_percent: int = 100_000  # no volume uses its plan's rate a thousand times over
+    use_percent: int = 100_000  # the greatest plausible usage of a plan's rate
 
     # 9P.
     ninep_conns: int = 108  # of clients
@@ -66,120 +69,124 @@
     ninep_msize_min: int = 256
     ninep_fids: int = 1024  # of one client
     ninep_tags: int = 128  # in flight, of one client
-    ninep_messages_per_iteration: int = 2  # taken off one client's connection
-    ninep_requests: int = 8  # of one client in the engine while no other client asks; more wait behind them
-    ninep_active_us: int = 100 * MS  # a client that has asked within this gets its share of them
+    ninep_messages_per_iteration: int = 2  # processed of one client
+    ninep_requests: int = 8  # of one client in the engine if no other client is active; more are queued
+    ninep_active_us: int = 100 * MS  # a client counts as active for this long after a request
     ninep_path_bytes: int = 4096
     ninep_path_names: int = 64
     ninep_keep_open: int = 16  # files kept open on one server connection
     ninep_locks: int = 4096  # byte ranges locked by all clients
     ninep_lock_owner_bytes: int = 128
-    # After an attempt that may still be in progress at a server, the next change of that file waits so long.
+    # Delay before the next change of a file after an attempt that may still be running at a server.
     ninep_change_pause_us: int = 500 * MS
-    ninep_change_pauses: int = 4096  # so many such files are remembered, the newest
+    ninep_change_pauses: int = 4096  # number of such files that are remembered, the newest
 
     # Requests in the engine.
     open_items: int = 8192
-    open_bytes: int = 32 << 20  # the values that open requests carry
-    copies: int = 2  # attempts of one request in flight at once, where the settings allow hedging
-    client_wait_us: int = 60 * SECOND  # no client may ask for a longer deadline
+    open_bytes: int = 32 << 20  # of the values of open requests
+    copies: int = 2  # attempts of one request in flight at once if the settings allow hedging
+    client_wait_us: int = 60 * SECOND  # the longest deadline that a client may request
 
     # Times.
-    dial_us: int = 250 * MS  # to connect to a backend
-    backend_idle_us: int = 24 * SECOND  # less than the time after which a backend closes an idle connection
-    sweep_us: int = SECOND  # between looks for idle backend connections
-    client_sweep_us: int = 100 * MS  # and for client connections that may be closed
-    accept_pause_us: int = 10 * MS  # after a connection could not be accepted
-    # How often a connection that is not read is checked for its client's end.
-    disconnect_check_us: int = 50 * MS
+    dial_us: int = 250 * MS  # timeout for connecting to a backend
+    backend_idle_us: int = (
+        24 * SECOND
+    )  # shorter than the time after which a backend closes an idle connection
+    sweep_us: int = SECOND  # interval between checks for idle backend connections
+    client_sweep_us: int = 100 * MS  # interval between checks for client connections to close
+    accept_pause_us: int = 10 * MS  # before accepting again after a failure
+    disconnect_check_us: int = 50 * MS  # interval of checks for the disconnect of a client that is not read
     read_bytes_per_iteration: int = 64 << 10  # of one client
-    misuse_pause_us: int = 200 * MS  # a connection is not read for so long after a bad command
-    # Before a close, what still comes is read for so long and so far: a reset could take the last answer.
+    misuse_pause_us: int = 200 * MS  # a connection is not read for this long after a bad command
+    # Lingering close: input is read on until a limit, as unread input would reset the connection and the
+    # client could lose the last response.
     linger_us: int = 500 * MS
     linger_bytes: int = 256 << 10
-    linger_conns: int = 16  # such beyond the places of clients; with more the oldest is closed at once
-    # From connecting for the first command, from its own first byte for others: 3 s are allowed.
+    linger_conns: int = 16  # lingering connections beyond `client_conns`; more close the oldest
+    # To receive a complete command, from connecting or from the command's first byte; clients get 3 s.
     command_us: int = 2500 * MS
-    new_us: int = 100 * MS  # when places are short: for a connection that never asked, or is within a command
-    idle_us: int = 2 * SECOND  # when places are short: for one that has asked before
-    write_stall_us: int = 5 * SECOND  # a connection that takes no byte for this long is closed
-    partial_reply_us: int = 100 * MS  # within which a backend's reply that has begun must be complete
+    new_us: int = 100 * MS  # at the connection limit: before the first command, and for a partial one
+    idle_us: int = 2 * SECOND  # at the connection limit: after the first command
+    write_stall_us: int = 5 * SECOND  # a connection whose peer reads nothing for this long is closed
+    partial_reply_us: int = 100 * MS  # for the rest of a backend's reply after its first byte
 
     # Discovery.
-    # A change counts as known 6 s after discovery had it and could be reached (docs/design/endings.md).
-    discovery_answer_us: int = 2500 * MS  # with connecting; discovery fails late calls itself, after 2 s
-    discovery_silence_us: int = 2800 * MS  # a watch sends a complete line every 2 s
-    discovery_queued_us: int = 500 * MS  # a call rejected after so long was queued in vain
-    discovery_buffers: int = 32  # of its own: clients and backends may have all others
-    # Where lists are pushed, an agent on the instance's own machine answers at once and at no cost, and what
-    # it has counts as known: the instance asks it again soon, whatever became of the watch before.
+    # An instance must know a change 6 s after discovery had it and was reachable (docs/design/endings.md).
+    discovery_answer_us: int = 2500 * MS  # includes connecting; discovery itself fails queued calls after 2 s
+    discovery_silence_us: int = 2800 * MS  # a watch sends a complete line at least every 2 s
+    discovery_queued_us: int = 500 * MS  # a call that is rejected after this long has been queued in vain
+    discovery_buffers: int = 32  # reserved for discovery, as clients and backends may use up the others
+    # If lists are pushed, an agent on the instance's machine has every change at once and responds at once:
+    # retry soon after any failure.
     agent_answer_us: int = 300 * MS
     agent_retry_us: int = 50 * MS
     http_line_bytes: int = 8192
     http_headers: int = 64
-    http_body_bytes: int = 64 << 10  # of a call; none needs one, so it is read past and the answer arrives
+    http_body_bytes: int = 64 << 10  # of a request to the admin service; it is ignored, but must be read
     list_line_bytes: int = 1 << 20
 
     # The store.
-    store_log_entries: int = 1024  # a follower further behind gets a snapshot
+    store_log_entries: int = 1024  # a follower that lacks more entries gets a snapshot
     store_line_bytes: int = 1 << 20
     store_followers: int = 16
     store_heartbeat_us: int = SECOND
-    store_silence_us: int = 3 * SECOND  # a writer silent for so long is unreachable
-    store_save_us: int = 200 * MS  # changes within this are written to the file together
+    store_silence_us: int = 3 * SECOND  # a writer that sends nothing for this long is unreachable
+    store_save_us: int = 200 * MS  # changes within this time are saved together
     store_retry_us: int = SECOND
 
     # Telemetry.
     telemetry_queue: int = 4096
-    telemetry_batch: int = 64  # small: encoding one holds up everything else
+    telemetry_batch: int = 64  # small, because encoding a batch blocks the event loop
     telemetry_attempts: int = 4
-    telemetry_backoff_us: int = 500 * MS  # before the second attempt; it doubles
+    telemetry_backoff_us: int = 500 * MS  # before the second attempt; doubles with each further one
     telemetry_backoff_max_us: int = 30 * SECOND
-    telemetry_flush_us: int = SECOND  # for the last export at the end
+    telemetry_flush_us: int = SECOND  # for the last export before the process ends
     telemetry_answer_us: int = 5 * SECOND
 
-    # Admin service. Callers that hold a place without a complete call make room after `ops_new_us`, so that
-    # with all places taken and the backlog full the last caller is still answered within its second.
+    # Admin service. Connections without a complete call are closed after `ops_new_us` if others wait, so that
+    # even with a full backlog the last caller gets its answer within a second.
     ops_conns: int = 12
-    ops_linger_conns: int = 4  # as `linger_conns`, for its callers
+    ops_linger_conns: int = 4  # as `linger_conns`, of the admin service
     ops_new_us: int = 20 * MS
-    ops_poll_us: int = 100 * MS  # between looks at the share that the other process of an upgrade publishes
-    # A new process waits so long for discovery's list, then uses the cached one.
-    ops_endpoints_wait_us: int = 1500 * MS
-    ops_flush_us: int = 200 * MS  # at the end, for calls that have come already
-    drain_serve_us: int = 1500 * MS  # a drained instance serves open connections for so long; 2 s are allowed
+    ops_poll_us: int = 100 * MS  # interval of reading the process quota of the other process of an upgrade
+    ops_endpoints_wait_us: int = 1500 * MS  # a new process then uses the cached endpoint list
+    ops_flush_us: int = 200 * MS  # at the end, to answer calls that have been received
+    drain_serve_us: int = (
+        1500 * MS
+    )  # a drained instance serves open connections for this long; 2 s are allowed
 
     signal_bytes: int = 64  # signals read at once
 
-    # Graceful shutdown. After SIGTERM new connections come for up to 0.4 s, requests on open ones for as long
-    # as those stay open. SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more.
-    term_deadline_us: int = 3 * SECOND  # the longest deadline that is counted on
+    # Graceful shutdown. After SIGTERM clients open new connections for up to 0.4 s, and send requests on open
+    # ones until these are closed. SIGKILL follows 0.7 s after the longest deadline at the earliest.
+    term_deadline_us: int = 3 * SECOND  # the longest deadline that the shutdown takes into account
     term_kill_us: int = 700 * MS  # from the longest deadline to SIGKILL
-    # From the end of the process to SIGKILL, and from the last answers to that end.
-    term_margin_us: int = 250 * MS
-    term_poll_us: int = 10 * MS  # between looks at the phase
-    term_accept_us: int = 450 * MS  # new connections are accepted for so long
-    term_serve_us: int = 1500 * MS  # requests are served as before for so long at most
-    term_reject_us: int = 3200 * MS  # what is still open after so long is rejected
-
-    def fit(self, memory_bytes: int, sockets: int, ops: bool = False) -> Limits:
-        """Return these limits for a machine of that much memory and so many descriptors.
-
-        Of the memory that the program leaves, a quarter each is for buffers, for what open requests carry and
-        for the requests; logs and queues get a sixteenth each. With an admin service (`ops`) a second process
-        may start beside this one: it is left what it needs to start, and the two share the rest.
+    term_margin_us: int = (
+        250 * MS
+    )  # from the last answers to the end of the process, and from there to SIGKILL
+    term_poll_us: int = 10 * MS  # interval of checks for the next phase
+    term_accept_us: int = 450 * MS  # how long new connections are accepted
+    term_serve_us: int = 1500 * MS  # how long requests are served as before, at most
+    term_reject_us: int = 3200 * MS  # when all requests still open are rejected
+
+    def fit(self, memory_bytes: int, sockets: int, *, has_admin_service: bool = False) -> Limits:
+        """Return these limits, fitted to a machine's memory and to its number of descriptors.
+
+        Of the memory without the program, a quarter each is for buffers, for the values of open requests and
+        for the requests; logs and queues get a sixteenth each. With an admin service a successor process may
+        start beside this one: what it needs to start is reserved, and the two divide the rest.
         """
-        programs = 2 if ops else 1
-        free_bytes = max(memory_bytes - programs * self.program_bytes, memory_bytes // 8)
-        buffers = (
-            min(self.pool_max, free_bytes // 4 // self.buffer_bytes) - (programs - 1) * self.pool_reserved
-        )
+        processes = 2 if has_admin_service else 1
+        free_bytes = max(memory_bytes - processes * self.program_bytes, memory_bytes // 8)
+        buffers = min(self.pool_max, free_bytes // 4 // self.buffer_bytes)
+        buffers -= (processes - 1) * self.pool_reserved
+        reserved_sockets = self.reserved_sockets + (self.successor_sockets if has_admin_service else 0)
         reserved = sockets // 6
         return replace(
             self,
             backend_conns=sockets // 3,
             backend_conns_reserved=reserved,
-            client_conns=sockets - reserved - self.reserved_sockets - (self.successor_sockets if ops else 0),
+            client_conns=sockets - reserved - reserved_sockets,
             idle_clients=reserved,
             pool_max=buffers,
             pool_free_max=min(self.pool_free_max, buffers // 4),
--- a/garnetlanding/logs.py
+++ b/garnetlanding/logs.py
@@ -1,13 +1,15 @@
-"""Log lines as key=value pairs on standard error, one line a record, for people and for programs."""
+"""Format log records as key=value pairs on standard error, one line a record."""
 
 from __future__ import annotations
 
 import logging
 import sys
 
-# What makes quotes necessary, and how each character is escaped within them; the backslash comes first.
 SPECIAL = ' "=\n\r\t'
+"""A value with one of these characters is quoted."""
+
 ESCAPES = (("\\", "\\\\"), ('"', '\\"'), ("\n", "\\n"), ("\r", "\\r"))
+"""Characters and their escapes within quotes; the backslash must be escaped first."""
 
 
 def _quote(value: object) -> str:
@@ -25,7 +27,7 @@
     default_msec_format = "%s.%03d"
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the record as one line; a value with spaces, quotes or `=` is quoted."""
+        """Return the record as one line; values with special characters are quoted."""
         pairs: dict[str, object] = {
             "time": self.formatTime(record),
             "level": record.levelname.lower(),
--- a/tests/choices/test_stagger.py
+++ b/tests/choices/test_stagger.py
@@ -1,4 +1,4 @@
-"""Stagger: instances act one after the other after a common signal."""
+"""Stagger: instances act one after another on a common event."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     assert all(0 <= slot < 1 for slot in slots)
     assert all(b - a == pytest.approx(1 / instances) for a, b in pairwise(slots))
     wrong = [stagger_offset(instance, 2 * instances, signal) for instance in range(instances)]
-    assert len(set(wrong)) == instances, "wrong by a factor of two: half of the span, one after another"
+    assert len(set(wrong)) == instances, "with twice the number the slots are still distinct"
 
 
 def test_the_order_of_slots_depends_on_the_signal() -> None:
--- a/tests/choices/test_subset_tracker.py
+++ b/tests/choices/test_subset_tracker.py
@@ -24,25 +24,25 @@
     first = tracker.update(1, range(4), zones)
     assert len(first) == 2
     assert tracker.update(1, [3, 2, 1, 0], dict(zones)) == first
-    assert tracker.changes == 1
+    assert tracker.computations == 1
     assert len(tracker.update(1, range(4), zones | {"s9": "b"})) == 2
-    assert tracker.changes == 2
-    assert tracker.update(9, range(4), zones) == frozenset(), "the fleet has excluded it"
+    assert tracker.computations == 2
+    assert tracker.update(9, range(4), zones) == frozenset(), "its peers have excluded it"
 
 
 def test_idle_connections_outside_the_subset_are_closed() -> None:
     instance = SimulatedInstance()
-    bricks = [instance.server(EmulatedBackend), instance.server(EmulatedBackend)]
-    instance.list(EmulatedEndpoint("n0", bricks[0].address, 0), EmulatedEndpoint("n1", bricks[1].address, 1))
+    backends = [instance.server(EmulatedBackend), instance.server(EmulatedBackend)]
+    instance.list(
+        EmulatedEndpoint("n0", backends[0].address, 0), EmulatedEndpoint("n1", backends[1].address, 1)
+    )
     instance.bricks.keeps, instance.bricks.outside_idle_us = lambda: frozenset({"n1"}), SECOND
     peer = LoopbackClient(instance, instance.front().address)
     assert all(peer.say(read_command(f"r{cell}", cell=cell)).startswith(b"$") for cell in (0, 1))
-    assert [len(brick.connections) for brick in bricks] == [1, 1]
+    assert [len(backend.connections) for backend in backends] == [1, 1]
     instance.run(3 * SECOND)
-    assert [len(brick.connections) for brick in bricks] == [
-        0,
-        1,
-    ], "n0 is asked on a new one when it is asked again"
+    open_connections = [len(backend.connections) for backend in backends]
+    assert open_connections == [0, 1], "the next request to n0 opens a new connection"
     assert peer.say(read_command("r2")).startswith(b"$")
 
 
@@ -61,7 +61,7 @@
         read(data)
 
 
-def test_the_retry_budget_is_the_operators_where_the_settings_have_none() -> None:
+def test_the_operators_retry_budget_applies_if_the_settings_have_none() -> None:
     plain = decision_bench.make_settings()
     chosen = ChoicesSetup(retry_budget_ratio=0.1, retry_budget_floor=3, retry_budget_window_us=5 * SECOND)
     used = chosen.with_retry_budget(plain)
--- a/tests/choices/test_subsets.py
+++ b/tests/choices/test_subsets.py
@@ -17,7 +17,7 @@
 
 
 def violated_invariant(instances: set[int], backends: dict[str, str], k: int) -> str:
-    """Return the first invariant that does not hold; empty: all do."""
+    """Return the first invariant that does not hold, empty if all hold."""
     found = subsets(instances, backends, k)
     if any(len(some) != min(k, len(backends)) or not some <= set(backends) for some in found.values()):
         return "k backends each"
@@ -85,7 +85,7 @@
 def test_instances_with_different_lists_keep_each_backends_load_bounded(
     instances: set[int], backends: dict[str, str], gone: set[int]
 ) -> None:
-    """Half of them know fewer backends: each is taken by each half up to that half's own quota."""
+    """Half of them know fewer backends: each half loads a backend up to its own quota."""
     k, less = 3, {s: z for s, z in backends.items() if int(s[1:]) not in gone}
     old, new = subsets(instances, backends, k), subsets(instances, less, k)
     mixed = {instance: (old if instance % 2 else new)[instance] for instance in instances}
@@ -96,11 +96,11 @@
         assert loads[backend] <= of_old + of_new
 
 
-def swapped(name: str) -> Any:  # noqa: C901 - one case a seeded bug, and no other branch
-    """Variants that are broken on purpose."""
+def seeded_fault(name: str) -> Any:  # noqa: C901 - one case a seeded bug, and no other branch
+    """Return the name of a function and a faulty replacement."""
     real_weight, real_match, real_counts = module.weight.__wrapped__, module.match, module.zone_counts
     match name:
-        case "the first server is left out":
+        case "the first backend is left out":
             return "match", lambda wanted, quotas: real_match(
                 wanted, {s: q for s, q in quotas.items() if s != min(quotas) or len(quotas) == 1}
             )
@@ -113,25 +113,25 @@
             return "match", lambda wanted, quotas: real_match(wanted, dict.fromkeys(quotas, 10**6))
         case "quotas one too large":
             return "match", lambda wanted, quotas: real_match(wanted, {s: q + 1 for s, q in quotas.items()})
-        case "one server too few":
+        case "one backend too few":
             return "match", lambda wanted, quotas: real_match(
                 {h: max(0, n - 1) for h, n in wanted.items()}, quotas
             )
         case "all in one zone":
-            return "zone_counts", lambda _head, zones, k: {
+            return "zone_counts", lambda _instance, zones, k: {
                 z: min(k, len(m)) if z == min(zones) else 0 for z, m in zones.items()
             }
-        case "what does not divide goes nowhere":
+        case "the remainder is not distributed":
             return "zone_counts", lambda instance, zones, k: {
                 z: n - (n > 0 and z == max(zones)) for z, n in real_counts(instance, zones, k).items()
             }
-        case "who is turned away over the quota":
-            return "_place", lambda instance, ranked, found, _room: found[instance].add(
-                next(s for s in ranked if s not in found[instance])
+        case "an instance that all backends rejected exceeds a quota":
+            return "_place", lambda instance, ranked, assigned, _free_places: assigned[instance].add(
+                next(backend for backend in ranked if backend not in assigned[instance])
             )
-        case "who is turned away gives up":
-            return "_place", lambda _head, _ranked, _found, _room: None
-        case "in the order of arrival":
+        case "an instance that all backends rejected is not placed":
+            return "_place", lambda _instance, _ranked, _assigned, _free_places: None
+        case "first come, first served":
 
             def first_come(wanted: dict[int, int], quotas: dict[str, int]) -> dict[int, set[str]]:
                 left, found = dict(quotas), {}
@@ -148,20 +148,20 @@
 @pytest.mark.parametrize(
     "bug",
     [
-        "the first server is left out",
+        "the first backend is left out",
         "weights differ by process",
         "no quota",
         "quotas one too large",
-        "one server too few",
+        "one backend too few",
         "all in one zone",
-        "what does not divide goes nowhere",
-        "who is turned away over the quota",
-        "who is turned away gives up",
-        "in the order of arrival",
+        "the remainder is not distributed",
+        "an instance that all backends rejected exceeds a quota",
+        "an instance that all backends rejected is not placed",
+        "first come, first served",
     ],
 )
 def test_a_seeded_fault_violates_an_invariant(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    name, instead = swapped(bug)
+    name, instead = seeded_fault(bug)
     monkeypatch.setattr(module, name, instead)
     fleets = [
         (set(range(h)), {f"s{i}": "abc"[i % z] for i in range(n)}, k)
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -34,7 +34,9 @@
     assert (c.limits.client_conns, c.limits.backend_conns, c.limits.backend_conns_reserved) == (822, 341, 170)
     both = config.read(PLATFORM_CONFIG, {"ninep": NINEP}).limits
     assert both.client_conns + both.ninep_conns + both.ninep_server_conns == c.limits.client_conns
-    assert c.operator == config.OperatorConfig(store=StoreSetup(writer="n1")), "all else is off"
+    assert c.operator == config.OperatorConfig(
+        store=StoreSetup(writer="n1")
+    ), "every optional subsystem is off"
 
 
 @pytest.mark.parametrize(
@@ -132,7 +134,7 @@
 
 
 def test_limits_of_a_small_machine_fit_its_memory_and_descriptors() -> None:
-    """Sizes were fixed: 4,096 buffers alone are the 32 MB that the smallest heads get."""
+    """Regression: with fixed sizes the 4,096 buffers alone exceeded the 32 MB of the smallest instance."""
     small = config.read(PLATFORM_CONFIG | {"limits": {"memory_mb": 32, "sockets": 256}}).limits
     assert small.client_conns + small.backend_conns_reserved + small.reserved_sockets == 256
     assert small.client_conns >= 256 // 3
@@ -185,9 +187,9 @@
 def test_writable_export_derives_a_class_whose_requests_are_not_repeated() -> None:
     operator = one_export(access="rw", change_deadline_ms=2000)
     daemon = Daemon(config.read(PLATFORM_CONFIG, operator), lambda: T0)
-    twin = daemon.core.settings.classes["read/once"]
-    assert twin.effect is Effect.UNSAFE
-    assert twin.priority_weight == daemon.core.settings.classes["read"].priority_weight
+    derived = daemon.core.settings.classes["read/once"]
+    assert derived.effect is Effect.UNSAFE
+    assert derived.priority_weight == daemon.core.settings.classes["read"].priority_weight
     assert (
         "read/once"
         not in Daemon(config.read(PLATFORM_CONFIG, one_export()), lambda: T0).core.settings.classes
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -1617,5 +1617,5 @@
 
 
 def test_limits_by_default() -> None:
-    small = replace(Limits()).fit(64 << 20, 512, True)
+    small = replace(Limits()).fit(64 << 20, 512, has_admin_service=True)
     check("config_limits.txt", [str(sorted(astuple(Limits()))), str(sorted(astuple(small)))])
