--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -1,4 +1,4 @@
-"""What one instance accepts by its own means."""
+"""Admission checks on the instance itself."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from garnetlanding.core.admission import Capacity, validate
-from garnetlanding.core.ports import InvalidRequestError, RequestSpec
+from garnetlanding.core.ports import InvalidRequestError, RequestDefect, RequestSpec
 from garnetlanding.limits import Limits
 from tests.support.clock import SECOND
 from tests.support.decision_bench import make_settings
@@ -16,20 +16,33 @@
 
 
 @pytest.mark.parametrize(
-    ("spec", "problem"),
+    ("spec", "defect", "text"),
     [
-        pytest.param(replace(VALID, cls="x"), "unknown class", id="class"),
-        pytest.param(replace(VALID, plan="x"), "unknown plan", id="plan"),
-        pytest.param(replace(VALID, cell=4), "unknown shard", id="cell"),
-        pytest.param(replace(VALID, units=6.1), "more units than the largest request has", id="units"),
-        pytest.param(replace(VALID, volume_hosts=4), "more hosts than there are", id="instances"),
+        pytest.param(replace(VALID, cls="x"), RequestDefect.UNKNOWN_CLASS, "unknown class", id="class"),
+        pytest.param(replace(VALID, plan="x"), RequestDefect.UNKNOWN_PLAN, "unknown plan", id="plan"),
+        pytest.param(replace(VALID, cell=4), RequestDefect.UNKNOWN_CELL, "unknown shard", id="cell"),
+        pytest.param(
+            replace(VALID, units=6.1),
+            RequestDefect.TOO_MANY_UNITS,
+            "more units than the largest request has",
+            id="units",
+        ),
+        pytest.param(
+            replace(VALID, volume_hosts=4),
+            RequestDefect.TOO_MANY_INSTANCES,
+            "more hosts than there are",
+            id="instances",
+        ),
     ],
 )
-def test_a_request_outside_the_settings_is_invalid(spec: RequestSpec, problem: str) -> None:
+def test_a_request_outside_the_settings_is_invalid(
+    spec: RequestSpec, defect: RequestDefect, text: str
+) -> None:
     settings = make_settings(cells=4)
     validate(VALID, settings)
-    with pytest.raises(InvalidRequestError, match=f"^{problem}$"):
+    with pytest.raises(InvalidRequestError, match=f"^{text}$") as error:
         validate(spec, settings)
+    assert error.value.defect is defect
 
 
 def test_capacity_is_used_by_the_scarcer_of_requests_and_bytes() -> None:
--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -35,7 +35,8 @@
     ids=["nothing", "bad-command", "quit", "not-resp", "half-a-command"],
 )
 def test_a_queued_request_whose_client_disconnected_is_not_forwarded(how: str, busy_with: bytes) -> None:
-    """After a bad command the connection was not read for 0.2 s, after QUIT no more: nobody saw the FIN."""
+    """Regression: the connection is not read for 0.2 s after a bad command and never after QUIT, so that the
+    client's FIN went unnoticed."""
     w = Waiting()
     client = Raw(w, w.listener.address)
     client.say(read_command(d=1400) + busy_with)
@@ -95,48 +96,49 @@
         pool.take()
 
 
-def test_without_buffers_a_disconnect_is_noticed_and_owed_answers_are_sent() -> None:
-    """A read needed a buffer: without one the connection was closed, and its open requests got no answer."""
+def test_without_buffers_a_disconnect_is_noticed_and_pending_responses_are_sent() -> None:
+    """Regression: without a buffer to read into, a connection was closed and its requests got no response."""
     w = Waiting()
-    leaver, stays = Raw(w, w.listener.address), Raw(w, w.listener.address)
-    leaver.say(read_command("r1", d=1400))
-    stays.say(read_command("r2", d=1400))
+    leaving, staying = Raw(w, w.listener.address), Raw(w, w.listener.address)
+    leaving.say(read_command("r1", d=1400))
+    staying.say(read_command("r2", d=1400))
     with pytest.raises(BufferPoolExhaustedError):
         take_all(w.pool)
-    leaver.fin()
+    leaving.fin()
     w.settle()
     assert w.core.open_requests == 1
-    stays.say(read_command("r3")[:-9])
-    assert stays.read().startswith(b"-ERR out of buffers\r\n-ERR out of buffers\r\n")
+    staying.say(read_command("r3")[:-9])
+    assert staying.read().startswith(b"-ERR out of buffers\r\n-ERR out of buffers\r\n")
     assert w.core.open_requests == 0
 
 
 def test_queued_messages_are_dropped_with_their_client() -> None:
-    """9P takes a few messages a turn and reads nothing meanwhile: a client that had left was worked for."""
+    """Regression: 9P processes a few messages an iteration and reads nothing meanwhile, so that it went on
+    working for a client that had disconnected."""
     w = NinepInstance(ninep_requests=64)
-    tool = NinepClient(w)
-    tool.open(1, "sv", "law", "terms")
+    client = NinepClient(w)
+    client.open(1, "sv", "law", "terms")
     before = len(received_messages(w, p9.Tread))
-    assert tool.stream
-    tool.stream.write(b"".join(p9.encode(10 + n, p9.Tread(1, n * 64, 64)) for n in range(60)))
+    assert client.stream
+    client.stream.write(b"".join(p9.encode(10 + n, p9.Tread(1, n * 64, 64)) for n in range(60)))
     for _ in range(4):
         w.scheduler.run_iteration(1)
-    assert tool.stream
-    tool.stream.close()
-    begun = len(w.core.starts)
+    assert client.stream
+    client.stream.close()
+    started = len(w.core.starts)
     w.settle()
     assert (
-        len(w.core.starts) <= begun + w.limits.ninep_messages_per_iteration
-    ), "what the turn of its leaving had begun already"
-    assert len(received_messages(w, p9.Tread)) - before <= begun + w.limits.ninep_messages_per_iteration
+        len(w.core.starts) <= started + w.limits.ninep_messages_per_iteration
+    ), "those of the iteration in which it disconnected"
+    assert len(received_messages(w, p9.Tread)) - before <= started + w.limits.ninep_messages_per_iteration
 
 
 def test_a_client_that_floods_does_not_starve_others() -> None:
-    """Whoever sent without a pause was read without one: nobody else was heard until it drew breath."""
+    """Regression: a client that sends without a pause was read without one, and no other client was served."""
     w = SimulatedInstance(read_bytes_per_iteration=16 << 10)
     front = w.front()
     flood = Raw(w, front.address)
-    [head_end] = front._clients
+    [connection] = front._clients
     sent = 0
     while True:
         try:
@@ -145,4 +147,6 @@
             break
     assert sent > 16 * w.limits.read_bytes_per_iteration
     w.scheduler.run_iteration(1)
-    assert 0 < head_end.machine.taken * len(PING) <= w.limits.read_bytes_per_iteration + w.limits.buffer_bytes
+    assert (
+        0 < connection.machine.taken * len(PING) <= w.limits.read_bytes_per_iteration + w.limits.buffer_bytes
+    )
--- a/tests/core/test_endpoint_registry.py
+++ b/tests/core/test_endpoint_registry.py
@@ -53,3 +53,15 @@
     registry.set_disabled(frozenset(), 0)
     registry.set_disabled(frozenset({"head/1", "a"}), 0)
     assert registry.disabled_digest == digest
+
+
+def test_a_backend_that_a_complete_list_has_dropped_warms_up_no_more_from_its_enabling() -> None:
+    registry = EndpointRegistry()
+    listed = EndpointListing((up_endpoint("a", 0),), {"a": "10.0.0.1:1"}, True)
+    registry.apply(listed)
+    registry.set_disabled(frozenset({"a"}), 100)
+    registry.set_disabled(frozenset(), 200)
+    assert registry.effective_entry(up_endpoint("a", 0)).started_us == 200
+    registry.apply(EndpointListing((), {}, True))
+    registry.apply(listed)
+    assert registry.effective_entry(up_endpoint("a", 0)).started_us == 0
--- a/tests/core/test_fencing.py
+++ b/tests/core/test_fencing.py
@@ -1,4 +1,4 @@
-"""An instance that cannot show that it is current: what becomes of its requests."""
+"""Fencing: what an instance does with its requests while it cannot prove that it is current."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     instance.submit("in flight", cls="write", timeout_us=2 * SECOND)
     instance.list_endpoint("n0", EndpointState.DRAINING)
     instance.submit("queued")
-    assert len(instance.backend.in_flight) == 1
+    assert len(instance.transport.in_flight) == 1
     is_current = False
     instance.core.fence.may_act = lambda _now: is_current
     instance.settle()
@@ -50,7 +50,7 @@
     instance.list_endpoint("n0", EndpointState.UP)
     instance.submit("after")
     assert not instance.core.fence.is_fenced
-    assert len(instance.backend.in_flight) == 1
+    assert len(instance.transport.in_flight) == 1
 
 
 def test_a_fenced_instance_fails_what_may_have_run_and_is_not_safe_to_repeat() -> None:
@@ -58,7 +58,7 @@
     instance.submit("write", cls="write", timeout_us=2 * SECOND)
     instance.list_endpoint("n0", EndpointState.DRAINING)
     instance.finish_oldest(Outcome.RESET)
-    assert not instance.answers, "it waits for a backend"
+    assert not instance.answers, "it is queued for a backend"
     instance.core.fence.may_act = lambda _now: False
     instance.run(10 * MS)
     assert instance.answers == {"write": Failed("not current")}
--- a/tests/core/test_request_engine.py
+++ b/tests/core/test_request_engine.py
@@ -26,7 +26,7 @@
 def test_success_answers_the_client_at_once_and_a_second_finish_is_ignored() -> None:
     instance = EngineInstance()
     instance.submit("a")
-    attempt = instance.backend.in_flight.pop()
+    attempt = instance.transport.in_flight.pop()
     attempt.finish(Outcome.SERVED, b"v")
     assert instance.answers == {"a": Served(b"v")}, "before the iteration ends"
     attempt.finish(Outcome.RESET)
@@ -41,7 +41,7 @@
     for _ in range(4):
         instance.run(2 * SECOND, 100 * MS)
         instance.finish_oldest(Outcome.RESET)
-    assert instance.answers == {"a": Rejected(SECOND)}, "not held back until its deadline"
+    assert instance.answers == {"a": Rejected(SECOND)}, "not delayed until its deadline"
     assert [attempt.number for attempt in instance.core.starts] == [0, 1, 2, 3]
 
 
@@ -50,14 +50,14 @@
     instance.submit("a", cls="write", **more)  # its latency objective is later than the hedging delay
     instance.run(300 * MS)
     assert [attempt.number for attempt in instance.core.starts] == [0, 1]
-    assert len(instance.backend.in_flight) == 2
+    assert len(instance.transport.in_flight) == 2
 
 
 def test_of_two_hedged_attempts_the_first_answer_counts_and_the_other_is_dropped() -> None:
-    """The engine took it for a defect and did not dispatch it, though the settings allow it."""
+    """Regression: the engine did not dispatch the hedged attempt although the settings allow it."""
     instance = EngineInstance(make_settings())
     start_hedged(instance)
-    first, second = instance.backend.in_flight
+    first, second = instance.transport.in_flight
     second.finish(Outcome.SERVED, b"second")
     first.finish(Outcome.SERVED, b"first")  # in the same iteration
     assert instance.answers == {"a": Served(b"second")}
@@ -68,7 +68,7 @@
     start_hedged(instance := EngineInstance(make_settings()))
     instance.finish_oldest(Outcome.SERVED, b"first")
     assert instance.answers == {"a": Served(b"first")}
-    assert len(instance.backend.stopped) == 1
+    assert len(instance.transport.stopped) == 1
     assert not instance.core._requests
 
 
@@ -76,7 +76,7 @@
     instance = EngineInstance(make_settings())
     start_hedged(instance)
     [request] = instance.core._requests
-    first, _ = instance.backend.in_flight
+    first, _ = instance.transport.in_flight
     first.finish(Outcome.SERVED, b"first")
     assert instance.answers == {"a": Served(b"first")}
     assert list(instance.core._requests) == [request], "its other attempt is still in flight"
@@ -89,7 +89,7 @@
     instance = EngineInstance(make_settings())
     start_hedged(instance, timeout_us=SECOND)
     instance.run(SECOND)
-    assert len(instance.backend.stopped) == 2
+    assert len(instance.transport.stopped) == 2
     assert list(instance.answers) == ["a"]
     assert not instance.core._requests
 
@@ -103,7 +103,7 @@
     instance = EngineInstance(config)
     instance.submit("a", allow_hedging=allow_hedging)
     instance.run(800 * MS)
-    assert len(instance.backend.in_flight) == 1
+    assert len(instance.transport.in_flight) == 1
 
 
 def test_no_attempt_goes_to_a_backend_that_began_to_drain_in_the_same_iteration() -> None:
@@ -112,13 +112,13 @@
         EndpointListing((api.Endpoint("n0", 0, "z", EndpointState.DRAINING),), {"n0": "x:1"}, False)
     )
     instance.submit("a", timeout_us=300 * MS)
-    assert not instance.backend.in_flight
+    assert not instance.transport.in_flight
     instance.run(300 * MS)
     assert instance.answers == {"a": Rejected(SECOND)}
 
 
 def test_replaced_backends_and_unused_volumes_leave_no_state_behind() -> None:
-    """On a long day all of these grew with every replacement and every name."""
+    """Regression: state grew with every backend that was replaced and with every volume name."""
     instance = EngineInstance()
     for i in range(30):
         instance.list_endpoint(f"n{i}", EndpointState.GONE)
@@ -145,7 +145,7 @@
     assert instance.core.endpoints.address_of("n1") == "y:1"
     instance.core.endpoint_update_failed()
     instance.settle()
-    assert instance.core.endpoints.address_of("n1") == "y:1", "after a failure the old list stands"
+    assert instance.core.endpoints.address_of("n1") == "y:1", "after a failure the list in force stays"
 
 
 def test_requests_beyond_the_instances_own_capacity_are_rejected() -> None:
@@ -165,7 +165,7 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     def broken(_now: int, _events: list[api.Event]) -> list[api.Action]:
-        raise RuntimeError("tags ran backwards")
+        raise RuntimeError("defective")
 
     instance = EngineInstance()
     monkeypatch.setattr(instance.core.module, "handle", broken)
@@ -176,7 +176,8 @@
 
 
 def test_after_a_stall_the_decision_module_answers_before_the_engine_does() -> None:
-    """Its timer and both deadlines of the engine have passed by then: the engine used to answer first."""
+    """Regression: after a stall the module's timer and both deadlines of the engine have passed, and the
+    engine answered first."""
     instance = EngineInstance()
     instance.core.update_endpoints(EndpointListing((), {}, True))
     instance.submit("a", timeout_us=100 * MS)
@@ -192,7 +193,7 @@
     ticket = instance.submit("a", timeout_us=100 * MS)
     monkeypatch.setattr(instance.core.module, "handle", lambda _now, _events: [])
     instance.run(110 * MS)
-    assert [attempt.node for attempt in instance.backend.stopped] == ["n0"]
+    assert [attempt.node for attempt in instance.transport.stopped] == ["n0"]
     assert ticket not in instance.core._requests
     assert instance.core.starts[0].outcome is Outcome.TIMEOUT
     assert isinstance(instance.answers["a"], Failed)
@@ -202,17 +203,17 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     instance = EngineInstance()
-    start = instance.backend.start
+    start = instance.transport.start
     monkeypatch.setattr(
-        instance.backend, "start", lambda attempt: start(attempt) if attempt.work != "bad" else 1 / 0
+        instance.transport, "start", lambda attempt: start(attempt) if attempt.work != "bad" else 1 / 0
     )
     instance.submit("bad", timeout_us=100 * MS)
     instance.submit("good")
-    assert [attempt.work for attempt in instance.backend.in_flight] == ["good"]
+    assert [attempt.work for attempt in instance.transport.in_flight] == ["good"]
     assert "action failed" in caplog.text
-    monkeypatch.setattr(instance.backend, "stop", lambda _trial: None)
+    monkeypatch.setattr(instance.transport, "stop", lambda _attempt: None)
     instance.run(110 * MS)
-    assert isinstance(instance.answers["bad"], Rejected), "it still gets its answer"
+    assert isinstance(instance.answers["bad"], Rejected), "a failed action costs no answer"
 
 
 def test_an_attempt_with_its_own_deadline_times_out_before_the_request_does(
@@ -232,12 +233,12 @@
     assert instance.core.starts[0].outcome is Outcome.TIMEOUT
     assert "a" not in instance.answers
     instance.run(60 * MS)
-    assert len(instance.core.starts) == 2, "the old attempt is off before the next goes out"
+    assert len(instance.core.starts) == 2, "the second attempt starts after the first has timed out"
 
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["ask", "end", "leave", "drain", "up", "gone", "restart", "pass", "fail"]),
+        st.sampled_from(["submit", "finish", "disconnect", "drain", "up", "gone", "restart", "wait", "fail"]),
         st.integers(0, 7),
         st.sampled_from([o for o in Outcome if o is not Outcome.NEVER_DISPATCHED]),
     ),
@@ -249,42 +250,42 @@
 def test_under_random_events_every_request_is_answered_once_by_its_deadline(
     steps: list[tuple[str, int, Outcome]],
 ) -> None:
-    """CheckedRequestEngine checks each start; here: every request is answered, by its deadline, once."""
+    """CheckedRequestEngine checks each start; this test checks that every request is answered in time."""
     instance = EngineInstance(make_settings(parallel_attempts=False, max_attempts=4, instances=2))
     tickets: dict[str, str] = {}
     due: dict[str, int] = {}
-    left = set()
-    for n, (step, pick, outcome) in enumerate(steps):
+    disconnected = set()
+    for n, (step, choice, outcome) in enumerate(steps):
         match step:
-            case "ask":
-                due[f"a{n}"] = instance.time + (pick + 1) * 100 * MS
-                tickets[f"a{n}"] = instance.submit(f"a{n}", timeout_us=(pick + 1) * 100 * MS)
-            case "end" if instance.backend.in_flight:
-                attempt = instance.backend.in_flight.pop(pick % len(instance.backend.in_flight))
+            case "submit":
+                due[f"a{n}"] = instance.time + (choice + 1) * 100 * MS
+                tickets[f"a{n}"] = instance.submit(f"a{n}", timeout_us=(choice + 1) * 100 * MS)
+            case "finish" if instance.transport.in_flight:
+                attempt = instance.transport.in_flight.pop(choice % len(instance.transport.in_flight))
                 attempt.finish(outcome, b"v" if outcome is Outcome.SERVED else None)
-            case "leave" if tickets:
-                name = sorted(tickets)[pick % len(tickets)]
+            case "disconnect" if tickets:
+                name = sorted(tickets)[choice % len(tickets)]
                 if name not in instance.answers:
-                    left.add(name)
+                    disconnected.add(name)
                 instance.core.client_disconnected(tickets[name])
             case "drain" | "gone" | "up":
                 state = {"drain": EndpointState.DRAINING, "gone": EndpointState.GONE, "up": EndpointState.UP}[
                     step
                 ]
-                instance.list_endpoint(f"n{pick % 2}", state)
+                instance.list_endpoint(f"n{choice % 2}", state)
             case "restart":
                 instance.list_endpoint("n0", EndpointState.UP, started=instance.time)
-            case "pass":
-                instance.run((pick + 1) * 25 * MS, 25 * MS)
+            case "wait":
+                instance.run((choice + 1) * 25 * MS, 25 * MS)
             case "fail":
                 instance.core.endpoint_update_failed()
         instance.settle()
         assert all(
             instance.time < due[name] + 8 * MS
             for name in due
-            if name not in instance.answers and name not in left
+            if name not in instance.answers and name not in disconnected
         )
     instance.run(900 * MS, 25 * MS)
-    assert set(instance.answers) == set(due) - left
+    assert set(instance.answers) == set(due) - disconnected
     assert not instance.core._requests
     assert instance.core.open_requests == 0
--- a/tests/core/test_retry_safety.py
+++ b/tests/core/test_retry_safety.py
@@ -20,7 +20,7 @@
 
 
 def request_with(*outcomes: Outcome | None) -> Request:
-    """Return a request whose attempts began 100 ms apart and ended so; None: in flight."""
+    """Return a request with attempts 100 ms apart that have these outcomes; None: in flight."""
     spec = RequestSpec("c", "gold", "v", "k", 1.0, 0, SECOND, 1, None)
     request = Request("i1", spec, cast(BackendTransport, None), cast(Any, None), T0)
     for number, outcome in enumerate(outcomes):
--- a/tests/support/engine_instance.py
+++ b/tests/support/engine_instance.py
@@ -1,4 +1,4 @@
-"""A request engine over a simulated clock, whose backend a test plays."""
+"""A request engine on a simulated clock, with a backend transport that the test controls."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.support.simulated_instance import SimulatedInstance
 
 
-class ManualBackend:
-    """A backend whose attempts end only when a test ends them."""
+class ManualTransport:
+    """A backend transport whose attempts finish only when a test finishes them."""
 
     def __init__(self) -> None:
         self.in_flight: list[AttemptHandle] = []
@@ -25,13 +25,14 @@
 
 
 class EngineInstance(SimulatedInstance):
-    """An engine with one listed backend, `n0`, and a manual backend behind it."""
+    """An engine with one listed backend, `n0`, behind a manual transport."""
 
     answers: dict[str, Answer]
 
     def __init__(self, config: api.Settings | None = None, **limits: int) -> None:
         super().__init__(config, **limits)
-        self.backend, self.answers = ManualBackend(), {}
+        self.transport = ManualTransport()
+        self.answers = {}
         self.list_endpoint("n0", EndpointState.UP, complete=True)
 
     def list_endpoint(
@@ -64,14 +65,14 @@
                 held_bytes=held_bytes,
                 allow_hedging=allow_hedging,
             ),
-            self.backend,
+            self.transport,
             lambda answer: self.answers.__setitem__(name, answer),
         )
         self.settle()
         return ticket
 
     def finish_oldest(self, outcome: Outcome, value: bytes | None = None) -> AttemptHandle:
-        attempt = self.backend.in_flight.pop(0)
+        attempt = self.transport.in_flight.pop(0)
         attempt.finish(outcome, value)
         self.settle()
         return attempt
