--- a/garnetlanding/config/section.py
+++ b/garnetlanding/config/section.py
@@ -79,18 +79,18 @@
         """Return the value without validation, None if the key is absent."""
         return self.data.get(key)
 
-    def text(self, key: str, absent: str | None = None) -> str:
-        """Return a text; without a default (`absent`) the key is required and must not be empty."""
-        value = self.data.get(key, absent)
-        if not isinstance(value, str) or (not value and absent is None):
+    def text(self, key: str, default: str | None = None) -> str:
+        """Return a text; without a `default` the key is required and must not be empty."""
+        value = self.data.get(key, default)
+        if not isinstance(value, str) or (not value and default is None):
             raise self.error(key, "missing or not text")
         return value
 
-    def one_of(self, key: str, among: Collection[str]) -> str:
-        """Return a required text that must be one of `among`."""
+    def one_of(self, key: str, choices: Collection[str]) -> str:
+        """Return a required text that must be one of `choices`."""
         value = self.text(key)
-        if value not in among:
-            raise self.error(key, f"{value!r:.40} is none of {', '.join(sorted(among))}")
+        if value not in choices:
+            raise self.error(key, f"{value!r:.40} is none of {', '.join(sorted(choices))}")
         return value
 
     def address(self, key: str) -> str:
@@ -102,9 +102,11 @@
             raise self.error(key, problem) from problem
         return text
 
-    def number(self, key: str, least: float, absent: float | None = None, most: float = NUMBER_MAX) -> float:
-        """Return a number from `least` to `most`; without a default (`absent`) the key is required."""
-        value = self.data.get(key, absent)
-        if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-            raise self.error(key, f"expected a number from {least:g} to {most:g}, found {value!r:.40}")
+    def number(
+        self, key: str, minimum: float, default: float | None = None, maximum: float = NUMBER_MAX
+    ) -> float:
+        """Return a number from `minimum` to `maximum`; without a `default` the key is required."""
+        value = self.data.get(key, default)
+        if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
+            raise self.error(key, f"expected a number from {minimum:g} to {maximum:g}, found {value!r:.40}")
         return float(value)
--- a/garnetlanding/lab/experiment_file.py
+++ b/garnetlanding/lab/experiment_file.py
@@ -175,7 +175,7 @@
     def _times(self, duration_us: int) -> tuple[int, int]:
         """Return the fault's start and end, in microseconds."""
         section = self._section
-        start_us = int(section.number("at_s", 0, most=duration_us / SECOND) * SECOND)
+        start_us = int(section.number("at_s", 0, maximum=duration_us / SECOND) * SECOND)
         end_us = int(section.number("until_s", 0, duration_us / SECOND) * SECOND)
         if self._kind in MOMENTARY and section.has("until_s"):
             raise section.error("until_s", f"{self._kind.value} has one time, at_s")
@@ -214,7 +214,7 @@
         is_needed = self._kind in BACKEND_FAULTS | BACKEND_CALLS
         is_optional = self._kind in STREAM_FAULTS and self._section.has("brick")
         if is_needed or is_optional:
-            return int(self._section.number("brick", 0, most=self._backends - 1))
+            return int(self._section.number("brick", 0, maximum=self._backends - 1))
         return None
 
     def _instance_or_all(self, key: str) -> int | None:
--- a/garnetlanding/ninep/setup.py
+++ b/garnetlanding/ninep/setup.py
@@ -100,7 +100,7 @@
         if access == "ro" and section.has(key):
             raise section.error(key, 'nothing changes in an export with access "ro"')
     cls = section.one_of("class", settings.classes)
-    deadline_ms = section.number("deadline_ms", 1, most=_MAX_DEADLINE_MS)
+    deadline_ms = section.number("deadline_ms", 1, maximum=_MAX_DEADLINE_MS)
     return Export(
         name=name,
         volume=section.text("volume"),
--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -134,7 +134,7 @@
 
 
 def test_a_client_that_floods_does_not_starve_others() -> None:
-    """Regression: a client that sends without a pause was read without one, and no other client was served."""
+    """Regression: a client that sent without a pause was read without one, and no other was served."""
     w = SimulatedInstance(read_bytes_per_iteration=16 << 10)
     front = w.front()
     flood = Raw(w, front.address)
