--- a/tests/daemon/test_store_roles.py
+++ b/tests/daemon/test_store_roles.py
@@ -12,7 +12,7 @@
 from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.store.cached_endpoints import ENDPOINT_PREFIX
 from garnetlanding.store.cached_endpoints import SETTINGS as SETTINGS_KEY
-from garnetlanding.store.persister import load
+from garnetlanding.store.persister import load_snapshot
 from garnetlanding.store.store import Entry, Snapshot
 from tests.support.clock import MS, SECOND, T0
 from tests.support.daemon import PLATFORM_CONFIG, PLATFORM_SETTINGS, SimulatedDaemon
@@ -43,7 +43,7 @@
     first = SimulatedDaemon(operator)
     first.discovery.publish(EmulatedEndpoint("b9", first.backend.address, 5))
     first.run(SECOND, 100 * MS)
-    stored = load(path)
+    stored = load_snapshot(path)
     assert stored
     assert ENDPOINT_PREFIX + "b9" in stored.values
     second = Daemon(config.read(PLATFORM_CONFIG, operator), lambda: T0)
