--- a/garnetlanding/daemon/daemon.py
+++ b/garnetlanding/daemon/daemon.py
@@ -21,7 +21,7 @@
 
 
 class Daemon:
-    """Runs one instance: `run` until SIGTERM, or step by step by `start`, `reload` and `end`.
+    """Runs one instance: `run` until SIGTERM, or step by step by `start`, `reload` and `shut_down`.
 
     `clock` returns monotonic time in microseconds. `load_config` reads and checks the whole configuration for
     a reload; without it `reload` has no effect.
@@ -89,14 +89,14 @@
 
     def catch_signals(self) -> None:
         """Install handlers: reload at SIGHUP, shut down at SIGTERM and SIGINT."""
-        Signals(self.scheduler, self.limits.signal_bytes, self.reload, self.end)
+        Signals(self.scheduler, self.limits.signal_bytes, self.reload, self.shut_down)
 
     def reload(self) -> None:
         """Read and apply the configuration again; an invalid one is rejected as a whole."""
         if self._reloader:
             self._reloader.reload()
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         """Shut down gracefully, then stop the event loop.
 
         The instance continues to serve for a while, since clients without another instance keep using their
--- a/garnetlanding/daemon/replication.py
+++ b/garnetlanding/daemon/replication.py
@@ -20,9 +20,8 @@
     def __init__(self, instance: Instance, setup: StoreSetup) -> None:
         self._instance = instance
         self._setup = setup
-        self.staleness_guard: StalenessGuard | None = (
-            None  # of a follower that may only act on recent settings
-        )
+        # Of a follower that may only act on recent settings; set by `start`.
+        self.staleness_guard: StalenessGuard | None = None
 
     def start(self) -> None:
         """Listen for followers, or connect to the writer."""
--- a/garnetlanding/telemetry/collector_client.py
+++ b/garnetlanding/telemetry/collector_client.py
@@ -22,15 +22,30 @@
 
 log = logging.getLogger(__name__)
 
-RETRYABLE_STATUSES = frozenset({0, 429, 502, 503, 504})
-"""The statuses that OTLP/HTTP defines as retryable; 0 stands for a status line without a status."""
+_MISSING_STATUS = 0
+"""What ResponseParser returns for a status line without a status."""
+RETRYABLE_STATUSES = frozenset(
+    {
+        _MISSING_STATUS,
+        HTTPStatus.TOO_MANY_REQUESTS,
+        HTTPStatus.BAD_GATEWAY,
+        HTTPStatus.SERVICE_UNAVAILABLE,
+        HTTPStatus.GATEWAY_TIMEOUT,
+    }
+)
+"""The statuses that OTLP/HTTP defines as retryable, and a missing one."""
 
 _NS_PER_SECOND = 1e9
 _BACKOFF_JITTER = (0.5, 1.5)
+"""The range of the random factor that is applied to each backoff."""
+_BACKOFF_MULTIPLIER = 2
 _DELAY_DIGITS = 9
 """How many digits of a Retry-After are read; the delay is limited to far less anyway."""
 
-# Reasons for a failed attempt, which are logged.
+_ATTEMPT_ERRORS = (OSError, DeadlineExceededError, StreamClosedError, HttpError, BufferPoolExhaustedError)
+"""The errors of an attempt that ends without a response."""
+
+# Reasons why an attempt failed, which are logged.
 _RESPONSE_RESET = "reset, which is no end"
 _RESPONSE_TOO_LONG = "answer too long"
 
@@ -107,7 +122,7 @@
                 )
                 return PostResult(accepted=False)
             wait_us = self._wait_us(response, backoff_us)
-            backoff_us *= 2
+            backoff_us *= _BACKOFF_MULTIPLIER
         return PostResult(accepted=False)
 
     def _wait_us(self, response: _Response | None, backoff_us: int) -> int:
@@ -124,13 +139,7 @@
         """Post once. Return `None`, and log why, if there is no response."""
         try:
             return self._call(path, body)
-        except (
-            OSError,
-            DeadlineExceededError,
-            StreamClosedError,
-            HttpError,
-            BufferPoolExhaustedError,
-        ) as error:
+        except _ATTEMPT_ERRORS as error:
             self._disconnect()
             log.warning("collector unreachable", extra={"kv": {"why": f"{type(error).__name__}: {error}"}})
             return None
@@ -163,7 +172,7 @@
                 raise HttpError(_RESPONSE_TOO_LONG)
 
     def _request_head(self, path: str, length: int) -> bytes:
-        lines = [
+        header_lines = [
             f"POST {self._setup.path}{path} HTTP/1.1",
             f"Host: {self._setup.address}",
             "Content-Type: application/json",
@@ -171,7 +180,7 @@
             "",
             "",
         ]
-        return "\r\n".join(lines).encode()
+        return "\r\n".join(header_lines).encode()
 
     def _connect(self, deadline: int) -> Stream:
         """Return the open connection, or a new one."""
--- a/garnetlanding/telemetry/exporter.py
+++ b/garnetlanding/telemetry/exporter.py
@@ -22,12 +22,11 @@
 from garnetlanding.telemetry.collector_client import CollectorClient
 from garnetlanding.telemetry.ended_request import EndedRequest, outcome_of
 from garnetlanding.telemetry.request_metrics import Gauge, RequestMetrics
-from garnetlanding.telemetry.request_spans import SpanBuilder
+from garnetlanding.telemetry.request_spans import NS_PER_US, SpanBuilder
 from garnetlanding.telemetry.setup import TelemetrySetup
 
 _TRACES_PATH = "/v1/traces"
 _METRICS_PATH = "/v1/metrics"
-_NS_PER_US = 1000
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +61,7 @@
         self._resource = otlp.Resource(
             {"service.name": setup.service, "service.instance.id": instance.name}, __version__
         )
-        self._spans = SpanBuilder(rng, wall_offset_ns=wall_ns() - scheduler.now * _NS_PER_US)
+        self._spans = SpanBuilder(rng, wall_offset_ns=wall_ns() - scheduler.now * NS_PER_US)
         self._start_ns = wall_ns()
         self._client = CollectorClient(scheduler, setup, pool, limits, rng, wall_ns)
         self._metrics = RequestMetrics()
--- a/garnetlanding/telemetry/request_spans.py
+++ b/garnetlanding/telemetry/request_spans.py
@@ -9,7 +9,7 @@
 
 _TRACE_ID_DIGITS = 32
 _SPAN_ID_DIGITS = 16
-_NS_PER_US = 1000
+NS_PER_US = 1000
 
 
 class SpanBuilder:
@@ -71,7 +71,7 @@
         return f"{self._rng.randrange(1, 16 ** digits):0{digits}x}"
 
     def _wall_ns(self, monotonic_us: int) -> int:
-        return monotonic_us * _NS_PER_US + self._wall_offset_ns
+        return monotonic_us * NS_PER_US + self._wall_offset_ns
 
 
 def _error(outcome: str) -> str:
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -95,7 +95,7 @@
     instance.backend.scripted_responses = [None]
     busy, idle = instance.client(), instance.client()
     busy.say(read_command(d=3000))
-    instance.daemon.scheduler.spawn(instance.daemon.end)
+    instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.run(300 * MS)
     late = instance.client()
     assert late.say(read_command("r2", d=3000, volume="w")) == b"$0\r\n\r\n"
@@ -120,7 +120,7 @@
     instance = SimulatedDaemon(settings=SLOW_SETTINGS)
     instance.backend.scripted_responses = [None]
     slow = instance.client()
-    instance.daemon.scheduler.spawn(instance.daemon.end)
+    instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.run(SECOND)
     slow.say(read_command(d=60_000))
     instance.run(instance.daemon.limits.term_reject_us - SECOND + 50 * MS)
@@ -131,6 +131,6 @@
 
 def test_shutdown_without_clients_ends_as_soon_as_accepting_may() -> None:
     instance = SimulatedDaemon()
-    instance.daemon.scheduler.spawn(instance.daemon.end)
+    instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.run(instance.daemon.limits.term_accept_us + 50 * MS)
     assert instance.daemon.scheduler._stopped
--- a/tests/daemon/test_graceful_shutdown.py
+++ b/tests/daemon/test_graceful_shutdown.py
@@ -64,7 +64,7 @@
 
 
 def ends_within(instance: SimulatedDaemon, span_us: int) -> bool:
-    instance.daemon.scheduler.spawn(instance.daemon.end)
+    instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.run(span_us, 50 * MS)
     return instance.daemon.scheduler._stopped
 
@@ -77,7 +77,7 @@
     )
     instance.backend.holds_responses = True
     client = Raw(instance, instance.daemon.listeners[0].address)
-    instance.daemon.scheduler.spawn(instance.daemon.end)
+    instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.run(400 * MS)
     client.say(read_command(d=60_000))
     instance.run(min(longest_us, 3 * SECOND) + 700 * MS - 400 * MS - 100 * MS)
@@ -91,7 +91,7 @@
     instance = SimulatedDaemon(settings=SLOW_SETTINGS)
     client = Raw(instance, instance.daemon.listeners[0].address)
     client.say(read_command())
-    instance.daemon.scheduler.spawn(instance.daemon.end)
+    instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.run(1400 * MS, 50 * MS)
     client.say(left)
     instance.run(2150 * MS, 50 * MS)
--- a/tests/integration/test_rolling_upgrade.py
+++ b/tests/integration/test_rolling_upgrade.py
@@ -88,7 +88,7 @@
     assert upgrade.call(new, "/-/ready", "GET") == "200", "with the list it was started with"
     upgrade.brick.holds_responses = True
     clients[0].say(read_command("busy"))
-    old.scheduler.spawn(old.end)
+    old.scheduler.spawn(old.shut_down)
     upgrade.run(100 * MS)
     assert [c.closed for c in clients] == [False] + [True] * 5, "idle ones have somewhere to go"
     upgrade.brick.holds_responses = False
--- a/tests/ops/test_admin_state.py
+++ b/tests/ops/test_admin_state.py
@@ -10,8 +10,14 @@
 import pytest
 
 from garnetlanding import config
-from garnetlanding.ops.admin_state import AdminState, decode
-from garnetlanding.ops.errors import AdminStateError
+from garnetlanding.ops.admin_state import VERSION, AdminState, decode, encode
+from garnetlanding.ops.errors import (
+    AdminStateError,
+    DamagedStateError,
+    ForeignStateError,
+    StateDamage,
+    StateVersionError,
+)
 from garnetlanding.ops.state_file import StateFile
 from tests.support.admin import AdministeredInstance
 from tests.support.clock import MS
@@ -75,6 +81,18 @@
     assert decode("n1", stored) == AdminState(frozenset({"b0"}))
 
 
+def test_errors_of_a_state_file_have_what_was_found_and_what_was_expected() -> None:
+    with pytest.raises(StateVersionError) as version:
+        decode("n1", state_bytes(version=VERSION + 1))
+    assert (version.value.found, version.value.supported) == (VERSION + 1, VERSION)
+    with pytest.raises(ForeignStateError) as foreign:
+        decode("n1", encode("n2", AdminState()))
+    assert (foreign.value.found, foreign.value.expected) == ("n2", "n1")
+    with pytest.raises(DamagedStateError) as damaged:
+        decode("n1", state_bytes(records=[["b0", 17]]))
+    assert damaged.value.damage is StateDamage.RECORD
+
+
 def test_change_that_cannot_be_stored_is_not_made(tmp_path: pathlib.Path) -> None:
     instance = AdministeredInstance(tmp_path)
     (tmp_path / "garnetlanding-n1-operators.json.new").mkdir()
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -391,7 +391,7 @@
         def close(self) -> None: ...
 
     instance.daemon.assembly.instance.process.registry = Newer()  # type: ignore[assignment]
-    instance.daemon.scheduler.spawn(instance.daemon.end)
+    instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.settle()
     assert link.closed
     assert instance.coordinator.leases
