--- a/garnetlanding/core/body.py
+++ b/garnetlanding/core/body.py
@@ -18,13 +18,13 @@
         """Write bytes to the client, in order."""
 
     @property
-    def full(self) -> bool:
+    def write_blocked(self) -> bool:
         """Whether the client has left so much unread that nothing more may be written for now."""
 
     def when_writable(self, call: WritableCallback) -> None:
         """Call back once, as soon as the client has read everything that was written."""
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort the connection, so that the client can tell that the response is incomplete."""
 
 
@@ -58,7 +58,7 @@
     @property
     def is_blocked(self) -> bool:
         """Whether the producer has to stop reading for now."""
-        return not self.ended and (self._sink is None or self._sink.full)
+        return not self.ended and (self._sink is None or self._sink.write_blocked)
 
     def feed(self, data: bytes) -> None:
         """Accept the next bytes from the producer: write them to the sink, or buffer them without one."""
@@ -68,7 +68,7 @@
             self._buffered.append(data)
             return
         self._sink(data)
-        if self._sink.full:
+        if self._sink.write_blocked:
             self._sink.when_writable(self.on_writable)
 
     def attach_sink(self, sink: Sink) -> None:
@@ -78,7 +78,7 @@
         self._buffered = []
         if buffered:
             sink(b"".join(buffered))
-        if sink.full:
+        if sink.write_blocked:
             sink.when_writable(self.on_writable)
         else:
             self.on_writable()
--- a/garnetlanding/daemon/clients.py
+++ b/garnetlanding/daemon/clients.py
@@ -6,8 +6,9 @@
 
 from garnetlanding.daemon.instance import Instance
 from garnetlanding.daemon.lifecycle import Subsystem
-from garnetlanding.resp.front import ClientMachine, Front
-from garnetlanding.runtime.listener import Client, Listener
+from garnetlanding.resp.front import Front, RespClientProtocol
+from garnetlanding.runtime.client_connection import ClientConnection
+from garnetlanding.runtime.listener import Listener
 
 
 def _always() -> bool:
@@ -40,13 +41,13 @@
             "RESP2",
             instance.config.listen,
             instance.limits.client_conns,
-            self._make_machine,
+            self._make_protocol,
             shared=bool(instance.config.ops),
         )
         # Clients may use the descriptors that backend connections do not need, and the other way round.
         backends = instance.backends
-        self.listener.lent = lambda: max(0, backends.count - backends.reserved)
-        backends.borrow = self.listener.lend
+        self.listener.capacity_user = backends.capacity
+        backends.capacity.owner = self.listener
 
-    def _make_machine(self, client: Client) -> ClientMachine:
-        return ClientMachine(self._front, client)
+    def _make_protocol(self, client: ClientConnection) -> RespClientProtocol:
+        return RespClientProtocol(self._front, client)
--- a/garnetlanding/daemon/instance.py
+++ b/garnetlanding/daemon/instance.py
@@ -12,7 +12,9 @@
 from garnetlanding.daemon.process_registration import ProcessRegistration
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.buffers import BufferPool
-from garnetlanding.runtime.listener import Client, ClientMachine, Listener
+from garnetlanding.runtime.client_connection import ClientConnection
+from garnetlanding.runtime.listener import Listener
+from garnetlanding.runtime.protocols import ClientProtocol
 from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.runtime.upstream import Upstream
 from garnetlanding.store.store import Store
@@ -61,16 +63,22 @@
         protocol: str,
         address: str,
         max_connections: int,
-        make_machine: Callable[[Client], ClientMachine],
+        protocol_factory: Callable[[ClientConnection], ClientProtocol],
         *,
         shared: bool = False,
     ) -> Listener:
-        """Listen for clients of one protocol, each of which gets a machine from `make_machine`.
+        """Listen for clients of one protocol, whose protocols `protocol_factory` creates.
 
         `shared`: another process may listen at the same address.
         """
         listener = Listener(
-            self.scheduler, address, self.pool, self.limits, max_connections, make_machine, shared
+            self.scheduler,
+            address,
+            self.pool,
+            self.limits,
+            max_connections,
+            protocol_factory,
+            reuse_port=shared,
         )
         self.listeners.append(listener)
         self.log_listening(protocol, listener.address)
--- a/garnetlanding/daemon/ninep.py
+++ b/garnetlanding/daemon/ninep.py
@@ -5,7 +5,7 @@
 from garnetlanding.daemon.instance import Instance
 from garnetlanding.daemon.lifecycle import Subsystem
 from garnetlanding.ninep.client import file_servers
-from garnetlanding.ninep.front import ClientMachine
+from garnetlanding.ninep.front import NinepClientProtocol
 from garnetlanding.ninep.setup import NinepSetup
 from garnetlanding.ninep.shared_state import SharedState
 
@@ -30,5 +30,5 @@
             instance.core, servers, setup.exports, instance.pool, instance.limits, instance.scheduler
         )
         instance.listen(
-            "9P", setup.listen, instance.limits.ninep_conns, lambda write: ClientMachine(shared, write)
+            "9P", setup.listen, instance.limits.ninep_conns, lambda write: NinepClientProtocol(shared, write)
         )
--- a/garnetlanding/daemon/quota_enforcement.py
+++ b/garnetlanding/daemon/quota_enforcement.py
@@ -40,20 +40,25 @@
 
     def _close_idle_connections(self) -> None:
         instance = self._instance
-        self._clients.listener.shed(int(instance.limits.client_conns * UPGRADE_QUOTA))
-        instance.backends.shed(int(instance.limits.backend_conns * UPGRADE_QUOTA))
+        self._clients.listener.evict_down_to(int(instance.limits.client_conns * UPGRADE_QUOTA))
+        instance.backends.connections.close_idle_down_to(int(instance.limits.backend_conns * UPGRADE_QUOTA))
 
     def _used(self) -> float:
         """Return the fraction of the instance's limits in use here, by the scarcest of them."""
         instance = self._instance
         clients = self._clients.listener
-        return max(clients.used, instance.backends.used, instance.pool.used, instance.core.capacity.used)
+        return max(
+            clients.utilization,
+            instance.backends.capacity.utilization,
+            instance.pool.utilization,
+            instance.core.capacity.used,
+        )
 
     def _apply(self, quota: float) -> None:
         instance = self._instance
         self._process.quota = quota
-        self._clients.listener.part = quota
-        instance.backends.part = quota
-        instance.pool.part = quota
+        self._clients.listener.capacity_quota = quota
+        instance.backends.capacity.quota = quota
+        instance.pool.capacity_quota = quota
         instance.core.capacity.quota = quota
         log.info("process quota set", extra={"kv": {"quota": round(quota, 3)}})
--- a/garnetlanding/daemon/shared_connections.py
+++ b/garnetlanding/daemon/shared_connections.py
@@ -24,7 +24,7 @@
 
     def start(self) -> None:
         """Apply the limit to the backend connections."""
-        self._instance.backends.quota = ConnectionQuota(
+        self._instance.backends.connections.quota = ConnectionQuota(
             self._max_connections, self._instance.longest_attempt_us, self._now, self._shared_leases
         )
 
--- a/garnetlanding/daemon/shutdown.py
+++ b/garnetlanding/daemon/shutdown.py
@@ -62,7 +62,7 @@
         finally:
             for listener in self._listeners:
                 listener.stop_accepting()
-                listener.cut_all()
+                listener.abort_all()
 
     def _run_phases(self, schedule: ShutdownSchedule) -> None:
         began_us = self._scheduler.now
--- a/garnetlanding/daemon/subset.py
+++ b/garnetlanding/daemon/subset.py
@@ -26,8 +26,8 @@
 
     def start(self) -> None:
         """Apply the subset to the backend connections."""
-        self._instance.backends.outside_idle_us = self._setup.idle_timeout_us
-        self._instance.backends.keeps = self._current
+        self._instance.backends.sweeper.outside_subset_idle_us = self._setup.idle_timeout_us
+        self._instance.backends.sweeper.backend_subset = self._current
 
     def _current(self) -> frozenset[str]:
         core = self._instance.core
--- a/garnetlanding/daemon/telemetry.py
+++ b/garnetlanding/daemon/telemetry.py
@@ -33,7 +33,7 @@
         self.exporter.gauges = {
             "requests.open": lambda: instance.core.open_requests,
             "clients": lambda: sum(map(len, instance.listeners)),
-            "server.connections": lambda: instance.backends.count,
+            "server.connections": lambda: instance.backends.capacity.open_count,
             "buffers.used": lambda: instance.pool.in_use,
             "store.revision": lambda: instance.store.revision,
         }
--- a/garnetlanding/emulator/backend.py
+++ b/garnetlanding/emulator/backend.py
@@ -6,7 +6,7 @@
 
 from garnetlanding.emulator.base import EmulatedConnection, EmulatedServer
 from garnetlanding.resp import codec as resp
-from garnetlanding.runtime.listener import Write
+from garnetlanding.runtime.protocols import Write
 
 WRITE_WORDS = 5  # the command, the block, the request's id, its attributes and the data
 READ_WORDS = 4  # the same without data
--- a/garnetlanding/emulator/base.py
+++ b/garnetlanding/emulator/base.py
@@ -4,7 +4,8 @@
 
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.buffers import BufferPool
-from garnetlanding.runtime.listener import Listener, Write
+from garnetlanding.runtime.listener import Listener
+from garnetlanding.runtime.protocols import Write
 from garnetlanding.runtime.scheduler import Scheduler
 
 FREE_PORT = "127.0.0.1:0"
@@ -20,15 +21,15 @@
     def __init__(self, server: EmulatedServer, write: Write) -> None:
         self.server = server
         self.write = write
-        self.ended = False
-        self.session = False
-        self.owed = 0
-        self.bad = 0
+        self.is_closing = False
+        self.has_session_state = False
+        self.pending_responses = 0
+        self.invalid_messages = 0
         # Clients of an emulated server may take their time: they count as ones that have made a request.
-        self.taken = 1
-        self.asked = 1
-        self.midway = False
-        self.waiting = False
+        self.messages_received = 1
+        self.requests_received = 1
+        self.has_partial_message = False
+        self.has_buffered_input = False
 
     def feed(self, data: bytes | memoryview) -> None:
         """Take in bytes of the client."""
@@ -36,7 +37,7 @@
 
     def close(self) -> None:
         """Note that the connection has ended."""
-        self.ended = True
+        self.is_closing = True
         self.server.forget(self)
 
 
@@ -68,7 +69,7 @@
     def close_connection(self, connection: EmulatedConnection) -> None:
         """End one connection, with whatever is unanswered on it."""
         for client in list(self.listener._clients):
-            if client.machine is connection:
+            if client.protocol is connection:
                 client.stream.close()
 
     def close_connections(self) -> None:
--- a/garnetlanding/emulator/discovery.py
+++ b/garnetlanding/emulator/discovery.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from garnetlanding.emulator.base import EmulatedConnection, EmulatedServer
-from garnetlanding.runtime.listener import Write
+from garnetlanding.runtime.protocols import Write
 
 END_OF_HEADERS = b"\r\n\r\n"
 
--- a/garnetlanding/emulator/file_connection.py
+++ b/garnetlanding/emulator/file_connection.py
@@ -20,7 +20,7 @@
 from garnetlanding.ninep import errors
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.locks import ExclusiveUse, LockTable
-from garnetlanding.runtime.listener import Write
+from garnetlanding.runtime.protocols import Write
 
 MIN_MSIZE = 256  # bytes
 DEFAULT_MSIZE = 1 << 16  # bytes
@@ -151,7 +151,7 @@
         return {fid: replace(at) for fid, at in self.fids.items()}
 
     def _answer_slowly(self, tag: int, message: p9.Message, fids: dict[int, OpenFid]) -> None:
-        if self.ended:
+        if self.is_closing:
             self._run_late(message, fids)
         else:
             self.answer(tag, message)
@@ -177,11 +177,11 @@
     def answer(self, tag: int, message: p9.Message) -> None:
         """Run a message and reply, unless the connection has ended or its client has flushed the message."""
         held = self._waiting.pop(tag, None)
-        if not self.ended and (held is message or held is None):
+        if not self.is_closing and (held is message or held is None):
             self._send(tag, self.run(message))
 
     def _send(self, tag: int, message: p9.Message) -> None:
-        if not self.ended:
+        if not self.is_closing:
             self.write(p9.encode(tag, message))
 
     def _error(self, problem: Problem) -> p9.Message:
@@ -252,7 +252,7 @@
 
     def close(self) -> None:
         """End the session with its connection."""
-        if not self.ended:
+        if not self.is_closing:
             super().close()
             self.reset()
 
--- a/garnetlanding/http/message_head.py
+++ b/garnetlanding/http/message_head.py
@@ -6,7 +6,8 @@
 
 from garnetlanding.http.errors import HttpError
 from garnetlanding.limits import Limits
-from garnetlanding.runtime.buffers import BufferPool, Chain
+from garnetlanding.runtime.buffers import BufferChain, BufferPool
+from garnetlanding.runtime.errors import LineTooLongError
 
 
 class HeaderLine(Enum):
@@ -28,7 +29,7 @@
     """
 
     def __init__(self, pool: BufferPool, limits: Limits) -> None:
-        self.buffer = Chain(pool)
+        self.buffer = BufferChain(pool)
         self.headers: dict[str, str] = {}
         self._limits = limits
         self._fields = 0
@@ -36,8 +37,8 @@
     def read_line(self) -> bytes | None:
         """Return the next line without its end, or `None` until it has arrived. Raises `HttpError`."""
         try:
-            return self.buffer.line(self._limits.http_line_bytes)
-        except ValueError as error:
+            return self.buffer.take_line(self._limits.http_line_bytes)
+        except LineTooLongError as error:
             raise HttpError("line too long", 431) from error
 
     def read_header(self) -> HeaderLine:
--- a/garnetlanding/http/request.py
+++ b/garnetlanding/http/request.py
@@ -46,7 +46,7 @@
         return self._state is RequestState.DONE
 
     @property
-    def midway(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether part of a request has arrived and the rest is awaited."""
         if self.done:
             return False
--- a/garnetlanding/lab/clients.py
+++ b/garnetlanding/lab/clients.py
@@ -113,7 +113,7 @@
         idle = self._idle.setdefault(request.instance, [])
         while True:
             connection = idle.pop() if idle else None
-            is_reused = connection is not None and not connection.stream.ended()
+            is_reused = connection is not None and not connection.stream.is_at_eof()
             if connection is None or not is_reused:
                 connection = self._connect(request.instance, deadline_us)
             if self._exchange(connection, request, deadline_us):
--- a/garnetlanding/lab/datagram_proxy.py
+++ b/garnetlanding/lab/datagram_proxy.py
@@ -96,5 +96,5 @@
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         for sock in self._sockets.values():
-            self._scheduler.forget(sock.fileno(), OSError("closed"))
+            self._scheduler.cancel_waits(sock.fileno(), OSError("closed"))
             sock.close()
--- a/garnetlanding/lab/environment.py
+++ b/garnetlanding/lab/environment.py
@@ -16,7 +16,8 @@
 from garnetlanding.limits import SECOND, Limits
 from garnetlanding.resp import codec as resp
 from garnetlanding.runtime.buffers import BufferPool
-from garnetlanding.runtime.listener import Listener, Write
+from garnetlanding.runtime.listener import Listener
+from garnetlanding.runtime.protocols import Write
 from garnetlanding.runtime.scheduler import Scheduler
 
 _READ_COMMAND = b"BLK.READ"
@@ -60,7 +61,7 @@
         answer = b"*3\r\n" + resp.bulk(words[1]) + b"$-1\r\n$-1\r\n"
 
         def send_answer() -> None:
-            if not conn.ended:
+            if not conn.is_closing:
                 conn.write(answer)
 
         self.scheduler.call_at(self._free_at_us, send_answer)
--- a/garnetlanding/lab/stream_proxy.py
+++ b/garnetlanding/lab/stream_proxy.py
@@ -34,7 +34,7 @@
         for sock in (self.downstream, self.upstream):
             if sock.fileno() < 0:
                 continue
-            scheduler.forget(sock.fileno(), OSError("closed"))
+            scheduler.cancel_waits(sock.fileno(), OSError("closed"))
             if reset:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
             sock.close()
@@ -161,7 +161,7 @@
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         for listener in self._listeners:
-            self._scheduler.forget(listener.fileno(), OSError("closed"))
+            self._scheduler.cancel_waits(listener.fileno(), OSError("closed"))
             listener.close()
         for connections in self._connections.values():
             for connection in connections:
--- a/garnetlanding/ninep/client.py
+++ b/garnetlanding/ninep/client.py
@@ -18,6 +18,7 @@
 from garnetlanding.ninep.session import Session, SessionLimits, Steps, clunk_surplus_fids
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.errors import BackendProtocolError
+from garnetlanding.runtime.protocols import BackendProtocolFactory
 from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.runtime.stream import parse_address
 from garnetlanding.runtime.upstream import Upstream
@@ -36,8 +37,8 @@
 """The versions to offer a server, the best first, by the setting."""
 
 
-class FileServerMachine:
-    """Implements the runtime's `ServerMachine` for file servers.
+class NinepBackendProtocol:
+    """Implements the runtime's `BackendProtocol` for file servers.
 
     States:
 
@@ -49,7 +50,7 @@
     """
 
     body = None
-    """Of the `ServerMachine` protocol: no reply is streamed, as msize bounds it."""
+    """Of the `BackendProtocol` protocol: no reply is streamed, as msize bounds it."""
 
     def __init__(
         self,
@@ -69,18 +70,18 @@
         self._program: Steps[Any] | None = None
         self._clunks: set[int] = set()  # the tags of those in flight
         self._next_clunk = CLUNK_TAGS[0]
-        self.exposed = False
+        self.bytes_may_have_been_sent = False
         """Whether the server may have begun what the attempt is for."""
 
     @property
-    def midway(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether part of a reply has arrived."""
-        return self._framer.midway
+        return self._framer.has_partial_message
 
     def begin(self, attempt: AttemptHandle) -> None:
         """Start the attempt's program. Raises `BackendProtocolError` if the server is to be sent nothing."""
         self._attempt = attempt
-        self.exposed = False
+        self.bytes_may_have_been_sent = False
         self._program = attempt.work.program(self._session)
         self._run_program(None)
 
@@ -95,7 +96,7 @@
         except codec.FrameError as error:
             raise BackendProtocolError(error) from error
 
-    def suits(self, attempt: AttemptHandle) -> bool:
+    def can_carry(self, attempt: AttemptHandle) -> bool:
         """Return whether the file that the attempt needs is open on this connection."""
         work = attempt.work
         return (
@@ -138,13 +139,13 @@
         A program that changes something sends others first; before the one that changes, nothing can have
         run.
         """
-        if self._attempt is None or self.exposed:
+        if self._attempt is None or self.bytes_may_have_been_sent:
             return
         work: Work = self._attempt.work
         if not work.spec.change:
-            self.exposed = True
+            self.bytes_may_have_been_sent = True
         elif may_change(message):
-            self.exposed = True
+            self.bytes_may_have_been_sent = True
             work.trace.exposed = True
             work.trace.unsure += 1
 
@@ -158,7 +159,7 @@
         self._attempt = None
         if attempt:
             work: Work = attempt.work
-            if work.spec.change and self.exposed:
+            if work.spec.change and self.bytes_may_have_been_sent:
                 work.trace.unsure -= 1
             if self._session.clunk_before_next:
                 self._program = clunk_surplus_fids(self._session)
@@ -180,31 +181,46 @@
             self._write(codec.encode(tag, codec.Tclunk(fid)))
 
 
-def file_servers(
-    scheduler: Scheduler, pool: BufferPool, limits: Limits, port: int, dialect: str = "auto"
-) -> Upstream:
-    """Return the pool of connections to all file servers.
+class NinepBackendProtocolFactory(BackendProtocolFactory):
+    """Creates the protocol of each connection to a file server.
 
-    `port` is where they listen on the machines that discovery names; 0: at the address it gives. `dialect` is
-    the version to offer them, or `auto` for the richer one first.
+    `port` is where the servers listen on the machines that discovery names; 0: at the address it gives.
+    `offered_versions` are the versions to offer them, the best first.
     """
 
-    def place(endpoint: str) -> str:
-        return f"{parse_address(endpoint)[0]}:{port}" if port else endpoint
+    def __init__(
+        self, pool: BufferPool, limits: Limits, port: int, offered_versions: tuple[str, ...]
+    ) -> None:
+        self._pool = pool
+        self._limits = limits
+        self._port = port
+        self._offered_versions = offered_versions
+
+    def create(
+        self, attempt: AttemptHandle, write: Callable[[bytes], None], on_idle: Callable[[], None]
+    ) -> NinepBackendProtocol:
+        """Return the protocol of a new connection, which is attached as the attempt's user."""
+        return NinepBackendProtocol(
+            attempt.work, self._pool, self._limits, self._offered_versions, write, on_idle
+        )
+
+    def resolve_address(self, endpoint: str) -> str:
+        """Return the address of the file server on an endpoint's machine."""
+        return f"{parse_address(endpoint)[0]}:{self._port}" if self._port else endpoint
 
-    def identity_key(attempt: AttemptHandle) -> str:
+    def connection_key(self, attempt: AttemptHandle) -> str:
         """Return what a connection is attached as: only attempts of the same user and tree may share it."""
         identity = attempt.work.identity
         return f"{identity.uname}\0{identity.n_uname}\0{identity.aname}"
 
-    return Upstream(
-        scheduler,
-        pool,
-        limits,
-        limits.ninep_server_conns,
-        lambda attempt, write, done: FileServerMachine(
-            attempt.work, pool, limits, OFFERS[dialect], write, done
-        ),
-        place,
-        identity_key,
-    )
+
+def file_servers(
+    scheduler: Scheduler, pool: BufferPool, limits: Limits, port: int, dialect: str = "auto"
+) -> Upstream:
+    """Return what sends attempts to all file servers over 9P.
+
+    `port` is as in `NinepBackendProtocolFactory`. `dialect` is the version to offer the servers, or `auto` to
+    offer all, the richer one first.
+    """
+    factory = NinepBackendProtocolFactory(pool, limits, port, OFFERS[dialect])
+    return Upstream(scheduler, pool, limits, limits.ninep_server_conns, factory)
--- a/garnetlanding/ninep/codec.py
+++ b/garnetlanding/ninep/codec.py
@@ -18,7 +18,7 @@
 from garnetlanding.ninep.wire_format import Table as Table
 from garnetlanding.ninep.wire_format import encode as encode
 from garnetlanding.ninep.wire_format import pack as pack
-from garnetlanding.runtime.buffers import BufferPool, Chain
+from garnetlanding.runtime.buffers import BufferChain, BufferPool
 
 VERSION = "9P2000"
 
@@ -334,12 +334,12 @@
     """
 
     def __init__(self, pool: BufferPool, max_size: int, table: Table = PLAIN) -> None:
-        self._received = Chain(pool)
+        self._received = BufferChain(pool)
         self.max_size = max_size
         self.table = table
 
     @property
-    def midway(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether bytes are waiting here."""
         return bool(self._received.length)
 
--- a/garnetlanding/ninep/front.py
+++ b/garnetlanding/ninep/front.py
@@ -18,8 +18,8 @@
 _UNKNOWN_VERSION = "unknown"  # version(5): the reply to a version that is not understood
 
 
-class ClientMachine:
-    """Implements the listener's `ClientMachine` for a 9P client.
+class NinepClientProtocol:
+    """Implements the listener's `ClientProtocol` for a 9P client.
 
     A client whose framing is lost, or that sends too many malformed messages, is closed: no tag could be
     trusted to answer with.
@@ -32,26 +32,26 @@
         self.id = shared.join(self)
         self._session = ClientSession(shared, self.id, write)
         self._handlers: Handlers = {}
-        self.ended = False
-        self.waiting = False
-        self.taken = 0
-        self.bad = 0
-        self.asked = 0
+        self.is_closing = False
+        self.has_buffered_input = False
+        self.messages_received = 0
+        self.invalid_messages = 0
+        self.requests_received = 0
 
     # For the driver
 
     @property
-    def owed(self) -> int:
+    def pending_responses(self) -> int:
         """Number of messages without a reply, without the flushes."""
         return len(self._session.requests.pending)
 
     @property
-    def midway(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether part of a message has arrived."""
-        return self._framer.midway
+        return self._framer.has_partial_message
 
     @property
-    def session(self) -> bool:
+    def has_session_state(self) -> bool:
         """Whether the client has fids, which it would lose by a close."""
         return bool(self._session.fids.by_number)
 
@@ -68,30 +68,30 @@
     def feed(self, data: bytes | memoryview) -> None:
         """Take received bytes; process some of the messages that are complete with them.
 
-        One call processes a bounded number, so that one client cannot hold up the event loop. While `waiting`
-        is set, `feed(b"")` goes on with the rest.
+        One call processes a bounded number, so that one client cannot hold up the event loop. While
+        `has_buffered_input` is set, `feed(b"")` goes on with the rest.
         """
-        self.waiting = False
-        if self.ended:
+        self.has_buffered_input = False
+        if self.is_closing:
             return
         remaining = self._limits.ninep_messages_per_iteration
         try:
             for tag, message in self._framer.feed(data):
-                self.taken += 1
+                self.messages_received += 1
                 self._process(tag, message)
-                if self.bad >= self._limits.bad_commands:
+                if self.invalid_messages >= self._limits.bad_commands:
                     self.close()
                     return
                 remaining -= 1
                 if not remaining:
-                    self.waiting = self._framer.has_complete_message
+                    self.has_buffered_input = self._framer.has_complete_message
                     return
         except codec.FrameError:
             self.close()
 
     def close(self) -> None:
         """End the session; the client has left, or is to be disconnected."""
-        self.ended = True
+        self.is_closing = True
         self._framer.close()
         self._session.reset()
         self._shared.leave(self.id)
@@ -115,14 +115,14 @@
         if self._session.requests.uses_tag(tag):
             raise RequestRejectedError(errors.EPROTO, "duplicate tag")
         if isinstance(message, Malformed):
-            self.bad += 1
+            self.invalid_messages += 1
             raise RequestRejectedError(errors.EPROTO, message.reason)
         handler = self._handlers.get(type(message))
         if handler is None:
             self._session.reply_problem(tag, dialect.unsupported)
             return
         handler(tag, message)
-        self.asked = self._session.requests.submitted
+        self.requests_received = self._session.requests.submitted
 
     def _negotiate(self, tag: int, message: codec.Tversion) -> None:
         """Process Tversion, which agrees on the dialect and the largest message (version(5))."""
--- a/garnetlanding/ninep/shared_state.py
+++ b/garnetlanding/ninep/shared_state.py
@@ -16,12 +16,12 @@
 from garnetlanding.ninep.order import ChangeOrder, Enqueued, ExportPaths
 from garnetlanding.ninep.setup import Export
 from garnetlanding.runtime.buffers import BufferPool
-from garnetlanding.runtime.client_connection import ClientMachine
+from garnetlanding.runtime.protocols import ClientProtocol
 
 _NANOSECONDS = 1_000_000_000
 
 
-class ConnectedClient(ClientMachine, Protocol):
+class ConnectedClient(ClientProtocol, Protocol):
     """A client connection, whose fids follow renames that any client does."""
 
     @property
--- a/garnetlanding/ops/admin_connection.py
+++ b/garnetlanding/ops/admin_connection.py
@@ -31,10 +31,10 @@
 
 
 class AdminConnection:
-    """Reads one request, dispatches it, writes the response and ends (a ClientMachine of the listener)."""
+    """Reads one request, dispatches it, writes the response and ends (a runtime `ClientProtocol`)."""
 
-    waiting = False
-    session = False
+    has_buffered_input = False
+    has_session_state = False
 
     def __init__(
         self, target: AdminTarget, pool: BufferPool, limits: Limits, write: Callable[[bytes], None]
@@ -42,31 +42,31 @@
         self._router = AdminRouter(target, limits.name_bytes)
         self._parser = RequestParser(pool, limits)
         self._write = write
-        self.ended = False
-        self.taken = 0
-        self.bad = 0
-        self.asked = 0
-        self.owed = 0
+        self.is_closing = False
+        self.messages_received = 0
+        self.invalid_messages = 0
+        self.requests_received = 0
+        self.pending_responses = 0
 
     @property
-    def midway(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether part of a request has been received."""
-        return self._parser.midway
+        return self._parser.has_partial_message
 
     def feed(self, data: bytes | memoryview) -> None:
         """Parse received bytes and answer the request once it is complete; bytes after it are ignored."""
-        if self.ended:
+        if self.is_closing:
             return
         response = self._read_and_dispatch(data)
         if response is None:
             return
-        self.taken = 1
-        self.ended = True
+        self.messages_received = 1
+        self.is_closing = True
         self._write(self._encode(response))
 
     def close(self) -> None:
         """Abandon the request and release its buffers."""
-        self.ended = True
+        self.is_closing = True
         self._parser.close()
 
     def _read_and_dispatch(self, data: bytes | memoryview) -> AdminResponse | None:
@@ -74,7 +74,7 @@
         try:
             if not self._parser.feed(data):
                 return None
-            self.asked = 1
+            self.requests_received = 1
             path = self._parser.target.partition("?")[0]
             return self._router.dispatch(self._parser.method, path)
         except HttpError as problem:
--- a/garnetlanding/ops/admin_service.py
+++ b/garnetlanding/ops/admin_service.py
@@ -58,7 +58,7 @@
         clients = self._instance.clients
         if not self._instance.endpoints_known():
             return False
-        return clients.accepting and clients.part > 0 and not self._engine.fence.is_fenced
+        return clients.accepting and clients.capacity_quota > 0 and not self._engine.fence.is_fenced
 
     def metrics(self) -> str:
         """Return the metrics as text, in their wire format."""
--- a/garnetlanding/ops/client_drain.py
+++ b/garnetlanding/ops/client_drain.py
@@ -26,7 +26,7 @@
             self._started_at = self._scheduler.now
         elif not draining and self._started_at is not None:
             self._started_at = None
-            self._clients.ending = False
+            self._clients.close_when_idle = False
 
     def close_idle_when_due(self) -> None:
         """Close idle connections if a drain began at least `serve_us` ago."""
--- a/garnetlanding/ops/state_file.py
+++ b/garnetlanding/ops/state_file.py
@@ -16,7 +16,7 @@
 
 from garnetlanding.ops.admin_state import AdminState, decode, encode
 from garnetlanding.ops.errors import AdminStateError
-from garnetlanding.runtime.files import file_name, replace_whole
+from garnetlanding.runtime.files import file_name, write_atomically
 
 log = logging.getLogger(__name__)
 
@@ -67,7 +67,7 @@
             old = self.load()
             new = change(old)
             if new != old:
-                replace_whole(str(self._path), encode(self._name, new))
+                write_atomically(self._path, encode(self._name, new))
             self._last_stamp = self._stamp()
             return new
 
--- a/garnetlanding/peers/link.py
+++ b/garnetlanding/peers/link.py
@@ -97,7 +97,7 @@
         if self.closed:
             return
         self.closed = True
-        self._scheduler.forget(self._socket.fileno(), OSError("closed"))
+        self._scheduler.cancel_waits(self._socket.fileno(), OSError("closed"))
         self._socket.close()
 
     def _receive(self) -> None:
--- a/garnetlanding/resp/backend_connection.py
+++ b/garnetlanding/resp/backend_connection.py
@@ -17,12 +17,13 @@
 from garnetlanding.resp.errors import ProtocolError
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.errors import BackendProtocolError
+from garnetlanding.runtime.protocols import BackendProtocolFactory, Write
 from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.runtime.upstream import Upstream
 
 
-class BackendMachine:
-    """Implements the runtime's `ServerMachine`: matches each reply to the one attempt in flight.
+class RespBackendProtocol:
+    """Implements the runtime's `BackendProtocol`: matches each reply to the one attempt in flight.
 
     States:
 
@@ -34,7 +35,7 @@
     the reply to the next attempt.
     """
 
-    exposed = True
+    bytes_may_have_been_sent = True
     """A command is one message: once the backend has it whole, it may run."""
 
     def __init__(
@@ -54,14 +55,14 @@
         self.body: Body | None = None
 
     @property
-    def midway(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether part of a reply has arrived."""
-        return self._decoder.midway
+        return self._decoder.has_partial_message
 
-    def begin(self, trial: AttemptHandle) -> None:
+    def begin(self, attempt: AttemptHandle) -> None:
         """Write the attempt's command."""
-        self._attempt = trial
-        self._write(trial.work.encode(trial.until_us - self._timers.now))
+        self._attempt = attempt
+        self._write(attempt.work.encode(attempt.until_us - self._timers.now))
 
     def feed(self, data: bytes | memoryview) -> None:
         """Take received bytes. Raises `BackendProtocolError`: the connection cannot be used any more."""
@@ -76,7 +77,7 @@
         except ProtocolError as error:
             raise BackendProtocolError(error) from error
 
-    def suits(self, trial: AttemptHandle) -> bool:  # noqa: ARG002 - of the ServerMachine protocol
+    def can_carry(self, attempt: AttemptHandle) -> bool:  # noqa: ARG002 - of the BackendProtocol protocol
         """Whether this free connection would serve the attempt better than others: all are alike."""
         return True
 
@@ -106,7 +107,7 @@
             attempt.finish(*reply)
         elif body:
             body.end(complete=True)
-        if self._decoder.midway:
+        if self._decoder.has_partial_message:
             raise BackendProtocolError("more behind an answer")
         self._done()
 
@@ -127,12 +128,25 @@
         return True
 
 
+class RespBackendProtocolFactory(BackendProtocolFactory):
+    """Creates the protocol of each connection to a backend; all connections to one address are alike."""
+
+    def __init__(self, timers: Timers, pool: BufferPool, limits: Limits) -> None:
+        self._timers = timers
+        self._pool = pool
+        self._limits = limits
+
+    def create(
+        self,
+        attempt: AttemptHandle,  # noqa: ARG002 - the protocol gets it by `begin`
+        write: Write,
+        on_idle: Callable[[], None],
+    ) -> RespBackendProtocol:
+        """Return the protocol of a new connection."""
+        return RespBackendProtocol(self._timers, self._pool, self._limits, write, on_idle)
+
+
 def resp_backends(scheduler: Scheduler, pool: BufferPool, limits: Limits) -> Upstream:
-    """Return the pool of connections to all backends."""
-    return Upstream(
-        scheduler,
-        pool,
-        limits,
-        limits.backend_conns,
-        lambda _, write, done: BackendMachine(scheduler, pool, limits, write, done),
-    )
+    """Return what sends attempts to all backends over RESP2."""
+    factory = RespBackendProtocolFactory(scheduler, pool, limits)
+    return Upstream(scheduler, pool, limits, limits.backend_conns, factory)
--- a/garnetlanding/resp/codec.py
+++ b/garnetlanding/resp/codec.py
@@ -15,7 +15,8 @@
 
 from garnetlanding.limits import Limits
 from garnetlanding.resp.errors import ProtocolError
-from garnetlanding.runtime.buffers import BufferPool, Chain
+from garnetlanding.runtime.buffers import BufferChain, BufferPool
+from garnetlanding.runtime.errors import LineTooLongError
 
 CRLF = b"\r\n"
 _CRLF_BYTES = len(CRLF)
@@ -82,7 +83,7 @@
     """
 
     def __init__(self, pool: BufferPool, limits: Limits, commands_only: bool = False) -> None:
-        self._buffer = Chain(pool)
+        self._buffer = BufferChain(pool)
         self._limits = limits
         self._commands_only = commands_only
         self._max_bulk_bytes = limits.value_bytes if commands_only else limits.reply_bytes
@@ -94,7 +95,7 @@
         """Arrays that are not complete, the innermost last: their length and elements so far."""
 
     @property
-    def midway(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether part of a value has arrived and the rest is awaited."""
         return bool(self._buffer.length or self._arrays or self._bulk_remaining is not None)
 
@@ -142,8 +143,8 @@
             if self._bulk_remaining is not None:
                 return self._read_piece() if self._bulk_start else self._read_bulk(self._bulk_remaining)
             try:
-                line = self._buffer.line(self._limits.line_bytes)
-            except ValueError as error:
+                line = self._buffer.take_line(self._limits.line_bytes)
+            except LineTooLongError as error:
                 raise ProtocolError("line too long") from error
             if line is None:
                 return _NEED_DATA
--- a/garnetlanding/resp/front.py
+++ b/garnetlanding/resp/front.py
@@ -72,14 +72,14 @@
     return codec.error("ERR " + answer.reason)
 
 
-class ClientMachine:
-    """Implements the listener's `ClientMachine`: passes requests to the engine, writes replies in order.
+class RespClientProtocol:
+    """Implements the listener's `ClientProtocol`: passes requests to the engine, writes replies in order.
 
     A client whose bytes are not RESP, that sends too many commands at once or too many invalid ones, gets an
-    error and nothing more is read of it (`ended`); the engine then aborts what it has open.
+    error and nothing more is read of it (`is_closing`); the engine then aborts what it has open.
     """
 
-    waiting = False  # all that is fed is processed at once
+    has_buffered_input = False  # all that is fed is processed at once
 
     def __init__(self, front: Front, write: Sink) -> None:
         self._engine = front.engine
@@ -93,36 +93,36 @@
         """Replies owed, in the order of the commands."""
         self._streaming = False
         """Whether the first of them is being streamed."""
-        self.ended = False
-        self.taken = 0
-        self.bad = 0
-        self.asked = 0
+        self.is_closing = False
+        self.messages_received = 0
+        self.invalid_messages = 0
+        self.requests_received = 0
 
     @property
-    def owed(self) -> int:
+    def pending_responses(self) -> int:
         """Number of replies not yet written."""
         return len(self._pending)
 
     @property
-    def session(self) -> bool:
+    def has_session_state(self) -> bool:
         """Whether a client loses something by a close between requests: in this protocol never."""
         return False
 
     @property
-    def midway(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether part of a command has arrived."""
-        return self._decoder.midway
+        return self._decoder.has_partial_message
 
     def feed(self, data: bytes | memoryview) -> None:
         """Take received bytes and process the commands that are complete with them."""
-        if self.ended:
+        if self.is_closing:
             return
         try:
             for arguments in self._decoder.feed(data):
-                self.taken += 1
+                self.messages_received += 1
                 if arguments:  # an empty array is no command, as with any RESP server
                     self._process(arguments)  # type: ignore[arg-type] # what commands_only yields
-                if self.ended:
+                if self.is_closing:
                     break
         except ProtocolError as error:
             self._reject_client(f"Protocol error: {error}")
@@ -132,7 +132,7 @@
 
     def close(self) -> None:
         """Report the open requests to the engine as left by their client."""
-        self.ended = True
+        self.is_closing = True
         for pending in list(self._pending):
             if isinstance(pending.reply, Body):
                 pending.reply.end(complete=False)
@@ -160,7 +160,7 @@
             case b"CLIENT" | b"SELECT":
                 self._settle(pending, _OK)
             case b"QUIT":
-                self.ended = True
+                self.is_closing = True
                 self._settle(pending, _OK)
             case _:
                 self._reject_command(pending, "unknown command")
@@ -173,7 +173,7 @@
             if request_id in self._open_ids:
                 # Its first sender is owed the reply; passed on, the two could be taken for each other.
                 raise InvalidCommandError("id: of a request that is open")
-            self.asked += 1
+            self.requests_received += 1
             ticket = self._engine.submit(
                 request, self._backend, lambda answer: self._settle(pending, encode_answer(answer))
             )
@@ -186,14 +186,14 @@
             self._open_ids.add(request_id)
 
     def _reject_command(self, pending: PendingReply, reason: str) -> None:
-        self.bad += 1
+        self.invalid_messages += 1
         self._settle(pending, codec.error("ERR " + reason))
-        if self.bad >= self._limits.bad_commands:
+        if self.invalid_messages >= self._limits.bad_commands:
             self._reject_client("too many errors")
 
     def _reject_client(self, reason: str) -> None:
         """Reply with an error and read no more; open requests are aborted, so that the close comes soon."""
-        self.ended = True
+        self.is_closing = True
         tickets = [pending.ticket for pending in self._pending if pending.ticket is not None]
         for ticket in tickets:
             self._engine.abort(ticket, reason)
@@ -256,4 +256,4 @@
             self._write(codec.CRLF)
             self._write_ready()
         else:
-            self._write.cut()
+            self._write.abort()
--- a/garnetlanding/runtime/backend_connection.py
+++ b/garnetlanding/runtime/backend_connection.py
@@ -1,9 +1,8 @@
-"""Drives the state machine of one backend connection: connects, carries one attempt at a time, closes."""
+"""Connects a backend's stream to its protocol: opens it, carries one attempt at a time, closes it."""
 
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable
 from typing import Protocol
 
 from garnetlanding.core.body import Body
@@ -11,180 +10,165 @@
 from garnetlanding.decision.interface import Outcome
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.buffers import BufferPool
-from garnetlanding.runtime.errors import BackendProtocolError, DeadlineExceededError, StreamClosedError
+from garnetlanding.runtime.errors import (
+    BackendProtocolError,
+    DeadlineExceededError,
+    IncompleteResponseError,
+    StreamClosedError,
+)
+from garnetlanding.runtime.protocols import BackendProtocolFactory
 from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.runtime.stream import Stream
 
-Key = tuple[str, str]
-"""The address, and what else a connection is bound to."""
+ConnectionKey = tuple[str, str]
+"""What two attempts have in common that may share a connection: the address, and the protocol's own key."""
 
 
-class ServerMachine(Protocol):
-    """One backend connection's protocol.
-
-    It ends the attempt (`AttemptHandle.finish`), and calls `done` when it is free for the next one.
-    """
-
-    def begin(self, trial: AttemptHandle) -> None:
-        """Write the attempt's request."""
-
-    def feed(self, data: bytes | memoryview) -> None:
-        """Take the next bytes from the backend; raises `BackendProtocolError`."""
-
-    @property
-    def exposed(self) -> bool:
-        """Return whether what was written for the present attempt may run once the backend has it whole."""
-
-    @property
-    def midway(self) -> bool:
-        """Return whether part of a message has arrived."""
-
-    @property
-    def body(self) -> Body | None:
-        """Return the value that is being passed on, if any."""
-
-    def suits(self, trial: AttemptHandle) -> bool:
-        """Return whether this connection, of several that are free, would serve the attempt better."""
-
-    def close(self) -> None:
-        """Drop what is open: the connection is closed."""
-
-
-MakeMachine = Callable[[AttemptHandle, Callable[[bytes], None], Callable[[], None]], ServerMachine]
-"""Makes a connection's machine from its first attempt, its `write` and its `done`."""
-
-
-class ConnectionPool(Protocol):
-    """The pool that a connection belongs to, as the connection sees it."""
+class BackendConnectionOwner(Protocol):
+    """The upstream that opened a connection, as the connection sees it."""
 
     scheduler: Scheduler
     pool: BufferPool
     limits: Limits
-    faults: Counter[tuple[str, str]]
+    protocol_factory: BackendProtocolFactory
+    protocol_errors: Counter[tuple[str, str]]
+    """Number of protocol errors by address and cause."""
 
-    @property
-    def make(self) -> MakeMachine:
-        """Return what makes the machine of a new connection."""
+    def may_send(self, attempt: AttemptHandle, key: ConnectionKey) -> bool:
+        """Return whether the backend may still be sent the attempt over a connection with this key."""
 
-    def allows(self, trial: AttemptHandle, key: Key) -> bool:
-        """Return whether the backend may still be sent the attempt over such a connection."""
+    def on_idle(self, connection: BackendConnection) -> None:
+        """Handle that the connection is free for another attempt; `attempt` is still the previous one."""
 
-    def freed(self, conn: Connection) -> None:
-        """Take notice that the connection is free for another attempt."""
+    def on_closed(self, connection: BackendConnection) -> None:
+        """Handle that the connection is closed; `attempt` is still set if one was in flight."""
 
-    def gone(self, conn: Connection) -> None:
-        """Take notice that the connection is closed."""
 
+class BackendConnection:
+    """One connection to a backend, with the task that opens and reads it.
 
-class Connection:
-    """One connection to a backend, with at most one attempt (`trial`) in flight on it."""
+    `attempt` is the attempt in flight on it, `None` while there is none. `began_at` is when the present or
+    previous attempt began, `idle_since` when the connection last became idle.
+    """
 
-    def __init__(self, upstream: ConnectionPool, key: Key, trial: AttemptHandle) -> None:
+    def __init__(self, upstream: BackendConnectionOwner, key: ConnectionKey, attempt: AttemptHandle) -> None:
         self._upstream = upstream
         self.key = key
-        self.node = trial.node
-        self.trial: AttemptHandle | None = trial
-        self.machine = upstream.make(trial, self._write, self._done)
+        self.backend = attempt.node
+        self.attempt: AttemptHandle | None = attempt
+        self.protocol = upstream.protocol_factory.create(attempt, self._write, self._on_protocol_idle)
         self.began_at = self.idle_since = upstream.scheduler.now
         self.closed = False
-        self._written = False  # the present attempt's whole request is with the kernel
+        self._may_have_executed = False  # the backend may have received all of the present attempt's request
         self._stream: Stream | None = None
         self._streamed_body: Body | None = None
-        self._body_reads = 0  # buffers read of it since other tasks last ran
+        self._body_reads = 0  # buffers of the body read since other tasks last ran
         self._response_deadline: int | None = None  # for the rest of a response that has begun
         self._task = upstream.scheduler.spawn(self._run)
 
+    def has_no_unread_data(self) -> bool:
+        """Return whether the connection is open, and neither data nor the end of the stream has arrived."""
+        return self._stream is not None and self._stream.has_no_unread_data()
+
+    # The connection's task
+
     def _run(self) -> None:
         upstream = self._upstream
-        trial = self.trial
-        if trial is None:
+        attempt = self.attempt
+        if attempt is None:
             return  # stopped before its first iteration
-        deadline = min(upstream.scheduler.now + upstream.limits.dial_us, trial.until_us)
+        deadline = min(upstream.scheduler.now + upstream.limits.dial_us, attempt.until_us)
         try:
             self._stream = Stream.connect(
                 upstream.scheduler, self.key[0], upstream.pool, upstream.limits, deadline
             )
-            self._stream.on_broken = self.close
-            self.begin(trial)
-            while not self.closed and self._stream.read(self.machine.feed, self._response_deadline):
+            self._stream.on_write_error = self.close
+            self.begin(attempt)
+            while not self.closed and self._stream.read(self.protocol.feed, self._response_deadline):
                 self._after_read()
-        except BackendProtocolError as fault:
-            upstream.faults[self.key[0], str(fault)] += 1
+        except BackendProtocolError as error:
+            upstream.protocol_errors[self.key[0], str(error)] += 1
         except (OSError, DeadlineExceededError, StreamClosedError):
             pass
         finally:
             self.close()
 
     def _after_read(self) -> None:
-        """Pass on a streamed value, and set the deadline for the rest of a response.
+        """Apply back-pressure to a streamed value, and set the deadline for the rest of a response.
 
-        A backend writes a response at once: part of one, and then nothing or more without an end, would
-        hold the attempt until its client gives up.
+        A backend sends a response without pauses. Without the deadline, one that stops within a response
+        would hold the attempt until its client gives up.
         """
         scheduler = self._upstream.scheduler
         limits = self._upstream.limits
-        if body := self.machine.body:
-            self._pass_on(body)
+        if body := self.protocol.body:
+            self._await_capacity_for(body)
             self._response_deadline = scheduler.now + limits.stream_stall_us
-        elif not self.machine.midway:
+        elif not self.protocol.has_partial_message:
             self._response_deadline = None
         elif self._response_deadline is None:
             self._response_deadline = scheduler.now + limits.partial_reply_us
         elif scheduler.now >= self._response_deadline:
-            raise BackendProtocolError("half an answer")
+            raise IncompleteResponseError
 
-    def _pass_on(self, body: Body) -> None:
-        """Let other tasks run in between; while the client leaves too much unread, nothing is read."""
+    def _await_capacity_for(self, body: Body) -> None:
+        """Wait while the client leaves too much of the body unread; let other tasks run in any case."""
         scheduler = self._upstream.scheduler
         if self._streamed_body is not body:
-            self._streamed_body = body
-            body.on_writable = lambda: scheduler.wake(self._task)
-            body.on_end.append(lambda whole: None if whole else self.close())
+            self._attach(body)
         self._body_reads += 1
-        if self._body_reads * self._upstream.pool.size >= self._upstream.limits.stream_window_bytes:
+        read_bytes = self._body_reads * self._upstream.pool.buffer_bytes
+        if read_bytes >= self._upstream.limits.stream_window_bytes:
             self._body_reads = 0
             scheduler.sleep(0)
         while body.is_blocked and not self.closed:
             scheduler.park()
 
-    def quiet(self) -> bool:
-        """Return whether the connection is up and the backend has neither closed nor sent anything unread."""
-        return self._stream is not None and self._stream.quiet()
+    def _attach(self, body: Body) -> None:
+        self._streamed_body = body
+        body.on_writable = lambda: self._upstream.scheduler.wake(self._task)
+        body.on_end.append(self._on_body_end)
+
+    def _on_body_end(self, complete: bool) -> None:  # noqa: FBT001 - called by position, as an `EndCallback`
+        if not complete:
+            self.close()
+
+    # Attempts
 
-    def begin(self, trial: AttemptHandle) -> None:
-        """Start the attempt.
+    def begin(self, attempt: AttemptHandle) -> None:
+        """Send the attempt's request, unless the backend may not be sent it any more.
 
-        The drain rule counts a send from its first byte, so this is where it is checked, even for an
-        attempt that has waited for the connection.
+        That is checked here, although the attempt may only now have got its connection, because whether a
+        backend is draining counts when the first byte is sent.
         """
-        self.trial = trial
-        self._written = False
+        self.attempt = attempt
+        self._may_have_executed = False
         self.began_at = self._upstream.scheduler.now
-        if not self._upstream.allows(trial, self.key):
-            trial.finish(Outcome.UNREACHABLE)
-            self._done()
+        if not self._upstream.may_send(attempt, self.key):
+            attempt.finish(Outcome.UNREACHABLE)
+            self._on_protocol_idle()
             return
-        self.machine.begin(trial)
+        self.protocol.begin(attempt)
 
     def _write(self, data: bytes) -> None:
         assert self._stream
-        self._stream.on_flushed = self._flushed
+        self._stream.on_flushed = self._on_flushed
         self._stream.write(data)
 
-    def _flushed(self) -> None:
-        self._written = self.machine.exposed
-        if self._written and self.trial:
-            self.trial.request_written()
+    def _on_flushed(self) -> None:
+        self._may_have_executed = self.protocol.bytes_may_have_been_sent
+        if self._may_have_executed and self.attempt:
+            self.attempt.request_written()
 
-    def _done(self) -> None:
+    def _on_protocol_idle(self) -> None:
         self.idle_since = self._upstream.scheduler.now
-        self._upstream.freed(self)
-        self.trial = None
+        self._upstream.on_idle(self)
+        self.attempt = None
 
     def close(self) -> None:
         """Close the connection.
 
-        An attempt still in flight was reset, or never ran if not all of its request was written.
+        An attempt in flight ends as reset if the backend may have executed it, else as unreachable.
         """
         if self.closed:
             return
@@ -193,9 +177,9 @@
             self._stream.close()
         else:
             self._upstream.scheduler.wake(self._task, StreamClosedError())
-        self.machine.close()
-        self._upstream.gone(self)
-        trial = self.trial
-        self.trial = None
-        if trial:
-            trial.finish(Outcome.RESET if self._written else Outcome.UNREACHABLE)
+        self.protocol.close()
+        self._upstream.on_closed(self)
+        attempt = self.attempt
+        self.attempt = None
+        if attempt:
+            attempt.finish(Outcome.RESET if self._may_have_executed else Outcome.UNREACHABLE)
--- a/garnetlanding/runtime/buffers.py
+++ b/garnetlanding/runtime/buffers.py
@@ -1,138 +1,145 @@
-"""Buffers of one size from a pool, and byte queues made of them; longer messages span several buffers."""
+"""A bounded pool of buffers of one size, and byte queues that store their content in such buffers."""
 
 from __future__ import annotations
 
 from collections import deque
 
-from garnetlanding.runtime.errors import BufferPoolExhaustedError
+from garnetlanding.runtime.errors import BufferPoolExhaustedError, LineTooLongError
 
 LINE_END = b"\r\n"
 
 
 class BufferPool:
-    """A bounded pool of buffers of `size` bytes.
+    """A pool of buffers of `buffer_bytes` bytes each.
 
-    `keep` buffers at most are kept for reuse, `most` at most are in use. `start` of these are this process's
-    own, whatever `part` of the rest it may use while another process of the instance has the other part.
+    At most `max_in_use` are in use at once, and up to `max_free` unused ones are cached. During an upgrade
+    this process keeps to the fraction `capacity_quota` of the buffers that the two processes of the instance
+    share, which are all but the first `unshared` ones.
     """
 
-    def __init__(self, size: int, keep: int, most: int, start: int = 0) -> None:
-        self.size = size
-        self._keep = keep
-        self._most = most - start
-        self._start = start
-        self._free: list[bytearray] = []
-        self.scratch = bytearray(size)  # for what is read and consumed in one step
+    def __init__(self, buffer_bytes: int, max_free: int, max_in_use: int, unshared: int = 0) -> None:
+        self.buffer_bytes = buffer_bytes
+        self.scratch = bytearray(buffer_bytes)  # for data that is read and consumed in one step
         self.in_use = 0
-        self.part = 1.0
+        self.capacity_quota = 1.0
+        self._max_free = max_free
+        self._max_shared = max_in_use - unshared
+        self._unshared = unshared
+        self._free: list[bytearray] = []
 
     @property
-    def used(self) -> float:
-        """Return the part of the shared capacity that is in use, from 0 to 1."""
-        return max(0, self.in_use - self._start) / self._most
+    def utilization(self) -> float:
+        """Fraction of the shared buffers that is in use, from 0 to 1."""
+        return max(0, self.in_use - self._unshared) / self._max_shared
 
     @property
-    def scarce(self) -> bool:
-        """Return whether more than half of the buffers that may be in use are."""
-        return 2 * self.in_use > self._bound
+    def is_scarce(self) -> bool:
+        """Whether more than half of the buffers available to this process are in use."""
+        return 2 * self.in_use > self._max_available
 
     @property
-    def _bound(self) -> float:
-        return self._start + self._most * self.part
+    def _max_available(self) -> float:
+        return self._unshared + self._max_shared * self.capacity_quota
 
-    def take(self) -> bytearray:
-        """Return a buffer; raises `BufferPoolExhaustedError` where all are in use."""
-        if self.in_use >= self._bound:
+    def acquire(self) -> bytearray:
+        """Return a buffer with undefined content. Raises `BufferPoolExhaustedError` if all are in use."""
+        if self.in_use >= self._max_available:
             raise BufferPoolExhaustedError
         self.in_use += 1
-        return self._free.pop() if self._free else bytearray(self.size)
+        return self._free.pop() if self._free else bytearray(self.buffer_bytes)
 
-    def give(self, buffer: bytearray) -> None:
-        """Take a buffer back."""
+    def release(self, buffer: bytearray) -> None:
+        """Return a buffer to the pool."""
         self.in_use -= 1
-        if len(self._free) < self._keep:
+        if len(self._free) < self._max_free:
             self._free.append(buffer)
 
 
-class Chain:
-    """A queue of bytes in pooled buffers; an emptied buffer goes back to the pool at once."""
+class BufferChain:
+    """A FIFO queue of bytes in pooled buffers; each buffer is released as soon as it has been read.
+
+    `length` is the number of bytes in the queue.
+    """
 
-    __slots__ = ("_pool", "_parts", "_start", "_end", "length")
+    __slots__ = ("_buffers", "_end", "_pool", "_start", "length")
 
     def __init__(self, pool: BufferPool) -> None:
         self._pool = pool
-        self._parts: deque[bytearray] = deque()
-        self._start = 0  # first byte in use of the first buffer
-        self._end = 0  # first free byte of the last buffer
+        self._buffers: deque[bytearray] = deque()
+        self._start = 0  # offset of the first byte in the first buffer
+        self._end = 0  # offset behind the last byte in the last buffer
         self.length = 0
 
     def append(self, data: bytes | memoryview) -> None:
-        """Add bytes at the end; raises `BufferPoolExhaustedError`, with part of them added."""
+        """Add bytes at the end.
+
+        Raises `BufferPoolExhaustedError`; part of the bytes may have been added then.
+        """
         offset = 0
         remaining = len(data)
         while remaining:
-            if not self._parts or self._end == self._pool.size:
-                self._parts.append(self._pool.take())
+            if not self._buffers or self._end == self._pool.buffer_bytes:
+                self._buffers.append(self._pool.acquire())
                 self._end = 0
-            step = min(remaining, self._pool.size - self._end)
-            self._parts[-1][self._end : self._end + step] = data[offset : offset + step]
+            step = min(remaining, self._pool.buffer_bytes - self._end)
+            self._buffers[-1][self._end : self._end + step] = data[offset : offset + step]
             self._end += step
             self.length += step
             offset += step
             remaining -= step
 
     def peek(self, count: int) -> bytes:
-        """Return the first `count` bytes, or all where there are fewer, and leave them in the queue."""
+        """Return the first `count` bytes, or all if there are fewer, without removing them."""
         count = min(count, self.length)
         out = bytearray()
         start = self._start
-        for part in self._parts:
+        for buffer in self._buffers:
             if len(out) >= count:
                 break
-            out += part[start : start + count - len(out)]
+            out += buffer[start : start + count - len(out)]
             start = 0
         return bytes(out)
 
     def take(self, count: int) -> bytes:
-        """Return the first `count` bytes, or all where there are fewer, and remove them."""
+        """Remove and return the first `count` bytes, or all if there are fewer."""
         out = self.peek(count)
         self.skip(len(out))
         return out
 
     def skip(self, count: int) -> None:
-        """Remove the first `count` bytes, or all where there are fewer."""
+        """Remove the first `count` bytes, or all if there are fewer."""
         count = min(count, self.length)
         self.length -= count
         while count:
-            filled = (self._end if len(self._parts) == 1 else self._pool.size) - self._start
+            filled = (self._end if len(self._buffers) == 1 else self._pool.buffer_bytes) - self._start
             step = min(count, filled)
             self._start += step
             count -= step
             if step == filled:
-                self._drop_first()
+                self._release_first()
 
-    def _drop_first(self) -> None:
-        self._pool.give(self._parts.popleft())
-        self._start = 0
-        if not self._parts:
-            self._end = 0
-
-    def line(self, most: int) -> bytes | None:
-        """Remove and return a line without its CRLF; `None` until it has arrived whole.
+    def take_line(self, max_bytes: int) -> bytes | None:
+        """Remove a line and return it without its CRLF; return `None` if its end has not arrived yet.
 
-        Raises `ValueError` when it is longer than `most` bytes.
+        Raises `LineTooLongError` if it has more than `max_bytes` bytes.
         """
-        head = self.peek(most + len(LINE_END))
+        head = self.peek(max_bytes + len(LINE_END))
         end = head.find(LINE_END)
         if end < 0:
-            if len(head) >= most + len(LINE_END):
-                raise ValueError("line too long")
+            if len(head) >= max_bytes + len(LINE_END):
+                raise LineTooLongError(max_bytes)
             return None
         self.skip(end + len(LINE_END))
         return head[:end]
 
     def clear(self) -> None:
-        """Remove everything and give all buffers back."""
+        """Remove everything and release all buffers."""
         self.skip(self.length)
-        while self._parts:
-            self._drop_first()
+        while self._buffers:
+            self._release_first()
+
+    def _release_first(self) -> None:
+        self._pool.release(self._buffers.popleft())
+        self._start = 0
+        if not self._buffers:
+            self._end = 0
--- a/garnetlanding/runtime/client_connection.py
+++ b/garnetlanding/runtime/client_connection.py
@@ -1,4 +1,4 @@
-"""Drives the state machine of one client connection: reads, pauses, answers, and closes gracefully."""
+"""Connects one client's stream to its protocol: reads, limits, closes gracefully."""
 
 from __future__ import annotations
 
@@ -10,153 +10,130 @@
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.connection_close import CloseEvent, CloseState, ConnectionClose
 from garnetlanding.runtime.errors import CloseRequestedError, DeadlineExceededError, StreamClosedError
+from garnetlanding.runtime.protocols import ClientProtocol
 from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.runtime.stream import Stream
 
-Write = Callable[[bytes], None]
-"""Sends bytes to the client; a machine that passes streamed values on needs the core's `Sink`."""
 
-
-class ClientMachine(Protocol):
-    """One client connection's protocol. It writes through what its maker was given."""
-
-    ended: bool
-    """Nothing more is read; the connection is closed once nothing is owed."""
-    taken: int
-    """Whole messages that have arrived."""
-    bad: int
-    """Of these, how many could not be used."""
-    asked: int
-    """Of these, how many were requests for the core."""
-    waiting: bool
-    """Whole messages were fed and are not processed yet; `feed(b"")` processes some more."""
-
-    @property
-    def owed(self) -> int:
-        """Return the number of responses not yet written."""
-
-    @property
-    def midway(self) -> bool:
-        """Return whether part of a message has arrived."""
-
-    @property
-    def session(self) -> bool:
-        """Return whether the client would lose something if the connection closed between requests."""
-
-    def feed(self, data: bytes | memoryview) -> None:
-        """Take the next bytes from the client."""
-
-    def close(self) -> None:
-        """Drop what is open: the client has left."""
-
-
-class ConnectionOwner(Protocol):
+class ClientConnectionOwner(Protocol):
     """The listener that accepted a connection, as the connection sees it."""
 
     scheduler: Scheduler
     pool: BufferPool
     limits: Limits
-    ending: bool
+    close_when_idle: bool
+    """Whether connections are to be closed as soon as they are idle."""
 
     @property
-    def make(self) -> Callable[[Client], ClientMachine]:
-        """Return what makes the machine of a new connection."""
+    def protocol_factory(self) -> Callable[[ClientConnection], ClientProtocol]:
+        """Creates the protocol of a new connection, to which the connection is `Write` and `Sink`."""
+
+    def on_lingering(self, connection: ClientConnection) -> None:
+        """Handle that the connection has sent its last byte and only waits for the client to close."""
 
-    def lingers(self, client: Client) -> None:
-        """Take notice that the connection sends nothing more and only waits for the client to close."""
+    def on_closed(self, connection: ClientConnection) -> None:
+        """Handle that the connection is closed."""
 
-    def gone(self, client: Client) -> None:
-        """Take notice that the connection is closed."""
 
+class ClientConnection:
+    """One accepted connection, with the task that serves it.
 
-class Client:
-    """One accepted connection. Called with bytes, it sends them: it is its machine's `Write` and `Sink`."""
+    To its protocol the connection is a `Write` (it is called with the bytes to send) and a `Sink` for
+    streamed values. `closing` holds the state of its graceful close.
+    """
 
-    def __init__(self, listener: ConnectionOwner, sock: socket.socket) -> None:
+    def __init__(self, listener: ClientConnectionOwner, sock: socket.socket) -> None:
         self._listener = listener
         self._scheduler = listener.scheduler
         self.stream = Stream(listener.scheduler, sock, listener.pool, listener.limits)
-        self.machine = listener.make(self)
+        self.protocol = listener.protocol_factory(self)
         self.closing = ConnectionClose()
-        self._wakes_on_write = False  # the task does not read; it is woken when something is written
-        self.came_at = self.used_at = self._scheduler.now
-        self._message_began: int | None = self.used_at  # the first one counts from connecting
-        self._messages_seen = 0  # messages that had arrived when that was noted
-        self._input_bytes = 0  # since other tasks last ran
+        self._wake_on_write = False  # while the task waits without reading
+        self.accepted_at = self.last_used_at = self._scheduler.now
+        self._message_began_at: int | None = self.accepted_at  # for the first message, from connecting on
+        self._messages_received = 0  # the protocol's count when `_message_began_at` was last reset
+        self._unyielded_bytes = 0  # read since other tasks last ran
         self._task = self._scheduler.spawn(self._run)
 
     @property
     def idle(self) -> bool:
-        """Return whether nothing is owed, half received or unsent."""
-        return not self.machine.owed and not self.machine.midway and self.stream.flushed
+        """Whether no response is pending, no message partly received, and nothing unsent."""
+        protocol = self.protocol
+        return not protocol.pending_responses and not protocol.has_partial_message and self.stream.flushed
 
     @property
-    def spare_from(self) -> int | None:
-        """Return from when on the connection may be closed for another client; `None`: not as it is now."""
+    def evictable_from(self) -> int | None:
+        """Time from which on the connection may be evicted; `None` if it may not, as it is now."""
         limits = self._listener.limits
-        if self.machine.owed or self.machine.session or not self.stream.flushed:
+        protocol = self.protocol
+        if protocol.pending_responses or protocol.has_session_state or not self.stream.flushed:
             return None
-        if self.machine.midway:
-            return (self._message_began or self.used_at) + limits.new_us
-        # A client with a request sends it whole: one that sends nothing, or only a greeting, rarely will.
-        return self.used_at + (limits.idle_us if self.machine.asked else limits.new_us)
+        if protocol.has_partial_message:
+            return (self._message_began_at or self.last_used_at) + limits.new_us
+        # A client that has sent no request, only a greeting at most, is unlikely to send one soon.
+        return self.last_used_at + (limits.idle_us if protocol.requests_received else limits.new_us)
 
-    # The machine's sink
+    # Writing: the protocol's `Write` and `Sink`
 
     def __call__(self, data: bytes) -> None:
-        """Send what the machine has to say."""
-        self.used_at = self._scheduler.now
+        """Send bytes to the client."""
+        self.last_used_at = self._scheduler.now
         self.stream.write(data)
-        if self._wakes_on_write:
+        if self._wake_on_write:
             self._scheduler.wake(self._task)
-        if self._listener.ending:
-            # The rest of this iteration may still be for this connection: look once it is over.
+        if self._listener.close_when_idle:
+            # Deferred, because the rest of this iteration may bring more for this connection.
             self._scheduler.call_at(self._scheduler.now, self.close_if_idle)
 
     @property
-    def full(self) -> bool:
-        """Return whether the client leaves too much unread; where buffers run short, any at all."""
+    def write_blocked(self) -> bool:
+        """Whether the client leaves too much unread; while buffers are scarce, anything at all."""
         listener = self._listener
-        most = 0 if listener.pool.scarce else listener.limits.stream_window_bytes
-        return not self.stream.closed and self.stream.unsent > most
+        max_unsent_bytes = 0 if listener.pool.is_scarce else listener.limits.stream_window_bytes
+        return not self.stream.closed and self.stream.unsent_bytes > max_unsent_bytes
 
     def when_writable(self, call: Callable[[], None]) -> None:
-        """Call once the kernel has everything written so far."""
+        """Call once, when the kernel has accepted everything written so far."""
         self.stream.on_flushed = call
 
-    def cut(self) -> None:
-        """Close at once, so that the client can tell that what was begun is not whole."""
+    def abort(self) -> None:
+        """Close at once, so that the client can tell that a response is incomplete."""
         self.closing.on(CloseEvent.ABORTED)
         self.stream.close()
 
     # Closing between requests
 
     def close_if_idle(self) -> None:
-        """Close an idle connection, unless its request is unread or it has only just connected.
+        """Close the connection gracefully if it is idle.
 
-        Such clients would have to send their request again.
+        It stays open if a request has arrived unread, or if it is so new that its first request may be on the
+        way: the client would have to send that again.
         """
-        is_new = not self.machine.asked and self._scheduler.now < self.came_at + self._listener.limits.new_us
+        is_new = (
+            not self.protocol.requests_received
+            and self._scheduler.now < self.accepted_at + self._listener.limits.new_us
+        )
         if self.idle and not is_new:
-            self.let_go()
+            self.close_gracefully()
 
-    def let_go(self) -> bool:
-        """Close between requests, from outside the connection's task; return False where it may not be.
+    def close_gracefully(self) -> bool:
+        """Begin the graceful close of an idle connection; return False if that is not possible now.
 
-        It may not where a request has arrived that nobody has read yet.
+        It is not possible if data has arrived unread, or if the connection is closing already. Must not be
+        called from the connection's own task.
         """
-        if not self.closing.reads or self.stream.closed or not self.stream.quiet():
+        if not self.closing.reads or self.stream.closed or not self.stream.has_no_unread_data():
             return False
-        self._end(CloseEvent.RELEASED)
+        self._close_on(CloseEvent.RELEASED)
         self._scheduler.wake(self._task, CloseRequestedError())
         return True
 
-    def _end(self, event: CloseEvent) -> None:
-        """From now on no input is taken; where nothing is owed, nothing more is sent either."""
+    def _close_on(self, event: CloseEvent) -> None:
+        """Apply an event; if by that nothing is left to be sent, shut down the write side."""
         if self.closing.on(event) is CloseState.LINGERING:
-            self.machine.close()
-            self.stream.finish()
-            self._listener.lingers(self)
+            self.protocol.close()
+            self.stream.shutdown_write()
+            self._listener.on_lingering(self)
 
     # The connection's task
 
@@ -172,73 +149,85 @@
             pass
         finally:
             self.closing.on(CloseEvent.ABORTED)
-            self.machine.close()
+            self.protocol.close()
             self.stream.close()
-            self._listener.gone(self)
+            self._listener.on_closed(self)
 
     def _serve(self) -> None:
-        """Feed the machine until it, the client or a deadline ends the input."""
-        machine = self.machine
-        bad = 0
-        self._input_bytes = 0
-        while not machine.ended:
+        """Feed the protocol until it closes, the client closes, or a message takes too long."""
+        protocol = self.protocol
+        invalid_messages = 0
+        self._unyielded_bytes = 0
+        while not protocol.is_closing:
             try:
                 if not self.stream.read(self._feed, self._message_deadline()):
                     raise StreamClosedError
             except DeadlineExceededError:
-                # Only what it still has open keeps the connection.
-                self._end(CloseEvent.INPUT_ENDED if machine.owed else CloseEvent.COMMAND_LATE)
+                # The connection stays open for its pending responses alone.
+                event = CloseEvent.INPUT_ENDED if protocol.pending_responses else CloseEvent.COMMAND_LATE
+                self._close_on(event)
                 return
-            self._process_waiting()
-            if machine.bad > bad and not machine.ended:
-                # The client may send the same again at full speed: others share this event loop.
-                bad = machine.bad
+            self._process_buffered_input()
+            if protocol.invalid_messages > invalid_messages and not protocol.is_closing:
+                invalid_messages = protocol.invalid_messages
                 self._pause()
-            if self._input_bytes >= self._listener.limits.read_bytes_per_iteration:
-                self._input_bytes = 0
-                self._scheduler.sleep(0)
-        self._end(CloseEvent.INPUT_ENDED)
+            self._yield_if_due()
+        self._close_on(CloseEvent.INPUT_ENDED)
 
     def _feed(self, data: memoryview) -> None:
-        self._input_bytes += len(data)
-        self.machine.feed(data)
+        self._unyielded_bytes += len(data)
+        self.protocol.feed(data)
+
+    def _yield_if_due(self) -> None:
+        """Let other tasks run after a certain amount of input."""
+        if self._unyielded_bytes >= self._listener.limits.read_bytes_per_iteration:
+            self._unyielded_bytes = 0
+            self._scheduler.sleep(0)
 
-    def _process_waiting(self) -> None:
-        """Process messages already fed, with other tasks running in between; nothing is read meanwhile."""
-        while self.machine.waiting and not self.machine.ended:
+    def _process_buffered_input(self) -> None:
+        """Process messages that are buffered, letting other tasks run in between. Reads nothing more."""
+        while self.protocol.has_buffered_input and not self.protocol.is_closing:
             self._scheduler.sleep(0)
-            self._stop_if(self.stream.hung_up())
-            self.machine.feed(b"")
+            if self.stream.peer_has_closed():
+                self._stop_after_client_closed()
+            self.protocol.feed(b"")
 
     def _message_deadline(self) -> int | None:
-        """Return when the message now awaited must be whole, however slowly it comes; `None` in between."""
-        machine = self.machine
-        if machine.taken != self._messages_seen:
-            self._messages_seen = machine.taken
-            self._message_began = None
-        if machine.taken and not machine.midway:
+        """Return the time by which the next message must be complete; `None` if none has begun.
+
+        Each message has the same time from its first byte on, the first one from connecting on.
+        """
+        protocol = self.protocol
+        if protocol.messages_received != self._messages_received:
+            self._messages_received = protocol.messages_received
+            self._message_began_at = None
+        if protocol.messages_received and not protocol.has_partial_message:
             return None
-        if self._message_began is None:
-            self._message_began = self._scheduler.now
-        return self._message_began + self._listener.limits.command_us
+        if self._message_began_at is None:
+            self._message_began_at = self._scheduler.now
+        return self._message_began_at + self._listener.limits.command_us
 
-    def _stop_if(self, hung_up: bool) -> None:
-        if hung_up:
-            self.closing.on(CloseEvent.CLIENT_CLOSED)
-            raise StreamClosedError
+    def _stop_after_client_closed(self) -> None:
+        self.closing.on(CloseEvent.CLIENT_CLOSED)
+        raise StreamClosedError
 
     def _wait(self) -> None:
-        """Wait a moment without reading, or until woken; raises `StreamClosedError` if the client left."""
-        self._wakes_on_write = True
+        """Wait for a moment, or until something is written, without reading.
+
+        Raises `StreamClosedError` if the client has closed.
+        """
+        self._wake_on_write = True
         try:
-            hung_up = self.stream.wait_hung_up(
+            has_closed = self.stream.wait_for_peer_close(
                 self._scheduler.now + self._listener.limits.disconnect_check_us
             )
         finally:
-            self._wakes_on_write = False
-        self._stop_if(hung_up)
+            self._wake_on_write = False
+        if has_closed:
+            self._stop_after_client_closed()
 
     def _pause(self) -> None:
+        """Stop reading for a moment, so that a faulty client cannot keep the event loop busy."""
         self.closing.on(CloseEvent.BAD_COMMAND)
         until = self._scheduler.now + self._listener.limits.misuse_pause_us
         while self._scheduler.now < until:
@@ -246,24 +235,24 @@
         self.closing.on(CloseEvent.PAUSE_OVER)
 
     def _finish(self) -> None:
-        """Wait until what is owed is written, and taken by the client."""
+        """Wait until all pending responses are written and accepted by the kernel."""
         while self.closing.state is CloseState.FINISHING:
-            if not self.machine.owed and self.stream.flushed:
-                self._end(CloseEvent.RESPONSES_SENT)
+            if not self.protocol.pending_responses and self.stream.flushed:
+                self._close_on(CloseEvent.RESPONSES_SENT)
             else:
                 self._wait()
 
     def _linger(self) -> None:
-        """Read and drop what still arrives, up to a time and an amount, until the client closes."""
+        """Discard what still arrives until the client closes, up to a limit of time and of bytes."""
         limits = self._listener.limits
         until = self._scheduler.now + limits.linger_us
-        dropped = 0
+        discarded_bytes = 0
 
-        def drop(data: memoryview) -> None:
-            nonlocal dropped
-            dropped += len(data)
+        def discard(data: memoryview) -> None:
+            nonlocal discarded_bytes
+            discarded_bytes += len(data)
 
-        while dropped < limits.linger_bytes and self._scheduler.now < until:
-            if not self.stream.read(drop, until):
+        while discarded_bytes < limits.linger_bytes and self._scheduler.now < until:
+            if not self.stream.read(discard, until):
                 break
         self.closing.on(CloseEvent.LINGER_ENDED)
--- /dev/null
+++ b/garnetlanding/runtime/connection_pool.py
@@ -0,0 +1,116 @@
+"""The open connections to backends, with those that are idle kept for reuse."""
+
+from __future__ import annotations
+
+from garnetlanding.core.ports import AttemptHandle
+from garnetlanding.runtime.backend_connection import BackendConnection, ConnectionKey
+from garnetlanding.runtime.connection_capacity import ConnectionQuota, UpstreamCapacity
+
+
+class ConnectionPool:
+    """All connections to the backends of one protocol, by their keys.
+
+    `quota` is set where all instances together have a limit on the connections at each backend. Connections
+    beyond it are closed: idle ones at once, busy ones as soon as they are idle. It shrinks when capacity that
+    peers had granted goes back to them.
+    """
+
+    def __init__(self, capacity: UpstreamCapacity) -> None:
+        self.capacity = capacity
+        self.quota: ConnectionQuota | None = None
+        self._open: dict[ConnectionKey, set[BackendConnection]] = {}
+        self._idle: dict[ConnectionKey, list[BackendConnection]] = {}  # the one used last is the last
+
+    # Connections that are opened and closed
+
+    def count(self, key: ConnectionKey) -> int:
+        """Return the number of open connections of a key."""
+        return len(self._open.setdefault(key, set()))
+
+    def add(self, connection: BackendConnection) -> None:
+        """Add a new connection, which is busy."""
+        self._open[connection.key].add(connection)
+        self._report_open(connection)
+
+    def remove(self, connection: BackendConnection) -> None:
+        """Remove a closed connection."""
+        self.capacity.open_count -= 1
+        self._open[connection.key].discard(connection)
+        self._report_open(connection)
+        if self.is_idle(connection):
+            self._idle[connection.key].remove(connection)
+
+    def _report_open(self, connection: BackendConnection) -> None:
+        if self.quota:
+            self.quota.set_open(connection.backend, len(self._open[connection.key]))
+
+    # Reuse
+
+    def take_idle(self, key: ConnectionKey, attempt: AttemptHandle) -> BackendConnection | None:
+        """Remove an idle connection from the pool's idle ones and return it; `None` if there is none.
+
+        Idle connections that turn out to be unusable are closed.
+        """
+        idle = self._idle.get(key)
+        while idle:
+            # The one used last, unless another is preferred: so the rest stay idle and are closed in time.
+            preferred = (free for free in reversed(idle) if free.protocol.can_carry(attempt))
+            connection = next(preferred, idle[-1])
+            if connection.has_no_unread_data():
+                idle.remove(connection)
+                return connection
+            # Either the backend has closed it right after its last response, and a request sent now would be
+            # reset; or it has sent more, which would be taken for the response to this request.
+            connection.close()
+        return None
+
+    def put_idle(self, connection: BackendConnection) -> None:
+        """Make a connection available for reuse, unless it is closed or exceeds the quota."""
+        if not connection.closed:
+            self._idle.setdefault(connection.key, []).append(connection)
+            self.close_above_quota(connection.key)
+
+    def is_idle(self, connection: BackendConnection) -> bool:
+        """Return whether the connection is available for reuse."""
+        return connection in self._idle.get(connection.key, ())
+
+    # Closing connections
+
+    def close_longest_idle(self) -> bool:
+        """Close the connection that has been idle for the longest time; return whether there was one."""
+        connection = min(self.idle_connections(), key=lambda idle: idle.idle_since, default=None)
+        if connection is None:
+            return False
+        connection.close()
+        return True
+
+    def close_idle_down_to(self, max_connections: int) -> None:
+        """Close idle connections as long as more than a number are open."""
+        while self.capacity.open_count > max_connections and self.close_longest_idle():
+            pass
+
+    def close_above_quota(self, key: ConnectionKey) -> None:
+        """Close idle connections of a key as long as more are open than the quota allows."""
+        idle = self._idle.get(key, [])
+        while self.quota and idle and len(self._open[key]) > self.quota.max_connections(idle[0].backend):
+            idle[0].close()
+
+    # For the periodic sweep
+
+    def idle_keys(self) -> list[ConnectionKey]:
+        """Return the keys that have or had idle connections."""
+        return list(self._idle)
+
+    def open_connections(self) -> list[BackendConnection]:
+        """Return all connections."""
+        return [connection for connections in self._open.values() for connection in connections]
+
+    def idle_connections(self) -> list[BackendConnection]:
+        """Return the connections that are available for reuse."""
+        return [connection for connections in self._idle.values() for connection in connections]
+
+    def forget_unused_keys(self) -> None:
+        """Drop the entries of keys without connections."""
+        for key in [key for key, connections in self._open.items() if not connections]:
+            del self._open[key]
+            self._idle.pop(key, None)
--- a/garnetlanding/runtime/files.py
+++ b/garnetlanding/runtime/files.py
@@ -1,32 +1,35 @@
-"""Files that a crash at any moment leaves either as they were or as they were to be."""
+"""Files that are replaced atomically: after a crash a file has either its old or its new content."""
 
 from __future__ import annotations
 
 import os
+from pathlib import Path
 from urllib.parse import quote
 
 
 def file_name(instance: str, kind: str) -> str:
-    """Return the name of an instance's file of that kind; instances may share a folder."""
+    """Return the name of an instance's file of that kind, which is unique in a folder shared by instances."""
     return f"garnetlanding-{quote(instance, safe='')}-{kind}"
 
 
-def replace_whole(path: str, data: bytes) -> None:
-    """Replace the file's content: write a file beside it, flush that, and move it into place.
+def write_atomically(path: str | Path, data: bytes) -> None:
+    """Replace the file's content, and flush it to disk.
 
-    Raises `OSError`; the old file stands then.
+    The content is written to a temporary file beside it, which is then renamed. Raises `OSError`, in which
+    case the old content is unchanged.
     """
-    beside = path + ".new"
-    with open(beside, "wb") as file:
+    target = Path(path)
+    temporary = target.with_name(target.name + ".new")
+    with temporary.open("wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(beside, path)
-    _sync_folder(os.path.dirname(path) or ".")
+    temporary.replace(target)
+    _sync_folder(target.parent)
 
 
-def _sync_folder(path: str) -> None:
-    """Flush the folder's entries: without this a crash may undo the move."""
+def _sync_folder(path: Path) -> None:
+    """Flush the folder's entries to disk, without which a crash may undo the rename."""
     folder = os.open(path, os.O_RDONLY)
     try:
         os.fsync(folder)
--- a/garnetlanding/runtime/listener.py
+++ b/garnetlanding/runtime/listener.py
@@ -1,4 +1,4 @@
-"""A listening address: accepts connections within its capacity, evicts idle ones, stops gracefully."""
+"""A listening address: accepts connections up to a limit, evicts idle ones, stops gracefully."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.buffers import BufferPool
-from garnetlanding.runtime.client_connection import Client, ClientMachine, Write
+from garnetlanding.runtime.client_connection import ClientConnection
+from garnetlanding.runtime.connection_capacity import CapacityUser
 from garnetlanding.runtime.errors import StreamClosedError
+from garnetlanding.runtime.protocols import ClientProtocol
 from garnetlanding.runtime.scheduler import READ, Scheduler
-from garnetlanding.runtime.stream import listen
-
-__all__ = ["Client", "ClientMachine", "Listener", "Write"]
+from garnetlanding.runtime.stream import configure, listen
 
 log = logging.getLogger(__name__)
 
 
 class Listener:
-    """One listening address and the connections it has accepted.
+    """One listening address and the connections accepted at it.
 
-    At most `most` connections are open, less those that backends have borrowed (`lent`), and only `part` of
-    them while another process of the instance has the rest. `make` returns the protocol's state machine for
-    a connection. While `ending` is set, a connection is closed as soon as it is idle.
+    At most `max_connections` are open, less those granted to `capacity_user`, where one is set. During an
+    upgrade this process keeps to the fraction `capacity_quota` of `max_connections`, and the other process of
+    the instance has the rest. `protocol_factory` creates the protocol of each connection. While
+    `close_when_idle` is set, connections are closed as soon as they are idle.
     """
 
     def __init__(
@@ -32,45 +33,51 @@
         address: str,
         pool: BufferPool,
         limits: Limits,
-        most: int,
-        make: Callable[[Client], ClientMachine],
-        shared: bool = False,
+        max_connections: int,
+        protocol_factory: Callable[[ClientConnection], ClientProtocol],
+        *,
+        reuse_port: bool = False,
     ) -> None:
         self.scheduler = scheduler
         self.pool = pool
         self.limits = limits
-        self.make = make
-        self._most = most
-        self.lent: Callable[[], int] = lambda: 0
-        self._clients: set[Client] = set()
-        self._lingering: dict[Client, None] = {}  # closed for sending, the oldest first
-        self.ending = False
-        self.part = 1.0
-        self._sock: socket.socket | None = listen(address, limits.backlog, shared)
+        self.protocol_factory = protocol_factory
+        self.capacity_user: CapacityUser | None = None
+        self.capacity_quota = 1.0
+        self.close_when_idle = False
+        self._max_connections = max_connections
+        self._clients: set[ClientConnection] = set()
+        self._lingering: dict[ClientConnection, None] = {}  # in the order in which they began to linger
+        self._sock: socket.socket | None = listen(address, limits.backlog, reuse_port=reuse_port)
         host, port = self._sock.getsockname()[:2]
         self.address = f"{host}:{port}"
-        scheduler.spawn(self._accept)
+        scheduler.spawn(self._accept_forever)
         scheduler.call_at(scheduler.now + limits.client_sweep_us, self._sweep)
 
     def __len__(self) -> int:
         return len(self._clients) + len(self._lingering)
 
+    @property
+    def connections(self) -> list[ClientConnection]:
+        """The open connections, without those that only linger, in no particular order."""
+        return list(self._clients)
+
     # Accepting
 
     @property
     def accepting(self) -> bool:
-        """Return whether the address is still listened at."""
+        """Whether new connections are accepted."""
         return self._sock is not None
 
-    def _accept(self) -> None:
+    def _accept_forever(self) -> None:
         try:
             while self._sock:
                 self.scheduler.wait(self._sock.fileno(), READ)
                 try:
-                    self._accept_waiting()
-                except OSError as problem:
-                    # Out of descriptors, or the client is gone already: it must not end the listening.
-                    log.warning("accept failed", extra={"kv": {"error": problem}})
+                    self._accept_pending()
+                except OSError as error:
+                    # Out of descriptors, or the client has left already: neither may stop the listener.
+                    log.warning("accept failed", extra={"kv": {"error": error}})
                     self.scheduler.sleep(self.limits.accept_pause_us)
         except StreamClosedError:
             pass
@@ -78,121 +85,129 @@
             if self._sock:
                 self._sock.close()
 
-    def _accept_waiting(self) -> None:
+    def _accept_pending(self) -> None:
+        """Accept connections that wait in the kernel's queue, as many as an iteration and the limit allow."""
         assert self._sock
-        if not self.lend():
-            # Waiting clients stay with the kernel: accepting one now could only lose it.
+        if not self.reserve():
+            # Clients are better off in the kernel's queue than accepted and closed at once.
             self.scheduler.sleep(self.limits.accept_pause_us)
             return
-        # At the bound, a connection is evicted for a waiting client, which only the next poll reports.
-        for _ in range(min(self.limits.accepts_per_iteration, self._free)):
+        # At the limit only one is accepted: whether another one waits is known after the next poll.
+        for _ in range(min(self.limits.accepts_per_iteration, self._available)):
             try:
                 sock, _ = self._sock.accept()
             except BlockingIOError:
                 return
-            self._adopt(sock)
+            self._serve(sock)
 
-    def _adopt(self, sock: socket.socket) -> None:
-        sock.setblocking(False)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._clients.add(Client(self, sock))
-        self._cut_lingering()
+    def _serve(self, sock: socket.socket) -> None:
+        configure(sock)
+        self._clients.add(ClientConnection(self, sock))
+        self._abort_excess_lingering()
 
     def stop_accepting(self) -> None:
-        """Accept what the kernel has queued already, then refuse new connections.
+        """Accept the connections that wait in the kernel's queue, and then refuse new ones.
 
-        Those beyond the capacity are reset with the listening socket: accepted, they would use up the
-        descriptors that discovery and backends need.
+        Those beyond the limit are reset with the listening socket: to accept them would use up descriptors
+        that discovery and backends need.
         """
         sock = self._sock
         self._sock = None
         if sock is None:
             return
-        while self.lend():
+        while self.reserve():
             try:
                 accepted, _ = sock.accept()
             except OSError:
                 break
-            self._adopt(accepted)
-        self.scheduler.forget(sock.fileno(), StreamClosedError())
+            self._serve(accepted)
+        self.scheduler.cancel_waits(sock.fileno(), StreamClosedError())
         sock.close()
 
     # Capacity
 
     @property
-    def _free(self) -> int:
-        return int(self._most * self.part) - self.lent() - len(self._clients)
+    def _granted(self) -> int:
+        return self.capacity_user.granted if self.capacity_user else 0
 
     @property
-    def used(self) -> float:
-        """Return the part of the capacity that is in use, from 0 to 1."""
-        return (self.lent() + len(self._clients)) / self._most
+    def _available(self) -> int:
+        return int(self._max_connections * self.capacity_quota) - self._granted - len(self._clients)
 
-    def lend(self) -> bool:
-        """Return whether a connection more is possible, evicting an idle one where necessary."""
-        return self._free > 0 or self._evict()
+    @property
+    def utilization(self) -> float:
+        """Fraction of the connections that is open or granted, from 0 to 1."""
+        return (self._granted + len(self._clients)) / self._max_connections
+
+    def reserve(self) -> bool:
+        """Make room for one more connection, evicting an idle one if necessary; return whether there is."""
+        return self._available > 0 or self._evict()
 
     def _sweep(self) -> None:
-        """Keep idle connections down: clients that hold too many would have none left to ask on."""
+        """Evict idle connections beyond a limit, so that clients with many leave some for others."""
         if self._sock:
             self.scheduler.call_at(self.scheduler.now + self.limits.client_sweep_us, self._sweep)
-        self.shed(self.limits.idle_clients)
+        self.evict_down_to(self.limits.idle_clients)
 
-    def shed(self, most: int) -> None:
-        """Evict connections that may be evicted, as long as there are more than `most`."""
-        if len(self._clients) > most:
-            self._evict(len(self._clients) - most)
+    def evict_down_to(self, max_connections: int) -> None:
+        """Evict connections beyond a number, as far as they may be evicted."""
+        excess = len(self._clients) - max_connections
+        if excess > 0:
+            self._evict(excess)
 
     def _evict(self, count: int = 1) -> bool:
-        """Close up to `count` connections between requests; return whether one was.
+        """Close up to `count` connections between requests; return whether any was closed.
 
-        First go those that never asked for anything, of these the longest idle, unless a request has
-        arrived on them that is unread.
+        Connections without any request so far are closed first, among them those idle for the longest time.
         """
         now = self.scheduler.now
-        candidates: list[tuple[bool, int, Client]] = []
+        candidates: list[tuple[bool, int, ClientConnection]] = []
         for client in self._clients:
-            spare_from = client.spare_from
-            if spare_from is not None and spare_from <= now:
-                candidates.append((client.machine.asked > 0, spare_from, client))
+            evictable_from = client.evictable_from
+            if evictable_from is not None and evictable_from <= now:
+                candidates.append((client.protocol.requests_received > 0, evictable_from, client))
         evicted = 0
         for _, _, client in sorted(candidates, key=lambda candidate: candidate[:2]):
             if evicted >= count:
                 break
-            evicted += client.let_go()
+            evicted += client.close_gracefully()
         return evicted > 0
 
-    # What connections report
+    # Called by connections
 
-    def lingers(self, client: Client) -> None:
-        """Free the connection's place: it sends nothing more and only waits for the client to close.
+    def on_lingering(self, connection: ClientConnection) -> None:
+        """Free the place of a connection that only waits for its client to close.
 
-        Its descriptor is free once the client has closed too, or when too many others linger.
+        Its descriptor is in use until the client has closed, or until too many connections linger.
         """
-        self._clients.discard(client)
-        self._lingering[client] = None
-        self._cut_lingering()
+        self._clients.discard(connection)
+        self._lingering[connection] = None
+        self._abort_excess_lingering()
 
-    def _cut_lingering(self) -> None:
-        while len(self._lingering) > self.limits.linger_conns + max(0, self._free):
+    def _abort_excess_lingering(self) -> None:
+        """Abort the connections that linger longest, beyond the number for which there are descriptors."""
+        while len(self._lingering) > self.limits.linger_conns + max(0, self._available):
             oldest = next(iter(self._lingering))
             self._lingering.pop(oldest)
-            oldest.cut()
+            oldest.abort()
 
-    def gone(self, client: Client) -> None:
-        """Forget a connection that is closed."""
-        self._clients.discard(client)
-        self._lingering.pop(client, None)
+    def on_closed(self, connection: ClientConnection) -> None:
+        """Forget a closed connection."""
+        self._clients.discard(connection)
+        self._lingering.pop(connection, None)
 
-    # The end
+    # Shutdown
 
     def close_idle(self) -> None:
-        """Close idle connections, and until `ending` is reset every other one as soon as it is idle."""
-        self.ending = True
+        """Close idle connections now, and the others as soon as they are idle.
+
+        The latter holds until `close_when_idle` is reset.
+        """
+        self.close_when_idle = True
         for client in list(self._clients):
             client.close_if_idle()
 
-    def cut_all(self) -> None:
-        """Close every connection at once: nothing is owed any more that a client would still take."""
+    def abort_all(self) -> None:
+        """Close every connection at once, at the end of a shutdown."""
         for client in [*self._clients, *self._lingering]:
-            client.cut()
+            client.abort()
--- a/garnetlanding/runtime/scheduler.py
+++ b/garnetlanding/runtime/scheduler.py
@@ -1,8 +1,8 @@
-"""A scheduler of greenlets over `select.poll`, with timers and one reading of the clock per iteration.
+"""An event loop over `select.poll` that runs tasks (greenlets) and timers.
 
-An iteration of the event loop polls, reads the clock once, fires the timers that are due, runs every task
-that is ready, and then calls the `iteration_hooks`. The hooks see all that the iteration brought at once;
-this is how the core gets its events in batches.
+Each iteration polls the descriptors, reads the clock once, calls the timers that are due, runs every task
+that is ready, and then calls the `iteration_hooks`. By these the core processes all events of an iteration
+in one batch, under one time.
 """
 
 from __future__ import annotations
@@ -23,52 +23,61 @@
 
 READ = select.POLLIN | select.POLLPRI
 WRITE = select.POLLOUT
-HANGUP = select.POLLRDHUP  # the other side has shut down its sending, even if bytes before that are unread
-_FAILED = select.POLLERR | select.POLLHUP | select.POLLNVAL  # wakes a waiter of any direction
+HANGUP = select.POLLRDHUP  # the peer has shut down its write side, even if earlier bytes are unread
+_FAILED = select.POLLERR | select.POLLHUP | select.POLLNVAL  # wakes the waiters of every direction
 
 Clock = Callable[[], int]
-"""Returns the time in microseconds; it never goes back."""
+"""Returns the time in microseconds, which never decreases."""
 
 
 def monotonic_us() -> int:
-    """Return the monotonic clock in microseconds."""
+    """Return the time of the monotonic clock in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class Timer:
-    """A call in the future. Cancelling is cheap: the heap drops the entry when it is due, or in bulk."""
+    """A call that is scheduled for the time `due`; `call` is `None` once it was made or cancelled.
 
-    __slots__ = ("due", "call", "_owner")
+    Cancelling is cheap, because the scheduler's heap keeps the entry until it is due, or until cancelled
+    entries are the majority and are removed together.
+    """
+
+    __slots__ = ("_scheduler", "call", "due")
 
-    def __init__(self, due: int, call: Callable[[], None], owner: Scheduler) -> None:
+    def __init__(self, due: int, call: Callable[[], None], scheduler: Scheduler) -> None:
         self.due = due
         self.call: Callable[[], None] | None = call
-        self._owner = owner
+        self._scheduler = scheduler
 
     def cancel(self) -> None:
-        """Prevent the call; without effect once it was made."""
+        """Prevent the call; has no effect once it was made."""
         if self.call is not None:
             self.call = None
-            self._owner.cancelled += 1
+            self._scheduler.cancelled_timers += 1
 
 
 class Task:
-    """One greenlet. While parked it waits to be woken, with or without an exception to raise."""
+    """A greenlet and its state, which only the scheduler uses.
+
+    `error` is what the task's present or next `park` raises, `is_queued` whether the task is in the queue of
+    ready tasks, `done` whether its body has ended.
+    """
 
-    __slots__ = ("_glet", "_fault", "_queued", "done")
+    __slots__ = ("done", "error", "greenlet", "is_queued")
 
     def __init__(self, body: Callable[[], None], hub: greenlet) -> None:
-        self._glet = greenlet(body, hub)
-        self._fault: BaseException | None = None
-        self._queued = False
+        self.greenlet = greenlet(body, hub)
+        self.error: BaseException | None = None
+        self.is_queued = False
         self.done = False
 
 
 class Scheduler:
     """The event loop of one process: tasks, timers and waits for descriptors.
 
-    `now` is the time of the present iteration in microseconds. Only tasks may wait (`park`, `wait`, `sleep`);
-    anyone on the loop's thread may spawn, wake and set timers.
+    It is one class because tasks, timers and descriptors wake one another within an iteration, and its calls
+    are the hot path. `now` is the time of the present iteration in microseconds. Only tasks may call the
+    methods that wait (`park`, `wait`, `sleep`); the others may be called by all code on the loop's thread.
     """
 
     def __init__(self, clock: Clock = monotonic_us) -> None:
@@ -80,7 +89,7 @@
         self._ready: deque[Task] = deque()
         self._tasks: set[Task] = set()
         self._timers: list[tuple[int, int, Timer]] = []
-        self.cancelled = 0  # how many entries of the timer heap are cancelled
+        self.cancelled_timers = 0  # entries of the timer heap that were cancelled
         self._timer_count = 0
         self._current: Task | None = None
         self._stopped = False
@@ -89,7 +98,7 @@
     # Tasks
 
     def spawn(self, body: Callable[[], None]) -> Task:
-        """Start a task in the next iteration. An exception of its body is logged and ends only the task."""
+        """Start a task that runs `body`. An exception that it raises is logged and ends only this task."""
 
         def run() -> None:
             try:
@@ -97,7 +106,7 @@
             except GreenletExit:
                 pass
             except Exception:
-                # One connection's defect must not end the process; it is loud in the log instead.
+                # A defect that affects one connection must not end the process: it is logged instead.
                 log.exception("task failed")
             finally:
                 task.done = True
@@ -108,22 +117,25 @@
         self.wake(task)
         return task
 
-    def wake(self, task: Task, fault: BaseException | None = None) -> None:
-        """Make a parked task ready; with `fault`, its `park` raises that."""
+    def wake(self, task: Task, error: BaseException | None = None) -> None:
+        """Make a parked task ready to run; if `error` is given, its `park` raises that."""
         if task.done:
             return
-        task._fault = task._fault or fault
-        if not task._queued:
-            task._queued = True
+        task.error = task.error or error
+        if not task.is_queued:
+            task.is_queued = True
             self._ready.append(task)
 
     def current(self) -> Task:
-        """Return the running task; only tasks may wait."""
+        """Return the running task. To be called by tasks only."""
         assert self._current is not None, "only tasks wait"
         return self._current
 
     def park(self, deadline: int | None = None) -> None:
-        """Wait until woken. Raises `DeadlineExceededError` at the deadline, or what `wake` was given."""
+        """Suspend the running task until it is woken.
+
+        Raises `DeadlineExceededError` at the deadline, or the error that was passed to `wake`.
+        """
         task = self.current()
         timer = None
         if deadline is not None:
@@ -133,16 +145,16 @@
         finally:
             if timer:
                 timer.cancel()
-        fault = task._fault
-        task._fault = None
-        if fault is not None:
-            raise fault
+        error = task.error
+        task.error = None
+        if error is not None:
+            raise error
 
     def wait(self, fd: int, direction: int, deadline: int | None = None) -> None:
-        """Wait until the descriptor is ready in that direction (`READ`, `WRITE` or `HANGUP`).
+        """Suspend the running task until the descriptor is ready for `READ`, `WRITE` or `HANGUP`.
 
-        It is also ready when it has failed, which the next call on it tells. At most one task may wait for
-        a direction. Raises what `park` raises.
+        It also returns when the descriptor has failed; the next system call on it reports the error. At most
+        one task may wait for each direction of a descriptor. Raises what `park` raises.
         """
         waits = self._waits.setdefault(fd, {})
         assert direction not in waits, "one task a direction"
@@ -155,7 +167,7 @@
             self._register(fd)
 
     def _register(self, fd: int) -> None:
-        """Bring the poll object in line with what tasks wait for on the descriptor."""
+        """Update the poll object to the directions in which tasks wait for the descriptor."""
         waits = self._waits.get(fd)
         if waits:
             mask = 0
@@ -166,30 +178,30 @@
             del self._waits[fd]
             self._poll.unregister(fd)
 
-    def forget(self, fd: int, fault: BaseException) -> None:
-        """Raise `fault` in every task that waits for the descriptor; to be called before it is closed."""
+    def cancel_waits(self, fd: int, error: BaseException) -> None:
+        """Raise `error` in every task that waits for the descriptor. To be called before it is closed."""
         waits = self._waits.pop(fd, None)
         if waits:
             self._poll.unregister(fd)
             for task in waits.values():
-                self.wake(task, fault)
+                self.wake(task, error)
             waits.clear()
 
     def close(self) -> None:
-        """End every task at once; what they hold is closed on their way out."""
+        """Kill every task, which closes its resources in its `finally` blocks, and drop all timers."""
         for task in list(self._tasks):
             if not task.done:
                 self._current = task
-                task._glet.throw(GreenletExit)
+                task.greenlet.throw(GreenletExit)
         self._current = None
         self._timers.clear()
-        self.cancelled = 0
+        self.cancelled_timers = 0
 
     # Timers
 
     def call_at(self, due: int, call: Callable[[], None]) -> Timer:
-        """Call once at or after `due`. An exception of the call is logged."""
-        if 2 * self.cancelled > len(self._timers):
+        """Schedule a call for the time `due` in microseconds. An exception that it raises is logged."""
+        if 2 * self.cancelled_timers > len(self._timers):
             self._drop_cancelled()
         timer = Timer(due, call, self)
         self._timer_count += 1
@@ -199,27 +211,30 @@
     def _drop_cancelled(self) -> None:
         self._timers = [entry for entry in self._timers if entry[2].call is not None]
         heapq.heapify(self._timers)
-        self.cancelled = 0
+        self.cancelled_timers = 0
 
-    def sleep(self, span: int) -> None:
-        """Wait for `span` microseconds, or until woken; 0 lets other tasks run once."""
+    def sleep(self, span_us: int) -> None:
+        """Suspend the running task for `span_us` microseconds, or until woken; 0 lets others run once."""
         with contextlib.suppress(DeadlineExceededError):
-            self.park(self.now + span)
+            self.park(self.now + span_us)
 
     # The event loop
 
     def stop(self) -> None:
-        """Have `run` return at the end of the present iteration."""
+        """Make `run` return at the end of the present iteration."""
         self._stopped = True
 
     def run(self) -> None:
-        """Iterate until stopped."""
+        """Run iterations until `stop` is called."""
         while not self._stopped:
             self.run_iteration()
 
-    def run_iteration(self, most_ms: float | None = None) -> bool:
-        """Do one iteration, waiting at most `most_ms` where given; return whether anything happened."""
-        polled = self._poll.poll(self._poll_timeout_ms(most_ms))
+    def run_iteration(self, max_wait_ms: float | None = None) -> bool:
+        """Run one iteration and return whether anything happened.
+
+        It waits until something is due, but no longer than `max_wait_ms` milliseconds if that is given.
+        """
+        polled = self._poll.poll(self._poll_timeout_ms(max_wait_ms))
         self.now = self._clock()
         self._wake_ready(polled)
         fired = self._fire_timers()
@@ -239,14 +254,14 @@
                     self.wake(task)
 
     def _fire_timers(self) -> bool:
-        """Make the calls that are due; return whether there was one."""
+        """Call the timers that are due and return whether there was one."""
         fired = False
         while self._timers and self._timers[0][0] <= self.now:
             timer = heapq.heappop(self._timers)[2]
             call = timer.call
             timer.call = None
             if call is None:
-                self.cancelled -= 1
+                self.cancelled_timers -= 1
             else:
                 fired = True
                 self._guarded(call)
@@ -254,38 +269,39 @@
 
     @staticmethod
     def _guarded(call: Callable[[], None]) -> None:
-        """Log an exception of the call: as with tasks, one defect must not end the process."""
+        """Make a call and log the exception that it raises, as for tasks."""
         try:
             call()
         except Exception:
             log.exception("call failed")
 
-    def _poll_timeout_ms(self, most_ms: float | None) -> float | None:
-        """Return how long poll may wait: until the next timer, 0 where a task is ready, `None` for ever."""
+    def _poll_timeout_ms(self, max_wait_ms: float | None) -> float | None:
+        """Return how long poll may wait; `None` if without a limit."""
         timeout_ms = self._next_timer_ms()
-        if most_ms is None:
+        if max_wait_ms is None:
             return timeout_ms
         if timeout_ms is None:
-            return most_ms
-        return min(most_ms, timeout_ms)
+            return max_wait_ms
+        return min(max_wait_ms, timeout_ms)
 
     def _next_timer_ms(self) -> float | None:
+        """Return the time to the next timer, 0 if a task is ready already, `None` if there is no timer."""
         if self._ready or self._stopped:
             return 0
         while self._timers and self._timers[0][2].call is None:
             heapq.heappop(self._timers)
-            self.cancelled -= 1
+            self.cancelled_timers -= 1
         if not self._timers:
             return None
         # poll rounds up to a whole millisecond, so a timer never fires early and never spins.
         return max(0.0, (self._timers[0][0] - self._clock()) / 1000)
 
     def _run_ready(self) -> None:
-        # Only those ready now: a task that wakes itself again must not starve the poll.
+        # Only the tasks ready now: one that wakes itself again must not keep the loop from polling.
         for _ in range(len(self._ready)):
             task = self._ready.popleft()
-            task._queued = False
+            task.is_queued = False
             if not task.done:
                 self._current = task
-                task._glet.switch()
+                task.greenlet.switch()
                 self._current = None
--- a/garnetlanding/runtime/signals.py
+++ b/garnetlanding/runtime/signals.py
@@ -1,4 +1,4 @@
-"""Signals, handled between iterations of the event loop: Python's handler only wakes the loop by a pipe."""
+"""Handles signals in a task of the event loop, to which the signal handler passes them by a pipe."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 def block_until_handled() -> None:
-    """Block the handled signals until `Signals` exists.
+    """Block the handled signals until a `Signals` is created.
 
-    A SIGHUP must not kill a process that is only just starting, and a SIGTERM has to find one that can shut
-    down gracefully.
+    Otherwise a SIGHUP would kill a process that is starting, and a SIGTERM would end it without a graceful
+    shutdown.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
 
 
 class Signals:
-    """Calls `reload` for each SIGHUP, and `terminate` in a task of its own for the first SIGTERM or SIGINT.
+    """Calls `reload` for each SIGHUP, and `terminate` in a new task for the first SIGTERM or SIGINT.
 
-    At most `batch` signals are read at once.
+    Later signals are only logged. At most `batch` signals are read from the pipe at once.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         scheduler.spawn(lambda: self._read_forever(reader))
 
     def _read_forever(self, reader: int) -> None:
-        """Read one byte for each signal, for as long as the process lives."""
+        """Read signal numbers, one byte each, until the process ends."""
         while True:
             self._scheduler.wait(reader, READ)
             for number in os.read(reader, self._batch):
@@ -63,7 +63,7 @@
             self._scheduler.spawn(self._terminate)
 
     def _reload_guarded(self) -> None:
-        """Reload, so that a failure does not leave a process that cannot be terminated."""
+        """Reload and log a failure: raised, it would end the task, and with it the handling of SIGTERM."""
         try:
             self._reload()
         except Exception:
--- a/garnetlanding/runtime/stream.py
+++ b/garnetlanding/runtime/stream.py
@@ -1,4 +1,4 @@
-"""One TCP connection on the event loop: connects, reads into a pooled buffer, writes without blocking."""
+"""A non-blocking TCP connection on the event loop, and the addresses that it is made from."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 from collections.abc import Callable
 
 from garnetlanding.limits import Limits
-from garnetlanding.runtime.buffers import BufferPool, Chain
+from garnetlanding.runtime.buffers import BufferChain, BufferPool
 from garnetlanding.runtime.errors import (
+    AddressError,
     BufferPoolExhaustedError,
     DeadlineExceededError,
     StreamClosedError,
@@ -18,34 +19,44 @@
 from garnetlanding.runtime.scheduler import HANGUP, READ, WRITE, Scheduler
 
 MAX_PORT = 65535
-NOTHING_YET = -1  # of `_read_once`: no bytes are there, and the stream has not ended
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Return host and port of `HOST:PORT` or `[IPV6]:PORT`; raises `ValueError` for anything else."""
+    """Return host and port of `HOST:PORT` or `[IPV6]:PORT`. Raises `AddressError` for anything else."""
     host, sep, port = text.rpartition(":")
     if not sep or not host or not port.isdigit() or int(port) > MAX_PORT:
-        raise ValueError(f"not HOST:PORT: {text!r}")
+        raise AddressError(text)
     return host.strip("[]"), int(port)
 
 
-def _socket(host: str) -> socket.socket:
-    sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
-    sock.setblocking(False)
+def configure(sock: socket.socket) -> None:
+    """Set the options of every TCP socket: no blocking calls, and no delay of small segments."""
+    sock.setblocking(False)  # noqa: FBT003 - the parameter has no name
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+
+
+def _create_socket(host: str) -> socket.socket:
+    sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
+    configure(sock)
     return sock
 
 
-def listen(address: str, backlog: int, shared: bool = False) -> socket.socket:
+def _finish_connect(code: int) -> None:
+    """Raise `OSError` if the connection could not be opened; `code` is its error number, or 0."""
+    if code:
+        raise OSError(code, "cannot connect")
+
+
+def listen(address: str, backlog: int, *, reuse_port: bool = False) -> socket.socket:
     """Return a listening socket.
 
-    `shared`: another process of the same user may listen at the address too, and the kernel gives each its
-    part of the connections (SO_REUSEPORT). Raises `OSError` and `ValueError`.
+    With `reuse_port` another process of the same user may listen at the address too, and the kernel
+    distributes new connections between them (SO_REUSEPORT). Raises `OSError` and `AddressError`.
     """
     host, port = parse_address(address)
-    sock = _socket(host)
+    sock = _create_socket(host)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    if shared:
+    if reuse_port:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     sock.bind((host, port))
     sock.listen(backlog)
@@ -53,10 +64,12 @@
 
 
 class Stream:
-    """One connection. Only tasks read; anyone may write, close, or look at what has arrived.
+    """A connected TCP socket.
 
-    `read_failed` says that a read failed (a reset, mostly), so that what arrived before has no end.
-    `on_flushed` is called once, when the kernel has the last byte written; `on_broken` when a write failed.
+    Only tasks may call the methods that wait (`connect`, `read`, `wait_for_peer_close`). `read_failed` is set
+    if the connection ended by an error, such as a reset, rather than by an orderly close: what was received
+    before may be incomplete. `on_flushed` is called once, when the kernel has accepted everything written;
+    `on_write_error` is called when the stream has been closed because a write failed.
     """
 
     def __init__(self, scheduler: Scheduler, sock: socket.socket, pool: BufferPool, limits: Limits) -> None:
@@ -64,30 +77,30 @@
         self._sock = sock
         self._pool = pool
         self._limits = limits
-        self._out = Chain(pool)
-        self._writing = False  # a task waits for the kernel to take more
+        self._unsent = BufferChain(pool)
+        self._is_writing = False  # a task is waiting to write the unsent bytes
         self.closed = False
         self.read_failed = False
         self.on_flushed: Callable[[], None] | None = None
-        self.on_broken: Callable[[], None] | None = None
+        self.on_write_error: Callable[[], None] | None = None
 
     @classmethod
     def connect(
         cls, scheduler: Scheduler, address: str, pool: BufferPool, limits: Limits, deadline: int
     ) -> Stream:
-        """Connect, waiting in the calling task.
+        """Open a connection.
 
-        Raises `OSError` when refused, `DeadlineExceededError` when the connection is not up in time.
+        Raises `OSError` if the peer refuses it or cannot be reached, `DeadlineExceededError` if it is not
+        established by the deadline.
         """
         host, port = parse_address(address)
-        sock = _socket(host)
+        sock = _create_socket(host)
         try:
             code = sock.connect_ex((host, port))
             if code == errno.EINPROGRESS:
                 scheduler.wait(sock.fileno(), WRITE, deadline)
                 code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            if code:
-                raise OSError(code, "cannot connect")
+            _finish_connect(code)
         except BaseException:
             sock.close()
             raise
@@ -96,15 +109,15 @@
     # Reading
 
     def read(self, feed: Callable[[memoryview], None], deadline: int | None = None) -> bool:
-        """Wait for bytes and feed them once; return False when the stream has ended or broken.
+        """Wait for data and pass what has arrived to `feed`; return False if the connection has ended.
 
-        Raises `DeadlineExceededError`, and what `feed` raises apart from `OSError` and
-        `BufferPoolExhaustedError`, which count as a failed read.
+        Raises `DeadlineExceededError`, and whatever `feed` raises except `OSError` and
+        `BufferPoolExhaustedError`, which are treated as a failed read.
         """
         while not self.closed:
             try:
                 count = self._read_once(feed)
-                if count != NOTHING_YET:
+                if count is not None:
                     return count > 0
             except (OSError, BufferPoolExhaustedError):
                 self.read_failed = True
@@ -114,24 +127,24 @@
             except StreamClosedError:
                 break
             except DeadlineExceededError:
-                # Where this process itself stood still, what it waits for may have arrived long ago.
-                if not self.unread():
+                # If this process was suspended, data may have arrived before the deadline.
+                if not self.has_unread_data():
                     raise
         return False
 
-    def _read_once(self, feed: Callable[[memoryview], None]) -> int:
-        """Return how many bytes were fed; 0 at the end of the stream, or `NOTHING_YET`."""
+    def _read_once(self, feed: Callable[[memoryview], None]) -> int | None:
+        """Return the number of bytes fed: 0 at the end of the stream, `None` if nothing has arrived yet."""
         buffer = self._pool.scratch
         try:
             count = self._sock.recv_into(buffer)
         except BlockingIOError:
-            return NOTHING_YET
+            return None
         if count:
             feed(memoryview(buffer)[:count])
         return count
 
     def _peek(self) -> bytes | None:
-        """Return what waits unread: empty if the other side has closed, `None` if nothing has arrived."""
+        """Return the next unread byte: empty at the end of the stream, `None` if nothing has arrived."""
         try:
             return self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -139,123 +152,129 @@
         except OSError:
             return b""
 
-    def unread(self) -> bool:
-        """Return whether bytes wait that nobody has read yet."""
+    def has_unread_data(self) -> bool:
+        """Return whether data has arrived that has not been read."""
         return bool(self._peek())
 
-    def ended(self) -> bool:
-        """Return whether the other side has closed already, though nobody has read that yet."""
+    def is_at_eof(self) -> bool:
+        """Return whether the next read would find the end of the stream, or an error."""
         return self._peek() == b""
 
-    def quiet(self) -> bool:
-        """Return whether the other side has neither closed nor sent anything that is unread."""
+    def has_no_unread_data(self) -> bool:
+        """Return whether the next read would have to wait: neither data nor the end has arrived."""
         return self._peek() is None
 
-    def hung_up(self) -> bool:
-        """Return whether the other side has closed, even if bytes before that are unread."""
-        if self.closed or self.ended():
+    def peer_has_closed(self) -> bool:
+        """Return whether the peer has closed its side, even if data before that is unread."""
+        if self.closed or self.is_at_eof():
             return True
         poll = select.poll()
         poll.register(self._sock.fileno(), HANGUP)
         return bool(poll.poll(0))
 
-    def wait_hung_up(self, deadline: int) -> bool:
-        """Wait without reading; return False at the deadline, or when somebody wakes the task."""
-        if not self.hung_up():
+    def wait_for_peer_close(self, deadline: int) -> bool:
+        """Wait, without reading, until the peer closes its side; return whether it has.
+
+        Also returns at the deadline, and when the task is woken.
+        """
+        if not self.peer_has_closed():
             with contextlib.suppress(DeadlineExceededError):
                 self._scheduler.wait(self._sock.fileno(), HANGUP, deadline)
-        return self.hung_up()
+        return self.peer_has_closed()
 
     # Writing
 
     def write(self, data: bytes) -> None:
-        """Hand bytes to the kernel, or keep them until it takes more; breaks where too many are kept."""
+        """Send bytes, buffering those that the kernel does not accept yet.
+
+        Closes the stream if sending fails or too many bytes are unsent.
+        """
         if self.closed or not data:
             return
-        if not self._writing:
+        if not self._is_writing:
             try:
                 sent = self._sock.send(data)
             except BlockingIOError:
                 sent = 0
             except OSError:
-                self._break()
+                self._fail()
                 return
             if sent == len(data):
-                self._flushed()
+                self._call_on_flushed()
                 return
             data = data[sent:]
-        self._keep(data)
+        self._buffer(data)
 
-    def _keep(self, data: bytes) -> None:
-        """Keep what the kernel did not take, and have a task write it."""
+    def _buffer(self, data: bytes) -> None:
+        """Buffer bytes that the kernel did not accept, and start a task that writes them."""
         try:
-            self._out.append(data)
+            self._unsent.append(data)
         except BufferPoolExhaustedError:
-            self._break()
+            self._fail()
             return
-        if self._out.length > self._limits.unsent_bytes:
-            self._break()
+        if self._unsent.length > self._limits.unsent_bytes:
+            self._fail()
             return
-        if not self._writing:
-            self._writing = True
+        if not self._is_writing:
+            self._is_writing = True
             self._scheduler.spawn(self._write_rest)
 
     def _write_rest(self) -> None:
         try:
-            while self._out.length and not self.closed:
+            while self._unsent.length and not self.closed:
                 deadline = self._scheduler.now + self._limits.write_stall_us
                 self._scheduler.wait(self._sock.fileno(), WRITE, deadline)
-                self._out.skip(self._sock.send(self._out.peek(self._pool.size)))
+                self._unsent.skip(self._sock.send(self._unsent.peek(self._pool.buffer_bytes)))
         except BlockingIOError:
             pass
         except (StreamClosedError, DeadlineExceededError, OSError):
-            self._break()
+            self._fail()
             return
-        self._writing = False
+        self._is_writing = False
         if self.closed:
             return
-        if self._out.length:
-            self._writing = True
+        if self._unsent.length:
+            self._is_writing = True
             self._write_rest()
             return
-        self._flushed()
+        self._call_on_flushed()
 
-    def finish(self) -> None:
-        """Shut down the write side; what still arrives can be read."""
+    def shutdown_write(self) -> None:
+        """Shut down the write side; data that still arrives can be read."""
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError:
-            self._break()
+            self._fail()
 
     @property
     def flushed(self) -> bool:
-        """Return whether the kernel has every byte written."""
-        return not self._out.length
+        """Whether the kernel has accepted every byte written."""
+        return not self._unsent.length
 
     @property
-    def unsent(self) -> int:
-        """Return how many bytes the kernel has not taken."""
-        return self._out.length
+    def unsent_bytes(self) -> int:
+        """Number of bytes written that the kernel has not accepted yet."""
+        return self._unsent.length
 
-    def _flushed(self) -> None:
-        call = self.on_flushed
+    def _call_on_flushed(self) -> None:
+        callback = self.on_flushed
         self.on_flushed = None
-        if call:
-            call()
+        if callback:
+            callback()
 
-    # The end
+    # Closing
 
-    def _break(self) -> None:
+    def _fail(self) -> None:
         if not self.closed:
             self.close()
-            if self.on_broken:
-                self.on_broken()
+            if self.on_write_error:
+                self.on_write_error()
 
     def close(self) -> None:
-        """Close the connection at once; a task that reads wakes up and sees the end."""
+        """Close the connection at once; a task that is reading finds the end of the stream."""
         if self.closed:
             return
         self.closed = True
-        self._scheduler.forget(self._sock.fileno(), StreamClosedError())
+        self._scheduler.cancel_waits(self._sock.fileno(), StreamClosedError())
         self._sock.close()
-        self._out.clear()
+        self._unsent.clear()
--- a/garnetlanding/store/persister.py
+++ b/garnetlanding/store/persister.py
@@ -11,7 +11,7 @@
 import logging
 from typing import Any
 
-from garnetlanding.runtime.files import replace_whole
+from garnetlanding.runtime.files import write_atomically
 from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.store.errors import StoreFileError
 from garnetlanding.store.store import Entry, Snapshot, Store
@@ -38,7 +38,7 @@
 def save_snapshot(path: str, snapshot: Snapshot) -> None:
     """Write a snapshot to the file, atomically and durably. Raises OSError; the old file is kept then."""
     text = json.dumps({"epoch": snapshot.epoch, "revision": snapshot.revision, "values": snapshot.values})
-    replace_whole(path, text.encode())
+    write_atomically(path, text.encode())
 
 
 class StorePersister:
--- a/garnetlanding/store/writer_machine.py
+++ b/garnetlanding/store/writer_machine.py
@@ -29,11 +29,11 @@
 class WriterMachine:
     """Sends one follower the changes that it lacks, then each change as it is made, and heartbeats.
 
-    Implements the listener's ClientMachine. `write` sends bytes on the connection. A line that violates the
+    Implements the listener's ClientProtocol. `write` sends bytes on the connection. A line that violates the
     protocol ends the connection; the reason is logged and not sent to the follower.
     """
 
-    waiting = False  # all that is fed is processed at once
+    has_buffered_input = False  # all that is fed is processed at once
 
     def __init__(
         self, store: Store, scheduler: Scheduler, limits: Limits, write: Callable[[bytes], None]
@@ -45,15 +45,15 @@
         self._lines = JsonLineDecoder(limits.store_line_bytes)
         self._heartbeat_timer: Timer | None = None
         self._following = False
-        self.ended = False
-        self.taken = 0
-        self.bad = 0
-        self.asked = 0
-        self.session = True
-        self.owed = 0
+        self.is_closing = False
+        self.messages_received = 0
+        self.invalid_messages = 0
+        self.requests_received = 0
+        self.has_session_state = True
+        self.pending_responses = 0
 
     @property
-    def midway(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether part of a line has been received."""
         return self._lines.has_partial_line
 
@@ -61,15 +61,15 @@
         """Process bytes from the follower and write the responses."""
         try:
             for fields in self._lines.feed(data):
-                self.taken += 1
+                self.messages_received += 1
                 self._handle(fields)
         except ReplicationProtocolError as problem:
             log.warning("follower rejected", extra={"kv": {"why": problem}})
-            self.ended = True
+            self.is_closing = True
 
     def close(self) -> None:
         """Stop sending: the connection is closed."""
-        self.ended = True
+        self.is_closing = True
         if self._heartbeat_timer:
             self._heartbeat_timer.cancel()
         if self._send_entry in self._store.observers:
--- a/tests/choices/test_subset_tracker.py
+++ b/tests/choices/test_subset_tracker.py
@@ -36,7 +36,8 @@
     instance.list(
         EmulatedEndpoint("n0", backends[0].address, 0), EmulatedEndpoint("n1", backends[1].address, 1)
     )
-    instance.bricks.keeps, instance.bricks.outside_idle_us = lambda: frozenset({"n1"}), SECOND
+    sweeper = instance.bricks.sweeper
+    sweeper.backend_subset, sweeper.outside_subset_idle_us = lambda: frozenset({"n1"}), SECOND
     peer = LoopbackClient(instance, instance.front().address)
     assert all(peer.say(read_command(f"r{cell}", cell=cell)).startswith(b"$") for cell in (0, 1))
     assert [len(backend.connections) for backend in backends] == [1, 1]
--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -93,7 +93,7 @@
 def take_all(pool: BufferPool) -> None:
     """Take buffers until the pool raises that it has none left."""
     while True:
-        pool.take()
+        pool.acquire()
 
 
 def test_without_buffers_a_disconnect_is_noticed_and_pending_responses_are_sent() -> None:
@@ -148,5 +148,7 @@
     assert sent > 16 * w.limits.read_bytes_per_iteration
     w.scheduler.run_iteration(1)
     assert (
-        0 < connection.machine.taken * len(PING) <= w.limits.read_bytes_per_iteration + w.limits.buffer_bytes
+        0
+        < connection.protocol.messages_received * len(PING)
+        <= w.limits.read_bytes_per_iteration + w.limits.buffer_bytes
     )
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -43,7 +43,7 @@
         return client
 
     def unread(self) -> int:
-        return max(c.stream.unsent for c in self.listener._clients)
+        return max(c.stream.unsent_bytes for c in self.listener._clients)
 
 
 @given(st.binary(min_size=33, max_size=400), st.lists(st.integers(1, 60), max_size=30))
@@ -58,7 +58,7 @@
     assert got[0] == codec.BulkStart(len(value))
     assert b"".join(p.data for p in got if isinstance(p, codec.BulkChunk)) == value
     assert got[-2:] == [[codec.BulkStart(len(value)), b"used=50", None], [b"short", b"used=50", None]]
-    assert not decoder.midway
+    assert not decoder.has_partial_message
 
 
 def test_a_long_value_reaches_its_client_before_the_backend_has_sent_all_of_it() -> None:
@@ -138,7 +138,7 @@
         assert any(instance.scheduler.run_iteration(10) for _ in range(100))
         most = max(most, instance.unread())
     assert (
-        most <= instance.limits.stream_window_bytes + 2 * instance.pool.size
+        most <= instance.limits.stream_window_bytes + 2 * instance.pool.buffer_bytes
     ), "what one client may leave unread"
     assert len(deaf.got) < 4 * MIB
     assert not deaf.closed
@@ -172,8 +172,8 @@
     client = instance.peer(instance.listener.address)
     instance.brick.scripted_responses = [None, answer(b"v" * (200 * KIB))[:30_000]]
     client.say(read_command("r0") + read_command("r1", volume="v1"))
-    for conns in list(instance.bricks._conns.values()):
-        for conn in [c for c in conns if c.machine.body]:
+    for conns in list(instance.bricks.connections._open.values()):
+        for conn in [c for c in conns if c.protocol.body]:
             conn.close()
     instance.settle()
     instance.brick.release()
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -51,7 +51,7 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
-from garnetlanding.ninep.front import ClientMachine as NinepClient
+from garnetlanding.ninep.front import NinepClientProtocol as NinepClient
 from garnetlanding.ninep.setup import Export
 from garnetlanding.ninep.shared_state import SharedState as NinepSharedState
 from garnetlanding.ops.admin_client import method_and_path, send_call
@@ -59,10 +59,10 @@
 from garnetlanding.ops.fleet_access import FleetView
 from garnetlanding.peers import codec as peers_codec
 from garnetlanding.resp import codec as resp
-from garnetlanding.resp.backend_connection import BackendMachine
+from garnetlanding.resp.backend_connection import RespBackendProtocol
 from garnetlanding.resp.errors import InvalidCommandError, ProtocolError
-from garnetlanding.resp.front import ClientMachine as RespClient
 from garnetlanding.resp.front import Front as RespFront
+from garnetlanding.resp.front import RespClientProtocol as RespClient
 from garnetlanding.resp.request import read_request
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.errors import BackendProtocolError
@@ -127,7 +127,7 @@
     def when_writable(self, _call: Callable[[], None]) -> None:
         raise AssertionError("this sink is never full")
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         self.was_cut = True
 
 
@@ -156,7 +156,7 @@
         self.note(f"core answers {ticket}: {what}")
 
     def end(self) -> list[str]:
-        self.note(f"ended: {self.machine.ended}, cut: {self.sink.was_cut}, left: {self.core.gone}")
+        self.note(f"ended: {self.machine.is_closing}, cut: {self.sink.was_cut}, left: {self.core.gone}")
         return self.lines
 
 
@@ -379,7 +379,7 @@
     lines: list[str] = []
     for data in ANSWERS:
         lines.append(f"# {shown(data)}")
-        machine = BackendMachine(
+        machine = RespBackendProtocol(
             StillClock(),
             buffers(),
             Limits(),
@@ -391,7 +391,7 @@
             machine.feed(data)
         except BackendProtocolError as fault:
             lines.append(f"fault: {fault}")
-        lines.append(f"midway {machine.midway}")
+        lines.append(f"midway {machine.has_partial_message}")
         machine.close()
     check("resp_answers.txt", lines)
 
@@ -433,7 +433,7 @@
             lines += [resp_form(value) for value in decoder.feed(data)]
         except ProtocolError as problem:
             lines.append(f"problem: {problem}")
-        lines.append(f"midway {decoder.midway}")
+        lines.append(f"midway {decoder.has_partial_message}")
     lines.append(f"command {resp.command([b'SET', b'', bytes(range(256))])!r}")
     lines.append(f"bulk {resp.bulk(b'v' * 3)!r}")
     lines.append(f"error {resp.error('ERR  two' + chr(10) + 'lines ' + chr(0xE9))!r}")
@@ -1031,7 +1031,8 @@
         done = request.feed(data)
         lines += [
             f"> {shown(data)}",
-            f"done {done}, midway {request.midway}, method {request.method!r}, target {request.target!r}",
+            f"done {done}, midway {request.has_partial_message}, method {request.method!r}, "
+            f"target {request.target!r}",
         ]
     for data in RESPONSE_BYTES:
         response = ResponseParser(buffers(), Limits())
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -46,7 +46,7 @@
 from garnetlanding.ops.state_file import StateFile
 from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.resp.front import ClientMachine, Front
+from garnetlanding.resp.front import Front, RespClientProtocol
 from garnetlanding.runtime.listener import Listener
 from garnetlanding.store.errors import (
     LogGapError,
@@ -250,8 +250,8 @@
     store.put("late", {"n": 1.5})
     store.put("late", None)
     world.run(world.limits.store_heartbeat_us)
-    assert not machine.ended
-    assert machine.taken == 2
+    assert not machine.is_closing
+    assert machine.messages_received == 2
     machine.close()
     committed = golden(f"replica/writer-{name}.jsonl", b"".join(said))
     assert all(line.endswith(b"\n") and line.count(b"\n") == 1 for line in said), "a write is a line"
@@ -286,9 +286,14 @@
     machine = WriterMachine(filled_store(), world.scheduler, world.limits, said.append)
     hello = (FOLDER / "replica" / f"follower-{name}.jsonl").read_bytes()
     machine.feed(hello[:-1])
-    assert (machine.midway, machine.taken, machine.ended, said) == (True, 0, False, [])
+    assert (machine.has_partial_message, machine.messages_received, machine.is_closing, said) == (
+        True,
+        0,
+        False,
+        [],
+    )
     machine.feed(hello[-1:])
-    assert (machine.midway, machine.taken, machine.ended) == (False, 1, False)
+    assert (machine.has_partial_message, machine.messages_received, machine.is_closing) == (False, 1, False)
     assert said[0] == b'{"writer": ["w", %d]}\n' % EPOCH
     machine.close()
 
@@ -309,7 +314,7 @@
     world, said = SimulatedInstance(), list[bytes]()
     machine = WriterMachine(filled_store(), world.scheduler, world.limits, said.append)
     machine.feed(line)
-    assert machine.ended
+    assert machine.is_closing
     assert not said
     assert [(r.getMessage(), str(r.__dict__["kv"]["why"])) for r in caplog.records] == [
         ("follower rejected", why)
@@ -576,7 +581,7 @@
             self.pool,
             self.limits,
             self.limits.client_conns,
-            lambda write: ClientMachine(Front(self.core, self.bricks, self.pool, self.limits), write),
+            lambda write: RespClientProtocol(Front(self.core, self.bricks, self.pool, self.limits), write),
         )
         peers = FailureDetector(PeerLimits())
         shared = ReplicatedDisables(peers, lambda: 1, lambda: 1764640899000) if fleet else None
@@ -599,7 +604,7 @@
         said: list[bytes] = []
         machine = AdminConnection(self.service, self.pool, self.limits, said.append)
         machine.feed(request)
-        assert machine.ended, "one call, one answer, one write"
+        assert machine.is_closing, "one call, one answer, one write"
         assert len(said) == 1, "one call, one answer, one write"
         return said[0]
 
--- a/tests/integration/test_mixed_protocols.py
+++ b/tests/integration/test_mixed_protocols.py
@@ -11,7 +11,7 @@
 from garnetlanding.emulator.fileserver import FileServer
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep.client import file_servers
-from garnetlanding.ninep.front import ClientMachine
+from garnetlanding.ninep.front import NinepClientProtocol
 from garnetlanding.ninep.setup import Export
 from garnetlanding.ninep.shared_state import SharedState
 from garnetlanding.runtime.listener import Listener
@@ -50,7 +50,7 @@
             self.pool,
             self.limits,
             64,
-            lambda write: ClientMachine(front, write),
+            lambda write: NinepClientProtocol(front, write),
         )
         self.resp_front = self.front()
         self.list(*self.boxes)
@@ -144,8 +144,6 @@
 
 def test_9p_server_may_have_its_own_port_on_the_backends_host() -> None:
     instance = SimulatedInstance()
-    assert (
-        file_servers(instance.scheduler, instance.pool, instance.limits, 564)._place("10.0.0.1:6379")
-        == "10.0.0.1:564"
-    )
+    upstream = file_servers(instance.scheduler, instance.pool, instance.limits, 564)
+    assert upstream.protocol_factory.resolve_address("10.0.0.1:6379") == "10.0.0.1:564"
     assert parse_address("[::1]:564") == ("::1", 564)
--- a/tests/ninep/test_flush_clunk_disconnect.py
+++ b/tests/ninep/test_flush_clunk_disconnect.py
@@ -101,7 +101,7 @@
     tool.open(5, "readme", mode=p9.OWRITE)
     create(tool, 6, "temp", mode=p9.ORDWR | p9.ORCLOSE)
     instance.files[0].script.add(Rule(p9.Twalk, Fault.STALL))
-    instance.nine._idle.clear()
+    instance.nine.connections._idle.clear()
     instance.files[0].close_connections()
     tool.send(p9.Twrite(5, 0, b"x"), tag=1)
     tool.send(p9.Tclunk(5), tag=2)
@@ -118,12 +118,12 @@
     tool.open(5, "readme")
     [machine] = instance.front_9p.clients.values()
     machine.feed(b"".join(p9.encode(tag, p9.Tflush(9)) for tag in range(10, 20)))
-    assert machine.waiting, "hello, attach, walk, open, and four of these"
-    assert machine.taken == 4 + 4, "hello, attach, walk, open, and four of these"
+    assert machine.has_buffered_input, "hello, attach, walk, open, and four of these"
+    assert machine.messages_received == 4 + 4, "hello, attach, walk, open, and four of these"
     machine.feed(b"")
     machine.feed(b"")
-    assert not machine.waiting
-    assert machine.taken == 14
+    assert not machine.has_buffered_input
+    assert machine.messages_received == 14
     tool.say(b"".join(p9.encode(tag, p9.Tread(5, 0, 9)) for tag in range(50, 80)))
     instance.settle()
     assert sorted(tag for tag, _ in tool.answers if 50 <= tag < 80) == list(range(50, 80))
--- a/tests/ninep/test_front_model.py
+++ b/tests/ninep/test_front_model.py
@@ -12,7 +12,7 @@
 from garnetlanding.limits import MS, Limits
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep.fids import resolve
-from garnetlanding.ninep.front import ClientMachine
+from garnetlanding.ninep.front import NinepClientProtocol
 from garnetlanding.ninep.model import Attr
 from garnetlanding.ninep.operations import Attach, Open, Read, Stat, Walk
 from garnetlanding.ninep.session import OpenFile
@@ -39,7 +39,7 @@
         self.received: list[tuple[int, object]] = []
         clock = SimpleNamespace(now=0)
         shared = SharedState(self.core, None, exports, pool, Limits(), clock)  # type: ignore[arg-type]  # no backends are needed
-        self.machine = ClientMachine(shared, self.write)
+        self.machine = NinepClientProtocol(shared, self.write)
         self.fids: dict[int, tuple[p9.Qid, tuple[str, ...], bool]] = {}
         self.in_flight: dict[int, tuple[str, p9.Message]] = {}  # tag: ticket and message
         self.disconnected: list[str] = []
@@ -191,7 +191,7 @@
     def machine_agrees_with_the_model(self) -> None:
         fids = {f: (at.qid, at.path, at.open_mode is not None) for f, at in self.machine.fids.items()}
         assert fids == self.fids
-        assert self.machine.owed == len(self.in_flight)
+        assert self.machine.pending_responses == len(self.in_flight)
         assert sorted(self.core.gone) == sorted(self.disconnected)
 
     def teardown(self) -> None:
--- a/tests/ops/test_admin_connection.py
+++ b/tests/ops/test_admin_connection.py
@@ -29,7 +29,7 @@
     for size in [*sizes, len(call)]:
         machine.feed(call[at : at + size])
         at += size
-    assert machine.ended, "one call, one answer"
+    assert machine.is_closing, "one call, one answer"
     assert len(written) == 1, "one call, one answer"
     assert written[0].startswith(b"HTTP/1.1 404 "), "one call, one answer"
 
@@ -76,7 +76,7 @@
 def test_malformed_or_unknown_call_gets_its_status(call: bytes, status: int) -> None:
     machine, written = connection()
     machine.feed(call)
-    assert machine.ended
+    assert machine.is_closing
     assert written[0].startswith(b"HTTP/1.1 %d " % status)
 
 
--- a/tests/peers/test_connection_quota.py
+++ b/tests/peers/test_connection_quota.py
@@ -80,7 +80,7 @@
 
 def test_pool_opens_no_more_connections_than_the_quota_and_closes_those_beyond_it() -> None:
     w, quota = SimulatedInstance(), FixedQuota()
-    w.bricks.quota = quota
+    w.bricks.connections.quota = quota
     brick = w.server(EmulatedBackend)
     brick.holds_responses = True
     w.list(EmulatedEndpoint("n0", brick.address, 0))
--- a/tests/resp/test_client_connections.py
+++ b/tests/resp/test_client_connections.py
@@ -129,13 +129,13 @@
         brick.scripted_responses = [None]
     instance.list(*(EmulatedEndpoint(f"b{i}", brick.address, i) for i, brick in enumerate(boxes)))
     front = instance.front()
-    front.lent, instance.bricks.borrow = lambda: max(0, instance.bricks.count - 1), front.lend
+    front.capacity_user, instance.bricks.capacity.owner = instance.bricks.capacity, front
     busy, idle, late = (instance.peer(front.address) for _ in range(3))
     idle.say(PING)
     for i in range(3):
         busy.say(read_command(f"r{i}", cell=i, d=10_000))
-    assert instance.bricks.count == 2, "two each: all places are taken"
+    assert instance.bricks.capacity.open_count == 2, "two each: all places are taken"
     assert len(front) == 3, "two each: all places are taken"
     instance.run(400 * MS)
     assert late.closed or idle.closed, "who had asked nothing made room for a brick"
-    assert instance.bricks.count == 3
+    assert instance.bricks.capacity.open_count == 3
--- a/tests/resp/test_codec.py
+++ b/tests/resp/test_codec.py
@@ -28,7 +28,7 @@
     data = b"".join(map(codec.command, commands))
     got = [value for piece in cut(data, sizes) for value in decoder.feed(piece)]
     assert got == commands
-    assert not decoder.midway
+    assert not decoder.has_partial_message
     assert buffers.in_use <= 1, "an emptied buffer goes back"
 
 
--- a/tests/resp/test_front_model.py
+++ b/tests/resp/test_front_model.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from garnetlanding.core.ports import Answer, Failed, Rejected, Served
-from garnetlanding.resp.front import ClientMachine, Front, encode_answer
+from garnetlanding.resp.front import Front, RespClientProtocol, encode_answer
 from tests.support.resp import LIMITS, pool
 from tests.support.simulated_instance import FakeRequestEngine, read_command
 
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.core, self.out = FakeRequestEngine(), b""
-        self.machine = ClientMachine(Front(self.core, None, pool(), LIMITS), self.write)  # type: ignore[arg-type]  # no backends
+        self.machine = RespClientProtocol(Front(self.core, None, pool(), LIMITS), self.write)  # type: ignore[arg-type]  # no backends
         self.expected: list[tuple[str, bytes | None]] = []
         self.rest, self.over = b"", False
 
@@ -30,7 +30,7 @@
         self.machine.feed(data[:size])
         self.rest = data[size:]
         if not self.rest:
-            assert not self.machine.midway
+            assert not self.machine.has_partial_message
 
     def flush(self) -> None:
         self.machine.feed(self.rest)
@@ -75,7 +75,7 @@
         error = b"-ERR Protocol error: expected an array of bulk strings\r\n"
         self.expected = [(n, error if a is None else a) for n, a in [*self.expected, ("", None)]]
         self.machine.feed(b"?\r\n" + read_command("never"))
-        assert self.machine.ended
+        assert self.machine.is_closing
         assert not self.core.items
         self.over = True
 
--- a/tests/runtime/test_buffers.py
+++ b/tests/runtime/test_buffers.py
@@ -6,14 +6,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from garnetlanding.runtime.buffers import BufferPool, Chain
+from garnetlanding.runtime.buffers import BufferChain, BufferPool
 from garnetlanding.runtime.errors import BufferPoolExhaustedError
 
 
 @given(st.lists(st.one_of(st.binary(max_size=30), st.integers(0, 40)), max_size=30))
 def test_chain_returns_bytes_in_order_for_any_append_and_take(steps: list[bytes | int]) -> None:
     pool = BufferPool(8, 2, 100)
-    chain, model = Chain(pool), b""
+    chain, model = BufferChain(pool), b""
     for step in steps:
         if isinstance(step, bytes):
             chain.append(step)
@@ -29,20 +29,20 @@
 
 
 def test_line_ends_at_crlf_and_too_long_a_line_raises() -> None:
-    chain = Chain(BufferPool(4, 2, 100))
+    chain = BufferChain(BufferPool(4, 2, 100))
     chain.append(b"abc\r")
-    assert chain.line(10) is None
+    assert chain.take_line(10) is None
     chain.append(b"\nrest")
-    assert chain.line(10) == b"abc"
+    assert chain.take_line(10) == b"abc"
     assert chain.length == 4
     with pytest.raises(ValueError, match="line too long"):
-        chain.line(2)
+        chain.take_line(2)
 
 
 def test_pool_raises_beyond_its_bound() -> None:
     pool = BufferPool(8, 1, 1)
-    first = pool.take()
+    first = pool.acquire()
     with pytest.raises(BufferPoolExhaustedError):
-        pool.take()
-    pool.give(first)
-    assert pool.take() is first, "used again"
+        pool.acquire()
+    pool.release(first)
+    assert pool.acquire() is first, "used again"
--- a/tests/runtime/test_connection_close.py
+++ b/tests/runtime/test_connection_close.py
@@ -20,20 +20,20 @@
 
 def crossing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whatever the head looks for, the bytes come behind its look."""
-    monkeypatch.setattr(Stream, "quiet", lambda _self: True)
+    monkeypatch.setattr(Stream, "has_no_unread_data", lambda _self: True)
 
 
 def evict(instance: Waiting) -> None:
-    instance.listener.shed(0)
+    instance.listener.evict_down_to(0)
 
 
 def end(instance: Waiting) -> None:
     instance.listener.close_idle()
 
 
-@pytest.mark.parametrize("let_go", [evict, end])
+@pytest.mark.parametrize("close_gracefully", [evict, end])
 def test_request_that_crosses_the_close_is_not_forwarded_and_last_reply_arrives(
-    let_go: Callable[[Waiting], None], monkeypatch: pytest.MonkeyPatch
+    close_gracefully: Callable[[Waiting], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Closed with input unread, the connection was reset, and the answer before it could go with that."""
     instance = Waiting()
@@ -45,7 +45,7 @@
     [head_end] = instance.listener._clients
     crossing(monkeypatch)
     client.sock.sendall(read_command("r2"))  # not read yet: the head has had no turn since
-    let_go(instance)
+    close_gracefully(instance)
     instance.settle()
     assert client.read() == codec.bulk(b"x" * 30_000), "whole, and then an end and no reset"
     client.fin()
@@ -62,7 +62,7 @@
     client.say(read_command())
     instance.run(3 * SECOND, 100 * MS)
     client.sock.sendall(read_command("r2"))
-    instance.listener.shed(0)
+    instance.listener.evict_down_to(0)
     instance.listener.close_idle()
     instance.settle()
     assert len(instance.brick.received) == 2, "and then it is let go"
--- a/tests/runtime/test_scheduler.py
+++ b/tests/runtime/test_scheduler.py
@@ -53,7 +53,7 @@
     clock[0] = 10_000
     scheduler.run_iteration(0)
     assert seen == list(range(900, -1, -100))
-    assert scheduler.cancelled == len(scheduler._timers) == 0
+    assert scheduler.cancelled_timers == len(scheduler._timers) == 0
 
 
 @pytest.mark.parametrize("text", ["", "host", "host:", ":1", "h:x", "h:70000"])
--- a/tests/runtime/test_upstream.py
+++ b/tests/runtime/test_upstream.py
@@ -20,7 +20,7 @@
     assert len(instance.brick.connections) == 1
     instance.run(instance.limits.backend_idle_us + instance.limits.sweep_us, step_us=500 * MS)
     assert not instance.brick.connections
-    assert instance.bricks.count == 0
+    assert instance.bricks.capacity.open_count == 0
     assert instance.client.say(read_command("again")) == b"$0\r\n\r\n"
 
 
@@ -28,7 +28,7 @@
     """The next request goes out in the turn that brought the answer, before the close has been read."""
     instance = BrickWorld()
     instance.client.say(read_command("r1"))
-    [[idle]] = instance.bricks._idle.values()
+    [[idle]] = instance.bricks.connections._idle.values()
     assert idle._stream
     instance.mute(idle._stream._sock.fileno())
     instance.brick.close_connections()
@@ -69,14 +69,14 @@
     instance = BrickWorld()
     start = instance.bricks.start
 
-    def start_and_stop(trial: AttemptHandle) -> None:
-        start(trial)
-        instance.bricks.stop(trial)
-        trial.finish(Outcome.CANCELLED)
+    def start_and_stop(attempt: AttemptHandle) -> None:
+        start(attempt)
+        instance.bricks.stop(attempt)
+        attempt.finish(Outcome.CANCELLED)
 
     instance.bricks.start = start_and_stop  # type: ignore[method-assign]  # wraps the method for one attempt
     instance.client.say(read_command())
-    assert instance.bricks.count == 0
+    assert instance.bricks.capacity.open_count == 0
     assert not instance.brick.received
     assert "task failed" not in caplog.text
 
@@ -132,7 +132,7 @@
     assert instance.outcomes().count("out") == 2
     assert Outcome.UNREACHABLE.value in instance.outcomes()
     instance.client.say(read_command("o", cell=1))
-    assert instance.bricks.count == 3
+    assert instance.bricks.capacity.open_count == 3
     assert len(other.connections) == 1
     third = instance.server(EmulatedBackend)
     instance.list(EmulatedEndpoint("b0", instance.brick.address, 0), EmulatedEndpoint("b2", third.address, 2))
--- a/tests/support/ninep_instance.py
+++ b/tests/support/ninep_instance.py
@@ -13,7 +13,7 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux
 from garnetlanding.ninep.client import file_servers
-from garnetlanding.ninep.front import ClientMachine
+from garnetlanding.ninep.front import NinepClientProtocol
 from garnetlanding.ninep.operation_table import with_unsafe_variants
 from garnetlanding.ninep.setup import Export
 from garnetlanding.ninep.shared_state import SharedState
@@ -122,7 +122,7 @@
             self.pool,
             self.limits,
             64,
-            lambda write: ClientMachine(self.front_9p, write),
+            lambda write: NinepClientProtocol(self.front_9p, write),
         )
         self.list(self.boxes[0])
 
--- a/tests/support/simulated_instance.py
+++ b/tests/support/simulated_instance.py
@@ -42,22 +42,22 @@
     def __init__(self, inner: BackendTransport, core: CheckedRequestEngine) -> None:
         self.inner, self.core = inner, core
 
-    def start(self, trial: AttemptHandle) -> None:
-        assert isinstance(trial, Attempt)
-        attempts = trial.request.attempts
+    def start(self, attempt: AttemptHandle) -> None:
+        assert isinstance(attempt, Attempt)
+        attempts = attempt.request.attempts
         out = [a for a in attempts if a.outcome is None]
         assert len(out) <= (
-            2 if self.core.settings.parallel_attempts and trial.request.spec.allow_hedging else 1
+            2 if self.core.settings.parallel_attempts and attempt.request.spec.allow_hedging else 1
         )
-        assert out[-1] is trial
+        assert out[-1] is attempt
         assert len(attempts) <= self.core.settings.max_attempts
-        assert trial.request.answer is None, "sent after the final answer"
-        assert self.core.endpoints.address_of(trial.node), "sent to a server that drains or is gone"
-        self.core.starts.append(trial)
-        self.inner.start(trial)
+        assert attempt.request.answer is None, "sent after the final answer"
+        assert self.core.endpoints.address_of(attempt.node), "sent to a server that drains or is gone"
+        self.core.starts.append(attempt)
+        self.inner.start(attempt)
 
-    def stop(self, trial: AttemptHandle) -> None:
-        self.inner.stop(trial)
+    def stop(self, attempt: AttemptHandle) -> None:
+        self.inner.stop(attempt)
 
 
 class CheckedRequestEngine(RequestEngine):
@@ -141,7 +141,7 @@
             self.pool,
             self.limits,
             self.limits.client_conns,
-            lambda write: resp_front.ClientMachine(front, write),
+            lambda write: resp_front.RespClientProtocol(front, write),
         )
 
     def list(self, *boxes: EmulatedEndpoint, whole: bool = True) -> None:
