--- a/garnetlanding/daemon/assembly.py
+++ b/garnetlanding/daemon/assembly.py
@@ -44,7 +44,7 @@
 from garnetlanding.daemon.settings import SettingsManager, effective_settings, stored_settings
 from garnetlanding.daemon.store_opening import open_store
 from garnetlanding.decision.control import Controller
-from garnetlanding.resp.backend_connection import resp_backends
+from garnetlanding.resp.backend_protocol import resp_backends
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.store.setup import StoreRole
--- a/garnetlanding/resp/__init__.py
+++ b/garnetlanding/resp/__init__.py
@@ -1,5 +1,5 @@
 """RESP2 (the Redis serialization protocol) without I/O, in both directions.
 
-`front` serves clients of the platform, `backend_connection` sends their commands on to backends. Both are
-state machines that are fed bytes; `codec` holds the protocol's framing.
+`front` serves clients, `backend_protocol` forwards their commands to backends; `codec` decodes and encodes
+the bytes for both.
 """
--- a/garnetlanding/resp/backend_connection.py
+++ b/garnetlanding/resp/backend_protocol.py
@@ -1,7 +1,8 @@
-"""Sends attempts to backends: the state machine of one connection.
+"""Sends attempts to backends over RESP2: the protocol of one backend connection, without I/O.
 
-A backend replies to a connection's requests in order, so an attempt behind another would also wait for it.
-Therefore a connection carries one attempt at a time, and there are as many connections as attempts in flight.
+A backend replies to the requests of a connection in order, so that a request behind another one would wait
+for that too. Therefore a connection carries one attempt at a time, and as many are open as attempts in
+flight.
 """
 
 from __future__ import annotations
@@ -14,41 +15,48 @@
 from garnetlanding.limits import Limits
 from garnetlanding.resp import codec
 from garnetlanding.resp.backend_reply import read_reply
-from garnetlanding.resp.errors import ProtocolError
+from garnetlanding.resp.errors import ProtocolError, SurplusReplyError
 from garnetlanding.runtime.buffers import BufferPool
-from garnetlanding.runtime.errors import BackendProtocolError
+from garnetlanding.runtime.errors import BackendProtocolError, UnsolicitedResponseError
 from garnetlanding.runtime.protocols import BackendProtocolFactory, Write
 from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.runtime.upstream import Upstream
 
 
 class RespBackendProtocol:
-    """Implements the runtime's `BackendProtocol`: matches each reply to the one attempt in flight.
+    """Implements the runtime's `BackendProtocol` for RESP2.
 
     States:
 
-    - idle, from the start and after `done` is called: no attempt and no `body`;
-    - awaiting, from `begin` on: the attempt's reply is to come;
-    - streaming, while `body` is set: the attempt has ended with a value that is still arriving.
+    - idle, from the start and whenever `on_idle` has been called: there is neither an attempt nor a `body`;
+    - awaiting a reply, from `begin` on: there is an attempt, and its reply has not arrived completely;
+    - streaming, while `body` is set: the attempt has been served with a value that is still arriving.
 
-    Bytes in the idle state, and bytes behind a reply, are a `BackendProtocolError`: they would be taken for
-    the reply to the next attempt.
+    Events:
+
+    - `begin`: idle -> awaiting a reply;
+    - a complete reply arrives: awaiting a reply -> idle, and the attempt is finished;
+    - the first bytes of a long value arrive: awaiting a reply -> streaming, and the attempt is finished;
+    - the rest of its reply arrives: streaming -> idle, and the body ends.
+
+    Bytes that arrive while idle, and bytes behind a reply, raise `BackendProtocolError`, because they would
+    be taken for the reply to the next attempt.
     """
 
     bytes_may_have_been_sent = True
-    """A command is one message: once the backend has it whole, it may run."""
+    """A command is one message: a backend that has received all that was written may have executed it."""
 
     def __init__(
         self,
         timers: Timers,
         pool: BufferPool,
         limits: Limits,
-        write: Callable[[bytes], None],
-        done: Callable[[], None],
+        write: Write,
+        on_idle: Callable[[], None],
     ) -> None:
         self._timers = timers
         self._write = write
-        self._done = done
+        self._on_idle = on_idle
         self._decoder = codec.Decoder(pool, limits)
         self._max_used_percent = limits.use_percent
         self._attempt: AttemptHandle | None = None
@@ -65,9 +73,9 @@
         self._write(attempt.work.encode(attempt.until_us - self._timers.now))
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Take received bytes. Raises `BackendProtocolError`: the connection cannot be used any more."""
+        """Process received bytes. Raises `BackendProtocolError`; the connection is unusable after that."""
         if self._is_idle:
-            raise BackendProtocolError("answer to nothing")
+            raise UnsolicitedResponseError
         if self._attempt:
             self._attempt.response_started()
         try:
@@ -77,12 +85,12 @@
         except ProtocolError as error:
             raise BackendProtocolError(error) from error
 
-    def can_carry(self, attempt: AttemptHandle) -> bool:  # noqa: ARG002 - of the BackendProtocol protocol
-        """Whether this free connection would serve the attempt better than others: all are alike."""
+    def can_carry(self, attempt: AttemptHandle) -> bool:  # noqa: ARG002 - of the `BackendProtocol` interface
+        """Return that this connection is as good as any other."""
         return True
 
     def close(self) -> None:
-        """Drop what has arrived of a reply; a value that is being streamed ends cut short."""
+        """Discard an incomplete reply; a value that is being streamed ends incomplete."""
         self._decoder.close()
         if self.body:
             self.body.end(complete=False)
@@ -92,12 +100,12 @@
         return self._attempt is None and self.body is None
 
     def _end_reply(self, value: codec.Value) -> None:
-        """End the attempt, or its streamed value, by a complete reply.
+        """Finish the attempt, or the value that is streamed for it, with a complete reply.
 
-        The reply counts whatever stands behind it: with one attempt in flight, it is that one's.
+        The reply is valid whatever follows it, because there is only one attempt that it can belong to.
         """
         if self._is_idle:
-            raise BackendProtocolError("more than one answer")
+            raise SurplusReplyError(complete=True)
         reply = read_reply(value, self._max_used_percent)
         attempt = self._attempt
         body = self.body
@@ -108,13 +116,14 @@
         elif body:
             body.end(complete=True)
         if self._decoder.has_partial_message:
-            raise BackendProtocolError("more behind an answer")
-        self._done()
+            raise SurplusReplyError(complete=False)
+        self._on_idle()
 
     def _stream(self, value: codec.Value) -> bool:
-        """Pass on a part of a streamed value; return whether `value` was one.
+        """Pass a piece of a streamed value on to the client; return False if `value` is none.
 
-        The attempt ends with the first byte of the value: its one reply is on its way to the client.
+        The attempt is finished by the first piece, because its reply is on the way to the client from then
+        on.
         """
         if isinstance(value, codec.BulkStart) and self._attempt:
             attempt = self._attempt
@@ -129,7 +138,7 @@
 
 
 class RespBackendProtocolFactory(BackendProtocolFactory):
-    """Creates the protocol of each connection to a backend; all connections to one address are alike."""
+    """Creates the protocol of each connection to a backend."""
 
     def __init__(self, timers: Timers, pool: BufferPool, limits: Limits) -> None:
         self._timers = timers
@@ -147,6 +156,6 @@
 
 
 def resp_backends(scheduler: Scheduler, pool: BufferPool, limits: Limits) -> Upstream:
-    """Return what sends attempts to all backends over RESP2."""
+    """Return the upstream that sends attempts to all backends over RESP2."""
     factory = RespBackendProtocolFactory(scheduler, pool, limits)
     return Upstream(scheduler, pool, limits, limits.backend_conns, factory)
--- a/garnetlanding/resp/backend_reply.py
+++ b/garnetlanding/resp/backend_reply.py
@@ -1,4 +1,4 @@
-"""What a backend's reply means: outcome, value, and the metrics that it reports beside them."""
+"""Interprets a backend's reply: the outcome, the value, and the metrics reported with them."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 
 from garnetlanding.decision.interface import Outcome
 from garnetlanding.resp import codec
-from garnetlanding.runtime.errors import BackendProtocolError
+from garnetlanding.resp.errors import MalformedReplyError
 
 _REPORT_METRICS = (b"inflight", b"queue", b"util", b"latency_ms", b"qps", b"eps")
-"""Names that settings may give to what a load report holds."""
+"""The metrics of a load report that settings can refer to."""
 _NUMBER = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
 
 
 class BackendReply(NamedTuple):
-    """A decoded reply, in the order of the arguments of `AttemptHandle.finish`."""
+    """A decoded reply; the fields are the arguments of `AttemptHandle.finish`, in their order."""
 
     outcome: Outcome
     value: bytes | None
     used: int
-    """1 + percent of its rate that the request's volume has used; 0 where the backend reports none."""
+    """1 + the percentage of its rate that the request's volume has used; 0 if that is not reported."""
     report: dict[str, float]
-    """The load report by metric; empty where there is none."""
+    """The load report by metric; empty if there is none."""
 
 
 def read_reply(reply: codec.Value, max_used_percent: int) -> BackendReply:
     """Decode a reply.
 
-    Raises `BackendProtocolError` for what no backend sends: the attempt may have run, and nothing after the
-    reply on its connection can be trusted.
+    Raises `MalformedReplyError` for one that no backend sends: the attempt may have been executed, and the
+    rest of the connection's input cannot be trusted.
     """
     match reply:
         case [bytes() as value, used, report]:
@@ -38,7 +38,7 @@
             return BackendReply(Outcome.SERVED, None, 0, {})  # the value has been streamed
         case codec.ErrorReply(text):
             return _read_error(text, max_used_percent)
-    raise BackendProtocolError("spoilt answer")
+    raise MalformedReplyError
 
 
 def _read_error(text: bytes, max_used_percent: int) -> BackendReply:
@@ -47,16 +47,16 @@
     if code == b"BUSY":
         return BackendReply(Outcome.FULL, None, 0, read_report(words[-1]))
     if code in (b"ERR", b"SYNTAX"):
-        # Used capacity comes after the first words and the report behind it; either may be absent.
+        # The used percentage follows the first words, and the load report follows that; either may be absent.
         used = max((read_used(word, max_used_percent) for word in words[1:]), default=0)
         return BackendReply(Outcome.ERROR, None, used, read_report(words[-1]))
-    raise BackendProtocolError("spoilt answer")
+    raise MalformedReplyError
 
 
 def read_used(metrics: codec.Value, max_percent: int) -> int:
-    """Return 1 + the percentage in `used=37,cost=4`; 0 where none is reported.
+    """Return 1 + the percentage reported in a text such as `used=37,cost=4`; 0 if none is reported.
 
-    A number that cannot be read, or that no volume reaches, counts as none: it would steer a weight.
+    An invalid number, or one over `max_percent`, is ignored, because scheduling weights depend on it.
     """
     if not isinstance(metrics, bytes):
         return 0
@@ -73,7 +73,7 @@
 def read_report(report: codec.Value) -> dict[str, float]:
     """Return the metrics of a load report such as `inflight=7,latency_ms=31.5`.
 
-    A report of which any part cannot be read counts as none: half of it would pass for all.
+    A report with any invalid part is ignored as a whole, because the rest would pass for a complete one.
     """
     metrics: dict[str, float] = {}
     if not isinstance(report, bytes):
--- a/garnetlanding/resp/request.py
+++ b/garnetlanding/resp/request.py
@@ -1,19 +1,19 @@
-"""A client's request command: parsed for the request engine, and encoded for the backend that serves it.
+"""Parses a client's request command for the request engine, and encodes it for the backend.
 
 A command is `BLK.READ key id fields` or `BLK.WRITE key id fields body`. `fields` is a list `name=value,...`:
 
 ======== =====================================================
-c        class of the request
-t        tenant's plan
-volume   volume that it belongs to
-units    what it costs, in units of the plan's rate
-shard    shard of the object; -1 for a new object
-d        how long the client waits from now on, in milliseconds
-hosts    how many hosts use the volume
-r        1 where the client has sent the request before
+c        name of the request's class
+t        name of the volume's plan
+volume   volume that the request belongs to
+units    cost of the request, in units of the plan's rate
+shard    cell of the object; -1 for a new object
+d        time that the client waits from now on, in ms
+hosts    number of instances that serve the volume
+r        1 if the client has sent the request before
 ======== =====================================================
 
-Other fields pass on to the backend as they are.
+Other fields are forwarded to the backend unchanged.
 """
 
 from __future__ import annotations
@@ -24,7 +24,13 @@
 from garnetlanding.core.ports import RequestSpec
 from garnetlanding.limits import MS, Limits
 from garnetlanding.resp import codec
-from garnetlanding.resp.errors import InvalidCommandError
+from garnetlanding.resp.errors import (
+    ArgumentCountError,
+    InvalidArgumentError,
+    InvalidFieldError,
+    Problem,
+    UnreadableFieldError,
+)
 
 _INTEGER = re.compile(r"-?[0-9]{1,12}")
 _NUMBER = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
@@ -38,17 +44,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """What a backend is sent: the client's command, unchanged but for the time left (field `d`)."""
+    """A command to forward to a backend: the client's own, with field `d` updated to the time left."""
 
     arguments: tuple[bytes, ...]
 
     @property
     def request_id(self) -> bytes:
-        """The client's id of the request."""
+        """The id that the client has given to the request."""
         return self.arguments[2]
 
     def encode(self, remaining_us: int) -> bytes:
-        """Return the command's bytes for a client that waits `remaining_us` longer; `d` is at least 1 ms."""
+        """Encode the command, with `remaining_us` as the time left; field `d` is at least 1 (ms)."""
         remaining_ms = max(1, remaining_us // MS)
         fields = [
             b"d=%d" % remaining_ms if field.startswith(b"d=") else field
@@ -58,16 +64,16 @@
 
 
 def read_request(arguments: list[bytes], limits: Limits) -> RequestSpec:
-    """Parse a command. Raises `InvalidCommandError`, which names the argument or the field."""
+    """Parse a command. Raises `InvalidCommandError` if an argument or a field is invalid."""
     is_write = arguments[0].upper() == b"BLK.WRITE"
     if len(arguments) != (_WRITE_ARGUMENTS if is_write else _READ_ARGUMENTS):
-        raise InvalidCommandError("wrong number of arguments")
+        raise ArgumentCountError
     key = _read_name(arguments[1], "piece", limits)
     _read_name(arguments[2], "id", limits)
     fields = _read_fields(arguments[3], limits)
     for name in _REQUIRED_FIELDS:
         if not fields.get(name):
-            raise InvalidCommandError(f"field {name}: missing")
+            raise InvalidFieldError(name, Problem.MISSING)
     return RequestSpec(
         cls=fields["c"],
         plan=fields["t"],
@@ -86,38 +92,39 @@
 
 def _read_fields(argument: bytes, limits: Limits) -> dict[str, str]:
     if len(argument) > limits.line_bytes or not argument.isascii():
-        raise InvalidCommandError("fields: too long or not ASCII")
+        raise InvalidArgumentError("fields", Problem.TOO_LONG)
     fields: dict[str, str] = {}
     for field in argument.decode("ascii").split(","):
         name, _, value = field.partition("=")
         if name in fields:
-            # A backend might take the other one.
-            raise InvalidCommandError(f"field {name[:_EXCERPT_CHARACTERS]}: there twice")
+            # Rejected, because the backend might use the other one.
+            raise InvalidFieldError(name[:_EXCERPT_CHARACTERS], Problem.DUPLICATE)
         fields[name] = value
     return fields
 
 
-def _read_name(argument: bytes, what: str, limits: Limits) -> str:
+def _read_name(argument: bytes, label: str, limits: Limits) -> str:
+    """Return a name. `label` names the argument in an error."""
     if not _NAME.fullmatch(argument) or len(argument) > limits.name_bytes:
-        raise InvalidCommandError(f"{what}: missing or not a name")
+        raise InvalidArgumentError(label, Problem.MISSING_OR_INVALID)
     return argument.decode("ascii")
 
 
-def _read_integer(fields: dict[str, str], name: str, least: int) -> int:
+def _read_integer(fields: dict[str, str], name: str, minimum: int) -> int:
     text = fields.get(name, "")
     if not _INTEGER.fullmatch(text):
-        raise InvalidCommandError(f"field {name}: cannot read {text[:_EXCERPT_CHARACTERS]!r}")
+        raise UnreadableFieldError(name, text[:_EXCERPT_CHARACTERS])
     value = int(text)
-    if value < least:
-        raise InvalidCommandError(f"field {name}: out of range")
+    if value < minimum:
+        raise InvalidFieldError(name, Problem.OUT_OF_RANGE)
     return value
 
 
 def _read_number(fields: dict[str, str], name: str) -> float:
     text = fields.get(name, "")
     if not _NUMBER.fullmatch(text):
-        raise InvalidCommandError(f"field {name}: cannot read {text[:_EXCERPT_CHARACTERS]!r}")
+        raise UnreadableFieldError(name, text[:_EXCERPT_CHARACTERS])
     value = float(text)
     if not value:
-        raise InvalidCommandError(f"field {name}: out of range")
+        raise InvalidFieldError(name, Problem.OUT_OF_RANGE)
     return value
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -59,7 +59,7 @@
 from garnetlanding.ops.fleet_access import FleetView
 from garnetlanding.peers import codec as peers_codec
 from garnetlanding.resp import codec as resp
-from garnetlanding.resp.backend_connection import RespBackendProtocol
+from garnetlanding.resp.backend_protocol import RespBackendProtocol
 from garnetlanding.resp.errors import InvalidCommandError, ProtocolError
 from garnetlanding.resp.front import Front as RespFront
 from garnetlanding.resp.front import RespClientProtocol as RespClient
--- a/tests/support/simulated_instance.py
+++ b/tests/support/simulated_instance.py
@@ -23,7 +23,7 @@
 from garnetlanding.limits import Limits
 from garnetlanding.resp import codec as resp
 from garnetlanding.resp import front as resp_front
-from garnetlanding.resp.backend_connection import resp_backends
+from garnetlanding.resp.backend_protocol import resp_backends
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.listener import Listener
 from garnetlanding.runtime.scheduler import Scheduler
