--- a/garnetlanding/http/__init__.py
+++ b/garnetlanding/http/__init__.py
@@ -1,4 +1,5 @@
-"""HTTP/1.1 (RFC 9112) without I/O: state machines that are fed bytes, for responses and for operators' calls.
+"""HTTP/1.1 (RFC 9112) without I/O: parsers of responses to this process and of operators' requests.
 
-Like h11, they neither read nor write: the owner of the connection feeds what arrived and acts on the result.
+As in h11, the parsers neither read nor write: the owner of the connection feeds them received bytes and acts
+on the result.
 """
--- a/garnetlanding/http/response.py
+++ b/garnetlanding/http/response.py
@@ -1,44 +1,61 @@
-"""Parses HTTP/1.1 responses: status, headers, and the body in pieces as it arrives."""
+"""Parses one HTTP/1.1 response: status, headers, and the body in pieces as it arrives."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from enum import Enum, auto
 
-from garnetlanding.http.errors import HttpError
+from garnetlanding.http.errors import HttpError, Violation
 from garnetlanding.http.message_head import HeaderLine, MessageHead
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.buffers import BufferPool
 
+_INTERIM_STATUSES = range(100, 200)
 _BODILESS_STATUSES = (204, 304)
+_MIN_STATUS_LINE_PARTS = 2  # version and status code; the reason phrase may be missing
 _HEX_DIGITS = b"0123456789abcdefABCDEF"
 _CHUNK_SIZE_DIGITS = 8
-"""More digits in a chunk's size are an error."""
+"""Maximum number of digits in the size of a chunk."""
 
 _CONTINUE = b""
-"""A step that read something other than a piece of the body."""
+"""The result of a step that parsed something other than a piece of the body."""
 
 
 class ResponseState(Enum):
-    """What the parser reads next."""
+    """What the parser expects next.
+
+    STATUS_LINE -> HEADERS          at each status line
+    HEADERS -> STATUS_LINE          at the end of an interim response (1xx)
+    HEADERS -> BODY                 if the body has a length, or ends with the stream
+    HEADERS -> CHUNK_SIZE           if the body is chunked
+    HEADERS -> DONE                 if there is no body
+    CHUNK_SIZE -> CHUNK_DATA -> CHUNK_END -> CHUNK_SIZE     for each chunk
+    CHUNK_SIZE -> TRAILERS          at the last chunk, which has size 0
+    BODY, TRAILERS -> DONE          at the end of the body
+    """
 
     STATUS_LINE = auto()
+    """Version and status code."""
     HEADERS = auto()
+    """A header field, or the end of the header section."""
     BODY = auto()
-    """A body of known length, or one that the end of the stream ends."""
+    """More of a body that has a length, or that ends with the stream."""
     CHUNK_SIZE = auto()
+    """The line with the size of the next chunk."""
     CHUNK_DATA = auto()
+    """More of the present chunk."""
     CHUNK_END = auto()
-    """The line end behind a chunk's data."""
+    """The CRLF behind a chunk's data."""
     TRAILERS = auto()
-    """Fields behind the last chunk, which are ignored."""
+    """A field behind the last chunk, which is ignored, or the end of these."""
     DONE = auto()
+    """Nothing: the response is complete."""
 
 
 class ResponseParser:
-    """Parses one response; feed it until `done`. Interim responses (1xx) are skipped.
+    """Parses one response; to be fed until `done`. Interim responses (1xx) are skipped.
 
-    `status` is 0 until the head has arrived whole; `headers` have their names in lower case.
+    `status` is 0 until the head is complete; `headers` holds the header fields by their names in lower case.
     """
 
     def __init__(self, pool: BufferPool, limits: Limits) -> None:
@@ -48,17 +65,17 @@
         self.status = 0
         self._state = ResponseState.STATUS_LINE
         self._line_status = 0
-        """Status of the status line read last, which may be that of an interim response."""
+        """Status code in the last status line, which may belong to an interim response."""
         self._remaining: int | None = None
-        """Bytes left of the body or of the present chunk; `None`: until the end of the stream."""
+        """Number of bytes left in the body or the present chunk; `None` if the body ends with the stream."""
 
     @property
     def done(self) -> bool:
-        """Whether the response has arrived whole."""
+        """Whether the response is complete."""
         return self._state is ResponseState.DONE
 
     def feed(self, data: bytes | memoryview) -> Iterator[bytes]:
-        """Take received bytes and yield the pieces of the body in them. Raises `HttpError`."""
+        """Parse received bytes and yield the pieces of the body in them. Raises `HttpError`."""
         self._buffer.append(data)
         while not self.done:
             piece = self._advance()
@@ -68,23 +85,23 @@
                 yield piece
 
     def end(self) -> None:
-        """Take note of the end of the stream.
+        """Process the end of the stream, which ends a body without a length.
 
-        Raises `HttpError` where the response is not whole; only a body without a length may end like this.
+        Raises `HttpError` if the response is incomplete.
         """
-        unbounded = self._state is ResponseState.BODY and self._remaining is None
-        whole = self.done or unbounded
+        ends_with_stream = self._state is ResponseState.BODY and self._remaining is None
+        is_complete = self.done or ends_with_stream
         self.close()
-        if not whole:
-            raise HttpError("answer cut short")
+        if not is_complete:
+            raise HttpError.of(Violation.INCOMPLETE_RESPONSE)
         self._state = ResponseState.DONE
 
     def close(self) -> None:
-        """Give the buffered bytes back to the pool."""
+        """Release all buffers."""
         self._buffer.clear()
 
     def _advance(self) -> bytes | None:
-        """Read one element: return a piece of the body, `_CONTINUE`, or `None` to wait for more bytes."""
+        """Parse the next element; return a piece of the body, `_CONTINUE`, or `None` if data is missing."""
         match self._state:
             case ResponseState.STATUS_LINE:
                 return self._read_status_line()
@@ -105,8 +122,12 @@
         if line is None:
             return None
         parts = line.split(b" ", 2)
-        if len(parts) < 2 or not parts[0].startswith(b"HTTP/1.") or not parts[1].isdigit():
-            raise HttpError("not an HTTP/1.1 status line")
+        if (
+            len(parts) < _MIN_STATUS_LINE_PARTS
+            or not parts[0].startswith(b"HTTP/1.")
+            or not parts[1].isdigit()
+        ):
+            raise HttpError.of(Violation.INVALID_STATUS_LINE)
         self._line_status = int(parts[1])
         self._state = ResponseState.HEADERS
         return _CONTINUE
@@ -120,7 +141,7 @@
         return _CONTINUE
 
     def _end_headers(self) -> None:
-        if 100 <= self._line_status < 200:
+        if self._line_status in _INTERIM_STATUSES:
             self.headers.clear()
             self._state = ResponseState.STATUS_LINE
             return
@@ -148,7 +169,7 @@
             return None
         digits = line.partition(b";")[0].strip()
         if not digits or len(digits) > _CHUNK_SIZE_DIGITS or digits.strip(_HEX_DIGITS):
-            raise HttpError("bad chunk size")
+            raise HttpError.of(Violation.INVALID_CHUNK_SIZE)
         self._remaining = int(digits, 16)
         self._state = ResponseState.CHUNK_DATA if self._remaining else ResponseState.TRAILERS
         return _CONTINUE
@@ -166,7 +187,7 @@
         if line is None:
             return None
         if line:
-            raise HttpError("chunk without its end")
+            raise HttpError.of(Violation.CHUNK_WITHOUT_END)
         self._state = ResponseState.CHUNK_SIZE
         return _CONTINUE
 
