--- a/garnetlanding/emulator/base.py
+++ b/garnetlanding/emulator/base.py
@@ -68,11 +68,11 @@
 
     def close_connection(self, connection: EmulatedConnection) -> None:
         """End one connection, with whatever is unanswered on it."""
-        for client in list(self.listener._clients):
+        for client in self.listener.connections:
             if client.protocol is connection:
                 client.stream.close()
 
     def close_connections(self) -> None:
         """End every connection, as a dying process does."""
-        for client in list(self.listener._clients):
+        for client in self.listener.connections:
             client.stream.close()
