--- a/tests/resp/test_backend_connection.py
+++ b/tests/resp/test_backend_protocol.py
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"+j`\x8d\r\n",
         b":5\r\n",
@@ -115,31 +115,31 @@
         "error cut short",
     ],
 )
-def test_a_malformed_reply_resets_the_attempt_and_closes_the_connection(spoilt: bytes) -> None:
-    """Some are still being sent, or wait for what never comes: they must not hold the attempt for good."""
+def test_a_malformed_reply_resets_the_attempt_and_closes_the_connection(malformed: bytes) -> None:
+    """An incomplete reply, the rest of which may never arrive, must not hold the attempt for good."""
     instance = SimulatedInstance()
-    brick = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", brick.address, 0))
-    brick.data[b"k"], brick.scripted_responses = b"value", [spoilt]
+    backend = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    backend.data[b"k"], backend.scripted_responses = b"value", [malformed]
     peer = instance.peer(instance.front().address)
     peer.say(read_command())
     instance.run(instance.limits.partial_reply_us)
     assert instance.core.starts[0].outcome is Outcome.RESET
     instance.run(100 * MS)
     assert peer.got == codec.bulk(b"value")
-    assert len(brick.received) == brick.accepted == 2
+    assert len(backend.received) == backend.accepted == 2
 
 
 def test_a_reply_that_trickles_without_an_end_is_given_up() -> None:
     instance = SimulatedInstance()
-    brick = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", brick.address, 0))
-    brick.scripted_responses = [b"*3\r\n$60000\r\n"]
+    backend = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    backend.scripted_responses = [b"*3\r\n$60000\r\n"]
     instance.peer(instance.front().address).say(read_command())
     for _ in range(instance.limits.partial_reply_us // (10 * MS)):
         assert instance.core.starts[0].outcome is None
         instance.run(10 * MS)
-        for conn in list(brick.connections):
+        for conn in list(backend.connections):
             conn.write(b"x")
         instance.settle()
     assert instance.core.starts[0].outcome is Outcome.RESET
@@ -147,25 +147,27 @@
 
 @pytest.mark.parametrize("behind", [b"noise", b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", b"\r\n"])
 def test_a_reply_with_bytes_behind_it_is_served_and_its_connection_closed(behind: bytes) -> None:
-    """It was thrown away with its connection, and the work done a second time."""
+    """It was discarded with its connection, and the request was executed a second time."""
     instance = SimulatedInstance()
-    brick = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", brick.address, 0))
-    brick.scripted_responses = [b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n" + behind]
+    backend = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    backend.scripted_responses = [b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n" + behind]
     peer = instance.peer(instance.front().address)
     assert peer.say(read_command()) == codec.bulk(b"value")
-    assert not brick.connections
-    assert len(brick.received) == 1
+    assert not backend.connections
+    assert len(backend.received) == 1
 
 
 def test_a_value_longer_than_many_buffers_is_served_complete() -> None:
     instance = SimulatedInstance(buffer_bytes=512)
-    brick = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", brick.address, 0))
+    backend = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", backend.address, 0))
     peer = instance.peer(instance.front().address)
     body = bytes(range(256)) * 256
     assert peer.say(read_command(verb="BLK.WRITE", body=body)) == b"$2\r\nOK\r\n"
     assert peer.say(read_command("r2")) == codec.bulk(body)
-    brick.data[b"k"] = body * 6  # more than the protocol says, and seen: run four times over and never served
+    backend.data[b"k"] = (
+        body * 6
+    )  # more than the protocol says, and seen: run four times over and never served
     assert peer.say(read_command("r3")) == codec.bulk(body * 6)
-    assert len(brick.received) == 3
+    assert len(backend.received) == 3
--- a/tests/resp/test_client_connections.py
+++ b/tests/resp/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Client connections of the RESP front: closes, bounds, eviction."""
+"""Client connections of the RESP front: closes, limits, eviction."""
 
 from __future__ import annotations
 
@@ -12,80 +12,80 @@
 
 def test_the_attempt_of_a_client_that_closes_is_stopped() -> None:
     instance = SimulatedInstance()
-    brick = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", brick.address, 0))
-    brick.scripted_responses = [None]
+    backend = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    backend.scripted_responses = [None]
     peer = instance.peer(instance.front().address)
     peer.say(read_command())
-    assert len(brick.held_commands) == 1
+    assert len(backend.held_commands) == 1
     peer.close()
     assert instance.core.open_requests == 0
-    assert not brick.connections
+    assert not backend.connections
     assert instance.core.finals == [[]]
 
 
 def test_a_client_that_stalls_in_sending_or_reading_is_closed() -> None:
     instance = SimulatedInstance(buffer_bytes=512, unsent_bytes=20_000)
-    brick = instance.server(EmulatedBackend)
-    brick.data[b"k"] = b"x" * 60_000
-    instance.list(EmulatedEndpoint("b0", brick.address, 0))
+    backend = instance.server(EmulatedBackend)
+    backend.data[b"k"] = b"x" * 60_000
+    instance.list(EmulatedEndpoint("b0", backend.address, 0))
     front = instance.front()
-    half = instance.peer(front.address)
-    half.say(read_command()[:-5])
+    incomplete = instance.peer(front.address)
+    incomplete.say(read_command()[:-5])
     instance.run(instance.limits.command_us + MS, step_us=500 * MS)
-    assert half.closed
-    deaf = instance.peer(front.address)
-    assert deaf.stream
-    instance.mute(deaf.stream._sock.fileno())  # it stops reading
-    deaf.stream.write(b"".join(read_command(f"r{i}") for i in range(400)))
+    assert incomplete.closed
+    client_that_does_not_read = instance.peer(front.address)
+    assert client_that_does_not_read.stream
+    instance.mute(client_that_does_not_read.stream._sock.fileno())  # it stops reading
+    client_that_does_not_read.stream.write(b"".join(read_command(f"r{i}") for i in range(400)))
     instance.run(instance.limits.write_stall_us + MS, step_us=100 * MS)
     assert len(front) == 0, "what it leaves unread is bounded in bytes and time"
 
 
 def test_at_the_limit_the_longest_idle_connection_is_evicted() -> None:
     instance = SimulatedInstance(client_conns=2)
-    brick = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", brick.address, 0))
+    backend = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", backend.address, 0))
     front = instance.front()
     busy, idle = instance.peer(front.address), instance.peer(front.address)
     idle.say(read_command())
-    brick.scripted_responses = [None]
+    backend.scripted_responses = [None]
     busy.say(read_command("r2", d=1400))
     third = instance.peer(front.address)
-    assert third.say(PING) == b"", "a good client may be idle for a moment"
-    assert not idle.closed, "a good client may be idle for a moment"
+    assert third.say(PING) == b"", "a well-behaved client may be idle for a moment"
+    assert not idle.closed, "a well-behaved client may be idle for a moment"
     instance.run(instance.limits.idle_us, step_us=100 * MS)
     assert third.got == b"+PONG\r\n"
     assert idle.closed
 
 
 def test_clients_that_only_ping_are_evicted_before_those_with_requests() -> None:
-    """Hundreds sent a PING and stayed: their places were theirs for 2 s, and nobody else was heard."""
+    """Hundreds sent a PING and stayed connected: for 2 s no other client was accepted."""
     instance = SimulatedInstance(client_conns=2, idle_us=100 * MS)
     instance.list()
     front = instance.front()
-    asker, greeter = instance.peer(front.address), instance.peer(front.address)
-    asker.say(read_command(d=0))
-    greeter.say(PING)
+    requester, pinger = instance.peer(front.address), instance.peer(front.address)
+    requester.say(read_command(d=0))
+    pinger.say(PING)
     late = instance.peer(front.address)
     assert late.say(PING) == b""
     instance.run(instance.limits.new_us)
     assert late.got == b"+PONG\r\n"
-    assert greeter.closed
-    assert not asker.closed
+    assert pinger.closed
+    assert not requester.closed
 
 
 def test_silent_clients_are_evicted_sooner_unless_their_request_waits_unread() -> None:
     instance = SimulatedInstance(client_conns=2)
     front = instance.front()
     silent, late = instance.peer(front.address), instance.peer(front.address)
-    head_end = min(
+    late_connection = min(
         front._clients,
-        key=lambda c: c.used_at
+        key=lambda c: c.last_used_at
         if c.stream._sock.getpeername() == (late.stream and late.stream._sock.getsockname())
         else 1 << 60,
     )
-    instance.mute(head_end.stream._sock.fileno())
+    instance.mute(late_connection.stream._sock.fileno())
     late.say(PING)
     third = instance.peer(front.address)
     assert third.say(PING) == b""
@@ -96,15 +96,15 @@
     third.say(PING[:5])
     fourth = instance.peer(front.address)
     instance.run(instance.limits.new_us)
-    assert fourth.say(PING) == b"+PONG\r\n", "half a command is little more than nothing"
-    assert third.closed, "half a command is little more than nothing"
+    assert fourth.say(PING) == b"+PONG\r\n", "part of a command counts for little more than nothing"
+    assert third.closed, "part of a command counts for little more than nothing"
 
 
 def test_many_idle_connections_are_closed_down_to_the_limit() -> None:
-    """Clients that ask once and stay used up what clients may hold: others had no connection left."""
+    """Clients that sent one request and stayed used up the limit: others could not connect."""
     instance = SimulatedInstance(idle_clients=2)
-    brick = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", brick.address, 0))
+    backend = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", backend.address, 0))
     front = instance.front()
     peers = [instance.peer(front.address) for _ in range(5)]
     for i, peer in enumerate(peers):
@@ -118,24 +118,24 @@
 
 
 def test_clients_borrow_descriptors_that_backends_do_not_need_and_return_them() -> None:
-    """A fixed share left connections waiting that had been answered for within a moment."""
+    """With a fixed quota clients waited for a connection though backends did not need theirs."""
     instance = SimulatedInstance(
         make_settings(max_attempts=4, parallel_attempts=False, instances=1),
         backend_conns_reserved=1,
         client_conns=4,
     )
-    boxes = [instance.server(EmulatedBackend) for _ in range(4)]
-    for brick in boxes:
-        brick.scripted_responses = [None]
-    instance.list(*(EmulatedEndpoint(f"b{i}", brick.address, i) for i, brick in enumerate(boxes)))
+    backends = [instance.server(EmulatedBackend) for _ in range(4)]
+    for backend in backends:
+        backend.scripted_responses = [None]
+    instance.list(*(EmulatedEndpoint(f"b{i}", backend.address, i) for i, backend in enumerate(backends)))
     front = instance.front()
     front.capacity_user, instance.bricks.capacity.owner = instance.bricks.capacity, front
     busy, idle, late = (instance.peer(front.address) for _ in range(3))
     idle.say(PING)
     for i in range(3):
         busy.say(read_command(f"r{i}", cell=i, d=10_000))
-    assert instance.bricks.capacity.open_count == 2, "two each: all places are taken"
-    assert len(front) == 3, "two each: all places are taken"
+    assert instance.bricks.capacity.open_count == 2, "two each: the limit is reached"
+    assert len(front) == 3, "two each: the limit is reached"
     instance.run(400 * MS)
-    assert late.closed or idle.closed, "who had asked nothing made room for a brick"
+    assert late.closed or idle.closed, "a client without a request was evicted for a backend"
     assert instance.bricks.capacity.open_count == 3
--- a/tests/resp/test_codec.py
+++ b/tests/resp/test_codec.py
@@ -13,7 +13,7 @@
 WORDS = st.lists(st.binary(max_size=40), min_size=1, max_size=6)
 
 
-def cut(data: bytes, sizes: list[int]) -> list[bytes]:
+def split(data: bytes, sizes: list[int]) -> list[bytes]:
     pieces = []
     for size in sizes:
         pieces.append(data[:size])
@@ -26,10 +26,10 @@
     buffers = pool()
     decoder = codec.Decoder(buffers, LIMITS, commands_only=True)
     data = b"".join(map(codec.command, commands))
-    got = [value for piece in cut(data, sizes) for value in decoder.feed(piece)]
+    got = [value for piece in split(data, sizes) for value in decoder.feed(piece)]
     assert got == commands
     assert not decoder.has_partial_message
-    assert buffers.in_use <= 1, "an emptied buffer goes back"
+    assert buffers.in_use <= 1, "an emptied buffer is released"
 
 
 def test_every_kind_of_reply_is_decoded() -> None:
--- a/tests/resp/test_front.py
+++ b/tests/resp/test_front.py
@@ -82,26 +82,26 @@
 
 def test_a_duplicate_of_an_open_id_is_rejected_and_the_first_is_served() -> None:
     instance = SimulatedInstance()
-    brick = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", brick.address, 0))
-    brick.scripted_responses = [None]
+    backend = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    backend.scripted_responses = [None]
     front = instance.front()
     owner, thief = instance.peer(front.address), instance.peer(front.address)
     owner.say(read_command("r1"))
     assert thief.say(read_command("r1", volume="w")).startswith(b"-ERR id: of a request that is open")
-    brick.release()
+    backend.release()
     instance.settle()
     assert owner.got == b"$0\r\n\r\n"
-    assert len(brick.received) == 1
+    assert len(backend.received) == 1
     assert owner.say(read_command("r1")) == b"$0\r\n\r\n", "it is free again"
 
 
 def test_too_many_commands_or_errors_end_the_connection() -> None:
     """They were parked, answered as they came to it, and the loop was theirs."""
     instance = SimulatedInstance(pipeline=4)
-    brick = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", brick.address, 0))
-    brick.scripted_responses = [None] * 9
+    backend = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    backend.scripted_responses = [None] * 9
     front = instance.front()
     many, rude = instance.peer(front.address), instance.peer(front.address)
     many.say(b"".join(read_command(f"r{i}") for i in range(300)))
@@ -109,7 +109,7 @@
     assert many.closed
     instance.run(instance.limits.linger_us)
     assert instance.core.open_requests == 0
-    assert not brick.connections
+    assert not backend.connections
     assert all(len(f) == 1 for f in instance.core.finals)
     rude.say(codec.command([b"NO"]) * 300)
     instance.run(instance.limits.linger_us)
@@ -120,9 +120,9 @@
 
 def test_lost_framing_gets_its_error_at_once_whatever_is_open() -> None:
     instance = SimulatedInstance()
-    brick = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", brick.address, 0))
-    brick.scripted_responses = [None]
+    backend = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    backend.scripted_responses = [None]
     peer = instance.peer(instance.front().address)
     peer.say(read_command(d=1400) + b"?\r\n")
     assert peer.got.count(b"-ERR Protocol error") == 2
@@ -145,9 +145,9 @@
 
 def test_silent_and_incomplete_clients_time_out_but_no_open_request_does() -> None:
     instance = SimulatedInstance(command_us=SECOND)
-    brick = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", brick.address, 0))
-    brick.scripted_responses = [None]
+    backend = instance.server(EmulatedBackend)
+    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    backend.scripted_responses = [None]
     front = instance.front()
     silent, half, drip, good, busy = (instance.peer(front.address) for _ in range(5))
     half.say(read_command("h")[:-5])
--- a/tests/runtime/test_attempt_ends.py
+++ b/tests/runtime/test_attempt_ends.py
@@ -1,4 +1,4 @@
-"""The ends of attempts: unsolicited answers, late connections, resets."""
+"""The ends of attempts: unsolicited replies, late connections, resets."""
 
 from __future__ import annotations
 
@@ -15,11 +15,9 @@
 from tests.support.departures import Raw, Waiting, connect_late
 from tests.support.simulated_instance import SimulatedInstance, read_command
 
-# Attempts
-
 
 def test_unsolicited_bytes_of_a_backend_are_not_taken_for_the_next_reply() -> None:
-    """A second answer, some milliseconds late, lay unread on a kept connection as the next request came."""
+    """A second reply, some milliseconds late, was unread on an idle connection when the next request came."""
     instance = Waiting()
     instance.appear()
     client = Raw(instance, instance.listener.address)
@@ -42,26 +40,26 @@
 def test_retry_is_not_sent_when_its_connection_opens_after_the_deduplication_window(
     effect: api.Effect, window: int, repeats: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The window was looked at before the connection was begun, which takes up to 0.25 s."""
+    """The window was checked before the connection was opened, which takes up to 0.25 s."""
     cls = api.ClassSpec("read", 2.0, 0.1, 300 * MS, 1500 * MS, effect, api.DeduplicationScope.ALL, window)
     instance = SimulatedInstance(
         make_settings(parallel_attempts=False, max_attempts=2, instances=1, classes={"read": cls})
     )
-    brick = instance.server(EmulatedBackend)
-    brick.scripted_responses = [None]
-    instance.list(EmulatedEndpoint("b0", brick.address, 0))
+    backend = instance.server(EmulatedBackend)
+    backend.scripted_responses = [None]
+    instance.list(EmulatedEndpoint("b0", backend.address, 0))
     client = Raw(instance, instance.front().address)
     client.say(read_command(d=1500))
     instance.run(200 * MS)
     connect_late(instance, monkeypatch)
-    brick.close_connections()
+    backend.close_connections()
     instance.run(1200 * MS)
     assert len(instance.core.starts) >= 2, "the module sends it again in time"
-    assert len(brick.received) == 1 + repeats
+    assert len(backend.received) == 1 + repeats
 
 
 def test_reset_within_a_streamed_reply_is_not_a_complete_reply() -> None:
-    """Without a length it ends with its stream; a reset looked like that end."""
+    """A response without a length ends with its stream; a reset was mistaken for that end."""
     instance = SimulatedInstance()
     listener = socket.create_server(("127.0.0.1", 0))
     stream: list[Stream] = []
--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -4,37 +4,37 @@
 
 from garnetlanding.resp import codec
 from tests.support.clock import SECOND
-from tests.support.runtime import BrickWorld
+from tests.support.runtime import InstanceWithBackend
 from tests.support.simulated_instance import LoopbackClient, read_command
 
 
 def test_pipelined_replies_keep_command_order_when_served_out_of_order() -> None:
-    instance = BrickWorld()
-    instance.brick.data = {b"k1": b"one", b"k2": b"two"}
-    instance.brick.scripted_responses = [None]
+    instance = InstanceWithBackend()
+    instance.backend.data = {b"k1": b"one", b"k2": b"two"}
+    instance.backend.scripted_responses = [None]
     instance.client.say(read_command("r1", key="k1"))
     assert instance.client.say(read_command("r2", key="k2")) == b""
-    instance.brick.release()
+    instance.backend.release()
     instance.settle()
     assert instance.client.got == codec.bulk(b"one") + codec.bulk(b"two")
 
 
 def test_shutdown_closes_idle_clients_and_waits_for_busy_ones() -> None:
-    instance = BrickWorld()
+    instance = InstanceWithBackend()
     front = instance.front()
     idle, busy = instance.peer(front.address), instance.peer(front.address)
-    instance.brick.scripted_responses = [None]
+    instance.backend.scripted_responses = [None]
     busy.say(read_command())
     front.stop_accepting()
     front.close_idle()
     instance.settle()
-    assert not idle.closed, "it has only just connected: what it asks may be on its way"
+    assert not idle.closed, "it has only just connected: its first request may be on the way"
     instance.run(instance.limits.new_us)
     front.close_idle()
     instance.settle()
     assert idle.closed
     assert not busy.closed
-    instance.brick.release()
+    instance.backend.release()
     instance.settle()
     assert busy.got == b"$0\r\n\r\n"
     assert busy.closed
--- a/tests/runtime/test_upstream.py
+++ b/tests/runtime/test_upstream.py
@@ -1,4 +1,4 @@
-"""Connections to backends: reuse, breaks, bounds."""
+"""Connections to backends: reuse, failures, limits."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 from garnetlanding.emulator.backend import EmulatedBackend
 from garnetlanding.emulator.discovery import EmulatedEndpoint
 from tests.support.clock import MS
-from tests.support.runtime import BrickWorld
+from tests.support.runtime import InstanceWithBackend
 from tests.support.simulated_instance import read_command
 
 
 def test_idle_connections_are_reused_and_closed_before_the_backend_closes_them() -> None:
-    instance = BrickWorld()
+    instance = InstanceWithBackend()
     for i in range(3):
         instance.client.say(read_command(f"r{i}"))
-    assert len(instance.brick.connections) == 1
+    assert len(instance.backend.connections) == 1
     instance.run(instance.limits.backend_idle_us + instance.limits.sweep_us, step_us=500 * MS)
-    assert not instance.brick.connections
+    assert not instance.backend.connections
     assert instance.bricks.capacity.open_count == 0
     assert instance.client.say(read_command("again")) == b"$0\r\n\r\n"
 
 
 def test_connection_closed_after_its_reply_is_not_reused() -> None:
-    """The next request goes out in the turn that brought the answer, before the close has been read."""
-    instance = BrickWorld()
+    """The next request is sent in the iteration that received the reply, before the close is noticed."""
+    instance = InstanceWithBackend()
     instance.client.say(read_command("r1"))
     [[idle]] = instance.bricks.connections._idle.values()
     assert idle._stream
     instance.mute(idle._stream._sock.fileno())
-    instance.brick.close_connections()
+    instance.backend.close_connections()
     instance.settle()
     assert instance.client.say(read_command("r2")) == b"$0\r\n\r\n"
     assert instance.outcomes() == ["served", "served"]
-    assert instance.brick.accepted == 2
+    assert instance.backend.accepted == 2
 
 
 def test_refused_connection_reports_that_the_request_never_ran() -> None:
-    instance = BrickWorld()
-    instance.brick.listener.stop_accepting()
+    instance = InstanceWithBackend()
+    instance.backend.listener.stop_accepting()
     instance.client.say(read_command(d=400))
     assert instance.outcomes() == [Outcome.UNREACHABLE.value]
     instance.run(400 * MS)
@@ -48,8 +48,8 @@
 
 
 def test_connect_that_never_completes_times_out() -> None:
-    # Its listen queue is full: the kernel drops what else comes, as a vanished machine would.
-    instance = BrickWorld(backlog=0)
+    # With a full listen queue the kernel drops connection attempts, as when a machine has vanished.
+    instance = InstanceWithBackend(backlog=0)
     full = instance.server(EmulatedBackend)
     assert full.listener._sock
     instance.settle()
@@ -66,7 +66,7 @@
 def test_attempt_stopped_before_connecting_leaves_no_connection(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    instance = BrickWorld()
+    instance = InstanceWithBackend()
     start = instance.bricks.start
 
     def start_and_stop(attempt: AttemptHandle) -> None:
@@ -77,57 +77,59 @@
     instance.bricks.start = start_and_stop  # type: ignore[method-assign]  # wraps the method for one attempt
     instance.client.say(read_command())
     assert instance.bricks.capacity.open_count == 0
-    assert not instance.brick.received
+    assert not instance.backend.received
     assert "task failed" not in caplog.text
 
 
 def test_break_after_the_last_byte_was_sent_reports_may_have_run() -> None:
-    instance = BrickWorld()
-    instance.brick.scripted_responses = [None]
+    instance = InstanceWithBackend()
+    instance.backend.scripted_responses = [None]
     instance.client.say(read_command())
-    instance.brick.close_connections()
+    instance.backend.close_connections()
     instance.settle()
     assert instance.outcomes() == [Outcome.RESET.value]
 
 
 def test_break_before_the_last_byte_was_sent_reports_never_ran() -> None:
-    instance = BrickWorld(buffer_bytes=4096, unsent_bytes=1 << 24, value_bytes=1 << 23)
+    instance = InstanceWithBackend(buffer_bytes=4096, unsent_bytes=1 << 24, value_bytes=1 << 23)
     instance.client.say(read_command())
-    brick_side = next(iter(instance.brick.listener._clients))
-    instance.mute(brick_side.stream._sock.fileno())  # the brick reads nothing more
+    backend_side = next(iter(instance.backend.listener._clients))
+    instance.mute(backend_side.stream._sock.fileno())  # the backend reads nothing more
     body = b"x" * (7 << 20)  # more than the kernel takes
     instance.client.say(read_command("big", verb="BLK.WRITE", d=1400, body=body))
     assert instance.outcomes() == ["served", "out"]
-    brick_side.stream.close()
+    backend_side.stream.close()
     instance.settle()
     assert instance.outcomes()[1] == Outcome.UNREACHABLE.value
 
 
 def test_timeout_closes_the_connection_before_anything_else_is_sent() -> None:
-    instance = BrickWorld()
-    instance.brick.scripted_responses = [None]
+    instance = InstanceWithBackend()
+    instance.backend.scripted_responses = [None]
     instance.client.say(read_command(d=300))
     instance.run(300 * MS)
-    assert not instance.brick.connections
+    assert not instance.backend.connections
     assert instance.client.got.startswith(b"-BUSY")
     assert instance.client.say(read_command("next")) == b"$0\r\n\r\n"
 
 
 @pytest.mark.parametrize("noise", [b"+OK\r\n+OK\r\n", b"?"])
 def test_protocol_violation_closes_the_backend_connection(noise: bytes) -> None:
-    instance = BrickWorld()
+    instance = InstanceWithBackend()
     instance.client.say(read_command())
-    instance.brick.connections[0].write(noise)
+    instance.backend.connections[0].write(noise)
     instance.settle()
-    assert not instance.brick.connections
+    assert not instance.backend.connections
     assert instance.client.say(read_command("next")) == b"$0\r\n\r\n"
 
 
 def test_connections_are_bounded_per_backend_and_in_total() -> None:
-    instance = BrickWorld(conns_per_backend=2, backend_conns=3)
+    instance = InstanceWithBackend(conns_per_backend=2, backend_conns=3)
     other = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", instance.brick.address, 0), EmulatedEndpoint("b1", other.address, 1))
-    instance.brick.scripted_responses = [None] * 9
+    instance.list(
+        EmulatedEndpoint("b0", instance.backend.address, 0), EmulatedEndpoint("b1", other.address, 1)
+    )
+    instance.backend.scripted_responses = [None] * 9
     instance.client.say(b"".join(read_command(f"r{i}", volume=f"v{i}") for i in range(3)))
     assert instance.outcomes().count("out") == 2
     assert Outcome.UNREACHABLE.value in instance.outcomes()
@@ -135,14 +137,16 @@
     assert instance.bricks.capacity.open_count == 3
     assert len(other.connections) == 1
     third = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", instance.brick.address, 0), EmulatedEndpoint("b2", third.address, 2))
+    instance.list(
+        EmulatedEndpoint("b0", instance.backend.address, 0), EmulatedEndpoint("b2", third.address, 2)
+    )
     instance.client.say(read_command("p", cell=2))
-    assert len(third.connections) == 1, "the connection idle longest made room"
-    assert not other.connections, "the connection idle longest made room"
+    assert len(third.connections) == 1, "the connection idle for the longest time was closed for it"
+    assert not other.connections, "the connection idle for the longest time was closed for it"
 
 
 def test_backend_that_moves_while_connecting_is_not_sent_the_request() -> None:
-    instance = BrickWorld()
+    instance = InstanceWithBackend()
     moved = instance.server(EmulatedBackend)
     assert instance.client.stream
     instance.client.stream.write(read_command(d=900))
@@ -150,7 +154,7 @@
         instance.scheduler.run_iteration(1)
     instance.core.endpoints._addresses["b0"] = moved.address
     instance.settle()
-    assert not instance.brick.received
+    assert not instance.backend.received
     assert instance.outcomes() == [Outcome.UNREACHABLE.value]
     instance.run(200 * MS)
     assert len(moved.received) == 1
