--- a/garnetlanding/runtime/connection_close.py
+++ b/garnetlanding/runtime/connection_close.py
@@ -40,7 +40,7 @@
     """The pause after an invalid message has ended."""
     INPUT_ENDED = "no more is read"
     """The client said that it leaves, has broken the protocol, or is late with responses pending."""
-    COMMAND_LATE = "command late, nothing owed"
+    COMMAND_LATE = "command late, nothing pending"
     """A message was not complete in time, and no response is pending."""
     RESPONSES_SENT = "all responses sent"
     """The last pending response has been accepted by the kernel."""
