--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -115,7 +115,7 @@
 class Sink:
     """A client's connection that keeps what is written to it."""
 
-    full = False
+    write_blocked = False
 
     def __init__(self) -> None:
         self.written: list[bytes] = []
@@ -125,7 +125,7 @@
         self.written.append(bytes(data))
 
     def when_writable(self, _call: Callable[[], None]) -> None:
-        raise AssertionError("this sink is never full")
+        raise AssertionError("this sink is never blocked")
 
     def abort(self) -> None:
         self.was_cut = True
--- a/tests/integration/test_mixed_protocols.py
+++ b/tests/integration/test_mixed_protocols.py
@@ -41,7 +41,7 @@
             self.nine_at[brick.address] = files.address
             self.boxes.append(EmulatedEndpoint(f"b{i}", brick.address, 0))
         nine = file_servers(self.scheduler, self.pool, self.limits, 0)
-        nine._place = self.nine_at.__getitem__
+        nine.protocol_factory.resolve_address = lambda endpoint: self.nine_at[endpoint]  # type: ignore[method-assign]  # emulated
         exports = {"": Export("", "v9", "gold", "read", 0, SECOND)}
         front = SharedState(self.core, nine, exports, self.pool, self.limits, self.scheduler)
         self.nine_front = Listener(
--- a/tests/support/admin.py
+++ b/tests/support/admin.py
@@ -39,7 +39,7 @@
                 Front(self.core, self.bricks, self.pool, self.limits, lambda: self.service.accepts_clients),
                 write,
             ),
-            True,
+            reuse_port=True,
         )
         self.service = AdminService(
             ManagedInstance(
