--- a/garnetlanding/core/admission.py
+++ b/garnetlanding/core/admission.py
@@ -49,5 +49,5 @@
         raise InvalidRequestError(RequestDefect.UNKNOWN_CELL)
     if spec.units > settings.max_units:
         raise InvalidRequestError(RequestDefect.TOO_MANY_UNITS)
-    if spec.volume_hosts > settings.instances:
+    if spec.serving_instances > settings.instances:
         raise InvalidRequestError(RequestDefect.TOO_MANY_INSTANCES)
--- a/garnetlanding/core/dispatcher.py
+++ b/garnetlanding/core/dispatcher.py
@@ -58,8 +58,8 @@
         if request is None:
             return
         now = self._timers.now
-        until = min(send.until_us or request.until_us, request.until_us)
-        attempt = Attempt(self, request, len(request.attempts), send.node, until, now)
+        until = min(send.deadline_us or request.until_us, request.until_us)
+        attempt = Attempt(self, request, len(request.attempts), send.backend, until, now)
         is_blocked = len(request.in_flight()) >= self._max_in_flight(attempt)
         request.attempts.append(attempt)
         if is_blocked or not self._may_dispatch(attempt, now):
@@ -119,9 +119,9 @@
                 attempt.number,
                 attempt.node,
                 outcome,
-                attempt.took_us,
+                attempt.duration_us,
                 request.answer is not None,
-                used,
+                used - 1 if used > 0 else None,
                 report,
             )
         )
--- a/garnetlanding/core/endpoint_registry.py
+++ b/garnetlanding/core/endpoint_registry.py
@@ -39,11 +39,11 @@
         for entry in listing.entries:
             if entry.state is EndpointState.GONE:
                 # Replacements have new names, so keeping entries of terminated backends would leak memory.
-                self._entries.pop(entry.node, None)
-                self._addresses.pop(entry.node, None)
+                self._entries.pop(entry.backend, None)
+                self._addresses.pop(entry.backend, None)
             else:
-                self._entries[entry.node] = entry
-                self._addresses[entry.node] = listing.addresses[entry.node]
+                self._entries[entry.backend] = entry
+                self._addresses[entry.backend] = listing.addresses[entry.backend]
         if listing.complete:
             self._enabled_at = {node: at for node, at in self._enabled_at.items() if node in self._entries}
         return anomalies
@@ -54,21 +54,21 @@
         anomalies: list[str] = []
         named: set[str] = set()
         for entry in listing.entries:
-            if entry.node in named:
-                anomalies.append(f"{entry.node} is named twice")
-            named.add(entry.node)
-            known = self._entries.get(entry.node, entry)
+            if entry.backend in named:
+                anomalies.append(f"{entry.backend} is named twice")
+            named.add(entry.backend)
+            known = self._entries.get(entry.backend, entry)
             if known.cell != entry.cell and entry.state is not EndpointState.GONE:
                 # A backend keeps its cell when it restarts: requests for both cells would be misrouted.
-                anomalies.append(f"{entry.node} moved from cell {known.cell} to {entry.cell}")
+                anomalies.append(f"{entry.backend} moved from cell {known.cell} to {entry.cell}")
         return anomalies
 
     def effective_entry(self, entry: Endpoint) -> Endpoint:
         """Return an entry as the decision module must see it: with the operators' changes applied."""
-        if entry.node in self.disabled and entry.state is EndpointState.UP:
+        if entry.backend in self.disabled and entry.state is EndpointState.UP:
             return replace(entry, state=EndpointState.DRAINING, admin_disabled=True)
         # It was probably restarted while it was disabled, which the list may show late: let it warm up.
-        enabled_at = self._enabled_at.get(entry.node, 0)
+        enabled_at = self._enabled_at.get(entry.backend, 0)
         if enabled_at > entry.started_us:
             return replace(entry, started_us=enabled_at)
         return entry
--- a/garnetlanding/core/engine.py
+++ b/garnetlanding/core/engine.py
@@ -52,7 +52,7 @@
         self.capacity = Capacity(limits)
         self.fence = Fence()
         self.endpoint_subscription: EndpointSubscription | None = None  # None: the list is never polled
-        self.send_to_peer: Callable[[bytes, int], None] | None = None  # None: there is no link to peers
+        self.send_to_peer: Callable[[bytes, int | None], None] | None = None  # None: no link to peers
         self._timers = timers
         self._events = EventFeed()
         self._requests = RequestTable(timers, self._events, self.metrics, self.capacity)
@@ -150,7 +150,8 @@
         `queued`: discovery rejected the call after it had waited in discovery's queue. `unheard_us`: for how
         long before the failure discovery may have had a change that could not be received.
         """
-        self._events.pending.append(api.EndpointListUpdate(failed=True, queued=queued, unheard_us=unheard_us))
+        kind = api.FailureKind.OVERLOADED if queued else api.FailureKind.ERROR
+        self._events.pending.append(api.EndpointListFailure(kind, unheard_us))
 
     # From peers
 
@@ -202,7 +203,7 @@
             case api.Send():
                 self._dispatcher.send(action)
             case api.Reject():
-                self._requests.answer(action.request, Rejected(action.retry_after_us))
+                self._requests.answer(action.request, Rejected(action.retry_after_us or 0))
             case api.Fail():
                 self._requests.answer(action.request, Failed("gave up"))
             case api.Cancel():
@@ -212,8 +213,8 @@
             case api.Subscribe() if self.endpoint_subscription:
                 self.endpoint_subscription.subscribe()
             case api.SendPeerMessage() if self.send_to_peer:
-                self.send_to_peer(action.payload, action.to)
-            case api.Log() | api.Probe():
+                self.send_to_peer(action.payload, action.recipient)
+            case api.Log() | api.HealthCheck():
                 _log_action(action)
 
     def _wake_after(self, action: api.WakeAfter) -> None:
@@ -230,9 +231,9 @@
         spec.volume,
         spec.key,
         spec.units,
-        spec.cell,
+        None if spec.cell < 0 else spec.cell,
         request.until_us,
-        spec.volume_hosts,
+        spec.serving_instances,
         spec.is_retry,
         spec.is_write,
     )
@@ -242,8 +243,8 @@
     """Do nothing: the callback of a client that has disconnected."""
 
 
-def _log_action(action: api.Log | api.Probe) -> None:
+def _log_action(action: api.Log | api.HealthCheck) -> None:
     if isinstance(action, api.Log):
         log.info("decision", extra={"kv": {"note": action.text}})
     else:
-        log.error("probe asked for, none is allowed", extra={"kv": {"node": action.node}})
+        log.error("probe asked for, none is allowed", extra={"kv": {"node": action.backend}})
--- a/garnetlanding/core/ports.py
+++ b/garnetlanding/core/ports.py
@@ -25,7 +25,7 @@
     units: float  # cost
     cell: int  # the shard that has the object; -1: a new object, free to go anywhere
     timeout_us: int  # how long the client waits, from the arrival on
-    volume_hosts: int  # how many instances serve this volume
+    serving_instances: int  # how many instances serve this volume
     work: Any  # the operation: passed to the backend, opaque to the engine
     is_retry: bool = False  # the client has sent it before
     is_write: bool = False
--- a/garnetlanding/core/request.py
+++ b/garnetlanding/core/request.py
@@ -63,7 +63,7 @@
         self._response_started_at: int | None = None
 
     @property
-    def took_us(self) -> int:
+    def duration_us(self) -> int:
         """The latency: up to the first byte of the response if that was reported, otherwise up to the end.
 
         The time that the rest of a response takes depends on its size and reader, not on the backend's load.
--- a/garnetlanding/daemon/settings.py
+++ b/garnetlanding/daemon/settings.py
@@ -36,7 +36,7 @@
     the settings.
     """
     # A writer's settings apply to every instance except for the instance's number.
-    settings = replace(settings, process_share=process_quota, instance_id=config.settings.instance_id)
+    settings = replace(settings, process_quota=process_quota, instance_id=config.settings.instance_id)
     if config.operator.choices:
         settings = config.operator.choices.with_retry_budget(settings)
     ninep = config.operator.ninep
--- a/garnetlanding/decision/admission.py
+++ b/garnetlanding/decision/admission.py
@@ -25,7 +25,7 @@
         state.hedge_budget.earn_by_arrival(state.statistics.lost_share)
         self._draw_from_reserve(request)
         state.schedule(request.answer_by, self.end, request)
-        unsent_until = now + int(tuning.UNSENT_SHARE * (arrival.until_us - now))
+        unsent_until = now + int(tuning.UNSENT_SHARE * (arrival.deadline_us - now))
         state.schedule(unsent_until, self._give_up_unseen, request)
         if self._limit_lets_through_too_late(request):
             self.end(request)
@@ -39,7 +39,7 @@
         """Reserve the request's units of its volume; what goes beyond the reserve has less weight."""
         reserve = request.volume.reserve
         if reserve.available(self._state.now) < request.units:
-            request.priority_weight *= self._state.settings.over_quota_value_share
+            request.priority_weight *= self._state.settings.over_quota_value_fraction
         else:
             reserve.level -= request.units
             request.reserved_units = request.units
@@ -60,7 +60,7 @@
         if request.in_flight() and not state.settings.parallel_attempts:
             return
         cell = request.arrival.cell
-        queue = place(state, request) if cell < 0 else state.cell_queue(cell)
+        queue = place(state, request) if cell is None else state.cell_queue(cell)
         if queue is None:
             state.schedule(state.now + tuning.QUEUE_TICK, self.enqueue, request)
             return
@@ -77,7 +77,7 @@
             return
         if refusal_is_harmless(request):
             settings = state.settings
-            retry_after = settings.max_retry_after_us if settings.honors_retry_after else 0
+            retry_after = settings.max_retry_after_us if settings.honors_retry_after else None
             state.emit(api.Reject(request.id, retry_after))
         else:
             state.emit(api.Fail(request.id))
--- a/garnetlanding/decision/attempt_rules.py
+++ b/garnetlanding/decision/attempt_rules.py
@@ -22,8 +22,8 @@
 
 
 def _retry_budget_left(state: ControllerState) -> bool:
-    share = state.budget_share(api.RESENDS)
-    return state.retry_budget.allows_retry(state.now, state.settings, share)
+    quota = state.budget_quota(api.RETRIES)
+    return state.retry_budget.allows_retry(state.now, state.settings, quota)
 
 
 def _repeat_is_harmless(
--- a/garnetlanding/decision/backoff.py
+++ b/garnetlanding/decision/backoff.py
@@ -26,15 +26,15 @@
         """Start from the shortest pause again: a call was answered."""
         self._pause_us = self._floor_us
 
-    def next_pause(self, failure: api.EndpointListUpdate, share: float, rng: random.Random) -> int:
+    def next_pause(self, failure: api.EndpointListFailure, quota: float, rng: random.Random) -> int:
         """Return the pause after that failure, in microseconds; the next one is longer.
 
         Always in time for an endpoint's change to be known within six seconds, except where calls queue at
-        the discovery service and go on failing: there, less often. `share`: this instance's part of all
-        calls, 1 if even.
+        the discovery service and go on failing: there, less often. `quota`: this instance's quota of all
+        polls, as a multiple of an even one.
         """
-        pause = min(tuning.POLL_BACKOFF_MOST - failure.unheard_us, self._pause_us / share)
-        if failure.queued:
+        pause = min(tuning.POLL_BACKOFF_MOST - failure.missed_updates_for_us, self._pause_us / quota)
+        if failure.kind is api.FailureKind.OVERLOADED:
             queue_pause = self._instances * tuning.POLL_QUEUE_PER_INSTANCE
             pause = max(pause, min(queue_pause, self._pause_us / tuning.POLL_QUEUE_PATIENCE))
             pause *= rng.uniform(0.5, 1.0)
--- a/garnetlanding/decision/concurrency.py
+++ b/garnetlanding/decision/concurrency.py
@@ -14,11 +14,13 @@
     """
     completions = health.served.total(state.now - tuning.COMPLETION_WINDOW)
     by_completions = completions / tuning.COMPLETION_WINDOW * state.tightest_objective_us
-    share = state.settings.process_share
+    process_quota = state.settings.process_quota
     most: float = tuning.DEPTH_CEILING
-    if state.budget_shares:
-        most = state.budget_shares.get(api.concurrency_budget(health.endpoint.node), most)
-    depth = min(most, tuning.DEPTH_CEILING * share, max(tuning.DEPTH_FLOOR * share, by_completions))
+    if state.budget_quotas:
+        most = state.budget_quotas.get(api.concurrency_budget(health.endpoint.backend), most)
+    depth = min(
+        most, tuning.DEPTH_CEILING * process_quota, max(tuning.DEPTH_FLOOR * process_quota, by_completions)
+    )
     if state.now < health.suspected_until:
         return 1.0
     return max(1.0, health.depth_factor * depth)
--- a/garnetlanding/decision/control.py
+++ b/garnetlanding/decision/control.py
@@ -38,12 +38,13 @@
         self._dispatcher = Dispatcher(self.state, self._admission, self._retries)
         self._handlers: dict[type, Callable[[Any], None]] = {
             api.EndpointListUpdate: self._on_endpoint_list,
+            api.EndpointListFailure: self._on_endpoint_list_failure,
             api.Arrival: self._admission.admit,
             api.Result: self._retries.on_result,
             api.ClientLeft: self._on_client_left,
             api.StreamStarted: self._on_stream_started,
             api.NewSettings: self._on_settings,
-            api.QuotaShares: self.state.follow_quota_shares,
+            api.QuotaUpdate: self.state.apply_quotas,
             api.PeerSuspicions: self.state.follow_suspicions,
         }
 
@@ -69,18 +70,13 @@
 
     def _on_settings(self, event: api.NewSettings) -> None:
         state = self.state
-        old_share = state.settings.process_share
+        old_process_quota = state.settings.process_quota
         state.follow_settings(event.settings)
         self._poll_backoff.follow(event.settings.instances)
-        state.follow_plans(old_share)
+        state.follow_plans(old_process_quota)
 
     def _on_endpoint_list(self, update: api.EndpointListUpdate) -> None:
         state = self.state
-        if update.failed:
-            share = state.budget_share(api.LIST_CALLS)
-            pause = self._poll_backoff.next_pause(update, share, state.rng)
-            state.schedule(state.now + pause, state.emit, api.Subscribe())
-            return
         self._poll_backoff.reset()
         if update.at_start:
             state.started_at = state.now
@@ -89,6 +85,12 @@
                 state.emit(api.Subscribe())
         apply_update(state, update)
 
+    def _on_endpoint_list_failure(self, failure: api.EndpointListFailure) -> None:
+        state = self.state
+        quota = state.budget_quota(api.ENDPOINT_POLLS)
+        pause = self._poll_backoff.next_pause(failure, quota, state.rng)
+        state.schedule(state.now + pause, state.emit, api.Subscribe())
+
     def _on_client_left(self, event: api.ClientLeft) -> None:
         request = self.state.requests.get(event.request)
         if request and not request.answered:
--- a/garnetlanding/decision/dispatch.py
+++ b/garnetlanding/decision/dispatch.py
@@ -91,7 +91,7 @@
         request.attempts.append(Attempt(health, queue.cell, state.now))
         health.in_flight += 1
         health.sent_units.add(state.now, request.units)
-        state.emit(api.Send(request.id, health.endpoint.node))
+        state.emit(api.Send(request.id, health.endpoint.backend))
         self._retries.schedule_hedge(request)
 
     def _shed_load(self, queue: CellQueue, health: BackendHealth) -> None:
@@ -115,7 +115,7 @@
             alone_at = now + pace * request.units
             weight = request.priority_weight
             if alone_at > request.objective_at:
-                weight *= request.traffic_class.late_value_share
+                weight *= request.traffic_class.late_value_fraction
             heapq.heappush(kept, (weight, -request.start_tag, -request.sequence, request))
             while request.queued_cell is not None:
                 served_at = alone_at + pace * max(0.0, units_ahead - free_units) / depth
--- a/garnetlanding/decision/endpoints.py
+++ b/garnetlanding/decision/endpoints.py
@@ -14,10 +14,12 @@
 
 def apply_update(state: ControllerState, update: api.EndpointListUpdate) -> None:
     """Take up a list, or changes of it, that did not fail; all cells are looked at in this call."""
-    endpoints = {} if update.whole else state.endpoints
-    endpoints = endpoints | {endpoint.node: endpoint for endpoint in update.entries}
+    endpoints = {} if update.complete else state.endpoints
+    endpoints = endpoints | {endpoint.backend: endpoint for endpoint in update.entries}
     gone = api.EndpointState.GONE
-    state.endpoints = {node: endpoint for node, endpoint in endpoints.items() if endpoint.state is not gone}
+    state.endpoints = {
+        backend: endpoint for backend, endpoint in endpoints.items() if endpoint.state is not gone
+    }
     state.disabled_cells = {endpoint.cell for endpoint in state.endpoints.values() if endpoint.admin_disabled}
     up = newest_up(state.endpoints)
     without_backend = [cell for cell in state.cells if cell not in up]
@@ -32,10 +34,10 @@
         queue.health = None
         return
     old = queue.health.endpoint if queue.health else None
-    if old is None or (old.node, old.started_us) != (endpoint.node, endpoint.started_us):
+    if old is None or (old.backend, old.started_us) != (endpoint.backend, endpoint.started_us):
         served = SlidingWindowSum(tuning.COMPLETION_WINDOW)
         sent_units = SlidingWindowSum(state.settings.overload_window_us)
         queue.health = BackendHealth(endpoint, endpoint.started_us or LONG_AGO, served, sent_units)
         if state.is_warming_up(queue.health):
             # This text stands on the simulator's wire and in the operators' pages.
-            state.log(f"node {endpoint.node} is cold")
+            state.log(f"node {endpoint.backend} is cold")
--- a/garnetlanding/decision/interface.py
+++ b/garnetlanding/decision/interface.py
@@ -10,6 +10,7 @@
 
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import Final
 
 
 class Effect(Enum):
@@ -89,7 +90,7 @@
 
     name: str
     priority_weight: float  # per unit served within the latency objective
-    late_value_share: float  # part of the priority weight that a later answer still earns
+    late_value_fraction: float  # part of the priority weight that a later answer still earns
     latency_objective_us: int
     deadline_us: int  # the client's time unless it says otherwise
     effect: Effect
@@ -124,10 +125,10 @@
     max_attempts: int  # for each request
     parallel_attempts: bool  # two attempts of a request may be in flight at once
     may_cancel: bool
-    may_probe: bool
+    may_check_health: bool
     honors_retry_after: bool  # clients do
     max_retry_after_us: int
-    warmup_initial_share: float  # of the usual load that a backend bears when it starts; grows to 1
+    warmup_initial_fraction: float  # of the usual load that a backend bears when it starts; grows to 1
     warmup_us: int  # until a backend that has started counts as warm
     warmup_units: float  # that a warming backend always bears from all instances in an overload window
     overload_multiple: float  # of the usual load in an overload window, beyond which a backend fails
@@ -136,19 +137,23 @@
     retry_budget_ratio: float  # attempts beyond the first that an arrival earns
     retry_budget_floor: float  # free ones in each window, for all instances
     retry_budget_window_us: int  # 0: no budget
-    over_quota_value_share: float  # part of the priority weight of what goes beyond a volume's reserve
-    idle_value_share: float
+    over_quota_value_fraction: float  # part of the priority weight of what goes beyond a volume's reserve
+    idle_value_fraction: float
     max_units: float  # of one request
     cells: int = 0  # how many there are; 0: unknown
     may_message_peers: bool = False  # instances may send each other short messages
-    process_share: float = 1.0  # of the instance's quotas: less while another process of it is at work too
+    process_quota: float = 1.0  # this process's fraction of the instance's quotas; below 1 during an upgrade
+
+
+UNKNOWN_CELL: Final = -1
+"""Cell of a backend whose entry in the endpoint list does not name one."""
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
     """A backend process in the endpoint list."""
 
-    node: str  # name of the backend
+    backend: str  # its name
     cell: int  # which part of the data it serves
     zone: str
     state: EndpointState
@@ -157,21 +162,21 @@
     admin_disabled: bool = False  # an operator has disabled it: it stays away until enabled
 
 
-LIST_CALLS = "list-calls"
-"""Budget of all instances, by its name in `QuotaShares.budget_shares`: calls for the endpoint list."""
+ENDPOINT_POLLS = "list-calls"
+"""Budget of all instances, by its name in `QuotaUpdate.budget_quotas`: polls of the endpoint list."""
 
-RESENDS = "resends"
+RETRIES = "resends"
 """Budget of all instances: the free part of the attempts beyond a request's first."""
 
 
-def warmup_budget(node: str) -> str:
+def warmup_budget(backend: str) -> str:
     """Return the name of a budget of all instances: units that a backend bears while it warms up."""
-    return f"cold:{node}"
+    return f"cold:{backend}"
 
 
-def concurrency_budget(node: str) -> str:
+def concurrency_budget(backend: str) -> str:
     """Return the name of a budget of all instances: attempts in flight at a backend. Its share is a count."""
-    return f"places:{node}"
+    return f"places:{backend}"
 
 
 # Events
@@ -186,14 +191,29 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointListUpdate:
-    """The endpoint list or changes of it have come, or a call for it has failed: the old list stands."""
+    """Replace the endpoint list, or apply changes to it."""
 
     entries: tuple[Endpoint, ...] = ()
-    whole: bool = False  # the entries are the list; otherwise changes of it
-    failed: bool = False  # a call or the watch broke
-    queued: bool = False  # failed: rejected after it had waited; discovery gets more calls than it can answer
-    unheard_us: int = 0  # failed: for how long before it changes may have been missed
-    at_start: bool = False  # the first of this instance: the list that it had cached
+    complete: bool = False  # the entries are the whole list; otherwise changes of it
+    at_start: bool = False  # the first update of this instance, from its cached endpoint list
+
+
+class FailureKind(Enum):
+    """Why the endpoint list could not be updated."""
+
+    ERROR = "error"
+    """A poll failed, or the watch broke off."""
+
+    OVERLOADED = "overloaded"
+    """A poll was rejected after it had waited in a queue: discovery gets more polls than it can answer."""
+
+
+@dataclass(slots=True, frozen=True)
+class EndpointListFailure:
+    """Report that a poll of the endpoint list has failed; the list in force stays valid."""
+
+    kind: FailureKind = FailureKind.ERROR
+    missed_updates_for_us: int = 0  # how long before the failure changes may have been missed
 
 
 @dataclass(slots=True, frozen=True)
@@ -201,14 +221,14 @@
     """A client's request has arrived."""
 
     request: str  # the instance's name for it, in later events and in actions
-    cls: str  # name of its class
+    request_class: str  # name of its class
     plan: str  # name of its volume's plan
     volume: str
     key: str  # what it is about; "": nothing that has an order
     units: float
-    cell: int  # -1: a new object, free to go anywhere
-    until_us: int  # the client's deadline
-    volume_hosts: int  # how many instances the volume's requests come through
+    cell: int | None  # None: a new object, which may be placed in any cell
+    deadline_us: int  # when the client stops waiting
+    serving_instances: int  # how many instances the volume's requests come through
     is_retry: bool = False  # by the client
     is_write: bool = False
 
@@ -227,12 +247,12 @@
 
     request: str
     attempt: int  # from 0, in the order of the request's Send actions
-    node: str
+    backend: str
     outcome: Outcome
-    took_us: int
+    duration_us: int
     answered: bool  # the client has its answer, by this attempt or before
-    usage: int = 0  # 1 + percent of the plan's rate that the volume got at all backends; 0: unknown
-    report: dict[str, float] = field(default_factory=dict)  # the backend's load report
+    usage_percent: int | None = None  # what the volume got at all backends, in percent of its plan's rate
+    load_report: dict[str, float] = field(default_factory=dict)  # the backend's load report
 
 
 @dataclass(slots=True, frozen=True)
@@ -250,13 +270,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ProbeResult:
-    """A health check asked for by a Probe action has ended."""
+class HealthCheckResult:
+    """A health check requested by a HealthCheck action has ended."""
 
-    node: str
+    backend: str
     outcome: Outcome
-    took_us: int
-    report: dict[str, float] = field(default_factory=dict)  # the backend's load report
+    duration_us: int
+    load_report: dict[str, float] = field(default_factory=dict)  # the backend's load report
 
 
 @dataclass(slots=True, frozen=True)
@@ -268,15 +288,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class QuotaShares:
-    """The instance's shares of what instances divide, from now on."""
+class QuotaUpdate:
+    """Replace this instance's quotas of what all instances share."""
 
-    quota_shares: dict[str, float]
-    """By volume, the part of its plan's limit and reserve; a volume not named keeps the one it has."""
+    volume_quotas: dict[str, float]
+    """By volume, the fraction of its plan's limit and reserve; a volume not named keeps its quota."""
 
-    budget_shares: dict[str, float] | None = None
-    """By name, the share of each budget of all instances as a multiple of the even one. All of them: one that
-    is not named is 1. None: as they were."""
+    budget_quotas: dict[str, float] | None = None
+    """By budget, the quota as a multiple of an even one; a budget not named has 1. None: unchanged."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -292,14 +311,15 @@
 Event = (
     NewSettings
     | EndpointListUpdate
+    | EndpointListFailure
     | Arrival
     | StreamStarted
     | Result
     | ClientLeft
     | TimerFired
-    | ProbeResult
+    | HealthCheckResult
     | PeerMessage
-    | QuotaShares
+    | QuotaUpdate
     | PeerSuspicions
 )
 
@@ -312,8 +332,8 @@
     """Start an attempt of the request at a backend."""
 
     request: str
-    node: str
-    until_us: int = 0  # give the attempt up then; 0: at the client's deadline
+    backend: str
+    deadline_us: int | None = None  # when the attempt is given up; None: at the client's deadline
 
 
 @dataclass(slots=True, frozen=True)
@@ -321,7 +341,7 @@
     """Give the final answer: rejected, and a retry does no harm."""
 
     request: str
-    retry_after_us: int = 0  # 0: the client may retry at once
+    retry_after_us: int | None = None  # None: the client may retry at once
 
 
 @dataclass(slots=True, frozen=True)
@@ -340,10 +360,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Probe:
+class HealthCheck:
     """Check a backend's health."""
 
-    node: str
+    backend: str
 
 
 @dataclass(slots=True, frozen=True)
@@ -371,7 +391,7 @@
     """Send a short message to another instance, or to all; it may be late or lost."""
 
     payload: bytes
-    to: int = -1  # number of the instance; -1: all others
+    recipient: int | None = None  # number of the instance; None: all others
 
 
-Action = Send | Reject | Fail | Cancel | Probe | Subscribe | WakeAfter | Log | SendPeerMessage
+Action = Send | Reject | Fail | Cancel | HealthCheck | Subscribe | WakeAfter | Log | SendPeerMessage
--- a/garnetlanding/decision/learning.py
+++ b/garnetlanding/decision/learning.py
@@ -13,7 +13,7 @@
 def record_result(state: ControllerState, request: Request, attempt: Attempt, result: api.Result) -> None:
     """Take in the result of an attempt, whose outcome is set already."""
     health = attempt.health
-    latency = result.took_us / health.relative_size(request.units)
+    latency = result.duration_us / health.relative_size(request.units)
     in_flight = health.in_flight
     attempt.write_off()
     if result.outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.FULL):
--- a/garnetlanding/decision/requests.py
+++ b/garnetlanding/decision/requests.py
@@ -48,15 +48,15 @@
     usage_percent: int | None = None  # latest figure of what it got everywhere; None: no new one
     queued_units: float = 0.0
     arrived_units: float = 0.0  # ever queued, in any cell
-    quota_share: float = field(init=False)  # this instance's part of the plan's limit and reserve
+    quota: float = field(init=False)  # this instance's part of the plan's limit and reserve
 
     def __post_init__(self) -> None:
-        self.quota_share = 1 / self.instances
+        self.quota = 1 / self.instances
 
     @property
-    def has_even_share(self) -> bool:
+    def has_even_quota(self) -> bool:
         """Whether it has the quota share that any instance has by itself; another must not be forgotten."""
-        return self.quota_share == 1 / self.instances
+        return self.quota == 1 / self.instances
 
     def start_plan(self, now: int, plan: api.PlanSpec, settings: api.Settings) -> None:
         """Start with full buckets by that plan.
@@ -71,7 +71,7 @@
 
     def refit(self, now: int, settings: api.Settings) -> None:
         """Fit both buckets to the plan and the quota share; a plan without a limit has all it can ask for."""
-        share = self.quota_share * settings.process_share
+        share = self.quota * settings.process_quota
         plan = self.plan
         rate = plan.reserve_rate * share
         self.reserve.refit(now, rate, rate + settings.max_units)
--- a/garnetlanding/decision/retries.py
+++ b/garnetlanding/decision/retries.py
@@ -27,8 +27,8 @@
         attempt.outcome = result.outcome
         state.mark_pending(state.cells[attempt.cell])
         record_result(state, request, attempt, result)
-        if result.usage > 0:
-            request.volume.usage_percent = result.usage - 1
+        if result.usage_percent is not None:
+            request.volume.usage_percent = result.usage_percent
         if result.outcome in MAY_STILL_RUN and request.arrival.key in state.ordered_keys:
             rest = state.settings.ordered_key_rest_us + state.settings.tick_us
             state.ordered_keys[request.arrival.key].rest_until = state.now + rest
--- a/garnetlanding/decision/state.py
+++ b/garnetlanding/decision/state.py
@@ -32,13 +32,13 @@
         self.disabled_cells: set[int] = set()  # cells with an administratively disabled backend
         self.cells: dict[int, CellQueue] = {}
         self.pending_cells: dict[int, CellQueue] = {}  # to look at in this call, the last one first
-        self.budget_shares: dict[
+        self.budget_quotas: dict[
             str, float
         ] = {}  # of the instances' common budgets; one not named is 1: even
         self.retry_budget = RetryBudget(settings.retry_budget_window_us)
         self.hedge_budget = HedgeBudget()
         self.started_at = 0
-        self.process_warmup_share = settings.process_share  # this process's part of the warm-up budgets
+        self.process_warmup_quota = settings.process_quota  # this process's part of the warm-up budgets
         self.follow_settings(settings)
         self.statistics = ResponseStatistics(float(self.tightest_objective_us))
 
@@ -46,10 +46,10 @@
         """Take up new settings and what follows from them."""
         self.settings = settings
         # What is given up holds at once; what is gained, once the other's attempts have left the window.
-        self.process_warmup_share = min(self.process_warmup_share, settings.process_share)
-        if settings.process_share > self.process_warmup_share:
+        self.process_warmup_quota = min(self.process_warmup_quota, settings.process_quota)
+        if settings.process_quota > self.process_warmup_quota:
             gained_at = self.now + settings.overload_window_us
-            self.schedule(gained_at, self._raise_process_warmup_share, settings.process_share)
+            self.schedule(gained_at, self._raise_process_warmup_quota, settings.process_quota)
         classes = settings.classes.values()
         self.tightest_objective_us = min(one.latency_objective_us for one in classes)
         highest_price = max(plan.price for plan in settings.plans.values())
@@ -57,12 +57,12 @@
         # 0 to 1: how far the instances' smallest concurrency limits fail to protect a backend by themselves.
         self.contention = max(0.0, 1 - tuning.DEPTH_FLOOR / max(1, settings.instances))
 
-    def _raise_process_warmup_share(self, share: float) -> None:
-        self.process_warmup_share = max(self.process_warmup_share, min(share, self.settings.process_share))
+    def _raise_process_warmup_quota(self, share: float) -> None:
+        self.process_warmup_quota = max(self.process_warmup_quota, min(share, self.settings.process_quota))
 
-    def budget_share(self, name: str) -> float:
+    def budget_quota(self, name: str) -> float:
         """Return this instance's part of a budget of all instances, as a multiple of the even one."""
-        return self.budget_shares.get(name, 1.0)
+        return self.budget_quotas.get(name, 1.0)
 
     def cell_queue(self, cell: int) -> CellQueue:
         """Return the queue of a cell, a new one if it is the first time."""
@@ -96,12 +96,12 @@
 
     def new_request(self, arrival: api.Arrival) -> Request:
         """Add the request of an arrival, and its volume if it is the first of it."""
-        traffic_class = self.settings.classes[arrival.cls]
+        traffic_class = self.settings.classes[arrival.request_class]
         plan = self.settings.plans[arrival.plan]
         # A client's retry is judged by its first try: the longest time a client gave tells when that came.
-        patience = max(self.longest_patience.get(arrival.cls, 0), arrival.until_us - self.now)
-        self.longest_patience[arrival.cls] = patience
-        first_try_at = min(self.now, arrival.until_us - patience)
+        patience = max(self.longest_patience.get(arrival.request_class, 0), arrival.deadline_us - self.now)
+        self.longest_patience[arrival.request_class] = patience
+        first_try_at = min(self.now, arrival.deadline_us - patience)
         self.arrival_count += 1
         request = Request(
             arrival=arrival,
@@ -110,14 +110,14 @@
             units=arrival.units,
             sequence=self.arrival_count,
             objective_at=first_try_at + traffic_class.latency_objective_us,
-            answer_by=arrival.until_us - tuning.MARGIN_TICKS * self.settings.tick_us,
+            answer_by=arrival.deadline_us - tuning.MARGIN_TICKS * self.settings.tick_us,
             priority_weight=traffic_class.priority_weight * plan.price,
         )
         self.requests[arrival.request] = request
         return request
 
     def _new_volume(self, arrival: api.Arrival, plan: api.PlanSpec) -> Volume:
-        volume = Volume(plan.weight, plan, max(1, arrival.volume_hosts))
+        volume = Volume(plan.weight, plan, max(1, arrival.serving_instances))
         volume.start_plan(self.now, plan, self.settings)
         self.volumes[arrival.volume] = volume
         return volume
@@ -127,33 +127,33 @@
         if request.queued_cell is not None:
             self.cells[request.queued_cell].dequeue_unsent(request)
 
-    def follow_plans(self, old_share: float) -> None:
+    def follow_plans(self, old_process_quota: float) -> None:
         """Start volumes afresh by the settings in force if their plan, or this process's share, is another.
 
-        A volume's tags move with its weight. `old_share` is the process's share before.
+        A volume's tags move with its weight. `old_process_quota` is the process's share before.
         """
         for name, volume in self.volumes.items():
             plan = self.settings.plans.get(volume.plan.name, volume.plan)
             changed = plan != volume.plan
-            if changed or old_share != self.settings.process_share:
+            if changed or old_process_quota != self.settings.process_quota:
                 volume.start_plan(self.now, plan, self.settings)
             if changed:
                 self.set_weight(name, plan.weight)
 
-    def follow_quota_shares(self, event: api.QuotaShares) -> None:
+    def apply_quotas(self, event: api.QuotaUpdate) -> None:
         """Take up this instance's parts of the volumes' plans and of the common budgets."""
-        for name, share in event.quota_shares.items():
+        for name, quota in event.volume_quotas.items():
             volume = self.volumes[name]
-            volume.quota_share = share
+            volume.quota = quota
             volume.refit(self.now, self.settings)
-        if event.budget_shares is not None:
-            self.budget_shares = event.budget_shares
+        if event.budget_quotas is not None:
+            self.budget_quotas = event.budget_quotas
 
     def follow_suspicions(self, event: api.PeerSuspicions) -> None:
         """Take up which backends other instances have reported; one not named is not suspected any more."""
         for queue in self.cells.values():
             if queue.health:
-                queue.health.suspected_until = event.suspected_until.get(queue.health.endpoint.node, 0)
+                queue.health.suspected_until = event.suspected_until.get(queue.health.endpoint.backend, 0)
 
     def set_weight(self, name: str, weight: float) -> None:
         """Give a volume another weight, and its queued requests the tags that follow from it."""
@@ -168,7 +168,7 @@
         idle = [
             name
             for name, volume in self.volumes.items()
-            if volume.reserve.filled_at < idle_since and volume.has_even_share
+            if volume.reserve.filled_at < idle_since and volume.has_even_quota
         ]
         for name in idle:
             queues = [queue for queue in self.cells.values() if name in queue.flows]
--- a/garnetlanding/decision/token_bucket.py
+++ b/garnetlanding/decision/token_bucket.py
@@ -58,7 +58,7 @@
         observer whose clock is off by a tick finds the budget kept.
         """
         since = now - settings.retry_budget_window_us
-        free = settings.retry_budget_floor * settings.process_share * share
+        free = settings.retry_budget_floor * settings.process_quota * share
         earned = free + settings.retry_budget_ratio * self._arrivals.total(since + settings.tick_us)
         if settings.retry_budget_window_us == 0:
             return True
--- a/garnetlanding/decision/warmup.py
+++ b/garnetlanding/decision/warmup.py
@@ -54,14 +54,14 @@
     share beside the other process of an upgrade.
     """
     settings = state.settings
-    initial = settings.warmup_initial_share
+    initial = settings.warmup_initial_fraction
     warmth = initial + (1 - initial) * max(0, age) / settings.warmup_us
     usual = max(queue.usual_load.rate, planned_load(state, queue))
     usual_units = usual * settings.overload_window_us / SECOND
     learnt = usual_units * settings.overload_multiple * warmth * tuning.WARMUP_SAFETY
-    instance_share = state.budget_share(api.warmup_budget(health.endpoint.node))
-    least = settings.warmup_units / max(1, settings.instances) * instance_share
-    return max(max(least, learnt) * state.process_warmup_share, 1e-9)
+    instance_quota = state.budget_quota(api.warmup_budget(health.endpoint.backend))
+    least = settings.warmup_units / max(1, settings.instances) * instance_quota
+    return max(max(least, learnt) * state.process_warmup_quota, 1e-9)
 
 
 def planned_load(state: ControllerState, queue: CellQueue) -> float:
--- a/garnetlanding/discovery/listing.py
+++ b/garnetlanding/discovery/listing.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from garnetlanding.core.ports import EndpointListing
-from garnetlanding.decision.interface import Endpoint, EndpointState
+from garnetlanding.decision.interface import UNKNOWN_CELL, Endpoint, EndpointState
 
 ToMonotonic = Callable[[int], int]
 """Converts wall-clock microseconds since 1970 into those of the instance's monotonic clock."""
@@ -95,8 +95,8 @@
     if started_ms:
         started_us = to_monotonic(int(started_ms * US_PER_MS))
     endpoint = Endpoint(
-        node=_read_field(entry, "instanceId", (str,)),
-        cell=_read_field(entry, "cell", (int,), -1),
+        backend=_read_field(entry, "instanceId", (str,)),
+        cell=_read_field(entry, "cell", (int,), UNKNOWN_CELL),
         zone=_read_field(entry, "zone", (str,), ""),
         state=STATES[lifecycle],
         started_us=started_us,
@@ -122,5 +122,5 @@
         complete = bool(data.get("reset"))
     version = int(_read_field(data, "generation", (int,), 0))
     entries = tuple(endpoint for endpoint, _ in read)
-    addresses = {endpoint.node: address for endpoint, address in read}
+    addresses = {endpoint.backend: address for endpoint, address in read}
     return VersionedListing(version, EndpointListing(entries, addresses, complete, at_start))
--- a/garnetlanding/emulator/fleet_backends.py
+++ b/garnetlanding/emulator/fleet_backends.py
@@ -112,7 +112,7 @@
         warmed = 1.0
         if backend.started_us:
             warmed = min(1.0, (self._clock.now - backend.started_us) / config.warmup_us)
-        return config.warmup_initial_share + (1 - config.warmup_initial_share) * warmed
+        return config.warmup_initial_fraction + (1 - config.warmup_initial_fraction) * warmed
 
     def _count_warmup_load(self, backend: SimulatedBackend, units: float) -> None:
         """Compare what a warming backend was sent within the window with what it bears."""
--- a/garnetlanding/emulator/fleet_config.py
+++ b/garnetlanding/emulator/fleet_config.py
@@ -45,7 +45,7 @@
     service_rate: float = 18.0  # of a backend that is warm
     queue_limit: int = 60  # requests that a backend has accepted and not served
     connection_limit: int = 200  # of a backend; each instance that has sent to it keeps one
-    warmup_initial_share: float = 0.2
+    warmup_initial_fraction: float = 0.2
     warmup_us: int = 14 * SECOND
     warmup_units: float = 2.0
     overload_multiple: float = 2.5
@@ -77,10 +77,10 @@
         max_attempts=4,
         parallel_attempts=False,
         may_cancel=True,
-        may_probe=False,
+        may_check_health=False,
         honors_retry_after=True,
         max_retry_after_us=2 * SECOND,
-        warmup_initial_share=config.warmup_initial_share,
+        warmup_initial_fraction=config.warmup_initial_fraction,
         warmup_us=config.warmup_us,
         warmup_units=config.warmup_units,
         overload_multiple=config.overload_multiple,
@@ -89,8 +89,8 @@
         retry_budget_ratio=0.0,
         retry_budget_floor=0.0,
         retry_budget_window_us=0,
-        over_quota_value_share=0.4,
-        idle_value_share=0.08,
+        over_quota_value_fraction=0.4,
+        idle_value_fraction=0.08,
         max_units=6.0,
         cells=config.backends,
     )
--- a/garnetlanding/emulator/fleet_discovery.py
+++ b/garnetlanding/emulator/fleet_discovery.py
@@ -64,7 +64,7 @@
         ended = self._watching
         self._watching = {}
         for number in sorted(ended):
-            ended[number].receive(api.EndpointListUpdate(failed=True))
+            ended[number].receive(api.EndpointListFailure())
 
     def _begin_next(self) -> None:
         self._is_busy = bool(self._calls)
@@ -77,10 +77,11 @@
         has_timed_out = self._clock.now - call.called_at_us > self._config.list_call_timeout_us
         if self._is_out() or has_timed_out:
             self._tally.list_calls_failed += 1
-            instance.receive_in(call.incarnation, api.EndpointListUpdate(failed=True, queued=has_timed_out))
+            kind = api.FailureKind.OVERLOADED if has_timed_out else api.FailureKind.ERROR
+            instance.receive_in(call.incarnation, api.EndpointListFailure(kind))
         elif instance.incarnation == call.incarnation:
             self._watching[instance.number] = instance
-            instance.receive(api.EndpointListUpdate(self._backends.endpoints(), whole=True))
+            instance.receive(api.EndpointListUpdate(self._backends.endpoints(), complete=True))
         self._begin_next()
 
     def _is_out(self) -> bool:
--- a/garnetlanding/emulator/fleet_instances.py
+++ b/garnetlanding/emulator/fleet_instances.py
@@ -78,7 +78,7 @@
             instance_settings(config, self.number),
             config.seed * 1000 + self.number * 10 + self.incarnation,
         )
-        self.receive(api.EndpointListUpdate(cached_endpoints, whole=True, at_start=True))
+        self.receive(api.EndpointListUpdate(cached_endpoints, complete=True, at_start=True))
 
     def kill(self) -> None:
         """End the process; what it had open is lost."""
@@ -123,10 +123,10 @@
         attempt = request.attempts
         request.in_flight = attempt
         request.attempts += 1
-        response = self._surroundings.backends.submit(self.number, send.node, request.arrival.units)
+        response = self._surroundings.backends.submit(self.number, send.backend, request.arrival.units)
         if response.at_us is not None:
             self._schedule_result(response.at_us, request, attempt, response.outcome)
-        self._schedule_result(request.arrival.until_us, request, attempt, api.Outcome.TIMEOUT)
+        self._schedule_result(request.arrival.deadline_us, request, attempt, api.Outcome.TIMEOUT)
 
     def _cancel(self, cancel: api.Cancel) -> None:
         request = self.requests.get(cancel.request)
@@ -147,7 +147,7 @@
         self._clock.schedule(at_us, end)
 
     def _end_attempt(
-        self, request: SimulatedRequest, attempt: int, outcome: api.Outcome, took_us: int
+        self, request: SimulatedRequest, attempt: int, outcome: api.Outcome, duration_us: int
     ) -> None:
         """Report an attempt's result, unless it was cancelled or has ended before."""
         if outcome is not api.Outcome.CANCELLED:
@@ -156,7 +156,7 @@
             request.in_flight = None
         if outcome is api.Outcome.SERVED and not request.is_answered:
             self._answer(request, self._value_share(request))
-        result = api.Result(request.arrival.request, attempt, "", outcome, took_us, request.is_answered)
+        result = api.Result(request.arrival.request, attempt, "", outcome, duration_us, request.is_answered)
         self.receive(result)
 
     def _value_share(self, request: SimulatedRequest) -> float:
@@ -164,7 +164,7 @@
         request_class = WRITE if request.arrival.is_write else READ
         if self._clock.now - request.arrived_at_us <= request_class.latency_objective_us:
             return 1.0
-        return request_class.late_value_share
+        return request_class.late_value_fraction
 
     def _answer(self, request: SimulatedRequest, value_share: float) -> None:
         self._tally.answered_twice += request.is_answered
--- a/garnetlanding/emulator/fleet_load.py
+++ b/garnetlanding/emulator/fleet_load.py
@@ -18,7 +18,6 @@
 WRITE_SHARE = 0.3
 MAX_HOSTS = 3  # instances that a volume's clients use
 MAX_CELLS = 3  # that a volume has data in
-UNPLACED = -1  # the cell of a write
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,12 +38,12 @@
     at_us: int
     instance: int
     units: int
-    cell: int
+    cell: int | None  # None: of a write, which the instance places
 
     @property
     def is_write(self) -> bool:
         """Whether the request writes; the instance then chooses the cell."""
-        return self.cell == UNPLACED
+        return self.cell is None
 
 
 def planned_requests(config: FleetConfig, rng: random.Random) -> Iterator[PlannedRequest]:
@@ -64,7 +63,7 @@
         if at_us >= config.length_us:
             return
         is_write = rng.random() < WRITE_SHARE
-        cell = UNPLACED if is_write else rng.choice(volume.cells)
+        cell = None if is_write else rng.choice(volume.cells)
         yield PlannedRequest(volume, int(at_us), rng.choice(volume.hosts), units, cell)
 
 
--- a/garnetlanding/emulator/suspicion_model.py
+++ b/garnetlanding/emulator/suspicion_model.py
@@ -24,7 +24,7 @@
 OBJECTIVE_US = 100  # the latency objective
 BACKEND = "n0"
 LIMITS = PeerLimits(evidence_us=3 * STEP_US, refutation_grace_us=STEP_US, credit_recovery_us=1000 * STEP_US)
-LISTED = api.EndpointListUpdate((api.Endpoint(BACKEND, 0, "z", api.EndpointState.UP),), whole=True)
+LISTED = api.EndpointListUpdate((api.Endpoint(BACKEND, 0, "z", api.EndpointState.UP),), complete=True)
 
 
 @dataclass(frozen=True, slots=True)
--- a/garnetlanding/emulator/suspicion_net.py
+++ b/garnetlanding/emulator/suspicion_net.py
@@ -107,10 +107,10 @@
         max_attempts=2,
         parallel_attempts=False,
         may_cancel=True,
-        may_probe=False,
+        may_check_health=False,
         honors_retry_after=True,
         max_retry_after_us=SECOND,
-        warmup_initial_share=0.2,
+        warmup_initial_fraction=0.2,
         warmup_us=0,
         warmup_units=10.0,
         overload_multiple=2.0,
@@ -119,8 +119,8 @@
         retry_budget_ratio=0.0,
         retry_budget_floor=0.0,
         retry_budget_window_us=0,
-        over_quota_value_share=0.4,
-        idle_value_share=0.08,
+        over_quota_value_fraction=0.4,
+        idle_value_fraction=0.08,
         max_units=8.0,
         may_message_peers=True,
     )
@@ -155,7 +155,7 @@
             for number in range(self.scenario.backends)
         )
         for number in range(self.scenario.instances):
-            self._deliver(0, number, api.EndpointListUpdate(entries, whole=True, at_start=True))
+            self._deliver(0, number, api.EndpointListUpdate(entries, complete=True, at_start=True))
 
     def _draw_requests(self) -> None:
         scenario = self.scenario
@@ -210,7 +210,7 @@
                 self._deliver(now + max(1, span_us), instance, api.TimerFired(token))
             case api.Send():
                 self._send_request(now, instance, action)
-            case api.SendPeerMessage(payload=payload, to=receiver):
+            case api.SendPeerMessage(payload=payload, recipient=int() as receiver):
                 self.result.bytes += len(payload)
                 if self.rng.random() >= self.scenario.loss:
                     delay_us = self.rng.randrange(self.scenario.delay_us // 5, 2 * self.scenario.delay_us)
@@ -220,22 +220,22 @@
         scenario = self.scenario
         number = self._attempts[instance, attempt.request]
         self._attempts[instance, attempt.request] += 1
-        has_failed = scenario.has_failed(attempt.node, now)
-        if attempt.node == "n0" and scenario.fails_at - SECOND <= now < scenario.fails_at:
+        has_failed = scenario.has_failed(attempt.backend, now)
+        if attempt.backend == "n0" and scenario.fails_at - SECOND <= now < scenario.fails_at:
             self.result.before[instance] += 1
         if has_failed:
             self.result.attempts.append(Attempt(now, instance))
-        took_us = int(scenario.serve_us * self.rng.uniform(0.5, 2))
+        duration_us = int(scenario.serve_us * self.rng.uniform(0.5, 2))
         outcome = Outcome.SERVED
         if has_failed and scenario.failure is Failure.UNRESPONSIVE:
-            took_us = READ.deadline_us
+            duration_us = READ.deadline_us
             outcome = Outcome.TIMEOUT
         elif has_failed:
-            took_us = MS
+            duration_us = MS
             outcome = Outcome.UNREACHABLE
         is_over = outcome is Outcome.SERVED
-        result = api.Result(attempt.request, number, attempt.node, outcome, took_us, answered=is_over)
-        self._deliver(now + took_us, instance, result)
+        result = api.Result(attempt.request, number, attempt.backend, outcome, duration_us, answered=is_over)
+        self._deliver(now + duration_us, instance, result)
 
 
 def avoided_after(
--- a/garnetlanding/ninep/dispatcher.py
+++ b/garnetlanding/ninep/dispatcher.py
@@ -217,7 +217,7 @@
             cell=export.cell,
             # One whose deadline passed while it waited still goes to the decision module, which rejects it.
             timeout_us=max(1, pending.deadline - self._shared.timers.now),
-            volume_hosts=export.hosts,
+            serving_instances=export.hosts,
             work=operation,
             is_write=operation.spec.change,
             held_bytes=held_bytes(operation),
--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -125,7 +125,7 @@
         """Use no share while the instance does not act, or use them again, as after a start."""
         self._quota.set_suspended(suspended, now)
 
-    def leave(self, now: int, send: Callable[[bytes, int], None]) -> None:
+    def leave(self, now: int, send: Callable[[bytes, int | None], None]) -> None:
         """Use nothing from now on, since this instance ends, and let discovered peers know.
 
         `send` gets a datagram and its receiver.
@@ -137,7 +137,7 @@
         membership.leave()
         receivers = list(self.leases.contacts.peers)
         for message in self._round.membership_messages(self.leases, receivers, now):
-            send(message.payload, message.to)
+            send(message.payload, message.recipient)
 
     # The decision module's call
 
@@ -185,7 +185,7 @@
                 continue
             if isinstance(event, api.Arrival):
                 limit = self.settings.plans[event.plan].limit_rate
-                leases.record_demand(event.volume, event.volume_hosts, limit, event.units, now)
+                leases.record_demand(event.volume, event.serving_instances, limit, event.units, now)
             module_events.append(event)
         return module_events
 
--- a/garnetlanding/peers/link.py
+++ b/garnetlanding/peers/link.py
@@ -21,7 +21,6 @@
 log = logging.getLogger(__name__)
 
 SocketAddress = tuple[str, int]  # host, port
-ALL_PEERS = -1  # as receiver of a datagram
 
 
 class PeerLink:
@@ -72,25 +71,28 @@
             )
             self.dropped.clear()
 
-    def send(self, payload: bytes, to: int = ALL_PEERS) -> None:
-        """Send a datagram to one peer by its number, or to all; what cannot be sent is counted as dropped."""
+    def send(self, payload: bytes, recipient: int | None = None) -> None:
+        """Send a datagram to a peer, or to all peers if `recipient` is None.
+
+        A datagram that cannot be sent is counted as dropped.
+        """
         if len(payload) > self._limits.datagram_bytes:
             self.dropped["too long to send"] += 1
             return
-        for target in self._targets(to):
+        for target in self._targets(recipient):
             try:
                 self._socket.sendto(payload, target)
             except OSError:
                 # Full buffers, or a peer that is down: as good as lost on the way, and sent again soon.
                 self.dropped["not sent"] += 1
 
-    def _targets(self, to: int) -> list[SocketAddress]:
+    def _targets(self, recipient: int | None) -> list[SocketAddress]:
         if self._membership is not None:
-            address = self._membership.members.address_of(to)
+            address = None if recipient is None else self._membership.members.address_of(recipient)
             return [parse_address(self.setup.routes.get(address, address))] if address else []
-        if to == ALL_PEERS:
+        if recipient is None:
             return self._broadcast
-        return [self._addresses[to]] if to in self._addresses else []
+        return [self._addresses[recipient]] if recipient in self._addresses else []
 
     def close(self) -> None:
         """Close the link, if it is open; what is waiting to be received is lost."""
--- a/garnetlanding/peers/local_observations.py
+++ b/garnetlanding/peers/local_observations.py
@@ -100,20 +100,18 @@
                 case api.EndpointListUpdate():
                     self._update_endpoints(event)
                 case api.Result():
-                    if observation := self.backends.get(event.node):
+                    if observation := self.backends.get(event.backend):
                         self._observe_result(observation, event, now, tightest_us)
 
     def observe_actions(self, now: int, actions: Iterable[api.Action]) -> None:
         """Observe which requests the decision module sends where."""
         for action in actions:
-            if isinstance(action, api.Send) and (observation := self.backends.get(action.node)):
+            if isinstance(action, api.Send) and (observation := self.backends.get(action.backend)):
                 observation.in_flight.setdefault(action.request, now)
 
     def _update_endpoints(self, update: api.EndpointListUpdate) -> None:
-        if update.failed:
-            return
-        endpoints = {endpoint.node: endpoint for endpoint in update.entries}
-        if update.whole:
+        endpoints = {endpoint.backend: endpoint for endpoint in update.entries}
+        if update.complete:
             for name in set(self.backends) - set(endpoints):
                 self._drop(name)
         for name, endpoint in endpoints.items():
@@ -143,7 +141,7 @@
             observation.timed_out.reset()
         match result.outcome:
             case Outcome.SERVED:
-                self._observe_served(observation, result.took_us, now, tightest_us)
+                self._observe_served(observation, result.duration_us, now, tightest_us)
             case Outcome.UNREACHABLE:
                 observation.refused.extend(now)
             case Outcome.TIMEOUT:
@@ -151,13 +149,13 @@
             case Outcome.FULL:
                 observation.rejected.extend(now)
 
-    def _observe_served(self, observation: Observation, took_us: int, now: int, tightest_us: int) -> None:
+    def _observe_served(self, observation: Observation, duration_us: int, now: int, tightest_us: int) -> None:
         observation.served_at = now
         observation.rejected.reset()
-        if took_us <= tightest_us:
+        if duration_us <= tightest_us:
             observation.prompt_at = now
         gain = self._limits.latency_gain if observation.served else 1.0
-        observation.latency_us += (took_us - observation.latency_us) * gain
+        observation.latency_us += (duration_us - observation.latency_us) * gain
         observation.served += 1
 
     def evidence(self, now: int, tightest_us: int) -> dict[str, Evidence]:
--- a/garnetlanding/peers/quota_use.py
+++ b/garnetlanding/peers/quota_use.py
@@ -141,7 +141,7 @@
 
     # What may be used
 
-    def changed_shares(self, now: int, instances: int, history: PeerHistory | None) -> api.QuotaShares | None:
+    def changed_shares(self, now: int, instances: int, history: PeerHistory | None) -> api.QuotaUpdate | None:
         """Return the shares that the decision module has to be told of; None: as it was told before.
 
         `instances` is the size of the fleet by the settings, which the module reckons with.
@@ -150,16 +150,16 @@
         is_due = now >= leases.recheck_at
         if not is_due and self.budgets is None:
             return None  # the usual case
-        volume_shares = leases.changed_shares(now)
+        volume_quotas = leases.changed_shares(now)
         if is_due and history:
-            history.volume_shares_changed(leases.current_shares() | volume_shares, leases.recheck_at)
-        budget_shares = self.budgets.changed_shares(now, instances) if self.budgets else None
-        if self.budgets and budget_shares is not None and history:
+            history.volume_shares_changed(leases.current_shares() | volume_quotas, leases.recheck_at)
+        budget_quotas = self.budgets.changed_shares(now, instances) if self.budgets else None
+        if self.budgets and budget_quotas is not None and history:
             budget_leases = self.budgets.leases
             history.limit_shares_changed(budget_leases.current_shares(), budget_leases.recheck_at)
-        if not volume_shares and budget_shares is None:
+        if not volume_quotas and budget_quotas is None:
             return None
-        return api.QuotaShares(volume_shares, budget_shares)
+        return api.QuotaUpdate(volume_quotas, budget_quotas)
 
     def shared_leases(self) -> SharedLeases | None:
         """Return what divides budgets; None before the first events, or while this process is not active."""
--- a/garnetlanding/peers/shared_budgets.py
+++ b/garnetlanding/peers/shared_budgets.py
@@ -54,10 +54,10 @@
         """
         for event in events:
             match event:
-                case api.EndpointListUpdate(failed=True):
+                case api.EndpointListFailure():
                     window_us = self._limits.list_window_us
                     self.leases.record_demand(
-                        api.LIST_CALLS, hosts, self._limits.list_calls_per_s, 1, now, window_us
+                        api.ENDPOINT_POLLS, hosts, self._limits.list_calls_per_s, 1, now, window_us
                     )
                 case api.EndpointListUpdate():
                     self._update_warming(event, now, settings)
@@ -71,22 +71,24 @@
                         self._forget(event.request)
 
     def _update_warming(self, update: api.EndpointListUpdate, now: int, settings: api.Settings) -> None:
-        if update.whole:
+        if update.complete:
             self._warming.clear()
         for entry in update.entries:
             until = entry.started_us + settings.warmup_us
             known = self._warming.get(entry.cell)
             if entry.state is api.EndpointState.UP and entry.started_us and now < until:
-                self._warming[entry.cell] = WarmingBackend(entry.node, until)
-            elif known is not None and known.name == entry.node:
+                self._warming[entry.cell] = WarmingBackend(entry.backend, until)
+            elif known is not None and known.name == entry.backend:
                 del self._warming[entry.cell]
 
     def _request_warmup(self, arrival: api.Arrival, now: int, settings: api.Settings, hosts: int) -> None:
-        backend = self._warming.get(arrival.cell)
+        # A new object may also be placed on a backend whose cell is unknown.
+        cell = api.UNKNOWN_CELL if arrival.cell is None else arrival.cell
+        backend = self._warming.get(cell)
         if backend is None or not settings.warmup_units:
             return
         if now >= backend.until:
-            del self._warming[arrival.cell]
+            del self._warming[cell]
             return
         self._units[arrival.request] = arrival.units
         self.leases.record_demand(
@@ -103,7 +105,7 @@
         if not window_us or not settings.retry_budget_floor or result.outcome is api.Outcome.SERVED:
             return
         rate = settings.retry_budget_floor * hosts * SECOND / window_us
-        self.leases.record_demand(api.RESENDS, hosts, rate, 1, now, window_us)
+        self.leases.record_demand(api.RETRIES, hosts, rate, 1, now, window_us)
 
     def _forget(self, request: str) -> None:
         self._units.pop(request, None)
@@ -116,16 +118,16 @@
                 case api.Send():
                     self._spend_attempt(action, now, settings)
                 case api.Subscribe():
-                    self.leases.record_spent(api.LIST_CALLS, 1, now)
+                    self.leases.record_spent(api.ENDPOINT_POLLS, 1, now)
                 case api.Reject() | api.Fail():
                     self._forget(action.request)
 
     def _spend_attempt(self, attempt: api.Send, now: int, settings: api.Settings) -> None:
         if units := self._units.get(attempt.request):
-            self.leases.record_spent(api.warmup_budget(attempt.node), units, now)
+            self.leases.record_spent(api.warmup_budget(attempt.backend), units, now)
         if settings.retry_budget_window_us:
             if attempt.request in self._sent:
-                self.leases.record_spent(api.RESENDS, 1, now)
+                self.leases.record_spent(api.RETRIES, 1, now)
             self._sent.add(attempt.request)
 
     def changed_shares(self, now: int, hosts: int) -> dict[str, float] | None:
@@ -140,9 +142,9 @@
             demand.name: current[demand.name] * (_counted_size(demand) or hosts)
             for demand in self.leases.demands.values()
         }
-        if api.LIST_CALLS in shares:
+        if api.ENDPOINT_POLLS in shares:
             # An instance that may not call at all could stay without a list: some calls it may always make.
-            shares[api.LIST_CALLS] = max(self._limits.min_list_share, shares[api.LIST_CALLS])
+            shares[api.ENDPOINT_POLLS] = max(self._limits.min_list_share, shares[api.ENDPOINT_POLLS])
         return shares
 
     def receive(self, sender: int, message: LeaseMessage, now: int) -> DropReason | None:
--- a/garnetlanding/peers/suspicions.py
+++ b/garnetlanding/peers/suspicions.py
@@ -86,7 +86,7 @@
             if isinstance(claim, DropReason):
                 dropped[claim] += 1
                 continue
-            claimed.add(observation.endpoint.node)
+            claimed.add(observation.endpoint.backend)
             self._take(claim, sender, observation, now)
         self._withdraw(sender, claimed)
         return dropped
@@ -126,7 +126,7 @@
         A peer that goes on claiming what this instance's own traffic refutes loses credit, and so does one
         that claims it once more after withdrawing it. One that was merely late to learn of a change does not.
         """
-        backend = observation.endpoint.node
+        backend = observation.endpoint.backend
         claims = self._claims.setdefault(backend, {})
         last = claims.get(sender)
         withdrawn = self._withdrawn.pop((backend, sender), None)
--- a/garnetlanding/resp/request.py
+++ b/garnetlanding/resp/request.py
@@ -82,7 +82,7 @@
         units=_read_number(fields, "units"),
         cell=_read_integer(fields, "shard", -1),
         timeout_us=min(_read_integer(fields, "d", 0) * MS, limits.client_wait_us),
-        volume_hosts=_read_integer(fields, "hosts", 1),
+        serving_instances=_read_integer(fields, "hosts", 1),
         work=Command(tuple(arguments)),
         is_retry=fields.get("r") == "1",
         is_write=is_write,
--- a/garnetlanding/wire.py
+++ b/garnetlanding/wire.py
@@ -48,7 +48,7 @@
     """What a list of endpoints on the wire is; the values are the wire's words."""
 
     CHANGES = "diff"
-    WHOLE = "snapshot"
+    COMPLETE = "snapshot"
     CACHED = "disk"
     FAILURE = "error"
 
@@ -91,18 +91,30 @@
 
     def take(self, name: str, convert: Callable[[str], T], default: T | None = None) -> T:
         """Return the next field, or the default where it is absent. Raises WireError."""
-        text = ""
-        if self._next < len(self._parts):
-            text = self._parts[self._next]
-            self._next += 1
-        if text in _ABSENT:
-            if default is not None:
-                return default
+        text = self._next_text()
+        if text not in _ABSENT:
+            return _converted(name, text, convert)
+        if default is None:
             raise WireError(f"field {name}: missing", name)
-        try:
-            return convert(text)
-        except (ValueError, KeyError) as problem:
-            raise WireError(f"field {name}: cannot read {text!r}", name) from problem
+        return default
+
+    def take_optional(self, name: str, convert: Callable[[str], T | None]) -> T | None:
+        """Return the next field, or None where it is absent. Raises WireError."""
+        text = self._next_text()
+        return None if text in _ABSENT else _converted(name, text, convert)
+
+    def _next_text(self) -> str:
+        if self._next >= len(self._parts):
+            return ""
+        self._next += 1
+        return self._parts[self._next - 1]
+
+
+def _converted(name: str, text: str, convert: Callable[[str], T]) -> T:
+    try:
+        return convert(text)
+    except (ValueError, KeyError) as problem:
+        raise WireError(f"field {name}: cannot read {text!r}", name) from problem
 
 
 # Settings
@@ -147,10 +159,10 @@
         max_attempts=get("Limits.MaxAttempts", integer),
         parallel_attempts=get("Limits.ParallelTries", flag, False),
         may_cancel=get("Limits.Cancel", flag, False),
-        may_probe=get("Limits.Probes", flag, False),
+        may_check_health=get("Limits.Probes", flag, False),
         honors_retry_after=get("Limits.RetryAfter", flag, False),
         max_retry_after_us=get("Limits.MaxRetryAfterUs", integer, 0),
-        warmup_initial_share=get("Rules.ColdFrom", number, 1.0),
+        warmup_initial_fraction=get("Rules.ColdFrom", number, 1.0),
         warmup_us=get("Rules.ColdUs", integer, 0),
         warmup_units=get("FamilyInfo.ColdBears", number, 0.0),
         overload_multiple=get("Rules.FallMultiple", number, 1.0),
@@ -159,8 +171,8 @@
         retry_budget_ratio=get("Rules.FurtherRatio", number, 0.0),
         retry_budget_floor=get("Rules.FreeResends", number, 0.0),
         retry_budget_window_us=get("Rules.RatioSpanUs", integer, 0),
-        over_quota_value_share=get("FamilyInfo.ShareWorth", number, 1.0),
-        idle_value_share=get("FamilyInfo.IdleWorth", number, 1.0),
+        over_quota_value_fraction=get("FamilyInfo.ShareWorth", number, 1.0),
+        idle_value_fraction=get("FamilyInfo.IdleWorth", number, 1.0),
         max_units=get("FamilyInfo.Largest", number, 1.0),
         cells=get("FamilyInfo.Shards", integer, 0),
         may_message_peers=get("Limits.MayTell", flag, False),
@@ -171,7 +183,7 @@
     return api.ClassSpec(
         name=get(prefix + "Name", str),
         priority_weight=get(prefix + "Credit", number),
-        late_value_share=get(prefix + "LateValue", number, 0.0),
+        late_value_fraction=get(prefix + "LateValue", number, 0.0),
         latency_objective_us=get(prefix + "PromiseUs", integer),
         deadline_us=get(prefix + "GiveUpUs", integer),
         effect=get(prefix + "Effect", _EFFECTS.__getitem__),
@@ -216,21 +228,24 @@
         raise WireError(f"field Hosts: expected BRICK, found {parts[0]!r}", "Hosts")
     fields = MessageFields(parts)
     fields.take("Machine", str, "")
-    cell = fields.take("Cell", integer, -1)
-    node = fields.take("Brick", str)
+    cell = fields.take("Cell", integer, api.UNKNOWN_CELL)
+    backend = fields.take("Brick", str)
     size = fields.take("Rating", number, 1.0)
     started_us = fields.take("BornUs", integer, 0)
     zone = fields.take("Hall", str, "")
     state = fields.take("Phase", _ENDPOINT_STATES.__getitem__)
-    return api.Endpoint(node, cell, zone, state, started_us, size)
+    return api.Endpoint(backend, cell, zone, state, started_us, size)
 
 
-def endpoint_list_update(kind: ListKind, entries: Iterable[api.Endpoint]) -> api.EndpointListUpdate:
+def endpoint_list_event(
+    kind: ListKind, entries: Iterable[api.Endpoint]
+) -> api.EndpointListUpdate | api.EndpointListFailure:
     """Return the event of a list of that kind."""
+    if kind is ListKind.FAILURE:
+        return api.EndpointListFailure()
     return api.EndpointListUpdate(
         entries=tuple(entries),
-        whole=kind in (ListKind.WHOLE, ListKind.CACHED),
-        failed=kind is ListKind.FAILURE,
+        complete=kind in (ListKind.COMPLETE, ListKind.CACHED),
         at_start=kind is ListKind.CACHED,
     )
 
@@ -238,22 +253,34 @@
 # Events
 
 
+def _cell(text: str) -> int | None:
+    """Read the cell of a request; a negative number stands for a new object. Raises ValueError."""
+    cell = integer(text)
+    return None if cell < 0 else cell
+
+
+def _usage_percent(text: str) -> int | None:
+    """Read a usage figure: 1 plus the percentage, or 0 where it is unknown. Raises ValueError."""
+    figure = integer(text)
+    return None if figure <= 0 else figure - 1
+
+
 def _arrival(fields: MessageFields) -> api.Event:
     request = fields.take("Ticket", str)
     class_name = fields.take("Lane", str)
     plan = fields.take("Grade", str)
     key = fields.take("Item", str, "")
-    until_us = fields.take("NotAfterUs", integer)
+    deadline_us = fields.take("NotAfterUs", integer)
     return api.Arrival(
         request=request,
-        cls=class_name,
+        request_class=class_name,
         plan=plan,
         key=key,
-        until_us=until_us,
+        deadline_us=deadline_us,
         volume=fields.take("Owner", str, ""),
         units=fields.take("Units", number, 1.0),
-        cell=fields.take("GroupNo", integer, -1),
-        volume_hosts=fields.take("NHosts", integer, 1),
+        cell=fields.take_optional("GroupNo", _cell),
+        serving_instances=fields.take("NHosts", integer, 1),
         is_retry=fields.take("AgainByClient", flag, False),
         is_write=fields.take("IsWrite", flag, False),
     )
@@ -268,14 +295,14 @@
 def _result(fields: MessageFields) -> api.Event:
     request = fields.take("Ticket", str)
     attempt = fields.take("SeqNo", integer)
-    node = fields.take("Brick", str)
+    backend = fields.take("Brick", str)
     outcome = fields.take("Status", _OUTCOMES.__getitem__)
-    took_us = fields.take("TookUs", integer, 0)
+    duration_us = fields.take("TookUs", integer, 0)
     answered = fields.take("Ended", flag, False)
-    usage = fields.take("Used", integer, 0)
+    usage_percent = fields.take_optional("Used", _usage_percent)
     fields.take("ForeignUnits", number, 0.0)
-    report: dict[str, float] = fields.take("Report", _load_report, {})
-    return api.Result(request, attempt, node, outcome, took_us, answered, usage, report)
+    load_report: dict[str, float] = fields.take("Report", _load_report, {})
+    return api.Result(request, attempt, backend, outcome, duration_us, answered, usage_percent, load_report)
 
 
 def _load_report(text: str) -> dict[str, float]:
@@ -297,12 +324,12 @@
     return api.TimerFired(fields.take("Nonce", str))
 
 
-def _probe_result(fields: MessageFields) -> api.Event:
-    node = fields.take("Brick", str)
+def _health_check_result(fields: MessageFields) -> api.Event:
+    backend = fields.take("Brick", str)
     outcome = fields.take("Status", _OUTCOMES.__getitem__)
-    took_us = fields.take("TookUs", integer, 0)
-    report: dict[str, float] = fields.take("Report", _load_report, {})
-    return api.ProbeResult(node, outcome, took_us, report)
+    duration_us = fields.take("TookUs", integer, 0)
+    load_report: dict[str, float] = fields.take("Report", _load_report, {})
+    return api.HealthCheckResult(backend, outcome, duration_us, load_report)
 
 
 def _peer_message(fields: MessageFields) -> api.Event:
@@ -317,7 +344,7 @@
     "REPLY": _result,
     "LEFT": _client_left,
     "TIMER": _timer_fired,
-    "PROBED": _probe_result,
+    "PROBED": _health_check_result,
     "PEER": _peer_message,
 }
 
@@ -334,7 +361,7 @@
 
 
 def _send(action: api.Send) -> str:
-    return f"DELIVER {action.request} {action.until_us} {action.node}"
+    return f"DELIVER {action.request} {action.deadline_us or 0} {action.backend}"
 
 
 def _wake_after(action: api.WakeAfter) -> str:
@@ -342,7 +369,7 @@
 
 
 def _reject(action: api.Reject) -> str:
-    return f"DECLINE {action.request} {action.retry_after_us}"
+    return f"DECLINE {action.request} {action.retry_after_us or 0}"
 
 
 def _fail(action: api.Fail) -> str:
@@ -353,8 +380,8 @@
     return f"RECALL {action.request} {action.attempt}"
 
 
-def _probe(action: api.Probe) -> str:
-    return f"CHECK {action.node}"
+def _health_check(action: api.HealthCheck) -> str:
+    return f"CHECK {action.backend}"
 
 
 def _subscribe(_action: api.Subscribe) -> str:
@@ -362,8 +389,8 @@
 
 
 def _send_peer_message(action: api.SendPeerMessage) -> str:
-    receiver = "*" if action.to < 0 else str(action.to)
-    return f"POST {receiver} {action.payload.hex()}"
+    recipient = "*" if action.recipient is None else str(action.recipient)
+    return f"POST {recipient} {action.payload.hex()}"
 
 
 def _log(action: api.Log) -> str:
@@ -376,7 +403,7 @@
     api.Reject: _reject,
     api.Fail: _fail,
     api.Cancel: _cancel,
-    api.Probe: _probe,
+    api.HealthCheck: _health_check,
     api.Subscribe: _subscribe,
     api.SendPeerMessage: _send_peer_message,
     api.Log: _log,
--- a/garnetlanding/wirehost.py
+++ b/garnetlanding/wirehost.py
@@ -132,7 +132,7 @@
         return ["BAIL_OUT " + " ".join(batch.defects[instance].split())]
 
 
-def _read_list(header: str, lines: Iterator[str]) -> api.EndpointListUpdate:
+def _read_list(header: str, lines: Iterator[str]) -> api.EndpointListUpdate | api.EndpointListFailure:
     """Read an endpoint list whose first line is given."""
     kind, count = wire.read_list_header(header)
     entries = []
@@ -141,7 +141,7 @@
         if line is None:
             raise wire.WireError("field Hosts: input ended inside a list", "Hosts")
         entries.append(wire.read_endpoint(line))
-    return wire.endpoint_list_update(kind, entries)
+    return wire.endpoint_list_event(kind, entries)
 
 
 def main() -> int:
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -28,7 +28,7 @@
             id="units",
         ),
         pytest.param(
-            replace(VALID, volume_hosts=4),
+            replace(VALID, serving_instances=4),
             RequestDefect.TOO_MANY_INSTANCES,
             "more hosts than there are",
             id="instances",
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -188,7 +188,7 @@
     instance.run(40 * MS)
     instance.finish_oldest(Outcome.SERVED, b"v")
     [result] = [event for event in instance.module.events if isinstance(event, api.Result)]
-    assert result.took_us == 10 * MS
+    assert result.duration_us == 10 * MS
 
 
 def test_the_streamed_response_of_a_losing_hedged_attempt_is_truncated() -> None:
--- a/tests/core/test_endpoint_registry.py
+++ b/tests/core/test_endpoint_registry.py
@@ -12,7 +12,7 @@
     registry = EndpointRegistry()
 
     def listing(*entries: Endpoint, complete: bool = True) -> EndpointListing:
-        return EndpointListing(entries, {e.node: "10.0.0.1:1" for e in entries}, complete)
+        return EndpointListing(entries, {e.backend: "10.0.0.1:1" for e in entries}, complete)
 
     assert registry.apply(listing(up_endpoint("a", 0), up_endpoint("b", 1))) == []
     drains = Endpoint("a", 0, "z", EndpointState.DRAINING)
@@ -37,7 +37,7 @@
     assert not registry.is_known("c")
     assert registry.effective_entry(up_endpoint("a", 0)) == disabled, "whatever a list says meanwhile"
     [enabled] = registry.set_disabled(frozenset({"not-listed"}), 200)
-    assert (enabled.node, enabled.state, enabled.started_us) == ("a", EndpointState.UP, 200)
+    assert (enabled.backend, enabled.state, enabled.started_us) == ("a", EndpointState.UP, 200)
     assert registry.address_of("a") == "10.0.0.1:1"
     assert registry.unavailable == 0
 
--- a/tests/core/test_request_engine.py
+++ b/tests/core/test_request_engine.py
@@ -225,7 +225,8 @@
         instance.core.module,
         "handle",
         lambda now, events: [
-            replace(a, until_us=now + 50 * MS) if isinstance(a, api.Send) else a for a in handle(now, events)
+            replace(a, deadline_us=now + 50 * MS) if isinstance(a, api.Send) else a
+            for a in handle(now, events)
         ],
     )
     instance.submit("a", timeout_us=300 * MS)
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -90,7 +90,7 @@
         conn.write(piece)
         instance.run(30 * MS)
     assert client.got == codec.bulk(b"x" * 1000)
-    assert instance.core.starts[0].took_us == 40 * MS
+    assert instance.core.starts[0].duration_us == 40 * MS
 
 
 def test_a_backend_reset_after_1_of_4_mib_closes_the_clients_connection_without_a_retry() -> None:
--- a/tests/decision/test_backend_health.py
+++ b/tests/decision/test_backend_health.py
@@ -13,7 +13,7 @@
     """A host whose node has answered so often, each time after `latency`."""
     bench = DecisionBench(make_settings(instances=hosts), [up_endpoint("n0", 0)])
     for i in range(answers):
-        bench.ask(f"b{i}", volume=f"b{i}", cls="write", units=1)
+        bench.ask(f"b{i}", volume=f"b{i}", request_class="write", units=1)
         bench.run(latency)
         bench.end(f"b{i}", took=latency)
     return bench
@@ -32,7 +32,7 @@
 
 def test_backend_with_timeouts_gets_no_low_priority_request_until_its_latency_fades() -> None:
     bench = busy(150, 20 * MS)
-    bench.ask("h", cls="write")
+    bench.ask("h", request_class="write")
     bench.run(1400 * MS)
     for attempt in range(len(bench.sends("h"))):
         bench.end("h", api.Outcome.TIMEOUT, attempt, took=1400 * MS)
@@ -164,7 +164,7 @@
 def test_instance_keeps_to_its_share_of_the_warmup_budget() -> None:
     """Each host takes its part of what a cold node always bears, in every window."""
     bench = DecisionBench(make_settings(), [])
-    bench.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=bench.now),), whole=True))
+    bench.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=bench.now),), complete=True))
     for i in range(60):
         bench.ask(f"c{i}", volume=f"v{i % 3}", units=1, plan="tin", hosts=3)
         if bench.sends(f"c{i}"):
@@ -176,11 +176,11 @@
 def test_new_object_avoids_an_unresponsive_backend() -> None:
     bench = DecisionBench(make_settings(), [up_endpoint("n0", 0), up_endpoint("n1", 1)])
     for i in range(4):
-        bench.ask(f"h{i}", cell=0, cls="write")
+        bench.ask(f"h{i}", cell=0, request_class="write")
     bench.run(700 * MS)
     for i in range(4):
-        bench.ask(f"new{i}", cell=-1, cls="write")
-    assert {s.node for s in bench.sends() if s.request.startswith("new")} == {"n1"}
+        bench.ask(f"new{i}", cell=None, request_class="write")
+    assert {s.backend for s in bench.sends() if s.request.startswith("new")} == {"n1"}
 
 
 def test_new_object_goes_to_backends_that_were_slow_once_or_never_tried() -> None:
@@ -196,13 +196,13 @@
     bench.ask("fair", cell=1, volume="w")
     bench.end("fair", took=280 * MS)
     for i in range(9):
-        bench.ask(f"new{i}", cell=-1, cls="write", volume=f"x{i}")
-    assert {s.node for s in bench.sends() if s.request.startswith("new")} == {"n0", "n1", "n2"}
+        bench.ask(f"new{i}", cell=None, request_class="write", volume=f"x{i}")
+    assert {s.backend for s in bench.sends() if s.request.startswith("new")} == {"n0", "n1", "n2"}
 
 
 def test_requests_beyond_the_warmup_budget_are_refused_at_once_lowest_priority_first() -> None:
     bench = DecisionBench(make_settings(warmup_units=3.0), [])
-    bench.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=bench.now),), whole=True))
+    bench.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=bench.now),), complete=True))
     for i in range(8):
         bench.ask(f"cheap{i}", volume="c", units=1, plan="tin", hosts=3)
     bench.ask("dear", volume="d", units=1, hosts=3)
@@ -220,7 +220,7 @@
     bench.ask("a", units=1)
     assert not bench.sends()
     bench.tell(api.EndpointListUpdate((up_endpoint("n9", 0),)))
-    assert [s.node for s in bench.sends("a")] == ["n9"]
+    assert [s.backend for s in bench.sends("a")] == ["n9"]
 
 
 def test_latency_of_a_large_request_does_not_shrink_the_concurrency_limit() -> None:
@@ -240,6 +240,6 @@
     bench = DecisionBench(make_settings(poll_endpoints=True), [up_endpoint("n0", 0)])
     for _ in range(30):
         failed_at = bench.now
-        bench.tell(api.EndpointListUpdate(failed=True))
+        bench.tell(api.EndpointListFailure())
         bench.run(6 * SECOND)
         assert [t for t, a in bench.log if isinstance(a, api.Subscribe) and t >= failed_at]
--- a/tests/decision/test_decision_rules.py
+++ b/tests/decision/test_decision_rules.py
@@ -37,7 +37,7 @@
 
 def test_request_gets_one_final_answer_before_its_deadline_and_nothing_after() -> None:
     bench = one()
-    bench.ask("a", cls="write")
+    bench.ask("a", request_class="write")
     bench.run(3 * SECOND)
     assert [type(x) for x in bench.answers("a")] == [api.Fail]
     at = next(t for t, x in bench.log if x in bench.answers("a"))
@@ -57,14 +57,14 @@
 
 def test_keyed_request_that_may_have_run_is_failed_never_refused() -> None:
     bench = one(max_attempts=1)
-    bench.ask("a", cls="write")
+    bench.ask("a", request_class="write")
     bench.end("a", ERROR)
     assert [type(x) for x in bench.answers("a")] == [api.Fail]
 
 
 def test_keyed_request_known_not_to_have_run_may_be_refused() -> None:
     bench = one(max_attempts=1)
-    bench.ask("a", cls="write")
+    bench.ask("a", request_class="write")
     bench.end("a", FULL)
     assert [type(x) for x in bench.answers("a")] == [api.Reject]
 
@@ -74,11 +74,11 @@
         make_settings(classes=CLASSES, plans=PLANS),
         [up_endpoint("n0", 0), up_endpoint("n1", 1), up_endpoint("n2", 2)],
     )
-    bench.ask("a", cls="write", cell=-1)
+    bench.ask("a", request_class="write", cell=None)
     bench.end("a", ERROR)
     bench.run(90 * MS)
     assert len(bench.sends("a")) == 2
-    assert len({s.node for s in bench.sends("a")}) == 1
+    assert len({s.backend for s in bench.sends("a")}) == 1
     bench.run(1200 * MS)
     bench.end("a", ERROR, attempt=1)  # the window of 2 s, counted from the first send, is over
     bench.run(2 * SECOND)
@@ -90,9 +90,9 @@
     bench = one()
     bench.ask("first")
     bench.end("first")
-    bench.ask("ran", cls="unsafe")
+    bench.ask("ran", request_class="unsafe")
     bench.end("ran", RESET)
-    bench.ask("not", cls="unsafe")
+    bench.ask("not", request_class="unsafe")
     bench.end("not", UNREACHABLE)
     bench.run(SECOND)
     assert len(bench.sends("ran")) == 1
@@ -113,9 +113,9 @@
 
 def test_ordered_key_waits_for_attempts_in_flight_and_then_rests() -> None:
     bench = one(ordered_key_rest_us=200 * MS)
-    bench.ask("a", cls="ordered", key="k")
-    bench.ask("b", cls="ordered", key="k")
-    bench.ask("other", cls="ordered", key="k2")
+    bench.ask("a", request_class="ordered", key="k")
+    bench.ask("b", request_class="ordered", key="k")
+    bench.ask("other", request_class="ordered", key="k2")
     assert sent_requests([x for _, x in bench.log]) == ["a", "other"]
     bench.tell(api.ClientLeft("a"))  # over, but its attempt is out
     assert not bench.sends("b")
@@ -128,9 +128,9 @@
 
 def test_ordered_key_waits_for_an_attempt_in_flight_of_a_request_that_was_answered_before() -> None:
     bench = one(ordered_key_rest_us=200 * MS, may_cancel=False)
-    bench.ask("a", cls="ordered", key="k")
+    bench.ask("a", request_class="ordered", key="k")
     bench.tell(api.ClientLeft("a"))  # needs no answer any more, but its attempt is not cancelled
-    bench.ask("b", cls="ordered", key="k")
+    bench.ask("b", request_class="ordered", key="k")
     bench.run(300 * MS)
     assert not bench.sends("b")
     bench.end("a", over=True)
@@ -172,7 +172,7 @@
     bench = DecisionBench(make_settings(poll_endpoints=True), [up_endpoint("n0", 0)])
     assert sum(isinstance(a, api.Subscribe) for _, a in bench.log) == 1
     for _ in range(3):
-        bench.tell(api.EndpointListUpdate(failed=True))
+        bench.tell(api.EndpointListFailure())
         assert any(isinstance(a, api.Subscribe) for a in bench.run(6 * SECOND))
 
 
@@ -181,12 +181,12 @@
     bench.tell(
         api.ClientLeft("nobody"),
         api.Result("nobody", 0, "n0", ERROR, 5, False),
-        api.ProbeResult("n0", ERROR, 5),
+        api.HealthCheckResult("n0", ERROR, 5),
         api.PeerMessage(1, b"x"),
         api.StreamStarted("nobody", 0),
     )
     bench.ask("a")
-    bench.tell(api.EndpointListUpdate((), whole=True))  # the list drops a node with an attempt out
+    bench.tell(api.EndpointListUpdate((), complete=True))  # the list drops a node with an attempt out
     bench.end("a")
     bench.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=bench.now),)))
     bench.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=bench.now + 1),)))
@@ -218,7 +218,7 @@
 class SentAttempt:
     """An attempt as the checker has seen it leave and end."""
 
-    node: str
+    backend: str
     sent_at: int
     outcome: api.Outcome | None = None  # None: in flight
 
@@ -228,7 +228,7 @@
 
     @property
     def zone(self) -> int:
-        return int(self.node[1:]) % 2
+        return int(self.backend[1:]) % 2
 
 
 class RuleChecker:
@@ -277,7 +277,7 @@
         elif roll < 0.97:
             self.change_endpoint(self.rng.randrange(self.cells))
         else:
-            self.bench.tell(api.EndpointListUpdate(failed=True))
+            self.bench.tell(api.EndpointListFailure())
 
     def send_arrival(self, name: str) -> None:
         cls = self.rng.choice(sorted(CLASSES))
@@ -288,7 +288,7 @@
             "",
             self.rng.choice(["", "k1", "k2"]),
             self.rng.choice([0.5, 1, 2, 6]),
-            self.rng.randrange(-1, self.cells),
+            None if (cell := self.rng.randrange(-1, self.cells)) < 0 else cell,
             self.bench.now + CLASSES[cls].deadline_us,
             2,
         )
@@ -306,8 +306,10 @@
             self.answered_at.setdefault(name, self.bench.now)
         if attempt.outcome in (TIMEOUT, RESET, api.Outcome.CANCELLED):
             self.key_rests_until[self.arrivals[name].key] = self.bench.now + 200 * MS
-        usage = self.rng.choice([0, 60, 300])
-        self.bench.tell(api.Result(name, index, attempt.node, attempt.outcome, 20 * MS, answered, usage))
+        usage_percent = self.rng.choice([None, 59, 299])
+        self.bench.tell(
+            api.Result(name, index, attempt.backend, attempt.outcome, 20 * MS, answered, usage_percent)
+        )
 
     def leave(self, name: str) -> None:
         if name not in self.answered_at:
@@ -337,12 +339,12 @@
                 assert self.settings.may_cancel
                 assert action.attempt < len(self.attempts[action.request])
         for name, arrival in self.arrivals.items():
-            assert name in self.answered_at or self.bench.now <= arrival.until_us
+            assert name in self.answered_at or self.bench.now <= arrival.deadline_us
 
     def check_final_answer(self, at: int, answer: api.Reject | api.Fail) -> None:
         name = answer.request
         assert name not in self.answered_at, "answered twice"
-        assert at <= self.arrivals[name].until_us
+        assert at <= self.arrivals[name].deadline_us
         self.answered_at[name] = at
         if isinstance(answer, api.Reject):
             self.check_refusal(name)
@@ -351,7 +353,7 @@
         return [attempt for attempt in self.attempts.get(name, []) if attempt.may_have_run]
 
     def check_refusal(self, name: str) -> None:
-        cls = CLASSES[self.arrivals[name].cls]
+        cls = CLASSES[self.arrivals[name].request_class]
         if cls.effect is api.Effect.SAFE:
             return
         if cls.effect is api.Effect.KEYED and cls.deduplication_scope is api.DeduplicationScope.ALL:
@@ -361,16 +363,16 @@
     def check_send(self, at: int, send: api.Send) -> None:
         arrival = self.arrivals[send.request]
         attempts = self.attempts.setdefault(send.request, [])
-        attempt = SentAttempt(send.node, at)
-        cell = int(send.node[1:])
+        attempt = SentAttempt(send.backend, at)
+        cell = int(send.backend[1:])
         assert send.request not in self.answered_at
-        assert at < arrival.until_us
+        assert at < arrival.deadline_us
         assert len(attempts) < self.settings.max_attempts
-        assert send.node not in self.unavailable_since
-        assert arrival.cell in (-1, cell)
+        assert send.backend not in self.unavailable_since
+        assert arrival.cell in (None, cell)
         if any(earlier.outcome is None for earlier in attempts):
             assert self.settings.parallel_attempts
-        self.check_repeat(attempt, CLASSES[arrival.cls], self.may_have_run(send.request))
+        self.check_repeat(attempt, CLASSES[arrival.request_class], self.may_have_run(send.request))
         self.check_order(at, arrival, is_first=not attempts)
         if attempts:
             self.check_retry_budget(at)
@@ -385,13 +387,13 @@
         assert cls.effect is api.Effect.KEYED
         assert attempt.sent_at < min(earlier.sent_at for earlier in ran) + cls.deduplication_window_us
         if cls.deduplication_scope is api.DeduplicationScope.CELL:
-            assert all(earlier.node == attempt.node for earlier in ran)
+            assert all(earlier.backend == attempt.backend for earlier in ran)
         if cls.deduplication_scope is api.DeduplicationScope.ZONE:
             assert all(earlier.zone == attempt.zone for earlier in ran)
 
     def check_order(self, at: int, arrival: api.Arrival, is_first: bool) -> None:
         """A request of an ordered key goes when those before it are answered and not in flight."""
-        if not (CLASSES[arrival.cls].in_order and arrival.key):
+        if not (CLASSES[arrival.request_class].in_order and arrival.key):
             return
         requests = self.requests_of_key[arrival.key]
         before = [name for name in requests[: requests.index(arrival.request)] if self.is_ordered(name)]
@@ -402,7 +404,7 @@
             assert at >= self.ordered_rest(arrival.key, before)
 
     def is_ordered(self, name: str) -> bool:
-        return CLASSES[self.arrivals[name].cls].in_order
+        return CLASSES[self.arrivals[name].request_class].in_order
 
     def ordered_rest(self, key: str, before: list[str]) -> int:
         """Until when the key rests, where that follows from ordered requests alone."""
--- a/tests/decision/test_many_instances.py
+++ b/tests/decision/test_many_instances.py
@@ -16,11 +16,13 @@
 
 def test_150_instances_together_never_overload_a_warming_backend() -> None:
     """A node is back at the least of its capacity; every host asks for it all at once, with retries."""
-    capacity, warmup_initial_share, fall = 60.0, 0.2, 2 * SECOND
+    capacity, warmup_initial_fraction, fall = 60.0, 0.2, 2 * SECOND
     sent: list[tuple[int, float]] = []
     for me in range(INSTANCES):
         bench = DecisionBench(
-            make_settings(instances=INSTANCES, instance_id=me, warmup_initial_share=warmup_initial_share),
+            make_settings(
+                instances=INSTANCES, instance_id=me, warmup_initial_fraction=warmup_initial_fraction
+            ),
             [up_endpoint("n0", 0, started=T0)],
             seed=me,
         )
@@ -31,7 +33,7 @@
             for attempt, _ in enumerate(bench.sends(f"r{i}")):
                 bench.end(f"r{i}", api.Outcome.SERVED, attempt)
         sent += [(t, 2.0) for t, a in bench.log if isinstance(a, api.Send)]
-    allowed = 2.0 * capacity * warmup_initial_share * fall / SECOND
+    allowed = 2.0 * capacity * warmup_initial_fraction * fall / SECOND
     for at, _ in sent:
         assert sum(units for t, units in sent if at <= t < at + fall) <= allowed
 
@@ -137,10 +139,10 @@
 def test_surge_at_a_warming_backend_gets_no_more_than_its_usual_rate_allows() -> None:
     """Twenty restarted hosts of ten volumes that are usual for 20 units a second, at a node of 40, all in a
     surge of ten times that: together under the rule's multiple of what it can do, in every window."""
-    fall, warmup_initial_share, cold = 2 * SECOND, 0.2, 16 * SECOND
+    fall, warmup_initial_fraction, cold = 2 * SECOND, 0.2, 16 * SECOND
     sent = sorted(s for seed in range(20) for s in restarted(asked=120, seed=seed)[0])
     for at, _ in sent:
-        warmth = warmup_initial_share + (1 - warmup_initial_share) * (at - T0) / cold
+        warmth = warmup_initial_fraction + (1 - warmup_initial_fraction) * (at - T0) / cold
         assert sum(units for t, units in sent if at <= t < at + fall) <= 2.0 * 40 * warmth * fall / SECOND
 
 
@@ -162,7 +164,7 @@
     back = free_at = T0 + outage_s * SECOND
     seen = [len(bench.log) for bench in benches]
     for bench in benches:
-        bench.tell(api.EndpointListUpdate(failed=True))
+        bench.tell(api.EndpointListFailure())
     for now in range(T0, back + most_s * SECOND, 50 * MS):
         for me, bench in enumerate(benches):
             bench.run(now - bench.now)
@@ -174,9 +176,9 @@
             free_at = max(free_at, came + takes, free_at + takes) if now >= back else free_at
             if now >= back and free_at - came <= patience:
                 answered.setdefault(me, (free_at - back) / SECOND)
-                benches[me].tell(api.EndpointListUpdate((up_endpoint("n0", 0),), whole=True))
+                benches[me].tell(api.EndpointListUpdate((up_endpoint("n0", 0),), complete=True))
             else:
-                benches[me].tell(api.EndpointListUpdate(failed=True, queued=True))
+                benches[me].tell(api.EndpointListFailure(api.FailureKind.OVERLOADED))
     return sorted(answered.values())
 
 
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -24,7 +24,7 @@
         self.discovery.endpoints = [EmulatedEndpoint("b0", "127.0.0.1:9", 0)]
         self.heard: list[str] = []
         callbacks = WatchCallbacks(
-            lambda listing: self.heard.extend(e.node + ":" + e.state.value for e in listing.entries),
+            lambda listing: self.heard.extend(e.backend + ":" + e.state.value for e in listing.entries),
             self.failed,
             lambda data: self.persist(data),
             lambda: self.pushed,
@@ -302,7 +302,7 @@
     bench = DecisionBench(make_settings(instances=instances, poll_endpoints=True), [up_endpoint("n0", 0)])
     pauses = []
     for _ in range(60):
-        bench.tell(api.EndpointListUpdate(failed=True, unheard_us=unheard_us))
+        bench.tell(api.EndpointListFailure(missed_updates_for_us=unheard_us))
         began, calls = bench.now, len([a for _, a in bench.log if isinstance(a, api.Subscribe)])
         while len([a for _, a in bench.log if isinstance(a, api.Subscribe)]) == calls:
             bench.run(10 * MS)
--- a/tests/emulator/test_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -84,7 +84,7 @@
 
 PUSHED: dict[str, Any] = dict(
     pushed_lists=True,
-    warmup_initial_share=0.15,
+    warmup_initial_fraction=0.15,
     overload_multiple=2.0,
     overload_window_us=2 * SECOND,
     warmup_units=10.0,
--- a/tests/golden/test_decision_digest.py
+++ b/tests/golden/test_decision_digest.py
@@ -42,13 +42,13 @@
 
 
 def entry_text(e: api.Endpoint) -> str:
-    return f"({e.node} {e.cell} {e.zone} {e.state.value} {e.started_us} {e.size!r} {e.admin_disabled})"
+    return f"({e.backend} {e.cell} {e.zone} {e.state.value} {e.started_us} {e.size!r} {e.admin_disabled})"
 
 
 def settings_text(s: api.Settings) -> str:
     """Of the settings, what the scenarios change while a Controller runs, and what tells them apart."""
     classes = " ".join(
-        f"({c.name} {c.priority_weight!r} {c.late_value_share!r} {c.latency_objective_us} "
+        f"({c.name} {c.priority_weight!r} {c.late_value_fraction!r} {c.latency_objective_us} "
         f"{c.deadline_us} {c.effect.value} {c.deduplication_scope.value} "
         f"{c.deduplication_window_us} {c.in_order})"
         for c in s.classes.values()
@@ -59,7 +59,7 @@
         for p in s.plans.values()
     )
     tries = f"{s.max_attempts} {s.parallel_attempts}"
-    return f"{s.instances} {s.instance_id} {tries} {s.process_share!r} {classes} {plans}"
+    return f"{s.instances} {s.instance_id} {tries} {s.process_quota!r} {classes} {plans}"
 
 
 def event_text(event: api.Event) -> str:  # noqa: C901 - one case an event, and no other branch
@@ -68,28 +68,32 @@
             return f"settings {settings_text(settings)}"
         case api.EndpointListUpdate() as e:
             entries = " ".join(entry_text(entry) for entry in e.entries)
-            return f"list {e.whole} {e.failed} {e.queued} {e.unheard_us} {e.at_start} {entries}"
+            return f"list {e.complete} False False 0 {e.at_start} {entries}"
+        case api.EndpointListFailure(kind, missed_for_us):
+            return f"list False True {kind is api.FailureKind.OVERLOADED} {missed_for_us} False "
         case api.Arrival() as e:
+            cell = -1 if e.cell is None else e.cell
             return (
-                f"arrival {e.request} {e.cls} {e.plan} {e.volume} {e.key or '-'} {e.units!r} {e.cell} "
-                f"{e.until_us} {e.volume_hosts} {e.is_retry} {e.is_write}"
+                f"arrival {e.request} {e.request_class} {e.plan} {e.volume} {e.key or '-'} {e.units!r} "
+                f"{cell} {e.deadline_us} {e.serving_instances} {e.is_retry} {e.is_write}"
             )
         case api.StreamStarted(request, attempt):
             return f"stream {request} {attempt}"
         case api.Result() as e:
+            usage = 0 if e.usage_percent is None else e.usage_percent + 1
             return (
-                f"result {e.request} {e.attempt} {e.node or '-'} {e.outcome.value} {e.took_us} {e.answered} "
-                f"{e.usage} {pairs_text(e.report)}"
+                f"result {e.request} {e.attempt} {e.backend or '-'} {e.outcome.value} {e.duration_us} "
+                f"{e.answered} {usage} {pairs_text(e.load_report)}"
             )
         case api.ClientLeft(request):
             return f"left {request}"
         case api.TimerFired(token):
             return f"woke {token}"
-        case api.ProbeResult() as e:
-            return f"probed {e.node} {e.outcome.value} {e.took_us} {pairs_text(e.report)}"
+        case api.HealthCheckResult() as e:
+            return f"probed {e.backend} {e.outcome.value} {e.duration_us} {pairs_text(e.load_report)}"
         case api.PeerMessage(sender, payload):
             return f"peer {sender} {payload.hex()}"
-        case api.QuotaShares(parts, shares):
+        case api.QuotaUpdate(parts, shares):
             return f"parts {pairs_text(parts)} {'-' if shares is None else pairs_text(shares)}"
         case api.PeerSuspicions(suspected):
             return f"hearsay {pairs_text(suspected)}"
@@ -185,7 +189,11 @@
 
 
 PUSHED: dict[str, Any] = dict(
-    pushed_lists=True, warmup_initial_share=0.15, overload_multiple=2.0, warmup_units=10.0, service_rate=40.0
+    pushed_lists=True,
+    warmup_initial_fraction=0.15,
+    overload_multiple=2.0,
+    warmup_units=10.0,
+    service_rate=40.0,
 )
 
 FLEETS: dict[str, tuple[str, int, Change, dict[str, Any]]] = {
@@ -253,10 +261,10 @@
     max_attempts=4,
     parallel_attempts=True,
     may_cancel=True,
-    may_probe=False,
+    may_check_health=False,
     honors_retry_after=True,
     max_retry_after_us=SECOND,
-    warmup_initial_share=0.2,
+    warmup_initial_fraction=0.2,
     warmup_us=8 * SECOND,
     warmup_units=9.0,
     overload_multiple=2.0,
@@ -265,8 +273,8 @@
     retry_budget_ratio=0.2,
     retry_budget_floor=4.0,
     retry_budget_window_us=5 * SECOND,
-    over_quota_value_share=0.4,
-    idle_value_share=0.05,
+    over_quota_value_fraction=0.4,
+    idle_value_fraction=0.05,
     max_units=6.0,
 )
 SCRIPTS: dict[str, tuple[int, api.Settings]] = {
@@ -369,7 +377,7 @@
         """Discovery has a queue that goes on turning this host's calls down."""
         for _ in range(count):
             self.now += 50 * MS
-            self.tell([api.EndpointListUpdate(failed=True, queued=True)])
+            self.tell([api.EndpointListFailure(api.FailureKind.OVERLOADED)])
         self.rest(30 * SECOND)
 
     def comes_again(self, idle_us: int) -> None:
@@ -377,8 +385,10 @@
         for count in (1, 3):
             events: list[api.Event] = []
             for _ in range(count):
-                told = replace(self._arrival(), cls="slow", plan="capped", volume="idler", key="", units=6.0)
-                told = replace(told, cell=0, until_us=self.now + 4 * SECOND, volume_hosts=1)
+                told = replace(
+                    self._arrival(), request_class="slow", plan="capped", volume="idler", key="", units=6.0
+                )
+                told = replace(told, cell=0, deadline_us=self.now + 4 * SECOND, serving_instances=1)
                 self.asked[told.request] = Asked(told)
                 events.append(told)
             self.tell(events)
@@ -411,7 +421,7 @@
         told = api.Arrival(
             request, cls.name, plan, f"{plan}{volume}", f"k{rng.randint(0, 3)}" if cls.in_order else "",
             rng.choice((1.0, 1.0, 2.0, 2.5, 6.0, 30.0 if rng.random() < 0.05 else 3.0)),
-            rng.randint(-1, CELLS - 1), self.now + patience, 1 + volume,
+            None if (cell := rng.randint(-1, CELLS - 1)) < 0 else cell, self.now + patience, 1 + volume,
             is_retry=patience < cls.deadline_us, is_write=cls.effect is not api.Effect.SAFE,
         )  # fmt: skip
         self.asked[request] = Asked(told)
@@ -420,12 +430,12 @@
     def _sent(self, send: api.Send) -> None:
         rng, asked = self.rng, self.asked[send.request]
         attempt = len(asked.sent)
-        asked.sent.append((self.now, send.node))
-        outcomes, (least, most) = MOODS[self.moods.get(send.node, "well")]
+        asked.sent.append((self.now, send.backend))
+        outcomes, (least, most) = MOODS[self.moods.get(send.backend, "well")]
         outcome, took = rng.choice(outcomes), rng.randint(least, most)
-        if asked.told.cls == "once" and outcome is api.Outcome.SERVED and rng.random() < 0.5:
+        if asked.told.request_class == "once" and outcome is api.Outcome.SERVED and rng.random() < 0.5:
             self.later(took // 2, lambda: api.StreamStarted(send.request, attempt))
-        left_us = asked.told.until_us - self.now
+        left_us = asked.told.deadline_us - self.now
         if took >= left_us or rng.random() < 0.04:  # lost, or too late: the client's time ends it
             self.later(max(1, left_us), self._result(send.request, attempt, "timeout"))
         else:
@@ -441,7 +451,14 @@
             asked.over = asked.over or outcome == "served"
             used = self.rng.choice((0, 0, 1, 60, 101, 180))
             return api.Result(
-                request, attempt, node, api.Outcome(outcome), self.now - sent_at, asked.over, used, {"q": 1.5}
+                request,
+                attempt,
+                node,
+                api.Outcome(outcome),
+                self.now - sent_at,
+                asked.over,
+                used - 1 if used else None,
+                {"q": 1.5},
             )
 
         return end
@@ -451,10 +468,9 @@
     def _answer_to_call(self) -> api.Event:
         rng = self.rng
         if rng.random() < 0.4:
-            return api.EndpointListUpdate(
-                failed=True, queued=rng.random() < 0.4, unheard_us=rng.choice((0, 300 * MS))
-            )
-        return api.EndpointListUpdate(tuple(self.entries.values()), whole=True)
+            kind = api.FailureKind.OVERLOADED if rng.random() < 0.4 else api.FailureKind.ERROR
+            return api.EndpointListFailure(kind, rng.choice((0, 300 * MS)))
+        return api.EndpointListUpdate(tuple(self.entries.values()), complete=True)
 
     def _anything(self) -> api.Event:
         rng = self.rng
@@ -468,11 +484,11 @@
                 lambda: self._left(request),
                 lambda: api.PeerSuspicions({node: self.now + rng.randint(0, 2 * SECOND)}),
                 lambda: api.PeerSuspicions({}),
-                lambda: api.EndpointListUpdate(failed=True, unheard_us=rng.choice((0, SECOND))),
+                lambda: api.EndpointListFailure(missed_updates_for_us=rng.choice((0, SECOND))),
                 lambda: api.Result(request, rng.choice((-1, 0, 9)), node, api.Outcome.SERVED, MS, False),
                 lambda: api.Result("unknown", 0, node, api.Outcome.FULL, MS, False),
                 lambda: api.StreamStarted("unknown", 0),
-                lambda: api.ProbeResult(node, api.Outcome.SERVED, MS, {"load": 0.5}),
+                lambda: api.HealthCheckResult(node, api.Outcome.SERVED, MS, {"load": 0.5}),
                 lambda: api.PeerMessage(2, b"\x01hello"),
                 make,
                 make,
@@ -494,15 +510,15 @@
 
     def _parts(self) -> api.Event:
         """Of a volume that the Controller knows, since it is told of no other."""
-        volumes = sorted({a.told.volume for a in self.asked.values() if a.told.until_us > self.now})
+        volumes = sorted({a.told.volume for a in self.asked.values() if a.told.deadline_us > self.now})
         parts = {v: self.rng.choice((0.2, 0.5, 1.0)) for v in volumes[:2]}
         node = self.rng.choice(sorted(self.entries))
         shares = {
-            api.LIST_CALLS: self.rng.choice((0.5, 2.0)), api.RESENDS: self.rng.choice((0.0, 1.5)),
+            api.ENDPOINT_POLLS: self.rng.choice((0.5, 2.0)), api.RETRIES: self.rng.choice((0.0, 1.5)),
             api.warmup_budget(node): self.rng.choice((0.3, 3.0)),
             api.concurrency_budget(node): self.rng.choice((1, 3, 40)),
         }  # fmt: skip
-        return api.QuotaShares(parts, self.rng.choice((None, {}, shares)))
+        return api.QuotaUpdate(parts, self.rng.choice((None, {}, shares)))
 
     def _new_settings(self) -> api.Event:
         """Another part of what is this host's, or another plan, or back to what was at first."""
@@ -514,7 +530,7 @@
         if rng.random() < 0.2:
             del plans["gold"]  # its volumes go on by the plan as it was
             plans["gold"] = replace(BASE.plans["gold"], price=0.2)
-        self.settings = replace(self.settings, plans=plans, process_share=rng.choice((0.5, 1.0, 1.0)))
+        self.settings = replace(self.settings, plans=plans, process_quota=rng.choice((0.5, 1.0, 1.0)))
         return api.NewSettings(self.settings)
 
     def _changed_list(self) -> api.Event:
@@ -536,18 +552,18 @@
         elif change == "back":
             changed = [replace(e, state=up, admin_disabled=False) for e in self.entries.values()]
         elif change in ("gone", "replace"):
-            new = replace(old, node=f"{old.node}x", state=up, started_us=self.now, admin_disabled=False)
+            new = replace(old, backend=f"{old.backend}x", state=up, started_us=self.now, admin_disabled=False)
             gone = replace(old, state=api.EndpointState.GONE)
             changed = [gone, new] if change == "replace" or len(self.entries) > CELLS else [gone]
         else:
-            return api.EndpointListUpdate(tuple(self.entries.values()), whole=True)
+            return api.EndpointListUpdate(tuple(self.entries.values()), complete=True)
         for entry in changed:
-            self.entries[entry.node] = entry
+            self.entries[entry.backend] = entry
         told = api.EndpointListUpdate(tuple(changed))
         if change == "replace":
-            del self.entries[old.node]
+            del self.entries[old.backend]
         elif change == "gone":
-            self.entries[old.node] = replace(old, state=api.EndpointState.DRAINING)
+            self.entries[old.backend] = replace(old, state=api.EndpointState.DRAINING)
         return told
 
 
@@ -556,7 +572,7 @@
     seed, settings = SCRIPTS[name]
     record = Record()
     world = World(record, seed, settings)
-    world.tell([api.EndpointListUpdate(tuple(world.entries.values()), whole=True, at_start=True)])
+    world.tell([api.EndpointListUpdate(tuple(world.entries.values()), complete=True, at_start=True)])
     for load in (0.05, 0.2, 0.1, 0.05, 1.0, 0.1):
         world.run(15 * SECOND, load)
         world.rest(3 * SECOND)
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -283,8 +283,8 @@
         lines += [
             f"# {what}",
             f"class {ask.cls}, plan {ask.plan}, volume {ask.volume}, key {ask.key}, units {ask.units!r}, "
-            f"cell {ask.cell}, wait {ask.timeout_us} us, hosts {ask.volume_hosts}, retry {ask.is_retry}, "
-            f"write {ask.is_write}, size {ask.held_bytes}, copies {ask.allow_hedging}",
+            f"cell {ask.cell}, wait {ask.timeout_us} us, hosts {ask.serving_instances}, "
+            f"retry {ask.is_retry}, write {ask.is_write}, size {ask.held_bytes}, copies {ask.allow_hedging}",
         ]
         lines += [f"left {left} us: {shown(ask.work.encode(left))}" for left in (1, 999_999, 2_500_000)]
     with pytest.raises(InvalidCommandError) as problem:
@@ -717,7 +717,7 @@
             lines.append(
                 f"asked class {asked.cls}, plan {asked.plan}, volume {asked.volume}, key {asked.key}, "
                 f"units {asked.units!r}, cell {asked.cell}, wait {asked.timeout_us}, "
-                f"hosts {asked.volume_hosts}, write {asked.is_write}, size {asked.held_bytes}"
+                f"hosts {asked.serving_instances}, write {asked.is_write}, size {asked.held_bytes}"
             )
             answered(answer)
         lines.extend(f"< {data.hex()}" for data in sink.written)
@@ -783,7 +783,7 @@
 
 def entry_form(entry: api.Endpoint) -> str:
     return (
-        f"{entry.node} cell {entry.cell} zone {entry.zone or '-'} state {STATE_LABELS[entry.state]} "
+        f"{entry.backend} cell {entry.cell} zone {entry.zone or '-'} state {STATE_LABELS[entry.state]} "
         f"started {entry.started_us} size {entry.size!r}"
     )
 
@@ -799,7 +799,7 @@
     callbacks = WatchCallbacks(
         lambda listing: lines.extend(
             [f"whole {listing.complete}, at start {listing.at_start}"]
-            + [f"{entry_form(e)} at {listing.addresses[e.node] or '-'}" for e in listing.entries]
+            + [f"{entry_form(e)} at {listing.addresses[e.backend] or '-'}" for e in listing.entries]
         ),
         lambda queued, unheard: lines.append(f"failed, queued {queued}, unheard {unheard}"),
         lambda data: lines.append(f"kept {json.dumps(data)}"),
@@ -1190,7 +1190,7 @@
         api.Reject("r2", 30),
         api.Fail("r3"),
         api.Cancel("r4", 2),
-        api.Probe("10.0.0.2:9"),
+        api.HealthCheck("10.0.0.2:9"),
         api.Subscribe(),
         api.SendPeerMessage(b"\x00\xff"),
         api.SendPeerMessage(b"", 3),
@@ -1275,10 +1275,10 @@
         f"most attempts: {s.max_attempts}",
         f"parallel attempts: {s.parallel_attempts}",
         f"cancel: {s.may_cancel}",
-        f"probe: {s.may_probe}",
+        f"probe: {s.may_check_health}",
         f"hold-off is heeded: {s.honors_retry_after}",
         f"longest hold-off: {s.max_retry_after_us}",
-        f"cold from: {s.warmup_initial_share!r}",
+        f"cold from: {s.warmup_initial_fraction!r}",
         f"cold time: {s.warmup_us}",
         f"cold units: {s.warmup_units!r}",
         f"fall multiple: {s.overload_multiple!r}",
@@ -1287,16 +1287,16 @@
         f"budget share: {s.retry_budget_ratio!r}",
         f"budget free: {s.retry_budget_floor!r}",
         f"budget span: {s.retry_budget_window_us}",
-        f"worth of a share: {s.over_quota_value_share!r}",
-        f"worth of the spare: {s.idle_value_share!r}",
+        f"worth of a share: {s.over_quota_value_fraction!r}",
+        f"worth of the spare: {s.idle_value_fraction!r}",
         f"most units: {s.max_units!r}",
         f"cells: {s.cells}",
         f"heads may tell: {s.may_message_peers}",
-        f"part: {s.process_share!r}",
+        f"part: {s.process_quota!r}",
     ]
     for key, c in s.classes.items():
         lines.append(
-            f"class {key}: name {c.name}, worth {c.priority_weight!r}, late {c.late_value_share!r}, "
+            f"class {key}: name {c.name}, worth {c.priority_weight!r}, late {c.late_value_fraction!r}, "
             f"aim {c.latency_objective_us}, "
             f"deadline {c.deadline_us}, effect {EFFECT_LABELS[c.effect]}, "
             f"group {GROUP_LABELS[c.deduplication_scope]}, "
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -409,7 +409,7 @@
 BUDGETS = codec.LeaseMessage(
     *HEADER,
     {codec.tag(api.warmup_budget("n0")): codec.QuotaRequest(0.004, 4)},
-    {codec.tag(api.LIST_CALLS): 1.0},
+    {codec.tag(api.ENDPOINT_POLLS): 1.0},
 )
 BANS = DisabledBackends(PEER_LIMITS, [Ban("n1", 1_764_640_800_000, 2, True), Ban("head/3", 9, 65535, False)])
 EVIDENCE = tuple(
@@ -600,7 +600,7 @@
             api.Endpoint(f"n{i}", i, "z", api.EndpointState.UP, started_us=self.now + 1 if i == 4 else 0)
             for i in range(SERVERS)
         )
-        self.post(self.now, me, api.EndpointListUpdate(entries, whole=True, at_start=True))
+        self.post(self.now, me, api.EndpointListUpdate(entries, complete=True, at_start=True))
 
     def post(self, when: int, to: int, event: api.Event) -> None:
         self._posted += 1
@@ -647,7 +647,7 @@
         match action:
             case api.WakeAfter(span_us=span, token=token):
                 self.post(self.now + max(1, span), me, api.TimerFired(token))
-            case api.Send(request=request, node=node):
+            case api.Send(request=request, backend=node):
                 attempt = self._tries[me, request]
                 self._tries[me, request] += 1
                 outcome, took = self.answer(node)
@@ -655,7 +655,7 @@
                 self.post(
                     self.now + took, me, api.Result(request, attempt, node, outcome, took, answered=over)
                 )
-            case api.SendPeerMessage(payload=payload, to=to):
+            case api.SendPeerMessage(payload=payload, recipient=int() as to):
                 self.tell(me, to, payload)
 
     def answer(self, node: str) -> tuple[api.Outcome, int]:
--- a/tests/ops/test_admin_service.py
+++ b/tests/ops/test_admin_service.py
@@ -91,7 +91,7 @@
     assert enabled.started_us == T0 + SECOND
     instance.list(*instance.endpoints)
     assert (
-        next(e for e in observed[::-1] if e.node == "b0").started_us == T0 + SECOND
+        next(e for e in observed[::-1] if e.backend == "b0").started_us == T0 + SECOND
     ), "the list does not change it"
 
 
--- a/tests/ops/test_process_quota.py
+++ b/tests/ops/test_process_quota.py
@@ -81,19 +81,19 @@
     assert concurrency_limit(b.c.state, h) == 4
     b.ask("a")
     b.c.state.volumes["v"].weight = 9
-    b.tell(api.NewSettings(replace(config, process_share=0.5)))
+    b.tell(api.NewSettings(replace(config, process_quota=0.5)))
     assert concurrency_limit(b.c.state, h) == 2
-    assert b.c.state.process_warmup_share == 0.5
+    assert b.c.state.process_warmup_quota == 0.5
     assert b.c.state.volumes["v"].weight == 9, "a volume's learned weight is not forgotten"
-    b.tell(api.NewSettings(replace(config, process_share=1.0)))
+    b.tell(api.NewSettings(replace(config, process_quota=1.0)))
     assert concurrency_limit(b.c.state, h) == 4
-    assert b.c.state.process_warmup_share == 0.5
+    assert b.c.state.process_warmup_quota == 0.5
     b.run(config.overload_window_us - 10 * MS)
     b.tell()
-    assert b.c.state.process_warmup_share == 0.5
+    assert b.c.state.process_warmup_quota == 0.5
     b.run(20 * MS)
     b.tell()
-    assert b.c.state.process_warmup_share == 1.0
+    assert b.c.state.process_warmup_quota == 1.0
 
 
 def fullest_window(config: api.Settings, *quotas: dict[int, float]) -> int:
@@ -102,14 +102,14 @@
     `quotas` has the quota of each process by the step from which on it holds.
     """
     sent: list[int] = []
-    benches = [DecisionBench(replace(config, process_share=quota[0]), []) for quota in quotas]
+    benches = [DecisionBench(replace(config, process_quota=quota[0]), []) for quota in quotas]
     for bench in benches:
-        bench.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=T0),), whole=True))
+        bench.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=T0),), complete=True))
     for step in range(600):
         for bench, quota in zip(benches, quotas, strict=True):
             bench.now = max(bench.now, T0 + step * 10 * MS)
             if step and step in quota:
-                bench.tell(api.NewSettings(replace(config, process_share=quota[step])))
+                bench.tell(api.NewSettings(replace(config, process_quota=quota[step])))
             done = bench.ask(f"a{step}", volume=f"v{step % 5}", units=1) + bench.run(0)
             for send in [a for a in done if isinstance(a, api.Send)]:
                 sent.append(bench.now)
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -54,7 +54,7 @@
         self.sent: list[list[str]] = [[] for _ in self.coordinators]
         for coordinator in self.coordinators:
             coordinator.handle(
-                T0, [api.EndpointListUpdate((up_endpoint("n0", 0),), whole=True, at_start=True)]
+                T0, [api.EndpointListUpdate((up_endpoint("n0", 0),), complete=True, at_start=True)]
             )
 
     def run(self, seconds: float, asked: tuple[int, ...] = (0,), cut: tuple[int, ...] = ()) -> None:
@@ -70,8 +70,11 @@
 
     def _act(self, me: int, actions: list[api.Action], cut: tuple[int, ...]) -> None:
         for action in actions:
-            if isinstance(action, api.SendPeerMessage) and not {me, action.to} & set(cut):
-                self.inbox[action.to].append(api.PeerMessage(me, action.payload))
+            if isinstance(action, api.SendPeerMessage):
+                assert action.recipient is not None
+                if {me, action.recipient} & set(cut):
+                    continue
+                self.inbox[action.recipient].append(api.PeerMessage(me, action.payload))
             elif isinstance(action, api.Send):
                 self.sent[me].append(action.request)
                 self.inbox[me].append(api.Result(action.request, 0, "n0", api.Outcome.SERVED, MS, True))
@@ -80,7 +83,7 @@
 def test_module_sends_what_its_quota_share_allows_and_no_more() -> None:
     fleet = Fleet()
     fleet.run(4)
-    assert volume(fleet.coordinators[0]).quota_share == pytest.approx(1.0)
+    assert volume(fleet.coordinators[0]).quota == pytest.approx(1.0)
     assert volume(fleet.coordinators[0]).limit.rate == pytest.approx(40)
     before = len(fleet.sent[0])
     fleet.run(4)
@@ -89,7 +92,7 @@
     assert volume(fleet.coordinators[0]).limit.rate == pytest.approx(20)
     assert volume(fleet.coordinators[0]).limit.capacity == 30
     fleet.run(4, asked=(0, 1))
-    parts = [volume(fleet.coordinators[me]).quota_share for me in (0, 1)]
+    parts = [volume(fleet.coordinators[me]).quota for me in (0, 1)]
     assert sum(parts) <= 1 + 1e-9, "two that ask alike have a half each"
     assert min(parts) > 0.4, "two that ask alike have a half each"
 
@@ -99,8 +102,8 @@
     fleet = Fleet()
     fleet.run(3, asked=(0, 1))
     fleet.run(70)
-    assert volume(fleet.coordinators[1]).quota_share < 0.1
-    assert volume(fleet.coordinators[0]).quota_share > 0.9
+    assert volume(fleet.coordinators[1]).quota < 0.1
+    assert volume(fleet.coordinators[0]).quota > 0.9
     fleet.run(0.04, asked=(1,))
     assert volume(fleet.coordinators[1]).limit.rate < 4
 
@@ -122,9 +125,9 @@
     coordinator = fleet.coordinators[0]
     coordinator.handle(fleet.now, [api.NewSettings(replace(LIMITED, instances=4))])
     fleet.run(0.08, cut=(0, 1, 2))
-    assert volume(coordinator).quota_share == 0.0
+    assert volume(coordinator).quota == 0.0
     fleet.run(1.5, cut=(0, 1, 2))
-    assert volume(coordinator).quota_share == 0.5
+    assert volume(coordinator).quota == 0.5
 
 
 def test_budgets_observe_actions_by_the_settings_that_the_same_events_brought(
@@ -365,23 +368,23 @@
     ), "the other one has this head's part"
     coordinator = instance.daemon.assembly.peer_link.coordinator
     assert coordinator
-    assert volume(coordinator).quota_share == 0.0
+    assert volume(coordinator).quota == 0.0
     instance.run(LIMITS.open_retry_us, 100 * MS)
     assert instance.daemon.assembly.peer_link.link
     assert instance.daemon.assembly.peer_link.link.address == at
     client.say(ask.replace(b"r2", b"r3"))
-    assert volume(coordinator).quota_share == 0.0, "nor may it have given nothing away"
+    assert volume(coordinator).quota == 0.0, "nor may it have given nothing away"
     instance.run(2 * LIMITS.lease_us, 100 * MS)
     client.say(ask.replace(b"r2", b"r4"))
     instance.run(100 * MS)
-    assert volume(coordinator).quota_share == 0.5
+    assert volume(coordinator).quota == 0.5
 
 
 def test_process_that_ends_beside_its_successor_leaves_it_the_link_and_every_share() -> None:
     instance = LinkedInstance()
     instance.ask()
     instance.ask()
-    assert volume(instance.coordinator).quota_share == 0.5
+    assert volume(instance.coordinator).quota == 0.5
     assert instance.daemon.assembly.peer_link.link
     link = instance.daemon.assembly.peer_link.link
 
--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -78,7 +78,7 @@
     budgets.observe_events(
         T0,
         [
-            api.EndpointListUpdate((node, up_endpoint("n1", 1)), whole=True),
+            api.EndpointListUpdate((node, up_endpoint("n1", 1)), complete=True),
             ask,
             replace(ask, request="r2", cell=1),
         ],
@@ -96,12 +96,12 @@
     own = budgets.leases.demands[codec.tag("cold:n0")]
     assert own.locked_share(later, budgets.leases.window_us) == pytest.approx(2 / 30)
     budgets.observe_events(
-        later, [api.EndpointListUpdate(failed=True), api.EndpointListUpdate((up_endpoint("n0", 0),))], COLD, 3
+        later, [api.EndpointListFailure(), api.EndpointListUpdate((up_endpoint("n0", 0),))], COLD, 3
     )
     budgets.observe_actions(later, [api.Subscribe()], COLD)
     told = budgets.changed_shares(later, 3)
     assert told
-    assert told[api.LIST_CALLS] >= LIMITS.min_list_share
+    assert told[api.ENDPOINT_POLLS] >= LIMITS.min_list_share
     assert "r1" in budgets._units
     budgets.observe_events(later, [api.ClientLeft("r1")], COLD, 3)
     assert not budgets._units, "its client has left"
@@ -118,8 +118,8 @@
             api.Arrival(f"r{i}", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1) for i in range(40)
         ]
         told: list[api.Event] = [
-            api.EndpointListUpdate((node,), whole=True, at_start=True),
-            api.QuotaShares({}, {"cold:n0": share}),
+            api.EndpointListUpdate((node,), complete=True, at_start=True),
+            api.QuotaUpdate({}, {"cold:n0": share}),
         ]
         actions = module.handle(T0, told + asks)
         sent[share] = sum(isinstance(a, api.Send) for a in actions)
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -55,7 +55,7 @@
     observations = LocalObservations(LIMITS)
     observations.observe_events(
         T0,
-        [api.EndpointListUpdate((replace(SIX_BACKENDS[0], started_us=T0 - 40 * SECOND),), whole=True)],
+        [api.EndpointListUpdate((replace(SIX_BACKENDS[0], started_us=T0 - 40 * SECOND),), complete=True)],
         OBJECTIVE_US,
     )
     for life, same in ((400, True), (385, True), (430, False), (20, False), (MAX_UPTIME, False)):
--- a/tests/support/decision_bench.py
+++ b/tests/support/decision_bench.py
@@ -26,10 +26,10 @@
         max_attempts=3,
         parallel_attempts=True,
         may_cancel=True,
-        may_probe=False,
+        may_check_health=False,
         honors_retry_after=True,
         max_retry_after_us=SECOND,
-        warmup_initial_share=0.2,
+        warmup_initial_fraction=0.2,
         warmup_us=16 * SECOND,
         warmup_units=9.0,
         overload_multiple=2.0,
@@ -38,16 +38,16 @@
         retry_budget_ratio=0.0,
         retry_budget_floor=0.0,
         retry_budget_window_us=0,
-        over_quota_value_share=0.4,
-        idle_value_share=0.05,
+        over_quota_value_fraction=0.4,
+        idle_value_fraction=0.05,
         max_units=6.0,
     )
     return api.Settings(**(base | changes))  # type: ignore[arg-type]  # fields by name
 
 
-def up_endpoint(node: str, cell: int, started: int = 0, zone: str = "z") -> api.Endpoint:
+def up_endpoint(backend: str, cell: int, started: int = 0, zone: str = "z") -> api.Endpoint:
     """An endpoint that is UP; `started` is its start in microseconds, 0 when unknown."""
-    return api.Endpoint(node, cell, zone, api.EndpointState.UP, started)
+    return api.Endpoint(backend, cell, zone, api.EndpointState.UP, started)
 
 
 class DecisionBench:
@@ -58,7 +58,7 @@
         self.now = T0
         self.log: list[tuple[int, api.Action]] = []
         self.wakes: list[int] = []
-        self.tell(api.EndpointListUpdate(tuple(entries), whole=True, at_start=True))
+        self.tell(api.EndpointListUpdate(tuple(entries), complete=True, at_start=True))
 
     def tell(self, *events: api.Event) -> list[api.Action]:
         """Give the controller events at the present time and return its actions."""
@@ -81,19 +81,27 @@
         self,
         name: str,
         volume: str = "v",
-        cell: int = 0,
+        cell: int | None = 0,
         units: float = 2,
         plan: str = "gold",
-        cls: str = "read",
+        request_class: str = "read",
         key: str = "",
         hosts: int = 1,
         patience: int | None = None,
     ) -> list[api.Action]:
         """A request arrives; `patience` is its deadline from now in microseconds, else that of its class."""
-        spec = self.c.settings.classes[cls]
+        spec = self.c.settings.classes[request_class]
         return self.tell(
             api.Arrival(
-                name, cls, plan, volume, key, units, cell, self.now + (patience or spec.deadline_us), hosts
+                name,
+                request_class,
+                plan,
+                volume,
+                key,
+                units,
+                cell,
+                self.now + (patience or spec.deadline_us),
+                hosts,
             )
         )
 
@@ -108,7 +116,7 @@
     ) -> list[api.Action]:
         """An attempt of the request ends; `over` says whether its outcome is final."""
         over = outcome is api.Outcome.SERVED if over is None else over
-        return self.tell(api.Result(name, attempt, "", outcome, took, over, used))
+        return self.tell(api.Result(name, attempt, "", outcome, took, over, used - 1 if used else None))
 
     def sends(self, name: str | None = None) -> list[api.Send]:
         """What was sent so far, of one request or of all."""
--- a/tests/support/suspicions.py
+++ b/tests/support/suspicions.py
@@ -31,7 +31,7 @@
 def observations_after(*events: api.Event, now: int = T0) -> LocalObservations:
     observations = LocalObservations(LIMITS)
     observations.observe_events(
-        now, [api.EndpointListUpdate(SIX_BACKENDS, whole=True), *events], OBJECTIVE_US
+        now, [api.EndpointListUpdate(SIX_BACKENDS, complete=True), *events], OBJECTIVE_US
     )
     return observations
 
@@ -63,7 +63,7 @@
             for number, detector in enumerate(self.detectors)
         ]
         self.inbox: list[list[api.Event]] = [
-            [api.EndpointListUpdate(SIX_BACKENDS, whole=True, at_start=True)] for _ in range(3)
+            [api.EndpointListUpdate(SIX_BACKENDS, complete=True, at_start=True)] for _ in range(3)
         ]
         self.sends: list[list[str]] = [[], [], []]
 
@@ -78,6 +78,7 @@
                 for action in coordinator.handle(self.now, events):
                     if isinstance(action, api.SendPeerMessage):
                         assert len(action.payload) <= LIMITS.datagram_bytes
-                        self.inbox[action.to].append(api.PeerMessage(number, action.payload))
+                        assert action.recipient is not None
+                        self.inbox[action.recipient].append(api.PeerMessage(number, action.payload))
                     elif isinstance(action, api.Send):
                         self.sends[number].append(action.request)
