--- a/garnetlanding/decision/interface.py
+++ b/garnetlanding/decision/interface.py
@@ -1,9 +1,10 @@
-"""The decision module's interface: settings, events (what it is told) and actions (what it asks for).
+"""The decision module's interface: settings, events (its input) and actions (its output).
 
-Typed messages in and out of a pure state machine; nothing here decides anything. Names that end in `_us` are
-integer microseconds; moments are on the instance's monotonic clock. Units measure the work of a request.
+The module is a pure state machine with typed messages; nothing in this file decides anything. Fields whose
+names end in `_us` are integer microseconds; points in time are on the instance's monotonic clock. Units
+measure the work that a request causes.
 
-Enum values are fixed: counters and histories show them.
+Enum values are fixed: metrics and histories contain them.
 """
 
 from __future__ import annotations
@@ -14,20 +15,20 @@
 
 
 class Effect(Enum):
-    """What repeating a request of a class does."""
+    """What the repetition of a request does, by its class."""
 
     SAFE = "safe"
-    """A repeat does no harm."""
+    """A repetition is harmless."""
 
     KEYED = "keyed"
-    """Requests carry an idempotency key: backends in a scope drop a repeat for a while."""
+    """Requests carry an idempotency key: within a scope and for some time, backends drop repetitions."""
 
     UNSAFE = "unsafe"
-    """A repeat may have an effect of its own: only what is known never to have run is sent again."""
+    """A repetition may take effect again: a request is retried only if it is known never to have run."""
 
 
 class DeduplicationScope(Enum):
-    """Which backends drop a repeat of a request with an idempotency key."""
+    """Which backends drop a repetition of a request with an idempotency key."""
 
     ALL = "all"
     """All backends."""
@@ -40,28 +41,28 @@
 
 
 class Outcome(Enum):
-    """How one attempt ended. FULL, UNREACHABLE and NEVER_DISPATCHED prove that it never ran."""
+    """How an attempt ended. FULL, UNREACHABLE and NEVER_DISPATCHED prove that it never ran."""
 
     SERVED = "served"
-    """The backend has served the request."""
+    """The backend served the request."""
 
     ERROR = "error"
-    """The backend has answered with an error."""
+    """The backend returned an error."""
 
     FULL = "full"
-    """The backend has rejected the request: it has no capacity."""
+    """The backend rejected the request for lack of capacity."""
 
     TIMEOUT = "timeout"
-    """No answer came in time; the backend may still be at work."""
+    """No response arrived in time; the backend may still be executing the request."""
 
     UNREACHABLE = "unreachable"
-    """No connection could be made, or none that took the whole request."""
+    """No connection could be opened, or none that accepted the whole request."""
 
     RESET = "reset"
-    """The connection broke before the answer was complete; the backend may still be at work."""
+    """The connection broke before the response was complete; the backend may still be executing."""
 
     CANCELLED = "cancelled"
-    """The attempt was cancelled; the backend may still be at work."""
+    """The attempt was cancelled; the backend may still be executing the request."""
 
     NEVER_DISPATCHED = "moot"
     """The attempt ended before anything was sent."""
@@ -75,33 +76,33 @@
     """The state of a backend process in the endpoint list."""
 
     UP = "up"
-    """It takes requests."""
+    """It accepts requests."""
 
     DRAINING = "draining"
-    """It finishes what it has and takes no new requests."""
+    """It completes the requests it has and accepts no new ones."""
 
     GONE = "gone"
-    """It has terminated; listed only in changes."""
+    """It has terminated; appears only in changes of the list."""
 
 
 @dataclass(slots=True, frozen=True)
 class ClassSpec:
-    """A traffic class: what a request of it is worth, by when, and what a repeat of it does."""
+    """A traffic class: the value of its requests, their latency objective, and the effect of a repetition."""
 
     name: str
     priority_weight: float  # per unit served within the latency objective
-    late_value_fraction: float  # part of the priority weight that a later answer still earns
+    late_value_fraction: float  # of the priority weight, for a response after the latency objective
     latency_objective_us: int
-    deadline_us: int  # the client's time unless it says otherwise
+    deadline_us: int  # default time that a client waits
     effect: Effect
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # with Effect.KEYED
     deduplication_window_us: int = 0  # how long backends remember a request; with Effect.KEYED
-    in_order: bool = False  # requests with the same key go one after the other
+    in_order: bool = False  # requests with the same key are executed one after another
 
 
 @dataclass(slots=True, frozen=True)
 class PlanSpec:
-    """What a volume may use. Rates are units a second, for each volume, over all instances."""
+    """The plan of a tenant. Rates are units per second, for each volume, over all instances."""
 
     name: str
     weight: float  # in the fair queues
@@ -114,33 +115,33 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that the platform and the operator set for one instance."""
+    """The settings of one instance, from the platform and the operator."""
 
-    instances: int  # of the load balancer
-    instance_id: int  # this one's number, from 0
+    instances: int  # number of instances of the load balancer
+    instance_id: int  # number of this instance, from 0
     tick_us: int  # resolution of the clock
     classes: dict[str, ClassSpec]
     plans: dict[str, PlanSpec]
-    poll_endpoints: bool  # the endpoint list is asked for; otherwise it is pushed
-    max_attempts: int  # for each request
+    poll_endpoints: bool  # the endpoint list has to be polled; otherwise it is pushed
+    max_attempts: int  # per request
     parallel_attempts: bool  # two attempts of a request may be in flight at once
     may_cancel: bool
     may_check_health: bool
-    honors_retry_after: bool  # clients do
+    honors_retry_after: bool  # clients wait as long as a rejection tells them
     max_retry_after_us: int
-    warmup_initial_fraction: float  # of the usual load that a backend bears when it starts; grows to 1
-    warmup_us: int  # until a backend that has started counts as warm
-    warmup_units: float  # that a warming backend always bears from all instances in an overload window
+    warmup_initial_fraction: float  # of the usual load, which a backend can serve at its start; grows to 1
+    warmup_us: int  # from a backend's start until it counts as warm
+    warmup_units: float  # that a warming backend can always serve in an overload window, for all instances
     overload_multiple: float  # of the usual load in an overload window, beyond which a backend fails
     overload_window_us: int
-    ordered_key_rest_us: int  # before the next request of a key, after an attempt that may still run
-    retry_budget_ratio: float  # attempts beyond the first that an arrival earns
-    retry_budget_floor: float  # free ones in each window, for all instances
+    ordered_key_rest_us: int  # pause of a key after an attempt that may still be executing
+    retry_budget_ratio: float  # retries that one arrival earns
+    retry_budget_floor: float  # free retries in each window, for all instances
     retry_budget_window_us: int  # 0: no budget
-    over_quota_value_fraction: float  # part of the priority weight of what goes beyond a volume's reserve
+    over_quota_value_fraction: float  # of the priority weight, for requests beyond a volume's reserve
     idle_value_fraction: float
     max_units: float  # of one request
-    cells: int = 0  # how many there are; 0: unknown
+    cells: int = 0  # number of cells; 0: unknown
     may_message_peers: bool = False  # instances may send each other short messages
     process_quota: float = 1.0  # this process's fraction of the instance's quotas; below 1 during an upgrade
 
@@ -154,28 +155,31 @@
     """A backend process in the endpoint list."""
 
     backend: str  # its name
-    cell: int  # which part of the data it serves
+    cell: int  # the part of the data that it serves
     zone: str
     state: EndpointState
     started_us: int = 0  # 0: long ago
     size: float = 1.0  # relative capacity
-    admin_disabled: bool = False  # an operator has disabled it: it stays away until enabled
+    admin_disabled: bool = False  # disabled by an operator until it is enabled again
 
 
 ENDPOINT_POLLS = "list-calls"
-"""Budget of all instances, by its name in `QuotaUpdate.budget_quotas`: polls of the endpoint list."""
+"""Name of the budget for polls of the endpoint list, which all instances share."""
 
 RETRIES = "resends"
-"""Budget of all instances: the free part of the attempts beyond a request's first."""
+"""Name of the budget for free retries, which all instances share."""
 
 
 def warmup_budget(backend: str) -> str:
-    """Return the name of a budget of all instances: units that a backend bears while it warms up."""
+    """Return the name of the budget, shared by all instances, of units sent to a backend that warms up."""
     return f"cold:{backend}"
 
 
 def concurrency_budget(backend: str) -> str:
-    """Return the name of a budget of all instances: attempts in flight at a backend. Its share is a count."""
+    """Return the name of the budget, shared by all instances, of attempts in flight at a backend.
+
+    Unlike that of other budgets, its quota is a number of attempts and not a multiple of an even quota.
+    """
     return f"places:{backend}"
 
 
@@ -184,14 +188,14 @@
 
 @dataclass(slots=True, frozen=True)
 class NewSettings:
-    """The settings have changed; requests that have arrived go on as they were taken."""
+    """The settings have changed. Requests that arrived before keep the settings of their arrival."""
 
     settings: Settings
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointListUpdate:
-    """Replace the endpoint list, or apply changes to it."""
+    """The endpoint list, or changes of it, have been received."""
 
     entries: tuple[Endpoint, ...] = ()
     complete: bool = False  # the entries are the whole list; otherwise changes of it
@@ -210,7 +214,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointListFailure:
-    """Report that a poll of the endpoint list has failed; the list in force stays valid."""
+    """A poll or the watch of the endpoint list has failed; the last list received stays in force."""
 
     kind: FailureKind = FailureKind.ERROR
     missed_updates_for_us: int = 0  # how long before the failure changes may have been missed
@@ -220,22 +224,22 @@
 class Arrival:
     """A client's request has arrived."""
 
-    request: str  # the instance's name for it, in later events and in actions
+    request: str  # its identifier in later events and in actions
     request_class: str  # name of its class
     plan: str  # name of its volume's plan
     volume: str
-    key: str  # what it is about; "": nothing that has an order
+    key: str  # the object it concerns; "": none that needs an order
     units: float
     cell: int | None  # None: a new object, which may be placed in any cell
     deadline_us: int  # when the client stops waiting
-    serving_instances: int  # how many instances the volume's requests come through
+    serving_instances: int  # number of instances that receive the volume's requests
     is_retry: bool = False  # by the client
     is_write: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """The client has got the first bytes of an attempt's answer: no other attempt can replace it."""
+    """The client has received the first bytes of an attempt's response: no other attempt can replace it."""
 
     request: str
     attempt: int  # from 0, in the order of the request's Send actions
@@ -250,21 +254,21 @@
     backend: str
     outcome: Outcome
     duration_us: int
-    answered: bool  # the client has its answer, by this attempt or before
-    usage_percent: int | None = None  # what the volume got at all backends, in percent of its plan's rate
-    load_report: dict[str, float] = field(default_factory=dict)  # the backend's load report
+    answered: bool  # the client has its final answer, from this attempt or an earlier one
+    usage_percent: int | None = None  # volume's rate at all backends, in percent of its plan's; None: unknown
+    load_report: dict[str, float] = field(default_factory=dict)  # by metric
 
 
 @dataclass(slots=True, frozen=True)
 class ClientLeft:
-    """The client waits for no answer any more."""
+    """The client no longer waits for the answer."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """The time of a WakeAfter action has come."""
+    """The timer set by a WakeAfter action has expired."""
 
     token: str
 
@@ -276,12 +280,12 @@
     backend: str
     outcome: Outcome
     duration_us: int
-    load_report: dict[str, float] = field(default_factory=dict)  # the backend's load report
+    load_report: dict[str, float] = field(default_factory=dict)  # by metric
 
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """A message from another instance, as it came: nothing of it is checked."""
+    """A message from another instance has been received; its contents are unchecked."""
 
     sender: int
     payload: bytes
@@ -289,7 +293,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaUpdate:
-    """Replace this instance's quotas of what all instances share."""
+    """This instance's quotas of what all instances share have changed."""
 
     volume_quotas: dict[str, float]
     """By volume, the fraction of its plan's limit and reserve; a volume not named keeps its quota."""
@@ -300,12 +304,12 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerSuspicions:
-    """The backends that other instances suspect and this one has no newer answer from.
+    """The set of backends that other instances suspect has changed; a backend not named is not suspected.
 
-    All of them: one that was named and is not any more is as good as its own answers.
+    Backends from which this instance has a more recent response are left out.
     """
 
-    suspected_until: dict[str, int]  # by backend, until which moment the suspicion counts
+    suspected_until: dict[str, int]  # by backend, when the suspicion expires
 
 
 Event = (
@@ -333,12 +337,12 @@
 
     request: str
     backend: str
-    deadline_us: int | None = None  # when the attempt is given up; None: at the client's deadline
+    deadline_us: int | None = None  # when the attempt is abandoned; None: at the client's deadline
 
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Give the final answer: rejected, and a retry does no harm."""
+    """Answer the request finally as rejected: a retry by the client is harmless."""
 
     request: str
     retry_after_us: int | None = None  # None: the client may retry at once
@@ -346,14 +350,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Give the final answer: failed, and nothing is promised about what ran."""
+    """Answer the request finally as failed: it may have taken effect."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Cancel an attempt that is in flight; its result comes all the same."""
+    """Cancel an attempt that is in flight; its Result event follows all the same."""
 
     request: str
     attempt: int  # from 0, in the order of the request's Send actions
@@ -368,12 +372,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Call for the endpoint list, or watch it from now on."""
+    """Poll the endpoint list, or start to watch it."""
 
 
 @dataclass(slots=True, frozen=True)
 class WakeAfter:
-    """Send a TimerFired event with the token after that span; several timers may be set at once."""
+    """Set a timer that delivers a TimerFired event with the token; several may be pending at once."""
 
     span_us: int
     token: str
@@ -388,7 +392,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendPeerMessage:
-    """Send a short message to another instance, or to all; it may be late or lost."""
+    """Send a short message to another instance, or to all; it may be delayed or lost."""
 
     payload: bytes
     recipient: int | None = None  # number of the instance; None: all others
