--- a/garnetlanding/decision/interface.py
+++ b/garnetlanding/decision/interface.py
@@ -293,7 +293,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaUpdate:
-    """This instance's quotas of what all instances share have changed."""
+    """The quotas of this instance, of what all instances share, have changed."""
 
     volume_quotas: dict[str, float]
     """By volume, the fraction of its plan's limit and reserve; a volume not named keeps its quota."""
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -667,7 +667,8 @@
             return api.Outcome.SERVED, 400 * MS
         return api.Outcome.SERVED, self.rng.randrange(8 * MS, 30 * MS)
 
-    def tell(self, me: int, to: int, data: bytes) -> None:
+    def tell(self, me: int, to: int | None, data: bytes) -> None:
+        assert to is not None
         if to >= FIRST_SEED:
             to -= FIRST_SEED
         self.sent.append((self.now, me, to, data))
