--- a/garnetlanding/daemon/assembly.py
+++ b/garnetlanding/daemon/assembly.py
@@ -24,7 +24,7 @@
 4. audit: it still records what the link sends at its end.
 5. process registry: until now the other process of an upgrade relies on this one's record.
 
-Modules of optional subsystems are imported only where the subsystem is on.
+`garnetlanding.daemon.optional_subsystems` builds the subsystems that may be off.
 """
 
 from __future__ import annotations
@@ -39,6 +39,19 @@
 from garnetlanding.daemon.discovery import DiscoveryWatch
 from garnetlanding.daemon.instance import Instance, wall_ms
 from garnetlanding.daemon.lifecycle import Subsystem
+from garnetlanding.daemon.optional_subsystems import (
+    build_admin,
+    build_audit,
+    build_fencing,
+    build_group,
+    build_history,
+    build_ninep,
+    build_received_disables,
+    build_replication,
+    build_shared_connections,
+    build_subset,
+    build_telemetry,
+)
 from garnetlanding.daemon.peer_link import PeerLinkManager
 from garnetlanding.daemon.process_registration import ProcessRegistration
 from garnetlanding.daemon.settings import SettingsManager, effective_settings, stored_settings
@@ -47,19 +60,11 @@
 from garnetlanding.resp.backend_protocol import resp_backends
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.scheduler import Scheduler
-from garnetlanding.store.setup import StoreRole
 
 if TYPE_CHECKING:  # a subsystem that is off is not imported
     from garnetlanding.daemon.admin import AdminFront
     from garnetlanding.daemon.audit import AuditRecording
-    from garnetlanding.daemon.fencing import Fencing
     from garnetlanding.daemon.history import HistoryRecording
-    from garnetlanding.daemon.ninep import NinepClients
-    from garnetlanding.daemon.peer_group import PeerGroup, ReceivedDisables
-    from garnetlanding.daemon.replication import StoreReplication
-    from garnetlanding.daemon.shared_connections import SharedConnections
-    from garnetlanding.daemon.subset import BackendSubset
-    from garnetlanding.daemon.telemetry import TelemetryExport
 
 
 @dataclass(eq=False, repr=False)  # generating these unused methods would cost time at each start
@@ -84,30 +89,30 @@
     """
     instance = _build_instance(config, clock)
     discovery = DiscoveryWatch(instance, clock)
-    history = _build_history(instance, clock)
-    group = _build_group(instance, history)
+    history = build_history(instance, clock)
+    group = build_group(instance, history)
     link = PeerLinkManager(instance, group, history)
     settings = SettingsManager(instance)
-    audit = _build_audit(instance, settings, discovery, group, link)
+    audit = build_audit(instance, settings, discovery, group, link)
     clients = RespClients(instance)
-    admin = _build_admin(instance, clients, discovery, settings, group, link)
-    replication = _build_replication(instance)
-    telemetry = _build_telemetry(instance)
+    admin = build_admin(instance, clients, discovery, settings, group, link)
+    replication = build_replication(instance)
+    telemetry = build_telemetry(instance)
     _subscribe_to_settings(settings, history, audit, discovery, link)
     start_order = _enabled(
         history,
         group,
-        _build_shared_connections(instance, group, link),
+        build_shared_connections(instance, group, link),
         settings if history or audit else None,
         audit,
-        _build_subset(instance, group),
+        build_subset(instance, group),
         clients,
         admin,
-        _build_ninep(instance),
+        build_ninep(instance),
         replication,
         telemetry,
-        _build_received_disables(instance, group),
-        _build_fencing(instance, group, link, replication, history),
+        build_received_disables(instance, group),
+        build_fencing(instance, group, link, replication, history),
         link,
     )
     reload_order = (settings, link, discovery)
@@ -155,123 +160,3 @@
         backends=resp_backends(scheduler, pool, limits),
         incarnation=wall_ms(config),
     )
-
-
-def _build_history(instance: Instance, clock: Callable[[], int]) -> HistoryRecording | None:
-    setup = instance.config.operator.history
-    if setup is None:
-        return None
-    from garnetlanding.daemon.history import HistoryRecording
-
-    return HistoryRecording(instance, setup, clock)
-
-
-def _build_group(instance: Instance, history: HistoryRecording | None) -> PeerGroup | None:
-    setup = instance.config.operator.fleet
-    peers = instance.config.peers
-    if setup is None or peers is None:
-        return None
-    from garnetlanding.daemon.peer_group import PeerGroup
-
-    return PeerGroup(instance, setup, peers, history)
-
-
-def _build_shared_connections(
-    instance: Instance, group: PeerGroup | None, link: PeerLinkManager
-) -> SharedConnections | None:
-    setup = instance.config.operator.fleet
-    if group is None or setup is None or not setup.backend_connections:
-        return None
-    from garnetlanding.daemon.shared_connections import SharedConnections
-
-    return SharedConnections(instance, setup.backend_connections, link)
-
-
-def _build_received_disables(instance: Instance, group: PeerGroup | None) -> ReceivedDisables | None:
-    if group is None or instance.config.ops:
-        return None
-    from garnetlanding.daemon.peer_group import ReceivedDisables
-
-    return ReceivedDisables(instance, group)
-
-
-def _build_audit(
-    instance: Instance,
-    settings: SettingsManager,
-    discovery: DiscoveryWatch,
-    group: PeerGroup | None,
-    link: PeerLinkManager,
-) -> AuditRecording | None:
-    setup = instance.config.operator.audit
-    if setup is None:
-        return None
-    from garnetlanding.daemon.audit import AuditRecording
-
-    return AuditRecording(instance, setup, settings, discovery, group, link)
-
-
-def _build_subset(instance: Instance, group: PeerGroup | None) -> BackendSubset | None:
-    setup = instance.config.operator.choices
-    if setup is None or not setup.subset_size:
-        return None
-    from garnetlanding.daemon.subset import BackendSubset
-
-    return BackendSubset(instance, setup, group)
-
-
-def _build_admin(
-    instance: Instance,
-    clients: RespClients,
-    discovery: DiscoveryWatch,
-    settings: SettingsManager,
-    group: PeerGroup | None,
-    link: PeerLinkManager,
-) -> AdminFront | None:
-    if not instance.config.ops:
-        return None
-    from garnetlanding.daemon.admin import AdminFront
-    from garnetlanding.daemon.quota_enforcement import QuotaEnforcement
-
-    quota = QuotaEnforcement(instance, settings, clients)
-    return AdminFront(instance, clients, discovery, quota, group, link)
-
-
-def _build_ninep(instance: Instance) -> NinepClients | None:
-    setup = instance.config.operator.ninep
-    if setup is None:
-        return None
-    from garnetlanding.daemon.ninep import NinepClients
-
-    return NinepClients(instance, setup)
-
-
-def _build_replication(instance: Instance) -> StoreReplication | None:
-    setup = instance.config.operator.store
-    if setup.role is StoreRole.ALONE:
-        return None
-    from garnetlanding.daemon.replication import StoreReplication
-
-    return StoreReplication(instance, setup)
-
-
-def _build_telemetry(instance: Instance) -> TelemetryExport | None:
-    collector = instance.config.operator.telemetry
-    if collector is None:
-        return None
-    from garnetlanding.daemon.telemetry import TelemetryExport
-
-    return TelemetryExport(instance, collector)
-
-
-def _build_fencing(
-    instance: Instance,
-    group: PeerGroup | None,
-    link: PeerLinkManager,
-    replication: StoreReplication | None,
-    history: HistoryRecording | None,
-) -> Fencing | None:
-    if group is None and not instance.config.operator.store.max_staleness_us:
-        return None  # nothing can fence this instance
-    from garnetlanding.daemon.fencing import Fencing
-
-    return Fencing(instance, link, replication, history, by_operator=group is not None)
--- a/garnetlanding/telemetry/collector_client.py
+++ b/garnetlanding/telemetry/collector_client.py
@@ -1,4 +1,4 @@
-"""Posts OTLP requests to a collector over one HTTP/1.1 connection, with retries and backoff."""
+"""Posts OTLP requests to a collector, with retries and backoff."""
 
 from __future__ import annotations
 
@@ -11,13 +11,10 @@
 from http import HTTPStatus
 from typing import Any
 
-from garnetlanding.http.errors import HttpError
-from garnetlanding.http.response import ResponseParser
 from garnetlanding.limits import SECOND, Limits
 from garnetlanding.runtime.buffers import BufferPool
-from garnetlanding.runtime.errors import BufferPoolExhaustedError, DeadlineExceededError, StreamClosedError
 from garnetlanding.runtime.scheduler import Scheduler
-from garnetlanding.runtime.stream import Stream
+from garnetlanding.telemetry.collector_connection import POST_ERRORS, CollectorConnection, CollectorResponse
 from garnetlanding.telemetry.setup import TelemetrySetup
 
 log = logging.getLogger(__name__)
@@ -42,13 +39,6 @@
 _DELAY_DIGITS = 9
 """How many digits of a Retry-After are read; the delay is limited to far less anyway."""
 
-_ATTEMPT_ERRORS = (OSError, DeadlineExceededError, StreamClosedError, HttpError, BufferPoolExhaustedError)
-"""The errors of an attempt that ends without a response."""
-
-# Reasons why an attempt failed, which are logged.
-_RESPONSE_RESET = "reset, which is no end"
-_RESPONSE_TOO_LONG = "answer too long"
-
 
 @dataclass(frozen=True, slots=True)
 class PostResult:
@@ -58,17 +48,6 @@
     rejected_spans: int = 0
 
 
-@dataclass(frozen=True, slots=True)
-class _Response:
-    status: int
-    headers: dict[str, str]
-    body: bytes
-
-    @property
-    def is_success(self) -> bool:
-        return HTTPStatus.OK <= self.status < HTTPStatus.MULTIPLE_CHOICES
-
-
 def retry_after_us(text: str, now_s: float) -> int | None:
     """Return the delay of a Retry-After header in microseconds, or `None` if the header is empty or invalid.
 
@@ -99,12 +78,10 @@
         wall_ns: Callable[[], int],
     ) -> None:
         self._scheduler = scheduler
-        self._setup = setup
-        self._pool = pool
         self._limits = limits
         self._rng = rng
         self._wall_ns = wall_ns
-        self._stream: Stream | None = None
+        self._connection = CollectorConnection(scheduler, setup, pool, limits)
 
     def post(self, path: str, data: dict[str, Any]) -> PostResult:
         """Post a request, with retries while the collector is unreachable or its status is retryable."""
@@ -125,7 +102,7 @@
             backoff_us *= _BACKOFF_MULTIPLIER
         return PostResult(accepted=False)
 
-    def _wait_us(self, response: _Response | None, backoff_us: int) -> int:
+    def _wait_us(self, response: CollectorResponse | None, backoff_us: int) -> int:
         """Return how long to wait before the next attempt: the collector's Retry-After, or the backoff."""
         delay_us = None
         if response is not None:
@@ -135,66 +112,15 @@
             delay_us = int(backoff_us * self._rng.uniform(*_BACKOFF_JITTER))
         return min(delay_us, self._limits.telemetry_backoff_max_us)
 
-    def _attempt(self, path: str, body: bytes) -> _Response | None:
+    def _attempt(self, path: str, body: bytes) -> CollectorResponse | None:
         """Post once. Return `None`, and log why, if there is no response."""
         try:
-            return self._call(path, body)
-        except _ATTEMPT_ERRORS as error:
-            self._disconnect()
+            return self._connection.post(path, body)
+        except POST_ERRORS as error:
+            self._connection.close()
             log.warning("collector unreachable", extra={"kv": {"why": f"{type(error).__name__}: {error}"}})
             return None
 
-    def _call(self, path: str, body: bytes) -> _Response:
-        """Send one request and read its response. Exceptions of the connection and the parser propagate."""
-        deadline = self._scheduler.now + self._limits.telemetry_answer_us
-        stream = self._connect(deadline)
-        parser = ResponseParser(self._pool, self._limits)
-        received: list[bytes] = []
-        try:
-            stream.write(self._request_head(path, len(body)) + body)
-            self._read_response(stream, parser, received, deadline)
-        finally:
-            parser.close()
-        if parser.headers.get("connection", "").lower() == "close":
-            self._disconnect()
-        return _Response(parser.status, parser.headers, b"".join(received))
-
-    def _read_response(
-        self, stream: Stream, parser: ResponseParser, received: list[bytes], deadline: int
-    ) -> None:
-        while not parser.done:
-            if not stream.read(lambda data: received.extend(parser.feed(data)), deadline):
-                if stream.read_failed:
-                    raise HttpError(_RESPONSE_RESET)
-                parser.end()
-                self._disconnect()
-            if sum(map(len, received)) > self._limits.http_line_bytes:
-                raise HttpError(_RESPONSE_TOO_LONG)
-
-    def _request_head(self, path: str, length: int) -> bytes:
-        header_lines = [
-            f"POST {self._setup.path}{path} HTTP/1.1",
-            f"Host: {self._setup.address}",
-            "Content-Type: application/json",
-            f"Content-Length: {length}",
-            "",
-            "",
-        ]
-        return "\r\n".join(header_lines).encode()
-
-    def _connect(self, deadline: int) -> Stream:
-        """Return the open connection, or a new one."""
-        if self._stream is None or self._stream.closed:
-            self._stream = Stream.connect(
-                self._scheduler, self._setup.address, self._pool, self._limits, deadline
-            )
-        return self._stream
-
-    def _disconnect(self) -> None:
-        if self._stream is not None:
-            self._stream.close()
-        self._stream = None
-
 
 def _rejected_spans(body: bytes) -> int:
     """Return the number of rejected spans in a partial success (`ExportTracePartialSuccess`), else 0."""
