--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -2,18 +2,15 @@
 
 from __future__ import annotations
 
-import ast
 import json
 import re
 import subprocess
 import sys
-from collections.abc import Iterator
-from pathlib import Path
 
 import pytest
 
-ROOT = Path(__file__).resolve().parent.parent
-PACKAGE = "garnetlanding"
+from tests.support.source_modules import GRAPH, MODULES, PACKAGE, ROOT, reachable
+
 PAGE = ROOT / "docs" / "architecture.md"
 
 # What a package may import of the others; the rest may import anything that makes no circle.
@@ -37,45 +34,6 @@
 )
 
 
-def module_files() -> dict[str, Path]:
-    """Return the package's modules by dotted name, without the package's own name in front."""
-    root = ROOT / PACKAGE
-    files = {}
-    for path in sorted(root.rglob("*.py")):
-        name = ".".join(path.relative_to(root).with_suffix("").parts)
-        files[name.removesuffix(".__init__")] = path
-    return files
-
-
-MODULES = module_files()
-
-
-def imports(name: str) -> Iterator[str]:
-    """Yield every module of the package that this one imports, at any place in its text."""
-    for node in ast.walk(ast.parse(MODULES[name].read_text())):
-        if isinstance(node, ast.Import):
-            yield from (alias.name.removeprefix(PACKAGE + ".") for alias in node.names)
-        elif isinstance(node, ast.ImportFrom) and (node.module or "").split(".")[0] == PACKAGE:
-            module = (node.module or "").removeprefix(PACKAGE).removeprefix(".")
-            for alias in node.names:
-                full = f"{module}.{alias.name}".removeprefix(".")
-                yield full if full in MODULES else module
-
-
-GRAPH = {name: {other for other in imports(name) if other in MODULES and other != name} for name in MODULES}
-
-
-def reachable(start: str) -> set[str]:
-    """Return every module that this one imports, directly or through others."""
-    seen: set[str] = set()
-    pending = [start]
-    while pending:
-        for other in GRAPH[pending.pop()] - seen:
-            seen.add(other)
-            pending.append(other)
-    return seen
-
-
 def test_no_modules_import_one_another_in_a_circle() -> None:
     after = {name: reachable(name) for name in MODULES}
     circles = {
