--- a/garnetlanding/core/dispatcher.py
+++ b/garnetlanding/core/dispatcher.py
@@ -97,13 +97,15 @@
             spec = self.settings.classes.get(attempt.request.spec.cls)
             if not may_repeat(attempt, spec, self._timers.now):
                 return None
-        return self._endpoints.address_of(attempt.node)
+        return self._endpoints.address_of(attempt.backend)
 
     def attempt_written(self) -> None:
         """Count an attempt that has been written to its backend in full."""
         self._metrics.dispatches += 1
 
-    def attempt_finished(self, attempt: Attempt, value: Any, used: int, report: dict[str, float]) -> None:
+    def attempt_finished(
+        self, attempt: Attempt, value: Any, usage_percent: int | None, load_report: dict[str, float]
+    ) -> None:
         """Answer the client if this is the first success, and report the result to the decision module."""
         request = attempt.request
         outcome = attempt.outcome
@@ -117,12 +119,12 @@
             Result(
                 request.ticket,
                 attempt.number,
-                attempt.node,
+                attempt.backend,
                 outcome,
                 attempt.duration_us,
                 request.answer is not None,
-                used - 1 if used > 0 else None,
-                report,
+                usage_percent,
+                load_report,
             )
         )
         self._requests.drop_if_settled(request)
--- a/garnetlanding/core/ports.py
+++ b/garnetlanding/core/ports.py
@@ -111,7 +111,7 @@
     """
 
     @property
-    def node(self) -> str:
+    def backend(self) -> str:
         """The backend's name in the endpoint list."""
 
     @property
@@ -137,12 +137,16 @@
         """Report the first byte of the response, where latency ends; only the first call has an effect."""
 
     def finish(
-        self, outcome: Outcome, value: Any = None, used: int = 0, report: dict[str, float] | None = None
+        self,
+        outcome: Outcome,
+        value: Any = None,
+        usage_percent: int | None = None,
+        load_report: dict[str, float] | None = None,
     ) -> None:
         """Report how the attempt ended; only the first call has an effect.
 
-        `value`: the answer where `outcome` is SERVED. `used`: 1 + percent of the plan's rate that the volume
-        got at all instances, 0 where not reported. `report`: the backend's load report by metric.
+        `value`: the answer if `outcome` is SERVED. `usage_percent`: rate that the volume got at all
+        instances, in percent of its plan's; None if not reported. `load_report`: the load report by metric.
         """
 
 
@@ -187,7 +191,7 @@
 class AttemptSummary(NamedTuple):
     """One attempt of a finished request, for observers."""
 
-    node: str
+    backend: str
     outcome: str  # value of an `Outcome`, or "out" if it was in flight at the final answer
     sent_us: int
     ended_us: int  # 0 if it was in flight at the final answer
--- a/garnetlanding/core/request.py
+++ b/garnetlanding/core/request.py
@@ -24,7 +24,9 @@
     def attempt_written(self) -> None:
         """Count an attempt that has been written to its backend in full."""
 
-    def attempt_finished(self, attempt: Attempt, value: Any, used: int, report: dict[str, float]) -> None:
+    def attempt_finished(
+        self, attempt: Attempt, value: Any, usage_percent: int | None, load_report: dict[str, float]
+    ) -> None:
         """Process the end of an attempt; its `outcome` is set."""
 
 
@@ -39,8 +41,8 @@
         "_is_written",
         "_owner",
         "_response_started_at",
+        "backend",
         "ended_at",
-        "node",
         "number",
         "outcome",
         "request",
@@ -49,12 +51,12 @@
     )
 
     def __init__(
-        self, owner: AttemptOwner, request: Request, number: int, node: str, until_us: int, now: int
+        self, owner: AttemptOwner, request: Request, number: int, backend: str, until_us: int, now: int
     ) -> None:
         self._owner = owner
         self.request = request
         self.number = number  # position among the request's attempts, from 0
-        self.node = node
+        self.backend = backend
         self.until_us = until_us
         self.sent_at = now
         self.ended_at = 0  # valid once `outcome` is set
@@ -95,12 +97,16 @@
             self._response_started_at = self._owner.now
 
     def finish(
-        self, outcome: Outcome, value: Any = None, used: int = 0, report: dict[str, float] | None = None
+        self,
+        outcome: Outcome,
+        value: Any = None,
+        usage_percent: int | None = None,
+        load_report: dict[str, float] | None = None,
     ) -> None:
         """See `AttemptHandle.finish`."""
         if self.outcome is None:
             self.outcome = outcome
-            self._owner.attempt_finished(self, value, used, report or {})
+            self._owner.attempt_finished(self, value, usage_percent, load_report or {})
 
     def stop(self, outcome: Outcome) -> None:
         """Cancel the attempt at its transport and finish it with `outcome`, unless it has finished."""
--- a/garnetlanding/core/request_table.py
+++ b/garnetlanding/core/request_table.py
@@ -109,7 +109,7 @@
     def _notify_observers(self, request: Request, answer: Answer) -> None:
         attempts = [
             AttemptSummary(
-                attempt.node,
+                attempt.backend,
                 attempt.outcome.value if attempt.outcome else IN_FLIGHT,
                 attempt.sent_at,
                 attempt.ended_at,
--- a/garnetlanding/history/writer.py
+++ b/garnetlanding/history/writer.py
@@ -73,7 +73,7 @@
             "units": spec.units,
             "began": began_us,
             "outcome": _outcome(answer),
-            "attempts": [[attempt.node, attempt.outcome, attempt.sent_us] for attempt in attempts],
+            "attempts": [[attempt.backend, attempt.outcome, attempt.sent_us] for attempt in attempts],
         }
         self._write("answered", fields)
 
--- a/garnetlanding/resp/backend_protocol.py
+++ b/garnetlanding/resp/backend_protocol.py
@@ -58,7 +58,7 @@
         self._write = write
         self._on_idle = on_idle
         self._decoder = codec.Decoder(pool, limits)
-        self._max_used_percent = limits.use_percent
+        self._max_usage_percent = limits.use_percent
         self._attempt: AttemptHandle | None = None
         self.body: Body | None = None
 
@@ -106,7 +106,7 @@
         """
         if self._is_idle:
             raise SurplusReplyError(complete=True)
-        reply = read_reply(value, self._max_used_percent)
+        reply = read_reply(value, self._max_usage_percent)
         attempt = self._attempt
         body = self.body
         self._attempt = None
--- a/garnetlanding/resp/backend_reply.py
+++ b/garnetlanding/resp/backend_reply.py
@@ -19,55 +19,57 @@
 
     outcome: Outcome
     value: bytes | None
-    used: int
-    """1 + the percentage of its rate that the request's volume has used; 0 if that is not reported."""
-    report: dict[str, float]
+    usage_percent: int | None
+    """Rate that the request's volume got, in percent of its plan's; `None` if that is not reported."""
+    load_report: dict[str, float]
     """The load report by metric; empty if there is none."""
 
 
-def read_reply(reply: codec.Value, max_used_percent: int) -> BackendReply:
+def read_reply(reply: codec.Value, max_usage_percent: int) -> BackendReply:
     """Decode a reply.
 
     Raises `MalformedReplyError` for one that no backend sends: the attempt may have been executed, and the
     rest of the connection's input cannot be trusted.
     """
     match reply:
-        case [bytes() as value, used, report]:
-            return BackendReply(Outcome.SERVED, value, read_used(used, max_used_percent), read_report(report))
+        case [bytes() as value, metrics, report]:
+            usage_percent = read_usage(metrics, max_usage_percent)
+            return BackendReply(Outcome.SERVED, value, usage_percent, read_report(report))
         case [codec.BulkStart(), _, _]:
-            return BackendReply(Outcome.SERVED, None, 0, {})  # the value has been streamed
+            return BackendReply(Outcome.SERVED, None, None, {})  # the value has been streamed
         case codec.ErrorReply(text):
-            return _read_error(text, max_used_percent)
+            return _read_error(text, max_usage_percent)
     raise MalformedReplyError
 
 
-def _read_error(text: bytes, max_used_percent: int) -> BackendReply:
+def _read_error(text: bytes, max_usage_percent: int) -> BackendReply:
     words = text.split()
     code = words[0] if words else b""
     if code == b"BUSY":
-        return BackendReply(Outcome.FULL, None, 0, read_report(words[-1]))
+        return BackendReply(Outcome.FULL, None, None, read_report(words[-1]))
     if code in (b"ERR", b"SYNTAX"):
-        # The used percentage follows the first words, and the load report follows that; either may be absent.
-        used = max((read_used(word, max_used_percent) for word in words[1:]), default=0)
-        return BackendReply(Outcome.ERROR, None, used, read_report(words[-1]))
+        # The usage follows the first words, and the load report follows that; either may be absent.
+        percentages = [read_usage(word, max_usage_percent) for word in words[1:]]
+        usage_percent = max((percent for percent in percentages if percent is not None), default=None)
+        return BackendReply(Outcome.ERROR, None, usage_percent, read_report(words[-1]))
     raise MalformedReplyError
 
 
-def read_used(metrics: codec.Value, max_percent: int) -> int:
-    """Return 1 + the percentage reported in a text such as `used=37,cost=4`; 0 if none is reported.
+def read_usage(metrics: codec.Value, max_percent: int) -> int | None:
+    """Return the percentage reported in a text such as `used=37,cost=4`; `None` if none is reported.
 
     An invalid number, or one over `max_percent`, is ignored, because scheduling weights depend on it.
     """
     if not isinstance(metrics, bytes):
-        return 0
+        return None
     pairs = (metric.partition(b"=") for metric in metrics.split(b","))
     values = [value for name, _, value in pairs if name == b"used"]
     if len(values) != 1:
-        return 0
+        return None
     digits = values[0]
     if not digits.isdigit() or len(digits) > len(str(max_percent)) or int(digits) > max_percent:
-        return 0
-    return int(digits) + 1
+        return None
+    return int(digits)
 
 
 def read_report(report: codec.Value) -> dict[str, float]:
--- a/garnetlanding/runtime/backend_connection.py
+++ b/garnetlanding/runtime/backend_connection.py
@@ -54,7 +54,7 @@
     def __init__(self, upstream: BackendConnectionOwner, key: ConnectionKey, attempt: AttemptHandle) -> None:
         self._upstream = upstream
         self.key = key
-        self.backend = attempt.node
+        self.backend = attempt.backend
         self.attempt: AttemptHandle | None = attempt
         self.protocol = upstream.protocol_factory.create(attempt, self._write, self._on_protocol_idle)
         self.began_at = self.idle_since = upstream.scheduler.now
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -63,7 +63,7 @@
             self._busy[attempt] = connection
             connection.begin(attempt)
             return
-        obstacle = self._obstacle_to_connecting(key, attempt.node)
+        obstacle = self._obstacle_to_connecting(key, attempt.backend)
         if obstacle:
             attempt.finish(obstacle)
             return
--- a/garnetlanding/telemetry/request_spans.py
+++ b/garnetlanding/telemetry/request_spans.py
@@ -60,7 +60,7 @@
                 kind=SpanKind.CLIENT,
                 start_ns=self._wall_ns(attempt.sent_us),
                 end_ns=self._wall_ns(attempt.ended_us or ended.ended_us),
-                attributes={"server": attempt.node, "outcome": attempt.outcome},
+                attributes={"server": attempt.backend, "outcome": attempt.outcome},
                 error=_error(attempt.outcome),
             )
             for attempt in ended.attempts
--- a/tests/core/test_request_engine.py
+++ b/tests/core/test_request_engine.py
@@ -193,7 +193,7 @@
     ticket = instance.submit("a", timeout_us=100 * MS)
     monkeypatch.setattr(instance.core.module, "handle", lambda _now, _events: [])
     instance.run(110 * MS)
-    assert [attempt.node for attempt in instance.transport.stopped] == ["n0"]
+    assert [attempt.backend for attempt in instance.transport.stopped] == ["n0"]
     assert ticket not in instance.core._requests
     assert instance.core.starts[0].outcome is Outcome.TIMEOUT
     assert isinstance(instance.answers["a"], Failed)
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -296,7 +296,7 @@
 class FakeTrial:
     """One attempt; keeps what the backend's machine says of it."""
 
-    node, until_us = "brick", 1_500_000
+    backend, until_us = "brick", 1_500_000
 
     def __init__(self, lines: list[str]) -> None:
         self.work = read_request(REQUESTS["read"], Limits()).work
@@ -312,13 +312,18 @@
         self.lines.append("answering")
 
     def finish(
-        self, outcome: api.Outcome, value: Any = None, used: int = 0, report: dict[str, float] | None = None
+        self,
+        outcome: api.Outcome,
+        value: Any = None,
+        usage_percent: int | None = None,
+        load_report: dict[str, float] | None = None,
     ) -> None:
+        used = 0 if usage_percent is None else 1 + usage_percent
         told = f"body of {value.length}" if isinstance(value, Body) else repr(value)
         if isinstance(value, Body):
             value.on_end.append(lambda whole: self.lines.append(f"body ended, whole: {whole}"))
             value.attach_sink(BodySink(self.lines))
-        self.lines.append(f"ended {OUTCOME_LABELS[outcome]}, value {told}, used {used}, report {report}")
+        self.lines.append(f"ended {OUTCOME_LABELS[outcome]}, value {told}, used {used}, report {load_report}")
 
 
 class BodySink(Sink):
--- a/tests/resp/test_backend_protocol.py
+++ b/tests/resp/test_backend_protocol.py
@@ -17,16 +17,16 @@
 @pytest.mark.parametrize(
     ("reply", "meaning"),
     [
-        ([b"v", b"used=37,cost=4", None], (Outcome.SERVED, b"v", 38)),
-        ([b"v", None, None], (Outcome.SERVED, b"v", 0)),
-        ([b"v", b"cost=4", None], (Outcome.SERVED, b"v", 0)),
-        (codec.ErrorReply(b"ERR failed used=5"), (Outcome.ERROR, None, 6)),
-        (codec.ErrorReply(b"ERR failed used=5 latency_ms=9"), (Outcome.ERROR, None, 6)),
-        (codec.ErrorReply(b"BUSY"), (Outcome.FULL, None, 0)),
-        (codec.ErrorReply(b"SYNTAX"), (Outcome.ERROR, None, 0)),
-        # A figure that cannot be read fails only itself: it must not steer weights.
+        ([b"v", b"used=37,cost=4", None], (Outcome.SERVED, b"v", 37)),
+        ([b"v", None, None], (Outcome.SERVED, b"v", None)),
+        ([b"v", b"cost=4", None], (Outcome.SERVED, b"v", None)),
+        (codec.ErrorReply(b"ERR failed used=5"), (Outcome.ERROR, None, 5)),
+        (codec.ErrorReply(b"ERR failed used=5 latency_ms=9"), (Outcome.ERROR, None, 5)),
+        (codec.ErrorReply(b"BUSY"), (Outcome.FULL, None, None)),
+        (codec.ErrorReply(b"SYNTAX"), (Outcome.ERROR, None, None)),
+        # An invalid percentage is ignored, and nothing else of the reply: scheduling weights depend on it.
         *(
-            ([b"v", use, None], (Outcome.SERVED, b"v", 0))
+            ([b"v", use, None], (Outcome.SERVED, b"v", None))
             for use in (
                 b"used=x",
                 b"used=nan",
@@ -40,11 +40,11 @@
                 [b"used=3"],
             )
         ),
-        ([b"v", b"used=8", b"\xff{"], (Outcome.SERVED, b"v", 9)),
+        ([b"v", b"used=8", b"\xff{"], (Outcome.SERVED, b"v", 8)),
     ],
 )
 def test_a_reply_is_read_as_outcome_value_and_used_capacity(
-    reply: codec.Value, meaning: tuple[Outcome, bytes | None, int]
+    reply: codec.Value, meaning: tuple[Outcome, bytes | None, int | None]
 ) -> None:
     assert read_reply(reply, LIMITS.use_percent)[:3] == meaning
 
--- a/tests/support/simulated_instance.py
+++ b/tests/support/simulated_instance.py
@@ -52,7 +52,7 @@
         assert out[-1] is attempt
         assert len(attempts) <= self.core.settings.max_attempts
         assert attempt.request.answer is None, "sent after the final answer"
-        assert self.core.endpoints.address_of(attempt.node), "sent to a server that drains or is gone"
+        assert self.core.endpoints.address_of(attempt.backend), "sent to a server that drains or is gone"
         self.core.starts.append(attempt)
         self.inner.start(attempt)
 
