--- a/garnetlanding/core/dispatcher.py
+++ b/garnetlanding/core/dispatcher.py
@@ -58,15 +58,15 @@
         if request is None:
             return
         now = self._timers.now
-        until = min(send.deadline_us or request.until_us, request.until_us)
-        attempt = Attempt(self, request, len(request.attempts), send.backend, until, now)
+        deadline_us = min(send.deadline_us or request.deadline_us, request.deadline_us)
+        attempt = Attempt(self, request, len(request.attempts), send.backend, deadline_us, now)
         is_blocked = len(request.in_flight()) >= self._max_in_flight(attempt)
         request.attempts.append(attempt)
         if is_blocked or not self._may_dispatch(attempt, now):
             attempt.finish(Outcome.NEVER_DISPATCHED)
             return
-        if until < request.until_us:
-            self._timers.call_at(until, lambda: attempt.stop(Outcome.TIMEOUT))
+        if deadline_us < request.deadline_us:
+            self._timers.call_at(deadline_us, lambda: attempt.stop(Outcome.TIMEOUT))
         request.transport.start(attempt)
 
     def cancel(self, ticket: str, number: int) -> None:
@@ -84,7 +84,7 @@
         return (
             not self._fence.is_fenced
             and attempt.request.answer is None
-            and now < attempt.until_us
+            and now < attempt.deadline_us
             and attempt.address() is not None
             and attempt.number < self.settings.max_attempts
         )
--- a/garnetlanding/core/engine.py
+++ b/garnetlanding/core/engine.py
@@ -232,7 +232,7 @@
         spec.key,
         spec.units,
         None if spec.cell < 0 else spec.cell,
-        request.until_us,
+        request.deadline_us,
         spec.serving_instances,
         spec.is_retry,
         spec.is_write,
--- a/garnetlanding/core/ports.py
+++ b/garnetlanding/core/ports.py
@@ -119,7 +119,7 @@
         """The operation to perform: `RequestSpec.work`."""
 
     @property
-    def until_us(self) -> int:
+    def deadline_us(self) -> int:
         """When the attempt times out: the engine then calls `BackendTransport.stop`."""
 
     def address(self) -> str | None:
--- a/garnetlanding/core/request.py
+++ b/garnetlanding/core/request.py
@@ -42,22 +42,22 @@
         "_owner",
         "_response_started_at",
         "backend",
+        "deadline_us",
         "ended_at",
         "number",
         "outcome",
         "request",
         "sent_at",
-        "until_us",
     )
 
     def __init__(
-        self, owner: AttemptOwner, request: Request, number: int, backend: str, until_us: int, now: int
+        self, owner: AttemptOwner, request: Request, number: int, backend: str, deadline_us: int, now: int
     ) -> None:
         self._owner = owner
         self.request = request
         self.number = number  # position among the request's attempts, from 0
         self.backend = backend
-        self.until_us = until_us
+        self.deadline_us = deadline_us
         self.sent_at = now
         self.ended_at = 0  # valid once `outcome` is set
         self.outcome: Outcome | None = None
@@ -123,11 +123,11 @@
         "attempts",
         "began_at",
         "deadline_timer",
+        "deadline_us",
         "on_answer",
         "spec",
         "ticket",
         "transport",
-        "until_us",
     )
 
     def __init__(
@@ -143,7 +143,7 @@
         self.transport = transport
         self.on_answer = on_answer
         self.began_at = now
-        self.until_us = now + spec.timeout_us
+        self.deadline_us = now + spec.timeout_us
         self.attempts: list[Attempt] = []
         self.answer: Answer | None = None  # set once, never changed
         self.deadline_timer: Timer | None = None
--- a/garnetlanding/core/request_table.py
+++ b/garnetlanding/core/request_table.py
@@ -62,7 +62,7 @@
     def start_deadline(self, request: Request) -> None:
         """Start the timer that guarantees an answer by the deadline whatever the decision module does."""
         request.deadline_timer = self._timers.call_at(
-            request.until_us, lambda: self._deadline_reached(request)
+            request.deadline_us, lambda: self._deadline_reached(request)
         )
 
     def answer(self, ticket: str, answer: Answer) -> None:
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -296,7 +296,7 @@
 class FakeTrial:
     """One attempt; keeps what the backend's machine says of it."""
 
-    backend, until_us = "brick", 1_500_000
+    backend, deadline_us = "brick", 1_500_000
 
     def __init__(self, lines: list[str]) -> None:
         self.work = read_request(REQUESTS["read"], Limits()).work
