--- a/garnetlanding/decision/admission.py
+++ b/garnetlanding/decision/admission.py
@@ -1,8 +1,8 @@
-"""Admission: which requests are queued, which are refused, and when a request has its final answer."""
+"""Decides which requests are queued or rejected, and when a request gets its final answer."""
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision import tuning
-from garnetlanding.decision.attempt_rules import refusal_is_harmless
+from garnetlanding.decision.attempt_rules import rejection_is_harmless
 from garnetlanding.decision.ordered_keys import OrderedKeyQueue
 from garnetlanding.decision.placement import place
 from garnetlanding.decision.requests import Request
@@ -11,85 +11,94 @@
 
 
 class Admission:
-    """Takes requests in, and ends them."""
+    """Admits requests to the queues, and ends them.
+
+    It calls neither `Retries` nor `Dispatcher`: calls go from the dispatcher to the retries to the admission,
+    and what is to follow later is a timer or a dispatch pass of the state.
+    """
 
     def __init__(self, state: ControllerState) -> None:
         self._state = state
 
     def admit(self, arrival: api.Arrival) -> None:
-        """Queue an arriving request, or refuse it at once where it would earn nothing."""
+        """Queue an arriving request, or reject it at once if its volume's limit would make it late."""
         state = self._state
-        now = state.now
         request = state.new_request(arrival)
-        state.retry_budget.record_arrival(now)
-        state.hedge_budget.earn_by_arrival(state.statistics.lost_share)
-        self._draw_from_reserve(request)
-        state.schedule(request.answer_by, self.end, request)
-        unsent_until = now + int(tuning.UNSENT_SHARE * (arrival.deadline_us - now))
-        state.schedule(unsent_until, self._give_up_unseen, request)
-        if self._limit_lets_through_too_late(request):
+        state.budgets.retries.record_arrival(state.now)
+        state.budgets.hedges.earn_by_arrival(state.statistics.loss_rate)
+        self._take_from_reserve(request)
+        self._schedule_deadlines(request)
+        if self._limit_makes_late(request):
             self.end(request)
         elif request.traffic_class.in_order and arrival.key:
-            state.ordered_keys.setdefault(arrival.key, OrderedKeyQueue()).waiting.append(request)
+            ordered_keys = state.requests.ordered_keys
+            ordered_keys.setdefault(arrival.key, OrderedKeyQueue()).waiting.append(request)
             self._admit_next_of_key(arrival.key)
         else:
             self.enqueue(request)
 
-    def _draw_from_reserve(self, request: Request) -> None:
-        """Reserve the request's units of its volume; what goes beyond the reserve has less weight."""
+    def _take_from_reserve(self, request: Request) -> None:
+        """Take the request's units from its volume's reserve; beyond the reserve its priority is lower."""
         reserve = request.volume.reserve
-        if reserve.available(self._state.now) < request.units:
+        if reserve.refill(self._state.now) < request.units:
             request.priority_weight *= self._state.settings.over_quota_value_fraction
         else:
             reserve.level -= request.units
             request.reserved_units = request.units
 
-    def _limit_lets_through_too_late(self, request: Request) -> bool:
-        """Return whether the volume's part of its limit cannot cover the request before its objective."""
+    def _schedule_deadlines(self, request: Request) -> None:
+        state = self._state
+        state.timers.schedule(request.answer_by, self.end, request)
+        time_left_us = request.arrival.deadline_us - state.now
+        undelivered_until = state.now + int(tuning.UNSENT_DEADLINE_FRACTION * time_left_us)
+        state.timers.schedule(undelivered_until, self._end_undelivered, request)
+
+    def _limit_makes_late(self, request: Request) -> bool:
+        """Return whether this instance's quota of the volume's limit makes the request late."""
         now = self._state.now
         volume = request.volume
         limit = volume.limit
-        lacking = volume.queued_units + request.units - limit.available(now)
+        lacking = volume.queued_units + request.units - limit.refill(now)
         return request.units > limit.capacity or now + lacking / limit.rate * SECOND > request.objective_at
 
     def enqueue(self, request: Request) -> None:
-        """Put a request into the fair queue of its cell, unless it is there or needs no attempt now."""
+        """Put a request into the fair queue of its cell, unless it is queued or needs no attempt now."""
         state = self._state
         if request.answered or request.queued_cell is not None:
             return
         if request.in_flight() and not state.settings.parallel_attempts:
             return
         cell = request.arrival.cell
-        queue = place(state, request) if cell is None else state.cell_queue(cell)
+        queue = place(state, request) if cell is None else state.cells.queue(cell)
         if queue is None:
-            state.schedule(state.now + tuning.QUEUE_TICK, self.enqueue, request)
+            state.timers.schedule(state.now + tuning.DISPATCH_INTERVAL, self.enqueue, request)
             return
-        # A further attempt in the same cell goes in front, with the tags that its first has paid for.
+        # A retry in the same cell goes in front, with the tags that the first attempt has paid for.
         request.keeps_tags = bool(request.attempts) and request.attempts[-1].cell == queue.cell
         queue.enqueue(request)
-        state.mark_pending(queue)
+        state.cells.mark_pending(queue)
 
     def end(self, request: Request) -> None:
-        """Give the final answer, unless one may yet come from a backend: a refusal, or a failure."""
+        """Reject or fail a request, unless an attempt in flight may still answer it in time."""
         state = self._state
         if request.answered or (request.in_flight() and state.now < request.answer_by):
             state.dequeue_unsent(request)
             return
-        if refusal_is_harmless(request):
+        if rejection_is_harmless(request):
             settings = state.settings
-            retry_after = settings.max_retry_after_us if settings.honors_retry_after else None
-            state.emit(api.Reject(request.id, retry_after))
+            retry_after_us = settings.max_retry_after_us if settings.honors_retry_after else None
+            state.actions.emit(api.Reject(request.id, retry_after_us))
         else:
-            state.emit(api.Fail(request.id))
+            state.actions.emit(api.Fail(request.id))
         self.finish(request)
 
-    def _give_up_unseen(self, request: Request) -> None:
-        """End a request that no backend has seen: it is late, and the client may do better later."""
-        if not request.in_flight() and not request.seen_by_a_backend():
+    def _end_undelivered(self, request: Request) -> None:
+        """End a request that no backend has received while its client still has time to retry."""
+        if not request.in_flight() and not request.may_have_been_delivered():
             self.end(request)
 
     def finish(self, request: Request) -> None:
-        """Drop a request that has its final answer, or needs none any more."""
+        """Mark a request as answered, cancel its attempts, and return the reserve it did not use."""
         state = self._state
         request.answered = True
         state.dequeue_unsent(request)
@@ -98,29 +107,30 @@
         if state.settings.may_cancel:
             for number, attempt in enumerate(request.attempts):
                 if attempt.outcome is None:
-                    state.emit(api.Cancel(request.id, number))
+                    state.actions.emit(api.Cancel(request.id, number))
         self.settle(request)
 
     def settle(self, request: Request) -> None:
-        """Forget a request that is answered and not in flight; the next of its key may go."""
+        """Drop a request that is answered and not in flight, and admit the next of its ordered key."""
         if request.answered and not request.in_flight():
-            self._state.requests.pop(request.id, None)
-            if request.traffic_class.in_order and request.arrival.key in self._state.ordered_keys:
+            requests = self._state.requests
+            requests.by_id.pop(request.id, None)
+            if request.traffic_class.in_order and request.arrival.key in requests.ordered_keys:
                 self._admit_next_of_key(request.arrival.key)
 
     def _admit_next_of_key(self, key: str) -> None:
-        """Queue the first request of an ordered key once all before it are settled and the key has rested."""
+        """Queue the first request of a key once those before it are settled and the pause is over."""
         state = self._state
-        ordered = state.ordered_keys.get(key)
+        ordered = state.requests.ordered_keys.get(key)
         if ordered is None:
             return
-        head = ordered.head()
-        if head and (head.answered or head is ordered.admitted):
+        first = ordered.drop_settled()
+        if first and (first.answered or first is ordered.admitted):
             return
-        if ordered.rest_until > state.now:
-            state.schedule(ordered.rest_until, self._admit_next_of_key, key)
-        elif head:
-            ordered.admitted = head
-            self.enqueue(head)
+        if ordered.blocked_until > state.now:
+            state.timers.schedule(ordered.blocked_until, self._admit_next_of_key, key)
+        elif first:
+            ordered.admitted = first
+            self.enqueue(first)
         else:
-            del state.ordered_keys[key]
+            del state.requests.ordered_keys[key]
--- a/garnetlanding/decision/attempt_rules.py
+++ b/garnetlanding/decision/attempt_rules.py
@@ -1,4 +1,4 @@
-"""Whether a request may get an attempt, its first or a further one, at a backend now."""
+"""Decides whether a request may get an attempt at a backend now, and whether it may be rejected."""
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.backend_health import BackendHealth
@@ -8,7 +8,7 @@
 
 
 def may_attempt(state: ControllerState, request: Request, health: BackendHealth) -> bool:
-    """Return whether the client's time, the retry budget and the class's effect allow an attempt there."""
+    """Return whether the time left, the retry budget and the effect of a repetition allow an attempt."""
     if state.now >= request.answer_by:
         return False
     if request.attempts and not _retry_budget_left(state):
@@ -18,18 +18,18 @@
         return True
     if request.in_flight() and not state.settings.parallel_attempts:
         return False
-    return _repeat_is_harmless(state.now, request.traffic_class, may_have_run, health.endpoint)
+    return _repetition_is_harmless(state.now, request.traffic_class, may_have_run, health.endpoint)
 
 
 def _retry_budget_left(state: ControllerState) -> bool:
-    quota = state.budget_quota(api.RETRIES)
-    return state.retry_budget.allows_retry(state.now, state.settings, quota)
+    quota = state.budgets.quota(api.RETRIES)
+    return state.budgets.retries.allows_retry(state.now, state.settings, quota)
 
 
-def _repeat_is_harmless(
+def _repetition_is_harmless(
     now: int, traffic_class: api.ClassSpec, may_have_run: list[Attempt], endpoint: api.Endpoint
 ) -> bool:
-    """Return whether the endpoint's backend drops a repeat of what may have run, or a repeat does nothing."""
+    """Return whether the backend would drop a repetition of these attempts, or execute it harmlessly."""
     if traffic_class.effect is not Effect.KEYED:
         return traffic_class.effect is Effect.SAFE
     if now >= min(attempt.sent_at for attempt in may_have_run) + traffic_class.deduplication_window_us:
@@ -41,8 +41,8 @@
     return True
 
 
-def refusal_is_harmless(request: Request) -> bool:
-    """Return whether the client may be told to retry: nothing has run, or a repeat of it does no harm."""
+def rejection_is_harmless(request: Request) -> bool:
+    """Return whether a retry by the client, which a rejection invites, cannot take effect a second time."""
     traffic_class = request.traffic_class
     if traffic_class.effect is Effect.SAFE:
         return True
--- a/garnetlanding/decision/backoff.py
+++ b/garnetlanding/decision/backoff.py
@@ -1,4 +1,4 @@
-"""Pauses that grow: between calls for the endpoint list after errors, and before a retry."""
+"""Decides how long to wait before the next poll of the endpoint list after a failure, and before a retry."""
 
 from __future__ import annotations
 
@@ -10,42 +10,42 @@
 
 
 class PollBackoff:
-    """The pause before the next call for the endpoint list after one that failed."""
+    """The exponential backoff between polls of the endpoint list that fail."""
 
     def __init__(self, instances: int) -> None:
-        self.follow(instances)
-        self._pause_us = self._floor_us
+        self.set_instances(instances)
+        self._pause_us = self._min_pause_us
 
-    def follow(self, instances: int) -> None:
-        """Fit the shortest pause to the number of instances that ask the same discovery service."""
+    def set_instances(self, instances: int) -> None:
+        """Adapt the shortest pause to the number of instances that poll the same discovery service."""
         self._instances = instances
-        least = instances * tuning.POLL_BACKOFF_PER_INSTANCE
-        self._floor_us = max(tuning.POLL_BACKOFF, min(tuning.POLL_BACKOFF_MOST, least))
+        by_instances = instances * tuning.POLL_BACKOFF_PER_INSTANCE
+        self._min_pause_us = max(tuning.POLL_BACKOFF_MIN, min(tuning.POLL_BACKOFF_MAX, by_instances))
 
     def reset(self) -> None:
-        """Start from the shortest pause again: a call was answered."""
-        self._pause_us = self._floor_us
+        """Return to the shortest pause, after a poll that succeeded."""
+        self._pause_us = self._min_pause_us
 
     def next_pause(self, failure: api.EndpointListFailure, quota: float, rng: random.Random) -> int:
-        """Return the pause after that failure, in microseconds; the next one is longer.
+        """Return the pause after a failure, in microseconds, and double the next one.
 
-        Always in time for an endpoint's change to be known within six seconds, except where calls queue at
-        the discovery service and go on failing: there, less often. `quota`: this instance's quota of all
-        polls, as a multiple of an even one.
+        The pause is short enough to learn of a changed endpoint within six seconds, unless discovery stays
+        overloaded: then polls are made less often. `quota` is this instance's quota of all polls, as a
+        multiple of an even one.
         """
-        pause = min(tuning.POLL_BACKOFF_MOST - failure.missed_updates_for_us, self._pause_us / quota)
+        pause = min(tuning.POLL_BACKOFF_MAX - failure.missed_updates_for_us, self._pause_us / quota)
         if failure.kind is api.FailureKind.OVERLOADED:
-            queue_pause = self._instances * tuning.POLL_QUEUE_PER_INSTANCE
-            pause = max(pause, min(queue_pause, self._pause_us / tuning.POLL_QUEUE_PATIENCE))
-            pause *= rng.uniform(0.5, 1.0)
+            bound = self._instances * tuning.OVERLOADED_BACKOFF_PER_INSTANCE
+            pause = max(pause, min(bound, self._pause_us / tuning.OVERLOADED_BACKOFF_DIVISOR))
+            pause *= rng.uniform(*tuning.OVERLOADED_JITTER)
             self._pause_us = min(2 * self._pause_us, NEVER)
         else:
-            pause = max(pause, 0) * rng.uniform(0.1, 1.0)
-            self._pause_us = min(2 * self._pause_us, tuning.POLL_BACKOFF_MOST)
+            pause = max(pause, 0) * rng.uniform(*tuning.POLL_JITTER)
+            self._pause_us = min(2 * self._pause_us, tuning.POLL_BACKOFF_MAX)
         return int(pause)
 
 
 def retry_pause(objective_us: int, attempts: int, rng: random.Random) -> int:
-    """Return the pause before a retry after so many attempts, in microseconds, with jitter."""
-    pause = objective_us * tuning.RETRY_OBJECTIVES * 2 ** (attempts - 1)
-    return int(pause * rng.uniform(0.5, 1.5))
+    """Return the pause before a retry after that number of attempts, in microseconds, with jitter."""
+    pause = objective_us * tuning.RETRY_PAUSE_OBJECTIVES * 2 ** (attempts - 1)
+    return int(pause * rng.uniform(*tuning.RETRY_JITTER))
--- a/garnetlanding/decision/control.py
+++ b/garnetlanding/decision/control.py
@@ -1,15 +1,17 @@
-"""The Controller of one instance: C-SFQ(D), start-time fair queueing with adapted weights and depths.
+"""Decides which part of the Controller handles an event, and in which order: C-SFQ(D) for one instance.
 
-A pure state machine: events in, actions out (interface.py), no clock, no input or output. This module
-directs each event to the part that decides on it:
+The Controller is a pure state machine: events in, actions out (interface.py), no clock and no I/O. It
+implements start-time fair queueing with adapted weights and concurrency limits. The decisions are those of
 
-- admission.py: what is queued, what is refused, when a request has its final answer;
-- dispatch.py: which request leaves next, and which are refused because they would be late;
-- concurrency.py: how many attempts may be in flight at a backend;
-- placement.py: which backend serves a cell, and which cell a new object is written to;
-- attempt_rules.py and retries.py: which requests may be sent again, and when.
+- admission.py: which requests are queued or rejected, and when a request gets its final answer;
+- dispatch.py: which queued request is sent next;
+- load_shedding.py: which queued requests are shed because they would be late;
+- concurrency.py, warmup.py: how many attempts and units a backend gets;
+- placement.py: which backend serves a cell, and in which cell a new object is placed;
+- attempt_rules.py, retries.py, backoff.py: which requests are retried or hedged, and when;
+- weight_control.py: the weights of volumes in the fair queues.
 
-The other modules of the package keep records and do arithmetic. All times are microseconds.
+The other modules of the package hold state and do arithmetic. All times are microseconds.
 """
 
 from collections.abc import Callable
@@ -28,7 +30,7 @@
 
 
 class Controller:
-    """Decides for one instance. Feed it every event in order; do what it returns, in order."""
+    """The decision module of one instance: takes every event in order, returns actions in order."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.state = ControllerState(settings, seed)
@@ -45,7 +47,7 @@
             api.StreamStarted: self._on_stream_started,
             api.NewSettings: self._on_settings,
             api.QuotaUpdate: self.state.apply_quotas,
-            api.PeerSuspicions: self.state.follow_suspicions,
+            api.PeerSuspicions: self.state.cells.apply_suspicions,
         }
 
     @property
@@ -54,50 +56,47 @@
         return self.state.settings
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
-        """Take in events at the time `now`, which never goes back, and return what to do."""
+        """Handle events at the time `now`, which never decreases, and return the actions that follow."""
         state = self.state
         state.begin_call(now)
         for event in events:
             handler = self._handlers.get(type(event))
             if handler is not None:
                 handler(event)
-        state.run_due_steps()
-        for queue in state.take_pending():
+        state.timers.run_due(now)
+        for queue in state.cells.take_pending():
             self._dispatcher.dispatch(queue)
             if queue.queued:
-                state.look_later(queue, now + tuning.QUEUE_TICK)
+                state.schedule_dispatch(queue, now + tuning.DISPATCH_INTERVAL)
         return state.end_call()
 
     def _on_settings(self, event: api.NewSettings) -> None:
-        state = self.state
-        old_process_quota = state.settings.process_quota
-        state.follow_settings(event.settings)
-        self._poll_backoff.follow(event.settings.instances)
-        state.follow_plans(old_process_quota)
+        self.state.apply_settings(event.settings)
+        self._poll_backoff.set_instances(event.settings.instances)
 
     def _on_endpoint_list(self, update: api.EndpointListUpdate) -> None:
         state = self.state
         self._poll_backoff.reset()
         if update.at_start:
             state.started_at = state.now
-            state.schedule(state.now + tuning.WEIGHT_INTERVAL, run_weight_controller, state)
+            state.timers.schedule(state.now + tuning.WEIGHT_INTERVAL, run_weight_controller, state)
             if state.settings.poll_endpoints:
-                state.emit(api.Subscribe())
+                state.actions.emit(api.Subscribe())
         apply_update(state, update)
 
     def _on_endpoint_list_failure(self, failure: api.EndpointListFailure) -> None:
         state = self.state
-        quota = state.budget_quota(api.ENDPOINT_POLLS)
+        quota = state.budgets.quota(api.ENDPOINT_POLLS)
         pause = self._poll_backoff.next_pause(failure, quota, state.rng)
-        state.schedule(state.now + pause, state.emit, api.Subscribe())
+        state.timers.schedule(state.now + pause, state.actions.emit, api.Subscribe())
 
     def _on_client_left(self, event: api.ClientLeft) -> None:
-        request = self.state.requests.get(event.request)
+        request = self.state.requests.by_id.get(event.request)
         if request and not request.answered:
             self._admission.finish(request)
 
     def _on_stream_started(self, event: api.StreamStarted) -> None:
-        """Leave the final answer to that attempt, however long it takes."""
-        request = self.state.requests.get(event.request)
+        """Leave the final answer to the attempt that streams its response, however long it takes."""
+        request = self.state.requests.by_id.get(event.request)
         if request:
             request.answer_by = NEVER
--- a/garnetlanding/decision/endpoints.py
+++ b/garnetlanding/decision/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list, and the records of the backends that serve the cells by it."""
+"""Applies updates of the endpoint list: which backend serves each cell."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 
 def apply_update(state: ControllerState, update: api.EndpointListUpdate) -> None:
-    """Take up a list, or changes of it, that did not fail; all cells are looked at in this call."""
-    endpoints = {} if update.complete else state.endpoints
+    """Replace or change the endpoint list, and request a dispatch pass over every cell."""
+    cells = state.cells
+    endpoints = {} if update.complete else cells.endpoints
     endpoints = endpoints | {endpoint.backend: endpoint for endpoint in update.entries}
     gone = api.EndpointState.GONE
-    state.endpoints = {
-        backend: endpoint for backend, endpoint in endpoints.items() if endpoint.state is not gone
-    }
-    state.disabled_cells = {endpoint.cell for endpoint in state.endpoints.values() if endpoint.admin_disabled}
-    up = newest_up(state.endpoints)
-    without_backend = [cell for cell in state.cells if cell not in up]
+    cells.replace_endpoints(
+        {backend: endpoint for backend, endpoint in endpoints.items() if endpoint.state is not gone}
+    )
+    up = newest_up(cells.endpoints)
+    without_backend = [cell for cell in cells.queues if cell not in up]
     for cell in [*up, *without_backend]:
-        _set_backend(state, state.cell_queue(cell), up.get(cell))
+        _set_backend(state, cells.queue(cell), up.get(cell))
 
 
 def _set_backend(state: ControllerState, queue: CellQueue, endpoint: api.Endpoint | None) -> None:
-    """Have a cell served by that backend from now on, or by none; a new process starts afresh."""
-    state.mark_pending(queue)
+    """Set the backend that serves a cell, or none; a new backend process has no measurements yet."""
+    state.cells.mark_pending(queue)
     if endpoint is None:
         queue.health = None
         return
@@ -39,5 +39,5 @@
         sent_units = SlidingWindowSum(state.settings.overload_window_us)
         queue.health = BackendHealth(endpoint, endpoint.started_us or LONG_AGO, served, sent_units)
         if state.is_warming_up(queue.health):
-            # This text stands on the simulator's wire and in the operators' pages.
-            state.log(f"node {endpoint.backend} is cold")
+            # The text is part of the simulator's wire; the operators' pages quote it.
+            state.actions.log(f"node {endpoint.backend} is cold")
--- a/garnetlanding/decision/estimators.py
+++ b/garnetlanding/decision/estimators.py
@@ -1,4 +1,4 @@
-"""Running statistics: sums over a sliding window, averages, and what all backends teach together."""
+"""Running statistics: sums over a sliding window, moving averages, and statistics over all backends."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class SlidingWindowSum:
-    """The sum of amounts added within a window of time; older ones are forgotten.
+    """The sum of the amounts added within a sliding window of time.
 
-    A sum reaches back at most `span` microseconds. `last_at` is the time of the latest amount.
+    The window reaches back at most `span` microseconds. `last_at` is the time of the latest amount.
     """
 
     __slots__ = ("_items", "_span", "_sum", "last_at")
@@ -23,19 +23,22 @@
         self.last_at = LONG_AGO
 
     def add(self, now: int, amount: float = 1) -> None:
-        """Add an amount at the time `now`, which never goes back from call to call."""
+        """Add an amount at the time `now`, which never decreases from call to call."""
         self.total(now - self._span)
         self._items.append((now, amount))
         self._sum += amount
         self.last_at = now
 
     def total(self, since: int) -> float:
-        """Return the sum of the amounts later than `since`, which never goes back from call to call."""
+        """Discard the amounts up to the time `since` and return the sum of the later ones.
+
+        `since` never decreases from call to call.
+        """
         items = self._items
         while items and items[0][0] <= since:
             self._sum -= items.popleft()[1]
         if not items:
-            self._sum = 0.0  # without the rounding errors of many subtractions
+            self._sum = 0.0  # removes the rounding errors of many subtractions
         return self._sum
 
 
@@ -49,40 +52,43 @@
         self.at = 0
 
     def add(self, now: int, amount: float, span: int) -> None:
-        """Add an amount at the time `now`; the average's memory is about `span` microseconds."""
+        """Add an amount at the time `now`; the time constant of the average is `span` microseconds."""
         self.rate += amount * SECOND / span - self.rate * min(1.0, (now - self.at) / span)
         self.at = now
 
 
 class ResponseStatistics:
-    """What the answers of all backends teach together; one backend is heard of too seldom.
+    """Statistics over the responses of all backends, since each one alone responds too rarely.
 
-    `lost_share`: share of the answers that get lost, among backends that do answer.
-    `hedging_delay_us`: a high quantile of the latency; an answer is overdue beyond it.
+    `loss_rate`: fraction of the responses that get lost, among backends that do respond.
+    `hedging_delay_us`: a high quantile of the latency, after which an attempt is hedged.
     `mean_latency_us`: the mean latency.
     """
 
-    __slots__ = ("hedging_delay_us", "lost_share", "mean_latency_us")
+    __slots__ = ("hedging_delay_us", "loss_rate", "mean_latency_us")
 
     def __init__(self, latency_us: float) -> None:
-        self.lost_share = 0.0
+        self.loss_rate = 0.0
         self.hedging_delay_us = latency_us
         self.mean_latency_us = latency_us
 
-    def record_answer(self, latency_us: float, overtook: bool) -> None:
-        """Take in an answer; `overtook`: an earlier attempt of its request has not answered yet."""
-        self.lost_share += (overtook - self.lost_share) * tuning.POOL_GAIN
-        overdue = latency_us > self.hedging_delay_us
-        self.hedging_delay_us *= 1 + tuning.POOL_GAIN * (overdue - tuning.HEDGING_QUANTILE)
-        self.mean_latency_us += (latency_us - self.mean_latency_us) * tuning.POOL_GAIN
+    def record_response(self, latency_us: float, *, is_hedge_win: bool) -> None:
+        """Update the statistics by a response.
+
+        `is_hedge_win`: an earlier attempt of the request is still in flight, so its response counts as lost.
+        """
+        self.loss_rate += (is_hedge_win - self.loss_rate) * tuning.SHARED_STATISTICS_GAIN
+        is_overdue = latency_us > self.hedging_delay_us
+        self.hedging_delay_us *= 1 + tuning.SHARED_STATISTICS_GAIN * (is_overdue - tuning.HEDGING_QUANTILE)
+        self.mean_latency_us += (latency_us - self.mean_latency_us) * tuning.SHARED_STATISTICS_GAIN
 
-    def record_lost(self) -> None:
-        """Take in an answer that never came."""
-        self.lost_share += (1 - self.lost_share) * tuning.POOL_GAIN
+    def record_loss(self) -> None:
+        """Update the loss rate by an attempt that timed out."""
+        self.loss_rate += (1 - self.loss_rate) * tuning.SHARED_STATISTICS_GAIN
 
     def fault_probability(self, in_flight: int) -> float:
-        """Return how likely a backend is at fault when so many attempts there are without an answer.
+        """Return how likely a backend is faulty when that number of attempts there has no response.
 
-        The other explanation is that all these answers got lost by chance.
+        The other explanation is that all these responses were lost by chance.
         """
-        return tuning.FAULT_PRIOR / (tuning.FAULT_PRIOR + float(self.lost_share ** max(1, in_flight)))
+        return tuning.FAULT_PRIOR / (tuning.FAULT_PRIOR + float(self.loss_rate ** max(1, in_flight)))
--- a/garnetlanding/decision/fair_queue.py
+++ b/garnetlanding/decision/fair_queue.py
@@ -1,7 +1,7 @@
-"""Start-time fair queueing in units (SFQ): tags and queues. Which request leaves next is dispatch.py's.
+"""Start-time fair queueing (SFQ) in units: queues and tags. dispatch.py chooses among the queued requests.
 
-A request's start tag is the later of the queue's virtual time when it joined and the finish tag of its
-volume's request before it; its finish tag is that plus its units over the volume's weight.
+A request's start tag is the maximum of the queue's virtual time when it was enqueued and the finish tag of
+the previous request of its volume; its finish tag is the start tag plus its units over the volume's weight.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, eq=False)
 class Flow:
-    """One volume's requests in one cell: those queued, and the last one sent."""
+    """The requests of one volume in one cell: those queued, and the tags of the last one sent."""
 
     queued: deque[Request] = field(default_factory=deque)
     last_start_tag: float = 0.0  # of the last request sent
@@ -26,7 +26,7 @@
     arrived_units: float = 0.0  # ever queued here
 
     def retag_for_weight(self, virtual_time: float, weight: float) -> None:
-        """Tag all anew for another weight of the volume, the last request sent included."""
+        """Compute all tags anew for a changed weight, starting with the last request sent."""
         self.finish_tag = self.last_start_tag + self.last_units / weight
         previous = self.finish_tag
         for request in self.queued:
@@ -36,7 +36,7 @@
                 request.finish_tag = previous
 
     def close_gap(self, weight: float) -> None:
-        """Tag all anew after a request left unsent: it costs those behind it nothing."""
+        """Compute the tags of queued requests anew after one was removed unsent, without its cost."""
         previous = self.finish_tag
         for request in self.queued:
             if not request.keeps_tags:
@@ -45,7 +45,7 @@
                 request.finish_tag = previous
 
     def record_sent(self, request: Request) -> None:
-        """Keep the tags of a request that was sent, unless a later one has been already."""
+        """Store the tags of a request that is sent, unless a later one was sent before."""
         if not request.keeps_tags and request.start_tag >= self.last_start_tag:
             self.last_start_tag = request.start_tag
             self.last_units = request.units
@@ -54,18 +54,18 @@
 
 @dataclass(slots=True, eq=False)
 class CellQueue:
-    """The fair queue of one cell: it outlives the backend process that serves the cell."""
+    """The fair queue of one cell; it persists when another backend process takes over the cell."""
 
     cell: int
-    health: BackendHealth | None = None  # of the backend that serves it; None: no backend does
+    health: BackendHealth | None = None  # of the backend that serves the cell; None: there is none
     flows: dict[str, Flow] = field(default_factory=dict)  # by volume
-    virtual_time: float = 0.0  # the highest start tag sent
+    virtual_time: float = 0.0  # the highest start tag of a request sent
     queued: int = 0  # requests in all flows
-    next_look_at: int = NEVER
-    usual_load: EwmaRate = field(default_factory=EwmaRate)  # units a second, served to this instance
+    next_dispatch_at: int = NEVER  # time of the next scheduled dispatch pass
+    usual_load: EwmaRate = field(default_factory=EwmaRate)  # units per second served to this instance
 
     def enqueue(self, request: Request) -> None:
-        """Queue a request: one that keeps its tags in front of its flow, another with new tags at the end."""
+        """Enqueue a request: with new tags at the end of its flow, or with its old tags in front."""
         volume = request.volume
         flow = self.flows.setdefault(request.arrival.volume, Flow())
         if request.keeps_tags:
@@ -84,7 +84,7 @@
             volume.queued_units += request.units
 
     def remove(self, request: Request) -> Flow:
-        """Take a queued request out and return its flow; the tags of the others stay."""
+        """Remove a queued request and return its flow, without changing other tags."""
         flow = self.flows[request.arrival.volume]
         flow.queued.remove(request)
         self.queued -= 1
@@ -94,11 +94,11 @@
         return flow
 
     def dequeue_unsent(self, request: Request) -> None:
-        """Take a queued request out that is not sent; its cost leaves the tags of those behind it."""
+        """Remove a queued request that is not sent, and its cost from the tags of those behind it."""
         self.remove(request).close_gap(request.volume.weight)
 
     def dequeue_sent(self, request: Request) -> None:
-        """Take a queued request out that is sent now, and move the virtual time on."""
+        """Remove a queued request that is sent now, and advance the virtual time."""
         self.remove(request).record_sent(request)
         self.virtual_time = max(self.virtual_time, request.start_tag)
 
--- a/garnetlanding/decision/learning.py
+++ b/garnetlanding/decision/learning.py
@@ -1,4 +1,4 @@
-"""What the result of an attempt teaches: measurements of its backend and of all backends together."""
+"""Updates the measurements of a backend, and the statistics over all backends, by an attempt's result."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 def record_result(state: ControllerState, request: Request, attempt: Attempt, result: api.Result) -> None:
-    """Take in the result of an attempt, whose outcome is set already."""
+    """Update all measurements by the result of an attempt whose outcome is set already."""
     health = attempt.health
     latency = result.duration_us / health.relative_size(request.units)
     in_flight = health.in_flight
-    attempt.write_off()
+    attempt.release_slot()
     if result.outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.FULL):
-        health.answered_at = state.now
+        health.responded_at = state.now
         health.consecutive_connect_failures = 0
     if result.outcome in (Outcome.SERVED, Outcome.ERROR):
         is_error = result.outcome is Outcome.ERROR
@@ -26,7 +26,7 @@
         _record_served(state, request, attempt, latency)
     elif result.outcome is Outcome.TIMEOUT:
         fault_probability = state.statistics.fault_probability(in_flight)
-        state.statistics.record_lost()
+        state.statistics.record_loss()
         _record_latency(state, health, request.units, latency * fault_probability)
     elif result.outcome is Outcome.UNREACHABLE:
         _record_connect_failure(state, health)
@@ -36,35 +36,40 @@
 
 def _record_served(state: ControllerState, request: Request, attempt: Attempt, latency: float) -> None:
     health = attempt.health
-    overtook = any(other.outcome is None and other.sent_at < attempt.sent_at for other in request.attempts)
-    if overtook:
-        state.hedge_budget.earn_by_win()
-    state.statistics.record_answer(latency, overtook)
+    is_hedge_win = any(
+        other.outcome is None and other.sent_at < attempt.sent_at for other in request.attempts
+    )
+    if is_hedge_win:
+        state.budgets.hedges.earn_by_win()
+    state.statistics.record_response(latency, is_hedge_win=is_hedge_win)
     health.served.add(state.now)
     health.consecutive_rejections = 0
     if not state.is_warming_up(health):
-        usual_load = state.cells[attempt.cell].usual_load
-        usual_load.add(state.now, request.units, tuning.USUAL_LOAD_SPAN)
+        usual_load = state.cells.queues[attempt.cell].usual_load
+        usual_load.add(state.now, request.units, tuning.USUAL_LOAD_MEMORY)
     _record_latency(state, health, request.units, latency)
 
 
 def _record_connect_failure(state: ControllerState, health: BackendHealth) -> None:
     health.consecutive_connect_failures += 1
-    silent_at = health.answered_at + tuning.SILENCE_OBJECTIVES * state.tightest_objective_us
-    if health.consecutive_connect_failures >= tuning.CONNECT_FAILURES and state.now > silent_at:
-        # Silent and not even connecting: it will come back cold, whether the list says so or not.
+    objective_us = state.parameters.tightest_objective_us
+    unresponsive_at = health.responded_at + tuning.UNRESPONSIVE_OBJECTIVES * objective_us
+    if health.consecutive_connect_failures >= tuning.CONNECT_FAILURES and state.now > unresponsive_at:
+        # An unresponsive backend that also refuses connections has probably crashed: treat it as restarted,
+        # since the endpoint list may not say so.
         health.warming_since = state.now
 
 
 def _record_rejection(state: ControllerState, request: Request, health: BackendHealth) -> None:
-    # One request may be rejected for itself, again and again; a full queue rejects whichever comes.
+    # A backend may reject one request again and again for its own sake; a full queue rejects any request.
     rejections = sum(attempt.outcome is Outcome.FULL for attempt in request.attempts)
     if rejections == 1:
         health.consecutive_rejections += 1
     if health.consecutive_rejections >= tuning.REJECTIONS or not health.latency_us:
-        # What queues there would be late.
-        _record_latency(state, health, request.units, 2 * state.tightest_objective_us)
+        # A request in that queue would be late.
+        objective_us = state.parameters.tightest_objective_us
+        _record_latency(state, health, request.units, tuning.FULL_QUEUE_OBJECTIVES * objective_us)
 
 
 def _record_latency(state: ControllerState, health: BackendHealth, units: float, latency: float) -> None:
-    health.record_latency(state.now, units, latency, state.tightest_objective_us)
+    health.record_latency(state.now, units, latency, state.parameters.tightest_objective_us)
--- a/garnetlanding/decision/ordered_keys.py
+++ b/garnetlanding/decision/ordered_keys.py
@@ -1,4 +1,4 @@
-"""Per-key ordering queues: requests of an ordered class with the same key go out one after the other."""
+"""Per-key ordering queues: requests of an ordered class with the same key run one after another."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     """The requests of one key, in the order of their arrival."""
 
     waiting: deque[Request] = field(default_factory=deque)
-    rest_until: int = 0  # the key rests after an attempt that may still run
-    admitted: Request | None = None  # the one that has entered the fair queue
+    blocked_until: int = 0  # after an attempt that may still be executing
+    admitted: Request | None = None  # the one that has been put into a fair queue
 
-    def head(self) -> Request | None:
-        """Drop what is answered and not in flight any more; return the first of the others."""
+    def drop_settled(self) -> Request | None:
+        """Drop the requests that are answered and not in flight; return the first of the others."""
         self.waiting = deque(
             request for request in self.waiting if not request.answered or request.in_flight()
         )
--- a/garnetlanding/decision/placement.py
+++ b/garnetlanding/decision/placement.py
@@ -1,4 +1,4 @@
-"""Which backend serves a cell, and which cell a new object is written to."""
+"""Decides which backend serves a cell, and in which cell a new object is placed."""
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision import tuning
@@ -11,7 +11,7 @@
 
 
 def newest_up(endpoints: dict[str, api.Endpoint]) -> dict[int, api.Endpoint]:
-    """Return the listed endpoint of each cell that is up; of several, the last to start."""
+    """Return, by cell, the listed endpoint that is up; of several, the one that started last."""
     newest: dict[int, api.Endpoint] = {}
     for endpoint in endpoints.values():
         if endpoint.state is not api.EndpointState.UP:
@@ -23,33 +23,33 @@
 
 
 def place(state: ControllerState, request: Request) -> CellQueue | None:
-    """Return the cell for a new object: the one with the quickest sound backend; None: there is none now.
+    """Return the cell for a new object, or None if no backend may get an attempt now.
 
-    The choice binds the object's retries and its readers. Backends that warm up come last.
+    The cell with the least expected wait is chosen, weighted by errors; backends that warm up come last. The
+    choice is final for the object: its retries and its readers go to the same cell.
     """
 
     def cost(choice: tuple[CellQueue, BackendHealth]) -> tuple[bool, float]:
         queue, health = choice
-        wait = _expected_wait(state, queue, health) * state.rng.uniform(0.9, 1.1)
-        return state.is_warming_up(health), wait / max(0.05, 1 - health.error_rate) ** 2
+        wait = _expected_wait(state, queue, health) * state.rng.uniform(*tuning.PLACEMENT_JITTER)
+        success_rate = max(tuning.SUCCESS_RATE_FLOOR, 1 - health.error_rate)
+        return state.is_warming_up(health), wait / success_rate**tuning.SUCCESS_RATE_EXPONENT
 
     choices = [
         (queue, queue.health)
-        for queue in state.cells.values()
+        for queue in state.cells.queues.values()
         if queue.health and may_attempt(state, request, queue.health)
     ]
     return min(choices, key=cost)[0] if choices else None
 
 
 def _expected_wait(state: ControllerState, queue: CellQueue, health: BackendHealth) -> float:
-    """Return the time until an answer there, in microseconds.
+    """Return the expected time until a response, in microseconds.
 
-    A backend that was slow once is not slow for good, and one not yet tried is not slow at all: the less
-    recent its latency, the more the mean of all backends counts.
+    The latency of the backend counts less the older it is, and the mean of all backends the more: one slow
+    response must not exclude a backend for ever, and a backend without measurements is not slow.
     """
     mean = state.statistics.mean_latency_us
-    certainty = 0.0
-    if health.latency_us:
-        certainty = float(0.5 ** ((state.now - health.answered_at) / tuning.LATENCY_HALF_LIFE))
-    latency = mean + (health.latency_us - mean) * certainty
+    confidence = health.latency_confidence(state.now) if health.latency_us else 0.0
+    latency = mean + (health.latency_us - mean) * confidence
     return latency * (1 + (health.in_flight + queue.queued) / concurrency_limit(state, health))
--- /dev/null
+++ b/garnetlanding/decision/request_table.py
@@ -0,0 +1,52 @@
+"""The requests of one instance, and the queues of keys whose requests are executed in order."""
+
+from __future__ import annotations
+
+from garnetlanding.decision import interface as api
+from garnetlanding.decision import tuning
+from garnetlanding.decision.ordered_keys import OrderedKeyQueue
+from garnetlanding.decision.requests import Request
+from garnetlanding.decision.volume import Volume
+
+
+class RequestTable:
+    """Owns all requests that have no final answer or an attempt in flight, by identifier."""
+
+    __slots__ = ("_arrivals", "_longest_timeout_us", "by_id", "ordered_keys")
+
+    def __init__(self) -> None:
+        self.by_id: dict[str, Request] = {}
+        self.ordered_keys: dict[str, OrderedKeyQueue] = {}
+        self._arrivals = 0  # ever
+        self._longest_timeout_us: dict[str, int] = {}  # by class, of all clients so far
+
+    def add(
+        self,
+        arrival: api.Arrival,
+        traffic_class: api.ClassSpec,
+        plan: api.PlanSpec,
+        volume: Volume,
+        now: int,
+        tick_us: int,
+    ) -> Request:
+        """Create the request of an arrival.
+
+        A client's retry has the latency objective of its first attempt. When that arrived follows from the
+        longest timeout that any client has given for the class.
+        """
+        timeout_us = max(self._longest_timeout_us.get(arrival.request_class, 0), arrival.deadline_us - now)
+        self._longest_timeout_us[arrival.request_class] = timeout_us
+        first_attempt_at = min(now, arrival.deadline_us - timeout_us)
+        self._arrivals += 1
+        request = Request(
+            arrival=arrival,
+            traffic_class=traffic_class,
+            volume=volume,
+            units=arrival.units,
+            sequence=self._arrivals,
+            objective_at=first_attempt_at + traffic_class.latency_objective_us,
+            answer_by=arrival.deadline_us - tuning.ANSWER_MARGIN_TICKS * tick_us,
+            priority_weight=traffic_class.priority_weight * plan.price,
+        )
+        self.by_id[arrival.request] = request
+        return request
--- a/garnetlanding/decision/retries.py
+++ b/garnetlanding/decision/retries.py
@@ -1,37 +1,29 @@
-"""Retries and hedged requests: what follows when an attempt has ended, or stays without an answer."""
+"""Decides on attempts after a request's first: whether to retry or to hedge, and after which pause."""
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.admission import Admission
 from garnetlanding.decision.backoff import retry_pause
 from garnetlanding.decision.learning import record_result
-from garnetlanding.decision.requests import MAY_STILL_RUN, Request
+from garnetlanding.decision.requests import MAY_STILL_RUN, Attempt, Request
 from garnetlanding.decision.state import ControllerState
 
 
 class Retries:
-    """Decides on attempts beyond a request's first."""
+    """Handles the results of attempts; retries and hedges requests."""
 
     def __init__(self, state: ControllerState, admission: Admission) -> None:
         self._state = state
         self._admission = admission
 
     def on_result(self, result: api.Result) -> None:
-        """Take in an attempt's result; finish the request, or try it again. A second result is ignored."""
-        state = self._state
-        request = state.requests.get(result.request)
+        """Record an attempt's result; finish the request or retry it. Ignore a second result."""
+        request = self._state.requests.by_id.get(result.request)
         if request is None or not 0 <= result.attempt < len(request.attempts):
             return
         attempt = request.attempts[result.attempt]
         if attempt.outcome is not None:
             return
-        attempt.outcome = result.outcome
-        state.mark_pending(state.cells[attempt.cell])
-        record_result(state, request, attempt, result)
-        if result.usage_percent is not None:
-            request.volume.usage_percent = result.usage_percent
-        if result.outcome in MAY_STILL_RUN and request.arrival.key in state.ordered_keys:
-            rest = state.settings.ordered_key_rest_us + state.settings.tick_us
-            state.ordered_keys[request.arrival.key].rest_until = state.now + rest
+        self._record(request, attempt, result)
         if not request.answered:
             if result.answered:
                 self._admission.finish(request)
@@ -39,8 +31,20 @@
                 self._retry(request)
         self._admission.settle(request)
 
+    def _record(self, request: Request, attempt: Attempt, result: api.Result) -> None:
+        state = self._state
+        attempt.outcome = result.outcome
+        state.cells.mark_pending(state.cells.queues[attempt.cell])
+        record_result(state, request, attempt, result)
+        if result.usage_percent is not None:
+            request.volume.usage_percent = result.usage_percent
+        ordered_keys = state.requests.ordered_keys
+        if result.outcome in MAY_STILL_RUN and request.arrival.key in ordered_keys:
+            pause_us = state.settings.ordered_key_rest_us + state.settings.tick_us
+            ordered_keys[request.arrival.key].blocked_until = state.now + pause_us
+
     def _retry(self, request: Request) -> None:
-        """Queue a request again after a pause, or end it: too late, or no attempt left."""
+        """Schedule a retry after a pause, or end the request if it would be late or has no attempt left."""
         state = self._state
         attempts = len(request.attempts)
         retry_at = state.now + retry_pause(request.traffic_class.latency_objective_us, attempts, state.rng)
@@ -48,24 +52,24 @@
         if late or attempts >= state.settings.max_attempts:
             self._admission.end(request)
         else:
-            state.schedule(retry_at, self._admission.enqueue, request)
+            state.timers.schedule(retry_at, self._admission.enqueue, request)
 
     def schedule_hedge(self, request: Request) -> None:
-        """Plan a hedged attempt for when the answer to the attempt just sent is overdue."""
+        """Schedule a hedged attempt for when the response to the attempt just sent is overdue."""
         state = self._state
         if state.settings.parallel_attempts:
             health = request.attempts[-1].health
             delay = max(state.statistics.hedging_delay_us, health.latency_us)
             hedge_at = state.now + int(health.relative_size(request.units) * delay)
-            state.schedule(hedge_at, self._hedge, request)
+            state.timers.schedule(hedge_at, self._hedge, request)
 
     def _hedge(self, request: Request) -> None:
-        """Queue an attempt beside one whose answer is overdue; wrong guesses use the budget up."""
+        """Queue a second attempt beside one that is overdue, within the hedge budget."""
         state = self._state
         if request.answered or request.queued_cell is not None or not request.in_flight():
             return
         if state.now >= request.objective_at or len(request.attempts) >= state.settings.max_attempts:
             return
-        if state.hedge_budget.has_token():
-            state.hedge_budget.spend()
+        if state.budgets.hedges.has_token():
+            state.budgets.hedges.spend()
             self._admission.enqueue(request)
--- /dev/null
+++ b/garnetlanding/decision/timer_queue.py
@@ -0,0 +1,48 @@
+"""Timers of a state machine without a clock: callbacks by the time at which they are due."""
+
+from __future__ import annotations
+
+import heapq
+from collections.abc import Callable
+from typing import Any
+
+
+class TimerQueue:
+    """A queue of callbacks, and the time of the one wake-up that is set for the first of them.
+
+    Times are integer microseconds. Callbacks due at the same time run in the order of their scheduling.
+    """
+
+    __slots__ = ("_scheduled", "_timers", "_wake_at")
+
+    def __init__(self) -> None:
+        self._timers: list[tuple[int, int, Callable[[Any], None], Any]] = []
+        self._scheduled = 0  # number of timers ever scheduled
+        self._wake_at: int | None = None
+
+    def schedule(self, when: int, callback: Callable[[Any], None], argument: Any) -> None:
+        """Call `callback(argument)` in the first `run_due` at or after that time."""
+        self._scheduled += 1
+        heapq.heappush(self._timers, (when, self._scheduled, callback, argument))
+
+    def run_due(self, now: int) -> None:
+        """Run all callbacks that are due, including those scheduled by other callbacks."""
+        timers = self._timers
+        while timers and timers[0][0] <= now:
+            _, _, callback, argument = heapq.heappop(timers)
+            callback(argument)
+
+    def next_wake_up(self, now: int) -> int | None:
+        """Return after how many microseconds a wake-up has to be set; None: an earlier one is still set.
+
+        The wake-up returned counts as set from now on.
+        """
+        if self._wake_at is not None and self._wake_at <= now:
+            self._wake_at = None
+        if not self._timers:
+            return None
+        first = self._timers[0][0]
+        if self._wake_at is not None and self._wake_at <= first:
+            return None
+        self._wake_at = max(first, now + 1)
+        return self._wake_at - now
--- a/garnetlanding/decision/token_bucket.py
+++ b/garnetlanding/decision/token_bucket.py
@@ -1,4 +1,4 @@
-"""Budgets: token buckets for volumes, for retries and for hedged requests."""
+"""Token buckets, and the budgets of retries and of hedged requests."""
 
 from __future__ import annotations
 
@@ -9,32 +9,35 @@
 
 
 class TokenBucket:
-    """A token bucket that fills at `rate` tokens a second up to `capacity`."""
+    """A token bucket that fills at `rate` tokens per second up to `capacity`.
 
-    __slots__ = ("capacity", "filled_at", "level", "rate")
+    `level` is the number of tokens at the time `refilled_at`; spend tokens by lowering it.
+    """
+
+    __slots__ = ("capacity", "level", "rate", "refilled_at")
 
     def __init__(self, rate: float, capacity: float, now: int, level: float) -> None:
         self.rate = rate
         self.capacity = capacity
-        self.filled_at = now
+        self.refilled_at = now
         self.level = level
 
-    def available(self, now: int) -> float:
-        """Fill the bucket up to the time `now` and return its level."""
-        self.level = min(self.capacity, self.level + self.rate * (now - self.filled_at) / SECOND)
-        self.filled_at = now
+    def refill(self, now: int) -> float:
+        """Add the tokens earned up to `now` and return the new level."""
+        self.level = min(self.capacity, self.level + self.rate * (now - self.refilled_at) / SECOND)
+        self.refilled_at = now
         return self.level
 
-    def refit(self, now: int, rate: float, capacity: float) -> None:
-        """Fill at another rate up to another level from now on; tokens above that level are lost."""
-        self.available(now)
-        self.rate = max(rate, 1e-9)
+    def reconfigure(self, now: int, rate: float, capacity: float) -> None:
+        """Change rate and capacity from now on; tokens above the new capacity are lost."""
+        self.refill(now)
+        self.rate = max(rate, tuning.SMALLEST_POSITIVE)
         self.capacity = capacity
         self.level = min(self.level, capacity)
 
 
 class RetryBudget:
-    """Attempts beyond a request's first: some are free, more are earned by arrivals (retry_budget_*)."""
+    """Bounds retries within a sliding window: some are free, arrivals earn more (`retry_budget_*`)."""
 
     __slots__ = ("_arrivals", "_retries")
 
@@ -48,17 +51,18 @@
         self._arrivals.add(now)
 
     def record_retry(self, now: int) -> None:
-        """Count an attempt beyond a request's first."""
+        """Count an attempt after a request's first."""
         self._retries.add(now)
 
-    def allows_retry(self, now: int, settings: api.Settings, share: float) -> bool:
-        """Return whether one more fits in; `share`: this instance's part of the free ones, 1 if even.
+    def allows_retry(self, now: int, settings: api.Settings, quota: float) -> bool:
+        """Return whether the budget allows one more retry.
 
-        Arrivals are counted over a tick less than the window and retries over a tick more, so that an
-        observer whose clock is off by a tick finds the budget kept.
+        `quota` is this instance's quota of the free retries, as a multiple of an even one. Arrivals are
+        counted over a tick less than the window and retries over a tick more, so that an observer whose clock
+        differs by a tick still finds the budget kept.
         """
         since = now - settings.retry_budget_window_us
-        free = settings.retry_budget_floor * settings.process_quota * share
+        free = settings.retry_budget_floor * settings.process_quota * quota
         earned = free + settings.retry_budget_ratio * self._arrivals.total(since + settings.tick_us)
         if settings.retry_budget_window_us == 0:
             return True
@@ -66,25 +70,25 @@
 
 
 class HedgeBudget:
-    """Hedged requests: earned by arrivals where answers get lost and by hedges that answered first."""
+    """Bounds hedged requests: arrivals earn tokens while responses get lost, and so do successful hedges."""
 
     __slots__ = ("_tokens",)
 
     def __init__(self) -> None:
         self._tokens = tuning.HEDGE_CAPACITY
 
-    def earn_by_arrival(self, lost_share: float) -> None:
-        """Add what an arrival earns while that share of the answers gets lost."""
-        self._tokens = min(tuning.HEDGE_CAPACITY, self._tokens + min(tuning.HEDGE_EARNED, lost_share))
+    def earn_by_arrival(self, loss_rate: float) -> None:
+        """Add what an arrival earns while that fraction of the responses gets lost."""
+        self._tokens = min(tuning.HEDGE_CAPACITY, self._tokens + min(tuning.HEDGE_EARNED_MAX, loss_rate))
 
     def earn_by_win(self) -> None:
-        """Add what an answer earns that came before the one of an earlier attempt."""
-        self._tokens = min(tuning.HEDGE_CAPACITY, self._tokens + tuning.HEDGE_WON)
+        """Add what is earned when a hedged attempt is served before the earlier one."""
+        self._tokens = min(tuning.HEDGE_CAPACITY, self._tokens + tuning.HEDGE_WIN)
 
     def has_token(self) -> bool:
         """Return whether one more hedge is allowed."""
         return self._tokens >= 1
 
     def spend(self) -> None:
-        """Take the token of one hedge."""
+        """Spend the token of one hedge."""
         self._tokens -= 1
--- a/garnetlanding/decision/units.py
+++ b/garnetlanding/decision/units.py
@@ -1,4 +1,4 @@
-"""Units of time and the constants that stand for "no moment". All times are integer microseconds."""
+"""Units of time and the constants for "never". All times are integer microseconds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 """Microseconds in a second."""
 
 NEVER: Final = 1 << 62
-"""A moment that no clock reaches, in microseconds; also an amount or a level that nothing reaches."""
+"""A time later than any clock reaches, in microseconds; also an amount that nothing reaches."""
 
 LONG_AGO: Final = -NEVER
-"""A moment before anything happened, in microseconds."""
+"""A time before any event, in microseconds."""
--- /dev/null
+++ b/garnetlanding/decision/volume.py
@@ -0,0 +1,56 @@
+"""The state of one volume: its weight in the fair queues, its quota and its token buckets."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from garnetlanding.decision import interface as api
+from garnetlanding.decision.token_bucket import TokenBucket
+from garnetlanding.decision.units import NEVER
+
+UNLIMITED = 1e12
+"""Units per second, and units at once, of a plan without a limit."""
+
+
+@dataclass(slots=True, eq=False)
+class Volume:
+    """One volume, as far as this instance serves it."""
+
+    weight: float
+    plan: api.PlanSpec
+    instances: int  # number of instances that receive its requests
+    limit: TokenBucket = field(init=False)
+    reserve: TokenBucket = field(init=False)
+    usage_percent: int | None = None  # latest usage at all backends; None: no new figure
+    queued_units: float = 0.0  # of requests without an attempt
+    arrived_units: float = 0.0  # ever queued, in any cell
+    quota: float = field(init=False)  # this instance's fraction of the plan's limit and reserve
+
+    def __post_init__(self) -> None:
+        self.quota = 1 / self.instances
+
+    @property
+    def has_even_quota(self) -> bool:
+        """Whether the quota is the default: then nothing is lost when the volume is dropped."""
+        return self.quota == 1 / self.instances
+
+    def start_plan(self, now: int, plan: api.PlanSpec, settings: api.Settings) -> None:
+        """Apply a plan, with a full reserve.
+
+        The limit starts with one request's units: an instance cannot know what it spent before a restart.
+        """
+        level = settings.max_units if plan.limit_rate else UNLIMITED
+        self.plan = plan
+        self.limit = TokenBucket(0.0, NEVER, now, level)
+        self.reserve = TokenBucket(0.0, NEVER, now, NEVER)
+        self.reconfigure_buckets(now, settings)
+
+    def reconfigure_buckets(self, now: int, settings: api.Settings) -> None:
+        """Set the rates and capacities of both buckets by the plan and the present quotas."""
+        quota = self.quota * settings.process_quota
+        plan = self.plan
+        reserve_rate = plan.reserve_rate * quota
+        self.reserve.reconfigure(now, reserve_rate, reserve_rate + settings.max_units)
+        limit_rate = (plan.limit_rate or UNLIMITED) * quota
+        limit_burst = (plan.limit_burst or UNLIMITED) * quota
+        self.limit.reconfigure(now, limit_rate, limit_burst)
--- /dev/null
+++ b/garnetlanding/decision/volume_registry.py
@@ -0,0 +1,79 @@
+"""The volumes whose requests this instance serves."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from garnetlanding.decision import interface as api
+from garnetlanding.decision import tuning
+from garnetlanding.decision.cell_registry import CellRegistry
+from garnetlanding.decision.volume import Volume
+
+
+class VolumeRegistry:
+    """Owns the volumes, by name; a volume exists from its first request until it has been idle for long."""
+
+    __slots__ = ("_cells", "by_name")
+
+    def __init__(self, cells: CellRegistry) -> None:
+        """`cells` hold the volumes' queued requests, whose tags follow the weights."""
+        self.by_name: dict[str, Volume] = {}
+        self._cells = cells
+
+    def get_or_add(
+        self, arrival: api.Arrival, plan: api.PlanSpec, now: int, settings: api.Settings
+    ) -> Volume:
+        """Return the volume of an arrival; create it for its first request."""
+        volume = self.by_name.get(arrival.volume)
+        if volume is None:
+            volume = Volume(plan.weight, plan, max(1, arrival.serving_instances))
+            volume.start_plan(now, plan, settings)
+            self.by_name[arrival.volume] = volume
+        return volume
+
+    def apply_settings(self, now: int, settings: api.Settings, *, quota_changed: bool) -> None:
+        """Restart the plans that the settings have changed, or all if the process's quota has changed.
+
+        A volume's weight changes only with its plan.
+        """
+        for name, volume in self.by_name.items():
+            plan = settings.plans.get(volume.plan.name, volume.plan)
+            plan_changed = plan != volume.plan
+            if plan_changed or quota_changed:
+                volume.start_plan(now, plan, settings)
+            if plan_changed:
+                self.set_weight(name, plan.weight)
+
+    def apply_quotas(self, now: int, settings: api.Settings, quotas: Mapping[str, float]) -> None:
+        """Set this instance's quotas of the named volumes."""
+        for name, quota in quotas.items():
+            volume = self.by_name[name]
+            volume.quota = quota
+            volume.reconfigure_buckets(now, settings)
+
+    def set_weight(self, name: str, weight: float) -> None:
+        """Change a volume's weight and the tags of its queued requests."""
+        self.by_name[name].weight = weight
+        for queue in self._cells.queues.values():
+            if name in queue.flows:
+                queue.flows[name].retag_for_weight(queue.virtual_time, weight)
+
+    def drop_idle(self, now: int) -> None:
+        """Drop volumes without requests for long, which bounds memory.
+
+        A volume with the default quota has the same state when it is created anew. One with queued requests
+        is kept: deadlines may be longer than the expiry.
+        """
+        idle_since = now - tuning.IDLE_VOLUME_EXPIRY
+        idle = [
+            name
+            for name, volume in self.by_name.items()
+            if volume.reserve.refilled_at < idle_since and volume.has_even_quota
+        ]
+        for name in idle:
+            queues = [queue for queue in self._cells.queues.values() if name in queue.flows]
+            if any(queue.flows[name].queued for queue in queues):
+                continue
+            del self.by_name[name]
+            for queue in queues:
+                del queue.flows[name]
--- a/garnetlanding/decision/warmup.py
+++ b/garnetlanding/decision/warmup.py
@@ -1,4 +1,4 @@
-"""Slow start: how much a backend that has just started may get from this instance. Arithmetic only."""
+"""Decides how much a backend that has just started may get from this instance: slow start."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @dataclass(slots=True, frozen=True)
 class WarmupAllowance:
-    """What a backend may get now, in units, and how long another unit takes to earn, in microseconds."""
+    """What a backend may get now, in units, and the time in which one more unit is earned."""
 
     units: float
-    us_per_unit: float
+    us_per_unit: float  # 0: no limit
 
 
 UNBOUNDED = WarmupAllowance(units=NEVER, us_per_unit=0.0)
@@ -25,10 +25,11 @@
 
 
 def warmup_allowance(state: ControllerState, queue: CellQueue, health: BackendHealth) -> WarmupAllowance:
-    """Return what is left of this instance's budget at a backend.
+    """Return what remains of this instance's budget at a backend.
 
-    While it warms up, a backend gets a budget in every overload window, with retries and what an earlier
-    incarnation of this instance sent. A request larger than the budget waits as long as it takes up.
+    While it warms up, a backend has a budget in every overload window. Retries count, and so does what an
+    earlier incarnation of this instance may have sent. A request larger than the budget waits until the
+    backend has been idle for as long as the request takes to be earned.
     """
     settings = state.settings
     age = state.now - health.warming_since
@@ -37,39 +38,39 @@
     window = settings.overload_window_us
     budget = _budget(state, queue, health, age)
     last_sent_at = max(health.sent_units.last_at, health.warming_since, state.started_at)
-    idle = (state.now - last_sent_at) * budget / window
-    spent = health.sent_units.total(state.now - window)
-    if idle > budget:
-        return WarmupAllowance(idle, window / budget)
-    lived = 1.0  # the part of the window in which this incarnation knows what it has sent
+    earned_while_idle = (state.now - last_sent_at) * budget / window
+    sent = health.sent_units.total(state.now - window)
+    if earned_while_idle > budget:
+        return WarmupAllowance(earned_while_idle, window / budget)
+    known_window_fraction = 1.0  # of the window, in which this incarnation knows what was sent
     if health.warming_since < state.started_at:
-        lived = min(1.0, (state.now - state.started_at) / window)
-    return WarmupAllowance(budget * lived - spent, window / budget)
+        known_window_fraction = min(1.0, (state.now - state.started_at) / window)
+    return WarmupAllowance(budget * known_window_fraction - sent, window / budget)
 
 
 def _budget(state: ControllerState, queue: CellQueue, health: BackendHealth, age: int) -> float:
-    """Return the units within an overload window: a set amount, or more by the usual load of the cell.
+    """Return the budget of an overload window, in units.
 
-    Of the set amount this instance has its share among all instances; of the result, this process has its
-    share beside the other process of an upgrade.
+    It is the larger of a configured minimum, of which this instance has its quota, and what follows from the
+    cell's usual load. Beside another process of the instance, this one has its fraction of the result.
     """
     settings = state.settings
     initial = settings.warmup_initial_fraction
     warmth = initial + (1 - initial) * max(0, age) / settings.warmup_us
-    usual = max(queue.usual_load.rate, planned_load(state, queue))
-    usual_units = usual * settings.overload_window_us / SECOND
-    learnt = usual_units * settings.overload_multiple * warmth * tuning.WARMUP_SAFETY
-    instance_quota = state.budget_quota(api.warmup_budget(health.endpoint.backend))
-    least = settings.warmup_units / max(1, settings.instances) * instance_quota
-    return max(max(least, learnt) * state.process_warmup_quota, 1e-9)
+    usual_rate = max(queue.usual_load.rate, planned_load(state, queue))
+    usual_units = usual_rate * settings.overload_window_us / SECOND
+    learnt = usual_units * settings.overload_multiple * warmth * tuning.WARMUP_SAFETY_FACTOR
+    instance_quota = state.budgets.quota(api.warmup_budget(health.endpoint.backend))
+    minimum = settings.warmup_units / max(1, settings.instances) * instance_quota
+    return max(max(minimum, learnt) * state.budgets.process_warmup_quota, tuning.SMALLEST_POSITIVE)
 
 
 def planned_load(state: ControllerState, queue: CellQueue) -> float:
-    """Return the units a second that the plans let this instance expect in a cell.
+    """Return the load that the plans let this instance expect in a cell, in units per second.
 
-    Each volume's usual rate is divided by where its requests have gone so far.
+    The usual rate of each volume is divided between cells in proportion to its requests so far.
     """
-    volumes = [(state.volumes[name], flow) for name, flow in queue.flows.items()]
+    volumes = [(state.volumes.by_name[name], flow) for name, flow in queue.flows.items()]
     return sum(
         volume.plan.usual_rate / volume.instances * flow.arrived_units / volume.arrived_units
         for volume, flow in volumes
--- a/tests/core/test_request_engine.py
+++ b/tests/core/test_request_engine.py
@@ -130,9 +130,9 @@
     module = instance.core.module
     assert isinstance(module, Controller)
     state = module.state
-    assert list(state.endpoints) == ["n30"]
-    assert len(state.volumes) <= 21
-    assert all(set(queue.flows) <= set(state.volumes) for queue in state.cells.values())
+    assert list(state.cells.endpoints) == ["n30"]
+    assert len(state.volumes.by_name) <= 21
+    assert all(set(queue.flows) <= set(state.volumes.by_name) for queue in state.cells.queues.values())
 
 
 def test_a_complete_list_removes_what_it_does_not_name() -> None:
@@ -290,3 +290,22 @@
     assert set(instance.answers) == set(due) - disconnected
     assert not instance.core._requests
     assert instance.core.open_requests == 0
+
+
+@pytest.mark.parametrize(("used", "usage_percent"), [(0, None), (1, 0), (26, 25)])
+def test_usage_that_a_backend_reports_reaches_the_decision_module_as_a_percentage(
+    used: int, usage_percent: int | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    instance = EngineInstance()
+    events: list[api.Event] = []
+    handle = instance.core.module.handle
+
+    def record(now: int, delivered: list[api.Event]) -> list[api.Action]:
+        events.extend(delivered)
+        return handle(now, delivered)
+
+    monkeypatch.setattr(instance.core.module, "handle", record)
+    instance.submit("a")
+    instance.transport.in_flight.pop(0).finish(Outcome.SERVED, b"", used)
+    instance.settle()
+    assert [event.usage_percent for event in events if isinstance(event, api.Result)] == [usage_percent]
--- a/tests/decision/test_decision_rules.py
+++ b/tests/decision/test_decision_rules.py
@@ -1,4 +1,4 @@
-"""The seven rules, by hand and by seeded random days checked apart from the module's own books."""
+"""The seven rules: by hand, and on random days that a checker follows with records of its own."""
 
 from __future__ import annotations
 
@@ -31,42 +31,42 @@
 PLANS = {"gold": GOLD, "tin": TIN, "limited": LIMITED}
 
 
-def one(**changes: object) -> DecisionBench:
+def bench_with_one_backend(**changes: object) -> DecisionBench:
     return DecisionBench(make_settings(classes=CLASSES, plans=PLANS, **changes), [up_endpoint("n0", 0)])
 
 
 def test_request_gets_one_final_answer_before_its_deadline_and_nothing_after() -> None:
-    bench = one()
-    bench.ask("a", request_class="write")
-    bench.run(3 * SECOND)
-    assert [type(x) for x in bench.answers("a")] == [api.Fail]
-    at = next(t for t, x in bench.log if x in bench.answers("a"))
+    bench = bench_with_one_backend()
+    bench.arrive("a", request_class="write")
+    bench.advance(3 * SECOND)
+    assert [type(x) for x in bench.final_answers("a")] == [api.Fail]
+    at = next(t for t, x in bench.timeline if x in bench.final_answers("a"))
     assert at < 50 * SECOND + WRITE.deadline_us
-    late = bench.end("a", over=True)  # a late reply sends and answers nothing
+    late = bench.finish_attempt("a", answered=True)  # a late result sends and answers nothing
     assert not [x for x in late if isinstance(x, api.Send | api.Reject | api.Fail)]
-    assert len(bench.answers("a")) == 1
-    assert len(bench.sends("a")) <= 2  # one copy of an overdue attempt
+    assert len(bench.final_answers("a")) == 1
+    assert len(bench.sends("a")) <= 2  # one hedge of an overdue attempt
 
 
-def test_queued_request_is_refused_in_time_when_no_backend_serves_its_cell() -> None:
-    bench = one()
-    bench.ask("a", cell=7)
-    bench.run(2 * SECOND)
-    assert [type(x) for x in bench.answers("a")] == [api.Reject]
+def test_queued_request_is_rejected_in_time_when_no_backend_serves_its_cell() -> None:
+    bench = bench_with_one_backend()
+    bench.arrive("a", cell=7)
+    bench.advance(2 * SECOND)
+    assert [type(x) for x in bench.final_answers("a")] == [api.Reject]
 
 
-def test_keyed_request_that_may_have_run_is_failed_never_refused() -> None:
-    bench = one(max_attempts=1)
-    bench.ask("a", request_class="write")
-    bench.end("a", ERROR)
-    assert [type(x) for x in bench.answers("a")] == [api.Fail]
+def test_keyed_request_that_may_have_run_is_failed_never_rejected() -> None:
+    bench = bench_with_one_backend(max_attempts=1)
+    bench.arrive("a", request_class="write")
+    bench.finish_attempt("a", ERROR)
+    assert [type(x) for x in bench.final_answers("a")] == [api.Fail]
 
 
-def test_keyed_request_known_not_to_have_run_may_be_refused() -> None:
-    bench = one(max_attempts=1)
-    bench.ask("a", request_class="write")
-    bench.end("a", FULL)
-    assert [type(x) for x in bench.answers("a")] == [api.Reject]
+def test_keyed_request_known_not_to_have_run_may_be_rejected() -> None:
+    bench = bench_with_one_backend(max_attempts=1)
+    bench.arrive("a", request_class="write")
+    bench.finish_attempt("a", FULL)
+    assert [type(x) for x in bench.final_answers("a")] == [api.Reject]
 
 
 def test_keyed_new_object_is_retried_in_its_cell_within_the_deduplication_window() -> None:
@@ -74,123 +74,125 @@
         make_settings(classes=CLASSES, plans=PLANS),
         [up_endpoint("n0", 0), up_endpoint("n1", 1), up_endpoint("n2", 2)],
     )
-    bench.ask("a", request_class="write", cell=None)
-    bench.end("a", ERROR)
-    bench.run(90 * MS)
+    bench.arrive("a", request_class="write", cell=None)
+    bench.finish_attempt("a", ERROR)
+    bench.advance(90 * MS)
     assert len(bench.sends("a")) == 2
     assert len({s.backend for s in bench.sends("a")}) == 1
-    bench.run(1200 * MS)
-    bench.end("a", ERROR, attempt=1)  # the window of 2 s, counted from the first send, is over
-    bench.run(2 * SECOND)
-    assert isinstance(bench.answers("a")[0], api.Fail)
-    assert all(t < 52 * SECOND for t, x in bench.log if isinstance(x, api.Send))
+    bench.advance(1200 * MS)
+    bench.finish_attempt("a", ERROR, attempt=1)  # the window of 2 s, counted from the first send, is over
+    bench.advance(2 * SECOND)
+    assert isinstance(bench.final_answers("a")[0], api.Fail)
+    assert all(t < 52 * SECOND for t, x in bench.timeline if isinstance(x, api.Send))
 
 
 def test_unsafe_request_is_retried_only_when_it_never_ran() -> None:
-    bench = one()
-    bench.ask("first")
-    bench.end("first")
-    bench.ask("ran", request_class="unsafe")
-    bench.end("ran", RESET)
-    bench.ask("not", request_class="unsafe")
-    bench.end("not", UNREACHABLE)
-    bench.run(SECOND)
+    bench = bench_with_one_backend()
+    bench.arrive("first")
+    bench.finish_attempt("first")
+    bench.arrive("ran", request_class="unsafe")
+    bench.finish_attempt("ran", RESET)
+    bench.arrive("not", request_class="unsafe")
+    bench.finish_attempt("not", UNREACHABLE)
+    bench.advance(SECOND)
     assert len(bench.sends("ran")) == 1
-    assert isinstance(bench.answers("ran")[0], api.Fail)
+    assert isinstance(bench.final_answers("ran")[0], api.Fail)
     assert len(bench.sends("not")) == 2
 
 
 def test_draining_backend_gets_no_new_attempt() -> None:
-    bench = one()
+    bench = bench_with_one_backend()
     for i in range(6):
-        bench.ask(f"r{i}")
-    bench.tell(api.EndpointListUpdate((api.Endpoint("n0", 0, "z", api.EndpointState.DRAINING),)))
+        bench.arrive(f"r{i}")
+    bench.deliver(api.EndpointListUpdate((api.Endpoint("n0", 0, "z", api.EndpointState.DRAINING),)))
     before = len(bench.sends())
-    bench.end("r0")
-    bench.run(SECOND)
+    bench.finish_attempt("r0")
+    bench.advance(SECOND)
     assert len(bench.sends()) == before
 
 
 def test_ordered_key_waits_for_attempts_in_flight_and_then_rests() -> None:
-    bench = one(ordered_key_rest_us=200 * MS)
-    bench.ask("a", request_class="ordered", key="k")
-    bench.ask("b", request_class="ordered", key="k")
-    bench.ask("other", request_class="ordered", key="k2")
-    assert sent_requests([x for _, x in bench.log]) == ["a", "other"]
-    bench.tell(api.ClientLeft("a"))  # over, but its attempt is out
+    bench = bench_with_one_backend(ordered_key_rest_us=200 * MS)
+    bench.arrive("a", request_class="ordered", key="k")
+    bench.arrive("b", request_class="ordered", key="k")
+    bench.arrive("other", request_class="ordered", key="k2")
+    assert sent_requests([x for _, x in bench.timeline]) == ["a", "other"]
+    bench.deliver(api.ClientLeft("a"))  # answered, but its attempt is in flight
     assert not bench.sends("b")
-    bench.end("a", api.Outcome.CANCELLED, over=True)
-    bench.run(190 * MS)
+    bench.finish_attempt("a", api.Outcome.CANCELLED, answered=True)
+    bench.advance(190 * MS)
     assert not bench.sends("b")
-    bench.run(30 * MS)
+    bench.advance(30 * MS)
     assert len(bench.sends("b")) == 1
 
 
 def test_ordered_key_waits_for_an_attempt_in_flight_of_a_request_that_was_answered_before() -> None:
-    bench = one(ordered_key_rest_us=200 * MS, may_cancel=False)
-    bench.ask("a", request_class="ordered", key="k")
-    bench.tell(api.ClientLeft("a"))  # needs no answer any more, but its attempt is not cancelled
-    bench.ask("b", request_class="ordered", key="k")
-    bench.run(300 * MS)
+    bench = bench_with_one_backend(ordered_key_rest_us=200 * MS, may_cancel=False)
+    bench.arrive("a", request_class="ordered", key="k")
+    bench.deliver(api.ClientLeft("a"))  # needs no answer, but its attempt is not cancelled
+    bench.arrive("b", request_class="ordered", key="k")
+    bench.advance(300 * MS)
     assert not bench.sends("b")
-    bench.end("a", over=True)
-    bench.run(10 * MS)
+    bench.finish_attempt("a", answered=True)
+    bench.advance(10 * MS)
     assert len(bench.sends("b")) == 1
 
 
 def test_retry_budget_counts_every_further_attempt_in_a_sliding_window() -> None:
-    bench = one(retry_budget_floor=2.0, retry_budget_ratio=0.1, retry_budget_window_us=5 * SECOND)
+    bench = bench_with_one_backend(
+        retry_budget_floor=2.0, retry_budget_ratio=0.1, retry_budget_window_us=5 * SECOND
+    )
     for i in range(20):
-        bench.ask(f"r{i}")
-        bench.end(f"r{i}", UNREACHABLE if i % 2 else ERROR)
-        bench.run(200 * MS)
-        bench.end(f"r{i}", attempt=1)
+        bench.arrive(f"r{i}")
+        bench.finish_attempt(f"r{i}", UNREACHABLE if i % 2 else ERROR)
+        bench.advance(200 * MS)
+        bench.finish_attempt(f"r{i}", attempt=1)
     further = len(bench.sends()) - len({s.request for s in bench.sends()})
     assert 2 <= further <= 4
-    bench.run(6 * SECOND)
-    bench.ask("late")
-    bench.end("late", ERROR)
-    bench.run(200 * MS)
+    bench.advance(6 * SECOND)
+    bench.arrive("late")
+    bench.finish_attempt("late", ERROR)
+    bench.advance(200 * MS)
     assert len(bench.sends("late")) == 2
 
 
-def test_limit_allows_a_volume_this_instances_share_and_refuses_the_rest_at_once() -> None:
-    bench = one()
+def test_limit_allows_a_volume_this_instances_quota_and_rejects_the_rest_at_once() -> None:
+    bench = bench_with_one_backend()
     for i in range(40):
-        bench.ask(f"r{i}", plan="limited", units=2, hosts=2)
+        bench.arrive(f"r{i}", plan="limited", units=2, serving_instances=2)
         if bench.sends(f"r{i}"):
-            bench.end(f"r{i}", took=5 * MS)
+            bench.finish_attempt(f"r{i}", duration_us=5 * MS)
     sent = 2 * len(bench.sends())
-    assert 2 <= sent <= 6  # starts with one largest request, not with a burst an earlier life may have spent
-    assert all(bench.answers(f"r{i}") for i in range(10, 40))
-    bench.run(SECOND)
-    bench.ask("again", plan="limited", units=4, hosts=2)
-    assert len(bench.sends("again")) == 1  # 8 units a second over two hosts
+    assert 2 <= sent <= 6  # starts with one request: an earlier incarnation may have spent the burst
+    assert all(bench.final_answers(f"r{i}") for i in range(10, 40))
+    bench.advance(SECOND)
+    bench.arrive("again", plan="limited", units=4, serving_instances=2)
+    assert len(bench.sends("again")) == 1  # 8 units per second over two instances
 
 
 def test_failed_poll_of_the_endpoint_list_is_repeated_after_a_backoff() -> None:
     bench = DecisionBench(make_settings(poll_endpoints=True), [up_endpoint("n0", 0)])
-    assert sum(isinstance(a, api.Subscribe) for _, a in bench.log) == 1
+    assert sum(isinstance(a, api.Subscribe) for _, a in bench.timeline) == 1
     for _ in range(3):
-        bench.tell(api.EndpointListFailure())
-        assert any(isinstance(a, api.Subscribe) for a in bench.run(6 * SECOND))
+        bench.deliver(api.EndpointListFailure())
+        assert any(isinstance(a, api.Subscribe) for a in bench.advance(6 * SECOND))
 
 
 def test_unexpected_but_legal_events_are_ignored() -> None:
-    bench = one()
-    bench.tell(
+    bench = bench_with_one_backend()
+    bench.deliver(
         api.ClientLeft("nobody"),
         api.Result("nobody", 0, "n0", ERROR, 5, False),
         api.HealthCheckResult("n0", ERROR, 5),
         api.PeerMessage(1, b"x"),
         api.StreamStarted("nobody", 0),
     )
-    bench.ask("a")
-    bench.tell(api.EndpointListUpdate((), complete=True))  # the list drops a node with an attempt out
-    bench.end("a")
-    bench.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=bench.now),)))
-    bench.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=bench.now + 1),)))
-    bench.ask("z", units=0)
+    bench.arrive("a")
+    bench.deliver(api.EndpointListUpdate((), complete=True))  # removes a backend with an attempt in flight
+    bench.finish_attempt("a")
+    bench.deliver(api.EndpointListUpdate((up_endpoint("n0", 0, started=bench.now),)))
+    bench.deliver(api.EndpointListUpdate((up_endpoint("n0", 0, started=bench.now + 1),)))
+    bench.arrive("z", units=0)
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -216,7 +218,7 @@
 
 @dataclass
 class SentAttempt:
-    """An attempt as the checker has seen it leave and end."""
+    """An attempt, as recorded by the checker."""
 
     backend: str
     sent_at: int
@@ -232,13 +234,13 @@
 
 
 class RuleChecker:
-    """Plays a random day and keeps its own books of what was sent, ended and answered."""
+    """Plays a random day and records what is sent, ended and answered, to check the rules."""
 
     def __init__(self, bench: DecisionBench, rng: random.Random, cells: int) -> None:
         self.bench = bench
         self.rng = rng
         self.cells = cells
-        self.settings = bench.c.settings
+        self.settings = bench.controller.settings
         self.arrivals: dict[str, api.Arrival] = {}
         self.attempts: dict[str, list[SentAttempt]] = {}
         self.answered_at: dict[str, int] = {}
@@ -251,12 +253,12 @@
 
     def play_day(self) -> None:
         for number in range(900):
-            self.bench.run(self.rng.choice([0, MS, 5 * MS, 20 * MS]))
+            self.bench.advance(self.rng.choice([0, MS, 5 * MS, 20 * MS]))
             self.check_actions()
             self.take_step(number)
             self.check_actions()
         for _ in range(60):
-            self.bench.run(100 * MS)
+            self.bench.advance(100 * MS)
             self.check_actions()
         assert set(self.answered_at) == set(self.arrivals)
 
@@ -277,7 +279,7 @@
         elif roll < 0.97:
             self.change_endpoint(self.rng.randrange(self.cells))
         else:
-            self.bench.tell(api.EndpointListFailure())
+            self.bench.deliver(api.EndpointListFailure())
 
     def send_arrival(self, name: str) -> None:
         cls = self.rng.choice(sorted(CLASSES))
@@ -296,7 +298,7 @@
         self.arrivals[name] = arrival
         self.arrived_at.append(self.bench.now)
         self.requests_of_key.setdefault(arrival.key, []).append(name)
-        self.bench.tell(arrival)
+        self.bench.deliver(arrival)
 
     def end_attempt(self, name: str, index: int) -> None:
         attempt = self.attempts[name][index]
@@ -307,29 +309,29 @@
         if attempt.outcome in (TIMEOUT, RESET, api.Outcome.CANCELLED):
             self.key_rests_until[self.arrivals[name].key] = self.bench.now + 200 * MS
         usage_percent = self.rng.choice([None, 59, 299])
-        self.bench.tell(
+        self.bench.deliver(
             api.Result(name, index, attempt.backend, attempt.outcome, 20 * MS, answered, usage_percent)
         )
 
     def leave(self, name: str) -> None:
         if name not in self.answered_at:
             self.answered_at[name] = self.bench.now
-            self.bench.tell(api.ClientLeft(name))
+            self.bench.deliver(api.ClientLeft(name))
 
     def change_endpoint(self, cell: int) -> None:
         state = self.rng.choice(list(api.EndpointState) + [api.EndpointState.UP] * 2)
-        node = f"n{cell}"
+        backend = f"n{cell}"
         if state is api.EndpointState.UP:
-            self.unavailable_since.pop(node, None)
+            self.unavailable_since.pop(backend, None)
         else:
-            self.unavailable_since[node] = self.bench.now
+            self.unavailable_since[backend] = self.bench.now
         started_us = self.rng.choice([0, self.bench.now])
-        endpoint = api.Endpoint(node, cell, f"z{cell % 2}", state, started_us)
-        self.bench.tell(api.EndpointListUpdate((endpoint,)))
+        endpoint = api.Endpoint(backend, cell, f"z{cell % 2}", state, started_us)
+        self.bench.deliver(api.EndpointListUpdate((endpoint,)))
 
     def check_actions(self) -> None:
-        log = self.bench.log
-        self.bench.log = []
+        log = self.bench.timeline
+        self.bench.timeline = []
         for at, action in log:
             if isinstance(action, api.Send):
                 self.check_send(at, action)
@@ -347,18 +349,18 @@
         assert at <= self.arrivals[name].deadline_us
         self.answered_at[name] = at
         if isinstance(answer, api.Reject):
-            self.check_refusal(name)
+            self.check_rejection(name)
 
     def may_have_run(self, name: str) -> list[SentAttempt]:
         return [attempt for attempt in self.attempts.get(name, []) if attempt.may_have_run]
 
-    def check_refusal(self, name: str) -> None:
+    def check_rejection(self, name: str) -> None:
         cls = CLASSES[self.arrivals[name].request_class]
         if cls.effect is api.Effect.SAFE:
             return
         if cls.effect is api.Effect.KEYED and cls.deduplication_scope is api.DeduplicationScope.ALL:
             return
-        assert not self.may_have_run(name), "refused though it may have run"
+        assert not self.may_have_run(name), "rejected though it may have run"
 
     def check_send(self, at: int, send: api.Send) -> None:
         arrival = self.arrivals[send.request]
@@ -381,7 +383,7 @@
         attempts.append(attempt)
 
     def check_repeat(self, attempt: SentAttempt, cls: api.ClassSpec, ran: list[SentAttempt]) -> None:
-        """A repeat of what may have run goes only where it does no harm."""
+        """Attempts that may have run are repeated only where that is harmless."""
         if not ran or cls.effect is api.Effect.SAFE:
             return
         assert cls.effect is api.Effect.KEYED
@@ -392,7 +394,7 @@
             assert all(earlier.zone == attempt.zone for earlier in ran)
 
     def check_order(self, at: int, arrival: api.Arrival, is_first: bool) -> None:
-        """A request of an ordered key goes when those before it are answered and not in flight."""
+        """A request of an ordered key is sent when those before it are answered and not in flight."""
         if not (CLASSES[arrival.request_class].in_order and arrival.key):
             return
         requests = self.requests_of_key[arrival.key]
@@ -407,7 +409,7 @@
         return CLASSES[self.arrivals[name].request_class].in_order
 
     def ordered_rest(self, key: str, before: list[str]) -> int:
-        """Until when the key rests, where that follows from ordered requests alone."""
+        """Until when the key pauses, if that follows from ordered requests alone."""
         sent = [name for name in self.requests_of_key[key] if name in self.attempts]
         if before and all(self.is_ordered(name) for name in sent):
             return self.key_rests_until.get(key, 0)
--- a/tests/decision/test_estimators.py
+++ b/tests/decision/test_estimators.py
@@ -33,7 +33,7 @@
     statistics = ResponseStatistics(latency_us=300_000.0)
     assert statistics.fault_probability(in_flight=1) == 1.0
     for _ in range(5):
-        statistics.record_lost()
+        statistics.record_loss()
     assert statistics.fault_probability(in_flight=1) < 0.05
     assert statistics.fault_probability(in_flight=8) > statistics.fault_probability(in_flight=1)
 
@@ -41,6 +41,6 @@
 def test_hedging_delay_settles_where_one_answer_in_twenty_is_later() -> None:
     statistics = ResponseStatistics(latency_us=300_000.0)
     for number in range(20_000):
-        statistics.record_answer(1_000.0 * (1 + number * 7 % 100), overtook=False)
+        statistics.record_response(1_000.0 * (1 + number * 7 % 100), is_hedge_win=False)
     assert 85_000 < statistics.hedging_delay_us < 105_000
-    assert statistics.lost_share == 0.0
+    assert statistics.loss_rate == 0.0
--- a/tests/decision/test_fair_queueing.py
+++ b/tests/decision/test_fair_queueing.py
@@ -1,4 +1,4 @@
-"""The design: start tags in units, retagging, depth, the weight controller. Sequences worked by hand."""
+"""Fair queueing: start tags in units, retagging, concurrency, weights. Sequences were worked out by hand."""
 
 from __future__ import annotations
 
@@ -14,24 +14,25 @@
 
 
 def filled(**changes: object) -> DecisionBench:
-    """A host whose one node has the floor of four out, from a volume of its own."""
+    """An instance whose only backend has the floor of four attempts in flight, from a volume of its own."""
     bench = DecisionBench(make_settings(**changes), [up_endpoint("n0", 0)])
     for name in FOUR:
-        bench.ask(name, volume="filler", units=1)
+        bench.arrive(name, volume="filler", units=1)
     assert len(bench.sends()) == 4
     return bench
 
 
 def drain(bench: DecisionBench, count: int) -> list[str]:
-    """Ends the oldest out one by one; the order in which held ones leave."""
-    out, order = [s.request for s in bench.sends() if not bench.answers(s.request)], []
+    """Finish the oldest attempts one by one; return the order in which queued requests are sent."""
+    in_flight = [send.request for send in bench.sends() if not bench.final_answers(send.request)]
+    order = []
     done: set[str] = getattr(bench, "done", set())
     for _ in range(count):
         name = next(n for n in [s.request for s in bench.sends()] if n not in done)
         done.add(name)
-        order += sent_requests(bench.end(name, took=5 * MS))
+        order += sent_requests(bench.finish_attempt(name, duration_us=5 * MS))
     bench.done = done  # type: ignore[attr-defined]  # a field of this test
-    assert out is not None
+    assert in_flight is not None
     return order
 
 
@@ -39,9 +40,9 @@
     bench = filled()
     # Filler's tags: S = 0, 1/4, 2/4, 3/4, so v = 0.75. gold: F = S + 2/4; tin: F = S + 2/1.
     for i in range(4):
-        bench.ask(f"g{i}", volume="g", plan="gold", units=2)
+        bench.arrive(f"g{i}", volume="g", plan="gold", units=2)
     for i in range(2):
-        bench.ask(f"t{i}", volume="t", plan="tin", units=2)
+        bench.arrive(f"t{i}", volume="t", plan="tin", units=2)
     # g: 0.75, 1.25, 1.75, 2.25; t: 0.75, 2.75. Ties go to the earlier arrival.
     assert drain(bench, 6) == ["g0", "t0", "g1", "g2", "g3", "t1"]
 
@@ -49,19 +50,21 @@
 def test_changed_plan_moves_the_tags_of_queued_requests() -> None:
     bench = filled()
     for name in ("g0", "g1", "t0", "t1"):
-        bench.ask(name, volume=name[0], plan={"g": "gold", "t": "tin"}[name[0]], units=2)
-    plans = bench.c.settings.plans | {"tin": replace(bench.c.settings.plans["tin"], weight=8.0)}
-    bench.tell(api.NewSettings(replace(bench.c.settings, plans=plans)))
+        bench.arrive(name, volume=name[0], plan={"g": "gold", "t": "tin"}[name[0]], units=2)
+    plans = bench.controller.settings.plans | {
+        "tin": replace(bench.controller.settings.plans["tin"], weight=8.0)
+    }
+    bench.deliver(api.NewSettings(replace(bench.controller.settings, plans=plans)))
     # t: 0.75, 1.0 where 0.75, 2.75 were; g stays at 0.75, 1.25.
     assert drain(bench, 4) == ["g0", "t0", "t1", "g1"]
 
 
 def test_larger_requests_move_the_tags_on_further() -> None:
     bench = filled()
-    bench.ask("big0", volume="big", units=6)
-    bench.ask("big1", volume="big", units=6)
+    bench.arrive("big0", volume="big", units=6)
+    bench.arrive("big1", volume="big", units=6)
     for i in range(3):
-        bench.ask(f"s{i}", volume="small", units=2)
+        bench.arrive(f"s{i}", volume="small", units=2)
     # big: 0.75, 2.25; small: 0.75, 1.25, 1.75.
     assert drain(bench, 5) == ["big0", "s0", "s1", "s2", "big1"]
 
@@ -69,30 +72,31 @@
 def test_idle_volume_saves_up_no_credit() -> None:
     bench = filled()
     for i in range(3):
-        bench.ask(f"a{i}", volume="a", units=4)
+        bench.arrive(f"a{i}", volume="a", units=4)
     drain(bench, 3)  # v is now a2's start tag, 2.75
-    bench.ask("a3", volume="a", units=4)  # starts at a2's finish, 3.75
-    bench.ask("i0", volume="idle", units=4)  # v = 2.75
-    bench.ask("i1", volume="idle", units=4)  # 3.75, later than a3
+    bench.arrive("a3", volume="a", units=4)  # starts at a2's finish, 3.75
+    bench.arrive("i0", volume="idle", units=4)  # v = 2.75
+    bench.arrive("i1", volume="idle", units=4)  # 3.75, later than a3
     assert drain(bench, 3) == ["i0", "a3", "i1"]
 
 
 def test_weight_change_retags_from_the_last_request_sent() -> None:
-    """The paper's first counter-example: a weight raised must act on work already held."""
+    """The paper's first counter-example: a raised weight must act on requests already queued."""
     bench = filled()
-    bench.ask("t0", volume="t", plan="tin", units=6)
-    bench.ask("t1", volume="t", plan="tin", units=6)
+    bench.arrive("t0", volume="t", plan="tin", units=6)
+    bench.arrive("t1", volume="t", plan="tin", units=6)
     assert drain(bench, 1) == ["t0"]  # S = 0.75, F = 6.75: t1 waits at 6.75
     for i in range(2):
-        bench.ask(f"g{i}", volume="g", units=6)  # 0.75, 2.25
-    volume, flow, node = bench.c.state.volumes["t"], bench.c.state.cells[0].flows["t"], bench.c.state.cells[0]
+        bench.arrive(f"g{i}", volume="g", units=6)  # 0.75, 2.25
+    volume, queue = bench.state.volumes.by_name["t"], bench.state.cells.queues[0]
+    flow = queue.flows["t"]
     assert flow.queued[0].start_tag == 6.75
-    volume.usage_percent = 25  # a quarter of its rate: weight times 2 with half a step
-    bench.c.state.now = bench.now
-    run_weight_controller(bench.c.state)
+    volume.usage_percent = 25  # a quarter of its rate: with half a step, the weight doubles
+    bench.state.now = bench.now
+    run_weight_controller(bench.state)
     assert volume.weight == 2.0
     assert flow.finish_tag == 0.75 + 6 / 2
-    assert flow.queued[0].start_tag == max(node.virtual_time, 3.75)
+    assert flow.queued[0].start_tag == max(queue.virtual_time, 3.75)
     assert drain(bench, 3) == ["g0", "g1", "t1"]
 
 
@@ -100,100 +104,100 @@
     """The paper's second counter-example: retagging again and again must not favour one flow."""
     bench = filled()
     for i in range(6):
-        bench.ask(f"a{i}", volume="a", units=2)
-        bench.ask(f"b{i}", volume="b", units=2)
+        bench.arrive(f"a{i}", volume="a", units=2)
+        bench.arrive(f"b{i}", volume="b", units=2)
     left: list[str] = []
     for _ in range(6):
         for name in ("a", "b"):
-            bench.c.state.volumes[name].usage_percent = 100
-        run_weight_controller(bench.c.state)
+            bench.state.volumes.by_name[name].usage_percent = 100
+        run_weight_controller(bench.state)
         left += drain(bench, 1)
     assert left == ["a0", "b0", "a1", "b1", "a2", "b2"]
 
 
 def test_request_that_leaves_unsent_costs_its_volume_nothing() -> None:
     bench = filled()
-    bench.ask("x0", volume="x", plan="tin", units=6)
-    bench.ask("x1", volume="x", plan="tin", units=6)
-    bench.ask("y0", volume="y", plan="tin", units=2)
-    bench.ask("y1", volume="y", plan="tin", units=2)
-    bench.tell(api.ClientLeft("x0"))
+    bench.arrive("x0", volume="x", plan="tin", units=6)
+    bench.arrive("x1", volume="x", plan="tin", units=6)
+    bench.arrive("y0", volume="y", plan="tin", units=2)
+    bench.arrive("y1", volume="y", plan="tin", units=2)
+    bench.deliver(api.ClientLeft("x0"))
     # x1 moves up to the 0.75 that x0 had; y1 is at 2.75.
     assert drain(bench, 3) == ["x1", "y0", "y1"]
 
 
-def test_backend_without_answers_gets_four_attempts_in_flight() -> None:
+def test_backend_without_responses_gets_four_attempts_in_flight() -> None:
     bench = filled()
-    bench.ask("more")
+    bench.arrive("more")
     assert not bench.sends("more")
 
 
 def test_concurrency_limit_follows_completions_up_to_the_ceiling() -> None:
     bench = DecisionBench(make_settings(), [up_endpoint("n0", 0)])
-    health = bench.c.state.cells[0].health
+    health = bench.state.cells.queues[0].health
     assert health is not None
     for i in range(80):  # 40 a second x 0.3 s = 12
         health.served.add(bench.now - 20 * i)
-    assert round(concurrency_limit(bench.c.state, health), 9) == 12
+    assert round(concurrency_limit(bench.state, health), 9) == 12
     for _ in range(2000):
         health.served.add(bench.now)
-    assert concurrency_limit(bench.c.state, health) == 32.0
-    bench.c.state.now = bench.now + 3 * SECOND
-    assert concurrency_limit(bench.c.state, health) == 4.0
+    assert concurrency_limit(bench.state, health) == 32.0
+    bench.state.now = bench.now + 3 * SECOND
+    assert concurrency_limit(bench.state, health) == 4.0
 
 
-def test_quick_errors_do_not_raise_the_concurrency_limit() -> None:
+def test_fast_errors_do_not_raise_the_concurrency_limit() -> None:
     bench = DecisionBench(make_settings(max_attempts=1), [up_endpoint("n0", 0)])
     for i in range(200):
-        bench.ask(f"e{i}")
-        bench.end(f"e{i}", api.Outcome.ERROR, took=MS)
-    health = bench.c.state.cells[0].health
+        bench.arrive(f"e{i}")
+        bench.finish_attempt(f"e{i}", api.Outcome.ERROR, duration_us=MS)
+    health = bench.state.cells.queues[0].health
     assert health is not None
-    assert concurrency_limit(bench.c.state, health) == 4.0
+    assert concurrency_limit(bench.state, health) == 4.0
 
 
-def test_slow_answers_shrink_the_concurrency_limit_below_the_floor() -> None:
+def test_slow_responses_shrink_the_concurrency_limit_below_the_floor() -> None:
     bench = filled()
     for name in FOUR:
-        bench.end(name, took=900 * MS)
-    health = bench.c.state.cells[0].health
+        bench.finish_attempt(name, duration_us=900 * MS)
+    health = bench.state.cells.queues[0].health
     assert health is not None
-    assert concurrency_limit(bench.c.state, health) < 4.0
+    assert concurrency_limit(bench.state, health) < 4.0
 
 
 def test_weight_stays_without_a_usage_figure_and_is_clamped_with_one() -> None:
     bench = filled()
-    bench.run(4 * SECOND)
-    assert bench.c.state.volumes["filler"].weight == 4.0
+    bench.advance(4 * SECOND)
+    assert bench.state.volumes.by_name["filler"].weight == 4.0
     for _ in range(20):
-        bench.c.state.volumes["filler"].usage_percent = 1
-        run_weight_controller(bench.c.state)
-    assert bench.c.state.volumes["filler"].weight == 16.0
+        bench.state.volumes.by_name["filler"].usage_percent = 1
+        run_weight_controller(bench.state)
+    assert bench.state.volumes.by_name["filler"].weight == 16.0
     for _ in range(20):
-        bench.c.state.volumes["filler"].usage_percent = 10_000
-        run_weight_controller(bench.c.state)
-    assert bench.c.state.volumes["filler"].weight == 1.0
+        bench.state.volumes.by_name["filler"].usage_percent = 10_000
+        run_weight_controller(bench.state)
+    assert bench.state.volumes.by_name["filler"].weight == 1.0
 
 
-def test_slow_answer_to_a_large_request_does_not_get_small_ones_refused() -> None:
-    """Refusal foresees by time per unit: one 6-unit answer of 240 ms says 40 ms for one of 1 unit."""
+def test_slow_response_to_a_large_request_does_not_get_small_ones_rejected() -> None:
+    """Load shedding forecasts by unit: a response of 240 ms for 6 units means 40 ms for 1 unit."""
     bench = DecisionBench(make_settings(), [up_endpoint("n0", 0)])
-    bench.ask("large", units=6)
-    bench.end("large", took=240 * MS)
+    bench.arrive("large", units=6)
+    bench.finish_attempt("large", duration_us=240 * MS)
     for name in [*FOUR, "small"]:
-        bench.ask(name, units=1, volume=name)
-    assert not bench.answers("small")
+        bench.arrive(name, units=1, volume=name)
+    assert not bench.final_answers("small")
 
 
-def test_overload_refuses_the_lowest_priority_first_and_early() -> None:
+def test_overload_sheds_the_lowest_priority_first_and_early() -> None:
     bench = DecisionBench(make_settings(), [up_endpoint("n0", 0)])
-    bench.ask("first", units=1)
-    bench.end("first", took=70 * MS)
+    bench.arrive("first", units=1)
+    bench.finish_attempt("first", duration_us=70 * MS)
     for i in range(4):
-        bench.ask(f"out{i}", units=1, volume=f"o{i}")
+        bench.arrive(f"out{i}", units=1, volume=f"o{i}")
     for i in range(40):
-        bench.ask(f"q{i}", units=2, volume="surge")
-    refused = [f"q{i}" for i in range(40) if bench.answers(f"q{i}")]
-    assert refused
-    assert "q0" not in refused
-    assert refused[-1] == "q39"
+        bench.arrive(f"q{i}", units=2, volume="surge")
+    rejected = [f"q{i}" for i in range(40) if bench.final_answers(f"q{i}")]
+    assert rejected
+    assert "q0" not in rejected
+    assert rejected[-1] == "q39"
--- a/tests/decision/test_token_bucket.py
+++ b/tests/decision/test_token_bucket.py
@@ -11,16 +11,16 @@
 
 def test_bucket_fills_by_its_rate_up_to_its_capacity() -> None:
     bucket = TokenBucket(rate=4.0, capacity=10.0, now=T0, level=1.0)
-    assert bucket.available(T0 + SECOND) == 5.0
-    assert bucket.available(T0 + 10 * SECOND) == 10.0
+    assert bucket.refill(T0 + SECOND) == 5.0
+    assert bucket.refill(T0 + 10 * SECOND) == 10.0
 
 
-def test_refit_bucket_loses_tokens_above_its_new_capacity() -> None:
+def test_reconfigured_bucket_loses_tokens_above_its_new_capacity() -> None:
     bucket = TokenBucket(rate=4.0, capacity=10.0, now=T0, level=10.0)
-    bucket.refit(T0, rate=1.0, capacity=3.0)
+    bucket.reconfigure(T0, rate=1.0, capacity=3.0)
     assert bucket.level == 3.0
     bucket.level = 0.0
-    assert bucket.available(T0 + 2 * SECOND) == 2.0
+    assert bucket.refill(T0 + 2 * SECOND) == 2.0
 
 
 def test_retry_budget_allows_the_free_ones_and_what_arrivals_earn() -> None:
@@ -31,11 +31,11 @@
     for _ in range(2):
         budget.record_arrival(T0)
     for _ in range(2):
-        assert budget.allows_retry(T0, settings, share=1.0)
+        assert budget.allows_retry(T0, settings, quota=1.0)
         budget.record_retry(T0)
-    assert not budget.allows_retry(T0, settings, share=1.0)
-    assert budget.allows_retry(T0, settings, share=2.0), "a greater share of the free ones"
-    assert budget.allows_retry(T0 + 6 * SECOND, settings, share=1.0), "the window has moved on"
+    assert not budget.allows_retry(T0, settings, quota=1.0)
+    assert budget.allows_retry(T0, settings, quota=2.0), "a larger quota of the free ones"
+    assert budget.allows_retry(T0 + 6 * SECOND, settings, quota=1.0), "the window has moved on"
 
 
 def test_retry_budget_without_a_window_allows_every_retry() -> None:
@@ -43,7 +43,7 @@
     budget = RetryBudget(settings.retry_budget_window_us)
     for _ in range(100):
         budget.record_retry(T0)
-    assert budget.allows_retry(T0, settings, share=1.0)
+    assert budget.allows_retry(T0, settings, quota=1.0)
 
 
 def test_hedge_budget_is_used_up_without_lost_answers_and_refilled_by_a_win() -> None:
@@ -51,7 +51,7 @@
     while budget.has_token():
         budget.spend()
     for _ in range(1000):
-        budget.earn_by_arrival(lost_share=0.0)
+        budget.earn_by_arrival(loss_rate=0.0)
     assert not budget.has_token()
     budget.earn_by_win()
     assert budget.has_token()
@@ -62,5 +62,5 @@
     often = TokenBucket(rate=8.0, capacity=36.0, now=T0, level=0.0)
     once = TokenBucket(rate=8.0, capacity=36.0, now=T0, level=0.0)
     for now in range(T0, T0 + age_us, MS):
-        often.available(now)
-    assert often.available(T0 + age_us) == pytest.approx(once.available(T0 + age_us))
+        often.refill(now)
+    assert often.refill(T0 + age_us) == pytest.approx(once.refill(T0 + age_us))
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -302,10 +302,10 @@
     bench = DecisionBench(make_settings(instances=instances, poll_endpoints=True), [up_endpoint("n0", 0)])
     pauses = []
     for _ in range(60):
-        bench.tell(api.EndpointListFailure(missed_updates_for_us=unheard_us))
-        began, calls = bench.now, len([a for _, a in bench.log if isinstance(a, api.Subscribe)])
-        while len([a for _, a in bench.log if isinstance(a, api.Subscribe)]) == calls:
-            bench.run(10 * MS)
+        bench.deliver(api.EndpointListFailure(missed_updates_for_us=unheard_us))
+        began, calls = bench.now, len([a for _, a in bench.timeline if isinstance(a, api.Subscribe)])
+        while len([a for _, a in bench.timeline if isinstance(a, api.Subscribe)]) == calls:
+            bench.advance(10 * MS)
         pauses.append(bench.now - began)
     assert unheard_us + max(pauses) <= 4400 * MS, "the rest of the 6 s is left to the response"
     assert max(pauses) > 3 * min(pauses), "the calls of many instances are spread"
--- a/tests/ops/test_process_quota.py
+++ b/tests/ops/test_process_quota.py
@@ -76,24 +76,24 @@
 def test_quota_changes_the_concurrency_limit_at_once_and_raises_warmup_one_window_later() -> None:
     config = make_settings(instances=1, parallel_attempts=False)
     b = DecisionBench(config, [up_endpoint("n0", 0)])
-    h = b.c.state.cells[0].health
+    h = b.state.cells.queues[0].health
     assert h
-    assert concurrency_limit(b.c.state, h) == 4
-    b.ask("a")
-    b.c.state.volumes["v"].weight = 9
-    b.tell(api.NewSettings(replace(config, process_quota=0.5)))
-    assert concurrency_limit(b.c.state, h) == 2
-    assert b.c.state.process_warmup_quota == 0.5
-    assert b.c.state.volumes["v"].weight == 9, "a volume's learned weight is not forgotten"
-    b.tell(api.NewSettings(replace(config, process_quota=1.0)))
-    assert concurrency_limit(b.c.state, h) == 4
-    assert b.c.state.process_warmup_quota == 0.5
-    b.run(config.overload_window_us - 10 * MS)
-    b.tell()
-    assert b.c.state.process_warmup_quota == 0.5
-    b.run(20 * MS)
-    b.tell()
-    assert b.c.state.process_warmup_quota == 1.0
+    assert concurrency_limit(b.state, h) == 4
+    b.arrive("a")
+    b.state.volumes.by_name["v"].weight = 9
+    b.deliver(api.NewSettings(replace(config, process_quota=0.5)))
+    assert concurrency_limit(b.state, h) == 2
+    assert b.state.budgets.process_warmup_quota == 0.5
+    assert b.state.volumes.by_name["v"].weight == 9, "a volume's learned weight is not forgotten"
+    b.deliver(api.NewSettings(replace(config, process_quota=1.0)))
+    assert concurrency_limit(b.state, h) == 4
+    assert b.state.budgets.process_warmup_quota == 0.5
+    b.advance(config.overload_window_us - 10 * MS)
+    b.deliver()
+    assert b.state.budgets.process_warmup_quota == 0.5
+    b.advance(20 * MS)
+    b.deliver()
+    assert b.state.budgets.process_warmup_quota == 1.0
 
 
 def fullest_window(config: api.Settings, *quotas: dict[int, float]) -> int:
@@ -104,16 +104,16 @@
     sent: list[int] = []
     benches = [DecisionBench(replace(config, process_quota=quota[0]), []) for quota in quotas]
     for bench in benches:
-        bench.tell(api.EndpointListUpdate((up_endpoint("n0", 0, started=T0),), complete=True))
+        bench.deliver(api.EndpointListUpdate((up_endpoint("n0", 0, started=T0),), complete=True))
     for step in range(600):
         for bench, quota in zip(benches, quotas, strict=True):
             bench.now = max(bench.now, T0 + step * 10 * MS)
             if step and step in quota:
-                bench.tell(api.NewSettings(replace(config, process_quota=quota[step])))
-            done = bench.ask(f"a{step}", volume=f"v{step % 5}", units=1) + bench.run(0)
+                bench.deliver(api.NewSettings(replace(config, process_quota=quota[step])))
+            done = bench.arrive(f"a{step}", volume=f"v{step % 5}", units=1) + bench.advance(0)
             for send in [a for a in done if isinstance(a, api.Send)]:
                 sent.append(bench.now)
-                bench.end(send.request, took=0)
+                bench.finish_attempt(send.request, duration_us=0)
     return max(sum(end - config.overload_window_us < at <= end for at in sent) for end in sent)
 
 
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -17,7 +17,7 @@
 from garnetlanding import config
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
-from garnetlanding.decision.requests import Volume
+from garnetlanding.decision.volume import Volume
 from garnetlanding.ops import admin_client, admin_output
 from garnetlanding.peers import codec
 from garnetlanding.peers.codec import LeaseMessage
@@ -39,7 +39,7 @@
 def volume(coordinator: PeerCoordinator) -> Volume:
     module = coordinator.module
     assert isinstance(module, Controller)
-    return module.state.volumes["v"]
+    return module.state.volumes.by_name["v"]
 
 
 class Fleet:
--- a/tests/support/decision_bench.py
+++ b/tests/support/decision_bench.py
@@ -4,6 +4,7 @@
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
+from garnetlanding.decision.state import ControllerState
 from tests.support.clock import MS, SECOND, T0
 
 READ = api.ClassSpec("read", 2.0, 0.1, 300 * MS, 1500 * MS, api.Effect.SAFE)
@@ -51,33 +52,40 @@
 
 
 class DecisionBench:
-    """One Controller on a simulated clock; it keeps every action with its time."""
+    """One Controller on a simulated clock; `timeline` has every action with its time."""
 
-    def __init__(self, config: api.Settings, entries: list[api.Endpoint], seed: int = 1) -> None:
-        self.c = Controller(config, seed)
+    def __init__(self, settings: api.Settings, entries: list[api.Endpoint], seed: int = 1) -> None:
+        self.controller = Controller(settings, seed)
         self.now = T0
-        self.log: list[tuple[int, api.Action]] = []
-        self.wakes: list[int] = []
-        self.tell(api.EndpointListUpdate(tuple(entries), complete=True, at_start=True))
-
-    def tell(self, *events: api.Event) -> list[api.Action]:
-        """Give the controller events at the present time and return its actions."""
-        actions = self.c.handle(self.now, list(events))
-        self.log += [(self.now, a) for a in actions]
-        self.wakes += [self.now + a.span_us for a in actions if isinstance(a, api.WakeAfter)]
+        self.timeline: list[tuple[int, api.Action]] = []
+        self.wake_ups: list[int] = []
+        self.deliver(api.EndpointListUpdate(tuple(entries), complete=True, at_start=True))
+
+    @property
+    def state(self) -> ControllerState:
+        return self.controller.state
+
+    def deliver(self, *events: api.Event) -> list[api.Action]:
+        """Pass events to the controller at the present time and return its actions."""
+        actions = self.controller.handle(self.now, list(events))
+        self.timeline += [(self.now, action) for action in actions]
+        self.wake_ups += [
+            self.now + action.span_us for action in actions if isinstance(action, api.WakeAfter)
+        ]
         return actions
 
-    def run(self, span_us: int) -> list[api.Action]:
-        """Let time pass, with a timer event whenever the controller asked for one; return the actions."""
-        end, seen = self.now + span_us, len(self.log)
-        while self.wakes and min(self.wakes) <= end:
-            self.now = max(self.now, min(self.wakes))
-            self.wakes = [w for w in self.wakes if w > self.now]
-            self.tell(api.TimerFired("look"))
+    def advance(self, span_us: int) -> list[api.Action]:
+        """Advance the clock, with a timer event for each wake-up that is due; return the actions."""
+        end = self.now + span_us
+        seen = len(self.timeline)
+        while self.wake_ups and min(self.wake_ups) <= end:
+            self.now = max(self.now, min(self.wake_ups))
+            self.wake_ups = [wake_up for wake_up in self.wake_ups if wake_up > self.now]
+            self.deliver(api.TimerFired("look"))
         self.now = end
-        return [a for _, a in self.log[seen:]]
+        return [action for _, action in self.timeline[seen:]]
 
-    def ask(  # noqa: PLR0913 - each is a field of a request that some test sets by its name
+    def arrive(  # noqa: PLR0913 - each is a field of a request that some test sets by its name
         self,
         name: str,
         volume: str = "v",
@@ -86,47 +94,46 @@
         plan: str = "gold",
         request_class: str = "read",
         key: str = "",
-        hosts: int = 1,
-        patience: int | None = None,
+        serving_instances: int = 1,
+        timeout_us: int | None = None,
     ) -> list[api.Action]:
-        """A request arrives; `patience` is its deadline from now in microseconds, else that of its class."""
-        spec = self.c.settings.classes[request_class]
-        return self.tell(
-            api.Arrival(
-                name,
-                request_class,
-                plan,
-                volume,
-                key,
-                units,
-                cell,
-                self.now + (patience or spec.deadline_us),
-                hosts,
-            )
+        """Deliver an arrival; `timeout_us` is the time to its deadline, by default that of its class."""
+        spec = self.controller.settings.classes[request_class]
+        deadline_us = self.now + (timeout_us or spec.deadline_us)
+        return self.deliver(
+            api.Arrival(name, request_class, plan, volume, key, units, cell, deadline_us, serving_instances)
         )
 
-    def end(
+    def finish_attempt(
         self,
         name: str,
         outcome: api.Outcome = api.Outcome.SERVED,
         attempt: int = 0,
-        took: int = 20 * MS,
-        over: bool | None = None,
-        used: int = 0,
+        duration_us: int = 20 * MS,
+        answered: bool | None = None,
+        usage_percent: int | None = None,
     ) -> list[api.Action]:
-        """An attempt of the request ends; `over` says whether its outcome is final."""
-        over = outcome is api.Outcome.SERVED if over is None else over
-        return self.tell(api.Result(name, attempt, "", outcome, took, over, used - 1 if used else None))
+        """Deliver the result of an attempt; by default, the client has its answer if it was served."""
+        answered = outcome is api.Outcome.SERVED if answered is None else answered
+        return self.deliver(api.Result(name, attempt, "", outcome, duration_us, answered, usage_percent))
 
     def sends(self, name: str | None = None) -> list[api.Send]:
-        """What was sent so far, of one request or of all."""
-        return [a for _, a in self.log if isinstance(a, api.Send) and name in (None, a.request)]
-
-    def answers(self, name: str) -> list[api.Action]:
-        """The rejections and failures that the request was answered with."""
-        return [a for _, a in self.log if isinstance(a, api.Reject | api.Fail) and a.request == name]
+        """All Send actions so far, of one request or of all."""
+        return [
+            action
+            for _, action in self.timeline
+            if isinstance(action, api.Send) and name in (None, action.request)
+        ]
+
+    def final_answers(self, name: str) -> list[api.Reject | api.Fail]:
+        """The rejections and failures of a request so far."""
+        return [
+            action
+            for _, action in self.timeline
+            if isinstance(action, api.Reject | api.Fail) and action.request == name
+        ]
 
 
 def sent_requests(actions: list[api.Action]) -> list[str]:
     """The requests that these actions send, in their order."""
-    return [a.request for a in actions if isinstance(a, api.Send)]
+    return [action.request for action in actions if isinstance(action, api.Send)]
