--- a/garnetlanding/wire.py
+++ b/garnetlanding/wire.py
@@ -1,8 +1,8 @@
-"""The simulator's wire, both ways: lines to settings and events, actions to lines. Decides nothing.
+"""The simulator's wire: reads lines as settings and events, writes actions as lines. Decides nothing.
 
-The mapping between the wire's words and the program's names stands here and nowhere else, field by field. A
-line holds a message's name and its fields, separated by one blank; `-` or an empty field is an absent one,
-and fields beyond the known ones are passed over. Batches and their framing are wirehost.py's.
+The mapping between the wire's words and the program's names is in this module alone, field by field. A line
+holds the name of a message and its fields, separated by single blanks. A field that is `-` or empty is
+absent; fields after the known ones are ignored. Batches and their framing are read by wirehost.py.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class ListKind(Enum):
-    """What a list of endpoints on the wire is; the values are the wire's words."""
+    """The kind of an endpoint list; the values are the wire's words."""
 
     CHANGES = "diff"
     COMPLETE = "snapshot"
@@ -57,20 +57,50 @@
 
 
 class WireError(ValueError):
-    """A line or a setting that cannot be read. The text names `field`, the field or the setting's path."""
+    """Input that cannot be read. `field` is the name of the field or the path of the setting, if known."""
 
-    def __init__(self, text: str, field: str = "") -> None:
-        super().__init__(text)
+    def __init__(self, message: str, field: str = "") -> None:
+        super().__init__(message)
         self.field = field
 
 
+class MissingValueError(WireError):
+    """A required field or setting is absent."""
+
+    def __init__(self, source: str, name: str) -> None:
+        """`source`: the word `field` or `setting`."""
+        super().__init__(f"{source} {name}: missing", name)
+
+
+class UnreadableValueError(WireError):
+    """The text of a field or setting cannot be converted."""
+
+    def __init__(self, source: str, name: str, text: str) -> None:
+        """`source`: the word `field` or `setting`."""
+        super().__init__(f"{source} {name}: cannot read {text!r}", name)
+
+
+class UnexpectedEntryError(WireError):
+    """A line inside an endpoint list is not an entry."""
+
+    def __init__(self, found: str) -> None:
+        super().__init__(f"field Hosts: expected BRICK, found {found!r}", "Hosts")
+
+
+class UnknownMessageError(WireError):
+    """The name of a message is not known."""
+
+    def __init__(self, name: str) -> None:
+        super().__init__(f"message {name!r} is not known")
+
+
 def integer(text: str) -> int:
-    """Read a whole number. Raises ValueError."""
+    """Parse an integer. Raises ValueError."""
     return int(text)
 
 
 def number(text: str) -> float:
-    """Read a finite number. Raises ValueError."""
+    """Parse a finite number. Raises ValueError."""
     value = float(text)
     if value != value or value in (float("inf"), float("-inf")):
         raise ValueError(text)
@@ -78,74 +108,70 @@
 
 
 def flag(text: str) -> bool:
-    """Read a yes or no. Raises KeyError."""
+    """Parse a boolean. Raises KeyError."""
     return _FLAGS[text]
 
 
 class MessageFields:
-    """The fields of one line, taken in the order in which they stand."""
+    """The fields of one line, which are taken one after another in the order of the wire."""
 
     def __init__(self, parts: list[str]) -> None:
+        """`parts`: the message's name and its fields."""
         self._parts = parts
-        self._next = 1  # the first part is the message's name
+        self._next = 1
 
     def take(self, name: str, convert: Callable[[str], T], default: T | None = None) -> T:
-        """Return the next field, or the default where it is absent. Raises WireError."""
-        text = self._next_text()
-        if text not in _ABSENT:
-            return _converted(name, text, convert)
+        """Return the next field, or the default if it is absent. Raises WireError."""
+        value = self.take_optional(name, convert)
+        if value is not None:
+            return value
         if default is None:
-            raise WireError(f"field {name}: missing", name)
+            raise MissingValueError("field", name)
         return default
 
     def take_optional(self, name: str, convert: Callable[[str], T | None]) -> T | None:
-        """Return the next field, or None where it is absent. Raises WireError."""
-        text = self._next_text()
-        return None if text in _ABSENT else _converted(name, text, convert)
-
-    def _next_text(self) -> str:
+        """Return the next field, or None if it is absent. Raises WireError."""
         if self._next >= len(self._parts):
-            return ""
+            return None
+        text = self._parts[self._next]
         self._next += 1
-        return self._parts[self._next - 1]
-
-
-def _converted(name: str, text: str, convert: Callable[[str], T]) -> T:
-    try:
-        return convert(text)
-    except (ValueError, KeyError) as problem:
-        raise WireError(f"field {name}: cannot read {text!r}", name) from problem
+        if text in _ABSENT:
+            return None
+        try:
+            return convert(text)
+        except (ValueError, KeyError) as problem:
+            raise UnreadableValueError("field", name, text) from problem
 
 
 # Settings
 
 
 class _SettingsReader:
-    """Reads settings by their paths."""
+    """Settings by path, as texts."""
 
     def __init__(self, pairs: Mapping[str, str]) -> None:
         self._pairs = pairs
 
     def get(self, path: str, convert: Callable[[str], T], default: T | None = None) -> T:
-        """Return a setting, or the default where it is absent. Raises WireError."""
+        """Return a setting, or the default if it is absent. Raises WireError."""
         text = self._pairs.get(path, "")
         if text in _ABSENT:
-            if default is not None:
-                return default
-            raise WireError(f"setting {path}: missing", path)
+            if default is None:
+                raise MissingValueError("setting", path)
+            return default
         try:
             return convert(text)
         except (ValueError, KeyError) as problem:
-            raise WireError(f"setting {path}: cannot read {text!r}", path) from problem
+            raise UnreadableValueError("setting", path, text) from problem
 
 
 def read_settings(text: str) -> api.Settings:
-    """Read settings from `path=value` pairs on a line. Raises WireError."""
+    """Parse settings from the `path=value` pairs of a line. Raises WireError."""
     return settings_from(dict(pair.partition("=")[::2] for pair in text.split(" ") if pair))
 
 
 def settings_from(pairs: Mapping[str, str]) -> api.Settings:
-    """Read settings by path; unknown ones are passed over. Raises WireError."""
+    """Build settings from texts by path; unknown paths are ignored. Raises WireError."""
     get = _SettingsReader(pairs).get
     class_specs = [_class_spec(get, f"Classes.{index}.") for index in range(get("Classes.count", integer))]
     plan_specs = [_plan_spec(get, f"Contracts.{index}.") for index in range(get("Contracts.count", integer))]
@@ -157,25 +183,25 @@
         plans={spec.name: spec for spec in plan_specs},
         poll_endpoints=get("MembershipMode", str) == "on_request",
         max_attempts=get("Limits.MaxAttempts", integer),
-        parallel_attempts=get("Limits.ParallelTries", flag, False),
-        may_cancel=get("Limits.Cancel", flag, False),
-        may_check_health=get("Limits.Probes", flag, False),
-        honors_retry_after=get("Limits.RetryAfter", flag, False),
-        max_retry_after_us=get("Limits.MaxRetryAfterUs", integer, 0),
-        warmup_initial_fraction=get("Rules.ColdFrom", number, 1.0),
-        warmup_us=get("Rules.ColdUs", integer, 0),
-        warmup_units=get("FamilyInfo.ColdBears", number, 0.0),
-        overload_multiple=get("Rules.FallMultiple", number, 1.0),
-        overload_window_us=get("Rules.FallUs", integer, 0),
-        ordered_key_rest_us=get("Rules.TurnGapUs", integer, 0),
-        retry_budget_ratio=get("Rules.FurtherRatio", number, 0.0),
-        retry_budget_floor=get("Rules.FreeResends", number, 0.0),
-        retry_budget_window_us=get("Rules.RatioSpanUs", integer, 0),
-        over_quota_value_fraction=get("FamilyInfo.ShareWorth", number, 1.0),
-        idle_value_fraction=get("FamilyInfo.IdleWorth", number, 1.0),
-        max_units=get("FamilyInfo.Largest", number, 1.0),
-        cells=get("FamilyInfo.Shards", integer, 0),
-        may_message_peers=get("Limits.MayTell", flag, False),
+        parallel_attempts=get("Limits.ParallelTries", flag, default=False),
+        may_cancel=get("Limits.Cancel", flag, default=False),
+        may_check_health=get("Limits.Probes", flag, default=False),
+        honors_retry_after=get("Limits.RetryAfter", flag, default=False),
+        max_retry_after_us=get("Limits.MaxRetryAfterUs", integer, default=0),
+        warmup_initial_fraction=get("Rules.ColdFrom", number, default=1.0),
+        warmup_us=get("Rules.ColdUs", integer, default=0),
+        warmup_units=get("FamilyInfo.ColdBears", number, default=0.0),
+        overload_multiple=get("Rules.FallMultiple", number, default=1.0),
+        overload_window_us=get("Rules.FallUs", integer, default=0),
+        ordered_key_rest_us=get("Rules.TurnGapUs", integer, default=0),
+        retry_budget_ratio=get("Rules.FurtherRatio", number, default=0.0),
+        retry_budget_floor=get("Rules.FreeResends", number, default=0.0),
+        retry_budget_window_us=get("Rules.RatioSpanUs", integer, default=0),
+        over_quota_value_fraction=get("FamilyInfo.ShareWorth", number, default=1.0),
+        idle_value_fraction=get("FamilyInfo.IdleWorth", number, default=1.0),
+        max_units=get("FamilyInfo.Largest", number, default=1.0),
+        cells=get("FamilyInfo.Shards", integer, default=0),
+        may_message_peers=get("Limits.MayTell", flag, default=False),
     )
 
 
@@ -183,15 +209,15 @@
     return api.ClassSpec(
         name=get(prefix + "Name", str),
         priority_weight=get(prefix + "Credit", number),
-        late_value_fraction=get(prefix + "LateValue", number, 0.0),
+        late_value_fraction=get(prefix + "LateValue", number, default=0.0),
         latency_objective_us=get(prefix + "PromiseUs", integer),
         deadline_us=get(prefix + "GiveUpUs", integer),
         effect=get(prefix + "Effect", _EFFECTS.__getitem__),
         deduplication_scope=get(
             prefix + "Group", _DEDUPLICATION_SCOPES.__getitem__, api.DeduplicationScope.ALL
         ),
-        deduplication_window_us=get(prefix + "RepeatWindowUs", integer, 0),
-        in_order=get(prefix + "KeepOrder", flag, False),
+        deduplication_window_us=get(prefix + "RepeatWindowUs", integer, default=0),
+        in_order=get(prefix + "KeepOrder", flag, default=False),
     )
 
 
@@ -200,10 +226,10 @@
         name=get(prefix + "Name", str),
         weight=get(prefix + "Weight", number),
         usual_rate=get(prefix + "UsualRate", number),
-        reserve_rate=get(prefix + "Guaranteed", number, 0.0),
-        limit_rate=get(prefix + "NeverOver", number, 0.0),
-        limit_burst=get(prefix + "LimitBurst", number, 0.0),
-        price=get(prefix + "WorthFactor", number, 1.0),
+        reserve_rate=get(prefix + "Guaranteed", number, default=0.0),
+        limit_rate=get(prefix + "NeverOver", number, default=0.0),
+        limit_burst=get(prefix + "LimitBurst", number, default=0.0),
+        price=get(prefix + "WorthFactor", number, default=1.0),
     )
 
 
@@ -211,28 +237,28 @@
 
 
 def read_list_header(line: str) -> tuple[ListKind, int]:
-    """Read a `DIRECTORY_UPDATE` line: the kind of the list and how many entries follow. Raises WireError."""
+    """Parse a `DIRECTORY_UPDATE` line: the kind of the list and the number of entries. Raises WireError."""
     fields = MessageFields(line.split(" "))
     kind = fields.take("Kind", _LIST_KINDS.__getitem__)
-    fields.take("Generation", integer, 0)
-    count = fields.take("Hosts", integer, 0)
+    fields.take("Generation", integer, default=0)
+    count = fields.take("Hosts", integer, default=0)
     if count < 0:
-        raise WireError(f"field Hosts: cannot read '{count}'", "Hosts")
+        raise UnreadableValueError("field", "Hosts", str(count))
     return kind, count
 
 
 def read_endpoint(line: str) -> api.Endpoint:
-    """Read a `BRICK` line, one entry of a list. Raises WireError."""
+    """Parse a `BRICK` line, one entry of an endpoint list. Raises WireError."""
     parts = line.split(" ")
     if parts[0] != "BRICK":
-        raise WireError(f"field Hosts: expected BRICK, found {parts[0]!r}", "Hosts")
+        raise UnexpectedEntryError(parts[0])
     fields = MessageFields(parts)
-    fields.take("Machine", str, "")
-    cell = fields.take("Cell", integer, api.UNKNOWN_CELL)
+    fields.take("Machine", str, default="")
+    cell = fields.take("Cell", integer, default=api.UNKNOWN_CELL)
     backend = fields.take("Brick", str)
-    size = fields.take("Rating", number, 1.0)
-    started_us = fields.take("BornUs", integer, 0)
-    zone = fields.take("Hall", str, "")
+    size = fields.take("Rating", number, default=1.0)
+    started_us = fields.take("BornUs", integer, default=0)
+    zone = fields.take("Hall", str, default="")
     state = fields.take("Phase", _ENDPOINT_STATES.__getitem__)
     return api.Endpoint(backend, cell, zone, state, started_us, size)
 
@@ -240,7 +266,7 @@
 def endpoint_list_event(
     kind: ListKind, entries: Iterable[api.Endpoint]
 ) -> api.EndpointListUpdate | api.EndpointListFailure:
-    """Return the event of a list of that kind."""
+    """Return the event for an endpoint list of that kind."""
     if kind is ListKind.FAILURE:
         return api.EndpointListFailure()
     return api.EndpointListUpdate(
@@ -254,13 +280,13 @@
 
 
 def _cell(text: str) -> int | None:
-    """Read the cell of a request; a negative number stands for a new object. Raises ValueError."""
+    """Parse the cell of a request; a negative number stands for a new object. Raises ValueError."""
     cell = integer(text)
     return None if cell < 0 else cell
 
 
 def _usage_percent(text: str) -> int | None:
-    """Read a usage figure: 1 plus the percentage, or 0 where it is unknown. Raises ValueError."""
+    """Parse a usage figure: 1 plus the percentage, or 0 if it is unknown. Raises ValueError."""
     figure = integer(text)
     return None if figure <= 0 else figure - 1
 
@@ -269,7 +295,7 @@
     request = fields.take("Ticket", str)
     class_name = fields.take("Lane", str)
     plan = fields.take("Grade", str)
-    key = fields.take("Item", str, "")
+    key = fields.take("Item", str, default="")
     deadline_us = fields.take("NotAfterUs", integer)
     return api.Arrival(
         request=request,
@@ -277,12 +303,12 @@
         plan=plan,
         key=key,
         deadline_us=deadline_us,
-        volume=fields.take("Owner", str, ""),
-        units=fields.take("Units", number, 1.0),
+        volume=fields.take("Owner", str, default=""),
+        units=fields.take("Units", number, default=1.0),
         cell=fields.take_optional("GroupNo", _cell),
-        serving_instances=fields.take("NHosts", integer, 1),
-        is_retry=fields.take("AgainByClient", flag, False),
-        is_write=fields.take("IsWrite", flag, False),
+        serving_instances=fields.take("NHosts", integer, default=1),
+        is_retry=fields.take("AgainByClient", flag, default=False),
+        is_write=fields.take("IsWrite", flag, default=False),
     )
 
 
@@ -297,23 +323,23 @@
     attempt = fields.take("SeqNo", integer)
     backend = fields.take("Brick", str)
     outcome = fields.take("Status", _OUTCOMES.__getitem__)
-    duration_us = fields.take("TookUs", integer, 0)
-    answered = fields.take("Ended", flag, False)
+    duration_us = fields.take("TookUs", integer, default=0)
+    answered = fields.take("Ended", flag, default=False)
     usage_percent = fields.take_optional("Used", _usage_percent)
-    fields.take("ForeignUnits", number, 0.0)
-    load_report: dict[str, float] = fields.take("Report", _load_report, {})
+    fields.take("ForeignUnits", number, default=0.0)
+    load_report: dict[str, float] = fields.take("Report", _load_report, default={})
     return api.Result(request, attempt, backend, outcome, duration_us, answered, usage_percent, load_report)
 
 
 def _load_report(text: str) -> dict[str, float]:
-    """Read a load report: pairs `name:value`, separated by commas. Raises ValueError."""
-    report: dict[str, float] = {}
+    """Parse a load report: pairs `name:value`, separated by commas. Raises ValueError."""
+    load_report: dict[str, float] = {}
     for pair in text.split(","):
         name, separator, value = pair.partition(":")
         if not separator:
             raise ValueError(pair)
-        report[name] = number(value)
-    return report
+        load_report[name] = number(value)
+    return load_report
 
 
 def _client_left(fields: MessageFields) -> api.Event:
@@ -327,14 +353,14 @@
 def _health_check_result(fields: MessageFields) -> api.Event:
     backend = fields.take("Brick", str)
     outcome = fields.take("Status", _OUTCOMES.__getitem__)
-    duration_us = fields.take("TookUs", integer, 0)
-    load_report: dict[str, float] = fields.take("Report", _load_report, {})
+    duration_us = fields.take("TookUs", integer, default=0)
+    load_report: dict[str, float] = fields.take("Report", _load_report, default={})
     return api.HealthCheckResult(backend, outcome, duration_us, load_report)
 
 
 def _peer_message(fields: MessageFields) -> api.Event:
     sender = fields.take("SrcPeer", integer)
-    payload = fields.take("Raw", bytes.fromhex, b"")
+    payload = fields.take("Raw", bytes.fromhex, default=b"")
     return api.PeerMessage(sender, payload)
 
 
@@ -350,10 +376,10 @@
 
 
 def read_event(parts: list[str]) -> api.Event:
-    """Read an event from a line's parts. Raises WireError."""
+    """Parse an event from the parts of a line. Raises WireError."""
     reader = _EVENT_READERS.get(parts[0])
     if reader is None:
-        raise WireError(f"message {parts[0]!r} is not known")
+        raise UnknownMessageError(parts[0])
     return reader(MessageFields(parts))
 
 
@@ -411,5 +437,5 @@
 
 
 def write_actions(actions: Iterable[api.Action]) -> list[str]:
-    """Return the actions' lines, one for each, in order."""
+    """Return one line for each action, in order."""
     return [_ACTION_WRITERS[type(action)](action) for action in actions]
--- a/garnetlanding/wirehost.py
+++ b/garnetlanding/wirehost.py
@@ -1,9 +1,10 @@
-"""Runs a Controller for each instance of the load balancer on the simulator's wire: batches in, replies out.
+"""Runs the decision modules of several instances on the simulator's wire: batches in, replies out.
 
-A batch is the lines of one moment: `BATCH clock`, then `SELECT instance` before the lines of each instance,
-and `END`. Its reply names each instance that acts, `SOURCE instance`, before its actions, and ends with
-`FINISHED`. No decision is taken here. The program ends with one plain line on standard error, and exit code
-2, on input that cannot be read; a defect of the decision module is reported on the wire, `BAIL_OUT text`.
+A batch holds the events of one point in time: `BATCH clock`, then `SELECT instance` before the lines of each
+instance, and `END`. The reply names each instance that acts, `SOURCE instance`, before its actions, and ends
+with `FINISHED`. Nothing is decided here. On input that cannot be read, the program prints one line to the
+standard error and exits with code 2; an exception of the decision module is reported on the wire, `BAIL_OUT
+text`.
 """
 
 from __future__ import annotations
@@ -21,20 +22,55 @@
     from garnetlanding.peers.coordinator import PeerCoordinator
 
 
+class MissingBatchError(wire.WireError):
+    """A line outside a batch does not begin one."""
+
+    def __init__(self, found: str) -> None:
+        super().__init__(f"expected BATCH, found {found!r}")
+
+
+class NoInstanceSelectedError(wire.WireError):
+    """A message comes before the first `SELECT` of its batch."""
+
+    def __init__(self, message: str) -> None:
+        super().__init__(f"{message} before any SELECT")
+
+
+class UnknownInstanceError(wire.WireError):
+    """A message is for an instance that has not been launched."""
+
+    def __init__(self, instance: int) -> None:
+        super().__init__(f"field HostId: instance {instance} is not known", "HostId")
+
+
+class TruncatedBatchError(wire.WireError):
+    """The input ends inside a batch."""
+
+    def __init__(self) -> None:
+        super().__init__("input ended inside a batch")
+
+
+class TruncatedListError(wire.WireError):
+    """The input ends inside an endpoint list."""
+
+    def __init__(self) -> None:
+        super().__init__("field Hosts: input ended inside a list", "Hosts")
+
+
 @dataclass(slots=True)
 class Batch:
-    """What one batch brings to the instances."""
+    """The contents of a batch, by instance."""
 
     now: int  # microseconds
-    events: dict[int, list[api.Event]] = field(default_factory=dict)  # by instance
-    defects: dict[int, str] = field(default_factory=dict)  # of the decision module, by instance
+    events: dict[int, list[api.Event]] = field(default_factory=dict)
+    defects: dict[int, str] = field(default_factory=dict)  # exceptions of the decision module, as text
 
     def add(self, instance: int, event: api.Event) -> None:
         """Add an event for an instance."""
         self.events.setdefault(instance, []).append(event)
 
     def add_defect(self, instance: int, defect: Exception) -> None:
-        """Keep a defect, to be reported in place of the instance's actions."""
+        """Record an exception, which is reported in place of the instance's actions."""
         self.defects[instance] = f"{type(defect).__name__}: {defect}"
 
 
@@ -49,7 +85,7 @@
         self._modules: dict[int, Controller | PeerCoordinator] = {}
 
     def run(self, source: TextIO, sink: TextIO) -> None:
-        """Answer batch after batch until the input ends. Raises WireError."""
+        """Reply to each batch until the input ends. Raises WireError."""
         lines = self._lines(source)
         for line in lines:
             if line:
@@ -63,10 +99,10 @@
             yield line.rstrip("\r\n")
 
     def _read_batch(self, first: str, lines: Iterator[str]) -> Batch:
-        """Read the rest of a batch whose first line is given; start and end instances by it."""
+        """Read the rest of a batch whose first line is given; start and stop instances as it says."""
         parts = first.split(" ")
         if parts[0] != "BATCH":
-            raise wire.WireError(f"expected BATCH, found {parts[0]!r}")
+            raise MissingBatchError(parts[0])
         batch = Batch(wire.MessageFields(parts).take("clock", int))
         instance: int | None = None
         for line in lines:
@@ -76,19 +112,19 @@
             if name == "SELECT":
                 instance = wire.MessageFields(line.split(" ")).take("HostId", int)
             elif instance is None:
-                raise wire.WireError(f"{name} before any SELECT")
+                raise NoInstanceSelectedError(name)
             else:
                 self._read_message(batch, instance, line, lines)
-        raise wire.WireError("input ended inside a batch")
+        raise TruncatedBatchError
 
     def _read_message(self, batch: Batch, instance: int, line: str, lines: Iterator[str]) -> None:
-        """Read a message to an instance; those that start and end it take effect at once."""
+        """Read a message to an instance; `LAUNCH` and `DESTROY` take effect at once."""
         parts = line.split(" ")
         name = parts[0]
         if name == "LAUNCH":
             self._launch(batch, instance, line)
         elif instance not in self._modules and instance not in batch.defects:
-            raise wire.WireError(f"field HostId: instance {instance} is not known", "HostId")
+            raise UnknownInstanceError(instance)
         elif name == "DESTROY":
             self._modules.pop(instance, None)
             batch.events.pop(instance, None)
@@ -98,14 +134,15 @@
             batch.add(instance, wire.read_event(parts))
 
     def _launch(self, batch: Batch, instance: int, line: str) -> None:
-        parts = line.split(" ", 2)
-        seed = wire.MessageFields(parts[:2]).take("Prng", int)
-        settings = wire.read_settings(parts[2] if len(parts) > 2 else "")
+        name, _, rest = line.partition(" ")
+        seed_text, _, settings_text = rest.partition(" ")
+        seed = wire.MessageFields([name, seed_text]).take("Prng", int)
+        settings = wire.read_settings(settings_text)
         batch.events[instance] = []
         try:
             controller = Controller(settings, seed)
             self._modules[instance] = controller
-            if settings.may_message_peers:  # what the settings forbid is not imported
+            if settings.may_message_peers:  # a subsystem that is off is not imported
                 from garnetlanding.peers.coordinator import PeerCoordinator
 
                 self._modules[instance] = PeerCoordinator(controller, incarnation=batch.now)
@@ -113,7 +150,7 @@
             batch.add_defect(instance, defect)
 
     def _handle(self, batch: Batch) -> list[str]:
-        """Give the instances their events; return the lines of the reply but the last."""
+        """Pass the events to the instances; return the lines of the reply without its end."""
         reply: list[str] = []
         for instance, events in batch.events.items():
             lines = self._act(batch, instance, events)
@@ -123,7 +160,7 @@
         return reply
 
     def _act(self, batch: Batch, instance: int, events: list[api.Event]) -> list[str]:
-        """Return the lines of an instance's actions, or of its defect."""
+        """Return the lines of an instance's actions, or the line that reports its exception."""
         if instance not in batch.defects:
             try:
                 return wire.write_actions(self._modules[instance].handle(batch.now, events))
@@ -133,19 +170,19 @@
 
 
 def _read_list(header: str, lines: Iterator[str]) -> api.EndpointListUpdate | api.EndpointListFailure:
-    """Read an endpoint list whose first line is given."""
+    """Read the entries of an endpoint list whose first line is given."""
     kind, count = wire.read_list_header(header)
     entries = []
     for _ in range(count):
         line = next(lines, None)
         if line is None:
-            raise wire.WireError("field Hosts: input ended inside a list", "Hosts")
+            raise TruncatedListError
         entries.append(wire.read_endpoint(line))
     return wire.endpoint_list_event(kind, entries)
 
 
 def main() -> int:
-    """Run on standard input and output; return the exit code."""
+    """Run on standard input and output, and return the exit code."""
     adapter = SimulatorAdapter()
     try:
         adapter.run(sys.stdin, sys.stdout)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,6 +9,7 @@
 import pytest
 
 from garnetlanding import wire, wirehost
+from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 
 SETTINGS = (
@@ -92,3 +93,26 @@
     code = readme.split("```python\n")[1].split("```")[0]
     exec(code, {})
     assert capsys.readouterr().out.strip() == code.rsplit("# ", 1)[1].strip()
+
+
+@pytest.mark.parametrize(
+    ("usage_field", "usage_percent"), [("26", 25), ("1", 0), ("0", None), ("-", None), ("-3", None)]
+)
+def test_usage_field_of_a_reply_is_one_more_than_the_percentage(
+    usage_field: str, usage_percent: int | None
+) -> None:
+    event = wire.read_event(f"REPLY a 0 10.0.0.1:9 delivered 900 1 {usage_field} 0 -".split(" "))
+    assert isinstance(event, api.Result)
+    assert event.usage_percent == usage_percent
+
+
+@pytest.mark.parametrize(("cell_field", "cell"), [("3", 3), ("0", 0), ("-1", None), ("-", None)])
+def test_arrival_without_a_cell_is_of_a_new_object(cell_field: str, cell: int | None) -> None:
+    event = wire.read_event(f"ACCEPT a read gold k 1502000 v 2 {cell_field} 1 0 0".split(" "))
+    assert isinstance(event, api.Arrival)
+    assert event.cell == cell
+
+
+def test_absent_values_of_actions_are_written_as_zero_and_all_peers_as_a_star() -> None:
+    actions: list[api.Action] = [api.Send("a", "b"), api.Reject("a"), api.SendPeerMessage(b"\x01")]
+    assert wire.write_actions(actions) == ["DELIVER a 0 b", "DECLINE a 0", "POST * 01"]
