--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -2,10 +2,12 @@
 
 from __future__ import annotations
 
+import ast
 import json
 import re
 import subprocess
 import sys
+import tomllib
 
 import pytest
 
@@ -18,6 +20,8 @@
     "decision": {"decision"},
     "core": {"core", "decision", "limits"},
 }
+# Actions by which the decision module decides on a request.
+DECIDING_ACTIONS = {"Send", "Reject", "Fail", "Cancel"}
 # Not part of a running instance: stand-ins, experiments and suites.
 OUTSIDE = {"emulator", "lab", "conform"}
 OFF_BY_DEFAULT = (
@@ -97,3 +101,55 @@
     assert not [
         name for name in folders if not (ROOT / PACKAGE / name).is_dir() and not (ROOT / name).is_dir()
     ]
+
+
+def policy_files() -> list[str]:
+    """Return the files that the deploy file names as those that decide."""
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    names: list[str] = deploy["policy"]
+    return names
+
+
+def constructed_actions(source: str) -> set[str]:
+    """Return which of the deciding actions a module constructs, under whatever name it imports them."""
+    tree = ast.parse(source)
+    names = {action: action for action in DECIDING_ACTIONS}
+    for node in ast.walk(tree):
+        if isinstance(node, ast.ImportFrom):
+            names |= {alias.asname or alias.name: alias.name for alias in node.names}
+    called = [node.func for node in ast.walk(tree) if isinstance(node, ast.Call)]
+    found = {func.attr for func in called if isinstance(func, ast.Attribute)}
+    found |= {names.get(func.id, func.id) for func in called if isinstance(func, ast.Name)}
+    return found & DECIDING_ACTIONS
+
+
+def test_every_policy_file_exists_and_says_what_it_decides() -> None:
+    for name in policy_files():
+        docstring = ast.get_docstring(ast.parse((ROOT / name).read_text())) or ""
+        assert docstring.startswith("Decides "), f"{name} does not say what it decides"
+
+
+def test_no_module_outside_the_policy_files_decides_on_a_request() -> None:
+    policy = {ROOT / name for name in policy_files()}
+    found = set().union(*(constructed_actions(path.read_text()) for path in policy))
+    assert found == DECIDING_ACTIONS, "the check finds what the policy files construct"
+    deciding = {
+        name: actions
+        for name, path in MODULES.items()
+        if path not in policy and (actions := constructed_actions(path.read_text()))
+    }
+    assert deciding == {}
+
+
+@pytest.mark.parametrize(
+    "source",
+    [
+        "from garnetlanding.decision import interface as api\nx = api.Send('r', 'b')",
+        "from garnetlanding.decision.interface import Reject\nx = Reject('r')",
+        "from garnetlanding.decision.interface import Fail as Lost\ndef f():\n    return [Lost('r')]",
+        "import garnetlanding.decision.interface\ngarnetlanding.decision.interface.Cancel('r', 0)",
+    ],
+    ids=["by module", "by name", "renamed", "by full name"],
+)
+def test_check_of_the_policy_files_finds_every_way_to_construct_an_action(source: str) -> None:
+    assert len(constructed_actions(source)) == 1
