--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -10,6 +10,7 @@
 from __future__ import annotations
 
 import json
+from typing import TextIO
 
 import click
 
@@ -66,7 +67,7 @@
 @click.option("--seeds", default="1,2,3", show_default=True, help="Days of each kind.")
 @click.option("--bricks", default=60, show_default=True, type=click.IntRange(4, 500))
 @click.option("--json", "json_file", type=click.File("w"), help="Write every day's figures there too.")
-def main(heads: str, seeds: str, bricks: int, json_file: click.utils.LazyFile | None) -> None:
+def main(heads: str, seeds: str, bricks: int, json_file: TextIO | None) -> None:
     """Play the days and print the table."""
     days = []
     print("| kind | heads | worth served | list calls | failed | handshakes | cold peak | worst queue |")
--- a/benchmarks/lab_runs.py
+++ b/benchmarks/lab_runs.py
@@ -23,6 +23,7 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 RESULTS = ROOT / "benchmarks" / "results" / "lab.md"
+DEFAULT_SEEDS_AND_JOBS = (3, 1)
 HEADER = (
     "| experiment | runs | asked | served | refused | failed | unanswered, its head killed or stopped "
     "| most over a limit, units | share of the limits used | greatest sum of parts "
@@ -109,4 +110,5 @@
 
 if __name__ == "__main__":
     given = [int(word) for word in sys.argv[1:3]]
-    sys.exit(main(*(given + [3, 1][len(given) :]), sys.argv[3:]))
+    seeds, jobs = [*given, *DEFAULT_SEEDS_AND_JOBS[len(given) :]]
+    sys.exit(main(seeds, jobs, sys.argv[3:]))
