--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -1,4 +1,4 @@
-"""What a fleet goes on sending to a backend that stops responding, with gossip about backends and without.
+"""Measures what a fleet sends to a backend that has stopped responding, with gossip and without.
 
 python -m benchmarks.verdicts [--seeds N]        writes benchmarks/results/verdicts.md
 """
@@ -17,19 +17,26 @@
 INSTANCES = (4, 8, 16, 32, 64, 100)
 RESULTS = pathlib.Path(__file__).parent / "results" / "verdicts.md"
 COLUMNS = (
-    "heads",
-    "sent to it, untold",
-    "told",
+    "instances",
+    "attempts at the failed backend, without gossip",
+    "with gossip",
     "ratio",
-    "s until under a tenth, untold",
-    "s until under a tenth, told",
-    "served, told / untold",
-    "bytes a head a second",
-    "healthy servers doubted",
-    "served in the 10 s after a third of the servers is lost, untold",
-    "told",
+    "s until under a tenth of the attempts, without gossip",
+    "s until under a tenth of the attempts, with gossip",
+    "served, with / without gossip",
+    "bytes per instance and second",
+    "healthy backends suspected",
+    "fraction served in the 10 s after a third of the backends fails, without gossip",
+    "with gossip",
+)
+EXPLORATION_COLUMNS = (
+    "explored exhaustively",
+    "steps",
+    "states",
+    "moves",
+    "states with a suspicion",
+    "violated invariants",
 )
-EXPLORATION_COLUMNS = ("explored whole", "steps", "states", "moves", "of them with a doubt", "laws broken")
 
 
 @dataclass(slots=True)
@@ -38,26 +45,26 @@
 
     attempts: int = 0  # at the failed backend
     avoided_after_us: int = 0
-    served_share: float = 0.0
+    served_fraction: float = 0.0
     bytes: int = 0
     suspected: int = 0  # healthy backends
-    served_share_after_zone_loss: float = 0.0  # a third of the backends refuses connections
+    served_fraction_after_zone_loss: float = 0.0  # a third of the backends refuses connections
 
 
-def measure(instances: int, gossip: bool, seeds: int) -> Totals:
-    """Simulate a fleet of that size once for each seed."""
+def measure(instances: int, seeds: int, *, gossip: bool) -> Totals:
+    """Simulate a fleet of `instances` once for each seed."""
     totals = Totals()
     for seed in range(1, seeds + 1):
         scenario = Scenario(seed=seed, instances=instances, gossip=gossip)
         result = Simulation(scenario).run()
         totals.attempts += len(result.attempts)
         totals.avoided_after_us += avoided_after(scenario, result)
-        totals.served_share += result.served / result.requested
+        totals.served_fraction += result.served / result.requested
         totals.bytes += result.bytes
         totals.suspected += len(result.suspected)
         zone_loss = replace(scenario, failing=scenario.backends // 3, failure=Failure.REFUSING)
         aftermath = Simulation(zone_loss).run().aftermath
-        totals.served_share_after_zone_loss += aftermath.served / aftermath.requested
+        totals.served_fraction_after_zone_loss += aftermath.served / aftermath.requested
     return totals
 
 
@@ -65,20 +72,20 @@
     """Yield the cells of each fleet's row."""
     seconds = Scenario().length_us / SECOND
     for instances in INSTANCES:
-        without = measure(instances, False, seeds)
-        gossip = measure(instances, True, seeds)
+        without_gossip = measure(instances, seeds, gossip=False)
+        with_gossip = measure(instances, seeds, gossip=True)
         yield [
             str(instances),
-            f"{without.attempts / seeds:.0f}",
-            f"{gossip.attempts / seeds:.0f}",
-            f"{gossip.attempts / without.attempts:.2f}",
-            f"{without.avoided_after_us / seeds / SECOND:.1f}",
-            f"{gossip.avoided_after_us / seeds / SECOND:.1f}",
-            f"{gossip.served_share / without.served_share:.4f}",
-            f"{gossip.bytes / seeds / instances / seconds:.0f}",
-            f"{gossip.suspected:.0f}",
-            f"{without.served_share_after_zone_loss / seeds:.3f}",
-            f"{gossip.served_share_after_zone_loss / seeds:.3f}",
+            f"{without_gossip.attempts / seeds:.0f}",
+            f"{with_gossip.attempts / seeds:.0f}",
+            f"{with_gossip.attempts / without_gossip.attempts:.2f}",
+            f"{without_gossip.avoided_after_us / seeds / SECOND:.1f}",
+            f"{with_gossip.avoided_after_us / seeds / SECOND:.1f}",
+            f"{with_gossip.served_fraction / without_gossip.served_fraction:.4f}",
+            f"{with_gossip.bytes / seeds / instances / seconds:.0f}",
+            f"{with_gossip.suspected:.0f}",
+            f"{without_gossip.served_fraction_after_zone_loss / seeds:.3f}",
+            f"{with_gossip.served_fraction_after_zone_loss / seeds:.3f}",
         ]
 
 
@@ -87,7 +94,7 @@
     for scope in SCOPES:
         found = explore(scope)
         yield [
-            f"{scope.instances} heads{'' if found.whole else ', given up'}",
+            f"{scope.instances} instances{'' if found.is_complete else ', given up'}",
             str(scope.steps),
             str(found.states),
             str(found.moves),
@@ -109,9 +116,9 @@
     seeds = parser.parse_args().seeds
     lines = [*table(COLUMNS, rows(seeds)), "", *table(EXPLORATION_COLUMNS, exploration_rows())]
     RESULTS.write_text(
-        f"""# Verdicts: a server falls silent for 8 s
+        f"""# Suspicions: a backend is unresponsive for 8 s
 
-`python -m benchmarks.verdicts --seeds {seeds}`: simulated, 8 servers, 60 requests a second each,
+`python -m benchmarks.verdicts --seeds {seeds}`: simulated, 8 backends, 60 requests a second each,
 real decision modules. Means.
 
 """
--- a/garnetlanding/daemon/admin.py
+++ b/garnetlanding/daemon/admin.py
@@ -119,7 +119,9 @@
             return None
         from garnetlanding.ops.replicated_disables import ReplicatedDisables
 
-        return ReplicatedDisables(self._group.failure_detector, self._instance_number, instance.wall_ms)
+        return ReplicatedDisables(
+            self._group.failure_detector.disables, self._instance_number, instance.wall_ms
+        )
 
     def _instance_number(self) -> int:
         return self._instance.core.settings.instance_id
--- a/garnetlanding/daemon/audit.py
+++ b/garnetlanding/daemon/audit.py
@@ -70,7 +70,7 @@
         }
         if self._group and self._group.membership:
             members = self._group.membership.members
-            sources["heads"] = lambda: members.digest.hex()
+            sources["heads"] = lambda: members.table.digest.hex()
         return sources
 
     def _fence_reason(self) -> str:
--- a/garnetlanding/daemon/peer_group.py
+++ b/garnetlanding/daemon/peer_group.py
@@ -41,7 +41,9 @@
         setup = self._setup
         limits = self._peers.limits
         history = self._history.writer if self._history else None
-        self.failure_detector = FailureDetector(limits, setup.suspicions, setup.disables, history)
+        self.failure_detector = FailureDetector(
+            limits, share_evidence=setup.suspicions, share_disabled=setup.disables, history=history
+        )
         if setup.seeds:
             from garnetlanding.peers.membership import Membership
             from garnetlanding.peers.membership_protocol import MembershipProtocol
@@ -89,8 +91,8 @@
         self._poll()
 
     def _poll(self) -> None:
-        detector = self._group.failure_detector
+        disables = self._group.failure_detector.disables
         scheduler = self._instance.scheduler
-        scheduler.call_at(scheduler.now + detector.limits.disables_poll_us, self._poll)
-        if detector.merge_received():
-            self._instance.core.set_disabled(detector.disabled.disabled_names)
+        scheduler.call_at(scheduler.now + disables.limits.disables_poll_us, self._poll)
+        if disables.merge_received():
+            self._instance.core.set_disabled(disables.table.disabled_names)
--- a/garnetlanding/daemon/peer_link.py
+++ b/garnetlanding/daemon/peer_link.py
@@ -129,7 +129,7 @@
     def set_suspended(self, *, suspended: bool) -> None:
         """Suspend or resume the coordinator's use of shared quotas."""
         if self.coordinator:
-            self.coordinator.set_suspended(suspended, self._instance.scheduler.now)
+            self.coordinator.set_suspended(self._instance.scheduler.now, suspended=suspended)
 
     def stop(self) -> None:
         """Notify peers that this instance leaves, which releases its quotas at once."""
--- a/garnetlanding/emulator/group_model.py
+++ b/garnetlanding/emulator/group_model.py
@@ -1,9 +1,9 @@
-"""Every course that a small group of instances can take within a number of moves, explored breadth first.
+"""Explores, breadth first, every state that a small group of instances can reach within a number of moves.
 
-Instances start, send, receive what was sent (at any later moment, or never), crash, start anew, and leave in
-order. In each state the even shares of all running instances are added up.
+Instances start, send, receive messages (at any later moment, or never), crash, restart, and leave. In each
+state the even shares of all running instances are added up.
 
-Time does not pass: whatever waits for it (the beginning of a group) may happen at any moment.
+Time does not pass: what depends on it (forming a new group) may happen at any moment.
 """
 
 from __future__ import annotations
@@ -14,27 +14,28 @@
 
 from garnetlanding.emulator.walk import Walk
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.membership import InstanceRecord, Membership
+from garnetlanding.peers.membership import Membership
+from garnetlanding.peers.membership_table import InstanceRecord
 
 LIMITS = PeerLimits(bootstrap_us=0)
-RESTART_INCARNATION = 10  # of the first instance that starts anew; all others begin at 1
+RESTART_INCARNATION = 10  # of the first restarted instance; incarnations begin at 1
 ROUNDING_SLACK = 1e-9  # of a sum of shares
 
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """How much is explored."""
+    """The limits of an exploration."""
 
     instances: int = 3
-    seeds: int = 2  # the first so many
+    seeds: int = 2  # the first instances
     moves: int = 8
-    restarts: int = 1  # instances that start anew, after a crash or in order
-    max_states: int = 300_000  # after which exploring is given up
+    restarts: int = 1  # of instances that crashed or left
+    max_states: int = 300_000  # after which the exploration is given up
 
 
 @dataclass(frozen=True, slots=True)
 class TableMessage:
-    """What one instance sends another: its table, and whether it has joined."""
+    """A membership message: the sender's table, and whether the sender has joined."""
 
     records: tuple[InstanceRecord, ...]
     digest: bytes
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """A message on its way."""
+    """A message in transit."""
 
     sender: int
     receiver: int
@@ -52,41 +53,41 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """The running instances, and what is on its way between them."""
+    """The running instances, and the messages in transit between them."""
 
-    instances: tuple[Membership | None, ...]  # None: does not run
-    deliveries: tuple[Delivery, ...]  # the last on each link
+    instances: tuple[Membership | None, ...]  # None: not running
+    deliveries: tuple[Delivery, ...]  # the latest on each link
     restarts: int
 
     def with_instance(self, number: int, members: Membership | None) -> State:
-        """Return the state with another table of one instance, or without that instance (None)."""
+        """Return the state with one instance replaced, or stopped (None)."""
         return replace(self, instances=(*self.instances[:number], members, *self.instances[number + 1 :]))
 
 
 @dataclass(slots=True)
 class Explored:
-    """What was found."""
+    """The result of an exploration."""
 
     states: int = 0
     moves: int = 0
     max_share_sum: float = 0.0
-    max_joined: int = 0  # instances that had joined at once
+    max_joined: int = 0  # members at a time
     is_complete: bool = True
 
 
 def address_of(number: int) -> str:
-    """Return where an instance receives."""
+    """Return the address of an instance."""
     return f"127.0.0.{number + 1}:7946"
 
 
 def new_instance(scope: Scope, number: int, incarnation: int) -> Membership:
-    """Return the table of an instance that has just started."""
+    """Return the membership of an instance that has just started."""
     seeds = [address_of(seed) for seed in range(scope.seeds)]
     return Membership(LIMITS, number, incarnation, address_of(number), seeds, 0)
 
 
 def key(state: State) -> object:
-    """Return what tells states apart: tables, who has confirmed them, and what is on its way."""
+    """Return a key that is equal for equivalent states: tables, confirmations, and messages in transit."""
     instances = tuple(None if members is None else _instance_key(members) for members in state.instances)
     deliveries = sorted(
         (delivery.sender, delivery.receiver, delivery.message.digest, delivery.message.joined)
@@ -97,16 +98,16 @@
 
 def _instance_key(members: Membership) -> object:
     return (
-        tuple(sorted(members.records.values())),
-        tuple(sorted(members._confirmed_by)),
-        members._sponsored,
-        members._joined,
-        members._bootstrap_at is None,
+        tuple(sorted(members.table.records.values())),
+        tuple(sorted(members.join.confirmed_by)),
+        members.join.has_sponsor,
+        members.join.has_joined,
+        members.join.bootstrap_at is None,
     )
 
 
 def moves(state: State, scope: Scope) -> Iterator[State]:
-    """Yield every state that one move leads to."""
+    """Yield every state that is one move away."""
     for number, members in enumerate(state.instances):
         if members is None:
             if state.restarts < scope.restarts:
@@ -122,9 +123,9 @@
 
 
 def _sends(state: State, number: int, members: Membership, scope: Scope) -> Iterator[State]:
-    message = TableMessage(tuple(members.records.values()), members.digest, members.joined)
+    message = TableMessage(tuple(members.table.records.values()), members.table.digest, members.joined)
     for receiver in range(scope.instances):
-        if receiver != number and (receiver in members.records or receiver < scope.seeds):
+        if receiver != number and (receiver in members.table.records or receiver < scope.seeds):
             others = tuple(
                 delivery
                 for delivery in state.deliveries
@@ -141,21 +142,21 @@
 
 
 def _may_stop(state: State, number: int, scope: Scope) -> bool:
-    """Return whether an instance may stop: operators see to it that not all seeds are down at once."""
+    """Return whether an instance may stop: operators keep at least one seed running."""
     others = [members for i, members in enumerate(state.instances) if i != number]
     return number >= scope.seeds or any(members is not None for members in others[: scope.seeds - 1])
 
 
 def _leaves(state: State, number: int, members: Membership, scope: Scope) -> Iterator[State]:
-    """Stop in order: its last message is on its way to all."""
+    """Yield the state in which an instance has left, with its last message in transit to all."""
     last = copy.deepcopy(members)
     last.leave()
-    message = TableMessage(tuple(last.records.values()), last.digest, False)
+    message = TableMessage(tuple(last.table.records.values()), last.table.digest, joined=False)
     others = tuple(delivery for delivery in state.deliveries if delivery.sender != number)
     sent = tuple(
         Delivery(number, receiver, message)
         for receiver in range(scope.instances)
-        if receiver != number and receiver in members.records
+        if receiver != number and receiver in members.table.records
     )
     yield replace(state.with_instance(number, None), deliveries=(*others, *sent))
 
@@ -167,7 +168,9 @@
             continue
         updated = copy.deepcopy(members)
         updated.merge(delivery.message.records)
-        updated.record_contact(delivery.sender, delivery.message.digest, delivery.message.joined, 0)
+        updated.record_contact(
+            delivery.sender, delivery.message.digest, 0, sender_joined=delivery.message.joined
+        )
         others = tuple(other for other in state.deliveries if other != delivery)
         yield replace(state.with_instance(delivery.receiver, updated), deliveries=others)
 
--- a/garnetlanding/emulator/group_net.py
+++ b/garnetlanding/emulator/group_net.py
@@ -1,7 +1,8 @@
-"""Instances that discover each other, on one simulated network.
+"""Simulates instances that discover each other, on one network.
 
-Instances join, leave, crash and start again, links are cut, messages are lost and late. The same seed gives
-the same run. At each step the even shares of all running instances are added up. Times are microseconds.
+Instances join, leave, crash and restart, links are partitioned, messages are lost and delayed. The same seed
+gives the same run. At each step the even shares of all running instances are added up. Times are
+microseconds.
 """
 
 from __future__ import annotations
@@ -18,26 +19,26 @@
 from garnetlanding.peers.membership_protocol import MembershipProtocol
 from garnetlanding.peers.peer_contacts import NO_MESSAGE
 
-CLOCK_KEPT = 0.8  # of starts; at the others the wall clock has been set back, and the incarnation is smaller
-CUT = 0.4  # of events at a running instance: its links are cut; at the others it stops
-CUT_BOTH_WAYS = 0.5  # of cut links
-LEFT_IN_ORDER = 0.5  # of instances that stop; the others crash
+CLOCK_KEPT_RATE = 0.8  # of starts; before the others the wall clock was set back: a smaller incarnation
+PARTITION_RATE = 0.4  # of events at a running instance: its links are cut; otherwise it stops
+CUT_BOTH_WAYS_RATE = 0.5  # of links that are cut
+GRACEFUL_RATE = 0.5  # of instances that stop; the others crash
 
 
 @dataclass(frozen=True, slots=True)
 class GroupScenario:
-    """What a run is made of."""
+    """The parameters of a run."""
 
     seed: int = 1
-    instances: int = 6  # numbers that are ever used
-    seeds: int = 3  # the first so many begin the group; never are all of them down
+    instances: int = 6  # at most, running or not
+    seeds: int = 3  # the first instances form the group; at least one of them is always running
     length_us: int = 20 * SECOND
     step_us: int = 50 * MS
     loss: float = 0.1
     delay_us: int = 400 * MS  # at most
-    events: int = 12  # joins, ends, crashes and cuts, drawn
+    events: int = 12  # starts, stops, crashes and partitions, at random times
     all_at_once: bool = False  # every instance starts at the beginning
-    calm_us: int = 10 * SECOND  # at the end: nothing more happens, nothing is lost
+    calm_us: int = 10 * SECOND  # at the end, without events and losses
 
 
 @dataclass(slots=True)
@@ -50,25 +51,33 @@
 
     @property
     def members(self) -> Membership:
-        """Its table."""
+        """The instance's membership."""
         return self.protocol.members
 
 
 @dataclass(slots=True)
 class GroupResult:
-    """What a run came to."""
+    """The result of a run."""
 
     max_share_sum: float = 0.0  # of the even shares
     max_share_sum_at: int = 0
-    final_share_sum: float = 1.0  # once all is calm
-    agreed: bool = False  # all running instances have one table at the end
+    final_share_sum: float = 1.0  # at the end of the calm period
+    agreed: bool = False  # the tables of all running instances are equal at the end
     starts: int = 0
-    known_after_us: list[int] = field(default_factory=list)  # until all that ran knew of a start
+    known_after_us: list[int] = field(default_factory=list)  # from a start until all knew of it
     bytes_sent: int = 0
 
 
+class UnnumberedMessages:
+    """Gives each message the number 1: nothing here depends on numbers."""
+
+    def number_at(self, index: int) -> int:  # noqa: ARG002 - the interface of `MessageNumbering`
+        """Return the number of a message."""
+        return 1
+
+
 class Start(NamedTuple):
-    """A start of which not all instances know yet."""
+    """A start that not all running instances know of yet."""
 
     at: int
     instance: int
@@ -76,7 +85,7 @@
 
 
 class Delivery(NamedTuple):
-    """A datagram on its way, in the order of arrival; `number` tells those of one moment apart."""
+    """A datagram in transit, ordered by arrival; `number` orders those that arrive at one time."""
 
     at: int
     number: int
@@ -86,19 +95,19 @@
 
 
 class Event(NamedTuple):
-    """Something that happens to the group, drawn from a seed of its own."""
+    """A random event, determined by a seed of its own."""
 
     at: int
     seed: int
 
 
 def address(number: int) -> str:
-    """Return where an instance receives."""
+    """Return the address of an instance."""
     return f"127.1.{number // 250}.{number % 250 + 1}:7946"
 
 
 class GroupSimulation:
-    """Runs a scenario."""
+    """One run of a scenario."""
 
     def __init__(self, scenario: GroupScenario, limits: PeerLimits | None = None) -> None:
         self.scenario = scenario
@@ -123,45 +132,45 @@
 
     def _start(self, number: int) -> None:
         self._start_count += 1
-        clock_kept = self._rng.random() < CLOCK_KEPT
+        clock_kept = self._rng.random() < CLOCK_KEPT_RATE
         incarnation = (1000 if clock_kept else 900) + self._start_count
         seeds = [address(seed) for seed in range(self.scenario.seeds)]
         members = Membership(self.limits, number, incarnation, address(number), seeds, self._now)
         protocol = MembershipProtocol(self.limits, members)
         self.instances[number] = Instance(protocol, GossipSchedule(self.limits, number), incarnation)
         self.result.starts += 1
-        self._unknown_starts.append(Start(self._now, number, members.records[number].incarnation))
+        self._unknown_starts.append(Start(self._now, number, members.table.records[number].incarnation))
 
     def run(self) -> GroupResult:
-        """Run to the end and return what it came to."""
+        """Run to the end and return the result."""
         scenario = self.scenario
         for self._now in range(0, scenario.length_us, scenario.step_us):
-            self._let_events_happen()
+            self._process_events()
             self._deliver()
-            # Operators know by then who will not come back; the second time with all that is known.
+            # Operators know by then which instances will not restart; the second time, all are known.
             if self._now in (self._calm_from, scenario.length_us - scenario.calm_us // 2):
                 self._mark_crashed_terminated()
             if self._now % self.limits.send_interval_us < scenario.step_us:
                 self._check_known_starts()
                 for number in self._rng.sample(sorted(self.instances), len(self.instances)):
                     self._send_round(number)
-        digests = {instance.members.digest for instance in self.instances.values()}
+        digests = {instance.members.table.digest for instance in self.instances.values()}
         self.result.agreed = len(digests) == 1
         self.result.final_share_sum = self._share_sum()
         return self.result
 
-    # What happens to the group
+    # Events
 
-    def _let_events_happen(self) -> None:
+    def _process_events(self) -> None:
         while self._events and self._events[0].at <= self._now:
-            self._happen(random.Random(self._events.pop(0).seed))
+            self._process_event(random.Random(self._events.pop(0).seed))
 
-    def _happen(self, rng: random.Random) -> None:
+    def _process_event(self, rng: random.Random) -> None:
         number = rng.randrange(self.scenario.instances)
         if number not in self.instances:
             self._crashed.discard(number)
             self._start(number)
-        elif rng.random() < CUT:
+        elif rng.random() < PARTITION_RATE:
             self._cut_links(number, rng)
         elif self._may_stop(number):
             self._stop(number, rng)
@@ -170,17 +179,17 @@
         for peer in range(self.scenario.instances):
             until = self._now + rng.randrange(SECOND, 5 * SECOND)
             self._cut_until[number, peer] = until
-            if rng.random() < CUT_BOTH_WAYS:
+            if rng.random() < CUT_BOTH_WAYS_RATE:
                 self._cut_until[peer, number] = until
 
     def _may_stop(self, number: int) -> bool:
-        """Return whether an instance may stop: not all seeds may be down at once."""
+        """Return whether an instance may stop: at least one seed keeps running."""
         seeds = self.scenario.seeds
         return number >= seeds or sum(running < seeds for running in self.instances) > 1
 
     def _stop(self, number: int, rng: random.Random) -> None:
         self._crashed.add(number)
-        if rng.random() < LEFT_IN_ORDER:
+        if rng.random() < GRACEFUL_RATE:
             members = self.instances[number].members
             members.leave()
             self._send(number, list(members.quota_holders))
@@ -190,7 +199,7 @@
         for number in sorted(self._crashed):
             next(iter(self.instances.values())).members.mark_terminated(number)
 
-    # What is observed
+    # Measurements
 
     def _check_known_starts(self) -> None:
         for start in list(self._unknown_starts):
@@ -201,7 +210,7 @@
                 self.result.known_after_us.append(self._now - start.at)
 
     def _is_known_to_all(self, start: Start) -> bool:
-        records = [instance.members.records.get(start.instance) for instance in self.instances.values()]
+        records = [instance.members.table.records.get(start.instance) for instance in self.instances.values()]
         return all(record is not None and record.incarnation >= start.incarnation for record in records)
 
     def _share_sum(self) -> float:
@@ -231,11 +240,12 @@
 
     def _send(self, number: int, receivers: list[int]) -> None:
         instance = self.instances[number]
-        numbers_by_address = {address(peer): peer for peer in range(self.scenario.instances)}
         acknowledged = dict.fromkeys(receivers, NO_MESSAGE)
-        for receiver, envelope in instance.protocol.compose(acknowledged, instance.incarnation, lambda: 1):
+        for receiver, envelope in instance.protocol.compose(
+            acknowledged, instance.incarnation, UnnumberedMessages()
+        ):
             if receiver >= FIRST_SEED:
-                receiver = numbers_by_address[instance.members.address_of(receiver)]
+                receiver -= FIRST_SEED  # the first instances are the seeds
             data = codec.encode_envelope(envelope)
             self.result.bytes_sent += len(data)
             if not self._is_lost(number, receiver):
--- a/garnetlanding/emulator/suspicion_model.py
+++ b/garnetlanding/emulator/suspicion_model.py
@@ -1,9 +1,9 @@
-"""Every course that some instances' claims about one backend can take within a number of steps.
+"""Explores, breadth first, every state that instances' claims about one backend can reach in some steps.
 
-They are explored breadth first. In each step each instance, in turn, receives any of the messages on their
-way to it; the backend serves a request of it, or refuses several, or it sends none; and it sends its claims.
-A message arrives in a later step, or never: the next one on the same link takes its place. In each state,
-what an instance suspects is held against what the others have really observed.
+In each step each instance, in turn, receives any of the messages in transit to it; the backend serves one
+request of it, or refuses several, or gets none; and the instance sends its claims. A message arrives in a
+later step, or never: the next one on the same link replaces it. In each state, what an instance suspects is
+checked against what the others have observed.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """What is explored."""
+    """The limits of an exploration."""
 
     instances: int = 3
     steps: int = 4
-    max_states: int = 400_000  # after which it is given up
+    max_states: int = 400_000  # after which the exploration is given up
 
 
 def _listed_backend() -> LocalObservations:
@@ -48,30 +48,30 @@
 
     observations: LocalObservations = field(default_factory=_listed_backend)
     suspicions: SuspicionTable = field(default_factory=lambda: SuspicionTable(LIMITS))
-    # By peer: when it sent the message that was received last from it.
+    # By peer: when it sent the last message received from it.
     received: dict[int, int] = field(default_factory=dict)
-    observed_at: int | None = None  # when it last observed that the backend refuses, or has recovered
+    observed_at: int | None = None  # when it last observed a refused connection, or a recovery
     served_at: int | None = None
 
     def is_suspicious(self, now: int) -> bool:
         """Return whether it suspects the backend on its peers' claims."""
-        return bool(copy.deepcopy(self.suspicions).suspected(now, self.observations))
+        return bool(self.suspicions.suspected(now, self.observations))
 
 
 @dataclass(frozen=True, slots=True)
 class SentMessage:
-    """A message on its way."""
+    """A message in transit."""
 
     sender: int
     receiver: int
     sent_at: int
-    acked_sent_at: int | None  # when the receiver sent what the sender had received last; None: nothing yet
+    acked_sent_at: int | None  # when the receiver sent the acknowledged message; None: there is none
     evidence: tuple[Evidence, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """Before instance `turn` has its turn in the step at `now`."""
+    """The state before the step of instance `turn` at `now`."""
 
     now: int
     turn: int
@@ -81,13 +81,13 @@
 
 @dataclass(slots=True)
 class Explored:
-    """What an exploration came to."""
+    """The result of an exploration."""
 
     states: int = 0
     moves: int = 0
     suspicious: int = 0  # states in which some instance suspects the backend
-    violation: str = ""  # the first law that did not hold
-    whole: bool = True  # nothing within the scope was left out
+    violation: str = ""  # of the first invariant that did not hold; empty: all held
+    is_complete: bool = True  # all states within the scope were explored
 
 
 def _since(at: int | None, now: int) -> int | None:
@@ -95,7 +95,7 @@
 
 
 def state_key(state: State) -> object:
-    """Return the same key for states that cannot come to differ."""
+    """Return a key that is equal for equivalent states."""
     in_transit = sorted(
         (
             message.sender,
@@ -115,7 +115,7 @@
     observation = instance.observations.backends[BACKEND]
     claims = {
         peer: (claim.kind, now - claim.latest_at, claim.expires_at - now, _since(claim.refuted_at, now))
-        for peer, claim in instance.suspicions._claims.get(BACKEND, {}).items()
+        for peer, claim in instance.suspicions.claims_about(BACKEND).items()
     }
     peers = range(len(state.instances))
     return (
@@ -124,14 +124,14 @@
         now - observation.refused.last_at if observation.refused.count else None,
         observation.recovered_at is not None,
         tuple(sorted(claims.items())),
-        tuple(round(instance.suspicions.credit(peer, now), 2) for peer in peers),
+        tuple(round(instance.suspicions.credits.of(peer, now), 2) for peer in peers),
         tuple(sorted(instance.received.items())),
         instance.observed_at,
     )
 
 
 def violation(state: State) -> str:
-    """Return what an instance suspects that it may not; empty where all laws hold."""
+    """Describe a suspicion that violates an invariant; empty where all invariants hold."""
     for number, instance in enumerate(state.instances):
         if not instance.is_suspicious(state.now):
             continue
@@ -150,10 +150,10 @@
 
 
 def moves(state: State, scope: Scope) -> Iterator[State]:
-    """Yield every state that the instance whose turn it is may lead to."""
+    """Yield every state that the step of the next instance can lead to."""
     number = state.turn
     is_last = number + 1 == scope.instances
-    # Of an instance whose turn was before, also what it has just sent: its next message would take the place.
+    # Messages sent in this step by earlier instances too: the next message on their link would replace them.
     arriving = [
         message
         for message in state.in_transit
@@ -184,7 +184,7 @@
 
 
 def _observe(instance: Instance, outcome: Outcome | None, now: int) -> None:
-    """Let the backend answer an instance; None: it is not asked."""
+    """Let the backend respond to an instance; None: it gets no request."""
     if outcome is None:
         return
     if outcome is Outcome.SERVED:
@@ -194,7 +194,7 @@
         results = [api.Result("r", 0, BACKEND, outcome, OBJECTIVE_US // 2, True)]
     else:
         instance.observed_at = now
-        # As many in a row as make evidence.
+        # As many in a row as evidence takes.
         results = [api.Result("r", 0, BACKEND, outcome, 1, False)] * LIMITS.refused_streak
     instance.observations.observe_events(now, results, OBJECTIVE_US)
 
@@ -209,7 +209,7 @@
 
 
 def explore(scope: Scope) -> Explored:
-    """Explore a scope; end at the first state in which a law does not hold."""
+    """Explore a scope; stop at the first state in which an invariant does not hold."""
     found = Explored()
     walk = Walk(
         State(STEP_US, 0, tuple(Instance() for _ in range(scope.instances)), ()),
@@ -224,5 +224,5 @@
             break
     found.states = walk.states
     found.moves = walk.moves
-    found.whole = walk.is_complete and not found.violation
+    found.is_complete = walk.is_complete and not found.violation
     return found
--- a/garnetlanding/emulator/suspicion_net.py
+++ b/garnetlanding/emulator/suspicion_net.py
@@ -1,7 +1,7 @@
-"""Many instances, each with its decision module, before backends of which some stop responding for a time.
+"""Simulates a fleet of decision modules in front of backends, some of which fail for a time.
 
-They run on one simulated clock and network; the same seed gives the same run. What the fleet goes on sending
-to the failed backends is recorded, with instances that gossip about backends and without.
+The instances run on one simulated clock and network; the same seed gives the same run. What the fleet sends
+to the failed backends is recorded, with gossip about backends and without.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 SECOND = 1_000_000
 READ = api.ClassSpec("read", 2.0, 0.2, 200 * MS, SECOND, api.Effect.SAFE)
 PLAN = api.PlanSpec("plan", 1.0, 40.0, 40.0)
-AFTERMATH_US = 10 * SECOND  # how long after the failure requests are counted apart
+AFTERMATH_US = 10 * SECOND  # after the failure, for which requests are counted separately
 
 
 class Failure(Enum):
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What a run is made of. Times are microseconds."""
+    """The parameters of a run. Times are microseconds."""
 
     seed: int = 1
     instances: int = 4
@@ -49,7 +49,7 @@
     recovers_at: int = 14 * SECOND
     length_us: int = 20 * SECOND
     loss: float = 0.02  # of the messages between instances
-    delay_us: int = 10 * MS  # twice that at most
+    delay_us: int = 10 * MS  # of messages between instances; at most twice that
 
     def has_failed(self, backend: str, now: int) -> bool:
         """Return whether a backend has failed and not recovered yet."""
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """A request that was sent to a failed backend."""
+    """An attempt at a failed backend."""
 
     at: int
     instance: int
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class Aftermath:
-    """Requests in the time after the failure."""
+    """Requests in the `AFTERMATH_US` after the failure."""
 
     requested: int = 0
     served: int = 0
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """What a run came to."""
+    """The result of a run."""
 
     attempts: list[Attempt] = field(default_factory=list)  # at backends that have failed
     before: Counter[int] = field(default_factory=Counter)  # by instance, within a second before the failure
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Delivery:
-    """An event on its way to an instance; deliveries are ordered by time."""
+    """An event to be delivered to an instance; deliveries are ordered by time."""
 
     at: int
     sequence: int
@@ -239,17 +239,17 @@
 
 
 def avoided_after(
-    scenario: Scenario, result: RunResult, share: float = 0.1, window_us: int = 500 * MS
+    scenario: Scenario, result: RunResult, fraction: float = 0.1, window_us: int = 500 * MS
 ) -> int:
-    """Return how long after the failure the fleet as a whole avoided the backend, in microseconds.
+    """Return how long after the failure the whole fleet avoided the backend, in microseconds.
 
-    That is when it last sent it at least `share` of its usual requests within a window.
+    That is when it last sent it at least `fraction` of its usual requests within a window.
     """
     usual = result.before.total() * window_us / SECOND
     times = [attempt.at - scenario.fails_at for attempt in result.attempts]
     last = 0
     for index, when in enumerate(times):
         window = times[index : index + int(usual) + 1]
-        if sum(other < when + window_us for other in window) >= share * usual:
+        if sum(other < when + window_us for other in window) >= fraction * usual:
             last = when
     return last
--- a/garnetlanding/lab/byzantine.py
+++ b/garnetlanding/lab/byzantine.py
@@ -40,7 +40,7 @@
     evidence = tuple(
         gossip_message.Evidence(
             gossip_message.EvidenceKind.UNREACHABLE,
-            gossip_message.tag(name),
+            codec.tag(name),
             gossip_message.MAX_UPTIME,
             gossip_message.MAX_COUNT,
             0,
--- a/garnetlanding/ops/replicated_disables.py
+++ b/garnetlanding/ops/replicated_disables.py
@@ -13,13 +13,13 @@
 
 from garnetlanding.ops.admin_state import AdminState, StoredDisable
 from garnetlanding.ops.errors import DisableRejectedError, TooManyFencedError
+from garnetlanding.peers.disable_replication import DisableReplication
 from garnetlanding.peers.disabled_backends import (
     INSTANCE_PREFIX,
     DisabledBackendError,
     DisabledBackends,
     DisableRecord,
 )
-from garnetlanding.peers.failure_detector import FailureDetector
 
 log = logging.getLogger(__name__)
 
@@ -32,15 +32,15 @@
     """
 
     def __init__(
-        self, detector: FailureDetector, instance_number: Callable[[], int], wall_ms: Callable[[], int]
+        self, replication: DisableReplication, instance_number: Callable[[], int], wall_ms: Callable[[], int]
     ) -> None:
-        self._detector = detector
+        self._replication = replication
         self._instance_number = instance_number
         self._wall_ms = wall_ms
 
     def take_received(self) -> list[DisableRecord]:
         """Return, once, the peers' records that are later than this instance's."""
-        return self._detector.take_received()
+        return self._replication.take_received()
 
     def set_disabled(self, state: AdminState, name: str, *, disabled: bool) -> AdminState:
         """Return the state after a decision made here.
@@ -49,7 +49,9 @@
         """
         table = self.table(state)
         try:
-            table.set_disabled(name, disabled, self._instance_number(), self._wall_ms())
+            table.set_disabled(
+                name, disabled=disabled, instance=self._instance_number(), wall_ms=self._wall_ms()
+            )
         except DisabledBackendError as problem:
             raise DisableRejectedError(str(problem), name) from problem
         return self._with_table(state, table)
@@ -62,23 +64,23 @@
         """
         name = INSTANCE_PREFIX + str(instance)
         others = {other for other in state.disabled if other.startswith(INSTANCE_PREFIX)} - {name}
-        if fenced and (len(others) + 1) > instances * self._detector.limits.max_fenced_share:
+        if fenced and (len(others) + 1) > instances * self._replication.limits.max_fenced_share:
             raise TooManyFencedError(name, len(others), instances)
         return self.set_disabled(state, name, disabled=fenced)
 
     def merge(self, state: AdminState, records: list[DisableRecord]) -> AdminState:
         """Return the state after decisions of peers; log how many of them took effect."""
         table = self.table(state)
-        merged = table.merge(records)
-        if merged.news or merged.rejected:
+        result = table.merge(records)
+        if result.accepted or result.rejected:
             log.info(
-                "disables received", extra={"kv": {"count": len(merged.news), "dropped": merged.rejected}}
+                "disables received", extra={"kv": {"count": len(result.accepted), "dropped": result.rejected}}
             )
         return self._with_table(state, table)
 
     def publish(self, state: AdminState) -> None:
         """Gossip the table of this state from now on."""
-        self._detector.replace_disabled(self.table(state))
+        self._replication.replace_table(self.table(state))
 
     def table(self, state: AdminState) -> DisabledBackends:
         """Return the table of a state's records.
@@ -86,9 +88,14 @@
         A name whose record is missing or disagrees with `state.disabled` was changed without replication, or
         by an older program: it counts as decided here and now.
         """
-        table = DisabledBackends(self._detector.limits, (_to_gossip(record) for record in state.records))
+        table = DisabledBackends(self._replication.limits, (_to_gossip(record) for record in state.records))
         for name in sorted(state.disabled ^ table.disabled_names):
-            table.set_disabled(name, name in state.disabled, self._instance_number(), self._wall_ms())
+            table.set_disabled(
+                name,
+                disabled=name in state.disabled,
+                instance=self._instance_number(),
+                wall_ms=self._wall_ms(),
+            )
         return table
 
     @staticmethod
--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -1,8 +1,9 @@
-"""The decision module together with its peers: `PeerCoordinator` stands where the module stood.
+"""Wraps the decision module, so that it takes part in what the instances of a fleet decide together.
 
-It takes the messages of peers out of the events, adds to them what follows from those messages (quota shares,
-suspicions), and adds the instance's own messages to the module's actions. No socket and no clock: it is the
-same on the simulator's wire and on sockets.
+`PeerCoordinator` has the interface of the module. Of the events that it handles, it processes the messages of
+peers itself and passes on the others, together with the events that follow from those messages (quota shares,
+suspicions). It adds the instance's own messages to the module's actions. No socket and no clock: it runs on
+the simulator's wire as well as on sockets.
 """
 
 from __future__ import annotations
@@ -15,6 +16,7 @@
 from garnetlanding.choices.stagger import stagger_offset
 from garnetlanding.core.ports import DecisionModule
 from garnetlanding.decision import interface as api
+from garnetlanding.peers import operator_tables
 from garnetlanding.peers.gossip_schedule import GossipSchedule
 from garnetlanding.peers.history import PeerHistory
 from garnetlanding.peers.leases import Leases, SharedLeases
@@ -29,22 +31,26 @@
     from garnetlanding.peers.membership_protocol import MembershipProtocol
     from garnetlanding.peers.shared_budgets import SharedBudgets
 
-SEND_TIMER = "tell"  # the name of the timer of a round, as the simulator's wire shows it
-STAGGER_SIGNAL = "say"  # gives each instance its place within the first round
+SEND_TIMER = "tell"  # the token of the timer of send rounds; it appears on the simulator's wire
+STAGGER_SIGNAL = "say"  # determines the slots of the instances within the first round
 
 
 @dataclass(frozen=True, slots=True)
 class PeerSubsystems:
-    """What instances exchange beside leases on volume limits; None: it is switched off."""
+    """The optional protocols beside leases on volume limits; None: switched off."""
 
     detector: FailureDetector | None = None
     membership: MembershipProtocol | None = None
     make_budgets: BudgetFactory | None = None
-    history: PeerHistory | None = None  # is given the shares that the module reckons with
+    history: PeerHistory | None = None  # records the shares that the module is notified of
 
 
 class PeerCoordinator:
-    """A decision module that exchanges messages with the other instances of its fleet."""
+    """A decision module that exchanges messages with the other instances of its fleet.
+
+    It stays one class because the order of the steps of `handle` is what keeps shares from being used twice;
+    the steps themselves, and the state behind them, are in the modules that it calls.
+    """
 
     def __init__(
         self,
@@ -53,12 +59,13 @@
         limits: PeerLimits | None = None,
         subsystems: PeerSubsystems | None = None,
         dropped: Counter[str] | None = None,
+        *,
         is_active: bool = True,
     ) -> None:
-        """`incarnation` must be greater at each start of this instance.
+        """Wrap a decision module. `incarnation` must be greater at each start of this instance.
 
-        `dropped` counts by cause the messages that are not used. Not `is_active`: another process of this
-        instance sends for it and uses its shares, until `activate`.
+        `dropped` counts dropped messages by cause. Unless `is_active`, another process of this instance sends
+        for it and uses its shares, until `activate` is called.
         """
         self.module = module
         self.incarnation = incarnation
@@ -75,7 +82,7 @@
         self._round = SendRound(self.limits, incarnation, schedule, detector, membership)
         self._next_round_at = 0
 
-    # State that others read
+    # State
 
     @property
     def settings(self) -> api.Settings:
@@ -84,51 +91,51 @@
 
     @property
     def leases(self) -> Leases | None:
-        """The leases on volume limits; None before the first events."""
+        """The leases on volume limits; None until events have been handled."""
         return self._quota.volumes
 
     @property
     def budgets(self) -> SharedBudgets | None:
-        """The shared budgets, where they are on."""
+        """The shared budgets; None where they are switched off."""
         return self._quota.budgets
 
     @property
     def dropped(self) -> Counter[str]:
-        """How many messages were not used, by cause."""
+        """How many messages were dropped, by cause."""
         return self._receiver.dropped
 
     @property
     def last_sent(self) -> int:
-        """The number of this instance's last message; 0: it has sent none."""
+        """The number of the last message sent; 0: none was sent."""
         return self.leases.contacts.last_number if self.leases else 0
 
     @property
     def last_received(self) -> ReceivedMessage | None:
-        """The last message that was used; None: there was none."""
+        """The last message that was not dropped; None: there was none."""
         return self._receiver.last_received
 
     def shared_leases(self) -> SharedLeases | None:
-        """Return what divides budgets; None before the first events, or while this process is not active."""
+        """Return the leases on budgets; None before any events, or while this process is not active."""
         return self._quota.shared_leases()
 
-    # Between processes of this instance, and its end
+    # Hand-over between processes of an upgrade, suspension and shutdown
 
     def activate(self, now: int) -> None:
-        """Send and use shares from now on, as after a start: the instance's other process has stopped."""
+        """Start to send and to use shares, as after a start: the predecessor process has stopped."""
         self._quota.activate(now)
 
     def deactivate(self, now: int) -> None:
-        """Send and use nothing from now on: another process of this instance takes over."""
+        """Stop sending and using shares: the successor process takes over."""
         self._quota.deactivate(now)
 
-    def set_suspended(self, suspended: bool, now: int) -> None:
-        """Use no share while the instance does not act, or use them again, as after a start."""
+    def set_suspended(self, now: int, *, suspended: bool) -> None:
+        """Stop using shares while the instance must not act, or use them again, as after a start."""
         self._quota.set_suspended(suspended, now)
 
     def leave(self, now: int, send: Callable[[bytes, int | None], None]) -> None:
-        """Use nothing from now on, since this instance ends, and let discovered peers know.
+        """Stop using shares because this instance terminates, and notify discovered peers.
 
-        `send` gets a datagram and its receiver.
+        `send` is called with each datagram and its recipient.
         """
         self._quota.deactivate(now)
         membership = self.subsystems.membership
@@ -139,44 +146,53 @@
         for message in self._round.membership_messages(self.leases, receivers, now):
             send(message.payload, message.recipient)
 
-    # The decision module's call
+    # The decision module's interface
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
-        """Handle events as the decision module does; the actions are its own, and messages to peers."""
+        """Handle events; return the module's actions, and then the instance's messages to its peers.
+
+        All events of one call reach the module in one call, so that it sends nothing on a share that has
+        expired or has been granted to a peer by then.
+        """
         settings = self.module.settings
         quota = self._quota
-        subsystems = self.subsystems
         own_actions: list[api.Action] = []
-        if quota.follow(settings, now, subsystems.membership is not None):
-            # Instances that start together would all send at once: each has its own place in the first round.
-            place = stagger_offset(settings.instance_id, settings.instances, STAGGER_SIGNAL)
-            own_actions.append(self._schedule_round(now, 1 + int(self.limits.send_interval_us * place)))
+        if quota.follow(settings, now, self.subsystems.membership is not None):
+            own_actions.append(self._schedule_first_round(now, settings))
         module_events = self._receive(now, events)
-        if subsystems.membership:
-            quota.follow_members(subsystems.membership, now)
+        if self.subsystems.membership:
+            quota.follow_members(self.subsystems.membership, now)
         if quota.budgets:
             quota.budgets.observe_events(now, module_events, settings, quota.instance_count)
         if now >= self._next_round_at:
-            own_actions.append(self._schedule_round(now, self.limits.send_interval_us))
-            if settings.may_message_peers and quota.is_active:
-                own_actions += self._round.compose(quota, now, self._tightest_objective_us)
-        if subsystems.detector:
-            self._add_suspicions(subsystems.detector, now, module_events)
-        # In the same call as all that was received: the module sends only once it has everything, so that no
-        # share is used any more that has been granted away or has expired.
-        shares = quota.changed_shares(now, settings.instances, subsystems.history)
+            own_actions += self._send_round(now, settings)
+        if self.subsystems.detector:
+            self._add_suspicions(self.subsystems.detector, now, module_events)
+        shares = quota.changed_shares(now, settings.instances, self.subsystems.history)
         if shares is not None:
             module_events.append(shares)
         actions = self.module.handle(now, module_events)
-        if subsystems.detector:
-            subsystems.detector.observations.observe_actions(now, actions)
-        if quota.budgets:
-            # By the settings in force now: the events may have brought new ones.
-            quota.budgets.observe_actions(now, actions, self.module.settings)
+        self._observe_actions(now, actions)
         return actions + own_actions
 
+    def _schedule_first_round(self, now: int, settings: api.Settings) -> api.WakeAfter:
+        """Schedule the first round in this instance's slot: instances that start together would collide."""
+        slot = stagger_offset(settings.instance_id, settings.instances, STAGGER_SIGNAL)
+        return self._schedule_round(now, 1 + int(self.limits.send_interval_us * slot))
+
+    def _schedule_round(self, now: int, delay_us: int) -> api.WakeAfter:
+        self._next_round_at = now + delay_us
+        return api.WakeAfter(delay_us, SEND_TIMER)
+
+    def _send_round(self, now: int, settings: api.Settings) -> list[api.Action]:
+        """Schedule the next round, and return that timer and the messages of this round."""
+        actions: list[api.Action] = [self._schedule_round(now, self.limits.send_interval_us)]
+        if settings.may_message_peers and self._quota.is_active:
+            actions += self._round.compose(self._quota, now, self._tightest_objective_us)
+        return actions
+
     def _receive(self, now: int, events: list[api.Event]) -> list[api.Event]:
-        """Take in the messages of peers and the demand of requests; return the events for the module."""
+        """Process the messages of peers and record the demand of requests; return the module's events."""
         leases = self._quota.leases
         module_events: list[api.Event] = []
         for event in events:
@@ -190,15 +206,18 @@
         return module_events
 
     def _add_suspicions(self, detector: FailureDetector, now: int, module_events: list[api.Event]) -> None:
-        """Observe the events for what they say of backends, and add what peers say where that has changed."""
+        """Record what the events show of backends, and add the suspicions if they have changed."""
         detector.observations.observe_events(now, module_events, self._tightest_objective_us)
         suspicions = detector.changed_suspicions(now)
         if suspicions is not None:
             module_events.append(suspicions)
 
-    def _schedule_round(self, now: int, span_us: int) -> api.WakeAfter:
-        self._next_round_at = now + span_us
-        return api.WakeAfter(span_us, SEND_TIMER)
+    def _observe_actions(self, now: int, actions: list[api.Action]) -> None:
+        if self.subsystems.detector:
+            self.subsystems.detector.observations.observe_actions(now, actions)
+        if self._quota.budgets:
+            # Under the module's present settings: the events may have changed them.
+            self._quota.budgets.observe_actions(now, actions, self.module.settings)
 
     @property
     def _tightest_objective_us(self) -> int:
@@ -207,7 +226,7 @@
     # Tables for operators
 
     def limit_rows(self, now: int) -> Sequence[StatusRow]:
-        """Return how each limit and budget is divided, as this instance sees it."""
+        """Return one row for each limit and budget: how it is divided, as this instance sees it."""
         if self.leases is None:
             return []
         rows = self.leases.limit_rows(now)
@@ -216,22 +235,24 @@
         return rows
 
     def member_rows(self, now: int) -> Sequence[StatusRow]:
-        """Return the instances of the fleet, discovered or configured."""
+        """Return one row for each instance of the fleet, discovered or configured."""
         if self.leases is None:
             return []
         membership = self.subsystems.membership
-        return membership.members.rows(now) if membership else self.leases.peer_rows(now)
+        if membership is None:
+            return self.leases.peer_rows(now)
+        return operator_tables.member_rows(membership.members, now)
 
     def suspicion_rows(self, now: int) -> Sequence[StatusRow]:
-        """Return what this instance and its peers have observed of each backend."""
+        """Return one row for each backend: what this instance and its peers have observed of it."""
         detector = self.subsystems.detector
         if self.leases is None or detector is None:
             return []
         return detector.suspicion_rows(now, self._tightest_objective_us)
 
     def disabled_rows(self) -> Sequence[StatusRow]:
-        """Return the records on backends that operators have disabled or enabled."""
+        """Return one row for each backend that operators have disabled or enabled again."""
         detector = self.subsystems.detector
         if self.leases is None or detector is None:
             return []
-        return detector.disabled_rows()
+        return operator_tables.disabled_rows(detector.disables.table)
--- a/garnetlanding/peers/disabled_backends.py
+++ b/garnetlanding/peers/disabled_backends.py
@@ -1,8 +1,8 @@
-"""The backends that operators have administratively disabled, for all instances of the fleet.
+"""The backends that operators have administratively disabled, replicated to all instances of the fleet.
 
-A last-writer-wins map: by name, the record with the greatest rank (version, then the instance that made it).
-Merging is commutative, associative and idempotent, so tables that have exchanged all records are equal, in
-whatever order the records came. Nothing here knows a clock, a file or a datagram.
+The table is a last-writer-wins map: for each name it holds the record with the greatest rank (version, then
+the instance that made the change). Merging is commutative, associative and idempotent, so instances that have
+exchanged all records hold equal tables, in whatever order the records arrived. No clock, no I/O.
 """
 
 from __future__ import annotations
@@ -14,66 +14,81 @@
 
 from garnetlanding.peers.errors import PeersError
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.status import DisabledBackendRow
 
 DIGEST = 8  # bytes
 EMPTY_DIGEST = bytes(DIGEST)  # digest of an empty table
-INSTANCE_PREFIX = (
-    "head/"  # before its number: the record of an instance that is fenced; no backend is named so
-)
+# Before the number of an instance: the name of the record that fences it. No backend has such a name.
+INSTANCE_PREFIX = "head/"
 
 
 class DisabledBackendError(PeersError, ValueError):
-    """A change that the table cannot take; `backend` is the name that was to be changed."""
+    """A change that the table rejects; `backend` is the name that was to be changed."""
 
-    def __init__(self, text: str, backend: str) -> None:
-        super().__init__(text)
+    def __init__(self, message: str, backend: str) -> None:
+        super().__init__(message)
         self.backend = backend
 
 
+class NameTooLongError(DisabledBackendError):
+    """The record of a name longer than `max_bytes` would not fit into a datagram."""
+
+    def __init__(self, backend: str, max_bytes: int) -> None:
+        super().__init__(f"name of more than {max_bytes} bytes", backend)
+        self.max_bytes = max_bytes
+
+
+class DisabledTableFullError(DisabledBackendError):
+    """The table holds `max_records` records already, all of them of disabled backends."""
+
+    def __init__(self, backend: str, max_records: int) -> None:
+        super().__init__(f"{max_records} servers are out already", backend)
+        self.max_records = max_records
+
+
 class DisableRecord(NamedTuple):
-    """The last change to one backend, or to an instance.
+    """The last change of one backend, or of an instance (`INSTANCE_PREFIX`).
 
-    Records are ordered by name. `version` is in milliseconds of the wall clock where clocks are right.
+    Records are ordered by name. `version` is the wall clock in milliseconds, unless that would have been no
+    greater than a version known before.
     """
 
     backend: str
     version: int
     instance: int  # at which the operator made the change
-    disabled: bool  # False: it was enabled again
+    disabled: bool  # False: enabled again
 
     @property
     def rank(self) -> tuple[int, int, bool]:
-        """Of two records on one backend, the one with the greater rank holds."""
+        """The order among records of one backend: the greatest wins."""
         return self.version, self.instance, self.disabled
 
 
 @dataclass(frozen=True, slots=True)
-class Merged:
-    """What a merge came to."""
+class MergeResult:
+    """The outcome of a merge."""
 
-    news: tuple[DisableRecord, ...]  # the records that were taken up
-    rejected: int  # records that could not be
+    accepted: tuple[DisableRecord, ...]  # records that changed the table
+    rejected: int  # records that the table could not hold
 
 
 class DisabledBackends:
-    """The map of records, bounded in size. Records of enabled backends stay until their place is needed."""
+    """The table of records, bounded in size. Records of enabled backends stay until their room is needed."""
 
     def __init__(self, limits: PeerLimits, records: Iterable[DisableRecord] = ()) -> None:
         self._limits = limits
         self.records: dict[str, DisableRecord] = {}
         self._digest: bytes | None = None
         for record in records:
-            self._take(record)
+            self._insert(record)
 
     @property
     def disabled_names(self) -> frozenset[str]:
-        """The names that are disabled now."""
+        """The names that are disabled."""
         return frozenset(record.backend for record in self.records.values() if record.disabled)
 
     @property
     def digest(self) -> bytes:
-        """A digest of all records: equal tables have equal ones, however they came about."""
+        """The digest of all records: equal tables have equal digests."""
         if self._digest is None:
             text = "\n".join(
                 f"{record.backend} {record.version} {record.instance} {record.disabled:d}"
@@ -86,65 +101,59 @@
     def _highest_version(self) -> int:
         return max((record.version for record in self.records.values()), default=0)
 
-    def set_disabled(self, backend: str, disabled: bool, instance: int, wall_ms: int) -> DisableRecord:
-        """Disable or enable a backend on behalf of an operator at this instance, and return the record.
+    def set_disabled(self, backend: str, *, disabled: bool, instance: int, wall_ms: int) -> DisableRecord:
+        """Disable or enable a backend as an operator of this instance demands, and return the new record.
 
-        Its version is greater than any that is known here, also where the wall clock is behind. Raises
-        DisabledBackendError where the name is too long, or too many backends are disabled already.
+        Its version is greater than any known one, even if the wall clock (`wall_ms`) is behind. Raises
+        NameTooLongError, or DisabledTableFullError.
         """
         if len(backend.encode()) > self._limits.max_name_bytes:
-            raise DisabledBackendError(f"name of more than {self._limits.max_name_bytes} bytes", backend)
-        record = DisableRecord(backend, max(wall_ms, self._highest_version + 1), instance, disabled)
-        if not self._take(record):
-            raise DisabledBackendError(f"{self._limits.max_disable_records} servers are out already", backend)
+            raise NameTooLongError(backend, self._limits.max_name_bytes)
+        version = max(wall_ms, self._highest_version + 1)
+        record = DisableRecord(backend, version, instance, disabled)
+        if not self._insert(record):
+            raise DisabledTableFullError(backend, self._limits.max_disable_records)
         return record
 
-    def merge(self, records: Iterable[DisableRecord]) -> Merged:
-        """Merge records of peers.
+    def merge(self, records: Iterable[DisableRecord]) -> MergeResult:
+        """Merge records of peers, and return which ones changed the table.
 
-        A version may be far ahead of this instance's clock, which may be behind; it is rejected only where no
-        later one could be made.
+        A version far ahead of this instance's clock is accepted, since that clock may be behind. Rejected are
+        only versions so great that an operator could not make a later one.
         """
-        news: list[DisableRecord] = []
+        accepted: list[DisableRecord] = []
         rejected = 0
         for record in records:
             known = self.records.get(record.backend)
             if record.version > self._greatest_acceptable_version:
                 rejected += 1
             elif known is None or record.rank > known.rank:
-                if self._take(record):
-                    news.append(record)
+                if self._insert(record):
+                    accepted.append(record)
                 else:
                     rejected += 1
-        return Merged(tuple(news), rejected)
+        return MergeResult(tuple(accepted), rejected)
 
     @property
     def _greatest_acceptable_version(self) -> int:
         return max(self._limits.max_version, self._highest_version + self._limits.max_version_lead)
 
-    def _take(self, record: DisableRecord) -> bool:
-        """Take a record up unless a later one is known; return False where there is no room for it.
+    def _insert(self, record: DisableRecord) -> bool:
+        """Store a record unless a later one is known; return False where there is no room for it.
 
-        A full table makes room by dropping the record with the lowest rank on a backend that is enabled.
+        A full table makes room by dropping the record of an enabled backend that has the lowest rank.
         """
         known = self.records.get(record.backend)
         if known is not None and known.rank >= record.rank:
             return True
         if known is None and len(self.records) >= self._limits.max_disable_records:
-            enabled = [one for one in [*self.records.values(), record] if not one.disabled]
+            enabled = [candidate for candidate in [*self.records.values(), record] if not candidate.disabled]
             if not enabled:
                 return False
-            oldest = min(enabled, key=lambda one: one.rank)
+            oldest = min(enabled, key=lambda candidate: candidate.rank)
             if oldest is record:
-                return True  # it would be the first to be dropped
+                return True  # it would be dropped first
             del self.records[oldest.backend]
         self.records[record.backend] = record
         self._digest = None
         return True
-
-    def rows(self) -> list[DisabledBackendRow]:
-        """Return, for operators, every record by name."""
-        return [
-            DisabledBackendRow(record.backend, record.disabled, record.instance, record.version)
-            for record in sorted(self.records.values())
-        ]
--- a/garnetlanding/peers/drop_reasons.py
+++ b/garnetlanding/peers/drop_reasons.py
@@ -1,6 +1,6 @@
 """Why a message of a peer, or one entry of it, is dropped.
 
-The values are the words by which dropped messages are counted and logged: operators know them, so they stay.
+Dropped messages are counted and logged by these values, which operators know: they never change.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class DropReason(Enum):
-    """Why something that a peer sent is not used. Messages that cannot be decoded have a `MessageError`."""
+    """Why a message that could be decoded is dropped. If it cannot, the cause is in the `MessageError`."""
 
     UNKNOWN_PEER = "no peer"
     OUTDATED = "old"  # of an earlier incarnation, or overtaken by a later message
@@ -17,3 +17,12 @@
     UNKNOWN_BACKEND = "no such server"
     OTHER_INCARNATION = "other life"  # of the backend: the evidence is about another process
     EXPIRED_EVIDENCE = "word too old"
+
+
+class LinkDropReason(Enum):
+    """Why the link drops a datagram without decoding it."""
+
+    UNKNOWN_SENDER = "no peer"
+    TOO_LONG = "too long"
+    TOO_LONG_TO_SEND = "too long to send"
+    NOT_SENT = "not sent"  # the socket's buffers are full, or the peer is down
--- a/garnetlanding/peers/gossip_message.py
+++ b/garnetlanding/peers/gossip_message.py
@@ -5,10 +5,10 @@
     digest of the sender's table of administratively disabled backends 8 bytes
     each evidence: kind 1 byte | backend 4 (CRC-32 of its name) | uptime of the backend in 0.1 s 2 | count 1 |
         age of the evidence in ms 2
-    each record: version 6 bytes | number of the instance that made it 2 | disabled 1 |
+    each record: version 6 bytes | number of the instance that made the change 2 | disabled 1 |
         length of the name 1 | the backend's name
 
-The counts of the envelope are those of the evidence and of the records.
+The first count of the envelope is that of the evidence, the second that of the records.
 """
 
 from __future__ import annotations
@@ -19,30 +19,29 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from garnetlanding.peers.codec import CHECKSUM, HEADER, Envelope, MessageError, MessageKind, tag
+from garnetlanding.peers.codec import CHECKSUM, HEADER, Envelope, MessageError, MessageKind
 from garnetlanding.peers.disabled_backends import DIGEST, DisableRecord
 
-__all__ = ["Evidence", "EvidenceKind", "GossipMessage", "fit", "read", "tag", "to_envelope"]
-
 EVIDENCE = struct.Struct(">BIHBH")
 RECORD = struct.Struct(">6sHBB")
-MAX_UPTIME = 0xFFFF  # in 0.1 s: the backend has run for longer than can be written, or nobody knows how long
+VERSION_BYTES = 6
+MAX_UPTIME = 0xFFFF  # in 0.1 s: the uptime is at least that long, or unknown
 MAX_COUNT = 0xFF
 MAX_AGE_MS = 0xFFFF
 
 
 class EvidenceKind(IntEnum):
-    """What an instance has observed of a backend; the values stand in datagrams."""
+    """What an instance has observed of a backend; the values are those of the datagrams."""
 
     UNREACHABLE = 1  # connections refused, several in a row
-    UNRESPONSIVE = 2  # requests in flight, and nothing received
+    UNRESPONSIVE = 2  # requests in flight, but no response
     SLOW = 3
     OVERLOADED = 4  # requests rejected, several in a row
     RECOVERED = 5  # responds again after it was unreachable or unresponsive
 
     @property
     def label(self) -> str:
-        """The word for it in operators' answers and in the history."""
+        """The name of the kind in operators' answers and in the history."""
         return _LABELS[self]
 
 
@@ -68,29 +67,32 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipMessage:
-    """What one datagram carries: evidence, and records where the receiver's table differs."""
+    """The content of one datagram: evidence, and records where the receiver's table differs."""
 
-    digest: bytes
+    digest: bytes  # of the sender's table of disabled backends
     evidence: tuple[Evidence, ...] = ()
     records: tuple[DisableRecord, ...] = ()
 
 
 class Fit(NamedTuple):
-    """How many entries of each kind go into one datagram."""
+    """How many pieces of evidence and how many records fit into one datagram."""
 
     evidence: int
     records: int
 
 
 def fit(evidence: Sequence[Evidence], records: Sequence[DisableRecord], size: int) -> Fit:
-    """Return how many of each, from the first on, a datagram of `size` bytes holds; evidence goes first."""
-    left = size - HEADER.size - CHECKSUM.size - DIGEST
-    evidence_count = min(len(evidence), left // EVIDENCE.size)
-    left -= evidence_count * EVIDENCE.size
+    """Return how many of each, counted from the first, fit into a datagram of `size` bytes.
+
+    Evidence takes precedence over records.
+    """
+    available = size - HEADER.size - CHECKSUM.size - DIGEST
+    evidence_count = min(len(evidence), available // EVIDENCE.size)
+    available -= evidence_count * EVIDENCE.size
     record_count = 0
     for record in records:
-        left -= RECORD.size + len(record.backend.encode())
-        if left < 0:
+        available -= RECORD.size + len(record.backend.encode())
+        if available < 0:
             break
         record_count += 1
     return Fit(evidence_count, record_count)
@@ -100,22 +102,8 @@
     message: GossipMessage, incarnation: int, number: int, acked_incarnation: int, acked_number: int
 ) -> Envelope:
     """Return the envelope that carries a message."""
-    parts = [message.digest]
-    for evidence in message.evidence:
-        parts.append(
-            EVIDENCE.pack(
-                evidence.kind,
-                evidence.backend_tag,
-                evidence.uptime,
-                min(evidence.count, MAX_COUNT),
-                min(evidence.age_ms, MAX_AGE_MS),
-            )
-        )
-    for record in message.records:
-        name = record.backend.encode()
-        parts.append(
-            RECORD.pack(record.version.to_bytes(6, "big"), record.instance, record.disabled, len(name)) + name
-        )
+    evidence = [_encode_evidence(entry) for entry in message.evidence]
+    records = [_encode_record(record) for record in message.records]
     return Envelope(
         MessageKind.GOSSIP,
         incarnation,
@@ -123,18 +111,34 @@
         acked_incarnation,
         acked_number,
         (len(message.evidence), len(message.records)),
-        b"".join(parts),
+        b"".join([message.digest, *evidence, *records]),
     )
 
 
+def _encode_evidence(evidence: Evidence) -> bytes:
+    return EVIDENCE.pack(
+        evidence.kind,
+        evidence.backend_tag,
+        evidence.uptime,
+        min(evidence.count, MAX_COUNT),
+        min(evidence.age_ms, MAX_AGE_MS),
+    )
+
+
+def _encode_record(record: DisableRecord) -> bytes:
+    name = record.backend.encode()
+    version = record.version.to_bytes(VERSION_BYTES, "big")
+    return RECORD.pack(version, record.instance, record.disabled, len(name)) + name
+
+
 def read(envelope: Envelope) -> GossipMessage:
-    """Decode the body of an envelope of gossip. Raises MessageError."""
+    """Decode the body of a gossip message. Raises MessageError."""
     evidence_count, record_count = envelope.counts
     body = envelope.body
     records_at = DIGEST + evidence_count * EVIDENCE.size
     if len(body) < records_at:
         raise MessageError("torn", HEADER.size + len(body))
-    evidence = [_read_evidence(body, at) for at in range(DIGEST, records_at, EVIDENCE.size)]
+    evidence = [_read_evidence(body, offset) for offset in range(DIGEST, records_at, EVIDENCE.size)]
     records: list[DisableRecord] = []
     offset = records_at
     for _ in range(record_count):
@@ -153,13 +157,13 @@
 
 
 def _read_record(body: bytes, offset: int) -> tuple[DisableRecord, int]:
-    """Return the record at an offset of the body, and the offset behind it."""
+    """Return the record at an offset of the body, and the offset after it. Raises MessageError."""
     if len(body) < offset + RECORD.size:
         raise MessageError("torn", HEADER.size + offset)
-    version, by, out, length = RECORD.unpack_from(body, offset)
+    version, instance, disabled, length = RECORD.unpack_from(body, offset)
     name_at = offset + RECORD.size
     name = body[name_at : name_at + length]
-    if len(name) != length or not name.isascii() or not name or out > 1:
+    if len(name) != length or not name.isascii() or not name or disabled > 1:
         raise MessageError("no ban", HEADER.size + offset)
-    record = DisableRecord(name.decode(), int.from_bytes(version, "big"), by, bool(out))
+    record = DisableRecord(name.decode(), int.from_bytes(version, "big"), instance, disabled=bool(disabled))
     return record, name_at + length
--- a/garnetlanding/peers/link.py
+++ b/garnetlanding/peers/link.py
@@ -1,6 +1,7 @@
-"""The UDP link between instances: the thin driver below the sans-IO protocols.
+"""The UDP link between instances: the thin driver of the sans-IO peer protocols.
 
-Datagrams of strangers are counted and dropped. A datagram lost, late or duplicated is nobody's error here.
+Datagrams from unknown senders are counted and dropped. Lost, late and duplicated datagrams are no errors: the
+protocols allow for them.
 """
 
 from __future__ import annotations
@@ -11,6 +12,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
+from garnetlanding.peers.drop_reasons import LinkDropReason
 from garnetlanding.peers.setup import PeerSetup
 from garnetlanding.runtime.scheduler import READ, Scheduler
 from garnetlanding.runtime.stream import parse_address
@@ -24,7 +26,7 @@
 
 
 class PeerLink:
-    """Receives datagrams at one address, and sends them to one peer or to all."""
+    """A UDP socket that receives from all peers, and sends to one peer or to all."""
 
     def __init__(
         self,
@@ -34,11 +36,11 @@
         dropped: Counter[str],
         membership: MembershipProtocol | None = None,
     ) -> None:
-        """Open the link. Raises OSError where the address cannot be had.
+        """Open the link. Raises OSError where the address cannot be bound.
 
-        `on_message` gets the number of the sender and the datagram. `dropped` counts by cause; it is logged
-        and emptied every so often. With `membership`, peers are those it has discovered, in place of those
-        that the setup names.
+        `on_message` gets the number of the sender and the datagram. `dropped` counts dropped datagrams by
+        cause; every `drop_report_us` it is logged and cleared. With `membership`, the peers are those that it
+        has discovered instead of those that the setup names.
         """
         self.setup = setup
         self.dropped = dropped
@@ -49,10 +51,10 @@
         self._membership = membership
         self._addresses = {peer: parse_address(address) for peer, address in setup.peers.items()}
         self._peers_by_address = {address: peer for peer, address in self._addresses.items()}
-        self._broadcast = list(self._addresses.values())
+        self._all_peers = list(self._addresses.values())
         if setup.broadcast:
-            self._broadcast = [parse_address(setup.broadcast)]
-        self._named_by_route = {route: named for named, route in setup.routes.items()}
+            self._all_peers = [parse_address(setup.broadcast)]
+        self._advertised_by_route = {route: advertised for advertised, route in setup.routes.items()}
         self._socket = _bind(parse_address(setup.listen))
         host, port = self._socket.getsockname()[:2]
         self.address = f"{host}:{port}"
@@ -60,7 +62,7 @@
         scheduler.call_at(scheduler.now + self._limits.drop_report_us, self._report_dropped)
 
     def _report_dropped(self) -> None:
-        """Log one line for everything that was dropped, however much it was."""
+        """Log one line for all datagrams dropped since the last one, and schedule the next."""
         if self.closed:
             return
         self._scheduler.call_at(self._scheduler.now + self._limits.drop_report_us, self._report_dropped)
@@ -72,30 +74,36 @@
             self.dropped.clear()
 
     def send(self, payload: bytes, recipient: int | None = None) -> None:
-        """Send a datagram to a peer, or to all peers if `recipient` is None.
+        """Send a datagram to one peer by its number, or to all (None).
 
-        A datagram that cannot be sent is counted as dropped.
+        A datagram that cannot be sent is counted as dropped, as if it had been lost on its way.
         """
         if len(payload) > self._limits.datagram_bytes:
-            self.dropped["too long to send"] += 1
+            self.dropped[LinkDropReason.TOO_LONG_TO_SEND.value] += 1
             return
-        for target in self._targets(recipient):
+        for address in self._addresses_of(recipient):
             try:
-                self._socket.sendto(payload, target)
+                self._socket.sendto(payload, address)
             except OSError:
-                # Full buffers, or a peer that is down: as good as lost on the way, and sent again soon.
-                self.dropped["not sent"] += 1
+                self.dropped[LinkDropReason.NOT_SENT.value] += 1
 
-    def _targets(self, recipient: int | None) -> list[SocketAddress]:
+    def _addresses_of(self, recipient: int | None) -> list[SocketAddress]:
         if self._membership is not None:
-            address = None if recipient is None else self._membership.members.address_of(recipient)
-            return [parse_address(self.setup.routes.get(address, address))] if address else []
+            return self._discovered_addresses(self._membership, recipient)
         if recipient is None:
-            return self._broadcast
+            return self._all_peers
         return [self._addresses[recipient]] if recipient in self._addresses else []
 
+    def _discovered_addresses(
+        self, membership: MembershipProtocol, recipient: int | None
+    ) -> list[SocketAddress]:
+        address = None if recipient is None else membership.members.address_of(recipient)
+        if not address:
+            return []
+        return [parse_address(self.setup.routes.get(address, address))]
+
     def close(self) -> None:
-        """Close the link, if it is open; what is waiting to be received is lost."""
+        """Close the link, if it is open; datagrams not received yet are lost."""
         if self.closed:
             return
         self.closed = True
@@ -112,42 +120,42 @@
                 if self.closed or not self._receive_one():
                     break
             else:
-                self._scheduler.sleep(0)  # other tasks have their turn, however much is received
+                self._scheduler.sleep(0)  # let other tasks run, however many datagrams arrive
 
     def _receive_one(self) -> bool:
-        """Receive one datagram; return False when there is none."""
+        """Receive one datagram; return False if none is available."""
         try:
             data, source = self._socket.recvfrom(self._limits.datagram_bytes + 1)
         except BlockingIOError:
             return False
         except OSError:
-            return True  # the network's answer to an earlier datagram that nobody took
+            return True  # an ICMP error that an earlier datagram caused
         sender = self._sender(source[:2], data)
         if sender is None:
-            self.dropped["no peer"] += 1
+            self.dropped[LinkDropReason.UNKNOWN_SENDER.value] += 1
         elif len(data) > self._limits.datagram_bytes:
-            self.dropped["too long"] += 1
+            self.dropped[LinkDropReason.TOO_LONG.value] += 1
         else:
             self._on_message(sender, data)
         return True
 
     def _sender(self, source: SocketAddress, data: bytes) -> int | None:
-        """Return the number of the instance that a datagram is from; None: it is from no peer."""
+        """Return the number of the peer that a datagram is from; None: the sender is unknown."""
         if self._membership is None:
             return self._peers_by_address.get(source)
         host, port = source
         address = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-        named = self._named_by_route.get(address, address)
-        sender = self._membership.members.instance_at(named)
-        return self._membership.introduce(named, data) if sender is None else sender
+        advertised = self._advertised_by_route.get(address, address)
+        sender = self._membership.members.table.running_at(advertised)
+        return self._membership.identify_sender(advertised, data) if sender is None else sender
 
 
 def _bind(address: SocketAddress) -> socket.socket:
-    """Return a UDP socket that receives at an address, not blocking. Raises OSError."""
+    """Return a non-blocking UDP socket bound to an address. Raises OSError."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     bound = socket.socket(family, socket.SOCK_DGRAM)
     try:
-        bound.setblocking(False)
+        bound.settimeout(0)  # non-blocking
         bound.bind(address)
     except OSError:
         bound.close()
--- a/garnetlanding/peers/local_observations.py
+++ b/garnetlanding/peers/local_observations.py
@@ -1,7 +1,7 @@
-"""What this instance itself has observed of each listed backend.
+"""What this instance has observed of each listed backend, and the evidence that its peers are sent.
 
-The events and actions that pass to and from the decision module are observed; nothing is decided here for any
-request. No clock and no socket. Times are microseconds.
+The events that go to the decision module and the actions that come from it are observed; no decision about a
+request is made here. No clock and no socket. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from garnetlanding.peers.gossip_message import MAX_UPTIME, Evidence, EvidenceKind
 from garnetlanding.peers.limits import MS, PeerLimits
 
-UPTIME_UNIT_US = 100_000  # evidence tells uptimes in 0.1 s
-RESPONSES = (Outcome.SERVED, Outcome.ERROR, Outcome.FULL)  # the backend itself has responded
+UPTIME_UNIT_US = 100_000  # of the uptimes in evidence
+RESPONSES = (Outcome.SERVED, Outcome.ERROR, Outcome.FULL)  # the outcomes with a response of the backend
 NOT_RESPONDING = (EvidenceKind.UNREACHABLE, EvidenceKind.UNRESPONSIVE)
 
 
 @dataclass(slots=True)
 class Streak:
-    """Events of one sort in a row."""
+    """Events of one kind without an event of another kind in between."""
 
     count: int = 0
-    last_at: int = 0  # of the last of them; without meaning while there is none
+    last_at: int = 0  # time of the last event; meaningless while `count` is 0
 
     def extend(self, now: int) -> None:
         """Add an event."""
@@ -33,52 +33,55 @@
         self.last_at = now
 
     def reset(self) -> None:
-        """End the streak: an event of another sort came."""
+        """End the streak, after an event of another kind."""
         self.count = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """What the observations of a backend amount to."""
+    """A condition that the observations of a backend show."""
 
     kind: EvidenceKind
     count: int  # of the events that it rests on
-    observed_at: int  # the last of them
+    observed_at: int  # when the last of these events happened
 
 
 @dataclass(slots=True)
 class Observation:
-    """Of one incarnation of one backend. Times are those of the last such event; None: there was none."""
+    """The observations of one incarnation of one backend.
+
+    Times ending in `_at` are those of the last such event; None: there was none.
+    """
 
     endpoint: api.Endpoint
     responded_at: int | None = None
     served_at: int | None = None
     prompt_at: int | None = None  # served within the tightest latency objective
-    in_flight: dict[str, int] = field(default_factory=dict)  # requests, and when each was first sent
-    refused: Streak = field(default_factory=Streak)  # connects
+    in_flight: dict[str, int] = field(default_factory=dict)  # by request, when it was first sent
+    refused: Streak = field(default_factory=Streak)  # connections
     timed_out: Streak = field(default_factory=Streak)  # attempts
-    rejected: Streak = field(default_factory=Streak)  # attempts: the backend was full
-    served: int = 0
-    latency_us: float = 0.0  # moving average, of attempts that were served
-    recovered_at: int | None = None  # responded again after it was unreachable or unresponsive
+    rejected: Streak = field(default_factory=Streak)  # attempts that an overloaded backend rejected
+    served: int = 0  # attempts
+    latency_us: float = 0.0  # exponential moving average over attempts that were served
+    recovered_at: int | None = None  # responded after it was unreachable or unresponsive
 
     def contradicted_at(self, kind: EvidenceKind) -> int | None:
-        """Return when this instance last observed the contrary of such evidence."""
+        """Return when this instance last observed the contrary of such evidence; None: never."""
         if kind in NOT_RESPONDING:
             return self.responded_at
         if kind is EvidenceKind.OVERLOADED:
             return self.served_at
         return self.prompt_at
 
-    def overdue(self, since: int) -> int:
-        """Return how many requests were sent by then and are in flight; 0 if the backend responded later."""
-        if self.responded_at is not None and self.responded_at > since:
+    def overdue(self, sent_before: int) -> int:
+        """Return how many requests in flight were sent at or before a time; 0 if it responded later."""
+        if self.responded_at is not None and self.responded_at > sent_before:
             return 0
-        return sum(sent_at <= since for sent_at in self.in_flight.values())
+        return sum(sent_at <= sent_before for sent_at in self.in_flight.values())
 
 
 class LocalObservations:
-    """The observations of all listed backends that are up."""
+    """The observations of all listed backends that are up and not administratively disabled."""
 
     def __init__(self, limits: PeerLimits) -> None:
         self._limits = limits
@@ -86,12 +89,12 @@
         self._names_by_tag: dict[int, str] = {}
 
     def by_tag(self, backend_tag: int) -> Observation | None:
-        """Return the observation of the listed backend whose name has that tag."""
+        """Return the observations of the listed backend whose name has a tag (`codec.tag`), if any."""
         name = self._names_by_tag.get(backend_tag)
         return None if name is None else self.backends.get(name)
 
     def observe_events(self, now: int, events: Iterable[api.Event], tightest_us: int) -> None:
-        """Observe events before the decision module handles them.
+        """Record what events show of backends; call it before the decision module handles them.
 
         `tightest_us` is the tightest latency objective of all classes.
         """
@@ -104,7 +107,7 @@
                         self._observe_result(observation, event, now, tightest_us)
 
     def observe_actions(self, now: int, actions: Iterable[api.Action]) -> None:
-        """Observe which requests the decision module sends where."""
+        """Record which requests the decision module sends to which backends."""
         for action in actions:
             if isinstance(action, api.Send) and (observation := self.backends.get(action.backend)):
                 observation.in_flight.setdefault(action.request, now)
@@ -131,7 +134,7 @@
     ) -> None:
         responded = result.outcome in RESPONSES
         if responded:
-            finding = self._find(observation, now, tightest_us)
+            finding = self._assess(observation, now, tightest_us)
             if finding is not None and finding.kind in NOT_RESPONDING:
                 observation.recovered_at = now
         observation.in_flight.pop(result.request, None)
@@ -159,10 +162,13 @@
         observation.served += 1
 
     def evidence(self, now: int, tightest_us: int) -> dict[str, Evidence]:
-        """Return the evidence to be sent, by backend: at most one each, the most recent first."""
+        """Return the evidence to be sent, by backend, the most recent first.
+
+        There is at most one piece for each backend, and none that is older than `evidence_us`.
+        """
         found: dict[str, Evidence] = {}
         for name, observation in self.backends.items():
-            finding = self._find(observation, now, tightest_us)
+            finding = self._assess(observation, now, tightest_us)
             if finding is None or now - finding.observed_at > self._limits.evidence_us:
                 continue
             age_ms = -(-(now - finding.observed_at) // MS)
@@ -170,8 +176,8 @@
             found[name] = Evidence(finding.kind, tag(name), uptime, finding.count, age_ms)
         return dict(sorted(found.items(), key=lambda item: item[1].age_ms))
 
-    def _find(self, observation: Observation, now: int, tightest_us: int) -> Finding | None:
-        """Return the gravest thing that the observations amount to."""
+    def _assess(self, observation: Observation, now: int, tightest_us: int) -> Finding | None:
+        """Return the most severe condition that the observations show, if any."""
         limits = self._limits
         refused = observation.refused
         if refused.count >= limits.refused_streak:
@@ -193,7 +199,7 @@
 
 
 def uptime_of(endpoint: api.Endpoint, now: int) -> int:
-    """Return how long ago a backend's process started, as evidence tells it."""
+    """Return the uptime of a backend's process in 0.1 s, at most `MAX_UPTIME`, which also means unknown."""
     if not endpoint.started_us:
         return MAX_UPTIME
     return min(MAX_UPTIME, max(0, now - endpoint.started_us) // UPTIME_UNIT_US)
--- a/garnetlanding/peers/membership.py
+++ b/garnetlanding/peers/membership.py
@@ -1,56 +1,59 @@
-"""The table of instances of a group that is found from a few seeds (docs/design/membership.md).
+"""Whether one instance is a member of its group: joining, fencing, and its even share of what is divided.
 
-Records are merged as they are received, in any order and any number of times, to the same table at every
-instance. From that table, and from whom it has received messages, an instance decides whether it has joined,
-and what share of everything that the group divides is its own. No clock, no socket.
+The group is discovered from a few seeds (docs/design/membership.md). An instance merges the records that it
+receives into its `MembershipTable`, and decides by that table, and by who has confirmed it, what it may use.
+
+The life of an instance, as it sees itself:
+
+=======  ==========================================  ==========  ==========================================
+state    condition                                   even share  next state
+=======  ==========================================  ==========  ==========================================
+joining  not every running instance has confirmed a  0           joined: all have, and one of them had
+         table that holds this one                               joined, or the seeds form a group
+joined   every running instance counts this one      1 / n       fenced
+fenced   its record says terminated, or another      0           none: a new process starts with a greater
+         process uses its number                                 incarnation
+=======  ==========================================  ==========  ==========================================
+
+How an instance sees its peers (up, suspect, terminated) is for operators alone: operator_tables.py.
+No clock and no socket; times are microseconds of this instance's clock.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from dataclasses import dataclass, field
 from enum import Enum
-from hashlib import blake2b
-from typing import NamedTuple
 
-from garnetlanding.peers.disabled_backends import DIGEST
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.status import MemberRow
+from garnetlanding.peers.membership_table import InstanceRecord, MembershipTable
 
-# Seeds have numbers that no instance has, until it is known which instance responds there.
+# Seeds are addressed by numbers that no instance has, until it is known which instance receives there.
 FIRST_SEED = 1 << 16
 
 
-class MemberState(Enum):
-    """An instance as another one sees it; the values stand in operators' answers."""
+class FenceReason(Enum):
+    """Why an instance must stop using shares for good; the values appear in the log."""
 
-    SELF = "me"
-    UP = "up"
-    SUSPECT = "suspect"  # not received from in time
-    TERMINATED = "gone"
+    TERMINATED = "put out"  # marked as terminated, by an operator or by itself
+    DUPLICATE_IDENTITY = "another process has its number"
 
 
-class InstanceRecord(NamedTuple):
-    """The latest statement about one instance.
+@dataclass(slots=True)
+class JoinProgress:
+    """How far an instance has come towards joining its group."""
 
-    Of two, the one of the greater incarnation stands, and within one incarnation `terminated` above running.
-    """
-
-    instance: int
-    incarnation: int
-    terminated: bool
-    address: str
-
-    @property
-    def rank(self) -> tuple[int, bool, str]:
-        """The order among records of one instance: the greatest stands."""
-        return self.incarnation, self.terminated, self.address
+    bootstrap_at: int | None  # when the seeds may form a new group; None: there is a group already
+    confirmed_by: set[int] = field(default_factory=set)  # peers that have sent the digest of an equal table
+    has_sponsor: bool = False  # one of those peers had joined
+    has_joined: bool = False  # never reset: a member that may use nothing is fenced
 
 
 class Membership:
-    """One instance's table of the group, and whether that instance has joined it.
+    """One instance's view of its group, and whether that instance is a member.
 
     Invariant: the even shares of all running instances never add up to more than 1. An instance has none
-    until every instance of its table has confirmed a table that holds it.
+    until every running instance of its table has confirmed a table that holds it.
     """
 
     def __init__(
@@ -58,225 +61,154 @@
     ) -> None:
         """Start with a table of this instance alone.
 
-        `address` is where this instance receives. `seeds` are the same addresses at every instance: a few
-        that run for long. `now` is in microseconds, as everywhere here.
+        `address` is where this instance receives. `seeds` are the addresses of a few long-running instances,
+        the same ones at every instance.
         """
-        self._limits = limits
+        self.limits = limits
         self.me = me
-        self._own = InstanceRecord(me, incarnation, False, address)
-        self.records = {me: self._own}
-        self._seeds = {FIRST_SEED + i: seed for i, seed in enumerate(seeds)}
-        # From when on the seeds may begin a group together; None: there is one, and no other is begun.
-        self._bootstrap_at: int | None = now + limits.bootstrap_us
-        self._received_at: dict[int, int] = {}  # by instance, the last message of its own
-        self._confirmed_by: set[int] = set()  # instances that have had this one's whole table, itself in it
-        self._sponsored = False  # one of them had joined
-        self._joined = False
-        self._rounds: dict[int, int] = {}  # by receiver, how often records beside this one's were sent to it
-        self._changed: dict[
-            int, int
-        ] = {}  # by instance, a number that is greater the later its record changed
-        self._digest: bytes | None = None
-
-    # Messages in and out
+        self._own = InstanceRecord(me, incarnation, terminated=False, address=address)
+        self.table = MembershipTable(self._own, limits.max_instances)
+        self.join = JoinProgress(bootstrap_at=now + limits.bootstrap_us)
+        self.received_at: dict[int, int] = {}  # by instance, when its last message arrived
+        self._seeds = {FIRST_SEED + index: seed for index, seed in enumerate(seeds)}
 
-    @property
-    def digest(self) -> bytes:
-        """A digest of the table: the same for the same records, whatever way they came."""
-        if self._digest is None:
-            text = "\n".join(
-                f"{record.instance} {record.incarnation} {record.terminated:d} {record.address}"
-                for record in sorted(self.records.values())
-            )
-            self._digest = blake2b(text.encode(), digest_size=DIGEST).digest()
-        return self._digest
+    # Messages of peers
 
     def merge(self, records: Iterable[InstanceRecord]) -> int:
-        """Take over every record that outranks the known one; return how many there was no room for."""
-        rejected = 0
+        """Merge records into the table; return how many were dropped because it is full."""
+        dropped = 0
         for record in records:
-            known = self.records.get(record.instance)
-            if known is None and len(self.records) >= self._limits.max_instances:
-                rejected += 1
-            elif known is None or record.rank > known.rank:
-                self._store(self._ahead_of_own_past(record), known)
-        return rejected
+            if not self.table.has_room_for(record):
+                dropped += 1
+            elif self.table.is_outranked_by(record):
+                self._store(self._supersede_own_past(record))
+        return dropped
 
-    def _ahead_of_own_past(self, record: InstanceRecord) -> InstanceRecord:
-        """Return the record, or a newer one of this instance where that is of an earlier start of it.
+    def _supersede_own_past(self, record: InstanceRecord) -> InstanceRecord:
+        """Return the record; in place of one of an earlier start of this instance, a newer one of its own.
 
-        Nobody else can have its number and its address: its clock must have been set back between two starts.
+        A record with this instance's number and address can only be its own. If its incarnation is greater,
+        the wall clock was set back between the two starts.
         """
         own = self._own
-        same_place = (record.instance, record.address) == (own.instance, own.address)
-        if not same_place or record.incarnation <= own.incarnation:
+        is_own = (record.instance, record.address) == (own.instance, own.address)
+        if not is_own or record.incarnation <= own.incarnation:
             return record
         self._own = own._replace(incarnation=record.incarnation + 1)
         return self._own
 
-    def _store(self, record: InstanceRecord, known: InstanceRecord | None) -> None:
-        self.records[record.instance] = record
-        self._changed[record.instance] = max(self._changed.values(), default=0) + 1
-        self._digest = None
-        if known and known.incarnation != record.incarnation:
-            self._confirmed_by.discard(record.instance)  # its new incarnation has to learn of this instance
+    def _store(self, record: InstanceRecord) -> None:
+        known = self.table.records.get(record.instance)
+        self.table.store(record)
+        if known is not None and known.incarnation != record.incarnation:
+            # A new process has to learn of this instance before its confirmation counts.
+            self.join.confirmed_by.discard(record.instance)
 
-    def record_contact(self, sender: int, digest: bytes, joined: bool, now: int) -> None:
-        """Take note of a new message of an instance, after its records were merged.
+    def record_contact(self, sender: int, digest: bytes, now: int, *, sender_joined: bool) -> None:
+        """Register a message of a peer, after its records were merged.
 
-        `digest` is that of the sender's table; `joined` says whether the sender has joined.
+        `digest` is that of the sender's table; `sender_joined` tells whether the sender is a member.
         """
-        if sender not in self.records:
+        if sender not in self.table.records:
             return
-        self._received_at[sender] = now
-        if joined:
-            self._bootstrap_at = None
-        if digest == self.digest:
-            self._confirmed_by.add(sender)
-            self._sponsored = self._sponsored or joined
+        self.received_at[sender] = now
+        if sender_joined:
+            self.join.bootstrap_at = None
+        if digest == self.table.digest:
+            self.join.confirmed_by.add(sender)
+            self.join.has_sponsor = self.join.has_sponsor or sender_joined
         self.update_joined(now)
 
+    # Joining
+
     def update_joined(self, now: int) -> None:
-        """Join if every other instance has confirmed the table, and one of them had joined itself.
+        """Join if every other running instance has confirmed the table and there is a group to join.
 
-        Where nobody has joined yet, all seeds that are not terminated begin the group together.
+        That is: one of them had joined before, or the seeds may form a new group together.
         """
-        if self._joined or not self._confirmed_by >= self.quota_holders - {self.me}:
+        others = self.quota_holders - {self.me}
+        if self.join.has_joined or not self.join.confirmed_by >= others:
             return
-        present = {record.address for record in self.present}
-        left = {record.address for record in self.records.values() if record.terminated} - present
-        seeds = {self.instance_at(seed) for seed in self._seeds.values() if seed not in left}
-        is_time = self._bootstrap_at is not None and now >= self._bootstrap_at
-        may_begin = is_time and seeds <= self._confirmed_by | {self.me}
-        self._joined = self._sponsored or may_begin
-
-    def records_for(self, receiver: int, digest: bytes | None) -> list[InstanceRecord]:
-        """Return what is sent to an instance, the most important first, as many of it as fit.
-
-        This instance's own record always; the others where the receiver's table differs (`digest`: as last
-        received from it). Every other time the latest changes go first, so that they spread fast, and in the
-        rounds between each record has its turn.
-        """
-        own = self.records[self.me]
-        others = sorted(record for record in self.records.values() if record.instance != self.me)
-        if digest == self.digest or not others:
-            return [own]
-        self._rounds[receiver] = self._rounds.get(receiver, 0) + 1
-        if self._rounds[receiver] % 2:
-            latest = sorted(others, key=lambda record: self._changed.get(record.instance, 0), reverse=True)
-            return [own, *latest]
-        begin = self._rounds[receiver] // 2 * self._limits.membership_rotation % len(others)
-        return [own, *others[begin:], *others[:begin]]
+        self.join.has_joined = self.join.has_sponsor or self._may_bootstrap(now)
+
+    def _may_bootstrap(self, now: int) -> bool:
+        """Return whether the seeds form a new group: all that still run have confirmed the table."""
+        if self.join.bootstrap_at is None or now < self.join.bootstrap_at:
+            return False
+        running = {record.address for record in self.table.running}
+        terminated = {record.address for record in self.table.records.values() if record.terminated} - running
+        seeds = {self.table.running_at(seed) for seed in self._seeds.values() if seed not in terminated}
+        return seeds <= self.join.confirmed_by | {self.me}
+
+    # Whom to send to
 
     def extra_receivers(self, now: int) -> list[int]:
-        """Return whom to send to beside the other instances.
+        """Return the receivers of membership messages beside the running instances.
 
-        These are seeds at whose address no instance is known, under their seed numbers, and instances that
-        still send though their record says they are terminated: they have to learn that.
+        These are seeds at whose address no instance is known, by their seed numbers, and instances that still
+        send although they are marked as terminated: they have to learn that.
         """
-        addresses = {record.address for record in self.present}
+        addresses = {record.address for record in self.table.running}
         unknown_seeds = [number for number, seed in self._seeds.items() if seed not in addresses]
         still_sending = [
             record.instance
-            for record in self.records.values()
+            for record in self.table.records.values()
             if record.terminated
             and record.instance != self.me
-            and self._received_within(record.instance, now, self._limits.stale_us)
+            and self.was_received_within(record.instance, now, self.limits.stale_us)
         ]
         return unknown_seeds + still_sending
 
-    def _received_within(self, instance: int, now: int, span_us: int) -> bool:
-        received_at = self._received_at.get(instance)
+    def was_received_within(self, instance: int, now: int, span_us: int) -> bool:
+        """Return whether a message of an instance arrived within the last `span_us`."""
+        received_at = self.received_at.get(instance)
         return received_at is not None and now - received_at <= span_us
 
-    def address_of(self, receiver: int) -> str:
-        """Return the address of an instance or a seed; empty where it is not known."""
-        record = self.records.get(receiver)
-        return self._seeds.get(receiver, "") if record is None else record.address
+    def address_of(self, receiver: int) -> str | None:
+        """Return the address of an instance or of a seed number; None: it is not known."""
+        record = self.table.records.get(receiver)
+        return self._seeds.get(receiver) if record is None else record.address
 
-    def instance_at(self, address: str) -> int | None:
-        """Return the instance that sends from an address, as far as is known."""
-        return next((record.instance for record in self.present if record.address == address), None)
+    # Termination and fencing
 
     def leave(self) -> None:
-        """Mark this instance as terminated: it uses nothing any more."""
-        self.merge([self.records[self.me]._replace(terminated=True)])
+        """Mark this instance as terminated, so that it uses nothing any more."""
+        self.merge([self.table.records[self.me]._replace(terminated=True)])
 
     def mark_terminated(self, instance: int) -> bool:
-        """Mark an instance as stopped for good, as an operator says; False where it is not known."""
-        if instance not in self.records:
+        """Mark an instance as terminated on an operator's behalf; return False where it is not known."""
+        record = self.table.records.get(instance)
+        if record is None:
             return False
-        self.merge([self.records[instance]._replace(terminated=True)])
+        self.merge([record._replace(terminated=True)])
         return True
 
-    # What follows from the table
-
     @property
-    def present(self) -> list[InstanceRecord]:
-        """The records of instances that are not terminated."""
-        return [record for record in self.records.values() if not record.terminated]
+    def fence_reason(self) -> FenceReason | None:
+        """Why this instance must stop using shares; None: it need not."""
+        record = self.table.records[self.me]
+        if record == self._own:
+            return None
+        if record.incarnation == self._own.incarnation and record.terminated:
+            return FenceReason.TERMINATED
+        return FenceReason.DUPLICATE_IDENTITY
+
+    # What the instance may use
 
     @property
     def quota_holders(self) -> set[int]:
-        """The instances that shares are divided among: all that are not terminated.
+        """The instances that shares are divided among: all that have not terminated.
 
-        One that nothing is received from may merely be cut off, and still use its share.
+        An unresponsive one counts: it may merely be cut off, and still use its share.
         """
-        return {record.instance for record in self.present}
-
-    @property
-    def fence_reason(self) -> str:
-        """Why this instance must suspend all use of shares; empty where it need not."""
-        record = self.records[self.me]
-        if record == self._own:
-            return ""
-        if record.incarnation == self._own.incarnation and record.terminated:
-            return "put out"
-        return "another process has its number"
+        return {record.instance for record in self.table.running}
 
     @property
     def joined(self) -> bool:
-        """Whether every instance of the table counts this one."""
-        return self._joined and not self.fence_reason
+        """Whether this instance is a member: every running instance counts it, and it is not fenced."""
+        return self.join.has_joined and self.fence_reason is None
 
     @property
     def even_share(self) -> float:
-        """The own even share of everything that all instances divide; 0 until this one has joined."""
+        """The even share of whatever the group divides that this instance may use; 0 unless a member."""
         return 1 / len(self.quota_holders) if self.joined else 0.0
-
-    def state(self, instance: int, now: int) -> MemberState:
-        """Return an instance's state as this one sees it."""
-        if self.records[instance].terminated:
-            return MemberState.TERMINATED
-        if instance == self.me:
-            return MemberState.SELF
-        if self._received_within(instance, now, self.suspect_after_us):
-            return MemberState.UP
-        return MemberState.SUSPECT
-
-    @property
-    def suspect_after_us(self) -> int:
-        """The silence after which an instance is suspected.
-
-        As many rounds as it takes for each instance to be sent to, with some of them lost.
-        """
-        rounds = -(-max(1, len(self.quota_holders) - 1) // self._limits.fanout)
-        return self._limits.stale_us * rounds
-
-    def rows(self, now: int) -> list[MemberRow]:
-        """Return one row for each instance, for operators."""
-        return [
-            MemberRow(
-                instance=record.instance,
-                state=self.state(record.instance, now).value,
-                incarnation=record.incarnation,
-                address=record.address,
-                last_received_ms=self._received_ms(record.instance, now),
-                even_share=self.even_share if record.instance == self.me else None,
-            )
-            for record in sorted(self.records.values())
-        ]
-
-    def _received_ms(self, instance: int, now: int) -> int | None:
-        received_at = self._received_at.get(instance)
-        return None if received_at is None else (now - received_at) // 1000
--- a/garnetlanding/peers/membership_protocol.py
+++ b/garnetlanding/peers/membership_protocol.py
@@ -1,4 +1,4 @@
-"""The messages about the instances of a group: what one instance sends, and what follows from those received.
+"""Exchanges membership records with peers: composes the messages to them and merges those received.
 
 No clock, no socket; `PeerCoordinator` carries the messages.
 """
@@ -6,14 +6,16 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 
 from garnetlanding.peers import codec, membership_message
 from garnetlanding.peers.codec import Envelope, MessageError
 from garnetlanding.peers.history import PeerHistory
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.membership import Membership
+from garnetlanding.peers.membership import FenceReason, Membership
 from garnetlanding.peers.membership_message import MembershipMessage
+from garnetlanding.peers.peer_contacts import MessageId, MessageNumbering
+from garnetlanding.peers.record_dissemination import RecordDissemination
 
 log = logging.getLogger(__name__)
 
@@ -25,10 +27,16 @@
         self.limits = limits
         self.members = members
         self._history = history
-        self._digests: dict[int, bytes] = {}  # of each instance's table, as last received from it
+        self._dissemination = RecordDissemination(limits, members.table, members.me)
+        self._digests: dict[int, bytes] = {}  # of each peer's table, as last received from it
 
-    def introduce(self, address: str, data: bytes) -> int | None:
-        """Return who sends from an address of no known instance: its own record must name that address."""
+    # Messages of peers
+
+    def identify_sender(self, address: str, data: bytes) -> int | None:
+        """Return which instance a datagram from an unknown address is from; None: it cannot be told.
+
+        The sender's own record, the first of the message, must name that address.
+        """
         try:
             envelope = codec.decode_envelope(data, self.limits.datagram_bytes)
             own = membership_message.read(envelope).records[0]
@@ -39,69 +47,68 @@
     def merge(self, envelope: Envelope) -> MembershipMessage:
         """Decode a message and merge its records. Raises MessageError."""
         message = membership_message.read(envelope)
-        before = self.members.digest
+        digest_before = self.members.table.digest
         self.members.merge(message.records)
-        if self.members.digest != before:
+        if self.members.table.digest != digest_before:
             self._write_history()
         return message
 
-    def leave(self) -> None:
-        """Mark this instance as terminated; the next messages say so."""
-        self.members.leave()
-        self._write_history()
-
     def record_contact(self, sender: int, message: MembershipMessage, now: int) -> None:
-        """Take note of a new message of an instance, after its records were merged."""
-        had_joined = self.members.joined
+        """Register a message of a peer, after its records were merged."""
+        was_member = self.members.joined
         self._digests[sender] = message.digest
-        self.members.record_contact(sender, message.digest, message.joined, now)
-        self._report_joined(had_joined)
+        self.members.record_contact(sender, message.digest, now, sender_joined=message.joined)
+        self._report_joined(was_member=was_member)
+
+    # What happens at this instance
 
     def update_joined(self, now: int) -> None:
-        """Look, once a round, whether the group may begin: that needs no message of anybody."""
-        had_joined = self.members.joined
+        """Join where time alone allows it: once a round, since the group may begin without any message."""
+        was_member = self.members.joined
         self.members.update_joined(now)
-        self._report_joined(had_joined)
+        self._report_joined(was_member=was_member)
+
+    def leave(self) -> None:
+        """Mark this instance as terminated; the messages composed from now on say so."""
+        self.members.leave()
+        self._write_history()
+
+    def report_fenced(self, reason: FenceReason) -> None:
+        """Log that this instance has been fenced, and write its history."""
+        log.warning("instance fenced", extra={"kv": {"reason": reason.value}})
+        self._write_history()
 
-    def _report_joined(self, had_joined: bool) -> None:
-        if self.members.joined and not had_joined:
+    def _report_joined(self, *, was_member: bool) -> None:
+        if self.members.joined and not was_member:
             log.info(
                 "instance joined the group", extra={"kv": {"instances": len(self.members.quota_holders)}}
             )
             self._write_history()
 
+    def _write_history(self) -> None:
+        if self._history:
+            self._history.members_changed(self.members.quota_holders, self.members.even_share)
+
+    # Messages to peers
+
     def compose(
-        self, acknowledged: Mapping[int, tuple[int, int]], incarnation: int, next_number: Callable[[], int]
+        self, last_received: Mapping[int, MessageId], incarnation: int, numbering: MessageNumbering
     ) -> list[tuple[int, Envelope]]:
-        """Return one message or a few to each receiver.
+        """Return one message or a few for each receiver, with the receiver.
 
-        `acknowledged` has the receivers, with incarnation and number of the last message received from each.
-        `next_number` gives the number of another message; messages at the same place in the sequences to
-        several receivers have the same one.
+        `last_received` names the receivers, and the last message received from each, which is acknowledged.
         """
-        members = self.members
         composed: list[tuple[int, Envelope]] = []
-        numbers: list[int] = []  # of the first message to each receiver, of the second, and so on
-        for receiver, last_received in acknowledged.items():
-            records = members.records_for(receiver, self._digests.get(receiver))
-            pages = membership_message.paginate(
-                records, self.limits.datagram_bytes, self.limits.membership_pages
-            )
-            for place, page in enumerate(pages):
-                if place == len(numbers):
-                    numbers.append(next_number())
-                message = MembershipMessage(members.digest, tuple(page), members.joined)
-                envelope = membership_message.to_envelope(
-                    message, incarnation, numbers[place], *last_received
-                )
+        for receiver, acknowledged in last_received.items():
+            for index, message in enumerate(self._pages_for(receiver)):
+                number = numbering.number_at(index)
+                envelope = membership_message.to_envelope(message, incarnation, number, *acknowledged)
                 composed.append((receiver, envelope))
         return composed
 
-    def report_fenced(self, reason: str) -> None:
-        """Log that this instance has been fenced, and write its history."""
-        log.warning("instance fenced", extra={"kv": {"reason": reason}})
-        self._write_history()
-
-    def _write_history(self) -> None:
-        if self._history:
-            self._history.members_changed(self.members.quota_holders, self.members.even_share)
+    def _pages_for(self, receiver: int) -> list[MembershipMessage]:
+        """Return the messages of one round for a receiver."""
+        members = self.members
+        records = self._dissemination.records_for(receiver, self._digests.get(receiver))
+        pages = membership_message.paginate(records, self.limits.datagram_bytes, self.limits.membership_pages)
+        return [MembershipMessage(members.table.digest, tuple(page), members.joined) for page in pages]
--- a/garnetlanding/peers/peer_contacts.py
+++ b/garnetlanding/peers/peer_contacts.py
@@ -1,41 +1,44 @@
-"""Which messages were exchanged with each peer: numbers, acknowledgements, and what peers request.
+"""The message exchange with each peer: message numbers, acknowledgements, and what peers request.
 
-An instance numbers its messages; each message acknowledges the last one of the receiver. A grant runs from
-the moment at which the acknowledged message was sent, so those moments are remembered here for a while. No
-clock and no socket; times are microseconds of this instance's clock.
+An instance numbers its messages, and each message acknowledges the last one received from its receiver. A
+lease runs from the moment at which the acknowledged message was sent, so those moments are remembered for a
+while. No clock and no socket; times are microseconds of this instance's clock.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import NamedTuple
+from typing import NamedTuple, Protocol
 
 from garnetlanding.peers.drop_reasons import DropReason
 from garnetlanding.peers.limits import PeerLimits
 
 
 class MessageId(NamedTuple):
-    """Which message of an instance: numbers grow within an incarnation, incarnations with each start."""
+    """Identifies a message of one instance.
+
+    Numbers grow within an incarnation, and incarnations with each start, so identifiers are ordered by time.
+    """
 
     incarnation: int
     number: int
 
 
-NO_MESSAGE = MessageId(0, 0)  # in place of the last message of a peer that has sent none
+NO_MESSAGE = MessageId(0, 0)  # acknowledged, on the wire too, where nothing was received from a peer
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceIdentity:
-    """Which instance this is. `instances` is the size of the fleet; it numbers its members from 0."""
+    """Which instance of the fleet this is, and which process of that instance."""
 
-    number: int
-    instances: int
+    number: int  # 0 to `instances` - 1
+    instances: int  # the size of the fleet
     incarnation: int  # greater after each start
 
 
 @dataclass(frozen=True, slots=True)
 class ShareRequest:
-    """What a peer wants of a limit, as last received."""
+    """The share of a limit that a peer requested last."""
 
     share: float
     hosts: int
@@ -44,27 +47,35 @@
 
 @dataclass(slots=True)
 class PeerContact:
-    """The last message of a peer, and what it requests by volume."""
+    """The last message received from a peer, and its requests by the tag of their volume."""
 
     last_message: MessageId
     received_at: int
     requests: dict[int, ShareRequest] = field(default_factory=dict)
 
 
+class MessageNumbering(Protocol):
+    """Numbers the messages of one round."""
+
+    def number_at(self, index: int) -> int:
+        """Return the number of the message at an index, from 0, of the sequence to each receiver."""
+        ...
+
+
 class PeerContacts:
-    """The exchange with all peers of one instance."""
+    """The message exchange of one instance with all of its peers."""
 
     def __init__(self, limits: PeerLimits, identity: InstanceIdentity, last_number: int = 0) -> None:
-        """`last_number` is that of the last message that this incarnation has sent."""
+        """Start without any contact. `last_number` is that of the last message sent by this incarnation."""
         self._limits = limits
         self._incarnation = identity.incarnation
         self.peers = frozenset(range(identity.instances)) - {identity.number}
         self.by_peer: dict[int, PeerContact] = {}
-        self.sent: dict[int, int] = {}  # when this instance sent its last messages, by their numbers
+        self.sent: dict[int, int] = {}  # by number, when this instance sent each of its latest messages
         self.last_number = last_number
 
     def copy(self) -> PeerContacts:
-        """Return contacts that change by themselves."""
+        """Return a copy that changes independently of the original."""
         new = object.__new__(type(self))
         new.__dict__.update(self.__dict__)
         new.sent = dict(self.sent)
@@ -75,10 +86,10 @@
         return new
 
     def accept(self, sender: int, incarnation: int, number: int, now: int) -> DropReason | None:
-        """Register any message of a peer; return why it is dropped, if it is.
+        """Register a message of a peer; return why it must be dropped, or None where it is the newest one.
 
-        A peer that was not heard for `stale_us` is taken at its word again: its clock may have been set back,
-        so that its new incarnation is smaller.
+        After `stale_us` without a message any one is accepted: the peer may have restarted with its wall
+        clock set back, and then its incarnation is smaller than before.
         """
         if sender not in self.peers:
             return DropReason.UNKNOWN_PEER
@@ -98,19 +109,19 @@
     def sent_at(self, incarnation: int, number: int) -> int | None:
         """Return when this instance sent the message that a peer acknowledges.
 
-        None: not lately, or by another incarnation.
+        None: too long ago to be remembered, or another incarnation sent it.
         """
         if incarnation != self._incarnation:
             return None
         return self.sent.get(number)
 
     def last_received(self, peer: int) -> MessageId:
-        """Return which message was the last of a peer; `NO_MESSAGE` where it has sent none."""
+        """Return the last message received from a peer, `NO_MESSAGE` if there is none: it is acknowledged."""
         contact = self.by_peer.get(peer)
         return NO_MESSAGE if contact is None else contact.last_message
 
     def next_number(self, now: int) -> int:
-        """Return the number of a message that is sent now, and remember when it was sent."""
+        """Allocate the number of a message that is sent now, and remember that time."""
         self.last_number += 1
         self.sent[self.last_number] = now
         while len(self.sent) > self._limits.remembered_messages:
@@ -118,7 +129,7 @@
         return self.last_number
 
     def requesters(self, now: int) -> set[int]:
-        """Return the peers that lately requested a share of anything."""
+        """Return the peers that requested a share of anything within `stale_us`."""
         return {
             peer
             for peer, contact in self.by_peer.items()
@@ -126,10 +137,30 @@
         }
 
     def requested_shares(self, volume: int, now: int) -> dict[int, float]:
-        """Return the share that each peer requests of a volume, in the order of their numbers."""
+        """Return the share that each peer requested of a volume within `stale_us`, ordered by peer."""
         shares: dict[int, float] = {}
         for peer, contact in sorted(self.by_peer.items(), key=lambda item: item[0]):
             request = contact.requests.get(volume)
             if request is not None and now - request.received_at <= self._limits.stale_us:
                 shares[peer] = request.share
         return shares
+
+
+class RoundNumbering:
+    """Numbers the messages that one round sends to several receivers.
+
+    Messages at the same index of their sequences have the same number, so that a round to any number of
+    receivers uses no more numbers than its longest sequence has messages.
+    """
+
+    def __init__(self, contacts: PeerContacts, now: int) -> None:
+        """`now` is when the round is sent."""
+        self._contacts = contacts
+        self._now = now
+        self._numbers: list[int] = []
+
+    def number_at(self, index: int) -> int:
+        """Return the number of the message at an index, from 0; indexes are first asked for in order."""
+        if index == len(self._numbers):
+            self._numbers.append(self._contacts.next_number(self._now))
+        return self._numbers[index]
--- a/garnetlanding/peers/receiver.py
+++ b/garnetlanding/peers/receiver.py
@@ -1,4 +1,4 @@
-"""Receives the datagrams of peers: decodes them and passes each on by its kind. No clock, no socket."""
+"""Decodes the datagrams of peers and dispatches each to the protocol of its kind. No clock, no socket."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ReceivedMessage(NamedTuple):
-    """Which message was received: of which instance, and its place among the messages of that one."""
+    """Identifies a message that was received."""
 
     sender: int
     incarnation: int
@@ -25,7 +25,7 @@
 
 
 class MessageReceiver:
-    """Takes in the messages of peers, and counts those that are dropped by cause."""
+    """Processes the messages of peers, and counts those that are dropped by cause."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         membership: MembershipProtocol | None,
         dropped: Counter[str],
     ) -> None:
-        """`detector` and `membership`: None where messages of that kind are switched off."""
+        """Collect the protocols; `detector` and `membership` are None where they are switched off."""
         self._limits = limits
         self._quota = quota
         self._detector = detector
@@ -44,7 +44,7 @@
         self.last_received: ReceivedMessage | None = None  # the last message that was not dropped
 
     def receive(self, sender: int, payload: bytes, now: int) -> None:
-        """Take in one datagram; one that cannot be used is counted and changes nothing."""
+        """Process one datagram. One that is dropped is counted and changes nothing."""
         try:
             envelope = codec.decode_envelope(payload, self._limits.datagram_bytes)
             reason = self._dispatch(sender, envelope, now)
@@ -57,7 +57,7 @@
         self.last_received = ReceivedMessage(sender, envelope.incarnation, envelope.number)
 
     def _dispatch(self, sender: int, envelope: Envelope, now: int) -> DropReason | None:
-        """Pass a message on by its kind; return why it is dropped, if it is. Raises MessageError."""
+        """Process a message by its kind; return why it is dropped, if it is. Raises MessageError."""
         if envelope.kind == MessageKind.MEMBERSHIP and self._membership:
             return self._receive_membership(self._membership, sender, envelope, now)
         if envelope.kind == MessageKind.GOSSIP and self._detector:
@@ -71,7 +71,7 @@
     def _receive_membership(
         self, membership: MembershipProtocol, sender: int, envelope: Envelope, now: int
     ) -> DropReason | None:
-        # Records are merged whoever sent them, and first: the sender may be known by its own record alone.
+        # Records are merged first, and whoever sent them: the sender may be known by its own record alone.
         message = membership.merge(envelope)
         self._quota.follow_members(membership, now)
         reason = self._quota.leases.contacts.accept(sender, envelope.incarnation, envelope.number, now)
--- a/garnetlanding/peers/send_round.py
+++ b/garnetlanding/peers/send_round.py
@@ -2,15 +2,16 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
 from garnetlanding.decision import interface as api
 from garnetlanding.peers import codec
-from garnetlanding.peers.codec import LeaseMessage, MessageKind
+from garnetlanding.peers.codec import Envelope, LeaseMessage, MessageKind
 from garnetlanding.peers.gossip_schedule import GossipSchedule
 from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.peer_contacts import MessageId
+from garnetlanding.peers.peer_contacts import MessageId, RoundNumbering
 from garnetlanding.peers.quota_use import QuotaUse
 
 if TYPE_CHECKING:  # what is off is not imported
@@ -19,7 +20,7 @@
 
 
 class SendRound:
-    """What this instance sends: leases and budgets, then gossip about backends, then membership."""
+    """Composes a round: leases on volume limits and budgets, then gossip about backends, then membership."""
 
     def __init__(
         self,
@@ -29,7 +30,7 @@
         detector: FailureDetector | None,
         membership: MembershipProtocol | None,
     ) -> None:
-        """`detector` and `membership`: None where messages of that kind are switched off."""
+        """Collect the protocols; `detector` and `membership` are None where they are switched off."""
         self._limits = limits
         self._incarnation = incarnation
         self._schedule = schedule
@@ -39,62 +40,68 @@
     def compose(self, quota: QuotaUse, now: int, objective_us: int) -> list[api.SendPeerMessage]:
         """Return the messages of a round at `now`, in the order in which they are sent.
 
-        `objective_us` is the tightest latency objective: backends are judged by it. What is granted in these
-        messages counts as given away from now on.
+        Shares granted in these messages are the receivers' from now on, whether the messages arrive or not.
+        `objective_us` is the tightest latency objective, which backends are judged by.
         """
         leases = quota.leases
-        divided = [(leases, MessageKind.LEASES)]
+        leases_by_kind = {MessageKind.LEASES: leases}
         if quota.budgets:
-            divided.append((quota.budgets.leases, MessageKind.BUDGETS))
-        partners = dict.fromkeys(peer for some, _ in divided for peer in some.active_peers(now))
-        receivers = self._schedule.round(leases.contacts.peers, partners)
+            leases_by_kind[MessageKind.BUDGETS] = quota.budgets.leases
+        receivers = self._receivers(leases_by_kind.values(), leases, now)
         messages: list[api.SendPeerMessage] = []
-        for some, kind in divided:
-            messages += self._lease_messages(some, kind, receivers, now)
+        for kind, some_leases in leases_by_kind.items():
+            messages += self._lease_messages(some_leases, kind, receivers, now)
         if self._detector:
             messages += self._gossip(self._detector, leases, receivers, now, objective_us)
         if self._membership:
             self._membership.update_joined(now)
-            extra = self._membership.members.extra_receivers(now)
-            messages += self.membership_messages(leases, [*receivers, *extra], now)
+            extra_receivers = self._membership.members.extra_receivers(now)
+            messages += self.membership_messages(leases, [*receivers, *extra_receivers], now)
         return messages
 
+    def _receivers(self, all_leases: Iterable[Leases], volume_leases: Leases, now: int) -> list[int]:
+        """Return the peers of this round: the next ones in turn, and those that share something with this."""
+        partners = dict.fromkeys(peer for leases in all_leases for peer in leases.active_peers(now))
+        return self._schedule.round(volume_leases.contacts.peers, partners)
+
     def _lease_messages(
         self, leases: Leases, kind: MessageKind, receivers: list[int], now: int
     ) -> list[api.SendPeerMessage]:
         messages: list[api.SendPeerMessage] = []
-        numbers: list[int] = []  # of the first message to each receiver, of the second, and so on
+        numbering = RoundNumbering(leases.contacts, now)
         for receiver, (asks, grants) in leases.compose(now, receivers).items():
+            acknowledged = leases.contacts.last_received(receiver)
             pages = codec.paginate(asks, grants, self._limits.datagram_bytes)
-            for place, page in enumerate(pages):
-                if place == len(numbers):
-                    numbers.append(leases.contacts.next_number(now))
-                last_received = leases.contacts.last_received(receiver)
-                message = LeaseMessage(self._incarnation, numbers[place], *last_received, *page)
+            for index, page in enumerate(pages):
+                number = numbering.number_at(index)
+                message = LeaseMessage(self._incarnation, number, *acknowledged, *page)
                 messages.append(api.SendPeerMessage(codec.encode_leases(message, kind), receiver))
         return messages
 
     def _gossip(
         self, detector: FailureDetector, leases: Leases, receivers: list[int], now: int, objective_us: int
     ) -> list[api.SendPeerMessage]:
-        last_received = {receiver: leases.contacts.last_received(receiver) for receiver in receivers}
+        last_received = _last_received(leases, receivers)
         message_id = MessageId(self._incarnation, leases.contacts.next_number(now))
         envelopes = detector.compose(last_received, message_id, now, objective_us)
-        return [
-            api.SendPeerMessage(codec.encode_envelope(envelope), receiver)
-            for receiver, envelope in envelopes.items()
-        ]
+        return _encode(envelopes.items())
 
     def membership_messages(
         self, leases: Leases, receivers: list[int], now: int
     ) -> list[api.SendPeerMessage]:
-        """Return the messages about membership alone, to these receivers."""
+        """Return the membership messages to these receivers; none where membership is not discovered."""
         if self._membership is None:
             return []
-        last_received = {receiver: leases.contacts.last_received(receiver) for receiver in receivers}
-        envelopes = self._membership.compose(
-            last_received, self._incarnation, lambda: leases.contacts.next_number(now)
-        )
-        return [
-            api.SendPeerMessage(codec.encode_envelope(envelope), receiver) for receiver, envelope in envelopes
-        ]
+        last_received = _last_received(leases, receivers)
+        numbering = RoundNumbering(leases.contacts, now)
+        return _encode(self._membership.compose(last_received, self._incarnation, numbering))
+
+
+def _last_received(leases: Leases, receivers: Iterable[int]) -> dict[int, MessageId]:
+    return {receiver: leases.contacts.last_received(receiver) for receiver in receivers}
+
+
+def _encode(envelopes: Iterable[tuple[int, Envelope]]) -> list[api.SendPeerMessage]:
+    return [
+        api.SendPeerMessage(codec.encode_envelope(envelope), receiver) for receiver, envelope in envelopes
+    ]
--- a/garnetlanding/peers/status.py
+++ b/garnetlanding/peers/status.py
@@ -6,7 +6,20 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Protocol
+from enum import Enum
+from typing import TYPE_CHECKING, Protocol
+
+if TYPE_CHECKING:  # what is off is not imported
+    from garnetlanding.peers.gossip_message import EvidenceKind
+
+
+class MemberState(Enum):
+    """An instance as another one sees it; the values appear in operators' answers."""
+
+    SELF = "me"
+    UP = "up"
+    SUSPECT = "suspect"  # nothing was received from it in time
+    TERMINATED = "gone"
 
 
 class StatusRow(Protocol):
@@ -79,7 +92,7 @@
     """An instance of a group that was found from its seeds."""
 
     instance: int
-    state: str  # the value of a `MemberState`
+    state: MemberState
     incarnation: int
     address: str
     last_received_ms: int | None  # ago; None: nothing received from it yet
@@ -89,7 +102,7 @@
         """Return the row's JSON fields."""
         return {
             "head": self.instance,
-            "state": self.state,
+            "state": self.state.value,
             "life": self.incarnation,
             "address": self.address,
             "heard_ms": self.last_received_ms,
@@ -102,7 +115,7 @@
     """What one peer claims of a backend."""
 
     peer: int
-    kind: str  # the label of an `EvidenceKind`
+    kind: EvidenceKind
     count: int  # of the events that it rests on
     age_ms: int  # at most
     credit: float  # of the peer, 0 to 1
@@ -111,7 +124,7 @@
         """Return the row's JSON fields."""
         return {
             "head": self.peer,
-            "says": self.kind,
+            "says": self.kind.label,
             "count": self.count,
             "age_ms": self.age_ms,
             "credit": self.credit,
@@ -123,7 +136,7 @@
     """What this instance and its peers have observed of a backend."""
 
     backend: str
-    observed_kind: str  # the label of an `EvidenceKind`; empty: nothing unusual was observed here
+    observed_kind: EvidenceKind | None  # None: nothing unusual was observed here
     observed_age_ms: int | None
     suspected_for_ms: int | None  # from now on, at most; None: it is not suspected
     claims: tuple[ClaimRow, ...]
@@ -132,7 +145,7 @@
         """Return the row's JSON fields."""
         return {
             "server": self.backend,
-            "own": self.observed_kind,
+            "own": "" if self.observed_kind is None else self.observed_kind.label,
             "own_ms": self.observed_age_ms,
             "doubted_ms": self.suspected_for_ms,
             "words": [claim.as_json() for claim in self.claims],
@@ -141,11 +154,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DisabledBackendRow:
-    """The last record on a backend that operators have disabled or enabled."""
+    """The last record of a backend that operators have disabled or enabled."""
 
     backend: str
     disabled: bool
-    instance: int  # at which it was said
+    instance: int  # at which the operator made the change
     version: int
 
     def as_json(self) -> dict[str, object]:
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -55,13 +55,13 @@
 from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.membership import FIRST_SEED, Membership
-from garnetlanding.peers.membership import InstanceRecord as Member
 from garnetlanding.peers.membership_protocol import MembershipProtocol
+from garnetlanding.peers.membership_table import InstanceRecord as Member
 from garnetlanding.peers.shared_budgets import SharedBudgets
 from garnetlanding.resp.request import Command
 from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
 from garnetlanding.telemetry.setup import TelemetrySetup
-from tests.peers.test_coordinator import TELLS
+from tests.peers.test_coordinator import LINKED_SETTINGS
 from tests.support.clock import MS, SECOND
 from tests.support.daemon import SimulatedDaemon
 from tests.support.simulated_instance import SimulatedInstance, read_command
@@ -328,7 +328,10 @@
     file, folder = tmp_path / "n1.history", tmp_path / "audit"
     operator = {"history": {"file": str(file)}, "audit": {"folder": str(folder)}, "fleet": {"bans": True}}
     h = SimulatedDaemon(
-        operator, TELLS, peer_listen="127.0.0.1:0", peers=["127.0.0.1:9", "127.0.0.1:9", "127.0.0.1:9"]
+        operator,
+        LINKED_SETTINGS,
+        peer_listen="127.0.0.1:0",
+        peers=["127.0.0.1:9", "127.0.0.1:9", "127.0.0.1:9"],
     )
     h.client().say(read_command())
     for out in (True, False):
@@ -413,7 +416,7 @@
 )
 BANS = DisabledBackends(PEER_LIMITS, [Ban("n1", 1_764_640_800_000, 2, True), Ban("head/3", 9, 65535, False)])
 EVIDENCE = tuple(
-    gossip_message.Evidence(kind, gossip_message.tag(f"n{kind}"), 10 * kind, kind, 7)
+    gossip_message.Evidence(kind, codec.tag(f"n{kind}"), 10 * kind, kind, 7)
     for kind in gossip_message.EvidenceKind
 )
 TOLD = gossip_message.GossipMessage(BANS.digest, EVIDENCE, tuple(BANS.records.values()))
@@ -434,9 +437,9 @@
 
 
 def rolls() -> dict[str, membership_message.MembershipMessage]:
-    records = tuple(members().records.values())
+    records = tuple(members().table.records.values())
     return {
-        "roll": membership_message.MembershipMessage(members().digest, records, True),
+        "roll": membership_message.MembershipMessage(members().table.digest, records, True),
         "roll-one": membership_message.MembershipMessage(bytes(8), records[:1], False),
     }
 
@@ -634,14 +637,19 @@
             if me in self.talks:
                 for action in self.talks[me].handle(when, [event]):
                     self.act(me, action)
-                self.fleets[me].merge_received()
+                self.fleets[me].disables.merge_received()
 
     def ban(self, server: str) -> None:
-        bans = DisabledBackends(PEER_LIMITS, self.fleets[0].disabled.records.values())
+        bans = DisabledBackends(PEER_LIMITS, self.fleets[0].disables.table.records.values())
         for i in range(60):  # more than one datagram holds: they are told in turn
-            bans.set_disabled(f"server-{i}-that-was-put-back-long-ago", False, 0, WALL_MS - 1000 + i)
-        bans.set_disabled(server, True, 0, WALL_MS)
-        self.fleets[0].replace_disabled(bans)
+            bans.set_disabled(
+                f"server-{i}-that-was-put-back-long-ago",
+                disabled=False,
+                instance=0,
+                wall_ms=WALL_MS - 1000 + i,
+            )
+        bans.set_disabled(server, disabled=True, instance=0, wall_ms=WALL_MS)
+        self.fleets[0].disables.replace_table(bans)
 
     def act(self, me: int, action: api.Action) -> None:
         match action:
@@ -700,7 +708,7 @@
         codec.MessageKind.BUDGETS,
     }
     assert all(
-        fleet.disabled.disabled_names == {"n2"} for fleet in talk.fleets.values()
+        fleet.disables.table.disabled_names == {"n2"} for fleet in talk.fleets.values()
     ), "all heard of the ban"
     text = "".join(told_so_far(talk.sent))
     for me, one in talk.talks.items():
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -44,7 +44,8 @@
 from garnetlanding.ops.process_registry import ProcessRegistry
 from garnetlanding.ops.replicated_disables import ReplicatedDisables
 from garnetlanding.ops.state_file import StateFile
-from garnetlanding.peers.failure_detector import FailureDetector
+from garnetlanding.peers import operator_tables
+from garnetlanding.peers.disable_replication import DisableReplication
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.resp.front import Front, RespClientProtocol
 from garnetlanding.runtime.listener import Listener
@@ -554,12 +555,12 @@
 class FixedFleet:
     """The other heads' rows are fixed, but for the bans, which are real; only head 2 can be forgotten."""
 
-    def __init__(self, peers: FailureDetector, now: Callable[[], int]) -> None:
+    def __init__(self, peers: DisableReplication, now: Callable[[], int]) -> None:
         self._peers, self._now = peers, now
 
     def rows(self, view: FleetView) -> list[dict[str, object]] | None:
         if view is FleetView.DISABLES:
-            return [row.as_json() for row in self._peers.disabled_rows()]
+            return [row.as_json() for row in operator_tables.disabled_rows(self._peers.table)]
         return FLEET_ROWS[view.value]
 
     def forget(self, instance: int) -> bool | None:
@@ -583,7 +584,7 @@
             self.limits.client_conns,
             lambda write: RespClientProtocol(Front(self.core, self.bricks, self.pool, self.limits), write),
         )
-        peers = FailureDetector(PeerLimits())
+        peers = DisableReplication(PeerLimits())
         shared = ReplicatedDisables(peers, lambda: 1, lambda: 1764640899000) if fleet else None
 
         access = FixedFleet(peers, lambda: self.time) if fleet else None
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Instances that exchange messages: around the decision module, over the link, in the daemon."""
+"""The coordinator around the decision module, the UDP link, and both in the daemon."""
 
 from __future__ import annotations
 
@@ -22,6 +22,7 @@
 from garnetlanding.peers import codec
 from garnetlanding.peers.codec import LeaseMessage
 from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
+from garnetlanding.peers.drop_reasons import LinkDropReason
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.link import PeerLink
 from garnetlanding.peers.setup import PeerSetup
@@ -42,13 +43,14 @@
     return module.state.volumes.by_name["v"]
 
 
-class Fleet:
-    """Three instances with their modules; a test says which messages arrive."""
+class SimulatedFleet:
+    """Three instances with their decision modules; a test determines which messages arrive."""
 
     def __init__(self) -> None:
         self.now = T0
         self.coordinators = [
-            PeerCoordinator(Controller(replace(LIMITED, instance_id=me), 1), incarnation=1) for me in range(3)
+            PeerCoordinator(Controller(replace(LIMITED, instance_id=instance), 1), incarnation=1)
+            for instance in range(3)
         ]
         self.inbox: list[list[api.Event]] = [[] for _ in self.coordinators]
         self.sent: list[list[str]] = [[] for _ in self.coordinators]
@@ -57,54 +59,57 @@
                 T0, [api.EndpointListUpdate((up_endpoint("n0", 0),), complete=True, at_start=True)]
             )
 
-    def run(self, seconds: float, asked: tuple[int, ...] = (0,), cut: tuple[int, ...] = ()) -> None:
-        """Each head that is asked gets 50 units a second, and a node answers at once."""
+    def run(self, seconds: float, loaded: tuple[int, ...] = (0,), partitioned: tuple[int, ...] = ()) -> None:
+        """Send each loaded instance 50 units a second, which a backend serves at once.
+
+        Messages from and to partitioned instances are lost.
+        """
         for _ in range(int(seconds * 25)):
             self.now += 40 * MS
-            for me, coordinator in enumerate(self.coordinators):
-                events, self.inbox[me] = self.inbox[me], []
-                if me in asked:
-                    name = f"r{len(self.sent[me])}-{self.now}"
+            for instance, coordinator in enumerate(self.coordinators):
+                events, self.inbox[instance] = self.inbox[instance], []
+                if instance in loaded:
+                    name = f"r{len(self.sent[instance])}-{self.now}"
                     events.append(api.Arrival(name, "read", "gold", "v", "k", 2, 0, self.now + SECOND, 2))
-                self._act(me, coordinator.handle(self.now, events), cut)
+                self._act(instance, coordinator.handle(self.now, events), partitioned)
 
-    def _act(self, me: int, actions: list[api.Action], cut: tuple[int, ...]) -> None:
+    def _act(self, instance: int, actions: list[api.Action], partitioned: tuple[int, ...]) -> None:
         for action in actions:
             if isinstance(action, api.SendPeerMessage):
                 assert action.recipient is not None
-                if {me, action.recipient} & set(cut):
+                if {instance, action.recipient} & set(partitioned):
                     continue
-                self.inbox[action.recipient].append(api.PeerMessage(me, action.payload))
+                self.inbox[action.recipient].append(api.PeerMessage(instance, action.payload))
             elif isinstance(action, api.Send):
-                self.sent[me].append(action.request)
-                self.inbox[me].append(api.Result(action.request, 0, "n0", api.Outcome.SERVED, MS, True))
+                self.sent[instance].append(action.request)
+                self.inbox[instance].append(api.Result(action.request, 0, "n0", api.Outcome.SERVED, MS, True))
 
 
 def test_module_sends_what_its_quota_share_allows_and_no_more() -> None:
-    fleet = Fleet()
+    fleet = SimulatedFleet()
     fleet.run(4)
     assert volume(fleet.coordinators[0]).quota == pytest.approx(1.0)
     assert volume(fleet.coordinators[0]).limit.rate == pytest.approx(40)
     before = len(fleet.sent[0])
     fleet.run(4)
     assert 70 <= len(fleet.sent[0]) - before <= 82, "40 units a second, where a fixed half allowed 20"
-    fleet.run(2, cut=(0,))
+    fleet.run(2, partitioned=(0,))
     assert volume(fleet.coordinators[0]).limit.rate == pytest.approx(20)
     assert volume(fleet.coordinators[0]).limit.capacity == 30
-    fleet.run(4, asked=(0, 1))
-    parts = [volume(fleet.coordinators[me]).quota for me in (0, 1)]
-    assert sum(parts) <= 1 + 1e-9, "two that ask alike have a half each"
-    assert min(parts) > 0.4, "two that ask alike have a half each"
+    fleet.run(4, loaded=(0, 1))
+    shares = [volume(fleet.coordinators[instance]).quota for instance in (0, 1)]
+    assert sum(shares) <= 1 + 1e-9, "two with the same demand have a half each"
+    assert min(shares) > 0.4, "two with the same demand have a half each"
 
 
 def test_volume_with_an_uneven_share_is_not_forgotten() -> None:
-    """Were it, it would come back with an even part, though the rest has been left to another head."""
-    fleet = Fleet()
-    fleet.run(3, asked=(0, 1))
+    """Were it, it would start again with an even share, although the rest has been granted to a peer."""
+    fleet = SimulatedFleet()
+    fleet.run(3, loaded=(0, 1))
     fleet.run(70)
     assert volume(fleet.coordinators[1]).quota < 0.1
     assert volume(fleet.coordinators[0]).quota > 0.9
-    fleet.run(0.04, asked=(1,))
+    fleet.run(0.04, loaded=(1,))
     assert volume(fleet.coordinators[1]).limit.rate < 4
 
 
@@ -115,18 +120,18 @@
         actions = coordinator.handle(
             now, [api.Arrival(f"r{i}", "read", "gold", "v", "k", 1, 0, now + SECOND, 2)]
         )
-        assert not [a for a in actions if isinstance(a, api.SendPeerMessage)]
+        assert not [action for action in actions if isinstance(action, api.SendPeerMessage)]
 
 
 def test_another_number_of_instances_begins_anew_without_any_share() -> None:
-    """What was given under the old numbers may still be in use."""
-    fleet = Fleet()
+    """What was granted under the old numbering may still be in use."""
+    fleet = SimulatedFleet()
     fleet.run(4)
     coordinator = fleet.coordinators[0]
     coordinator.handle(fleet.now, [api.NewSettings(replace(LIMITED, instances=4))])
-    fleet.run(0.08, cut=(0, 1, 2))
+    fleet.run(0.08, partitioned=(0, 1, 2))
     assert volume(coordinator).quota == 0.0
-    fleet.run(1.5, cut=(0, 1, 2))
+    fleet.run(1.5, partitioned=(0, 1, 2))
     assert volume(coordinator).quota == 0.5
 
 
@@ -153,12 +158,11 @@
 
 def test_forged_datagrams_are_counted_by_cause_and_change_nothing() -> None:
     coordinator = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), incarnation=1)
-    whole = codec.encode_leases(
+    valid = codec.encode_leases(
         LeaseMessage(1, 1, 0, 0, {codec.tag("v"): codec.QuotaRequest(1.0, 2)}, {codec.tag("v"): 1.0})
     )
-    coordinator.handle(
-        T0, [api.PeerMessage(1, p) for p in (b"", whole[:-1], whole + b"x", b"\x09" + whole[1:], bytes(300))]
-    )
+    forged = (b"", valid[:-1], valid + b"x", b"\x09" + valid[1:], bytes(300))
+    coordinator.handle(T0, [api.PeerMessage(1, payload) for payload in forged])
     assert coordinator.dropped == {"torn": 3, "other version": 1, "too long": 1}
     assert coordinator.leases
     assert not coordinator.leases.contacts.by_peer
@@ -167,59 +171,65 @@
 def test_link_drops_strangers_and_oversized_datagrams_and_logs_one_line(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    world, heard = SimulatedInstance(), list[tuple[int, bytes]]()
-    socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2)]
-    for sock in socks:
-        sock.bind(("127.0.0.1", 0))
-    peer, stranger = socks
-    at = f"127.0.0.1:{peer.getsockname()[1]}"
-    link = PeerLink(world.scheduler, PeerSetup("127.0.0.1:0", {4: at}), lambda *m: heard.append(m), Counter())
-    to = ("127.0.0.1", int(link.address.rpartition(":")[2]))
-    for sock, text in ((peer, b"one"), (stranger, b"forged"), (peer, bytes(257)), (peer, b"two")):
-        sock.sendto(text, to)
-    world.settle()
-    assert heard == [(4, b"one"), (4, b"two")]
+    instance, received = SimulatedInstance(), list[tuple[int, bytes]]()
+    sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2)]
+    for bound in sockets:
+        bound.bind(("127.0.0.1", 0))
+    peer, stranger = sockets
+    setup = PeerSetup("127.0.0.1:0", {4: f"127.0.0.1:{peer.getsockname()[1]}"})
+    link = PeerLink(instance.scheduler, setup, lambda *message: received.append(message), Counter())
+    link_address = ("127.0.0.1", int(link.address.rpartition(":")[2]))
+    for sender, text in ((peer, b"one"), (stranger, b"forged"), (peer, bytes(257)), (peer, b"two")):
+        sender.sendto(text, link_address)
+    instance.settle()
+    assert received == [(4, b"one"), (4, b"two")]
     assert link.dropped == {"no peer": 1, "too long": 1}
     link.send(b"hello")
     link.send(bytes(257))
     assert peer.recv(300) == b"hello"
     assert link.dropped["too long to send"] == 1
+    assert {reason.value for reason in LinkDropReason} == {
+        "no peer",
+        "too long",
+        "too long to send",
+        "not sent",
+    }, "the causes that operators know from the log"
     peer.close()
-    link.send(b"to a head that is down")
+    link.send(b"to a peer that is down")
     link.send(b"again")
-    world.settle()
+    instance.settle()
     assert not caplog.records
-    world.run(LIMITS.drop_report_us, SECOND)
+    instance.run(LIMITS.drop_report_us, SECOND)
     [line] = caplog.records
     assert line.__dict__["kv"]["count"] >= 3, "one line for all of them"
     assert not link.dropped, "one line for all of them"
     link.close()
-    world.settle()
+    instance.settle()
     assert link.closed
-    assert len(heard) == 2
+    assert len(received) == 2
     stranger.close()
 
 
 # The daemon
 
-LIMIT = {"NeverOver": 40.0, "LimitBurst": 60.0}
-TELLS = PLATFORM_SETTINGS | {
+PLAN_LIMIT = {"NeverOver": 40.0, "LimitBurst": 60.0}
+LINKED_SETTINGS = PLATFORM_SETTINGS | {
     "Limits": PLATFORM_SETTINGS["Limits"] | {"MayTell": True},
     "Balancers": 3,
-    "Contracts": [PLATFORM_SETTINGS["Contracts"][0] | LIMIT],
+    "Contracts": [PLATFORM_SETTINGS["Contracts"][0] | PLAN_LIMIT],
 }
 
 
 class LinkedInstance(SimulatedDaemon):
-    """Instance 0 of three; a test stands for the other two."""
+    """Instance 0 of three; a test plays the other two by their sockets."""
 
-    def __init__(self, config: dict[str, Any] = TELLS) -> None:
-        self.others = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2)]
-        for sock in self.others:
-            sock.bind(("127.0.0.1", 0))
-            sock.setblocking(False)
-        at = [f"127.0.0.1:{sock.getsockname()[1]}" for sock in self.others]
-        super().__init__(settings=config, peer_listen="127.0.0.1:0", peers=["127.0.0.1:9", *at])
+    def __init__(self, config: dict[str, Any] = LINKED_SETTINGS) -> None:
+        self.peer_sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2)]
+        for peer in self.peer_sockets:
+            peer.bind(("127.0.0.1", 0))
+            peer.setblocking(False)
+        addresses = [f"127.0.0.1:{peer.getsockname()[1]}" for peer in self.peer_sockets]
+        super().__init__(settings=config, peer_listen="127.0.0.1:0", peers=["127.0.0.1:9", *addresses])
 
     @property
     def coordinator(self) -> PeerCoordinator:
@@ -227,36 +237,36 @@
         assert isinstance(coordinator, PeerCoordinator)
         return coordinator
 
-    def ask(self) -> None:
-        """A request of a volume that comes through two heads, and a second for what follows from it."""
+    def request(self) -> None:
+        """Receive a request of a volume that is used through two instances, and run for a second."""
         self.client().say(read_command(f"r{self.time}").replace(b"hosts=1", b"hosts=2"))
         self.run(SECOND, 50 * MS)
 
     def received(self) -> list[list[LeaseMessage]]:
-        """Return what each of the others has received since the last call."""
-        got: list[list[LeaseMessage]] = [[], []]
-        for uses, sock in zip(got, self.others, strict=True):
+        """Return the messages that each of the peers has received since the last call."""
+        by_peer: list[list[LeaseMessage]] = [[], []]
+        for messages, peer in zip(by_peer, self.peer_sockets, strict=True):
             try:
-                while data := sock.recv(300):
-                    uses.append(codec.decode_leases(data, LIMITS.datagram_bytes))
+                while data := peer.recv(300):
+                    messages.append(codec.decode_leases(data, LIMITS.datagram_bytes))
             except BlockingIOError:
                 pass
-        return got
+        return by_peer
 
 
 def test_instance_sends_to_every_peer_and_receives_from_them() -> None:
     instance = LinkedInstance()
-    instance.ask()
-    told = instance.received()
-    assert len(told[0]) == len(told[1]) >= 3
-    assert told[0][-1].asks[codec.tag("v")][1] == 2
-    assert {use.incarnation for use in told[0]} == {instance.coordinator.incarnation}
+    instance.request()
+    received = instance.received()
+    assert len(received[0]) == len(received[1]) >= 3
+    assert received[0][-1].asks[codec.tag("v")][1] == 2
+    assert {message.incarnation for message in received[0]} == {instance.coordinator.incarnation}
     assert instance.coordinator.incarnation > 10**12
     link = instance.daemon.assembly.peer_link.link
     assert link
     assert instance.daemon.core.send_to_peer
     host, port = link.address.split(":")
-    instance.others[1].sendto(codec.encode_leases(LeaseMessage(1, 1)), (host, int(port)))
+    instance.peer_sockets[1].sendto(codec.encode_leases(LeaseMessage(1, 1)), (host, int(port)))
     instance.settle()
     assert instance.coordinator.leases
     assert list(instance.coordinator.leases.contacts.by_peer) == [2]
@@ -264,28 +274,35 @@
 
 def test_operators_see_who_holds_which_share_until_when() -> None:
     instance = LinkedInstance()
-    instance.ask()
+    instance.request()
     link = instance.daemon.assembly.peer_link.link
     assert link
     assert instance.coordinator.leases
     host, port = link.address.split(":")
-    tag, sent = codec.tag("v"), instance.received()[0][-1]
-    grant = LeaseMessage(1, 1, sent.incarnation, sent.number, {tag: codec.QuotaRequest(1.0, 2)}, {tag: 0.6})
-    instance.others[0].sendto(codec.encode_leases(grant), (host, int(port)))
+    tag, acknowledged = codec.tag("v"), instance.received()[0][-1]
+    grant = LeaseMessage(
+        1,
+        1,
+        acknowledged.incarnation,
+        acknowledged.number,
+        {tag: codec.QuotaRequest(1.0, 2)},
+        {tag: 0.6},
+    )
+    instance.peer_sockets[0].sendto(codec.encode_leases(grant), (host, int(port)))
     instance.settle()
     [row] = [row.as_json() for row in instance.coordinator.limit_rows(instance.time)]
     assert row["volume"] == "v"
     assert row["hosts"] == 2
     assert row["had"] == [{"head": 1, "share": 0.6, "for_ms": row["had"][0]["for_ms"]}]  # type: ignore[index]
     rows = [row.as_json() for row in instance.coordinator.member_rows(instance.time)]
-    assert [(r["head"], r["life"]) for r in rows] == [
+    assert [(row["head"], row["life"]) for row in rows] == [
         (0, instance.coordinator.incarnation),
         (1, 1),
         (2, None),
     ]
-    shown = admin_output.as_text("fleet/limits", admin_client.Reply(200, json.dumps([row])))
-    assert "n1 0.6 for" in shown
-    assert "volume" in shown
+    text = admin_output.as_text("fleet/limits", admin_client.Reply(200, json.dumps([row])))
+    assert "n1 0.6 for" in text
+    assert "volume" in text
     assert (
         json.loads(admin_output.as_json("fleet/members", admin_client.Reply(200, json.dumps(rows))))[
             "members"
@@ -300,15 +317,15 @@
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     monkeypatch.setattr(tempfile, "tempdir", None)
-    for config_used, status in ((TELLS, b"200 OK"), (PLATFORM_SETTINGS, b"404")):
+    for settings, status in ((LINKED_SETTINGS, b"200 OK"), (PLATFORM_SETTINGS, b"404")):
         instance = SimulatedDaemon(
-            settings=config_used, ops="127.0.0.1:0", peer_listen="127.0.0.1:0", peers=["127.0.0.1:9"] * 3
+            settings=settings, ops="127.0.0.1:0", peer_listen="127.0.0.1:0", peers=["127.0.0.1:9"] * 3
         )
         assert instance.daemon.assembly.admin is not None
-        got = instance.peer(instance.daemon.assembly.admin.listener.address).say(
+        response = instance.peer(instance.daemon.assembly.admin.listener.address).say(
             b"GET /-/fleet/members HTTP/1.1\r\nHost: x\r\n\r\n"
         )
-        assert got.startswith(b"HTTP/1.1 " + status)
+        assert response.startswith(b"HTTP/1.1 " + status)
         instance.daemon.scheduler.close()
 
 
@@ -318,16 +335,16 @@
     assert link
     instance.platform_config = instance.platform_config | {"settings": PLATFORM_SETTINGS | {"Balancers": 3}}
     instance.daemon.reload()
-    instance.ask()
+    instance.request()
     instance.received()
-    instance.ask()
+    instance.request()
     assert link.closed
     assert instance.daemon.assembly.peer_link.link is None
     assert instance.received() == [[], []]
     assert instance.client().say(read_command()) == b"$0\r\n\r\n"
-    instance.platform_config = instance.platform_config | {"settings": TELLS}
+    instance.platform_config = instance.platform_config | {"settings": LINKED_SETTINGS}
     instance.daemon.reload()
-    instance.ask()
+    instance.request()
     assert instance.daemon.assembly.peer_link.link
     assert len(instance.received()[0]) >= 3
 
@@ -342,58 +359,58 @@
         "Daemon(config.read(json.loads(sys.argv[1]))); "
         "print([m for m in sys.modules if m.startswith('garnetlanding.peers')])"
     )
-    told = {"peer_listen": "127.0.0.1:0", "peers": ["127.0.0.1:9"]}
-    out = subprocess.run(
-        [sys.executable, "-c", program, json.dumps(PLATFORM_CONFIG | told)],
+    link_config = {"peer_listen": "127.0.0.1:0", "peers": ["127.0.0.1:9"]}
+    completed = subprocess.run(
+        [sys.executable, "-c", program, json.dumps(PLATFORM_CONFIG | link_config)],
         capture_output=True,
         text=True,
         check=True,
     )
-    assert out.stdout.strip() == "[]"
+    assert completed.stdout.strip() == "[]"
 
 
 def test_address_held_by_a_predecessor_process_is_tried_again(caplog: pytest.LogCaptureFixture) -> None:
-    taken = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    taken.bind(("127.0.0.1", 0))
-    at = f"127.0.0.1:{taken.getsockname()[1]}"
-    instance = SimulatedDaemon(settings=TELLS, peer_listen=at, peers=["127.0.0.1:9"] * 3)
+    predecessor = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    predecessor.bind(("127.0.0.1", 0))
+    address = f"127.0.0.1:{predecessor.getsockname()[1]}"
+    instance = SimulatedDaemon(settings=LINKED_SETTINGS, peer_listen=address, peers=["127.0.0.1:9"] * 3)
     assert instance.daemon.assembly.peer_link.link is None
     assert "peer link not opened" in caplog.text
     assert instance.client().say(read_command()) == b"$0\r\n\r\n"
-    taken.close()
+    predecessor.close()
     client = instance.client()
-    ask = read_command("r2").replace(b"hosts=1", b"hosts=2")
+    command = read_command("r2").replace(b"hosts=1", b"hosts=2")
     assert (
-        client.say(ask).startswith(b"-BUSY") or not instance.backend.received[1:]
-    ), "the other one has this head's part"
+        client.say(command).startswith(b"-BUSY") or not instance.backend.received[1:]
+    ), "the predecessor has this instance's share"
     coordinator = instance.daemon.assembly.peer_link.coordinator
     assert coordinator
     assert volume(coordinator).quota == 0.0
     instance.run(LIMITS.open_retry_us, 100 * MS)
     assert instance.daemon.assembly.peer_link.link
-    assert instance.daemon.assembly.peer_link.link.address == at
-    client.say(ask.replace(b"r2", b"r3"))
-    assert volume(coordinator).quota == 0.0, "nor may it have given nothing away"
+    assert instance.daemon.assembly.peer_link.link.address == address
+    client.say(command.replace(b"r2", b"r3"))
+    assert volume(coordinator).quota == 0.0, "the predecessor may have granted it to a peer"
     instance.run(2 * LIMITS.lease_us, 100 * MS)
-    client.say(ask.replace(b"r2", b"r4"))
+    client.say(command.replace(b"r2", b"r4"))
     instance.run(100 * MS)
     assert volume(coordinator).quota == 0.5
 
 
 def test_process_that_ends_beside_its_successor_leaves_it_the_link_and_every_share() -> None:
     instance = LinkedInstance()
-    instance.ask()
-    instance.ask()
+    instance.request()
+    instance.request()
     assert volume(instance.coordinator).quota == 0.5
     assert instance.daemon.assembly.peer_link.link
     link = instance.daemon.assembly.peer_link.link
 
-    class Newer:
+    class RegistryWithSuccessor:
         has_successor = True
 
         def close(self) -> None: ...
 
-    instance.daemon.assembly.instance.process.registry = Newer()  # type: ignore[assignment]
+    instance.daemon.assembly.instance.process.registry = RegistryWithSuccessor()  # type: ignore[assignment]
     instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.settle()
     assert link.closed
@@ -412,4 +429,4 @@
 )
 def test_invalid_link_setting_names_its_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
-        config.read(PLATFORM_CONFIG | {"settings": TELLS, "peer_listen": "127.0.0.1:0"} | change)
+        config.read(PLATFORM_CONFIG | {"settings": LINKED_SETTINGS, "peer_listen": "127.0.0.1:0"} | change)
--- a/tests/peers/test_gossip_message.py
+++ b/tests/peers/test_gossip_message.py
@@ -32,8 +32,6 @@
 from tests.support.decision_bench import make_settings
 from tests.support.suspicions import LIMITS, GossipingInstances, make_evidence
 
-# Bytes
-
 
 @given(
     st.lists(
@@ -57,34 +55,40 @@
     ),
 )
 def test_gossip_that_fits_is_decoded_as_encoded_and_cut_bytes_are_rejected(
-    seen: list[Any], said: list[Any]
+    evidence_fields: list[Any], record_fields: list[Any]
 ) -> None:
-    evidence, records = [Evidence(*e) for e in seen], [DisableRecord(*r) for r in said]
-    some, more = fit(evidence, records, LIMITS.datagram_bytes)
-    told = GossipMessage(b"digest 8", tuple(evidence[:some]), tuple(records[:more]))
-    data = codec.encode_envelope(to_envelope(told, 9, 8, 7, 6))
+    evidence = [Evidence(*fields) for fields in evidence_fields]
+    records = [DisableRecord(*fields) for fields in record_fields]
+    fitting = fit(evidence, records, LIMITS.datagram_bytes)
+    message = GossipMessage(
+        b"digest 8", tuple(evidence[: fitting.evidence]), tuple(records[: fitting.records])
+    )
+    data = codec.encode_envelope(to_envelope(message, 9, 8, 7, 6))
     assert len(data) <= LIMITS.datagram_bytes
-    assert (some, more) == (len(evidence), len(records)) or len(data) > 200 - 40 * (more < len(records))
-    e = codec.decode_envelope(data, LIMITS.datagram_bytes)
-    assert read(e) == told
-    assert (e.incarnation, e.number, e.acked_incarnation, e.acked_number) == (9, 8, 7, 6)
-    for body in (e.body[:-1], e.body + b"x"):
+    all_fit = fitting == (len(evidence), len(records))
+    assert all_fit or len(data) > 200 - 40 * (fitting.records < len(records))
+    envelope = codec.decode_envelope(data, LIMITS.datagram_bytes)
+    assert read(envelope) == message
+    assert (envelope.incarnation, envelope.number) == (9, 8)
+    assert (envelope.acked_incarnation, envelope.acked_number) == (7, 6)
+    for body in (envelope.body[:-1], envelope.body + b"x"):
         with pytest.raises(MessageError):
-            read(replace(e, body=body))
+            read(replace(envelope, body=body))
 
 
 def test_forged_gossip_is_counted_by_cause() -> None:
-    f = GossipingInstances()
-    f.run(10)
-    good = to_envelope(GossipMessage(EMPTY_DIGEST, (make_evidence(),)), 1, 999, 0, 0)
-    strange = replace(good, number=1000, body=good.body[:DIGEST] + b"\x09" + good.body[DIGEST + 1 :])
-    f.run(
+    instances = GossipingInstances()
+    instances.run(10)
+    valid = to_envelope(GossipMessage(EMPTY_DIGEST, (make_evidence(),)), 1, 999, 0, 0)
+    unknown_kind = valid.body[:DIGEST] + b"\x09" + valid.body[DIGEST + 1 :]
+    malformed = replace(valid, number=1000, body=unknown_kind)
+    instances.run(
         1,
-        (0, api.PeerMessage(1, codec.encode_envelope(good))),
-        (0, api.PeerMessage(1, codec.encode_envelope(strange))),
+        (0, api.PeerMessage(1, codec.encode_envelope(valid))),
+        (0, api.PeerMessage(1, codec.encode_envelope(malformed))),
     )
-    assert f.coordinators[0].dropped == {"word too old": 1, "no such verdict": 1}
-    off = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), incarnation=1)
-    off.handle(T0, [api.PeerMessage(1, codec.encode_envelope(good))])
-    assert off.dropped == {"other kind": 1}
-    assert list(off.suspicion_rows(T0)) == []
+    assert instances.coordinators[0].dropped == {"word too old": 1, "no such verdict": 1}
+    without_gossip = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), incarnation=1)
+    without_gossip.handle(T0, [api.PeerMessage(1, codec.encode_envelope(valid))])
+    assert without_gossip.dropped == {"other kind": 1}
+    assert list(without_gossip.suspicion_rows(T0)) == []
--- a/tests/peers/test_local_observations.py
+++ b/tests/peers/test_local_observations.py
@@ -1,4 +1,4 @@
-"""Local observations: what one instance saw of its backends."""
+"""Local observations: the evidence that an instance's own traffic yields about its backends."""
 
 from __future__ import annotations
 
@@ -18,8 +18,6 @@
     result,
 )
 
-# What is observations
-
 
 def test_evidence_rests_on_local_observations_and_ends_with_a_response() -> None:
     observations = observations_after(
@@ -32,7 +30,9 @@
     assert evidence_labels(observations) == {"n0": "dead", "n2": "full", "n3": "slow", "n4": "silent"}
     later = T0 + 100 * MS
     observations.observe_events(
-        later, [result(n, SERVED) for n in ("n0", "n2", "n4")] + [result("n3", SERVED)] * 4, OBJECTIVE_US
+        later,
+        [result(backend, SERVED) for backend in ("n0", "n2", "n4")] + [result("n3", SERVED)] * 4,
+        OBJECTIVE_US,
     )
     assert evidence_labels(observations, later) == {"n0": "cold", "n4": "cold"}, "recovered"
     assert evidence_labels(observations, later + LIMITS.evidence_us + 1) == {}
@@ -50,4 +50,4 @@
         [api.EndpointListUpdate((replace(SIX_BACKENDS[0], state=api.EndpointState.DRAINING),))],
         OBJECTIVE_US,
     )
-    assert "n0" not in observations.backends, "the list says so: there is no evidence about it"
+    assert "n0" not in observations.backends, "a draining backend is not observed"
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -1,10 +1,10 @@
-"""Membership: tables that merge, suspicion, replacement, and the even quota shares that follow from it."""
+"""Membership: merged tables, joining, fencing, suspects, and the even quota shares that follow from them."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import replace
 from itertools import permutations
-from typing import Any
 
 import pytest
 from hypothesis import given
@@ -16,185 +16,203 @@
 from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
 from garnetlanding.peers.gossip_schedule import GossipSchedule
 from garnetlanding.peers.limits import SECOND
-from garnetlanding.peers.membership import InstanceRecord, Membership, MemberState
+from garnetlanding.peers.membership import FenceReason, Membership
 from garnetlanding.peers.membership_protocol import MembershipProtocol
+from garnetlanding.peers.membership_table import InstanceRecord
+from garnetlanding.peers.operator_tables import member_rows, member_state, suspect_after_us
 from garnetlanding.peers.shared_budgets import SharedBudgets
+from garnetlanding.peers.status import MemberState
 from tests.support.clock import T0
-from tests.support.membership import COLD, LIMITS
+from tests.support.membership import LIMITS, SHARED_BUDGET_SETTINGS, address_of, started_instance
 
 
-def at(head: int) -> str:
-    return f"127.0.0.{head + 1}:7946"
-
-
-def one(head: int, life: int = 5, seeds: int = 2) -> Membership:
-    return Membership(LIMITS, head, life, at(head), [at(n) for n in range(seeds)], 0)
+def exchange_records(first: Membership, second: Membership) -> None:
+    first.merge(second.table.records.values())
+    second.merge(first.table.records.values())
 
 
 # The table
 
 
 def test_records_merge_to_the_same_table_in_any_order() -> None:
-    words = [
-        InstanceRecord(1, 5, False, at(1)),
-        InstanceRecord(1, 5, True, at(1)),
-        InstanceRecord(1, 6, False, at(2)),
-        InstanceRecord(2, 3, False, at(3)),
+    records = [
+        InstanceRecord(1, 5, False, address_of(1)),
+        InstanceRecord(1, 5, True, address_of(1)),
+        InstanceRecord(1, 6, False, address_of(2)),
+        InstanceRecord(2, 3, False, address_of(3)),
     ]
     digests = set()
-    for order in permutations(words):
-        table = one(0)
-        for word in order:
-            table.merge([word])
-        digests.add(table.digest)
-        assert table.quota_holders == {0, 1, 2}
-        assert table.address_of(1) == at(2)
+    for order in permutations(records):
+        members = started_instance(0)
+        for record in order:
+            members.merge([record])
+        digests.add(members.table.digest)
+        assert members.quota_holders == {0, 1, 2}
+        assert members.address_of(1) == address_of(2)
     assert len(digests) == 1
 
 
+def test_full_table_drops_records_of_further_instances() -> None:
+    full = Membership(replace(LIMITS, max_instances=1), 0, 5, address_of(0), [address_of(0)], 0)
+    assert full.merge([InstanceRecord(1, 1, False, address_of(1))]) == 1
+    assert full.address_of(1) is None
+
+
+# Joining
+
+
 def test_instance_has_no_share_until_all_that_it_knows_have_its_record() -> None:
-    a, b, new = one(0), one(1), one(2)
-    for x, y in ((a, b), (b, a)):
-        x.merge(y.records.values())
-    a.record_contact(1, b.digest, False, LIMITS.bootstrap_us)
-    b.record_contact(0, a.digest, False, LIMITS.bootstrap_us)
-    assert a.joined, "all seeds begin it together"
-    assert b.joined, "all seeds begin it together"
-    assert a.even_share == 0.5, "all seeds begin it together"
-    new.merge([a.records[0], a.records[1]])
-    new.record_contact(0, a.digest, True, 9 * SECOND)
-    assert not new.joined, "head 0 told the table that it had before it heard of this one"
-    a.merge([new.records[2]])
-    new.record_contact(0, a.digest, True, 9 * SECOND)
-    assert not new.joined
-    assert a.even_share == pytest.approx(1 / 3)
-    b.merge([new.records[2]])
-    new.record_contact(1, b.digest, True, 9 * SECOND)
-    assert new.joined
-    assert a.even_share + b.even_share + new.even_share == pytest.approx(1)
-
-
-def test_newcomers_that_know_only_each_other_begin_no_second_group() -> None:
-    a, b = one(2), one(3)
-    for x, y in ((a, b), (b, a)):
-        x.merge(y.records.values())
-    a.record_contact(3, b.digest, False, 60 * SECOND)
-    assert not a.joined, "no seed has been heard"
-    assert len(a.extra_receivers(0)) == 2, "no seed has been heard"
+    first, second, newcomer = started_instance(0), started_instance(1), started_instance(2)
+    exchange_records(first, second)
+    first.record_contact(1, second.table.digest, LIMITS.bootstrap_us, sender_joined=False)
+    second.record_contact(0, first.table.digest, LIMITS.bootstrap_us, sender_joined=False)
+    assert first.joined, "all seeds form the group together"
+    assert second.joined, "all seeds form the group together"
+    assert first.even_share == 0.5, "all seeds form the group together"
+    newcomer.merge([first.table.records[0], first.table.records[1]])
+    newcomer.record_contact(0, first.table.digest, 9 * SECOND, sender_joined=True)
+    assert not newcomer.joined, "instance 0 sent the digest of a table without the newcomer"
+    first.merge([newcomer.table.records[2]])
+    newcomer.record_contact(0, first.table.digest, 9 * SECOND, sender_joined=True)
+    assert not newcomer.joined
+    assert first.even_share == pytest.approx(1 / 3)
+    second.merge([newcomer.table.records[2]])
+    newcomer.record_contact(1, second.table.digest, 9 * SECOND, sender_joined=True)
+    assert newcomer.joined
+    assert first.even_share + second.even_share + newcomer.even_share == pytest.approx(1)
+
+
+def test_newcomers_that_know_only_each_other_form_no_second_group() -> None:
+    first, second = started_instance(2), started_instance(3)
+    exchange_records(first, second)
+    first.record_contact(3, second.table.digest, 60 * SECOND, sender_joined=False)
+    assert not first.joined, "nothing was received from a seed"
+    assert len(first.extra_receivers(0)) == 2, "both seeds are still sent to"
+
+
+# Fencing and suspects
 
 
 def test_terminated_or_replaced_instance_is_fenced_and_its_earlier_incarnation_is_not() -> None:
-    alone = one(0, seeds=1)
+    alone = started_instance(0, seeds=1)
     alone.update_joined(LIMITS.bootstrap_us)
     assert alone.joined
-    alone.merge([InstanceRecord(0, 9, False, at(0))])
-    assert alone.fence_reason == "", "its own, before its clock was set back"
-    assert alone.records[0].incarnation == 10, "its own, before its clock was set back"
-    alone.merge([InstanceRecord(0, 11, False, at(7))])
-    assert alone.fence_reason == "another process has its number"
+    alone.merge([InstanceRecord(0, 9, False, address_of(0))])
+    assert alone.fence_reason is None, "its own record, from before its clock was set back"
+    assert alone.table.records[0].incarnation == 10, "its own record, from before its clock was set back"
+    alone.merge([InstanceRecord(0, 11, False, address_of(7))])
+    assert alone.fence_reason is FenceReason.DUPLICATE_IDENTITY
+    assert alone.fence_reason.value == "another process has its number"
     assert alone.even_share == 0.0
-    other = one(1)
+    other = started_instance(1)
     assert other.mark_terminated(1)
     assert not other.mark_terminated(5)
-    assert other.fence_reason == "put out"
-    assert other.state(1, 0) is MemberState.TERMINATED
-    assert other.rows(0)[0].as_json()["part"] == 0.0
+    assert other.fence_reason is FenceReason.TERMINATED
+    assert other.fence_reason.value == "put out"
+    assert member_state(other, 1, 0) is MemberState.TERMINATED
+    assert member_rows(other, 0)[0].as_json()["part"] == 0.0
 
 
 def test_unresponsive_instance_is_suspect_and_keeps_its_share() -> None:
-    a = one(0, seeds=1)
-    a.merge([InstanceRecord(n, 1, False, at(n)) for n in range(1, 9)])
-    a.update_joined(LIMITS.bootstrap_us)
-    a.record_contact(1, b"", True, 0)
-    assert a.suspect_after_us == 2 * LIMITS.stale_us
-    assert len(a.quota_holders) == 9
-    assert [a.state(1, when) for when in (a.suspect_after_us, a.suspect_after_us + 1)] == [
-        MemberState.UP,
-        MemberState.SUSPECT,
-    ]
-    full = Membership(replace(LIMITS, max_instances=1), 0, 5, at(0), [at(0)], 0)
-    assert full.merge([InstanceRecord(1, 1, False, at(1))]) == 1
+    members = started_instance(0, seeds=1)
+    members.merge([InstanceRecord(peer, 1, False, address_of(peer)) for peer in range(1, 9)])
+    members.update_joined(LIMITS.bootstrap_us)
+    members.record_contact(1, b"", 0, sender_joined=True)
+    limit_us = suspect_after_us(members)
+    assert limit_us == 2 * LIMITS.stale_us
+    assert len(members.quota_holders) == 9
+    assert member_state(members, 1, limit_us) is MemberState.UP
+    assert member_state(members, 1, limit_us + 1) is MemberState.SUSPECT
 
 
 @given(st.integers(2, 300), st.integers(0, 20), st.integers(0, 500))
-def test_round_has_a_bounded_cost_and_every_peer_has_a_turn(heads: int, partners: int, me: int) -> None:
-    turns, others = GossipSchedule(LIMITS, me), set(range(1, heads))
-    seen: set[int] = set()
-    for _ in range(-(-heads // LIMITS.fanout)):
-        chosen = turns.round(others, range(1, partners + 1))
-        assert len(chosen) <= LIMITS.fanout + LIMITS.max_partners
-        assert len(set(chosen)) == len(chosen)
-        seen |= set(chosen)
-    assert seen == others
-    assert turns.round((), (1,)) == []
-
-
-NETS = {
-    "six": GroupScenario(),
-    "twelve": GroupScenario(instances=12, events=30),
-    "a storm": GroupScenario(events=40, loss=0.4, length_us=30 * SECOND),
+def test_round_has_a_bounded_cost_and_every_peer_has_a_turn(instances: int, partners: int, me: int) -> None:
+    schedule, peers = GossipSchedule(LIMITS, me), set(range(1, instances))
+    sent_to: set[int] = set()
+    for _ in range(-(-instances // LIMITS.fanout)):
+        receivers = schedule.round(peers, range(1, partners + 1))
+        assert len(receivers) <= LIMITS.fanout + LIMITS.max_partners
+        assert len(set(receivers)) == len(receivers)
+        sent_to |= set(receivers)
+    assert sent_to == peers
+    assert schedule.round((), (1,)) == []
+
+
+# The sum of the even shares, simulated and explored
+
+SCENARIOS = {
+    "six instances": GroupScenario(),
+    "twelve instances": GroupScenario(instances=12, events=30),
+    "many events and lost messages": GroupScenario(events=40, loss=0.4, length_us=30 * SECOND),
 }
 
 
-@pytest.mark.parametrize("name", NETS)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_even_shares_of_a_changing_group_never_exceed_the_whole(name: str) -> None:
     for seed in range(15):
-        seen = GroupSimulation(replace(NETS[name], seed=seed)).run()
+        result = GroupSimulation(replace(SCENARIOS[name], seed=seed)).run()
         assert (
-            seen.max_share_sum <= 1 + 1e-9
-        ), f"seed {seed}: {seen.max_share_sum} at {seen.max_share_sum_at} us"
-        assert seen.agreed, f"seed {seed}: tables differ once all is calm"
+            result.max_share_sum <= 1 + 1e-9
+        ), f"seed {seed}: {result.max_share_sum} at {result.max_share_sum_at} us"
+        assert result.agreed, f"seed {seed}: tables differ at the end of the calm period"
 
 
-def at_once(self: Membership, _now: int) -> None:
-    self._joined = self._joined or len(self.records) > 1
+def join_at_once(self: Membership, _now: int) -> None:
+    self.join.has_joined = self.join.has_joined or len(self.table.records) > 1
 
 
-def one_is_enough(self: Membership, now: int) -> None:
-    self._joined = self._joined or (
-        bool(self._confirmed_by)
-        and (self._sponsored or self._bootstrap_at is not None and now > self._bootstrap_at)
+def join_after_one_confirmation(self: Membership, now: int) -> None:
+    progress = self.join
+    progress.has_joined = progress.has_joined or (
+        bool(progress.confirmed_by)
+        and (progress.has_sponsor or progress.bootstrap_at is not None and now > progress.bootstrap_at)
     )
 
 
-def without_a_sponsor(self: Membership, _now: int) -> None:
-    self._joined = self._joined or (
-        bool(self._confirmed_by) and self._confirmed_by >= self.quota_holders - {self.me}
+def join_without_a_sponsor(self: Membership, _now: int) -> None:
+    progress = self.join
+    progress.has_joined = progress.has_joined or (
+        bool(progress.confirmed_by) and progress.confirmed_by >= self.quota_holders - {self.me}
     )
 
 
-def heard_only(self: Membership) -> set[int]:
+def responsive_instances(self: Membership) -> set[int]:
+    records = self.table.records
     return {self.me} | {
-        who for who in self._received_at if who in self.records and not self.records[who].terminated
+        instance for instance in self.received_at if instance in records and not records[instance].terminated
     }
 
 
-def older_stands(self: Membership, records: Any) -> int:
+def keep_first_records(self: Membership, records: Iterable[InstanceRecord]) -> int:
     for record in records:
-        self.records.setdefault(record.instance, record)
-    self._digest = None
+        self.table.records.setdefault(record.instance, record)
+    self.table._digest = None
     return 0
 
 
-GROUP_BUGS: dict[str, tuple[str, object]] = {
-    "a newcomer uses its part at once": ("update_joined", at_once),
-    "one head's word is enough": ("update_joined", one_is_enough),
-    "newcomers begin a group of their own": ("update_joined", without_a_sponsor),
-    "only who is heard counts": ("quota_holders", property(heard_only)),
-    "the first word stands": ("merge", older_stands),
+SEEDED_BUGS: dict[str, tuple[str, object]] = {
+    "a newcomer uses its share at once": ("update_joined", join_at_once),
+    "one confirmation is enough": ("update_joined", join_after_one_confirmation),
+    "newcomers form a group of their own": ("update_joined", join_without_a_sponsor),
+    "only responsive instances count": ("quota_holders", property(responsive_instances)),
+    "the first record wins": ("merge", keep_first_records),
 }
 
 
-@pytest.mark.parametrize("bug", GROUP_BUGS)
+@pytest.mark.parametrize("bug", SEEDED_BUGS)
 def test_seeded_bug_in_membership_is_found_by_simulation(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    name, instead = GROUP_BUGS[bug]
-    monkeypatch.setattr(Membership, name, instead)
-    nets = [*NETS.values(), GroupScenario(seeds=1, events=20), GroupScenario(instances=4, seeds=2, events=40)]
+    name, replacement = SEEDED_BUGS[bug]
+    monkeypatch.setattr(Membership, name, replacement)
+    scenarios = [
+        *SCENARIOS.values(),
+        GroupScenario(seeds=1, events=20),
+        GroupScenario(instances=4, seeds=2, events=40),
+    ]
     for seed in range(60):
-        seen = GroupSimulation(replace(nets[seed % len(nets)], seed=seed)).run()
-        if seen.max_share_sum > 1 + 1e-9 or not seen.agreed:
+        result = GroupSimulation(replace(scenarios[seed % len(scenarios)], seed=seed)).run()
+        if result.max_share_sum > 1 + 1e-9 or not result.agreed:
             return
-    raise AssertionError("no seed shows it")
+    raise AssertionError("no seed shows the bug")
 
 
 def test_no_course_of_a_small_group_makes_even_shares_exceed_the_whole() -> None:
@@ -206,39 +224,43 @@
     assert explore(Scope(seeds=1, moves=8)).max_share_sum <= 1 + 1e-9
 
 
-@pytest.mark.parametrize("bug", ["a newcomer uses its part at once", "only who is heard counts"])
+@pytest.mark.parametrize("bug", ["a newcomer uses its share at once", "only responsive instances count"])
 def test_seeded_bug_in_membership_is_found_by_exploration(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    name, instead = GROUP_BUGS[bug]
-    monkeypatch.setattr(Membership, name, instead)
+    name, replacement = SEEDED_BUGS[bug]
+    monkeypatch.setattr(Membership, name, replacement)
     assert explore(Scope(seeds=1, moves=9)).max_share_sum > 1.1
 
 
+# With the budgets that the group divides
+
+
 def test_suspended_instance_has_no_share_until_it_resumes() -> None:
-    """In a group that it has joined, its part of the budgets came back with the next message."""
-    group = MembershipProtocol(LIMITS, one(0, seeds=1))
+    """In a group that it has joined, the next message used to give it its share of the budgets back."""
+    protocol = MembershipProtocol(LIMITS, started_instance(0, seeds=1))
     coordinator = PeerCoordinator(
-        Controller(COLD, 1),
+        Controller(SHARED_BUDGET_SETTINGS, 1),
         incarnation=1,
         subsystems=PeerSubsystems(
-            membership=group, make_budgets=lambda s, life, now: SharedBudgets(LIMITS, s, life, now)
+            membership=protocol,
+            make_budgets=lambda settings, incarnation, now: SharedBudgets(LIMITS, settings, incarnation, now),
         ),
     )
     now = T0
     coordinator.handle(now, [])
-    group.update_joined(now + LIMITS.bootstrap_us)
+    protocol.update_joined(now + LIMITS.bootstrap_us)
     coordinator.handle(now, [])
     budgets = coordinator.budgets
-    assert group.members.joined
+    assert protocol.members.joined
     assert budgets
     assert budgets.leases.resumes_at is not None
-    coordinator.set_suspended(True, now)
+    coordinator.set_suspended(now, suspended=True)
     coordinator.handle(now + SECOND, [])
     coordinator.activate(now + SECOND)
     coordinator.handle(now + SECOND, [])
     assert budgets.leases.resumes_at is None
     assert coordinator.leases
     assert coordinator.leases.resumes_at is None
-    coordinator.set_suspended(False, now + SECOND)
+    coordinator.set_suspended(now + SECOND, suspended=False)
     coordinator.handle(now + SECOND, [])
     assert budgets.leases.resumes_at is not None, "as after a start"
     assert coordinator.leases.resumes_at is not None, "as after a start"
--- a/tests/peers/test_membership_message.py
+++ b/tests/peers/test_membership_message.py
@@ -7,7 +7,7 @@
 
 from garnetlanding.peers import codec, membership_message
 from garnetlanding.peers.codec import MessageError
-from garnetlanding.peers.membership import InstanceRecord
+from garnetlanding.peers.membership_table import InstanceRecord
 from tests.support.membership import LIMITS
 
 RECORDS = st.builds(
@@ -20,28 +20,25 @@
 )
 
 
-# The form
-
-
 @given(st.binary(min_size=8, max_size=8), st.lists(RECORDS, min_size=1, max_size=8), st.booleans())
 def test_membership_message_is_decoded_as_encoded_and_fits(
     digest: bytes, records: list[InstanceRecord], joined: bool
 ) -> None:
     pages = membership_message.paginate(records, LIMITS.datagram_bytes, 9)
-    assert [r for page in pages for r in page[1:]] == records[1:]
+    assert [record for page in pages for record in page[1:]] == records[1:]
     for page in pages:
-        told = membership_message.MembershipMessage(digest, tuple(page), joined)
-        data = codec.encode_envelope(membership_message.to_envelope(told, 1, 2, 3, 4))
+        message = membership_message.MembershipMessage(digest, tuple(page), joined)
+        data = codec.encode_envelope(membership_message.to_envelope(message, 1, 2, 3, 4))
         assert len(data) <= LIMITS.datagram_bytes
-        assert membership_message.read(codec.decode_envelope(data, LIMITS.datagram_bytes)) == told
+        assert membership_message.read(codec.decode_envelope(data, LIMITS.datagram_bytes)) == message
     assert len(membership_message.paginate(records * 9, LIMITS.datagram_bytes, 2)) <= 2
 
 
 @given(st.binary(max_size=60), st.tuples(st.integers(0, 5), st.integers(0, 3)))
 def test_arbitrary_membership_body_is_decoded_whole_or_rejected(body: bytes, counts: tuple[int, int]) -> None:
-    e = codec.Envelope(codec.MessageKind.MEMBERSHIP, 1, 1, 0, 0, counts, body)
+    envelope = codec.Envelope(codec.MessageKind.MEMBERSHIP, 1, 1, 0, 0, counts, body)
     try:
-        told = membership_message.read(e)
+        message = membership_message.read(envelope)
     except MessageError:
         return
-    assert len(told.records) == counts[0] > 0
+    assert len(message.records) == counts[0] > 0
