--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -18,7 +18,7 @@
 from garnetlanding.peers.shared_budgets import SharedBudgets
 from tests.support.clock import T0
 from tests.support.decision_bench import up_endpoint
-from tests.support.membership import COLD, LIMITS
+from tests.support.membership import LIMITS, SHARED_BUDGET_SETTINGS
 
 # Budgets
 
@@ -72,7 +72,7 @@
 
 
 def test_warmup_budget_is_requested_on_arrival_and_counted_when_spent() -> None:
-    budgets = SharedBudgets(LIMITS, COLD, 1, T0)
+    budgets = SharedBudgets(LIMITS, SHARED_BUDGET_SETTINGS, 1, T0)
     node = replace(up_endpoint("n0", 0), started_us=T0 - SECOND)
     ask = api.Arrival("r1", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1)
     budgets.observe_events(
@@ -82,37 +82,42 @@
             ask,
             replace(ask, request="r2", cell=1),
         ],
-        COLD,
+        SHARED_BUDGET_SETTINGS,
         3,
     )
     assert budgets.changed_shares(T0, 3) == {
         "cold:n0": 0.0
     }, "a started instance waits for the window of its earlier incarnation"
     later = T0 + 4 * SECOND
-    budgets.observe_events(later, [ask], COLD, 3)
+    budgets.observe_events(later, [ask], SHARED_BUDGET_SETTINGS, 3)
     assert budgets.changed_shares(later, 3) == pytest.approx({"cold:n0": 1.0})
     assert budgets.changed_shares(later, 3) is None
-    budgets.observe_actions(later, [api.Send("r1", "n0"), api.Send("r2", "n1"), api.Reject("r2")], COLD)
+    budgets.observe_actions(
+        later, [api.Send("r1", "n0"), api.Send("r2", "n1"), api.Reject("r2")], SHARED_BUDGET_SETTINGS
+    )
     own = budgets.leases.demands[codec.tag("cold:n0")]
     assert own.locked_share(later, budgets.leases.window_us) == pytest.approx(2 / 30)
     budgets.observe_events(
-        later, [api.EndpointListFailure(), api.EndpointListUpdate((up_endpoint("n0", 0),))], COLD, 3
+        later,
+        [api.EndpointListFailure(), api.EndpointListUpdate((up_endpoint("n0", 0),))],
+        SHARED_BUDGET_SETTINGS,
+        3,
     )
-    budgets.observe_actions(later, [api.Subscribe()], COLD)
+    budgets.observe_actions(later, [api.Subscribe()], SHARED_BUDGET_SETTINGS)
     told = budgets.changed_shares(later, 3)
     assert told
     assert told[api.ENDPOINT_POLLS] >= LIMITS.min_list_share
     assert "r1" in budgets._units
-    budgets.observe_events(later, [api.ClientLeft("r1")], COLD, 3)
+    budgets.observe_events(later, [api.ClientLeft("r1")], SHARED_BUDGET_SETTINGS, 3)
     assert not budgets._units, "its client has left"
-    budgets.observe_events(later, [replace(ask, request="r3")], COLD, 3)
+    budgets.observe_events(later, [replace(ask, request="r3")], SHARED_BUDGET_SETTINGS, 3)
     assert "r3" not in budgets._units, "the backend has warmed up"
 
 
 def test_decision_module_sends_a_warming_backend_what_its_share_allows() -> None:
     sent = {}
     for share in (0.0, 1.0, 3.0):
-        module = Controller(replace(COLD, overload_multiple=0.0), 1)
+        module = Controller(replace(SHARED_BUDGET_SETTINGS, overload_multiple=0.0), 1)
         node = replace(up_endpoint("n0", 0), started_us=T0)
         asks: list[api.Event] = [
             api.Arrival(f"r{i}", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1) for i in range(40)
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -1,4 +1,4 @@
-"""Suspicions that peers report: how long they count, who is believed, and what they lead to."""
+"""Suspicions of backends: how long peers' claims count, the credit of peers, and the effect on requests."""
 
 from __future__ import annotations
 
@@ -58,10 +58,9 @@
         [api.EndpointListUpdate((replace(SIX_BACKENDS[0], started_us=T0 - 40 * SECOND),), complete=True)],
         OBJECTIVE_US,
     )
-    for life, same in ((400, True), (385, True), (430, False), (20, False), (MAX_UPTIME, False)):
-        assert (
-            SuspicionTable(LIMITS).receive(1, [make_evidence(uptime=life)], T0, T0, observations) == {}
-        ) is same
+    for uptime, is_same in ((400, True), (385, True), (430, False), (20, False), (MAX_UPTIME, False)):
+        dropped = SuspicionTable(LIMITS).receive(1, [make_evidence(uptime=uptime)], T0, T0, observations)
+        assert (dropped == {}) is is_same
 
 
 def test_later_local_observation_refutes_a_claim() -> None:
@@ -84,15 +83,15 @@
         table.receive(1, [make_evidence()], now, now, observations)
         now += MS
         observations.observe_events(now, [result("n0", SERVED)], OBJECTIVE_US)
-    assert table.credit(1, now) < LIMITS.suspicion_credit
+    assert table.credits.of(1, now) < LIMITS.suspicion_credit
     table.receive(1, [make_evidence("n1")], now, now, observations)
-    assert not table.suspected(now, observations), "nor is it believed about others"
+    assert not table.suspected(now, observations), "nor do its claims about other backends count"
     table.receive(2, [make_evidence("n1")], now, now, observations)
     assert table.suspected(now, observations)
     table.receive(1, [make_evidence("n1")] * 5, now, now, observations)
     table.receive(2, [], now, now, observations)
     assert not table.suspected(now, observations), "five equal claims count once"
-    assert table.credit(1, now + LIMITS.credit_recovery_us) == 1
+    assert table.credits.of(1, now + LIMITS.credit_recovery_us) == 1
 
 
 def test_peer_that_withdraws_and_repeats_a_refuted_claim_loses_credit() -> None:
@@ -103,14 +102,14 @@
         observations.observe_events(now + MS, [result("n0", SERVED)], OBJECTIVE_US)
         table.receive(1, [], now + 2 * MS, now + 2 * MS, observations)
         now += 500 * MS
-    assert table.credit(1, now) < LIMITS.suspicion_credit
-    other, slow = SuspicionTable(LIMITS), T0 + 60 * SECOND
+    assert table.credits.of(1, now) < LIMITS.suspicion_credit
+    other, later = SuspicionTable(LIMITS), T0 + 60 * SECOND
     for _ in range(4):  # a backend that really fails and recovers, at some distance
-        other.receive(1, [make_evidence()], slow, slow, observations)
-        observations.observe_events(slow + MS, [result("n0", SERVED)], OBJECTIVE_US)
-        other.receive(1, [], slow + 2 * MS, slow + 2 * MS, observations)
-        slow += 2 * LIMITS.evidence_us
-    assert other.credit(1, slow) == 1
+        other.receive(1, [make_evidence()], later, later, observations)
+        observations.observe_events(later + MS, [result("n0", SERVED)], OBJECTIVE_US)
+        other.receive(1, [], later + 2 * MS, later + 2 * MS, observations)
+        later += 2 * LIMITS.evidence_us
+    assert other.credits.of(1, later) == 1
 
 
 def test_peer_that_was_right_keeps_its_credit_when_the_backend_recovers() -> None:
@@ -118,9 +117,9 @@
     for now in range(T0, T0 + 3 * SECOND, 250 * MS):
         table.receive(1, [make_evidence(age_ms=(now - T0) // MS % 1000)], now, now, observations)
     observations.observe_events(now, [result("n0", SERVED)], OBJECTIVE_US)
-    for age in range(250, 1500, 250):  # it goes on claiming what it observed before, as old as that is
+    for age in range(250, 1500, 250):  # it repeats its observation with its true age
         table.receive(1, [make_evidence(age_ms=age)], now + age * MS, now + age * MS, observations)
-    assert table.credit(1, now) == 1
+    assert table.credits.of(1, now) == 1
 
 
 def test_suspected_backends_are_a_set_share_at_most() -> None:
@@ -136,22 +135,22 @@
 
 
 def test_suspected_backend_gets_one_request_at_a_time_until_it_responds() -> None:
-    fleet = GossipingInstances()
-    fleet.run(20)
-    fleet.run(8, *[(1, result("n0", REFUSED))] * 3)
-    fleet.run(1, *[(0, arrival(f"r{i}", fleet.now)) for i in range(3)])
-    assert fleet.sends[0] == ["r0"], "one at a time, and never none"
-    fleet.run(1, (0, result("n0", SERVED, request="r0")))
-    assert fleet.sends[0] == ["r0", "r1", "r2"], "a response to its own request ends the suspicion"
-    shown = [row.as_json() for row in fleet.coordinators[0].suspicion_rows(fleet.now)]
-    assert [w["head"] for w in shown[0]["words"]] == [1]  # type: ignore[attr-defined]  # a row of JSON
-    assert shown[0]["doubted_ms"] is None
+    instances = GossipingInstances()
+    instances.run(20)
+    instances.run(8, *[(1, result("n0", REFUSED))] * 3)
+    instances.run(1, *[(0, arrival(f"r{i}", instances.now)) for i in range(3)])
+    assert instances.sends[0] == ["r0"], "one at a time, and never none"
+    instances.run(1, (0, result("n0", SERVED, request="r0")))
+    assert instances.sends[0] == ["r0", "r1", "r2"], "a response to its own request ends the suspicion"
+    rows = [row.as_json() for row in instances.coordinators[0].suspicion_rows(instances.now)]
+    assert [claim["head"] for claim in rows[0]["words"]] == [1]  # type: ignore[attr-defined]  # a row of JSON
+    assert rows[0]["doubted_ms"] is None
 
 
 def test_no_course_of_claims_leads_to_a_suspicion_without_recent_observation() -> None:
     """Every course of two instances within three steps; with three instances, `benchmarks.verdicts`."""
     found = explore(Scope(instances=2, steps=3))
-    assert found.whole
+    assert found.is_complete
     assert not found.violation
     assert found.states > 5000
     assert found.suspicious > 500
@@ -171,21 +170,21 @@
 def claims_too_long(
     self: SuspicionTable, claim: PeerClaim, sender: int, observation: Observation, now: int
 ) -> None:
-    real_take(self, replace(claim, expires_at=claim.expires_at + SECOND), sender, observation, now)
+    real_replace_claim(self, replace(claim, expires_at=claim.expires_at + SECOND), sender, observation, now)
 
 
 def own_responses_ignored(_self: Observation, _kind: EvidenceKind) -> None:
     return None
 
 
-real_receive, real_take = SuspicionTable.receive, SuspicionTable._take
+real_receive, real_replace_claim = SuspicionTable.receive, SuspicionTable._replace_claim
 
 
 @pytest.mark.parametrize(
     ("where", "name", "instead"),
     [
         pytest.param(SuspicionTable, "receive", claim_from_arrival, id="age counts from arrival"),
-        pytest.param(SuspicionTable, "_take", claims_too_long, id="claims hold too long"),
+        pytest.param(SuspicionTable, "_replace_claim", claims_too_long, id="claims hold too long"),
         pytest.param(Observation, "contradicted_at", own_responses_ignored, id="own responses are ignored"),
     ],
 )
@@ -211,9 +210,9 @@
 
 
 def test_simulated_fleet_suspects_no_healthy_backend_and_is_reproducible() -> None:
-    net = suspicion_net.Scenario(length_us=9 * SECOND)
-    one, two = suspicion_net.Simulation(net).run(), suspicion_net.Simulation(net).run()
-    assert one == two
-    assert one.attempts
-    assert not one.suspected
-    assert suspicion_net.Simulation(replace(net, gossip=False)).run().bytes == 0 < one.bytes
+    scenario = suspicion_net.Scenario(length_us=9 * SECOND)
+    first, second = suspicion_net.Simulation(scenario).run(), suspicion_net.Simulation(scenario).run()
+    assert first == second
+    assert first.attempts
+    assert not first.suspected
+    assert suspicion_net.Simulation(replace(scenario, gossip=False)).run().bytes == 0 < first.bytes
--- a/tests/support/membership.py
+++ b/tests/support/membership.py
@@ -1,4 +1,4 @@
-"""Simulated instances for the tests of membership and of what is divided by it."""
+"""Instances and settings for the tests of membership and of what is divided by it."""
 
 from __future__ import annotations
 
@@ -9,12 +9,17 @@
 LIMITS = PeerLimits()
 
 
-# Bugs put in on purpose
+def address_of(instance: int) -> str:
+    return f"127.0.0.{instance + 1}:7946"
 
-real_learn, real_look = Membership.merge, Membership.update_joined
 
+def started_instance(instance: int, incarnation: int = 5, seeds: int = 2) -> Membership:
+    """Return the membership of an instance that has just started and knows only the seeds' addresses."""
+    addresses = [address_of(seed) for seed in range(seeds)]
+    return Membership(LIMITS, instance, incarnation, address_of(instance), addresses, 0)
 
-COLD = make_settings(
+
+SHARED_BUDGET_SETTINGS = make_settings(
     may_message_peers=True,
     instances=3,
     warmup_units=30.0,
--- a/tests/support/suspicions.py
+++ b/tests/support/suspicions.py
@@ -5,13 +5,13 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.decision.interface import Outcome
+from garnetlanding.peers.codec import tag
 from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
 from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.gossip_message import (
     MAX_UPTIME,
     Evidence,
     EvidenceKind,
-    tag,
 )
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.local_observations import LocalObservations
@@ -24,8 +24,8 @@
 SERVED, REFUSED = Outcome.SERVED, Outcome.UNREACHABLE
 
 
-def result(node: str, outcome: Outcome, took: int = MS, request: str = "r") -> api.Result:
-    return api.Result(request, 0, node, outcome, took, False)
+def result(backend: str, outcome: Outcome, duration_us: int = MS, request: str = "r") -> api.Result:
+    return api.Result(request, 0, backend, outcome, duration_us, False)
 
 
 def observations_after(*events: api.Event, now: int = T0) -> LocalObservations:
@@ -43,13 +43,16 @@
 
 
 def make_evidence(
-    node: str = "n0", age_ms: int = 0, uptime: int = MAX_UPTIME, kind: EvidenceKind = EvidenceKind.UNREACHABLE
+    backend: str = "n0",
+    age_ms: int = 0,
+    uptime: int = MAX_UPTIME,
+    kind: EvidenceKind = EvidenceKind.UNREACHABLE,
 ) -> Evidence:
-    return Evidence(kind, tag(node), uptime, 3, age_ms)
+    return Evidence(kind, tag(backend), uptime, 3, age_ms)
 
 
 class GossipingInstances:
-    """Three instances before six backends; what they send arrives with the next round."""
+    """Three instances in front of six backends; each message arrives in the receiver's next round."""
 
     def __init__(self) -> None:
         self.now = T0
