--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -119,10 +119,10 @@
     client = NinepClient(w)
     client.open(1, "sv", "law", "terms")
     before = len(received_messages(w, p9.Tread))
+    started_before = len(w.core.starts)
     assert client.stream
     client.stream.write(b"".join(p9.encode(10 + n, p9.Tread(1, n * 64, 64)) for n in range(60)))
-    for _ in range(4):
-        w.scheduler.run_iteration(1)
+    w.run_until(lambda: len(w.core.starts) > started_before, "an attempt for the first of 60 messages")
     assert client.stream
     client.stream.close()
     started = len(w.core.starts)
@@ -146,7 +146,7 @@
         except BlockingIOError:
             break
     assert sent > 16 * w.limits.read_bytes_per_iteration
-    w.scheduler.run_iteration(1)
+    w.run_until(lambda: connection.protocol.messages_received > 0, "the first messages of the flood")
     assert (
         0
         < connection.protocol.messages_received * len(PING)
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -14,36 +15,61 @@
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.listener import Listener
 from tests.support.clock import MS, SECOND
+from tests.support.loopback import fix_kernel_buffers
 from tests.support.simulated_instance import LoopbackClient, SimulatedInstance, read_command
 
 MIB = 1 << 20
 KIB = 1 << 10
+KERNEL_BUFFER_BYTES = 64 * KIB
 
 
-def answer(value: bytes) -> bytes:
+def response(value: bytes) -> bytes:
+    """Return a backend's response in RESP."""
     return b"*3\r\n" + codec.bulk(value) + codec.bulk(b"used=50") + b"$-1\r\n"
 
 
-class Store(SimulatedInstance):
-    """One brick behind a front, and a window far smaller than the values."""
+class StreamingInstance(SimulatedInstance):
+    """One backend behind a front, and a window far smaller than the values."""
 
-    def __init__(self, **limits: int) -> None:
-        super().__init__(
-            None, **({"stream_window_bytes": 16 * KIB, "stream_threshold_bytes": 4 * KIB} | limits)
-        )
-        self.brick = self.server(EmulatedBackend)
-        self.list(EmulatedEndpoint("b0", self.brick.address, 0))
+    def __init__(self) -> None:
+        super().__init__(None, stream_window_bytes=16 * KIB, stream_threshold_bytes=4 * KIB)
+        self.backend = self.server(EmulatedBackend)
+        self.list(EmulatedEndpoint("b0", self.backend.address, 0))
         self.listener: Listener = self.front()
+        self.most_unsent = 0
+        self.scheduler.iteration_hooks.append(self._measure_unsent)
 
-    def begun(self, value: bytes, given: int, id: str = "r1") -> LoopbackClient:
-        """A client whose value is on its way: the brick has given so many bytes of its answer."""
+    def _measure_unsent(self) -> None:
+        """Note the most bytes that wait for one client in this process at the end of an iteration."""
+        unsent = [client.stream.unsent_bytes for client in self.listener._clients]
+        self.most_unsent = max(self.most_unsent, *unsent, 0)
+
+    def client_with_response_in_progress(self, value: bytes, bytes_sent: int) -> LoopbackClient:
+        """Return a client whose value is on its way: the backend has sent so many bytes of its response."""
+        client = self.peer(self.listener.address)
+        self.backend.scripted_responses = [response(value)[:bytes_sent]]
+        client.say(read_command(d=1000))
+        return client
+
+    def client_that_does_not_read(self) -> LoopbackClient:
+        """Return a client that reads nothing of the value it has asked for.
+
+        The kernel's buffers between the two are held small: by itself it lets them grow until all of the
+        value has room in them, and then nobody waits for the client.
+        """
         client = self.peer(self.listener.address)
-        self.brick.scripted_responses = [answer(value)[:given]]
-        client.say(read_command(id, d=1000))
+        assert client.stream
+        self.stop_polling(client.stream._sock)
+        fix_kernel_buffers(client.stream._sock, KERNEL_BUFFER_BYTES)
+        fix_kernel_buffers(self.accepted_end(self.listener, client).stream._sock, KERNEL_BUFFER_BYTES)
+        client.stream.write(read_command("unread"))
+        self.settle()
         return client
 
-    def unread(self) -> int:
-        return max(c.stream.unsent_bytes for c in self.listener._clients)
+
+@pytest.fixture
+def instance() -> StreamingInstance:
+    return StreamingInstance()
 
 
 @given(st.binary(min_size=33, max_size=400), st.lists(st.integers(1, 60), max_size=30))
@@ -51,7 +77,7 @@
     value: bytes, sizes: list[int]
 ) -> None:
     decoder = codec.Decoder(BufferPool(16, 4, 1000), Limits(stream_threshold_bytes=32))
-    data, got = answer(value) + answer(b"short"), []
+    data, got = response(value) + response(b"short"), []
     for size in [*sizes, len(data)]:
         got += list(decoder.feed(data[:size]))
         data = data[size:]
@@ -61,31 +87,32 @@
     assert not decoder.has_partial_message
 
 
-def test_a_long_value_reaches_its_client_before_the_backend_has_sent_all_of_it() -> None:
-    instance, value = Store(), bytes(range(256)) * 256
-    client = instance.begun(value, 30_000)
+def test_a_long_value_reaches_its_client_before_the_backend_has_sent_all_of_it(
+    instance: StreamingInstance,
+) -> None:
+    value = bytes(range(256)) * 256
+    client = instance.client_with_response_in_progress(value, 30_000)
     assert client.got.startswith(b"$65536\r\n")
     assert 20_000 < len(client.got) < 30_000
     assert len(instance.core.finals[0]) == 1, "answered, and open to its last byte"
     assert instance.core.open_requests == 1, "answered, and open to its last byte"
     assert [a.outcome for a in instance.core.starts] == [api.Outcome.SERVED]
-    [conn] = instance.brick.connections
-    conn.write(answer(value)[30_000:])
+    [conn] = instance.backend.connections
+    conn.write(response(value)[30_000:])
     instance.settle()
     assert client.got == codec.bulk(value)
     assert instance.core.open_requests == 0
     assert instance.core.metrics.success["read"] == 1
     assert client.say(read_command("r2")) == b"$0\r\n\r\n", "both are used again"
-    assert len(instance.brick.connections) == 1, "both are used again"
+    assert len(instance.backend.connections) == 1, "both are used again"
 
 
-def test_the_result_reports_the_time_to_the_first_byte_not_to_the_last() -> None:
-    instance = Store()
-    instance.brick.scripted_responses = [None]
+def test_the_result_reports_the_time_to_the_first_byte_not_to_the_last(instance: StreamingInstance) -> None:
+    instance.backend.scripted_responses = [None]
     client = instance.peer(instance.listener.address)
     client.say(read_command(d=1000))
     instance.run(40 * MS)
-    [(_, conn)] = instance.brick.held_commands
+    [(_, conn)] = instance.backend.held_commands
     for piece in (b"*3\r\n$1000\r\n", b"x" * 1000, b"\r\n$-1\r\n$-1\r\n"):
         conn.write(piece)
         instance.run(30 * MS)
@@ -93,10 +120,11 @@
     assert instance.core.starts[0].duration_us == 40 * MS
 
 
-def test_a_backend_reset_after_1_of_4_mib_closes_the_clients_connection_without_a_retry() -> None:
-    instance = Store()
-    client = instance.begun(b"v" * (4 * MIB), MIB)
-    instance.brick.close_connections()
+def test_a_backend_reset_after_1_of_4_mib_closes_the_clients_connection_without_a_retry(
+    instance: StreamingInstance,
+) -> None:
+    client = instance.client_with_response_in_progress(b"v" * (4 * MIB), MIB)
+    instance.backend.close_connections()
     instance.settle()
     assert client.closed
     assert MIB - 100 <= len(client.got) <= MIB
@@ -105,78 +133,76 @@
     assert instance.core.open_requests == 0
 
 
-def test_a_backend_that_stops_mid_value_has_failed_and_a_slow_one_has_not() -> None:
-    instance, value = Store(), b"v" * (64 * KIB)
-    client = instance.begun(value, 20_000)
-    [conn] = instance.brick.connections
+def test_a_backend_that_stops_mid_value_has_failed_and_a_slow_one_has_not(
+    instance: StreamingInstance,
+) -> None:
+    value = b"v" * (64 * KIB)
+    client = instance.client_with_response_in_progress(value, 20_000)
+    [conn] = instance.backend.connections
     for at in range(20_000, 60_000, 10_000):
         instance.run(instance.limits.stream_stall_us - 100 * MS, step_us=100 * MS)
-        conn.write(answer(value)[at : at + 10_000])
+        conn.write(response(value)[at : at + 10_000])
         instance.settle()
     assert not client.closed
     instance.run(instance.limits.stream_stall_us + 100 * MS, step_us=100 * MS)
     assert client.closed
-    assert not instance.brick.connections
+    assert not instance.backend.connections
 
 
-def test_a_client_that_reads_nothing_holds_one_window_and_delays_no_other() -> None:
-    instance = Store()
-    instance.brick.data[b"k"] = b"v" * (4 * MIB)
-    deaf = instance.peer(instance.listener.address)
-    assert deaf.stream
-    instance.mute(deaf.stream._sock.fileno())
-    deaf.stream.write(read_command("r0"))
-    instance.settle()
+def test_a_client_that_reads_nothing_holds_one_window_and_delays_no_other(
+    instance: StreamingInstance,
+) -> None:
+    instance.backend.data[b"k"] = b"v" * (4 * MIB)
+    stalled = instance.client_that_does_not_read()
+    assert instance.accepted_end(
+        instance.listener, stalled
+    ).stream.unsent_bytes, "the client alone holds it up"
     others = [LoopbackClient(instance, instance.listener.address, settle=False) for _ in range(8)]
     instance.settle()
-    most = 0
     for i, other in enumerate(others):
         assert other.stream
         other.stream.write(read_command(f"s{i}", d=1400))
-    while not all(len(other.got) > 4 * MIB for other in others):
-        # A busy machine delivers late, also on loopback: only long quiet means that nothing moves any more.
-        assert any(instance.scheduler.run_iteration(10) for _ in range(100))
-        most = max(most, instance.unread())
+    instance.run_until(lambda: all(len(o.got) > 4 * MIB for o in others), "the values of eight other clients")
     assert (
-        most <= instance.limits.stream_window_bytes + 2 * instance.pool.buffer_bytes
+        instance.most_unsent <= instance.limits.stream_window_bytes + 2 * instance.pool.buffer_bytes
     ), "what one client may leave unread"
-    assert len(deaf.got) < 4 * MIB
-    assert not deaf.closed
+    assert len(stalled.got) < 4 * MIB
+    assert not stalled.closed
     instance.run(instance.limits.write_stall_us + SECOND, step_us=100 * MS)
     assert len(instance.listener) == len(others), "and for so long"
 
 
-def test_a_client_that_disconnects_ends_the_backends_stream() -> None:
-    instance = Store()
-    client = instance.begun(b"v" * MIB, 30_000)
+def test_a_client_that_disconnects_ends_the_backends_stream(instance: StreamingInstance) -> None:
+    client = instance.client_with_response_in_progress(b"v" * MIB, 30_000)
     client.close()
-    assert not instance.brick.connections
+    assert not instance.backend.connections
     assert instance.core.open_requests == 0
     assert len(instance.listener) == 0
 
 
-def test_a_streamed_value_keeps_its_place_among_pipelined_answers() -> None:
-    instance, value = Store(), b"v" * (200 * KIB)
+def test_a_streamed_value_keeps_its_place_among_pipelined_answers(instance: StreamingInstance) -> None:
+    value = b"v" * (200 * KIB)
     client = instance.peer(instance.listener.address)
-    instance.brick.scripted_responses = [None, answer(value), answer(b"last")]
+    instance.backend.scripted_responses = [None, response(value), response(b"last")]
     client.say(b"".join(read_command(f"r{i}", volume=f"v{i}") for i in range(3)))
     assert client.got == b""
-    instance.brick.data[b"k"] = b"first"
-    instance.brick.release()
+    instance.backend.data[b"k"] = b"first"
+    instance.backend.release()
     instance.settle()
     assert client.got == codec.bulk(b"first") + codec.bulk(value) + codec.bulk(b"last")
 
 
-def test_a_value_cut_short_before_streaming_is_an_error_and_the_connection_stays() -> None:
-    instance = Store()
+def test_a_value_cut_short_before_streaming_is_an_error_and_the_connection_stays(
+    instance: StreamingInstance,
+) -> None:
     client = instance.peer(instance.listener.address)
-    instance.brick.scripted_responses = [None, answer(b"v" * (200 * KIB))[:30_000]]
+    instance.backend.scripted_responses = [None, response(b"v" * (200 * KIB))[:30_000]]
     client.say(read_command("r0") + read_command("r1", volume="v1"))
     for conns in list(instance.bricks.connections._open.values()):
         for conn in [c for c in conns if c.protocol.body]:
             conn.close()
     instance.settle()
-    instance.brick.release()
+    instance.backend.release()
     instance.settle()
     assert client.got == b"$0\r\n\r\n-ERR cut short\r\n"
     assert not client.closed
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -266,10 +266,8 @@
     other.version, other.endpoints = 9, [EmulatedEndpoint("b7", "127.0.0.1:9", 7)]
     old = instance.discovery
     instance.watch.subscribe()
-    for _ in range(100):
-        instance.scheduler.run_iteration(0)
-        if instance.watch._stream is None or instance.watch._stream.closed:
-            break  # it is still connecting
+    instance.scheduler.run_iteration(0)  # the call begins to connect
+    assert instance.watch._stream is None or instance.watch._stream.closed, "it is still connecting"
     instance.watch.switch_to(other.address)
     instance.settle()
     assert len(old.calls) == 1, "the old discovery is not followed any more"
--- a/tests/integration/test_mixed_protocols.py
+++ b/tests/integration/test_mixed_protocols.py
@@ -133,8 +133,7 @@
     for peer, data in ((tool, HELLO), (client, read_command())):
         assert peer.stream
         peer.stream.write(data)
-    while len(instance.core.starts) < 2:
-        instance.scheduler.run_iteration(1)
+    instance.run_until(lambda: len(instance.core.starts) == 2, "an attempt of each protocol")
     instance.core.endpoints.set_disabled(frozenset({"b0", "b1"}), instance.time)
     instance.settle()
     assert not any(b.received for b in instance.bricks_up)
--- a/tests/integration/test_rolling_upgrade.py
+++ b/tests/integration/test_rolling_upgrade.py
@@ -10,6 +10,7 @@
 from garnetlanding.daemon import Daemon
 from garnetlanding.emulator.backend import EmulatedBackend
 from garnetlanding.emulator.discovery import EmulatedEndpoint
+from garnetlanding.runtime.scheduler import Scheduler
 from tests.support.clock import MS, SECOND
 from tests.support.daemon import PLATFORM_CONFIG
 from tests.support.simulated_instance import LoopbackClient, SimulatedInstance, read_command
@@ -21,6 +22,7 @@
     """Two daemons of one instance on this one's clock, before one backend."""
 
     def __init__(self, folder: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.daemons: list[Daemon] = []
         super().__init__()
         monkeypatch.setattr("tempfile.gettempdir", lambda: str(folder))
         self.brick = self.server(EmulatedBackend)
@@ -28,7 +30,6 @@
         self.address = probe.address
         probe.stop_accepting()
         self.settle()
-        self.daemons: list[Daemon] = []
 
     def start_daemon(self) -> Daemon:
         daemon = Daemon(
@@ -51,13 +52,9 @@
         self.settle()
         return daemon
 
-    def settle(self) -> None:
-        quiet = 0
-        while quiet < 3:
-            busy = self.scheduler.run_iteration(1)
-            for daemon in getattr(self, "daemons", []):
-                busy = (not daemon.scheduler._stopped and daemon.scheduler.run_iteration(0)) or busy
-            quiet = 0 if busy else quiet + 1
+    def schedulers(self) -> tuple[Scheduler, ...]:
+        running = [daemon.scheduler for daemon in self.daemons if not daemon.scheduler._stopped]
+        return (*super().schedulers(), *running)
 
     def call(self, daemon: Daemon, what: str, method: str = "POST") -> str:
         assert daemon.assembly.admin is not None
--- a/tests/resp/test_client_connections.py
+++ b/tests/resp/test_client_connections.py
@@ -36,7 +36,7 @@
     assert incomplete.closed
     client_that_does_not_read = instance.peer(front.address)
     assert client_that_does_not_read.stream
-    instance.mute(client_that_does_not_read.stream._sock.fileno())  # it stops reading
+    instance.stop_polling(client_that_does_not_read.stream._sock)  # it stops reading
     client_that_does_not_read.stream.write(b"".join(read_command(f"r{i}") for i in range(400)))
     instance.run(instance.limits.write_stall_us + MS, step_us=100 * MS)
     assert len(front) == 0, "what it leaves unread is bounded in bytes and time"
@@ -79,13 +79,8 @@
     instance = SimulatedInstance(client_conns=2)
     front = instance.front()
     silent, late = instance.peer(front.address), instance.peer(front.address)
-    late_connection = min(
-        front._clients,
-        key=lambda c: c.last_used_at
-        if c.stream._sock.getpeername() == (late.stream and late.stream._sock.getsockname())
-        else 1 << 60,
-    )
-    instance.mute(late_connection.stream._sock.fileno())
+    late_connection = instance.accepted_end(front, late)
+    instance.stop_polling(late_connection.stream._sock)
     late.say(PING)
     third = instance.peer(front.address)
     assert third.say(PING) == b""
--- a/tests/runtime/test_attempt_ends.py
+++ b/tests/runtime/test_attempt_ends.py
@@ -24,7 +24,7 @@
     client.say(read_command("r1"))
     [[kept]] = instance.bricks.connections._idle.values()
     assert kept._stream
-    instance.mute(kept._stream._sock.fileno())
+    instance.stop_polling(kept._stream._sock)
     instance.brick.connections[0].write(b"*3\r\n$5\r\nwrong\r\n$-1\r\n$-1\r\n")
     instance.settle()
     client.sock.recv(100)
--- a/tests/runtime/test_upstream.py
+++ b/tests/runtime/test_upstream.py
@@ -30,7 +30,7 @@
     instance.client.say(read_command("r1"))
     [[idle]] = instance.bricks.connections._idle.values()
     assert idle._stream
-    instance.mute(idle._stream._sock.fileno())
+    instance.stop_polling(idle._stream._sock)
     instance.backend.close_connections()
     instance.settle()
     assert instance.client.say(read_command("r2")) == b"$0\r\n\r\n"
@@ -53,7 +53,7 @@
     full = instance.server(EmulatedBackend)
     assert full.listener._sock
     instance.settle()
-    instance.mute(full.listener._sock.fileno())
+    instance.stop_polling(full.listener._sock)
     for _ in range(3):
         instance.peer(full.address)
     instance.list(EmulatedEndpoint("b0", full.address, 0))
@@ -94,7 +94,7 @@
     instance = InstanceWithBackend(buffer_bytes=4096, unsent_bytes=1 << 24, value_bytes=1 << 23)
     instance.client.say(read_command())
     backend_side = next(iter(instance.backend.listener._clients))
-    instance.mute(backend_side.stream._sock.fileno())  # the backend reads nothing more
+    instance.stop_polling(backend_side.stream._sock)  # the backend reads nothing more
     body = b"x" * (7 << 20)  # more than the kernel takes
     instance.client.say(read_command("big", verb="BLK.WRITE", d=1400, body=body))
     assert instance.outcomes() == ["served", "out"]
@@ -150,8 +150,7 @@
     moved = instance.server(EmulatedBackend)
     assert instance.client.stream
     instance.client.stream.write(read_command(d=900))
-    while not instance.core.starts:
-        instance.scheduler.run_iteration(1)
+    instance.run_until(lambda: bool(instance.core.starts), "the first attempt")
     instance.core.endpoints._addresses["b0"] = moved.address
     instance.settle()
     assert not instance.backend.received
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -97,7 +97,7 @@
 
 def test_follower_reconnects_after_the_writer_was_unresponsive() -> None:
     pair = ReplicationPair()
-    pair.mute(next(iter(pair.listener._clients)).stream._sock.fileno())
+    pair.stop_polling(next(iter(pair.listener._clients)).stream._sock)
     next(iter(pair.listener._clients)).protocol.close()  # sends nothing more, but its connection stays open
     pair.store.put("a", 1)
     pair.run(pair.limits.store_silence_us, 100 * MS)
--- a/tests/support/daemon.py
+++ b/tests/support/daemon.py
@@ -12,6 +12,7 @@
 from garnetlanding.emulator.backend import EmulatedBackend
 from garnetlanding.emulator.discovery import Discovery, EmulatedEndpoint
 from garnetlanding.emulator.fileserver import FileServer
+from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.runtime.signals import HANDLED
 from tests.support.simulated_instance import LoopbackClient, SimulatedInstance
 
@@ -106,12 +107,10 @@
     def load_config(self, operator: dict[str, Any] | None = None) -> config.Config:
         return config.read(self.platform_config, operator, {"RELAY_DISCOVERY": self.discovery.address})
 
-    def settle(self) -> None:
-        quiet = 0
-        while quiet < 3:
-            head = self.daemon.scheduler if hasattr(self, "daemon") else None
-            moved = [s.run_iteration(1) for s in (self.scheduler, head) if s and not s._stopped]
-            quiet = 0 if any(moved) else quiet + 1
+    def schedulers(self) -> tuple[Scheduler, ...]:
+        if not hasattr(self, "daemon") or self.daemon.scheduler._stopped:
+            return super().schedulers()
+        return (*super().schedulers(), self.daemon.scheduler)
 
     def client(self, listener_index: int = 0) -> LoopbackClient:
         return self.peer(self.daemon.listeners[listener_index].address)
--- a/tests/support/ninep_instance.py
+++ b/tests/support/ninep_instance.py
@@ -195,10 +195,6 @@
 
     thread = threading.Thread(target=run, daemon=True)
     thread.start()
-    turns = 0
-    while thread.is_alive():
-        world.scheduler.run_iteration(1)
-        turns += 1
-        assert turns < 200_000, "the client waits for ever"
+    world.run_until(lambda: not thread.is_alive(), "the end of the client's thread")
     if failed:
         raise failed[0]
--- a/tests/support/simulated_instance.py
+++ b/tests/support/simulated_instance.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import socket
+from collections.abc import Callable
 from dataclasses import replace
 from typing import Any, TypeVar
 
@@ -25,13 +27,17 @@
 from garnetlanding.resp import front as resp_front
 from garnetlanding.resp.backend_protocol import resp_backends
 from garnetlanding.runtime.buffers import BufferPool
+from garnetlanding.runtime.client_connection import ClientConnection
 from garnetlanding.runtime.listener import Listener
 from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.runtime.stream import Stream
 from tests.support.clock import MS, SECOND, T0
-from tests.support.decision_bench import (
-    make_settings,
-)
+from tests.support.decision_bench import make_settings
+from tests.support.loopback import traffic_in_transit
+from tests.support.waiting import EventDeadline, wait_until
+
+DELIVERY_WAIT_MS = 1.0
+"""Real time that one iteration waits for the kernel to deliver, before what is in transit is read again."""
 
 S = TypeVar("S", bound=EmulatedServer)
 
@@ -150,11 +156,33 @@
         self.core.update_endpoints(read_list(data, lambda us: us, at_start=whole)[1])
         self.settle()
 
+    def schedulers(self) -> tuple[Scheduler, ...]:
+        """Return every event loop that runs on this clock and is not stopped."""
+        return (self.scheduler,)
+
+    def run_iteration(self, longest_wait_ms: float) -> bool:
+        """Run each event loop once, the first of which may wait; return whether anything happened."""
+        first, *others = self.schedulers()
+        happened = [first.run_iteration(longest_wait_ms), *(other.run_iteration(0) for other in others)]
+        return any(happened)
+
     def settle(self) -> None:
-        """Run the event loop until three iterations in a row find nothing to do on the loopback sockets."""
-        quiet = 0
-        while quiet < 3:
-            quiet = 0 if self.scheduler.run_iteration(1) else quiet + 1
+        """Run until no event loop has anything to do and the kernel has nothing more to deliver."""
+        deadline = EventDeadline("an event loop at rest, with nothing in transit between its sockets")
+        while True:
+            while self.run_iteration(0):
+                assert deadline.remaining_s
+            in_transit = traffic_in_transit()
+            if not in_transit and not self.run_iteration(0):
+                return
+            if in_transit:
+                deadline.event = "; ".join(in_transit)
+                self.run_iteration(DELIVERY_WAIT_MS)
+            assert deadline.remaining_s
+
+    def run_until(self, condition: Callable[[], bool], event: str) -> None:
+        """Run the event loops, without letting simulated time pass, until the condition holds."""
+        wait_until(condition, event, lambda: self.run_iteration(DELIVERY_WAIT_MS))
 
     def run(self, span_us: int, step_us: int = 10 * MS) -> None:
         """Let simulated time pass in steps; sockets are quiet after each."""
@@ -164,10 +192,18 @@
             self.time = min(end, self.time + step_us)
             self.settle()
 
-    def mute(self, fd: int) -> None:
-        """Stop delivering readiness of this descriptor to the task that waits for it."""
-        self.scheduler._waits[fd].clear()
-        self.scheduler._register(fd)
+    def stop_polling(self, sock: socket.socket) -> None:
+        """Stop waking the task that waits for this socket: it neither reads, writes nor accepts any more."""
+        self.scheduler._waits[sock.fileno()].clear()
+        self.scheduler._register(sock.fileno())
+
+    @staticmethod
+    def accepted_end(listener: Listener, client: LoopbackClient) -> ClientConnection:
+        """Return the listener's end of a client's connection."""
+        assert client.stream
+        address = client.stream._sock.getsockname()
+        [accepted] = [one for one in listener._clients if one.stream._sock.getpeername() == address]
+        return accepted
 
     def peer(self, address: str) -> LoopbackClient:
         """Connect a client."""
--- /dev/null
+++ b/tests/test_simulated_instance.py
@@ -0,0 +1,69 @@
+"""The tests' own support: a simulated instance settles by what the kernel has delivered."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from garnetlanding.emulator.backend import EmulatedBackend
+from garnetlanding.emulator.discovery import EmulatedEndpoint
+from garnetlanding.resp import codec
+from tests.support.loopback import TcpSocket, TcpState, traffic_in_transit, undelivered
+from tests.support.simulated_instance import SimulatedInstance, read_command
+
+LONG_VALUE = b"v" * (8 << 20)  # more than the kernel holds for one connection
+AT_REST = TcpSocket(
+    local=("127.0.0.1", 1),
+    remote=("127.0.0.1", 2),
+    state=TcpState.ESTABLISHED,
+    bytes_sent=100,
+    bytes_received=100,
+    bytes_not_sent=0,
+    segments_unacknowledged=0,
+    unread=0,
+    writable=True,
+    accept_queue=0,
+    accept_queue_max=0,
+)
+
+
+def test_settle_ends_once_a_long_value_has_reached_its_client() -> None:
+    instance = SimulatedInstance(unsent_bytes=2 * len(LONG_VALUE), reply_bytes=2 * len(LONG_VALUE))
+    backend = instance.server(EmulatedBackend)
+    backend.scripted_responses = [b"*3\r\n" + codec.bulk(LONG_VALUE) + b"$-1\r\n$-1\r\n"]
+    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    client = instance.peer(instance.front().address)
+    assert client.say(read_command()) == codec.bulk(LONG_VALUE)
+    assert not traffic_in_transit()
+
+
+@pytest.mark.parametrize(
+    ("sender", "receiver", "in_transit"),
+    [
+        pytest.param({}, {}, False, id="at rest"),
+        pytest.param({"bytes_sent": 101}, {}, True, id="a byte sent and not received"),
+        pytest.param({"bytes_not_sent": 5}, {}, True, id="held back for a receiver that has read everything"),
+        pytest.param({"bytes_not_sent": 5}, {"unread": 9}, False, id="held back for one that does not read"),
+        pytest.param(
+            {"bytes_not_sent": 5, "segments_unacknowledged": 1},
+            {"unread": 9},
+            True,
+            id="held back until an acknowledgement",
+        ),
+        pytest.param(
+            {"segments_unacknowledged": 1, "writable": False}, {"unread": 9}, True, id="full until then"
+        ),
+        pytest.param({"segments_unacknowledged": 1}, {}, False, id="received and not acknowledged"),
+        pytest.param({"state": TcpState.FIN_WAIT_1}, {}, True, id="end sent and not received"),
+        pytest.param(
+            {"state": TcpState.FIN_WAIT_1}, {"state": TcpState.CLOSE_WAIT}, False, id="end received"
+        ),
+    ],
+)
+def test_in_transit_is_what_the_kernel_will_deliver_without_the_receiver(
+    sender: dict[str, object], receiver: dict[str, object], in_transit: bool
+) -> None:
+    sending = replace(AT_REST, **sender)  # type: ignore[arg-type]  # fields by name
+    receiving = replace(AT_REST, **receiver)  # type: ignore[arg-type]  # fields by name
+    assert bool(undelivered(sending, receiving)) == in_transit
