--- a/garnetlanding/core/admission.py
+++ b/garnetlanding/core/admission.py
@@ -41,11 +41,11 @@
 
     The decision module relies on this check: such a request would corrupt its state for other requests.
     """
-    if spec.cls not in settings.classes:
+    if spec.request_class not in settings.classes:
         raise InvalidRequestError(RequestDefect.UNKNOWN_CLASS)
     if spec.plan not in settings.plans:
         raise InvalidRequestError(RequestDefect.UNKNOWN_PLAN)
-    if settings.cells and spec.cell >= settings.cells:
+    if settings.cells and spec.cell is not None and spec.cell >= settings.cells:
         raise InvalidRequestError(RequestDefect.UNKNOWN_CELL)
     if spec.units > settings.max_units:
         raise InvalidRequestError(RequestDefect.TOO_MANY_UNITS)
--- a/garnetlanding/core/dispatcher.py
+++ b/garnetlanding/core/dispatcher.py
@@ -94,7 +94,7 @@
     def address_for(self, attempt: Attempt) -> str | None:
         """Return the HOST:PORT to send the attempt to now, or None if it may not be sent any more."""
         if attempt.number:
-            spec = self.settings.classes.get(attempt.request.spec.cls)
+            spec = self.settings.classes.get(attempt.request.spec.request_class)
             if not may_repeat(attempt, spec, self._timers.now):
                 return None
         return self._endpoints.address_of(attempt.backend)
--- a/garnetlanding/core/engine.py
+++ b/garnetlanding/core/engine.py
@@ -192,7 +192,7 @@
         self.fence.notify()
 
     def _answer_fenced(self, request: Request) -> None:
-        spec = self.settings.classes.get(request.spec.cls)
+        spec = self.settings.classes.get(request.spec.request_class)
         if may_run_elsewhere(request, spec):
             self._requests.withdraw(request.ticket, Rejected(self.settings.max_retry_after_us))
         else:
@@ -226,12 +226,12 @@
     spec = request.spec
     return api.Arrival(
         request.ticket,
-        spec.cls,
+        spec.request_class,
         spec.plan,
         spec.volume,
         spec.key,
         spec.units,
-        None if spec.cell < 0 else spec.cell,
+        spec.cell,
         request.deadline_us,
         spec.serving_instances,
         spec.is_retry,
--- a/garnetlanding/core/ports.py
+++ b/garnetlanding/core/ports.py
@@ -18,12 +18,12 @@
 class RequestSpec:
     """One request as a front parsed it."""
 
-    cls: str  # name of its request class in the settings
+    request_class: str  # its name in the settings
     plan: str  # name of its volume's plan in the settings
     volume: str  # the tenant whose queue and quota it belongs to
     key: str  # the object; writes with one key may have to keep their order
     units: float  # cost
-    cell: int  # the shard that has the object; -1: a new object, free to go anywhere
+    cell: int | None  # the shard that has the object; None: a new object, free to go anywhere
     timeout_us: int  # how long the client waits, from the arrival on
     serving_instances: int  # how many instances serve this volume
     work: Any  # the operation: passed to the backend, opaque to the engine
--- a/garnetlanding/core/request_table.py
+++ b/garnetlanding/core/request_table.py
@@ -103,7 +103,7 @@
         body.on_end.append(lambda complete: self._count(request, answer if complete else Failed("cut short")))
 
     def _count(self, request: Request, answer: Answer) -> None:
-        self._metrics.record(request.spec.cls, answer)
+        self._metrics.record(request.spec.request_class, answer)
         self._capacity.open_requests -= 1
 
     def _notify_observers(self, request: Request, answer: Answer) -> None:
--- a/garnetlanding/ninep/dispatcher.py
+++ b/garnetlanding/ninep/dispatcher.py
@@ -209,7 +209,7 @@
         classes = self._shared.core.settings.classes
         units = max(1, -(-pending.size // export.unit_bytes))
         return RequestSpec(
-            cls=class_for(operation.op, export.cls, export.change_cls or export.cls, classes),
+            request_class=class_for(operation.op, export.cls, export.change_cls or export.cls, classes),
             plan=export.plan,
             volume=export.volume,
             key="/" + "/".join(operation.path),
--- a/garnetlanding/resp/request.py
+++ b/garnetlanding/resp/request.py
@@ -40,6 +40,7 @@
 _WRITE_ARGUMENTS = 5
 _EXCERPT_CHARACTERS = 20
 _REQUIRED_FIELDS = ("c", "t")
+_NEW_OBJECT_SHARD = -1
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,12 +76,12 @@
         if not fields.get(name):
             raise InvalidFieldError(name, Problem.MISSING)
     return RequestSpec(
-        cls=fields["c"],
+        request_class=fields["c"],
         plan=fields["t"],
         volume=_read_name(fields.get("volume", "").encode(), "field volume", limits),
         key=key,
         units=_read_number(fields, "units"),
-        cell=_read_integer(fields, "shard", -1),
+        cell=_read_cell(fields),
         timeout_us=min(_read_integer(fields, "d", 0) * MS, limits.client_wait_us),
         serving_instances=_read_integer(fields, "hosts", 1),
         work=Command(tuple(arguments)),
@@ -120,6 +121,11 @@
     return value
 
 
+def _read_cell(fields: dict[str, str]) -> int | None:
+    shard = _read_integer(fields, "shard", _NEW_OBJECT_SHARD)
+    return None if shard == _NEW_OBJECT_SHARD else shard
+
+
 def _read_number(fields: dict[str, str], name: str) -> float:
     text = fields.get(name, "")
     if not _NUMBER.fullmatch(text):
--- a/garnetlanding/telemetry/request_metrics.py
+++ b/garnetlanding/telemetry/request_metrics.py
@@ -27,12 +27,14 @@
     def add(self, ended: EndedRequest) -> None:
         """Count a request and its attempts."""
         request = ended.request
-        self._requests[("class", request.cls), ("plan", request.plan), ("outcome", ended.outcome)] += 1
+        self._requests[
+            ("class", request.request_class), ("plan", request.plan), ("outcome", ended.outcome)
+        ] += 1
         for attempt in ended.attempts:
             self._attempts[(("outcome", attempt.outcome),)] += 1
-        durations = self._durations.get(request.cls)
+        durations = self._durations.get(request.request_class)
         if durations is None:
-            durations = self._durations[request.cls] = otlp.Histogram(DURATION_BOUNDS_S)
+            durations = self._durations[request.request_class] = otlp.Histogram(DURATION_BOUNDS_S)
         durations.add((ended.ended_us - ended.began_us) / SECOND)
 
     def encode(self, dropped: int, gauges: Mapping[str, Gauge], interval: otlp.Interval) -> list[otlp.Json]:
--- a/garnetlanding/telemetry/request_spans.py
+++ b/garnetlanding/telemetry/request_spans.py
@@ -9,6 +9,8 @@
 
 _TRACE_ID_DIGITS = 32
 _SPAN_ID_DIGITS = 16
+_NEW_OBJECT_CELL = -1
+"""The attribute's value for a new object, which has no cell yet."""
 NS_PER_US = 1000
 
 
@@ -36,14 +38,14 @@
             trace_id=trace_id,
             span_id=self._random_id(_SPAN_ID_DIGITS),
             parent_id="",
-            name=f"request {request.cls}",
+            name=f"request {request.request_class}",
             kind=SpanKind.SERVER,
             start_ns=self._wall_ns(ended.began_us),
             end_ns=self._wall_ns(ended.ended_us),
             attributes={
                 "volume": request.volume,
                 "plan": request.plan,
-                "cell": request.cell,
+                "cell": _NEW_OBJECT_CELL if request.cell is None else request.cell,
                 "outcome": ended.outcome,
                 "attempts": len(ended.attempts),
             },
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -18,7 +18,9 @@
 @pytest.mark.parametrize(
     ("spec", "defect", "text"),
     [
-        pytest.param(replace(VALID, cls="x"), RequestDefect.UNKNOWN_CLASS, "unknown class", id="class"),
+        pytest.param(
+            replace(VALID, request_class="x"), RequestDefect.UNKNOWN_CLASS, "unknown class", id="class"
+        ),
         pytest.param(replace(VALID, plan="x"), RequestDefect.UNKNOWN_PLAN, "unknown plan", id="plan"),
         pytest.param(replace(VALID, cell=4), RequestDefect.UNKNOWN_CELL, "unknown shard", id="cell"),
         pytest.param(
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -282,9 +282,10 @@
         ask = read_request(words, Limits())
         lines += [
             f"# {what}",
-            f"class {ask.cls}, plan {ask.plan}, volume {ask.volume}, key {ask.key}, units {ask.units!r}, "
-            f"cell {ask.cell}, wait {ask.timeout_us} us, hosts {ask.serving_instances}, "
-            f"retry {ask.is_retry}, write {ask.is_write}, size {ask.held_bytes}, copies {ask.allow_hedging}",
+            f"class {ask.request_class}, plan {ask.plan}, volume {ask.volume}, key {ask.key}, "
+            f"units {ask.units!r}, cell {shown_cell(ask)}, wait {ask.timeout_us} us, "
+            f"hosts {ask.serving_instances}, retry {ask.is_retry}, write {ask.is_write}, "
+            f"size {ask.held_bytes}, copies {ask.allow_hedging}",
         ]
         lines += [f"left {left} us: {shown(ask.work.encode(left))}" for left in (1, 999_999, 2_500_000)]
     with pytest.raises(InvalidCommandError) as problem:
@@ -293,6 +294,11 @@
     check("resp_requests.txt", lines)
 
 
+def shown_cell(asked: RequestSpec) -> int:
+    """The cell under its fixed label: -1 for a new object."""
+    return -1 if asked.cell is None else asked.cell
+
+
 class FakeTrial:
     """One attempt; keeps what the backend's machine says of it."""
 
@@ -720,8 +726,8 @@
         if answer is not None:
             asked, answered = core.items.pop(core.last)
             lines.append(
-                f"asked class {asked.cls}, plan {asked.plan}, volume {asked.volume}, key {asked.key}, "
-                f"units {asked.units!r}, cell {asked.cell}, wait {asked.timeout_us}, "
+                f"asked class {asked.request_class}, plan {asked.plan}, volume {asked.volume}, "
+                f"key {asked.key}, units {asked.units!r}, cell {shown_cell(asked)}, wait {asked.timeout_us}, "
                 f"hosts {asked.serving_instances}, write {asked.is_write}, size {asked.held_bytes}"
             )
             answered(answer)
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -809,7 +809,7 @@
     exporter.request_ended(ENDED, Served(b"v"), began, began + 30 * MS, attempts)
     exporter.request_ended(ENDED, Rejected(0), began, began + 20 * SECOND, [])
     exporter.request_ended(
-        replace(ENDED, cls="write", cell=-1), Failed("é"), began, began + 5 * MS, attempts[:1]
+        replace(ENDED, request_class="write", cell=None), Failed("é"), began, began + 5 * MS, attempts[:1]
     )
     exporter.gauges = {"clients": lambda: 4, "store.revision": lambda: 0}
     w.run(SECOND, 100 * MS)
--- a/tests/resp/test_front.py
+++ b/tests/resp/test_front.py
@@ -187,7 +187,7 @@
 def test_a_backend_gets_the_command_unchanged_but_for_the_time_left() -> None:
     words = [b"BLK.WRITE", b"key", b"id", b"c=w,t=g,d=480,volume=v,units=2,shard=-1,hosts=3,k=ab", b"BODY"]
     ask = read_request(words, LIMITS)
-    assert (ask.cell, ask.timeout_us, ask.is_write) == (-1, 480 * MS, True)
+    assert (ask.cell, ask.timeout_us, ask.is_write) == (None, 480 * MS, True)
     [sent] = codec.Decoder(pool(), LIMITS).feed(ask.work.encode(123_456))
     assert sent == [*words[:3], words[3].replace(b"d=480", b"d=123"), b"BODY"]
     assert b"d=1," in ask.work.encode(-5)
