--- a/garnetlanding/config/platform.py
+++ b/garnetlanding/config/platform.py
@@ -101,17 +101,22 @@
     By default 9P gets a fifth of the client connections, and as many server connections as a fifth of the
     backend connections.
     """
-    clients = ninep.clients or limits.client_conns // NINEP_DIVISOR
-    servers = ninep.server_connections or limits.backend_conns // NINEP_DIVISOR
-    remaining = limits.client_conns - clients - servers
-    required = limits.client_conns // NINEP_DIVISOR
+    clients = ninep.clients or limits.client_connections // NINEP_DIVISOR
+    servers = ninep.server_connections or limits.backend_connections // NINEP_DIVISOR
+    remaining = limits.client_connections - clients - servers
+    required = limits.client_connections // NINEP_DIVISOR
     if remaining < required:
         raise ConfigError.at_key(
             "ninep.clients",
-            f"{clients} and {servers} server connections leave {remaining} of {limits.client_conns} "
+            f"{clients} and {servers} server connections leave {remaining} of {limits.client_connections} "
             f"to other clients, at least {required} are needed",
         )
-    return replace(limits, ninep_conns=clients, client_conns=remaining, ninep_server_conns=servers)
+    return replace(
+        limits,
+        ninep_client_connections=clients,
+        client_connections=remaining,
+        ninep_server_connections=servers,
+    )
 
 
 def _read_limits(top: Section, flat_settings: Mapping[str, str]) -> Limits:
@@ -120,12 +125,13 @@
     sockets = int(given.number("sockets", 128, 1024))
     memory_mb = given.number("memory_mb", 32, 192)
     base = Limits().fit(int(memory_mb * (1 << 20)), sockets, has_admin_service=bool(top.raw("ops")))
-    idle_us = int(float(flat_settings.get("Limits.ConnIdleUs", 0))) or base.backend_idle_us * 5 // 4
+    connect_timeout_us = int(float(flat_settings.get("Limits.DialTimeoutUs", 0)))
+    server_idle_us = int(float(flat_settings.get("Limits.ConnIdleUs", 0)))
     return replace(
         base,
         # Close an idle connection well before its server does, which would fail the next request on it.
-        backend_idle_us=idle_us * 4 // 5,
-        dial_us=int(float(flat_settings.get("Limits.DialTimeoutUs", 0))) or base.dial_us,
+        backend_idle_us=server_idle_us * 4 // 5 if server_idle_us else base.backend_idle_us,
+        connect_timeout_us=connect_timeout_us or base.connect_timeout_us,
     )
 
 
--- a/garnetlanding/core/admission.py
+++ b/garnetlanding/core/admission.py
@@ -28,7 +28,7 @@
     @property
     def used(self) -> float:
         """The fraction of the instance's limits in use, of whichever limit is closer to being exhausted."""
-        return max(self.open_requests / self._limits.open_items, self.held_bytes / self._limits.open_bytes)
+        return max(self.open_requests / self._limits.open_requests, self.held_bytes / self._limits.open_bytes)
 
     @property
     def is_exceeded(self) -> bool:
--- a/garnetlanding/core/dispatcher.py
+++ b/garnetlanding/core/dispatcher.py
@@ -77,15 +77,14 @@
 
     def _max_in_flight(self, attempt: Attempt) -> int:
         if self.settings.parallel_attempts and attempt.request.spec.allow_hedging:
-            return self._limits.copies
+            return self._limits.concurrent_attempts
         return 1
 
     def _may_dispatch(self, attempt: Attempt, now: int) -> bool:
         return (
             not self._fence.is_fenced
-            and attempt.request.answer is None
             and now < attempt.deadline_us
-            and attempt.address() is not None
+            and attempt.address() is not None  # nor has the request its final answer
             and attempt.number < self.settings.max_attempts
         )
 
--- a/garnetlanding/daemon/admin.py
+++ b/garnetlanding/daemon/admin.py
@@ -132,17 +132,17 @@
         # Separate limits: operators are answered however many clients and incomplete calls there are.
         own_limits = replace(
             limits,
-            new_us=limits.ops_new_us,
-            idle_us=limits.ops_new_us,
-            idle_clients=limits.ops_conns,
-            linger_conns=limits.ops_linger_conns,
+            new_client_timeout_us=limits.ops_new_client_timeout_us,
+            idle_client_timeout_us=limits.ops_new_client_timeout_us,
+            idle_clients=limits.ops_connections,
+            lingering_connections=limits.ops_lingering_connections,
         )
         return Listener(
             instance.scheduler,
             instance.config.ops,
             instance.pool,
             own_limits,
-            limits.ops_conns,
+            limits.ops_connections,
             lambda write: AdminConnection(self.service, instance.pool, limits, write),
         )
 
--- a/garnetlanding/daemon/clients.py
+++ b/garnetlanding/daemon/clients.py
@@ -40,7 +40,7 @@
         self.listener = instance.listen(
             "RESP2",
             instance.config.listen,
-            instance.limits.client_conns,
+            instance.limits.client_connections,
             self._make_protocol,
             shared=bool(instance.config.ops),
         )
--- a/garnetlanding/daemon/instance.py
+++ b/garnetlanding/daemon/instance.py
@@ -92,4 +92,4 @@
         """Suspend the current task until `condition` returns true, for at most `timeout_us`."""
         last_us = self.scheduler.now + timeout_us
         while not condition() and self.scheduler.now < last_us:
-            self.scheduler.sleep(self.limits.term_poll_us)
+            self.scheduler.sleep(self.limits.shutdown_poll_us)
--- a/garnetlanding/daemon/ninep.py
+++ b/garnetlanding/daemon/ninep.py
@@ -30,5 +30,8 @@
             instance.core, servers, setup.exports, instance.pool, instance.limits, instance.scheduler
         )
         instance.listen(
-            "9P", setup.listen, instance.limits.ninep_conns, lambda write: NinepClientProtocol(shared, write)
+            "9P",
+            setup.listen,
+            instance.limits.ninep_client_connections,
+            lambda write: NinepClientProtocol(shared, write),
         )
--- a/garnetlanding/daemon/quota_enforcement.py
+++ b/garnetlanding/daemon/quota_enforcement.py
@@ -40,8 +40,10 @@
 
     def _close_idle_connections(self) -> None:
         instance = self._instance
-        self._clients.listener.evict_down_to(int(instance.limits.client_conns * UPGRADE_QUOTA))
-        instance.backends.connections.close_idle_down_to(int(instance.limits.backend_conns * UPGRADE_QUOTA))
+        self._clients.listener.evict_down_to(int(instance.limits.client_connections * UPGRADE_QUOTA))
+        instance.backends.connections.close_idle_down_to(
+            int(instance.limits.backend_connections * UPGRADE_QUOTA)
+        )
 
     def _used(self) -> float:
         """Return the fraction of the instance's limits in use here, by the scarcest of them."""
--- a/garnetlanding/daemon/shutdown.py
+++ b/garnetlanding/daemon/shutdown.py
@@ -82,7 +82,7 @@
             if phase is Phase.REJECTING:
                 # SIGKILL is near: a request without an answer by then gets none.
                 self._core.abort_all("ending")
-            self._scheduler.sleep(self._limits.term_poll_us)
+            self._scheduler.sleep(self._limits.shutdown_poll_us)
 
     def _stop_accepting(self) -> None:
         """Close idle connections, then stop accepting.
--- a/garnetlanding/daemon/shutdown_schedule.py
+++ b/garnetlanding/daemon/shutdown_schedule.py
@@ -33,13 +33,13 @@
     @classmethod
     def for_deadline(cls, limits: Limits, longest_deadline_us: int) -> ShutdownSchedule:
         """Return the schedule for settings whose request classes have this longest deadline."""
-        kill_us = min(longest_deadline_us, limits.term_deadline_us) + limits.term_kill_us
-        terminating_us = kill_us - limits.term_margin_us
-        latest_us = min(limits.term_reject_us, terminating_us - limits.term_margin_us)
-        rejecting_us = max(limits.term_accept_us, latest_us)
+        kill_us = min(longest_deadline_us, limits.shutdown_deadline_us) + limits.shutdown_kill_us
+        terminating_us = kill_us - limits.shutdown_margin_us
+        latest_us = min(limits.shutdown_reject_us, terminating_us - limits.shutdown_margin_us)
+        rejecting_us = max(limits.shutdown_accept_us, latest_us)
         # Half of the time goes to clients that know no other instance, half to the requests then open.
-        draining_us = max(limits.term_accept_us, min(limits.term_serve_us, rejecting_us // 2))
-        return cls(draining_us, rejecting_us, terminating_us, limits.term_accept_us)
+        draining_us = max(limits.shutdown_accept_us, min(limits.shutdown_serve_us, rejecting_us // 2))
+        return cls(draining_us, rejecting_us, terminating_us, limits.shutdown_accept_us)
 
     def next_phase(
         self, phase: Phase, elapsed_us: int, connections: int, open_requests: int, *, superseded: bool
--- a/garnetlanding/limits.py
+++ b/garnetlanding/limits.py
@@ -27,11 +27,11 @@
     # few requests or none.
     reserved_sockets: int = 32  # listeners, discovery, signals, telemetry, followers, files, lingering closes
     successor_sockets: int = 24  # with an admin service: for the start of a successor process
-    client_conns: int = 822
-    backend_conns: int = 341
-    backend_conns_reserved: int = 170
+    client_connections: int = 822
+    backend_connections: int = 341
+    reserved_backend_connections: int = 170
     idle_clients: int = 170  # client connections that may stay idle; more are closed
-    conns_per_backend: int = 48
+    connections_per_backend: int = 48
     backlog: int = 512
     accepts_per_iteration: int = 32  # connections accepted in one iteration of the event loop
 
@@ -52,19 +52,19 @@
     stream_stall_us: int = (
         2 * SECOND
     )  # a backend that sends nothing of a streamed value for this long has failed
-    elements: int = 16
-    nesting: int = 4
+    array_elements: int = 16
+    array_nesting: int = 4
     name_bytes: int = 64  # of an object's key, a request id or a volume
-    pipeline: int = (
+    pipelined_commands: int = (
         64  # unanswered commands of one client connection; a client that exceeds it is disconnected
     )
     bad_commands: int = 8  # of one connection, which is then closed
 
-    use_percent: int = 100_000  # the greatest plausible usage of a plan's rate
+    max_usage_percent: int = 100_000  # the greatest plausible usage of a plan's rate
 
     # 9P.
-    ninep_conns: int = 108  # of clients
-    ninep_server_conns: int = 80
+    ninep_client_connections: int = 108  # of clients
+    ninep_server_connections: int = 80
     ninep_msize: int = 65536 + 24
     ninep_msize_min: int = 256
     ninep_fids: int = 1024  # of one client
@@ -82,13 +82,13 @@
     ninep_change_pauses: int = 4096  # number of such files that are remembered, the newest
 
     # Requests in the engine.
-    open_items: int = 8192
+    open_requests: int = 8192
     open_bytes: int = 32 << 20  # of the values of open requests
-    copies: int = 2  # attempts of one request in flight at once if the settings allow hedging
-    client_wait_us: int = 60 * SECOND  # the longest deadline that a client may request
+    concurrent_attempts: int = 2  # attempts of one request in flight at once if the settings allow hedging
+    max_deadline_us: int = 60 * SECOND  # the longest deadline that a client may request
 
     # Times.
-    dial_us: int = 250 * MS  # timeout for connecting to a backend
+    connect_timeout_us: int = 250 * MS  # timeout for connecting to a backend
     backend_idle_us: int = (
         24 * SECOND
     )  # shorter than the time after which a backend closes an idle connection
@@ -102,11 +102,15 @@
     # client could lose the last response.
     linger_us: int = 500 * MS
     linger_bytes: int = 256 << 10
-    linger_conns: int = 16  # lingering connections beyond `client_conns`; more close the oldest
+    lingering_connections: int = (
+        16  # lingering connections beyond `client_connections`; more close the oldest
+    )
     # To receive a complete command, from connecting or from the command's first byte; clients get 3 s.
-    command_us: int = 2500 * MS
-    new_us: int = 100 * MS  # at the connection limit: before the first command, and for a partial one
-    idle_us: int = 2 * SECOND  # at the connection limit: after the first command
+    command_timeout_us: int = 2500 * MS
+    new_client_timeout_us: int = (
+        100 * MS
+    )  # at the connection limit: before the first command, and for a partial one
+    idle_client_timeout_us: int = 2 * SECOND  # at the connection limit: after the first command
     write_stall_us: int = 5 * SECOND  # a connection whose peer reads nothing for this long is closed
     partial_reply_us: int = 100 * MS  # for the rest of a backend's reply after its first byte
 
@@ -143,11 +147,11 @@
     telemetry_flush_us: int = SECOND  # for the last export before the process ends
     telemetry_answer_us: int = 5 * SECOND
 
-    # Admin service. Connections without a complete call are closed after `ops_new_us` if others wait, so that
-    # even with a full backlog the last caller gets its answer within a second.
-    ops_conns: int = 12
-    ops_linger_conns: int = 4  # as `linger_conns`, of the admin service
-    ops_new_us: int = 20 * MS
+    # Admin service. Connections without a complete call are closed after `ops_new_client_timeout_us` if
+    # others wait, so that even with a full backlog the last caller gets its answer within a second.
+    ops_connections: int = 12
+    ops_lingering_connections: int = 4  # as `lingering_connections`, of the admin service
+    ops_new_client_timeout_us: int = 20 * MS
     ops_poll_us: int = 100 * MS  # interval of reading the process quota of the other process of an upgrade
     ops_endpoints_wait_us: int = 1500 * MS  # a new process then uses the cached endpoint list
     ops_flush_us: int = 200 * MS  # at the end, to answer calls that have been received
@@ -159,15 +163,15 @@
 
     # Graceful shutdown. After SIGTERM clients open new connections for up to 0.4 s, and send requests on open
     # ones until these are closed. SIGKILL follows 0.7 s after the longest deadline at the earliest.
-    term_deadline_us: int = 3 * SECOND  # the longest deadline that the shutdown takes into account
-    term_kill_us: int = 700 * MS  # from the longest deadline to SIGKILL
-    term_margin_us: int = (
+    shutdown_deadline_us: int = 3 * SECOND  # the longest deadline that the shutdown takes into account
+    shutdown_kill_us: int = 700 * MS  # from the longest deadline to SIGKILL
+    shutdown_margin_us: int = (
         250 * MS
     )  # from the last answers to the end of the process, and from there to SIGKILL
-    term_poll_us: int = 10 * MS  # interval of checks for the next phase
-    term_accept_us: int = 450 * MS  # how long new connections are accepted
-    term_serve_us: int = 1500 * MS  # how long requests are served as before, at most
-    term_reject_us: int = 3200 * MS  # when all requests still open are rejected
+    shutdown_poll_us: int = 10 * MS  # interval of checks for the next phase
+    shutdown_accept_us: int = 450 * MS  # how long new connections are accepted
+    shutdown_serve_us: int = 1500 * MS  # how long requests are served as before, at most
+    shutdown_reject_us: int = 3200 * MS  # when all requests still open are rejected
 
     def fit(self, memory_bytes: int, sockets: int, *, has_admin_service: bool = False) -> Limits:
         """Return these limits, fitted to a machine's memory and to its number of descriptors.
@@ -184,15 +188,15 @@
         reserved = sockets // 6
         return replace(
             self,
-            backend_conns=sockets // 3,
-            backend_conns_reserved=reserved,
-            client_conns=sockets - reserved - reserved_sockets,
+            backend_connections=sockets // 3,
+            reserved_backend_connections=reserved,
+            client_connections=sockets - reserved - reserved_sockets,
             idle_clients=reserved,
             pool_max=buffers,
             pool_free_max=min(self.pool_free_max, buffers // 4),
             unsent_bytes=min(self.unsent_bytes, free_bytes // 8),
             open_bytes=min(self.open_bytes, free_bytes // 4),
-            open_items=min(self.open_items, free_bytes // 4 // self.request_bytes),
+            open_requests=min(self.open_requests, free_bytes // 4 // self.request_bytes),
             store_log_entries=min(self.store_log_entries, free_bytes // 16 // self.record_bytes),
             telemetry_queue=min(self.telemetry_queue, free_bytes // 16 // self.record_bytes),
         )
--- a/garnetlanding/ninep/client.py
+++ b/garnetlanding/ninep/client.py
@@ -223,4 +223,4 @@
     offer all, the richer one first.
     """
     factory = NinepBackendProtocolFactory(pool, limits, port, OFFERS[dialect])
-    return Upstream(scheduler, pool, limits, limits.ninep_server_conns, factory)
+    return Upstream(scheduler, pool, limits, limits.ninep_server_connections, factory)
--- a/garnetlanding/resp/backend_protocol.py
+++ b/garnetlanding/resp/backend_protocol.py
@@ -58,7 +58,7 @@
         self._write = write
         self._on_idle = on_idle
         self._decoder = codec.Decoder(pool, limits)
-        self._max_usage_percent = limits.use_percent
+        self._max_usage_percent = limits.max_usage_percent
         self._attempt: AttemptHandle | None = None
         self.body: Body | None = None
 
@@ -158,4 +158,4 @@
 def resp_backends(scheduler: Scheduler, pool: BufferPool, limits: Limits) -> Upstream:
     """Return the upstream that sends attempts to all backends over RESP2."""
     factory = RespBackendProtocolFactory(scheduler, pool, limits)
-    return Upstream(scheduler, pool, limits, limits.backend_conns, factory)
+    return Upstream(scheduler, pool, limits, limits.backend_connections, factory)
--- a/garnetlanding/resp/codec.py
+++ b/garnetlanding/resp/codec.py
@@ -161,7 +161,7 @@
         if kind == b"$":
             return self._begin_bulk(self._read_length(rest, self._max_bulk_bytes))
         if kind == b"*":
-            return self._begin_array(self._read_length(rest, self._limits.elements))
+            return self._begin_array(self._read_length(rest, self._limits.array_elements))
         if kind == b"+":
             return SimpleString(rest)
         if kind == b"-":
@@ -187,7 +187,7 @@
             return None
         if length == 0:
             return []
-        if len(self._arrays) >= self._limits.nesting:
+        if len(self._arrays) >= self._limits.array_nesting:
             raise ProtocolError(Violation.NESTED_TOO_DEEP)
         self._arrays.append((length, []))
         return _CONTINUE
--- a/garnetlanding/resp/front.py
+++ b/garnetlanding/resp/front.py
@@ -156,7 +156,7 @@
     # Commands
 
     def _process(self, arguments: list[bytes]) -> None:
-        if len(self._pending) >= self._limits.pipeline:
+        if len(self._pending) >= self._limits.pipelined_commands:
             self._reject_client("too many commands at once")
             return
         pending = self._add_pending()
--- a/garnetlanding/resp/request.py
+++ b/garnetlanding/resp/request.py
@@ -82,7 +82,7 @@
         key=key,
         units=_read_number(fields, "units"),
         cell=_read_cell(fields),
-        timeout_us=min(_read_integer(fields, "d", 0) * MS, limits.client_wait_us),
+        timeout_us=min(_read_integer(fields, "d", 0) * MS, limits.max_deadline_us),
         serving_instances=_read_integer(fields, "hosts", 1),
         work=Command(tuple(arguments)),
         is_retry=fields.get("r") == "1",
--- a/garnetlanding/runtime/backend_connection.py
+++ b/garnetlanding/runtime/backend_connection.py
@@ -77,7 +77,7 @@
         attempt = self.attempt
         if attempt is None:
             return  # stopped before its first iteration
-        deadline = min(upstream.scheduler.now + upstream.limits.dial_us, attempt.deadline_us)
+        deadline = min(upstream.scheduler.now + upstream.limits.connect_timeout_us, attempt.deadline_us)
         try:
             self._stream = Stream.connect(
                 upstream.scheduler, self.key[0], upstream.pool, upstream.limits, deadline
--- a/garnetlanding/runtime/client_connection.py
+++ b/garnetlanding/runtime/client_connection.py
@@ -69,9 +69,11 @@
         if protocol.pending_responses or protocol.has_session_state or not self.stream.flushed:
             return None
         if protocol.has_partial_message:
-            return (self._message_began_at or self.last_used_at) + limits.new_us
+            return (self._message_began_at or self.last_used_at) + limits.new_client_timeout_us
         # A client that has sent no request, only a greeting at most, is unlikely to send one soon.
-        return self.last_used_at + (limits.idle_us if protocol.requests_received else limits.new_us)
+        return self.last_used_at + (
+            limits.idle_client_timeout_us if protocol.requests_received else limits.new_client_timeout_us
+        )
 
     # Writing: the protocol's `Write` and `Sink`
 
@@ -111,7 +113,7 @@
         """
         is_new = (
             not self.protocol.requests_received
-            and self._scheduler.now < self.accepted_at + self._listener.limits.new_us
+            and self._scheduler.now < self.accepted_at + self._listener.limits.new_client_timeout_us
         )
         if self.idle and not is_new:
             self.close_gracefully()
@@ -205,7 +207,7 @@
             return None
         if self._message_began_at is None:
             self._message_began_at = self._scheduler.now
-        return self._message_began_at + self._listener.limits.command_us
+        return self._message_began_at + self._listener.limits.command_timeout_us
 
     def _stop_after_client_closed(self) -> None:
         self.closing.on(CloseEvent.CLIENT_CLOSED)
--- a/garnetlanding/runtime/connection_sweeper.py
+++ b/garnetlanding/runtime/connection_sweeper.py
@@ -62,7 +62,7 @@
 
     def _close_stuck(self) -> None:
         """Close connections that are busy for longer than any attempt: the backend will never respond."""
-        began_before = self._scheduler.now - self._limits.client_wait_us - self._limits.sweep_us
+        began_before = self._scheduler.now - self._limits.max_deadline_us - self._limits.sweep_us
         stuck = [conn for conn in self._connections.open_connections() if conn.began_at <= began_before]
         for connection in stuck:
             if not self._connections.is_idle(connection):
--- a/garnetlanding/runtime/listener.py
+++ b/garnetlanding/runtime/listener.py
@@ -186,7 +186,7 @@
 
     def _abort_excess_lingering(self) -> None:
         """Abort the connections that linger longest, beyond the number for which there are descriptors."""
-        while len(self._lingering) > self.limits.linger_conns + max(0, self._available):
+        while len(self._lingering) > self.limits.lingering_connections + max(0, self._available):
             oldest = next(iter(self._lingering))
             self._lingering.pop(oldest)
             oldest.abort()
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -40,7 +40,7 @@
         self.limits = limits
         self.protocol_factory = protocol_factory
         self.protocol_errors: Counter[tuple[str, str]] = Counter()
-        self.capacity = UpstreamCapacity(max_connections, limits.backend_conns_reserved)
+        self.capacity = UpstreamCapacity(max_connections, limits.reserved_backend_connections)
         self.connections = ConnectionPool(self.capacity)
         self.sweeper = ConnectionSweeper(scheduler, limits, self.connections, self.protocol_errors)
         self._busy: dict[AttemptHandle, BackendConnection] = {}
@@ -86,7 +86,7 @@
             # The outcome must not count against the backend, because it is the quota that is used up.
             quota.set_open(backend, open_count, lacking=True)
             return Outcome.NEVER_DISPATCHED
-        if open_count >= self.limits.conns_per_backend:
+        if open_count >= self.limits.connections_per_backend:
             return Outcome.UNREACHABLE
         if not (self.capacity.reserve() or self.connections.close_longest_idle()):
             return Outcome.UNREACHABLE
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -30,10 +30,17 @@
     assert c.settings.may_cancel
     assert c.settings.poll_endpoints
     assert c.settings.classes["read"].latency_objective_us == 300_000
-    assert (c.limits.backend_idle_us, c.limits.dial_us) == (16 * SECOND, 300 * MS)
-    assert (c.limits.client_conns, c.limits.backend_conns, c.limits.backend_conns_reserved) == (822, 341, 170)
+    assert (c.limits.backend_idle_us, c.limits.connect_timeout_us) == (16 * SECOND, 300 * MS)
+    assert (
+        c.limits.client_connections,
+        c.limits.backend_connections,
+        c.limits.reserved_backend_connections,
+    ) == (822, 341, 170)
     both = config.read(PLATFORM_CONFIG, {"ninep": NINEP}).limits
-    assert both.client_conns + both.ninep_conns + both.ninep_server_conns == c.limits.client_conns
+    assert (
+        both.client_connections + both.ninep_client_connections + both.ninep_server_connections
+        == c.limits.client_connections
+    )
     assert c.operator == config.OperatorConfig(
         store=StoreSetup(writer="n1")
     ), "every optional subsystem is off"
@@ -136,18 +143,20 @@
 def test_limits_of_a_small_machine_fit_its_memory_and_descriptors() -> None:
     """Regression: with fixed sizes the 4,096 buffers alone exceeded the 32 MB of the smallest instance."""
     small = config.read(PLATFORM_CONFIG | {"limits": {"memory_mb": 32, "sockets": 256}}).limits
-    assert small.client_conns + small.backend_conns_reserved + small.reserved_sockets == 256
-    assert small.client_conns >= 256 // 3
+    assert small.client_connections + small.reserved_backend_connections + small.reserved_sockets == 256
+    assert small.client_connections >= 256 // 3
     assert (
         small.program_bytes
         + small.pool_max * small.buffer_bytes
         + small.open_bytes
-        + small.open_items * small.request_bytes
+        + small.open_requests * small.request_bytes
         + small.record_bytes * (small.store_log_entries + small.telemetry_queue)
     ) <= 32 << 20
-    busy = small.linger_conns + small.ops_linger_conns + 8  # standard streams, listeners, signals, discovery
+    busy = (
+        small.lingering_connections + small.ops_lingering_connections + 8
+    )  # standard streams, listeners, signals, discovery
     assert busy <= small.reserved_sockets
-    assert small.open_items >= small.client_conns
+    assert small.open_requests >= small.client_connections
     assert small.unsent_bytes > 2 * small.value_bytes
     with pytest.raises(config.ConfigError, match="limits.memory_mb"):
         config.read(PLATFORM_CONFIG | {"limits": {"memory_mb": 31, "sockets": 256}})
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -48,7 +48,7 @@
 
 
 def test_capacity_is_used_by_the_scarcer_of_requests_and_bytes() -> None:
-    capacity = Capacity(replace(Limits(), open_items=10, open_bytes=1000))
+    capacity = Capacity(replace(Limits(), open_requests=10, open_bytes=1000))
     capacity.open_requests = 5
     capacity.held_bytes = 800
     assert capacity.used == 0.8
--- a/tests/core/test_request_engine.py
+++ b/tests/core/test_request_engine.py
@@ -149,7 +149,7 @@
 
 
 def test_requests_beyond_the_instances_own_capacity_are_rejected() -> None:
-    instance = EngineInstance(open_items=2, open_bytes=100)
+    instance = EngineInstance(open_requests=2, open_bytes=100)
     instance.submit("a")
     instance.submit("b", held_bytes=60)
     instance.submit("c")
@@ -292,9 +292,9 @@
     assert instance.core.open_requests == 0
 
 
-@pytest.mark.parametrize(("used", "usage_percent"), [(0, None), (1, 0), (26, 25)])
+@pytest.mark.parametrize("usage_percent", [None, 0, 25])
 def test_usage_that_a_backend_reports_reaches_the_decision_module_as_a_percentage(
-    used: int, usage_percent: int | None, monkeypatch: pytest.MonkeyPatch
+    usage_percent: int | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     instance = EngineInstance()
     events: list[api.Event] = []
@@ -306,6 +306,6 @@
 
     monkeypatch.setattr(instance.core.module, "handle", record)
     instance.submit("a")
-    instance.transport.in_flight.pop(0).finish(Outcome.SERVED, b"", used)
+    instance.transport.in_flight.pop(0).finish(Outcome.SERVED, b"", usage_percent)
     instance.settle()
     assert [event.usage_percent for event in events if isinstance(event, api.Result)] == [usage_percent]
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -100,7 +100,7 @@
     late = instance.client()
     assert late.say(read_command("r2", d=3000, volume="w")) == b"$0\r\n\r\n"
     assert not idle.closed
-    instance.run(instance.daemon.limits.term_serve_us - 350 * MS)
+    instance.run(instance.daemon.limits.shutdown_serve_us - 350 * MS)
     assert idle.say(read_command("r3", d=3000, volume="w")) == b"$0\r\n\r\n"
     assert not late.closed
     instance.run(100 * MS)
@@ -123,7 +123,7 @@
     instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.run(SECOND)
     slow.say(read_command(d=60_000))
-    instance.run(instance.daemon.limits.term_reject_us - SECOND + 50 * MS)
+    instance.run(instance.daemon.limits.shutdown_reject_us - SECOND + 50 * MS)
     assert slow.got == b"-ERR ending\r\n"
     assert slow.closed
     assert instance.daemon.scheduler._stopped
@@ -132,5 +132,5 @@
 def test_shutdown_without_clients_ends_as_soon_as_accepting_may() -> None:
     instance = SimulatedDaemon()
     instance.daemon.scheduler.spawn(instance.daemon.shut_down)
-    instance.run(instance.daemon.limits.term_accept_us + 50 * MS)
+    instance.run(instance.daemon.limits.shutdown_accept_us + 50 * MS)
     assert instance.daemon.scheduler._stopped
--- a/tests/daemon/test_graceful_shutdown.py
+++ b/tests/daemon/test_graceful_shutdown.py
@@ -36,7 +36,7 @@
         <= killed - 200 * MS
     )
     assert schedule.draining_us >= 400 * MS, "new connections are accepted until then"
-    assert longest_us < 3 * SECOND or schedule.rejecting_us == limits.term_reject_us
+    assert longest_us < 3 * SECOND or schedule.rejecting_us == limits.shutdown_reject_us
 
 
 @given(
@@ -166,7 +166,7 @@
 
 def test_draining_accepts_the_backlog_only_into_the_places_of_idle_clients() -> None:
     """The whole backlog was once accepted, which left discovery and backends without descriptors."""
-    w = Waiting(client_conns=3)
+    w = Waiting(client_connections=3)
     w.appear()
     idle = [Raw(w, w.listener.address) for _ in range(3)]
     for n, client in enumerate(idle):
@@ -177,6 +177,6 @@
     w.listener.close_idle()
     w.listener.stop_accepting()
     assert len(w.listener._clients) == 3
-    assert len(w.listener) <= 3 + w.limits.linger_conns
+    assert len(w.listener) <= 3 + w.limits.lingering_connections
     w.settle()
     assert len(w.brick.received) == 6, "three from idle clients, three from the backlog"
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -581,7 +581,7 @@
             "127.0.0.1:0",
             self.pool,
             self.limits,
-            self.limits.client_conns,
+            self.limits.client_connections,
             lambda write: RespClientProtocol(Front(self.core, self.bricks, self.pool, self.limits), write),
         )
         peers = DisableReplication(PeerLimits())
--- a/tests/ops/test_admin_connection.py
+++ b/tests/ops/test_admin_connection.py
@@ -90,14 +90,14 @@
 def test_call_is_answered_beside_unfinished_calls_and_with_all_client_connections_in_use(
     tmp_path: pathlib.Path,
 ) -> None:
-    instance = AdministeredInstance(tmp_path, client_conns=4, new_us=20 * MS)
+    instance = AdministeredInstance(tmp_path, client_connections=4, new_client_timeout_us=20 * MS)
     clients = [instance.peer(instance.clients.address) for _ in range(4)]
     for i, client in enumerate(clients):
         client.say(read_command(id=f"r{i}"))
     for _ in range(200):
         LoopbackClient(instance, instance.ops.address, settle=False)
     instance.settle()
-    assert len(instance.ops) == instance.limits.ops_conns
+    assert len(instance.ops) == instance.limits.ops_connections
     late = LoopbackClient(instance, instance.ops.address, settle=False)
     instance.run(10 * MS)
     assert late.stream
--- a/tests/resp/test_backend_protocol.py
+++ b/tests/resp/test_backend_protocol.py
@@ -46,7 +46,7 @@
 def test_a_reply_is_read_as_outcome_value_and_used_capacity(
     reply: codec.Value, meaning: tuple[Outcome, bytes | None, int | None]
 ) -> None:
-    assert read_reply(reply, LIMITS.use_percent)[:3] == meaning
+    assert read_reply(reply, LIMITS.max_usage_percent)[:3] == meaning
 
 
 @pytest.mark.parametrize(
@@ -75,7 +75,7 @@
     ],
 )
 def test_a_load_report_is_read_whole_or_not_at_all(reply: codec.Value, report: dict[str, float]) -> None:
-    assert read_reply(reply, LIMITS.use_percent)[3] == report
+    assert read_reply(reply, LIMITS.max_usage_percent)[3] == report
 
 
 @pytest.mark.parametrize(
--- a/tests/resp/test_client_connections.py
+++ b/tests/resp/test_client_connections.py
@@ -32,7 +32,7 @@
     front = instance.front()
     incomplete = instance.peer(front.address)
     incomplete.say(read_command()[:-5])
-    instance.run(instance.limits.command_us + MS, step_us=500 * MS)
+    instance.run(instance.limits.command_timeout_us + MS, step_us=500 * MS)
     assert incomplete.closed
     client_that_does_not_read = instance.peer(front.address)
     assert client_that_does_not_read.stream
@@ -43,7 +43,7 @@
 
 
 def test_at_the_limit_the_longest_idle_connection_is_evicted() -> None:
-    instance = SimulatedInstance(client_conns=2)
+    instance = SimulatedInstance(client_connections=2)
     backend = instance.server(EmulatedBackend)
     instance.list(EmulatedEndpoint("b0", backend.address, 0))
     front = instance.front()
@@ -54,14 +54,14 @@
     third = instance.peer(front.address)
     assert third.say(PING) == b"", "a well-behaved client may be idle for a moment"
     assert not idle.closed, "a well-behaved client may be idle for a moment"
-    instance.run(instance.limits.idle_us, step_us=100 * MS)
+    instance.run(instance.limits.idle_client_timeout_us, step_us=100 * MS)
     assert third.got == b"+PONG\r\n"
     assert idle.closed
 
 
 def test_clients_that_only_ping_are_evicted_before_those_with_requests() -> None:
     """Hundreds sent a PING and stayed connected: for 2 s no other client was accepted."""
-    instance = SimulatedInstance(client_conns=2, idle_us=100 * MS)
+    instance = SimulatedInstance(client_connections=2, idle_client_timeout_us=100 * MS)
     instance.list()
     front = instance.front()
     requester, pinger = instance.peer(front.address), instance.peer(front.address)
@@ -69,14 +69,14 @@
     pinger.say(PING)
     late = instance.peer(front.address)
     assert late.say(PING) == b""
-    instance.run(instance.limits.new_us)
+    instance.run(instance.limits.new_client_timeout_us)
     assert late.got == b"+PONG\r\n"
     assert pinger.closed
     assert not requester.closed
 
 
 def test_silent_clients_are_evicted_sooner_unless_their_request_waits_unread() -> None:
-    instance = SimulatedInstance(client_conns=2)
+    instance = SimulatedInstance(client_connections=2)
     front = instance.front()
     silent, late = instance.peer(front.address), instance.peer(front.address)
     late_connection = instance.accepted_end(front, late)
@@ -84,13 +84,13 @@
     late.say(PING)
     third = instance.peer(front.address)
     assert third.say(PING) == b""
-    instance.run(instance.limits.new_us)
+    instance.run(instance.limits.new_client_timeout_us)
     assert third.got == b"+PONG\r\n"
     assert silent.closed
     assert not late.closed
     third.say(PING[:5])
     fourth = instance.peer(front.address)
-    instance.run(instance.limits.new_us)
+    instance.run(instance.limits.new_client_timeout_us)
     assert fourth.say(PING) == b"+PONG\r\n", "part of a command counts for little more than nothing"
     assert third.closed, "part of a command counts for little more than nothing"
 
@@ -104,7 +104,7 @@
     peers = [instance.peer(front.address) for _ in range(5)]
     for i, peer in enumerate(peers):
         peer.say(read_command(f"r{i}"))
-    instance.run(instance.limits.idle_us - MS, 100 * MS)
+    instance.run(instance.limits.idle_client_timeout_us - MS, 100 * MS)
     peers[0].say(read_command("again"))
     assert len(front) == 5
     instance.run(instance.limits.client_sweep_us + MS)
@@ -116,8 +116,8 @@
     """With a fixed quota clients waited for a connection though backends did not need theirs."""
     instance = SimulatedInstance(
         make_settings(max_attempts=4, parallel_attempts=False, instances=1),
-        backend_conns_reserved=1,
-        client_conns=4,
+        reserved_backend_connections=1,
+        client_connections=4,
     )
     backends = [instance.server(EmulatedBackend) for _ in range(4)]
     for backend in backends:
--- a/tests/resp/test_front.py
+++ b/tests/resp/test_front.py
@@ -98,7 +98,7 @@
 
 def test_too_many_commands_or_errors_end_the_connection() -> None:
     """They were parked, answered as they came to it, and the loop was theirs."""
-    instance = SimulatedInstance(pipeline=4)
+    instance = SimulatedInstance(pipelined_commands=4)
     backend = instance.server(EmulatedBackend)
     instance.list(EmulatedEndpoint("b0", backend.address, 0))
     backend.scripted_responses = [None] * 9
@@ -144,7 +144,7 @@
 
 
 def test_silent_and_incomplete_clients_time_out_but_no_open_request_does() -> None:
-    instance = SimulatedInstance(command_us=SECOND)
+    instance = SimulatedInstance(command_timeout_us=SECOND)
     backend = instance.server(EmulatedBackend)
     instance.list(EmulatedEndpoint("b0", backend.address, 0))
     backend.scripted_responses = [None]
--- a/tests/runtime/test_connection_close.py
+++ b/tests/runtime/test_connection_close.py
@@ -70,10 +70,10 @@
 
 
 def test_clients_that_ignore_the_close_hold_few_descriptors_for_a_bounded_time() -> None:
-    instance = SimulatedInstance(client_conns=6, linger_conns=2)
+    instance = SimulatedInstance(client_connections=6, lingering_connections=2)
     front = instance.front()
     stay = [Raw(instance, front.address) for _ in range(6)]
-    instance.run(instance.limits.new_us)
+    instance.run(instance.limits.new_client_timeout_us)
     late = [Raw(instance, front.address) for _ in range(4)]
     instance.run(20 * MS, 10 * MS)
     for client in late:
--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -29,7 +29,7 @@
     front.close_idle()
     instance.settle()
     assert not idle.closed, "it has only just connected: its first request may be on the way"
-    instance.run(instance.limits.new_us)
+    instance.run(instance.limits.new_client_timeout_us)
     front.close_idle()
     instance.settle()
     assert idle.closed
--- a/tests/runtime/test_upstream.py
+++ b/tests/runtime/test_upstream.py
@@ -59,7 +59,7 @@
     instance.list(EmulatedEndpoint("b0", full.address, 0))
     instance.client.say(read_command(d=400))
     assert instance.outcomes() == ["out"]
-    instance.run(instance.limits.dial_us)
+    instance.run(instance.limits.connect_timeout_us)
     assert instance.outcomes()[0] == Outcome.UNREACHABLE.value
 
 
@@ -124,7 +124,7 @@
 
 
 def test_connections_are_bounded_per_backend_and_in_total() -> None:
-    instance = InstanceWithBackend(conns_per_backend=2, backend_conns=3)
+    instance = InstanceWithBackend(connections_per_backend=2, backend_connections=3)
     other = instance.server(EmulatedBackend)
     instance.list(
         EmulatedEndpoint("b0", instance.backend.address, 0), EmulatedEndpoint("b1", other.address, 1)
--- a/tests/support/admin.py
+++ b/tests/support/admin.py
@@ -34,7 +34,7 @@
             "127.0.0.1:0",
             self.pool,
             self.limits,
-            self.limits.client_conns,
+            self.limits.client_connections,
             lambda write: RespClientProtocol(
                 Front(self.core, self.bricks, self.pool, self.limits, lambda: self.service.accepts_clients),
                 write,
@@ -56,7 +56,7 @@
             "127.0.0.1:0",
             self.pool,
             self.limits,
-            self.limits.ops_conns,
+            self.limits.ops_connections,
             lambda write: AdminConnection(self.service, self.pool, self.limits, write),
         )
         self.list(*self.endpoints)
--- a/tests/support/simulated_instance.py
+++ b/tests/support/simulated_instance.py
@@ -146,7 +146,7 @@
             "127.0.0.1:0",
             self.pool,
             self.limits,
-            self.limits.client_conns,
+            self.limits.client_connections,
             lambda write: resp_front.RespClientProtocol(front, write),
         )
 
