--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -122,7 +122,18 @@
     assert table.credits.of(1, now) == 1
 
 
-def test_suspected_backends_are_a_set_share_at_most() -> None:
+def test_query_changes_no_claim_and_expired_claims_are_dropped_explicitly() -> None:
+    observations, table = observations_after(), SuspicionTable(LIMITS)
+    table.receive(1, [make_evidence()], T0, T0, observations)
+    expired_at = T0 + LIMITS.evidence_us
+    assert not table.suspected(expired_at, observations)
+    assert list(table.claims_about("n0")) == [1], "a query drops nothing"
+    assert table.suspected(expired_at - 1, observations) == {"n0": expired_at}
+    table.drop_expired(expired_at, observations)
+    assert not table.claims_about("n0")
+
+
+def test_suspected_backends_are_a_set_fraction_at_most() -> None:
     observations, table = observations_after(), SuspicionTable(LIMITS)
     table.receive(1, [make_evidence(f"n{i}") for i in range(6)], T0, T0, observations)
     table.receive(2, [make_evidence("n5")], T0, T0, observations)
