--- a/benchmarks/lab_runs.py
+++ b/benchmarks/lab_runs.py
@@ -52,7 +52,7 @@
         f"{max(report.limit_overshoot_units for report in reports):.2f}",
         f"{sum(report.limit_use for report in reports) / len(reports):.2f}",
         f"{max(report.quota_sum_max for report in reports):.3f}",
-        f"{max(report.even_share_sum_max for report in reports):.3f}",
+        f"{max(report.even_quota_sum_max for report in reports):.3f}",
         f"{max(report.warming_load_max for report in reports):.2f}",
         f"{suspicions}, {unfounded}",
         sum(len(report.violations) for report in reports),
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -64,8 +64,8 @@
     ]
     for name, scenario in USE.items():
         results = [Simulation(replace(scenario, seed=seed)).run() for seed in range(USE_SEEDS)]
-        usable = sum(result.usable for result in results) / USE_SEEDS
-        rows.append(f"| {name} | {1 / scenario.hosts:.2f} | {usable:.3f} |")
+        utilization = sum(result.utilization for result in results) / USE_SEEDS
+        rows.append(f"| {name} | {1 / scenario.hosts:.2f} | {utilization:.3f} |")
     return rows
 
 
@@ -77,7 +77,7 @@
     ]
     for scope in track(SCOPES, "every course"):
         found = explore(scope)
-        name = f"{scope.hosts} hosts{'' if found.whole else ', given up'}"
+        name = f"{scope.hosts} hosts{'' if found.is_complete else ', given up'}"
         rows.append(
             f"| {name} | {scope.steps} | {scope.starts} | {found.states} | {found.moves} "
             f"| {found.greatest_sum:.4f} |"
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -54,10 +54,10 @@
     bytes_per_second = (
         sum(result.bytes_sent for result in results) / len(results) / scenario.instances / seconds
     )
-    final_sum = sum(result.final_share_sum for result in results) / len(results)
+    final_sum = sum(result.final_quota_sum for result in results) / len(results)
     return (
         f"| {name} | {len(results)} | {sum(result.starts for result in results)} "
-        f"| {max(result.max_share_sum for result in results):.4f} "
+        f"| {max(result.max_quota_sum for result in results):.4f} "
         f"| {sum(result.agreed for result in results)} | {final_sum:.3f} "
         f"| {known_after_us[len(known_after_us) // 2] / SECOND:.1f}, {known_after_us[-1] / SECOND:.1f} "
         f"| {bytes_per_second:.0f} |"
@@ -90,8 +90,8 @@
     for name, budget in BUDGETS.items():
         results = [BudgetSimulation(replace(budget, seed=seed)).run() for seed in track(range(seeds), name)]
         lines.append(f"| {name} | {seeds} | {max(result.greatest_sum for result in results):.4f} |")
-    usable = sum(BudgetSimulation(replace(ALONE, seed=seed)).run().usable for seed in range(5)) / 5
-    note = f"One of three instances alone spends {usable:.3f} of a budget; an even quota is 0.333."
+    utilization = sum(BudgetSimulation(replace(ALONE, seed=seed)).run().utilization for seed in range(5)) / 5
+    note = f"One of three instances alone spends {utilization:.3f} of a budget; an even quota is 0.333."
     return [*lines, "", note]
 
 
@@ -107,7 +107,7 @@
         lines.append(
             f"| {scope.instances} instances, {scope.seeds} seeds{'' if found.is_complete else ', given up'} "
             f"| {scope.moves} | {scope.restarts} | {found.states} | {found.moves} "
-            f"| {found.max_share_sum:.4f} | {found.max_joined} |"
+            f"| {found.max_quota_sum:.4f} | {found.max_joined} |"
         )
     return lines
 
--- a/garnetlanding/daemon/shared_connections.py
+++ b/garnetlanding/daemon/shared_connections.py
@@ -6,7 +6,7 @@
 from garnetlanding.daemon.lifecycle import Subsystem
 from garnetlanding.daemon.peer_link import PeerLinkManager
 from garnetlanding.peers.connection_quota import ConnectionQuota
-from garnetlanding.peers.leases import SharedLeases
+from garnetlanding.peers.leases import BudgetLeases
 
 
 class SharedConnections(Subsystem):
@@ -25,12 +25,12 @@
     def start(self) -> None:
         """Apply the limit to the backend connections."""
         self._instance.backends.connections.quota = ConnectionQuota(
-            self._max_connections, self._instance.longest_attempt_us, self._now, self._shared_leases
+            self._max_connections, self._instance.longest_attempt_us, self._now, self._budget_leases
         )
 
     def _now(self) -> int:
         return self._instance.scheduler.now
 
-    def _shared_leases(self) -> SharedLeases | None:
+    def _budget_leases(self) -> BudgetLeases | None:
         coordinator = self._link.coordinator
-        return coordinator.shared_leases() if coordinator else None
+        return coordinator.budget_leases() if coordinator else None
--- a/garnetlanding/emulator/budget_net.py
+++ b/garnetlanding/emulator/budget_net.py
@@ -1,6 +1,6 @@
-"""Budgets of a window on the simulated clocks and network of lease_net.py.
+"""A simulation of budgets with a window, on the clocks and the network of lease_net.py.
 
-Each instance spends what its share allows as soon as it is requested. What all instances spent within any
+Each instance spends what its quota allows as soon as it is requested. What all instances spent within any
 window is added up.
 """
 
@@ -10,18 +10,18 @@
 from dataclasses import dataclass
 
 from garnetlanding.emulator.lease_net import SECOND, RunResult, Scenario, Simulation
-from garnetlanding.peers import codec
 from garnetlanding.peers.leases import Leases
+from garnetlanding.peers.name_tag import name_tag
 
 BUDGET = 40.0  # units within a window
 NAME = "cold:n0"
-BUDGET_TAG = codec.tag(NAME)
+BUDGET_TAG = name_tag(NAME)
 ROUNDING_SLACK = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetScenario(Scenario):
-    """Every instance is one of the budget's hosts."""
+    """The parameters of a run in which every instance is a host of the budget."""
 
     window_us: int = 2 * SECOND
 
@@ -29,8 +29,8 @@
 class BudgetSimulation(Simulation):
     """One run of a scenario.
 
-    In the result, `greatest_sum` is the greatest share of the budget that was spent within any window, and
-    `usable` the mean of what was spent.
+    In the result, `greatest_sum` is the greatest fraction of the budget that was spent within any window, and
+    `utilization` the mean fraction.
     """
 
     def __init__(self, scenario: BudgetScenario) -> None:
@@ -41,16 +41,16 @@
         super().__init__(scenario)
 
     def _make_leases(self, number: int, started_at: int) -> Leases:
-        return Leases(self.limits, self._next_identity(number), started_at, window_us=self.window_us)
+        return Leases(self.limits, self._next_identity(number), started_at, budget_window_us=self.window_us)
 
     def run(self) -> RunResult:
         """Run the scenario to its end."""
         super().run()
         self.result.greatest_sum = self._most_spent / BUDGET
-        self.result.usable = self._sum / (self.scenario.length_us / self.scenario.step_us) / BUDGET
+        self.result.utilization = self._sum / (self.scenario.length_us / self.scenario.step_us) / BUDGET
         return self.result
 
-    def _take_turn(self, number: int) -> None:
+    def _run_iteration(self, number: int) -> None:
         instance = self.instances[number]
         now = instance.clock(self.now)
         leases = instance.leases
@@ -60,7 +60,7 @@
             limit = BUDGET * SECOND / self.window_us
             leases.record_demand(NAME, self.scenario.instances, limit, 1, now, self.window_us)
         payloads = self._compose_if_due(instance, now)
-        leases.changed_shares(now)
+        leases.refresh_quotas(now)
         if is_requested:
             self._spend(leases, now)
         for receiver, payload in payloads.items():
@@ -75,16 +75,16 @@
         return BUDGET / (self.window_us / SECOND) * demand
 
     def _spend(self, leases: Leases, now: int) -> None:
-        """Spend a unit as the decision module does: where its share of the window is not used up."""
-        demand = leases.demands[BUDGET_TAG]
-        assert demand.spent
-        after = demand.spent.total(now - self.window_us) + 1
-        if after <= leases.usable_share(BUDGET_TAG, now) * BUDGET + ROUNDING_SLACK:
-            leases.record_spent(NAME, 1, now)
+        """Spend a unit if the quota of the window allows it, as the decision module does."""
+        demand = leases.demands.by_tag[BUDGET_TAG]
+        assert demand.budget
+        after = demand.budget.spent.total(now - self.window_us) + 1
+        if after <= leases.usable_quota(BUDGET_TAG, now) * BUDGET + ROUNDING_SLACK:
+            leases.demands.record_spent(NAME, 1, now)
             self._spent_at.append(self.now)
 
     def _add_up(self) -> None:
-        # Clocks drift apart: a window is shorter by so much to the one that is slowest.
+        # By the slowest clock, a window lasts shorter than by the fastest: by twice the drift.
         window_us = self.window_us * (1 - 2 * self.scenario.drift)
         while self._spent_at and self._spent_at[0] <= self.now - window_us:
             self._spent_at.popleft()
--- a/garnetlanding/emulator/group_model.py
+++ b/garnetlanding/emulator/group_model.py
@@ -1,7 +1,7 @@
 """Explores, breadth first, every state that a small group of instances can reach within a number of moves.
 
 Instances start, send, receive messages (at any later moment, or never), crash, restart, and leave. In each
-state the even shares of all running instances are added up.
+state the even quotas of all running instances are added up.
 
 Time does not pass: what depends on it (forming a new group) may happen at any moment.
 """
@@ -19,7 +19,7 @@
 
 LIMITS = PeerLimits(bootstrap_us=0)
 RESTART_INCARNATION = 10  # of the first restarted instance; incarnations begin at 1
-ROUNDING_SLACK = 1e-9  # of a sum of shares
+ROUNDING_SLACK = 1e-9  # of a sum of quotas
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
 
     states: int = 0
     moves: int = 0
-    max_share_sum: float = 0.0
+    max_quota_sum: float = 0.0
     max_joined: int = 0  # members at a time
     is_complete: bool = True
 
@@ -176,7 +176,7 @@
 
 
 def explore(scope: Scope) -> Explored:
-    """Explore all states; stop at the first one whose even shares add up to more than 1."""
+    """Explore all states; stop at the first one whose even quotas add up to more than 1."""
     instances = tuple(new_instance(scope, number, 1) for number in range(scope.instances))
     found = Explored()
     walk = Walk(
@@ -184,9 +184,9 @@
     )
     for state in walk:
         running = [members for members in state.instances if members is not None]
-        found.max_share_sum = max(found.max_share_sum, sum(members.even_share for members in running))
+        found.max_quota_sum = max(found.max_quota_sum, sum(members.even_quota for members in running))
         found.max_joined = max(found.max_joined, sum(members.joined for members in running))
-        if found.max_share_sum > 1 + ROUNDING_SLACK:
+        if found.max_quota_sum > 1 + ROUNDING_SLACK:
             break
     found.states = walk.states
     found.moves = walk.moves
--- a/garnetlanding/emulator/group_net.py
+++ b/garnetlanding/emulator/group_net.py
@@ -1,7 +1,7 @@
 """Simulates instances that discover each other, on one network.
 
 Instances join, leave, crash and restart, links are partitioned, messages are lost and delayed. The same seed
-gives the same run. At each step the even shares of all running instances are added up. Times are
+gives the same run. At each step the even quotas of all running instances are added up. Times are
 microseconds.
 """
 
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from garnetlanding.peers import codec
+from garnetlanding.peers.envelope import decode_envelope, encode_envelope
 from garnetlanding.peers.gossip_schedule import GossipSchedule
 from garnetlanding.peers.limits import MS, SECOND, PeerLimits
 from garnetlanding.peers.membership import FIRST_SEED, Membership
@@ -59,9 +59,9 @@
 class GroupResult:
     """The result of a run."""
 
-    max_share_sum: float = 0.0  # of the even shares
-    max_share_sum_at: int = 0
-    final_share_sum: float = 1.0  # at the end of the calm period
+    max_quota_sum: float = 0.0  # of the even quotas
+    max_quota_sum_at: int = 0
+    final_quota_sum: float = 1.0  # at the end of the calm period
     agreed: bool = False  # the tables of all running instances are equal at the end
     starts: int = 0
     known_after_us: list[int] = field(default_factory=list)  # from a start until all knew of it
@@ -156,7 +156,7 @@
                     self._send_round(number)
         digests = {instance.members.table.digest for instance in self.instances.values()}
         self.result.agreed = len(digests) == 1
-        self.result.final_share_sum = self._share_sum()
+        self.result.final_quota_sum = self._quota_sum()
         return self.result
 
     # Events
@@ -213,8 +213,8 @@
         records = [instance.members.table.records.get(start.instance) for instance in self.instances.values()]
         return all(record is not None and record.incarnation >= start.incarnation for record in records)
 
-    def _share_sum(self) -> float:
-        return sum(instance.members.even_share for instance in self.instances.values())
+    def _quota_sum(self) -> float:
+        return sum(instance.members.even_quota for instance in self.instances.values())
 
     # Messages
 
@@ -224,13 +224,13 @@
             if delivery.receiver not in self.instances:
                 continue
             protocol = self.instances[delivery.receiver].protocol
-            envelope = codec.decode_envelope(delivery.data, self.limits.datagram_bytes)
+            envelope = decode_envelope(delivery.data, self.limits.datagram_bytes)
             message = protocol.merge(envelope)
             protocol.record_contact(delivery.sender, message, self._now)
-            share_sum = self._share_sum()
-            if share_sum > self.result.max_share_sum:
-                self.result.max_share_sum = share_sum
-                self.result.max_share_sum_at = self._now
+            quota_sum = self._quota_sum()
+            if quota_sum > self.result.max_quota_sum:
+                self.result.max_quota_sum = quota_sum
+                self.result.max_quota_sum_at = self._now
 
     def _send_round(self, number: int) -> None:
         instance = self.instances[number]
@@ -246,7 +246,7 @@
         ):
             if receiver >= FIRST_SEED:
                 receiver -= FIRST_SEED  # the first instances are the seeds
-            data = codec.encode_envelope(envelope)
+            data = encode_envelope(envelope)
             self.result.bytes_sent += len(data)
             if not self._is_lost(number, receiver):
                 self._post(number, receiver, data)
--- a/garnetlanding/emulator/lease_model.py
+++ b/garnetlanding/emulator/lease_model.py
@@ -1,11 +1,11 @@
-"""Every course that three instances' leases can take within a horizon, explored breadth first.
-
-Time goes in steps, the same for all instances (clocks that drift apart are lease_net.py's). In each step each
-instance receives any of the messages on their way to it, may get a request for the volume, may start anew,
-and sends. A message arrives in a later step, or never: the next one on the same link takes its place. So an
-instance that is stalled is one whose messages arrive nowhere and that receives none. Within a step instances
-do not touch each other, so one order of them stands for all. In each state the shares that the volume's
-instances would use if they sent now are added up.
+"""Model checking of the lease protocol: all histories of a few instances up to a horizon, breadth first.
+
+Time goes in steps, the same for all instances (lease_net.py simulates clocks that drift apart). In each step
+each instance receives any subset of the messages in transit to it, may get a request for the volume, may
+restart, and sends. A message arrives in a later step, or never: the next one on the same link replaces it. So
+a stalled instance is one whose messages all get lost and that receives none. Within a step instances do not
+interact, so a single order of them covers all. In each state the quotas that the volume's hosts would use if
+they sent now are added up.
 """
 
 from __future__ import annotations
@@ -15,42 +15,43 @@
 
 from garnetlanding.decision.estimators import EwmaRate
 from garnetlanding.emulator.walk import Walk
-from garnetlanding.peers.codec import LeaseMessage, tag
-from garnetlanding.peers.demand import Demand
+from garnetlanding.peers.demand import Demand, DemandTable
+from garnetlanding.peers.lease_message import LeaseMessage
 from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.name_tag import name_tag
 from garnetlanding.peers.peer_contacts import InstanceIdentity, PeerContact
 
 VOLUME = "v"
-VOLUME_TAG = tag(VOLUME)
+VOLUME_TAG = name_tag(VOLUME)
 LIMIT = 40.0
 ROUNDING_SLACK = 1e-9
-# In steps: a lease holds for three, a message is believed for three, a demand lasts for one.
+# In steps: a lease lasts three, the requests of a message count for three, demand is averaged over one.
 LIMITS = PeerLimits(
     lease_us=3,
     drift=0.0,
     stale_us=3,
     demand_memory_us=1000,
     demand_window_us=1,
-    share_steps=4,
+    quota_steps=4,
     remembered_messages=4,
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """What is explored: so many steps, and at most so many starts in one history."""
+    """Which histories are explored: their length in steps, and the restarts that one may contain."""
 
     instances: int = 3
     hosts: int = 2
     steps: int = 4
     starts: int = 1
-    max_states: int = 2_000_000  # after which it is given up
+    max_states: int = 2_000_000  # after which exploring is given up
 
 
 @dataclass(frozen=True, slots=True)
 class SentMessage:
-    """A message on its way."""
+    """A message in transit."""
 
     sender: int
     receiver: int
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """Before instance `turn` has its turn in step `now`."""
+    """The instances and messages before instance `turn` acts in step `now`."""
 
     now: int
     turn: int
@@ -71,24 +72,25 @@
 
 @dataclass(slots=True)
 class Explored:
-    """What an exploration came to."""
+    """The result of an exploration."""
 
     states: int = 0
     moves: int = 0
-    greatest_sum: float = 0.0  # of shares
-    whole: bool = True  # nothing within the scope was left out
-    shares: set[tuple[float, ...]] = field(default_factory=set)  # that the hosts had in some state
+    greatest_sum: float = 0.0  # of quotas
+    is_complete: bool = True  # every state within the scope was reached
+    quotas: set[tuple[float, ...]] = field(default_factory=set)  # of the hosts, in each state
 
 
 def clone(leases: Leases) -> Leases:
-    """Return a copy that changes by itself; it shares what is never changed in place."""
+    """Return an independent copy; what is never changed in place is shared with the original."""
     new = object.__new__(type(leases))
     new.__dict__.update(leases.__dict__)
     new.contacts = leases.contacts.copy()
-    new.demands = {volume: _clone_demand(demand) for volume, demand in leases.demands.items()}
-    new._shares = dict(leases._shares)
-    new._received = leases._received.copy()
-    new._granted = leases._granted.copy()
+    new.demands = DemandTable(leases.limits)
+    new.demands.by_tag = {volume: _clone_demand(demand) for volume, demand in leases.demands.by_tag.items()}
+    new.reported_quotas = dict(leases.reported_quotas)
+    new.received = leases.received.copy()
+    new.granted = leases.granted.copy()
     return new
 
 
@@ -100,9 +102,10 @@
 
 
 def state_key(state: State) -> tuple[object, ...]:
-    """Return the same key for states that cannot come to differ.
+    """Return a key that is equal for states with the same future.
 
-    Times count from now, a message's number only by when it was sent, and what has expired not at all.
+    Times are relative to now, the number of a message is replaced by its age, and what has expired is left
+    out.
     """
     instances = tuple(_instance_key(state, number) for number in range(len(state.instances)))
     in_transit = tuple(sorted(_message_key(state, message) for message in state.in_transit))
@@ -110,7 +113,7 @@
 
 
 def _sent_ago(state: State, number: int, incarnation: int, message: int) -> int | None:
-    """Return how long ago an instance sent that message; None where an answer to it counts for nothing."""
+    """Return how long ago an instance sent that message; None if no lease can run from it any more."""
     sent_at = state.instances[number].contacts.sent_at(incarnation, message)
     if sent_at is None or sent_at + LIMITS.lease_us <= state.now:
         return None
@@ -126,17 +129,17 @@
         if now - contact.received_at <= LIMITS.stale_us
     )
     demands = tuple(
-        (demand.wanted_share(now, LIMITS), tuple(sorted(demand.requested_by)))
-        for demand in leases.demands.values()
+        (demand.wanted_quota(now, LIMITS), tuple(sorted(demand.requested_by)))
+        for demand in leases.demands.by_tag.values()
     )
     received = tuple(
-        (peer, grant.share, grant.expires_at - now)
-        for volume in leases._received.by_volume
-        for peer, grant in leases._received.current(volume, now)
+        (peer, grant.fraction, grant.expires_at - now)
+        for volume in leases.received.by_volume
+        for peer, grant in leases.received.current(volume, now)
     )
     granted = tuple(
-        (peer, tuple(sorted((g.share, g.expires_at - now) for g in grants if g.expires_at > now)))
-        for receivers in leases._granted.by_volume.values()
+        (peer, tuple(sorted((g.fraction, g.expires_at - now) for g in grants if g.expires_at > now)))
+        for receivers in leases.granted.by_volume.values()
         for peer, grants in sorted(receivers.items())
         if any(g.expires_at > now for g in grants)
     )
@@ -151,7 +154,7 @@
         _sent_ago(state, peer, *contact.last_message),
         state.now - contact.received_at,
         tuple(
-            (request.share, state.now - request.received_at)
+            (request.quota, state.now - request.received_at)
             for request in contact.requests.values()
             if state.now - request.received_at <= LIMITS.stale_us
         ),
@@ -165,25 +168,25 @@
         content.incarnation == state.instances[message.sender].identity.incarnation,
         _sent_ago(state, message.sender, content.incarnation, content.number),
         _sent_ago(state, message.receiver, content.acked_incarnation, content.acked_number),
-        tuple(content.asks.values()),
+        tuple(content.requests.values()),
         tuple(content.grants.values()),
     )
-    return (message.sender, message.receiver, rest)  # a link has one message at most: that sorts them
+    return (message.sender, message.receiver, rest)  # unique, since a link has one message at most
 
 
-def usable_shares(state: State, scope: Scope) -> tuple[float, ...]:
-    """Return what each of the volume's instances would use if it sent now."""
-    shares: list[float] = []
+def usable_quotas(state: State, scope: Scope) -> tuple[float, ...]:
+    """Return the quota that each of the volume's hosts would use if it sent now."""
+    quotas: list[float] = []
     for leases in state.instances[: scope.hosts]:
-        looking = clone(leases)
-        if VOLUME_TAG not in looking.demands:
-            looking.demands[VOLUME_TAG] = Demand(VOLUME, scope.hosts, LIMIT)
-        shares.append(looking.usable_share(VOLUME_TAG, state.now))
-    return tuple(shares)
+        queried = clone(leases)
+        if VOLUME_TAG not in queried.demands.by_tag:
+            queried.demands.by_tag[VOLUME_TAG] = Demand(VOLUME, scope.hosts, LIMIT)
+        quotas.append(queried.usable_quota(VOLUME_TAG, state.now))
+    return tuple(quotas)
 
 
 def moves(state: State, scope: Scope, kind: type[Leases]) -> Iterator[State]:
-    """Yield every state that the instance whose turn it is may lead to.
+    """Yield every state that the next instance's action may lead to.
 
     After the last instance the next step begins.
     """
@@ -191,7 +194,7 @@
     is_last = number + 1 == scope.instances
     now = state.now + 1 if is_last else state.now
     turn = 0 if is_last else number + 1
-    # Of an instance whose turn was before, also what it has just sent: its next message would take the place.
+    # An instance that acted earlier in this step may have sent just now: its next message would replace that.
     arriving = [
         message
         for message in state.in_transit
@@ -202,7 +205,7 @@
         leases = clone(state.instances[number])
         for message in received:
             leases.receive(message.sender, message.content, state.now)
-        leases.changed_shares(state.now)
+        leases.refresh_quotas(state.now)
         others = tuple(message for message in state.in_transit if message not in received)
         for variant, starts in _requested_or_started(state, scope, leases, kind):
             new, in_transit = _send(variant, state.now, others)
@@ -213,12 +216,12 @@
 def _requested_or_started(
     state: State, scope: Scope, leases: Leases, kind: type[Leases]
 ) -> Iterator[tuple[Leases, int]]:
-    """Yield an instance as it is, with a request, and started anew; each with the starts by then."""
+    """Yield an instance unchanged, with a request, and restarted, each with the restarts until then."""
     yield leases, state.starts
     if leases.identity.number < scope.hosts:
         requested = clone(leases)
         requested.record_demand(VOLUME, scope.hosts, LIMIT, 1, state.now)
-        requested.changed_shares(state.now)
+        requested.refresh_quotas(state.now)
         yield requested, state.starts
     if state.starts < scope.starts:
         identity = replace(leases.identity, incarnation=leases.identity.incarnation + 1)
@@ -228,7 +231,7 @@
 def _send(
     leases: Leases, now: int, in_transit: tuple[SentMessage, ...]
 ) -> tuple[Leases, tuple[SentMessage, ...]]:
-    """Return the instance after it has sent, and the messages on their way then."""
+    """Return the instance after it has sent, and the messages that are in transit then."""
     new = clone(leases)
     pages = new.compose(now)
     number = new.contacts.next_number(now)
@@ -242,14 +245,14 @@
         )
         for peer, page in pages.items()
     ]
-    new.changed_shares(now)
+    new.refresh_quotas(now)
     others = [message for message in in_transit if message.sender != sender or message.receiver not in pages]
     return new, (*others, *sent)
 
 
 def explore(scope: Scope, kind: type[Leases] = Leases) -> Explored:
-    """Explore a scope; end at the first state whose shares add up to more than 1."""
-    # Instances that have run for long: what an earlier incarnation had granted has expired.
+    """Explore a scope; end at the first state whose quotas add up to more than 1."""
+    # They start one lease ago: nothing that an earlier incarnation granted is in use any more.
     instances = tuple(
         kind(LIMITS, InstanceIdentity(number, scope.instances, 1), -LIMITS.lease_us)
         for number in range(scope.instances)
@@ -262,12 +265,12 @@
         scope.max_states,
     )
     for state in walk:
-        shares = usable_shares(state, scope)
-        found.shares.add(shares)
-        found.greatest_sum = max(found.greatest_sum, sum(shares))
+        quotas = usable_quotas(state, scope)
+        found.quotas.add(quotas)
+        found.greatest_sum = max(found.greatest_sum, sum(quotas))
         if found.greatest_sum > 1 + ROUNDING_SLACK:
             break
     found.states = walk.states
     found.moves = walk.moves
-    found.whole = walk.is_complete
+    found.is_complete = walk.is_complete
     return found
--- a/garnetlanding/emulator/lease_net.py
+++ b/garnetlanding/emulator/lease_net.py
@@ -1,8 +1,8 @@
-"""Many instances' leases on one simulated clock and network.
+"""A simulation of many instances' leases on a faulty network, with clocks that drift apart.
 
-Clocks drift apart; messages are lost, late, duplicated and overtaken; links are cut; instances crash and
-stall. The same seed gives the same run. At each step the shares that the volume's instances may use are added
-up, as the decision module of each would use them if it sent at that very moment.
+Messages are lost, late, duplicated and overtaken; links are cut; instances crash and stall. The same seed
+gives the same run. At each step the quotas that the volume's hosts may use are added up, as the decision
+module of each would use them if it sent at that moment.
 """
 
 from __future__ import annotations
@@ -13,50 +13,52 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from garnetlanding.peers import codec
+from garnetlanding.peers import lease_message
 from garnetlanding.peers.demand import Demand
+from garnetlanding.peers.lease_message import LeaseMessage
 from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.name_tag import name_tag
 from garnetlanding.peers.peer_contacts import InstanceIdentity
 
 MS = 1_000
 SECOND = 1_000_000
 VOLUME = "v"
-VOLUME_TAG = codec.tag(VOLUME)
+VOLUME_TAG = name_tag(VOLUME)
 LIMIT = 40.0  # units a second
 REQUEST_UNITS = 2
 BUSIEST_DEMAND = 1.5  # of the limit
-LATE_SHARE = 0.1  # of the messages take up to `late_us`
+LATE_FRACTION = 0.1  # of the messages take up to `late_us`
 FIRST_INCARNATION = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What a run is made of. Times are microseconds."""
+    """The parameters of a run. Times are microseconds."""
 
     seed: int = 1
     instances: int = 3
-    hosts: int = 2  # the first so many instances are the volume's
+    hosts: int = 2  # of the volume: the instances with the lowest numbers
     length_us: int = 12 * SECOND
     step_us: int = 10 * MS
-    loss: float = 0.1  # share of the messages
-    duplicated: float = 0.05  # share of the messages
+    loss: float = 0.1  # fraction of the messages
+    duplicated: float = 0.05  # fraction of the messages
     delay_us: int = 30 * MS  # twice that at most; some messages take up to `late_us`
     late_us: int = 900 * MS
-    drift: float = 0.005  # of each clock, at most, either way
+    drift: float = 0.005  # greatest deviation of a clock's rate
     other_demand: float = 0.1  # of the limit, requested at each host that is not the busiest
-    shift_us: int = 3 * SECOND  # so often another host becomes the busiest
+    shift_us: int = 3 * SECOND  # after which another host becomes the busiest
     faults: int = 4  # drawn at random
     calm: bool = False  # no fault, nothing lost or late
 
 
 class FaultKind(StrEnum):
-    """What happens to an instance for some time."""
+    """What is wrong with an instance for some time."""
 
     CRASH = "crash"
     STALL = "stall"
-    CUT = "cut"  # nothing that it sends arrives
-    SPLIT = "split"  # nor does anything that is sent to it
+    CUT = "cut"  # its messages are lost
+    SPLIT = "split"  # its messages and those to it are lost
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -71,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Datagram:
-    """A message on its way; datagrams are ordered by their arrival."""
+    """A message in transit; datagrams are ordered by their arrival."""
 
     arrives_at: int
     sequence: int
@@ -84,9 +86,9 @@
 class Instance:
     """One simulated instance."""
 
-    clock: Callable[[int], int]  # its own time at a time of the simulation
+    clock: Callable[[int], int]  # from the simulation's time to its own
     leases: Leases
-    share: float  # of the limit, as its decision module has it
+    quota: float  # of the limit, as its decision module was last told
     next_send_at: int = 0  # by its own clock
     stalled_until: int = 0
     down_until: int = 0
@@ -99,14 +101,14 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """The greatest sum of shares, when it was reached, and how the shares were used."""
+    """What a run has shown."""
 
-    greatest_sum: float = 0.0
+    greatest_sum: float = 0.0  # of the hosts' quotas
     greatest_sum_at: int = 0
-    usable: float = 0.0  # mean of the busiest instance's share
+    utilization: float = 0.0  # mean quota of the busiest instance
     messages: int = 0
     bytes: int = 0
-    states: set[tuple[float, ...]] = field(default_factory=set)  # of the shares of all running hosts
+    states: set[tuple[float, ...]] = field(default_factory=set)  # of the quotas of all running hosts
 
 
 class Simulation:
@@ -141,7 +143,7 @@
         return lambda now: offset + int(now * pace)
 
     def _start(self, number: int, clock: Callable[[int], int], down_until: int) -> Instance:
-        """Start an instance anew, once it is up again."""
+        """Return a restarted instance, which begins once it is up again."""
         started_at = clock(max(self.now, down_until))
         return Instance(clock, self._make_leases(number, started_at), 0.0, down_until=down_until)
 
@@ -155,7 +157,7 @@
     def run(self) -> RunResult:
         """Run the scenario to its end."""
         scenario = self.scenario
-        busiest_shares = 0.0
+        busiest_quotas = 0.0
         steps = range(0, scenario.length_us, scenario.step_us)
         for self.now in steps:
             self._begin_faults()
@@ -163,14 +165,14 @@
             busiest = self._busiest()
             for number in self.rng.sample(range(scenario.instances), scenario.instances):
                 if self.instances[number].is_running(self.now):
-                    self._take_turn(number)
+                    self._run_iteration(number)
                     self._add_up()
-            busiest_shares += self.instances[busiest].share
-        self.result.usable = busiest_shares / len(steps)
+            busiest_quotas += self.instances[busiest].quota
+        self.result.utilization = busiest_quotas / len(steps)
         return self.result
 
     def _busiest(self) -> int:
-        """Return the number of the host with the most requests; it is any of them in turn."""
+        """Return the number of the host with the most requests, which rotates."""
         return self.now // self.scenario.shift_us % self.scenario.hosts
 
     def _begin_faults(self) -> None:
@@ -198,19 +200,19 @@
                 receiver.inbox.append(datagram)
 
     def _add_up(self) -> None:
-        """Add up the shares of the running hosts: one that is down or stalled sends nothing."""
-        shares: list[float] = []
+        """Add up the quotas of the running hosts; those that are down or stalled send nothing."""
+        quotas: list[float] = []
         for host in self.instances[: self.scenario.hosts]:
             if host.is_running(self.now):
-                self._update_share(host)
-                shares.append(host.share)
-        self.result.states.add(tuple(round(share, 2) for share in shares))
-        if sum(shares) > self.result.greatest_sum:
-            self.result.greatest_sum = sum(shares)
+                self._update_quota(host)
+                quotas.append(host.quota)
+        self.result.states.add(tuple(round(quota, 2) for quota in quotas))
+        if sum(quotas) > self.result.greatest_sum:
+            self.result.greatest_sum = sum(quotas)
             self.result.greatest_sum_at = self.now
 
-    def _take_turn(self, number: int) -> None:
-        """Let an instance do what one iteration of its event loop would."""
+    def _run_iteration(self, number: int) -> None:
+        """Run one event-loop iteration of an instance."""
         instance = self.instances[number]
         now = instance.clock(self.now)
         self._receive(instance, now)
@@ -219,26 +221,27 @@
             if self.rng.random() < rate / REQUEST_UNITS * self.scenario.step_us / SECOND:
                 instance.leases.record_demand(VOLUME, self.scenario.hosts, LIMIT, REQUEST_UNITS, now)
         payloads = self._compose_if_due(instance, now)
-        self._update_share(instance)
+        self._update_quota(instance)
         for receiver, payload in payloads.items():
             self._send(number, receiver, payload)
 
     def _receive(self, instance: Instance, now: int) -> None:
         for datagram in instance.inbox:
-            message = codec.decode_leases(datagram.payload, self.limits.datagram_bytes)
+            message = lease_message.decode(datagram.payload, self.limits.datagram_bytes)
             instance.leases.receive(datagram.sender, message, now)
         instance.inbox.clear()
 
-    def _update_share(self, instance: Instance) -> None:
-        """Do what the decision module would be told before it may send."""
+    def _update_quota(self, instance: Instance) -> None:
+        """Refresh the quota, as happens before the decision module may send."""
         now = instance.clock(self.now)
         leases = instance.leases
-        instance.share = leases.changed_shares(now).get(VOLUME, instance.share)
-        if VOLUME_TAG not in leases.demands:
-            # Its first request would bring the volume up, and its share with it.
-            leases.demands[VOLUME_TAG] = Demand(VOLUME, self.scenario.hosts, LIMIT)
-            instance.share = leases.usable_share(VOLUME_TAG, now)
-            del leases.demands[VOLUME_TAG]
+        instance.quota = leases.refresh_quotas(now).get(VOLUME, instance.quota)
+        if VOLUME_TAG not in leases.demands.by_tag:
+            # The first request would create the demand, and the decision module would be told the quota
+            # with it.
+            leases.demands.by_tag[VOLUME_TAG] = Demand(VOLUME, self.scenario.hosts, LIMIT)
+            instance.quota = leases.usable_quota(VOLUME_TAG, now)
+            del leases.demands.by_tag[VOLUME_TAG]
 
     def _compose_if_due(self, instance: Instance, now: int) -> dict[int, bytes]:
         """Return the datagrams to send, by receiver."""
@@ -249,10 +252,10 @@
         number = leases.contacts.next_number(now)
         payloads: dict[int, bytes] = {}
         for peer, page in leases.compose(now).items():
-            message = codec.LeaseMessage(
+            message = LeaseMessage(
                 leases.identity.incarnation, number, *leases.contacts.last_received(peer), *page
             )
-            payloads[peer] = codec.encode_leases(message)
+            payloads[peer] = lease_message.encode(message)
         return payloads
 
     def _send(self, sender: int, receiver: int, payload: bytes) -> None:
@@ -263,7 +266,7 @@
         copies = 2 if self._occurs(self.scenario.duplicated) else 1
         for _ in range(copies):
             delay_us = self.rng.randrange(self.scenario.delay_us // 10, 2 * self.scenario.delay_us)
-            if self._occurs(LATE_SHARE):
+            if self._occurs(LATE_FRACTION):
                 delay_us = self.rng.randrange(self.scenario.late_us)
             self._datagrams += 1
             arrives_at = self.now + delay_us
--- a/garnetlanding/history/writer.py
+++ b/garnetlanding/history/writer.py
@@ -79,9 +79,9 @@
 
     # The peer protocols
 
-    def members_changed(self, entitled: Collection[int], even_share: float) -> None:
+    def members_changed(self, entitled: Collection[int], even_quota: float) -> None:
         """Record which instances are entitled to quotas, and the quota of each if they are divided evenly."""
-        self._write("heads", {"entitled": sorted(entitled), "even": even_share})
+        self._write("heads", {"entitled": sorted(entitled), "even": even_quota})
 
     def disabled_backends_changed(self, backends: Collection[str]) -> None:
         """Record all backends that are administratively disabled now."""
@@ -96,13 +96,13 @@
         servers = {backend: [observed, at_us] for backend, (observed, at_us) in observations.items()}
         self._write("seen", {"servers": servers})
 
-    def volume_shares_changed(self, shares: Mapping[str, float], until_us: int) -> None:
+    def volume_quotas_changed(self, quotas: Mapping[str, float], until_us: int) -> None:
         """Record the instance's quotas of the volumes' limits, which hold until `until_us`."""
-        self._write("parts", _quota_fields(shares, until_us))
+        self._write("parts", _quota_fields(quotas, until_us))
 
-    def limit_shares_changed(self, shares: Mapping[str, float], until_us: int) -> None:
+    def budget_quotas_changed(self, quotas: Mapping[str, float], until_us: int) -> None:
         """Record the instance's quotas of the other shared limits, which hold until `until_us`."""
-        self._write("shares", _quota_fields(shares, until_us))
+        self._write("shares", _quota_fields(quotas, until_us))
 
     def _write(self, kind: str, fields: Mapping[str, Any]) -> None:
         line = {
--- a/garnetlanding/lab/byzantine.py
+++ b/garnetlanding/lab/byzantine.py
@@ -6,8 +6,11 @@
 from dataclasses import replace
 
 from garnetlanding.lab.faults import ByzantineBehaviour
-from garnetlanding.peers import codec, gossip_message
+from garnetlanding.peers import gossip_message, lease_message
+from garnetlanding.peers.envelope import Envelope, MessageKind, decode_envelope, encode_envelope
+from garnetlanding.peers.errors import MessageError
 from garnetlanding.peers.limits import PeerLimits
+from garnetlanding.peers.name_tag import name_tag
 
 
 def falsify(datagram: bytes, backends: Sequence[str], behaviour: ByzantineBehaviour) -> bytes:
@@ -17,30 +20,30 @@
     that cannot be decoded, is returned as it is.
     """
     try:
-        envelope = codec.decode_envelope(datagram, PeerLimits().datagram_bytes)
+        envelope = decode_envelope(datagram, PeerLimits().datagram_bytes)
         if behaviour is ByzantineBehaviour.WANTS_EVERY_QUOTA:
-            return _demand_everything(envelope) if envelope.kind == codec.MessageKind.LEASES else datagram
-        if envelope.kind != codec.MessageKind.GOSSIP:
+            return _demand_everything(envelope) if envelope.kind == MessageKind.LEASES else datagram
+        if envelope.kind != MessageKind.GOSSIP:
             return datagram
         if behaviour is ByzantineBehaviour.ALL_WELL:
             return _report_unreachable(envelope, ())
         return _report_unreachable(envelope, backends)
-    except codec.MessageError:
+    except MessageError:
         return datagram
 
 
-def _demand_everything(envelope: codec.Envelope) -> bytes:
-    leases = codec.read_leases(envelope)
-    asks = {volume: ask._replace(share=1.0) for volume, ask in leases.asks.items()}
-    return codec.encode_leases(replace(leases, asks=asks, grants={}))
+def _demand_everything(envelope: Envelope) -> bytes:
+    leases = lease_message.read(envelope)
+    requests = {volume: request._replace(quota=1.0) for volume, request in leases.requests.items()}
+    return lease_message.encode(replace(leases, requests=requests, grants={}))
 
 
-def _report_unreachable(envelope: codec.Envelope, backends: Sequence[str]) -> bytes:
+def _report_unreachable(envelope: Envelope, backends: Sequence[str]) -> bytes:
     message = gossip_message.read(envelope)
     evidence = tuple(
         gossip_message.Evidence(
             gossip_message.EvidenceKind.UNREACHABLE,
-            codec.tag(name),
+            name_tag(name),
             gossip_message.MAX_UPTIME,
             gossip_message.MAX_COUNT,
             0,
@@ -49,7 +52,7 @@
     )
     fitting, _ = gossip_message.fit(evidence, (), PeerLimits().datagram_bytes)
     forged = gossip_message.GossipMessage(message.digest, evidence[:fitting])
-    return codec.encode_envelope(
+    return encode_envelope(
         gossip_message.to_envelope(
             forged,
             envelope.incarnation,
--- a/garnetlanding/lab/peer_invariants.py
+++ b/garnetlanding/lab/peer_invariants.py
@@ -103,7 +103,7 @@
 class _MembershipHistory:
     """By instance, its even share of shared limits and the peers that it knows, as last noted."""
 
-    even_share: dict[str, float] = field(default_factory=dict)
+    even_quota: dict[str, float] = field(default_factory=dict)
     known: dict[str, set[int]] = field(default_factory=dict)
 
 
@@ -126,14 +126,14 @@
         if not run.experiment.seed_instances:
             return
         history = self._replay(run)
-        if run.report.even_share_sum_max > 1 + LIMITS.share_slack:
-            yield f"even parts add up to {run.report.even_share_sum_max:.3f}"
+        if run.report.even_quota_sum_max > 1 + LIMITS.share_slack:
+            yield f"even parts add up to {run.report.even_quota_sum_max:.3f}"
         duplicates = {
             fault.instance: fault.claimed_instance
             for fault in run.experiment.faults_of(FaultKind.DUPLICATE_IDENTITY)
         }
         for instance, claimed in duplicates.items():
-            if history.even_share[f"n{instance}"] and history.even_share[f"n{claimed}"]:
+            if history.even_quota[f"n{instance}"] and history.even_quota[f"n{claimed}"]:
                 yield f"n{instance} and n{claimed} both use the part of one number"
         running = set(range(run.experiment.instances)) - run.instances_that_left() - set(duplicates)
         for instance in sorted(running):
@@ -150,11 +150,11 @@
             if line["t"] > end_us:
                 break
             if line["what"] == LineKind.STARTED:
-                history.even_share[line["who"]] = 0.0
+                history.even_quota[line["who"]] = 0.0
                 continue
-            history.even_share[line["who"]] = line["even"]
+            history.even_quota[line["who"]] = line["even"]
             history.known[line["who"]] = set(line["entitled"])
-            run.report.even_share_sum_max = max(
-                run.report.even_share_sum_max, sum(history.even_share.values())
+            run.report.even_quota_sum_max = max(
+                run.report.even_quota_sum_max, sum(history.even_quota.values())
             )
         return history
--- a/garnetlanding/lab/result.py
+++ b/garnetlanding/lab/result.py
@@ -39,7 +39,7 @@
         "over": round(report.limit_overshoot_units, 2),
         "used": round(report.limit_use, 3),
         "parts_most": round(report.quota_sum_max, 3),
-        "evens_most": round(report.even_share_sum_max, 3),
+        "evens_most": round(report.even_quota_sum_max, 3),
         "cold_most": round(report.warming_load_max, 3),
         "places_most": report.backend_connections_max,
         "kept": report.connections_at_end,
--- a/garnetlanding/lab/violations.py
+++ b/garnetlanding/lab/violations.py
@@ -28,7 +28,7 @@
     limit_use: float = 0.0  # the part sent of all that the volumes could have had
     quota_sum_max: float = 0.0  # greatest sum of one volume's quota shares over its instances, at any time
     duplicate_quota_sum_max: float = 0.0  # the same, while a duplicate identity may still be unnoticed
-    even_share_sum_max: float = 0.0  # greatest sum of the instances' even shares of what all share
+    even_quota_sum_max: float = 0.0  # greatest sum of the instances' even shares of what all share
     incarnations: dict[str, int] = field(default_factory=dict)  # how often each instance started
     suspicions: int = 0  # times that an instance began to suspect a backend on its peers' evidence
     suspicions_unfounded: int = 0  # of them, of backends that no fault had struck
--- a/garnetlanding/ops/replicated_disables.py
+++ b/garnetlanding/ops/replicated_disables.py
@@ -64,7 +64,7 @@
         """
         name = INSTANCE_PREFIX + str(instance)
         others = {other for other in state.disabled if other.startswith(INSTANCE_PREFIX)} - {name}
-        if fenced and (len(others) + 1) > instances * self._replication.limits.max_fenced_share:
+        if fenced and (len(others) + 1) > instances * self._replication.limits.max_fenced_fraction:
             raise TooManyFencedError(name, len(others), instances)
         return self.set_disabled(state, name, disabled=fenced)
 
--- a/garnetlanding/peers/connection_quota.py
+++ b/garnetlanding/peers/connection_quota.py
@@ -1,8 +1,8 @@
 """The quota of connections that this instance may open to each backend.
 
-All instances together may have a set number of connections open at a backend. The quota moves between them by
-leases, like other budgets (docs/design/fleet-limits.md): a unit of it is in use for as long as its connection
-is open. No clock and no socket.
+The connections that all instances together may have open at a backend are a budget, divided by leases like
+the others (docs/design/fleet-limits.md). A unit of it is in use for as long as its connection is open. No
+clock and no socket.
 """
 
 from __future__ import annotations
@@ -10,13 +10,12 @@
 from collections.abc import Callable
 
 from garnetlanding.decision.interface import concurrency_budget
-from garnetlanding.peers.codec import tag
-from garnetlanding.peers.leases import SharedLeases
+from garnetlanding.peers.leases import BudgetLeases
 from garnetlanding.peers.limits import SECOND
+from garnetlanding.peers.name_tag import name_tag
 
-ROUNDING_SLACK = (
-    1e-9  # a share that makes a whole number of connections but for float error gives that number
-)
+# Added before rounding down to whole connections, since float error may leave a quota just below its number.
+ROUNDING_SLACK = 1e-9
 
 
 class ConnectionQuota:
@@ -27,47 +26,49 @@
         per_backend: int,
         longest_attempt_us: int,
         now: Callable[[], int],
-        shared: Callable[[], SharedLeases | None],
+        budget_leases: Callable[[], BudgetLeases | None],
     ) -> None:
         """Divide `per_backend` connections at each backend among the instances of the fleet.
 
-        An attempt lasts `longest_attempt_us` at most: by then a connection that was granted to a peer is
-        closed again. `shared` returns the leases that divide the quota; None while no peer is heard yet.
+        An attempt lasts `longest_attempt_us` at most: after that, a connection that was granted to a peer is
+        closed again. `now` returns the present time in microseconds, `budget_leases` the leases that divide
+        the quota, or None while they must not be used.
         """
         self.per_backend = per_backend
         self._longest_attempt_us = longest_attempt_us
         self._now = now
-        self._shared = shared
+        self._budget_leases = budget_leases
 
     def max_connections(self, backend: str) -> int:
         """Return how many connections this instance may have open at a backend now."""
-        shared = self._shared()
-        if shared is None:
+        budget = self._budget_leases()
+        if budget is None:
             return 0
-        budget = tag(concurrency_budget(backend))
-        if budget not in shared.leases.demands:
-            # Without a demand it is not known what this instance may have granted to peers unasked.
-            self._record_demand(shared, backend, 0)
-        if budget not in shared.leases.demands:
+        demands = budget.leases.demands.by_tag
+        tag = name_tag(concurrency_budget(backend))
+        if tag not in demands:
+            # What this instance may have granted to peers is only deducted from a quota that is requested.
+            self._record_demand(budget, backend, 0)
+        if tag not in demands:
             return self.per_backend  # this is the only instance
-        share = shared.leases.usable_share(budget, self._now())
-        return int(share * self.per_backend + ROUNDING_SLACK)
+        quota = budget.leases.usable_quota(tag, self._now())
+        return int(quota * self.per_backend + ROUNDING_SLACK)
 
-    def set_open(self, backend: str, count: int, lacking: bool = False) -> None:
+    def set_open(self, backend: str, count: int, *, lacking: bool = False) -> None:
         """Set how many connections are open at a backend now.
 
         `lacking`: one more was wanted, and the quota did not allow it.
         """
-        shared = self._shared()
-        if shared is None:
+        budget = self._budget_leases()
+        if budget is None:
             return
-        self._record_demand(shared, backend, float(lacking))
-        shared.leases.set_in_use(concurrency_budget(backend), count)
+        self._record_demand(budget, backend, float(lacking))
+        budget.leases.demands.set_in_use(concurrency_budget(backend), count)
 
-    def _record_demand(self, shared: SharedLeases, backend: str, units: float) -> None:
-        shared.leases.record_demand(
+    def _record_demand(self, budget: BudgetLeases, backend: str, units: float) -> None:
+        budget.leases.record_demand(
             concurrency_budget(backend),
-            shared.hosts,
+            budget.hosts,
             self.per_backend * SECOND / self._longest_attempt_us,
             units,
             self._now(),
--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -1,7 +1,7 @@
 """Wraps the decision module, so that it takes part in what the instances of a fleet decide together.
 
 `PeerCoordinator` has the interface of the module. Of the events that it handles, it processes the messages of
-peers itself and passes on the others, together with the events that follow from those messages (quota shares,
+peers itself and passes on the others, together with the events that follow from those messages (quotas,
 suspicions). It adds the instance's own messages to the module's actions. No socket and no clock: it runs on
 the simulator's wire as well as on sockets.
 """
@@ -19,9 +19,9 @@
 from garnetlanding.peers import operator_tables
 from garnetlanding.peers.gossip_schedule import GossipSchedule
 from garnetlanding.peers.history import PeerHistory
-from garnetlanding.peers.leases import Leases, SharedLeases
+from garnetlanding.peers.leases import BudgetLeases, Leases
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.quota_use import BudgetFactory, QuotaUse
+from garnetlanding.peers.quota_manager import BudgetFactory, QuotaManager
 from garnetlanding.peers.receiver import MessageReceiver, ReceivedMessage
 from garnetlanding.peers.send_round import SendRound
 from garnetlanding.peers.status import StatusRow
@@ -42,13 +42,13 @@
     detector: FailureDetector | None = None
     membership: MembershipProtocol | None = None
     make_budgets: BudgetFactory | None = None
-    history: PeerHistory | None = None  # records the shares that the module is notified of
+    history: PeerHistory | None = None  # records the quotas that the module is notified of
 
 
 class PeerCoordinator:
     """A decision module that exchanges messages with the other instances of its fleet.
 
-    It stays one class because the order of the steps of `handle` is what keeps shares from being used twice;
+    It stays one class because the order of the steps of `handle` is what keeps quotas from being used twice;
     the steps themselves, and the state behind them, are in the modules that it calls.
     """
 
@@ -65,14 +65,14 @@
         """Wrap a decision module. `incarnation` must be greater at each start of this instance.
 
         `dropped` counts dropped messages by cause. Unless `is_active`, another process of this instance sends
-        for it and uses its shares, until `activate` is called.
+        for it and uses its quotas, until `activate` is called.
         """
         self.module = module
         self.incarnation = incarnation
         self.limits = limits or PeerLimits()
         self.subsystems = subsystems or PeerSubsystems()
-        self._quota = QuotaUse(
-            self.limits, incarnation, module.settings, self.subsystems.make_budgets, is_active
+        self._quota = QuotaManager(
+            self.limits, incarnation, module.settings, self.subsystems.make_budgets, is_active=is_active
         )
         detector = self.subsystems.detector
         membership = self.subsystems.membership
@@ -114,26 +114,26 @@
         """The last message that was not dropped; None: there was none."""
         return self._receiver.last_received
 
-    def shared_leases(self) -> SharedLeases | None:
+    def budget_leases(self) -> BudgetLeases | None:
         """Return the leases on budgets; None before any events, or while this process is not active."""
-        return self._quota.shared_leases()
+        return self._quota.budget_leases()
 
     # Hand-over between processes of an upgrade, suspension and shutdown
 
     def activate(self, now: int) -> None:
-        """Start to send and to use shares, as after a start: the predecessor process has stopped."""
+        """Start to send and to use quotas, as after a start: the predecessor process has stopped."""
         self._quota.activate(now)
 
     def deactivate(self, now: int) -> None:
-        """Stop sending and using shares: the successor process takes over."""
+        """Stop sending and using quotas: the successor process takes over."""
         self._quota.deactivate(now)
 
     def set_suspended(self, now: int, *, suspended: bool) -> None:
-        """Stop using shares while the instance must not act, or use them again, as after a start."""
-        self._quota.set_suspended(suspended, now)
+        """Stop using quotas while the instance must not act, or use them again, as after a start."""
+        self._quota.set_suspended(now, suspended=suspended)
 
     def leave(self, now: int, send: Callable[[bytes, int | None], None]) -> None:
-        """Stop using shares because this instance terminates, and notify discovered peers.
+        """Stop using quotas because this instance terminates, and notify discovered peers.
 
         `send` is called with each datagram and its recipient.
         """
@@ -151,13 +151,13 @@
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         """Handle events; return the module's actions, and then the instance's messages to its peers.
 
-        All events of one call reach the module in one call, so that it sends nothing on a share that has
+        All events of one call reach the module in one call, so that it sends nothing on a quota that has
         expired or has been granted to a peer by then.
         """
         settings = self.module.settings
         quota = self._quota
         own_actions: list[api.Action] = []
-        if quota.follow(settings, now, self.subsystems.membership is not None):
+        if quota.follow_settings(settings, now, is_discovered=self.subsystems.membership is not None):
             own_actions.append(self._schedule_first_round(now, settings))
         module_events = self._receive(now, events)
         if self.subsystems.membership:
@@ -168,9 +168,9 @@
             own_actions += self._send_round(now, settings)
         if self.subsystems.detector:
             self._add_suspicions(self.subsystems.detector, now, module_events)
-        shares = quota.changed_shares(now, settings.instances, self.subsystems.history)
-        if shares is not None:
-            module_events.append(shares)
+        update = quota.quota_update(now, settings.instances, self.subsystems.history)
+        if update is not None:
+            module_events.append(update)
         actions = self.module.handle(now, module_events)
         self._observe_actions(now, actions)
         return actions + own_actions
@@ -229,9 +229,9 @@
         """Return one row for each limit and budget: how it is divided, as this instance sees it."""
         if self.leases is None:
             return []
-        rows = self.leases.limit_rows(now)
+        rows = operator_tables.limit_rows(self.leases, now)
         if self.budgets:
-            rows += self.budgets.leases.limit_rows(now)
+            rows += operator_tables.limit_rows(self.budgets.leases, now)
         return rows
 
     def member_rows(self, now: int) -> Sequence[StatusRow]:
@@ -240,7 +240,7 @@
             return []
         membership = self.subsystems.membership
         if membership is None:
-            return self.leases.peer_rows(now)
+            return operator_tables.peer_rows(self.leases, now)
         return operator_tables.member_rows(membership.members, now)
 
     def suspicion_rows(self, now: int) -> Sequence[StatusRow]:
--- a/garnetlanding/peers/drop_reasons.py
+++ b/garnetlanding/peers/drop_reasons.py
@@ -1,4 +1,4 @@
-"""Why a message of a peer, or one entry of it, is dropped.
+"""Why a message of a peer, or one entry of it, is dropped although it could be decoded.
 
 Dropped messages are counted and logged by these values, which operators know: they never change.
 """
@@ -12,8 +12,8 @@
     """Why a message that could be decoded is dropped. If it cannot, the cause is in the `MessageError`."""
 
     UNKNOWN_PEER = "no peer"
-    OUTDATED = "old"  # of an earlier incarnation, or overtaken by a later message
-    OTHER_KIND = "other kind"  # of a kind that is switched off here
+    OUTDATED = "old"  # from an earlier incarnation, or overtaken by a later message
+    OTHER_KIND = "other kind"  # of a kind that is switched off at this instance
     UNKNOWN_BACKEND = "no such server"
     OTHER_INCARNATION = "other life"  # of the backend: the evidence is about another process
     EXPIRED_EVIDENCE = "word too old"
--- a/garnetlanding/peers/failure_detector.py
+++ b/garnetlanding/peers/failure_detector.py
@@ -11,10 +11,10 @@
 
 from garnetlanding.decision import interface as api
 from garnetlanding.peers import operator_tables
-from garnetlanding.peers.codec import Envelope
 from garnetlanding.peers.disable_replication import DisableReplication
 from garnetlanding.peers.disabled_backends import DisableRecord
 from garnetlanding.peers.drop_reasons import DropReason
+from garnetlanding.peers.envelope import Envelope
 from garnetlanding.peers.gossip_message import Evidence, GossipMessage, fit, read, to_envelope
 from garnetlanding.peers.history import PeerHistory
 from garnetlanding.peers.limits import MS, PeerLimits
--- a/garnetlanding/peers/gossip_message.py
+++ b/garnetlanding/peers/gossip_message.py
@@ -1,4 +1,4 @@
-"""The body of gossip about backends (`MessageKind.GOSSIP` of the datagrams in codec.py).
+"""The body of gossip about backends (`MessageKind.GOSSIP` of the datagrams in envelope.py).
 
 All numbers are big-endian::
 
@@ -19,8 +19,9 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from garnetlanding.peers.codec import CHECKSUM, HEADER, Envelope, MessageError, MessageKind
 from garnetlanding.peers.disabled_backends import DIGEST, DisableRecord
+from garnetlanding.peers.envelope import CHECKSUM, HEADER, Envelope, MessageKind
+from garnetlanding.peers.errors import MessageError, MessageFault
 
 EVIDENCE = struct.Struct(">BIHBH")
 RECORD = struct.Struct(">6sHBB")
@@ -59,7 +60,7 @@
     """One instance's observation of one backend."""
 
     kind: EvidenceKind
-    backend_tag: int  # `tag` of its name
+    backend_tag: int  # `name_tag` of its name
     uptime: int  # of its process, in 0.1 s; at most MAX_UPTIME
     count: int  # of the events that it rests on
     age_ms: int  # of the last of them, rounded up
@@ -137,7 +138,7 @@
     body = envelope.body
     records_at = DIGEST + evidence_count * EVIDENCE.size
     if len(body) < records_at:
-        raise MessageError("torn", HEADER.size + len(body))
+        raise MessageError(MessageFault.TRUNCATED, HEADER.size + len(body))
     evidence = [_read_evidence(body, offset) for offset in range(DIGEST, records_at, EVIDENCE.size)]
     records: list[DisableRecord] = []
     offset = records_at
@@ -145,25 +146,25 @@
         record, offset = _read_record(body, offset)
         records.append(record)
     if offset != len(body):
-        raise MessageError("torn", HEADER.size + offset)
+        raise MessageError(MessageFault.TRUNCATED, HEADER.size + offset)
     return GossipMessage(body[:DIGEST], tuple(evidence), tuple(records))
 
 
 def _read_evidence(body: bytes, offset: int) -> Evidence:
     kind, backend_tag, uptime, count, age_ms = EVIDENCE.unpack_from(body, offset)
     if not EvidenceKind.UNREACHABLE <= kind <= EvidenceKind.RECOVERED:
-        raise MessageError("no such verdict", HEADER.size + offset)
+        raise MessageError(MessageFault.INVALID_EVIDENCE, HEADER.size + offset)
     return Evidence(EvidenceKind(kind), backend_tag, uptime, count, age_ms)
 
 
 def _read_record(body: bytes, offset: int) -> tuple[DisableRecord, int]:
     """Return the record at an offset of the body, and the offset after it. Raises MessageError."""
     if len(body) < offset + RECORD.size:
-        raise MessageError("torn", HEADER.size + offset)
+        raise MessageError(MessageFault.TRUNCATED, HEADER.size + offset)
     version, instance, disabled, length = RECORD.unpack_from(body, offset)
     name_at = offset + RECORD.size
     name = body[name_at : name_at + length]
     if len(name) != length or not name.isascii() or not name or disabled > 1:
-        raise MessageError("no ban", HEADER.size + offset)
+        raise MessageError(MessageFault.INVALID_DISABLE_RECORD, HEADER.size + offset)
     record = DisableRecord(name.decode(), int.from_bytes(version, "big"), instance, disabled=bool(disabled))
     return record, name_at + length
--- a/garnetlanding/peers/gossip_schedule.py
+++ b/garnetlanding/peers/gossip_schedule.py
@@ -1,7 +1,4 @@
-"""Whom an instance sends to in a round: some peers in turn, and those with whom it divides something.
-
-So what an instance spends on messages does not grow with the fleet. No clock, no socket.
-"""
+"""Chooses the receivers of each round, so that the cost of a round does not grow with the fleet."""
 
 from __future__ import annotations
 
@@ -11,17 +8,18 @@
 
 
 class GossipSchedule:
-    """Goes round the peers, a bounded number at a time."""
+    """Sends to the peers in rotation, a bounded number in each round."""
 
-    def __init__(self, limits: PeerLimits, me: int) -> None:
+    def __init__(self, limits: PeerLimits, own_number: int) -> None:
         self._limits = limits
-        # Instances that start together would all begin with the same peer.
-        self._next = me
+        # Instances that start together would otherwise all begin with the same peer.
+        self._next = own_number
 
     def round(self, peers: Collection[int], partners: Iterable[int]) -> list[int]:
         """Return the receivers of the next round, without duplicates.
 
-        These are `fanout` of the peers, each in its turn, and up to `max_partners` of the partners.
+        They are the next `fanout` peers of the rotation, and up to `max_partners` of the partners, the peers
+        with whom this instance exchanges requests and grants.
         """
         ordered = sorted(peers)
         if not ordered:
--- a/garnetlanding/peers/history.py
+++ b/garnetlanding/peers/history.py
@@ -7,22 +7,22 @@
 
 
 class PeerHistory(Protocol):
-    """Receives each event; `None` stands for no history. Times are those of the monotonic clock, in us."""
+    """Records each change of what this instance has concluded. Times are of the monotonic clock, in us."""
 
-    def members_changed(self, entitled: Collection[int], even_share: float) -> None:
-        """Record a new membership: the instances entitled to quota shares, and what an even share is."""
+    def members_changed(self, entitled: Collection[int], even_quota: float) -> None:
+        """Record a new membership: the instances entitled to a quota, and what an even quota is."""
 
     def disabled_backends_changed(self, backends: Collection[str]) -> None:
-        """Exactly these backends are administratively disabled from now on."""
+        """Record that exactly these backends are administratively disabled from now on."""
 
     def suspicions_changed(self, suspected: Mapping[str, int]) -> None:
         """Record that exactly these backends are suspected from now on, each until the time given."""
 
     def observations_sent(self, observations: Mapping[str, tuple[str, int]]) -> None:
-        """Peers are sent these observations: of each backend, what was observed and when."""
+        """Record what peers are told of each backend: the kind of the observation, and its time."""
 
-    def volume_shares_changed(self, shares: Mapping[str, float], until_us: int) -> None:
-        """Record the instance's shares of the volumes' limits until they are looked at again."""
+    def volume_quotas_changed(self, quotas: Mapping[str, float], until_us: int) -> None:
+        """Record this instance's quotas of the volumes' limits, which hold until `until_us`."""
 
-    def limit_shares_changed(self, shares: Mapping[str, float], until_us: int) -> None:
-        """Record the instance's shares of the other limits that all instances have in common."""
+    def budget_quotas_changed(self, quotas: Mapping[str, float], until_us: int) -> None:
+        """Record this instance's quotas of the shared budgets, which hold until `until_us`."""
--- a/garnetlanding/peers/leases.py
+++ b/garnetlanding/peers/leases.py
@@ -1,38 +1,70 @@
-"""Leases on quota shares: how the instances of a fleet divide a limit that counts over all of them.
+"""Leases on quotas: how the instances of a fleet divide a limit that counts over all of them.
 
-Every instance that a volume's requests come through owns an even share of its limit, 1 / hosts, for good. It
-may grant shares of that to peers for a bounded time. It stops using a share before it announces the grant,
-and until the grant must have expired by any clock; the receiver counts from when it sent the message that the
-grant answers, which was earlier. So a lost or late message leaves a share idle, and none is used twice.
+The limit of a volume is shared by its hosts, the instances that the volume's requests come through. Each
+host owns an even quota, 1 / hosts of the limit. It lends fractions of that quota to peers for a bounded
+time; nothing is agreed on beyond that, so there is neither a leader nor a quorum. What all instances share
+beside limits, such as the attempts at a backend that is warming up, is divided in the same way, by a
+`Leases` of its own whose limits are budgets with a window.
 
-Invariant: at every moment, the sum of the shares in use by a volume's instances does not exceed 1
-(docs/design/fleet-limits.md has the proof, and what it rests on).
+Roles. Every instance is at once a grantor, of its own even quotas, and a requester of its peers'.
 
-This is the protocol's state: no clock and no socket. Times are microseconds of this instance's clock; volumes
-and budgets are named by their `tag`. The estimate of what is needed is in demand.py, the arithmetic of grants
-in quota_shares.py, the exchange of messages in peer_contacts.py.
+States of an instance, which concern all its quotas together:
+
+- suspended (`resumes_at` is None): it neither uses nor grants anything of its own quotas, and the grants that
+  it had received are forgotten;
+- quarantined (until `resumes_at`): it has started or resumed, and what it granted before may still be in use.
+  It neither uses nor grants anything of its own quotas, for as long as a grant counts at its grantor;
+- active: it uses its even quotas, without what it has granted and with what it was granted.
+
+Messages (lease_message.py). In each round an instance sends some peers one message each, with
+
+- requests: the quota that it wants of each volume's limit, and the number of hosts;
+- grants: the fraction of its even quota of each volume that the receiver may use from now on, in place of the
+  grant before.
+
+Each message acknowledges the last one of its receiver. A grant expires at the receiver `lease_us` after
+that acknowledged message was sent, by the receiver's clock. The grantor counts it from the moment at which
+it composes the grant, which is later, for `lease_us` and the greatest drift between two clocks; of a budget
+also for the longest window, within which what was spent stays locked. So the grantor always uses its quota
+again later than the receiver stops, and a message that is lost, late, duplicated or overtaken leaves a
+quota idle.
+
+Invariants:
+
+- the quotas of a limit in use at any moment add up to at most 1 over its hosts;
+- an instance reduces its own quota before it sends the message that grants it;
+- of several grants to one peer that have not expired, the greatest counts at the grantor, since the
+  receiver may not have received the last one;
+- a receiver adds a grant to its quota only if the grantor is a host of that volume, or if it cannot matter
+  (`quotas.countable_fractions`).
+
+The proof, and what it rests on, is in docs/design/fleet-limits.md.
+
+`Leases` has neither a clock nor a socket. Times are microseconds of this instance's clock; volumes and
+budgets are identified by the `name_tag` of their names. What is needed is estimated in demand.py, the
+arithmetic is in quotas.py, the grants are recorded in grants.py, the exchange of messages in
+peer_contacts.py.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 
-from garnetlanding.decision.estimators import SlidingWindowSum
-from garnetlanding.peers.codec import LeaseMessage, LeasePage, QuotaRequest, tag
-from garnetlanding.peers.demand import Demand
+from garnetlanding.peers.demand import DemandTable
 from garnetlanding.peers.drop_reasons import DropReason
+from garnetlanding.peers.grants import Grant, GrantLedger, ReceivedGrants
+from garnetlanding.peers.lease_message import LeaseMessage, LeasePage, QuotaRequest
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.peer_contacts import InstanceIdentity, PeerContacts, ShareRequest
-from garnetlanding.peers.quota_shares import Grant, GrantLedger, ReceivedGrants, spare_share
-from garnetlanding.peers.status import GrantRow, LimitRow, PeerRow
+from garnetlanding.peers.peer_contacts import InstanceIdentity, PeerContacts, ReceivedRequest
+from garnetlanding.peers.quotas import countable_fractions, spare_fraction, usable_quota
 
-# `recheck_at` of leases that are suspended: no share changes by itself. Histories show the number.
+# `recheck_at` of leases that are suspended: no quota changes by itself. Histories contain the number.
 NEVER_US = 1 << 62
 
 
 class Leases:
-    """One instance's side of the protocol: what it needs, what it has granted, and what was granted to it."""
+    """One instance's state of the lease protocol: demands, grants made and grants received."""
 
     def __init__(
         self,
@@ -40,317 +72,219 @@
         identity: InstanceIdentity,
         now: int,
         earlier: Leases | None = None,
-        window_us: int = 0,
+        budget_window_us: int | None = None,
     ) -> None:
-        """Begin as after a start: nothing is used until what an earlier incarnation granted has expired.
+        """Start in quarantine, until what an earlier incarnation granted has expired.
 
-        `earlier` is the state under another number or fleet size of the same incarnation; the shares that the
-        decision module was given go on from there. With `window_us`, what is divided are budgets with windows
-        up to that long.
+        `earlier` is the state under another number or fleet size of the same incarnation: its demands, and
+        the quotas that the decision module was given last, are taken over. `budget_window_us` is the
+        longest window of the budgets that are divided; None if limits are divided.
         """
-        self._limits = limits
+        self.limits = limits
         self.identity = identity
-        self.window_us = window_us
+        self.budget_window_us = budget_window_us
         last_number: int = 0 if earlier is None else earlier.contacts.last_number
         self.contacts: PeerContacts = PeerContacts(limits, identity, last_number)
+        self.demands: DemandTable = (
+            DemandTable(limits, budget_window_us) if earlier is None else earlier.demands
+        )
+        self.received = ReceivedGrants()
+        self.granted = GrantLedger()
+        self.reported_quotas: dict[int, float] = {} if earlier is None else earlier.reported_quotas
+        self.resumes_at: int | None = now + self._reclaim_after_us  # None: suspended, until `resume`
+        self.recheck_at = now  # the earliest time at which a quota may change without a message or request
         self._members_discovered = False
-        self.demands: dict[int, Demand] = {} if earlier is None else earlier.demands
-        self._received = ReceivedGrants()
-        self._granted = GrantLedger()
-        self.resumes_at: int | None = now + self._counted_as_used_us  # None: not until `resume`
-        self._shares: dict[int, float] = {} if earlier is None else earlier._shares  # as last reported
-        self.recheck_at = now  # the next time at which a share may change by itself
+
+    # States
 
     def set_peers(self, peers: frozenset[int]) -> None:
-        """Take up which peers have been discovered; what was granted by one that has left is void."""
+        """Replace the set of known peers and revoke every grant received from a peer that left."""
         self._members_discovered = True
         if peers != self.contacts.peers:
-            self._received.forget_peers(self.contacts.peers - peers)
+            self.received.forget_peers(self.contacts.peers - peers)
             self.contacts.peers = peers
             self.recheck_at = 0
 
     def suspend(self, now: int) -> None:
         """Use and grant nothing until `resume`."""
         self.resumes_at = None
-        self._received.clear()
+        self.received.clear()
         self.recheck_at = now
 
     def resume(self, now: int) -> None:
-        """Use and grant shares again, as after a start: once what was granted before must have expired."""
-        self.resumes_at = now + self._counted_as_used_us
-        self._received.clear()
+        """Use and grant quotas again, after the same quarantine as after a start."""
+        self.resumes_at = now + self._reclaim_after_us
+        self.received.clear()
         self.recheck_at = now
 
-    def is_quarantined(self, now: int) -> bool:
-        """Return whether this instance may neither use nor grant anything at this moment."""
-        return self.resumes_at is None or now < self.resumes_at
+    def may_use_quotas(self, now: int) -> bool:
+        """Return whether this instance is active: neither suspended nor in quarantine."""
+        return self.resumes_at is not None and now >= self.resumes_at
 
     @property
-    def _counted_as_used_us(self) -> int:
-        """For how long a grant counts as in use at the grantor.
+    def _reclaim_after_us(self) -> int:
+        """The time for which a grant counts as in use at its grantor.
 
         The receiver's clock may be slower, and what it spends of a budget at the last moment is locked until
-        its window has passed.
+        the window has passed.
         """
-        return int((self._limits.lease_us + self.window_us) * (1 + self._limits.drift))
-
-    # Demand
+        return int((self.limits.lease_us + (self.budget_window_us or 0)) * (1 + self.limits.drift))
 
     def record_demand(
         self, name: str, hosts: int, limit: float, units: float, now: int, window_us: int = 0
     ) -> None:
-        """Record that `units` of a volume's limit, or of a budget, were requested.
+        """Record that `units` of a volume's limit, or of a budget, were requested at this instance.
 
-        `limit` is in units a second, over all `hosts` instances. For a budget, `window_us` is the span in
-        which that many seconds' worth may be spent. A limit that is not shared is left out.
+        `limit` is in units a second, over all `hosts` instances. `window_us` is the window of a budget: that
+        many seconds' worth may be spent within it.
         """
-        if hosts < 2 or limit <= 0:
-            return
-        key = tag(name)
-        demand = self.demands.get(key)
-        if demand is None:
-            demand = Demand(name, hosts, limit, window_us=window_us)
-            if self.window_us:
-                demand.spent = SlidingWindowSum(self.window_us)
-            self.demands[key] = demand
-            self.recheck_at = now
-        elif (demand.hosts, demand.limit) != (hosts, limit):
-            # Who else requests it is found out anew: the hosts may be others.
-            demand = replace(
-                demand, name=name, hosts=hosts, limit=limit, window_us=window_us, requested_by={}
-            )
-            self.demands[key] = demand
+        if self.demands.record(name, hosts, limit, units, now, window_us):
             self.recheck_at = now
-        demand.rate.add(now, units, self._limits.demand_window_us)
-
-    def record_spent(self, budget: str, units: float, now: int) -> None:
-        """Record that units of a budget were spent now; without a demand for it, nothing is counted."""
-        demand = self.demands.get(tag(budget))
-        if demand is not None and demand.spent is not None:
-            demand.spent.add(now, units)
 
-    def set_in_use(self, budget: str, units: float) -> None:
-        """Set how many units of a budget are taken until the next call says otherwise."""
-        demand = self.demands.get(tag(budget))
-        if demand is not None:
-            demand.in_use = units
-
-    # Receiving
+    # Messages
 
     def receive(self, sender: int, message: LeaseMessage, now: int) -> DropReason | None:
-        """Take up a peer's requests and grants; return why the message is dropped, if it is."""
+        """Record a peer's requests and grants; return why the message is dropped, or None."""
         reason = self.contacts.accept(sender, message.incarnation, message.number, now)
         if reason is not None:
             return reason
-        requests = self.contacts.by_peer[sender].requests
-        for volume, ask in message.asks.items():
-            if volume in requests or len(requests) < self._limits.max_volumes:
-                requests[volume] = ShareRequest(ask.share, ask.hosts, now)
-            if volume in self.demands:
-                self.demands[volume].requested_by[sender] = now
+        self._record_requests(sender, message.requests, now)
         sent_at = self.contacts.sent_at(message.acked_incarnation, message.acked_number)
         if sent_at is not None:
-            self._take_grants(sender, message.grants, sent_at + self._limits.lease_us)
+            self._record_grants(sender, message.grants, sent_at + self.limits.lease_us)
             self.recheck_at = now
         return None
 
-    def _take_grants(self, sender: int, grants: dict[int, float], expires_at: int) -> None:
-        for volume, share in grants.items():
-            # Only what is requested here: anything else would be remembered for nothing.
-            if volume in self.demands:
-                self._received.add(volume, sender, Grant(share, expires_at))
-
-    # Sending
+    def _record_requests(self, sender: int, requests: dict[int, QuotaRequest], now: int) -> None:
+        recorded = self.contacts.by_peer[sender].requests
+        for volume, request in requests.items():
+            if volume in recorded or len(recorded) < self.limits.max_volumes:
+                recorded[volume] = ReceivedRequest(request.quota, request.hosts, now)
+            demand = self.demands.by_tag.get(volume)
+            if demand is not None:
+                demand.requested_by[sender] = now
+
+    def _record_grants(self, sender: int, grants: dict[int, float], expires_at: int) -> None:
+        for volume, fraction in grants.items():
+            # A grant without a demand here would never be used, and its volume may not even exist.
+            if volume in self.demands.by_tag:
+                self.received.add(volume, sender, Grant(fraction, expires_at))
 
     def active_peers(self, now: int) -> list[int]:
         """Return the peers that lately requested something, or that may grant some of what is needed here."""
-        grantors = {
-            peer
-            for demand in self.demands.values()
-            for peer, requested_at in demand.requested_by.items()
-            if now - requested_at <= self._limits.demand_memory_us
-        }
-        return sorted(grantors | self.contacts.requesters(now))
+        return sorted(self.demands.recent_requesters(now) | self.contacts.requesters(now))
 
     def compose(self, now: int, receivers: Iterable[int] | None = None) -> dict[int, LeasePage]:
-        """Return what to send to each receiver now: this instance's requests, and grants to that peer.
+        """Return the requests and grants to send to each receiver now, or to every peer without `receivers`.
 
-        Without `receivers`, it is composed for every peer; one with nothing to be sent is left out. What is
-        granted counts as in use from here on, whether the message arrives or not.
+        A receiver with nothing to be sent is left out. What is granted counts as in use from here on, whether
+        the message arrives or not.
         """
-        asks = self._asks(now)
+        requests = self._compose_requests(now)
         pages: dict[int, LeasePage] = {}
         for peer in sorted(self.contacts.peers) if receivers is None else receivers:
             grants = self._make_grants(peer, now)
-            if asks or grants:
-                pages[peer] = LeasePage(asks, grants)
+            if requests or grants:
+                pages[peer] = LeasePage(requests, grants)
         return pages
 
-    def _asks(self, now: int) -> dict[int, QuotaRequest]:
-        """Return the requests to send, those for the greatest shares first."""
-        wanted = sorted(
-            ((demand.wanted_share(now, self._limits), volume) for volume, demand in self.demands.items()),
-            reverse=True,
-        )
-        return {
-            volume: QuotaRequest(share, self.demands[volume].hosts)
-            for share, volume in wanted[: self._limits.max_asks]
-            if share > 0
-        }
-
-    # Granting
+    def _compose_requests(self, now: int) -> dict[int, QuotaRequest]:
+        greatest = self.demands.wanted_quotas(now)[: self.limits.max_quota_requests]
+        return {volume: QuotaRequest(quota, self.demands.by_tag[volume].hosts) for quota, volume in greatest}
 
     def _make_grants(self, peer: int, now: int) -> dict[int, float]:
-        """Grant a peer what can be spared of each volume that it requests; return the shares."""
+        """Grant a peer what can be spared of each volume that it requests; return the fractions."""
         contact = self.contacts.by_peer.get(peer)
-        if contact is None or self.is_quarantined(now):
+        if contact is None or not self.may_use_quotas(now):
             return {}
         grants: dict[int, float] = {}
         for volume, request in list(contact.requests.items()):
-            if now - request.received_at > self._limits.stale_us:
+            if now - request.received_at > self.limits.stale_us:
                 del contact.requests[volume]
                 continue
-            share = self._grantable_share(volume, request.hosts, peer, now)
-            if share > 0:
-                grants[volume] = share
-                self._granted.add(volume, peer, Grant(share, now + self._counted_as_used_us))
+            fraction = self._grantable_fraction(volume, request.hosts, peer, now)
+            if fraction > 0:
+                grants[volume] = fraction
+                self.granted.add(volume, peer, Grant(fraction, now + self._reclaim_after_us))
                 self.recheck_at = now
         return grants
 
-    def _grantable_share(self, volume: int, hosts: int, peer: int, now: int) -> float:
-        """Return how much of its even share this instance can grant to a peer, rounded down to a step.
+    def _grantable_fraction(self, volume: int, hosts: int, peer: int, now: int) -> float:
+        """Return the fraction of its even quota that this instance can grant, rounded down to a step.
 
-        Never what other peers may still use, nor what was spent of a budget and is locked.
+        What other peers may still use is left out, and what was spent of a budget and is locked.
         """
-        demand = self.demands.get(volume)
-        wanted = 0.0 if demand is None else demand.wanted_share(now, self._limits)
-        spare = spare_share(wanted, self.contacts.requested_shares(volume, now), hosts, peer)
+        demand = self.demands.by_tag.get(volume)
+        wanted = 0.0 if demand is None else demand.wanted_quota(now, self.limits)
+        spare = spare_fraction(wanted, self.contacts.requested_quotas(volume, now), hosts, peer)
         if not spare:
             return 0.0
-        granted = self._granted.total(volume, now, except_peer=peer)
-        locked = 0.0 if demand is None else demand.locked_share(now, self.window_us) * hosts
-        steps = int(min(spare, 1 - granted - locked) * self._limits.share_steps)
-        return max(0, steps) / self._limits.share_steps
-
-    # Using
-
-    def usable_share(self, volume: int, now: int) -> float:
-        """Return the share of the limit that this instance may use at this moment.
-
-        It is what is left of its own even share, and what peers must have granted to it.
-        """
-        demand = self.demands[volume]
-        granted = 1.0 if self.is_quarantined(now) else self._granted.total(volume, now)
-        received = self._counted_shares(volume, demand, now)
-        return (max(0.0, 1 - granted) + sum(received)) / demand.hosts
+        granted = self.granted.total(volume, now, except_peer=peer)
+        locked = 0.0
+        if demand is not None and self.budget_window_us is not None:
+            locked = demand.locked_quota(now, self.budget_window_us) * hosts
+        steps = int(min(spare, 1 - granted - locked) * self.limits.quota_steps)
+        return max(0, steps) / self.limits.quota_steps
+
+    # Quotas
+
+    def usable_quota(self, volume: int, now: int) -> float:
+        """Return the quota of the limit that this instance may use at this moment."""
+        demand = self.demands.by_tag[volume]
+        granted = self.granted.total(volume, now) if self.may_use_quotas(now) else 1.0
+        # A host of a limit may be an instance that is not discovered yet. Of a budget, all instances are
+        # hosts.
+        may_have_undiscovered_hosts = self._members_discovered and self.budget_window_us is None
+        received = countable_fractions(
+            self.received.fractions(volume, now),
+            demand.known_hosts(now, self.limits),
+            () if may_have_undiscovered_hosts else self.contacts.peers,
+            demand.hosts,
+        )
+        return usable_quota(granted, received, demand.hosts)
 
-    def _counted_shares(self, volume: int, demand: Demand, now: int) -> list[float]:
-        """Return the received shares that count.
+    def refresh_quotas(self, now: int) -> dict[str, float]:
+        """Compute the usable quotas anew and return, by name, those that have changed since the last call.
 
-        Which peers are the volume's hosts is not announced; those that have requested it are known to be. A
-        peer that does not know the volume grants of its even share all the same, but it may be none of the
-        hosts: for each host that is not known, the least of the other peers' shares counts.
-        """
-        received = self._received.shares(volume, now)
-        hosts = [
-            peer
-            for peer, requested_at in demand.requested_by.items()
-            if now - requested_at <= self._limits.demand_memory_us
-        ]
-        if len(hosts) >= demand.hosts:
-            hosts = []  # the volume's hosts have changed: none of them is known
-        shares = [received.get(peer, 0.0) for peer in hosts]
-        if self._members_discovered and not self.window_us:
-            return shares  # a host may be an instance that is not discovered yet; of a budget, all are hosts
-        others = sorted(received.get(peer, 0.0) for peer in self.contacts.peers if peer not in hosts)
-        return shares + others[: demand.hosts - 1 - len(hosts)]
-
-    def changed_shares(self, now: int) -> dict[str, float]:
-        """Return the usable shares, by name, that have changed since the last call.
-
-        It is called in each event-loop iteration, and costs nothing while no share can have changed. A lease
-        that expired while the process stood still is noticed here, before the decision module may send.
+        It is called in each event-loop iteration, and returns at once while no quota can have changed. A
+        lease that expired while the process was stopped is noticed here, before the decision module may
+        send.
         """
         if now < self.recheck_at:
             return {}
         changed: dict[str, float] = {}
-        for volume, demand in list(self.demands.items()):
-            share = self.usable_share(volume, now)
-            if share != self._shares.get(volume):
-                self._shares[volume] = share
-                changed[demand.name] = share
-            if self._is_idle(demand, share, now):
-                del self.demands[volume]
-                self._received.forget_volume(volume)
-                self._shares.pop(volume, None)
+        for volume, demand in list(self.demands.by_tag.items()):
+            quota = self.usable_quota(volume, now)
+            if quota != self.reported_quotas.get(volume):
+                self.reported_quotas[volume] = quota
+                changed[demand.name] = quota
+            if demand.is_idle(quota, now, self.limits):
+                self._forget(volume)
         self._drop_expired(now)
         return changed
 
-    def _is_idle(self, demand: Demand, share: float, now: int) -> bool:
-        """Return whether a demand can be forgotten.
-
-        Requests may be queued in the decision module for long after they arrived: for that time it must learn
-        what is granted to others.
-        """
-        unused = now - demand.rate.at > self._limits.demand_memory_us
-        return unused and share == 1 / demand.hosts and not demand.in_use
+    def _forget(self, volume: int) -> None:
+        del self.demands.by_tag[volume]
+        self.received.forget_volume(volume)
+        self.reported_quotas.pop(volume, None)
 
     def _drop_expired(self, now: int) -> None:
-        """Forget grants that have expired, and find out when the next thing does."""
-        ends = self._received.drop_expired(now) + self._granted.drop_expired(now)
+        """Forget grants that have expired, and set `recheck_at` to the next time at which something does."""
+        expirations = self.received.drop_expired(now) + self.granted.drop_expired(now)
         if self.resumes_at is None:
-            ends.append(NEVER_US)
+            expirations.append(NEVER_US)
         elif self.resumes_at > now:
-            ends.append(self.resumes_at)
-        self.recheck_at = min(ends, default=now + self._limits.lease_us)
-
-    def current_shares(self) -> dict[str, float]:
-        """Return the usable shares as last reported; they hold until `recheck_at` at most."""
-        return {demand.name: self._shares[volume] for volume, demand in self.demands.items()}
-
-    # Rows for operators
-
-    def limit_rows(self, now: int) -> list[LimitRow]:
-        """Return, for each limit with a demand here, this instance's share and the grants that hold."""
-        return [
-            LimitRow(
-                demand.name,
-                demand.hosts,
-                round(self.usable_share(volume, now), 4),
-                round(demand.wanted_share(now, self._limits), 4),
-                _grant_rows(self._granted.latest(volume, now), now),
-                _grant_rows(self._received.current(volume, now), now),
-            )
-            for volume, demand in sorted(self.demands.items(), key=lambda item: item[1].name)
-        ]
-
-    def peer_rows(self, now: int) -> list[PeerRow]:
-        """Return each instance of the fleet, with the last incarnation that was heard of it."""
-        return [
-            self._own_row(now) if number == self.identity.number else self._peer_row(number, now)
-            for number in sorted(self.contacts.peers | {self.identity.number})
-        ]
-
-    def _own_row(self, now: int) -> PeerRow:
-        wanted = sum(demand.wanted_share(now, self._limits) > 0 for demand in self.demands.values())
-        return PeerRow(self.identity.number, True, self.identity.incarnation, 0, wanted)
-
-    def _peer_row(self, number: int, now: int) -> PeerRow:
-        contact = self.contacts.by_peer.get(number)
-        if contact is None:
-            return PeerRow(number, False, None, None, 0)
-        last_received_ms = (now - contact.received_at) // 1000
-        incarnation = contact.last_message.incarnation
-        return PeerRow(number, False, incarnation, last_received_ms, len(contact.requests))
-
-
-def _grant_rows(grants: Iterable[tuple[int, Grant]], now: int) -> tuple[GrantRow, ...]:
-    return tuple(GrantRow(peer, grant.share, (grant.expires_at - now) // 1000) for peer, grant in grants)
+            expirations.append(self.resumes_at)
+        self.recheck_at = min(expirations, default=now + self.limits.lease_us)
+
+    def current_quotas(self) -> dict[str, float]:
+        """Return the usable quotas, by name, as last reported. They hold until `recheck_at` at most."""
+        return {demand.name: self.reported_quotas[volume] for volume, demand in self.demands.by_tag.items()}
 
 
 @dataclass(frozen=True, slots=True)
-class SharedLeases:
-    """Leases on budgets, and the number of instances that the budgets are divided among."""
+class BudgetLeases:
+    """The leases that divide budgets, and the number of instances that the budgets are divided among."""
 
     leases: Leases
     hosts: int
--- a/garnetlanding/peers/limits.py
+++ b/garnetlanding/peers/limits.py
@@ -1,6 +1,6 @@
 """Every size, count and time limit of the link between instances.
 
-Apart from the settings that place the link: the simulator's adapter needs these alone.
+They are apart from the configuration of the link, which the simulator's adapter does not have.
 """
 
 from __future__ import annotations
@@ -9,78 +9,81 @@
 
 MS = 1_000  # microseconds
 SECOND = 1_000_000  # microseconds
-MAX_DATAGRAM_BYTES = 256  # the platform voids the run over a longer one
+MAX_DATAGRAM_BYTES = 256  # with a longer one, the platform declares the whole run invalid
 
 
 @dataclass(frozen=True, slots=True)
 class PeerLimits:
-    """The limits, with the values that stand for every instance.
+    """The limits, which are the same at every instance.
 
-    Names end in their unit: `_us` are microseconds, `_bytes` bytes, `_share` parts of a whole; others are
-    counts, or factors where they say so. An "objective" is the tightest latency objective of the settings.
+    Names end in their unit: `_us` are microseconds, `_bytes` bytes, `_fraction` fractions of a whole.
+    Others are counts, or factors where the comment says so. An "objective" is the tightest latency
+    objective of the settings.
     """
 
     # Rounds and receivers
 
     datagram_bytes: int = MAX_DATAGRAM_BYTES
-    send_interval_us: int = 250 * MS  # a lead changes after 12 s at the soonest: late by a fiftieth
-    fanout: int = 4  # peers sent to in a round, in turn: with more peers, each has its turn more seldom
-    max_partners: int = 12  # and so many beside them that ask for the same volumes: the cost has a bound
+    send_interval_us: int = 250 * MS  # 2% of the 12 s after which the busiest instance may change
+    fanout: int = 4  # peers sent to in a round, in rotation
+    max_partners: int = 12  # sent to beside them, of the peers with whom a limit is shared
 
     # Membership
 
-    bootstrap_us: int = 5 * SECOND  # without a message of a group, the seeds begin one together
-    membership_pages: int = 3  # datagrams of records to one receiver in a round, where its table differs
-    membership_rotation: int = 24  # records by which the next such round starts further on, about one round's
-    max_instances: int = 1024  # records kept, those of terminated instances included
+    bootstrap_us: int = 5 * SECOND  # if no group answers within it, the seeds start a new one
+    membership_pages: int = 3  # datagrams of records to one receiver in a round, if its table differs
+    membership_rotation: int = 24  # records by which such a round starts further on than the one before
+    max_instances: int = 1024  # records kept, including those of terminated instances
 
     # Leases on volume limits
 
-    max_asks: int = 120  # volumes asked for in a round, the busiest first
-    lease_us: int = 1100 * MS  # a grant holds for so long: four messages in a row may be lost
-    drift: float = 0.01  # of two clocks, as a factor, at most; real ones stay under a thousandth of that
-    stale_us: int = 1200 * MS  # a peer's message is believed for so long; not under `lease_us`
-    demand_memory_us: int = 60 * SECOND  # that a volume comes through an instance is remembered for so long
-    demand_window_us: int = SECOND  # demand is measured over this, so that a change of it shows soon
-    headroom: float = 1.25  # factor: asked for, of what was used lately
-    share_steps: int = 250  # of a share, as it is sent
-    remembered_messages: int = 64  # own ones, which peers may still acknowledge
-    max_volumes: int = 4096  # kept of one peer, so that a forged one cannot make them grow without end
+    max_quota_requests: int = 120  # volumes requested in a round, the greatest quota first
+    lease_us: int = 1100 * MS  # duration of a grant: four messages in a row may be lost
+    drift: float = 0.01  # greatest difference between the rates of two clocks; that of real ones is far less
+    stale_us: int = 1200 * MS  # how long a peer's requests count; not less than `lease_us`
+    demand_memory_us: int = 60 * SECOND  # how long an instance counts as a host of a volume after a request
+    demand_window_us: int = SECOND  # over which demand is averaged; short, so that a change shows soon
+    headroom: float = 1.25  # factor: quota that is requested, to what was used lately
+    quota_steps: int = 250  # of a quota, as it is sent
+    remembered_messages: int = 64  # own ones that peers may still acknowledge
+    max_volumes: int = 4096  # requests kept of one peer, so that a faulty one cannot exhaust the memory
 
     # Budgets
 
-    list_calls_per_s: float = 8.0  # that discovery bears of all instances; as the module paces them
-    list_window_us: int = 2 * SECOND  # within which they are counted
-    min_list_share: float = 0.25  # of an even share of them: an instance always has it
+    endpoint_polls_per_s: float = (
+        8.0  # of all instances together, that discovery serves; the decision module paces them
+    )
+    endpoint_poll_window_us: int = 2 * SECOND  # within which the polls are counted
+    min_endpoint_poll_fraction: float = 0.25  # of the even quota of polls, that an instance always has
 
     # The socket
 
     receive_batch: int = 64  # datagrams taken in one iteration of the event loop
-    drop_report_us: int = 10 * SECOND  # between lines of the log on what was dropped
-    open_retry_us: int = SECOND  # between attempts to bind the address while a predecessor process has it
+    drop_report_us: int = 10 * SECOND  # between log messages about dropped datagrams
+    open_retry_us: int = SECOND  # between attempts to bind the address while the predecessor process has it
 
-    # Observations of backends, and what those of peers count for
+    # Observations of backends, and suspicions that follow from them
 
-    evidence_us: int = 2 * SECOND  # nothing is believed that was seen longer ago; eight rounds
-    refused_streak: int = 3  # connections refused in a row: some break by chance
-    silence_objectives: float = 2.0  # no response for so many objectives, with requests in flight
-    silent_requests: int = 2  # so many of them: a single one may be a heavy one
-    rejected_streak: int = 3  # requests rejected in a row: one may be rejected for itself
+    evidence_us: int = 2 * SECOND  # older observations do not count; eight rounds
+    refused_streak: int = 3  # refused connections in a row that make a backend unreachable
+    silence_objectives: float = 2.0  # requests in flight for longer, in objectives, are overdue
+    silent_requests: int = 2  # overdue ones that make a backend unresponsive: a single one may be heavy
+    rejected_streak: int = 3  # rejected requests in a row that make a backend overloaded
     slow_objectives: float = 1.0  # mean latency, in objectives, above which a backend is slow
-    slow_responses: int = 4  # that such a mean takes
-    latency_gain: float = 0.25  # weight of a new response in it
-    suspicion_credit: float = 0.75  # that claims must add up to: one peer in good standing
-    refuted_credit_factor: float = 0.8  # a peer's credit, multiplied by it after a refuted claim
-    refutation_grace_us: int = SECOND  # a claim so much later than the response is wrong, not late
-    credit_recovery_us: int = 60 * SECOND  # from no credit to all of it
-    max_suspected_share: float = 1 / 3  # of the listed backends at a time; at least one
-    uptime_slack_us: int = 2 * SECOND  # two statements of a backend's start within this mean the same process
+    slow_responses: int = 4  # responses that the mean has to rest on
+    latency_gain: float = 0.25  # weight of a new response in the mean
+    suspicion_credit: float = 0.75  # sum of the claiming peers' credit that makes a backend suspected
+    refuted_credit_factor: float = 0.8  # by which a peer's credit is multiplied after a refuted claim
+    refutation_grace_us: int = SECOND  # a claim that is later than a response by more is wrong, not just late
+    credit_recovery_us: int = 60 * SECOND  # from no credit to full credit
+    max_suspected_fraction: float = 1 / 3  # of the listed backends, at a time; at least one backend
+    uptime_slack_us: int = 2 * SECOND  # start times of a backend that differ by less are of the same process
 
     # Administratively disabled backends, and fenced instances
 
-    max_disable_records: int = 256  # kept, of backends disabled and of those enabled again
-    max_name_bytes: int = 180  # of a backend's name: a record fits into a datagram
-    max_version: int = 1 << 47  # milliseconds up to the year 6429; the format holds twice that
-    max_version_lead: int = 3_600_000  # past the highest known one, above `max_version`: each can be outbid
-    max_fenced_share: float = 0.5  # of the instances that operators may fence at a time
-    disables_poll_us: int = 250 * MS  # between looks whether peers have sent records
+    max_disable_records: int = 256  # kept, including those of backends that are enabled again
+    max_name_bytes: int = 180  # of a backend's name, so that a record fits into a datagram
+    max_version: int = 1 << 47  # as milliseconds, the year 6429; the format holds twice that
+    max_version_lead: int = 3_600_000  # above the highest known version, beyond which a record is rejected
+    max_fenced_fraction: float = 0.5  # of the instances, that operators may fence at a time
+    disables_poll_us: int = 250 * MS  # between checks whether peers have sent records
--- a/garnetlanding/peers/local_observations.py
+++ b/garnetlanding/peers/local_observations.py
@@ -11,9 +11,9 @@
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.interface import Outcome
-from garnetlanding.peers.codec import tag
 from garnetlanding.peers.gossip_message import MAX_UPTIME, Evidence, EvidenceKind
 from garnetlanding.peers.limits import MS, PeerLimits
+from garnetlanding.peers.name_tag import name_tag
 
 UPTIME_UNIT_US = 100_000  # of the uptimes in evidence
 RESPONSES = (Outcome.SERVED, Outcome.ERROR, Outcome.FULL)  # the outcomes with a response of the backend
@@ -89,7 +89,7 @@
         self._names_by_tag: dict[int, str] = {}
 
     def by_tag(self, backend_tag: int) -> Observation | None:
-        """Return the observations of the listed backend whose name has a tag (`codec.tag`), if any."""
+        """Return the observations of the listed backend whose name has a tag (`name_tag`), if any."""
         name = self._names_by_tag.get(backend_tag)
         return None if name is None else self.backends.get(name)
 
@@ -123,11 +123,11 @@
                 self._drop(name)
             elif known is None or known.endpoint.started_us != endpoint.started_us:
                 self.backends[name] = Observation(endpoint)
-                self._names_by_tag[tag(name)] = name
+                self._names_by_tag[name_tag(name)] = name
 
     def _drop(self, name: str) -> None:
         if self.backends.pop(name, None):
-            self._names_by_tag.pop(tag(name), None)
+            self._names_by_tag.pop(name_tag(name), None)
 
     def _observe_result(
         self, observation: Observation, result: api.Result, now: int, tightest_us: int
@@ -173,7 +173,7 @@
                 continue
             age_ms = -(-(now - finding.observed_at) // MS)
             uptime = uptime_of(observation.endpoint, now)
-            found[name] = Evidence(finding.kind, tag(name), uptime, finding.count, age_ms)
+            found[name] = Evidence(finding.kind, name_tag(name), uptime, finding.count, age_ms)
         return dict(sorted(found.items(), key=lambda item: item[1].age_ms))
 
     def _assess(self, observation: Observation, now: int, tightest_us: int) -> Finding | None:
--- a/garnetlanding/peers/membership.py
+++ b/garnetlanding/peers/membership.py
@@ -1,4 +1,4 @@
-"""Whether one instance is a member of its group: joining, fencing, and its even share of what is divided.
+"""Whether one instance is a member of its group: joining, fencing, and its even quota of what is divided.
 
 The group is discovered from a few seeds (docs/design/membership.md). An instance merges the records that it
 receives into its `MembershipTable`, and decides by that table, and by who has confirmed it, what it may use.
@@ -6,7 +6,7 @@
 The life of an instance, as it sees itself:
 
 =======  ==========================================  ==========  ==========================================
-state    condition                                   even share  next state
+state    condition                                   even quota  next state
 =======  ==========================================  ==========  ==========================================
 joining  not every running instance has confirmed a  0           joined: all have, and one of them had
          table that holds this one                               joined, or the seeds form a group
@@ -33,7 +33,7 @@
 
 
 class FenceReason(Enum):
-    """Why an instance must stop using shares for good; the values appear in the log."""
+    """Why an instance must stop using quotas for good; the values appear in the log."""
 
     TERMINATED = "put out"  # marked as terminated, by an operator or by itself
     DUPLICATE_IDENTITY = "another process has its number"
@@ -52,7 +52,7 @@
 class Membership:
     """One instance's view of its group, and whether that instance is a member.
 
-    Invariant: the even shares of all running instances never add up to more than 1. An instance has none
+    Invariant: the even quotas of all running instances never add up to more than 1. An instance has none
     until every running instance of its table has confirmed a table that holds it.
     """
 
@@ -185,7 +185,7 @@
 
     @property
     def fence_reason(self) -> FenceReason | None:
-        """Why this instance must stop using shares; None: it need not."""
+        """Why this instance must stop using quotas; None: it need not."""
         record = self.table.records[self.me]
         if record == self._own:
             return None
@@ -197,9 +197,9 @@
 
     @property
     def quota_holders(self) -> set[int]:
-        """The instances that shares are divided among: all that have not terminated.
+        """The instances that limits are divided among: all that have not terminated.
 
-        An unresponsive one counts: it may merely be cut off, and still use its share.
+        An unresponsive one counts: it may merely be cut off, and still use its quota.
         """
         return {record.instance for record in self.table.running}
 
@@ -209,6 +209,6 @@
         return self.join.has_joined and self.fence_reason is None
 
     @property
-    def even_share(self) -> float:
-        """The even share of whatever the group divides that this instance may use; 0 unless a member."""
+    def even_quota(self) -> float:
+        """The even quota of whatever the group divides that this instance may use; 0 unless a member."""
         return 1 / len(self.quota_holders) if self.joined else 0.0
--- a/garnetlanding/peers/membership_message.py
+++ b/garnetlanding/peers/membership_message.py
@@ -1,4 +1,4 @@
-"""The body of membership messages (`MessageKind.MEMBERSHIP` of the datagrams in codec.py).
+"""The body of membership messages (`MessageKind.MEMBERSHIP` of the datagrams in envelope.py).
 
 All numbers are big-endian::
 
@@ -17,8 +17,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from garnetlanding.peers.codec import CHECKSUM, HEADER, Envelope, MessageError, MessageKind
 from garnetlanding.peers.disabled_backends import DIGEST
+from garnetlanding.peers.envelope import CHECKSUM, HEADER, Envelope, MessageKind
+from garnetlanding.peers.errors import MessageError, MessageFault
 from garnetlanding.peers.membership_table import InstanceRecord
 from garnetlanding.runtime.stream import parse_address
 
@@ -90,7 +91,7 @@
 def read(envelope: Envelope) -> MembershipMessage:
     """Decode the body of a membership message. Raises MessageError."""
     if envelope.kind != MessageKind.MEMBERSHIP:
-        raise MessageError("other kind", 1)
+        raise MessageError(MessageFault.UNEXPECTED_KIND, 1)
     body = envelope.body
     record_count, joined = envelope.counts
     records: list[InstanceRecord] = []
@@ -99,20 +100,20 @@
         record, offset = _read_record(body, offset)
         records.append(record)
     if offset != len(body) or not records or joined > 1:
-        raise MessageError("torn", HEADER.size + offset)
+        raise MessageError(MessageFault.TRUNCATED, HEADER.size + offset)
     return MembershipMessage(body[:DIGEST], tuple(records), joined=bool(joined))
 
 
 def _read_record(body: bytes, offset: int) -> tuple[InstanceRecord, int]:
     """Return the record at an offset of the body, and the offset after it. Raises MessageError."""
     if len(body) < offset + RECORD.size:
-        raise MessageError("torn", HEADER.size + offset)
+        raise MessageError(MessageFault.TRUNCATED, HEADER.size + offset)
     instance, incarnation, terminated, length = RECORD.unpack_from(body, offset)
     address_at = offset + RECORD.size
     port_at = address_at + length
     end = port_at + PORT.size
     if length not in (IPV4_BYTES, IPV6_BYTES) or len(body) < end or terminated > 1:
-        raise MessageError("no record", HEADER.size + offset)
+        raise MessageError(MessageFault.INVALID_INSTANCE_RECORD, HEADER.size + offset)
     host = str(ipaddress.ip_address(body[address_at:port_at]))
     (port,) = PORT.unpack_from(body, port_at)
     address = f"[{host}]:{port}" if length == IPV6_BYTES else f"{host}:{port}"
--- a/garnetlanding/peers/membership_protocol.py
+++ b/garnetlanding/peers/membership_protocol.py
@@ -8,8 +8,9 @@
 import logging
 from collections.abc import Mapping
 
-from garnetlanding.peers import codec, membership_message
-from garnetlanding.peers.codec import Envelope, MessageError
+from garnetlanding.peers import membership_message
+from garnetlanding.peers.envelope import Envelope, decode_envelope
+from garnetlanding.peers.errors import MessageError
 from garnetlanding.peers.history import PeerHistory
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.membership import FenceReason, Membership
@@ -38,7 +39,7 @@
         The sender's own record, the first of the message, must name that address.
         """
         try:
-            envelope = codec.decode_envelope(data, self.limits.datagram_bytes)
+            envelope = decode_envelope(data, self.limits.datagram_bytes)
             own = membership_message.read(envelope).records[0]
         except MessageError:
             return None
@@ -87,7 +88,7 @@
 
     def _write_history(self) -> None:
         if self._history:
-            self._history.members_changed(self.members.quota_holders, self.members.even_share)
+            self._history.members_changed(self.members.quota_holders, self.members.even_quota)
 
     # Messages to peers
 
--- a/garnetlanding/peers/operator_tables.py
+++ b/garnetlanding/peers/operator_tables.py
@@ -1,22 +1,85 @@
-"""Builds the tables of members, suspicions and disabled backends that operators see (`ops fleet ...`).
+"""Builds the tables of quotas, members, suspicions and disabled backends for operators (`ops fleet ...`).
 
 The rows are the typed ones of status.py, which encodes them. Times are microseconds of this instance's clock.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
 from garnetlanding.peers.limits import MS
-from garnetlanding.peers.status import ClaimRow, DisabledBackendRow, MemberRow, MemberState, SuspicionRow
+from garnetlanding.peers.status import (
+    ClaimRow,
+    DisabledBackendRow,
+    GrantRow,
+    LimitRow,
+    MemberRow,
+    MemberState,
+    PeerRow,
+    SuspicionRow,
+)
 
 if TYPE_CHECKING:  # what is off is not imported
     from garnetlanding.peers.disabled_backends import DisabledBackends
+    from garnetlanding.peers.grants import Grant
+    from garnetlanding.peers.leases import Leases
     from garnetlanding.peers.local_observations import LocalObservations
     from garnetlanding.peers.membership import Membership
     from garnetlanding.peers.suspicions import SuspicionTable
 
 CREDIT_DIGITS = 2  # decimal places of a peer's credit
+QUOTA_DIGITS = 4  # decimal places of a quota
+
+
+def limit_rows(leases: Leases, now: int) -> list[LimitRow]:
+    """Return how each limit, or budget, that is requested here is divided, sorted by name."""
+    demands = sorted(leases.demands.by_tag.items(), key=lambda item: item[1].name)
+    return [
+        LimitRow(
+            volume=demand.name,
+            hosts=demand.hosts,
+            usable_quota=round(leases.usable_quota(volume, now), QUOTA_DIGITS),
+            wanted_quota=round(demand.wanted_quota(now, leases.limits), QUOTA_DIGITS),
+            granted=_grant_rows(leases.granted.latest(volume, now), now),
+            received=_grant_rows(leases.received.current(volume, now), now),
+        )
+        for volume, demand in demands
+    ]
+
+
+def _grant_rows(grants: Iterable[tuple[int, Grant]], now: int) -> tuple[GrantRow, ...]:
+    return tuple(GrantRow(peer, grant.fraction, (grant.expires_at - now) // MS) for peer, grant in grants)
+
+
+def peer_rows(leases: Leases, now: int) -> list[PeerRow]:
+    """Return each instance of the fleet, this one included, in the order of their numbers."""
+    own_number = leases.identity.number
+    return [
+        _own_row(leases, now) if number == own_number else _peer_row(leases, number, now)
+        for number in sorted(leases.contacts.peers | {own_number})
+    ]
+
+
+def _own_row(leases: Leases, now: int) -> PeerRow:
+    return PeerRow(
+        instance=leases.identity.number,
+        is_self=True,
+        incarnation=leases.identity.incarnation,
+        last_received_ms=0,
+        requested_volumes=len(leases.demands.wanted_quotas(now)),
+    )
+
+
+def _peer_row(leases: Leases, number: int, now: int) -> PeerRow:
+    contact = leases.contacts.by_peer.get(number)
+    return PeerRow(
+        instance=number,
+        is_self=False,
+        incarnation=contact.last_message.incarnation if contact else None,
+        last_received_ms=(now - contact.received_at) // MS if contact else None,
+        requested_volumes=len(contact.requests) if contact else 0,
+    )
 
 
 def suspect_after_us(members: Membership) -> int:
@@ -49,7 +112,7 @@
             incarnation=record.incarnation,
             address=record.address,
             last_received_ms=_last_received_ms(members, record.instance, now),
-            even_share=members.even_share if record.instance == members.me else None,
+            even_quota=members.even_quota if record.instance == members.me else None,
         )
         for record in sorted(members.table.records.values())
     ]
--- a/garnetlanding/peers/peer_contacts.py
+++ b/garnetlanding/peers/peer_contacts.py
@@ -37,10 +37,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ShareRequest:
-    """The share of a limit that a peer requested last."""
+class ReceivedRequest:
+    """The quota of a limit that a peer requested last."""
 
-    share: float
+    quota: float
     hosts: int
     received_at: int
 
@@ -51,7 +51,7 @@
 
     last_message: MessageId
     received_at: int
-    requests: dict[int, ShareRequest] = field(default_factory=dict)
+    requests: dict[int, ReceivedRequest] = field(default_factory=dict)
 
 
 class MessageNumbering(Protocol):
@@ -129,21 +129,21 @@
         return self.last_number
 
     def requesters(self, now: int) -> set[int]:
-        """Return the peers that requested a share of anything within `stale_us`."""
+        """Return the peers that requested a quota of anything within `stale_us`."""
         return {
             peer
             for peer, contact in self.by_peer.items()
             if contact.requests and now - contact.received_at <= self._limits.stale_us
         }
 
-    def requested_shares(self, volume: int, now: int) -> dict[int, float]:
-        """Return the share that each peer requested of a volume within `stale_us`, ordered by peer."""
-        shares: dict[int, float] = {}
+    def requested_quotas(self, volume: int, now: int) -> dict[int, float]:
+        """Return what quota each peer requested of a volume within `stale_us`, ordered by peer."""
+        quotas: dict[int, float] = {}
         for peer, contact in sorted(self.by_peer.items(), key=lambda item: item[0]):
             request = contact.requests.get(volume)
             if request is not None and now - request.received_at <= self._limits.stale_us:
-                shares[peer] = request.share
-        return shares
+                quotas[peer] = request.quota
+        return quotas
 
 
 class RoundNumbering:
--- a/garnetlanding/peers/receiver.py
+++ b/garnetlanding/peers/receiver.py
@@ -5,11 +5,12 @@
 from collections import Counter
 from typing import TYPE_CHECKING, NamedTuple
 
-from garnetlanding.peers import codec
-from garnetlanding.peers.codec import Envelope, MessageError, MessageKind
+from garnetlanding.peers import lease_message
 from garnetlanding.peers.drop_reasons import DropReason
+from garnetlanding.peers.envelope import Envelope, MessageKind, decode_envelope
+from garnetlanding.peers.errors import MessageError
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.quota_use import QuotaUse
+from garnetlanding.peers.quota_manager import QuotaManager
 
 if TYPE_CHECKING:  # what is off is not imported
     from garnetlanding.peers.failure_detector import FailureDetector
@@ -30,7 +31,7 @@
     def __init__(
         self,
         limits: PeerLimits,
-        quota: QuotaUse,
+        quota: QuotaManager,
         detector: FailureDetector | None,
         membership: MembershipProtocol | None,
         dropped: Counter[str],
@@ -46,10 +47,10 @@
     def receive(self, sender: int, payload: bytes, now: int) -> None:
         """Process one datagram. One that is dropped is counted and changes nothing."""
         try:
-            envelope = codec.decode_envelope(payload, self._limits.datagram_bytes)
+            envelope = decode_envelope(payload, self._limits.datagram_bytes)
             reason = self._dispatch(sender, envelope, now)
         except MessageError as error:
-            self.dropped[error.cause] += 1
+            self.dropped[error.fault.value] += 1
             return
         if reason is not None:
             self.dropped[reason.value] += 1
@@ -65,8 +66,8 @@
         if envelope.kind == MessageKind.BUDGETS:
             if self._quota.budgets is None:
                 return DropReason.OTHER_KIND
-            return self._quota.budgets.receive(sender, codec.read_leases(envelope), now)
-        return self._quota.leases.receive(sender, codec.read_leases(envelope), now)
+            return self._quota.budgets.receive(sender, lease_message.read(envelope), now)
+        return self._quota.leases.receive(sender, lease_message.read(envelope), now)
 
     def _receive_membership(
         self, membership: MembershipProtocol, sender: int, envelope: Envelope, now: int
--- a/garnetlanding/peers/send_round.py
+++ b/garnetlanding/peers/send_round.py
@@ -6,13 +6,14 @@
 from typing import TYPE_CHECKING
 
 from garnetlanding.decision import interface as api
-from garnetlanding.peers import codec
-from garnetlanding.peers.codec import Envelope, LeaseMessage, MessageKind
+from garnetlanding.peers import lease_message
+from garnetlanding.peers.envelope import Envelope, MessageKind, encode_envelope
 from garnetlanding.peers.gossip_schedule import GossipSchedule
+from garnetlanding.peers.lease_message import LeaseMessage
 from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.peer_contacts import MessageId, RoundNumbering
-from garnetlanding.peers.quota_use import QuotaUse
+from garnetlanding.peers.quota_manager import QuotaManager
 
 if TYPE_CHECKING:  # what is off is not imported
     from garnetlanding.peers.failure_detector import FailureDetector
@@ -37,10 +38,10 @@
         self._detector = detector
         self._membership = membership
 
-    def compose(self, quota: QuotaUse, now: int, objective_us: int) -> list[api.SendPeerMessage]:
+    def compose(self, quota: QuotaManager, now: int, objective_us: int) -> list[api.SendPeerMessage]:
         """Return the messages of a round at `now`, in the order in which they are sent.
 
-        Shares granted in these messages are the receivers' from now on, whether the messages arrive or not.
+        Quotas granted in these messages are the receivers' from now on, whether the messages arrive or not.
         `objective_us` is the tightest latency objective, which backends are judged by.
         """
         leases = quota.leases
@@ -69,13 +70,13 @@
     ) -> list[api.SendPeerMessage]:
         messages: list[api.SendPeerMessage] = []
         numbering = RoundNumbering(leases.contacts, now)
-        for receiver, (asks, grants) in leases.compose(now, receivers).items():
+        for receiver, (requests, grants) in leases.compose(now, receivers).items():
             acknowledged = leases.contacts.last_received(receiver)
-            pages = codec.paginate(asks, grants, self._limits.datagram_bytes)
+            pages = lease_message.paginate(requests, grants, self._limits.datagram_bytes)
             for index, page in enumerate(pages):
                 number = numbering.number_at(index)
                 message = LeaseMessage(self._incarnation, number, *acknowledged, *page)
-                messages.append(api.SendPeerMessage(codec.encode_leases(message, kind), receiver))
+                messages.append(api.SendPeerMessage(lease_message.encode(message, kind), receiver))
         return messages
 
     def _gossip(
@@ -102,6 +103,4 @@
 
 
 def _encode(envelopes: Iterable[tuple[int, Envelope]]) -> list[api.SendPeerMessage]:
-    return [
-        api.SendPeerMessage(codec.encode_envelope(envelope), receiver) for receiver, envelope in envelopes
-    ]
+    return [api.SendPeerMessage(encode_envelope(envelope), receiver) for receiver, envelope in envelopes]
--- a/garnetlanding/peers/setup.py
+++ b/garnetlanding/peers/setup.py
@@ -1,6 +1,6 @@
-"""Reads the platform's keys that place the link between instances, and the operators' section `[fleet]`.
+"""Reads the platform's keys for the link between instances, and the operators' section `[fleet]`.
 
-The keys are named in the configuration's words; the fields here are named in the code's.
+The keys keep the configuration's words; the fields have the terms of the code.
 """
 
 from __future__ import annotations
@@ -12,25 +12,26 @@
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.runtime.stream import parse_address
 
-MAX_BACKEND_CONNECTIONS = 100_000  # that `server_connections` may allow
+MAX_BACKEND_CONNECTIONS = 100_000  # the greatest value of `server_connections`
 FLEET_KEYS = "verdicts bans budgets server_connections seeds advertise routes"
 
 
 @dataclass(frozen=True, slots=True)
 class PeerSetup:
-    """Where this instance receives, where each of its peers is reached, and where all are at once."""
+    """The addresses of the link between instances."""
 
-    listen: str = ""
+    listen: str = ""  # where this instance receives datagrams
     peers: dict[int, str] = field(default_factory=dict)  # addresses by instance, without this one
-    broadcast: str = ""  # one address that reaches all peers; empty: each by its own
-    routes: dict[str, str] = field(default_factory=dict)  # where an address that an instance names is reached
-    limits: PeerLimits = PeerLimits()
+    broadcast: str = ""  # one address that reaches all peers; empty: each has its own
+    routes: dict[str, str] = field(default_factory=dict)  # where an advertised address is reached
+    limits: PeerLimits = field(default_factory=PeerLimits)
 
 
-def read(top: Section, me: int) -> PeerSetup | None:
-    """Read `peer_listen`, `peers` and `peers_all`; None where no address to listen at is named.
+def read(top: Section, own_number: int) -> PeerSetup | None:
+    """Read `peer_listen`, `peers` and `peers_all`; return None without `peer_listen`.
 
-    `peers` lists every instance of the tier in the order of their numbers, `me` too. Raises ConfigError.
+    `peers` lists every instance of the tier in the order of their numbers, including `own_number`. Raises
+    ConfigError.
     """
     if not top.has("peer_listen"):
         return None
@@ -39,7 +40,7 @@
         raise ConfigError.at_key("peers", "expected a list of addresses")
     addresses = Section({str(i): address for i, address in enumerate(listed)}, "peers")
     return PeerSetup(
-        peers={i: addresses.address(str(i)) for i in range(len(listed)) if i != me},
+        peers={i: addresses.address(str(i)) for i in range(len(listed)) if i != own_number},
         broadcast=top.address("peers_all") if top.has("peers_all") else "",
         listen=top.address("peer_listen"),
     )
@@ -47,18 +48,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSetup:
-    """What instances exchange beside leases on volume limits, and how they find each other."""
+    """What instances exchange beside leases on volume limits, and how they discover each other."""
 
     suspicions: bool = True  # key `verdicts`: observations of backends
     disables: bool = True  # key `bans`: administratively disabled backends
-    budgets: bool = False  # what all instances share moves by leases
-    backend_connections: int = 0  # key `server_connections`: of all instances to one backend; 0: any number
-    seeds: tuple[str, ...] = ()  # instances are discovered from these, in place of those the platform names
-    advertised_address: str = ""  # key `advertise`: where peers reach this instance; empty: where it listens
-    routes: dict[str, str] = field(default_factory=dict)  # where an address that an instance names is reached
+    budgets: bool = False  # budgets are divided by leases
+    backend_connections: int = 0  # key `server_connections`: of all instances to one backend; 0: unlimited
+    seeds: tuple[str, ...] = ()  # from which instances are discovered, in place of the platform's `peers`
+    advertised_address: str = ""  # key `advertise`: where peers reach this instance; empty: `listen`
+    routes: dict[str, str] = field(default_factory=dict)  # where an advertised address is reached
 
     def place(self, platform: PeerSetup) -> PeerSetup:
-        """Return the link as the platform places it, with the operators' routes where they name seeds."""
+        """Return the platform's addresses of the link, with the operators' routes if they name seeds."""
         return replace(platform, routes=self.routes) if self.seeds else platform
 
 
@@ -66,10 +67,10 @@
     """Read the operators' section. Raises ConfigError."""
     section = Section(data, "fleet", FLEET_KEYS)
     default = FleetSetup()
-    suspicions = _flag(section, "verdicts", default.suspicions)
-    disables = _flag(section, "bans", default.disables)
-    budgets = _flag(section, "budgets", default.budgets)
-    backend_connections = _backend_connections(section, budgets)
+    suspicions = _flag(section, "verdicts", default=default.suspicions)
+    disables = _flag(section, "bans", default=default.disables)
+    budgets = _flag(section, "budgets", default=default.budgets)
+    backend_connections = _backend_connections(section, budgets=budgets)
     seeds = _seed_list(section)
     routes = Section(section.raw("routes") or {}, section.name("routes"))
     for key in ("advertise", "routes"):
@@ -86,7 +87,7 @@
     )
 
 
-def _flag(section: Section, key: str, default: bool) -> bool:
+def _flag(section: Section, key: str, *, default: bool) -> bool:
     if not section.has(key):
         return default
     value = section.raw(key)
@@ -95,7 +96,7 @@
     return value
 
 
-def _backend_connections(section: Section, budgets: bool) -> int:
+def _backend_connections(section: Section, *, budgets: bool) -> int:
     key = "server_connections"
     if not section.has(key):
         return 0
@@ -106,7 +107,7 @@
 
 
 def _seed_list(section: Section) -> Section:
-    """Return the list of seeds as a table by place, so that an error names the place."""
+    """Return the list of seeds as a section keyed by index, so that an error names the index."""
     listed = section.raw("seeds") or []
     if not isinstance(listed, list):
         raise section.error("seeds", "expected a list of addresses")
@@ -114,9 +115,9 @@
 
 
 def _ip_address(section: Section, key: str) -> str:
-    """Return an address that names its machine by number.
+    """Return an address whose host is an IP address.
 
-    Datagrams carry addresses so, and nothing on their way may wait for a name to be looked up.
+    Datagrams carry the bytes of IP addresses, and resolving a host name would block.
     """
     text = section.address(key)
     try:
@@ -127,5 +128,5 @@
 
 
 def _checked_key(routes: Section, address: str) -> str:
-    """Return a key of the routes, which is an address like its value."""
+    """Return a key of the routes after the same check as its value."""
     return _ip_address(Section({address: address}, routes.name(address)), address)
--- a/garnetlanding/peers/shared_budgets.py
+++ b/garnetlanding/peers/shared_budgets.py
@@ -1,9 +1,9 @@
-"""Budgets that all instances of the fleet share, and this instance's shares of them.
+"""Budgets that all instances of the fleet share, and this instance's quotas of them.
 
-They are what may be spent within a window: units at a backend that is warming up, calls for the endpoint
-list, and the free part of retries. The events and actions that pass to and from the decision module are
-observed for what is requested and spent; leases divide the budgets (docs/design/fleet-limits.md). No clock
-and no socket.
+A budget bounds what may be spent within a window: units at a backend that is warming up, polls for the
+endpoint list, the retries that need not be earned, and connections at a backend. Requests and spending are
+observed in the events and actions that pass to and from the decision module; leases divide the budgets
+(docs/design/fleet-limits.md). No clock and no socket; times are microseconds.
 """
 
 from __future__ import annotations
@@ -12,20 +12,21 @@
 from dataclasses import dataclass
 
 from garnetlanding.decision import interface as api
-from garnetlanding.peers.codec import LeaseMessage
-from garnetlanding.peers.demand import Demand
 from garnetlanding.peers.drop_reasons import DropReason
+from garnetlanding.peers.lease_message import LeaseMessage
 from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import SECOND, PeerLimits
 from garnetlanding.peers.peer_contacts import InstanceIdentity
 
+CONNECTIONS = api.concurrency_budget("")  # with which the names of budgets of connections begin
+
 
 @dataclass(frozen=True, slots=True)
 class WarmingBackend:
-    """A backend whose process has just started, until when it counts as warming up (microseconds)."""
+    """A backend whose process has just started."""
 
     name: str
-    until: int
+    until: int  # when it stops to count as warming up
 
 
 class SharedBudgets:
@@ -34,16 +35,24 @@
     def __init__(
         self, limits: PeerLimits, settings: api.Settings, incarnation: int, now: int, longest_us: int = 0
     ) -> None:
-        """Begin as after a start. `longest_us` is a budget's window beside those of the settings."""
+        """Start in quarantine.
+
+        `longest_us` is the longest window of a budget that the settings do not contain; 0 if there is none.
+        """
         self._limits = limits
         window_us = max(
-            settings.overload_window_us, settings.retry_budget_window_us, limits.list_window_us, longest_us
+            settings.overload_window_us,
+            settings.retry_budget_window_us,
+            limits.endpoint_poll_window_us,
+            longest_us,
         )
         identity = InstanceIdentity(settings.instance_id, settings.instances, incarnation)
-        self.leases = Leases(limits, identity, now, window_us=window_us)
+        self.leases = Leases(limits, identity, now, budget_window_us=window_us)
         self._warming: dict[int, WarmingBackend] = {}  # by cell
-        self._units: dict[str, float] = {}  # of requests that may be sent to one of them
-        self._sent: set[str] = set()  # requests with an attempt, where retries have a budget
+        self._units: dict[str, float] = {}  # of requests that may be sent to a backend that is warming up
+        self._attempted: set[str] = set()  # requests with an attempt, where retries have a budget
+
+    # Before the decision module handles events
 
     def observe_events(
         self, now: int, events: Iterable[api.Event], settings: api.Settings, hosts: int
@@ -55,10 +64,7 @@
         for event in events:
             match event:
                 case api.EndpointListFailure():
-                    window_us = self._limits.list_window_us
-                    self.leases.record_demand(
-                        api.ENDPOINT_POLLS, hosts, self._limits.list_calls_per_s, 1, now, window_us
-                    )
+                    self._request_poll(now, hosts)
                 case api.EndpointListUpdate():
                     self._update_warming(event, now, settings)
                 case api.Arrival():
@@ -70,6 +76,16 @@
                     if event.answered:
                         self._forget(event.request)
 
+    def _request_poll(self, now: int, hosts: int) -> None:
+        self.leases.record_demand(
+            api.ENDPOINT_POLLS,
+            hosts,
+            self._limits.endpoint_polls_per_s,
+            1,
+            now,
+            self._limits.endpoint_poll_window_us,
+        )
+
     def _update_warming(self, update: api.EndpointListUpdate, now: int, settings: api.Settings) -> None:
         if update.complete:
             self._warming.clear()
@@ -109,7 +125,9 @@
 
     def _forget(self, request: str) -> None:
         self._units.pop(request, None)
-        self._sent.discard(request)
+        self._attempted.discard(request)
+
+    # After it has handled them
 
     def observe_actions(self, now: int, actions: Iterable[api.Action], settings: api.Settings) -> None:
         """Record what the decision module has spent of the budgets."""
@@ -118,42 +136,41 @@
                 case api.Send():
                     self._spend_attempt(action, now, settings)
                 case api.Subscribe():
-                    self.leases.record_spent(api.ENDPOINT_POLLS, 1, now)
+                    self.leases.demands.record_spent(api.ENDPOINT_POLLS, 1, now)
                 case api.Reject() | api.Fail():
                     self._forget(action.request)
 
     def _spend_attempt(self, attempt: api.Send, now: int, settings: api.Settings) -> None:
+        demands = self.leases.demands
         if units := self._units.get(attempt.request):
-            self.leases.record_spent(api.warmup_budget(attempt.backend), units, now)
+            demands.record_spent(api.warmup_budget(attempt.backend), units, now)
         if settings.retry_budget_window_us:
-            if attempt.request in self._sent:
-                self.leases.record_spent(api.RETRIES, 1, now)
-            self._sent.add(attempt.request)
+            if attempt.request in self._attempted:
+                demands.record_spent(api.RETRIES, 1, now)
+            self._attempted.add(attempt.request)
 
-    def changed_shares(self, now: int, hosts: int) -> dict[str, float] | None:
-        """Return what this instance may spend of each budget; None where nothing has changed.
+    # Quotas
 
-        A budget that is counted has the number that may be spent, any other a multiple of an even share.
+    def refresh_quotas(self, now: int, hosts: int) -> dict[str, float] | None:
+        """Compute the quotas anew; return what may be spent of each budget, or None if nothing has changed.
+
+        It is a number of connections for a budget of connections, and a multiple of the even quota for
+        others.
         """
-        if not self.leases.changed_shares(now):
+        if not self.leases.refresh_quotas(now):
             return None
-        current = self.leases.current_shares()
-        shares = {
-            demand.name: current[demand.name] * (_counted_size(demand) or hosts)
-            for demand in self.leases.demands.values()
-        }
-        if api.ENDPOINT_POLLS in shares:
-            # An instance that may not call at all could stay without a list: some calls it may always make.
-            shares[api.ENDPOINT_POLLS] = max(self._limits.min_list_share, shares[api.ENDPOINT_POLLS])
-        return shares
+        current = self.leases.current_quotas()
+        quotas: dict[str, float] = {}
+        for demand in self.leases.demands.by_tag.values():
+            is_counted = demand.name.startswith(CONNECTIONS)
+            quotas[demand.name] = current[demand.name] * (demand.budget_size if is_counted else hosts)
+        if api.ENDPOINT_POLLS in quotas:
+            # An instance without any quota would never learn of an endpoint: some polls are always allowed.
+            quotas[api.ENDPOINT_POLLS] = max(
+                self._limits.min_endpoint_poll_fraction, quotas[api.ENDPOINT_POLLS]
+            )
+        return quotas
 
     def receive(self, sender: int, message: LeaseMessage, now: int) -> DropReason | None:
-        """Take up a peer's requests and grants; return why the message is dropped, if it is."""
+        """Record a peer's requests and grants; return why the message is dropped, or None."""
         return self.leases.receive(sender, message, now)
-
-
-def _counted_size(demand: Demand) -> float:
-    """Return how much the whole of a budget is whose shares are numbers; 0 for any other."""
-    if not demand.name.startswith(api.concurrency_budget("")):
-        return 0.0
-    return demand.limit * demand.window_us / SECOND
--- a/garnetlanding/peers/status.py
+++ b/garnetlanding/peers/status.py
@@ -1,6 +1,7 @@
-"""The rows that `ops fleet limits`, `members`, `verdicts` and `bans` show, and their one encoder.
+"""The rows of the tables that `ops fleet limits`, `members`, `verdicts` and `bans` show operators.
 
-The JSON fields are the operators' and stay; each row writes them out field by field in `as_json`.
+Operators' scripts read the JSON fields, so those keep their words: the `as_json` of each row is the one place
+where the terms of the code are translated, field by field.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class StatusRow(Protocol):
-    """One row of an operators' table."""
+    """One row of such a table."""
 
     def as_json(self) -> dict[str, object]:
         """Return the row's JSON fields, in the order in which they are shown."""
@@ -35,22 +36,22 @@
     """A grant that has not expired."""
 
     peer: int  # the receiver, or the grantor
-    share: float
+    fraction: float  # of the grantor's even quota
     expires_in_ms: int
 
     def as_json(self) -> dict[str, object]:
         """Return the row's JSON fields."""
-        return {"head": self.peer, "share": self.share, "for_ms": self.expires_in_ms}
+        return {"head": self.peer, "share": self.fraction, "for_ms": self.expires_in_ms}
 
 
 @dataclass(frozen=True, slots=True)
 class LimitRow:
-    """How this instance sees a volume's limit, or a budget, divided; shares are of the whole limit."""
+    """How a volume's limit, or a budget, is divided as far as this instance knows."""
 
     volume: str
     hosts: int
-    usable_share: float
-    wanted_share: float
+    usable_quota: float
+    wanted_quota: float
     granted: tuple[GrantRow, ...]
     received: tuple[GrantRow, ...]
 
@@ -59,8 +60,8 @@
         return {
             "volume": self.volume,
             "hosts": self.hosts,
-            "part": self.usable_share,
-            "wants": self.wanted_share,
+            "part": self.usable_quota,
+            "wants": self.wanted_quota,
             "left": [grant.as_json() for grant in self.granted],
             "had": [grant.as_json() for grant in self.received],
         }
@@ -96,7 +97,7 @@
     incarnation: int
     address: str
     last_received_ms: int | None  # ago; None: nothing received from it yet
-    even_share: float | None  # of the instance that is asked, alone
+    even_quota: float | None  # of this instance alone, which knows no other one's
 
     def as_json(self) -> dict[str, object]:
         """Return the row's JSON fields."""
@@ -106,7 +107,7 @@
             "life": self.incarnation,
             "address": self.address,
             "heard_ms": self.last_received_ms,
-            "part": None if self.even_share is None else round(self.even_share, 4),
+            "part": None if self.even_quota is None else round(self.even_quota, 4),
         }
 
 
--- a/garnetlanding/peers/suspicions.py
+++ b/garnetlanding/peers/suspicions.py
@@ -194,7 +194,7 @@
             for backend in self._claims
             if (suspicion := self._suspicion(backend, now, observations)) is not None
         ]
-        most = max(1, int(self.limits.max_suspected_share * len(observations.backends)))
+        most = max(1, int(self.limits.max_suspected_fraction * len(observations.backends)))
         heaviest = sorted(suspicions, key=lambda suspicion: (-suspicion.weight, suspicion.backend))[:most]
         return {suspicion.backend: suspicion.until for suspicion in heaviest}
 
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -57,7 +57,9 @@
 from garnetlanding.ops.admin_client import method_and_path, send_call
 from garnetlanding.ops.admin_connection import AdminConnection
 from garnetlanding.ops.fleet_access import FleetView
-from garnetlanding.peers import codec as peers_codec
+from garnetlanding.peers import lease_message
+from garnetlanding.peers.lease_message import LeaseMessage, QuotaRequest
+from garnetlanding.peers.name_tag import name_tag
 from garnetlanding.resp import codec as resp
 from garnetlanding.resp.backend_protocol import RespBackendProtocol
 from garnetlanding.resp.errors import InvalidCommandError, ProtocolError
@@ -1100,8 +1102,8 @@
 
 def peer_text(number: int) -> str:
     """What head 0 tells of a volume that comes through both heads."""
-    asks = {peers_codec.tag("vol-all"): peers_codec.QuotaRequest(0.5, 2)}
-    return peers_codec.encode_leases(peers_codec.LeaseMessage(900, number, asks=asks)).hex()
+    asks = {name_tag("vol-all"): QuotaRequest(0.5, 2)}
+    return lease_message.encode(LeaseMessage(900, number, requests=asks)).hex()
 
 
 def wire_dialogue() -> str:
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -48,15 +48,19 @@
 from garnetlanding.history.writer import HistoryWriter
 from garnetlanding.lab.history import CorruptHistoryError
 from garnetlanding.lab.history import read as read_history
-from garnetlanding.peers import codec, gossip_message, membership_message
+from garnetlanding.peers import gossip_message, lease_message, membership_message
 from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
 from garnetlanding.peers.disabled_backends import DisabledBackends
 from garnetlanding.peers.disabled_backends import DisableRecord as Ban
+from garnetlanding.peers.envelope import CHECKSUM, MessageKind, decode_envelope, encode_envelope
+from garnetlanding.peers.errors import MessageError
 from garnetlanding.peers.failure_detector import FailureDetector
+from garnetlanding.peers.lease_message import LeaseMessage, QuotaRequest
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.membership import FIRST_SEED, Membership
 from garnetlanding.peers.membership_protocol import MembershipProtocol
 from garnetlanding.peers.membership_table import InstanceRecord as Member
+from garnetlanding.peers.name_tag import name_tag
 from garnetlanding.peers.shared_budgets import SharedBudgets
 from garnetlanding.resp.request import Command
 from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
@@ -378,8 +382,8 @@
             : 2 - i
         ]
         history.request_ended(replace(ENDED, work=work), answer, 890, 995, attempts)
-    history.volume_shares_changed({"vol-1": 0.123456, "vol-2": 1.0}, 2000)
-    history.limit_shares_changed({"cold:n0": 1 / 3}, 2100)
+    history.volume_quotas_changed({"vol-1": 0.123456, "vol-2": 1.0}, 2000)
+    history.budget_quotas_changed({"cold:n0": 1 / 3}, 2100)
     HistoryWriter(str(path), "n0", 4, lambda: 5)
     committed = golden("daemon.history", path.read_bytes())
 
@@ -403,20 +407,20 @@
 # Datagrams
 
 HEADER = (7_000_000_001, 12, 6_000_000_009, 3)  # life and number, and those answered
-VOLUME, OTHER = codec.tag("vol-1"), codec.tag("vol-2")
-LEASES = codec.LeaseMessage(
+VOLUME, OTHER = name_tag("vol-1"), name_tag("vol-2")
+LEASES = LeaseMessage(
     *HEADER,
-    {VOLUME: codec.QuotaRequest(0.5, 3), OTHER: codec.QuotaRequest(1.0, 255)},
+    {VOLUME: QuotaRequest(0.5, 3), OTHER: QuotaRequest(1.0, 255)},
     {VOLUME: 0.252, 9: 0.0},
 )
-BUDGETS = codec.LeaseMessage(
+BUDGETS = LeaseMessage(
     *HEADER,
-    {codec.tag(api.warmup_budget("n0")): codec.QuotaRequest(0.004, 4)},
-    {codec.tag(api.ENDPOINT_POLLS): 1.0},
+    {name_tag(api.warmup_budget("n0")): QuotaRequest(0.004, 4)},
+    {name_tag(api.ENDPOINT_POLLS): 1.0},
 )
 BANS = DisabledBackends(PEER_LIMITS, [Ban("n1", 1_764_640_800_000, 2, True), Ban("head/3", 9, 65535, False)])
 EVIDENCE = tuple(
-    gossip_message.Evidence(kind, codec.tag(f"n{kind}"), 10 * kind, kind, 7)
+    gossip_message.Evidence(kind, name_tag(f"n{kind}"), 10 * kind, kind, 7)
     for kind in gossip_message.EvidenceKind
 )
 TOLD = gossip_message.GossipMessage(BANS.digest, EVIDENCE, tuple(BANS.records.values()))
@@ -447,39 +451,38 @@
 def datagrams() -> dict[str, bytes]:
     """Each kind of message, with all it can hold and with nothing."""
     found = {
-        "leases": codec.encode_leases(LEASES),
-        "leases-empty": codec.encode_leases(codec.LeaseMessage(1, 1)),
-        "leases-greatest": codec.encode_leases(
-            codec.LeaseMessage((1 << 48) - 1, (1 << 32) - 1, (1 << 48) - 1, (1 << 32) - 1)
+        "leases": lease_message.encode(LEASES),
+        "leases-empty": lease_message.encode(LeaseMessage(1, 1)),
+        "leases-greatest": lease_message.encode(
+            LeaseMessage((1 << 48) - 1, (1 << 32) - 1, (1 << 48) - 1, (1 << 32) - 1)
         ),
-        "leases-rounded": codec.encode_leases(
-            codec.LeaseMessage(1, 2, 0, 0, {1: codec.QuotaRequest(0.0011, 1)}, {1: 0.0079})
+        "leases-rounded": lease_message.encode(
+            LeaseMessage(1, 2, 0, 0, {1: QuotaRequest(0.0011, 1)}, {1: 0.0079})
         ),
-        "budgets": codec.encode_leases(BUDGETS, codec.MessageKind.BUDGETS),
-        "words": codec.encode_envelope(gossip_message.to_envelope(TOLD, *HEADER)),
-        "words-greatest": codec.encode_envelope(gossip_message.to_envelope(MOST, *HEADER)),
-        "words-empty": codec.encode_envelope(
+        "budgets": lease_message.encode(BUDGETS, MessageKind.BUDGETS),
+        "words": encode_envelope(gossip_message.to_envelope(TOLD, *HEADER)),
+        "words-greatest": encode_envelope(gossip_message.to_envelope(MOST, *HEADER)),
+        "words-empty": encode_envelope(
             gossip_message.to_envelope(gossip_message.GossipMessage(bytes(8)), *HEADER)
         ),
     }
     return found | {
-        name: codec.encode_envelope(membership_message.to_envelope(told, *HEADER))
-        for name, told in rolls().items()
+        name: encode_envelope(membership_message.to_envelope(told, *HEADER)) for name, told in rolls().items()
     }
 
 
 def read_datagram(data: bytes) -> object:
     """As `PeerCoordinator` does: by the kind of its envelope."""
-    e = codec.decode_envelope(data, PEER_LIMITS.datagram_bytes)
-    if e.kind == codec.MessageKind.MEMBERSHIP:
+    e = decode_envelope(data, PEER_LIMITS.datagram_bytes)
+    if e.kind == MessageKind.MEMBERSHIP:
         return membership_message.read(e)
-    return gossip_message.read(e) if e.kind == codec.MessageKind.GOSSIP else codec.read_leases(e)
+    return gossip_message.read(e) if e.kind == MessageKind.GOSSIP else lease_message.read(e)
 
 
 def datagram_outcome(data: bytes) -> str:
     try:
         return f"read: state {digest_of(read_datagram(data))[:16]}"
-    except codec.MessageError as problem:
+    except MessageError as problem:
         return f"refused: {problem}"
 
 
@@ -493,13 +496,9 @@
     assert (read["words"], read["words-greatest"]) == (TOLD, MOST)
     assert (read["roll"], read["roll-one"]) == (rolls()["roll"], rolls()["roll-one"])
     assert read["words-empty"] == gossip_message.GossipMessage(bytes(8))
-    assert read["leases-empty"] == codec.LeaseMessage(1, 1)
-    assert read["leases-rounded"] == codec.LeaseMessage(
-        1, 2, 0, 0, {1: codec.QuotaRequest(0.004, 1)}, {1: 0.004}
-    )
-    assert read["leases-greatest"] == codec.LeaseMessage(
-        (1 << 48) - 1, (1 << 32) - 1, (1 << 48) - 1, (1 << 32) - 1
-    )
+    assert read["leases-empty"] == LeaseMessage(1, 1)
+    assert read["leases-rounded"] == LeaseMessage(1, 2, 0, 0, {1: QuotaRequest(0.004, 1)}, {1: 0.004})
+    assert read["leases-greatest"] == LeaseMessage((1 << 48) - 1, (1 << 32) - 1, (1 << 48) - 1, (1 << 32) - 1)
 
 
 def test_bad_datagrams_are_refused_as_recorded() -> None:
@@ -525,21 +524,21 @@
 
 
 def resealed(data: bytes) -> bytes:
-    return data + codec.CHECKSUM.pack(zlib.crc32(data))
+    return data + CHECKSUM.pack(zlib.crc32(data))
 
 
 def test_many_entries_are_paged_as_recorded() -> None:
     """What does not fit into one datagram: leases, evidence and bans, and records of heads."""
-    asks = {i * 7919: codec.QuotaRequest((i % 251) / 250, 1 + i % 255) for i in range(400)}
+    asks = {i * 7919: QuotaRequest((i % 251) / 250, 1 + i % 255) for i in range(400)}
     grants = {i * 104729: (i % 251) / 250 for i in range(300)}
     paged = [
-        codec.encode_leases(codec.LeaseMessage(1, 1, 0, 0, *page))
-        for page in codec.paginate(asks, grants, 1200)
+        lease_message.encode(LeaseMessage(1, 1, 0, 0, *page))
+        for page in lease_message.paginate(asks, grants, 1200)
     ]
     records = [Member(i, 5 + i, i % 3 == 0, f"10.0.{i // 250}.{i % 250}:1{i:04}") for i in range(300)]
     for page in membership_message.paginate(records, 1200, 3):
         paged.append(
-            codec.encode_envelope(
+            encode_envelope(
                 membership_message.to_envelope(
                     membership_message.MembershipMessage(bytes(8), tuple(page), True), 1, 1, 0, 0
                 )
@@ -548,7 +547,7 @@
     bans = [Ban(f"server-{i}", i, 1, True) for i in range(100)]
     seen, told = gossip_message.fit(EVIDENCE * 20, bans, 1200)
     message = gossip_message.GossipMessage(bytes(8), (EVIDENCE * 20)[:seen], tuple(bans[:told]))
-    paged.append(codec.encode_envelope(gossip_message.to_envelope(message, 1, 1, 0, 0)))
+    paged.append(encode_envelope(gossip_message.to_envelope(message, 1, 1, 0, 0)))
     text = "".join(f"{len(data)} {hashlib.sha256(data).hexdigest()}\n" for data in paged)
     golden("datagrams-paged.txt", text.encode())
 
@@ -702,10 +701,10 @@
     talk.run()
     kinds = {data[1] for *_, data in talk.sent}
     assert kinds == {
-        codec.MessageKind.LEASES,
-        codec.MessageKind.GOSSIP,
-        codec.MessageKind.MEMBERSHIP,
-        codec.MessageKind.BUDGETS,
+        MessageKind.LEASES,
+        MessageKind.GOSSIP,
+        MessageKind.MEMBERSHIP,
+        MessageKind.BUDGETS,
     }
     assert all(
         fleet.disables.table.disabled_names == {"n2"} for fleet in talk.fleets.values()
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -19,12 +19,13 @@
 from garnetlanding.decision.control import Controller
 from garnetlanding.decision.volume import Volume
 from garnetlanding.ops import admin_client, admin_output
-from garnetlanding.peers import codec
-from garnetlanding.peers.codec import LeaseMessage
+from garnetlanding.peers import lease_message
 from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
 from garnetlanding.peers.drop_reasons import LinkDropReason
+from garnetlanding.peers.lease_message import LeaseMessage, QuotaRequest
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.link import PeerLink
+from garnetlanding.peers.name_tag import name_tag
 from garnetlanding.peers.setup import PeerSetup
 from garnetlanding.peers.shared_budgets import SharedBudgets
 from tests.support.clock import MS, SECOND, T0
@@ -158,8 +159,8 @@
 
 def test_forged_datagrams_are_counted_by_cause_and_change_nothing() -> None:
     coordinator = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), incarnation=1)
-    valid = codec.encode_leases(
-        LeaseMessage(1, 1, 0, 0, {codec.tag("v"): codec.QuotaRequest(1.0, 2)}, {codec.tag("v"): 1.0})
+    valid = lease_message.encode(
+        LeaseMessage(1, 1, 0, 0, {name_tag("v"): QuotaRequest(1.0, 2)}, {name_tag("v"): 1.0})
     )
     forged = (b"", valid[:-1], valid + b"x", b"\x09" + valid[1:], bytes(300))
     coordinator.handle(T0, [api.PeerMessage(1, payload) for payload in forged])
@@ -248,7 +249,7 @@
         for messages, peer in zip(by_peer, self.peer_sockets, strict=True):
             try:
                 while data := peer.recv(300):
-                    messages.append(codec.decode_leases(data, LIMITS.datagram_bytes))
+                    messages.append(lease_message.decode(data, LIMITS.datagram_bytes))
             except BlockingIOError:
                 pass
         return by_peer
@@ -259,36 +260,36 @@
     instance.request()
     received = instance.received()
     assert len(received[0]) == len(received[1]) >= 3
-    assert received[0][-1].asks[codec.tag("v")][1] == 2
+    assert received[0][-1].requests[name_tag("v")][1] == 2
     assert {message.incarnation for message in received[0]} == {instance.coordinator.incarnation}
     assert instance.coordinator.incarnation > 10**12
     link = instance.daemon.assembly.peer_link.link
     assert link
     assert instance.daemon.core.send_to_peer
     host, port = link.address.split(":")
-    instance.peer_sockets[1].sendto(codec.encode_leases(LeaseMessage(1, 1)), (host, int(port)))
+    instance.peer_sockets[1].sendto(lease_message.encode(LeaseMessage(1, 1)), (host, int(port)))
     instance.settle()
     assert instance.coordinator.leases
     assert list(instance.coordinator.leases.contacts.by_peer) == [2]
 
 
-def test_operators_see_who_holds_which_share_until_when() -> None:
+def test_operators_see_who_holds_which_quota_until_when() -> None:
     instance = LinkedInstance()
     instance.request()
     link = instance.daemon.assembly.peer_link.link
     assert link
     assert instance.coordinator.leases
     host, port = link.address.split(":")
-    tag, acknowledged = codec.tag("v"), instance.received()[0][-1]
+    tag, acknowledged = name_tag("v"), instance.received()[0][-1]
     grant = LeaseMessage(
         1,
         1,
         acknowledged.incarnation,
         acknowledged.number,
-        {tag: codec.QuotaRequest(1.0, 2)},
+        {tag: QuotaRequest(1.0, 2)},
         {tag: 0.6},
     )
-    instance.peer_sockets[0].sendto(codec.encode_leases(grant), (host, int(port)))
+    instance.peer_sockets[0].sendto(lease_message.encode(grant), (host, int(port)))
     instance.settle()
     [row] = [row.as_json() for row in instance.coordinator.limit_rows(instance.time)]
     assert row["volume"] == "v"
@@ -397,7 +398,7 @@
     assert volume(coordinator).quota == 0.5
 
 
-def test_process_that_ends_beside_its_successor_leaves_it_the_link_and_every_share() -> None:
+def test_process_that_ends_beside_its_successor_leaves_it_the_link_and_every_quota() -> None:
     instance = LinkedInstance()
     instance.request()
     instance.request()
@@ -415,7 +416,7 @@
     instance.settle()
     assert link.closed
     assert instance.coordinator.leases
-    assert instance.coordinator.leases.usable_share(codec.tag("v"), instance.time) == 0.0
+    assert instance.coordinator.leases.usable_quota(name_tag("v"), instance.time) == 0.0
 
 
 @pytest.mark.parametrize(
--- a/tests/peers/test_gossip_message.py
+++ b/tests/peers/test_gossip_message.py
@@ -11,14 +11,14 @@
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
-from garnetlanding.peers import codec
-from garnetlanding.peers.codec import MessageError
 from garnetlanding.peers.coordinator import PeerCoordinator
 from garnetlanding.peers.disabled_backends import (
     DIGEST,
     EMPTY_DIGEST,
     DisableRecord,
 )
+from garnetlanding.peers.envelope import decode_envelope, encode_envelope
+from garnetlanding.peers.errors import MessageError
 from garnetlanding.peers.gossip_message import (
     MAX_UPTIME,
     Evidence,
@@ -63,11 +63,11 @@
     message = GossipMessage(
         b"digest 8", tuple(evidence[: fitting.evidence]), tuple(records[: fitting.records])
     )
-    data = codec.encode_envelope(to_envelope(message, 9, 8, 7, 6))
+    data = encode_envelope(to_envelope(message, 9, 8, 7, 6))
     assert len(data) <= LIMITS.datagram_bytes
     all_fit = fitting == (len(evidence), len(records))
     assert all_fit or len(data) > 200 - 40 * (fitting.records < len(records))
-    envelope = codec.decode_envelope(data, LIMITS.datagram_bytes)
+    envelope = decode_envelope(data, LIMITS.datagram_bytes)
     assert read(envelope) == message
     assert (envelope.incarnation, envelope.number) == (9, 8)
     assert (envelope.acked_incarnation, envelope.acked_number) == (7, 6)
@@ -84,11 +84,11 @@
     malformed = replace(valid, number=1000, body=unknown_kind)
     instances.run(
         1,
-        (0, api.PeerMessage(1, codec.encode_envelope(valid))),
-        (0, api.PeerMessage(1, codec.encode_envelope(malformed))),
+        (0, api.PeerMessage(1, encode_envelope(valid))),
+        (0, api.PeerMessage(1, encode_envelope(malformed))),
     )
     assert instances.coordinators[0].dropped == {"word too old": 1, "no such verdict": 1}
     without_gossip = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), incarnation=1)
-    without_gossip.handle(T0, [api.PeerMessage(1, codec.encode_envelope(valid))])
+    without_gossip.handle(T0, [api.PeerMessage(1, encode_envelope(valid))])
     assert without_gossip.dropped == {"other kind": 1}
     assert list(without_gossip.suspicion_rows(T0)) == []
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -68,18 +68,18 @@
     second.record_contact(0, first.table.digest, LIMITS.bootstrap_us, sender_joined=False)
     assert first.joined, "all seeds form the group together"
     assert second.joined, "all seeds form the group together"
-    assert first.even_share == 0.5, "all seeds form the group together"
+    assert first.even_quota == 0.5, "all seeds form the group together"
     newcomer.merge([first.table.records[0], first.table.records[1]])
     newcomer.record_contact(0, first.table.digest, 9 * SECOND, sender_joined=True)
     assert not newcomer.joined, "instance 0 sent the digest of a table without the newcomer"
     first.merge([newcomer.table.records[2]])
     newcomer.record_contact(0, first.table.digest, 9 * SECOND, sender_joined=True)
     assert not newcomer.joined
-    assert first.even_share == pytest.approx(1 / 3)
+    assert first.even_quota == pytest.approx(1 / 3)
     second.merge([newcomer.table.records[2]])
     newcomer.record_contact(1, second.table.digest, 9 * SECOND, sender_joined=True)
     assert newcomer.joined
-    assert first.even_share + second.even_share + newcomer.even_share == pytest.approx(1)
+    assert first.even_quota + second.even_quota + newcomer.even_quota == pytest.approx(1)
 
 
 def test_newcomers_that_know_only_each_other_form_no_second_group() -> None:
@@ -103,7 +103,7 @@
     alone.merge([InstanceRecord(0, 11, False, address_of(7))])
     assert alone.fence_reason is FenceReason.DUPLICATE_IDENTITY
     assert alone.fence_reason.value == "another process has its number"
-    assert alone.even_share == 0.0
+    assert alone.even_quota == 0.0
     other = started_instance(1)
     assert other.mark_terminated(1)
     assert not other.mark_terminated(5)
@@ -152,8 +152,8 @@
     for seed in range(15):
         result = GroupSimulation(replace(SCENARIOS[name], seed=seed)).run()
         assert (
-            result.max_share_sum <= 1 + 1e-9
-        ), f"seed {seed}: {result.max_share_sum} at {result.max_share_sum_at} us"
+            result.max_quota_sum <= 1 + 1e-9
+        ), f"seed {seed}: {result.max_quota_sum} at {result.max_quota_sum_at} us"
         assert result.agreed, f"seed {seed}: tables differ at the end of the calm period"
 
 
@@ -210,7 +210,7 @@
     ]
     for seed in range(60):
         result = GroupSimulation(replace(scenarios[seed % len(scenarios)], seed=seed)).run()
-        if result.max_share_sum > 1 + 1e-9 or not result.agreed:
+        if result.max_quota_sum > 1 + 1e-9 or not result.agreed:
             return
     raise AssertionError("no seed shows the bug")
 
@@ -219,16 +219,16 @@
     found = explore(Scope(moves=6))
     assert found.is_complete
     assert found.states > 2000
-    assert found.max_share_sum == pytest.approx(1.0)
+    assert found.max_quota_sum == pytest.approx(1.0)
     assert found.max_joined == 2
-    assert explore(Scope(seeds=1, moves=8)).max_share_sum <= 1 + 1e-9
+    assert explore(Scope(seeds=1, moves=8)).max_quota_sum <= 1 + 1e-9
 
 
 @pytest.mark.parametrize("bug", ["a newcomer uses its share at once", "only responsive instances count"])
 def test_seeded_bug_in_membership_is_found_by_exploration(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
     name, replacement = SEEDED_BUGS[bug]
     monkeypatch.setattr(Membership, name, replacement)
-    assert explore(Scope(seeds=1, moves=9)).max_share_sum > 1.1
+    assert explore(Scope(seeds=1, moves=9)).max_quota_sum > 1.1
 
 
 # With the budgets that the group divides
--- a/tests/peers/test_membership_message.py
+++ b/tests/peers/test_membership_message.py
@@ -5,8 +5,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from garnetlanding.peers import codec, membership_message
-from garnetlanding.peers.codec import MessageError
+from garnetlanding.peers import membership_message
+from garnetlanding.peers.envelope import Envelope, MessageKind, decode_envelope, encode_envelope
+from garnetlanding.peers.errors import MessageError
 from garnetlanding.peers.membership_table import InstanceRecord
 from tests.support.membership import LIMITS
 
@@ -28,15 +29,15 @@
     assert [record for page in pages for record in page[1:]] == records[1:]
     for page in pages:
         message = membership_message.MembershipMessage(digest, tuple(page), joined)
-        data = codec.encode_envelope(membership_message.to_envelope(message, 1, 2, 3, 4))
+        data = encode_envelope(membership_message.to_envelope(message, 1, 2, 3, 4))
         assert len(data) <= LIMITS.datagram_bytes
-        assert membership_message.read(codec.decode_envelope(data, LIMITS.datagram_bytes)) == message
+        assert membership_message.read(decode_envelope(data, LIMITS.datagram_bytes)) == message
     assert len(membership_message.paginate(records * 9, LIMITS.datagram_bytes, 2)) <= 2
 
 
 @given(st.binary(max_size=60), st.tuples(st.integers(0, 5), st.integers(0, 3)))
 def test_arbitrary_membership_body_is_decoded_whole_or_rejected(body: bytes, counts: tuple[int, int]) -> None:
-    envelope = codec.Envelope(codec.MessageKind.MEMBERSHIP, 1, 1, 0, 0, counts, body)
+    envelope = Envelope(MessageKind.MEMBERSHIP, 1, 1, 0, 0, counts, body)
     try:
         message = membership_message.read(envelope)
     except MessageError:
--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -11,10 +11,10 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.emulator.budget_net import BudgetScenario, BudgetSimulation
-from garnetlanding.peers import codec
 from garnetlanding.peers.demand import Demand
 from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import SECOND
+from garnetlanding.peers.name_tag import name_tag
 from garnetlanding.peers.shared_budgets import SharedBudgets
 from tests.support.clock import T0
 from tests.support.decision_bench import up_endpoint
@@ -34,17 +34,19 @@
 @pytest.mark.parametrize("name", BUDGETS)
 def test_all_instances_spend_no_more_than_the_budget_within_any_window(name: str) -> None:
     for seed in range(8):
-        seen = BudgetSimulation(replace(BUDGETS[name], seed=seed)).run()
-        assert seen.greatest_sum <= 1 + 1e-9, f"seed {seed}: {seen.greatest_sum} at {seen.greatest_sum_at} us"
+        result = BudgetSimulation(replace(BUDGETS[name], seed=seed)).run()
+        assert (
+            result.greatest_sum <= 1 + 1e-9
+        ), f"seed {seed}: {result.greatest_sum} at {result.greatest_sum_at} us"
 
 
 def test_single_busy_instance_can_spend_most_of_the_budget() -> None:
     calm = BudgetScenario(calm=True, other_demand=0.0, shift_us=60 * SECOND, length_us=20 * SECOND)
-    assert BudgetSimulation(calm).run().usable > 0.75
+    assert BudgetSimulation(calm).run().utilization > 0.75
 
 
 def lease_alone(self: Leases) -> int:
-    return int(self._limits.lease_us * (1 + self._limits.drift))
+    return int(self.limits.lease_us * (1 + self.limits.drift))
 
 
 def nothing_locked(_self: Demand, _now: int, _longest_us: int) -> float:
@@ -52,18 +54,18 @@
 
 
 @pytest.mark.parametrize(
-    ("where", "name", "instead"),
+    ("target", "name", "replacement"),
     [
         pytest.param(
-            Leases, "_counted_as_used_us", property(lease_alone), id="grants do not outlast the window"
+            Leases, "_reclaim_after_us", property(lease_alone), id="grants do not outlast the window"
         ),
-        pytest.param(Demand, "locked_share", nothing_locked, id="spent units are granted"),
+        pytest.param(Demand, "locked_quota", nothing_locked, id="spent units are granted"),
     ],
 )
 def test_seeded_bug_in_budgets_is_found_by_simulation(
-    where: object, name: str, instead: Callable[..., Any], monkeypatch: pytest.MonkeyPatch
+    target: object, name: str, replacement: Callable[..., Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(where, name, instead)
+    monkeypatch.setattr(target, name, replacement)
     nets = [BudgetScenario(shift_us=SECOND), BudgetScenario(window_us=6 * SECOND, shift_us=2 * SECOND)]
     assert any(
         BudgetSimulation(replace(nets[seed % 2], seed=seed)).run().greatest_sum > 1 + 1e-9
@@ -73,30 +75,32 @@
 
 def test_warmup_budget_is_requested_on_arrival_and_counted_when_spent() -> None:
     budgets = SharedBudgets(LIMITS, SHARED_BUDGET_SETTINGS, 1, T0)
-    node = replace(up_endpoint("n0", 0), started_us=T0 - SECOND)
-    ask = api.Arrival("r1", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1)
+    endpoint = replace(up_endpoint("n0", 0), started_us=T0 - SECOND)
+    arrival = api.Arrival("r1", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1)
     budgets.observe_events(
         T0,
         [
-            api.EndpointListUpdate((node, up_endpoint("n1", 1)), complete=True),
-            ask,
-            replace(ask, request="r2", cell=1),
+            api.EndpointListUpdate((endpoint, up_endpoint("n1", 1)), complete=True),
+            arrival,
+            replace(arrival, request="r2", cell=1),
         ],
         SHARED_BUDGET_SETTINGS,
         3,
     )
-    assert budgets.changed_shares(T0, 3) == {
+    assert budgets.refresh_quotas(T0, 3) == {
         "cold:n0": 0.0
     }, "a started instance waits for the window of its earlier incarnation"
     later = T0 + 4 * SECOND
-    budgets.observe_events(later, [ask], SHARED_BUDGET_SETTINGS, 3)
-    assert budgets.changed_shares(later, 3) == pytest.approx({"cold:n0": 1.0})
-    assert budgets.changed_shares(later, 3) is None
+    budgets.observe_events(later, [arrival], SHARED_BUDGET_SETTINGS, 3)
+    assert budgets.refresh_quotas(later, 3) == pytest.approx({"cold:n0": 1.0})
+    assert budgets.refresh_quotas(later, 3) is None
     budgets.observe_actions(
         later, [api.Send("r1", "n0"), api.Send("r2", "n1"), api.Reject("r2")], SHARED_BUDGET_SETTINGS
     )
-    own = budgets.leases.demands[codec.tag("cold:n0")]
-    assert own.locked_share(later, budgets.leases.window_us) == pytest.approx(2 / 30)
+    demand = budgets.leases.demands.by_tag[name_tag("cold:n0")]
+    window_us = budgets.leases.budget_window_us
+    assert window_us is not None
+    assert demand.locked_quota(later, window_us) == pytest.approx(2 / 30)
     budgets.observe_events(
         later,
         [api.EndpointListFailure(), api.EndpointListUpdate((up_endpoint("n0", 0),))],
@@ -104,29 +108,29 @@
         3,
     )
     budgets.observe_actions(later, [api.Subscribe()], SHARED_BUDGET_SETTINGS)
-    told = budgets.changed_shares(later, 3)
-    assert told
-    assert told[api.ENDPOINT_POLLS] >= LIMITS.min_list_share
+    quotas = budgets.refresh_quotas(later, 3)
+    assert quotas
+    assert quotas[api.ENDPOINT_POLLS] >= LIMITS.min_endpoint_poll_fraction
     assert "r1" in budgets._units
     budgets.observe_events(later, [api.ClientLeft("r1")], SHARED_BUDGET_SETTINGS, 3)
     assert not budgets._units, "its client has left"
-    budgets.observe_events(later, [replace(ask, request="r3")], SHARED_BUDGET_SETTINGS, 3)
+    budgets.observe_events(later, [replace(arrival, request="r3")], SHARED_BUDGET_SETTINGS, 3)
     assert "r3" not in budgets._units, "the backend has warmed up"
 
 
-def test_decision_module_sends_a_warming_backend_what_its_share_allows() -> None:
+def test_decision_module_sends_a_warming_backend_what_its_quota_allows() -> None:
     sent = {}
-    for share in (0.0, 1.0, 3.0):
+    for quota in (0.0, 1.0, 3.0):
         module = Controller(replace(SHARED_BUDGET_SETTINGS, overload_multiple=0.0), 1)
-        node = replace(up_endpoint("n0", 0), started_us=T0)
-        asks: list[api.Event] = [
+        endpoint = replace(up_endpoint("n0", 0), started_us=T0)
+        arrivals: list[api.Event] = [
             api.Arrival(f"r{i}", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1) for i in range(40)
         ]
-        told: list[api.Event] = [
-            api.EndpointListUpdate((node,), complete=True, at_start=True),
-            api.QuotaUpdate({}, {"cold:n0": share}),
+        updates: list[api.Event] = [
+            api.EndpointListUpdate((endpoint,), complete=True, at_start=True),
+            api.QuotaUpdate({}, {"cold:n0": quota}),
         ]
-        actions = module.handle(T0, told + asks)
-        sent[share] = sum(isinstance(a, api.Send) for a in actions)
+        actions = module.handle(T0, updates + arrivals)
+        sent[quota] = sum(isinstance(a, api.Send) for a in actions)
     assert sent[0.0] == 0
     assert 0 < sent[1.0] <= sent[3.0]
--- a/tests/support/suspicions.py
+++ b/tests/support/suspicions.py
@@ -5,7 +5,6 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
 from garnetlanding.decision.interface import Outcome
-from garnetlanding.peers.codec import tag
 from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
 from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.gossip_message import (
@@ -15,6 +14,7 @@
 )
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.local_observations import LocalObservations
+from garnetlanding.peers.name_tag import name_tag
 from tests.support.clock import MS, T0
 from tests.support.decision_bench import make_settings, up_endpoint
 
@@ -48,7 +48,7 @@
     uptime: int = MAX_UPTIME,
     kind: EvidenceKind = EvidenceKind.UNREACHABLE,
 ) -> Evidence:
-    return Evidence(kind, tag(backend), uptime, 3, age_ms)
+    return Evidence(kind, name_tag(backend), uptime, 3, age_ms)
 
 
 class GossipingInstances:
