--- a/tests/ops/test_admin_connection.py
+++ b/tests/ops/test_admin_connection.py
@@ -16,9 +16,9 @@
 
 
 def connection(target: Any = None) -> tuple[AdminConnection, list[bytes]]:
-    world = SimulatedInstance()
+    instance = SimulatedInstance()
     written: list[bytes] = []
-    return AdminConnection(target, world.pool, world.limits, written.append), written
+    return AdminConnection(target, instance.pool, instance.limits, written.append), written
 
 
 @given(st.lists(st.integers(1, 9), max_size=8))
