--- a/tests/daemon/test_assembly.py
+++ b/tests/daemon/test_assembly.py
@@ -6,9 +6,7 @@
 
 import pytest
 
-from tests.support.daemon import NINEP, PLATFORM_SETTINGS, SimulatedDaemon
-
-SETTINGS = PLATFORM_SETTINGS | {"Limits": PLATFORM_SETTINGS["Limits"] | {"MayTell": True}}
+from tests.support.daemon import NINEP, SETTINGS_WITH_PEERS, SimulatedDaemon
 
 
 def names(subsystems: tuple[object, ...]) -> list[str]:
@@ -30,7 +28,7 @@
     }
     instance = SimulatedDaemon(
         operator,
-        settings=SETTINGS,
+        settings=SETTINGS_WITH_PEERS,
         ops="127.0.0.1:0",
         peer_listen="127.0.0.1:0",
         peers=["127.0.0.1:9", "127.0.0.1:9"],
@@ -59,7 +57,7 @@
 def test_received_disables_start_after_telemetry_without_an_admin_service() -> None:
     instance = SimulatedDaemon(
         {"fleet": {}, "telemetry": {"endpoint": "http://127.0.0.1:9"}},
-        settings=SETTINGS,
+        settings=SETTINGS_WITH_PEERS,
         peer_listen="127.0.0.1:0",
         peers=["127.0.0.1:9", "127.0.0.1:9"],
     )
--- a/tests/daemon/test_lazy_imports.py
+++ b/tests/daemon/test_lazy_imports.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.support.daemon import NINEP, PLATFORM_CONFIG, PLATFORM_SETTINGS
+from tests.support.daemon import NINEP, PLATFORM_CONFIG, SETTINGS_WITH_PEERS
 
 # Modules of optional subsystems, each by the package or module whose import shows that it is on.
 OPTIONAL = [
@@ -44,7 +44,6 @@
 print(json.dumps(imported))
 """
 
-SETTINGS_WITH_PEERS = PLATFORM_SETTINGS | {"Limits": PLATFORM_SETTINGS["Limits"] | {"MayTell": True}}
 PEERS = {
     "settings": SETTINGS_WITH_PEERS,
     "peer_listen": "127.0.0.1:0",
--- a/tests/ops/test_admin_state.py
+++ b/tests/ops/test_admin_state.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import fcntl
 import json
 import pathlib
 import zlib
@@ -100,6 +101,20 @@
     assert instance.core.endpoints.address_of("b0"), "only a change that is stored is confirmed"
 
 
+def test_change_is_made_under_the_lock_that_both_processes_take(tmp_path: pathlib.Path) -> None:
+    file = StateFile(str(tmp_path), "n1")
+    lock_path = tmp_path / "garnetlanding-n1-operators.json.lock"
+
+    def change(state: AdminState) -> AdminState:
+        with lock_path.open() as lock, pytest.raises(BlockingIOError):
+            fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        return state.disable("b0")
+
+    assert file.update(change).disabled == {"b0"}
+    with lock_path.open() as lock:
+        fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+
+
 def test_malformed_ops_address_is_named() -> None:
     with pytest.raises(config.ConfigError, match="key ops"):
         config.read(PLATFORM_CONFIG | {"ops": "nowhere"})
--- a/tests/support/daemon.py
+++ b/tests/support/daemon.py
@@ -45,6 +45,7 @@
     "Zones": ["a", "b"],
     "Off": None,
 }
+SETTINGS_WITH_PEERS = PLATFORM_SETTINGS | {"Limits": PLATFORM_SETTINGS["Limits"] | {"MayTell": True}}
 PLATFORM_CONFIG: dict[str, Any] = {
     "name": "n1",
     "listen": "127.0.0.1:0",
