--- a/garnetlanding/lab/settings_invariants.py
+++ b/garnetlanding/lab/settings_invariants.py
@@ -12,6 +12,7 @@
 from garnetlanding.audit.records import SETTINGS, Incarnation
 from garnetlanding.audit.segment import Segment
 from garnetlanding.audit.segment_reader import read_segments
+from garnetlanding.decision.interface import Outcome
 from garnetlanding.lab.history import Line, LineKind
 from garnetlanding.lab.invariant import Invariant, RecordedRun
 from garnetlanding.lab.limits import LIMITS, SECOND
@@ -42,6 +43,17 @@
     return SettingsVersion(line["epoch"], line["revision"])
 
 
+def _dispatched_at(line: Line) -> Iterator[int]:
+    """Yield when each attempt of an answered request was sent, without those that never were.
+
+    A fenced instance records an attempt that its decision module asks for, and ends it before anything is
+    sent.
+    """
+    for _, outcome, sent_us in line["attempts"]:
+        if outcome != Outcome.NEVER_DISPATCHED.value:
+            yield sent_us
+
+
 class SettingsReplicated(Invariant):
     """Every instance ends with the writer's settings, and a version is the same text everywhere."""
 
@@ -95,7 +107,7 @@
             if line["who"] == WRITER:
                 continue
             changes = applied[Incarnation(line["who"], line["life"])]
-            for _, _, sent_us in line["attempts"]:
+            for sent_us in _dispatched_at(line):
                 used = max((version for at_us, version in changes if at_us <= sent_us), default=_OWN_FILE)
                 age_us = sent_us - _superseded_us(made_us, used, sent_us)
                 run.report.settings_age_max_us = max(run.report.settings_age_max_us, age_us)
@@ -125,7 +137,7 @@
         for line in run.lines_of(LineKind.FENCING_CHANGED):
             changes[line["who"]].append((line["at"], line["out"]))
         for line in run.lines_of(LineKind.REQUEST_ENDED):
-            for _, _, sent_us in line["attempts"]:
+            for sent_us in _dispatched_at(line):
                 states = [is_fenced for at_us, is_fenced in changes[line["who"]] if at_us <= sent_us]
                 if states and states[-1]:
                     yield f"{line['id']} was sent by {line['who']}, which was out"
--- a/tests/core/test_fencing.py
+++ b/tests/core/test_fencing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from garnetlanding.core.fencing import Fence
-from garnetlanding.core.ports import Failed, Rejected, Served
+from garnetlanding.core.ports import AttemptSummary, Failed, Rejected, Served
 from garnetlanding.decision.interface import EndpointState, Outcome
 from tests.support.clock import MS, SECOND
 from tests.support.engine_instance import EngineInstance
@@ -62,3 +62,25 @@
     instance.core.fence.may_act = lambda _now: False
     instance.run(10 * MS)
     assert instance.answers == {"write": Failed("not current")}
+
+
+def test_a_retry_that_falls_due_while_fenced_is_recorded_and_never_dispatched() -> None:
+    outcomes: list[str] = []
+
+    class AttemptRecorder:
+        def request_ended(
+            self, _spec: object, _answer: object, _began: int, _ended: int, attempts: list[AttemptSummary]
+        ) -> None:
+            outcomes.extend(attempt.outcome for attempt in attempts)
+
+    instance = EngineInstance()
+    instance.core.observers.append(AttemptRecorder())
+    instance.submit("read", timeout_us=2 * SECOND)
+    instance.core.fence.may_act = lambda _now: False
+    instance.settle()
+    instance.finish_oldest(Outcome.RESET)
+    instance.run(300 * MS)
+    assert instance.answers == {"read": Rejected(SECOND)}
+    assert len(instance.transport.in_flight) == 0
+    assert outcomes[0] == Outcome.RESET.value
+    assert set(outcomes[1:]) == {Outcome.NEVER_DISPATCHED.value}
--- a/tests/lab/test_settings_invariants.py
+++ b/tests/lab/test_settings_invariants.py
@@ -6,6 +6,7 @@
 from dataclasses import replace
 from typing import Any
 
+from garnetlanding.decision.interface import Outcome
 from garnetlanding.lab import invariants
 from garnetlanding.lab.limits import SECOND
 from tests.support.lab import CALM
@@ -26,15 +27,15 @@
     }
 
 
-def sent(instance: str, at_us: int) -> dict[str, Any]:
-    """Return the line of a request whose one attempt an instance sent."""
+def sent(instance: str, at_us: int, outcome: Outcome = Outcome.SERVED) -> dict[str, Any]:
+    """Return the line of a request for which an instance recorded one attempt, with its outcome."""
     return {
         "t": at_us,
         "who": instance,
         "life": 1,
         "what": "answered",
         "id": "r",
-        "attempts": [[0, "b0", at_us]],
+        "attempts": [["b0", outcome.value, at_us]],
     }
 
 
@@ -55,6 +56,8 @@
     assert violations(followed, [], [*lines, sent("n1", 3 * SECOND)]) == (
         "current: a head sent on settings that were 2.00 s old"
     )
+    never_dispatched = sent("n1", 3 * SECOND, Outcome.NEVER_DISPATCHED)
+    assert violations(followed, [], [*lines, never_dispatched]) == ""
     updated = [*lines, settings("n1", 2, 2 * SECOND), sent("n1", 3 * SECOND)]
     assert violations(followed, [], updated) == ""
 
@@ -63,7 +66,14 @@
     fenced = {"t": 5, "at": 5, "who": "n1", "what": "current", "out": True}
     unfenced = fenced | {"t": 8, "at": 8, "out": False}
     assert violations(CALM, [], [fenced, unfenced, sent("n1", 9), sent("n1", 4), sent("n0", 6)]) == ""
-    assert violations(CALM, [], [fenced, unfenced, sent("n1", 6)]) == "out: r was sent by n1, which was out"
+    for outcome in set(Outcome) - {Outcome.NEVER_DISPATCHED}:
+        lines = [fenced, unfenced, sent("n1", 6, outcome)]
+        assert violations(CALM, [], lines) == "out: r was sent by n1, which was out"
+
+
+def test_attempt_that_a_fenced_instance_records_and_never_dispatches_is_no_violation() -> None:
+    fenced = {"t": 5, "at": 5, "who": "n1", "what": "current", "out": True}
+    assert violations(CALM, [], [fenced, sent("n1", 6, Outcome.NEVER_DISPATCHED)]) == ""
 
 
 def test_attempt_that_the_audit_does_not_know_is_a_violation(tmp_path: pathlib.Path) -> None:
