--- a/garnetlanding/peers/drop_reasons.py
+++ b/garnetlanding/peers/drop_reasons.py
@@ -1,4 +1,4 @@
-"""Why a message of a peer, or one entry of it, is dropped although it could be decoded.
+"""Why a datagram, a decoded message, or one entry of a message is dropped.
 
 Dropped messages are counted and logged by these values, which operators know: they never change.
 """
--- a/garnetlanding/peers/membership.py
+++ b/garnetlanding/peers/membership.py
@@ -3,7 +3,7 @@
 The group is discovered from a few seeds (docs/design/membership.md). An instance merges the records that it
 receives into its `MembershipTable`, and decides by that table, and by who has confirmed it, what it may use.
 
-The life of an instance, as it sees itself:
+The states of an instance, as it sees itself:
 
 =======  ==========================================  ==========  ==========================================
 state    condition                                   even quota  next state
@@ -199,7 +199,7 @@
     def quota_holders(self) -> set[int]:
         """The instances that limits are divided among: all that have not terminated.
 
-        An unresponsive one counts: it may merely be cut off, and still use its quota.
+        An unresponsive one counts: it may merely be partitioned, and still use its quota.
         """
         return {record.instance for record in self.table.running}
 
--- a/garnetlanding/peers/suspicions.py
+++ b/garnetlanding/peers/suspicions.py
@@ -1,6 +1,6 @@
 """Which backends are suspected on the claims of peers: evidence with an age, never a decision.
 
-A claim is what one peer says of one backend. Its life at the instance that received it:
+A claim is a peer's statement about a backend. Its states at the instance that received it:
 
 =========  ==========================================  ===================  ==================================
 state      condition                                   counts against the   next states
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -86,7 +86,7 @@
                 self.inbox[instance].append(api.Result(action.request, 0, "n0", api.Outcome.SERVED, MS, True))
 
 
-def test_module_sends_what_its_quota_share_allows_and_no_more() -> None:
+def test_module_sends_what_its_quota_allows_and_no_more() -> None:
     fleet = SimulatedFleet()
     fleet.run(4)
     assert volume(fleet.coordinators[0]).quota == pytest.approx(1.0)
@@ -98,13 +98,13 @@
     assert volume(fleet.coordinators[0]).limit.rate == pytest.approx(20)
     assert volume(fleet.coordinators[0]).limit.capacity == 30
     fleet.run(4, loaded=(0, 1))
-    shares = [volume(fleet.coordinators[instance]).quota for instance in (0, 1)]
-    assert sum(shares) <= 1 + 1e-9, "two with the same demand have a half each"
-    assert min(shares) > 0.4, "two with the same demand have a half each"
+    quotas = [volume(fleet.coordinators[instance]).quota for instance in (0, 1)]
+    assert sum(quotas) <= 1 + 1e-9, "two with the same demand have a half each"
+    assert min(quotas) > 0.4, "two with the same demand have a half each"
 
 
-def test_volume_with_an_uneven_share_is_not_forgotten() -> None:
-    """Were it, it would start again with an even share, although the rest has been granted to a peer."""
+def test_volume_with_an_uneven_quota_is_not_forgotten() -> None:
+    """Were it, it would start again with an even quota, although the rest has been granted to a peer."""
     fleet = SimulatedFleet()
     fleet.run(3, loaded=(0, 1))
     fleet.run(70)
@@ -124,7 +124,7 @@
         assert not [action for action in actions if isinstance(action, api.SendPeerMessage)]
 
 
-def test_another_number_of_instances_begins_anew_without_any_share() -> None:
+def test_another_number_of_instances_begins_anew_without_any_quota() -> None:
     """What was granted under the old numbering may still be in use."""
     fleet = SimulatedFleet()
     fleet.run(4)
@@ -383,7 +383,7 @@
     command = read_command("r2").replace(b"hosts=1", b"hosts=2")
     assert (
         client.say(command).startswith(b"-BUSY") or not instance.backend.received[1:]
-    ), "the predecessor has this instance's share"
+    ), "the predecessor has this instance's quota"
     coordinator = instance.daemon.assembly.peer_link.coordinator
     assert coordinator
     assert volume(coordinator).quota == 0.0
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: merged tables, joining, fencing, suspects, and the even quota shares that follow from them."""
+"""Membership: merged tables, joining, fencing, suspects, and the even quotas that follow from them."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 # Joining
 
 
-def test_instance_has_no_share_until_all_that_it_knows_have_its_record() -> None:
+def test_instance_has_no_quota_until_all_that_it_knows_have_its_record() -> None:
     first, second, newcomer = started_instance(0), started_instance(1), started_instance(2)
     exchange_records(first, second)
     first.record_contact(1, second.table.digest, LIMITS.bootstrap_us, sender_joined=False)
@@ -113,7 +113,7 @@
     assert member_rows(other, 0)[0].as_json()["part"] == 0.0
 
 
-def test_unresponsive_instance_is_suspect_and_keeps_its_share() -> None:
+def test_unresponsive_instance_is_suspect_and_keeps_its_quota() -> None:
     members = started_instance(0, seeds=1)
     members.merge([InstanceRecord(peer, 1, False, address_of(peer)) for peer in range(1, 9)])
     members.update_joined(LIMITS.bootstrap_us)
@@ -138,7 +138,7 @@
     assert schedule.round((), (1,)) == []
 
 
-# The sum of the even shares, simulated and explored
+# The sum of the even quotas, simulated and explored
 
 SCENARIOS = {
     "six instances": GroupScenario(),
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_even_shares_of_a_changing_group_never_exceed_the_whole(name: str) -> None:
+def test_even_quotas_of_a_changing_group_never_exceed_the_whole(name: str) -> None:
     for seed in range(15):
         result = GroupSimulation(replace(SCENARIOS[name], seed=seed)).run()
         assert (
@@ -191,7 +191,7 @@
 
 
 SEEDED_BUGS: dict[str, tuple[str, object]] = {
-    "a newcomer uses its share at once": ("update_joined", join_at_once),
+    "a newcomer uses its quota at once": ("update_joined", join_at_once),
     "one confirmation is enough": ("update_joined", join_after_one_confirmation),
     "newcomers form a group of their own": ("update_joined", join_without_a_sponsor),
     "only responsive instances count": ("quota_holders", property(responsive_instances)),
@@ -215,7 +215,7 @@
     raise AssertionError("no seed shows the bug")
 
 
-def test_no_course_of_a_small_group_makes_even_shares_exceed_the_whole() -> None:
+def test_no_course_of_a_small_group_makes_even_quotas_exceed_the_whole() -> None:
     found = explore(Scope(moves=6))
     assert found.is_complete
     assert found.states > 2000
@@ -224,7 +224,7 @@
     assert explore(Scope(seeds=1, moves=8)).max_quota_sum <= 1 + 1e-9
 
 
-@pytest.mark.parametrize("bug", ["a newcomer uses its share at once", "only responsive instances count"])
+@pytest.mark.parametrize("bug", ["a newcomer uses its quota at once", "only responsive instances count"])
 def test_seeded_bug_in_membership_is_found_by_exploration(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
     name, replacement = SEEDED_BUGS[bug]
     monkeypatch.setattr(Membership, name, replacement)
@@ -234,8 +234,8 @@
 # With the budgets that the group divides
 
 
-def test_suspended_instance_has_no_share_until_it_resumes() -> None:
-    """In a group that it has joined, the next message used to give it its share of the budgets back."""
+def test_suspended_instance_has_no_quota_until_it_resumes() -> None:
+    """In a group that it has joined, the next message used to restore its quota of the budgets."""
     protocol = MembershipProtocol(LIMITS, started_instance(0, seeds=1))
     coordinator = PeerCoordinator(
         Controller(SHARED_BUDGET_SETTINGS, 1),
