--- a/garnetlanding/lab/instances.py
+++ b/garnetlanding/lab/instances.py
@@ -11,7 +11,7 @@
 from garnetlanding.lab.datagram_proxy import DatagramProxy
 from garnetlanding.lab.environment import LabEnvironment
 from garnetlanding.lab.experiment import Experiment
-from garnetlanding.lab.faults import LATE_STARTS, LinkKind, ProcessEnd
+from garnetlanding.lab.faults import LATE_STARTS, Fault, FaultKind, LinkKind, ProcessEnd
 from garnetlanding.lab.instance_config import (
     InstanceAddresses,
     OperatorOptions,
@@ -28,6 +28,9 @@
 _FIRST_HOST = 10
 """The last octet of the first instance's address."""
 
+_STARTS = LATE_STARTS | {FaultKind.KILL, FaultKind.TERMINATE}
+"""Faults at whose start or end an instance's process is started."""
+
 _END_SIGNALS = {
     ProcessEnd.KILL: signal.SIGKILL,
     ProcessEnd.STOP: signal.SIGSTOP,
@@ -84,6 +87,11 @@
     new.replace(path)
 
 
+def _successor_name(instance: int) -> str:
+    """Return the name of the files of an upgrade's second process."""
+    return f"n{instance}-newer"
+
+
 class InstanceProcesses:
     """The processes of all instances. A context manager, which ends every one of them, whatever happened."""
 
@@ -103,6 +111,7 @@
         self._surroundings = surroundings
         self._current: list[Process] = []  # by instance
         self._successors: dict[int, Process] = {}  # of upgrades that are under way, by instance
+        self._prepared_successors: dict[int, Process] = {}  # of upgrades to come, by instance
         self._predecessors: list[Process] = []  # whose instances go on in their successors
         self._discovery_addresses: dict[int, str] = {}
         self._store_addresses: dict[int, str] = {}
@@ -114,9 +123,26 @@
         for instance in range(self._experiment.instances):
             name = self._write_files(instance, self._discovery_address(instance))
             self._current.append(self._launch(name, start_now=instance not in self.late))
+        for fault in self._experiment.faults:
+            if fault.instance is not None:
+                self._prepare(fault, fault.instance)
         pids = [process.pid for process in self._current]
         (self._folder / "pids.json").write_text(json.dumps(pids))
 
+    def _prepare(self, fault: Fault, instance: int) -> None:
+        """Prepare the start of the process that a fault starts: an experiment's times are no machine's."""
+        if fault.kind is FaultKind.UPGRADE:
+            successor = self._launch(_successor_name(instance), start_now=False)
+            successor.prepare_start()
+            self._prepared_successors[instance] = successor
+        elif fault.kind in _STARTS:
+            self._current[instance].prepare_start()
+
+    @property
+    def are_prepared(self) -> bool:
+        """Return whether every start that the experiment's faults ask for may come."""
+        return all(process.is_prepared for process in [*self._current, *self._prepared_successors.values()])
+
     def process(self, instance: int) -> Process:
         """Return an instance's process; of the two of an upgrade the one that goes on."""
         return self._current[instance]
@@ -148,7 +174,9 @@
     def start_successor(self, instance: int) -> None:
         """Start the second process of an upgrade."""
         name = self._write_files(instance, self._discovery_address(instance), is_successor=True)
-        self._successors[instance] = self._launch(name)
+        successor = self._prepared_successors.pop(instance, None) or self._launch(name, start_now=False)
+        successor.start()
+        self._successors[instance] = successor
 
     def end_predecessor(self, instance: int, how: ProcessEnd) -> None:
         """Tell the first process of an upgrade to end; from now on the instance is the second."""
@@ -164,7 +192,7 @@
 
     def _write_files(self, instance: int, discovery: str, is_successor: bool = False) -> str:
         """Write an instance's files; return the name that they have in common."""
-        name = f"n{instance}-newer" if is_successor else f"n{instance}"
+        name = _successor_name(instance) if is_successor else f"n{instance}"
         addresses = self._addresses
         configuration = platform_configuration(
             self._experiment,
@@ -232,7 +260,14 @@
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        processes = [*self._predecessors, *self._current, *self._successors.values()]
+        processes = [
+            *self._predecessors,
+            *self._current,
+            *self._successors.values(),
+            *self._prepared_successors.values(),
+        ]
+        for process in processes:
+            process.discard_prepared()
         for process in processes:
             process.send_signal(signal.SIGCONT)  # one that is stopped has to go on to end
         for process in processes:
--- a/garnetlanding/lab/limits.py
+++ b/garnetlanding/lab/limits.py
@@ -19,7 +19,7 @@
     supervise_us: int = 2 * SECOND  # after which a predecessor that is stopped is killed
     call_s: int = 2  # that an operator's call may take
     datagram_bytes: int = 2048  # read of one at most; a longer one goes on cut short
-    ready_s: int = 30  # for all instances to become ready
+    ready_s: int = 60  # for all instances to become ready, and for later ones to be loaded
     settle_us: int = 1500 * MS  # from there to the first request: peers have received from each other
     clients_end_s: int = 10  # after the last request's time, for the clients to end
     end_s: float = 5.0  # for an instance after SIGTERM, before SIGKILL
--- a/garnetlanding/lab/processes.py
+++ b/garnetlanding/lab/processes.py
@@ -6,10 +6,12 @@
 import os
 import pathlib
 import signal
+import socket
 import subprocess
 import sys
 from dataclasses import dataclass
 
+from garnetlanding.lab import standby
 from garnetlanding.lab.limits import LIMITS
 
 SOURCE_ROOT = pathlib.Path(__file__).parent.parent.parent
@@ -34,6 +36,38 @@
         return {"cpu_s": self.cpu_s, "memory_mb": self.memory_mb}
 
 
+class Standby:
+    """A process that loads its program and waits until it is told to run it."""
+
+    def __init__(self, child: subprocess.Popen[bytes], control: socket.socket) -> None:
+        """`control` is connected to the standard input of the child."""
+        self._child = child
+        self._control = control
+        control.setblocking(False)
+        self._is_loaded = False
+
+    @property
+    def is_loaded(self) -> bool:
+        """Return whether it waits for its start; one that has failed counts, as its start will show that."""
+        if not self._is_loaded:
+            with contextlib.suppress(BlockingIOError):
+                self._control.recv(len(standby.LOADED))
+                self._is_loaded = True
+        return self._is_loaded
+
+    def run(self) -> subprocess.Popen[bytes]:
+        """Have it run its program, once it is loaded; return the process."""
+        with self._control, contextlib.suppress(OSError):  # of one that has failed
+            self._control.sendall(standby.START)
+        return self._child
+
+    def discard(self) -> None:
+        """End it without having run its program."""
+        self._control.close()
+        self._child.kill()
+        self._child.wait()
+
+
 class Process:
     """One process that can be started again; its output is appended to its log file."""
 
@@ -42,22 +76,46 @@
         self._arguments = arguments
         self._log = log
         self._child: subprocess.Popen[bytes] | None = None
+        self._standbys: list[Standby] = []
         if start_now:
             self.start()
 
+    def prepare_start(self) -> None:
+        """Load the program for one later start, which then takes no time even on a busy machine."""
+        control, theirs = socket.socketpair()
+        with theirs:
+            child = self._spawn(["garnetlanding.lab.standby", *self._arguments], theirs.fileno())
+        self._standbys.append(Standby(child, control))
+
+    @property
+    def is_prepared(self) -> bool:
+        """Return whether every start that was prepared may come."""
+        return all(waiting.is_loaded for waiting in self._standbys)
+
+    def discard_prepared(self) -> None:
+        """End what was prepared for starts that did not come."""
+        while self._standbys:
+            self._standbys.pop().discard()
+
     def start(self) -> None:
         """Start the process; one that still runs is killed first."""
         self.kill()
+        if self._standbys:
+            self._child = self._standbys.pop(0).run()
+        else:
+            self._child = self._spawn(self._arguments, subprocess.DEVNULL)
+
+    def _spawn(self, arguments: list[str], stdin: int) -> subprocess.Popen[bytes]:
         # Only what the program itself needs: an address in the environment would override the file's.
         environment = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
         environment["PYTHONPATH"] = str(SOURCE_ROOT)
         environment["TMPDIR"] = str(self._log.parent / TEMPORARY_FOLDER)
         with open(self._log, "ab") as log:
-            self._child = subprocess.Popen(
-                [sys.executable, "-m", *self._arguments],
+            return subprocess.Popen(
+                [sys.executable, "-m", *arguments],
                 stdout=log,
                 stderr=log,
-                stdin=subprocess.DEVNULL,
+                stdin=stdin,
                 env=environment,
             )
 
--- a/garnetlanding/lab/run.py
+++ b/garnetlanding/lab/run.py
@@ -140,11 +140,14 @@
     def run(self, requests: list[Request], progress: Progress) -> int:
         """Run the experiment to its end; return when the clients began."""
         self._instances.start()
+        clients = self._prepare_clients()
         self._wait_until_ready()
+        self._wait_until_prepared(clients)
         began_us = self._scheduler.now + LIMITS.settle_us
         self._clock.began_us = began_us
         self._schedule_faults(began_us)
-        clients = self._start_clients(requests, began_us)
+        self._write_plan(requests, began_us)
+        clients.start()
         self._wait_for(clients, began_us, progress)
         for backend in self._environment.backends:
             self._history.note(
@@ -188,6 +191,18 @@
                 text = f"{name} is not ready after {LIMITS.ready_s} s: see {name}.log"
                 raise ProcessFailedError(text, name)
 
+    def _wait_until_prepared(self, clients: Process) -> None:
+        """Run until every process that is started later has loaded its program.
+
+        Otherwise the experiment's time would go on while a busy machine loads it.
+        """
+        deadline_us = self._scheduler.now + LIMITS.ready_s * SECOND
+        while not (clients.is_prepared and self._instances.are_prepared):
+            self._scheduler.run_iteration(LIMITS.turn_ms)
+            if self._scheduler.now > deadline_us:
+                text = f"the processes to be started later are not loaded after {LIMITS.ready_s} s"
+                raise ProcessFailedError(text, "standby")
+
     def _ping_until_answered(self, instance: int, waiting: set[int], deadline_us: int) -> None:
         while instance in waiting and self._scheduler.now < deadline_us:
             try:
@@ -208,7 +223,24 @@
             finally:
                 stream.close()
 
-    def _start_clients(self, requests: list[Request], began_us: int) -> Process:
+    @property
+    def _plan_path(self) -> pathlib.Path:
+        return self._folder / "plan.json"
+
+    def _prepare_clients(self) -> Process:
+        """Return the clients' process, which is loaded and yet to be started."""
+        clients = Process(
+            ["garnetlanding.lab.clients", str(self._plan_path), str(self._folder / "clients.history")],
+            self._folder / "clients.log",
+            start_now=False,
+        )
+        self._resources.callback(clients.kill)
+        self._resources.callback(clients.discard_prepared)
+        clients.prepare_start()
+        return clients
+
+    def _write_plan(self, requests: list[Request], began_us: int) -> None:
+        """Write what the clients are to do."""
         addresses = [
             self._streams.open_link(StreamLink(LinkKind.CLIENT, instance), self._addresses.listen(instance))
             for instance in range(self._experiment.instances)
@@ -218,14 +250,7 @@
             "begins": began_us,
             "requests": [encode_request(request) for request in requests],
         }
-        plan_path = self._folder / "plan.json"
-        plan_path.write_text(json.dumps(plan))
-        clients = Process(
-            ["garnetlanding.lab.clients", str(plan_path), str(self._folder / "clients.history")],
-            self._folder / "clients.log",
-        )
-        self._resources.callback(clients.kill)
-        return clients
+        self._plan_path.write_text(json.dumps(plan))
 
     def _wait_for(self, clients: Process, began_us: int, progress: Progress) -> None:
         experiment = self._experiment
