--- a/garnetlanding/decision/admission.py
+++ b/garnetlanding/decision/admission.py
@@ -29,7 +29,7 @@
         self._take_from_reserve(request)
         self._schedule_deadlines(request)
         if self._limit_makes_late(request):
-            self.end(request)
+            self.reject_or_fail(request)
         elif request.traffic_class.in_order and arrival.key:
             ordered_keys = state.requests.ordered_keys
             ordered_keys.setdefault(arrival.key, OrderedKeyQueue()).waiting.append(request)
@@ -48,7 +48,7 @@
 
     def _schedule_deadlines(self, request: Request) -> None:
         state = self._state
-        state.timers.schedule(request.answer_by, self.end, request)
+        state.timers.schedule(request.answer_by, self.reject_or_fail, request)
         time_left_us = request.arrival.deadline_us - state.now
         undelivered_until = state.now + int(tuning.UNSENT_DEADLINE_FRACTION * time_left_us)
         state.timers.schedule(undelivered_until, self._end_undelivered, request)
@@ -78,7 +78,7 @@
         queue.enqueue(request)
         state.cells.mark_pending(queue)
 
-    def end(self, request: Request) -> None:
+    def reject_or_fail(self, request: Request) -> None:
         """Reject or fail a request, unless an attempt in flight may still answer it in time."""
         state = self._state
         if request.answered or (request.in_flight() and state.now < request.answer_by):
@@ -95,7 +95,7 @@
     def _end_undelivered(self, request: Request) -> None:
         """End a request that no backend has received while its client still has time to retry."""
         if not request.in_flight() and not request.may_have_been_delivered():
-            self.end(request)
+            self.reject_or_fail(request)
 
     def finish(self, request: Request) -> None:
         """Mark a request as answered, cancel its attempts, and return the reserve it did not use."""
--- a/garnetlanding/decision/dispatch.py
+++ b/garnetlanding/decision/dispatch.py
@@ -38,13 +38,13 @@
             if may_attempt(self._state, request, health):
                 self._send(request, queue, health)
             else:
-                self._admission.end(request)
+                self._admission.reject_or_fail(request)
 
     def _end_if_disabled(self, queue: CellQueue) -> None:
         """End all requests of a cell whose backend an operator has disabled: nobody knows for how long."""
         if queue.queued and queue.cell in self._state.cells.disabled:
             for request in queue.requests():
-                self._admission.end(request)
+                self._admission.reject_or_fail(request)
 
     def _next(self, queue: CellQueue, health: BackendHealth) -> Request | None:
         """Return the request with the lowest start tag among the first eligible ones of all flows."""
--- a/garnetlanding/decision/load_shedding.py
+++ b/garnetlanding/decision/load_shedding.py
@@ -92,4 +92,4 @@
             victim = _pop_victim(candidates)
             if victim is not request:
                 units_ahead -= victim.units
-            admission.end(victim)
+            admission.reject_or_fail(victim)
--- a/garnetlanding/decision/retries.py
+++ b/garnetlanding/decision/retries.py
@@ -50,7 +50,7 @@
         retry_at = state.now + retry_pause(request.traffic_class.latency_objective_us, attempts, state.rng)
         late = retry_at + request.attempts[-1].health.latency_us > request.answer_by
         if late or attempts >= state.settings.max_attempts:
-            self._admission.end(request)
+            self._admission.reject_or_fail(request)
         else:
             state.timers.schedule(retry_at, self._admission.enqueue, request)
 
