--- a/garnetlanding/core/engine.py
+++ b/garnetlanding/core/engine.py
@@ -198,7 +198,7 @@
             case api.Send():
                 self._dispatcher.send(action)
             case api.Reject():
-                self._requests.answer(action.request, Rejected(action.retry_after_us or 0))
+                self._requests.answer(action.request, Rejected(action.retry_after_us))
             case api.Fail():
                 self._requests.answer(action.request, Failed("gave up"))
             case api.Cancel():
--- a/garnetlanding/core/ports.py
+++ b/garnetlanding/core/ports.py
@@ -64,9 +64,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The request was rejected: the client may safely retry it, after `retry_after_us` (0: at once)."""
+    """The request was rejected: the client may safely retry it, after `retry_after_us` (None: at once)."""
 
-    retry_after_us: int = 0
+    retry_after_us: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/garnetlanding/emulator/base.py
+++ b/garnetlanding/emulator/base.py
@@ -15,7 +15,7 @@
 class EmulatedConnection:
     """One connection of an emulated server; a subclass says what to do with bytes.
 
-    The attributes besides `server` and `write` are what the runtime's listener asks of a machine.
+    The attributes besides `server` and `write` are those of the runtime's `ClientProtocol`.
     """
 
     def __init__(self, server: EmulatedServer, write: Write) -> None:
--- a/garnetlanding/ninep/outcome.py
+++ b/garnetlanding/ninep/outcome.py
@@ -45,7 +45,7 @@
         return rejection.problem
 
 
-def _busy(retry_after_us: int) -> Problem:
+def _busy(retry_after_us: int | None) -> Problem:
     if not retry_after_us:
         return Problem(errors.EAGAIN, "busy")
     retry_after_ms = -(-retry_after_us // MS)  # rounded up: never sooner than asked for
--- a/garnetlanding/runtime/connection_capacity.py
+++ b/garnetlanding/runtime/connection_capacity.py
@@ -35,7 +35,7 @@
 
     At most `max_connections` may be open. `reserved` of them are always available, more only with the consent
     of `owner`, where one is set. During an upgrade this process keeps to the fraction `quota` of both
-    numbers, and the other process of the instance has the rest. `open_count` is the number of those open.
+    numbers, and the other process of the instance has the rest. The pool keeps `open_count`.
     """
 
     def __init__(self, max_connections: int, reserved: int) -> None:
--- a/garnetlanding/runtime/connection_pool.py
+++ b/garnetlanding/runtime/connection_pool.py
@@ -25,11 +25,12 @@
 
     def count(self, key: ConnectionKey) -> int:
         """Return the number of open connections of a key."""
-        return len(self._open.setdefault(key, set()))
+        return len(self._open.get(key, ()))
 
     def add(self, connection: BackendConnection) -> None:
         """Add a new connection, which is busy."""
-        self._open[connection.key].add(connection)
+        self.capacity.open_count += 1
+        self._open.setdefault(connection.key, set()).add(connection)
         self._report_open(connection)
 
     def remove(self, connection: BackendConnection) -> None:
@@ -47,13 +48,13 @@
     # Reuse
 
     def take_idle(self, key: ConnectionKey, attempt: AttemptHandle) -> BackendConnection | None:
-        """Remove an idle connection from the pool's idle ones and return it; `None` if there is none.
+        """Take an idle connection for an attempt, which makes it busy; return `None` if there is none.
 
         Idle connections that turn out to be unusable are closed.
         """
         idle = self._idle.get(key)
         while idle:
-            # The one used last, unless another is preferred: so the rest stay idle and are closed in time.
+            # The one used last, unless another is preferred: the others stay idle, and are closed in time.
             preferred = (free for free in reversed(idle) if free.protocol.can_carry(attempt))
             connection = next(preferred, idle[-1])
             if connection.has_no_unread_data():
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -93,7 +93,6 @@
         return None
 
     def _connect(self, key: ConnectionKey, attempt: AttemptHandle) -> None:
-        self.capacity.open_count += 1
         connection = BackendConnection(self, key, attempt)
         self._busy[attempt] = connection
         self.connections.add(connection)
