--- a/garnetlanding/decision/concurrency.py
+++ b/garnetlanding/decision/concurrency.py
@@ -10,8 +10,8 @@
     """Return how many attempts may be in flight at a backend, at least one.
 
     By Little's law, the limit is what the backend completes within the tightest latency objective, within the
-    design's bounds. Slow responses lower it, by `BackendHealth.concurrency_factor`, below the floor (a departure from the
-    design), and a suspected backend gets one attempt at a time.
+    design's bounds. Slow responses lower it below the floor (a departure from the design), by
+    `BackendHealth.concurrency_factor`, and a suspected backend gets one attempt at a time.
     """
     completions = health.served.total(state.now - tuning.COMPLETION_WINDOW)
     by_completions = completions / tuning.COMPLETION_WINDOW * state.parameters.tightest_objective_us
