--- a/garnetlanding/core/ports.py
+++ b/garnetlanding/core/ports.py
@@ -30,7 +30,7 @@
     is_retry: bool = False  # the client has sent it before
     is_write: bool = False
     held_bytes: int = 0  # memory in use until the final answer
-    allow_hedging: bool = True  # whether a hedged request may run beside the first, where settings allow it
+    allow_hedging: bool = True  # whether attempts may run in parallel if the settings allow it
 
 
 class CoreError(ValueError):
--- a/tests/choices/test_subsets.py
+++ b/tests/choices/test_subsets.py
@@ -83,11 +83,11 @@
 @given(FLEETS, ZONES, st.sets(st.integers(0, 60), max_size=2))
 @settings(max_examples=60)
 def test_instances_with_different_lists_keep_each_backends_load_bounded(
-    instances: set[int], backends: dict[str, str], gone: set[int]
+    instances: set[int], backends: dict[str, str], terminated: set[int]
 ) -> None:
     """Half of them know fewer backends: each half loads a backend up to its own quota."""
-    k, less = 3, {s: z for s, z in backends.items() if int(s[1:]) not in gone}
-    old, new = subsets(instances, backends, k), subsets(instances, less, k)
+    k, fewer = 3, {s: z for s, z in backends.items() if int(s[1:]) not in terminated}
+    old, new = subsets(instances, backends, k), subsets(instances, fewer, k)
     mixed = {instance: (old if instance % 2 else new)[instance] for instance in instances}
     loads = Counter(backend for some in mixed.values() for backend in some)
     for backend in backends:
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize(
-    "say",
+    "data",
     [
         pytest.param(b"0\r\n\r\n", id="last-chunk"),
         pytest.param(b"2\r\n{\n\r\n", id="not-json"),
@@ -98,9 +98,9 @@
         pytest.param(b"3\r\n{}\n\r\n", id="no-instances"),
     ],
 )
-def test_a_watch_that_ends_or_is_malformed_fails_once(say: bytes) -> None:
+def test_a_watch_that_ends_or_is_malformed_fails_once(data: bytes) -> None:
     instance = WatchedDiscovery()
-    instance.discovery.connections[0].write(say)
+    instance.discovery.connections[0].write(data)
     instance.settle()
     assert instance.received == ["b0:up", "failed"]
     assert not instance.discovery.connections
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -166,8 +166,9 @@
 def test_follower_machine_raises_on_a_stream_that_breaks_the_protocol(lines: bytes, reason: str) -> None:
     machine = FollowerMachine(Store("w", writable=False, log_entries=4), SimulatedInstance().limits)
     assert json.loads(machine.follow_request(with_snapshot=True)) == {"follow": [0, -1]}
-    with pytest.raises(ReplicationProtocolError, match=reason):
+    with pytest.raises(ReplicationProtocolError, match=reason) as error:
         machine.feed(lines)
+    assert error.value.violation.value == reason
 
 
 def test_writer_closes_a_connection_that_does_not_start_with_a_follow_request() -> None:
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -79,3 +79,16 @@
     assert unreadable.value.file == str(path)
     assert isinstance(unreadable.value.__cause__, ValueError)
     assert all(isinstance(found.value, StoreError) for found in (gap, stale, not_writer, unreadable))
+
+
+def test_an_observer_that_removes_itself_hides_no_change_from_the_next() -> None:
+    store = Store("w", writable=True, log_entries=5)
+    notified: list[Entry | None] = []
+
+    def remove_itself(_entry: Entry | None) -> None:
+        store.observers.remove(remove_itself)
+
+    store.observers += [remove_itself, notified.append]
+    store.put("a", 1)
+    assert notified == [Entry(1, "a", 1)]
+    assert store.observers == [notified.append]
