--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -206,3 +206,19 @@
     daemon.store.put(SETTINGS_KEY, PLATFORM_SETTINGS)
     daemon.core.run_iteration()
     assert "read/once" in daemon.core.settings.classes, "also after a reload"
+
+
+def test_environment_variables_override_keys_of_the_file() -> None:
+    env = {"RELAY_DISCOVERY": "10.0.0.9:1", "RELAY_NAME": "", "UNRELATED": "x"}
+    c = config.read(PLATFORM_CONFIG, env=env)
+    assert c.discovery == "10.0.0.9:1"
+    assert c.file_discovery == PLATFORM_CONFIG["discovery"], "a reload compares the file's own address"
+    assert c.name == PLATFORM_CONFIG["name"], "an empty variable overrides nothing"
+
+
+def test_the_path_of_the_file_comes_from_the_environment_if_none_is_given() -> None:
+    path = str(ROOT / "example/config.json")
+    assert config.load(None, env={"RELAY_CONFIG": path}) == config.load(path, env={})
+    with pytest.raises(config.ConfigError) as missing:
+        config.load(None, env={})
+    assert missing.value.key == "RELAY_CONFIG"
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -309,3 +309,11 @@
         pauses.append(bench.now - began)
     assert missed_updates_for_us + max(pauses) <= 4400 * MS, "the rest of the 6 s is left to the response"
     assert max(pauses) > 3 * min(pauses), "the calls of many instances are spread"
+
+
+def test_another_discovery_is_asked_for_its_complete_list() -> None:
+    instance = WatchedDiscovery()
+    other = instance.server(Discovery)
+    instance.watch.switch_to(other.address)
+    instance.settle()
+    assert other.calls == ["/v1/servers?follow=1&since=0"], "versions of the old one mean nothing to it"
--- a/tests/store/test_persister.py
+++ b/tests/store/test_persister.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from garnetlanding.store import persister
 from garnetlanding.store.errors import StoreFileError
 from garnetlanding.store.persister import StorePersister, load_snapshot, save_snapshot
 from garnetlanding.store.store import Snapshot, Store
@@ -42,3 +43,21 @@
     world.run(100 * MS)
     assert load_snapshot(path) == Snapshot(0, 1, {"a": 1})
     assert "store not saved" in caplog.text
+
+
+def test_changes_within_the_delay_are_saved_together(
+    tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    instance = SimulatedInstance()
+    store = Store("w", writable=True, log_entries=5)
+    saved: list[Snapshot] = []
+    monkeypatch.setattr(persister, "save_snapshot", lambda _path, snapshot: saved.append(snapshot))
+    StorePersister(instance.scheduler, store, str(tmp_path / "store.json"), 100 * MS)
+    store.put("a", 1)
+    instance.run(50 * MS)
+    store.put("b", 2)
+    instance.run(100 * MS)
+    assert saved == [Snapshot(0, 2, {"a": 1, "b": 2})]
+    store.put("c", 3)
+    instance.run(100 * MS)
+    assert len(saved) == 2
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -193,3 +193,45 @@
 )
 def test_disconnect_reason_is_written_out_for_operators(problem: Exception, text: str) -> None:
     assert describe_disconnect(problem) == text
+
+
+def test_equal_revisions_of_different_epochs_are_a_gap() -> None:
+    machine = FollowerMachine(Store("w", writable=False, log_entries=4), SimulatedInstance().limits)
+    with pytest.raises(LogGapError, match="the writer is at 0, this store at 0") as gap:
+        machine.feed(b'{"writer": ["w", 1]}\n{"at": 0}\n')
+    assert (gap.value.epoch, gap.value.revision) == (1, 0)
+
+
+def connection_attempts(
+    problem: Exception, stagger: float, monkeypatch: pytest.MonkeyPatch
+) -> list[tuple[int, bool]]:
+    """Return when a follower connected, in percent of the retry time, and whether it wanted a snapshot."""
+    instance = SimulatedInstance()
+    started_at, retry_us = instance.time, instance.limits.store_retry_us
+    attempts: list[tuple[int, bool]] = []
+
+    def follow_once(_follower: Follower, *, with_snapshot: bool) -> Exception:
+        attempts.append(((instance.time - started_at) * 100 // retry_us, with_snapshot))
+        return problem
+
+    monkeypatch.setattr(Follower, "_follow_once", follow_once)
+    store = Store("w", writable=False, log_entries=4)
+    options = FollowerOptions("127.0.0.1:9", stagger)
+    Follower(instance.scheduler, instance.pool, instance.limits, store, options)
+    instance.run(3 * retry_us)
+    return attempts
+
+
+def test_after_a_gap_a_snapshot_is_requested_at_once_and_again_only_after_a_pause(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    attempts = connection_attempts(LogGapError("gap", 1, 1), 0.5, monkeypatch)
+    assert attempts[:4] == [(0, False), (0, True), (100, True), (200, True)]
+
+
+@pytest.mark.parametrize(("stagger", "pause"), [(0.0, 50), (0.5, 100), (0.9, 140)])
+def test_the_pause_before_a_reconnect_depends_on_the_followers_slot(
+    stagger: float, pause: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    attempts = connection_attempts(OSError("refused"), stagger, monkeypatch)
+    assert attempts[:3] == [(0, False), (pause, False), (2 * pause, False)]
--- a/tests/store/test_staleness_guard.py
+++ b/tests/store/test_staleness_guard.py
@@ -83,3 +83,28 @@
 @pytest.mark.parametrize("broken_guard", [ValidFromReceipt, AnyReplyForTheLastQuery, NeverStale])
 def test_broken_guard_exceeds_the_bound(broken_guard: type[StalenessGuard]) -> None:
     assert any(max_acted_staleness(seed, broken_guard) >= 1.0 for seed in range(60))
+
+
+def test_a_reply_is_valid_from_its_query_on_and_for_less_than_the_bound_by_the_drift() -> None:
+    guard = StalenessGuard(SECOND, DRIFT, now=0)
+    assert not guard.is_current(0), "a follower is stale until the first reply"
+    guard.reply_received(guard.next_query(100))
+    assert guard.current_until == 100 + int(SECOND / (1 + DRIFT))
+    assert guard.is_current(guard.current_until - 1)
+    assert not guard.is_current(guard.current_until)
+
+
+def test_a_late_reply_to_an_older_query_does_not_shorten_the_validity() -> None:
+    guard = StalenessGuard(SECOND, DRIFT, now=0)
+    older, newer = guard.next_query(0), guard.next_query(SECOND // 4)
+    guard.reply_received(newer)
+    current_until = guard.current_until
+    guard.reply_received(older)
+    assert guard.current_until == current_until
+
+
+def test_queries_that_can_prove_nothing_any_more_are_forgotten() -> None:
+    guard = StalenessGuard(SECOND, DRIFT, now=0)
+    for number in range(1000):
+        guard.next_query(number * guard.query_interval_us)
+    assert len(guard._sent_at) <= 4
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -16,7 +16,7 @@
     WriterRejectedError,
 )
 from garnetlanding.store.persister import load_snapshot
-from garnetlanding.store.store import Entry, Store
+from garnetlanding.store.store import Entry, Snapshot, Store
 
 KEYS = st.sampled_from(["a", "b", "c"])
 VALUES = st.one_of(st.none(), st.integers(0, 3))
@@ -92,3 +92,11 @@
     store.put("a", 1)
     assert notified == [Entry(1, "a", 1)]
     assert store.observers == [notified.append]
+
+
+def test_a_restored_store_offers_no_entries_from_before_the_snapshot() -> None:
+    store = Store("w", writable=True, log_entries=5)
+    store.put("a", 1)
+    store.restore(Snapshot(3, 10, {"a": 2}))
+    assert store.entries_since(0) is None
+    assert store.entries_since(10) == []
