--- a/tests/discovery/test_watch_parser.py
+++ b/tests/discovery/test_watch_parser.py
@@ -8,6 +8,7 @@
 import pytest
 
 from garnetlanding.discovery.listing import (
+    DiscoveryError,
     FieldValueError,
     ListDefect,
     ListFormatError,
@@ -15,7 +16,6 @@
     read_list,
 )
 from garnetlanding.discovery.watch_parser import (
-    DiscoveryError,
     WatchDisconnectedError,
     WatchEndedError,
     WatchParser,
