--- a/tests/test_on_call_page.py
+++ b/tests/test_on_call_page.py
@@ -145,7 +145,7 @@
 
 @pytest.mark.parametrize(
     "page",
-    ["README.md", *(str(path.relative_to(ROOT)) for path in (ROOT / "docs" / "operators").glob("*.md"))],
+    ["README.md", *(str(path.relative_to(ROOT)) for path in sorted((ROOT / "docs").rglob("*.md")))],
 )
 def test_every_log_message_that_a_page_quotes_exists(page: str) -> None:
     assert not unknown_quotes((ROOT / page).read_text(), instance_messages())
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -10,14 +10,23 @@
 import pytest
 
 from garnetlanding.cli import commands
-from tests.support.source_modules import ROOT
+from garnetlanding.limits import Limits
+from tests.support.source_modules import PACKAGE, ROOT
 
 PAGES = [ROOT / "README.md", *sorted((ROOT / "docs").rglob("*.md"))]
+OPERATORS_PAGES = [ROOT / "README.md", *sorted((ROOT / "docs" / "operators").glob("*.md"))]
+HISTORY = ROOT / "docs" / "ROADMAP.md"  # names what there was at the time
 LINK = re.compile(r"\]\(([^)#\s]*)(?:#([^)\s]+))?\)")
 CODE = re.compile(r"^ {4}(.+)$|`([^`\n]+)`", re.MULTILINE)
 COMMAND = re.compile(r"\bgarnetlanding ((?:[a-z0-9][a-z0-9-]*\b ?)+)([^|#&]*)")
 
-every_page = pytest.mark.parametrize("page", PAGES, ids=lambda page: str(page.relative_to(ROOT)))
+MODULE = re.compile(r"`([a-z0-9_]+(?:/[a-z0-9_]+)*\.py)`")
+LIMIT = re.compile(r"`([a-z0-9_]+_(?:us|conns|sockets|bytes|clients|connections|requests|per_backend))`")
+
+
+def each(pages: list[Path]) -> pytest.MarkDecorator:
+    """Run a test once for each of the pages."""
+    return pytest.mark.parametrize("page", pages, ids=lambda page: str(page.relative_to(ROOT)))
 
 
 def anchors(page: Path) -> set[str]:
@@ -62,17 +71,32 @@
     return f"{' '.join(words)}: no option {sorted(unknown)}" if unknown else None
 
 
-@every_page
+@each(PAGES)
 def test_every_link_leads_to_a_file_and_a_heading(page: Path) -> None:
     assert not broken_links(page)
 
 
-@every_page
+@each(PAGES)
 def test_every_command_that_a_page_shows_exists_with_its_options(page: Path) -> None:
     faults = [fault_of(words, options) for words, options in commands_in(page.read_text())]
     assert not [fault for fault in faults if fault]
 
 
+@each([page for page in PAGES if page != HISTORY])
+def test_every_module_that_a_page_names_exists(page: Path) -> None:
+    named = set(MODULE.findall(page.read_text()))
+    assert not [
+        name for name in named if not (ROOT / PACKAGE / name).is_file() and not (ROOT / name).is_file()
+    ]
+
+
+@each(OPERATORS_PAGES)
+def test_every_limit_that_an_operators_page_names_exists(page: Path) -> None:
+    keys = (ROOT / "deploy" / "operator.toml").read_text()
+    named = set(LIMIT.findall(page.read_text()))
+    assert not [name for name in named if name not in Limits.__dataclass_fields__ and name not in keys]
+
+
 def test_wrong_commands_options_and_links_are_noticed(tmp_path: Path) -> None:
     text = (
         "    garnetlanding ops metricz --address X\n"
