--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -8,6 +8,8 @@
 import pathlib
 from typing import Any
 
+from benchmarks import leases
+
 RESULTS = pathlib.Path(__file__).parent / "results"
 Table = list[dict[str, str]]
 
@@ -42,12 +44,12 @@
 
 
 def draw_leases(pyplot: Any) -> None:
-    """Draw the shares of a limit with leases beside those with fixed shares."""
+    """Draw what an instance can use of a limit with leases beside its even quota, and the sums of quotas."""
     sums, uses = tables((RESULTS / "leases.md").read_text())[:2]
     figure, axes = pyplot.subplots(1, 2, figsize=(11, 3.5))
-    bars(axes[0], uses, next(iter(uses[0])), ["fixed parts", "leases"])
+    bars(axes[0], uses, next(iter(uses[0])), [leases.EVEN_QUOTA, leases.LEASES])
     axes[0].axvline(0.9, color="grey", linestyle=":")
-    bars(axes[1], sums, next(iter(sums[0])), ["greatest sum of parts"])
+    bars(axes[1], sums, next(iter(sums[0])), [leases.GREATEST_SUM])
     axes[1].axvline(1.0, color="red", linestyle=":")
     save(figure, "leases.png")
 
@@ -69,7 +71,7 @@
 
 
 def draw_lab_runs(pyplot: Any) -> None:
-    """Draw every experiment's greatest sums of shares and its use of the limits."""
+    """Draw every experiment's greatest sums of quotas and its use of the limits."""
     rows = tables((RESULTS / "lab.md").read_text())[0]
     figure, axes = pyplot.subplots(1, 2, figsize=(11, 8))
     bars(axes[0], rows, "experiment", ["greatest sum of parts", "greatest sum of even parts"])
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,4 +1,4 @@
-"""How far over a limit a fleet can be, and how much of it the busiest instance can use.
+"""How far a fleet can exceed a limit, and how much of it the busiest instance can use.
 
     python -m benchmarks.leases [SEEDS]        writes benchmarks/results/leases.md
 
@@ -19,30 +19,34 @@
 
 RESULTS = pathlib.Path(__file__).parent / "results" / "leases.md"
 FAULTS = {
-    "3 heads, 2 hosts": Scenario(),
-    "3 heads, 3 hosts": Scenario(hosts=3),
-    "8 heads, 3 hosts": Scenario(instances=8, hosts=3),
-    "3 heads, half is lost": Scenario(loss=0.5),
-    "3 heads, 12 faults": Scenario(faults=12),
-    "3 heads, messages 2 s late": Scenario(late_us=2 * SECOND),
-    "40 heads, 3 hosts": Scenario(instances=40, hosts=3, length_us=6 * SECOND),
+    "3 instances, 2 hosts": Scenario(),
+    "3 instances, 3 hosts": Scenario(hosts=3),
+    "8 instances, 3 hosts": Scenario(instances=8, hosts=3),
+    "3 instances, half of the messages lost": Scenario(loss=0.5),
+    "3 instances, 12 faults": Scenario(faults=12),
+    "3 instances, messages up to 2 s late": Scenario(late_us=2 * SECOND),
+    "40 instances, 3 hosts": Scenario(instances=40, hosts=3, length_us=6 * SECOND),
 }
-LARGE = 40  # instances, from which on a twentieth of the seeds is run
+LARGE = 40  # instances; from this size on, a twentieth of the seeds is run
 STEADY = Scenario(calm=True, other_demand=0.0, shift_us=600 * SECOND, length_us=60 * SECOND)
 USE = {
-    "one head has all the traffic, 3 heads": STEADY,
-    "the same, 8 heads": replace(STEADY, instances=8, hosts=3),
+    "one instance has all the traffic, 3 instances": STEADY,
+    "the same, 8 instances": replace(STEADY, instances=8, hosts=3),
     "the busiest changes every 12 s": replace(STEADY, shift_us=12 * SECOND),
-    "the same, a tenth is lost": replace(STEADY, shift_us=12 * SECOND, calm=False, faults=0),
+    "the same, a tenth of the messages lost": replace(STEADY, shift_us=12 * SECOND, calm=False, faults=0),
 }
 USE_SEEDS = 5
+# Columns of the results, which benchmarks/figures.py reads.
+GREATEST_SUM = "greatest sum of quotas"
+EVEN_QUOTA = "even quota"
+LEASES = "leases"
 SCOPES = [Scope(steps=4, starts=0), Scope(steps=3, starts=1), Scope(hosts=3, steps=3, starts=0)]
 
 
 def fault_rows(seeds: int) -> list[str]:
-    """Return the table of the greatest sums of shares under faults."""
+    """Return the table of the greatest sums of quotas under faults."""
     rows = [
-        "| 12 s, 4 faults each | seeds | greatest sum of parts | states | bytes a head a second |",
+        f"| 12 s, 4 faults each | seeds | {GREATEST_SUM} | states | bytes per instance and second |",
         "| --- | --- | --- | --- | --- |",
     ]
     for name, scenario in FAULTS.items():
@@ -59,7 +63,7 @@
 def use_rows() -> list[str]:
     """Return the table of how much of the limit the busiest instance can use."""
     rows = [
-        "| share of a bought limit that the busiest head can use | fixed parts | leases |",
+        f"| fraction of the limit that the busiest instance can use | {EVEN_QUOTA} | {LEASES} |",
         "| --- | --- | --- |",
     ]
     for name, scenario in USE.items():
@@ -70,12 +74,12 @@
 
 
 def exploration_rows() -> list[str]:
-    """Return the table of what was explored whole."""
+    """Return the table of the scopes that are explored exhaustively."""
     rows = [
-        "| explored whole, 3 heads | steps | starts | states | moves | greatest sum of parts |",
+        f"| explored exhaustively, 3 instances | steps | restarts | states | moves | {GREATEST_SUM} |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
-    for scope in track(SCOPES, "every course"):
+    for scope in track(SCOPES, "exploration"):
         found = explore(scope)
         name = f"{scope.hosts} hosts{'' if found.is_complete else ', given up'}"
         rows.append(
