--- a/garnetlanding/emulator/suspicion_model.py
+++ b/garnetlanding/emulator/suspicion_model.py
@@ -86,7 +86,7 @@
     states: int = 0
     moves: int = 0
     suspicious: int = 0  # states in which some instance suspects the backend
-    violation: str = ""  # of the first invariant that did not hold; empty: all held
+    violation: str | None = None  # of the first invariant that did not hold; None: all held
     is_complete: bool = True  # all states within the scope were explored
 
 
@@ -130,8 +130,8 @@
     )
 
 
-def violation(state: State) -> str:
-    """Describe a suspicion that violates an invariant; empty where all invariants hold."""
+def violation(state: State) -> str | None:
+    """Describe a suspicion that violates an invariant; None where all invariants hold."""
     for number, instance in enumerate(state.instances):
         if not instance.is_suspicious(state.now):
             continue
@@ -146,7 +146,7 @@
             return f"instance {number} suspects what was observed {state.now - max(observed)} us ago"
         if instance.served_at == state.now:
             return f"instance {number} suspects what has just served it"
-    return ""
+    return None
 
 
 def moves(state: State, scope: Scope) -> Iterator[State]:
--- a/garnetlanding/peers/receiver.py
+++ b/garnetlanding/peers/receiver.py
@@ -36,7 +36,7 @@
         membership: MembershipProtocol | None,
         dropped: Counter[str],
     ) -> None:
-        """Collect the protocols; `detector` and `membership` are None where they are switched off."""
+        """Dispatch to these protocols; `detector` and `membership` are None where they are switched off."""
         self._limits = limits
         self._quota = quota
         self._detector = detector
@@ -45,7 +45,11 @@
         self.last_received: ReceivedMessage | None = None  # the last message that was not dropped
 
     def receive(self, sender: int, payload: bytes, now: int) -> None:
-        """Process one datagram. One that is dropped is counted and changes nothing."""
+        """Process one datagram, or count why it is dropped.
+
+        A dropped datagram changes nothing, except that the records of a membership message are merged: they
+        are valid whoever sent them, and in any order.
+        """
         try:
             envelope = decode_envelope(payload, self._limits.datagram_bytes)
             reason = self._dispatch(sender, envelope, now)
@@ -72,7 +76,7 @@
     def _receive_membership(
         self, membership: MembershipProtocol, sender: int, envelope: Envelope, now: int
     ) -> DropReason | None:
-        # Records are merged first, and whoever sent them: the sender may be known by its own record alone.
+        # The records are merged first: the sender may be known by its own record alone.
         message = membership.merge(envelope)
         self._quota.follow_members(membership, now)
         reason = self._quota.leases.contacts.accept(sender, envelope.incarnation, envelope.number, now)
--- a/garnetlanding/peers/send_round.py
+++ b/garnetlanding/peers/send_round.py
@@ -31,7 +31,7 @@
         detector: FailureDetector | None,
         membership: MembershipProtocol | None,
     ) -> None:
-        """Collect the protocols; `detector` and `membership` are None where they are switched off."""
+        """Compose messages of these protocols; `detector` and `membership` are None where switched off."""
         self._limits = limits
         self._incarnation = incarnation
         self._schedule = schedule
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -93,6 +93,25 @@
 # Fencing and suspects
 
 
+def test_terminated_instance_that_still_sends_is_sent_to_until_it_is_stale() -> None:
+    members = started_instance(0, seeds=1)
+    members.merge([InstanceRecord(1, 1, False, address_of(1))])
+    members.record_contact(1, b"", T0, sender_joined=True)
+    assert members.extra_receivers(T0) == []
+    members.mark_terminated(1)
+    assert members.extra_receivers(T0 + LIMITS.stale_us) == [1], "it has to learn that it is terminated"
+    assert members.extra_receivers(T0 + LIMITS.stale_us + 1) == []
+
+
+def test_confirmation_of_an_earlier_incarnation_does_not_count() -> None:
+    members = started_instance(0)
+    members.merge([InstanceRecord(1, 5, False, address_of(1))])
+    members.record_contact(1, members.table.digest, 0, sender_joined=False)
+    assert members.join.confirmed_by == {1}
+    members.merge([InstanceRecord(1, 6, False, address_of(1))])
+    assert members.join.confirmed_by == set()
+
+
 def test_terminated_or_replaced_instance_is_fenced_and_its_earlier_incarnation_is_not() -> None:
     alone = started_instance(0, seeds=1)
     alone.update_joined(LIMITS.bootstrap_us)
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -133,6 +133,16 @@
     assert not table.claims_about("n0")
 
 
+def test_claims_about_a_backend_that_is_not_listed_any_more_are_forgotten() -> None:
+    observations, table = observations_after(), SuspicionTable(LIMITS)
+    table.receive(1, [make_evidence("n0"), make_evidence("n1")], T0, T0, observations)
+    observations.observe_events(T0, [api.EndpointListUpdate(SIX_BACKENDS[1:], complete=True)], OBJECTIVE_US)
+    assert set(table.suspected(T0, observations)) == {"n1"}
+    table.drop_expired(T0, observations)
+    assert not table.claims_about("n0")
+    assert table.claims_about("n1")
+
+
 def test_suspected_backends_are_a_set_fraction_at_most() -> None:
     observations, table = observations_after(), SuspicionTable(LIMITS)
     table.receive(1, [make_evidence(f"n{i}") for i in range(6)], T0, T0, observations)
@@ -192,7 +202,7 @@
 
 
 @pytest.mark.parametrize(
-    ("where", "name", "instead"),
+    ("owner", "name", "replacement"),
     [
         pytest.param(SuspicionTable, "receive", claim_from_arrival, id="age counts from arrival"),
         pytest.param(SuspicionTable, "_replace_claim", claims_too_long, id="claims hold too long"),
@@ -200,9 +210,9 @@
     ],
 )
 def test_seeded_bug_is_found_by_exploration(
-    where: type, name: str, instead: Any, monkeypatch: pytest.MonkeyPatch
+    owner: type, name: str, replacement: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(where, name, instead)
+    monkeypatch.setattr(owner, name, replacement)
     assert explore(Scope(instances=2, steps=4)).violation
 
 
