--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -25,12 +25,15 @@
 from garnetlanding.peers.lease_message import LeaseMessage, QuotaRequest
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.link import PeerLink
+from garnetlanding.peers.membership_protocol import MembershipProtocol
+from garnetlanding.peers.membership_table import InstanceRecord
 from garnetlanding.peers.name_tag import name_tag
 from garnetlanding.peers.setup import PeerSetup
 from garnetlanding.peers.shared_budgets import SharedBudgets
 from tests.support.clock import MS, SECOND, T0
 from tests.support.daemon import PLATFORM_CONFIG, PLATFORM_SETTINGS, SimulatedDaemon
 from tests.support.decision_bench import make_settings, up_endpoint
+from tests.support.membership import started_instance
 from tests.support.simulated_instance import SimulatedInstance, read_command
 
 LIMITS = PeerLimits()
@@ -157,6 +160,19 @@
     assert observed == [SECOND, 2 * SECOND]
 
 
+def test_inactive_coordinator_sends_nothing_until_it_is_activated() -> None:
+    coordinator = PeerCoordinator(Controller(LIMITED, 1), incarnation=1, is_active=False)
+    arrival = api.Arrival("r", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 2)
+
+    def messages_sent(now: int) -> int:
+        actions = coordinator.handle(now, [replace(arrival, request=f"r{now}")])
+        return sum(isinstance(action, api.SendPeerMessage) for action in actions)
+
+    assert [messages_sent(T0 + delay * LIMITS.send_interval_us) for delay in range(4)] == [0, 0, 0, 0]
+    coordinator.activate(T0 + 4 * LIMITS.send_interval_us)
+    assert messages_sent(T0 + 4 * LIMITS.send_interval_us) == 2, "one to each peer"
+
+
 def test_forged_datagrams_are_counted_by_cause_and_change_nothing() -> None:
     coordinator = PeerCoordinator(Controller(make_settings(may_message_peers=True), 1), incarnation=1)
     valid = lease_message.encode(
@@ -211,6 +227,37 @@
     stranger.close()
 
 
+def test_link_to_discovered_peers_sends_and_receives_by_their_routes() -> None:
+    """A peer's record names the address that it advertises; a route says where that one is reached."""
+    instance, received = SimulatedInstance(), list[tuple[int, bytes]]()
+    peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    peer.bind(("127.0.0.1", 0))
+    advertised = "10.9.9.9:7946"
+    setup = PeerSetup("127.0.0.1:0", routes={advertised: f"127.0.0.1:{peer.getsockname()[1]}"})
+    members = started_instance(0)
+    members.merge([InstanceRecord(5, 1, False, advertised)])
+    link = PeerLink(
+        instance.scheduler,
+        setup,
+        lambda *message: received.append(message),
+        Counter(),
+        MembershipProtocol(LIMITS, members),
+    )
+    peer.sendto(b"from a peer", ("127.0.0.1", int(link.address.rpartition(":")[2])))
+    instance.settle()
+    assert received == [(5, b"from a peer")]
+    link.send(b"to a peer", 5)
+    assert peer.recv(300) == b"to a peer"
+    link.send(b"to an unknown instance", 6)
+    link.send(b"to all instances")
+    peer.setblocking(False)
+    with pytest.raises(BlockingIOError):
+        peer.recv(300)
+    link.close()
+    instance.settle()
+    peer.close()
+
+
 # The daemon
 
 PLAN_LIMIT = {"NeverOver": 40.0, "LimitBurst": 60.0}
--- a/tests/peers/test_gossip_message.py
+++ b/tests/peers/test_gossip_message.py
@@ -20,6 +20,8 @@
 from garnetlanding.peers.envelope import decode_envelope, encode_envelope
 from garnetlanding.peers.errors import MessageError
 from garnetlanding.peers.gossip_message import (
+    MAX_AGE_MS,
+    MAX_COUNT,
     MAX_UPTIME,
     Evidence,
     EvidenceKind,
@@ -92,3 +94,9 @@
     without_gossip.handle(T0, [api.PeerMessage(1, encode_envelope(valid))])
     assert without_gossip.dropped == {"other kind": 1}
     assert list(without_gossip.suspicion_rows(T0)) == []
+
+
+def test_counts_and_ages_beyond_the_greatest_encodable_ones_are_sent_as_those() -> None:
+    evidence = replace(make_evidence(), count=MAX_COUNT + 1, age_ms=MAX_AGE_MS + 1)
+    decoded = read(to_envelope(GossipMessage(EMPTY_DIGEST, (evidence,)), 1, 1, 0, 0))
+    assert decoded.evidence == (replace(evidence, count=MAX_COUNT, age_ms=MAX_AGE_MS),)
--- a/tests/peers/test_local_observations.py
+++ b/tests/peers/test_local_observations.py
@@ -51,3 +51,11 @@
         OBJECTIVE_US,
     )
     assert "n0" not in observations.backends, "a draining backend is not observed"
+
+
+def test_administratively_disabled_backend_is_not_observed() -> None:
+    observations = observations_after(*[result("n0", REFUSED)] * 3)
+    disabled = replace(SIX_BACKENDS[0], admin_disabled=True)
+    observations.observe_events(T0, [api.EndpointListUpdate((disabled,))], OBJECTIVE_US)
+    assert "n0" not in observations.backends
+    assert evidence_labels(observations) == {}
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -90,6 +90,22 @@
     assert len(first.extra_receivers(0)) == 2, "both seeds are still sent to"
 
 
+def test_seeds_form_no_new_group_once_a_member_of_one_is_received_from() -> None:
+    first, second = started_instance(0), started_instance(1)
+    exchange_records(first, second)
+    first.record_contact(2, b"", 0, sender_joined=True)
+    first.record_contact(1, second.table.digest, LIMITS.bootstrap_us, sender_joined=False)
+    assert first.joined, "an unknown sender proves nothing"
+    first, second = started_instance(0), started_instance(1)
+    exchange_records(first, second)
+    first.merge([InstanceRecord(2, 1, False, address_of(2))])
+    first.record_contact(2, b"", 0, sender_joined=True)
+    first.merge([InstanceRecord(2, 1, True, address_of(2))])
+    second.merge(first.table.records.values())
+    first.record_contact(1, second.table.digest, LIMITS.bootstrap_us, sender_joined=False)
+    assert not first.joined
+
+
 # Fencing and suspects
 
 
