--- a/benchmarks/costs.py
+++ b/benchmarks/costs.py
@@ -22,7 +22,7 @@
     4,
     4,
     15 * SECOND,
-    Workload(volumes=6, requests_per_s=200.0, busiest_share=0.6),
+    Workload(volumes=6, requests_per_s=200.0, busiest_fraction=0.6),
     peer_links=False,
 )
 VARIANTS: dict[str, dict[str, Any]] = {
--- a/garnetlanding/lab/charts.py
+++ b/garnetlanding/lab/charts.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from garnetlanding.lab.time_series import OUTCOMES, SecondSummary, ShareSeries, percentile_ms
+from garnetlanding.lab.time_series import OUTCOMES, QuotaSeries, SecondSummary, percentile_ms
 
 COLOURS = dict(zip(OUTCOMES, ("#2a7f62", "#e0a030", "#b03030", "#707070", "#303030"), strict=True))
 _LATENCY_STYLES = ((0.5, "-"), (0.99, "--"))
@@ -15,8 +15,8 @@
 _TIME_LABEL = "seconds after the clients began"
 
 
-def draw(folder: pathlib.Path, rows: Sequence[SecondSummary], shares: ShareSeries) -> list[pathlib.Path]:
-    """Draw answers and latency by second, with the faults, and the quota shares of each limited volume.
+def draw(folder: pathlib.Path, rows: Sequence[SecondSummary], quotas: QuotaSeries) -> list[pathlib.Path]:
+    """Draw answers and latency by second, with the faults, and the quotas of each limited volume.
 
     Returns the files. Raises ImportError where matplotlib is not there.
     """
@@ -26,8 +26,8 @@
     from matplotlib import pyplot
 
     drawn = [_draw_answers(pyplot, folder / "answers.png", rows)]
-    if shares:
-        drawn.append(_draw_shares(pyplot, folder / "parts.png", shares, float(len(rows))))
+    if quotas:
+        drawn.append(_draw_quotas(pyplot, folder / "parts.png", quotas, float(len(rows))))
     return drawn
 
 
@@ -62,14 +62,14 @@
 
 
 def _plot_latency(axis: Any, rows: Sequence[SecondSummary]) -> None:
-    for share, style in _LATENCY_STYLES:
+    for fraction, style in _LATENCY_STYLES:
         axis.step(
             [row.number for row in rows],
-            [percentile_ms(row.latencies_us, share) or 0 for row in rows],
+            [percentile_ms(row.latencies_us, fraction) or 0 for row in rows],
             style,
             where="post",
             color=_LATENCY_COLOUR,
-            label=f"served, {share:.0%} within",
+            label=f"served, {fraction:.0%} within",
         )
     axis.set_ylabel("ms")
     axis.set_xlabel(_TIME_LABEL)
@@ -92,24 +92,24 @@
             )
 
 
-def _draw_shares(pyplot: Any, path: pathlib.Path, shares: ShareSeries, end_s: float) -> pathlib.Path:
-    volumes = sorted({owner.volume for owner in shares})
+def _draw_quotas(pyplot: Any, path: pathlib.Path, quotas: QuotaSeries, end_s: float) -> pathlib.Path:
+    volumes = sorted({owner.volume for owner in quotas})
     figure, axes = pyplot.subplots(
         len(volumes), 1, sharex=True, squeeze=False, figsize=(9, 1 + 1.4 * len(volumes))
     )
     for axis, volume in zip(axes[:, 0], volumes, strict=True):
-        _plot_volume_shares(axis, volume, shares, end_s)
+        _plot_volume_quotas(axis, volume, quotas, end_s)
     axes[-1, 0].set_xlabel(_TIME_LABEL)
     axes[0, 0].set_title("part of each volume's limit that a head believes its own", fontsize=9)
     return _save(pyplot, figure, path)
 
 
-def _plot_volume_shares(axis: Any, volume: str, shares: ShareSeries, end_s: float) -> None:
-    for owner, changes in sorted(shares.items(), key=lambda entry: entry[0]):
+def _plot_volume_quotas(axis: Any, volume: str, quotas: QuotaSeries, end_s: float) -> None:
+    for owner, changes in sorted(quotas.items(), key=lambda entry: entry[0]):
         if owner.volume == volume:
             axis.step(
                 [*(change.at_s for change in changes), end_s],
-                [*(change.quota_share for change in changes), changes[-1].quota_share],
+                [*(change.quota for change in changes), changes[-1].quota],
                 where="post",
                 label=owner.instance,
             )
--- a/garnetlanding/lab/experiment.py
+++ b/garnetlanding/lab/experiment.py
@@ -16,7 +16,7 @@
     requests_per_s: float = 60.0  # over all volumes
     units: int = 2  # of each request
     instances_per_volume: int = 2  # that a volume's requests come through
-    busiest_share: float = 1.0  # of a volume's requests that comes through its busiest instance
+    busiest_fraction: float = 1.0  # of a volume's requests that comes through its busiest instance
     shift_us: int = 0  # so often another instance becomes the busiest; 0: never
     patience_us: int = 1_500_000  # that a client waits for its answer
 
--- a/garnetlanding/lab/experiment_file.py
+++ b/garnetlanding/lab/experiment_file.py
@@ -91,7 +91,7 @@
         requests_per_s=section.number("rate", 0.1, 60, 2000),
         units=int(section.number("units", 1, 2, 8)),
         instances_per_volume=int(section.number("hosts", 1, min(2, instances), instances)),
-        busiest_share=section.number("lead", 0, 1, 1),
+        busiest_fraction=section.number("lead", 0, 1, 1),
         shift_us=int(section.number("shift_s", 0, 0) * SECOND),
         patience_us=int(section.number("wait_s", 0.05, 1.5, 60) * SECOND),
     )
--- a/garnetlanding/lab/history.py
+++ b/garnetlanding/lab/history.py
@@ -43,8 +43,8 @@
     DISABLED_CHANGED = "bans"  # exactly these backends are disabled: out
     SUSPICIONS_CHANGED = "doubted"  # exactly these backends are suspected: servers
     OBSERVATIONS_SENT = "seen"  # an instance sends its peers what it observed: servers
-    VOLUME_SHARES = "parts"  # quota shares of volumes' limits: parts until
-    LIMIT_SHARES = "shares"  # quota shares of other common limits: parts until
+    VOLUME_QUOTAS = "parts"  # quotas of volumes' limits: parts until
+    BUDGET_QUOTAS = "shares"  # quotas of other common limits: parts until
 
 
 def encode_line(now_us: int, process: str, kind: LineKind, fields: dict[str, Any]) -> bytes:
--- a/garnetlanding/lab/limits.py
+++ b/garnetlanding/lab/limits.py
@@ -38,7 +38,7 @@
     duplicate_us: int = 3 * SECOND  # start, a message there and back, and the leases given meanwhile
     latency_most_us: int = 60 * SECOND  # longer ones count as that
     latency_digits: int = 3  # that a histogram keeps of each
-    share_slack: float = 0.001  # of a sum of shares: histories round
+    quota_slack: float = 0.001  # of a sum of quotas: histories round
     log_line_shown: int = 200  # characters of a log's line
     violations_shown: int = 20  # on the screen; all are in the result
     table_columns: int = 110  # of a table that goes to no terminal
--- a/garnetlanding/lab/peer_invariants.py
+++ b/garnetlanding/lab/peer_invariants.py
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class _MembershipHistory:
-    """By instance, its even share of shared limits and the peers that it knows, as last noted."""
+    """By instance, its even quota of shared limits and the peers that it knows, as last noted."""
 
     even_quota: dict[str, float] = field(default_factory=dict)
     known: dict[str, set[int]] = field(default_factory=dict)
@@ -110,7 +110,7 @@
 class MembershipConverges(Invariant):
     """Instances that find each other know the same members at the end, and share at most the whole.
 
-    The even shares of instances that were killed count on, until they start again.
+    The even quotas of instances that were killed count on, until they start again.
     """
 
     name = "membership converges"
@@ -126,7 +126,7 @@
         if not run.experiment.seed_instances:
             return
         history = self._replay(run)
-        if run.report.even_quota_sum_max > 1 + LIMITS.share_slack:
+        if run.report.even_quota_sum_max > 1 + LIMITS.quota_slack:
             yield f"even parts add up to {run.report.even_quota_sum_max:.3f}"
         duplicates = {
             fault.instance: fault.claimed_instance
--- a/garnetlanding/lab/quota_invariants.py
+++ b/garnetlanding/lab/quota_invariants.py
@@ -1,4 +1,4 @@
-"""What must hold of limits that all instances share: quota shares, warming backends, connections."""
+"""What must hold of limits that all instances share: quotas, warming backends, connections."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _ShareOwner:
-    """Whose quota share it is: one incarnation's of one instance, of one volume's limit."""
+class _QuotaOwner:
+    """Whose quota it is: one incarnation's of one instance, of one volume's limit."""
 
     instance: str
     volume: str
@@ -25,18 +25,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Share:
-    quota_share: float
+class _NotedQuota:
+    quota: float
     end_us: int  # the instance looks at it again before it sends anything later
 
 
 class QuotaShareTable:
-    """The quota shares that the instances believe their own, as their histories say, up to a line."""
+    """The quotas that the instances believe their own, as their histories say, up to a line."""
 
     def __init__(self, experiment: Experiment) -> None:
         self._experiment = experiment
         self._upgraded = {f"n{number}" for number in experiment.instances_struck_by(FaultKind.UPGRADE)}
-        self._shares: dict[_ShareOwner, _Share] = {}
+        self._quotas: dict[_QuotaOwner, _NotedQuota] = {}
 
     def forget(self, instance: str) -> None:
         """Forget what an instance held that starts again.
@@ -45,40 +45,40 @@
         """
         if instance in self._upgraded:
             return
-        for owner in [owner for owner in self._shares if owner.instance == instance]:
-            del self._shares[owner]
+        for owner in [owner for owner in self._quotas if owner.instance == instance]:
+            del self._quotas[owner]
 
     def update(self, line: Line) -> None:
-        """Take the shares that a `parts` line gives."""
-        for volume, quota_share in line["parts"].items():
-            owner = _ShareOwner(line["who"], volume, line["life"])
-            self._shares[owner] = _Share(quota_share, line["until"])
+        """Record the quotas of a `parts` line."""
+        for volume, quota in line["parts"].items():
+            owner = _QuotaOwner(line["who"], volume, line["life"])
+            self._quotas[owner] = _NotedQuota(quota, line["until"])
 
     def total(self, volume: str, now_us: int) -> float:
-        """Return the sum of a volume's shares in force.
+        """Return the sum of a volume's quotas in force.
 
-        An instance that has noted no share of it was never asked for it and sends nothing. Nor does one whose
-        share has come to its end: it looks again before it sends.
+        An instance without a noted quota has had no request of the volume and sends nothing. So does one
+        whose quota has expired: it computes the quota anew before it sends.
         """
         entitled = {f"n{number}" for number in volume_instances(self._experiment, int(volume, 16))}
         return sum(
-            share.quota_share
-            for owner, share in self._shares.items()
-            if owner.instance in entitled and owner.volume == volume and share.end_us > now_us
+            noted.quota
+            for owner, noted in self._quotas.items()
+            if owner.instance in entitled and owner.volume == volume and noted.end_us > now_us
         )
 
 
 def measure_quota_sums(run: RecordedRun) -> None:
-    """Measure the greatest sums of one volume's shares, apart for times beside a duplicate identity."""
+    """Measure the greatest sums of one volume's quotas, apart for times beside a duplicate identity."""
     first_us = first_request_us(run.lines)
     duplicates_us = [fault.start_us for fault in run.experiment.faults_of(FaultKind.DUPLICATE_IDENTITY)]
     table = QuotaShareTable(run.experiment)
-    for line in run.lines_of(LineKind.STARTED, LineKind.VOLUME_SHARES):
+    for line in run.lines_of(LineKind.STARTED, LineKind.VOLUME_QUOTAS):
         if line["what"] == LineKind.STARTED:
             table.forget(line["who"])
             continue
         elapsed_us = line["t"] - first_us
-        # Until the earlier of two with one number has received from the later, both use its share.
+        # Until the earlier of two with one number has received from the later, both use its quota.
         is_beside_duplicate = any(
             start_us <= elapsed_us < start_us + LIMITS.duplicate_us for start_us in duplicates_us
         )
@@ -92,7 +92,7 @@
 
 
 class DuplicateQuotaSum(Invariant):
-    """A duplicate identity adds at most one even share before it is noticed."""
+    """A duplicate identity adds at most one even quota before it is noticed."""
 
     name = "quota sum beside a duplicate identity"
     label = "parts"
@@ -103,22 +103,22 @@
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
         """Yield an exceeded sum."""
-        allowed = 1 + 1 / run.experiment.workload.instances_per_volume + LIMITS.share_slack
+        allowed = 1 + 1 / run.experiment.workload.instances_per_volume + LIMITS.quota_slack
         if run.report.duplicate_quota_sum_max > allowed:
             yield f"beside a twin a volume's add up to {run.report.duplicate_quota_sum_max:.3f}"
 
 
 class QuotaSum(Invariant):
-    """The instances' shares of one volume's limit never add up to more than the limit."""
+    """The instances' quotas of one volume's limit never add up to more than the limit."""
 
     name = "quota sum"
     label = "parts"
     statement = "At no time do the quota shares of one volume add up to more than the whole."
-    shown_by = "test_quota_invariants.py::test_quota_shares_above_the_whole_are_a_violation"
+    shown_by = "test_quota_invariants.py::test_quotas_above_the_whole_are_a_violation"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
         """Yield an exceeded sum."""
-        if run.report.quota_sum_max > 1 + LIMITS.share_slack:
+        if run.report.quota_sum_max > 1 + LIMITS.quota_slack:
             yield f"a volume's add up to {run.report.quota_sum_max:.3f}"
 
 
@@ -134,7 +134,7 @@
         """Yield an overload, and measure the greatest load."""
         self._measure(run)
         # Where nothing is learnt of a backend's usual load, what it bears in any case is all it may be sent.
-        is_exact = run.settings["Rules"]["FallMultiple"] < LIMITS.share_slack
+        is_exact = run.settings["Rules"]["FallMultiple"] < LIMITS.quota_slack
         if is_exact and run.report.warming_load_max > 1:
             yield f"a cold brick was sent {run.report.warming_load_max:.2f} of what it bears"
 
--- a/garnetlanding/lab/report.py
+++ b/garnetlanding/lab/report.py
@@ -117,13 +117,13 @@
 
     rows: list[time_series.SecondSummary]
     table: list[dict[str, object]]  # the rows, encoded
-    shares: time_series.ShareSeries
+    quotas: time_series.QuotaSeries
 
     @classmethod
     def of(cls, lines: Sequence[history.Line]) -> _RunSeries:
         start_us = time_series.first_request_us(lines)
         rows = time_series.summarize_by_second(lines, start_us)
-        return cls(rows, [row.encode() for row in rows], time_series.share_changes(lines, start_us))
+        return cls(rows, [row.encode() for row in rows], time_series.quota_changes(lines, start_us))
 
 
 def _write_csv(path: pathlib.Path, table: list[dict[str, object]]) -> None:
@@ -137,7 +137,7 @@
     from garnetlanding.lab.charts import draw
 
     try:
-        return draw(folder, series.rows, series.shares)
+        return draw(folder, series.rows, series.quotas)
     except ImportError as problem:
         raise MissingDependencyError(f"charts need matplotlib: {problem}") from problem
 
--- a/garnetlanding/lab/time_series.py
+++ b/garnetlanding/lab/time_series.py
@@ -15,22 +15,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ShareChange:
-    """From `at_s` on, in seconds after the start, an instance believes `quota_share` its own."""
+class QuotaChange:
+    """From `at_s` on, in seconds after the start, an instance believes `quota` its own."""
 
     at_s: float
-    quota_share: float
+    quota: float
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class ShareOwner:
-    """Whose quota share of which volume's limit."""
+class QuotaOwner:
+    """Whose quota of which volume's limit."""
 
     volume: str
     instance: str
 
 
-ShareSeries = dict[ShareOwner, list[ShareChange]]
+QuotaSeries = dict[QuotaOwner, list[QuotaChange]]
 
 
 @dataclass(slots=True)
@@ -57,12 +57,12 @@
         }
 
 
-def percentile_ms(values_us: Sequence[int], share: float) -> float | None:
-    """Return, in milliseconds, the least value that `share` of them do not exceed; None of no values."""
+def percentile_ms(values_us: Sequence[int], fraction: float) -> float | None:
+    """Return, in milliseconds, the least value that `fraction` of them do not exceed; None of no values."""
     if not values_us:
         return None
     ordered = sorted(values_us)
-    index = min(len(ordered) - 1, int(share * len(ordered)))
+    index = min(len(ordered) - 1, int(fraction * len(ordered)))
     return round(ordered[index] / 1000, 1)
 
 
@@ -104,15 +104,15 @@
             summary.faults.append(f"{line['kind']} {subject}")
 
 
-def share_changes(lines: Iterable[Line], start_us: int) -> ShareSeries:
-    """Return the quota shares that each instance believed its own, by volume and instance."""
-    series: ShareSeries = defaultdict(list)
+def quota_changes(lines: Iterable[Line], start_us: int) -> QuotaSeries:
+    """Return the quotas that each instance believed its own, by volume and instance."""
+    series: QuotaSeries = defaultdict(list)
     for line in lines:
-        if line["what"] != LineKind.VOLUME_SHARES:
+        if line["what"] != LineKind.VOLUME_QUOTAS:
             continue
         at_s = (line["t"] - start_us) / SECOND
-        for volume, quota_share in line["parts"].items():
-            changes = series[ShareOwner(volume, line["who"])]
-            if not changes or changes[-1].quota_share != quota_share:
-                changes.append(ShareChange(at_s, quota_share))
+        for volume, quota in line["parts"].items():
+            changes = series[QuotaOwner(volume, line["who"])]
+            if not changes or changes[-1].quota != quota:
+                changes.append(QuotaChange(at_s, quota))
     return dict(series)
--- a/garnetlanding/lab/violations.py
+++ b/garnetlanding/lab/violations.py
@@ -19,16 +19,16 @@
 
 @dataclass(slots=True)
 class InvariantReport:
-    """What the histories of a run show. Quota shares and loads are fractions of the whole."""
+    """What the histories of a run show. Quotas and loads are fractions of the whole."""
 
     requests: int = 0
     outcomes: Counter[str] = field(default_factory=Counter)
     attempts: int = 0
     limit_overshoot_units: float = 0.0  # that a volume's token bucket fell below 0 by, at the worst moment
     limit_use: float = 0.0  # the part sent of all that the volumes could have had
-    quota_sum_max: float = 0.0  # greatest sum of one volume's quota shares over its instances, at any time
+    quota_sum_max: float = 0.0  # greatest sum of one volume's quotas over its instances, at any time
     duplicate_quota_sum_max: float = 0.0  # the same, while a duplicate identity may still be unnoticed
-    even_quota_sum_max: float = 0.0  # greatest sum of the instances' even shares of what all share
+    even_quota_sum_max: float = 0.0  # greatest sum of the instances' even quotas of what all share
     incarnations: dict[str, int] = field(default_factory=dict)  # how often each instance started
     suspicions: int = 0  # times that an instance began to suspect a backend on its peers' evidence
     suspicions_unfounded: int = 0  # of them, of backends that no fault had struck
--- a/garnetlanding/lab/workload.py
+++ b/garnetlanding/lab/workload.py
@@ -101,6 +101,6 @@
 def _draw_instance(experiment: Experiment, volume: int, now_us: int, rng: random.Random) -> int:
     busiest = busiest_instance(experiment, volume, now_us)
     others = [instance for instance in volume_instances(experiment, volume) if instance != busiest]
-    if not others or rng.random() < experiment.workload.busiest_share:
+    if not others or rng.random() < experiment.workload.busiest_fraction:
         return busiest
     return rng.choice(others)
--- a/garnetlanding/peers/limits.py
+++ b/garnetlanding/peers/limits.py
@@ -66,11 +66,11 @@
 
     evidence_us: int = 2 * SECOND  # older observations do not count; eight rounds
     refused_streak: int = 3  # refused connections in a row that make a backend unreachable
-    silence_objectives: float = 2.0  # requests in flight for longer, in objectives, are overdue
-    silent_requests: int = 2  # overdue ones that make a backend unresponsive: a single one may be heavy
+    overdue_after_objectives: float = 2.0  # requests in flight for longer, in objectives, are overdue
+    overdue_requests: int = 2  # overdue ones that make a backend unresponsive: a single one may be heavy
     rejected_streak: int = 3  # rejected requests in a row that make a backend overloaded
     slow_objectives: float = 1.0  # mean latency, in objectives, above which a backend is slow
-    slow_responses: int = 4  # responses that the mean has to rest on
+    min_latency_samples: int = 4  # responses that the mean has to rest on
     latency_gain: float = 0.25  # weight of a new response in the mean
     suspicion_credit: float = 0.75  # sum of the claiming peers' credit that makes a backend suspected
     refuted_credit_factor: float = 0.8  # by which a peer's credit is multiplied after a refuted claim
--- a/garnetlanding/peers/local_observations.py
+++ b/garnetlanding/peers/local_observations.py
@@ -182,16 +182,16 @@
         refused = observation.refused
         if refused.count >= limits.refused_streak:
             return Finding(EvidenceKind.UNREACHABLE, refused.count, refused.last_at)
-        overdue = observation.overdue(now - int(limits.silence_objectives * tightest_us))
+        overdue = observation.overdue(now - int(limits.overdue_after_objectives * tightest_us))
         timed_out = observation.timed_out
-        if overdue + timed_out.count >= limits.silent_requests:
+        if overdue + timed_out.count >= limits.overdue_requests:
             observed_at = now if overdue else timed_out.last_at
             return Finding(EvidenceKind.UNRESPONSIVE, overdue + timed_out.count, observed_at)
         rejected = observation.rejected
         if rejected.count >= limits.rejected_streak:
             return Finding(EvidenceKind.OVERLOADED, rejected.count, rejected.last_at)
         is_slow = observation.latency_us > limits.slow_objectives * tightest_us
-        if is_slow and observation.served >= limits.slow_responses and observation.served_at is not None:
+        if is_slow and observation.served >= limits.min_latency_samples and observation.served_at is not None:
             return Finding(EvidenceKind.SLOW, observation.served, observation.served_at)
         if observation.recovered_at is not None:
             return Finding(EvidenceKind.RECOVERED, 1, observation.recovered_at)
--- a/tests/lab/test_network_faults.py
+++ b/tests/lab/test_network_faults.py
@@ -62,6 +62,6 @@
 
 
 def test_busiest_instance_changes_at_the_set_times() -> None:
-    moving = replace(CALM, workload=replace(CALM.workload, shift_us=SECOND, busiest_share=1.0))
+    moving = replace(CALM, workload=replace(CALM.workload, shift_us=SECOND, busiest_fraction=1.0))
     instances = {(r.volume, r.start_us // SECOND): r.instance for r in draw_requests(moving)}
     assert len({instances[volume_name(1), second] for second in (0, 1)}) == 2
--- a/tests/lab/test_processes.py
+++ b/tests/lab/test_processes.py
@@ -31,7 +31,7 @@
     return result
 
 
-def believed_shares(result: RunResult, instance: int, volume: int = 0) -> list[tuple[float, float]]:
+def believed_quotas(result: RunResult, instance: int, volume: int = 0) -> list[tuple[float, float]]:
     """Return the quota shares of a volume that an instance believed its own, each with its time in s."""
     name = volume_name(volume)
     return [
@@ -43,12 +43,12 @@
 
 STORM = (FaultKind.LOSS, FaultKind.DUPLICATE, FaultKind.DELAY, FaultKind.REORDER)
 # Each volume's requests come through its first instance alone.
-ONE_INSTANCE = Workload(volumes=3, requests_per_s=90.0, busiest_share=1.0)
+ONE_INSTANCE = Workload(volumes=3, requests_per_s=90.0, busiest_fraction=1.0)
 
 
 def test_processes_lend_their_quota_to_the_instance_with_the_demand(tmp_path: pathlib.Path) -> None:
     result = run_soundly(tmp_path, replace(CALM, workload=ONE_INSTANCE, duration_us=5 * SECOND))
-    assert max(part for _, part in believed_shares(result, 0)) > 0.9
+    assert max(part for _, part in believed_quotas(result, 0)) > 0.9
     assert result.report.incarnations == {"n0": 1, "n1": 1, "n2": 1}
     assert cli.main(["lab", "report", str(tmp_path / "run"), "--charts", "--json"]) == 0
     assert {path.name for path in (tmp_path / "run").iterdir()} >= {"series.csv", "answers.png", "parts.png"}
@@ -78,10 +78,10 @@
             os.kill(pid, 0)
 
 
-def test_partitioned_process_keeps_to_its_even_share_and_returns(tmp_path: pathlib.Path) -> None:
+def test_partitioned_process_keeps_to_its_even_quota_and_returns(tmp_path: pathlib.Path) -> None:
     cut = (fault(FaultKind.PARTITION, 2, 4, sender=0), fault(FaultKind.PARTITION, 2, 4, receiver=0))
     result = run_soundly(tmp_path, replace(CALM, workload=ONE_INSTANCE, duration_us=7 * SECOND, faults=cut))
-    parts = believed_shares(result, 0)
+    parts = believed_quotas(result, 0)
     assert any(part == 0.5 and 2 < at < 4.5 for at, part in parts), "alone"
     assert any(part > 0.9 and at > 4 for at, part in parts), "and heard again"
 
@@ -98,14 +98,14 @@
         if line["what"] == "parts" and line["life"] == lives[1] and line["parts"]
     )
     assert set(first["parts"].values()) == {0.0}, "until what it may have left to others has ended"
-    assert any(part >= 0.5 for at, part in believed_shares(result, 0) if at > 2.5)
+    assert any(part >= 0.5 for at, part in believed_quotas(result, 0) if at > 2.5)
 
 
 def test_process_paused_past_its_lease_sends_nothing_under_it(tmp_path: pathlib.Path) -> None:
     stop = (fault(FaultKind.STOP, 2, 4, instance=0),)
-    both_busy = replace(ONE_INSTANCE, busiest_share=0.6)
+    both_busy = replace(ONE_INSTANCE, busiest_fraction=0.6)
     result = run_soundly(tmp_path, replace(CALM, workload=both_busy, duration_us=6 * SECOND, faults=stop))
-    after = [part for at, part in believed_shares(result, 0) if at >= 4]
+    after = [part for at, part in believed_quotas(result, 0) if at >= 4]
     assert after, "what others had left to it had gone back meanwhile"
     assert after[0] <= 0.5, "what others had left to it had gone back meanwhile"
 
@@ -118,7 +118,7 @@
             CALM,
             duration_us=5 * SECOND,
             faults=storm,
-            workload=replace(ONE_INSTANCE, busiest_share=0.5, shift_us=2 * SECOND),
+            workload=replace(ONE_INSTANCE, busiest_fraction=0.5, shift_us=2 * SECOND),
         ),
     )
     assert all(result.fates[kind.value] for kind in STORM)
--- a/tests/lab/test_quota_invariants.py
+++ b/tests/lab/test_quota_invariants.py
@@ -10,7 +10,7 @@
 from tests.support.lab import CALM, fault
 from tests.support.run_histories import violations, violations_with
 
-SHARES = [
+QUOTAS = [
     {
         "t": 9,
         "what": "parts",
@@ -23,19 +23,19 @@
 ]
 
 
-def test_quota_shares_above_the_whole_are_a_violation() -> None:
-    assert "add up to 1.400" in violations_with(*SHARES)
-    assert not violations_with(SHARES[0])
+def test_quotas_above_the_whole_are_a_violation() -> None:
+    assert "add up to 1.400" in violations_with(*QUOTAS)
+    assert not violations_with(QUOTAS[0])
     assert not violations_with(
-        SHARES[0] | {"until": 9}, SHARES[1]
+        QUOTAS[0] | {"until": 9}, QUOTAS[1]
     ), "that instance looks again before it sends"
 
 
 def test_quota_sum_beside_a_duplicate_identity_is_bounded() -> None:
     duplicate = fault(FaultKind.DUPLICATE_IDENTITY, 0, 4, instance=2, claimed_instance=1)
     doubled = replace(CALM, faults=(duplicate,))
-    assert violations(doubled, [], SHARES) == "", "an even share is a half"
-    greedy = [share | {"parts": {volume_name(0): 0.8}} for share in SHARES]
+    assert violations(doubled, [], QUOTAS) == "", "an even quota is a half"
+    greedy = [line | {"parts": {volume_name(0): 0.8}} for line in QUOTAS]
     assert violations(doubled, [], greedy) == "parts: beside a twin a volume's add up to 1.600"
 
 
