--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -23,6 +23,9 @@
 COMMAND = re.compile(r"\bgarnetlanding ((?:[a-z0-9][a-z0-9-]*\b ?)+)([^|#&]*)")
 
 MODULE = re.compile(r"`([a-z0-9_]+(?:/[a-z0-9_]+)*\.py)`")
+NAME_IN_MODULE = re.compile(
+    r"`([a-z0-9_/]+\.py)` \(`([A-Za-z_]+)`|`([A-Za-z_.]+)` (?:in|of) `([a-z0-9_/]+\.py)`"
+)
 LIMIT = re.compile(r"`([a-z0-9_]+_(?:us|conns|sockets|bytes|clients|connections|requests|per_backend))`")
 
 
@@ -92,6 +95,18 @@
     ]
 
 
+@each([page for page in PAGES if page != HISTORY])
+def test_every_name_that_a_page_places_in_a_module_is_there(page: Path) -> None:
+    places = [
+        (behind or name, module or other)
+        for module, behind, name, other in NAME_IN_MODULE.findall(page.read_text())
+    ]
+    for name, module in places:
+        path = ROOT / PACKAGE / module
+        source = (path if path.is_file() else ROOT / module).read_text()
+        assert re.search(rf"\b{name.rpartition('.')[2]}\b", source), (name, module)
+
+
 @each(OPERATORS_PAGES)
 def test_every_limit_that_an_operators_page_names_exists(page: Path) -> None:
     known = {name for limits in (Limits, PeerLimits, AuditLimits) for name in limits.__dataclass_fields__}
