--- a/garnetlanding/core/dispatcher.py
+++ b/garnetlanding/core/dispatcher.py
@@ -84,7 +84,7 @@
         return (
             not self._fence.is_fenced
             and now < attempt.deadline_us
-            and attempt.address() is not None  # nor has the request its final answer
+            and attempt.address() is not None  # None also if the request has its final answer
             and attempt.number < self.settings.max_attempts
         )
 
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -58,3 +58,7 @@
     capacity.held_bytes = 0
     assert capacity.used == 0.5
     assert not capacity.is_exceeded
+
+
+def test_a_new_object_has_no_cell_to_check() -> None:
+    validate(replace(VALID, cell=None), make_settings(cells=4))
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -11,53 +11,11 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.interface import ClassSpec, Effect, EndpointState, Outcome
 from tests.support.clock import MS, SECOND
-from tests.support.decision_bench import make_settings
-from tests.support.engine_instance import EngineInstance
+from tests.support.engine_instance import ScriptedInstance
 
 UNSAFE = ClassSpec("unsafe", 1.0, 0.1, SECOND, SECOND, Effect.UNSAFE)
 
 
-class ScriptedModule:
-    """A decision module that returns the actions which a test has queued, and records all events."""
-
-    def __init__(self, settings: api.Settings) -> None:
-        self.settings = settings
-        self.queued: list[api.Action] = []
-        self.events: list[api.Event] = []
-
-    def handle(self, _now: int, events: list[api.Event]) -> list[api.Action]:
-        self.events += events
-        actions, self.queued = self.queued, []
-        return actions
-
-
-class ScriptedInstance(EngineInstance):
-    """An engine whose decision module is a script, with one open request."""
-
-    def __init__(self, request_class: str = "read", **settings: object) -> None:
-        config = make_settings(**settings)
-        super().__init__(config)
-        self.module = self.core.module = ScriptedModule(config)
-        self.ticket = self.submit("a", cls=request_class)
-
-    def perform(self, *actions: api.Action) -> None:
-        """Let the decision module return these actions."""
-        self.module.queued += actions
-        self.core.receive_peer_message(1, b"")  # any event makes the engine call the module
-        self.settle()
-
-    def send(self, deadline_us: int | None = None) -> None:
-        """Let the decision module send an attempt of the request to n0."""
-        if deadline_us is None:
-            self.perform(api.Send(self.ticket, "n0"))
-        else:
-            self.perform(api.Send(self.ticket, "n0", deadline_us))
-
-    def outcomes(self) -> list[Outcome]:
-        """The outcomes of attempts, as reported to the decision module."""
-        return [event.outcome for event in self.module.events if isinstance(event, api.Result)]
-
-
 def with_max_attempts_used() -> ScriptedInstance:
     instance = ScriptedInstance(max_attempts=2)
     for _ in range(2):
@@ -223,3 +181,33 @@
     instance.perform(api.Reject(instance.ticket, 5 * MS))
     assert instance.answers == {"a": Rejected(5 * MS)}
     assert instance.core.metrics.overload["read"] == 1
+
+
+def test_an_attempt_times_out_with_its_request_at_the_latest() -> None:
+    instance = ScriptedInstance()
+    [request] = instance.core._requests
+    instance.send(deadline_us=request.deadline_us + SECOND)
+    assert instance.transport.in_flight[0].deadline_us == request.deadline_us
+
+
+def test_only_the_first_report_of_each_step_of_an_attempt_counts() -> None:
+    instance = ScriptedInstance()
+    instance.send()
+    [attempt] = instance.transport.in_flight
+    instance.run(10 * MS)
+    for _ in range(2):
+        attempt.request_written()
+        attempt.response_started()
+        instance.run(10 * MS)
+    instance.finish_oldest(Outcome.SERVED, b"v")
+    assert instance.core.metrics.dispatches == 1
+    [result] = [event for event in instance.module.events if isinstance(event, api.Result)]
+    assert result.duration_us == 10 * MS
+
+
+def test_an_event_caused_by_an_action_is_exchanged_in_the_same_iteration() -> None:
+    instance = ScriptedInstance()
+    instance.module.queued = [api.Send(instance.ticket, "unknown")]
+    instance.core.receive_peer_message(1, b"")
+    instance.core.run_iteration()
+    assert instance.outcomes() == [Outcome.NEVER_DISPATCHED]
--- a/tests/core/test_endpoint_registry.py
+++ b/tests/core/test_endpoint_registry.py
@@ -65,3 +65,27 @@
     registry.apply(EndpointListing((), {}, True))
     registry.apply(listed)
     assert registry.effective_entry(up_endpoint("a", 0)).started_us == 0
+
+
+def test_a_terminated_backend_is_no_anomaly_whatever_its_cell() -> None:
+    registry = EndpointRegistry()
+    registry.apply(EndpointListing((up_endpoint("a", 0),), {"a": "10.0.0.1:1"}, True))
+    gone = Endpoint("a", 5, "z", EndpointState.GONE)
+    assert registry.apply(EndpointListing((gone,), {"a": ""}, False)) == []
+    assert len(registry) == 0
+
+
+def test_a_disabled_backend_that_is_not_up_keeps_its_listed_state() -> None:
+    registry = EndpointRegistry()
+    registry.set_disabled(frozenset({"a"}), 100)
+    for state in (EndpointState.DRAINING, EndpointState.GONE):
+        entry = Endpoint("a", 0, "z", state)
+        assert registry.effective_entry(entry) == entry
+
+
+def test_a_backend_that_restarted_after_it_was_enabled_warms_up_from_its_restart() -> None:
+    registry = EndpointRegistry()
+    registry.apply(EndpointListing((up_endpoint("a", 0),), {"a": "10.0.0.1:1"}, True))
+    registry.set_disabled(frozenset({"a"}), 100)
+    registry.set_disabled(frozenset(), 200)
+    assert registry.effective_entry(up_endpoint("a", 0, started=300)).started_us == 300
--- a/tests/support/engine_instance.py
+++ b/tests/support/engine_instance.py
@@ -6,6 +6,7 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.interface import EndpointState, Outcome
 from tests.support.clock import SECOND
+from tests.support.decision_bench import make_settings
 from tests.support.simulated_instance import SimulatedInstance
 
 
@@ -76,3 +77,44 @@
         attempt.finish(outcome, value)
         self.settle()
         return attempt
+
+
+class ScriptedModule:
+    """A decision module that returns the actions which a test has queued, and records all events."""
+
+    def __init__(self, settings: api.Settings) -> None:
+        self.settings = settings
+        self.queued: list[api.Action] = []
+        self.events: list[api.Event] = []
+
+    def handle(self, _now: int, events: list[api.Event]) -> list[api.Action]:
+        self.events += events
+        actions, self.queued = self.queued, []
+        return actions
+
+
+class ScriptedInstance(EngineInstance):
+    """An engine whose decision module is a script, with one open request."""
+
+    def __init__(self, request_class: str = "read", **settings: object) -> None:
+        config = make_settings(**settings)
+        super().__init__(config)
+        self.module = self.core.module = ScriptedModule(config)
+        self.ticket = self.submit("a", cls=request_class)
+
+    def perform(self, *actions: api.Action) -> None:
+        """Let the decision module return these actions."""
+        self.module.queued += actions
+        self.core.receive_peer_message(1, b"")  # any event makes the engine call the module
+        self.settle()
+
+    def send(self, deadline_us: int | None = None) -> None:
+        """Let the decision module send an attempt of the request to n0."""
+        if deadline_us is None:
+            self.perform(api.Send(self.ticket, "n0"))
+        else:
+            self.perform(api.Send(self.ticket, "n0", deadline_us))
+
+    def outcomes(self) -> list[Outcome]:
+        """The outcomes of attempts, as reported to the decision module."""
+        return [event.outcome for event in self.module.events if isinstance(event, api.Result)]
