--- a/garnetlanding/lab/quota_invariants.py
+++ b/garnetlanding/lab/quota_invariants.py
@@ -57,8 +57,8 @@
     def total(self, volume: str, now_us: int) -> float:
         """Return the sum of a volume's quotas in force.
 
-        An instance without a noted quota has had no request of the volume and sends nothing. So does one
-        whose quota has expired: it computes the quota anew before it sends.
+        An instance without a noted quota has had no request of the volume, so it has sent nothing. One whose
+        quota has expired computes it anew before it sends.
         """
         entitled = {f"n{number}" for number in volume_instances(self._experiment, int(volume, 16))}
         return sum(
