--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -1,4 +1,4 @@
-"""Clients that leave while requests of theirs are queued or in flight."""
+"""Clients that disconnect while requests of theirs are queued or in flight."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 BAD = codec.command([b"NO"])
 
 
-LEAVE: dict[str, Callable[[Raw], None]] = {
+DISCONNECT: dict[str, Callable[[Raw], None]] = {
     "fin": Raw.fin,
     "reset": Raw.abort,
     "fin behind bytes": Raw.fin_behind_bytes,
 }
 
 
-# Clients that leave
+# Clients that disconnect
 
 
-@pytest.mark.parametrize("how", LEAVE)
+@pytest.mark.parametrize("how", DISCONNECT)
 @pytest.mark.parametrize(
     "busy_with",
     [b"", BAD, QUIT, b"?\r\n", read_command("half")[:-9]],
@@ -37,57 +37,57 @@
 def test_a_queued_request_whose_client_disconnected_is_not_forwarded(how: str, busy_with: bytes) -> None:
     """Regression: the connection is not read for 0.2 s after a bad command and never after QUIT, so that the
     client's FIN went unnoticed."""
-    w = Waiting()
-    client = Raw(w, w.listener.address)
+    instance = Waiting()
+    client = Raw(instance, instance.listener.address)
     client.say(read_command(d=1400) + busy_with)
-    LEAVE[how](client)
-    w.run(100 * MS)
-    w.appear()
-    w.run(SECOND, 50 * MS)
-    assert not w.brick.received
-    assert w.core.open_requests == 0
+    DISCONNECT[how](client)
+    instance.run(100 * MS)
+    instance.appear()
+    instance.run(SECOND, 50 * MS)
+    assert not instance.brick.received
+    assert instance.core.open_requests == 0
 
 
-@pytest.mark.parametrize("how", LEAVE)
+@pytest.mark.parametrize("how", DISCONNECT)
 def test_no_retry_starts_for_a_client_that_disconnected_between_attempts(how: str) -> None:
-    w = Waiting()
-    w.appear()
-    w.brick.scripted_responses = [b"-BUSY\r\n"]
-    client = Raw(w, w.listener.address)
+    instance = Waiting()
+    instance.appear()
+    instance.brick.scripted_responses = [b"-BUSY\r\n"]
+    client = Raw(instance, instance.listener.address)
     client.say(read_command(d=1400) + BAD)
-    assert len(w.brick.received) == 1
-    LEAVE[how](client)
-    w.run(SECOND)
-    assert len(w.brick.received) == 1
-    assert w.core.open_requests == 0
+    assert len(instance.brick.received) == 1
+    DISCONNECT[how](client)
+    instance.run(SECOND)
+    assert len(instance.brick.received) == 1
+    assert instance.core.open_requests == 0
 
 
 def test_a_request_whose_client_disconnects_while_the_backend_connects_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    w = Waiting()
-    w.appear()
-    client = Raw(w, w.listener.address)
-    connect_late(w, monkeypatch)
+    instance = Waiting()
+    instance.appear()
+    client = Raw(instance, instance.listener.address)
+    connect_late(instance, monkeypatch)
     client.say(read_command(d=1400))
-    assert w.core.starts
+    assert instance.core.starts
     client.fin()
-    w.run(SECOND)
-    assert not w.brick.received
+    instance.run(SECOND)
+    assert not instance.brick.received
 
 
 def test_clients_that_disconnect_in_the_iteration_in_which_their_backend_appears_are_not_forwarded() -> None:
-    w = Waiting()
-    crowd = [Raw(w, w.listener.address) for _ in range(40)]
+    instance = Waiting()
+    crowd = [Raw(instance, instance.listener.address) for _ in range(40)]
     for n, client in enumerate(crowd):
         client.say(read_command(f"r{n}", d=1400, volume=f"v{n}") + (BAD if n % 2 else QUIT))
     for client in crowd:
         client.fin()
-    w.appear()
-    w.run(SECOND)
-    assert not w.brick.received
-    assert w.core.open_requests == 0
-    assert len(w.listener) == 0
+    instance.appear()
+    instance.run(SECOND)
+    assert not instance.brick.received
+    assert instance.core.open_requests == 0
+    assert len(instance.listener) == 0
 
 
 def take_all(pool: BufferPool) -> None:
@@ -98,46 +98,51 @@
 
 def test_without_buffers_a_disconnect_is_noticed_and_pending_responses_are_sent() -> None:
     """Regression: without a buffer to read into, a connection was closed and its requests got no response."""
-    w = Waiting()
-    leaving, staying = Raw(w, w.listener.address), Raw(w, w.listener.address)
+    instance = Waiting()
+    leaving, staying = Raw(instance, instance.listener.address), Raw(instance, instance.listener.address)
     leaving.say(read_command("r1", d=1400))
     staying.say(read_command("r2", d=1400))
     with pytest.raises(BufferPoolExhaustedError):
-        take_all(w.pool)
+        take_all(instance.pool)
     leaving.fin()
-    w.settle()
-    assert w.core.open_requests == 1
+    instance.settle()
+    assert instance.core.open_requests == 1
     staying.say(read_command("r3")[:-9])
     assert staying.read().startswith(b"-ERR out of buffers\r\n-ERR out of buffers\r\n")
-    assert w.core.open_requests == 0
+    assert instance.core.open_requests == 0
 
 
 def test_queued_messages_are_dropped_with_their_client() -> None:
     """Regression: 9P processes a few messages an iteration and reads nothing meanwhile, so that it went on
     working for a client that had disconnected."""
-    w = NinepInstance(ninep_requests=64)
-    client = NinepClient(w)
+    instance = NinepInstance(ninep_requests=64)
+    client = NinepClient(instance)
     client.open(1, "sv", "law", "terms")
-    before = len(received_messages(w, p9.Tread))
-    started_before = len(w.core.starts)
+    before = len(received_messages(instance, p9.Tread))
+    started_before = len(instance.core.starts)
     assert client.stream
     client.stream.write(b"".join(p9.encode(10 + n, p9.Tread(1, n * 64, 64)) for n in range(60)))
-    w.run_until(lambda: len(w.core.starts) > started_before, "an attempt for the first of 60 messages")
+    instance.run_until(
+        lambda: len(instance.core.starts) > started_before, "an attempt for the first of 60 messages"
+    )
     assert client.stream
     client.stream.close()
-    started = len(w.core.starts)
-    w.settle()
+    started = len(instance.core.starts)
+    instance.settle()
     assert (
-        len(w.core.starts) <= started + w.limits.ninep_messages_per_iteration
+        len(instance.core.starts) <= started + instance.limits.ninep_messages_per_iteration
     ), "those of the iteration in which it disconnected"
-    assert len(received_messages(w, p9.Tread)) - before <= started + w.limits.ninep_messages_per_iteration
+    assert (
+        len(received_messages(instance, p9.Tread)) - before
+        <= started + instance.limits.ninep_messages_per_iteration
+    )
 
 
 def test_a_client_that_floods_does_not_starve_others() -> None:
     """Regression: a client that sent without a pause was read without one, and no other was served."""
-    w = SimulatedInstance(read_bytes_per_iteration=16 << 10)
-    front = w.front()
-    flood = Raw(w, front.address)
+    instance = SimulatedInstance(read_bytes_per_iteration=16 << 10)
+    front = instance.front()
+    flood = Raw(instance, front.address)
     [connection] = front._clients
     sent = 0
     while True:
@@ -145,10 +150,10 @@
             sent += flood.sock.send(PING * 2000)
         except BlockingIOError:
             break
-    assert sent > 16 * w.limits.read_bytes_per_iteration
-    w.run_until(lambda: connection.protocol.messages_received > 0, "the first messages of the flood")
+    assert sent > 16 * instance.limits.read_bytes_per_iteration
+    instance.run_until(lambda: connection.protocol.messages_received > 0, "the first messages of the flood")
     assert (
         0
         < connection.protocol.messages_received * len(PING)
-        <= w.limits.read_bytes_per_iteration + w.limits.buffer_bytes
+        <= instance.limits.read_bytes_per_iteration + instance.limits.buffer_bytes
     )
