--- a/garnetlanding/peers/suspicions.py
+++ b/garnetlanding/peers/suspicions.py
@@ -189,6 +189,8 @@
 
         At most a set fraction of the listed backends is suspected: those with the most credit against them.
         """
+        if not self._claims:
+            return {}  # the usual case, at each call of the decision module
         suspicions = [
             suspicion
             for backend in self._claims
