--- a/garnetlanding/config/platform.py
+++ b/garnetlanding/config/platform.py
@@ -7,7 +7,6 @@
 import tomllib
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field, replace
-from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
 from garnetlanding import wire
@@ -244,7 +243,9 @@
 
 def _parse(path: str, parse: Callable[[str], Any], file_format: str) -> Any:
     try:
-        return parse(Path(path).read_text(encoding="utf-8"))
+        # Not by pathlib, which nothing else of an instance with platform settings alone imports.
+        with open(path, encoding="utf-8") as file:  # noqa: PTH123 - see above
+            return parse(file.read())
     except OSError as problem:
         raise ConfigError.unreadable(path, problem) from problem
     except ValueError as problem:
--- a/garnetlanding/http/errors.py
+++ b/garnetlanding/http/errors.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from enum import Enum
-from http import HTTPStatus
 
 
 class Violation(Enum):
@@ -23,12 +22,17 @@
     INCOMPLETE_RESPONSE = "answer cut short"
 
 
-_BAD_REQUEST = HTTPStatus.BAD_REQUEST.value
+# By number: every instance imports this module, and nothing else on the platform needs the module `http`.
+_BAD_REQUEST = 400
+_LENGTH_REQUIRED = 411
+_CONTENT_TOO_LARGE = 413
+_HEADER_FIELDS_TOO_LARGE = 431
+
 _STATUS_CODES = {
-    Violation.LINE_TOO_LONG: HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE.value,
-    Violation.TOO_MANY_HEADERS: HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE.value,
-    Violation.CHUNKED_REQUEST: HTTPStatus.LENGTH_REQUIRED.value,
-    Violation.BODY_TOO_LONG: HTTPStatus.REQUEST_ENTITY_TOO_LARGE.value,
+    Violation.LINE_TOO_LONG: _HEADER_FIELDS_TOO_LARGE,
+    Violation.TOO_MANY_HEADERS: _HEADER_FIELDS_TOO_LARGE,
+    Violation.CHUNKED_REQUEST: _LENGTH_REQUIRED,
+    Violation.BODY_TOO_LONG: _CONTENT_TOO_LARGE,
 }
 
 
