--- a/garnetlanding/http/__init__.py
+++ b/garnetlanding/http/__init__.py
@@ -1,5 +1,4 @@
-"""HTTP/1.1 (RFC 9112) without I/O: parsers of responses to this process and of operators' requests.
+"""Incremental HTTP/1.1 (RFC 9112) parsers for responses and for requests to the admin interface.
 
-As in h11, the parsers neither read nor write: the owner of the connection feeds them received bytes and acts
-on the result.
+The parsers do no I/O: the owner of the connection feeds them the bytes it receives and acts on the result.
 """
--- a/garnetlanding/http/request.py
+++ b/garnetlanding/http/request.py
@@ -1,4 +1,4 @@
-"""Parses one HTTP/1.1 request; its body is skipped, up to a limit."""
+"""Incremental parser for one HTTP/1.1 request, whose body is discarded."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 
 class RequestState(Enum):
-    """What the parser expects next."""
+    """The element that the parser expects next."""
 
     REQUEST_LINE = auto()
     """Method, target and version; empty lines before it are ignored."""
     HEADERS = auto()
     """A header field, or the end of the header section."""
     BODY = auto()
-    """The rest of the body; its length is known."""
+    """The rest of the body, whose length is known."""
     DONE = auto()
     """Nothing: the request is complete."""
 
 
 class RequestParser:
-    """Parses one request; to be fed until `done`.
+    """Parses one request; the caller feeds it received bytes until `done`.
 
-    The states follow one another in the order of `RequestState`. `method` and `target` are set from `HEADERS`
-    on. The body is discarded, because operators' requests carry nothing in it.
+    The parser passes through the states in the order of `RequestState`. `method` and `target` are set once
+    the request line has been parsed. The body is discarded, because admin requests have no content.
     """
 
     def __init__(self, pool: BufferPool, limits: Limits) -> None:
@@ -43,7 +43,7 @@
         self._head = MessageHead(pool, limits)
         self._state = RequestState.REQUEST_LINE
         self._body_remaining = 0
-        """Number of bytes of the body that have not been skipped yet."""
+        """Number of body bytes that have not been discarded yet."""
 
     @property
     def done(self) -> bool:
@@ -52,15 +52,15 @@
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether part of a request has arrived and the rest has not."""
+        """Whether a request has arrived only in part."""
         if self.done:
             return False
         return self._state is not RequestState.REQUEST_LINE or self._head.buffer.length > 0
 
     def feed(self, data: bytes | memoryview) -> bool:
-        """Parse received bytes and return `done`. What follows the request is ignored.
+        """Parse received bytes and return `done`. Bytes after the request are ignored.
 
-        Raises `HttpError` for bytes that are not a request, and for a request that exceeds a limit.
+        Raises `HttpError` if the request is malformed or exceeds a limit.
         """
         if self.done:
             return True
@@ -75,7 +75,7 @@
         self._head.buffer.clear()
 
     def _advance(self) -> bool:
-        """Parse the next element; return False if it has not arrived completely."""
+        """Parse the next element; return False if it is incomplete."""
         if self._state is RequestState.REQUEST_LINE:
             return self._read_request_line()
         if self._state is RequestState.HEADERS:
@@ -87,15 +87,15 @@
         if line is None:
             return False
         if not line:
-            return True  # an empty line before a request is ignored (RFC 9112, section 2.2)
+            return True  # empty lines before the request line are ignored (RFC 9112, section 2.2)
         parts = line.split(b" ")
         if len(parts) != _REQUEST_LINE_PARTS:
-            raise HttpError.of(Violation.INVALID_REQUEST_LINE)
+            raise HttpError.from_violation(Violation.INVALID_REQUEST_LINE)
         method, target, version = parts
         if not _TOKEN.fullmatch(method) or not _VERSION.fullmatch(version):
-            raise HttpError.of(Violation.INVALID_REQUEST_LINE)
+            raise HttpError.from_violation(Violation.INVALID_REQUEST_LINE)
         if not _TARGET.fullmatch(target):
-            raise HttpError.of(Violation.INVALID_TARGET)
+            raise HttpError.from_violation(Violation.INVALID_TARGET)
         self.method = method.decode("ascii")
         self.target = target.decode("ascii")
         self._state = RequestState.HEADERS
@@ -110,10 +110,10 @@
     def _begin_body(self) -> None:
         self._state = RequestState.BODY
         if "transfer-encoding" in self._head.headers:
-            raise HttpError.of(Violation.CHUNKED_REQUEST)
+            raise HttpError.from_violation(Violation.CHUNKED_REQUEST_BODY)
         self._body_remaining = self._head.content_length() or 0
         if self._body_remaining > self._limits.http_body_bytes:
-            raise HttpError.of(Violation.BODY_TOO_LONG)
+            raise HttpError.from_violation(Violation.BODY_TOO_LONG)
 
     def _skip_body(self) -> bool:
         skipped = min(self._body_remaining, self._head.buffer.length)
--- a/garnetlanding/http/response.py
+++ b/garnetlanding/http/response.py
@@ -1,4 +1,4 @@
-"""Parses one HTTP/1.1 response: status, headers, and the body in pieces as it arrives."""
+"""Incremental parser for one HTTP/1.1 response, which yields the body as it arrives."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 _INTERIM_STATUSES = range(100, 200)
 _BODILESS_STATUSES = (204, 304)
-_MIN_STATUS_LINE_PARTS = 2  # version and status code; the reason phrase may be missing
+_MIN_STATUS_LINE_PARTS = 2  # version and status code; the reason phrase is optional
 _HEX_DIGITS = b"0123456789abcdefABCDEF"
 _CHUNK_SIZE_DIGITS = 8
-"""Maximum number of digits in the size of a chunk."""
+"""Maximum number of hexadecimal digits in a chunk size."""
 
-_CONTINUE = b""
-"""The result of a step that parsed something other than a piece of the body."""
+_NO_BODY_DATA = b""
+"""Returned by a parsing step that made progress without producing body data."""
 
 
 class ResponseState(Enum):
-    """What the parser expects next.
+    """The element that the parser expects next.
 
     STATUS_LINE -> HEADERS          at each status line
     HEADERS -> STATUS_LINE          at the end of an interim response (1xx)
-    HEADERS -> BODY                 if the body has a length, or ends with the stream
+    HEADERS -> BODY                 if the body has a Content-Length or ends with the stream
     HEADERS -> CHUNK_SIZE           if the body is chunked
     HEADERS -> DONE                 if there is no body
     CHUNK_SIZE -> CHUNK_DATA -> CHUNK_END -> CHUNK_SIZE     for each chunk
-    CHUNK_SIZE -> TRAILERS          at the last chunk, which has size 0
+    CHUNK_SIZE -> TRAILERS          at the last chunk, whose size is 0
     BODY, TRAILERS -> DONE          at the end of the body
     """
 
@@ -39,23 +39,24 @@
     HEADERS = auto()
     """A header field, or the end of the header section."""
     BODY = auto()
-    """More of a body that has a length, or that ends with the stream."""
+    """More of a body that is not chunked."""
     CHUNK_SIZE = auto()
     """The line with the size of the next chunk."""
     CHUNK_DATA = auto()
-    """More of the present chunk."""
+    """More data of the current chunk."""
     CHUNK_END = auto()
-    """The CRLF behind a chunk's data."""
+    """The CRLF after a chunk's data."""
     TRAILERS = auto()
-    """A field behind the last chunk, which is ignored, or the end of these."""
+    """A trailer field, which is ignored, or the end of the trailer section."""
     DONE = auto()
     """Nothing: the response is complete."""
 
 
 class ResponseParser:
-    """Parses one response; to be fed until `done`. Interim responses (1xx) are skipped.
+    """Parses one response; the caller feeds it received bytes until `done`.
 
-    `status` is 0 until the head is complete; `headers` holds the header fields by their names in lower case.
+    Interim responses (1xx) are skipped. `status` is 0 until the head is complete; `headers` maps lower-case
+    field names to values.
     """
 
     def __init__(self, pool: BufferPool, limits: Limits) -> None:
@@ -64,10 +65,10 @@
         self.headers = self._head.headers
         self.status = 0
         self._state = ResponseState.STATUS_LINE
-        self._line_status = 0
-        """Status code in the last status line, which may belong to an interim response."""
+        self._received_status = 0
+        """Status code of the last status line, which may be that of an interim response."""
         self._remaining: int | None = None
-        """Number of bytes left in the body or the present chunk; `None` if the body ends with the stream."""
+        """Bytes left in the body or the current chunk; `None` if the body ends with the stream."""
 
     @property
     def done(self) -> bool:
@@ -75,7 +76,7 @@
         return self._state is ResponseState.DONE
 
     def feed(self, data: bytes | memoryview) -> Iterator[bytes]:
-        """Parse received bytes and yield the pieces of the body in them. Raises `HttpError`."""
+        """Parse received bytes and yield the body data in them. Raises `HttpError`."""
         self._buffer.append(data)
         while not self.done:
             piece = self._advance()
@@ -84,8 +85,8 @@
             if piece:
                 yield piece
 
-    def end(self) -> None:
-        """Process the end of the stream, which ends a body without a length.
+    def feed_eof(self) -> None:
+        """Handle the end of the stream, which also ends a body of unknown length.
 
         Raises `HttpError` if the response is incomplete.
         """
@@ -93,7 +94,7 @@
         is_complete = self.done or ends_with_stream
         self.close()
         if not is_complete:
-            raise HttpError.of(Violation.INCOMPLETE_RESPONSE)
+            raise HttpError.from_violation(Violation.INCOMPLETE_RESPONSE)
         self._state = ResponseState.DONE
 
     def close(self) -> None:
@@ -101,7 +102,7 @@
         self._buffer.clear()
 
     def _advance(self) -> bytes | None:
-        """Parse the next element; return a piece of the body, `_CONTINUE`, or `None` if data is missing."""
+        """Parse the next element; return body data, `_NO_BODY_DATA`, or `None` if more bytes are needed."""
         match self._state:
             case ResponseState.STATUS_LINE:
                 return self._read_status_line()
@@ -127,25 +128,25 @@
             or not parts[0].startswith(b"HTTP/1.")
             or not parts[1].isdigit()
         ):
-            raise HttpError.of(Violation.INVALID_STATUS_LINE)
-        self._line_status = int(parts[1])
+            raise HttpError.from_violation(Violation.INVALID_STATUS_LINE)
+        self._received_status = int(parts[1])
         self._state = ResponseState.HEADERS
-        return _CONTINUE
+        return _NO_BODY_DATA
 
     def _read_header(self) -> bytes | None:
         line = self._head.read_header()
         if line is HeaderLine.NEED_DATA:
             return None
         if line is HeaderLine.END:
-            self._end_headers()
-        return _CONTINUE
+            self._finish_headers()
+        return _NO_BODY_DATA
 
-    def _end_headers(self) -> None:
-        if self._line_status in _INTERIM_STATUSES:
+    def _finish_headers(self) -> None:
+        if self._received_status in _INTERIM_STATUSES:
             self.headers.clear()
             self._state = ResponseState.STATUS_LINE
             return
-        self.status = self._line_status
+        self.status = self._received_status
         if self.headers.get("transfer-encoding", "").lower() == "chunked":
             self._state = ResponseState.CHUNK_SIZE
             return
@@ -169,13 +170,13 @@
             return None
         digits = line.partition(b";")[0].strip()
         if not digits or len(digits) > _CHUNK_SIZE_DIGITS or digits.strip(_HEX_DIGITS):
-            raise HttpError.of(Violation.INVALID_CHUNK_SIZE)
+            raise HttpError.from_violation(Violation.INVALID_CHUNK_SIZE)
         self._remaining = int(digits, 16)
         self._state = ResponseState.CHUNK_DATA if self._remaining else ResponseState.TRAILERS
-        return _CONTINUE
+        return _NO_BODY_DATA
 
     def _read_chunk_data(self) -> bytes | None:
-        assert self._remaining is not None, "a chunk has a size"
+        assert self._remaining is not None, "chunk data is only read after a chunk size"
         piece = self._buffer.take(self._remaining)
         self._remaining -= len(piece)
         if self._remaining == 0:
@@ -187,9 +188,9 @@
         if line is None:
             return None
         if line:
-            raise HttpError.of(Violation.CHUNK_WITHOUT_END)
+            raise HttpError.from_violation(Violation.UNTERMINATED_CHUNK)
         self._state = ResponseState.CHUNK_SIZE
-        return _CONTINUE
+        return _NO_BODY_DATA
 
     def _read_trailer(self) -> bytes | None:
         line = self._head.read_line()
@@ -197,4 +198,4 @@
             return None
         if not line:
             self._state = ResponseState.DONE
-        return _CONTINUE
+        return _NO_BODY_DATA
--- a/garnetlanding/telemetry/collector_connection.py
+++ b/garnetlanding/telemetry/collector_connection.py
@@ -77,7 +77,7 @@
             if not stream.read(lambda data: received.extend(parser.feed(data)), deadline):
                 if stream.read_failed:
                     raise HttpError(_RESPONSE_RESET)
-                parser.end()
+                parser.feed_eof()
                 self.close()
             if sum(map(len, received)) > self._limits.http_line_bytes:
                 raise HttpError(_RESPONSE_TOO_LONG)
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -1056,7 +1056,7 @@
         try:
             pieces = list(response.feed(data))
             lines.append(f"body {pieces}, done {response.done}")
-            response.end()
+            response.feed_eof()
         except HttpError as problem:
             lines.append(f"problem: {problem}, status for a caller {problem.status}")
         lines.append(f"status {response.status}, headers {list(response.headers.items())}")
--- a/tests/http/test_response.py
+++ b/tests/http/test_response.py
@@ -1,4 +1,4 @@
-"""The HTTP response parser, at any split."""
+"""The HTTP response parser: input split at any byte, malformed and incomplete responses."""
 
 from __future__ import annotations
 
@@ -27,11 +27,12 @@
     else:
         data = b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
     data = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n" + data
-    http, got = parser(), b""
+    response = parser()
+    received = b""
     for size in [*sizes, len(data)]:
-        got += b"".join(http.feed(data[:size]))
+        received += b"".join(response.feed(data[:size]))
         data = data[size:]
-    assert (got, http.status, http.done) == (body, 200, True)
+    assert (received, response.status, response.done) == (body, 200, True)
 
 
 @pytest.mark.parametrize(
@@ -45,7 +46,7 @@
         pytest.param(b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 65, id="too many headers"),
         pytest.param(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", id="bad chunk size"),
         pytest.param(
-            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", id="chunk without its end"
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", id="unterminated chunk"
         ),
     ],
 )
@@ -55,10 +56,10 @@
 
 
 def test_only_a_body_without_a_length_may_end_with_the_stream() -> None:
-    http = parser()
-    assert list(http.feed(b"HTTP/1.1 200 OK\r\n\r\nabc")) == [b"abc"]
-    http.end()
-    short = parser()
-    list(short.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"))
-    with pytest.raises(HttpError, match="cut short"):
-        short.end()
+    unbounded = parser()
+    assert list(unbounded.feed(b"HTTP/1.1 200 OK\r\n\r\nabc")) == [b"abc"]
+    unbounded.feed_eof()
+    truncated = parser()
+    list(truncated.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"))
+    with pytest.raises(HttpError, match="incomplete response"):
+        truncated.feed_eof()
