--- a/example/client.py
+++ b/example/client.py
@@ -33,7 +33,7 @@
         ):
             pairs = f"c={request_class},t=standard,d=1000,volume=0000000000000001,units=2,shard=0,hosts=1"
             words = [verb, "00000000000000aa", request_id, pairs]
-            sock.sendall(resp.command([*(word.encode() for word in words), *body]))
+            sock.sendall(resp.encode_command([*(word.encode() for word in words), *body]))
             answers: list[resp.Value] = []
             while not answers:
                 answers += decoder.feed(sock.recv(4096))
--- a/garnetlanding/daemon/assembly.py
+++ b/garnetlanding/daemon/assembly.py
@@ -57,7 +57,7 @@
 from garnetlanding.daemon.settings import SettingsManager, effective_settings, stored_settings
 from garnetlanding.daemon.store_opening import open_store
 from garnetlanding.decision.control import Controller
-from garnetlanding.resp.backend_protocol import resp_backends
+from garnetlanding.resp.backend_protocol import create_resp_upstream
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.scheduler import Scheduler
 
@@ -157,6 +157,6 @@
         store=store,
         process=process,
         core=core,
-        backends=resp_backends(scheduler, pool, limits),
+        backends=create_resp_upstream(scheduler, pool, limits),
         incarnation=wall_ms(config),
     )
--- a/garnetlanding/daemon/clients.py
+++ b/garnetlanding/daemon/clients.py
@@ -6,7 +6,7 @@
 
 from garnetlanding.daemon.instance import Instance
 from garnetlanding.daemon.lifecycle import Subsystem
-from garnetlanding.resp.front import Front, RespClientProtocol
+from garnetlanding.resp.front import RespClientProtocol, RespListenerContext
 from garnetlanding.runtime.client_connection import ClientConnection
 from garnetlanding.runtime.listener import Listener
 
@@ -20,7 +20,7 @@
 
     name = "RESP2 clients"
     listener: Listener  # set by `start`
-    _front: Front  # set by `start`; shared by all connections
+    _listener_context: RespListenerContext  # set by `start`; shared by all connections
 
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
@@ -30,7 +30,7 @@
     def start(self) -> None:
         """Listen; with an admin service, the other process of an upgrade may listen at the same address."""
         instance = self._instance
-        self._front = Front(
+        self._listener_context = RespListenerContext(
             engine=instance.core,
             backend=instance.backends,
             pool=instance.pool,
@@ -50,4 +50,4 @@
         backends.capacity.owner = self.listener
 
     def _make_protocol(self, client: ClientConnection) -> RespClientProtocol:
-        return RespClientProtocol(self._front, client)
+        return RespClientProtocol(self._listener_context, client)
--- a/garnetlanding/emulator/backend.py
+++ b/garnetlanding/emulator/backend.py
@@ -67,7 +67,7 @@
             value = self.data.get(words[1], b"")
         else:
             return b"-SYNTAX\r\n"
-        return b"*3\r\n" + resp.bulk(value) + resp.bulk(b"used=50") + b"$-1\r\n"
+        return b"*3\r\n" + resp.encode_bulk(value) + resp.encode_bulk(b"used=50") + b"$-1\r\n"
 
     def release(self) -> None:
         """Execute the commands that are held and respond to them."""
--- a/garnetlanding/lab/clients.py
+++ b/garnetlanding/lab/clients.py
@@ -141,7 +141,7 @@
             f"units={request.units},shard={request.cell},hosts={request.instances_per_volume}"
         )
         name = request.id.encode()
-        connection.stream.write(codec.command([b"BLK.READ", name, name, attributes.encode()]))
+        connection.stream.write(codec.encode_command([b"BLK.READ", name, name, attributes.encode()]))
         try:
             while not connection.answers and connection.read(deadline_us):
                 pass
--- a/garnetlanding/lab/environment.py
+++ b/garnetlanding/lab/environment.py
@@ -58,7 +58,7 @@
             return
         work_us = int(float(attributes[b"units"]) / LIMITS.backend_units_per_s * SECOND)
         self._free_at_us = max(self._free_at_us, self.scheduler.now) + work_us
-        answer = b"*3\r\n" + resp.bulk(words[1]) + b"$-1\r\n$-1\r\n"
+        answer = b"*3\r\n" + resp.encode_bulk(words[1]) + b"$-1\r\n$-1\r\n"
 
         def send_answer() -> None:
             if not conn.is_closing:
--- a/garnetlanding/ninep/client.py
+++ b/garnetlanding/ninep/client.py
@@ -17,7 +17,7 @@
 from garnetlanding.ninep.operations import Read, ReadDirectory, Work, Write
 from garnetlanding.ninep.session import Session, SessionLimits, Steps, clunk_surplus_fids
 from garnetlanding.runtime.buffers import BufferPool
-from garnetlanding.runtime.errors import BackendProtocolError
+from garnetlanding.runtime.errors import BackendProtocolError, UnsolicitedResponseError
 from garnetlanding.runtime.protocols import BackendProtocolFactory
 from garnetlanding.runtime.scheduler import Scheduler
 from garnetlanding.runtime.stream import parse_address
@@ -110,7 +110,7 @@
 
     def _take_reply(self, tag: int, message: codec.Message | codec.Malformed) -> None:
         if self._program is None:
-            raise BackendProtocolError("answer to nothing")
+            raise UnsolicitedResponseError
         if isinstance(message, codec.Malformed):
             raise BackendProtocolError(message.reason)
         if tag != (codec.NOTAG if isinstance(message, codec.Rversion) else TAG):
--- a/garnetlanding/resp/__init__.py
+++ b/garnetlanding/resp/__init__.py
@@ -1,5 +1,5 @@
-"""RESP2 (the Redis serialization protocol) without I/O, in both directions.
+"""RESP2 (the Redis serialization protocol), server and client side, without I/O.
 
-`front` serves clients, `backend_protocol` forwards their commands to backends; `codec` decodes and encodes
-the bytes for both.
+`front` serves clients, `backend_protocol` forwards their commands to backends, and `codec` has the decoder
+and the encoders for both.
 """
--- a/garnetlanding/resp/backend_protocol.py
+++ b/garnetlanding/resp/backend_protocol.py
@@ -1,8 +1,8 @@
-"""Sends attempts to backends over RESP2: the protocol of one backend connection, without I/O.
+"""The client side of RESP2 on one backend connection, without I/O.
 
-A backend replies to the requests of a connection in order, so that a request behind another one would wait
-for that too. Therefore a connection carries one attempt at a time, and as many are open as attempts in
-flight.
+A backend replies to the requests of a connection in order, so a pipelined request would wait for the one
+before it (head-of-line blocking). Therefore a connection carries one attempt at a time, and there are as many
+connections as attempts in flight.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from garnetlanding.decision.interface import Outcome
 from garnetlanding.limits import Limits
 from garnetlanding.resp import codec
-from garnetlanding.resp.backend_reply import read_reply
+from garnetlanding.resp.backend_reply import parse_reply
 from garnetlanding.resp.errors import ProtocolError, SurplusReplyError
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.errors import BackendProtocolError, UnsolicitedResponseError
@@ -28,23 +28,23 @@
 
     States:
 
-    - idle, from the start and whenever `on_idle` has been called: there is neither an attempt nor a `body`;
-    - awaiting a reply, from `begin` on: there is an attempt, and its reply has not arrived completely;
-    - streaming, while `body` is set: the attempt has been served with a value that is still arriving.
+    - idle, initially and after each `on_idle`: there is neither an attempt nor a `body`;
+    - awaiting a reply, after `begin`: there is an attempt, and its reply is incomplete;
+    - streaming, while `body` is set: the attempt was finished as served with a value that is still arriving.
 
     Events:
 
     - `begin`: idle -> awaiting a reply;
     - a complete reply arrives: awaiting a reply -> idle, and the attempt is finished;
     - the first bytes of a long value arrive: awaiting a reply -> streaming, and the attempt is finished;
-    - the rest of its reply arrives: streaming -> idle, and the body ends.
+    - the rest of the reply arrives: streaming -> idle, and the body ends.
 
-    Bytes that arrive while idle, and bytes behind a reply, raise `BackendProtocolError`, because they would
-    be taken for the reply to the next attempt.
+    Bytes that arrive while idle, or after a complete reply, raise `BackendProtocolError`; otherwise they
+    would be mistaken for the reply to the next attempt.
     """
 
     bytes_may_have_been_sent = True
-    """A command is one message: a backend that has received all that was written may have executed it."""
+    """A command is a single message: once all of it has been sent, the backend may have executed it."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether part of a reply has arrived."""
+        """Whether a reply has arrived only in part."""
         return self._decoder.has_partial_message
 
     def begin(self, attempt: AttemptHandle) -> None:
@@ -80,17 +80,17 @@
             self._attempt.response_started()
         try:
             for value in self._decoder.feed(data):
-                if not self._stream(value):
-                    self._end_reply(value)
+                if not self._handle_streamed_part(value):
+                    self._complete_reply(value)
         except ProtocolError as error:
             raise BackendProtocolError(error) from error
 
-    def can_carry(self, attempt: AttemptHandle) -> bool:  # noqa: ARG002 - of the `BackendProtocol` interface
-        """Return that this connection is as good as any other."""
+    def can_carry(self, attempt: AttemptHandle) -> bool:  # noqa: ARG002 - required by `BackendProtocol`
+        """Return True: connections have no state that would make one preferable."""
         return True
 
     def close(self) -> None:
-        """Discard an incomplete reply; a value that is being streamed ends incomplete."""
+        """Discard an incomplete reply; a streamed value ends as incomplete."""
         self._decoder.close()
         if self.body:
             self.body.end(complete=False)
@@ -99,14 +99,14 @@
     def _is_idle(self) -> bool:
         return self._attempt is None and self.body is None
 
-    def _end_reply(self, value: codec.Value) -> None:
-        """Finish the attempt, or the value that is streamed for it, with a complete reply.
+    def _complete_reply(self, value: codec.Value) -> None:
+        """Finish the attempt, or the value streamed for it, with a complete reply.
 
-        The reply is valid whatever follows it, because there is only one attempt that it can belong to.
+        The reply counts even if surplus bytes follow it, because only this attempt is in flight.
         """
         if self._is_idle:
             raise SurplusReplyError(complete=True)
-        reply = read_reply(value, self._max_usage_percent)
+        reply = parse_reply(value, self._max_usage_percent)
         attempt = self._attempt
         body = self.body
         self._attempt = None
@@ -119,11 +119,10 @@
             raise SurplusReplyError(complete=False)
         self._on_idle()
 
-    def _stream(self, value: codec.Value) -> bool:
-        """Pass a piece of a streamed value on to the client; return False if `value` is none.
+    def _handle_streamed_part(self, value: codec.Value) -> bool:
+        """Forward a part of a streamed value to the client; return False if `value` is not such a part.
 
-        The attempt is finished by the first piece, because its reply is on the way to the client from then
-        on.
+        The attempt is finished by the first part, because from then on its reply is being sent to the client.
         """
         if isinstance(value, codec.BulkStart) and self._attempt:
             attempt = self._attempt
@@ -147,7 +146,7 @@
 
     def create(
         self,
-        attempt: AttemptHandle,  # noqa: ARG002 - the protocol gets it by `begin`
+        attempt: AttemptHandle,  # noqa: ARG002 - the protocol receives it in `begin`
         write: Write,
         on_idle: Callable[[], None],
     ) -> RespBackendProtocol:
@@ -155,7 +154,7 @@
         return RespBackendProtocol(self._timers, self._pool, self._limits, write, on_idle)
 
 
-def resp_backends(scheduler: Scheduler, pool: BufferPool, limits: Limits) -> Upstream:
+def create_resp_upstream(scheduler: Scheduler, pool: BufferPool, limits: Limits) -> Upstream:
     """Return the upstream that sends attempts to all backends over RESP2."""
     factory = RespBackendProtocolFactory(scheduler, pool, limits)
     return Upstream(scheduler, pool, limits, limits.backend_connections, factory)
--- a/garnetlanding/resp/codec.py
+++ b/garnetlanding/resp/codec.py
@@ -1,11 +1,10 @@
-"""RESP2 framing: an incremental decoder and encoders, without I/O and with a limit on every length.
+"""RESP2 encoders and an incremental decoder, without I/O and with a limit on every length.
 
 The decoder yields values as Python objects: a bulk string as `bytes`, an integer as `int`, an array as
-`list`, and a null bulk string or array as `None`; simple strings and errors have types of their own.
+`list`, and a null bulk string or array as `None`; simple strings and errors have their own types.
 
-A bulk string that is too long to be buffered is yielded in pieces where that is allowed. The events are then,
-in this order: one `BulkStart`, any number of `BulkChunk`, and the complete array, which contains the same
-`BulkStart` in place of the string.
+A bulk string that is too long to be buffered is yielded in chunks where that is allowed: one `BulkStart`, any
+number of `BulkChunk`, and then the complete array, which contains the `BulkStart` in place of the string.
 """
 
 from __future__ import annotations
@@ -45,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BulkStart:
-    """The beginning of a bulk string of `length` bytes that is yielded in pieces."""
+    """The beginning of a bulk string of `length` bytes that is yielded in chunks."""
 
     length: int
 
 
 @dataclass(frozen=True, slots=True)
 class BulkChunk:
-    """The next bytes of the bulk string that the last `BulkStart` announced."""
+    """The next bytes of the bulk string that began with the last `BulkStart`."""
 
     data: bytes
 
@@ -64,12 +63,12 @@
     """The result of a decoding step that did not complete a value."""
 
     NEED_DATA = auto()
-    """More bytes have to arrive first."""
+    """More bytes are needed."""
     CONTINUE = auto()
-    """A header was decoded; what it announces is to be decoded next."""
+    """A header was decoded; its content comes next."""
 
 
-# Bound once, because looking up a member in an Enum class is slow and happens for each element of a command.
+# Module constants, because the lookup of an Enum member is slow and would happen for every decoded element.
 _NEED_DATA: Final = _Step.NEED_DATA
 _CONTINUE: Final = _Step.CONTINUE
 _NeedData = Literal[_Step.NEED_DATA]
@@ -79,9 +78,9 @@
 class Decoder:
     """Decodes values incrementally; incomplete ones stay in pooled buffers until more bytes arrive.
 
-    With `commands_only`, for a server, only arrays of bulk strings are accepted. Otherwise, for a client, any
+    With `commands_only`, on the server side, only arrays of bulk strings are accepted. On the client side any
     value is accepted; a bulk string longer than `Limits.stream_threshold_bytes` must be the first element of
-    a reply, and is yielded in pieces.
+    a reply, and is yielded in chunks.
     """
 
     def __init__(self, pool: BufferPool, limits: Limits, *, commands_only: bool = False) -> None:
@@ -90,21 +89,21 @@
         self._commands_only = commands_only
         self._max_bulk_bytes = limits.value_bytes if commands_only else limits.reply_bytes
         self._bulk_remaining: int | None = None
-        """Number of bytes that the present bulk string still lacks; `None` between bulk strings."""
+        """Bytes still missing from the current bulk string; `None` between bulk strings."""
         self._bulk_start: BulkStart | None = None
-        """The announcement of the present bulk string if it is yielded in pieces."""
+        """The start of the current bulk string if it is yielded in chunks."""
         self._arrays: list[tuple[int, list[Value]]] = []
-        """The incomplete arrays, the innermost one last: their length and their elements so far."""
+        """Length and elements so far of each incomplete array, the innermost one last."""
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether part of a value has arrived."""
+        """Whether a value has arrived only in part."""
         return bool(self._buffer.length or self._arrays or self._bulk_remaining is not None)
 
     def feed(self, data: bytes | memoryview) -> Iterator[Value]:
         """Decode received bytes and return an iterator over the values that they complete.
 
-        The iterator raises `ProtocolError`, after which the decoder must not be used any more.
+        The iterator raises `ProtocolError`, after which the decoder must not be used again.
         """
         self._buffer.append(data)
         return self._values()
@@ -122,7 +121,7 @@
             if element is _NEED_DATA:
                 return
             if self._bulk_remaining is not None and isinstance(element, BulkStart | BulkChunk):
-                yield element  # a piece of a bulk string that is not complete yet
+                yield element  # part of an incomplete bulk string
                 continue
             value = self._add_to_array(element)
             if value is not _CONTINUE:
@@ -143,7 +142,7 @@
         """Return the next element other than a non-empty array, or `_NEED_DATA`."""
         while True:
             if self._bulk_remaining is not None:
-                return self._read_piece() if self._bulk_start else self._read_bulk(self._bulk_remaining)
+                return self._read_chunk() if self._bulk_start else self._read_bulk(self._bulk_remaining)
             try:
                 line = self._buffer.take_line(self._limits.line_bytes)
             except LineTooLongError as error:
@@ -155,19 +154,19 @@
                 return element
 
     def _read_header(self, kind: bytes, rest: bytes) -> Value | _Continue:
-        """Decode the first line of an element; return the element if that line is all of it."""
+        """Decode the first line of an element; return the element if it consists of that line only."""
         if self._commands_only and kind != (b"$" if self._arrays else b"*"):
             raise ProtocolError(Violation.NOT_A_COMMAND)
         if kind == b"$":
-            return self._begin_bulk(self._read_length(rest, self._max_bulk_bytes))
+            return self._begin_bulk(self._parse_length(rest, self._max_bulk_bytes))
         if kind == b"*":
-            return self._begin_array(self._read_length(rest, self._limits.array_elements))
+            return self._begin_array(self._parse_length(rest, self._limits.array_elements))
         if kind == b"+":
             return SimpleString(rest)
         if kind == b"-":
             return ErrorReply(rest)
         if kind == b":":
-            return _read_integer(rest)
+            return _parse_integer(rest)
         raise ProtocolError(Violation.UNKNOWN_TYPE)
 
     def _begin_bulk(self, length: int) -> Value | _Continue:
@@ -188,40 +187,40 @@
         if length == 0:
             return []
         if len(self._arrays) >= self._limits.array_nesting:
-            raise ProtocolError(Violation.NESTED_TOO_DEEP)
+            raise ProtocolError(Violation.NESTING_OVER_LIMIT)
         self._arrays.append((length, []))
         return _CONTINUE
 
     def _read_bulk(self, length: int) -> Value | _NeedData:
         if self._buffer.length < length + _CRLF_BYTES:
             return _NEED_DATA
-        body = self._buffer.take(length)
-        self._end_bulk()
-        return body
+        bulk_string = self._buffer.take(length)
+        self._finish_bulk()
+        return bulk_string
 
-    def _read_piece(self) -> Value | _NeedData:
-        """Return the next piece of a bulk string, or its `BulkStart` once all pieces have been returned."""
+    def _read_chunk(self) -> Value | _NeedData:
+        """Return the next chunk of a bulk string, or its `BulkStart` after the last chunk."""
         if self._bulk_remaining:
             if not self._buffer.length:
                 return _NEED_DATA
-            piece = self._buffer.take(self._bulk_remaining)
-            self._bulk_remaining -= len(piece)
-            return BulkChunk(piece)
+            chunk = self._buffer.take(self._bulk_remaining)
+            self._bulk_remaining -= len(chunk)
+            return BulkChunk(chunk)
         if self._buffer.length < _CRLF_BYTES:
             return _NEED_DATA
         start = self._bulk_start
         self._bulk_start = None
-        self._end_bulk()
+        self._finish_bulk()
         return start
 
-    def _end_bulk(self) -> None:
+    def _finish_bulk(self) -> None:
         if self._buffer.take(_CRLF_BYTES) != CRLF:
-            raise ProtocolError(Violation.BULK_WITHOUT_END)
+            raise ProtocolError(Violation.UNTERMINATED_BULK_STRING)
         self._bulk_remaining = None
 
-    def _read_length(self, text: bytes, max_length: int) -> int:
-        """Return a length, or -1 for a null value, which commands must not contain."""
-        length = _read_integer(text)
+    def _parse_length(self, text: bytes, max_length: int) -> int:
+        """Parse a length; -1 denotes a null value, which commands must not contain."""
+        length = _parse_integer(text)
         if length < -1 or (length < 0 and self._commands_only):
             raise ProtocolError(Violation.INVALID_LENGTH)
         if length > max_length:
@@ -229,25 +228,25 @@
         return length
 
 
-def _read_integer(text: bytes) -> int:
+def _parse_integer(text: bytes) -> int:
     digits = text[1:] if text[:1] == b"-" else text
     if not digits.isdigit() or len(digits) > _INTEGER_DIGITS:
         raise ProtocolError(Violation.INVALID_NUMBER)
     return int(text)
 
 
-def command(arguments: list[bytes]) -> bytes:
+def encode_command(arguments: list[bytes]) -> bytes:
     """Encode a command: an array of bulk strings."""
     parts = [b"*%d\r\n" % len(arguments)]
     parts += [b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments]
     return b"".join(parts)
 
 
-def bulk(value: bytes) -> bytes:
+def encode_bulk(value: bytes) -> bytes:
     """Encode a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def error(text: str) -> bytes:
+def encode_error(text: str) -> bytes:
     """Encode an error reply, with line breaks replaced by spaces and non-ASCII characters by `?`."""
     return b"-" + " ".join(text.split()).encode("ascii", "replace") + CRLF
--- a/garnetlanding/resp/errors.py
+++ b/garnetlanding/resp/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the package. Their messages are sent to clients, or logged, as they are."""
+"""Errors of the RESP package. Their messages are sent to clients or logged unchanged."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class RespError(ValueError):
-    """Input that this protocol does not allow; the message is part of the error reply to the client."""
+    """Invalid input from a client; the message is part of the error reply."""
 
 
 class Violation(Enum):
-    """Why bytes are not valid RESP2; the value is the message."""
+    """Why bytes are not valid RESP2; the value is the error message."""
 
     LINE_TOO_LONG = "line too long"
     NOT_A_COMMAND = "expected an array of bulk strings"
@@ -20,12 +20,12 @@
     INVALID_NUMBER = "invalid number"
     INVALID_LENGTH = "invalid length"
     LENGTH_OVER_LIMIT = "length over the limit"
-    NESTED_TOO_DEEP = "arrays nested too deep"
-    BULK_WITHOUT_END = "bulk string without its end"
+    NESTING_OVER_LIMIT = "arrays nested too deep"
+    UNTERMINATED_BULK_STRING = "bulk string without its end"
 
 
 class ProtocolError(RespError):
-    """Bytes are not RESP2 or exceed a limit: framing is lost, and nothing after them can be decoded."""
+    """Bytes are not RESP2 or exceed a limit: framing is lost, and later bytes cannot be decoded."""
 
     def __init__(self, violation: Violation) -> None:
         super().__init__(violation.value)
@@ -44,11 +44,11 @@
 
 
 class InvalidCommandError(RespError):
-    """A command is framed correctly and cannot be accepted; the message names the argument or field."""
+    """A correctly framed command is invalid; the message names the argument or field."""
 
 
 class ArgumentCountError(InvalidCommandError):
-    """A command has too few or too many arguments."""
+    """A command has the wrong number of arguments."""
 
     def __init__(self) -> None:
         super().__init__("wrong number of arguments")
@@ -64,7 +64,7 @@
 
 
 class InvalidFieldError(InvalidArgumentError):
-    """A field of a command's field list is invalid."""
+    """A field in a command's field list is invalid."""
 
     def __init__(self, name: str, problem: Problem) -> None:
         super().__init__(f"field {name}", problem)
@@ -81,15 +81,15 @@
 
 
 class MalformedReplyError(BackendProtocolError):
-    """A backend's reply is valid RESP2 but not one that a backend sends."""
+    """A backend's reply is valid RESP2 but has none of the valid forms of a reply."""
 
     def __init__(self) -> None:
-        super().__init__("spoilt answer")
+        super().__init__("malformed reply")
 
 
 class SurplusReplyError(BackendProtocolError):
-    """A backend sent more than one reply to a request."""
+    """A backend sent data after the reply to a request; `complete` if that was another whole reply."""
 
     def __init__(self, *, complete: bool) -> None:
-        super().__init__("more than one answer" if complete else "more behind an answer")
+        super().__init__("more than one reply" if complete else "data after the reply")
         self.complete = complete
--- a/garnetlanding/resp/front.py
+++ b/garnetlanding/resp/front.py
@@ -1,7 +1,7 @@
-"""Serves clients over RESP2: the protocol of one client connection, without I/O.
+"""The server side of RESP2 on one client connection, without I/O.
 
-Replies are written in the order of the commands, whatever the order in which the engine answers the requests,
-because a client can match replies to commands by their order alone.
+Replies are written in the order of the commands, even if the engine answers the requests in another order:
+in RESP2 the order is all by which a client can match replies to commands.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from garnetlanding.limits import MS, Limits
 from garnetlanding.resp import codec
 from garnetlanding.resp.errors import InvalidArgumentError, InvalidCommandError, Problem, ProtocolError
-from garnetlanding.resp.request import read_request
+from garnetlanding.resp.request import parse_request
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.errors import BufferPoolExhaustedError
 
@@ -29,24 +29,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Front:
-    """What all client connections of one listener share."""
+class RespListenerContext:
+    """Collaborators and state shared by all client connections of one listener."""
 
     engine: RequestEngine
     backend: BackendTransport
     pool: BufferPool
     limits: Limits
     accepts_clients: Callable[[], bool] = _always
-    """Whether clients should use this instance; while it drains, PING gets an error."""
+    """Whether clients should use this instance; if not, as during a drain, PING is answered with an error."""
     open_ids: set[bytes] = field(default_factory=set)
-    """The clients' ids of the requests in progress on all connections."""
+    """Client-assigned ids of the requests in progress, over all connections."""
 
 
 class PendingReply:
-    """The reply to one command, to be written after those to all earlier commands.
+    """The reply to one command, which is written after the replies to all earlier commands.
 
-    `reply` is `None` until it is known. While the command's request is in progress, `ticket` is the engine's
-    name for it, and `request_id` the client's.
+    `reply` is `None` until it is known. While the command's request is in progress, `ticket` identifies it to
+    the engine and `request_id` to the client.
     """
 
     __slots__ = ("reply", "request_id", "ticket")
@@ -58,18 +58,18 @@
 
 
 def encode_answer(answer: Answer) -> bytes | Body:
-    """Encode the engine's answer as a reply; a value that is to be streamed is returned as it is."""
+    """Encode the engine's answer as a reply; a streamed value is returned as its `Body`."""
     match answer:
         case Served(Body() as body):
             return body
         case Served(value):
-            return codec.bulk(value)
+            return codec.encode_bulk(value)
         case Rejected(retry_after_us) if retry_after_us:
-            retry_after_ms = -(-retry_after_us // MS)  # rounded up: never sooner than the engine asks for
+            retry_after_ms = -(-retry_after_us // MS)  # rounded up: a retry must not come early
             return b"-BUSY %d\r\n" % retry_after_ms
         case Rejected():
             return b"-BUSY\r\n"
-    return codec.error("ERR " + answer.reason)
+    return codec.encode_error("ERR " + answer.reason)
 
 
 class RespClientProtocol:
@@ -77,32 +77,32 @@
 
     States:
 
-    - receiving, from the start: commands are processed as they arrive;
+    - receiving, initially: commands are processed as they arrive;
     - closing, once `is_closing` is set: input is ignored, pending replies are still written.
 
     Events:
 
-    - `QUIT`: receiving -> closing, with all pending replies still to come;
-    - invalid RESP2, too many commands at once, too many invalid commands, or no buffer left: receiving ->
-      closing, with an error reply, after the client's requests in progress have been aborted;
-    - `close`: any -> closing, and the engine is told that the client has disconnected.
+    - `QUIT`: receiving -> closing; all pending replies are still written;
+    - invalid RESP2, too many pipelined commands, too many invalid commands, or no buffer left: receiving ->
+      closing; the client's requests in progress are aborted, and an error reply follows theirs;
+    - `close`: any -> closing; the engine is told that the client has disconnected.
     """
 
     has_buffered_input = False
     """`feed` processes all complete commands at once."""
 
-    def __init__(self, front: Front, write: Sink) -> None:
-        self._engine = front.engine
-        self._backend = front.backend
-        self._limits = front.limits
-        self._accepts_clients = front.accepts_clients
-        self._open_ids = front.open_ids
+    def __init__(self, context: RespListenerContext, write: Sink) -> None:
+        self._engine = context.engine
+        self._backend = context.backend
+        self._limits = context.limits
+        self._accepts_clients = context.accepts_clients
+        self._open_ids = context.open_ids
         self._write = write
-        self._decoder = codec.Decoder(front.pool, front.limits, commands_only=True)
+        self._decoder = codec.Decoder(context.pool, context.limits, commands_only=True)
         self._pending: deque[PendingReply] = deque()
-        """Replies that are not completely written, in the order of the commands."""
-        self._streaming = False
-        """Whether the first of them is a value that is being streamed."""
+        """Replies that are not completely written, in command order."""
+        self._is_streaming = False
+        """Whether the first pending reply is a value that is being streamed."""
         self.is_closing = False
         self.messages_received = 0
         self.invalid_messages = 0
@@ -115,33 +115,33 @@
 
     @property
     def has_session_state(self) -> bool:
-        """Whether a close between requests would lose state: never in this protocol."""
+        """False: RESP2 connections have no session state that a close between requests would lose."""
         return False
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether part of a command has arrived."""
+        """Whether a command has arrived only in part."""
         return self._decoder.has_partial_message
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Process received bytes, and the commands that they complete."""
+        """Process received bytes and the commands that they complete."""
         if self.is_closing:
             return
         try:
             for arguments in self._decoder.feed(data):
                 self.messages_received += 1
-                if arguments:  # an empty array is ignored, as by other RESP servers
-                    self._process(arguments)  # type: ignore[arg-type] # what commands_only yields
+                if arguments:  # an empty array is ignored, as in other RESP servers
+                    self._process(arguments)  # type: ignore[arg-type] # commands_only: lists of bytes
                 if self.is_closing:
                     break
         except ProtocolError as error:
-            self._reject_client(f"Protocol error: {error}")
+            self._close_with_error(f"Protocol error: {error}")
         except BufferPoolExhaustedError:
-            # To close the connection without a word would lose the replies to the requests in progress.
-            self._reject_client("out of buffers")
+            # Closing the connection without an error reply would lose the replies to requests in progress.
+            self._close_with_error("out of buffers")
 
     def close(self) -> None:
-        """Tell the engine that the client has left its requests in progress, and release all buffers."""
+        """Report to the engine that the client has disconnected, and release all buffers."""
         self.is_closing = True
         for pending in list(self._pending):
             if isinstance(pending.reply, Body):
@@ -157,32 +157,32 @@
 
     def _process(self, arguments: list[bytes]) -> None:
         if len(self._pending) >= self._limits.pipelined_commands:
-            self._reject_client("too many commands at once")
+            self._close_with_error("too many commands at once")
             return
         pending = self._add_pending()
         match arguments[0].upper():
             case b"BLK.READ" | b"BLK.WRITE":
                 self._submit(pending, arguments)
             case b"PING" if not self._accepts_clients():
-                self._settle(pending, codec.error("ERR draining"))
+                self._set_reply(pending, codec.encode_error("ERR draining"))
             case b"PING":
-                self._settle(pending, codec.bulk(arguments[1]) if len(arguments) > 1 else _PONG)
+                self._set_reply(pending, codec.encode_bulk(arguments[1]) if len(arguments) > 1 else _PONG)
             case b"CLIENT" | b"SELECT":
-                self._settle(pending, _OK)
+                self._set_reply(pending, _OK)
             case b"QUIT":
                 self.is_closing = True
-                self._settle(pending, _OK)
+                self._set_reply(pending, _OK)
             case _:
                 self._reject_command(pending, "unknown command")
 
     def _submit(self, pending: PendingReply, arguments: list[bytes]) -> None:
-        """Submit a request to the engine, which may answer it before `submit` returns."""
+        """Submit a request to the engine, which may answer before `submit` returns."""
         try:
-            request = read_request(arguments, self._limits)
+            request = parse_request(arguments, self._limits)
             request_id = self._require_unused_id(arguments[2])
             self.requests_received += 1
             ticket = self._engine.submit(
-                request, self._backend, lambda answer: self._settle(pending, encode_answer(answer))
+                request, self._backend, lambda answer: self._set_reply(pending, encode_answer(answer))
             )
         except (InvalidCommandError, InvalidRequestError) as error:
             self._reject_command(pending, str(error))
@@ -195,26 +195,26 @@
     def _require_unused_id(self, request_id: bytes) -> bytes:
         """Return the id. Raises `InvalidArgumentError` if a request with this id is in progress.
 
-        A backend could not tell the two requests apart.
+        A backend could not distinguish the two requests.
         """
         if request_id in self._open_ids:
             raise InvalidArgumentError("id", Problem.IN_USE)
         return request_id
 
     def _reject_command(self, pending: PendingReply, reason: str) -> None:
-        """Reply to an invalid command with an error; too many of them close the connection."""
+        """Reply to an invalid command with an error, and close the connection after too many of them."""
         self.invalid_messages += 1
-        self._settle(pending, codec.error("ERR " + reason))
+        self._set_reply(pending, codec.encode_error("ERR " + reason))
         if self.invalid_messages >= self._limits.bad_commands:
-            self._reject_client("too many errors")
+            self._close_with_error("too many errors")
 
-    def _reject_client(self, reason: str) -> None:
-        """Reply with an error, abort the requests in progress, and close the connection after that."""
+    def _close_with_error(self, reason: str) -> None:
+        """Abort the requests in progress, reply with an error, and then close the connection."""
         self.is_closing = True
         tickets = [pending.ticket for pending in self._pending if pending.ticket is not None]
         for ticket in tickets:
             self._engine.abort(ticket, reason)
-        self._settle(self._add_pending(), codec.error("ERR " + reason))
+        self._set_reply(self._add_pending(), codec.encode_error("ERR " + reason))
 
     # Replies
 
@@ -223,30 +223,30 @@
         self._pending.append(pending)
         return pending
 
-    def _settle(self, pending: PendingReply, reply: bytes | Body) -> None:
-        """Set the reply to a command, and write all replies that can now be written."""
+    def _set_reply(self, pending: PendingReply, reply: bytes | Body) -> None:
+        """Set the reply to a command, and write the replies that are now ready."""
         pending.reply = reply
         if pending.ticket is not None:
             self._release_id(pending)
         if isinstance(reply, Body):
-            reply.on_end.append(lambda complete: self._body_ended(pending, complete=complete))
+            reply.on_end.append(lambda complete: self._on_body_end(pending, complete=complete))
         self._write_ready()
 
     def _release_id(self, pending: PendingReply) -> None:
-        """Mark the request as no longer in progress, so that its id can be used again."""
+        """Mark the request as no longer in progress, so that its id can be reused."""
         pending.ticket = None
         self._open_ids.discard(pending.request_id)
 
     def _write_ready(self) -> None:
-        """Write replies in order, up to one that is not known yet or is still being streamed."""
+        """Write replies in order, up to the first that is unknown or still being streamed."""
         ready: list[bytes] = []
-        while not self._streaming and self._pending:
+        while not self._is_streaming and self._pending:
             reply = self._pending[0].reply
             if reply is None:
                 break
             if isinstance(reply, Body):
                 self._begin_streaming(reply, ready)
-                if self._streaming:
+                if self._is_streaming:
                     return
                 ready = [codec.CRLF]
             else:
@@ -255,23 +255,24 @@
         if ready:
             self._write(b"".join(ready))
 
-    def _begin_streaming(self, body: Body, before: list[bytes]) -> None:
-        """Write the replies before a streamed value and its header; the value follows as it arrives."""
-        self._write(b"".join([*before, b"$%d\r\n" % body.length]))
+    def _begin_streaming(self, body: Body, preceding: list[bytes]) -> None:
+        """Write the preceding replies and the header of a streamed value; its bytes follow as they arrive."""
+        self._write(b"".join([*preceding, b"$%d\r\n" % body.length]))
         body.attach_sink(self._write)
-        self._streaming = not body.ended
+        self._is_streaming = not body.ended
 
-    def _body_ended(self, pending: PendingReply, *, complete: bool) -> None:
-        """Write what follows a streamed value; abort the connection if the value is incomplete.
+    def _on_body_end(self, pending: PendingReply, *, complete: bool) -> None:
+        """Continue after a streamed value, or abort the connection if the value is incomplete.
 
-        Only by the abort can the client tell. A value that has not begun to be sent is replaced by an error.
+        The abort is all that tells the client of the truncation. If no byte of the value has been sent yet,
+        an error reply takes its place.
         """
-        is_streamed = self._streaming and self._pending[0] is pending
+        is_streamed = self._is_streaming and self._pending[0] is pending
         if not is_streamed:
             if not complete:
-                pending.reply = codec.error("ERR cut short")
+                pending.reply = codec.encode_error("ERR cut short")
         elif complete:
-            self._streaming = False
+            self._is_streaming = False
             self._pending.popleft()
             self._write(codec.CRLF)
             self._write_ready()
--- a/garnetlanding/runtime/errors.py
+++ b/garnetlanding/runtime/errors.py
@@ -37,14 +37,14 @@
     """A response began and did not end in time."""
 
     def __init__(self) -> None:
-        super().__init__("half an answer")
+        super().__init__("incomplete response")
 
 
 class UnsolicitedResponseError(BackendProtocolError):
     """Bytes arrived while no request was awaiting a response."""
 
     def __init__(self) -> None:
-        super().__init__("answer to nothing")
+        super().__init__("unsolicited response")
 
 
 class AddressError(ValueError):
--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -15,7 +15,7 @@
 from tests.support.ninep_instance import NinepClient, NinepInstance, received_messages
 from tests.support.simulated_instance import SimulatedInstance, read_command
 
-BAD = codec.command([b"NO"])
+BAD = codec.encode_command([b"NO"])
 
 
 DISCONNECT: dict[str, Callable[[Raw], None]] = {
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -25,7 +25,7 @@
 
 def response(value: bytes) -> bytes:
     """Return a backend's response in RESP."""
-    return b"*3\r\n" + codec.bulk(value) + codec.bulk(b"used=50") + b"$-1\r\n"
+    return b"*3\r\n" + codec.encode_bulk(value) + codec.encode_bulk(b"used=50") + b"$-1\r\n"
 
 
 class StreamingInstance(SimulatedInstance):
@@ -100,7 +100,7 @@
     [conn] = instance.backend.connections
     conn.write(response(value)[30_000:])
     instance.settle()
-    assert client.got == codec.bulk(value)
+    assert client.got == codec.encode_bulk(value)
     assert instance.core.open_requests == 0
     assert instance.core.metrics.success["read"] == 1
     assert client.say(read_command("r2")) == b"$0\r\n\r\n", "both are used again"
@@ -116,7 +116,7 @@
     for piece in (b"*3\r\n$1000\r\n", b"x" * 1000, b"\r\n$-1\r\n$-1\r\n"):
         conn.write(piece)
         instance.run(30 * MS)
-    assert client.got == codec.bulk(b"x" * 1000)
+    assert client.got == codec.encode_bulk(b"x" * 1000)
     assert instance.core.starts[0].duration_us == 40 * MS
 
 
@@ -189,7 +189,7 @@
     instance.backend.data[b"k"] = b"first"
     instance.backend.release()
     instance.settle()
-    assert client.got == codec.bulk(b"first") + codec.bulk(value) + codec.bulk(b"last")
+    assert client.got == codec.encode_bulk(b"first") + codec.encode_bulk(value) + codec.encode_bulk(b"last")
 
 
 def test_a_value_cut_short_before_streaming_is_an_error_and_the_connection_stays(
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -63,9 +63,9 @@
 from garnetlanding.resp import codec as resp
 from garnetlanding.resp.backend_protocol import RespBackendProtocol
 from garnetlanding.resp.errors import InvalidCommandError, ProtocolError
-from garnetlanding.resp.front import Front as RespFront
 from garnetlanding.resp.front import RespClientProtocol as RespClient
-from garnetlanding.resp.request import read_request
+from garnetlanding.resp.front import RespListenerContext
+from garnetlanding.resp.request import parse_request
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.errors import BackendProtocolError
 from garnetlanding.telemetry.exporter import Exporter, ServiceInstance
@@ -140,7 +140,7 @@
         self.core, self.sink, self.takes = FakeRequestEngine(), Sink(), True
         self.lines: list[str] = []
         self.machine = RespClient(
-            RespFront(self.core, None, buffers(), Limits(), lambda: self.takes),  # type: ignore[arg-type]
+            RespListenerContext(self.core, None, buffers(), Limits(), lambda: self.takes),  # type: ignore[arg-type]
             self.sink,
         )
 
@@ -166,18 +166,22 @@
 
 
 def blk_read(number: int, fields: bytes = FIELDS) -> bytes:
-    return resp.command([b"BLK.READ", b"piece-%d" % number, b"id-%d" % number, fields])
+    return resp.encode_command([b"BLK.READ", b"piece-%d" % number, b"id-%d" % number, fields])
 
 
 def blk_write(number: int, body: bytes, fields: bytes = FIELDS) -> bytes:
-    return resp.command([b"BLK.WRITE", b"piece-%d" % number, b"id-%d" % number, fields, body])
+    return resp.encode_command([b"BLK.WRITE", b"piece-%d" % number, b"id-%d" % number, fields, body])
 
 
 def test_resp_front_session() -> None:
     s = RespSession()
-    s.say(resp.command([b"PING"]) + resp.command([b"ping", b"hello"]))
-    s.say(resp.command([b"HELLO", b"2"]))
-    s.say(resp.command([b"CLIENT", b"SETNAME", b"x"]) + resp.command([b"SELECT", b"0"]) + b"*0\r\n")
+    s.say(resp.encode_command([b"PING"]) + resp.encode_command([b"ping", b"hello"]))
+    s.say(resp.encode_command([b"HELLO", b"2"]))
+    s.say(
+        resp.encode_command([b"CLIENT", b"SETNAME", b"x"])
+        + resp.encode_command([b"SELECT", b"0"])
+        + b"*0\r\n"
+    )
     s.say(blk_read(1)[:20])
     s.say(blk_read(1)[20:])
     s.answer("i1", Served(b"value one"), "served")
@@ -197,8 +201,8 @@
     s.note("the value is whole")
     s.answer("i8", Served(b"\x00\xff\r\n"), "served, binary")
     s.takes = False
-    s.say(resp.command([b"PING"]))
-    s.say(resp.command([b"QUIT"]) + resp.command([b"PING"]))
+    s.say(resp.encode_command([b"PING"]))
+    s.say(resp.encode_command([b"QUIT"]) + resp.encode_command([b"PING"]))
     check("resp_front_session.txt", s.end())
 
 
@@ -219,11 +223,11 @@
 
 
 BAD_COMMANDS = {
-    "unknown command": resp.command([b"GET", b"x"]),
-    "too few words": resp.command([b"BLK.READ", b"piece", b"id"]),
-    "a write without its body": resp.command([b"BLK.WRITE", b"piece", b"id", FIELDS]),
-    "empty piece": resp.command([b"BLK.READ", b"", b"id", FIELDS]),
-    "id with a space": resp.command([b"BLK.READ", b"piece", b"a b", FIELDS]),
+    "unknown command": resp.encode_command([b"GET", b"x"]),
+    "too few words": resp.encode_command([b"BLK.READ", b"piece", b"id"]),
+    "a write without its body": resp.encode_command([b"BLK.WRITE", b"piece", b"id", FIELDS]),
+    "empty piece": resp.encode_command([b"BLK.READ", b"", b"id", FIELDS]),
+    "id with a space": resp.encode_command([b"BLK.READ", b"piece", b"a b", FIELDS]),
     "fields not ASCII": blk_read(1, b"\xff"),
     "fields too long": blk_read(1, b"x" * 600),
     "field twice": blk_read(1, FIELDS + b",c=read"),
@@ -255,10 +259,10 @@
         session.say(data)
         lines += [f"# {what}", *session.end()]
     session = RespSession()
-    session.say(blk_read(1) + resp.command([b"GET", b"x"]) * 9)
+    session.say(blk_read(1) + resp.encode_command([b"GET", b"x"]) * 9)
     lines += ["# too many errors, with a request open", *session.end()]
     session = RespSession()
-    session.say(blk_read(1) + resp.command([b"PING"]) * 64)
+    session.say(blk_read(1) + resp.encode_command([b"PING"]) * 64)
     lines += ["# too many commands at once", *session.end()]
     check("resp_front_bad.txt", lines)
 
@@ -281,7 +285,7 @@
 def test_resp_requests_and_what_a_backend_is_sent() -> None:
     lines: list[str] = []
     for what, words in REQUESTS.items():
-        ask = read_request(words, Limits())
+        ask = parse_request(words, Limits())
         lines += [
             f"# {what}",
             f"class {ask.request_class}, plan {ask.plan}, volume {ask.volume}, key {ask.key}, "
@@ -291,7 +295,7 @@
         ]
         lines += [f"left {left} us: {shown(ask.work.encode(left))}" for left in (1, 999_999, 2_500_000)]
     with pytest.raises(InvalidCommandError) as problem:
-        read_request([b"BLK.READ", b"piece", b"id", b""], Limits())
+        parse_request([b"BLK.READ", b"piece", b"id", b""], Limits())
     lines.append(f"no fields: {problem.value}")
     check("resp_requests.txt", lines)
 
@@ -307,7 +311,7 @@
     backend, deadline_us = "brick", 1_500_000
 
     def __init__(self, lines: list[str]) -> None:
-        self.work = read_request(REQUESTS["read"], Limits()).work
+        self.work = parse_request(REQUESTS["read"], Limits()).work
         self.lines = lines
 
     def address(self) -> str | None:
@@ -447,9 +451,9 @@
         except ProtocolError as problem:
             lines.append(f"problem: {problem}")
         lines.append(f"midway {decoder.has_partial_message}")
-    lines.append(f"command {resp.command([b'SET', b'', bytes(range(256))])!r}")
-    lines.append(f"bulk {resp.bulk(b'v' * 3)!r}")
-    lines.append(f"error {resp.error('ERR  two' + chr(10) + 'lines ' + chr(0xE9))!r}")
+    lines.append(f"command {resp.encode_command([b'SET', b'', bytes(range(256))])!r}")
+    lines.append(f"bulk {resp.encode_bulk(b'v' * 3)!r}")
+    lines.append(f"error {resp.encode_error('ERR  two' + chr(10) + 'lines ' + chr(0xE9))!r}")
     check("resp_values.txt", lines)
 
 
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -47,7 +47,7 @@
 from garnetlanding.peers import operator_tables
 from garnetlanding.peers.disable_replication import DisableReplication
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.resp.front import Front, RespClientProtocol
+from garnetlanding.resp.front import RespClientProtocol, RespListenerContext
 from garnetlanding.runtime.listener import Listener
 from garnetlanding.store.errors import (
     LogGapError,
@@ -582,7 +582,9 @@
             self.pool,
             self.limits,
             self.limits.client_connections,
-            lambda write: RespClientProtocol(Front(self.core, self.bricks, self.pool, self.limits), write),
+            lambda write: RespClientProtocol(
+                RespListenerContext(self.core, self.bricks, self.pool, self.limits), write
+            ),
         )
         peers = DisableReplication(PeerLimits())
         shared = ReplicatedDisables(peers, lambda: 1, lambda: 1764640899000) if fleet else None
--- a/tests/integration/test_process_signals.py
+++ b/tests/integration/test_process_signals.py
@@ -24,7 +24,7 @@
 from tests.support.waiting import LONGEST_WAIT_S, poll_until, wait_until
 
 ROOT = pathlib.Path(__file__).parents[2]
-PING = codec.command([b"PING"])
+PING = codec.encode_command([b"PING"])
 PONG = b"+PONG\r\n"
 PORT = 6379
 RELOADED = b'msg="configuration reloaded"'
--- a/tests/resp/test_backend_protocol.py
+++ b/tests/resp/test_backend_protocol.py
@@ -1,4 +1,4 @@
-"""Replies of backends: outcomes, load reports and malformed responses."""
+"""Backend replies: outcomes, load reports and malformed replies."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.limits import MS
 from garnetlanding.resp import codec
-from garnetlanding.resp.backend_reply import read_reply
+from garnetlanding.resp.backend_reply import parse_reply
 from tests.support.resp import LIMITS
 from tests.support.simulated_instance import SimulatedInstance, read_command
 
 
 @pytest.mark.parametrize(
-    ("reply", "meaning"),
+    ("reply", "expected"),
     [
         ([b"v", b"used=37,cost=4", None], (Outcome.SERVED, b"v", 37)),
         ([b"v", None, None], (Outcome.SERVED, b"v", None)),
@@ -24,10 +24,11 @@
         (codec.ErrorReply(b"ERR failed used=5 latency_ms=9"), (Outcome.ERROR, None, 5)),
         (codec.ErrorReply(b"BUSY"), (Outcome.FULL, None, None)),
         (codec.ErrorReply(b"SYNTAX"), (Outcome.ERROR, None, None)),
-        # An invalid percentage is ignored, and nothing else of the reply: scheduling weights depend on it.
+        # Scheduling weights are computed from the percentage: an invalid one is ignored, the rest of the
+        # reply is not.
         *(
-            ([b"v", use, None], (Outcome.SERVED, b"v", None))
-            for use in (
+            ([b"v", usage, None], (Outcome.SERVED, b"v", None))
+            for usage in (
                 b"used=x",
                 b"used=nan",
                 b"used=-5",
@@ -44,9 +45,9 @@
     ],
 )
 def test_a_reply_is_read_as_outcome_value_and_used_capacity(
-    reply: codec.Value, meaning: tuple[Outcome, bytes | None, int | None]
+    reply: codec.Value, expected: tuple[Outcome, bytes | None, int | None]
 ) -> None:
-    assert read_reply(reply, LIMITS.max_usage_percent)[:3] == meaning
+    assert parse_reply(reply, LIMITS.max_usage_percent)[:3] == expected
 
 
 @pytest.mark.parametrize(
@@ -59,8 +60,8 @@
         (codec.ErrorReply(b"ERR failed used=5"), {}),
         (codec.ErrorReply(b"BUSY"), {}),
         *(
-            ([b"v", None, odd], {})
-            for odd in (
+            ([b"v", None, invalid], {})
+            for invalid in (
                 b"latency_ms=nan",
                 b"latency_ms=-1",
                 b"latency_ms=1e9",
@@ -75,7 +76,7 @@
     ],
 )
 def test_a_load_report_is_read_whole_or_not_at_all(reply: codec.Value, report: dict[str, float]) -> None:
-    assert read_reply(reply, LIMITS.max_usage_percent)[3] == report
+    assert parse_reply(reply, LIMITS.max_usage_percent)[3] == report
 
 
 @pytest.mark.parametrize(
@@ -106,17 +107,17 @@
         "array of one",
         "null array",
         "value missing",
-        "value cut short",
+        "truncated value",
         "negative length",
         "unknown type",
         "value too long",
         "line too long",
-        "value longer than said",
-        "error cut short",
+        "value longer than announced",
+        "truncated error",
     ],
 )
 def test_a_malformed_reply_resets_the_attempt_and_closes_the_connection(malformed: bytes) -> None:
-    """An incomplete reply, the rest of which may never arrive, must not hold the attempt for good."""
+    """An incomplete reply must not hold the attempt forever, because the rest may never arrive."""
     instance = SimulatedInstance()
     backend = instance.server(EmulatedBackend)
     instance.list(EmulatedEndpoint("b0", backend.address, 0))
@@ -126,11 +127,11 @@
     instance.run(instance.limits.partial_reply_us)
     assert instance.core.starts[0].outcome is Outcome.RESET
     instance.run(100 * MS)
-    assert peer.got == codec.bulk(b"value")
+    assert peer.got == codec.encode_bulk(b"value")
     assert len(backend.received) == backend.accepted == 2
 
 
-def test_a_reply_that_trickles_without_an_end_is_given_up() -> None:
+def test_a_reply_that_trickles_without_an_end_is_reset() -> None:
     instance = SimulatedInstance()
     backend = instance.server(EmulatedBackend)
     instance.list(EmulatedEndpoint("b0", backend.address, 0))
@@ -145,15 +146,15 @@
     assert instance.core.starts[0].outcome is Outcome.RESET
 
 
-@pytest.mark.parametrize("behind", [b"noise", b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", b"\r\n"])
-def test_a_reply_with_bytes_behind_it_is_served_and_its_connection_closed(behind: bytes) -> None:
-    """It was discarded with its connection, and the request was executed a second time."""
+@pytest.mark.parametrize("surplus", [b"noise", b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", b"\r\n"])
+def test_a_reply_followed_by_surplus_bytes_is_served_and_its_connection_closed(surplus: bytes) -> None:
+    """Regression: the reply was discarded with its connection, and the request was executed a second time."""
     instance = SimulatedInstance()
     backend = instance.server(EmulatedBackend)
     instance.list(EmulatedEndpoint("b0", backend.address, 0))
-    backend.scripted_responses = [b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n" + behind]
+    backend.scripted_responses = [b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n" + surplus]
     peer = instance.peer(instance.front().address)
-    assert peer.say(read_command()) == codec.bulk(b"value")
+    assert peer.say(read_command()) == codec.encode_bulk(b"value")
     assert not backend.connections
     assert len(backend.received) == 1
 
@@ -165,9 +166,8 @@
     peer = instance.peer(instance.front().address)
     body = bytes(range(256)) * 256
     assert peer.say(read_command(verb="BLK.WRITE", body=body)) == b"$2\r\nOK\r\n"
-    assert peer.say(read_command("r2")) == codec.bulk(body)
-    backend.data[b"k"] = (
-        body * 6
-    )  # more than the protocol says, and seen: run four times over and never served
-    assert peer.say(read_command("r3")) == codec.bulk(body * 6)
+    assert peer.say(read_command("r2")) == codec.encode_bulk(body)
+    # Longer than the protocol specifies; such a request was once executed four times and never served.
+    backend.data[b"k"] = body * 6
+    assert peer.say(read_command("r3")) == codec.encode_bulk(body * 6)
     assert len(backend.received) == 3
--- a/tests/resp/test_client_connections.py
+++ b/tests/resp/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Client connections of the RESP front: closes, limits, eviction."""
+"""RESP client connections: closing, limits, eviction."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
     assert incomplete.closed
     client_that_does_not_read = instance.peer(front.address)
     assert client_that_does_not_read.stream
-    instance.stop_polling(client_that_does_not_read.stream._sock)  # it stops reading
+    instance.stop_polling(client_that_does_not_read.stream._sock)  # stops reading
     client_that_does_not_read.stream.write(b"".join(read_command(f"r{i}") for i in range(400)))
     instance.run(instance.limits.write_stall_us + MS, step_us=100 * MS)
-    assert len(front) == 0, "what it leaves unread is bounded in bytes and time"
+    assert len(front) == 0, "unsent replies are limited in bytes and in time"
 
 
 def test_at_the_limit_the_longest_idle_connection_is_evicted() -> None:
@@ -52,15 +52,15 @@
     backend.scripted_responses = [None]
     busy.say(read_command("r2", d=1400))
     third = instance.peer(front.address)
-    assert third.say(PING) == b"", "a well-behaved client may be idle for a moment"
-    assert not idle.closed, "a well-behaved client may be idle for a moment"
+    assert third.say(PING) == b"", "a client that has sent a request may be idle for a moment"
+    assert not idle.closed, "a client that has sent a request may be idle for a moment"
     instance.run(instance.limits.idle_client_timeout_us, step_us=100 * MS)
     assert third.got == b"+PONG\r\n"
     assert idle.closed
 
 
 def test_clients_that_only_ping_are_evicted_before_those_with_requests() -> None:
-    """Hundreds sent a PING and stayed connected: for 2 s no other client was accepted."""
+    """Regression: hundreds of clients stayed connected after a PING, and no other was accepted for 2 s."""
     instance = SimulatedInstance(client_connections=2, idle_client_timeout_us=100 * MS)
     instance.list()
     front = instance.front()
@@ -91,12 +91,12 @@
     third.say(PING[:5])
     fourth = instance.peer(front.address)
     instance.run(instance.limits.new_client_timeout_us)
-    assert fourth.say(PING) == b"+PONG\r\n", "part of a command counts for little more than nothing"
-    assert third.closed, "part of a command counts for little more than nothing"
+    assert fourth.say(PING) == b"+PONG\r\n", "a partial command delays the eviction only briefly"
+    assert third.closed, "a partial command delays the eviction only briefly"
 
 
 def test_many_idle_connections_are_closed_down_to_the_limit() -> None:
-    """Clients that sent one request and stayed used up the limit: others could not connect."""
+    """Regression: clients that stayed connected after one request used up the limit for all others."""
     instance = SimulatedInstance(idle_clients=2)
     backend = instance.server(EmulatedBackend)
     instance.list(EmulatedEndpoint("b0", backend.address, 0))
@@ -108,12 +108,12 @@
     peers[0].say(read_command("again"))
     assert len(front) == 5
     instance.run(instance.limits.client_sweep_us + MS)
-    assert len(front) == 2, "that one has just been used"
-    assert not peers[0].closed, "that one has just been used"
+    assert len(front) == 2, "the one just used stays open"
+    assert not peers[0].closed, "the one just used stays open"
 
 
 def test_clients_borrow_descriptors_that_backends_do_not_need_and_return_them() -> None:
-    """With a fixed quota clients waited for a connection though backends did not need theirs."""
+    """Regression: with fixed quotas clients waited for connections that backends did not need."""
     instance = SimulatedInstance(
         make_settings(max_attempts=4, parallel_attempts=False, instances=1),
         reserved_backend_connections=1,
@@ -129,8 +129,8 @@
     idle.say(PING)
     for i in range(3):
         busy.say(read_command(f"r{i}", cell=i, d=10_000))
-    assert instance.bricks.capacity.open_count == 2, "two each: the limit is reached"
-    assert len(front) == 3, "two each: the limit is reached"
+    assert instance.bricks.capacity.open_count == 2, "two connections on each side: the limit is reached"
+    assert len(front) == 3, "two connections on each side: the limit is reached"
     instance.run(400 * MS)
     assert late.closed or idle.closed, "a client without a request was evicted for a backend"
     assert instance.bricks.capacity.open_count == 3
--- a/tests/resp/test_codec.py
+++ b/tests/resp/test_codec.py
@@ -1,4 +1,4 @@
-"""The RESP2 codec, at any split."""
+"""The RESP2 codec: input split at any byte, all types, invalid input."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.support.resp import LIMITS, pool
 from tests.support.simulated_instance import SimulatedInstance
 
-WORDS = st.lists(st.binary(max_size=40), min_size=1, max_size=6)
+ARGUMENTS = st.lists(st.binary(max_size=40), min_size=1, max_size=6)
 
 
 def split(data: bytes, sizes: list[int]) -> list[bytes]:
@@ -21,18 +21,18 @@
     return [*pieces, data]
 
 
-@given(st.lists(WORDS, max_size=5), st.lists(st.integers(0, 30), max_size=20))
+@given(st.lists(ARGUMENTS, max_size=5), st.lists(st.integers(0, 30), max_size=20))
 def test_commands_decode_the_same_at_any_split(commands: list[list[bytes]], sizes: list[int]) -> None:
     buffers = pool()
     decoder = codec.Decoder(buffers, LIMITS, commands_only=True)
-    data = b"".join(map(codec.command, commands))
-    got = [value for piece in split(data, sizes) for value in decoder.feed(piece)]
-    assert got == commands
+    data = b"".join(map(codec.encode_command, commands))
+    decoded = [value for piece in split(data, sizes) for value in decoder.feed(piece)]
+    assert decoded == commands
     assert not decoder.has_partial_message
     assert buffers.in_use <= 1, "an emptied buffer is released"
 
 
-def test_every_kind_of_reply_is_decoded() -> None:
+def test_every_type_of_reply_is_decoded() -> None:
     data = b"+OK\r\n-ERR x\r\n:-7\r\n$-1\r\n*-1\r\n*0\r\n*2\r\n*1\r\n:1\r\n$2\r\nab\r\n"
     assert list(codec.Decoder(pool(), LIMITS).feed(data)) == [
         codec.SimpleString(b"OK"),
@@ -69,7 +69,7 @@
         "integer element",
         "bulk too long",
         "null element",
-        "bulk without its end",
+        "unterminated bulk",
         "line too long",
         "length of 20 digits",
         "nested array",
--- a/tests/resp/test_front.py
+++ b/tests/resp/test_front.py
@@ -1,4 +1,4 @@
-"""The RESP front: commands, pipelining and errors."""
+"""The RESP client protocol: commands, pipelining and errors."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from garnetlanding.resp import codec
 from garnetlanding.resp.errors import InvalidCommandError
 from garnetlanding.resp.front import encode_answer
-from garnetlanding.resp.request import read_request
+from garnetlanding.resp.request import parse_request
 from tests.support.clock import SECOND
 from tests.support.decision_bench import make_settings
 from tests.support.resp import LIMITS, PING, pool
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "words"),
+    ("replacement", "error_text"),
     [
         (("c=read,", ""), "field c"),
         (("units=2", "units=nan"), "field units"),
@@ -59,25 +59,27 @@
         "fields too long",
     ],
 )
-def test_an_invalid_command_gets_an_error_that_names_its_field(change: tuple[str, str], words: str) -> None:
+def test_an_invalid_command_gets_an_error_that_names_its_field(
+    replacement: tuple[str, str], error_text: str
+) -> None:
     instance = SimulatedInstance(make_settings(cells=9))
     peer = instance.peer(instance.front().address)
-    args = "c=read,t=gold,d=1000,volume=v,units=2,shard=0,hosts=1".replace(*change).encode()
-    answer = peer.say(codec.command([b"BLK.READ", b"k", b"id", args]))
-    assert answer.startswith(b"-ERR")
-    assert words.encode() in answer
-    assert peer.say(PING) == b"", "not read at once: it could send the same at full speed"
+    args = "c=read,t=gold,d=1000,volume=v,units=2,shard=0,hosts=1".replace(*replacement).encode()
+    reply = peer.say(codec.encode_command([b"BLK.READ", b"k", b"id", args]))
+    assert reply.startswith(b"-ERR")
+    assert error_text.encode() in reply
+    assert peer.say(PING) == b"", "reading pauses, so that a client cannot repeat the command at full speed"
     instance.run(instance.limits.misuse_pause_us)
-    assert peer.got == answer + b"+PONG\r\n", "the connection goes on"
+    assert peer.got == reply + b"+PONG\r\n", "the connection stays open"
 
 
 @pytest.mark.parametrize(
     "id", [b"", b"a b", b"\xff", b"x" * 65], ids=["empty", "with a space", "not ASCII", "too long"]
 )
 def test_a_malformed_request_id_raises(id: bytes) -> None:
-    words = [b"BLK.READ", b"k", id, b"c=read,t=gold,d=1,volume=v,units=2,shard=0,hosts=1"]
+    arguments = [b"BLK.READ", b"k", id, b"c=read,t=gold,d=1,volume=v,units=2,shard=0,hosts=1"]
     with pytest.raises(InvalidCommandError, match="id: missing"):
-        read_request(words, LIMITS)
+        parse_request(arguments, LIMITS)
 
 
 def test_a_duplicate_of_an_open_id_is_rejected_and_the_first_is_served() -> None:
@@ -86,35 +88,35 @@
     instance.list(EmulatedEndpoint("b0", backend.address, 0))
     backend.scripted_responses = [None]
     front = instance.front()
-    owner, thief = instance.peer(front.address), instance.peer(front.address)
-    owner.say(read_command("r1"))
-    assert thief.say(read_command("r1", volume="w")).startswith(b"-ERR id: of a request that is open")
+    first, second = instance.peer(front.address), instance.peer(front.address)
+    first.say(read_command("r1"))
+    assert second.say(read_command("r1", volume="w")).startswith(b"-ERR id: of a request that is open")
     backend.release()
     instance.settle()
-    assert owner.got == b"$0\r\n\r\n"
+    assert first.got == b"$0\r\n\r\n"
     assert len(backend.received) == 1
-    assert owner.say(read_command("r1")) == b"$0\r\n\r\n", "it is free again"
+    assert first.say(read_command("r1")) == b"$0\r\n\r\n", "the id is free again"
 
 
 def test_too_many_commands_or_errors_end_the_connection() -> None:
-    """They were parked, answered as they came to it, and the loop was theirs."""
+    """Regression: the commands were queued without a limit, and the event loop had time for nothing else."""
     instance = SimulatedInstance(pipelined_commands=4)
     backend = instance.server(EmulatedBackend)
     instance.list(EmulatedEndpoint("b0", backend.address, 0))
     backend.scripted_responses = [None] * 9
     front = instance.front()
-    many, rude = instance.peer(front.address), instance.peer(front.address)
-    many.say(b"".join(read_command(f"r{i}") for i in range(300)))
-    assert many.got == b"-ERR too many commands at once\r\n" * 5
-    assert many.closed
+    pipelining, invalid = instance.peer(front.address), instance.peer(front.address)
+    pipelining.say(b"".join(read_command(f"r{i}") for i in range(300)))
+    assert pipelining.got == b"-ERR too many commands at once\r\n" * 5
+    assert pipelining.closed
     instance.run(instance.limits.linger_us)
     assert instance.core.open_requests == 0
     assert not backend.connections
     assert all(len(f) == 1 for f in instance.core.finals)
-    rude.say(codec.command([b"NO"]) * 300)
+    invalid.say(codec.encode_command([b"NO"]) * 300)
     instance.run(instance.limits.linger_us)
-    assert rude.got == b"-ERR unknown command\r\n" * 8 + b"-ERR too many errors\r\n"
-    assert rude.closed
+    assert invalid.got == b"-ERR unknown command\r\n" * 8 + b"-ERR too many errors\r\n"
+    assert invalid.closed
     assert len(front) == 0
 
 
@@ -130,7 +132,7 @@
 
 
 def test_input_after_the_final_error_is_drained_within_a_limit() -> None:
-    """A close with unread input resets it, and the error line may be lost with that."""
+    """Closing a socket with unread input resets the connection, and the client may lose the error reply."""
     instance = SimulatedInstance(linger_bytes=1000)
     front = instance.front()
     peer = instance.peer(front.address)
@@ -140,7 +142,7 @@
     peer.say(b"x" * 900)
     assert len(front) == 1
     peer.say(b"x" * 200)
-    assert len(front) == 0, "but it is not read for good"
+    assert len(front) == 0, "the amount of discarded input is limited"
 
 
 def test_silent_and_incomplete_clients_time_out_but_no_open_request_does() -> None:
@@ -149,54 +151,60 @@
     instance.list(EmulatedEndpoint("b0", backend.address, 0))
     backend.scripted_responses = [None]
     front = instance.front()
-    silent, half, drip, good, busy = (instance.peer(front.address) for _ in range(5))
-    half.say(read_command("h")[:-5])
-    good.say(PING)
+    silent, incomplete, trickling, established, busy = (instance.peer(front.address) for _ in range(5))
+    incomplete.say(read_command("h")[:-5])
+    established.say(PING)
     busy.say(read_command("b", d=1400) + b"*1")
     for i in range(12):
-        drip.say(b"*1\r\n$4\r\nPING"[i : i + 1])
+        trickling.say(b"*1\r\n$4\r\nPING"[i : i + 1])
         instance.run(100 * MS)
     assert silent.closed
-    assert half.closed
-    assert drip.closed
-    assert not good.closed
+    assert incomplete.closed
+    assert trickling.closed
+    assert not established.closed
     assert busy.got == b""
     assert not busy.closed
     instance.run(200 * MS)
-    assert busy.got.startswith(b"-BUSY"), "it was owed its answer"
-    good.say(PING[:9])
+    assert busy.got.startswith(b"-BUSY"), "the reply to an open request is still sent"
+    established.say(PING[:9])
     instance.run(990 * MS)
-    assert not good.closed, "an established connection has the whole time for each command"
+    assert not established.closed, "an established connection has the whole time for each command"
     instance.run(10 * MS)
-    assert good.closed
+    assert established.closed
 
 
 def test_connection_commands_get_their_fixed_replies() -> None:
     instance = SimulatedInstance()
     peer = instance.peer(instance.front().address)
-    assert peer.say(codec.command([b"CLIENT", b"INFO"])) == b"+OK\r\n"
-    assert peer.say(codec.command([b"HELLO", b"3"])) == b"-ERR unknown command\r\n"
+    assert peer.say(codec.encode_command([b"CLIENT", b"INFO"])) == b"+OK\r\n"
+    assert peer.say(codec.encode_command([b"HELLO", b"3"])) == b"-ERR unknown command\r\n"
     instance.run(instance.limits.misuse_pause_us)
-    assert peer.say(b"*0\r\n" + codec.command([b"ping", b"a"])) == b"$1\r\na\r\n"
-    assert peer.say(codec.command([b"BLK.READ", b"k"])).startswith(b"-ERR wrong number")
+    assert peer.say(b"*0\r\n" + codec.encode_command([b"ping", b"a"])) == b"$1\r\na\r\n"
+    assert peer.say(codec.encode_command([b"BLK.READ", b"k"])).startswith(b"-ERR wrong number")
     instance.run(instance.limits.misuse_pause_us)
-    assert peer.say(codec.command([b"QUIT"])) == b"+OK\r\n"
+    assert peer.say(codec.encode_command([b"QUIT"])) == b"+OK\r\n"
     assert peer.closed
 
 
 def test_a_backend_gets_the_command_unchanged_but_for_the_time_left() -> None:
-    words = [b"BLK.WRITE", b"key", b"id", b"c=w,t=g,d=480,volume=v,units=2,shard=-1,hosts=3,k=ab", b"BODY"]
-    ask = read_request(words, LIMITS)
-    assert (ask.cell, ask.timeout_us, ask.is_write) == (None, 480 * MS, True)
-    [sent] = codec.Decoder(pool(), LIMITS).feed(ask.work.encode(123_456))
-    assert sent == [*words[:3], words[3].replace(b"d=480", b"d=123"), b"BODY"]
-    assert b"d=1," in ask.work.encode(-5)
+    arguments = [
+        b"BLK.WRITE",
+        b"key",
+        b"id",
+        b"c=w,t=g,d=480,volume=v,units=2,shard=-1,hosts=3,k=ab",
+        b"BODY",
+    ]
+    request = parse_request(arguments, LIMITS)
+    assert (request.cell, request.timeout_us, request.is_write) == (None, 480 * MS, True)
+    [sent] = codec.Decoder(pool(), LIMITS).feed(request.work.encode(123_456))
+    assert sent == [*arguments[:3], arguments[3].replace(b"d=480", b"d=123"), b"BODY"]
+    assert b"d=1," in request.work.encode(-5)
     with pytest.raises(InvalidCommandError):
-        read_request([*words[:3], b"c=\xff", b""], LIMITS)
+        parse_request([*arguments[:3], b"c=\xff", b""], LIMITS)
 
 
-def test_answers_are_encoded_as_the_protocol_words_them() -> None:
+def test_answers_are_encoded_as_replies() -> None:
     assert encode_answer(Served(b"")) == b"$0\r\n\r\n"
     assert encode_answer(Rejected()) == b"-BUSY\r\n"
-    assert encode_answer(Rejected(1500)) == b"-BUSY 2\r\n", "never sooner than meant"
+    assert encode_answer(Rejected(1500)) == b"-BUSY 2\r\n", "rounded up: a retry must not come early"
     assert encode_answer(Failed("a\r\nb")) == b"-ERR a b\r\n"
--- a/tests/resp/test_front_model.py
+++ b/tests/resp/test_front_model.py
@@ -1,4 +1,4 @@
-"""The RESP front against a model of its states, by random steps."""
+"""Stateful property test of the RESP client protocol against a model."""
 
 from __future__ import annotations
 
@@ -6,88 +6,92 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from garnetlanding.core.ports import Answer, Failed, Rejected, Served
-from garnetlanding.resp.front import Front, RespClientProtocol, encode_answer
+from garnetlanding.resp.front import RespClientProtocol, RespListenerContext, encode_answer
 from tests.support.resp import LIMITS, pool
 from tests.support.simulated_instance import FakeRequestEngine, read_command
 
 
 class ClientModel(RuleBasedStateMachine):
-    """Against the model of a connection: a list of commands, each with its answer or none yet."""
+    """The model of a connection is the list of its commands, each with its reply or `None`."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.core, self.out = FakeRequestEngine(), b""
-        self.machine = RespClientProtocol(Front(self.core, None, pool(), LIMITS), self.write)  # type: ignore[arg-type]  # no backends
+        self.engine = FakeRequestEngine()
+        self.written = b""
+        context = RespListenerContext(self.engine, None, pool(), LIMITS)  # type: ignore[arg-type]  # no backends
+        self.protocol = RespClientProtocol(context, self.write)
         self.expected: list[tuple[str, bytes | None]] = []
-        self.rest, self.over = b"", False
+        self.unsent = b""
+        self.closed = False
 
     def write(self, data: bytes) -> None:
-        self.out += data
+        self.written += data
 
-    def put(self, data: bytes, size: int) -> None:
-        """Part of the bytes now, the rest with the next step."""
-        data = self.rest + data
-        self.machine.feed(data[:size])
-        self.rest = data[size:]
-        if not self.rest:
-            assert not self.machine.has_partial_message
+    def feed(self, data: bytes, size: int) -> None:
+        """Feed the first `size` bytes now and the rest with the next step."""
+        data = self.unsent + data
+        self.protocol.feed(data[:size])
+        self.unsent = data[size:]
+        if not self.unsent:
+            assert not self.protocol.has_partial_message
 
-    def flush(self) -> None:
-        self.machine.feed(self.rest)
-        self.rest = b""
+    def feed_rest(self) -> None:
+        self.protocol.feed(self.unsent)
+        self.unsent = b""
 
-    @precondition(lambda self: not self.over)
+    @precondition(lambda self: not self.closed)
     @rule(size=st.integers(0, 120))
-    def ask(self, size: int) -> None:
+    def submit_request(self, size: int) -> None:
         name = f"q{len(self.expected)}"
         self.expected.append((name, None))
-        self.put(read_command(name), size)
+        self.feed(read_command(name), size)
 
-    @precondition(lambda self: not self.over)
+    @precondition(lambda self: not self.closed)
     @rule()
     def ping(self) -> None:
         self.expected.append(("", b"+PONG\r\n"))
-        self.put(b"*1\r\n$4\r\nPING\r\n", 1 << 20)
+        self.feed(b"*1\r\n$4\r\nPING\r\n", 1 << 20)
 
-    @precondition(lambda self: not self.over and bool(self.core.items))
+    @precondition(lambda self: not self.closed and bool(self.engine.items))
     @rule(data=st.data(), answer=st.sampled_from([Served(b"v"), Rejected(250_000), Failed("gave up")]))
     def answer(self, data: st.DataObject, answer: Answer) -> None:
-        self.flush()
-        ask, answered = self.core.items.pop(data.draw(st.sampled_from(sorted(self.core.items))))
-        name = ask.work.request_id.decode()
-        answered(answer)
-        at = [n for n, _ in self.expected].index(name)
+        self.feed_rest()
+        request, on_answer = self.engine.items.pop(data.draw(st.sampled_from(sorted(self.engine.items))))
+        name = request.work.request_id.decode()
+        on_answer(answer)
+        index = [command for command, _ in self.expected].index(name)
         reply = encode_answer(answer)
         assert isinstance(reply, bytes)
-        self.expected[at] = name, reply
+        self.expected[index] = name, reply
 
     @rule()
-    def leave(self) -> None:
-        self.flush()
-        self.machine.close()  # also twice, and after its end
-        assert sorted(self.core.gone) == sorted(self.core.items), "each open item is told once"
-        self.over = True
+    def disconnect(self) -> None:
+        self.feed_rest()
+        self.protocol.close()  # may be called more than once
+        assert sorted(self.engine.gone) == sorted(self.engine.items), "each open request is reported once"
+        self.closed = True
 
-    @precondition(lambda self: not self.over)
+    @precondition(lambda self: not self.closed)
     @rule()
-    def spoil(self) -> None:
-        self.flush()
+    def send_invalid_input(self) -> None:
+        self.feed_rest()
         error = b"-ERR Protocol error: expected an array of bulk strings\r\n"
-        self.expected = [(n, error if a is None else a) for n, a in [*self.expected, ("", None)]]
-        self.machine.feed(b"?\r\n" + read_command("never"))
-        assert self.machine.is_closing
-        assert not self.core.items
-        self.over = True
+        commands = [*self.expected, ("", None)]
+        self.expected = [(name, error if reply is None else reply) for name, reply in commands]
+        self.protocol.feed(b"?\r\n" + read_command("never"))
+        assert self.protocol.is_closing
+        assert not self.engine.items
+        self.closed = True
 
     @invariant()
-    def answers_come_in_order(self) -> None:
-        want = b""
-        for _, answer in self.expected:
-            if answer is None:
+    def replies_are_written_in_order(self) -> None:
+        ready = b""
+        for _, reply in self.expected:
+            if reply is None:
                 break
-            want += answer
-        assert want.startswith(self.out)
-        assert self.rest or self.out == want
+            ready += reply
+        assert ready.startswith(self.written)
+        assert self.unsent or self.written == ready
 
 
 TestClientModel = ClientModel.TestCase
--- a/tests/runtime/test_connection_close.py
+++ b/tests/runtime/test_connection_close.py
@@ -45,7 +45,7 @@
     client.sock.sendall(read_command("r2"))  # not read yet: no iteration has run since
     close_gracefully(instance)
     instance.settle()
-    assert client.read() == codec.bulk(
+    assert client.read() == codec.encode_bulk(
         b"x" * 30_000
     ), "complete, followed by the end of the stream and no reset"
     client.fin()
--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -16,7 +16,7 @@
     assert instance.client.say(read_command("r2", key="k2")) == b""
     instance.backend.release()
     instance.settle()
-    assert instance.client.got == codec.bulk(b"one") + codec.bulk(b"two")
+    assert instance.client.got == codec.encode_bulk(b"one") + codec.encode_bulk(b"two")
 
 
 def test_shutdown_closes_idle_clients_and_waits_for_busy_ones() -> None:
--- a/tests/support/admin.py
+++ b/tests/support/admin.py
@@ -10,7 +10,7 @@
 from garnetlanding.ops.admin_service import AdminService
 from garnetlanding.ops.managed_instance import ManagedInstance
 from garnetlanding.ops.state_file import StateFile
-from garnetlanding.resp.front import Front, RespClientProtocol
+from garnetlanding.resp.front import RespClientProtocol, RespListenerContext
 from garnetlanding.runtime.listener import Listener
 from tests.support.simulated_instance import SimulatedInstance
 
@@ -36,7 +36,9 @@
             self.limits,
             self.limits.client_connections,
             lambda write: RespClientProtocol(
-                Front(self.core, self.bricks, self.pool, self.limits, lambda: self.service.accepts_clients),
+                RespListenerContext(
+                    self.core, self.bricks, self.pool, self.limits, lambda: self.service.accepts_clients
+                ),
                 write,
             ),
             reuse_port=True,
--- a/tests/support/departures.py
+++ b/tests/support/departures.py
@@ -16,8 +16,8 @@
 from tests.support.decision_bench import make_settings
 from tests.support.simulated_instance import SimulatedInstance
 
-PING = codec.command([b"PING"])
-QUIT = codec.command([b"QUIT"])
+PING = codec.encode_command([b"PING"])
+QUIT = codec.encode_command([b"QUIT"])
 
 
 class Raw:
--- a/tests/support/resp.py
+++ b/tests/support/resp.py
@@ -1,4 +1,4 @@
-"""Commands and clients for the tests of RESP."""
+"""Constants and buffers for the RESP tests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from garnetlanding.runtime.buffers import BufferPool
 
 LIMITS = Limits()
-PING = codec.command([b"PING"])
+PING = codec.encode_command([b"PING"])
 
 
 def pool(size: int = 16) -> BufferPool:
--- a/tests/support/simulated_instance.py
+++ b/tests/support/simulated_instance.py
@@ -25,7 +25,7 @@
 from garnetlanding.limits import Limits
 from garnetlanding.resp import codec as resp
 from garnetlanding.resp import front as resp_front
-from garnetlanding.resp.backend_protocol import resp_backends
+from garnetlanding.resp.backend_protocol import create_resp_upstream
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.client_connection import ClientConnection
 from garnetlanding.runtime.listener import Listener
@@ -125,7 +125,7 @@
         )
         self.core.starts, self.core.finals = [], []
         self.scheduler.iteration_hooks.append(self.core.run_iteration)
-        self.bricks = resp_backends(self.scheduler, self.pool, self.limits)
+        self.bricks = create_resp_upstream(self.scheduler, self.pool, self.limits)
 
     @classmethod
     def close_open(cls) -> None:
@@ -140,14 +140,14 @@
 
     def front(self) -> Listener:
         """Start a listener for RESP clients."""
-        front = resp_front.Front(self.core, self.bricks, self.pool, self.limits)
+        context = resp_front.RespListenerContext(self.core, self.bricks, self.pool, self.limits)
         return Listener(
             self.scheduler,
             "127.0.0.1:0",
             self.pool,
             self.limits,
             self.limits.client_connections,
-            lambda write: resp_front.RespClientProtocol(front, write),
+            lambda write: resp_front.RespClientProtocol(context, write),
         )
 
     def list(self, *boxes: EmulatedEndpoint, whole: bool = True) -> None:
@@ -269,4 +269,4 @@
         id.encode(),
         f"c={cls},t=gold,d={d},volume={volume},units=2,shard={cell},hosts=1".encode(),
     ]
-    return resp.command(words + ([] if body is None else [body]))
+    return resp.encode_command(words + ([] if body is None else [body]))
--- a/tests/test_simulated_instance.py
+++ b/tests/test_simulated_instance.py
@@ -31,10 +31,10 @@
 def test_settle_ends_once_a_long_value_has_reached_its_client() -> None:
     instance = SimulatedInstance(unsent_bytes=2 * len(LONG_VALUE), reply_bytes=2 * len(LONG_VALUE))
     backend = instance.server(EmulatedBackend)
-    backend.scripted_responses = [b"*3\r\n" + codec.bulk(LONG_VALUE) + b"$-1\r\n$-1\r\n"]
+    backend.scripted_responses = [b"*3\r\n" + codec.encode_bulk(LONG_VALUE) + b"$-1\r\n$-1\r\n"]
     instance.list(EmulatedEndpoint("b0", backend.address, 0))
     client = instance.peer(instance.front().address)
-    assert client.say(read_command()) == codec.bulk(LONG_VALUE)
+    assert client.say(read_command()) == codec.encode_bulk(LONG_VALUE)
     assert not traffic_in_transit()
 
 
