--- a/garnetlanding/__main__.py
+++ b/garnetlanding/__main__.py
@@ -4,9 +4,9 @@
 
 if sys.argv[1:2] == ["serve"]:
     # Before all else: signals may come while the rest is imported, and are heeded once the instance runs.
-    from garnetlanding.runtime.signals import block_until_handled
+    from garnetlanding.runtime.signals import block_handled_signals
 
-    block_until_handled()
+    block_handled_signals()
 
 from garnetlanding.cli import main
 
--- a/garnetlanding/audit/segment_files.py
+++ b/garnetlanding/audit/segment_files.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from garnetlanding.audit.records import Incarnation, SegmentPosition
-from garnetlanding.runtime.files import file_name
+from garnetlanding.runtime.files import instance_file_name
 
 _PURPOSE = "audit"
 _SEGMENT_NAME = re.compile(rf"(.+)-{_PURPOSE}-(\d+)\.(\d{{8}})")
@@ -40,7 +40,7 @@
 
 def segment_path(folder: str, incarnation: Incarnation, number: int) -> str:
     """Return the path of a segment of that incarnation."""
-    stem = file_name(incarnation.instance, _PURPOSE)
+    stem = instance_file_name(incarnation.instance, _PURPOSE)
     return os.path.join(folder, f"{stem}-{incarnation.number}.{number:08}")
 
 
@@ -64,5 +64,5 @@
 
 def list_instance_segments(folder: str, instance: str) -> InstanceFiles:
     """Return the segments of one instance in a folder. Raises `OSError`."""
-    stem = file_name(instance, _PURPOSE).removesuffix(f"-{_PURPOSE}")
+    stem = instance_file_name(instance, _PURPOSE).removesuffix(f"-{_PURPOSE}")
     return list_segments(folder).get(stem, InstanceFiles())
--- a/garnetlanding/daemon/daemon.py
+++ b/garnetlanding/daemon/daemon.py
@@ -14,7 +14,7 @@
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.listener import Listener
 from garnetlanding.runtime.scheduler import Scheduler, monotonic_us
-from garnetlanding.runtime.signals import Signals
+from garnetlanding.runtime.signals import SignalHandler
 from garnetlanding.store.store import Store
 
 log = logging.getLogger(__name__)
@@ -89,7 +89,7 @@
 
     def catch_signals(self) -> None:
         """Install handlers: reload at SIGHUP, shut down at SIGTERM and SIGINT."""
-        Signals(self.scheduler, self.limits.signal_bytes, self.reload, self.shut_down)
+        SignalHandler(self.scheduler, self.limits.signal_bytes, self.reload, self.shut_down)
 
     def reload(self) -> None:
         """Read and apply the configuration again; an invalid one is rejected as a whole."""
--- a/garnetlanding/ops/process_registry.py
+++ b/garnetlanding/ops/process_registry.py
@@ -17,7 +17,7 @@
 
 from garnetlanding.ops.process_quota import UNREADABLE_RECORD, next_quota
 from garnetlanding.ops.process_record import RECORD_BYTES, ProcessRecord, decode, encode
-from garnetlanding.runtime.files import file_name
+from garnetlanding.runtime.files import instance_file_name
 
 log = logging.getLogger(__name__)
 
@@ -32,14 +32,14 @@
     def __init__(self, folder: str, name: str) -> None:
         self._folder = Path(folder)
         self._name = name
-        self._prefix = file_name(name, "life-")
+        self._prefix = instance_file_name(name, "life-")
         self._others: dict[str, ProcessRecord] = {}  # by file name, as last read
         started_ns = time.monotonic_ns()
         self.record = ProcessRecord(started_ns, 0.0)
         self._path = self._folder / f"{self._prefix}{os.getpid()}-{started_ns}"
         # Renamed to its final name only once it is locked: an unlocked file of that name would count as one
         # of a terminated process.
-        unnamed = self._folder / f"{file_name(name, 'new')}-{os.getpid()}-{started_ns}"
+        unnamed = self._folder / f"{instance_file_name(name, 'new')}-{os.getpid()}-{started_ns}"
         self._fd = os.open(unnamed, os.O_RDWR | os.O_CREAT, 0o600)
         fcntl.flock(self._fd, fcntl.LOCK_EX)
         self._write()
--- a/garnetlanding/ops/state_file.py
+++ b/garnetlanding/ops/state_file.py
@@ -16,7 +16,7 @@
 
 from garnetlanding.ops.admin_state import AdminState, decode, encode
 from garnetlanding.ops.errors import AdminStateError
-from garnetlanding.runtime.files import file_name, write_atomically
+from garnetlanding.runtime.files import instance_file_name, write_atomically
 
 log = logging.getLogger(__name__)
 
@@ -33,7 +33,7 @@
     """The state file of the instance `name` in `folder`, which instances may share."""
 
     def __init__(self, folder: str, name: str) -> None:
-        self._path = Path(folder) / file_name(name, "operators.json")
+        self._path = Path(folder) / instance_file_name(name, "operators.json")
         self._name = name
         self._last_stamp: FileStamp | None = None  # of the content that was last loaded or written
 
--- a/garnetlanding/runtime/__init__.py
+++ b/garnetlanding/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Greenlets over select.poll, timers, pooled buffers, and the driver that moves bytes."""
+"""The I/O layer: event loop with greenlets and timers, pooled buffers, streams, listeners, connections."""
--- a/garnetlanding/runtime/backend_connection.py
+++ b/garnetlanding/runtime/backend_connection.py
@@ -1,4 +1,4 @@
-"""Connects a backend's stream to its protocol: opens it, carries one attempt at a time, closes it."""
+"""A backend connection: drives a protocol over a stream, for one attempt at a time."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from garnetlanding.runtime.stream import Stream
 
 ConnectionKey = tuple[str, str]
-"""What two attempts have in common that may share a connection: the address, and the protocol's own key."""
+"""Address and protocol-specific key; only attempts with equal keys may share a connection."""
 
 
 class BackendConnectionOwner(Protocol):
-    """The upstream that opened a connection, as the connection sees it."""
+    """What a connection needs of the upstream that opened it."""
 
     scheduler: Scheduler
     pool: BufferPool
@@ -35,20 +35,20 @@
     """Number of protocol errors by address and cause."""
 
     def may_send(self, attempt: AttemptHandle, key: ConnectionKey) -> bool:
-        """Return whether the backend may still be sent the attempt over a connection with this key."""
+        """Return whether the attempt may still be sent to its backend over a connection with this key."""
 
     def on_idle(self, connection: BackendConnection) -> None:
-        """Handle that the connection is free for another attempt; `attempt` is still the previous one."""
+        """Handle a connection that is free for another attempt; its `attempt` is still the previous one."""
 
     def on_closed(self, connection: BackendConnection) -> None:
-        """Handle that the connection is closed; `attempt` is still set if one was in flight."""
+        """Handle the close of a connection; its `attempt` is still set if one was in flight."""
 
 
 class BackendConnection:
     """One connection to a backend, with the task that opens and reads it.
 
-    `attempt` is the attempt in flight on it, `None` while there is none. `began_at` is when the present or
-    previous attempt began, `idle_since` when the connection last became idle.
+    `attempt` is the attempt in flight, or `None`. `began_at` is the time at which the current or previous
+    attempt began, `idle_since` the time at which the connection last became idle.
     """
 
     def __init__(self, upstream: BackendConnectionOwner, key: ConnectionKey, attempt: AttemptHandle) -> None:
@@ -59,15 +59,15 @@
         self.protocol = upstream.protocol_factory.create(attempt, self._write, self._on_protocol_idle)
         self.began_at = self.idle_since = upstream.scheduler.now
         self.closed = False
-        self._may_have_executed = False  # the backend may have received all of the present attempt's request
+        self._may_have_executed = False  # the backend may have received the whole request of the attempt
         self._stream: Stream | None = None
         self._streamed_body: Body | None = None
-        self._body_reads = 0  # buffers of the body read since other tasks last ran
-        self._response_deadline: int | None = None  # for the rest of a response that has begun
+        self._body_reads = 0  # reads of a streamed body since the task last yielded
+        self._response_deadline: int | None = None  # for the rest of a partly received response
         self._task = upstream.scheduler.spawn(self._run)
 
     def has_no_unread_data(self) -> bool:
-        """Return whether the connection is open, and neither data nor the end of the stream has arrived."""
+        """Return whether the connection is open and neither data nor the end of the stream has arrived."""
         return self._stream is not None and self._stream.has_no_unread_data()
 
     # The connection's task
@@ -76,7 +76,7 @@
         upstream = self._upstream
         attempt = self.attempt
         if attempt is None:
-            return  # stopped before its first iteration
+            return  # stopped before the task ran
         deadline = min(upstream.scheduler.now + upstream.limits.connect_timeout_us, attempt.deadline_us)
         try:
             self._stream = Stream.connect(
@@ -96,13 +96,13 @@
     def _after_read(self) -> None:
         """Apply back-pressure to a streamed value, and set the deadline for the rest of a response.
 
-        A backend sends a response without pauses. Without the deadline, one that stops within a response
-        would hold the attempt until its client gives up.
+        A backend sends a response without pauses. Without this deadline, a backend that stalls within a
+        response would hold the attempt until the client gives up.
         """
         scheduler = self._upstream.scheduler
         limits = self._upstream.limits
         if body := self.protocol.body:
-            self._await_capacity_for(body)
+            self._wait_until_writable(body)
             self._response_deadline = scheduler.now + limits.stream_stall_us
         elif not self.protocol.has_partial_message:
             self._response_deadline = None
@@ -111,8 +111,8 @@
         elif scheduler.now >= self._response_deadline:
             raise IncompleteResponseError
 
-    def _await_capacity_for(self, body: Body) -> None:
-        """Wait while the client leaves too much of the body unread; let other tasks run in any case."""
+    def _wait_until_writable(self, body: Body) -> None:
+        """Wait while the client leaves too much of the body unread; yield to other tasks periodically."""
         scheduler = self._upstream.scheduler
         if self._streamed_body is not body:
             self._attach(body)
@@ -136,10 +136,10 @@
     # Attempts
 
     def begin(self, attempt: AttemptHandle) -> None:
-        """Send the attempt's request, unless the backend may not be sent it any more.
+        """Send the attempt's request, unless it may no longer be sent to the backend.
 
-        That is checked here, although the attempt may only now have got its connection, because whether a
-        backend is draining counts when the first byte is sent.
+        This is checked again here, because connecting takes time and whether a backend is draining counts
+        when the first byte is sent.
         """
         self.attempt = attempt
         self._may_have_executed = False
@@ -168,7 +168,7 @@
     def close(self) -> None:
         """Close the connection.
 
-        An attempt in flight ends as reset if the backend may have executed it, else as unreachable.
+        An attempt in flight ends as reset if the backend may have executed it, otherwise as unreachable.
         """
         if self.closed:
             return
--- a/garnetlanding/runtime/buffers.py
+++ b/garnetlanding/runtime/buffers.py
@@ -1,4 +1,4 @@
-"""A bounded pool of buffers of one size, and byte queues that store their content in such buffers."""
+"""A bounded pool of fixed-size buffers, and FIFO byte queues that are stored in them."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 class BufferPool:
     """A pool of buffers of `buffer_bytes` bytes each.
 
-    At most `max_in_use` are in use at once, and up to `max_free` unused ones are cached. During an upgrade
-    this process keeps to the fraction `capacity_quota` of the buffers that the two processes of the instance
-    share, which are all but the first `unshared` ones.
+    At most `max_in_use` buffers are in use at once, and up to `max_free` unused ones are cached. During an
+    upgrade two processes of the instance share all but the first `unshared` buffers, and this process may use
+    the fraction `capacity_quota` of the shared ones.
     """
 
     def __init__(self, buffer_bytes: int, max_free: int, max_in_use: int, unshared: int = 0) -> None:
         self.buffer_bytes = buffer_bytes
-        self.scratch = bytearray(buffer_bytes)  # for data that is read and consumed in one step
+        self.scratch = bytearray(buffer_bytes)  # for data that is consumed within the same call
         self.in_use = 0
         self.capacity_quota = 1.0
         self._max_free = max_free
@@ -29,7 +29,7 @@
 
     @property
     def utilization(self) -> float:
-        """Fraction of the shared buffers that is in use, from 0 to 1."""
+        """Fraction of the shared buffers in use, from 0 to 1."""
         return max(0, self.in_use - self._unshared) / self._max_shared
 
     @property
@@ -56,7 +56,7 @@
 
 
 class BufferChain:
-    """A FIFO queue of bytes in pooled buffers; each buffer is released as soon as it has been read.
+    """A FIFO queue of bytes in pooled buffers; each buffer is released once all of it has been read.
 
     `length` is the number of bytes in the queue.
     """
@@ -67,13 +67,13 @@
         self._pool = pool
         self._buffers: deque[bytearray] = deque()
         self._start = 0  # offset of the first byte in the first buffer
-        self._end = 0  # offset behind the last byte in the last buffer
+        self._end = 0  # offset after the last byte in the last buffer
         self.length = 0
 
     def append(self, data: bytes | memoryview) -> None:
-        """Add bytes at the end.
+        """Append bytes.
 
-        Raises `BufferPoolExhaustedError`; part of the bytes may have been added then.
+        Raises `BufferPoolExhaustedError`, in which case part of the bytes may have been appended.
         """
         offset = 0
         remaining = len(data)
@@ -91,20 +91,20 @@
     def peek(self, count: int) -> bytes:
         """Return the first `count` bytes, or all if there are fewer, without removing them."""
         count = min(count, self.length)
-        out = bytearray()
+        result = bytearray()
         start = self._start
         for buffer in self._buffers:
-            if len(out) >= count:
+            if len(result) >= count:
                 break
-            out += buffer[start : start + count - len(out)]
+            result += buffer[start : start + count - len(result)]
             start = 0
-        return bytes(out)
+        return bytes(result)
 
     def take(self, count: int) -> bytes:
         """Remove and return the first `count` bytes, or all if there are fewer."""
-        out = self.peek(count)
-        self.skip(len(out))
-        return out
+        result = self.peek(count)
+        self.skip(len(result))
+        return result
 
     def skip(self, count: int) -> None:
         """Remove the first `count` bytes, or all if there are fewer."""
@@ -119,9 +119,9 @@
                 self._release_first()
 
     def take_line(self, max_bytes: int) -> bytes | None:
-        """Remove a line and return it without its CRLF; return `None` if its end has not arrived yet.
+        """Remove the next line and return it without its CRLF; return `None` if it is incomplete.
 
-        Raises `LineTooLongError` if it has more than `max_bytes` bytes.
+        Raises `LineTooLongError` if the line has more than `max_bytes` bytes.
         """
         head = self.peek(max_bytes + len(LINE_END))
         end = head.find(LINE_END)
@@ -133,7 +133,7 @@
         return head[:end]
 
     def clear(self) -> None:
-        """Remove everything and release all buffers."""
+        """Remove all bytes and release all buffers."""
         self.skip(self.length)
         while self._buffers:
             self._release_first()
--- a/garnetlanding/runtime/client_connection.py
+++ b/garnetlanding/runtime/client_connection.py
@@ -1,4 +1,4 @@
-"""Connects one client's stream to its protocol: reads, limits, closes gracefully."""
+"""A client connection: drives a protocol over a stream, enforces limits, closes gracefully."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 
 
 class ClientConnectionOwner(Protocol):
-    """The listener that accepted a connection, as the connection sees it."""
+    """What a connection needs of the listener that accepted it."""
 
     scheduler: Scheduler
     pool: BufferPool
     limits: Limits
     close_when_idle: bool
-    """Whether connections are to be closed as soon as they are idle."""
+    """Whether connections close as soon as they are idle."""
 
     @property
     def protocol_factory(self) -> Callable[[ClientConnection], ClientProtocol]:
-        """Creates the protocol of a new connection, to which the connection is `Write` and `Sink`."""
+        """Creates the protocol of a new connection, which is that protocol's `Write` and `Sink`."""
 
     def on_lingering(self, connection: ClientConnection) -> None:
-        """Handle that the connection has sent its last byte and only waits for the client to close."""
+        """Handle a connection that has sent its last byte and waits for the client to close."""
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """Handle that the connection is closed."""
+        """Handle the close of a connection."""
 
 
 class ClientConnection:
     """One accepted connection, with the task that serves it.
 
-    To its protocol the connection is a `Write` (it is called with the bytes to send) and a `Sink` for
-    streamed values. `closing` holds the state of its graceful close.
+    The connection is its protocol's `Write` (it is called with the bytes to send) and its `Sink` for streamed
+    values. `closing` is the state machine of its graceful close.
     """
 
     def __init__(self, listener: ClientConnectionOwner, sock: socket.socket) -> None:
@@ -48,29 +48,29 @@
         self.stream = Stream(listener.scheduler, sock, listener.pool, listener.limits)
         self.protocol = listener.protocol_factory(self)
         self.closing = ConnectionClose()
-        self._wake_on_write = False  # while the task waits without reading
+        self._wake_on_write = False  # set while the task waits without reading
         self.accepted_at = self.last_used_at = self._scheduler.now
-        self._message_began_at: int | None = self.accepted_at  # for the first message, from connecting on
-        self._messages_received = 0  # the protocol's count when `_message_began_at` was last reset
-        self._unyielded_bytes = 0  # read since other tasks last ran
+        self._message_began_at: int | None = self.accepted_at  # the first message counts from the accept on
+        self._messages_received = 0  # `protocol.messages_received` when `_message_began_at` was last reset
+        self._unyielded_bytes = 0  # read since the task last yielded
         self._task = self._scheduler.spawn(self._run)
 
     @property
     def idle(self) -> bool:
-        """Whether no response is pending, no message partly received, and nothing unsent."""
+        """Whether no response is pending, no message is partly received, and nothing is unsent."""
         protocol = self.protocol
         return not protocol.pending_responses and not protocol.has_partial_message and self.stream.flushed
 
     @property
     def evictable_from(self) -> int | None:
-        """Time from which on the connection may be evicted; `None` if it may not, as it is now."""
+        """Time from which the connection may be evicted; `None` if its current state forbids that."""
         limits = self._listener.limits
         protocol = self.protocol
         if protocol.pending_responses or protocol.has_session_state or not self.stream.flushed:
             return None
         if protocol.has_partial_message:
             return (self._message_began_at or self.last_used_at) + limits.new_client_timeout_us
-        # A client that has sent no request, only a greeting at most, is unlikely to send one soon.
+        # A client that has sent no request, at most a greeting, is unlikely to send one soon.
         return self.last_used_at + (
             limits.idle_client_timeout_us if protocol.requests_received else limits.new_client_timeout_us
         )
@@ -84,23 +84,23 @@
         if self._wake_on_write:
             self._scheduler.wake(self._task)
         if self._listener.close_when_idle:
-            # Deferred, because the rest of this iteration may bring more for this connection.
+            # Deferred, because more input or output may follow in this iteration.
             self._scheduler.call_at(self._scheduler.now, self.close_if_idle)
 
     @property
     def write_blocked(self) -> bool:
-        """Whether the client leaves too much unread; while buffers are scarce, anything at all."""
+        """Whether too many bytes are unsent; while buffers are scarce, any unsent byte is too many."""
         listener = self._listener
         max_unsent_bytes = 0 if listener.pool.is_scarce else listener.limits.stream_window_bytes
         return not self.stream.closed and self.stream.unsent_bytes > max_unsent_bytes
 
     def when_writable(self, call: Callable[[], None]) -> None:
-        """Call once, when the kernel has accepted everything written so far."""
+        """Call back once, when the kernel has accepted everything written so far."""
         self.stream.on_flushed = call
 
     def abort(self) -> None:
-        """Close at once, so that the client can tell that a response is incomplete."""
-        self.closing.on(CloseEvent.ABORTED)
+        """Close immediately, so that the client can tell that a response is incomplete."""
+        self.closing.apply(CloseEvent.ABORTED)
         self.stream.close()
 
     # Closing between requests
@@ -108,8 +108,8 @@
     def close_if_idle(self) -> None:
         """Close the connection gracefully if it is idle.
 
-        It stays open if a request has arrived unread, or if it is so new that its first request may be on the
-        way: the client would have to send that again.
+        It stays open if unread data has arrived, or if it is so new that its first request may be in transit;
+        the client would have to send that request again.
         """
         is_new = (
             not self.protocol.requests_received
@@ -119,20 +119,20 @@
             self.close_gracefully()
 
     def close_gracefully(self) -> bool:
-        """Begin the graceful close of an idle connection; return False if that is not possible now.
+        """Begin the graceful close of an idle connection; return whether it has begun.
 
-        It is not possible if data has arrived unread, or if the connection is closing already. Must not be
+        It does not begin if unread data has arrived or if the connection is already closing. Must not be
         called from the connection's own task.
         """
-        if not self.closing.reads or self.stream.closed or not self.stream.has_no_unread_data():
+        if not self.closing.accepts_input or self.stream.closed or not self.stream.has_no_unread_data():
             return False
-        self._close_on(CloseEvent.RELEASED)
+        self._close_on(CloseEvent.CLOSE_REQUESTED)
         self._scheduler.wake(self._task, CloseRequestedError())
         return True
 
     def _close_on(self, event: CloseEvent) -> None:
-        """Apply an event; if by that nothing is left to be sent, shut down the write side."""
-        if self.closing.on(event) is CloseState.LINGERING:
+        """Apply an event; on the transition to lingering, shut down the write side."""
+        if self.closing.apply(event) is CloseState.LINGERING:
             self.protocol.close()
             self.stream.shutdown_write()
             self._listener.on_lingering(self)
@@ -150,13 +150,13 @@
         except (DeadlineExceededError, StreamClosedError, CloseRequestedError):
             pass
         finally:
-            self.closing.on(CloseEvent.ABORTED)
+            self.closing.apply(CloseEvent.ABORTED)
             self.protocol.close()
             self.stream.close()
             self._listener.on_closed(self)
 
     def _serve(self) -> None:
-        """Feed the protocol until it closes, the client closes, or a message takes too long."""
+        """Feed the protocol until it is closing, the client closes, or a message times out."""
         protocol = self.protocol
         invalid_messages = 0
         self._unyielded_bytes = 0
@@ -165,8 +165,8 @@
                 if not self.stream.read(self._feed, self._message_deadline()):
                     raise StreamClosedError
             except DeadlineExceededError:
-                # The connection stays open for its pending responses alone.
-                event = CloseEvent.INPUT_ENDED if protocol.pending_responses else CloseEvent.COMMAND_LATE
+                # The connection stays open only for its pending responses.
+                event = CloseEvent.INPUT_ENDED if protocol.pending_responses else CloseEvent.MESSAGE_TIMEOUT
                 self._close_on(event)
                 return
             self._process_buffered_input()
@@ -181,13 +181,13 @@
         self.protocol.feed(data)
 
     def _yield_if_due(self) -> None:
-        """Let other tasks run after a certain amount of input."""
+        """Yield to other tasks after a certain amount of input."""
         if self._unyielded_bytes >= self._listener.limits.read_bytes_per_iteration:
             self._unyielded_bytes = 0
             self._scheduler.sleep(0)
 
     def _process_buffered_input(self) -> None:
-        """Process messages that are buffered, letting other tasks run in between. Reads nothing more."""
+        """Process buffered messages without reading more, yielding to other tasks in between."""
         while self.protocol.has_buffered_input and not self.protocol.is_closing:
             self._scheduler.sleep(0)
             if self.stream.peer_has_closed():
@@ -197,7 +197,7 @@
     def _message_deadline(self) -> int | None:
         """Return the time by which the next message must be complete; `None` if none has begun.
 
-        Each message has the same time from its first byte on, the first one from connecting on.
+        The time limit of a message counts from its first byte, that of the first message from the accept.
         """
         protocol = self.protocol
         if protocol.messages_received != self._messages_received:
@@ -210,11 +210,11 @@
         return self._message_began_at + self._listener.limits.command_timeout_us
 
     def _stop_after_client_closed(self) -> None:
-        self.closing.on(CloseEvent.CLIENT_CLOSED)
+        self.closing.apply(CloseEvent.CLIENT_CLOSED)
         raise StreamClosedError
 
     def _wait(self) -> None:
-        """Wait for a moment, or until something is written, without reading.
+        """Wait for a short time, or until something is written, without reading.
 
         Raises `StreamClosedError` if the client has closed.
         """
@@ -229,12 +229,12 @@
             self._stop_after_client_closed()
 
     def _pause(self) -> None:
-        """Stop reading for a moment, so that a faulty client cannot keep the event loop busy."""
-        self.closing.on(CloseEvent.BAD_COMMAND)
+        """Pause reading, so that a faulty client cannot keep the event loop busy."""
+        self.closing.apply(CloseEvent.INVALID_MESSAGE)
         until = self._scheduler.now + self._listener.limits.misuse_pause_us
         while self._scheduler.now < until:
             self._wait()
-        self.closing.on(CloseEvent.PAUSE_OVER)
+        self.closing.apply(CloseEvent.PAUSE_ENDED)
 
     def _finish(self) -> None:
         """Wait until all pending responses are written and accepted by the kernel."""
@@ -245,7 +245,7 @@
                 self._wait()
 
     def _linger(self) -> None:
-        """Discard what still arrives until the client closes, up to a limit of time and of bytes."""
+        """Discard input until the client closes, up to a limit on time and bytes."""
         limits = self._listener.limits
         until = self._scheduler.now + limits.linger_us
         discarded_bytes = 0
@@ -257,4 +257,4 @@
         while discarded_bytes < limits.linger_bytes and self._scheduler.now < until:
             if not self.stream.read(discard, until):
                 break
-        self.closing.on(CloseEvent.LINGER_ENDED)
+        self.closing.apply(CloseEvent.LINGER_ENDED)
--- a/garnetlanding/runtime/connection_capacity.py
+++ b/garnetlanding/runtime/connection_capacity.py
@@ -1,4 +1,4 @@
-"""The limits on open connections, which clients and backends share because descriptors are scarce."""
+"""Limits on open connections; client and backend connections share the available descriptors."""
 
 from __future__ import annotations
 
@@ -6,36 +6,36 @@
 
 
 class CapacityOwner(Protocol):
-    """The clients' side, which grants capacity that it does not need to connections to backends."""
+    """The client side, which lends capacity that it does not need to backend connections."""
 
     def reserve(self) -> bool:
-        """Make room for one more connection, evicting an idle client if needed; return whether there is."""
+        """Make room for one connection, evicting an idle client if needed; return whether there is room."""
 
 
 class CapacityUser(Protocol):
-    """The backends' side, which uses capacity of the clients' side."""
+    """The backend side, which borrows capacity from the client side."""
 
     @property
     def granted(self) -> int:
-        """Number of connections to backends that are open beyond the reserved ones."""
+        """Number of open backend connections beyond the reserved ones."""
 
 
 class ConnectionQuota(Protocol):
-    """The instance's quota of the connections that all instances together may have open at a backend."""
+    """The instance's share of the connections that all instances together may open to a backend."""
 
     def max_connections(self, backend: str) -> int:
-        """Return how many connections to the backend this instance may have open now."""
+        """Return how many connections to the backend this instance may have open at present."""
 
     def set_open(self, backend: str, count: int, *, lacking: bool = False) -> None:
-        """Report how many connections are open; `lacking` if one more was needed than the quota allows."""
+        """Report the number of open connections; `lacking` if one more was needed and the quota denied it."""
 
 
 class UpstreamCapacity:
     """The limit on the number of connections to all backends together.
 
-    At most `max_connections` may be open. `reserved` of them are always available, more only with the consent
-    of `owner`, where one is set. During an upgrade this process keeps to the fraction `quota` of both
-    numbers, and the other process of the instance has the rest. The pool keeps `open_count`.
+    At most `max_connections` may be open. `reserved` of them are always available; the others need the
+    consent of `owner` if one is set. During an upgrade this process may use the fraction `quota` of both
+    numbers, and the other process of the instance has the rest. The connection pool maintains `open_count`.
     """
 
     def __init__(self, max_connections: int, reserved: int) -> None:
@@ -47,17 +47,17 @@
 
     @property
     def reserved(self) -> int:
-        """Number of connections that are available whatever clients need."""
+        """Number of connections that are available regardless of the clients' needs."""
         return int(self._reserved * self.quota)
 
     @property
     def granted(self) -> int:
-        """Number of connections that are open beyond the reserved ones."""
+        """Number of open connections beyond the reserved ones."""
         return max(0, self.open_count - self.reserved)
 
     @property
     def utilization(self) -> float:
-        """Fraction of the connections that is open, from 0 to 1."""
+        """Fraction of the connections that are open, from 0 to 1."""
         return self.open_count / self._max_connections
 
     def reserve(self) -> bool:
--- a/garnetlanding/runtime/connection_pool.py
+++ b/garnetlanding/runtime/connection_pool.py
@@ -1,4 +1,4 @@
-"""The open connections to backends, with those that are idle kept for reuse."""
+"""The pool of backend connections, which keeps idle ones for reuse."""
 
 from __future__ import annotations
 
@@ -8,20 +8,22 @@
 
 
 class ConnectionPool:
-    """All connections to the backends of one protocol, by their keys.
+    """All connections to the backends of one protocol, by key.
 
-    `quota` is set where all instances together have a limit on the connections at each backend. Connections
-    beyond it are closed: idle ones at once, busy ones as soon as they are idle. It shrinks when capacity that
-    peers had granted goes back to them.
+    `quota` is set if all instances together have a limit on the connections to each backend. Connections
+    beyond the quota are closed: idle ones immediately, busy ones when they become idle. The quota shrinks
+    when capacity that peers had granted is returned to them.
     """
 
     def __init__(self, capacity: UpstreamCapacity) -> None:
         self.capacity = capacity
         self.quota: ConnectionQuota | None = None
         self._open: dict[ConnectionKey, set[BackendConnection]] = {}
-        self._idle: dict[ConnectionKey, list[BackendConnection]] = {}  # the one used last is the last
+        self._idle: dict[
+            ConnectionKey, list[BackendConnection]
+        ] = {}  # ordered by last use, the most recent one last
 
-    # Connections that are opened and closed
+    # Opened and closed connections
 
     def count(self, key: ConnectionKey) -> int:
         """Return the number of open connections of a key."""
@@ -50,18 +52,18 @@
     def take_idle(self, key: ConnectionKey, attempt: AttemptHandle) -> BackendConnection | None:
         """Take an idle connection for an attempt, which makes it busy; return `None` if there is none.
 
-        Idle connections that turn out to be unusable are closed.
+        Idle connections that have become unusable are closed.
         """
         idle = self._idle.get(key)
         while idle:
-            # The one used last, unless another is preferred: the others stay idle, and are closed in time.
+            # The most recently used one, unless another is preferred: the others can then time out.
             preferred = (free for free in reversed(idle) if free.protocol.can_carry(attempt))
             connection = next(preferred, idle[-1])
             if connection.has_no_unread_data():
                 idle.remove(connection)
                 return connection
-            # Either the backend has closed it right after its last response, and a request sent now would be
-            # reset; or it has sent more, which would be taken for the response to this request.
+            # Either the backend closed it after the last response, and a request sent now would be reset; or
+            # it sent surplus data, which would be mistaken for the response to this request.
             connection.close()
         return None
 
@@ -78,7 +80,7 @@
     # Closing connections
 
     def close_longest_idle(self) -> bool:
-        """Close the connection that has been idle for the longest time; return whether there was one."""
+        """Close the connection that has been idle longest; return whether there was one."""
         connection = min(self.idle_connections(), key=lambda idle: idle.idle_since, default=None)
         if connection is None:
             return False
@@ -86,12 +88,12 @@
         return True
 
     def close_idle_down_to(self, max_connections: int) -> None:
-        """Close idle connections as long as more than a number are open."""
+        """Close idle connections while more than `max_connections` are open."""
         while self.capacity.open_count > max_connections and self.close_longest_idle():
             pass
 
     def close_above_quota(self, key: ConnectionKey) -> None:
-        """Close idle connections of a key as long as more are open than the quota allows."""
+        """Close idle connections of a key while more are open than the quota allows."""
         idle = self._idle.get(key, [])
         while self.quota and idle and len(self._open[key]) > self.quota.max_connections(idle[0].backend):
             idle[0].close()
@@ -99,7 +101,7 @@
     # For the periodic sweep
 
     def idle_keys(self) -> list[ConnectionKey]:
-        """Return the keys that have or had idle connections."""
+        """Return the keys that have, or have had, idle connections."""
         return list(self._idle)
 
     def open_connections(self) -> list[BackendConnection]:
--- a/garnetlanding/runtime/connection_sweeper.py
+++ b/garnetlanding/runtime/connection_sweeper.py
@@ -1,4 +1,4 @@
-"""Periodically closes connections to backends that are stuck or idle, and logs protocol errors."""
+"""Periodically closes stuck and idle backend connections, and logs protocol errors."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 class ConnectionSweeper:
     """Sweeps a pool's connections every `Limits.sweep_us`.
 
-    Where the instance uses a subset of the backends, `backend_subset` returns their names, and idle
-    connections to other backends are closed after the shorter time `outside_subset_idle_us`.
+    If the instance uses a subset of the backends, `backend_subset` returns their names, and idle connections
+    to other backends are closed after the shorter timeout `outside_subset_idle_us`.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self._protocol_errors.clear()
 
     def _close_stuck(self) -> None:
-        """Close connections that are busy for longer than any attempt: the backend will never respond."""
+        """Close connections busy for longer than any attempt may take: the backend will not respond."""
         began_before = self._scheduler.now - self._limits.max_deadline_us - self._limits.sweep_us
         stuck = [conn for conn in self._connections.open_connections() if conn.began_at <= began_before]
         for connection in stuck:
@@ -69,7 +69,7 @@
                 connection.close()
 
     def _close_idle(self) -> None:
-        """Close idle connections before their backend does, which could cross with a request and lose it."""
+        """Close idle connections before the backend does, whose close could race with a request."""
         now = self._scheduler.now
         subset = self.backend_subset() if self.backend_subset else None
         for connection in self._connections.idle_connections():
--- a/garnetlanding/runtime/errors.py
+++ b/garnetlanding/runtime/errors.py
@@ -1,10 +1,10 @@
-"""Errors of the runtime package."""
+"""Exceptions of the runtime package."""
 
 from __future__ import annotations
 
 
 class RuntimeLayerError(Exception):
-    """Base of the errors that the event loop, its buffers and its connections raise."""
+    """Base class for errors of the event loop, the buffers and the connections."""
 
 
 class DeadlineExceededError(RuntimeLayerError):
@@ -12,29 +12,29 @@
 
 
 class StreamClosedError(RuntimeLayerError):
-    """The stream has been closed, by either side or because of an error."""
+    """The stream was closed by either side or because of an error."""
 
 
 class BufferPoolExhaustedError(RuntimeLayerError):
-    """Every buffer is in use.
+    """All buffers are in use.
 
     The connection that needs one has to be closed, so that the process stays within its memory limit.
     """
 
 
 class CloseRequestedError(RuntimeLayerError):
-    """Raised in a connection's task to make it stop serving and linger until the client closes."""
+    """Raised in a client connection's task to end serving and begin the lingering close."""
 
 
 class BackendProtocolError(RuntimeLayerError):
-    """A backend violated its protocol, or may not be sent the rest of an attempt: the connection is closed.
+    """A backend violated its protocol, or the rest of an attempt must not be sent to it.
 
-    The message is counted as the cause and appears in the log.
+    The connection is closed. The message is counted as the cause and logged.
     """
 
 
 class IncompleteResponseError(BackendProtocolError):
-    """A response began and did not end in time."""
+    """A response began and was not completed in time."""
 
     def __init__(self) -> None:
         super().__init__("incomplete response")
@@ -48,7 +48,7 @@
 
 
 class AddressError(ValueError):
-    """A text is not an address of the form `HOST:PORT`; `text` is that text."""
+    """`text` is not an address of the form `HOST:PORT`."""
 
     def __init__(self, text: str) -> None:
         super().__init__(f"not HOST:PORT: {text!r}")
@@ -56,7 +56,7 @@
 
 
 class LineTooLongError(ValueError):
-    """A line has no end within `max_bytes` bytes."""
+    """A line does not end within `max_bytes` bytes."""
 
     def __init__(self, max_bytes: int) -> None:
         super().__init__("line too long")
--- a/garnetlanding/runtime/listener.py
+++ b/garnetlanding/runtime/listener.py
@@ -1,4 +1,4 @@
-"""A listening address: accepts connections up to a limit, evicts idle ones, stops gracefully."""
+"""A listening socket: accepts connections up to a limit, evicts idle ones, shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from garnetlanding.runtime.errors import StreamClosedError
 from garnetlanding.runtime.protocols import ClientProtocol
 from garnetlanding.runtime.scheduler import READ, Scheduler
-from garnetlanding.runtime.stream import configure, listen
+from garnetlanding.runtime.stream import configure_socket, create_listening_socket
 
 log = logging.getLogger(__name__)
 
 
 class Listener:
-    """One listening address and the connections accepted at it.
+    """A listening socket and the connections accepted on it.
 
-    At most `max_connections` are open, less those granted to `capacity_user`, where one is set. During an
-    upgrade this process keeps to the fraction `capacity_quota` of `max_connections`, and the other process of
+    At most `max_connections` are open, minus those granted to `capacity_user` if one is set. During an
+    upgrade this process may use the fraction `capacity_quota` of `max_connections`, and the other process of
     the instance has the rest. `protocol_factory` creates the protocol of each connection. While
     `close_when_idle` is set, connections are closed as soon as they are idle.
     """
@@ -47,8 +47,10 @@
         self.close_when_idle = False
         self._max_connections = max_connections
         self._clients: set[ClientConnection] = set()
-        self._lingering: dict[ClientConnection, None] = {}  # in the order in which they began to linger
-        self._sock: socket.socket | None = listen(address, limits.backlog, reuse_port=reuse_port)
+        self._lingering: dict[ClientConnection, None] = {}  # a set ordered by when they began to linger
+        self._sock: socket.socket | None = create_listening_socket(
+            address, limits.backlog, reuse_port=reuse_port
+        )
         host, port = self._sock.getsockname()[:2]
         self.address = f"{host}:{port}"
         scheduler.spawn(self._accept_forever)
@@ -59,7 +61,7 @@
 
     @property
     def connections(self) -> list[ClientConnection]:
-        """The open connections, without those that only linger, in no particular order."""
+        """The open connections except lingering ones, in no particular order."""
         return list(self._clients)
 
     # Accepting
@@ -76,7 +78,7 @@
                 try:
                     self._accept_pending()
                 except OSError as error:
-                    # Out of descriptors, or the client has left already: neither may stop the listener.
+                    # Out of descriptors, or the client has disconnected: neither may stop the listener.
                     log.warning("accept failed", extra={"kv": {"error": error}})
                     self.scheduler.sleep(self.limits.accept_pause_us)
         except StreamClosedError:
@@ -86,30 +88,30 @@
                 self._sock.close()
 
     def _accept_pending(self) -> None:
-        """Accept connections that wait in the kernel's queue, as many as an iteration and the limit allow."""
+        """Accept connections from the kernel's queue, as many as an iteration and the limit allow."""
         assert self._sock
         if not self.reserve():
-            # Clients are better off in the kernel's queue than accepted and closed at once.
+            # Clients that wait in the kernel's queue fare better than ones that are accepted and closed.
             self.scheduler.sleep(self.limits.accept_pause_us)
             return
-        # At the limit only one is accepted: whether another one waits is known after the next poll.
+        # At the limit only one is accepted: only the next poll tells whether another one is waiting.
         for _ in range(min(self.limits.accepts_per_iteration, self._available)):
             try:
                 sock, _ = self._sock.accept()
             except BlockingIOError:
                 return
-            self._serve(sock)
+            self._add_connection(sock)
 
-    def _serve(self, sock: socket.socket) -> None:
-        configure(sock)
+    def _add_connection(self, sock: socket.socket) -> None:
+        configure_socket(sock)
         self._clients.add(ClientConnection(self, sock))
         self._abort_excess_lingering()
 
     def stop_accepting(self) -> None:
-        """Accept the connections that wait in the kernel's queue, and then refuse new ones.
+        """Accept the connections in the kernel's queue, and then refuse new ones.
 
-        Those beyond the limit are reset with the listening socket: to accept them would use up descriptors
-        that discovery and backends need.
+        Queued connections beyond the limit are reset when the listening socket closes: accepting them would
+        use up descriptors that discovery and backends need.
         """
         sock = self._sock
         self._sock = None
@@ -120,7 +122,7 @@
                 accepted, _ = sock.accept()
             except OSError:
                 break
-            self._serve(accepted)
+            self._add_connection(accepted)
         self.scheduler.cancel_waits(sock.fileno(), StreamClosedError())
         sock.close()
 
@@ -136,21 +138,21 @@
 
     @property
     def utilization(self) -> float:
-        """Fraction of the connections that is open or granted, from 0 to 1."""
+        """Fraction of the connections that are open or granted, from 0 to 1."""
         return (self._granted + len(self._clients)) / self._max_connections
 
     def reserve(self) -> bool:
-        """Make room for one more connection, evicting an idle one if necessary; return whether there is."""
+        """Make room for one connection, evicting an idle one if necessary; return whether there is room."""
         return self._available > 0 or self._evict()
 
     def _sweep(self) -> None:
-        """Evict idle connections beyond a limit, so that clients with many leave some for others."""
+        """Evict idle connections above a limit, so that clients with many leave some for others."""
         if self._sock:
             self.scheduler.call_at(self.scheduler.now + self.limits.client_sweep_us, self._sweep)
         self.evict_down_to(self.limits.idle_clients)
 
     def evict_down_to(self, max_connections: int) -> None:
-        """Evict connections beyond a number, as far as they may be evicted."""
+        """Evict evictable connections while more than `max_connections` are open."""
         excess = len(self._clients) - max_connections
         if excess > 0:
             self._evict(excess)
@@ -158,7 +160,7 @@
     def _evict(self, count: int = 1) -> bool:
         """Close up to `count` connections between requests; return whether any was closed.
 
-        Connections without any request so far are closed first, among them those idle for the longest time.
+        Connections that have sent no request are closed before others, longer idle ones before newer ones.
         """
         now = self.scheduler.now
         candidates: list[tuple[bool, int, ClientConnection]] = []
@@ -176,38 +178,35 @@
     # Called by connections
 
     def on_lingering(self, connection: ClientConnection) -> None:
-        """Free the place of a connection that only waits for its client to close.
+        """Stop counting a connection that only waits for its client to close.
 
-        Its descriptor is in use until the client has closed, or until too many connections linger.
+        Its descriptor stays in use until the client closes, or until too many connections linger.
         """
         self._clients.discard(connection)
         self._lingering[connection] = None
         self._abort_excess_lingering()
 
     def _abort_excess_lingering(self) -> None:
-        """Abort the connections that linger longest, beyond the number for which there are descriptors."""
+        """Abort the longest-lingering connections above the number for which there are descriptors."""
         while len(self._lingering) > self.limits.lingering_connections + max(0, self._available):
             oldest = next(iter(self._lingering))
             self._lingering.pop(oldest)
             oldest.abort()
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """Forget a closed connection."""
+        """Remove a closed connection."""
         self._clients.discard(connection)
         self._lingering.pop(connection, None)
 
     # Shutdown
 
     def close_idle(self) -> None:
-        """Close idle connections now, and the others as soon as they are idle.
-
-        The latter holds until `close_when_idle` is reset.
-        """
+        """Close idle connections now and, until `close_when_idle` is reset, others when they become idle."""
         self.close_when_idle = True
         for client in list(self._clients):
             client.close_if_idle()
 
     def abort_all(self) -> None:
-        """Close every connection at once, at the end of a shutdown."""
+        """Close every connection immediately, at the end of a shutdown."""
         for client in [*self._clients, *self._lingering]:
             client.abort()
--- a/garnetlanding/runtime/protocols.py
+++ b/garnetlanding/runtime/protocols.py
@@ -1,8 +1,8 @@
-"""The interfaces between connections, which do the I/O, and the protocols spoken on them, which do none.
+"""Interfaces between connections, which do the I/O, and protocols, which do none.
 
-A protocol is a state machine, one object for each connection. The connection feeds it the bytes that arrive;
-the protocol sends bytes through the `write` that its factory was given, and shows its state in attributes,
-which the connection reads after each call. RESP2, 9P, HTTP and replication implement these interfaces.
+A protocol is a state machine, one object per connection. The connection feeds it received bytes; the protocol
+sends bytes through the `write` callable passed to its factory and exposes its state in attributes, which the
+connection reads after each call. RESP2, 9P, HTTP and replication implement these interfaces.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from garnetlanding.core.ports import AttemptHandle
 
 Write = Callable[[bytes], None]
-"""Sends bytes, in order; a client protocol that streams values needs the core's `Sink` instead."""
+"""Sends bytes in order; a client protocol that streams values needs the core's `Sink` instead."""
 
 
 class ClientProtocol(Protocol):
@@ -23,43 +23,43 @@
 
     States:
 
-    - receiving, from the start: `feed` is called with what arrives;
-    - closing, once `is_closing` is set: nothing more is fed, and the connection is closed as soon as
-      `pending_responses` is 0 and the last of them is sent;
-    - closed, once `close` has been called: nothing more is fed, and what is written goes nowhere.
+    - receiving, initially: `feed` is called with received bytes;
+    - closing, once `is_closing` is set: nothing more is fed, and the connection closes when
+      `pending_responses` is 0 and the last response has been sent;
+    - closed, after `close`: nothing more is fed, and written bytes are discarded.
 
     Invariants: `is_closing` is never reset; the three counters never decrease, and neither
     `invalid_messages` nor `requests_received` exceeds `messages_received`.
     """
 
     is_closing: bool
-    """Whether no more input is accepted: the client said that it leaves, or has broken the protocol."""
+    """Whether no more input is accepted: the client said that it leaves or violated the protocol."""
     messages_received: int
-    """Number of complete messages received. The time limit for a message starts anew with each of them."""
+    """Number of complete messages received. The time limit for a message restarts with each of them."""
     invalid_messages: int
-    """Number of messages rejected as unusable. Reading pauses after each, to slow down a faulty client."""
+    """Number of invalid messages received. Reading pauses after each, to slow down a faulty client."""
     requests_received: int
-    """Number of messages that were requests. Connections that have made none are the first to be evicted."""
+    """Number of requests among the messages. Connections without any are evicted first."""
     has_buffered_input: bool
-    """Whether complete messages are left over from the last `feed`; `feed(b"")` processes more of them."""
+    """Whether complete messages remain from the last `feed`; `feed(b"")` processes more of them."""
 
     @property
     def pending_responses(self) -> int:
-        """Number of responses that have not been written completely."""
+        """Number of responses that are not completely written."""
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether part of a message has arrived and the rest is awaited."""
+        """Whether a message has arrived only in part."""
 
     @property
     def has_session_state(self) -> bool:
-        """Whether closing between two requests would lose state for the client, so that it is not evicted."""
+        """Whether a close between requests would lose client state; such a connection is not evicted."""
 
     def feed(self, data: bytes | memoryview) -> None:
         """Process received bytes; `data` is only valid during the call."""
 
     def close(self) -> None:
-        """Abandon open requests and free all buffers. May be called more than once."""
+        """Abandon open requests and release all buffers. May be called more than once."""
 
 
 class BackendProtocol(Protocol):
@@ -67,54 +67,54 @@
 
     States:
 
-    - idle, before the first `begin` and whenever `on_idle` has been called;
-    - busy, from `begin` on: the attempt's request is being sent, or its response is awaited. The protocol
-      ends the attempt (`AttemptHandle.finish`) before it calls `on_idle`;
-    - closed, once `close` has been called.
+    - idle, initially and after each call of `on_idle`;
+    - busy, after `begin`: the attempt's request is being sent or its response is awaited. The protocol calls
+      `AttemptHandle.finish` before it calls `on_idle`;
+    - closed, after `close`.
     """
 
     def begin(self, attempt: AttemptHandle) -> None:
-        """Write the attempt's request. Raises `BackendProtocolError` if the backend may not be sent it."""
+        """Write the attempt's request. Raises `BackendProtocolError` if it must not be sent any more."""
 
     def feed(self, data: bytes | memoryview) -> None:
         """Process received bytes; `data` is only valid during the call.
 
-        Raises `BackendProtocolError` if they violate the protocol: the connection is then closed.
+        Raises `BackendProtocolError` if they violate the protocol; the connection is then closed.
         """
 
     @property
     def bytes_may_have_been_sent(self) -> bool:
-        """Whether the backend may execute the attempt once it has received everything written so far."""
+        """Whether the backend may execute the attempt once it has received all bytes written so far."""
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether part of a message has arrived and the rest is awaited."""
+        """Whether a message has arrived only in part."""
 
     @property
     def body(self) -> Body | None:
         """The response value that is being streamed, if any."""
 
     def can_carry(self, attempt: AttemptHandle) -> bool:
-        """Return whether this connection, among several idle ones, is preferred for the attempt."""
+        """Return whether this connection is preferred for the attempt among several idle ones."""
 
     def close(self) -> None:
-        """Abandon a response that is incomplete and free all buffers."""
+        """Abandon an incomplete response and release all buffers."""
 
 
 class BackendProtocolFactory(ABC):
-    """What `Upstream` needs to know of a protocol: how to create it, and which connections are alike."""
+    """Creates protocols for `Upstream` and decides which attempts may share a connection."""
 
     @abstractmethod
     def create(self, attempt: AttemptHandle, write: Write, on_idle: Callable[[], None]) -> BackendProtocol:
-        """Return the protocol of a new connection, which is opened for the attempt.
+        """Return the protocol of a new connection that is opened for the attempt.
 
-        It sends bytes by `write`, and calls `on_idle` when the connection is free for another attempt.
+        It sends bytes with `write` and calls `on_idle` when the connection is free for another attempt.
         """
 
     def resolve_address(self, endpoint: str) -> str:
-        """Return the address (`HOST:PORT`) to connect to for an address of the endpoint list."""
+        """Return the address (`HOST:PORT`) to connect to for an address in the endpoint list."""
         return endpoint
 
-    def connection_key(self, attempt: AttemptHandle) -> str:  # noqa: ARG002 - for protocols with identities
-        """Return what else than the address has to be equal for two attempts to share a connection."""
+    def connection_key(self, attempt: AttemptHandle) -> str:  # noqa: ARG002 - used by protocols with user identities
+        """Return what, besides the address, must be equal for two attempts to share a connection."""
         return ""
--- a/garnetlanding/runtime/scheduler.py
+++ b/garnetlanding/runtime/scheduler.py
@@ -1,8 +1,8 @@
-"""An event loop over `select.poll` that runs tasks (greenlets) and timers.
+"""An event loop on `select.poll` that runs tasks (greenlets) and timers.
 
 Each iteration polls the descriptors, reads the clock once, calls the timers that are due, runs every task
-that is ready, and then calls the `iteration_hooks`. By these the core processes all events of an iteration
-in one batch, under one time.
+that is ready, and then calls the `iteration_hooks`, through which the core processes all events of the
+iteration as one batch with one timestamp.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 READ = select.POLLIN | select.POLLPRI
 WRITE = select.POLLOUT
-HANGUP = select.POLLRDHUP  # the peer has shut down its write side, even if earlier bytes are unread
-_FAILED = select.POLLERR | select.POLLHUP | select.POLLNVAL  # wakes the waiters of every direction
+HANGUP = select.POLLRDHUP  # the peer has shut down its write side; earlier bytes may be unread
+_FAILED = select.POLLERR | select.POLLHUP | select.POLLNVAL  # wakes waiters of every direction
 
 Clock = Callable[[], int]
-"""Returns the time in microseconds, which never decreases."""
+"""Returns the time in microseconds; it must never decrease."""
 
 
 def monotonic_us() -> int:
@@ -36,31 +36,31 @@
 
 
 class Timer:
-    """A call that is scheduled for the time `due`; `call` is `None` once it was made or cancelled.
+    """A callback scheduled for the time `due`; `callback` is `None` once it was called or cancelled.
 
-    Cancelling is cheap, because the scheduler's heap keeps the entry until it is due, or until cancelled
+    Cancelling is cheap, because the entry stays in the scheduler's heap until it is due, or until cancelled
     entries are the majority and are removed together.
     """
 
-    __slots__ = ("_scheduler", "call", "due")
+    __slots__ = ("_scheduler", "callback", "due")
 
-    def __init__(self, due: int, call: Callable[[], None], scheduler: Scheduler) -> None:
+    def __init__(self, due: int, callback: Callable[[], None], scheduler: Scheduler) -> None:
         self.due = due
-        self.call: Callable[[], None] | None = call
+        self.callback: Callable[[], None] | None = callback
         self._scheduler = scheduler
 
     def cancel(self) -> None:
-        """Prevent the call; has no effect once it was made."""
-        if self.call is not None:
-            self.call = None
+        """Prevent the callback; has no effect once it was called."""
+        if self.callback is not None:
+            self.callback = None
             self._scheduler.cancelled_timers += 1
 
 
 class Task:
-    """A greenlet and its state, which only the scheduler uses.
+    """A greenlet and its state, used only by the scheduler.
 
-    `error` is what the task's present or next `park` raises, `is_queued` whether the task is in the queue of
-    ready tasks, `done` whether its body has ended.
+    `error` is raised by the task's current or next `park`; `is_queued` is whether the task is in the ready
+    queue; `done` is whether its body has ended.
     """
 
     __slots__ = ("done", "error", "greenlet", "is_queued")
@@ -75,9 +75,9 @@
 class Scheduler:
     """The event loop of one process: tasks, timers and waits for descriptors.
 
-    It is one class because tasks, timers and descriptors wake one another within an iteration, and its calls
-    are the hot path. `now` is the time of the present iteration in microseconds. Only tasks may call the
-    methods that wait (`park`, `wait`, `sleep`); the others may be called by all code on the loop's thread.
+    It is one class because tasks, timers and descriptors wake one another within an iteration and its methods
+    are the hot path. `now` is the time of the current iteration in microseconds. Only tasks may call the
+    methods that wait (`park`, `wait`, `sleep`); all code on the loop's thread may call the others.
     """
 
     def __init__(self, clock: Clock = monotonic_us) -> None:
@@ -89,7 +89,7 @@
         self._ready: deque[Task] = deque()
         self._tasks: set[Task] = set()
         self._timers: list[tuple[int, int, Timer]] = []
-        self.cancelled_timers = 0  # entries of the timer heap that were cancelled
+        self.cancelled_timers = 0  # cancelled entries in the timer heap
         self._timer_count = 0
         self._current: Task | None = None
         self._stopped = False
@@ -98,7 +98,7 @@
     # Tasks
 
     def spawn(self, body: Callable[[], None]) -> Task:
-        """Start a task that runs `body`. An exception that it raises is logged and ends only this task."""
+        """Start a task that runs `body`; an exception that it raises is logged and ends only this task."""
 
         def run() -> None:
             try:
@@ -106,7 +106,7 @@
             except GreenletExit:
                 pass
             except Exception:
-                # A defect that affects one connection must not end the process: it is logged instead.
+                # A defect that affects one connection must not end the process.
                 log.exception("task failed")
             finally:
                 task.done = True
@@ -118,7 +118,7 @@
         return task
 
     def wake(self, task: Task, error: BaseException | None = None) -> None:
-        """Make a parked task ready to run; if `error` is given, its `park` raises that."""
+        """Make a parked task ready to run; if `error` is given, its `park` raises it."""
         if task.done:
             return
         task.error = task.error or error
@@ -127,8 +127,8 @@
             self._ready.append(task)
 
     def current(self) -> Task:
-        """Return the running task. To be called by tasks only."""
-        assert self._current is not None, "only tasks wait"
+        """Return the running task. Only tasks may call this."""
+        assert self._current is not None, "called outside a task"
         return self._current
 
     def park(self, deadline: int | None = None) -> None:
@@ -153,11 +153,11 @@
     def wait(self, fd: int, direction: int, deadline: int | None = None) -> None:
         """Suspend the running task until the descriptor is ready for `READ`, `WRITE` or `HANGUP`.
 
-        It also returns when the descriptor has failed; the next system call on it reports the error. At most
-        one task may wait for each direction of a descriptor. Raises what `park` raises.
+        Also returns when the descriptor has failed, in which case the next system call on it reports the
+        error. At most one task may wait for each direction of a descriptor. Raises what `park` raises.
         """
         waits = self._waits.setdefault(fd, {})
-        assert direction not in waits, "one task a direction"
+        assert direction not in waits, "one waiting task per direction"
         waits[direction] = self.current()
         self._register(fd)
         try:
@@ -179,7 +179,7 @@
             self._poll.unregister(fd)
 
     def cancel_waits(self, fd: int, error: BaseException) -> None:
-        """Raise `error` in every task that waits for the descriptor. To be called before it is closed."""
+        """Raise `error` in every task that waits for the descriptor; must precede its close."""
         waits = self._waits.pop(fd, None)
         if waits:
             self._poll.unregister(fd)
@@ -199,29 +199,29 @@
 
     # Timers
 
-    def call_at(self, due: int, call: Callable[[], None]) -> Timer:
-        """Schedule a call for the time `due` in microseconds. An exception that it raises is logged."""
+    def call_at(self, due: int, callback: Callable[[], None]) -> Timer:
+        """Schedule a callback for the time `due` in microseconds; an exception that it raises is logged."""
         if 2 * self.cancelled_timers > len(self._timers):
             self._drop_cancelled()
-        timer = Timer(due, call, self)
+        timer = Timer(due, callback, self)
         self._timer_count += 1
         heapq.heappush(self._timers, (due, self._timer_count, timer))
         return timer
 
     def _drop_cancelled(self) -> None:
-        self._timers = [entry for entry in self._timers if entry[2].call is not None]
+        self._timers = [entry for entry in self._timers if entry[2].callback is not None]
         heapq.heapify(self._timers)
         self.cancelled_timers = 0
 
-    def sleep(self, span_us: int) -> None:
-        """Suspend the running task for `span_us` microseconds, or until woken; 0 lets others run once."""
+    def sleep(self, duration_us: int) -> None:
+        """Suspend the running task for `duration_us` or until woken; 0 yields to other ready tasks once."""
         with contextlib.suppress(DeadlineExceededError):
-            self.park(self.now + span_us)
+            self.park(self.now + duration_us)
 
     # The event loop
 
     def stop(self) -> None:
-        """Make `run` return at the end of the present iteration."""
+        """Make `run` return at the end of the current iteration."""
         self._stopped = True
 
     def run(self) -> None:
@@ -232,7 +232,7 @@
     def run_iteration(self, max_wait_ms: float | None = None) -> bool:
         """Run one iteration and return whether anything happened.
 
-        It waits until something is due, but no longer than `max_wait_ms` milliseconds if that is given.
+        Waits until something is due, but no longer than `max_wait_ms` milliseconds if given.
         """
         polled = self._poll.poll(self._poll_timeout_ms(max_wait_ms))
         self.now = self._clock()
@@ -241,7 +241,7 @@
         busy = bool(polled or fired or self._ready)
         self._run_ready()
         for hook in self.iteration_hooks:
-            self._guarded(hook)
+            self._call_logging_errors(hook)
         return busy
 
     def _wake_ready(self, polled: list[tuple[int, int]]) -> None:
@@ -254,29 +254,29 @@
                     self.wake(task)
 
     def _fire_timers(self) -> bool:
-        """Call the timers that are due and return whether there was one."""
+        """Call the timers that are due and return whether there were any."""
         fired = False
         while self._timers and self._timers[0][0] <= self.now:
             timer = heapq.heappop(self._timers)[2]
-            call = timer.call
-            timer.call = None
-            if call is None:
+            callback = timer.callback
+            timer.callback = None
+            if callback is None:
                 self.cancelled_timers -= 1
             else:
                 fired = True
-                self._guarded(call)
+                self._call_logging_errors(callback)
         return fired
 
     @staticmethod
-    def _guarded(call: Callable[[], None]) -> None:
-        """Make a call and log the exception that it raises, as for tasks."""
+    def _call_logging_errors(callback: Callable[[], None]) -> None:
+        """Call back and log an exception instead of raising it, as for tasks."""
         try:
-            call()
+            callback()
         except Exception:
             log.exception("call failed")
 
     def _poll_timeout_ms(self, max_wait_ms: float | None) -> float | None:
-        """Return how long poll may wait; `None` if without a limit."""
+        """Return how long `poll` may wait; `None` means without a limit."""
         timeout_ms = self._next_timer_ms()
         if max_wait_ms is None:
             return timeout_ms
@@ -285,19 +285,19 @@
         return min(max_wait_ms, timeout_ms)
 
     def _next_timer_ms(self) -> float | None:
-        """Return the time to the next timer, 0 if a task is ready already, `None` if there is no timer."""
+        """Return the time until the next timer, 0 if a task is ready, or `None` if there is no timer."""
         if self._ready or self._stopped:
             return 0
-        while self._timers and self._timers[0][2].call is None:
+        while self._timers and self._timers[0][2].callback is None:
             heapq.heappop(self._timers)
             self.cancelled_timers -= 1
         if not self._timers:
             return None
-        # poll rounds up to a whole millisecond, so a timer never fires early and never spins.
+        # poll rounds up to whole milliseconds, so a timer neither fires early nor makes the loop spin.
         return max(0.0, (self._timers[0][0] - self._clock()) / 1000)
 
     def _run_ready(self) -> None:
-        # Only the tasks ready now: one that wakes itself again must not keep the loop from polling.
+        # Only tasks that are ready now: one that wakes itself again must not keep the loop from polling.
         for _ in range(len(self._ready)):
             task = self._ready.popleft()
             task.is_queued = False
--- a/garnetlanding/runtime/signals.py
+++ b/garnetlanding/runtime/signals.py
@@ -1,4 +1,4 @@
-"""Handles signals in a task of the event loop, to which the signal handler passes them by a pipe."""
+"""Signal handling in an event loop task, to which a pipe forwards signal numbers (`signal.set_wakeup_fd`)."""
 
 from __future__ import annotations
 
@@ -14,26 +14,29 @@
 HANDLED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
-def block_until_handled() -> None:
-    """Block the handled signals until a `Signals` is created.
+def block_handled_signals() -> None:
+    """Block the handled signals until a `SignalHandler` is created.
 
-    Otherwise a SIGHUP would kill a process that is starting, and a SIGTERM would end it without a graceful
-    shutdown.
+    Otherwise a SIGHUP would kill a starting process, and a SIGTERM would end it without a graceful shutdown.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
 
 
-class Signals:
+class SignalHandler:
     """Calls `reload` for each SIGHUP, and `terminate` in a new task for the first SIGTERM or SIGINT.
 
-    Later signals are only logged. At most `batch` signals are read from the pipe at once.
+    Later signals are only logged. At most `max_read_bytes` signals are read from the pipe at once.
     """
 
     def __init__(
-        self, scheduler: Scheduler, batch: int, reload: Callable[[], None], terminate: Callable[[], None]
+        self,
+        scheduler: Scheduler,
+        max_read_bytes: int,
+        reload: Callable[[], None],
+        terminate: Callable[[], None],
     ) -> None:
         self._scheduler = scheduler
-        self._batch = batch
+        self._max_read_bytes = max_read_bytes
         self._reload = reload
         self._terminate = terminate
         self._terminating = False
@@ -50,20 +53,20 @@
         """Read signal numbers, one byte each, until the process ends."""
         while True:
             self._scheduler.wait(reader, READ)
-            for number in os.read(reader, self._batch):
+            for number in os.read(reader, self._max_read_bytes):
                 self._handle(number)
 
     def _handle(self, number: int) -> None:
         if self._terminating:
             log.info("already terminating", extra={"kv": {"signal": signal.Signals(number).name}})
         elif number == signal.SIGHUP:
-            self._reload_guarded()
+            self._reload_logging_errors()
         else:
             self._terminating = True
             self._scheduler.spawn(self._terminate)
 
-    def _reload_guarded(self) -> None:
-        """Reload and log a failure: raised, it would end the task, and with it the handling of SIGTERM."""
+    def _reload_logging_errors(self) -> None:
+        """Reload and log a failure; raising it would end this task and with it the handling of SIGTERM."""
         try:
             self._reload()
         except Exception:
--- a/garnetlanding/runtime/stream.py
+++ b/garnetlanding/runtime/stream.py
@@ -1,4 +1,4 @@
-"""A non-blocking TCP connection on the event loop, and the addresses that it is made from."""
+"""Non-blocking TCP streams on the event loop, listening sockets, and address parsing."""
 
 from __future__ import annotations
 
@@ -22,36 +22,36 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Return host and port of `HOST:PORT` or `[IPV6]:PORT`. Raises `AddressError` for anything else."""
+    """Return host and port of `HOST:PORT` or `[IPV6]:PORT`. Raises `AddressError` if malformed."""
     host, sep, port = text.rpartition(":")
     if not sep or not host or not port.isdigit() or int(port) > MAX_PORT:
         raise AddressError(text)
     return host.strip("[]"), int(port)
 
 
-def configure(sock: socket.socket) -> None:
-    """Set the options of every TCP socket: no blocking calls, and no delay of small segments."""
-    sock.setblocking(False)  # noqa: FBT003 - the parameter has no name
+def configure_socket(sock: socket.socket) -> None:
+    """Make a TCP socket non-blocking, and disable Nagle's algorithm on it."""
+    sock.setblocking(False)  # noqa: FBT003 - positional-only parameter
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def _create_socket(host: str) -> socket.socket:
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
-    configure(sock)
+    configure_socket(sock)
     return sock
 
 
-def _finish_connect(code: int) -> None:
-    """Raise `OSError` if the connection could not be opened; `code` is its error number, or 0."""
+def _raise_on_connect_error(code: int) -> None:
+    """Raise `OSError` if `code`, the error number of a connect, is not 0."""
     if code:
         raise OSError(code, "cannot connect")
 
 
-def listen(address: str, backlog: int, *, reuse_port: bool = False) -> socket.socket:
+def create_listening_socket(address: str, backlog: int, *, reuse_port: bool = False) -> socket.socket:
     """Return a listening socket.
 
-    With `reuse_port` another process of the same user may listen at the address too, and the kernel
-    distributes new connections between them (SO_REUSEPORT). Raises `OSError` and `AddressError`.
+    With `reuse_port`, another process of the same user may listen on the same address, and the kernel
+    distributes new connections between the two (SO_REUSEPORT). Raises `OSError` and `AddressError`.
     """
     host, port = parse_address(address)
     sock = _create_socket(host)
@@ -67,9 +67,9 @@
     """A connected TCP socket.
 
     Only tasks may call the methods that wait (`connect`, `read`, `wait_for_peer_close`). `read_failed` is set
-    if the connection ended by an error, such as a reset, rather than by an orderly close: what was received
-    before may be incomplete. `on_flushed` is called once, when the kernel has accepted everything written;
-    `on_write_error` is called when the stream has been closed because a write failed.
+    if the connection ended with an error, such as a reset, instead of an orderly close; what was received
+    before may then be incomplete. `on_flushed` is called once, when the kernel has accepted everything
+    written; `on_write_error` is called when the stream has been closed because a write failed.
     """
 
     def __init__(self, scheduler: Scheduler, sock: socket.socket, pool: BufferPool, limits: Limits) -> None:
@@ -78,7 +78,7 @@
         self._pool = pool
         self._limits = limits
         self._unsent = BufferChain(pool)
-        self._is_writing = False  # a task is waiting to write the unsent bytes
+        self._is_writing = False  # a task is writing the unsent bytes
         self.closed = False
         self.read_failed = False
         self.on_flushed: Callable[[], None] | None = None
@@ -90,7 +90,7 @@
     ) -> Stream:
         """Open a connection.
 
-        Raises `OSError` if the peer refuses it or cannot be reached, `DeadlineExceededError` if it is not
+        Raises `OSError` if the peer refuses it or is unreachable, and `DeadlineExceededError` if it is not
         established by the deadline.
         """
         host, port = parse_address(address)
@@ -100,7 +100,7 @@
             if code == errno.EINPROGRESS:
                 scheduler.wait(sock.fileno(), WRITE, deadline)
                 code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            _finish_connect(code)
+            _raise_on_connect_error(code)
         except BaseException:
             sock.close()
             raise
@@ -109,7 +109,7 @@
     # Reading
 
     def read(self, feed: Callable[[memoryview], None], deadline: int | None = None) -> bool:
-        """Wait for data and pass what has arrived to `feed`; return False if the connection has ended.
+        """Wait for data and pass it to `feed`; return False if the connection has ended.
 
         Raises `DeadlineExceededError`, and whatever `feed` raises except `OSError` and
         `BufferPoolExhaustedError`, which are treated as a failed read.
@@ -133,7 +133,7 @@
         return False
 
     def _read_once(self, feed: Callable[[memoryview], None]) -> int | None:
-        """Return the number of bytes fed: 0 at the end of the stream, `None` if nothing has arrived yet."""
+        """Return the number of bytes fed: 0 at the end of the stream, `None` if no data is available."""
         buffer = self._pool.scratch
         try:
             count = self._sock.recv_into(buffer)
@@ -144,7 +144,7 @@
         return count
 
     def _peek(self) -> bytes | None:
-        """Return the next unread byte: empty at the end of the stream, `None` if nothing has arrived."""
+        """Return the next unread byte: empty at the end of the stream, `None` if no data is available."""
         try:
             return self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -153,19 +153,19 @@
             return b""
 
     def has_unread_data(self) -> bool:
-        """Return whether data has arrived that has not been read."""
+        """Return whether unread data has arrived."""
         return bool(self._peek())
 
     def is_at_eof(self) -> bool:
-        """Return whether the next read would find the end of the stream, or an error."""
+        """Return whether the next read would find the end of the stream or an error."""
         return self._peek() == b""
 
     def has_no_unread_data(self) -> bool:
-        """Return whether the next read would have to wait: neither data nor the end has arrived."""
+        """Return whether the next read would wait: neither data nor the end of the stream has arrived."""
         return self._peek() is None
 
     def peer_has_closed(self) -> bool:
-        """Return whether the peer has closed its side, even if data before that is unread."""
+        """Return whether the peer has closed its side, even if earlier data is unread."""
         if self.closed or self.is_at_eof():
             return True
         poll = select.poll()
@@ -173,7 +173,7 @@
         return bool(poll.poll(0))
 
     def wait_for_peer_close(self, deadline: int) -> bool:
-        """Wait, without reading, until the peer closes its side; return whether it has.
+        """Wait, without reading, until the peer closes its side; return whether it has done so.
 
         Also returns at the deadline, and when the task is woken.
         """
@@ -185,9 +185,9 @@
     # Writing
 
     def write(self, data: bytes) -> None:
-        """Send bytes, buffering those that the kernel does not accept yet.
+        """Send bytes, and buffer those that the kernel does not accept yet.
 
-        Closes the stream if sending fails or too many bytes are unsent.
+        Closes the stream if sending fails or too many bytes are buffered.
         """
         if self.closed or not data:
             return
@@ -197,7 +197,7 @@
             except BlockingIOError:
                 sent = 0
             except OSError:
-                self._fail()
+                self._close_after_write_error()
                 return
             if sent == len(data):
                 self._call_on_flushed()
@@ -206,20 +206,20 @@
         self._buffer(data)
 
     def _buffer(self, data: bytes) -> None:
-        """Buffer bytes that the kernel did not accept, and start a task that writes them."""
+        """Buffer unsent bytes and start a task that writes them."""
         try:
             self._unsent.append(data)
         except BufferPoolExhaustedError:
-            self._fail()
+            self._close_after_write_error()
             return
         if self._unsent.length > self._limits.unsent_bytes:
-            self._fail()
+            self._close_after_write_error()
             return
         if not self._is_writing:
             self._is_writing = True
-            self._scheduler.spawn(self._write_rest)
+            self._scheduler.spawn(self._write_unsent)
 
-    def _write_rest(self) -> None:
+    def _write_unsent(self) -> None:
         try:
             while self._unsent.length and not self.closed:
                 deadline = self._scheduler.now + self._limits.write_stall_us
@@ -228,27 +228,27 @@
         except BlockingIOError:
             pass
         except (StreamClosedError, DeadlineExceededError, OSError):
-            self._fail()
+            self._close_after_write_error()
             return
         self._is_writing = False
         if self.closed:
             return
         if self._unsent.length:
             self._is_writing = True
-            self._write_rest()
+            self._write_unsent()
             return
         self._call_on_flushed()
 
     def shutdown_write(self) -> None:
-        """Shut down the write side; data that still arrives can be read."""
+        """Shut down the write side; the stream can still be read."""
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError:
-            self._fail()
+            self._close_after_write_error()
 
     @property
     def flushed(self) -> bool:
-        """Whether the kernel has accepted every byte written."""
+        """Whether the kernel has accepted all bytes written."""
         return not self._unsent.length
 
     @property
@@ -264,14 +264,14 @@
 
     # Closing
 
-    def _fail(self) -> None:
+    def _close_after_write_error(self) -> None:
         if not self.closed:
             self.close()
             if self.on_write_error:
                 self.on_write_error()
 
     def close(self) -> None:
-        """Close the connection at once; a task that is reading finds the end of the stream."""
+        """Close the connection immediately; a task that is reading sees the end of the stream."""
         if self.closed:
             return
         self.closed = True
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -1,6 +1,6 @@
-"""Carries attempts to backends, over pooled connections with at most one attempt on each.
+"""Sends attempts to backends over pooled connections, each of which carries at most one attempt.
 
-Only one, because an attempt is stopped by closing its connection, which would stop any other on it too.
+An attempt is stopped by closing its connection, which would also stop any other attempt on it.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 class Upstream:
     """Implements the core's `BackendTransport` for one protocol.
 
-    `connections` are the pooled connections, `capacity` is the limit on their number, and `sweeper` closes
-    those that are stuck or idle for too long. `protocol_errors` counts protocol errors by address and cause,
-    until the sweeper logs them.
+    `connections` is the connection pool, `capacity` limits its size, and `sweeper` closes connections that
+    are stuck or idle for too long. `protocol_errors` counts protocol errors by address and cause until the
+    sweeper logs them.
     """
 
     def __init__(
@@ -45,12 +45,12 @@
         self.sweeper = ConnectionSweeper(scheduler, limits, self.connections, self.protocol_errors)
         self._busy: dict[AttemptHandle, BackendConnection] = {}
 
-    # The core's port
+    # The core's `BackendTransport`
 
     def start(self, attempt: AttemptHandle) -> None:
-        """Send the attempt over an idle connection, or else over a new one.
+        """Send the attempt over an idle connection, or over a new one if there is none.
 
-        Finishes it as unreachable, or as never dispatched, if there can be no connection.
+        Finishes it as unreachable, or as never dispatched, if no connection may be opened.
         """
         endpoint = attempt.address()
         if endpoint is None:
@@ -63,9 +63,9 @@
             self._busy[attempt] = connection
             connection.begin(attempt)
             return
-        obstacle = self._obstacle_to_connecting(key, attempt.backend)
-        if obstacle:
-            attempt.finish(obstacle)
+        denied = self._outcome_if_connect_denied(key, attempt.backend)
+        if denied:
+            attempt.finish(denied)
             return
         self._connect(key, attempt)
 
@@ -78,12 +78,12 @@
 
     # New connections
 
-    def _obstacle_to_connecting(self, key: ConnectionKey, backend: str) -> Outcome | None:
-        """Return the outcome of an attempt for which no connection may be opened; `None` if one may."""
+    def _outcome_if_connect_denied(self, key: ConnectionKey, backend: str) -> Outcome | None:
+        """Return the outcome of an attempt for which no connection may be opened, `None` if one may."""
         open_count = self.connections.count(key)
         quota = self.connections.quota
         if quota and open_count >= quota.max_connections(backend):
-            # The outcome must not count against the backend, because it is the quota that is used up.
+            # The quota is exhausted, so the outcome must not count against the backend.
             quota.set_open(backend, open_count, lacking=True)
             return Outcome.NEVER_DISPATCHED
         if open_count >= self.limits.connections_per_backend:
@@ -100,18 +100,18 @@
     # Called by connections
 
     def may_send(self, attempt: AttemptHandle, key: ConnectionKey) -> bool:
-        """Return whether the backend may still be sent the attempt, and still has the address of the key."""
+        """Return whether the attempt may still be sent and its backend still has the address of the key."""
         endpoint = attempt.address()
         return endpoint is not None and self.protocol_factory.resolve_address(endpoint) == key[0]
 
     def on_idle(self, connection: BackendConnection) -> None:
-        """Return a connection to the pool once its attempt has ended."""
+        """Return a connection to the pool after its attempt has ended."""
         if connection.attempt:
             self._busy.pop(connection.attempt, None)
         self.connections.put_idle(connection)
 
     def on_closed(self, connection: BackendConnection) -> None:
-        """Forget a closed connection."""
+        """Remove a closed connection."""
         if connection.attempt:
             self._busy.pop(connection.attempt, None)
         self.connections.remove(connection)
--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -10,18 +10,18 @@
 from garnetlanding.resp import codec
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.errors import BufferPoolExhaustedError
+from tests.support.client_disconnects import PING, QUIT, InstanceWithoutBackends, RawClient, delay_connects
 from tests.support.clock import MS, SECOND
-from tests.support.departures import PING, QUIT, Raw, Waiting, connect_late
 from tests.support.ninep_instance import NinepClient, NinepInstance, received_messages
 from tests.support.simulated_instance import SimulatedInstance, read_command
 
 BAD = codec.encode_command([b"NO"])
 
 
-DISCONNECT: dict[str, Callable[[Raw], None]] = {
-    "fin": Raw.fin,
-    "reset": Raw.abort,
-    "fin behind bytes": Raw.fin_behind_bytes,
+DISCONNECT: dict[str, Callable[[RawClient], None]] = {
+    "fin": RawClient.close,
+    "reset": RawClient.abort,
+    "fin behind bytes": RawClient.close_after_data,
 }
 
 
@@ -37,55 +37,55 @@
 def test_a_queued_request_whose_client_disconnected_is_not_forwarded(how: str, busy_with: bytes) -> None:
     """Regression: the connection is not read for 0.2 s after a bad command and never after QUIT, so that the
     client's FIN went unnoticed."""
-    instance = Waiting()
-    client = Raw(instance, instance.listener.address)
+    instance = InstanceWithoutBackends()
+    client = RawClient(instance, instance.listener.address)
     client.say(read_command(d=1400) + busy_with)
     DISCONNECT[how](client)
     instance.run(100 * MS)
-    instance.appear()
+    instance.list_backend()
     instance.run(SECOND, 50 * MS)
-    assert not instance.brick.received
+    assert not instance.backend.received
     assert instance.core.open_requests == 0
 
 
 @pytest.mark.parametrize("how", DISCONNECT)
 def test_no_retry_starts_for_a_client_that_disconnected_between_attempts(how: str) -> None:
-    instance = Waiting()
-    instance.appear()
-    instance.brick.scripted_responses = [b"-BUSY\r\n"]
-    client = Raw(instance, instance.listener.address)
+    instance = InstanceWithoutBackends()
+    instance.list_backend()
+    instance.backend.scripted_responses = [b"-BUSY\r\n"]
+    client = RawClient(instance, instance.listener.address)
     client.say(read_command(d=1400) + BAD)
-    assert len(instance.brick.received) == 1
+    assert len(instance.backend.received) == 1
     DISCONNECT[how](client)
     instance.run(SECOND)
-    assert len(instance.brick.received) == 1
+    assert len(instance.backend.received) == 1
     assert instance.core.open_requests == 0
 
 
 def test_a_request_whose_client_disconnects_while_the_backend_connects_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    instance = Waiting()
-    instance.appear()
-    client = Raw(instance, instance.listener.address)
-    connect_late(instance, monkeypatch)
+    instance = InstanceWithoutBackends()
+    instance.list_backend()
+    client = RawClient(instance, instance.listener.address)
+    delay_connects(instance, monkeypatch)
     client.say(read_command(d=1400))
     assert instance.core.starts
-    client.fin()
+    client.close()
     instance.run(SECOND)
-    assert not instance.brick.received
+    assert not instance.backend.received
 
 
 def test_clients_that_disconnect_in_the_iteration_in_which_their_backend_appears_are_not_forwarded() -> None:
-    instance = Waiting()
-    crowd = [Raw(instance, instance.listener.address) for _ in range(40)]
+    instance = InstanceWithoutBackends()
+    crowd = [RawClient(instance, instance.listener.address) for _ in range(40)]
     for n, client in enumerate(crowd):
         client.say(read_command(f"r{n}", d=1400, volume=f"v{n}") + (BAD if n % 2 else QUIT))
     for client in crowd:
-        client.fin()
-    instance.appear()
+        client.close()
+    instance.list_backend()
     instance.run(SECOND)
-    assert not instance.brick.received
+    assert not instance.backend.received
     assert instance.core.open_requests == 0
     assert len(instance.listener) == 0
 
@@ -98,13 +98,16 @@
 
 def test_without_buffers_a_disconnect_is_noticed_and_pending_responses_are_sent() -> None:
     """Regression: without a buffer to read into, a connection was closed and its requests got no response."""
-    instance = Waiting()
-    leaving, staying = Raw(instance, instance.listener.address), Raw(instance, instance.listener.address)
+    instance = InstanceWithoutBackends()
+    leaving, staying = (
+        RawClient(instance, instance.listener.address),
+        RawClient(instance, instance.listener.address),
+    )
     leaving.say(read_command("r1", d=1400))
     staying.say(read_command("r2", d=1400))
     with pytest.raises(BufferPoolExhaustedError):
         take_all(instance.pool)
-    leaving.fin()
+    leaving.close()
     instance.settle()
     assert instance.core.open_requests == 1
     staying.say(read_command("r3")[:-9])
@@ -142,7 +145,7 @@
     """Regression: a client that sent without a pause was read without one, and no other was served."""
     instance = SimulatedInstance(read_bytes_per_iteration=16 << 10)
     front = instance.front()
-    flood = Raw(instance, front.address)
+    flood = RawClient(instance, front.address)
     [connection] = front._clients
     sent = 0
     while True:
--- a/tests/daemon/test_graceful_shutdown.py
+++ b/tests/daemon/test_graceful_shutdown.py
@@ -15,9 +15,9 @@
 from garnetlanding.emulator.discovery import Discovery
 from garnetlanding.limits import Limits
 from garnetlanding.runtime.stream import parse_address
+from tests.support.client_disconnects import QUIT, InstanceWithoutBackends, RawClient
 from tests.support.clock import MS, SECOND
 from tests.support.daemon import PLATFORM_SETTINGS, SLOW_SETTINGS, SimulatedDaemon, restored_signal_handlers
-from tests.support.departures import QUIT, Raw, Waiting
 from tests.support.simulated_instance import read_command
 
 # The process
@@ -76,7 +76,7 @@
         settings=PLATFORM_SETTINGS | {"Classes": [PLATFORM_SETTINGS["Classes"][0] | {"GiveUpUs": longest_us}]}
     )
     instance.backend.holds_responses = True
-    client = Raw(instance, instance.daemon.listeners[0].address)
+    client = RawClient(instance, instance.daemon.listeners[0].address)
     instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.run(400 * MS)
     client.say(read_command(d=60_000))
@@ -89,7 +89,7 @@
 def test_client_with_an_incomplete_command_does_not_delay_shutdown(left: bytes) -> None:
     """It once had 2.5 s for the rest of the command, whenever that began."""
     instance = SimulatedDaemon(settings=SLOW_SETTINGS)
-    client = Raw(instance, instance.daemon.listeners[0].address)
+    client = RawClient(instance, instance.daemon.listeners[0].address)
     client.say(read_command())
     instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.run(1400 * MS, 50 * MS)
@@ -101,7 +101,7 @@
 def test_client_that_reads_nothing_does_not_delay_shutdown() -> None:
     instance = SimulatedDaemon(settings=SLOW_SETTINGS)
     instance.backend.data[b"k"] = b"x" * 60_000
-    client_that_does_not_read = Raw(instance, instance.daemon.listeners[0].address)
+    client_that_does_not_read = RawClient(instance, instance.daemon.listeners[0].address)
     [connection] = instance.daemon.listeners[0]._clients
     n = 0
     while connection.stream.flushed:
@@ -138,7 +138,7 @@
 def test_signals_during_shutdown_change_nothing() -> None:
     with restored_signal_handlers():
         instance = SimulatedDaemon(settings=SLOW_SETTINGS)
-        client = Raw(instance, instance.daemon.listeners[0].address)
+        client = RawClient(instance, instance.daemon.listeners[0].address)
         instance.daemon.catch_signals()
         os.kill(os.getpid(), signal.SIGTERM)
         instance.run(100 * MS)
@@ -166,9 +166,9 @@
 
 def test_draining_accepts_the_backlog_only_into_the_places_of_idle_clients() -> None:
     """The whole backlog was once accepted, which left discovery and backends without descriptors."""
-    w = Waiting(client_connections=3)
-    w.appear()
-    idle = [Raw(w, w.listener.address) for _ in range(3)]
+    w = InstanceWithoutBackends(client_connections=3)
+    w.list_backend()
+    idle = [RawClient(w, w.listener.address) for _ in range(3)]
     for n, client in enumerate(idle):
         client.say(read_command(f"i{n}"))
     waiting = [socket.create_connection(parse_address(w.listener.address)) for _ in range(6)]
@@ -179,4 +179,4 @@
     assert len(w.listener._clients) == 3
     assert len(w.listener) <= 3 + w.limits.lingering_connections
     w.settle()
-    assert len(w.brick.received) == 6, "three from idle clients, three from the backlog"
+    assert len(w.backend.received) == 6, "three from idle clients, three from the backlog"
--- a/tests/ops/test_process_registry.py
+++ b/tests/ops/test_process_registry.py
@@ -9,13 +9,13 @@
 from garnetlanding.ops.process_quota import UNREADABLE_RECORD
 from garnetlanding.ops.process_record import ProcessRecord, encode
 from garnetlanding.ops.process_registry import ProcessRegistry
-from garnetlanding.runtime.files import file_name
+from garnetlanding.runtime.files import instance_file_name
 
 
 def test_processes_read_each_others_quotas_and_notice_termination(
     tmp_path: pathlib.Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    stale = tmp_path / (file_name("n1", "life-") + "1-1")
+    stale = tmp_path / (instance_file_name("n1", "life-") + "1-1")
     stale.write_bytes(encode("n1", ProcessRecord(1, 1.0)))
     predecessor = ProcessRegistry(str(tmp_path), "n1")
     predecessor.publish(predecessor.next_quota(0, stopping=False))
--- a/tests/runtime/test_buffers.py
+++ b/tests/runtime/test_buffers.py
@@ -1,4 +1,4 @@
-"""Buffers: chains, lines and the bounded pool."""
+"""Buffer chains, lines and the bounded pool."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
 @given(st.lists(st.one_of(st.binary(max_size=30), st.integers(0, 40)), max_size=30))
 def test_chain_returns_bytes_in_order_for_any_append_and_take(steps: list[bytes | int]) -> None:
     pool = BufferPool(8, 2, 100)
-    chain, model = BufferChain(pool), b""
+    chain = BufferChain(pool)
+    expected = b""
     for step in steps:
         if isinstance(step, bytes):
             chain.append(step)
-            model += step
+            expected += step
         else:
-            assert chain.peek(step) == model[:step]
-            assert chain.take(step) == model[:step]
-            model = model[step:]
-        assert chain.length == len(model)
-        assert pool.in_use <= len(model) // 8 + 2, "emptied buffers go back to the pool"
+            assert chain.peek(step) == expected[:step]
+            assert chain.take(step) == expected[:step]
+            expected = expected[step:]
+        assert chain.length == len(expected)
+        assert pool.in_use <= len(expected) // 8 + 2, "empty buffers are released"
     chain.clear()
     assert pool.in_use == 0
 
@@ -45,4 +46,4 @@
     with pytest.raises(BufferPoolExhaustedError):
         pool.acquire()
     pool.release(first)
-    assert pool.acquire() is first, "used again"
+    assert pool.acquire() is first, "released buffers are reused"
--- a/tests/runtime/test_connection_capacity.py
+++ b/tests/runtime/test_connection_capacity.py
@@ -1,4 +1,4 @@
-"""The limit on connections to backends."""
+"""The limit on backend connections."""
 
 from __future__ import annotations
 
@@ -7,47 +7,50 @@
 from garnetlanding.runtime.connection_capacity import UpstreamCapacity
 
 
-class ClientSide:
-    """Grants or denies what backends ask for, and counts how often they do."""
+class FakeCapacityOwner:
+    """Grants or denies requests for capacity and counts them."""
 
     def __init__(self, *, grants: bool) -> None:
-        self.grants, self.asked = grants, 0
+        self.grants = grants
+        self.requests = 0
 
     def reserve(self) -> bool:
-        self.asked += 1
+        self.requests += 1
         return self.grants
 
 
 @pytest.mark.parametrize("grants", [True, False])
 def test_only_connections_beyond_the_reserved_ones_need_the_clients_consent(grants: bool) -> None:
-    capacity, clients = UpstreamCapacity(4, reserved=2), ClientSide(grants=grants)
-    capacity.owner = clients
+    capacity = UpstreamCapacity(4, reserved=2)
+    owner = FakeCapacityOwner(grants=grants)
+    capacity.owner = owner
     capacity.open_count = 1
     assert capacity.reserve()
-    assert (capacity.granted, clients.asked) == (0, 0)
+    assert (capacity.granted, owner.requests) == (0, 0)
     capacity.open_count = 2
     assert capacity.reserve() is grants
-    assert (capacity.granted, clients.asked) == (0, 1)
+    assert (capacity.granted, owner.requests) == (0, 1)
     capacity.open_count = 3
     assert capacity.granted == 1
 
 
 def test_at_the_limit_no_connection_is_available_and_clients_are_not_asked() -> None:
-    capacity, clients = UpstreamCapacity(4, reserved=2), ClientSide(grants=True)
-    capacity.owner = clients
+    capacity = UpstreamCapacity(4, reserved=2)
+    owner = FakeCapacityOwner(grants=True)
+    capacity.owner = owner
     capacity.open_count = 4
     assert not capacity.reserve()
-    assert clients.asked == 0
+    assert owner.requests == 0
     assert capacity.utilization == 1.0
 
 
 def test_the_quota_of_an_upgrade_reduces_the_limit_and_the_reserved_connections() -> None:
     capacity = UpstreamCapacity(8, reserved=4)
     capacity.open_count = 4
-    assert capacity.reserve(), "without an owner nobody's consent is needed"
+    assert capacity.reserve(), "without an owner no consent is needed"
     assert capacity.granted == 0
     capacity.quota = 0.5
     assert not capacity.reserve()
     assert capacity.reserved == 2
     assert capacity.granted == 2
-    assert capacity.utilization == 0.5, "a fraction of what both processes may use"
+    assert capacity.utilization == 0.5, "a fraction of the limit of both processes"
--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -28,7 +28,7 @@
     front.stop_accepting()
     front.close_idle()
     instance.settle()
-    assert not idle.closed, "it has only just connected: its first request may be on the way"
+    assert not idle.closed, "a new connection: its first request may be in transit"
     instance.run(instance.limits.new_client_timeout_us)
     front.close_idle()
     instance.settle()
--- a/tests/runtime/test_scheduler.py
+++ b/tests/runtime/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler: tasks, deadlines, timers; and addresses."""
+"""The event loop: tasks, deadlines, timers; and the parsing of addresses."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 def test_exception_in_one_task_leaves_the_others_running(caplog: pytest.LogCaptureFixture) -> None:
     scheduler, seen = Scheduler(), []
 
-    def bad() -> None:
+    def fail() -> None:
         raise RuntimeError("defect")
 
-    scheduler.spawn(bad)
-    scheduler.call_at(0, bad)
-    scheduler.iteration_hooks.append(bad)
+    scheduler.spawn(fail)
+    scheduler.call_at(0, fail)
+    scheduler.iteration_hooks.append(fail)
     scheduler.spawn(lambda: seen.append("on"))
     scheduler.run_iteration(0)
     assert seen == ["on"]
@@ -42,7 +42,7 @@
 
 
 def test_cancelled_timers_do_not_accumulate_and_the_others_fire_in_order() -> None:
-    """A request's timer stood in the heap until its deadline, long after its answer."""
+    """Regression: the timer of a finished request stayed in the heap until the request's deadline."""
     clock, seen = [0], []
     scheduler = Scheduler(lambda: clock[0])
     for i in range(1000):
--- a/tests/runtime/test_upstream.py
+++ b/tests/runtime/test_upstream.py
@@ -1,4 +1,4 @@
-"""Connections to backends: reuse, failures, limits."""
+"""Backend connections: reuse, failures, limits."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def test_connect_that_never_completes_times_out() -> None:
-    # With a full listen queue the kernel drops connection attempts, as when a machine has vanished.
+    # With a full listen queue the kernel drops SYNs, as if the machine had disappeared.
     instance = InstanceWithBackend(backlog=0)
     full = instance.server(EmulatedBackend)
     assert full.listener._sock
@@ -81,7 +81,7 @@
     assert "task failed" not in caplog.text
 
 
-def test_break_after_the_last_byte_was_sent_reports_may_have_run() -> None:
+def test_reset_after_the_last_byte_was_sent_reports_that_the_request_may_have_run() -> None:
     instance = InstanceWithBackend()
     instance.backend.scripted_responses = [None]
     instance.client.say(read_command())
@@ -90,12 +90,12 @@
     assert instance.outcomes() == [Outcome.RESET.value]
 
 
-def test_break_before_the_last_byte_was_sent_reports_never_ran() -> None:
+def test_reset_before_the_last_byte_was_sent_reports_that_the_request_never_ran() -> None:
     instance = InstanceWithBackend(buffer_bytes=4096, unsent_bytes=1 << 24, value_bytes=1 << 23)
     instance.client.say(read_command())
     backend_side = next(iter(instance.backend.listener._clients))
     instance.stop_polling(backend_side.stream._sock)  # the backend reads nothing more
-    body = b"x" * (7 << 20)  # more than the kernel takes
+    body = b"x" * (7 << 20)  # more than the kernel buffers
     instance.client.say(read_command("big", verb="BLK.WRITE", d=1400, body=body))
     assert instance.outcomes() == ["served", "out"]
     backend_side.stream.close()
@@ -141,8 +141,8 @@
         EmulatedEndpoint("b0", instance.backend.address, 0), EmulatedEndpoint("b2", third.address, 2)
     )
     instance.client.say(read_command("p", cell=2))
-    assert len(third.connections) == 1, "the connection idle for the longest time was closed for it"
-    assert not other.connections, "the connection idle for the longest time was closed for it"
+    assert len(third.connections) == 1, "the longest-idle connection was closed to make room"
+    assert not other.connections, "the longest-idle connection was closed to make room"
 
 
 def test_backend_that_moves_while_connecting_is_not_sent_the_request() -> None:
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,11 +1,11 @@
-"""What is still on its way between the loopback sockets of this process, by the kernel's own counters.
+"""Finds data in transit between the loopback sockets of this process, using the kernel's counters.
 
-A simulated instance has its own clock but real sockets. The kernel delivers bytes, connects and closes in its
-own time: it defers packets on a busy machine, and it holds data back for up to 40 ms for a delayed
-acknowledgement. What has not arrived yet can be told from what will never come by comparing what one socket
-has sent with what the other one has received (`TCP_INFO`).
+A simulated instance has a simulated clock but real sockets. The kernel delivers bytes, connects and closes
+asynchronously: it defers packets on a busy machine, and it delays data by up to 40 ms because of delayed
+acknowledgements. Comparing what one socket has sent with what the other has received (`TCP_INFO`) tells data
+that has not arrived yet from data that will never arrive.
 
-Every connection is taken to have both its ends in this process. Datagrams are not covered.
+Both ends of every connection are assumed to be in this process. Datagrams are not covered.
 """
 
 from __future__ import annotations
@@ -44,8 +44,8 @@
 FIN_UNACKNOWLEDGED = frozenset({TcpState.FIN_WAIT_1, TcpState.LAST_ACK, TcpState.CLOSING})
 FIN_NOT_RECEIVED = frozenset({TcpState.ESTABLISHED, TcpState.FIN_WAIT_1, TcpState.FIN_WAIT_2})
 
-# Fields of the kernel's struct tcp_info, at their offsets. Of a listening socket, `unacked` is the number of
-# connections that wait to be accepted and `sacked` the most that may.
+# Offsets of fields in the kernel's struct tcp_info. For a listening socket, `unacked` is the number of
+# connections that wait to be accepted and `sacked` is the maximum.
 _STATE = struct.Struct("=B")
 _U32 = struct.Struct("=I")
 _U64 = struct.Struct("=Q")
@@ -56,14 +56,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TcpSocket:
-    """One TCP socket of this process, as the kernel describes it."""
+    """The state of one TCP socket of this process, as reported by the kernel."""
 
     local: Address
     remote: Address | None  # `None` unless connected
     state: TcpState
     bytes_sent: int  # first transmissions only
     bytes_received: int  # a FIN counts as one
-    bytes_not_sent: int  # taken from the program, not transmitted yet
+    bytes_not_sent: int  # accepted from the program, not transmitted yet
     segments_unacknowledged: int
     unread: int  # received, not yet read by the program
     writable: bool
@@ -72,60 +72,64 @@
 
     @property
     def accepts_connections(self) -> bool:
-        """Return whether the kernel takes another connection for this listening socket."""
+        """Return whether the kernel queues another connection for this listening socket."""
         return self.accept_queue <= self.accept_queue_max
 
 
 Connections = dict[tuple[Address, Address | None], TcpSocket]
-"""Those that are connected, or half closed, by the addresses of their own and of the other end."""
+"""Connected or half-closed sockets by local and remote address."""
 
 Listeners = dict[Address, TcpSocket]
-"""The listening sockets by their addresses."""
+"""Listening sockets by address."""
 
 
-def fix_kernel_buffers(sock: socket.socket, count: int) -> None:
-    """Have the kernel buffer about `count` bytes in each direction, and never adapt that to the traffic.
+def fix_kernel_buffers(sock: socket.socket, size_bytes: int) -> None:
+    """Set the kernel's buffers of a socket to about `size_bytes` per direction, which disables autotuning.
 
-    How much it takes otherwise depends on when it is looked at: up to the 4 MiB of net.ipv4.tcp_wmem.
+    Otherwise their size varies over time, up to the 4 MiB of net.ipv4.tcp_wmem.
     """
     for option in (socket.SO_SNDBUF, socket.SO_RCVBUF):
-        sock.setsockopt(socket.SOL_SOCKET, option, count)
+        sock.setsockopt(socket.SOL_SOCKET, option, size_bytes)
 
 
 def traffic_in_transit() -> list[str]:
-    """Return a description of each thing that the kernel has still to deliver; empty when nothing will come.
+    """Return a description of everything that the kernel has yet to deliver; empty if there is nothing.
 
-    What waits because the program at the other end does not read or accept counts as delivered.
+    Data that waits because the program at the other end does not read or accept counts as delivered.
     """
     sockets = list(_tcp_sockets())
-    listeners = {one.local: one for one in sockets if one.state is TcpState.LISTEN}
-    connections: Connections = {(one.local, one.remote): one for one in sockets if one.remote}
+    listeners = {
+        tcp_socket.local: tcp_socket for tcp_socket in sockets if tcp_socket.state is TcpState.LISTEN
+    }
+    connections: Connections = {
+        (tcp_socket.local, tcp_socket.remote): tcp_socket for tcp_socket in sockets if tcp_socket.remote
+    }
     return [
-        *_between_pairs(connections),
-        *_from_closed_peers(connections, listeners),
-        *_to_listeners(connections, listeners),
-        *_connects(sockets, listeners),
+        *_data_between_open_ends(connections),
+        *_closes_in_transit(connections, listeners),
+        *_unaccepted_connections(connections, listeners),
+        *_unanswered_connects(sockets, listeners),
     ]
 
 
-def _peer_of(one: TcpSocket, connections: Connections) -> TcpSocket | None:
-    assert one.remote
-    return connections.get((one.remote, one.local))
+def _peer_of(tcp_socket: TcpSocket, connections: Connections) -> TcpSocket | None:
+    assert tcp_socket.remote
+    return connections.get((tcp_socket.remote, tcp_socket.local))
 
 
-def _between_pairs(connections: Connections) -> Iterator[str]:
-    """Yield what is in transit where both ends are open here."""
+def _data_between_open_ends(connections: Connections) -> Iterator[str]:
+    """Yield what is in transit on connections whose two ends are open."""
     for sender in connections.values():
         receiver = _peer_of(sender, connections)
         if receiver is None:
             continue
-        what = undelivered(sender, receiver)
-        if what:
-            yield f"{what} from {sender.local} to {sender.remote}"
+        description = undelivered(sender, receiver)
+        if description:
+            yield f"{description} from {sender.local} to {sender.remote}"
 
 
 def undelivered(sender: TcpSocket, receiver: TcpSocket) -> str | None:
-    """Return what the kernel has still to do for the bytes of one direction, `None` for nothing."""
+    """Return what the kernel has yet to deliver in one direction, or `None`."""
     if sender.bytes_sent > receiver.bytes_received:
         return f"{sender.bytes_sent - receiver.bytes_received} bytes"
     if sender.bytes_not_sent and (sender.segments_unacknowledged or not receiver.unread):
@@ -141,30 +145,31 @@
     return None
 
 
-def _from_closed_peers(connections: Connections, listeners: Listeners) -> Iterator[str]:
+def _closes_in_transit(connections: Connections, listeners: Listeners) -> Iterator[str]:
     """Yield each connection whose other end is closed, while the close has not reached this end.
 
-    With bytes unread it may wait behind others for which there is no room: that cannot be told from here.
+    With unread bytes the close may be queued after data for which there is no buffer space; such connections
+    are skipped, because their state cannot be determined from here.
     """
-    for one in connections.values():
-        if one.remote in listeners or _peer_of(one, connections):
+    for tcp_socket in connections.values():
+        if tcp_socket.remote in listeners or _peer_of(tcp_socket, connections):
             continue
-        if one.state in FIN_NOT_RECEIVED and not one.unread:
-            yield f"the close by {one.remote} to {one.local}"
+        if tcp_socket.state in FIN_NOT_RECEIVED and not tcp_socket.unread:
+            yield f"the close by {tcp_socket.remote} to {tcp_socket.local}"
 
 
-def _to_listeners(connections: Connections, listeners: Listeners) -> Iterator[str]:
-    """Yield each listening socket that has fewer connections to accept than clients were connected to it.
+def _unaccepted_connections(connections: Connections, listeners: Listeners) -> Iterator[str]:
+    """Yield each listening socket that has fewer queued connections than clients connected to it.
 
-    The rest of these clients' connections are still coming up, or have been closed by the other end.
+    The other clients' connections are still being established, or were closed by the other end.
     """
     waiting = Counter(
-        one.remote
-        for one in connections.values()
-        if one.remote in listeners
-        and one.state in FIN_NOT_RECEIVED
-        and not one.unread
-        and not _peer_of(one, connections)
+        tcp_socket.remote
+        for tcp_socket in connections.values()
+        if tcp_socket.remote in listeners
+        and tcp_socket.state in FIN_NOT_RECEIVED
+        and not tcp_socket.unread
+        and not _peer_of(tcp_socket, connections)
     )
     for address, clients in waiting.items():
         assert address is not None
@@ -173,17 +178,21 @@
             yield f"{clients - listener.accept_queue} connects or closes at {address}"
 
 
-def _connects(sockets: list[TcpSocket], listeners: Listeners) -> Iterator[str]:
+def _unanswered_connects(sockets: list[TcpSocket], listeners: Listeners) -> Iterator[str]:
     """Yield each connect that the kernel will answer.
 
-    The kernel does not say where to before the answer. A full listening socket leaves a connect unanswered,
-    so where there is one, none is expected to come up.
+    The kernel does not report the destination of a connect before the answer, and a full listening socket
+    leaves connects unanswered. Therefore none is expected to be answered while a listening socket is full.
     """
     if all(listener.accepts_connections for listener in listeners.values()):
-        yield from (f"the connect from {one.local}" for one in sockets if one.state is TcpState.SYN_SENT)
+        yield from (
+            f"the connect from {tcp_socket.local}"
+            for tcp_socket in sockets
+            if tcp_socket.state is TcpState.SYN_SENT
+        )
 
 
-# Reading the kernel's view
+# Reading the kernel's state
 
 
 def _tcp_sockets() -> Iterator[TcpSocket]:
@@ -191,13 +200,13 @@
     for name in os.listdir("/proc/self/fd"):
         try:
             sock = socket.socket(fileno=int(name))
-        except OSError:  # no socket, or the descriptor of the listing itself
+        except OSError:  # not a socket, or the descriptor of the directory listing
             continue
         try:
             if sock.type == socket.SOCK_STREAM and sock.family in (socket.AF_INET, socket.AF_INET6):
                 yield _describe(sock)
         except OSError:
-            continue  # closed by another thread meanwhile
+            continue  # closed by another thread in the meantime
         finally:
             sock.detach()
 
--- a/tests/support/runtime.py
+++ b/tests/support/runtime.py
@@ -9,7 +9,7 @@
 
 
 class InstanceWithBackend(SimulatedInstance):
-    """An instance that knows one backend, with one client connected."""
+    """An instance with one listed backend and one connected client."""
 
     def __init__(self, **limits: int) -> None:
         super().__init__(make_settings(parallel_attempts=False, max_attempts=4, instances=1), **limits)
@@ -18,5 +18,5 @@
         self.client = self.peer(self.front().address)
 
     def outcomes(self) -> list[str]:
-        """The outcomes of all attempts so far, "out" for those in flight."""
-        return [a.outcome.value if a.outcome else "out" for a in self.core.starts]
+        """Return the outcomes of all attempts so far, "out" for those in flight."""
+        return [attempt.outcome.value if attempt.outcome else "out" for attempt in self.core.starts]
