--- a/garnetlanding/runtime/backend_connection.py
+++ b/garnetlanding/runtime/backend_connection.py
@@ -66,9 +66,9 @@
         self._response_deadline: int | None = None  # for the rest of a partly received response
         self._task = upstream.scheduler.spawn(self._run)
 
-    def has_no_unread_data(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return whether the connection is open and neither data nor the end of the stream has arrived."""
-        return self._stream is not None and self._stream.has_no_unread_data()
+        return self._stream is not None and self._stream.read_would_block()
 
     # The connection's task
 
--- a/garnetlanding/runtime/client_connection.py
+++ b/garnetlanding/runtime/client_connection.py
@@ -124,7 +124,7 @@
         It does not begin if unread data has arrived or if the connection is already closing. Must not be
         called from the connection's own task.
         """
-        if not self.closing.accepts_input or self.stream.closed or not self.stream.has_no_unread_data():
+        if not self.closing.accepts_input or self.stream.closed or not self.stream.read_would_block():
             return False
         self._close_on(CloseEvent.CLOSE_REQUESTED)
         self._scheduler.wake(self._task, CloseRequestedError())
--- a/garnetlanding/runtime/connection_pool.py
+++ b/garnetlanding/runtime/connection_pool.py
@@ -59,7 +59,7 @@
             # The most recently used one, unless another is preferred: the others can then time out.
             preferred = (free for free in reversed(idle) if free.protocol.can_carry(attempt))
             connection = next(preferred, idle[-1])
-            if connection.has_no_unread_data():
+            if connection.is_reusable():
                 idle.remove(connection)
                 return connection
             # Either the backend closed it after the last response, and a request sent now would be reset; or
--- a/garnetlanding/runtime/stream.py
+++ b/garnetlanding/runtime/stream.py
@@ -160,8 +160,8 @@
         """Return whether the next read would find the end of the stream or an error."""
         return self._peek() == b""
 
-    def has_no_unread_data(self) -> bool:
-        """Return whether the next read would wait: neither data nor the end of the stream has arrived."""
+    def read_would_block(self) -> bool:
+        """Return whether a read would have to wait: neither data nor the end of the stream has arrived."""
         return self._peek() is None
 
     def peer_has_closed(self) -> bool:
--- a/tests/runtime/test_connection_close.py
+++ b/tests/runtime/test_connection_close.py
@@ -18,7 +18,7 @@
 
 def hide_unread_data(monkeypatch: pytest.MonkeyPatch) -> None:
     """Make every check for unread data find none, as if the data had arrived just after the check."""
-    monkeypatch.setattr(Stream, "has_no_unread_data", lambda _self: True)
+    monkeypatch.setattr(Stream, "read_would_block", lambda _self: True)
 
 
 def evict(instance: InstanceWithoutBackends) -> None:
