--- a/tests/resp/test_front_model.py
+++ b/tests/resp/test_front_model.py
@@ -19,7 +19,7 @@
         self.engine = FakeRequestEngine()
         self.written = b""
         context = RespListenerContext(self.engine, None, pool(), LIMITS)  # type: ignore[arg-type]  # no backends
-        self.protocol = RespClientProtocol(context, self.write)
+        self.protocol = RespClientProtocol(context, self.write)  # type: ignore[arg-type]  # no streamed values
         self.expected: list[tuple[str, bytes | None]] = []
         self.unsent = b""
         self.closed = False
