--- a/garnetlanding/http/errors.py
+++ b/garnetlanding/http/errors.py
@@ -18,8 +18,8 @@
     BODY_TOO_LONG = "body too long"
     INVALID_STATUS_LINE = "not an HTTP/1.1 status line"
     INVALID_CHUNK_SIZE = "bad chunk size"
-    UNTERMINATED_CHUNK = "chunk data not followed by CRLF"
-    INCOMPLETE_RESPONSE = "incomplete response"
+    UNTERMINATED_CHUNK = "chunk without its end"
+    INCOMPLETE_RESPONSE = "answer cut short"
 
 
 # Plain numbers instead of `http.HTTPStatus`: every instance imports this module, and nothing else that it
--- a/garnetlanding/resp/errors.py
+++ b/garnetlanding/resp/errors.py
@@ -84,12 +84,12 @@
     """A backend's reply is valid RESP2 but has none of the valid forms of a reply."""
 
     def __init__(self) -> None:
-        super().__init__("malformed reply")
+        super().__init__("spoilt answer")
 
 
 class SurplusReplyError(BackendProtocolError):
     """A backend sent data after the reply to a request; `complete` if that was another whole reply."""
 
     def __init__(self, *, complete: bool) -> None:
-        super().__init__("more than one reply" if complete else "data after the reply")
+        super().__init__("more than one answer" if complete else "more behind an answer")
         self.complete = complete
--- a/garnetlanding/runtime/errors.py
+++ b/garnetlanding/runtime/errors.py
@@ -37,14 +37,14 @@
     """A response began and was not completed in time."""
 
     def __init__(self) -> None:
-        super().__init__("incomplete response")
+        super().__init__("half an answer")
 
 
 class UnsolicitedResponseError(BackendProtocolError):
     """Bytes arrived while no request was awaiting a response."""
 
     def __init__(self) -> None:
-        super().__init__("unsolicited response")
+        super().__init__("answer to nothing")
 
 
 class AddressError(ValueError):
--- a/tests/http/test_response.py
+++ b/tests/http/test_response.py
@@ -61,5 +61,5 @@
     unbounded.feed_eof()
     truncated = parser()
     list(truncated.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc"))
-    with pytest.raises(HttpError, match="incomplete response"):
+    with pytest.raises(HttpError, match="answer cut short"):
         truncated.feed_eof()
--- a/tests/resp/test_errors.py
+++ b/tests/resp/test_errors.py
@@ -81,5 +81,5 @@
 
 
 def test_a_surplus_reply_is_complete_or_not() -> None:
-    assert str(SurplusReplyError(complete=True)) == "more than one reply"
-    assert str(SurplusReplyError(complete=False)) == "data after the reply"
+    assert str(SurplusReplyError(complete=True)) == "more than one answer"
+    assert str(SurplusReplyError(complete=False)) == "more behind an answer"
