--- a/garnetlanding/core/dispatcher.py
+++ b/garnetlanding/core/dispatcher.py
@@ -19,8 +19,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DispatcherParts:
-    """The parts of the engine that the dispatcher works with."""
+class DispatcherDependencies:
+    """The parts of the engine that the dispatcher uses."""
 
     requests: RequestTable
     endpoints: EndpointRegistry
@@ -37,12 +37,14 @@
     or while the instance is fenced. An attempt that may not start ends at once as `Outcome.NEVER_DISPATCHED`.
     """
 
-    def __init__(self, parts: DispatcherParts, settings: Settings, timers: Timers, limits: Limits) -> None:
-        self._requests = parts.requests
-        self._endpoints = parts.endpoints
-        self._events = parts.events
-        self._fence = parts.fence
-        self._metrics = parts.metrics
+    def __init__(
+        self, dependencies: DispatcherDependencies, settings: Settings, timers: Timers, limits: Limits
+    ) -> None:
+        self._requests = dependencies.requests
+        self._endpoints = dependencies.endpoints
+        self._events = dependencies.events
+        self._fence = dependencies.fence
+        self._metrics = dependencies.metrics
         self._timers = timers
         self._limits = limits
         self.settings = settings  # in force; replaced by the engine
--- a/garnetlanding/core/engine.py
+++ b/garnetlanding/core/engine.py
@@ -1,7 +1,8 @@
-"""Feed the decision module with events and perform its actions.
+"""Deliver events to the decision module and perform the actions that it returns.
 
-The engine is the core's public interface: fronts submit requests, operators and discovery change settings and
-endpoints, and once in each event-loop iteration all events go to the decision module together, with one time.
+The engine is the core's public interface: frontends submit requests, operators and discovery change settings
+and endpoints, and once in each event-loop iteration all events go to the decision module together, with one
+timestamp.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from collections.abc import Callable
 
 from garnetlanding.core.admission import Capacity, validate
-from garnetlanding.core.dispatcher import AttemptDispatcher, DispatcherParts
+from garnetlanding.core.dispatcher import AttemptDispatcher, DispatcherDependencies
 from garnetlanding.core.endpoint_registry import EndpointRegistry
 from garnetlanding.core.event_feed import EventFeed
 from garnetlanding.core.fencing import Fence
@@ -41,12 +42,12 @@
     It stays one class because it is a facade: each method delegates to one part of the core, and the order of
     the calls is the order of the decision module's events.
 
-    Not thread-safe: all calls come from the event loop. Calls of fronts, operators and discovery only queue
-    events; attempts start in `run_iteration` alone, which the loop calls at the end of each iteration.
+    Not thread-safe: all calls come from the event loop. Calls from frontends, operators and discovery only
+    queue events; attempts start only in `run_iteration`, which the loop calls at the end of each iteration.
     """
 
     def __init__(self, module: DecisionModule, timers: Timers, limits: Limits) -> None:
-        self.module = module  # may be replaced by a wrapper
+        self.module = module  # the instance may replace it with a wrapper
         self.endpoints = EndpointRegistry()
         self.metrics = RequestMetrics(module.settings.classes)
         self.capacity = Capacity(limits)
@@ -57,8 +58,10 @@
         self._events = EventFeed()
         self._requests = RequestTable(timers, self._events, self.metrics, self.capacity)
         self.observers = self._requests.observers
-        parts = DispatcherParts(self._requests, self.endpoints, self._events, self.fence, self.metrics)
-        self._dispatcher = AttemptDispatcher(parts, module.settings, timers, limits)
+        dependencies = DispatcherDependencies(
+            self._requests, self.endpoints, self._events, self.fence, self.metrics
+        )
+        self._dispatcher = AttemptDispatcher(dependencies, module.settings, timers, limits)
 
     @property
     def now(self) -> int:
@@ -75,10 +78,10 @@
         """The number of accepted requests whose response is not complete yet."""
         return self.capacity.open_requests
 
-    # From fronts
+    # Called by frontends
 
     def submit(self, spec: RequestSpec, transport: BackendTransport, on_answer: ResponseCallback) -> str:
-        """Accept a request and return its ticket.
+        """Accept a request and return its ticket, the identifier that the engine gives it.
 
         `on_answer` is called exactly once, unless the client disconnects first; it may be called before this
         returns, with a rejection. Raises InvalidRequestError for a request that contradicts the settings.
@@ -111,7 +114,7 @@
             request.on_answer = _discard_answer
         self.abort(ticket, "client left")
 
-    # From operators
+    # Called on behalf of operators
 
     def apply_settings(self, settings: api.Settings) -> None:
         """Apply new settings; requests accepted before keep their class and deadline."""
@@ -131,7 +134,7 @@
         """Return the current metrics as a metrics page."""
         return encode(self.metrics, self.open_requests, len(self.endpoints), self.endpoints.unavailable)
 
-    # From discovery
+    # Called by discovery
 
     def update_endpoints(self, listing: EndpointListing) -> None:
         """Apply an endpoint list, or changes to the one in force, and notify the decision module."""
@@ -148,34 +151,34 @@
         """Report that a poll or watch of the endpoint list has failed; the list in force stays."""
         self._events.pending.append(failure)
 
-    # From peers
+    # Called by the link to peers
 
     def receive_peer_message(self, sender: int, payload: bytes) -> None:
-        """Pass a message from another instance to the decision module."""
+        """Queue a message from another instance for the decision module."""
         self._events.pending.append(api.PeerMessage(sender, payload))
 
-    # The event-loop iteration
+    # Called by the event loop
 
     def run_iteration(self) -> None:
-        """Exchange all pending events for actions and perform them, until no events are left.
+        """Deliver pending events to the decision module and perform its actions, until no events are left.
 
-        An action that raises is logged, and the ones after it are still performed: they may concern other
-        requests.
+        An action that raises an exception is logged, and the actions after it are still performed: they may
+        concern other requests.
         """
         if self.fence.has_changed(self._timers.now):
             self._apply_fence()
         while self._events.pending:
-            for action in self._events.exchange(self.module, self._timers.now):
+            for action in self._events.deliver(self.module, self._timers.now):
                 try:
                     self._perform(action)
                 except Exception:
                     log.exception("action failed")
 
     def _apply_fence(self) -> None:
-        """Apply a change of the fence before anything is sent in this iteration.
+        """Apply a change of the fence; called before anything is sent in the iteration.
 
-        An instance that resumes after a stall notices here that it is fenced. Queued requests are answered at
-        once; attempts in flight may finish.
+        An instance that resumes after a stall detects here that it is fenced. Queued requests are
+        answered at once; attempts in flight may finish.
         """
         is_fenced = self.fence.is_fenced
         message = "instance fenced" if is_fenced else "instance unfenced"
--- a/garnetlanding/core/event_feed.py
+++ b/garnetlanding/core/event_feed.py
@@ -1,4 +1,4 @@
-"""Events queued for the decision module, and their exchange for its actions."""
+"""The queue of events for the decision module."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 
 class EventFeed:
-    """Collects the events of one event-loop iteration, in the order in which they happened.
+    """Queues the events of one event-loop iteration, in the order in which they happened.
 
-    `pending` is public and appended to directly because this is the engine's hottest path.
+    `pending` is public so that callers append to it directly: a method call for each event would slow down
+    the engine's hottest path.
     """
 
     __slots__ = ("pending",)
@@ -21,11 +22,12 @@
     def __init__(self) -> None:
         self.pending: list[Event] = []
 
-    def exchange(self, module: DecisionModule, now: int) -> list[Action]:
-        """Pass all pending events to the module, at the time `now` (microseconds); return its actions.
+    def deliver(self, module: DecisionModule, now: int) -> list[Action]:
+        """Deliver all pending events to the module in one call; return its actions.
 
-        An exception of the module is logged and yields no actions: the engine answers the requests concerned
-        when their deadlines have passed.
+        `now` is the time of the call (monotonic clock, microseconds). If the module raises an exception, it
+        is logged and there are no actions: the engine answers the requests concerned once their deadlines
+        have passed.
         """
         events = self.pending
         self.pending = []
