--- a/garnetlanding/core/engine.py
+++ b/garnetlanding/core/engine.py
@@ -165,7 +165,7 @@
         An action that raises an exception is logged, and the actions after it are still performed: they may
         concern other requests.
         """
-        if self.fence.has_changed(self._timers.now):
+        if self.fence.update(self._timers.now):
             self._apply_fence()
         while self._events.pending:
             for action in self._events.deliver(self.module, self._timers.now):
--- a/garnetlanding/core/fencing.py
+++ b/garnetlanding/core/fencing.py
@@ -1,4 +1,4 @@
-"""Fencing: an instance that cannot prove that its state is current sends nothing until it can again."""
+"""Fencing: an instance that cannot prove that its state is current starts no attempts until it can."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Fence:
-    """Whether this instance is fenced, as of the last check.
+    """Whether this instance is fenced, as of the last `update`.
 
-    `may_act` decides it, given the monotonic clock in microseconds. It is set on an instance that follows a
-    writer or that operators can disable; without it the instance is never fenced. Each `on_change` callback
-    is called with the new state, true for fenced, after every change.
+    `may_act` decides it, given the time on the monotonic clock in microseconds. It is set on an instance that
+    follows a writer or that operators can disable; without it the instance is never fenced. After every
+    change each `on_change` callback is called with the new state, true for fenced.
     """
 
     __slots__ = ("is_fenced", "may_act", "on_change")
@@ -20,8 +20,8 @@
         self.is_fenced = False
         self.on_change: list[Callable[[bool], None]] = []
 
-    def has_changed(self, now: int) -> bool:
-        """Update the state from `may_act`; return whether it differs from the state before."""
+    def update(self, now: int) -> bool:
+        """Call `may_act` and update the state; return whether the state has changed."""
         if self.may_act is None:
             return False
         is_fenced = not self.may_act(now)
--- a/tests/core/test_fencing.py
+++ b/tests/core/test_fencing.py
@@ -1,4 +1,4 @@
-"""Fencing: what an instance does with its requests while it cannot prove that it is current."""
+"""Fencing: what an instance does with its requests while it cannot prove that its state is current."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 def test_without_a_check_the_fence_never_changes() -> None:
     fence = Fence()
-    assert not fence.has_changed(0)
+    assert not fence.update(0)
     assert not fence.is_fenced
 
 
@@ -23,7 +23,7 @@
     fence.on_change.append(states.append)
     changes = []
     for now in current:
-        changes.append(fence.has_changed(now))
+        changes.append(fence.update(now))
         if changes[-1]:
             fence.notify()
     assert changes == [False, True, False, True]
