--- a/garnetlanding/core/engine.py
+++ b/garnetlanding/core/engine.py
@@ -17,6 +17,7 @@
 from garnetlanding.core.fencing import Fence
 from garnetlanding.core.metrics import RequestMetrics, encode
 from garnetlanding.core.ports import (
+    AnswerCallback,
     BackendTransport,
     DecisionModule,
     EndpointListing,
@@ -24,7 +25,6 @@
     Failed,
     Rejected,
     RequestSpec,
-    ResponseCallback,
     Timers,
 )
 from garnetlanding.core.request import Request
@@ -80,7 +80,7 @@
 
     # Called by frontends
 
-    def submit(self, spec: RequestSpec, transport: BackendTransport, on_answer: ResponseCallback) -> str:
+    def submit(self, spec: RequestSpec, transport: BackendTransport, on_answer: AnswerCallback) -> str:
         """Accept a request and return its ticket, the identifier that the engine gives it.
 
         `on_answer` is called exactly once, unless the client disconnects first; it may be called before this
--- a/garnetlanding/core/ports.py
+++ b/garnetlanding/core/ports.py
@@ -1,4 +1,4 @@
-"""Interfaces between the core and its environment: fronts, backends, discovery, clock, decision module.
+"""Interfaces between the core and its environment: frontends, backends, discovery, clock, decision module.
 
 No bytes and no sockets. All times are integer microseconds on the instance's monotonic clock.
 """
@@ -16,18 +16,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSpec:
-    """One request as a front parsed it."""
+    """One request as a frontend parsed it."""
 
     request_class: str  # its name in the settings
     plan: str  # name of its volume's plan in the settings
     volume: str  # the tenant whose queue and quota it belongs to
-    key: str  # the object; writes with one key may have to keep their order
+    key: str  # of the object; writes to one key may have to keep their order
     units: float  # cost
-    cell: int | None  # the shard that has the object; None: a new object, free to go anywhere
-    timeout_us: int  # how long the client waits, from the arrival on
+    cell: int | None  # the shard that stores the object; None: a new object, which any shard may store
+    timeout_us: int  # from the arrival of the request to its deadline
     serving_instances: int  # how many instances serve this volume
-    work: Any  # the operation: passed to the backend, opaque to the engine
-    is_retry: bool = False  # the client has sent it before
+    operation: Any  # passed to the transport as it is; opaque to the engine
+    is_retry: bool = False  # the client has sent this request before
     is_write: bool = False
     held_bytes: int = 0  # memory in use until the final answer
     allow_hedging: bool = True  # whether attempts may run in parallel if the settings allow it
@@ -77,7 +77,7 @@
 
 
 Answer = Served | Rejected | Failed
-ResponseCallback = Callable[[Answer], None]
+AnswerCallback = Callable[[Answer], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,8 +86,8 @@
 
     entries: tuple[Endpoint, ...]
     addresses: dict[str, str]  # HOST:PORT of each backend in `entries`, by its name
-    complete: bool  # a whole list: backends that it does not name are gone
-    at_start: bool = False  # cached before the start, perhaps stale
+    complete: bool  # whether backends that `entries` does not name are gone
+    at_start: bool = False  # whether it was cached before the start, and may be stale
 
 
 class DecisionModule(Protocol):
@@ -98,11 +98,11 @@
         """The settings in force in the module."""
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
-        """Process events in the order in which they happened; return the actions to perform, in order."""
+        """Process events, oldest first; return the actions to perform, in order."""
 
 
 class AttemptHandle(Protocol):
-    """One attempt, as the transport that carries it sees it.
+    """The interface of one attempt to the transport that sends it.
 
     A transport calls, in this order: `address`, any number of times, the last time right before it writes the
     first byte; `request_written` and `response_started`, both optional, of which only the first call counts;
@@ -115,26 +115,26 @@
         """The backend's name in the endpoint list."""
 
     @property
-    def work(self) -> Any:
-        """The operation to perform: `RequestSpec.work`."""
+    def operation(self) -> Any:
+        """The operation to perform: `RequestSpec.operation`."""
 
     @property
     def deadline_us(self) -> int:
         """When the attempt times out: the engine then calls `BackendTransport.stop`."""
 
     def address(self) -> str | None:
-        """Return the backend's HOST:PORT, or None if the attempt may not be sent (any more).
+        """Return the backend's HOST:PORT, or None if the attempt may not be sent, or no longer.
 
         The transport checks this right before the first byte, because establishing the connection may have
         taken long: meanwhile the backend may have started to drain, the request may have its final answer,
-        or the deduplication window may be over.
+        or the deduplication window may have ended.
         """
 
     def request_written(self) -> None:
         """Report that the request has been written in full; only the first call has an effect."""
 
     def response_started(self) -> None:
-        """Report the first byte of the response, where latency ends; only the first call has an effect."""
+        """Report the first byte of the response, up to which latency counts; later calls have no effect."""
 
     def finish(
         self,
@@ -145,61 +145,61 @@
     ) -> None:
         """Report how the attempt ended; only the first call has an effect.
 
-        `value` is the response if `outcome` is SERVED. `usage_percent` is the rate that the volume got at all
-        instances, in percent of its plan's, or None if the backend has not reported it. `load_report` is the
-        backend's load report, by metric.
+        `value` is the response if `outcome` is SERVED. `usage_percent` is the rate that the volume used at
+        all instances, as a percentage of the rate of its plan, or None if the backend has not reported it.
+        `load_report` is the backend's load report, by metric.
         """
 
 
 class BackendTransport(Protocol):
-    """Carries attempts to backends over one protocol."""
+    """Sends attempts to backends over one protocol."""
 
     def start(self, attempt: AttemptHandle) -> None:
         """Start the attempt; it may finish before this returns."""
 
     def stop(self, attempt: AttemptHandle) -> None:
-        """Cancel the attempt: after the return the transport does no more work for it.
+        """Cancel the attempt; once this returns, the transport does nothing more for it.
 
         Called at most once, while the attempt is in flight; the caller finishes the attempt.
         """
 
 
 class EndpointSubscription(Protocol):
-    """The connection to discovery that follows the endpoint list."""
+    """The client of discovery that follows the endpoint list."""
 
     def subscribe(self) -> None:
         """Poll or watch the list anew; a failure is reported once, to `endpoint_update_failed`."""
 
 
 class Timer(Protocol):
-    """A callback that is due later."""
+    """A scheduled callback."""
 
     def cancel(self) -> None:
-        """Prevent the callback; without effect once it has run."""
+        """Cancel the callback; without effect once it has run."""
 
 
 class Timers(Protocol):
-    """The event loop's clock."""
+    """The event loop's clock and its scheduled callbacks."""
 
     @property
     def now(self) -> int:
         """The monotonic clock, in microseconds."""
 
-    def call_at(self, due: int, call: Callable[[], None]) -> Timer:
-        """Run the callback from the event loop once the time `due` has come."""
+    def call_at(self, due: int, callback: Callable[[], None]) -> Timer:
+        """Schedule the callback: the event loop runs it once the clock has reached `due`."""
 
 
 class AttemptSummary(NamedTuple):
     """One attempt of a finished request, for observers."""
 
     backend: str
-    outcome: str  # value of an `Outcome`, or "out" if it was in flight at the final answer
+    outcome: str  # the value of an `Outcome`, or "out" if it was in flight at the final answer
     sent_us: int
     ended_us: int  # 0 if it was in flight at the final answer
 
 
 class Observer(Protocol):
-    """Receives each final answer."""
+    """Notified of each final answer."""
 
     def request_ended(
         self,
--- a/garnetlanding/core/request.py
+++ b/garnetlanding/core/request.py
@@ -7,12 +7,12 @@
 
 from typing import Any, Protocol
 
-from garnetlanding.core.ports import Answer, BackendTransport, RequestSpec, ResponseCallback, Timer
+from garnetlanding.core.ports import Answer, AnswerCallback, BackendTransport, RequestSpec, Timer
 from garnetlanding.decision.interface import Outcome
 
 
 class AttemptOwner(Protocol):
-    """The part of the engine that attempts report to; implemented by `AttemptDispatcher`."""
+    """The part of the engine to which attempts report; implemented by `AttemptDispatcher`."""
 
     @property
     def now(self) -> int:
@@ -68,16 +68,16 @@
     def duration_us(self) -> int:
         """The latency: up to the first byte of the response if that was reported, otherwise up to the end.
 
-        The time that the rest of a response takes depends on its size and reader, not on the backend's load.
+        How long the rest of a response takes depends on its size and the client, not on the backend's load.
         """
         if self._response_started_at is None:
             return self.ended_at - self.sent_at
         return self._response_started_at - self.sent_at
 
     @property
-    def work(self) -> Any:
-        """The operation to perform; opaque to the engine."""
-        return self.request.spec.work
+    def operation(self) -> Any:
+        """See `AttemptHandle.operation`."""
+        return self.request.spec.operation
 
     def address(self) -> str | None:
         """See `AttemptHandle.address`."""
@@ -135,7 +135,7 @@
         ticket: str,
         spec: RequestSpec,
         transport: BackendTransport,
-        on_answer: ResponseCallback,
+        on_answer: AnswerCallback,
         now: int,
     ) -> None:
         self.ticket = ticket
--- a/garnetlanding/history/writer.py
+++ b/garnetlanding/history/writer.py
@@ -133,6 +133,6 @@
 
 def _request_id(spec: RequestSpec) -> str:
     """Return the client's id of a RESP request, and an empty one for other protocols."""
-    if not isinstance(spec.work, Command):
+    if not isinstance(spec.operation, Command):
         return ""
-    return spec.work.request_id.decode("ascii", "replace")
+    return spec.operation.request_id.decode("ascii", "replace")
--- a/garnetlanding/ninep/client.py
+++ b/garnetlanding/ninep/client.py
@@ -82,7 +82,7 @@
         """Start the attempt's program. Raises `BackendProtocolError` if the server is to be sent nothing."""
         self._attempt = attempt
         self.bytes_may_have_been_sent = False
-        self._program = attempt.work.program(self._session)
+        self._program = attempt.operation.program(self._session)
         self._run_program(None)
 
     def feed(self, data: bytes | memoryview) -> None:
@@ -98,7 +98,7 @@
 
     def can_carry(self, attempt: AttemptHandle) -> bool:
         """Return whether the file that the attempt needs is open on this connection."""
-        work = attempt.work
+        work = attempt.operation
         return (
             isinstance(work, Read | ReadDirectory | Write)
             and (work.path, work.open_mode) in self._session.open_files
@@ -141,7 +141,7 @@
         """
         if self._attempt is None or self.bytes_may_have_been_sent:
             return
-        work: Work = self._attempt.work
+        work: Work = self._attempt.operation
         if not work.spec.change:
             self.bytes_may_have_been_sent = True
         elif may_change(message):
@@ -158,7 +158,7 @@
         attempt = self._attempt
         self._attempt = None
         if attempt:
-            work: Work = attempt.work
+            work: Work = attempt.operation
             if work.spec.change and self.bytes_may_have_been_sent:
                 work.trace.unsure -= 1
             if self._session.clunk_before_next:
@@ -201,7 +201,7 @@
     ) -> NinepBackendProtocol:
         """Return the protocol of a new connection, which is attached as the attempt's user."""
         return NinepBackendProtocol(
-            attempt.work, self._pool, self._limits, self._offered_versions, write, on_idle
+            attempt.operation, self._pool, self._limits, self._offered_versions, write, on_idle
         )
 
     def resolve_address(self, endpoint: str) -> str:
@@ -210,7 +210,7 @@
 
     def connection_key(self, attempt: AttemptHandle) -> str:
         """Return what a connection is attached as: only attempts of the same user and tree may share it."""
-        identity = attempt.work.identity
+        identity = attempt.operation.identity
         return f"{identity.uname}\0{identity.n_uname}\0{identity.aname}"
 
 
--- a/garnetlanding/ninep/dispatcher.py
+++ b/garnetlanding/ninep/dispatcher.py
@@ -218,7 +218,7 @@
             # One whose deadline passed while it waited still goes to the decision module, which rejects it.
             timeout_us=max(1, pending.deadline - self._shared.timers.now),
             serving_instances=export.hosts,
-            work=operation,
+            operation=operation,
             is_write=operation.spec.change,
             held_bytes=held_bytes(operation),
             allow_hedging=False,  # an operation's trace is for one attempt at a time
--- a/garnetlanding/resp/backend_protocol.py
+++ b/garnetlanding/resp/backend_protocol.py
@@ -70,7 +70,7 @@
     def begin(self, attempt: AttemptHandle) -> None:
         """Write the attempt's command."""
         self._attempt = attempt
-        self._write(attempt.work.encode(attempt.deadline_us - self._timers.now))
+        self._write(attempt.operation.encode(attempt.deadline_us - self._timers.now))
 
     def feed(self, data: bytes | memoryview) -> None:
         """Process received bytes. Raises `BackendProtocolError`; the connection is unusable after that."""
--- a/garnetlanding/resp/request.py
+++ b/garnetlanding/resp/request.py
@@ -84,7 +84,7 @@
         cell=_read_cell(fields),
         timeout_us=min(_read_integer(fields, "d", 0) * MS, limits.max_deadline_us),
         serving_instances=_read_integer(fields, "hosts", 1),
-        work=Command(tuple(arguments)),
+        operation=Command(tuple(arguments)),
         is_retry=fields.get("r") == "1",
         is_write=is_write,
         held_bytes=sum(map(len, arguments)),
--- a/tests/core/test_request_engine.py
+++ b/tests/core/test_request_engine.py
@@ -205,11 +205,11 @@
     instance = EngineInstance()
     start = instance.transport.start
     monkeypatch.setattr(
-        instance.transport, "start", lambda attempt: start(attempt) if attempt.work != "bad" else 1 / 0
+        instance.transport, "start", lambda attempt: start(attempt) if attempt.operation != "bad" else 1 / 0
     )
     instance.submit("bad", timeout_us=100 * MS)
     instance.submit("good")
-    assert [attempt.work for attempt in instance.transport.in_flight] == ["good"]
+    assert [attempt.operation for attempt in instance.transport.in_flight] == ["good"]
     assert "action failed" in caplog.text
     monkeypatch.setattr(instance.transport, "stop", lambda _attempt: None)
     instance.run(110 * MS)
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -289,7 +289,7 @@
             f"hosts {ask.serving_instances}, retry {ask.is_retry}, write {ask.is_write}, "
             f"size {ask.held_bytes}, copies {ask.allow_hedging}",
         ]
-        lines += [f"left {left} us: {shown(ask.work.encode(left))}" for left in (1, 999_999, 2_500_000)]
+        lines += [f"left {left} us: {shown(ask.operation.encode(left))}" for left in (1, 999_999, 2_500_000)]
     with pytest.raises(InvalidCommandError) as problem:
         read_request([b"BLK.READ", b"piece", b"id", b""], Limits())
     lines.append(f"no fields: {problem.value}")
@@ -307,7 +307,7 @@
     backend, deadline_us = "brick", 1_500_000
 
     def __init__(self, lines: list[str]) -> None:
-        self.work = read_request(REQUESTS["read"], Limits()).work
+        self.operation = read_request(REQUESTS["read"], Limits()).operation
         self.lines = lines
 
     def address(self) -> str | None:
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -377,11 +377,11 @@
     history.fencing_changed(1010, fenced=True)
     answers: list[Answer] = [Served(b"v"), Rejected(50), Failed("no server")]
     for i, answer in enumerate(answers):
-        work = Command((b"RUN", b"1", b"id-%d\xff" % i)) if i else None
+        operation = Command((b"RUN", b"1", b"id-%d\xff" % i)) if i else None
         attempts = [AttemptSummary("b0", "reset", 900, 950), AttemptSummary("b1", "served", 960, 990)][
             : 2 - i
         ]
-        history.request_ended(replace(ENDED, work=work), answer, 890, 995, attempts)
+        history.request_ended(replace(ENDED, operation=operation), answer, 890, 995, attempts)
     history.volume_quotas_changed({"vol-1": 0.123456, "vol-2": 1.0}, 2000)
     history.budget_quotas_changed({"cold:n0": 1 / 3}, 2100)
     HistoryWriter(str(path), "n0", 4, lambda: 5)
--- a/tests/ninep/test_front_model.py
+++ b/tests/ninep/test_front_model.py
@@ -157,7 +157,7 @@
         answer: Answer
         want: p9.Message
         if kind in ("served", "short"):
-            answer, want = self.result_of(ask.work, message, kind == "short")
+            answer, want = self.result_of(ask.operation, message, kind == "short")
         elif kind == "refused":
             answer, want = REJECTED
         else:
--- a/tests/resp/test_front.py
+++ b/tests/resp/test_front.py
@@ -188,9 +188,9 @@
     words = [b"BLK.WRITE", b"key", b"id", b"c=w,t=g,d=480,volume=v,units=2,shard=-1,hosts=3,k=ab", b"BODY"]
     ask = read_request(words, LIMITS)
     assert (ask.cell, ask.timeout_us, ask.is_write) == (None, 480 * MS, True)
-    [sent] = codec.Decoder(pool(), LIMITS).feed(ask.work.encode(123_456))
+    [sent] = codec.Decoder(pool(), LIMITS).feed(ask.operation.encode(123_456))
     assert sent == [*words[:3], words[3].replace(b"d=480", b"d=123"), b"BODY"]
-    assert b"d=1," in ask.work.encode(-5)
+    assert b"d=1," in ask.operation.encode(-5)
     with pytest.raises(InvalidCommandError):
         read_request([*words[:3], b"c=\xff", b""], LIMITS)
 
--- a/tests/resp/test_front_model.py
+++ b/tests/resp/test_front_model.py
@@ -54,7 +54,7 @@
     def answer(self, data: st.DataObject, answer: Answer) -> None:
         self.flush()
         ask, answered = self.core.items.pop(data.draw(st.sampled_from(sorted(self.core.items))))
-        name = ask.work.request_id.decode()
+        name = ask.operation.request_id.decode()
         answered(answer)
         at = [n for n, _ in self.expected].index(name)
         reply = encode_answer(answer)
--- a/tests/support/simulated_instance.py
+++ b/tests/support/simulated_instance.py
@@ -10,11 +10,11 @@
 from garnetlanding.core.engine import RequestEngine
 from garnetlanding.core.ports import (
     Answer,
+    AnswerCallback,
     AttemptHandle,
     BackendTransport,
     Failed,
     RequestSpec,
-    ResponseCallback,
 )
 from garnetlanding.core.request import Attempt
 from garnetlanding.decision import interface as api
@@ -72,7 +72,7 @@
     starts: list[Attempt]
     finals: list[list[Answer]]
 
-    def submit(self, ask: RequestSpec, backend: BackendTransport, answered: ResponseCallback) -> str:
+    def submit(self, ask: RequestSpec, backend: BackendTransport, answered: AnswerCallback) -> str:
         finals: list[Answer] = []
         self.finals.append(finals)
 
@@ -88,12 +88,12 @@
     """Stands in for the engine behind a front: records requests, and the test answers them."""
 
     def __init__(self) -> None:
-        self.items: dict[str, tuple[RequestSpec, ResponseCallback]] = {}
+        self.items: dict[str, tuple[RequestSpec, AnswerCallback]] = {}
         self.gone: list[str] = []
         self.last, self._count = "", 0
         self.settings = make_settings()
 
-    def submit(self, ask: RequestSpec, _backend: BackendTransport, answered: ResponseCallback) -> str:
+    def submit(self, ask: RequestSpec, _backend: BackendTransport, answered: AnswerCallback) -> str:
         self._count += 1
         self.last = f"i{self._count}"
         self.items[self.last] = ask, answered
