--- a/garnetlanding/core/dispatcher.py
+++ b/garnetlanding/core/dispatcher.py
@@ -1,4 +1,4 @@
-"""The life cycle of attempts: start what the decision module sends, report how each attempt ended."""
+"""The life cycle of attempts: start those that the decision module requests, and report how each ended."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 class AttemptDispatcher:
     """Starts attempts and processes their results; implements `AttemptOwner`.
 
-    Invariants, whatever the decision module asks for: no attempt starts after its request's final answer or
+    Invariants, whatever the decision module requests: no attempt starts after its request's final answer or
     deadline, beyond the maximum number of attempts or of concurrent ones, at a backend that is not available,
     or while the instance is fenced. An attempt that may not start ends at once as `Outcome.NEVER_DISPATCHED`.
     """
@@ -47,7 +47,7 @@
         self._metrics = dependencies.metrics
         self._timers = timers
         self._limits = limits
-        self.settings = settings  # in force; replaced by the engine
+        self.settings = settings  # in force; the engine replaces them
 
     @property
     def now(self) -> int:
@@ -93,7 +93,7 @@
     # Implementation of AttemptOwner
 
     def address_for(self, attempt: Attempt) -> str | None:
-        """Return the HOST:PORT to send the attempt to now, or None if it may not be sent any more."""
+        """See `AttemptOwner.address_for`."""
         if attempt.number:
             spec = self.settings.classes.get(attempt.request.spec.request_class)
             if not may_repeat(attempt, spec, self._timers.now):
@@ -101,7 +101,7 @@
         return self._endpoints.address_of(attempt.backend)
 
     def attempt_written(self) -> None:
-        """Count an attempt that has been written to its backend in full."""
+        """See `AttemptOwner.attempt_written`."""
         self._metrics.dispatches += 1
 
     def attempt_finished(
@@ -128,4 +128,4 @@
                 load_report,
             )
         )
-        self._requests.drop_if_settled(request)
+        self._requests.remove_if_settled(request)
--- a/garnetlanding/core/endpoint_registry.py
+++ b/garnetlanding/core/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The backends that this instance knows: which of them are available, and their addresses."""
+"""The registry of backends: their endpoint list entries, addresses and availability."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from garnetlanding.decision.interface import Endpoint, EndpointState
 
 INSTANCE_PREFIX = "head/"
-"""Precedes the number of a load balancer instance in the set of disabled names; others are backends."""
+"""Prefix of the number of a load balancer instance in the set of disabled names; other names are backends."""
 
 
 class EndpointRegistry:
     """The endpoint list from discovery, combined with the backends that operators have disabled.
 
-    A disabled backend counts as draining until it is enabled again, whatever state the list gives it, and as
-    just started from then on.
+    A disabled backend that the list reports as up counts as draining until it is enabled again, and as just
+    started from then on.
     """
 
     def __init__(self) -> None:
@@ -52,24 +52,24 @@
 
     def _anomalies(self, listing: EndpointListing) -> list[str]:
         if listing.complete and not listing.entries and self._entries:
-            return [f"whole list is empty, {len(self._entries)} servers were known"]
+            return [f"complete list is empty, {len(self._entries)} backends were known"]
         anomalies: list[str] = []
         named: set[str] = set()
         for entry in listing.entries:
             if entry.backend in named:
-                anomalies.append(f"{entry.backend} is named twice")
+                anomalies.append(f"{entry.backend} is listed twice")
             named.add(entry.backend)
             known = self._entries.get(entry.backend, entry)
             if known.cell != entry.cell and entry.state is not EndpointState.GONE:
-                # A backend keeps its cell when it restarts: requests for both cells would be misrouted.
+                # A backend keeps its cell when it restarts; requests for both cells would be misrouted.
                 anomalies.append(f"{entry.backend} moved from cell {known.cell} to {entry.cell}")
         return anomalies
 
     def effective_entry(self, entry: Endpoint) -> Endpoint:
-        """Return an entry as the decision module must see it: with the operators' changes applied."""
+        """Return an entry as the decision module must receive it: with the operators' changes applied."""
         if entry.backend in self.disabled and entry.state is EndpointState.UP:
             return replace(entry, state=EndpointState.DRAINING, admin_disabled=True)
-        # It was probably restarted while it was disabled, which the list may show late: let it warm up.
+        # It was probably restarted while it was disabled, and the list may report that late: let it warm up.
         enabled_at = self._enabled_at.get(entry.backend, 0)
         if enabled_at > entry.started_us:
             return replace(entry, started_us=enabled_at)
--- a/garnetlanding/core/metrics.py
+++ b/garnetlanding/core/metrics.py
@@ -1,6 +1,7 @@
-"""Request counters, kept where the one final answer is known so that every front counts alike.
+"""Request counters and the metrics page.
 
-The names and the form on the metrics page are an output format that operators' tools read.
+The core counts final answers, so that the counts mean the same for all frontends. The names on the metrics
+page and its format are read by operators' tools.
 """
 
 from __future__ import annotations
@@ -12,10 +13,10 @@
 
 
 class MetricsFormatError(CoreError):
-    """A line that does not have the form of the metrics page; `line` is that line."""
+    """A line of a metrics page is malformed; `line` is that line."""
 
     def __init__(self, line: str) -> None:
-        super().__init__(f"not a figure: {line!r:.60}")
+        super().__init__(f"malformed metrics line: {line!r:.60}")
         self.line = line
 
 
@@ -35,7 +36,7 @@
         self.add_classes(classes)
 
     def add_classes(self, classes: Iterable[str]) -> None:
-        """Report these request classes from now on, with 0 until something is counted."""
+        """Include these request classes in the metrics page, with 0 until an answer is counted."""
         self.classes |= dict.fromkeys(classes)
 
     @property
@@ -83,7 +84,7 @@
 
 
 def by_class(values: dict[str, int]) -> dict[str, dict[str, int]]:
-    """Select the decoded metrics that are counted for each request class: by class, then by name."""
+    """Return the decoded counters of each request class: by class, then by counter name."""
     classes: dict[str, dict[str, int]] = {}
     for name, value in values.items():
         match name.split(".", 2):
--- a/garnetlanding/core/ports.py
+++ b/garnetlanding/core/ports.py
@@ -123,7 +123,7 @@
         """When the attempt times out: the engine then calls `BackendTransport.stop`."""
 
     def address(self) -> str | None:
-        """Return the backend's HOST:PORT, or None if the attempt may not be sent, or no longer.
+        """Return the backend's HOST:PORT, or None if the attempt may not be sent.
 
         The transport checks this right before the first byte, because establishing the connection may have
         taken long: meanwhile the backend may have started to drain, the request may have its final answer,
--- a/garnetlanding/core/request_table.py
+++ b/garnetlanding/core/request_table.py
@@ -16,10 +16,10 @@
 log = logging.getLogger(__name__)
 
 DEADLINE_GRACE_US = 2_000
-"""How long the decision module has to answer a request past its deadline before the engine does."""
+"""How long the engine waits for the decision module's answer after a request's deadline."""
 
 IN_FLIGHT = "out"
-"""Recorded in histories in place of the outcome of an attempt that has not finished."""
+"""Recorded in histories as the outcome of an attempt that has not finished."""
 
 
 class RequestTable:
@@ -60,7 +60,7 @@
         self._requests[request.ticket] = request
 
     def start_deadline(self, request: Request) -> None:
-        """Start the timer that guarantees an answer by the deadline whatever the decision module does."""
+        """Start the timer that guarantees an answer whatever the decision module does."""
         request.deadline_timer = self._timers.call_at(
             request.deadline_us, lambda: self._deadline_reached(request)
         )
@@ -72,7 +72,7 @@
             self.finish(request, answer)
 
     def withdraw(self, ticket: str, answer: Answer) -> None:
-        """Like `answer`, for an answer that the decision module has not decided: notify it."""
+        """Like `answer`, for an answer that does not come from the decision module: notify the module."""
         request = self._requests.get(ticket)
         if request and request.answer is None:
             self.finish(request, answer)
@@ -83,7 +83,7 @@
         request.answer = answer
         self._capacity.held_bytes -= request.spec.held_bytes
         if isinstance(answer, Served) and isinstance(answer.value, Body):
-            self._count_at_end_of(answer.value, request, answer)
+            self._count_when_body_ends(answer.value, request, answer)
         else:
             self._count(request, answer)
         if request.deadline_timer and not request.in_flight():
@@ -91,15 +91,15 @@
         request.on_answer(answer)
         if self.observers:
             self._notify_observers(request, answer)
-        self.drop_if_settled(request)
+        self.remove_if_settled(request)
 
-    def drop_if_settled(self, request: Request) -> None:
+    def remove_if_settled(self, request: Request) -> None:
         """Remove the request if it has its final answer and no attempt in flight."""
         if request.is_settled:
             self._requests.pop(request.ticket, None)
 
-    def _count_at_end_of(self, body: Body, request: Request, answer: Answer) -> None:
-        """Count a streamed response when its body has ended, complete or truncated."""
+    def _count_when_body_ends(self, body: Body, request: Request, answer: Answer) -> None:
+        """Count a streamed response once its body has ended, complete or truncated."""
         body.on_end.append(lambda complete: self._count(request, answer if complete else Failed("cut short")))
 
     def _count(self, request: Request, answer: Answer) -> None:
@@ -123,14 +123,14 @@
         for attempt in request.in_flight():
             attempt.stop(Outcome.TIMEOUT)
         if request.answer is None:
-            # The grace period starts now, not at the deadline: after a stall both would be over, and the
-            # decision module must get its iteration first.
+            # The grace period starts now, not at the deadline: after a stall both could have passed, and the
+            # decision module must process its events first.
             request.deadline_timer = self._timers.call_at(
                 self._timers.now + DEADLINE_GRACE_US, lambda: self._grace_expired(request)
             )
 
     def _grace_expired(self, request: Request) -> None:
-        """Answer a request that a defect of the decision module has left without an answer."""
+        """Answer a request that the decision module has left without an answer because of a defect."""
         if request.answer is None:
             log.error("controller gave no answer in time", extra={"kv": {"request": request.ticket}})
             self.finish(request, Failed("deadline passed"))
--- a/tests/core/test_endpoint_registry.py
+++ b/tests/core/test_endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoint list with the operators' overlay."""
+"""The endpoint list combined with the backends that operators have disabled."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
     assert registry.apply(listing(up_endpoint("a", 0), up_endpoint("b", 1))) == []
     drains = Endpoint("a", 0, "z", EndpointState.DRAINING)
-    assert registry.apply(listing(up_endpoint("a", 0), drains, complete=False)) == ["a is named twice"]
+    assert registry.apply(listing(up_endpoint("a", 0), drains, complete=False)) == ["a is listed twice"]
     assert registry.address_of("a") is None
     assert registry.address_of("b")
     assert registry.apply(listing(up_endpoint("b", 7), complete=False)) == ["b moved from cell 1 to 7"]
-    assert registry.apply(listing()) == ["whole list is empty, 2 servers were known"]
+    assert registry.apply(listing()) == ["complete list is empty, 2 backends were known"]
     assert registry.address_of("b") is None
 
 
@@ -35,7 +35,9 @@
     assert registry.unavailable == 1
     assert registry.is_known("not-listed")
     assert not registry.is_known("c")
-    assert registry.effective_entry(up_endpoint("a", 0)) == disabled, "whatever a list says meanwhile"
+    assert (
+        registry.effective_entry(up_endpoint("a", 0)) == disabled
+    ), "whatever state a list reports meanwhile"
     [enabled] = registry.set_disabled(frozenset({"not-listed"}), 200)
     assert (enabled.backend, enabled.state, enabled.started_us) == ("a", EndpointState.UP, 200)
     assert registry.address_of("a") == "10.0.0.1:1"
--- a/tests/ops/test_admin_client.py
+++ b/tests/ops/test_admin_client.py
@@ -29,7 +29,7 @@
     assert (
         json.loads(admin_output.as_json("drain", admin_client.Reply(500, "failed\n")))["answer"] == "failed"
     )
-    with pytest.raises(ValueError, match="not a figure: 'app.x:1'"):
+    with pytest.raises(ValueError, match="malformed metrics line: 'app.x:1'"):
         admin_output.as_text("metrics", admin_client.Reply(200, "app.x:1\n"))
 
 
