--- a/garnetlanding/core/admission.py
+++ b/garnetlanding/core/admission.py
@@ -1,6 +1,6 @@
-"""Admission checks on the instance itself: requests that the settings rule out, and its own capacity.
+"""The instance's own admission checks: whether a request is valid, and whether the instance has capacity.
 
-Both precede the decision module's `Arrival` event: the decision module accounts for the backends' capacity.
+Both checks precede the `Arrival` event; the decision module accounts for the backends' capacity.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
     """Counts open requests and the bytes that they hold against the instance's own limits.
 
     `quota` is the fraction of the limits that this process may use, in (0, 1]; it is below 1 while another
-    process of the same instance has the rest.
+    process of the same instance may use the rest.
     """
 
     __slots__ = ("_limits", "held_bytes", "open_requests", "quota")
@@ -22,12 +22,12 @@
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
         self.quota = 1.0
-        self.open_requests = 0  # accepted, and the response not complete yet
-        self.held_bytes = 0  # by requests without a final answer
+        self.open_requests = 0  # accepted, and the response is not complete yet
+        self.held_bytes = 0  # by requests that have no final answer yet
 
     @property
     def used(self) -> float:
-        """The fraction of the instance's limits in use, of whichever limit is closer to being exhausted."""
+        """The fraction in use of the limit that is closer to being exhausted."""
         return max(self.open_requests / self._limits.open_requests, self.held_bytes / self._limits.open_bytes)
 
     @property
@@ -37,9 +37,9 @@
 
 
 def validate(spec: RequestSpec, settings: Settings) -> None:
-    """Raise InvalidRequestError for a request that contradicts the settings in force.
+    """Raise InvalidRequestError if the request contradicts the settings in force.
 
-    The decision module relies on this check: such a request would corrupt its state for other requests.
+    The decision module relies on this check: an invalid request would corrupt its state for other requests.
     """
     if spec.request_class not in settings.classes:
         raise InvalidRequestError(RequestDefect.UNKNOWN_CLASS)
--- a/garnetlanding/core/body.py
+++ b/garnetlanding/core/body.py
@@ -1,4 +1,4 @@
-"""A response too long to be buffered whole: streamed from a backend to a client. No protocol, no sockets."""
+"""Streaming of responses that are too long to buffer whole, from a backend to a client. No sockets."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 from typing import Protocol
 
 EndCallback = Callable[[bool], None]
-"""Called with whether the body is complete."""
+"""Called with true if the body is complete, with false if it was truncated."""
 
 WritableCallback = Callable[[], None]
 
 
 class Sink(Protocol):
-    """The client's end of a streamed body: a connection that bytes are written to."""
+    """The client's connection, to which a streamed body is written."""
 
     def __call__(self, data: bytes) -> None:
         """Write bytes to the client, in order."""
 
     @property
     def write_blocked(self) -> bool:
-        """Whether the client has left so much unread that nothing more may be written for now."""
+        """Whether so much is unsent, because the client does not read it, that writing must pause."""
 
-    def when_writable(self, call: WritableCallback) -> None:
-        """Call back once, as soon as the client has read everything that was written."""
+    def when_writable(self, callback: WritableCallback) -> None:
+        """Call the callback once, once the kernel has accepted everything that was written."""
 
     def abort(self) -> None:
         """Abort the connection, so that the client can tell that the response is incomplete."""
@@ -33,7 +33,7 @@
 
 
 class Body:
-    """One value of `length` bytes, streamed from a producer (the backend's side) to a sink (the client's).
+    """A value of `length` bytes that is streamed from a producer, the backend's side, to the client's sink.
 
     States:
 
@@ -43,8 +43,8 @@
     - ended, from `end` on, by either side: complete or truncated; further calls have no effect.
 
     Invariants: each `on_end` callback is called exactly once; the producer checks `is_blocked` after each
-    piece and stops reading while it is set, so no more is buffered than the producer reads at once;
-    `on_writable` is called whenever the producer may continue, which includes the end.
+    piece and stops reading while it is set, so that no more is buffered than the producer reads at once;
+    `on_writable` is called whenever the producer may continue, and at the end.
     """
 
     def __init__(self, length: int) -> None:
