--- a/garnetlanding/discovery/listing.py
+++ b/garnetlanding/discovery/listing.py
@@ -1,4 +1,4 @@
-"""Parse the endpoint list, in discovery's JSON format, into the core's types, field by field."""
+"""Parse endpoint lists from discovery's JSON format into the core's types."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 ToMonotonic = Callable[[int], int]
 """Converts wall-clock microseconds since 1970 into those of the instance's monotonic clock."""
 
-STATES = {"SERVING": EndpointState.UP, "DRAINING": EndpointState.DRAINING, "DELETED": EndpointState.GONE}
+STATE_BY_LIFECYCLE = {
+    "SERVING": EndpointState.UP,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.GONE,
+}
 US_PER_MS = 1000
 
 
@@ -21,7 +25,7 @@
 
 
 class ListError(DiscoveryError):
-    """An endpoint list that cannot be used; `field` is the faulty JSON key, or None if it is not one key."""
+    """An unusable endpoint list; `field` is the invalid JSON key, or None if no single key is invalid."""
 
     def __init__(self, problem: str, field: str | None = None) -> None:
         super().__init__(problem if field is None else f"field {field}: {problem}")
@@ -29,7 +33,7 @@
 
 
 class ListDefect(Enum):
-    """How an endpoint list deviates from its format; the values are logged."""
+    """How an endpoint list violates its format; the values are logged."""
 
     NOT_JSON = "not JSON"
     NOT_AN_OBJECT = "not an object"
@@ -46,7 +50,7 @@
 
 
 class FieldValueError(ListError):
-    """A key has a value of the wrong type, or an unknown one."""
+    """The value of a key has the wrong type, or is not one of the permitted ones."""
 
     def __init__(self, field: str, value: object) -> None:
         super().__init__(f"cannot read {value!r:.40}", field)
@@ -54,10 +58,12 @@
 
 
 class StaleChangesError(ListError):
-    """Changes to an older list than the one in force; `version` is theirs."""
+    """Changes to an older list than the one in force; `version` is that of the changes."""
 
     def __init__(self, version: int, version_in_force: int) -> None:
-        super().__init__(f"{version} after {version_in_force}", "generation")
+        super().__init__(
+            f"changes to version {version}, but version {version_in_force} is in force", "generation"
+        )
         self.version = version
         self.version_in_force = version_in_force
 
@@ -76,9 +82,9 @@
     listing: EndpointListing
 
 
-def _read_field(data: dict[str, Any], name: str, kinds: tuple[type, ...], default: Any = None) -> Any:
+def _read_field(data: dict[str, Any], name: str, types: tuple[type, ...], default: Any = None) -> Any:
     value = data.get(name, default)
-    if not isinstance(value, kinds) or isinstance(value, bool):
+    if not isinstance(value, types) or isinstance(value, bool):
         raise FieldValueError(name, value)
     return value
 
@@ -88,17 +94,17 @@
     if not isinstance(entry, dict):
         raise ListFormatError(ListDefect.NOT_AN_OBJECT, "instances")
     lifecycle = _read_field(entry, "lifecycle", (str,))
-    if lifecycle not in STATES:
+    if lifecycle not in STATE_BY_LIFECYCLE:
         raise FieldValueError("lifecycle", lifecycle)
     started_ms = _read_field(entry, "startedAtMs", (int, float), 0)
-    started_us = 0  # unknown: long ago, on any clock
+    started_us = 0  # the start time is unknown: long ago, on any clock
     if started_ms:
         started_us = to_monotonic(int(started_ms * US_PER_MS))
     endpoint = Endpoint(
         backend=_read_field(entry, "instanceId", (str,)),
         cell=_read_field(entry, "cell", (int,), UNKNOWN_CELL),
         zone=_read_field(entry, "zone", (str,), ""),
-        state=STATES[lifecycle],
+        state=STATE_BY_LIFECYCLE[lifecycle],
         started_us=started_us,
         size=float(_read_field(entry, "weight", (int, float), 1.0)),
     )
--- a/garnetlanding/discovery/watch.py
+++ b/garnetlanding/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The client that follows the endpoint list; the list in force stays after a failure."""
+"""The client of discovery, which follows the endpoint list. After a failure the list in force stays."""
 
 from __future__ import annotations
 
@@ -28,7 +28,8 @@
     HttpError,
     DiscoveryError,
     BufferPoolExhaustedError,
-)  # expected reasons for the end of a call
+)
+"""Expected errors of a call; any other exception is a defect."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,19 +44,19 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchCallbacks:
-    """The functions by which a watch reports to its instance and queries it."""
+    """The instance's functions that a watch calls."""
 
     update_endpoints: Callable[[EndpointListing], None]
     update_failed: Callable[[EndpointListFailure], None]
-    """Called when a call to discovery has failed, unless the watch retries by itself."""
+    """Called when a call to discovery has failed, unless the watch retries it."""
     persist: Callable[[dict[str, Any]], None]
-    """Called with each list as discovery sent it, to be cached for a restart."""
+    """Called with each list as discovery sent it, to cache it for a restart."""
     is_pushed: Callable[[], bool] = lambda: False
-    """Returns whether lists are pushed, by the settings in force."""
+    """Returns whether lists are pushed, according to the settings in force."""
 
 
 class Watch:
-    """The driver of `WatchState`, which makes one call to discovery at a time.
+    """Drives `WatchState` with calls to discovery, one at a time.
 
     Implements the core's `EndpointSubscription`.
     """
@@ -83,15 +84,15 @@
         return self._state.is_synced
 
     def switch_to(self, address: str) -> None:
-        """Follow another discovery service from now on, whose versions are unrelated to this one's."""
+        """Follow another discovery service from now on; its versions are unrelated to the current ones."""
         self._address = address
         self._state.version = 0
         self.subscribe()
 
     def keep_open(self) -> None:
-        """Follow the list if it is pushed; called at the start and after new settings.
+        """Follow the list if it is pushed; called at the start, after new settings and when a retry is due.
 
-        If new settings change to polling, the engine decides when to call discovery.
+        After a change to polling, the engine decides when to call discovery.
         """
         match self._state.next_step(is_pushed=self._callbacks.is_pushed()):
             case NextStep.SUBSCRIBE:
@@ -100,7 +101,7 @@
                 self._callbacks.update_failed(EndpointListFailure())
 
     def subscribe(self) -> None:
-        """Call discovery now; the new call supersedes the present call or watch."""
+        """Call discovery now; the new call supersedes the current one."""
         call = self._state.begin_call()
         if self._stream:
             self._stream.close()
@@ -117,21 +118,21 @@
             self._call_ended(cause, parser, deadline)
 
     def _run_call(self, call: int, parser: WatchParser, deadline: CallDeadline) -> Exception:
-        """Make one call and read its watch to the end; return the reason for the end."""
+        """Make one call and read its watch to the end; return the error that ended it."""
         cause: Exception = WatchDisconnectedError()
         stream: Stream | None = None
         try:
             stream = Stream.connect(
-                self._scheduler, self._address, self._runtime.pool, self._limits, deadline.until
+                self._scheduler, self._address, self._runtime.pool, self._limits, deadline.expires_at
             )
-            # If superseded while it connected, its response would be outdated or of another service.
+            # If superseded while it connected, its response is outdated or from another discovery service.
             if self._state.is_newest(call):
                 self._stream = stream
                 self._read(stream, parser, deadline)
         except CALL_ERRORS as error:
             cause = error
         except Exception as defect:
-            # Whatever the defect, the engine must learn that the list is not followed any more.
+            # Whatever the defect, the engine must be notified that the list is no longer followed.
             log.exception("watch failed")
             cause = defect
         finally:
@@ -150,7 +151,7 @@
             b"Accept: application/json\r\n\r\n" % (self._state.version, self._address.encode())
         )
         lines = 0
-        while stream.read(feed, deadline.until):
+        while stream.read(feed, deadline.expires_at):
             if parser.complete_lines > lines:
                 lines = parser.complete_lines
                 deadline.line_received(self._scheduler.now)
@@ -175,7 +176,7 @@
         self._stream = None
         on_failure = self._state.end_call(is_pushed=self._callbacks.is_pushed())
         if on_failure is not OnFailure.RETRY_AGAIN:
-            # In pushed mode one log line for all calls that fail until the next list.
+            # In pushed mode, calls that fail until the next list are logged only once.
             log.warning("watch failed", extra={"kv": {"why": _describe(cause)}})
         if on_failure is OnFailure.REPORT:
             self._callbacks.update_failed(self._failure(cause, parser, deadline))
@@ -187,7 +188,7 @@
         now = self._scheduler.now
         waited_us = now - deadline.started_at
         was_queued = parser.rejected and waited_us >= self._limits.discovery_queued_us
-        # A reset or a response is noticed at once, but silence only after its time limit.
+        # A reset or a rejection is detected at once, but a silent discovery only after the time limit.
         was_silent = isinstance(cause, DeadlineExceededError)
         return EndpointListFailure(
             kind=FailureKind.OVERLOADED if was_queued else FailureKind.ERROR,
--- a/garnetlanding/discovery/watch_parser.py
+++ b/garnetlanding/discovery/watch_parser.py
@@ -1,4 +1,4 @@
-"""Parse the response to a watch into endpoint lists: HTTP/1.1, one JSON object a line. No I/O."""
+"""Parse the response to a watch, HTTP/1.1 with one JSON object on each line, into endpoint lists. No I/O."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class WatchError(DiscoveryError):
-    """Base class of the reasons for which a watch ends."""
+    """Base class of errors that end a watch."""
 
 
 class WatchRejectedError(WatchError):
@@ -35,7 +35,7 @@
 
 
 class WatchEndedError(WatchError):
-    """Discovery has ended its response, after `partial_line_bytes` of a line that is not complete."""
+    """Discovery has ended its response, `partial_line_bytes` into a line that is not complete."""
 
     def __init__(self, partial_line_bytes: int) -> None:
         where = f", {partial_line_bytes} bytes into a line" if partial_line_bytes else ""
@@ -44,10 +44,10 @@
 
 
 class WatchDisconnectedError(WatchError):
-    """Discovery has closed the connection within its response."""
+    """Discovery has closed the connection before the end of its response."""
 
     def __init__(self) -> None:
-        super().__init__("stream ended")
+        super().__init__("connection closed before the response ended")
 
 
 class ReceivedList(NamedTuple):
@@ -61,8 +61,8 @@
 class WatchParser:
     """Yields the endpoint lists in the bytes of one response.
 
-    An empty line is a heartbeat. `complete_lines` counts heartbeats and lists, each list after the caller has
-    processed it. Only complete lines prove that the watch is alive; headers or part of a line do not.
+    An empty line is a heartbeat. `complete_lines` counts heartbeats and lists, a list once the caller has
+    processed it. Only complete lines prove that the watch is alive; headers or partial lines do not.
     """
 
     def __init__(self, pool: BufferPool, limits: Limits, to_monotonic: ToMonotonic) -> None:
@@ -109,5 +109,5 @@
         return ReceivedList(version, listing, raw)
 
     def close(self) -> None:
-        """Return the buffers to their pool."""
+        """Return the buffers to the pool."""
         self._http.close()
--- a/garnetlanding/discovery/watch_state.py
+++ b/garnetlanding/discovery/watch_state.py
@@ -1,4 +1,4 @@
-"""The states of a watch of the endpoint list, as a state machine without I/O."""
+"""The state machine of a watch of the endpoint list. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class NextStep(Enum):
-    """What the driver has to do when the endpoint list may not be followed."""
+    """What the driver has to do next to keep following the endpoint list."""
 
     NOTHING = auto()
     SUBSCRIBE = auto()
@@ -19,18 +19,18 @@
 class OnFailure(Enum):
     """What the driver has to do when the newest call has ended."""
 
-    REPORT = auto()  # to the engine, which decides when to call again
-    RETRY = auto()  # without the engine: the first failure since the last list
-    RETRY_AGAIN = auto()  # likewise, after a failure that has been logged
+    REPORT = auto()  # report it to the engine, which decides when to call again
+    RETRY = auto()  # call again without the engine; the first failure since the last list
+    RETRY_AGAIN = auto()  # likewise; an earlier failure since the last list has been logged
 
 
 class WatchState:
     """The version of the endpoint list in force, and whether a call is following it.
 
     There are two modes, set by the settings in force. Polled: the engine requests each call, and each failure
-    is reported to it. Pushed: an agent on this machine has every list at once, so the driver keeps the watch
-    open and retries failed calls; the engine learns of a failure only if the mode changes before the next
-    list.
+    is reported to it. Pushed: an agent on this machine receives every list without delay, so the driver keeps
+    the watch open and retries failed calls; the engine is notified of a failure only if the mode changes
+    before the next list.
 
     States, by `is_following`: idle, until `begin_call`; following, while the newest call connects or its
     watch is open, until `end_call`. A newer call supersedes the one before it, whose end then has no effect.
@@ -39,7 +39,7 @@
 
     def __init__(self, version: int) -> None:
         self.version = version
-        self.is_synced = False  # discovery has sent a list since the start
+        self.is_synced = False  # whether discovery has sent a list since the start
         self.is_following = False
         self.has_unreported_failure = False
         self._newest_call = 0
@@ -66,7 +66,7 @@
         return NextStep.NOTHING
 
     def accept(self, received: ReceivedList) -> None:
-        """Make a received list, or the list that results from received changes, the one in force.
+        """Put a received list, or the list that results from received changes, in force.
 
         Raises StaleChangesError for changes to an older list, which could restore backends that have
         terminated. The list in force stays, and the next call requests a complete one.
@@ -92,7 +92,7 @@
 
 
 class CallDeadline:
-    """The time at which a call counts as unresponsive, in microseconds on the monotonic clock.
+    """When a call to discovery times out, in microseconds on the monotonic clock.
 
     The first complete line is due `answer_us` after the start of the call, which includes connecting. From
     each complete line on, the next one is due within `silence_us`.
@@ -101,10 +101,10 @@
     def __init__(self, now: int, answer_us: int, silence_us: int) -> None:
         self.started_at = now
         self.last_received_at = now
-        self.until = now + answer_us
+        self.expires_at = now + answer_us
         self._silence_us = silence_us
 
     def line_received(self, now: int) -> None:
         """Extend the deadline after a complete line."""
         self.last_received_at = now
-        self.until = now + self._silence_us
+        self.expires_at = now + self._silence_us
--- a/tests/discovery/test_watch_parser.py
+++ b/tests/discovery/test_watch_parser.py
@@ -114,4 +114,4 @@
         ListFormatError(ListDefect.NOT_JSON),
     )
     assert all(isinstance(reason, DiscoveryError) for reason in reasons)
-    assert str(WatchDisconnectedError()) == "stream ended"
+    assert str(WatchDisconnectedError()) == "connection closed before the response ended"
--- a/tests/discovery/test_watch_state.py
+++ b/tests/discovery/test_watch_state.py
@@ -59,7 +59,9 @@
 
 def test_changes_to_an_older_list_are_rejected_and_the_next_call_requests_a_complete_one() -> None:
     state = WatchState(6)
-    with pytest.raises(ListError, match="^field generation: 3 after 6$") as error:
+    with pytest.raises(
+        ListError, match="^field generation: changes to version 3, but version 6 is in force$"
+    ) as error:
         state.accept(received(3, complete=False))
     assert error.value.field == "generation"
     assert isinstance(error.value, StaleChangesError)
@@ -86,6 +88,6 @@
 
 def test_the_first_line_is_due_from_the_start_of_the_call_and_later_ones_from_the_line_before() -> None:
     deadline = CallDeadline(1000, answer_us=500, silence_us=200)
-    assert deadline.until == 1500
+    assert deadline.expires_at == 1500
     deadline.line_received(1400)
-    assert (deadline.until, deadline.last_received_at, deadline.started_at) == (1600, 1400, 1000)
+    assert (deadline.expires_at, deadline.last_received_at, deadline.started_at) == (1600, 1400, 1000)
