--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -13,7 +13,7 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from garnetlanding.choices.subsets import subsets, weight
+from garnetlanding.choices.subsets import assign_subsets, weight
 from garnetlanding.decision.tuning import WEIGHT_CLAMP, WEIGHT_GAIN, WEIGHT_INTERVAL
 
 RESULTS = pathlib.Path(__file__).parent / "results"
@@ -59,7 +59,7 @@
 
 def with_quotas(heads: Sequence[int], servers: Sequence[str], k: int) -> dict[int, set[str]]:
     """Give each instance the highest weights within quotas, as the load balancer does."""
-    return subsets(heads, dict.fromkeys(servers, ""), k)
+    return assign_subsets(heads, dict.fromkeys(servers, ""), k)
 
 
 WAYS: dict[str, Way] = {
--- a/garnetlanding/choices/stagger.py
+++ b/garnetlanding/choices/stagger.py
@@ -5,16 +5,16 @@
 import zlib
 
 CRC32_RANGE = 1 << 32
-"""CRC-32 checksums are below this."""
+"""CRC-32 checksums are less than this."""
 
 
 def stagger_offset(instance: int, instances: int, signal: str = "") -> float:
-    """Return an instance's slot as a fraction, in [0, 1), of the time over which the actions are spread.
+    """Return when an instance acts, as a fraction in [0, 1) of the time over which the actions are spread.
 
-    Slots are evenly spaced. The signal's name rotates them, so that no instance is last for every signal. An
-    instance with a wrong count of instances gets another slot, which delays no other instance.
+    The offsets are evenly spaced. `signal`, the name of the event, rotates them, so that no instance is last
+    for every event. An instance with a wrong `instances` gets another offset, and delays no other instance.
     """
     instances = max(1, instances)
-    slot = instance % instances / instances
+    offset = instance % instances / instances
     rotation = zlib.crc32(signal.encode()) / CRC32_RANGE
-    return (slot + rotation) % 1.0
+    return (offset + rotation) % 1.0
--- a/garnetlanding/choices/subsets.py
+++ b/garnetlanding/choices/subsets.py
@@ -1,9 +1,9 @@
-"""Assign to each instance a subset of backends, with the same result at every instance.
+"""Assign a subset of backends to each instance; every instance computes the same result.
 
-The result depends only on the sets of instances and backends. It is rendezvous hashing with quotas
-(docs/design/adding-up.md): each instance proposes to the backends with its highest weights, a backend accepts
-the instances with the highest weights up to its quota, and a rejected instance proposes to its next backend.
-This is deferred acceptance (Gale and Shapley). Both sides rank a pair by the same weight, so that a change of
+The result depends only on the sets of instances and backends. The algorithm is rendezvous hashing with quotas
+(docs/design/adding-up.md), as deferred acceptance (Gale and Shapley): each instance proposes to the backends
+with the highest weights, a backend accepts the proposals with the highest weights up to its quota, and a
+rejected instance proposes to its next backend. Both sides rank a pair by the same weight, so that a change of
 the sets changes few pairs.
 """
 
@@ -20,7 +20,7 @@
 """The names of the backends in each instance's subset, by the instance's number."""
 
 NO_INSTANCE = -1
-"""In place of an instance: for weights of a backend alone."""
+"""Stands for no instance, in the weight by which backends alone are ranked."""
 
 WEIGHT_RANGE = 1 << 64
 """Weights are below this."""
@@ -28,15 +28,15 @@
 
 @lru_cache(maxsize=1 << 17)
 def weight(instance: int, backend: str) -> int:
-    """Return the weight of a pair, in [0, WEIGHT_RANGE), by which instance and backend rank each other."""
+    """Return the rendezvous weight of a pair, in [0, WEIGHT_RANGE): a hash that both sides rank it by."""
     return int.from_bytes(blake2b(f"{instance} {backend}".encode(), digest_size=8).digest(), "big")
 
 
 def zone_counts(instance: int, zones: Mapping[str, Collection[str]], size: int) -> dict[str, int]:
     """Return how many of an instance's `size` backends are in each zone, in proportion to the zones' sizes.
 
-    The remainder is distributed pseudo-randomly by instance, so that the proportion is met over many
-    instances.
+    The remainder is distributed pseudo-randomly by instance, so that many instances together have backends in
+    proportion.
     """
     total = sum(map(len, zones.values()))
     size = min(size, total)
@@ -56,44 +56,44 @@
     return counts
 
 
-def match(wanted: Mapping[int, int], quotas: Mapping[str, int]) -> Subsets:
-    """Assign to each instance as many backends as wanted, and to no backend more instances than its quota.
+def match_within_quotas(wanted: Mapping[int, int], quotas: Mapping[str, int]) -> Subsets:
+    """Assign the wanted number of backends to each instance, and to each backend at most its quota.
 
-    If all backends have rejected an instance, another instance is moved to make room for it.
+    If all backends have rejected an instance, another instance is reassigned to free a slot for it.
     """
     backends = list(quotas)
     ranked = {
         instance: sorted(backends, key=lambda backend: weight(instance, backend), reverse=True)
         for instance in wanted
     }
-    accepted, unplaced = _deferred_acceptance(wanted, quotas, ranked)
+    accepted, unmatched = _deferred_acceptance(wanted, quotas, ranked)
     assigned: Subsets = {instance: set() for instance in wanted}
     for backend, instances in accepted.items():
         for instance in instances:
             assigned[instance].add(backend)
-    free_places = {backend: quotas[backend] - len(accepted[backend]) for backend in backends}
-    for instance in sorted(unplaced):
-        _place(instance, ranked[instance], assigned, free_places)
+    free_slots = {backend: quotas[backend] - len(accepted[backend]) for backend in backends}
+    for instance in sorted(unmatched):
+        _assign_unmatched(instance, ranked[instance], assigned, free_slots)
     return assigned
 
 
-class _Acceptance(NamedTuple):
+class _Matching(NamedTuple):
     accepted: dict[str, list[int]]  # the instances that each backend has accepted
-    unplaced: list[int]  # instances that every backend has rejected, once for each backend that they lack
+    unmatched: list[int]  # instances that all backends have rejected, once for each backend that they lack
 
 
 def _deferred_acceptance(
     wanted: Mapping[int, int], quotas: Mapping[str, int], ranked: Mapping[int, list[str]]
-) -> _Acceptance:
+) -> _Matching:
     """Let instances propose to backends in order of weight until each is accepted or rejected by all."""
     next_choice = dict.fromkeys(wanted, 0)  # by instance, an index into its list in `ranked`
     accepted: dict[str, list[tuple[int, int]]] = {backend: [] for backend in quotas}  # heaps by weight
     proposing = [instance for instance, count in sorted(wanted.items()) for _ in range(count)]
-    unplaced: list[int] = []
+    unmatched: list[int] = []
     while proposing:
         instance = proposing.pop()
         if next_choice[instance] == len(ranked[instance]):
-            unplaced.append(instance)
+            unmatched.append(instance)
             continue
         backend = ranked[instance][next_choice[instance]]
         next_choice[instance] += 1
@@ -102,35 +102,41 @@
             _, rejected = heapq.heappop(accepted[backend])
             proposing.append(rejected)
     by_backend = {backend: [instance for _, instance in heap] for backend, heap in accepted.items()}
-    return _Acceptance(by_backend, unplaced)
+    return _Matching(by_backend, unmatched)
 
 
-def _place(instance: int, ranked: list[str], assigned: Subsets, free_places: dict[str, int]) -> None:
+def _assign_unmatched(
+    instance: int, ranked: list[str], assigned: Subsets, free_slots: dict[str, int]
+) -> None:
     """Assign one more backend to an instance that all of its unassigned backends have rejected as full.
 
-    Another instance moves from one of these to a backend with a free place, to which `instance` is already
-    assigned, and `instance` takes the place that it leaves. If none can move, `instance` is assigned its best
-    backend beyond the quota.
+    Another instance is reassigned from one of these to a backend with a free slot, to which `instance` is
+    already assigned, and `instance` gets the slot that this frees. If no instance can be reassigned, it is
+    assigned the backend with its highest weight, beyond the quota.
     """
     unassigned = [backend for backend in ranked if backend not in assigned[instance]]
-    for free in sorted(backend for backend, places in free_places.items() if places > 0):
+    for free in sorted(backend for backend, slots in free_slots.items() if slots > 0):
         for backend in unassigned:
-            movers = [other for other, subset in assigned.items() if backend in subset and free not in subset]
-            if movers:
-                mover = min(movers, key=lambda other: (weight(other, backend), other))
-                assigned[mover] = assigned[mover] - {backend} | {free}
+            candidates = [
+                other for other, subset in assigned.items() if backend in subset and free not in subset
+            ]
+            if candidates:
+                moved = min(candidates, key=lambda other: (weight(other, backend), other))
+                assigned[moved] = assigned[moved] - {backend} | {free}
                 assigned[instance].add(backend)
-                free_places[free] -= 1
+                free_slots[free] -= 1
                 return
     assigned[instance].add(unassigned[0])
 
 
-def subsets(instances: Collection[int], zones: Mapping[str, str], size: int, slack: int = 0) -> Subsets:
+def assign_subsets(
+    instances: Collection[int], zones: Mapping[str, str], size: int, slack: int = 0
+) -> Subsets:
     """Return the subset of backends of each instance.
 
     `zones` has the zone of each backend, `size` is the size of each subset. `slack` is the number of
-    instances that a backend accepts beyond its even quota: a greater one means that a change of the sets
-    changes fewer pairs, and that instances are spread less evenly.
+    instances that a backend accepts beyond its even quota: with more slack a change of the sets changes fewer
+    pairs, but instances are distributed less evenly.
     """
     members: dict[str, list[str]] = defaultdict(list)  # the backends of each zone
     for backend, zone in sorted(zones.items()):
@@ -142,14 +148,14 @@
     for zone, backends in members.items():
         wanted = {instance: counts[instance][zone] for instance in instances}
         quotas = _even_quotas(backends, sum(wanted.values()), slack)
-        for instance, subset in match(wanted, quotas).items():
+        for instance, subset in match_within_quotas(wanted, quotas).items():
             assigned[instance] |= subset
     return assigned
 
 
-def _even_quotas(backends: list[str], places: int, slack: int) -> dict[str, int]:
-    """Divide the places evenly among the backends; those with the highest weights get the remainder."""
-    even, remainder = divmod(places, len(backends))
+def _even_quotas(backends: list[str], slots: int, slack: int) -> dict[str, int]:
+    """Divide the slots evenly among the backends; those with the highest weights get the remainder."""
+    even, remainder = divmod(slots, len(backends))
     ranked = sorted(backends, key=lambda backend: weight(NO_INSTANCE, backend), reverse=True)
     with_one_more = set(ranked[:remainder])
     return {backend: even + (backend in with_one_more) + slack for backend in backends}
--- a/tests/choices/test_subset_tracker.py
+++ b/tests/choices/test_subset_tracker.py
@@ -16,8 +16,6 @@
 from tests.support.clock import SECOND
 from tests.support.simulated_instance import LoopbackClient, SimulatedInstance, read_command
 
-# In the instance
-
 
 def test_the_subset_is_computed_only_when_its_inputs_change() -> None:
     tracker, zones = SubsetTracker(2), {f"s{i}": "a" for i in range(6)}
@@ -27,7 +25,7 @@
     assert tracker.computations == 1
     assert len(tracker.update(1, range(4), zones | {"s9": "b"})) == 2
     assert tracker.computations == 2
-    assert tracker.update(9, range(4), zones) == frozenset(), "its peers have excluded it"
+    assert tracker.update(9, range(4), zones) == frozenset(), "an instance that its peers have excluded"
 
 
 def test_idle_connections_outside_the_subset_are_closed() -> None:
@@ -63,14 +61,14 @@
 
 
 def test_the_operators_retry_budget_applies_if_the_settings_have_none() -> None:
-    plain = decision_bench.make_settings()
-    chosen = ChoicesSetup(retry_budget_ratio=0.1, retry_budget_floor=3, retry_budget_window_us=5 * SECOND)
-    used = chosen.with_retry_budget(plain)
-    assert (used.retry_budget_ratio, used.retry_budget_floor, used.retry_budget_window_us) == (
+    without_budget = decision_bench.make_settings()
+    choices = ChoicesSetup(retry_budget_ratio=0.1, retry_budget_floor=3, retry_budget_window_us=5 * SECOND)
+    settings = choices.with_retry_budget(without_budget)
+    assert (settings.retry_budget_ratio, settings.retry_budget_floor, settings.retry_budget_window_us) == (
         0.1,
         3,
         5 * SECOND,
     )
-    theirs = replace(plain, retry_budget_ratio=0.5, retry_budget_window_us=SECOND)
-    assert chosen.with_retry_budget(theirs) == theirs
-    assert ChoicesSetup().with_retry_budget(plain) == plain
+    with_budget = replace(without_budget, retry_budget_ratio=0.5, retry_budget_window_us=SECOND)
+    assert choices.with_retry_budget(with_budget) == with_budget
+    assert ChoicesSetup().with_retry_budget(without_budget) == without_budget
--- a/tests/choices/test_subsets.py
+++ b/tests/choices/test_subsets.py
@@ -1,4 +1,4 @@
-"""Subsets of backends: even, stable and spread over zones."""
+"""Subsets of backends: evenly loaded, stable and spread over zones."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from hypothesis import strategies as st
 
 from garnetlanding.choices import subsets as module
-from garnetlanding.choices.subsets import subsets
+from garnetlanding.choices.subsets import assign_subsets
 
 FLEETS = st.sets(st.integers(0, 60), min_size=1, max_size=24)
 ZONES = st.dictionaries(st.integers(0, 60).map("s{}".format), st.sampled_from("abc"), min_size=1, max_size=24)
 
 
 def violated_invariant(instances: set[int], backends: dict[str, str], k: int) -> str:
-    """Return the first invariant that does not hold, empty if all hold."""
-    found = subsets(instances, backends, k)
-    if any(len(some) != min(k, len(backends)) or not some <= set(backends) for some in found.values()):
+    """Return the first invariant that is violated; empty if all hold."""
+    found = assign_subsets(instances, backends, k)
+    if any(len(subset) != min(k, len(backends)) or not subset <= set(backends) for subset in found.values()):
         return "k backends each"
-    loads = Counter(backend for some in found.values() for backend in some)
+    loads = Counter(backend for subset in found.values() for backend in subset)
     for zone in set(backends.values()):
-        per = [loads[backend] for backend, where in backends.items() if where == zone]
-        if max(per) - min(per) > 1:
+        counts = [loads[backend] for backend, where in backends.items() if where == zone]
+        if max(counts) - min(counts) > 1:
             return "even within a zone"
-    other = subsets(sorted(instances, reverse=True), dict(reversed(backends.items())), k)
+    other = assign_subsets(sorted(instances, reverse=True), dict(reversed(backends.items())), k)
     return "" if found == other else "order"
 
 
@@ -60,24 +60,24 @@
 @settings(max_examples=40)
 def test_one_instance_or_backend_more_moves_few_pairs(instances: int, count: int, k: int) -> None:
     backends = {f"s{i}": "" for i in range(count)}
-    before = subsets(range(instances), backends, k)
+    before = assign_subsets(range(instances), backends, k)
 
     def moved(after: dict[int, set[str]]) -> int:
-        return sum(len(some - before.get(instance, set())) for instance, some in after.items())
+        return sum(len(subset - before.get(instance, set())) for instance, subset in after.items())
 
-    assert moved(subsets(range(instances + 1), backends, k)) <= 6 * k + 6
+    assert moved(assign_subsets(range(instances + 1), backends, k)) <= 6 * k + 6
     assert (
-        moved(subsets(range(instances), backends | {"new": ""}, k))
+        moved(assign_subsets(range(instances), backends | {"new": ""}, k))
         <= 6 * (instances * k // (count + 1) + 1) + 6
     )
-    assert subsets(range(instances), backends, k) == before
+    assert assign_subsets(range(instances), backends, k) == before
 
 
 def test_a_subset_is_spread_over_zones() -> None:
     backends = {f"s{i}": "abc"[i % 3] for i in range(30)}
-    for some in subsets(range(20), backends, 7).values():
-        per = Counter(backends[backend] for backend in some)
-        assert set(per.values()) <= {2, 3}
+    for subset in assign_subsets(range(20), backends, 7).values():
+        counts = Counter(backends[backend] for backend in subset)
+        assert set(counts.values()) <= {2, 3}
 
 
 @given(FLEETS, ZONES, st.sets(st.integers(0, 60), max_size=2))
@@ -85,23 +85,27 @@
 def test_instances_with_different_lists_keep_each_backends_load_bounded(
     instances: set[int], backends: dict[str, str], terminated: set[int]
 ) -> None:
-    """Half of them know fewer backends: each half loads a backend up to its own quota."""
+    """Half of the instances know fewer backends: each half loads a backend up to its own quota."""
     k, fewer = 3, {s: z for s, z in backends.items() if int(s[1:]) not in terminated}
-    old, new = subsets(instances, backends, k), subsets(instances, fewer, k)
+    old, new = assign_subsets(instances, backends, k), assign_subsets(instances, fewer, k)
     mixed = {instance: (old if instance % 2 else new)[instance] for instance in instances}
-    loads = Counter(backend for some in mixed.values() for backend in some)
+    loads = Counter(backend for subset in mixed.values() for backend in subset)
     for backend in backends:
-        of_old = sum(backend in some for some in old.values())
-        of_new = sum(backend in some for some in new.values())
-        assert loads[backend] <= of_old + of_new
+        old_load = sum(backend in subset for subset in old.values())
+        new_load = sum(backend in subset for subset in new.values())
+        assert loads[backend] <= old_load + new_load
 
 
-def seeded_fault(name: str) -> Any:  # noqa: C901 - one case a seeded bug, and no other branch
+def seeded_fault(name: str) -> Any:  # noqa: C901 - one case for each seeded fault, and no other branch
     """Return the name of a function and a faulty replacement."""
-    real_weight, real_match, real_counts = module.weight.__wrapped__, module.match, module.zone_counts
+    real_weight, real_match, real_counts = (
+        module.weight.__wrapped__,
+        module.match_within_quotas,
+        module.zone_counts,
+    )
     match name:
         case "the first backend is left out":
-            return "match", lambda wanted, quotas: real_match(
+            return "match_within_quotas", lambda wanted, quotas: real_match(
                 wanted, {s: q for s, q in quotas.items() if s != min(quotas) or len(quotas) == 1}
             )
         case "weights differ by process":
@@ -110,11 +114,15 @@
                 2 * next(salt) + 1
             ) % (1 << 64)
         case "no quota":
-            return "match", lambda wanted, quotas: real_match(wanted, dict.fromkeys(quotas, 10**6))
+            return "match_within_quotas", lambda wanted, quotas: real_match(
+                wanted, dict.fromkeys(quotas, 10**6)
+            )
         case "quotas one too large":
-            return "match", lambda wanted, quotas: real_match(wanted, {s: q + 1 for s, q in quotas.items()})
+            return "match_within_quotas", lambda wanted, quotas: real_match(
+                wanted, {s: q + 1 for s, q in quotas.items()}
+            )
         case "one backend too few":
-            return "match", lambda wanted, quotas: real_match(
+            return "match_within_quotas", lambda wanted, quotas: real_match(
                 {h: max(0, n - 1) for h, n in wanted.items()}, quotas
             )
         case "all in one zone":
@@ -126,11 +134,11 @@
                 z: n - (n > 0 and z == max(zones)) for z, n in real_counts(instance, zones, k).items()
             }
         case "an instance that all backends rejected exceeds a quota":
-            return "_place", lambda instance, ranked, assigned, _free_places: assigned[instance].add(
-                next(backend for backend in ranked if backend not in assigned[instance])
-            )
+            return "_assign_unmatched", lambda instance, ranked, assigned, _free_slots: assigned[
+                instance
+            ].add(next(backend for backend in ranked if backend not in assigned[instance]))
         case "an instance that all backends rejected is not placed":
-            return "_place", lambda _instance, _ranked, _assigned, _free_places: None
+            return "_assign_unmatched", lambda _instance, _ranked, _assigned, _free_slots: None
         case "first come, first served":
 
             def first_come(wanted: dict[int, int], quotas: dict[str, int]) -> dict[int, set[str]]:
@@ -141,12 +149,12 @@
                         left[backend] -= 1
                 return found
 
-            return "match", first_come
+            return "match_within_quotas", first_come
     raise AssertionError(name)
 
 
 @pytest.mark.parametrize(
-    "bug",
+    "fault",
     [
         "the first backend is left out",
         "weights differ by process",
@@ -160,8 +168,8 @@
         "first come, first served",
     ],
 )
-def test_a_seeded_fault_violates_an_invariant(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    name, instead = seeded_fault(bug)
+def test_a_seeded_fault_violates_an_invariant(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    name, instead = seeded_fault(fault)
     monkeypatch.setattr(module, name, instead)
     fleets = [
         (set(range(h)), {f"s{i}": "abc"[i % z] for i in range(n)}, k)
