--- a/tests/integration/test_process_signals.py
+++ b/tests/integration/test_process_signals.py
@@ -21,7 +21,7 @@
 from garnetlanding.runtime.stream import parse_address
 from tests.support.daemon import PLATFORM_CONFIG, PLATFORM_SETTINGS
 from tests.support.simulated_instance import DELIVERY_WAIT_MS, SimulatedInstance
-from tests.support.waiting import LONGEST_WAIT_S, poll_until, wait_until
+from tests.support.waiting import MAX_WAIT_S, poll_until, wait_until
 
 ROOT = pathlib.Path(__file__).parents[2]
 PING = codec.command([b"PING"])
@@ -96,7 +96,7 @@
 def connect(address: str) -> socket.socket | None:
     """Return a connection that an instance has answered on, `None` where nobody listens yet."""
     try:
-        sock = socket.create_connection(parse_address(address), LONGEST_WAIT_S)
+        sock = socket.create_connection(parse_address(address), MAX_WAIT_S)
     except ConnectionRefusedError:
         return None
     sock.sendall(PING)
@@ -159,7 +159,7 @@
             lambda: connect_when_ready(address, child).close(),
         )
         child.terminate()
-    assert child.wait(LONGEST_WAIT_S) == 0
+    assert child.wait(MAX_WAIT_S) == 0
     assert (RELOADED in processes.log()) == (number == signal.SIGHUP)
 
 
@@ -180,7 +180,7 @@
 
     wait_until(lambda: b"reload" in processes.log(), "a log line about the reload", ping)
     child.terminate()
-    assert child.wait(LONGEST_WAIT_S) == 0
+    assert child.wait(MAX_WAIT_S) == 0
 
 
 def silent(discovery: Discovery, conn: DiscoveryConnection) -> None:
@@ -277,4 +277,4 @@
         sock.close()
     for child in children:
         child.terminate()
-    assert [child.wait(LONGEST_WAIT_S) for child in children] == [0, 0, 0]
+    assert [child.wait(MAX_WAIT_S) for child in children] == [0, 0, 0]
--- a/tests/support/waiting.py
+++ b/tests/support/waiting.py
@@ -1,7 +1,7 @@
-"""Waiting for what a test can observe, with one bound on real time for all tests.
+"""Waiting for observable conditions, with one timeout in real time for all tests.
 
-A test never waits for a number of looks or for a span of time that a busy machine may need for itself: it
-waits until something observable holds, and only a hang reaches the bound.
+A test never waits for a number of polls or for a fixed time, which a busy machine may exceed: it waits until
+a condition holds, and only a hang reaches the timeout.
 """
 
 from __future__ import annotations
@@ -9,39 +9,39 @@
 import time
 from collections.abc import Callable
 
-LONGEST_WAIT_S = 60.0
-"""How long a test waits for one event; reached only by what would never happen, so it may be generous."""
+MAX_WAIT_S = 60.0
+"""Timeout of the wait for one event; generous, because only an event that never happens reaches it."""
 
 POLL_INTERVAL_S = 0.01
-"""Between two looks at what another process does, where nothing announces the change."""
+"""Interval between polls of another process's state, which is not signalled."""
 
 
-class NeverHappenedError(AssertionError):
-    """What a test waited for did not happen within `LONGEST_WAIT_S`."""
+class WaitTimeoutError(AssertionError):
+    """The event that a test waited for did not happen within `MAX_WAIT_S`."""
 
     def __init__(self, event: str) -> None:
-        super().__init__(f"not within LONGEST_WAIT_S = {LONGEST_WAIT_S:g} s: {event}")
+        super().__init__(f"not within MAX_WAIT_S = {MAX_WAIT_S:g} s: {event}")
         self.event = event
 
 
 class EventDeadline:
-    """The latest time at which one event may happen; `event` names it in the failure."""
+    """The deadline of the wait for one event; `event` describes the event in the error message."""
 
     def __init__(self, event: str) -> None:
         self.event = event
-        self._latest = time.monotonic() + LONGEST_WAIT_S
+        self._expires_at = time.monotonic() + MAX_WAIT_S
 
     @property
     def remaining_s(self) -> float:
-        """Return how long may still be waited; raises `NeverHappenedError` where that is over."""
-        remaining = self._latest - time.monotonic()
+        """The time until the deadline; raises `WaitTimeoutError` once it has passed."""
+        remaining = self._expires_at - time.monotonic()
         if remaining <= 0:
-            raise NeverHappenedError(self.event)
+            raise WaitTimeoutError(self.event)
         return remaining
 
 
 def wait_until(condition: Callable[[], bool], event: str, advance: Callable[[], object]) -> None:
-    """Call `advance` until the condition holds; raises `NeverHappenedError` where it never does."""
+    """Call `advance` until the condition holds; raises `WaitTimeoutError` at the deadline."""
     deadline = EventDeadline(event)
     while not condition():
         assert deadline.remaining_s
@@ -49,7 +49,7 @@
 
 
 def poll_until(condition: Callable[[], bool], event: str) -> None:
-    """Wait for a condition that other processes bring about; raises `NeverHappenedError`."""
+    """Poll until other processes make the condition true; raises `WaitTimeoutError` at the deadline."""
     wait_until(condition, event, _pause)
 
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""How tests wait: for what can be observed, never by sleeping or for a number of event-loop iterations."""
+"""How tests wait: for observable conditions, never by sleeping or by counting event-loop iterations."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from tests.support.source_modules import ROOT
 
 WAITING = Path("tests/support/waiting.py")
-"""The one module that may sleep: between looks at another process, which announces nothing."""
+"""The only module that may sleep, between polls of another process's state."""
 
 
 def calls_of(tree: ast.AST, name: str) -> list[int]:
-    """Return the lines at which a method or function of a module with this name is called."""
+    """Return the lines that call a method, or a function of a module, with this name."""
     return [
         node.lineno
         for node in ast.walk(tree)
@@ -24,7 +24,7 @@
 
 
 def sleeps(tree: ast.AST) -> list[int]:
-    """Return the lines with a sleep on the machine's clock; the scheduler's is one on the test's own."""
+    """Return the lines that sleep in real time; the scheduler's `sleep` uses the test's simulated clock."""
     return [
         node.lineno
         for node in ast.walk(tree)
@@ -34,7 +34,7 @@
 
 
 def counted_iterations(tree: ast.AST) -> list[int]:
-    """Return the lines at which event-loop iterations are run by number, in a `for` or a comprehension."""
+    """Return the lines that run a fixed number of event-loop iterations, in a `for` or a comprehension."""
     counted = (ast.For, ast.GeneratorExp, ast.ListComp)
     return [
         line
@@ -45,22 +45,22 @@
 
 
 def test_no_test_waits_by_sleeping_or_by_a_number_of_iterations() -> None:
-    """How long that lasts is up to the machine; `tests.support.waiting` waits for what can be observed."""
+    """How long either takes depends on the machine; `tests.support.waiting` waits for conditions."""
     trees = {
         path.relative_to(ROOT): ast.parse(path.read_text()) for path in sorted((ROOT / "tests").rglob("*.py"))
     }
     assert sleeps(trees[WAITING])
-    guesses = {
+    violations = {
         str(path): [*sleeps(tree), *counted_iterations(tree)]
         for path, tree in trees.items()
         if path != WAITING
     }
-    assert not {path: lines for path, lines in guesses.items() if lines}
+    assert not {path: lines for path, lines in violations.items() if lines}
 
 
 def test_wait_for_what_never_happens_fails_with_its_name_and_the_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(waiting, "LONGEST_WAIT_S", 0.02)
-    with pytest.raises(waiting.NeverHappenedError, match="LONGEST_WAIT_S = 0.02 s: a reply to nothing"):
+    monkeypatch.setattr(waiting, "MAX_WAIT_S", 0.02)
+    with pytest.raises(waiting.WaitTimeoutError, match="MAX_WAIT_S = 0.02 s: a reply to nothing"):
         waiting.poll_until(lambda: False, "a reply to nothing")
