--- a/tests/core/test_fencing.py
+++ b/tests/core/test_fencing.py
@@ -32,7 +32,7 @@
 
 def test_a_fenced_instance_rejects_what_is_queued_and_finishes_what_is_in_flight() -> None:
     instance = EngineInstance()
-    instance.submit("in flight", cls="write", timeout_us=2 * SECOND)
+    instance.submit("in flight", request_class="write", timeout_us=2 * SECOND)
     instance.list_endpoint("n0", EndpointState.DRAINING)
     instance.submit("queued")
     assert len(instance.transport.in_flight) == 1
@@ -55,7 +55,7 @@
 
 def test_a_fenced_instance_fails_what_may_have_run_and_is_not_safe_to_repeat() -> None:
     instance = EngineInstance()
-    instance.submit("write", cls="write", timeout_us=2 * SECOND)
+    instance.submit("write", request_class="write", timeout_us=2 * SECOND)
     instance.list_endpoint("n0", EndpointState.DRAINING)
     instance.finish_oldest(Outcome.RESET)
     assert not instance.answers, "it is queued for a backend"
--- a/tests/core/test_request_engine.py
+++ b/tests/core/test_request_engine.py
@@ -1,4 +1,4 @@
-"""The request engine alone: its rules under random events, its guards against a faulty decision module."""
+"""The request engine: its invariants under random events and with a defective decision module."""
 
 from __future__ import annotations
 
@@ -41,20 +41,21 @@
     for _ in range(4):
         instance.run(2 * SECOND, 100 * MS)
         instance.finish_oldest(Outcome.RESET)
-    assert instance.answers == {"a": Rejected(SECOND)}, "not delayed until its deadline"
+    assert instance.answers == {"a": Rejected(SECOND)}, "not delayed until the deadline"
     assert [attempt.number for attempt in instance.core.starts] == [0, 1, 2, 3]
 
 
-def start_hedged(instance: EngineInstance, **more: Any) -> None:
-    """Submit a request and let its hedged attempt start beside the first."""
-    instance.submit("a", cls="write", **more)  # its latency objective is later than the hedging delay
+def start_hedged(instance: EngineInstance, **options: Any) -> None:
+    """Submit a request and run until its hedged attempt is in flight too."""
+    # The latency objective of writes is later than the hedging delay.
+    instance.submit("a", request_class="write", **options)
     instance.run(300 * MS)
     assert [attempt.number for attempt in instance.core.starts] == [0, 1]
     assert len(instance.transport.in_flight) == 2
 
 
 def test_of_two_hedged_attempts_the_first_answer_counts_and_the_other_is_dropped() -> None:
-    """Regression: the engine did not dispatch the hedged attempt although the settings allow it."""
+    """Regression: the engine did not dispatch the hedged attempt although the settings allowed it."""
     instance = EngineInstance(make_settings())
     start_hedged(instance)
     first, second = instance.transport.in_flight
@@ -80,7 +81,7 @@
     first.finish(Outcome.SERVED, b"first")
     assert instance.answers == {"a": Served(b"first")}
     assert list(instance.core._requests) == [request], "its other attempt is still in flight"
-    instance.core._requests.answer(request.ticket, Failed("asked for by a defective module"))
+    instance.core._requests.answer(request.ticket, Failed("requested by a defective module"))
     assert instance.answers == {"a": Served(b"first")}
     assert instance.core.metrics.ended == 1
 
@@ -95,12 +96,12 @@
 
 
 @pytest.mark.parametrize(
-    ("config", "allow_hedging"), [(make_settings(parallel_attempts=False), True), (make_settings(), False)]
+    ("settings", "allow_hedging"), [(make_settings(parallel_attempts=False), True), (make_settings(), False)]
 )
 def test_no_hedged_attempt_where_the_settings_or_the_request_forbid_it(
-    config: api.Settings, allow_hedging: bool
+    settings: api.Settings, allow_hedging: bool
 ) -> None:
-    instance = EngineInstance(config)
+    instance = EngineInstance(settings)
     instance.submit("a", allow_hedging=allow_hedging)
     instance.run(800 * MS)
     assert len(instance.transport.in_flight) == 1
@@ -118,11 +119,11 @@
 
 
 def test_replaced_backends_and_unused_volumes_leave_no_state_behind() -> None:
-    """Regression: state grew with every backend that was replaced and with every volume name."""
+    """Regression: state was kept for every replaced backend and every volume name."""
     instance = EngineInstance()
     for i in range(30):
         instance.list_endpoint(f"n{i}", EndpointState.GONE)
-        instance.list_endpoint(f"n{i + 1}", EndpointState.UP, started=instance.time)
+        instance.list_endpoint(f"n{i + 1}", EndpointState.UP, started_us=instance.time)
         instance.submit(f"a{i}", volume=f"v{i}")
         instance.finish_oldest(Outcome.SERVED, b"")
         instance.run(3 * SECOND, SECOND)
@@ -176,8 +177,8 @@
 
 
 def test_after_a_stall_the_decision_module_answers_before_the_engine_does() -> None:
-    """Regression: after a stall the module's timer and both deadlines of the engine have passed, and the
-    engine answered first."""
+    """Regression: after a stall the module's timer and both timers of the engine were due, and the engine
+    answered first."""
     instance = EngineInstance()
     instance.core.update_endpoints(EndpointListing((), {}, True))
     instance.submit("a", timeout_us=100 * MS)
@@ -251,7 +252,7 @@
 def test_under_random_events_every_request_is_answered_once_by_its_deadline(
     steps: list[tuple[str, int, Outcome]],
 ) -> None:
-    """CheckedRequestEngine checks each start; this test checks that every request is answered in time."""
+    """CheckedRequestEngine checks each attempt; this test checks that every request is answered in time."""
     instance = EngineInstance(make_settings(parallel_attempts=False, max_attempts=4, instances=2))
     tickets: dict[str, str] = {}
     due: dict[str, int] = {}
@@ -275,7 +276,7 @@
                 ]
                 instance.list_endpoint(f"n{choice % 2}", state)
             case "restart":
-                instance.list_endpoint("n0", EndpointState.UP, started=instance.time)
+                instance.list_endpoint("n0", EndpointState.UP, started_us=instance.time)
             case "wait":
                 instance.run((choice + 1) * 25 * MS, 25 * MS)
             case "fail":
--- a/tests/support/engine_instance.py
+++ b/tests/support/engine_instance.py
@@ -26,20 +26,20 @@
 
 
 class EngineInstance(SimulatedInstance):
-    """An engine with one listed backend, `n0`, behind a manual transport."""
+    """An engine with one listed backend, `n0`, and a manual transport."""
 
     answers: dict[str, Answer]
 
-    def __init__(self, config: api.Settings | None = None, **limits: int) -> None:
-        super().__init__(config, **limits)
+    def __init__(self, settings: api.Settings | None = None, **limits: int) -> None:
+        super().__init__(settings, **limits)
         self.transport = ManualTransport()
         self.answers = {}
         self.list_endpoint("n0", EndpointState.UP, complete=True)
 
     def list_endpoint(
-        self, backend: str, state: EndpointState, complete: bool = False, started: int = 0
+        self, backend: str, state: EndpointState, complete: bool = False, started_us: int = 0
     ) -> None:
-        entry = api.Endpoint(backend, 0, "z", state, started)
+        entry = api.Endpoint(backend, 0, "z", state, started_us)
         self.core.update_endpoints(EndpointListing((entry,), {backend: "x:1"}, complete, at_start=complete))
         self.settle()
 
@@ -47,14 +47,14 @@
         self,
         name: str,
         timeout_us: int = SECOND,
-        cls: str = "read",
+        request_class: str = "read",
         held_bytes: int = 0,
         volume: str = "v",
         allow_hedging: bool = True,
     ) -> str:
         ticket = self.core.submit(
             RequestSpec(
-                cls,
+                request_class,
                 "gold",
                 volume,
                 "k",
@@ -80,7 +80,7 @@
 
 
 class ScriptedModule:
-    """A decision module that returns the actions which a test has queued, and records all events."""
+    """A decision module that returns the actions that a test has queued, and records all events."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
@@ -94,27 +94,27 @@
 
 
 class ScriptedInstance(EngineInstance):
-    """An engine whose decision module is a script, with one open request."""
+    """An engine with a scripted decision module and one open request."""
 
     def __init__(self, request_class: str = "read", **settings: object) -> None:
-        config = make_settings(**settings)
-        super().__init__(config)
-        self.module = self.core.module = ScriptedModule(config)
-        self.ticket = self.submit("a", cls=request_class)
+        module_settings = make_settings(**settings)
+        super().__init__(module_settings)
+        self.module = self.core.module = ScriptedModule(module_settings)
+        self.ticket = self.submit("a", request_class=request_class)
 
     def perform(self, *actions: api.Action) -> None:
-        """Let the decision module return these actions."""
+        """Make the decision module return these actions."""
         self.module.queued += actions
         self.core.receive_peer_message(1, b"")  # any event makes the engine call the module
         self.settle()
 
     def send(self, deadline_us: int | None = None) -> None:
-        """Let the decision module send an attempt of the request to n0."""
+        """Make the decision module send an attempt of the request to n0."""
         if deadline_us is None:
             self.perform(api.Send(self.ticket, "n0"))
         else:
             self.perform(api.Send(self.ticket, "n0", deadline_us))
 
     def outcomes(self) -> list[Outcome]:
-        """The outcomes of attempts, as reported to the decision module."""
+        """Return the outcomes of attempts that were reported to the decision module."""
         return [event.outcome for event in self.module.events if isinstance(event, api.Result)]
