--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission checks on the instance itself."""
+"""The instance's own admission checks."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     assert capacity.used == 0.8
     assert not capacity.is_exceeded
     capacity.quota = 0.5
-    assert capacity.is_exceeded, "another process of the instance has the rest"
+    assert capacity.is_exceeded, "another process of the instance may use the rest"
     capacity.held_bytes = 0
     assert capacity.used == 0.5
     assert not capacity.is_exceeded
--- a/tests/core/test_body.py
+++ b/tests/core/test_body.py
@@ -1,4 +1,4 @@
-"""A streamed body alone."""
+"""Streamed bodies that end before a sink is attached."""
 
 from __future__ import annotations
 
--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -18,29 +18,26 @@
 BAD = codec.command([b"NO"])
 
 
-DISCONNECT: dict[str, Callable[[Raw], None]] = {
+DISCONNECTS: dict[str, Callable[[Raw], None]] = {
     "fin": Raw.fin,
     "reset": Raw.abort,
     "fin behind bytes": Raw.fin_behind_bytes,
 }
 
 
-# Clients that disconnect
-
-
-@pytest.mark.parametrize("how", DISCONNECT)
+@pytest.mark.parametrize("how", DISCONNECTS)
 @pytest.mark.parametrize(
     "busy_with",
     [b"", BAD, QUIT, b"?\r\n", read_command("half")[:-9]],
     ids=["nothing", "bad-command", "quit", "not-resp", "half-a-command"],
 )
 def test_a_queued_request_whose_client_disconnected_is_not_forwarded(how: str, busy_with: bytes) -> None:
-    """Regression: the connection is not read for 0.2 s after a bad command and never after QUIT, so that the
-    client's FIN went unnoticed."""
+    """Regression: a connection is not read for 0.2 s after a bad command and never after QUIT, so the
+    client's FIN was not detected."""
     instance = Waiting()
     client = Raw(instance, instance.listener.address)
     client.say(read_command(d=1400) + busy_with)
-    DISCONNECT[how](client)
+    DISCONNECTS[how](client)
     instance.run(100 * MS)
     instance.appear()
     instance.run(SECOND, 50 * MS)
@@ -48,7 +45,7 @@
     assert instance.core.open_requests == 0
 
 
-@pytest.mark.parametrize("how", DISCONNECT)
+@pytest.mark.parametrize("how", DISCONNECTS)
 def test_no_retry_starts_for_a_client_that_disconnected_between_attempts(how: str) -> None:
     instance = Waiting()
     instance.appear()
@@ -56,7 +53,7 @@
     client = Raw(instance, instance.listener.address)
     client.say(read_command(d=1400) + BAD)
     assert len(instance.brick.received) == 1
-    DISCONNECT[how](client)
+    DISCONNECTS[how](client)
     instance.run(SECOND)
     assert len(instance.brick.received) == 1
     assert instance.core.open_requests == 0
@@ -78,10 +75,10 @@
 
 def test_clients_that_disconnect_in_the_iteration_in_which_their_backend_appears_are_not_forwarded() -> None:
     instance = Waiting()
-    crowd = [Raw(instance, instance.listener.address) for _ in range(40)]
-    for n, client in enumerate(crowd):
+    clients = [Raw(instance, instance.listener.address) for _ in range(40)]
+    for n, client in enumerate(clients):
         client.say(read_command(f"r{n}", d=1400, volume=f"v{n}") + (BAD if n % 2 else QUIT))
-    for client in crowd:
+    for client in clients:
         client.fin()
     instance.appear()
     instance.run(SECOND)
@@ -90,20 +87,20 @@
     assert len(instance.listener) == 0
 
 
-def take_all(pool: BufferPool) -> None:
-    """Take buffers until the pool raises that it has none left."""
+def exhaust(pool: BufferPool) -> None:
+    """Acquire buffers until the pool raises BufferPoolExhaustedError."""
     while True:
         pool.acquire()
 
 
 def test_without_buffers_a_disconnect_is_noticed_and_pending_responses_are_sent() -> None:
-    """Regression: without a buffer to read into, a connection was closed and its requests got no response."""
+    """Regression: without a buffer to read into, a connection was closed, its requests without responses."""
     instance = Waiting()
     leaving, staying = Raw(instance, instance.listener.address), Raw(instance, instance.listener.address)
     leaving.say(read_command("r1", d=1400))
     staying.say(read_command("r2", d=1400))
     with pytest.raises(BufferPoolExhaustedError):
-        take_all(instance.pool)
+        exhaust(instance.pool)
     leaving.fin()
     instance.settle()
     assert instance.core.open_requests == 1
@@ -113,8 +110,8 @@
 
 
 def test_queued_messages_are_dropped_with_their_client() -> None:
-    """Regression: 9P processes a few messages an iteration and reads nothing meanwhile, so that it went on
-    working for a client that had disconnected."""
+    """Regression: the 9P frontend processes a few messages in each iteration and reads nothing meanwhile, so
+    it went on processing messages of a client that had disconnected."""
     instance = NinepInstance(ninep_requests=64)
     client = NinepClient(instance)
     client.open(1, "sv", "law", "terms")
@@ -139,7 +136,7 @@
 
 
 def test_a_client_that_floods_does_not_starve_others() -> None:
-    """Regression: a client that sent without a pause was read without one, and no other was served."""
+    """Regression: a client that sent without a pause was read without one, and no other client was served."""
     instance = SimulatedInstance(read_bytes_per_iteration=16 << 10)
     front = instance.front()
     flood = Raw(instance, front.address)
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher's own rules, whatever the decision module asks for."""
+"""The dispatcher's invariants, whatever the decision module requests."""
 
 from __future__ import annotations
 
@@ -158,7 +158,7 @@
     first.finish(Outcome.SERVED, b"first")
     second.finish(Outcome.SERVED, body)
     assert instance.answers == {"a": Served(b"first")}
-    assert ends == [False], "its producer stops reading"
+    assert ends == [False], "the producer is notified"
 
 
 @pytest.mark.parametrize("complete", [True, False])
--- a/tests/core/test_fencing.py
+++ b/tests/core/test_fencing.py
@@ -58,7 +58,7 @@
     instance.submit("write", request_class="write", timeout_us=2 * SECOND)
     instance.list_endpoint("n0", EndpointState.DRAINING)
     instance.finish_oldest(Outcome.RESET)
-    assert not instance.answers, "it is queued for a backend"
+    assert not instance.answers, "it is queued until a backend is available"
     instance.core.fence.may_act = lambda _now: False
     instance.run(10 * MS)
     assert instance.answers == {"write": Failed("not current")}
--- a/tests/core/test_request_table.py
+++ b/tests/core/test_request_table.py
@@ -1,4 +1,4 @@
-"""The life cycle of requests: deadlines, and what the decision module is notified of."""
+"""The life cycle of requests: deadlines and notifications of the decision module."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     timer = request.deadline_timer = RecordingTimer()
     instance.finish_oldest(Outcome.SERVED, b"v")
     assert timer.cancelled
-    assert not departures(instance), "the module knows the answer from the result"
+    assert not departures(instance), "the result has notified the module"
 
 
 def test_the_deadline_still_stops_an_attempt_in_flight_after_the_final_answer() -> None:
--- a/tests/core/test_retry_safety.py
+++ b/tests/core/test_retry_safety.py
@@ -1,4 +1,4 @@
-"""When an attempt may repeat a request, and when another instance may."""
+"""When a retry at this instance, or at another one, is safe."""
 
 from __future__ import annotations
 
@@ -60,4 +60,4 @@
     assert may_run_elsewhere(request_with(), class_of(Effect.UNSAFE))
     assert may_run_elsewhere(request_with(*NEVER_RAN), class_of(Effect.UNSAFE))
     assert not may_run_elsewhere(request_with(Outcome.FULL, Outcome.RESET), class_of(Effect.KEYED))
-    assert not may_run_elsewhere(request_with(Outcome.RESET), None), "unknown counts as unsafe"
+    assert not may_run_elsewhere(request_with(Outcome.RESET), None), "an unknown class counts as unsafe"
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -1,4 +1,4 @@
-"""Values too long to be held: passed on as they come, bounded, and cut short so that the client can tell."""
+"""Streaming of long values: bounded buffering, and truncation that the client can detect."""
 
 from __future__ import annotations
 
@@ -29,33 +29,33 @@
 
 
 class StreamingInstance(SimulatedInstance):
-    """One backend behind a front, and a window far smaller than the values."""
+    """An instance with one backend, one listener, and a streaming window far smaller than the values."""
 
     def __init__(self) -> None:
         super().__init__(None, stream_window_bytes=16 * KIB, stream_threshold_bytes=4 * KIB)
         self.backend = self.server(EmulatedBackend)
         self.list(EmulatedEndpoint("b0", self.backend.address, 0))
         self.listener: Listener = self.front()
-        self.most_unsent = 0
+        self.max_unsent_bytes = 0
         self.scheduler.iteration_hooks.append(self._measure_unsent)
 
     def _measure_unsent(self) -> None:
-        """Note the most bytes that wait for one client in this process at the end of an iteration."""
+        """Record the highest number of bytes unsent to one client at the end of any iteration."""
         unsent = [client.stream.unsent_bytes for client in self.listener._clients]
-        self.most_unsent = max(self.most_unsent, *unsent, 0)
+        self.max_unsent_bytes = max(self.max_unsent_bytes, *unsent, 0)
 
     def client_with_response_in_progress(self, value: bytes, bytes_sent: int) -> LoopbackClient:
-        """Return a client whose value is on its way: the backend has sent so many bytes of its response."""
+        """Return a client whose value is being streamed, after `bytes_sent` bytes of the response."""
         client = self.peer(self.listener.address)
         self.backend.scripted_responses = [response(value)[:bytes_sent]]
         client.say(read_command(d=1000))
         return client
 
     def client_that_does_not_read(self) -> LoopbackClient:
-        """Return a client that reads nothing of the value it has asked for.
+        """Return a client that reads nothing of the value that it has requested.
 
-        The kernel's buffers between the two are held small: by itself it lets them grow until all of the
-        value has room in them, and then nobody waits for the client.
+        The kernel's socket buffers are fixed at a small size: otherwise they grow until they hold the whole
+        value, and the listener never has to wait for the client.
         """
         client = self.peer(self.listener.address)
         assert client.stream
@@ -77,13 +77,13 @@
     value: bytes, sizes: list[int]
 ) -> None:
     decoder = codec.Decoder(BufferPool(16, 4, 1000), Limits(stream_threshold_bytes=32))
-    data, got = response(value) + response(b"short"), []
+    data, decoded = response(value) + response(b"short"), []
     for size in [*sizes, len(data)]:
-        got += list(decoder.feed(data[:size]))
+        decoded += list(decoder.feed(data[:size]))
         data = data[size:]
-    assert got[0] == codec.BulkStart(len(value))
-    assert b"".join(p.data for p in got if isinstance(p, codec.BulkChunk)) == value
-    assert got[-2:] == [[codec.BulkStart(len(value)), b"used=50", None], [b"short", b"used=50", None]]
+    assert decoded[0] == codec.BulkStart(len(value))
+    assert b"".join(p.data for p in decoded if isinstance(p, codec.BulkChunk)) == value
+    assert decoded[-2:] == [[codec.BulkStart(len(value)), b"used=50", None], [b"short", b"used=50", None]]
     assert not decoder.has_partial_message
 
 
@@ -94,8 +94,8 @@
     client = instance.client_with_response_in_progress(value, 30_000)
     assert client.got.startswith(b"$65536\r\n")
     assert 20_000 < len(client.got) < 30_000
-    assert len(instance.core.finals[0]) == 1, "answered, and open to its last byte"
-    assert instance.core.open_requests == 1, "answered, and open to its last byte"
+    assert len(instance.core.finals[0]) == 1, "answered, and open until its last byte"
+    assert instance.core.open_requests == 1, "answered, and open until its last byte"
     assert [a.outcome for a in instance.core.starts] == [api.Outcome.SERVED]
     [conn] = instance.backend.connections
     conn.write(response(value)[30_000:])
@@ -103,8 +103,8 @@
     assert client.got == codec.bulk(value)
     assert instance.core.open_requests == 0
     assert instance.core.metrics.success["read"] == 1
-    assert client.say(read_command("r2")) == b"$0\r\n\r\n", "both are used again"
-    assert len(instance.backend.connections) == 1, "both are used again"
+    assert client.say(read_command("r2")) == b"$0\r\n\r\n", "both connections are reused"
+    assert len(instance.backend.connections) == 1, "both connections are reused"
 
 
 def test_the_result_reports_the_time_to_the_first_byte_not_to_the_last(instance: StreamingInstance) -> None:
@@ -156,7 +156,7 @@
     stalled = instance.client_that_does_not_read()
     assert instance.accepted_end(
         instance.listener, stalled
-    ).stream.unsent_bytes, "the client alone holds it up"
+    ).stream.unsent_bytes, "only the client delays the value"
     others = [LoopbackClient(instance, instance.listener.address, settle=False) for _ in range(8)]
     instance.settle()
     for i, other in enumerate(others):
@@ -164,12 +164,12 @@
         other.stream.write(read_command(f"s{i}", d=1400))
     instance.run_until(lambda: all(len(o.got) > 4 * MIB for o in others), "the values of eight other clients")
     assert (
-        instance.most_unsent <= instance.limits.stream_window_bytes + 2 * instance.pool.buffer_bytes
-    ), "what one client may leave unread"
+        instance.max_unsent_bytes <= instance.limits.stream_window_bytes + 2 * instance.pool.buffer_bytes
+    ), "one client's unsent bytes are bounded"
     assert len(stalled.got) < 4 * MIB
     assert not stalled.closed
     instance.run(instance.limits.write_stall_us + SECOND, step_us=100 * MS)
-    assert len(instance.listener) == len(others), "and for so long"
+    assert len(instance.listener) == len(others), "the stalled client is closed after the stall limit"
 
 
 def test_a_client_that_disconnects_ends_the_backends_stream(instance: StreamingInstance) -> None:
@@ -209,13 +209,13 @@
 
 
 def test_a_body_ends_once_and_later_calls_are_ignored() -> None:
-    told: list[bool] = []
+    ends: list[bool] = []
     body = Body(4)
-    body.on_end.append(told.append)
+    body.on_end.append(ends.append)
     body.feed(b"ab")
-    assert body.is_blocked, "nobody takes it yet"
+    assert body.is_blocked, "it has no sink yet"
     body.end(complete=False)
     body.end(complete=True)
     body.feed(b"cd")
-    assert told == [False]
+    assert ends == [False]
     assert not body.is_blocked
