--- a/tests/discovery/test_listing.py
+++ b/tests/discovery/test_listing.py
@@ -1,4 +1,4 @@
-"""Parsing and validation of the endpoint list."""
+"""Parsing and validation of endpoint lists."""
 
 from __future__ import annotations
 
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""Watches and polls of discovery that end, are unresponsive or are delayed."""
+"""Watches and polls of discovery that end, get no response or are delayed."""
 
 from __future__ import annotations
 
@@ -17,6 +17,8 @@
 
 
 class WatchedDiscovery(SimulatedInstance):
+    """A watch whose deliveries and failures are recorded in `received`."""
+
     def __init__(self, pushed: bool = False) -> None:
         super().__init__()
         self.pushed = pushed
@@ -39,7 +41,7 @@
         self.settle()
 
     def persist(self, data: dict[str, Any]) -> None:
-        """Do nothing: these tests restart no instance."""
+        """Do nothing: no test here restarts an instance."""
 
     def failed(self, failure: api.EndpointListFailure) -> None:
         self.received.append("failed" if failure.kind is api.FailureKind.ERROR else "overloaded")
@@ -133,7 +135,7 @@
 
 
 def test_an_exception_in_a_callback_is_reported_as_a_failed_watch(monkeypatch: pytest.MonkeyPatch) -> None:
-    """If it were not reported, discovery would not be called again, and drains would be missed."""
+    """Without a report, discovery would not be called again, and drains would be missed."""
     instance = WatchedDiscovery()
     monkeypatch.setattr(instance, "persist", lambda _data: 1 / 0)
     instance.discovery.publish(EmulatedEndpoint("b0", "127.0.0.1:9", 0, "DRAINING"))
@@ -142,8 +144,8 @@
 
 
 def test_a_call_waits_in_the_queue_of_an_overloaded_discovery(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Discovery queues calls and rejects them after 2 s. Forty instances that gave up after 1.5 s and called
-    again lost their place in the queue each time, while their old calls still occupied it."""
+    """Discovery queues calls and rejects them after 2 s. Forty instances that timed out after 1.5 s and
+    called again lost their positions in the queue each time, while their old calls still occupied it."""
     instance = WatchedDiscovery()
     answer = Discovery.answer
     monkeypatch.setattr(Discovery, "answer", lambda _self, _conn: None)
@@ -155,7 +157,9 @@
     assert isinstance(latest, DiscoveryConnection)
     answer(instance.discovery, latest)
     instance.settle()
-    assert instance.received[-1] == "overloaded", "it was queued in vain: the next call has to wait longer"
+    assert (
+        instance.received[-1] == "overloaded"
+    ), "it was queued before it was rejected: the next call has to wait longer"
     monkeypatch.undo()
     instance.watch.subscribe()
     instance.settle()
@@ -171,7 +175,7 @@
 
 
 def test_a_pushed_list_is_followed_without_a_request_and_again_after_its_watch_ends() -> None:
-    """Regression: the core does not poll pushed lists, so nothing followed them and drains were missed."""
+    """Regression: the core does not poll pushed lists, so they were not followed and drains were missed."""
     instance = WatchedDiscovery(pushed=True)
     assert instance.received == ["b0:up"]
     instance.watch.keep_open()  # new settings with the same mode: the watch stays open
@@ -212,8 +216,8 @@
     assert instance.received[-1] == "b0:up"
 
 
-class UnresponsiveAnswer:
-    """Responses that leave an instance without a list although the connection stays open."""
+class IncompleteResponse:
+    """Responses that contain no complete list, on a connection that stays open."""
 
     @staticmethod
     def nothing(discovery: Discovery, conn: DiscoveryConnection) -> None:
@@ -225,42 +229,44 @@
 
     @staticmethod
     def partial_line(discovery: Discovery, conn: DiscoveryConnection) -> None:
-        UnresponsiveAnswer.headers_only(discovery, conn)
+        IncompleteResponse.headers_only(discovery, conn)
         conn.write(b'9\r\n{"genera\r\n')
 
 
 @pytest.mark.parametrize(
-    "way",
-    [UnresponsiveAnswer.nothing, UnresponsiveAnswer.headers_only, UnresponsiveAnswer.partial_line],
+    "respond",
+    [IncompleteResponse.nothing, IncompleteResponse.headers_only, IncompleteResponse.partial_line],
     ids=["nothing", "headers-only", "partial-line"],
 )
-@pytest.mark.parametrize("drips", [False, True], ids=["silent", "dripping"])
+@pytest.mark.parametrize("sends_bytes", [False, True], ids=["silent", "dripping"])
 def test_after_an_unresponsive_call_the_next_list_is_there_within_6_s(
-    way: Callable[[Discovery, DiscoveryConnection], None], drips: bool, monkeypatch: pytest.MonkeyPatch
+    respond: Callable[[Discovery, DiscoveryConnection], None],
+    sends_bytes: bool,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Regression: a hanging call timed out after 6 s only, and never after headers alone or with a line that
-    was sent byte by byte: a drain was received 2.4 s too late (close range, first site, seed 35)."""
+    """Regression: a call without a response timed out only after 6 s, and never after headers alone or while
+    a line was sent byte by byte: a drain was received 2.4 s too late (close range, first site, seed 35)."""
     instance = PollingInstance()
     instance.run(SECOND)
     answer = Discovery.answer
-    monkeypatch.setattr(Discovery, "answer", way)
+    monkeypatch.setattr(Discovery, "answer", respond)
     instance.watch.subscribe()
     instance.settle()
     monkeypatch.setattr(Discovery, "answer", answer)
     silent_from = instance.time
     instance.discovery.endpoints[0].state = "DRAINING"
     while instance.core.endpoints.address_of("b0"):
-        if drips and instance.discovery.connections and len(instance.discovery.calls) == 2:
+        if sends_bytes and instance.discovery.connections and len(instance.discovery.calls) == 2:
             instance.discovery.connections[-1].write(b"1\r\n \r\n")
         instance.run(50 * MS)
         assert (
             instance.time <= silent_from + 5 * SECOND
-        ), "the rest of the 6 s is left to discovery's response"
+        ), "the rest of the 6 s is reserved for discovery's response"
 
 
 def test_a_call_superseded_while_it_connects_delivers_nothing() -> None:
     """Regression: a connection to the old discovery was established after the reload to another one, and the
-    old one's list was taken for the new one's."""
+    list of the old one was accepted as if it came from the new one."""
     instance = WatchedDiscovery()
     other = instance.server(Discovery)
     other.version, other.endpoints = 9, [EmulatedEndpoint("b7", "127.0.0.1:9", 7)]
@@ -280,7 +286,7 @@
 
 def test_a_list_received_during_a_stall_is_read_and_the_watch_does_not_fail() -> None:
     """Regression: after a stall the deadline had passed and received bytes were not read, so that a working
-    watch was abandoned and called again."""
+    watch was closed and discovery was called again."""
     instance = WatchedDiscovery()
     instance.discovery.endpoints[0].state = "DRAINING"
     instance.run(2 * SECOND, step_us=100 * MS)
@@ -298,17 +304,19 @@
 def test_the_backoff_before_a_call_leaves_it_time_for_any_number_of_instances(
     instances: int, missed_updates_for_us: int
 ) -> None:
-    """Regression: the backoff grew with the number of instances, to 6 s for 3 and to 50 s for 200."""
+    """Regression: the backoff grew with the number of instances: 6 s for 3, and 50 s for 200."""
     bench = DecisionBench(make_settings(instances=instances, poll_endpoints=True), [up_endpoint("n0", 0)])
-    pauses = []
+    backoffs = []
     for _ in range(60):
         bench.deliver(api.EndpointListFailure(missed_updates_for_us=missed_updates_for_us))
         began, calls = bench.now, len([a for _, a in bench.timeline if isinstance(a, api.Subscribe)])
         while len([a for _, a in bench.timeline if isinstance(a, api.Subscribe)]) == calls:
             bench.advance(10 * MS)
-        pauses.append(bench.now - began)
-    assert missed_updates_for_us + max(pauses) <= 4400 * MS, "the rest of the 6 s is left to the response"
-    assert max(pauses) > 3 * min(pauses), "the calls of many instances are spread"
+        backoffs.append(bench.now - began)
+    assert (
+        missed_updates_for_us + max(backoffs) <= 4400 * MS
+    ), "the rest of the 6 s is reserved for the response"
+    assert max(backoffs) > 3 * min(backoffs), "the calls of many instances are spread over time"
 
 
 def test_another_discovery_is_asked_for_its_complete_list() -> None:
@@ -316,4 +324,4 @@
     other = instance.server(Discovery)
     instance.watch.switch_to(other.address)
     instance.settle()
-    assert other.calls == ["/v1/servers?follow=1&since=0"], "versions of the old one mean nothing to it"
+    assert other.calls == ["/v1/servers?follow=1&since=0"], "versions of the old service are unrelated"
--- a/tests/discovery/test_watch_state.py
+++ b/tests/discovery/test_watch_state.py
@@ -1,4 +1,4 @@
-"""The states of a watch, without I/O."""
+"""The state machine of a watch."""
 
 from __future__ import annotations
 
