--- a/garnetlanding/choices/subsets.py
+++ b/garnetlanding/choices/subsets.py
@@ -112,7 +112,7 @@
 
     Another instance is reassigned from one of these to a backend with a free slot, to which `instance` is
     already assigned, and `instance` gets the slot that this frees. If no instance can be reassigned, it is
-    assigned the backend with its highest weight, beyond the quota.
+    assigned the one of them with the highest weight, beyond the quota.
     """
     unassigned = [backend for backend in ranked if backend not in assigned[instance]]
     for free in sorted(backend for backend, slots in free_slots.items() if slots > 0):
--- a/garnetlanding/core/__init__.py
+++ b/garnetlanding/core/__init__.py
@@ -1,4 +1,4 @@
 """The request engine: tracks requests and their attempts and carries out the decision module's actions.
 
-It knows no protocol, and does no I/O.
+It is independent of protocols, and does no I/O.
 """
