--- a/tests/core/test_fencing.py
+++ b/tests/core/test_fencing.py
@@ -1,4 +1,4 @@
-"""Fencing: what an instance does with its requests while it cannot prove that it is current."""
+"""Fencing: what an instance does with its requests while it cannot prove that its state is current."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 def test_without_a_check_the_fence_never_changes() -> None:
     fence = Fence()
-    assert not fence.has_changed(0)
+    assert not fence.update(0)
     assert not fence.is_fenced
 
 
@@ -23,7 +23,7 @@
     fence.on_change.append(states.append)
     changes = []
     for now in current:
-        changes.append(fence.has_changed(now))
+        changes.append(fence.update(now))
         if changes[-1]:
             fence.notify()
     assert changes == [False, True, False, True]
@@ -32,7 +32,7 @@
 
 def test_a_fenced_instance_rejects_what_is_queued_and_finishes_what_is_in_flight() -> None:
     instance = EngineInstance()
-    instance.submit("in flight", cls="write", timeout_us=2 * SECOND)
+    instance.submit("in flight", request_class="write", timeout_us=2 * SECOND)
     instance.list_endpoint("n0", EndpointState.DRAINING)
     instance.submit("queued")
     assert len(instance.transport.in_flight) == 1
@@ -55,10 +55,10 @@
 
 def test_a_fenced_instance_fails_what_may_have_run_and_is_not_safe_to_repeat() -> None:
     instance = EngineInstance()
-    instance.submit("write", cls="write", timeout_us=2 * SECOND)
+    instance.submit("write", request_class="write", timeout_us=2 * SECOND)
     instance.list_endpoint("n0", EndpointState.DRAINING)
     instance.finish_oldest(Outcome.RESET)
-    assert not instance.answers, "it is queued for a backend"
+    assert not instance.answers, "it is queued until a backend is available"
     instance.core.fence.may_act = lambda _now: False
     instance.run(10 * MS)
     assert instance.answers == {"write": Failed("not current")}
--- a/tests/resp/test_front.py
+++ b/tests/resp/test_front.py
@@ -196,9 +196,9 @@
     ]
     request = parse_request(arguments, LIMITS)
     assert (request.cell, request.timeout_us, request.is_write) == (None, 480 * MS, True)
-    [sent] = codec.Decoder(pool(), LIMITS).feed(request.work.encode(123_456))
+    [sent] = codec.Decoder(pool(), LIMITS).feed(request.operation.encode(123_456))
     assert sent == [*arguments[:3], arguments[3].replace(b"d=480", b"d=123"), b"BODY"]
-    assert b"d=1," in request.work.encode(-5)
+    assert b"d=1," in request.operation.encode(-5)
     with pytest.raises(InvalidCommandError):
         parse_request([*arguments[:3], b"c=\xff", b""], LIMITS)
 
--- a/tests/resp/test_front_model.py
+++ b/tests/resp/test_front_model.py
@@ -57,7 +57,7 @@
     def answer(self, data: st.DataObject, answer: Answer) -> None:
         self.feed_rest()
         request, on_answer = self.engine.items.pop(data.draw(st.sampled_from(sorted(self.engine.items))))
-        name = request.work.request_id.decode()
+        name = request.operation.request_id.decode()
         on_answer(answer)
         index = [command for command, _ in self.expected].index(name)
         reply = encode_answer(answer)
