--- a/tests/golden/test_decision_digest.py
+++ b/tests/golden/test_decision_digest.py
@@ -1,11 +1,11 @@
-"""The decision module answers the same events with the same actions, byte for byte.
+"""Golden test: the decision module returns the same actions for the same events.
 
-Each scenario writes down every batch of events that a Controller is given and every list of actions that it
-returns, field by field (texts of log lines are left out), and compares the sha256 of all of it with the one
-in tests/golden/decisions.json. Two kinds of scenarios make the events: the emulated fleet, with up to 30
-instances, and a pseudo-random script that gives one Controller every kind of event.
+Each scenario records every batch of events passed to a Controller and every list of actions that it returns,
+field by field (without the texts of log lines), and compares the SHA-256 digest of the record with the one in
+tests/golden/decisions.json. The events come from the emulated fleet, with up to 30 instances, or from a
+pseudo-random script that passes every kind of event to one Controller.
 
-A change that is meant to change decisions writes the digests anew, and its commit says so:
+A commit that changes decisions on purpose updates the digests and says so:
 
     GOLDEN_WRITE=1 python -m pytest tests/golden/test_decision_digest.py
 """
@@ -34,113 +34,129 @@
 GOLDEN = Path(__file__).parent / "decisions.json"
 
 
-# What is written down
+# The recorded text
 
 
-def pairs_text(pairs: dict[str, float] | dict[str, int]) -> str:
-    return "{" + " ".join(f"{name}={value!r}" for name, value in sorted(pairs.items())) + "}"
+def format_mapping(mapping: dict[str, float] | dict[str, int]) -> str:
+    return "{" + " ".join(f"{name}={value!r}" for name, value in sorted(mapping.items())) + "}"
 
 
-def entry_text(e: api.Endpoint) -> str:
-    return f"({e.backend} {e.cell} {e.zone} {e.state.value} {e.started_us} {e.size!r} {e.admin_disabled})"
+def format_endpoint(endpoint: api.Endpoint) -> str:
+    return (
+        f"({endpoint.backend} {endpoint.cell} {endpoint.zone} {endpoint.state.value} {endpoint.started_us} "
+        f"{endpoint.size!r} {endpoint.admin_disabled})"
+    )
 
 
-def settings_text(s: api.Settings) -> str:
-    """Of the settings, what the scenarios change while a Controller runs, and what tells them apart."""
-    classes = " ".join(
-        f"({c.name} {c.priority_weight!r} {c.late_value_fraction!r} {c.latency_objective_us} "
-        f"{c.deadline_us} {c.effect.value} {c.deduplication_scope.value} "
-        f"{c.deduplication_window_us} {c.in_order})"
-        for c in s.classes.values()
+def format_class(spec: api.ClassSpec) -> str:
+    return (
+        f"({spec.name} {spec.priority_weight!r} {spec.late_value_fraction!r} {spec.latency_objective_us} "
+        f"{spec.deadline_us} {spec.effect.value} {spec.deduplication_scope.value} "
+        f"{spec.deduplication_window_us} {spec.in_order})"
     )
-    plans = " ".join(
-        f"({p.name} {p.weight!r} {p.usual_rate!r} {p.reserve_rate!r} {p.limit_rate!r} {p.limit_burst!r} "
-        f"{p.price!r})"
-        for p in s.plans.values()
+
+
+def format_plan(plan: api.PlanSpec) -> str:
+    return (
+        f"({plan.name} {plan.weight!r} {plan.usual_rate!r} {plan.reserve_rate!r} {plan.limit_rate!r} "
+        f"{plan.limit_burst!r} {plan.price!r})"
     )
-    tries = f"{s.max_attempts} {s.parallel_attempts}"
-    return f"{s.instances} {s.instance_id} {tries} {s.process_quota!r} {classes} {plans}"
 
 
-def event_text(event: api.Event) -> str:  # noqa: C901 - one case an event, and no other branch
+def format_settings(settings: api.Settings) -> str:
+    """Format the settings that scenarios change while a Controller runs, or that differ between scenarios."""
+    classes = " ".join(format_class(spec) for spec in settings.classes.values())
+    plans = " ".join(format_plan(plan) for plan in settings.plans.values())
+    attempts = f"{settings.max_attempts} {settings.parallel_attempts}"
+    return (
+        f"{settings.instances} {settings.instance_id} {attempts} {settings.process_quota!r} {classes} {plans}"
+    )
+
+
+def format_event(event: api.Event) -> str:  # noqa: C901 - one case per kind of event
     match event:
         case api.NewSettings(settings):
-            return f"settings {settings_text(settings)}"
-        case api.EndpointListUpdate() as e:
-            entries = " ".join(entry_text(entry) for entry in e.entries)
-            return f"list {e.complete} False False 0 {e.at_start} {entries}"
+            return f"settings {format_settings(settings)}"
+        case api.EndpointListUpdate() as update:
+            entries = " ".join(format_endpoint(entry) for entry in update.entries)
+            return f"list {update.complete} False False 0 {update.at_start} {entries}"
         case api.EndpointListFailure(kind, missed_for_us):
             return f"list False True {kind is api.FailureKind.OVERLOADED} {missed_for_us} False "
-        case api.Arrival() as e:
-            cell = -1 if e.cell is None else e.cell
+        case api.Arrival() as arrival:
+            cell = -1 if arrival.cell is None else arrival.cell
             return (
-                f"arrival {e.request} {e.request_class} {e.plan} {e.volume} {e.key or '-'} {e.units!r} "
-                f"{cell} {e.deadline_us} {e.serving_instances} {e.is_retry} {e.is_write}"
+                f"arrival {arrival.request} {arrival.request_class} {arrival.plan} {arrival.volume} "
+                f"{arrival.key or '-'} {arrival.units!r} {cell} {arrival.deadline_us} "
+                f"{arrival.serving_instances} {arrival.is_retry} {arrival.is_write}"
             )
         case api.StreamStarted(request, attempt):
             return f"stream {request} {attempt}"
-        case api.Result() as e:
-            usage = 0 if e.usage_percent is None else e.usage_percent + 1
+        case api.Result() as result:
+            usage = 0 if result.usage_percent is None else result.usage_percent + 1
             return (
-                f"result {e.request} {e.attempt} {e.backend or '-'} {e.outcome.value} {e.duration_us} "
-                f"{e.answered} {usage} {pairs_text(e.load_report)}"
+                f"result {result.request} {result.attempt} {result.backend or '-'} {result.outcome.value} "
+                f"{result.duration_us} {result.answered} {usage} {format_mapping(result.load_report)}"
             )
         case api.ClientLeft(request):
             return f"left {request}"
         case api.TimerFired(token):
             return f"woke {token}"
-        case api.HealthCheckResult() as e:
-            return f"probed {e.backend} {e.outcome.value} {e.duration_us} {pairs_text(e.load_report)}"
+        case api.HealthCheckResult() as check:
+            return (
+                f"probed {check.backend} {check.outcome.value} {check.duration_us} "
+                f"{format_mapping(check.load_report)}"
+            )
         case api.PeerMessage(sender, payload):
             return f"peer {sender} {payload.hex()}"
-        case api.QuotaUpdate(parts, shares):
-            return f"parts {pairs_text(parts)} {'-' if shares is None else pairs_text(shares)}"
-        case api.PeerSuspicions(suspected):
-            return f"hearsay {pairs_text(suspected)}"
-    raise AssertionError(f"an event of an unknown kind: {event!r}")
+        case api.QuotaUpdate(volume_quotas, budget_quotas):
+            budgets = "-" if budget_quotas is None else format_mapping(budget_quotas)
+            return f"parts {format_mapping(volume_quotas)} {budgets}"
+        case api.PeerSuspicions(suspected_until):
+            return f"hearsay {format_mapping(suspected_until)}"
+    raise AssertionError(f"event of an unknown kind: {event!r}")
 
 
-def action_text(action: api.Action) -> str:
+def format_action(action: api.Action) -> str:
     line: str = wire.write_actions([action])[0]
     return "log" if isinstance(action, api.Log) else line
 
 
 @dataclass
-class Record:
-    """The digest of all that was written down, and how much of each kind that was."""
+class DecisionRecord:
+    """The digest of all recorded lines, and the number of lines of each kind."""
 
     digest: Any = field(default_factory=hashlib.sha256)
-    seen: dict[str, int] = field(default_factory=dict)
+    line_counts: dict[str, int] = field(default_factory=dict)
 
     def write(self, mark: str, text: str) -> None:
         self.digest.update(f"{mark} {text}\n".encode())
         kind = mark + text.partition(" ")[0]
-        self.seen[kind] = self.seen.get(kind, 0) + 1
+        self.line_counts[kind] = self.line_counts.get(kind, 0) + 1
 
     def result(self) -> dict[str, object]:
-        return {"sha256": self.digest.hexdigest(), "seen": dict(sorted(self.seen.items()))}
+        return {"sha256": self.digest.hexdigest(), "seen": dict(sorted(self.line_counts.items()))}
 
 
-class Recorded:
-    """A Controller whose every call is written down."""
+class RecordedController:
+    """A Controller whose calls are all recorded."""
 
-    def __init__(self, record: Record, settings: api.Settings, seed: int) -> None:
+    def __init__(self, record: DecisionRecord, settings: api.Settings, seed: int) -> None:
         self.record, self.name = record, f"{settings.instance_id}/{seed}"
         self.controller = Controller(settings, seed)
-        record.write("=", f"start {self.name} {settings_text(settings)}")
+        record.write("=", f"start {self.name} {format_settings(settings)}")
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         self.record.write("@", f"call {self.name} {now}")
         for event in events:
-            self.record.write("<", event_text(event))
+            self.record.write("<", format_event(event))
         actions = self.controller.handle(now, events)
         for action in actions:
-            self.record.write(">", action_text(action))
+            self.record.write(">", format_action(action))
         return actions
 
 
-def check(name: str, record: Record) -> None:
-    """Compares with the committed digest; what was seen is compared first, since it says more."""
+def assert_matches_golden(name: str, record: DecisionRecord) -> None:
+    """Compare a record with the committed one; the line counts come first, since they tell more."""
     golden = json.loads(GOLDEN.read_text()) if GOLDEN.exists() else {}
     result = record.result()
     if os.environ.get("GOLDEN_WRITE") == "1":
@@ -153,15 +169,14 @@
 
 # The emulated fleet
 
-Change = Callable[[api.Settings], api.Settings]
+SettingsChange = Callable[[api.Settings], api.Settings]
 
 
-def as_it_is(settings: api.Settings) -> api.Settings:
+def unchanged(settings: api.Settings) -> api.Settings:
     return settings
 
 
-def limited(settings: api.Settings) -> api.Settings:
-    """One plan with a limit, and a budget of further attempts."""
+def with_limit_and_retry_budget(settings: api.Settings) -> api.Settings:
     plan = replace(settings.plans["priority"], limit_rate=2.5, limit_burst=14.0)
     plans = settings.plans | {"priority": plan}
     return replace(
@@ -173,8 +188,8 @@
     )
 
 
-def keyed(settings: api.Settings) -> api.Settings:
-    """Writes that nodes of one cell know again for a while; failures tell clients how long to hold off."""
+def with_keyed_writes(settings: api.Settings) -> api.Settings:
+    """Make writes idempotent by key, with deduplication in the backends of a cell for a limited time."""
     write = replace(
         settings.classes["write"],
         effect=api.Effect.KEYED,
@@ -184,11 +199,11 @@
     return replace(settings, classes=settings.classes | {"write": write})
 
 
-def parallel(settings: api.Settings) -> api.Settings:
+def with_parallel_attempts(settings: api.Settings) -> api.Settings:
     return replace(settings, parallel_attempts=True)
 
 
-PUSHED: dict[str, Any] = dict(
+PUSHED_LIST_OPTIONS: dict[str, Any] = dict(
     pushed_lists=True,
     warmup_initial_fraction=0.15,
     overload_multiple=2.0,
@@ -196,40 +211,52 @@
     service_rate=40.0,
 )
 
-FLEETS: dict[str, tuple[str, int, Change, dict[str, Any]]] = {
-    "calm": ("zone", 3, as_it_is, dict(affected_share=0.0, backends=10)),
-    "restart-with-cold-nodes": ("zone", 30, as_it_is, dict(backends=12)),
-    "heads-killed": ("herd", 20, as_it_is, dict(backends=12)),
-    "discovery-outage": ("join", 12, keyed, dict(backends=12, discovery_outage_us=6 * SECOND)),
-    "lists-pushed-late": ("zone", 5, limited, dict(backends=10, affected_share=0.5, **PUSHED)),
+FLEET_SCENARIOS: dict[str, tuple[str, int, SettingsChange, dict[str, Any]]] = {
+    "calm": ("zone", 3, unchanged, dict(affected_share=0.0, backends=10)),
+    "restart-with-cold-nodes": ("zone", 30, unchanged, dict(backends=12)),
+    "heads-killed": ("herd", 20, unchanged, dict(backends=12)),
+    "discovery-outage": ("join", 12, with_keyed_writes, dict(backends=12, discovery_outage_us=6 * SECOND)),
+    "lists-pushed-late": (
+        "zone",
+        5,
+        with_limit_and_retry_budget,
+        dict(backends=10, affected_share=0.5, **PUSHED_LIST_OPTIONS),
+    ),
     "answers-lost": (
         "zone",
         8,
-        parallel,
+        with_parallel_attempts,
         dict(backends=12, affected_share=0.0, unresponsive_share=0.25, load=1.2),
     ),
     "one-head-of-quick-bricks": (
         "zone",
         1,
-        as_it_is,
+        unchanged,
         dict(backends=3, service_rate=150.0, load=20.0, length_us=10 * SECOND),
     ),
-    "overload-refusals": ("join", 6, limited, dict(backends=10, load=2.5, queue_limit=6, connection_limit=4)),
+    "overload-refusals": (
+        "join",
+        6,
+        with_limit_and_retry_budget,
+        dict(backends=10, load=2.5, queue_limit=6, connection_limit=4),
+    ),
 }
 
 
-@pytest.mark.parametrize("name", FLEETS)
-def test_a_fleet_is_told_the_same(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    kind, heads, change, day = FLEETS[name]
-    record = Record()
-    monkeypatch.setattr(fleet, "Controller", lambda settings, seed: Recorded(record, change(settings), seed))
-    tally = fleet.play(kind, heads, seed=7, **day)
+@pytest.mark.parametrize("name", FLEET_SCENARIOS)
+def test_decisions_of_a_fleet_match_the_recorded_digest(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    kind, instances, change, options = FLEET_SCENARIOS[name]
+    record = DecisionRecord()
+    monkeypatch.setattr(
+        fleet, "Controller", lambda settings, seed: RecordedController(record, change(settings), seed)
+    )
+    tally = fleet.play(kind, instances, seed=7, **options)
     values = f"{tally.requested_value!r} {tally.earned_value!r}"
     record.write("=", f"tally {values} {tally.list_calls} {tally.list_calls_failed}")
-    check("fleet-" + name, record)
+    assert_matches_golden("fleet-" + name, record)
 
 
-# One Controller and a world that does everything to it
+# One Controller, and a script that passes it every kind of event
 
 CLASSES = (
     api.ClassSpec("read", 2.0, 0.1, 300 * MS, 1500 * MS, api.Effect.SAFE),
@@ -251,12 +278,12 @@
     api.PlanSpec("tin", 1.0, 2.0, 1.0),
     api.PlanSpec("capped", 1.0, 4.0, 2.0, limit_rate=6.0, limit_burst=24.0),
 )
-BASE = api.Settings(
+BASE_SETTINGS = api.Settings(
     instances=3,
     instance_id=1,
     tick_us=2 * MS,
-    classes={c.name: c for c in CLASSES},
-    plans={p.name: p for p in PLANS},
+    classes={spec.name: spec for spec in CLASSES},
+    plans={plan.name: plan for plan in PLANS},
     poll_endpoints=True,
     max_attempts=4,
     parallel_attempts=True,
@@ -278,12 +305,15 @@
     max_units=6.0,
 )
 SCRIPTS: dict[str, tuple[int, api.Settings]] = {
-    "parallel": (1, BASE),
-    "one-at-a-time": (2, replace(BASE, parallel_attempts=False, may_cancel=False, honors_retry_after=False)),
+    "parallel": (1, BASE_SETTINGS),
+    "one-at-a-time": (
+        2,
+        replace(BASE_SETTINGS, parallel_attempts=False, may_cancel=False, honors_retry_after=False),
+    ),
     "one-of-many": (
         3,
         replace(
-            BASE,
+            BASE_SETTINGS,
             instances=30,
             instance_id=17,
             poll_endpoints=False,
@@ -293,265 +323,285 @@
     ),
 }
 CELLS = 5
-USUAL = (api.Outcome.SERVED,) * 12 + (
+MIXED_OUTCOMES = (api.Outcome.SERVED,) * 12 + (
     api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.RESET, api.Outcome.UNREACHABLE,
     api.Outcome.NEVER_DISPATCHED,
 )  # fmt: skip
-MOODS: dict[str, tuple[tuple[api.Outcome, ...], tuple[int, int]]] = {  # outcomes and what they take
-    "well": (USUAL, (5 * MS, 90 * MS)),
-    "quick": ((api.Outcome.SERVED,), (2 * MS, 20 * MS)),
-    "slow": (USUAL, (100 * MS, 900 * MS)),
+BACKEND_BEHAVIORS: dict[str, tuple[tuple[api.Outcome, ...], tuple[int, int]]] = {  # outcomes, durations
+    "normal": (MIXED_OUTCOMES, (5 * MS, 90 * MS)),
+    "fast": ((api.Outcome.SERVED,), (2 * MS, 20 * MS)),
+    "slow": (MIXED_OUTCOMES, (100 * MS, 900 * MS)),
     "full": ((api.Outcome.FULL,), (1 * MS, 10 * MS)),
-    "away": ((api.Outcome.UNREACHABLE,), (1 * MS, 50 * MS)),
-    "silent": ((api.Outcome.TIMEOUT,), (3 * SECOND, 5 * SECOND)),
+    "unreachable": ((api.Outcome.UNREACHABLE,), (1 * MS, 50 * MS)),
+    "unresponsive": ((api.Outcome.TIMEOUT,), (3 * SECOND, 5 * SECOND)),
 }
 
 
 @dataclass
-class Asked:
-    """One request as the world sees it."""
+class ScriptedRequest:
+    """One request as the script sees it."""
 
-    told: api.Arrival
-    sent: list[tuple[int, str]] = field(default_factory=list)  # each attempt: when and where
-    ended: set[int] = field(default_factory=set)
-    over: bool = False
+    arrival: api.Arrival
+    attempts: list[tuple[int, str]] = field(default_factory=list)  # time and backend of each
+    ended_attempts: set[int] = field(default_factory=set)
+    answered: bool = False
 
 
-class World:
-    """Makes events from a seed and from what the Controller asks for. Its time runs in uneven steps."""
+class ScriptedEnvironment:
+    """Generates events from a seed and from the Controller's actions. Its clock advances in uneven steps."""
 
-    def __init__(self, record: Record, seed: int, settings: api.Settings) -> None:
+    def __init__(self, record: DecisionRecord, seed: int, settings: api.Settings) -> None:
         self.rng = random.Random(seed)
         self.settings = settings
-        self.head = Recorded(record, settings, seed)
+        self.controller = RecordedController(record, settings, seed)
         self.now = 40 * SECOND
-        self.due: list[tuple[int, int, Callable[[], api.Event | None]]] = []
-        self.count = 0
-        self.asked: dict[str, Asked] = {}
-        self.moods = {f"n{cell}": "well" for cell in range(CELLS)}
+        self.pending: list[tuple[int, int, Callable[[], api.Event | None]]] = []  # a heap
+        self.scheduled = 0  # ever
+        self.requests: dict[str, ScriptedRequest] = {}
+        self.behaviors = {f"n{cell}": "normal" for cell in range(CELLS)}
         self.entries = {
             f"n{cell}": api.Endpoint(f"n{cell}", cell, "ab"[cell % 2], api.EndpointState.UP)
             for cell in range(CELLS)
         }
 
-    def later(self, span_us: int, event: Callable[[], api.Event | None]) -> None:
-        self.count += 1
-        heapq.heappush(self.due, (self.now + span_us, self.count, event))
+    def schedule(self, span_us: int, make_event: Callable[[], api.Event | None]) -> None:
+        self.scheduled += 1
+        heapq.heappush(self.pending, (self.now + span_us, self.scheduled, make_event))
 
-    def tell(self, events: list[api.Event]) -> None:
-        for action in self.head.handle(self.now, events):
+    def deliver(self, events: list[api.Event]) -> None:
+        """Pass events to the Controller and schedule the events that follow from its actions."""
+        for action in self.controller.handle(self.now, events):
             match action:
                 case api.Send():
-                    self._sent(action)
+                    self._start_attempt(action)
                 case api.Cancel(request, attempt):
-                    self.later(self.rng.randint(1, 30 * MS), self._result(request, attempt, "cancelled"))
+                    delay_us = self.rng.randint(1, 30 * MS)
+                    self.schedule(delay_us, self._make_result(request, attempt, "cancelled"))
                 case api.Reject(request) | api.Fail(request):
-                    self.asked[request].over = True
+                    self.requests[request].answered = True
                 case api.WakeAfter(span_us, token):
-                    self.later(span_us, partial(api.TimerFired, token))
+                    self.schedule(span_us, partial(api.TimerFired, token))
                 case api.Subscribe():
-                    self.later(self.rng.randint(1, 400 * MS), self._answer_to_call)
+                    self.schedule(self.rng.randint(1, 400 * MS), self._poll_result)
 
-    def run(self, span_us: int, load: float) -> None:
-        """`load`: arrivals a step, in the mean. Each step tells all that has come due, and some more."""
+    def run_load(self, span_us: int, load: float) -> None:
+        """Deliver the events that are due in each step, with new ones: a mean of `load` arrivals."""
         end = self.now + span_us
         while self.now < end:
             self.now += self.rng.choice((1 * MS, 4 * MS, 10 * MS, 25 * MS))
-            events = self._come_due()
+            events = self._take_due_events()
             while self.rng.random() < load / (1 + load):
-                events.append(self._arrival())
+                events.append(self._make_arrival())
             if self.rng.random() < 0.02:
-                events.append(self._anything())
+                events.append(self._make_random_event())
             if events:
-                self.tell(events)
+                self.deliver(events)
 
-    def rest(self, span_us: int) -> None:
-        """Nothing comes; what was asked for is done when it is due."""
+    def run_idle(self, span_us: int) -> None:
+        """Deliver the events that are due within the span, without new ones."""
         end = self.now + span_us
-        while self.due and self.due[0][0] <= end:
-            self.now = max(self.now, self.due[0][0])
-            self.tell(self._come_due())
+        while self.pending and self.pending[0][0] <= end:
+            self.now = max(self.now, self.pending[0][0])
+            self.deliver(self._take_due_events())
         self.now = end
 
-    def turned_down_calls(self, count: int) -> None:
-        """Discovery has a queue that goes on turning this host's calls down."""
+    def reject_polls(self, count: int) -> None:
+        """Fail a number of polls as discovery does while it is overloaded."""
         for _ in range(count):
             self.now += 50 * MS
-            self.tell([api.EndpointListFailure(api.FailureKind.OVERLOADED)])
-        self.rest(30 * SECOND)
+            self.deliver([api.EndpointListFailure(api.FailureKind.OVERLOADED)])
+        self.run_idle(30 * SECOND)
 
-    def comes_again(self, idle_us: int) -> None:
-        """A volume asks, is idle, and asks for more than it has tokens for if it was forgotten."""
+    def return_after_idle(self, idle_us: int) -> None:
+        """Deliver requests of a volume before and after an idle time.
+
+        The requests after it need more tokens than the volume has if it was dropped meanwhile.
+        """
         for count in (1, 3):
             events: list[api.Event] = []
             for _ in range(count):
-                told = replace(
-                    self._arrival(), request_class="slow", plan="capped", volume="idler", key="", units=6.0
+                arrival = replace(
+                    self._make_arrival(),
+                    request_class="slow",
+                    plan="capped",
+                    volume="idler",
+                    key="",
+                    units=6.0,
+                    cell=0,
+                    deadline_us=self.now + 4 * SECOND,
+                    serving_instances=1,
                 )
-                told = replace(told, cell=0, deadline_us=self.now + 4 * SECOND, serving_instances=1)
-                self.asked[told.request] = Asked(told)
-                events.append(told)
-            self.tell(events)
-            self.rest(idle_us)
+                self.requests[arrival.request] = ScriptedRequest(arrival)
+                events.append(arrival)
+            self.deliver(events)
+            self.run_idle(idle_us)
             idle_us = SECOND // 4
 
-    def restarts(self, count: int) -> None:
-        node = min(self.entries)
+    def restart_backend(self, count: int) -> None:
+        """Restart one backend a number of times."""
+        backend = min(self.entries)
         for _ in range(count):
             self.now += 10 * MS
-            restarted = replace(self.entries[node], state=api.EndpointState.UP, started_us=self.now)
-            self.tell([api.EndpointListUpdate((restarted,))])
+            restarted = replace(self.entries[backend], state=api.EndpointState.UP, started_us=self.now)
+            self.deliver([api.EndpointListUpdate((restarted,))])
 
-    def _come_due(self) -> list[api.Event]:
+    def _take_due_events(self) -> list[api.Event]:
         events: list[api.Event] = []
-        while self.due and self.due[0][0] <= self.now:
-            event = heapq.heappop(self.due)[2]()
+        while self.pending and self.pending[0][0] <= self.now:
+            event = heapq.heappop(self.pending)[2]()
             if event is not None:
                 events.append(event)
         return events
 
     # Requests
 
-    def _arrival(self) -> api.Arrival:
+    def _make_arrival(self) -> api.Arrival:
         rng = self.rng
-        cls = self.settings.classes[rng.choice(sorted(self.settings.classes))]
+        spec = self.settings.classes[rng.choice(sorted(self.settings.classes))]
         plan, volume = rng.choice(("gold", "tin", "capped")), rng.randint(0, 3)
-        patience = rng.choice((cls.deadline_us, cls.deadline_us, cls.deadline_us // 2))
-        request = f"r{len(self.asked)}"
-        told = api.Arrival(
-            request, cls.name, plan, f"{plan}{volume}", f"k{rng.randint(0, 3)}" if cls.in_order else "",
+        timeout_us = rng.choice((spec.deadline_us, spec.deadline_us, spec.deadline_us // 2))
+        request = f"r{len(self.requests)}"
+        arrival = api.Arrival(
+            request, spec.name, plan, f"{plan}{volume}", f"k{rng.randint(0, 3)}" if spec.in_order else "",
             rng.choice((1.0, 1.0, 2.0, 2.5, 6.0, 30.0 if rng.random() < 0.05 else 3.0)),
-            None if (cell := rng.randint(-1, CELLS - 1)) < 0 else cell, self.now + patience, 1 + volume,
-            is_retry=patience < cls.deadline_us, is_write=cls.effect is not api.Effect.SAFE,
+            None if (cell := rng.randint(-1, CELLS - 1)) < 0 else cell, self.now + timeout_us, 1 + volume,
+            is_retry=timeout_us < spec.deadline_us, is_write=spec.effect is not api.Effect.SAFE,
         )  # fmt: skip
-        self.asked[request] = Asked(told)
-        return told
-
-    def _sent(self, send: api.Send) -> None:
-        rng, asked = self.rng, self.asked[send.request]
-        attempt = len(asked.sent)
-        asked.sent.append((self.now, send.backend))
-        outcomes, (least, most) = MOODS[self.moods.get(send.backend, "well")]
-        outcome, took = rng.choice(outcomes), rng.randint(least, most)
-        if asked.told.request_class == "once" and outcome is api.Outcome.SERVED and rng.random() < 0.5:
-            self.later(took // 2, lambda: api.StreamStarted(send.request, attempt))
-        left_us = asked.told.deadline_us - self.now
-        if took >= left_us or rng.random() < 0.04:  # lost, or too late: the client's time ends it
-            self.later(max(1, left_us), self._result(send.request, attempt, "timeout"))
+        self.requests[request] = ScriptedRequest(arrival)
+        return arrival
+
+    def _start_attempt(self, send: api.Send) -> None:
+        rng, request = self.rng, self.requests[send.request]
+        attempt = len(request.attempts)
+        request.attempts.append((self.now, send.backend))
+        outcomes, (min_us, max_us) = BACKEND_BEHAVIORS[self.behaviors.get(send.backend, "normal")]
+        outcome, duration_us = rng.choice(outcomes), rng.randint(min_us, max_us)
+        is_streamed = request.arrival.request_class == "once" and outcome is api.Outcome.SERVED
+        if is_streamed and rng.random() < 0.5:
+            self.schedule(duration_us // 2, lambda: api.StreamStarted(send.request, attempt))
+        time_left_us = request.arrival.deadline_us - self.now
+        if duration_us >= time_left_us or rng.random() < 0.04:  # late, or the response is lost
+            self.schedule(max(1, time_left_us), self._make_result(send.request, attempt, "timeout"))
         else:
-            self.later(took, self._result(send.request, attempt, outcome.value))
+            self.schedule(duration_us, self._make_result(send.request, attempt, outcome.value))
 
-    def _result(self, request: str, attempt: int, outcome: str) -> Callable[[], api.Event | None]:
-        def end() -> api.Event | None:
-            asked = self.asked[request]
-            if attempt in asked.ended:
+    def _make_result(self, name: str, attempt: int, outcome: str) -> Callable[[], api.Event | None]:
+        def end_attempt() -> api.Event | None:
+            request = self.requests[name]
+            if attempt in request.ended_attempts:
                 return None
-            asked.ended.add(attempt)
-            sent_at, node = asked.sent[attempt]
-            asked.over = asked.over or outcome == "served"
-            used = self.rng.choice((0, 0, 1, 60, 101, 180))
+            request.ended_attempts.add(attempt)
+            sent_at, backend = request.attempts[attempt]
+            request.answered = request.answered or outcome == "served"
+            usage = self.rng.choice((0, 0, 1, 60, 101, 180))  # 0: no usage figure
             return api.Result(
-                request,
+                name,
                 attempt,
-                node,
+                backend,
                 api.Outcome(outcome),
                 self.now - sent_at,
-                asked.over,
-                used - 1 if used else None,
+                request.answered,
+                usage - 1 if usage else None,
                 {"q": 1.5},
             )
 
-        return end
+        return end_attempt
 
-    # All else
+    # Other events
 
-    def _answer_to_call(self) -> api.Event:
+    def _poll_result(self) -> api.Event:
         rng = self.rng
         if rng.random() < 0.4:
             kind = api.FailureKind.OVERLOADED if rng.random() < 0.4 else api.FailureKind.ERROR
             return api.EndpointListFailure(kind, rng.choice((0, 300 * MS)))
         return api.EndpointListUpdate(tuple(self.entries.values()), complete=True)
 
-    def _anything(self) -> api.Event:
+    def _make_random_event(self) -> api.Event:
         rng = self.rng
-        request = rng.choice(sorted(self.asked)) if self.asked else "r0"
-        node = rng.choice(sorted(self.entries))
-        make = rng.choice(
-            (self._changed_list, self._changed_list, self._mood, self._mood, self._new_settings, self._parts)
+        request = rng.choice(sorted(self.requests)) if self.requests else "r0"
+        backend = rng.choice(sorted(self.entries))
+        make_change = rng.choice(
+            (
+                self._change_endpoints,
+                self._change_endpoints,
+                self._change_behavior,
+                self._change_behavior,
+                self._change_settings,
+                self._change_quotas,
+            )
         )
         return rng.choice(
             (
-                lambda: self._left(request),
-                lambda: api.PeerSuspicions({node: self.now + rng.randint(0, 2 * SECOND)}),
+                lambda: self._leave(request),
+                lambda: api.PeerSuspicions({backend: self.now + rng.randint(0, 2 * SECOND)}),
                 lambda: api.PeerSuspicions({}),
                 lambda: api.EndpointListFailure(missed_updates_for_us=rng.choice((0, SECOND))),
-                lambda: api.Result(request, rng.choice((-1, 0, 9)), node, api.Outcome.SERVED, MS, False),
-                lambda: api.Result("unknown", 0, node, api.Outcome.FULL, MS, False),
+                lambda: api.Result(request, rng.choice((-1, 0, 9)), backend, api.Outcome.SERVED, MS, False),
+                lambda: api.Result("unknown", 0, backend, api.Outcome.FULL, MS, False),
                 lambda: api.StreamStarted("unknown", 0),
-                lambda: api.HealthCheckResult(node, api.Outcome.SERVED, MS, {"load": 0.5}),
+                lambda: api.HealthCheckResult(backend, api.Outcome.SERVED, MS, {"load": 0.5}),
                 lambda: api.PeerMessage(2, b"\x01hello"),
-                make,
-                make,
-                make,
+                make_change,
+                make_change,
+                make_change,
             )
         )()
 
-    def _left(self, request: str) -> api.Event:
-        self.asked.setdefault(request, Asked(self._nothing())).over = True
+    def _leave(self, request: str) -> api.Event:
+        placeholder = api.Arrival("r0", "read", "tin", "tin0", "", 1.0, 0, 0, 1)
+        self.requests.setdefault(request, ScriptedRequest(placeholder)).answered = True
         return api.ClientLeft(request)
 
-    def _nothing(self) -> api.Arrival:
-        return api.Arrival("r0", "read", "tin", "tin0", "", 1.0, 0, 0, 1)
-
-    def _mood(self) -> api.Event:
-        node = self.rng.choice(sorted(self.entries))
-        self.moods[node] = self.rng.choice((*["well"] * 6, *MOODS))
+    def _change_behavior(self) -> api.Event:
+        backend = self.rng.choice(sorted(self.entries))
+        self.behaviors[backend] = self.rng.choice((*["normal"] * 6, *BACKEND_BEHAVIORS))
         return api.TimerFired("look")
 
-    def _parts(self) -> api.Event:
-        """Of a volume that the Controller knows, since it is told of no other."""
-        volumes = sorted({a.told.volume for a in self.asked.values() if a.told.deadline_us > self.now})
-        parts = {v: self.rng.choice((0.2, 0.5, 1.0)) for v in volumes[:2]}
-        node = self.rng.choice(sorted(self.entries))
-        shares = {
+    def _change_quotas(self) -> api.Event:
+        """Change quotas of volumes that the Controller has; quotas of others are never sent to it."""
+        arrivals = [request.arrival for request in self.requests.values()]
+        volumes = sorted({arrival.volume for arrival in arrivals if arrival.deadline_us > self.now})
+        volume_quotas = {volume: self.rng.choice((0.2, 0.5, 1.0)) for volume in volumes[:2]}
+        backend = self.rng.choice(sorted(self.entries))
+        budget_quotas = {
             api.ENDPOINT_POLLS: self.rng.choice((0.5, 2.0)), api.RETRIES: self.rng.choice((0.0, 1.5)),
-            api.warmup_budget(node): self.rng.choice((0.3, 3.0)),
-            api.concurrency_budget(node): self.rng.choice((1, 3, 40)),
+            api.warmup_budget(backend): self.rng.choice((0.3, 3.0)),
+            api.concurrency_budget(backend): self.rng.choice((1, 3, 40)),
         }  # fmt: skip
-        return api.QuotaUpdate(parts, self.rng.choice((None, {}, shares)))
+        return api.QuotaUpdate(volume_quotas, self.rng.choice((None, {}, budget_quotas)))
 
-    def _new_settings(self) -> api.Event:
-        """Another part of what is this host's, or another plan, or back to what was at first."""
-        rng, plans = self.rng, dict(BASE.plans)
+    def _change_settings(self) -> api.Event:
+        """Change the process's quota and some plans, or return to the first plans."""
+        rng, plans = self.rng, dict(BASE_SETTINGS.plans)
         if rng.random() < 0.5:
             plans["tin"] = replace(
                 plans["tin"], weight=rng.choice((0.5, 2.0)), limit_rate=5.0, limit_burst=20.0
             )
         if rng.random() < 0.2:
-            del plans["gold"]  # its volumes go on by the plan as it was
-            plans["gold"] = replace(BASE.plans["gold"], price=0.2)
+            del plans["gold"]  # put back as the last plan, at another price
+            plans["gold"] = replace(BASE_SETTINGS.plans["gold"], price=0.2)
         self.settings = replace(self.settings, plans=plans, process_quota=rng.choice((0.5, 1.0, 1.0)))
         return api.NewSettings(self.settings)
 
-    def _changed_list(self) -> api.Event:
-        """One node drains, goes, is taken out by hand, restarts, or is replaced, or the list comes whole."""
+    def _change_endpoints(self) -> api.Event:
+        """Drain, remove, disable, restart or replace a backend, enable all, or deliver the whole list."""
         rng = self.rng
         old = self.entries[rng.choice(sorted(self.entries))]
         up = api.EndpointState.UP
         change = rng.choice(
-            ("drain", "gone", "by-hand", "restart", "restart", "replace", "back", "back", "whole")
+            ("drain", "remove", "disable", "restart", "restart", "replace", "enable", "enable", "whole list")
         )
         if change == "drain":
             changed = [replace(old, state=api.EndpointState.DRAINING)]
-        elif change == "by-hand":
+        elif change == "disable":
             changed = [replace(old, state=api.EndpointState.DRAINING, admin_disabled=True)]
         elif change == "restart":
             changed = [
                 replace(old, state=up, started_us=self.now - rng.choice((0, SECOND)), admin_disabled=False)
             ]
-        elif change == "back":
-            changed = [replace(e, state=up, admin_disabled=False) for e in self.entries.values()]
-        elif change in ("gone", "replace"):
+        elif change == "enable":
+            changed = [replace(entry, state=up, admin_disabled=False) for entry in self.entries.values()]
+        elif change in ("remove", "replace"):
             new = replace(old, backend=f"{old.backend}x", state=up, started_us=self.now, admin_disabled=False)
             gone = replace(old, state=api.EndpointState.GONE)
             changed = [gone, new] if change == "replace" or len(self.entries) > CELLS else [gone]
@@ -559,28 +609,28 @@
             return api.EndpointListUpdate(tuple(self.entries.values()), complete=True)
         for entry in changed:
             self.entries[entry.backend] = entry
-        told = api.EndpointListUpdate(tuple(changed))
         if change == "replace":
             del self.entries[old.backend]
-        elif change == "gone":
+        elif change == "remove":
             self.entries[old.backend] = replace(old, state=api.EndpointState.DRAINING)
-        return told
+        return api.EndpointListUpdate(tuple(changed))
 
 
 @pytest.mark.parametrize("name", SCRIPTS)
-def test_one_controller_is_told_everything(name: str) -> None:
+def test_decisions_of_a_scripted_controller_match_the_recorded_digest(name: str) -> None:
     seed, settings = SCRIPTS[name]
-    record = Record()
-    world = World(record, seed, settings)
-    world.tell([api.EndpointListUpdate(tuple(world.entries.values()), complete=True, at_start=True)])
+    record = DecisionRecord()
+    environment = ScriptedEnvironment(record, seed, settings)
+    entries = tuple(environment.entries.values())
+    environment.deliver([api.EndpointListUpdate(entries, complete=True, at_start=True)])
     for load in (0.05, 0.2, 0.1, 0.05, 1.0, 0.1):
-        world.run(15 * SECOND, load)
-        world.rest(3 * SECOND)
-    for idle_s in (61, 62, 63, 64):  # long enough to forget some volumes, and then more
-        world.rest(idle_s * SECOND)
-        world.run(4 * SECOND, 0.1)
+        environment.run_load(15 * SECOND, load)
+        environment.run_idle(3 * SECOND)
+    for idle_s in (61, 62, 63, 64):  # longer than idle volumes are kept
+        environment.run_idle(idle_s * SECOND)
+        environment.run_load(4 * SECOND, 0.1)
     for idle_s in (61, 62, 63, 61, 62, 63):
-        world.comes_again(idle_s * SECOND)
-    world.turned_down_calls(9)
-    world.restarts(210)  # more than a life has log lines for
-    check("script-" + name, record)
+        environment.return_after_idle(idle_s * SECOND)
+    environment.reject_polls(9)
+    environment.restart_backend(210)  # exceeds the bound on log lines
+    assert_matches_golden("script-" + name, record)
