--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Sequence
 
 from garnetlanding.choices.subsets import subsets, weight
-from garnetlanding.decision.tuning import WEIGHT_CLAMP, WEIGHT_GAIN, WEIGHT_INTERVAL
+from garnetlanding.decision.tuning import MAX_WEIGHT_FACTOR, WEIGHT_EXPONENT, WEIGHT_INTERVAL_US
 
 RESULTS = pathlib.Path(__file__).parent / "results"
 Way = Callable[[Sequence[int], Sequence[str], int], dict[int, set[str]]]
@@ -104,7 +104,7 @@
     The overshoot is of the logarithm, over the first error; the time is in seconds, until it stays within a
     tenth. Every instance steps on the same late figure, each at its own time.
     """
-    every, step, most = WEIGHT_INTERVAL / 1e6, 0.1, math.log(WEIGHT_CLAMP)
+    every, step, most = WEIGHT_INTERVAL_US / 1e6, 0.1, math.log(MAX_WEIGHT_FACTOR)
     weights = [math.log(2.0)] * heads
     past: list[float] = []
     worst, settled = 0.0, 0.0
@@ -160,7 +160,7 @@
     draw(spread)
     lines += [
         "",
-        f"The weight's step every {WEIGHT_INTERVAL / 1e6:g} s; as built the gain is {WEIGHT_GAIN:g}. "
+        f"The weight's step every {WEIGHT_INTERVAL_US / 1e6:g} s; as built the gain is {WEIGHT_EXPONENT:g}. "
         "Overshoot of the first error, and seconds until a tenth is left ('-': not in 120 s).",
         "",
         "| figure late by | heads | " + " | ".join(f"gain {gain}" for gain in (1.0, 0.5, 0.25)) + " |",
--- a/garnetlanding/decision/__init__.py
+++ b/garnetlanding/decision/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module: which backend, when, whether to retry, what to reject. No clock and no I/O."""
+"""Decides which backend gets a request and when, and what is retried or rejected; has no clock and no I/O."""
--- a/garnetlanding/decision/admission.py
+++ b/garnetlanding/decision/admission.py
@@ -4,7 +4,7 @@
 from garnetlanding.decision import tuning
 from garnetlanding.decision.attempt_rules import rejection_is_harmless
 from garnetlanding.decision.ordered_keys import OrderedKeyQueue
-from garnetlanding.decision.placement import place
+from garnetlanding.decision.placement import choose_cell
 from garnetlanding.decision.requests import Request
 from garnetlanding.decision.state import ControllerState
 from garnetlanding.decision.units import SECOND
@@ -13,22 +13,22 @@
 class Admission:
     """Admits requests to the queues, and ends them.
 
-    It calls neither `Retries` nor `Dispatcher`: calls go from the dispatcher to the retries to the admission,
-    and what is to follow later is a timer or a dispatch pass of the state.
+    It calls neither `Retries` nor `Dispatcher`, which call it; what they have to do later is scheduled in the
+    state, as a timer or a dispatch pass.
     """
 
     def __init__(self, state: ControllerState) -> None:
         self._state = state
 
     def admit(self, arrival: api.Arrival) -> None:
-        """Queue an arriving request, or reject it at once if its volume's limit would make it late."""
+        """Queue an arriving request, or reject it at once if its volume's rate limit would make it late."""
         state = self._state
         request = state.new_request(arrival)
         state.budgets.retries.record_arrival(state.now)
-        state.budgets.hedges.earn_by_arrival(state.statistics.loss_rate)
+        state.budgets.hedges.record_arrival(state.statistics.loss_rate)
         self._take_from_reserve(request)
         self._schedule_deadlines(request)
-        if self._limit_makes_late(request):
+        if self._rate_limit_makes_late(request):
             self.reject_or_fail(request)
         elif request.traffic_class.in_order and arrival.key:
             ordered_keys = state.requests.ordered_keys
@@ -38,7 +38,7 @@
             self.enqueue(request)
 
     def _take_from_reserve(self, request: Request) -> None:
-        """Take the request's units from its volume's reserve; beyond the reserve its priority is lower."""
+        """Take the request's units from its volume's reserve; if they exceed it, lower its priority."""
         reserve = request.volume.reserve
         if reserve.refill(self._state.now) < request.units:
             request.priority_weight *= self._state.settings.over_quota_value_fraction
@@ -50,16 +50,18 @@
         state = self._state
         state.timers.schedule(request.answer_by, self.reject_or_fail, request)
         time_left_us = request.arrival.deadline_us - state.now
-        undelivered_until = state.now + int(tuning.UNSENT_DEADLINE_FRACTION * time_left_us)
+        undelivered_until = state.now + int(tuning.UNDELIVERED_DEADLINE_FRACTION * time_left_us)
         state.timers.schedule(undelivered_until, self._end_undelivered, request)
 
-    def _limit_makes_late(self, request: Request) -> bool:
-        """Return whether this instance's quota of the volume's limit makes the request late."""
+    def _rate_limit_makes_late(self, request: Request) -> bool:
+        """Return whether the request would be late for want of tokens in its volume's rate limit."""
         now = self._state.now
         volume = request.volume
         limit = volume.limit
-        lacking = volume.queued_units + request.units - limit.refill(now)
-        return request.units > limit.capacity or now + lacking / limit.rate * SECOND > request.objective_at
+        missing_units = volume.queued_units + request.units - limit.refill(now)
+        if request.units > limit.capacity:
+            return True
+        return now + missing_units / limit.rate * SECOND > request.objective_at
 
     def enqueue(self, request: Request) -> None:
         """Put a request into the fair queue of its cell, unless it is queued or needs no attempt now."""
@@ -69,11 +71,11 @@
         if request.in_flight() and not state.settings.parallel_attempts:
             return
         cell = request.arrival.cell
-        queue = place(state, request) if cell is None else state.cells.queue(cell)
+        queue = choose_cell(state, request) if cell is None else state.cells.queue(cell)
         if queue is None:
-            state.timers.schedule(state.now + tuning.DISPATCH_INTERVAL, self.enqueue, request)
+            state.timers.schedule(state.now + tuning.DISPATCH_INTERVAL_US, self.enqueue, request)
             return
-        # A retry in the same cell goes in front, with the tags that the first attempt has paid for.
+        # A retry in the same cell keeps the tags of the first attempt and goes to the front of its flow.
         request.keeps_tags = bool(request.attempts) and request.attempts[-1].cell == queue.cell
         queue.enqueue(request)
         state.cells.mark_pending(queue)
@@ -93,12 +95,12 @@
         self.finish(request)
 
     def _end_undelivered(self, request: Request) -> None:
-        """End a request that no backend has received while its client still has time to retry."""
+        """End a request that no backend has received, while its client has time left for a retry."""
         if not request.in_flight() and not request.may_have_been_delivered():
             self.reject_or_fail(request)
 
     def finish(self, request: Request) -> None:
-        """Mark a request as answered, cancel its attempts, and return the reserve it did not use."""
+        """Mark a request as answered and cancel its attempts; return its reserve if it was never sent."""
         state = self._state
         request.answered = True
         state.dequeue_unsent(request)
@@ -111,7 +113,7 @@
         self.settle(request)
 
     def settle(self, request: Request) -> None:
-        """Drop a request that is answered and not in flight, and admit the next of its ordered key."""
+        """Drop a request that is answered and not in flight, and admit the next one of its key."""
         if request.answered and not request.in_flight():
             requests = self._state.requests
             requests.by_id.pop(request.id, None)
@@ -119,7 +121,7 @@
                 self._admit_next_of_key(request.arrival.key)
 
     def _admit_next_of_key(self, key: str) -> None:
-        """Queue the first request of a key once those before it are settled and the pause is over."""
+        """Queue the first request of a key once its predecessors are settled and the key's pause is over."""
         state = self._state
         ordered = state.requests.ordered_keys.get(key)
         if ordered is None:
--- a/garnetlanding/decision/attempt_rules.py
+++ b/garnetlanding/decision/attempt_rules.py
@@ -1,4 +1,4 @@
-"""Decides whether a request may get an attempt at a backend now, and whether it may be rejected."""
+"""Rules: whether a request may be attempted at a backend now, and whether it may be rejected."""
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.backend_health import BackendHealth
@@ -8,10 +8,10 @@
 
 
 def may_attempt(state: ControllerState, request: Request, health: BackendHealth) -> bool:
-    """Return whether the time left, the retry budget and the effect of a repetition allow an attempt."""
+    """Return whether deadline, retry budget and idempotency allow an attempt at a backend."""
     if state.now >= request.answer_by:
         return False
-    if request.attempts and not _retry_budget_left(state):
+    if request.attempts and not _retry_budget_allows(state):
         return False
     may_have_run = request.attempts_that_may_have_run()
     if not may_have_run:
@@ -21,15 +21,15 @@
     return _repetition_is_harmless(state.now, request.traffic_class, may_have_run, health.endpoint)
 
 
-def _retry_budget_left(state: ControllerState) -> bool:
-    quota = state.budgets.quota(api.RETRIES)
+def _retry_budget_allows(state: ControllerState) -> bool:
+    quota = state.budgets.quota(api.RETRY_BUDGET)
     return state.budgets.retries.allows_retry(state.now, state.settings, quota)
 
 
 def _repetition_is_harmless(
     now: int, traffic_class: api.ClassSpec, may_have_run: list[Attempt], endpoint: api.Endpoint
 ) -> bool:
-    """Return whether the backend would drop a repetition of these attempts, or execute it harmlessly."""
+    """Return whether a backend would drop a duplicate of these attempts, or execute it without harm."""
     if traffic_class.effect is not Effect.KEYED:
         return traffic_class.effect is Effect.SAFE
     if now >= min(attempt.sent_at for attempt in may_have_run) + traffic_class.deduplication_window_us:
@@ -42,7 +42,7 @@
 
 
 def rejection_is_harmless(request: Request) -> bool:
-    """Return whether a retry by the client, which a rejection invites, cannot take effect a second time."""
+    """Return whether the client may retry the request after a rejection without a duplicate effect."""
     traffic_class = request.traffic_class
     if traffic_class.effect is Effect.SAFE:
         return True
--- a/garnetlanding/decision/backend_health.py
+++ b/garnetlanding/decision/backend_health.py
@@ -1,4 +1,4 @@
-"""Measurements of one backend process, as seen by this instance."""
+"""Measurements of one backend process by this instance."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 
 @dataclass(slots=True, eq=False)
 class BackendHealth:
-    """The measurements of one backend process; a restarted or replaced backend gets a new record."""
+    """Measurements of one backend process; a restarted or replaced backend gets a new record."""
 
     endpoint: api.Endpoint
-    warming_since: int  # when it started, or counts as restarted
+    warmup_started_at: int  # when it started, or was assumed to have restarted
     served: SlidingWindowSum  # requests served
     sent_units: SlidingWindowSum
     in_flight: int = 0  # attempts that occupy a slot of its concurrency limit
     latency_us: float = 0.0  # moving average; 0: no response yet
-    responded_at: int = 0
+    last_response_at: int = 0
     mean_units: float = 0.0  # per request in the latency average
-    concurrency_factor: float = 1.0  # on the concurrency limit: lowered by slow responses
+    concurrency_factor: float = 1.0  # of the concurrency limit; lowered by slow responses
     error_rate: float = 0.0
-    consecutive_rejections: int = 0  # requests rejected since it last served one
+    consecutive_rejections: int = 0  # requests rejected since it last served a request
     consecutive_connect_failures: int = 0  # since its last response
-    suspected_until: int = 0  # until when reports of other instances keep its concurrency limit at 1
+    suspected_until: int = 0  # end of the suspicion by peers, during which the concurrency limit is 1
 
     def latency_confidence(self, now: int) -> float:
         """Return the weight of the average latency by its age: 1 when fresh, halved per half-life."""
-        return float(0.5 ** ((now - self.responded_at) / tuning.LATENCY_HALF_LIFE))
+        return float(0.5 ** ((now - self.last_response_at) / tuning.LATENCY_HALF_LIFE_US))
 
     def expected_latency(self, now: int) -> float:
         """Return the latency to expect now, in microseconds.
 
-        The average decays while no response arrives: queues drain meanwhile, and only a new attempt can tell
-        how far. An unresponsive backend is detected by attempts that time out.
+        The average decays while no response arrives, because queues drain in the meantime and only a new
+        attempt can measure how far. Attempts that time out show that a backend is unresponsive.
         """
-        # `latency_confidence` in place: no other function of the module is called as often.
-        return self.latency_us * float(0.5 ** ((now - self.responded_at) / tuning.LATENCY_HALF_LIFE))
+        # `latency_confidence` is inlined: this is the most frequently called function of the package.
+        return self.latency_us * float(0.5 ** ((now - self.last_response_at) / tuning.LATENCY_HALF_LIFE_US))
 
     def relative_size(self, units: float) -> float:
         """Return a request's size as a multiple of the mean request here, at least 1."""
@@ -54,9 +54,9 @@
         gain = tuning.LATENCY_GAIN if self.latency_us else 1.0
         self.latency_us += (latency_us - self.latency_us) * gain
         self.mean_units += (units - self.mean_units) * gain
-        self.responded_at = now
+        self.last_response_at = now
         if latency_us <= tuning.SLOW_LATENCY_FRACTION * objective_us:
-            self.concurrency_factor = min(1.0, self.concurrency_factor + tuning.INCREASE_ON_FAST)
+            self.concurrency_factor = min(1.0, self.concurrency_factor + tuning.FAST_INCREASE_STEP)
             return
-        decrease = tuning.DECREASE_ON_LATE if latency_us > objective_us else tuning.DECREASE_ON_SLOW
+        decrease = tuning.LATE_DECREASE_FACTOR if latency_us > objective_us else tuning.SLOW_DECREASE_FACTOR
         self.concurrency_factor = max(1 / tuning.CONCURRENCY_CEILING, self.concurrency_factor * decrease)
--- a/garnetlanding/decision/backoff.py
+++ b/garnetlanding/decision/backoff.py
@@ -1,4 +1,4 @@
-"""Decides how long to wait before the next poll of the endpoint list after a failure, and before a retry."""
+"""Backoff with jitter before polls of the endpoint list that follow a failure, and before retries."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
 
 
 class PollBackoff:
-    """The exponential backoff between polls of the endpoint list that fail."""
+    """Exponential backoff between failed polls of the endpoint list."""
 
     def __init__(self, instances: int) -> None:
         self.set_instances(instances)
         self._pause_us = self._min_pause_us
 
     def set_instances(self, instances: int) -> None:
-        """Adapt the shortest pause to the number of instances that poll the same discovery service."""
+        """Set the shortest pause by the number of instances that poll the same discovery service."""
         self._instances = instances
-        by_instances = instances * tuning.POLL_BACKOFF_PER_INSTANCE
-        self._min_pause_us = max(tuning.POLL_BACKOFF_MIN, min(tuning.POLL_BACKOFF_MAX, by_instances))
+        by_instances = instances * tuning.POLL_BACKOFF_PER_INSTANCE_US
+        self._min_pause_us = max(tuning.POLL_BACKOFF_MIN_US, min(tuning.POLL_BACKOFF_MAX_US, by_instances))
 
     def reset(self) -> None:
-        """Return to the shortest pause, after a poll that succeeded."""
+        """Return to the shortest pause after a successful poll."""
         self._pause_us = self._min_pause_us
 
     def next_pause(self, failure: api.EndpointListFailure, quota: float, rng: random.Random) -> int:
         """Return the pause after a failure, in microseconds, and double the next one.
 
-        The pause is short enough to learn of a changed endpoint within six seconds, unless discovery stays
-        overloaded: then polls are made less often. `quota` is this instance's quota of all polls, as a
-        multiple of an even one.
+        The pause is bounded so that a changed endpoint is known within six seconds. While discovery is
+        overloaded, longer pauses are allowed. `quota` is this instance's quota of all polls, as a multiple of
+        an equal quota.
         """
-        pause = min(tuning.POLL_BACKOFF_MAX - failure.missed_updates_for_us, self._pause_us / quota)
+        pause = min(tuning.POLL_BACKOFF_MAX_US - failure.missed_updates_for_us, self._pause_us / quota)
         if failure.kind is api.FailureKind.OVERLOADED:
-            bound = self._instances * tuning.OVERLOADED_BACKOFF_PER_INSTANCE
+            bound = self._instances * tuning.OVERLOADED_BACKOFF_PER_INSTANCE_US
             pause = max(pause, min(bound, self._pause_us / tuning.OVERLOADED_BACKOFF_DIVISOR))
             pause *= rng.uniform(*tuning.OVERLOADED_JITTER)
             self._pause_us = min(2 * self._pause_us, NEVER)
         else:
             pause = max(pause, 0) * rng.uniform(*tuning.POLL_JITTER)
-            self._pause_us = min(2 * self._pause_us, tuning.POLL_BACKOFF_MAX)
+            self._pause_us = min(2 * self._pause_us, tuning.POLL_BACKOFF_MAX_US)
         return int(pause)
 
 
--- a/garnetlanding/decision/cell_registry.py
+++ b/garnetlanding/decision/cell_registry.py
@@ -1,4 +1,4 @@
-"""The cells, each with its fair queue, and the endpoint list that says which backend serves it."""
+"""Registry of the cells: their fair queues and the endpoint list."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class CellRegistry:
-    """Owns the queue of each cell, the endpoint list, and the set of queues to dispatch in this call.
+    """Owns the queue of each cell, the endpoint list, and the set of queues with a pending dispatch pass.
 
-    `queues` holds the queue of each cell, `endpoints` the endpoint list by backend, and `disabled` the cells
-    with an administratively disabled backend.
+    `queues` holds the queues by cell, `endpoints` the endpoint list by backend, and `disabled` the cells
+    whose backend an operator has disabled.
     """
 
     __slots__ = ("_pending", "disabled", "endpoints", "queues")
@@ -21,7 +21,7 @@
         self.queues: dict[int, CellQueue] = {}
         self.endpoints: dict[str, api.Endpoint] = {}
         self.disabled: set[int] = set()
-        self._pending: dict[int, CellQueue] = {}  # the last one is dispatched first
+        self._pending: dict[int, CellQueue] = {}  # by cell; dispatched last in, first out
 
     def queue(self, cell: int) -> CellQueue:
         """Return the queue of a cell; create it on first use."""
@@ -35,7 +35,7 @@
         self._pending[queue.cell] = queue
 
     def take_pending(self) -> Iterator[CellQueue]:
-        """Yield the queues to dispatch until none is left, including those marked meanwhile."""
+        """Yield the pending queues until none is left, including those marked during the iteration."""
         while self._pending:
             yield self._pending.popitem()[1]
 
@@ -45,7 +45,7 @@
         self.disabled = {endpoint.cell for endpoint in endpoints.values() if endpoint.admin_disabled}
 
     def apply_suspicions(self, event: api.PeerSuspicions) -> None:
-        """Replace the suspicions that other instances have reported about backends."""
+        """Replace the suspicions against backends that peers have reported."""
         for queue in self.queues.values():
             if queue.health:
                 queue.health.suspected_until = event.suspected_until.get(queue.health.endpoint.backend, 0)
--- a/garnetlanding/decision/control.py
+++ b/garnetlanding/decision/control.py
@@ -1,17 +1,17 @@
-"""Decides which part of the Controller handles an event, and in which order: C-SFQ(D) for one instance.
+"""The Controller of one instance, an implementation of C-SFQ(D): passes each event to its handler.
 
 The Controller is a pure state machine: events in, actions out (interface.py), no clock and no I/O. It
-implements start-time fair queueing with adapted weights and concurrency limits. The decisions are those of
+implements start-time fair queueing with adaptive weights and concurrency limits. The decisions are made in
 
 - admission.py: which requests are queued or rejected, and when a request gets its final answer;
 - dispatch.py: which queued request is sent next;
-- load_shedding.py: which queued requests are shed because they would be late;
-- concurrency.py, warmup.py: how many attempts and units a backend gets;
-- placement.py: which backend serves a cell, and in which cell a new object is placed;
+- load_shedding.py: which queued requests are shed so that others are in time;
+- concurrency.py, warmup.py: how many attempts and units may be sent to a backend;
+- placement.py: which backend serves a cell, and in which cell a new object is created;
 - attempt_rules.py, retries.py, backoff.py: which requests are retried or hedged, and when;
 - weight_control.py: the weights of volumes in the fair queues.
 
-The other modules of the package hold state and do arithmetic. All times are microseconds.
+The other modules of the package contain state and arithmetic. All times are microseconds.
 """
 
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 
 class Controller:
-    """The decision module of one instance: takes every event in order, returns actions in order."""
+    """The decision module of one instance: handles events and returns actions, both in order."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.state = ControllerState(settings, seed)
@@ -56,7 +56,7 @@
         return self.state.settings
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
-        """Handle events at the time `now`, which never decreases, and return the actions that follow."""
+        """Handle events at the time `now`, which never decreases, and return the resulting actions."""
         state = self.state
         state.begin_call(now)
         for event in events:
@@ -66,8 +66,8 @@
         state.timers.run_due(now)
         for queue in state.cells.take_pending():
             self._dispatcher.dispatch(queue)
-            if queue.queued:
-                state.schedule_dispatch(queue, now + tuning.DISPATCH_INTERVAL)
+            if queue.queued_count:
+                state.schedule_dispatch(queue, now + tuning.DISPATCH_INTERVAL_US)
         return state.end_call()
 
     def _on_settings(self, event: api.NewSettings) -> None:
@@ -79,14 +79,14 @@
         self._poll_backoff.reset()
         if update.at_start:
             state.started_at = state.now
-            state.timers.schedule(state.now + tuning.WEIGHT_INTERVAL, run_weight_controller, state)
+            state.timers.schedule(state.now + tuning.WEIGHT_INTERVAL_US, run_weight_controller, state)
             if state.settings.poll_endpoints:
                 state.actions.emit(api.Subscribe())
         apply_update(state, update)
 
     def _on_endpoint_list_failure(self, failure: api.EndpointListFailure) -> None:
         state = self.state
-        quota = state.budgets.quota(api.ENDPOINT_POLLS)
+        quota = state.budgets.quota(api.POLL_BUDGET)
         pause = self._poll_backoff.next_pause(failure, quota, state.rng)
         state.timers.schedule(state.now + pause, state.actions.emit, api.Subscribe())
 
@@ -96,7 +96,7 @@
             self._admission.finish(request)
 
     def _on_stream_started(self, event: api.StreamStarted) -> None:
-        """Leave the final answer to the attempt that streams its response, however long it takes."""
+        """Give no other final answer, since the streaming attempt answers the client itself."""
         request = self.state.requests.by_id.get(event.request)
         if request:
             request.answer_by = NEVER
--- a/garnetlanding/decision/dispatch.py
+++ b/garnetlanding/decision/dispatch.py
@@ -1,4 +1,4 @@
-"""Decides which queued request is sent next, and when."""
+"""Dispatch: chooses which queued request is sent next, and when."""
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision import tuning
@@ -23,16 +23,16 @@
         self._retries = retries
 
     def dispatch(self, queue: CellQueue) -> None:
-        """Shed requests that would be late, then send what the backend's limits allow."""
+        """Run a dispatch pass: shed requests that would be late, then send what the limits allow."""
         health = queue.health
         if health is None:
             self._end_if_disabled(queue)
             return
-        if not queue.queued:
+        if not queue.queued_count:
             return
         shed_load(self._state, queue, health, self._admission)
-        while queue.queued and health.in_flight + 1 <= concurrency_limit(self._state, health):
-            request = self._next(queue, health)
+        while queue.queued_count and health.in_flight + 1 <= concurrency_limit(self._state, health):
+            request = self._next_request(queue, health)
             if request is None or warmup_allowance(self._state, queue, health).units < request.units:
                 return
             if may_attempt(self._state, request, health):
@@ -41,21 +41,21 @@
                 self._admission.reject_or_fail(request)
 
     def _end_if_disabled(self, queue: CellQueue) -> None:
-        """End all requests of a cell whose backend an operator has disabled: nobody knows for how long."""
-        if queue.queued and queue.cell in self._state.cells.disabled:
+        """End all requests of a cell whose backend an operator has disabled for an unknown time."""
+        if queue.queued_count and queue.cell in self._state.cells.disabled:
             for request in queue.requests():
                 self._admission.reject_or_fail(request)
 
-    def _next(self, queue: CellQueue, health: BackendHealth) -> Request | None:
-        """Return the request with the lowest start tag among the first eligible ones of all flows."""
+    def _next_request(self, queue: CellQueue, health: BackendHealth) -> Request | None:
+        """Return the request with the lowest start tag among the first eligible request of each flow."""
         latency = health.expected_latency(self._state.now)
-        first = [self._first_eligible(flow, latency) for flow in queue.flows.values() if flow.queued]
-        eligible = [request for request in first if request is not None]
+        candidates = [self._first_eligible(flow, latency) for flow in queue.flows.values() if flow.queued]
+        eligible = [request for request in candidates if request is not None]
         return min(eligible, key=Request.tag) if eligible else None
 
     def _first_eligible(self, flow: Flow, latency: float) -> Request | None:
-        """Return a flow's first request within its limit that still accepts the backend's latency."""
-        _refill_limits(flow, self._state.now)
+        """Return a flow's first request that its rate limit and the backend's latency allow to be sent."""
+        _refill_rate_limits(flow, self._state.now)
         for request in flow.queued:
             within_limit = bool(request.attempts) or request.volume.limit.level >= request.units
             if within_limit and (request.in_flight() or latency <= self._max_latency(request)):
@@ -65,16 +65,16 @@
     def _max_latency(self, request: Request) -> float:
         """Return the longest expected latency at which this request is still sent, in microseconds.
 
-        Among many instances it grows with the request's priority weight: requests of low priority wait while
-        a backend is slow. Among few, whose concurrency limits protect a backend by themselves, it is the
-        latency objective.
+        With many instances, it grows with the request's priority weight, so that requests of low priority
+        wait while a backend is slow. With few, the concurrency limits alone protect the backend, and it is
+        the latency objective.
         """
-        parameters = self._state.parameters
+        derived = self._state.derived_settings
         objective = request.traffic_class.latency_objective_us
-        rank = min(1.0, request.priority_weight / parameters.highest_priority_weight)
+        relative_weight = min(1.0, request.priority_weight / derived.highest_priority_weight)
         slow = tuning.SLOW_LATENCY_FRACTION
-        fraction = parameters.tightest_objective_us / objective * (slow + (1 - slow) * rank)
-        return objective * float(fraction**parameters.contention)
+        fraction = derived.tightest_objective_us / objective * (slow + (1 - slow) * relative_weight)
+        return objective * float(fraction**derived.contention)
 
     def _send(self, request: Request, queue: CellQueue, health: BackendHealth) -> None:
         """Send a queued request to the backend of its cell."""
@@ -82,7 +82,7 @@
         queue.dequeue_sent(request)
         if request.attempts:
             state.budgets.retries.record_retry(state.now)
-            request.attempts[-1].release_slot()  # its response counts as lost
+            request.attempts[-1].release_slot()  # to the new attempt; the response counts as lost
         else:
             request.volume.limit.level -= request.units
         request.attempts.append(Attempt(health, queue.cell, state.now))
@@ -92,10 +92,11 @@
         self._retries.schedule_hedge(request)
 
 
-def _refill_limits(flow: Flow, now: int) -> None:
-    """Refill the limits of all queued first attempts, whichever is eligible.
+def _refill_rate_limits(flow: Flow, now: int) -> None:
+    """Refill the rate limits of all queued requests without an attempt, eligible or not.
 
-    Buckets are thus refilled at the same times in every run: at other times, levels would round differently.
+    This makes the refill times independent of which request is eligible. Refills at other times would round
+    the levels differently.
     """
     for request in flow.queued:
         limit = request.volume.limit
--- a/garnetlanding/decision/endpoints.py
+++ b/garnetlanding/decision/endpoints.py
@@ -1,4 +1,4 @@
-"""Applies updates of the endpoint list: which backend serves each cell."""
+"""Applies updates of the endpoint list to the cells."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from garnetlanding.decision.backend_health import BackendHealth
 from garnetlanding.decision.estimators import SlidingWindowSum
 from garnetlanding.decision.fair_queue import CellQueue
-from garnetlanding.decision.placement import newest_up
+from garnetlanding.decision.placement import newest_up_endpoints
 from garnetlanding.decision.state import ControllerState
 from garnetlanding.decision.units import LONG_AGO
 
 
 def apply_update(state: ControllerState, update: api.EndpointListUpdate) -> None:
-    """Replace or change the endpoint list, and request a dispatch pass over every cell."""
+    """Replace or change the endpoint list, and request a dispatch pass over the queue of every cell."""
     cells = state.cells
     endpoints = {} if update.complete else cells.endpoints
     endpoints = endpoints | {endpoint.backend: endpoint for endpoint in update.entries}
@@ -21,7 +21,7 @@
     cells.replace_endpoints(
         {backend: endpoint for backend, endpoint in endpoints.items() if endpoint.state is not gone}
     )
-    up = newest_up(cells.endpoints)
+    up = newest_up_endpoints(cells.endpoints)
     without_backend = [cell for cell in cells.queues if cell not in up]
     for cell in [*up, *without_backend]:
         _set_backend(state, cells.queue(cell), up.get(cell))
@@ -33,11 +33,16 @@
     if endpoint is None:
         queue.health = None
         return
-    old = queue.health.endpoint if queue.health else None
-    if old is None or (old.backend, old.started_us) != (endpoint.backend, endpoint.started_us):
-        served = SlidingWindowSum(tuning.COMPLETION_WINDOW)
+    previous = queue.health.endpoint if queue.health else None
+    if previous is None or _process_id(previous) != _process_id(endpoint):
+        served = SlidingWindowSum(tuning.COMPLETION_WINDOW_US)
         sent_units = SlidingWindowSum(state.settings.overload_window_us)
         queue.health = BackendHealth(endpoint, endpoint.started_us or LONG_AGO, served, sent_units)
         if state.is_warming_up(queue.health):
-            # The text is part of the simulator's wire; the operators' pages quote it.
+            # The text is part of the simulator's protocol and quoted in the operators' documentation.
             state.actions.log(f"node {endpoint.backend} is cold")
+
+
+def _process_id(endpoint: api.Endpoint) -> tuple[str, int]:
+    """Return what identifies a backend process: its name and its start."""
+    return endpoint.backend, endpoint.started_us
--- a/garnetlanding/decision/estimators.py
+++ b/garnetlanding/decision/estimators.py
@@ -1,4 +1,4 @@
-"""Running statistics: sums over a sliding window, moving averages, and statistics over all backends."""
+"""Running statistics: sliding-window sums, moving averages, and response statistics of all backends."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         while items and items[0][0] <= since:
             self._sum -= items.popleft()[1]
         if not items:
-            self._sum = 0.0  # removes the rounding errors of many subtractions
+            self._sum = 0.0  # discards the accumulated rounding errors
         return self._sum
 
 
@@ -58,9 +58,9 @@
 
 
 class ResponseStatistics:
-    """Statistics over the responses of all backends, since each one alone responds too rarely.
+    """Statistics of the responses of all backends together; each one alone provides too few samples.
 
-    `loss_rate`: fraction of the responses that get lost, among backends that do respond.
+    `loss_rate`: fraction of the responses that are lost, at backends that do respond.
     `hedging_delay_us`: a high quantile of the latency, after which an attempt is hedged.
     `mean_latency_us`: the mean latency.
     """
@@ -75,11 +75,13 @@
     def record_response(self, latency_us: float, *, is_hedge_win: bool) -> None:
         """Update the statistics by a response.
 
-        `is_hedge_win`: an earlier attempt of the request is still in flight, so its response counts as lost.
+        `is_hedge_win`: an earlier attempt of the request is still in flight; its response counts as lost.
         """
         self.loss_rate += (is_hedge_win - self.loss_rate) * tuning.SHARED_STATISTICS_GAIN
         is_overdue = latency_us > self.hedging_delay_us
-        self.hedging_delay_us *= 1 + tuning.SHARED_STATISTICS_GAIN * (is_overdue - tuning.HEDGING_QUANTILE)
+        self.hedging_delay_us *= 1 + tuning.SHARED_STATISTICS_GAIN * (
+            is_overdue - tuning.HEDGING_LATE_FRACTION
+        )
         self.mean_latency_us += (latency_us - self.mean_latency_us) * tuning.SHARED_STATISTICS_GAIN
 
     def record_loss(self) -> None:
@@ -87,8 +89,10 @@
         self.loss_rate += (1 - self.loss_rate) * tuning.SHARED_STATISTICS_GAIN
 
     def fault_probability(self, in_flight: int) -> float:
-        """Return how likely a backend is faulty when that number of attempts there has no response.
+        """Return the probability that a backend with `in_flight` unanswered attempts is faulty.
 
-        The other explanation is that all these responses were lost by chance.
+        The alternative is that all these responses were lost by chance.
         """
-        return tuning.FAULT_PRIOR / (tuning.FAULT_PRIOR + float(self.loss_rate ** max(1, in_flight)))
+        return tuning.FAULT_PRIOR_PROBABILITY / (
+            tuning.FAULT_PRIOR_PROBABILITY + float(self.loss_rate ** max(1, in_flight))
+        )
--- a/garnetlanding/decision/fair_queue.py
+++ b/garnetlanding/decision/fair_queue.py
@@ -1,4 +1,4 @@
-"""Start-time fair queueing (SFQ) in units: queues and tags. dispatch.py chooses among the queued requests.
+"""Start-time fair queueing (SFQ) in units: queues and tags; dispatch.py chooses among the queued requests.
 
 A request's start tag is the maximum of the queue's virtual time when it was enqueued and the finish tag of
 the previous request of its volume; its finish tag is the start tag plus its units over the volume's weight.
@@ -26,7 +26,7 @@
     arrived_units: float = 0.0  # ever queued here
 
     def retag_for_weight(self, virtual_time: float, weight: float) -> None:
-        """Compute all tags anew for a changed weight, starting with the last request sent."""
+        """Recompute all tags for a changed weight, starting with the last request sent."""
         self.finish_tag = self.last_start_tag + self.last_units / weight
         previous = self.finish_tag
         for request in self.queued:
@@ -35,8 +35,8 @@
                 previous = request.start_tag + request.units / weight
                 request.finish_tag = previous
 
-    def close_gap(self, weight: float) -> None:
-        """Compute the tags of queued requests anew after one was removed unsent, without its cost."""
+    def retag_after_removal(self, weight: float) -> None:
+        """Recompute the tags of the queued requests after one was removed unsent."""
         previous = self.finish_tag
         for request in self.queued:
             if not request.keeps_tags:
@@ -54,18 +54,18 @@
 
 @dataclass(slots=True, eq=False)
 class CellQueue:
-    """The fair queue of one cell; it persists when another backend process takes over the cell."""
+    """The fair queue of one cell; it is kept when another backend process takes over the cell."""
 
     cell: int
-    health: BackendHealth | None = None  # of the backend that serves the cell; None: there is none
+    health: BackendHealth | None = None  # of the backend that serves the cell; None: no backend
     flows: dict[str, Flow] = field(default_factory=dict)  # by volume
     virtual_time: float = 0.0  # the highest start tag of a request sent
-    queued: int = 0  # requests in all flows
+    queued_count: int = 0  # requests in all flows
     next_dispatch_at: int = NEVER  # time of the next scheduled dispatch pass
     usual_load: EwmaRate = field(default_factory=EwmaRate)  # units per second served to this instance
 
     def enqueue(self, request: Request) -> None:
-        """Enqueue a request: with new tags at the end of its flow, or with its old tags in front."""
+        """Append a request to its flow with new tags, or put it in front if it keeps its tags."""
         volume = request.volume
         flow = self.flows.setdefault(request.arrival.volume, Flow())
         if request.keeps_tags:
@@ -77,7 +77,7 @@
             request.finish_tag = request.start_tag + request.units / volume.weight
             flow.queued.append(request)
         request.queued_cell = self.cell
-        self.queued += 1
+        self.queued_count += 1
         flow.arrived_units += request.units
         volume.arrived_units += request.units
         if not request.attempts:
@@ -87,15 +87,15 @@
         """Remove a queued request and return its flow, without changing other tags."""
         flow = self.flows[request.arrival.volume]
         flow.queued.remove(request)
-        self.queued -= 1
+        self.queued_count -= 1
         request.queued_cell = None
         if not request.attempts:
             request.volume.queued_units -= request.units
         return flow
 
     def dequeue_unsent(self, request: Request) -> None:
-        """Remove a queued request that is not sent, and its cost from the tags of those behind it."""
-        self.remove(request).close_gap(request.volume.weight)
+        """Remove a queued request that is not sent, and its cost from the tags of the following requests."""
+        self.remove(request).retag_after_removal(request.volume.weight)
 
     def dequeue_sent(self, request: Request) -> None:
         """Remove a queued request that is sent now, and advance the virtual time."""
--- a/garnetlanding/decision/load_shedding.py
+++ b/garnetlanding/decision/load_shedding.py
@@ -1,7 +1,7 @@
-"""Decides which queued requests are shed because they would miss their latency objectives.
+"""Load shedding: ends queued requests so that the others meet their latency objectives.
 
-Requests are taken in the order in which they would be dispatched. While the completion forecast for one of
-them is late, the request of the lowest priority weight among it and those before it is ended.
+Requests are visited in dispatch order. While a request is forecast to miss its latency objective, the one of
+the lowest priority weight among it and its predecessors is shed.
 """
 
 from __future__ import annotations
@@ -19,52 +19,52 @@
 from garnetlanding.decision.warmup import WarmupAllowance, warmup_allowance
 
 Candidate = tuple[float, float, int, Request]
-"""A request that may be shed, behind its sort key: lowest priority weight first, then the last to leave."""
+"""A request that may be shed, after its sort key: by lowest priority weight, then by latest dispatch."""
 
 
 @dataclass(slots=True)
 class ServiceForecast:
-    """How fast a backend will serve the requests queued for it, as far as this instance can tell."""
+    """Estimate of how fast a backend will serve the requests that this instance has queued for it."""
 
     now: int
-    us_per_unit: float  # service time; 0 while the backend is fast
+    us_per_unit: float  # service time per unit; 0 while the backend is fast
     concurrency: float  # attempts served in parallel
-    free_units: float  # units that can be sent at once
+    free_units: float  # units that can be sent without queueing
     warmup: WarmupAllowance
 
     def earliest_completion(self, request: Request) -> float:
-        """Return when a request would be complete if it were sent at once."""
+        """Return when a request would be complete if it were sent now."""
         return self.now + self.us_per_unit * request.units
 
     def completion(self, request: Request, units_ahead: float) -> float:
         """Return when a request would be complete after `units_ahead` units of requests before it."""
         queueing_us = self.us_per_unit * max(0.0, units_ahead - self.free_units) / self.concurrency
         served_at = self.now + self.us_per_unit * request.units + queueing_us
-        lacking_units = units_ahead + request.units - self.warmup.units
-        warm_enough_at = self.now + self.warmup.us_per_unit * lacking_units
-        return max(served_at, warm_enough_at)
+        missing_units = units_ahead + request.units - self.warmup.units
+        allowed_at = self.now + self.warmup.us_per_unit * missing_units
+        return max(served_at, allowed_at)
 
 
 def forecast_service(
     state: ControllerState, queue: CellQueue, health: BackendHealth
 ) -> ServiceForecast | None:
-    """Return the forecast for a backend, or None if nothing there can make a request late."""
+    """Return the forecast for a backend, or None if no request queued for it can be late."""
     now = state.now
     concurrency = concurrency_limit(state, health)
     free_slots = concurrency - health.in_flight
     latency = health.expected_latency(now)
     warmup = warmup_allowance(state, queue, health)
-    slow_latency = tuning.SLOW_LATENCY_FRACTION * state.parameters.tightest_objective_us
-    is_fast = not health.latency_us or (queue.queued <= free_slots and latency <= slow_latency)
+    slow_latency = tuning.SLOW_LATENCY_FRACTION * state.derived_settings.tightest_objective_us
+    is_fast = not health.latency_us or (queue.queued_count <= free_slots and latency <= slow_latency)
     if is_fast and not warmup.us_per_unit:
         return None
-    us_per_unit = 0.0 if is_fast else latency / max(health.mean_units, tuning.SMALLEST_POSITIVE)
+    us_per_unit = 0.0 if is_fast else latency / max(health.mean_units, tuning.MIN_DIVISOR)
     free_units = (free_slots - 1) * health.mean_units
     return ServiceForecast(now, us_per_unit, concurrency, free_units, warmup)
 
 
 def _candidate(request: Request, forecast: ServiceForecast) -> Candidate:
-    """Return the request as a candidate; one that must be late is only worth the value of a late response."""
+    """Return the request as a candidate; one that cannot be in time has the value of a late response."""
     weight = request.priority_weight
     if forecast.earliest_completion(request) > request.objective_at:
         weight *= request.traffic_class.late_value_fraction
--- a/garnetlanding/decision/ordered_keys.py
+++ b/garnetlanding/decision/ordered_keys.py
@@ -1,4 +1,4 @@
-"""Per-key ordering queues: requests of an ordered class with the same key run one after another."""
+"""Queues of ordered keys: requests of an ordered class with the same key are executed one at a time."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     """The requests of one key, in the order of their arrival."""
 
     waiting: deque[Request] = field(default_factory=deque)
-    blocked_until: int = 0  # after an attempt that may still be executing
-    admitted: Request | None = None  # the one that has been put into a fair queue
+    blocked_until: int = 0  # end of the pause after an attempt that may still be executing
+    admitted: Request | None = None  # the request that has been put into a fair queue last
 
     def drop_settled(self) -> Request | None:
-        """Drop the requests that are answered and not in flight; return the first of the others."""
+        """Drop the requests that are answered and not in flight; return the first remaining one."""
         self.waiting = deque(
             request for request in self.waiting if not request.answered or request.in_flight()
         )
--- a/garnetlanding/decision/parameters.py
+++ b/garnetlanding/decision/parameters.py
@@ -1,4 +1,4 @@
-"""Parameters that follow from the settings alone, computed once for each change of the settings."""
+"""Values derived from the settings, computed once per change of the settings."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Parameters:
-    """Parameters derived from the settings."""
+class DerivedSettings:
+    """Values derived from the settings."""
 
     tightest_objective_us: int  # the shortest latency objective of all classes
     highest_priority_weight: float  # of all classes and plans
-    contention: float  # 0 to 1: how far the concurrency floors of all instances together overload a backend
+    contention: float  # 0 to 1: overload of a backend when all instances use their concurrency floors
 
     @classmethod
-    def derive(cls, settings: api.Settings) -> Parameters:
-        """Compute the parameters for these settings."""
+    def derive(cls, settings: api.Settings) -> DerivedSettings:
+        """Compute the values for these settings."""
         classes = settings.classes.values()
         tightest_objective_us = min(spec.latency_objective_us for spec in classes)
         highest_price = max(plan.price for plan in settings.plans.values())
--- a/garnetlanding/decision/request_table.py
+++ b/garnetlanding/decision/request_table.py
@@ -1,4 +1,4 @@
-"""The requests of one instance, and the queues of keys whose requests are executed in order."""
+"""The table of the unfinished requests of one instance."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RequestTable:
-    """Owns all requests that have no final answer or an attempt in flight, by identifier."""
+    """Owns the requests that have no final answer yet or have an attempt in flight, and the ordered keys."""
 
     __slots__ = ("_arrivals", "_longest_timeout_us", "by_id", "ordered_keys")
 
@@ -31,8 +31,8 @@
     ) -> Request:
         """Create the request of an arrival.
 
-        A client's retry has the latency objective of its first attempt. When that arrived follows from the
-        longest timeout that any client has given for the class.
+        The latency objective of a client's retry counts from the client's first attempt. The time of that
+        attempt is derived from the deadline and the longest timeout that clients have used for the class.
         """
         timeout_us = max(self._longest_timeout_us.get(arrival.request_class, 0), arrival.deadline_us - now)
         self._longest_timeout_us[arrival.request_class] = timeout_us
--- a/garnetlanding/decision/requests.py
+++ b/garnetlanding/decision/requests.py
@@ -43,12 +43,12 @@
     sequence: int  # number of its arrival
     objective_at: int  # when its latency objective is missed
     answer_by: int  # when its final answer is due
-    priority_weight: float  # per unit, as estimated by this instance
+    priority_weight: float  # per unit; lowered if the request exceeds the reserve
     reserved_units: float = 0.0  # taken from the volume's reserve
     attempts: list[Attempt] = field(default_factory=list)
-    answered: bool = False  # has its final answer, or needs none
-    queued_cell: int | None = None  # cell in whose queue it is
-    keeps_tags: bool = False  # in its queue: an earlier attempt has paid for its tags
+    answered: bool = False  # has its final answer or needs none
+    queued_cell: int | None = None  # cell whose queue contains it
+    keeps_tags: bool = False  # whether a retry in the same cell keeps the tags of the first attempt
     virtual_time: float = 0.0  # of the queue when it was enqueued
     start_tag: float = 0.0
     finish_tag: float = 0.0
@@ -64,13 +64,13 @@
 
     def in_flight(self) -> bool:
         """Return whether an attempt has no outcome yet."""
-        for attempt in self.attempts:  # noqa: SIM110 - on the hot path, a generator costs more
+        for attempt in self.attempts:  # noqa: SIM110 - any() is slower on this hot path
             if attempt.outcome is None:
                 return True
         return False
 
     def attempts_that_may_have_run(self) -> list[Attempt]:
-        """Return the attempts whose outcome does not prove that they had no effect."""
+        """Return the attempts that the backend may have executed, at least in part."""
         return [attempt for attempt in self.attempts if attempt.outcome not in api.NEVER_RAN]
 
     def may_have_been_delivered(self) -> bool:
--- a/garnetlanding/decision/retries.py
+++ b/garnetlanding/decision/retries.py
@@ -1,4 +1,4 @@
-"""Decides on attempts after a request's first: whether to retry or to hedge, and after which pause."""
+"""Retries and hedges: whether a request gets another attempt, and after which delay."""
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.admission import Admission
@@ -16,7 +16,7 @@
         self._admission = admission
 
     def on_result(self, result: api.Result) -> None:
-        """Record an attempt's result; finish the request or retry it. Ignore a second result."""
+        """Record the result of an attempt, then finish or retry the request. Ignore duplicate results."""
         request = self._state.requests.by_id.get(result.request)
         if request is None or not 0 <= result.attempt < len(request.attempts):
             return
@@ -40,7 +40,7 @@
             request.volume.usage_percent = result.usage_percent
         ordered_keys = state.requests.ordered_keys
         if result.outcome in MAY_STILL_RUN and request.arrival.key in ordered_keys:
-            pause_us = state.settings.ordered_key_rest_us + state.settings.tick_us
+            pause_us = state.settings.ordered_key_pause_us + state.settings.tick_us
             ordered_keys[request.arrival.key].blocked_until = state.now + pause_us
 
     def _retry(self, request: Request) -> None:
@@ -48,14 +48,14 @@
         state = self._state
         attempts = len(request.attempts)
         retry_at = state.now + retry_pause(request.traffic_class.latency_objective_us, attempts, state.rng)
-        late = retry_at + request.attempts[-1].health.latency_us > request.answer_by
-        if late or attempts >= state.settings.max_attempts:
+        is_late = retry_at + request.attempts[-1].health.latency_us > request.answer_by
+        if is_late or attempts >= state.settings.max_attempts:
             self._admission.reject_or_fail(request)
         else:
             state.timers.schedule(retry_at, self._admission.enqueue, request)
 
     def schedule_hedge(self, request: Request) -> None:
-        """Schedule a hedged attempt for when the response to the attempt just sent is overdue."""
+        """Schedule a hedged attempt for the time when the response to the last attempt is overdue."""
         state = self._state
         if state.settings.parallel_attempts:
             health = request.attempts[-1].health
@@ -64,7 +64,7 @@
             state.timers.schedule(hedge_at, self._hedge, request)
 
     def _hedge(self, request: Request) -> None:
-        """Queue a second attempt beside one that is overdue, within the hedge budget."""
+        """Queue another attempt of a request whose attempt is overdue, if the hedge budget allows it."""
         state = self._state
         if request.answered or request.queued_cell is not None or not request.in_flight():
             return
--- a/garnetlanding/decision/state.py
+++ b/garnetlanding/decision/state.py
@@ -1,4 +1,4 @@
-"""The state of one instance's Controller, composed of parts with one job each. Nothing is decided here."""
+"""The state of one instance's Controller, composed of its parts; the decisions are made elsewhere."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from garnetlanding.decision.cell_registry import CellRegistry
 from garnetlanding.decision.estimators import ResponseStatistics
 from garnetlanding.decision.fair_queue import CellQueue
-from garnetlanding.decision.parameters import Parameters
+from garnetlanding.decision.parameters import DerivedSettings
 from garnetlanding.decision.request_table import RequestTable
 from garnetlanding.decision.requests import Request
 from garnetlanding.decision.timer_queue import TimerQueue
@@ -20,18 +20,18 @@
 from garnetlanding.decision.volume_registry import VolumeRegistry
 
 WAKE_TOKEN = "look"
-"""Token of the timer that requests the next call; part of the simulator's wire."""
+"""Token of the timer for the next call; part of the simulator's protocol."""
 
 
 class ControllerState:
-    """The parts of the state, and what involves several of them. `now` is the time of the current call."""
+    """The parts of the state and operations on several of them. `now` is the time of the current call."""
 
     __slots__ = (
         "actions",
         "budgets",
         "cells",
+        "derived_settings",
         "now",
-        "parameters",
         "requests",
         "rng",
         "settings",
@@ -46,16 +46,16 @@
         self.started_at = 0
         self.rng = random.Random(seed)
         self.timers = TimerQueue()
-        self.actions = ActionBuffer(tuning.LOG_LINES)
+        self.actions = ActionBuffer(tuning.MAX_LOG_LINES)
         self.requests = RequestTable()
         self.cells = CellRegistry()
         self.volumes = VolumeRegistry(self.cells)
         self.budgets = Budgets(settings)
         self.settings = settings
-        self.parameters = Parameters.derive(settings)
-        self.statistics = ResponseStatistics(float(self.parameters.tightest_objective_us))
+        self.derived_settings = DerivedSettings.derive(settings)
+        self.statistics = ResponseStatistics(float(self.derived_settings.tightest_objective_us))
 
-    # The call
+    # Calls of the state machine
 
     def begin_call(self, now: int) -> None:
         """Start a call at that time."""
@@ -63,7 +63,7 @@
         self.actions.discard()
 
     def end_call(self) -> list[api.Action]:
-        """Return the call's actions, with a wake-up for the next timer unless an earlier one is set."""
+        """Return the actions of the call, with a wake-up for the next timer unless an earlier one is set."""
         wake_after_us = self.timers.next_wake_up(self.now)
         if wake_after_us is not None:
             self.actions.emit(api.WakeAfter(wake_after_us, WAKE_TOKEN))
@@ -72,19 +72,19 @@
     # Settings
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Put new settings into force.
+        """Apply new settings.
 
-        A lower process quota holds for warm-up budgets at once, a higher one after an overload window: until
-        then, attempts of the other process still count at the backends.
+        For warm-up budgets, a lower process quota applies at once and a higher one after an overload window:
+        until then, attempts of the other process still count at the backends.
         """
-        old_process_quota = self.settings.process_quota
+        previous_process_quota = self.settings.process_quota
         self.settings = settings
         self.budgets.lower_process_warmup_quota(settings.process_quota)
         if settings.process_quota > self.budgets.process_warmup_quota:
-            gained_at = self.now + settings.overload_window_us
-            self.timers.schedule(gained_at, self._raise_process_warmup_quota, settings.process_quota)
-        self.parameters = Parameters.derive(settings)
-        quota_changed = old_process_quota != settings.process_quota
+            raise_at = self.now + settings.overload_window_us
+            self.timers.schedule(raise_at, self._raise_process_warmup_quota, settings.process_quota)
+        self.derived_settings = DerivedSettings.derive(settings)
+        quota_changed = previous_process_quota != settings.process_quota
         self.volumes.apply_settings(self.now, settings, quota_changed=quota_changed)
 
     def _raise_process_warmup_quota(self, gained_quota: float) -> None:
@@ -123,4 +123,4 @@
 
     def is_warming_up(self, health: BackendHealth) -> bool:
         """Return whether a backend started less than the warm-up time ago."""
-        return self.now < health.warming_since + self.settings.warmup_us
+        return self.now < health.warmup_started_at + self.settings.warmup_us
--- a/garnetlanding/decision/timer_queue.py
+++ b/garnetlanding/decision/timer_queue.py
@@ -1,4 +1,4 @@
-"""Timers of a state machine without a clock: callbacks by the time at which they are due."""
+"""Timers of a state machine without a clock of its own."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TimerQueue:
-    """A queue of callbacks, and the time of the one wake-up that is set for the first of them.
+    """A queue of callbacks by due time, and the time of the wake-up that is set for the first of them.
 
     Times are integer microseconds. Callbacks due at the same time run in the order of their scheduling.
     """
@@ -33,9 +33,9 @@
             callback(argument)
 
     def next_wake_up(self, now: int) -> int | None:
-        """Return after how many microseconds a wake-up has to be set; None: an earlier one is still set.
+        """Return the delay of the wake-up to set, in microseconds; None if an earlier one is still set.
 
-        The wake-up returned counts as set from now on.
+        The caller sets the wake-up that is returned; it counts as set from now on.
         """
         if self._wake_at is not None and self._wake_at <= now:
             self._wake_at = None
--- a/garnetlanding/decision/token_bucket.py
+++ b/garnetlanding/decision/token_bucket.py
@@ -1,4 +1,4 @@
-"""Token buckets, and the budgets of retries and of hedged requests."""
+"""Token buckets, and the budgets of retries and hedged requests."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
     def reconfigure(self, now: int, rate: float, capacity: float) -> None:
         """Change rate and capacity from now on; tokens above the new capacity are lost."""
         self.refill(now)
-        self.rate = max(rate, tuning.SMALLEST_POSITIVE)
+        self.rate = max(rate, tuning.MIN_DIVISOR)
         self.capacity = capacity
         self.level = min(self.level, capacity)
 
 
 class RetryBudget:
-    """Bounds retries within a sliding window: some are free, arrivals earn more (`retry_budget_*`)."""
+    """Bounds retries within a sliding window: a fixed number and a fraction of the arrivals."""
 
     __slots__ = ("_arrivals", "_retries")
 
     def __init__(self, window_us: int) -> None:
-        # Twice the window: a total is taken up to a clock tick to either side of it.
+        # Amounts are kept for twice the window, since totals reach up to a clock tick beyond it.
         self._arrivals = SlidingWindowSum(2 * window_us)
         self._retries = SlidingWindowSum(2 * window_us)
 
@@ -57,33 +57,35 @@
     def allows_retry(self, now: int, settings: api.Settings, quota: float) -> bool:
         """Return whether the budget allows one more retry.
 
-        `quota` is this instance's quota of the free retries, as a multiple of an even one. Arrivals are
-        counted over a tick less than the window and retries over a tick more, so that an observer whose clock
-        differs by a tick still finds the budget kept.
+        `quota` is this instance's quota of the fixed number of retries, as a multiple of an equal quota.
+        Arrivals are counted over one tick less than the window and retries over one tick more, so that the
+        budget also holds by a clock that differs by a tick.
         """
         since = now - settings.retry_budget_window_us
-        free = settings.retry_budget_floor * settings.process_quota * quota
-        earned = free + settings.retry_budget_ratio * self._arrivals.total(since + settings.tick_us)
+        fixed = settings.retry_budget_floor * settings.process_quota * quota
+        allowed = fixed + settings.retry_budget_ratio * self._arrivals.total(since + settings.tick_us)
         if settings.retry_budget_window_us == 0:
             return True
-        return self._retries.total(since - settings.tick_us) + 1 <= earned
+        return self._retries.total(since - settings.tick_us) + 1 <= allowed
 
 
 class HedgeBudget:
-    """Bounds hedged requests: arrivals earn tokens while responses get lost, and so do successful hedges."""
+    """Bounds hedged requests: arrivals add tokens while responses are lost, and so do hedges that win."""
 
     __slots__ = ("_tokens",)
 
     def __init__(self) -> None:
-        self._tokens = tuning.HEDGE_CAPACITY
+        self._tokens = tuning.HEDGE_MAX_TOKENS
 
-    def earn_by_arrival(self, loss_rate: float) -> None:
-        """Add what an arrival earns while that fraction of the responses gets lost."""
-        self._tokens = min(tuning.HEDGE_CAPACITY, self._tokens + min(tuning.HEDGE_EARNED_MAX, loss_rate))
+    def record_arrival(self, loss_rate: float) -> None:
+        """Add the tokens of an arrival, by the fraction of the responses that are lost."""
+        self._tokens = min(
+            tuning.HEDGE_MAX_TOKENS, self._tokens + min(tuning.HEDGE_MAX_TOKENS_PER_ARRIVAL, loss_rate)
+        )
 
-    def earn_by_win(self) -> None:
-        """Add what is earned when a hedged attempt is served before the earlier one."""
-        self._tokens = min(tuning.HEDGE_CAPACITY, self._tokens + tuning.HEDGE_WIN)
+    def record_win(self) -> None:
+        """Add the tokens for a hedged attempt that was served before the earlier attempt."""
+        self._tokens = min(tuning.HEDGE_MAX_TOKENS, self._tokens + tuning.HEDGE_TOKENS_PER_WIN)
 
     def has_token(self) -> bool:
         """Return whether one more hedge is allowed."""
--- a/garnetlanding/decision/units.py
+++ b/garnetlanding/decision/units.py
@@ -1,4 +1,4 @@
-"""Units of time and the constants for "never". All times are integer microseconds."""
+"""Constants of time. All times are integer microseconds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 """Microseconds in a second."""
 
 NEVER: Final = 1 << 62
-"""A time later than any clock reaches, in microseconds; also an amount that nothing reaches."""
+"""A time after any event, in microseconds; also used as an amount without a bound."""
 
 LONG_AGO: Final = -NEVER
 """A time before any event, in microseconds."""
--- a/garnetlanding/decision/volume.py
+++ b/garnetlanding/decision/volume.py
@@ -9,12 +9,12 @@
 from garnetlanding.decision.units import NEVER
 
 UNLIMITED = 1e12
-"""Units per second, and units at once, of a plan without a limit."""
+"""Rate (units per second) and burst (units) of a plan without a limit."""
 
 
 @dataclass(slots=True, eq=False)
 class Volume:
-    """One volume, as far as this instance serves it."""
+    """The state of one volume at this instance."""
 
     weight: float
     plan: api.PlanSpec
@@ -30,14 +30,15 @@
         self.quota = 1 / self.instances
 
     @property
-    def has_even_quota(self) -> bool:
-        """Whether the quota is the default: then nothing is lost when the volume is dropped."""
+    def has_default_quota(self) -> bool:
+        """Whether the quota is that of a new volume, so that no state is lost when this one is dropped."""
         return self.quota == 1 / self.instances
 
     def start_plan(self, now: int, plan: api.PlanSpec, settings: api.Settings) -> None:
         """Apply a plan, with a full reserve.
 
-        The limit starts with one request's units: an instance cannot know what it spent before a restart.
+        The bucket of the limit starts with the units of one request, because an instance does not know what
+        it spent before a restart.
         """
         level = settings.max_units if plan.limit_rate else UNLIMITED
         self.plan = plan
@@ -46,7 +47,7 @@
         self.reconfigure_buckets(now, settings)
 
     def reconfigure_buckets(self, now: int, settings: api.Settings) -> None:
-        """Set the rates and capacities of both buckets by the plan and the present quotas."""
+        """Set the rates and capacities of both buckets from the plan and the present quotas."""
         quota = self.quota * settings.process_quota
         plan = self.plan
         reserve_rate = plan.reserve_rate * quota
--- a/garnetlanding/decision/volume_registry.py
+++ b/garnetlanding/decision/volume_registry.py
@@ -1,4 +1,4 @@
-"""The volumes whose requests this instance serves."""
+"""Registry of the volumes whose requests this instance serves."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class VolumeRegistry:
-    """Owns the volumes, by name; a volume exists from its first request until it has been idle for long."""
+    """Owns the volumes by name; a volume exists from its first request until it expires."""
 
     __slots__ = ("_cells", "by_name")
 
     def __init__(self, cells: CellRegistry) -> None:
-        """`cells` hold the volumes' queued requests, whose tags follow the weights."""
+        """`cells` hold the queued requests, which are retagged when a weight changes."""
         self.by_name: dict[str, Volume] = {}
         self._cells = cells
 
@@ -32,7 +32,7 @@
         return volume
 
     def apply_settings(self, now: int, settings: api.Settings, *, quota_changed: bool) -> None:
-        """Restart the plans that the settings have changed, or all if the process's quota has changed.
+        """Restart the plans that the settings change, or all plans if the process quota has changed.
 
         A volume's weight changes only with its plan.
         """
@@ -59,16 +59,16 @@
                 queue.flows[name].retag_for_weight(queue.virtual_time, weight)
 
     def drop_idle(self, now: int) -> None:
-        """Drop volumes without requests for long, which bounds memory.
+        """Drop idle volumes to bound memory.
 
-        A volume with the default quota has the same state when it is created anew. One with queued requests
-        is kept: deadlines may be longer than the expiry.
+        Only volumes with the default quota are dropped: they have the same state when they are created again.
+        Volumes with queued requests are kept, because deadlines may be longer than the expiry.
         """
-        idle_since = now - tuning.IDLE_VOLUME_EXPIRY
+        idle_since = now - tuning.IDLE_VOLUME_EXPIRY_US
         idle = [
             name
             for name, volume in self.by_name.items()
-            if volume.reserve.refilled_at < idle_since and volume.has_even_quota
+            if volume.reserve.refilled_at < idle_since and volume.has_default_quota
         ]
         for name in idle:
             queues = [queue for queue in self._cells.queues.values() if name in queue.flows]
--- a/garnetlanding/peers/connection_quota.py
+++ b/garnetlanding/peers/connection_quota.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-from garnetlanding.decision.interface import concurrency_budget
+from garnetlanding.decision.interface import concurrency_budget_name
 from garnetlanding.peers.leases import BudgetLeases
 from garnetlanding.peers.limits import SECOND
 from garnetlanding.peers.name_tag import name_tag
@@ -45,7 +45,7 @@
         if budget is None:
             return 0
         demands = budget.leases.demands.by_tag
-        tag = name_tag(concurrency_budget(backend))
+        tag = name_tag(concurrency_budget_name(backend))
         if tag not in demands:
             # What this instance may have granted to peers is only deducted from a quota that is requested.
             self._record_demand(budget, backend, 0)
@@ -63,11 +63,11 @@
         if budget is None:
             return
         self._record_demand(budget, backend, float(lacking))
-        budget.leases.demands.set_in_use(concurrency_budget(backend), count)
+        budget.leases.demands.set_in_use(concurrency_budget_name(backend), count)
 
     def _record_demand(self, budget: BudgetLeases, backend: str, units: float) -> None:
         budget.leases.record_demand(
-            concurrency_budget(backend),
+            concurrency_budget_name(backend),
             budget.hosts,
             self.per_backend * SECOND / self._longest_attempt_us,
             units,
--- a/garnetlanding/peers/shared_budgets.py
+++ b/garnetlanding/peers/shared_budgets.py
@@ -18,7 +18,7 @@
 from garnetlanding.peers.limits import SECOND, PeerLimits
 from garnetlanding.peers.peer_contacts import InstanceIdentity
 
-CONNECTIONS = api.concurrency_budget("")  # with which the names of budgets of connections begin
+CONNECTIONS = api.concurrency_budget_name("")  # with which the names of budgets of connections begin
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
 
     def _request_poll(self, now: int, hosts: int) -> None:
         self.leases.record_demand(
-            api.ENDPOINT_POLLS,
+            api.POLL_BUDGET,
             hosts,
             self._limits.endpoint_polls_per_s,
             1,
@@ -108,7 +108,7 @@
             return
         self._units[arrival.request] = arrival.units
         self.leases.record_demand(
-            api.warmup_budget(backend.name),
+            api.warmup_budget_name(backend.name),
             hosts,
             settings.warmup_units * SECOND / settings.overload_window_us,
             arrival.units,
@@ -121,7 +121,7 @@
         if not window_us or not settings.retry_budget_floor or result.outcome is api.Outcome.SERVED:
             return
         rate = settings.retry_budget_floor * hosts * SECOND / window_us
-        self.leases.record_demand(api.RETRIES, hosts, rate, 1, now, window_us)
+        self.leases.record_demand(api.RETRY_BUDGET, hosts, rate, 1, now, window_us)
 
     def _forget(self, request: str) -> None:
         self._units.pop(request, None)
@@ -136,17 +136,17 @@
                 case api.Send():
                     self._spend_attempt(action, now, settings)
                 case api.Subscribe():
-                    self.leases.demands.record_spent(api.ENDPOINT_POLLS, 1, now)
+                    self.leases.demands.record_spent(api.POLL_BUDGET, 1, now)
                 case api.Reject() | api.Fail():
                     self._forget(action.request)
 
     def _spend_attempt(self, attempt: api.Send, now: int, settings: api.Settings) -> None:
         demands = self.leases.demands
         if units := self._units.get(attempt.request):
-            demands.record_spent(api.warmup_budget(attempt.backend), units, now)
+            demands.record_spent(api.warmup_budget_name(attempt.backend), units, now)
         if settings.retry_budget_window_us:
             if attempt.request in self._attempted:
-                demands.record_spent(api.RETRIES, 1, now)
+                demands.record_spent(api.RETRY_BUDGET, 1, now)
             self._attempted.add(attempt.request)
 
     # Quotas
@@ -164,11 +164,9 @@
         for demand in self.leases.demands.by_tag.values():
             is_counted = demand.name.startswith(CONNECTIONS)
             quotas[demand.name] = current[demand.name] * (demand.budget_size if is_counted else hosts)
-        if api.ENDPOINT_POLLS in quotas:
+        if api.POLL_BUDGET in quotas:
             # An instance without any quota would never learn of an endpoint: some polls are always allowed.
-            quotas[api.ENDPOINT_POLLS] = max(
-                self._limits.min_endpoint_poll_fraction, quotas[api.ENDPOINT_POLLS]
-            )
+            quotas[api.POLL_BUDGET] = max(self._limits.min_endpoint_poll_fraction, quotas[api.POLL_BUDGET])
         return quotas
 
     def receive(self, sender: int, message: LeaseMessage, now: int) -> DropReason | None:
--- a/tests/decision/test_backend_health.py
+++ b/tests/decision/test_backend_health.py
@@ -9,13 +9,13 @@
 from tests.support.decision_bench import READ, DecisionBench, make_settings, up_endpoint
 
 
-def busy(instances: int, latency: int, responses: int = 12) -> DecisionBench:
-    """An instance whose backend has responded a number of times, each time after `latency`."""
+def bench_with_latency(instances: int, latency_us: int, responses: int = 12) -> DecisionBench:
+    """An instance whose backend has responded a number of times, each time after `latency_us`."""
     bench = DecisionBench(make_settings(instances=instances), [up_endpoint("n0", 0)])
     for i in range(responses):
         bench.arrive(f"b{i}", volume=f"b{i}", request_class="write", units=1)
-        bench.advance(latency)
-        bench.finish_attempt(f"b{i}", duration_us=latency)
+        bench.advance(latency_us)
+        bench.finish_attempt(f"b{i}", duration_us=latency_us)
     return bench
 
 
@@ -27,11 +27,11 @@
         bench.finish_attempt(f"r{i}", api.Outcome.RESET if i % 3 else api.Outcome.SERVED, answered=i % 3 == 0)
     health = bench.state.cells.queues[0].health
     assert health is not None
-    assert health.warming_since < bench.now - bench.controller.settings.warmup_us
+    assert health.warmup_started_at < bench.now - bench.controller.settings.warmup_us
 
 
 def test_backend_with_timeouts_gets_no_low_priority_request_until_its_latency_fades() -> None:
-    bench = busy(150, 20 * MS)
+    bench = bench_with_latency(150, 20 * MS)
     bench.arrive("h", request_class="write")
     bench.advance(1400 * MS)
     for attempt in range(len(bench.sends("h"))):
@@ -74,11 +74,11 @@
     health = bench.state.cells.queues[0].health
     assert health is not None
     for name in ("a", "b", "c"):
-        assert health.warming_since < 0, "some connects fail by chance"
+        assert health.warmup_started_at < 0, "a few connection failures may be chance"
         bench.arrive(name, volume=name, plan="tin", serving_instances=3)
         bench.advance(250 * MS)
         bench.finish_attempt(name, api.Outcome.UNREACHABLE)
-    assert health.warming_since == bench.now
+    assert health.warmup_started_at == bench.now
     for i in range(40):
         bench.arrive(f"c{i}", volume="c", units=1, plan="tin", serving_instances=3)
         bench.finish_attempt(f"c{i}")
@@ -86,8 +86,8 @@
 
 
 def test_low_priority_requests_wait_at_a_slow_backend_among_150_instances() -> None:
-    """One attempt in flight from each instance would fill the backend, so only high priorities are sent."""
-    bench = busy(150, 220 * MS)
+    """One attempt of each instance would fill the backend, so only requests of high priority are sent."""
+    bench = bench_with_latency(150, 220 * MS)
     for i in range(30):  # far beyond the volume's reserve, at the lowest priority
         bench.arrive(f"low{i}", volume="c", plan="tin", units=6)
     low_priority = len([s for s in bench.sends() if s.request.startswith("low")])
@@ -97,7 +97,7 @@
 
 
 def test_low_priority_request_is_sent_to_a_slow_backend_among_three_instances() -> None:
-    bench = busy(3, 220 * MS)
+    bench = bench_with_latency(3, 220 * MS)
     bench.arrive("low", volume="c", plan="tin", units=1)
     assert len(bench.sends("low")) == 1
 
@@ -117,8 +117,8 @@
 
 
 @pytest.mark.parametrize("lost", [True, False], ids=["lost", "late"])
-def test_hedges_are_earned_by_lost_answers_and_not_by_late_ones(lost: bool) -> None:
-    """A backend that serves in order responds to the first attempt first: a hedge there is wasted work."""
+def test_hedge_budget_grows_by_lost_responses_and_not_by_late_ones(lost: bool) -> None:
+    """A backend that serves requests in order responds to the first attempt first, so a hedge is wasted."""
     bench = DecisionBench(make_settings(), [up_endpoint("n0", 0)])
     for i in range(1000):
         bench.arrive(f"r{i}", units=1)
@@ -128,7 +128,7 @@
         else:
             bench.finish_attempt(f"r{i}", duration_us=280 * MS if i % 20 == 0 else 20 * MS)
     hedged = sum(len(bench.sends(f"r{i}")) == 2 for i in range(1000))
-    assert hedged > 5 if lost else hedged <= 3, "three are there at first"
+    assert hedged > 5 if lost else hedged <= 3, "the initial tokens allow three"
 
 
 def test_no_hedge_without_parallel_attempts() -> None:
@@ -139,7 +139,7 @@
 
 
 def test_rejections_count_as_a_long_queueing_delay() -> None:
-    bench = busy(150, 20 * MS)
+    bench = bench_with_latency(150, 20 * MS)
     for i in range(4):
         bench.arrive(f"full{i}", volume=f"f{i}")
         bench.finish_attempt(f"full{i}", api.Outcome.FULL)
@@ -148,8 +148,8 @@
 
 
 def test_repeated_rejections_of_one_request_do_not_count_against_the_backend() -> None:
-    """Backends reject some reads for their own sake, at once, while they serve all others fast."""
-    bench = busy(150, 20 * MS)
+    """A backend may reject particular reads at once, while it serves all others fast."""
+    bench = bench_with_latency(150, 20 * MS)
     for i in range(4):
         bench.arrive(f"full{i}", volume=f"f{i}")
         for attempt in range(3):
@@ -184,16 +184,16 @@
 
 
 def test_new_object_goes_to_backends_that_were_slow_once_or_never_tried() -> None:
-    """Otherwise each instance places all its new objects on the few backends that it has found fast."""
+    """Otherwise each instance places all new objects on the few backends that it has measured as fast."""
     bench = DecisionBench(make_settings(), [up_endpoint("n0", 0), up_endpoint("n1", 1), up_endpoint("n2", 2)])
     bench.arrive("slow", cell=0)
     bench.finish_attempt("slow", duration_us=800 * MS)
     for i in range(4):
-        bench.arrive(f"fair{i}", cell=1, volume="w")
-        bench.finish_attempt(f"fair{i}", duration_us=250 * MS)
+        bench.arrive(f"medium{i}", cell=1, volume="w")
+        bench.finish_attempt(f"medium{i}", duration_us=250 * MS)
     bench.advance(20 * SECOND)
-    bench.arrive("fair", cell=1, volume="w")
-    bench.finish_attempt("fair", duration_us=280 * MS)
+    bench.arrive("medium", cell=1, volume="w")
+    bench.finish_attempt("medium", duration_us=280 * MS)
     for i in range(9):
         bench.arrive(f"new{i}", cell=None, request_class="write", volume=f"x{i}")
     assert {s.backend for s in bench.sends() if s.request.startswith("new")} == {"n0", "n1", "n2"}
@@ -223,7 +223,7 @@
 
 
 def test_latency_of_a_large_request_does_not_shrink_the_concurrency_limit() -> None:
-    bench = busy(3, 30 * MS)
+    bench = bench_with_latency(3, 30 * MS)
     health = bench.state.cells.queues[0].health
     assert health is not None
     before = health.latency_us
--- a/tests/decision/test_decision_rules.py
+++ b/tests/decision/test_decision_rules.py
@@ -1,4 +1,4 @@
-"""The seven rules: by hand, and on random days that a checker follows with records of its own."""
+"""Rules of the decision module: single cases, and random event sequences that a checker verifies."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 UNSAFE = replace(WRITE, name="unsafe", effect=api.Effect.UNSAFE)
 EVERYWHERE = replace(WRITE, name="everywhere", deduplication_scope=api.DeduplicationScope.ALL)
 ZONED = replace(WRITE, name="zoned", deduplication_scope=api.DeduplicationScope.ZONE)
-CLASSES = {c.name: c for c in (READ, WRITE, ORDERED, UNSAFE, EVERYWHERE, ZONED)}
+CLASSES = {spec.name: spec for spec in (READ, WRITE, ORDERED, UNSAFE, EVERYWHERE, ZONED)}
 LIMITED = api.PlanSpec("limited", 1.0, 2.0, 1.0, limit_rate=8.0, limit_burst=36.0)
 PLANS = {"gold": GOLD, "tin": TIN, "limited": LIMITED}
 
@@ -111,8 +111,8 @@
     assert len(bench.sends()) == before
 
 
-def test_ordered_key_waits_for_attempts_in_flight_and_then_rests() -> None:
-    bench = bench_with_one_backend(ordered_key_rest_us=200 * MS)
+def test_ordered_key_waits_for_attempts_in_flight_and_then_pauses() -> None:
+    bench = bench_with_one_backend(ordered_key_pause_us=200 * MS)
     bench.arrive("a", request_class="ordered", key="k")
     bench.arrive("b", request_class="ordered", key="k")
     bench.arrive("other", request_class="ordered", key="k2")
@@ -127,7 +127,7 @@
 
 
 def test_ordered_key_waits_for_an_attempt_in_flight_of_a_request_that_was_answered_before() -> None:
-    bench = bench_with_one_backend(ordered_key_rest_us=200 * MS, may_cancel=False)
+    bench = bench_with_one_backend(ordered_key_pause_us=200 * MS, may_cancel=False)
     bench.arrive("a", request_class="ordered", key="k")
     bench.deliver(api.ClientLeft("a"))  # needs no answer, but its attempt is not cancelled
     bench.arrive("b", request_class="ordered", key="k")
@@ -138,7 +138,7 @@
     assert len(bench.sends("b")) == 1
 
 
-def test_retry_budget_counts_every_further_attempt_in_a_sliding_window() -> None:
+def test_retry_budget_counts_every_retry_in_a_sliding_window() -> None:
     bench = bench_with_one_backend(
         retry_budget_floor=2.0, retry_budget_ratio=0.1, retry_budget_window_us=5 * SECOND
     )
@@ -147,8 +147,8 @@
         bench.finish_attempt(f"r{i}", UNREACHABLE if i % 2 else ERROR)
         bench.advance(200 * MS)
         bench.finish_attempt(f"r{i}", attempt=1)
-    further = len(bench.sends()) - len({s.request for s in bench.sends()})
-    assert 2 <= further <= 4
+    retries = len(bench.sends()) - len({s.request for s in bench.sends()})
+    assert 2 <= retries <= 4
     bench.advance(6 * SECOND)
     bench.arrive("late")
     bench.finish_attempt("late", ERROR)
@@ -196,15 +196,15 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_rules_hold_on_random_days(seed: int) -> None:
+def test_rules_hold_for_random_events(seed: int) -> None:
     rng = random.Random(seed)
-    config = make_settings(
+    settings = make_settings(
         classes=CLASSES,
         plans=PLANS,
         instances=rng.choice([1, 3]),
         parallel_attempts=rng.random() < 0.5,
         may_cancel=rng.random() < 0.5,
-        ordered_key_rest_us=200 * MS,
+        ordered_key_pause_us=200 * MS,
         poll_endpoints=rng.random() < 0.5,
         retry_budget_floor=rng.choice([1.0, 3.0]),
         retry_budget_ratio=0.15,
@@ -212,13 +212,13 @@
         max_attempts=rng.choice([1, 3, 4]),
     )
     cells = rng.choice([1, 4])
-    bench = DecisionBench(config, [up_endpoint(f"n{c}", c, zone=f"z{c % 2}") for c in range(cells)], seed)
-    RuleChecker(bench, rng, cells).play_day()
+    bench = DecisionBench(settings, [up_endpoint(f"n{c}", c, zone=f"z{c % 2}") for c in range(cells)], seed)
+    RuleChecker(bench, rng, cells).run()
 
 
 @dataclass
 class SentAttempt:
-    """An attempt, as recorded by the checker."""
+    """An attempt as recorded by the checker."""
 
     backend: str
     sent_at: int
@@ -234,7 +234,7 @@
 
 
 class RuleChecker:
-    """Plays a random day and records what is sent, ended and answered, to check the rules."""
+    """Delivers random events and checks the rules with its own record of attempts and answers."""
 
     def __init__(self, bench: DecisionBench, rng: random.Random, cells: int) -> None:
         self.bench = bench
@@ -246,12 +246,12 @@
         self.answered_at: dict[str, int] = {}
         self.unavailable_since: dict[str, int] = {}  # by backend
         self.requests_of_key: dict[str, list[str]] = {}
-        self.key_rests_until: dict[str, int] = {}
+        self.key_pauses_until: dict[str, int] = {}
         self.retries_at: list[int] = []
         self.arrived_at: list[int] = []
-        self.limits = {f"v{i}": (36.0 / 2, self.bench.now) for i in range(4)}  # level and its time
+        self.limits = {f"v{i}": (36.0 / 2, self.bench.now) for i in range(4)}  # tokens and their time
 
-    def play_day(self) -> None:
+    def run(self) -> None:
         for number in range(900):
             self.bench.advance(self.rng.choice([0, MS, 5 * MS, 20 * MS]))
             self.check_actions()
@@ -282,16 +282,16 @@
             self.bench.deliver(api.EndpointListFailure())
 
     def send_arrival(self, name: str) -> None:
-        cls = self.rng.choice(sorted(CLASSES))
+        class_name = self.rng.choice(sorted(CLASSES))
         arrival = api.Arrival(
             name,
-            cls,
+            class_name,
             self.rng.choice(sorted(PLANS)),
             "",
             self.rng.choice(["", "k1", "k2"]),
             self.rng.choice([0.5, 1, 2, 6]),
             None if (cell := self.rng.randrange(-1, self.cells)) < 0 else cell,
-            self.bench.now + CLASSES[cls].deadline_us,
+            self.bench.now + CLASSES[class_name].deadline_us,
             2,
         )
         arrival = replace(arrival, volume=f"v{self.rng.randrange(4)}" + arrival.plan)
@@ -307,7 +307,7 @@
         if answered:
             self.answered_at.setdefault(name, self.bench.now)
         if attempt.outcome in (TIMEOUT, RESET, api.Outcome.CANCELLED):
-            self.key_rests_until[self.arrivals[name].key] = self.bench.now + 200 * MS
+            self.key_pauses_until[self.arrivals[name].key] = self.bench.now + 200 * MS
         usage_percent = self.rng.choice([None, 59, 299])
         self.bench.deliver(
             api.Result(name, index, attempt.backend, attempt.outcome, 20 * MS, answered, usage_percent)
@@ -355,10 +355,10 @@
         return [attempt for attempt in self.attempts.get(name, []) if attempt.may_have_run]
 
     def check_rejection(self, name: str) -> None:
-        cls = CLASSES[self.arrivals[name].request_class]
-        if cls.effect is api.Effect.SAFE:
+        spec = CLASSES[self.arrivals[name].request_class]
+        if spec.effect is api.Effect.SAFE:
             return
-        if cls.effect is api.Effect.KEYED and cls.deduplication_scope is api.DeduplicationScope.ALL:
+        if spec.effect is api.Effect.KEYED and spec.deduplication_scope is api.DeduplicationScope.ALL:
             return
         assert not self.may_have_run(name), "rejected though it may have run"
 
@@ -382,19 +382,19 @@
             self.check_limit(at, arrival)
         attempts.append(attempt)
 
-    def check_repeat(self, attempt: SentAttempt, cls: api.ClassSpec, ran: list[SentAttempt]) -> None:
-        """Attempts that may have run are repeated only where that is harmless."""
-        if not ran or cls.effect is api.Effect.SAFE:
+    def check_repeat(self, attempt: SentAttempt, spec: api.ClassSpec, ran: list[SentAttempt]) -> None:
+        """A request that may have run is retried only where a duplicate is harmless."""
+        if not ran or spec.effect is api.Effect.SAFE:
             return
-        assert cls.effect is api.Effect.KEYED
-        assert attempt.sent_at < min(earlier.sent_at for earlier in ran) + cls.deduplication_window_us
-        if cls.deduplication_scope is api.DeduplicationScope.CELL:
+        assert spec.effect is api.Effect.KEYED
+        assert attempt.sent_at < min(earlier.sent_at for earlier in ran) + spec.deduplication_window_us
+        if spec.deduplication_scope is api.DeduplicationScope.CELL:
             assert all(earlier.backend == attempt.backend for earlier in ran)
-        if cls.deduplication_scope is api.DeduplicationScope.ZONE:
+        if spec.deduplication_scope is api.DeduplicationScope.ZONE:
             assert all(earlier.zone == attempt.zone for earlier in ran)
 
     def check_order(self, at: int, arrival: api.Arrival, is_first: bool) -> None:
-        """A request of an ordered key is sent when those before it are answered and not in flight."""
+        """A request of an ordered key is sent when its predecessors are answered and not in flight."""
         if not (CLASSES[arrival.request_class].in_order and arrival.key):
             return
         requests = self.requests_of_key[arrival.key]
@@ -403,16 +403,16 @@
             assert name in self.answered_at
             assert all(attempt.outcome is not None for attempt in self.attempts.get(name, []))
         if is_first:
-            assert at >= self.ordered_rest(arrival.key, before)
+            assert at >= self.pause_of_ordered_key(arrival.key, before)
 
     def is_ordered(self, name: str) -> bool:
         return CLASSES[self.arrivals[name].request_class].in_order
 
-    def ordered_rest(self, key: str, before: list[str]) -> int:
-        """Until when the key pauses, if that follows from ordered requests alone."""
+    def pause_of_ordered_key(self, key: str, before: list[str]) -> int:
+        """Return the end of the key's pause, if only ordered requests determine it; otherwise 0."""
         sent = [name for name in self.requests_of_key[key] if name in self.attempts]
         if before and all(self.is_ordered(name) for name in sent):
-            return self.key_rests_until.get(key, 0)
+            return self.key_pauses_until.get(key, 0)
         return 0
 
     def check_retry_budget(self, at: int) -> None:
--- a/tests/decision/test_estimators.py
+++ b/tests/decision/test_estimators.py
@@ -1,4 +1,4 @@
-"""Window sums, moving averages and the statistics that all backends feed together."""
+"""Sliding-window sums, moving averages and the statistics of all backends."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.support.clock import MS, SECOND, T0
 
 
-def test_window_sum_forgets_amounts_at_and_before_its_start() -> None:
+def test_window_sum_discards_amounts_at_and_before_its_start() -> None:
     window = SlidingWindowSum(2 * SECOND)
     window.add(T0, 3.0)
     window.add(T0 + SECOND, 4.0)
@@ -29,7 +29,7 @@
     assert rate.rate == pytest.approx(5.0, rel=0.02)
 
 
-def test_lost_answers_make_a_backend_fault_less_likely() -> None:
+def test_lost_responses_make_a_backend_fault_less_likely() -> None:
     statistics = ResponseStatistics(latency_us=300_000.0)
     assert statistics.fault_probability(in_flight=1) == 1.0
     for _ in range(5):
@@ -38,7 +38,7 @@
     assert statistics.fault_probability(in_flight=8) > statistics.fault_probability(in_flight=1)
 
 
-def test_hedging_delay_settles_where_one_answer_in_twenty_is_later() -> None:
+def test_hedging_delay_converges_to_the_95th_percentile_of_the_latency() -> None:
     statistics = ResponseStatistics(latency_us=300_000.0)
     for number in range(20_000):
         statistics.record_response(1_000.0 * (1 + number * 7 % 100), is_hedge_win=False)
--- a/tests/decision/test_quotas.py
+++ b/tests/decision/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of what all instances share, and suspicions that other instances report."""
+"""Quotas of shared limits and budgets, and suspicions reported by other instances."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     bench = DecisionBench(make_settings(), [up_endpoint("n0", 0)])
     health = bench.state.cells.queues[0].health
     assert health is not None
-    bench.deliver(api.QuotaUpdate({}, {api.concurrency_budget("n0"): 2}))
+    bench.deliver(api.QuotaUpdate({}, {api.concurrency_budget_name("n0"): 2}))
     assert concurrency_limit(bench.state, health) == 2.0
     bench.deliver(api.QuotaUpdate({}))
     assert concurrency_limit(bench.state, health) == 2.0, "an update without budgets changes none"
@@ -38,7 +38,7 @@
     """Return how many requests of a steady load are sent within a window after a backend's start."""
     bench = DecisionBench(make_settings(), [])
     bench.deliver(api.EndpointListUpdate((up_endpoint("n0", 0, started=bench.now),), complete=True))
-    bench.deliver(api.QuotaUpdate({}, {api.warmup_budget("n0"): quota}))
+    bench.deliver(api.QuotaUpdate({}, {api.warmup_budget_name("n0"): quota}))
     for i in range(100):
         bench.arrive(f"r{i}", volume=f"v{i % 3}", units=1, plan="tin", serving_instances=3)
         if bench.sends(f"r{i}"):
@@ -48,7 +48,7 @@
 
 
 def test_warmup_budget_follows_its_quota() -> None:
-    # 9 units in a window of 2 s for three instances, whose even quota is 1.
+    # 9 units in a window of 2 s for three instances, whose equal quota is 1.
     assert sent_while_warming_up(1.0) <= 5
     assert 7 <= sent_while_warming_up(3.0) <= 10
 
@@ -57,7 +57,7 @@
     pauses = []
     for quota in (1.0, 0.25):
         bench = DecisionBench(make_settings(poll_endpoints=True), [up_endpoint("n0", 0)])
-        bench.deliver(api.QuotaUpdate({}, {api.ENDPOINT_POLLS: quota}))
+        bench.deliver(api.QuotaUpdate({}, {api.POLL_BUDGET: quota}))
         failed_at = bench.now
         bench.deliver(api.EndpointListFailure())
         bench.advance(6 * SECOND)
--- a/tests/decision/test_request_rules.py
+++ b/tests/decision/test_request_rules.py
@@ -1,4 +1,4 @@
-"""Rules on single requests: priority, order of retries, late retries, streams, disabled backends."""
+"""Rules for single requests: priority, order of retries, late retries, streaming, disabled backends."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     assert retry.objective_at == bench.now - 400 * MS + 300 * MS
 
 
-def test_retry_goes_in_front_of_its_volume_without_paying_again() -> None:
+def test_retry_goes_to_the_front_of_its_flow_and_keeps_its_tags() -> None:
     bench = DecisionBench(make_settings(parallel_attempts=False), [up_endpoint("n0", 0)])
     bench.arrive("a")
     for name in ("f0", "f1", "f2"):
--- a/tests/decision/test_timer_queue.py
+++ b/tests/decision/test_timer_queue.py
@@ -34,7 +34,7 @@
 
 
 def test_log_lines_beyond_the_bound_are_dropped() -> None:
-    actions = ActionBuffer(log_lines=2)
+    actions = ActionBuffer(max_log_lines=2)
     for text in ("a", "b", "c"):
         actions.log(text)
     assert actions.take() == [api.Log("a"), api.Log("b")]
--- a/tests/decision/test_token_bucket.py
+++ b/tests/decision/test_token_bucket.py
@@ -23,7 +23,7 @@
     assert bucket.refill(T0 + 2 * SECOND) == 2.0
 
 
-def test_retry_budget_allows_the_free_ones_and_what_arrivals_earn() -> None:
+def test_retry_budget_allows_a_fixed_number_and_a_fraction_of_the_arrivals() -> None:
     settings = make_settings(
         retry_budget_floor=1.0, retry_budget_ratio=0.5, retry_budget_window_us=5 * SECOND
     )
@@ -34,7 +34,7 @@
         assert budget.allows_retry(T0, settings, quota=1.0)
         budget.record_retry(T0)
     assert not budget.allows_retry(T0, settings, quota=1.0)
-    assert budget.allows_retry(T0, settings, quota=2.0), "a larger quota of the free ones"
+    assert budget.allows_retry(T0, settings, quota=2.0), "a larger quota of the fixed number"
     assert budget.allows_retry(T0 + 6 * SECOND, settings, quota=1.0), "the window has moved on"
 
 
@@ -46,21 +46,21 @@
     assert budget.allows_retry(T0, settings, quota=1.0)
 
 
-def test_hedge_budget_is_used_up_without_lost_answers_and_refilled_by_a_win() -> None:
+def test_hedge_budget_is_not_refilled_without_lost_responses_except_by_a_win() -> None:
     budget = HedgeBudget()
     while budget.has_token():
         budget.spend()
     for _ in range(1000):
-        budget.earn_by_arrival(loss_rate=0.0)
+        budget.record_arrival(loss_rate=0.0)
     assert not budget.has_token()
-    budget.earn_by_win()
+    budget.record_win()
     assert budget.has_token()
 
 
 @pytest.mark.parametrize("age_us", [0, 10 * MS, 5 * SECOND], ids=["at once", "soon", "later"])
-def test_bucket_that_is_asked_often_has_what_one_asked_once_has(age_us: int) -> None:
-    often = TokenBucket(rate=8.0, capacity=36.0, now=T0, level=0.0)
-    once = TokenBucket(rate=8.0, capacity=36.0, now=T0, level=0.0)
+def test_level_of_a_bucket_does_not_depend_on_how_often_it_is_refilled(age_us: int) -> None:
+    refilled_often = TokenBucket(rate=8.0, capacity=36.0, now=T0, level=0.0)
+    refilled_once = TokenBucket(rate=8.0, capacity=36.0, now=T0, level=0.0)
     for now in range(T0, T0 + age_us, MS):
-        often.refill(now)
-    assert often.refill(T0 + age_us) == pytest.approx(once.refill(T0 + age_us))
+        refilled_often.refill(now)
+    assert refilled_often.refill(T0 + age_us) == pytest.approx(refilled_once.refill(T0 + age_us))
--- a/tests/decision/test_volumes.py
+++ b/tests/decision/test_volumes.py
@@ -1,4 +1,4 @@
-"""Volumes: the reserve, the usage figure, and the expiry of idle ones."""
+"""Volumes: the reserve, the usage figure, and the expiry of idle volumes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.support.decision_bench import READ, WRITE, DecisionBench, make_settings, up_endpoint
 
 
-def test_request_that_ends_unsent_gives_its_reserved_units_back() -> None:
+def test_request_that_ends_unsent_returns_its_reserved_units() -> None:
     bench = DecisionBench(make_settings(), [up_endpoint("n0", 0)])
     bench.arrive("queued", cell=7, units=2)  # no backend serves this cell
     reserve = bench.state.volumes.by_name["v"].reserve
@@ -37,7 +37,7 @@
     assert volume.usage_percent == 25
     bench.arrive("b")
     bench.finish_attempt("b", usage_percent=None)
-    assert volume.usage_percent == 25, "a result without a figure replaces none"
+    assert volume.usage_percent == 25, "a result without a usage figure changes nothing"
     bench.arrive("c")
     bench.finish_attempt("c", usage_percent=0)
     assert volume.usage_percent == 0
@@ -64,13 +64,13 @@
 
 
 def test_volume_with_a_queued_request_is_not_dropped_however_long_it_waits() -> None:
-    patient = replace(READ, deadline_us=600 * SECOND, latency_objective_us=500 * SECOND)
-    settings = make_settings(classes={"read": patient, "write": WRITE})
+    long_deadline = replace(READ, deadline_us=600 * SECOND, latency_objective_us=500 * SECOND)
+    settings = make_settings(classes={"read": long_deadline, "write": WRITE})
     bench = DecisionBench(settings, [up_endpoint("n0", 0)])
-    bench.arrive("patient", cell=7)  # no backend serves this cell yet
+    bench.arrive("long_deadline", cell=7)  # no backend serves this cell yet
     bench.advance(100 * SECOND)
     assert "v" in bench.state.volumes.by_name
     bench.deliver(api.EndpointListUpdate((up_endpoint("n7", 7),)))
-    assert [send.backend for send in bench.sends("patient")] == ["n7"]
+    assert [send.backend for send in bench.sends("long_deadline")] == ["n7"]
     bench.advance(20 * MS)
-    assert not bench.final_answers("patient")
+    assert not bench.final_answers("long_deadline")
--- a/tests/emulator/test_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -43,8 +43,8 @@
 
 def test_poll_backoff_lets_an_overloaded_discovery_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     with_pauses = days("herd")
-    monkeypatch.setattr(tuning, "POLL_BACKOFF_PER_INSTANCE", 0)
-    monkeypatch.setattr(tuning, "OVERLOADED_BACKOFF_PER_INSTANCE", 0)
+    monkeypatch.setattr(tuning, "POLL_BACKOFF_PER_INSTANCE_US", 0)
+    monkeypatch.setattr(tuning, "OVERLOADED_BACKOFF_PER_INSTANCE_US", 0)
     without = days("herd")
     assert 4 * sum(t.list_calls_failed for t in with_pauses) < sum(t.list_calls_failed for t in without)
     assert served(with_pauses) > served(without) + 0.02
--- a/tests/golden/test_decision_digest.py
+++ b/tests/golden/test_decision_digest.py
@@ -296,7 +296,7 @@
     warmup_units=9.0,
     overload_multiple=2.0,
     overload_window_us=2 * SECOND,
-    ordered_key_rest_us=20 * MS,
+    ordered_key_pause_us=20 * MS,
     retry_budget_ratio=0.2,
     retry_budget_floor=4.0,
     retry_budget_window_us=5 * SECOND,
@@ -564,9 +564,9 @@
         volume_quotas = {volume: self.rng.choice((0.2, 0.5, 1.0)) for volume in volumes[:2]}
         backend = self.rng.choice(sorted(self.entries))
         budget_quotas = {
-            api.ENDPOINT_POLLS: self.rng.choice((0.5, 2.0)), api.RETRIES: self.rng.choice((0.0, 1.5)),
-            api.warmup_budget(backend): self.rng.choice((0.3, 3.0)),
-            api.concurrency_budget(backend): self.rng.choice((1, 3, 40)),
+            api.POLL_BUDGET: self.rng.choice((0.5, 2.0)), api.RETRY_BUDGET: self.rng.choice((0.0, 1.5)),
+            api.warmup_budget_name(backend): self.rng.choice((0.3, 3.0)),
+            api.concurrency_budget_name(backend): self.rng.choice((1, 3, 40)),
         }  # fmt: skip
         return api.QuotaUpdate(volume_quotas, self.rng.choice((None, {}, budget_quotas)))
 
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -415,8 +415,8 @@
 )
 BUDGETS = LeaseMessage(
     *HEADER,
-    {name_tag(api.warmup_budget("n0")): QuotaRequest(0.004, 4)},
-    {name_tag(api.ENDPOINT_POLLS): 1.0},
+    {name_tag(api.warmup_budget_name("n0")): QuotaRequest(0.004, 4)},
+    {name_tag(api.POLL_BUDGET): 1.0},
 )
 BANS = DisabledBackends(PEER_LIMITS, [Ban("n1", 1_764_640_800_000, 2, True), Ban("head/3", 9, 65535, False)])
 EVIDENCE = tuple(
--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -110,7 +110,7 @@
     budgets.observe_actions(later, [api.Subscribe()], SHARED_BUDGET_SETTINGS)
     quotas = budgets.refresh_quotas(later, 3)
     assert quotas
-    assert quotas[api.ENDPOINT_POLLS] >= LIMITS.min_endpoint_poll_fraction
+    assert quotas[api.POLL_BUDGET] >= LIMITS.min_endpoint_poll_fraction
     assert "r1" in budgets._units
     budgets.observe_events(later, [api.ClientLeft("r1")], SHARED_BUDGET_SETTINGS, 3)
     assert not budgets._units, "its client has left"
--- a/tests/support/clock.py
+++ b/tests/support/clock.py
@@ -1,4 +1,4 @@
-"""Spans of the simulated clock, in microseconds, and the time at which it starts."""
+"""Time spans in microseconds, and the start of the simulated clock."""
 
 from __future__ import annotations
 
--- a/tests/support/decision_bench.py
+++ b/tests/support/decision_bench.py
@@ -1,4 +1,4 @@
-"""The decision module alone: settings, endpoints, and one Controller on a simulated clock."""
+"""Test bench of the decision module: settings, endpoints, and one Controller on a simulated clock."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def make_settings(**changes: object) -> api.Settings:
-    """Settings of three instances, two classes and two plans, with `changes` on top."""
+    """Settings of three instances, two classes and two plans, with `changes` applied."""
     base: dict[str, object] = dict(
         instances=3,
         instance_id=0,
@@ -35,7 +35,7 @@
         warmup_units=9.0,
         overload_multiple=2.0,
         overload_window_us=2 * SECOND,
-        ordered_key_rest_us=0,
+        ordered_key_pause_us=0,
         retry_budget_ratio=0.0,
         retry_budget_floor=0.0,
         retry_budget_window_us=0,
@@ -47,12 +47,12 @@
 
 
 def up_endpoint(backend: str, cell: int, started: int = 0, zone: str = "z") -> api.Endpoint:
-    """An endpoint that is UP; `started` is its start in microseconds, 0 when unknown."""
+    """An endpoint that is UP; `started` is its start in microseconds, 0 if unknown."""
     return api.Endpoint(backend, cell, zone, api.EndpointState.UP, started)
 
 
 class DecisionBench:
-    """One Controller on a simulated clock; `timeline` has every action with its time."""
+    """One Controller on a simulated clock; `timeline` contains every action with its time."""
 
     def __init__(self, settings: api.Settings, entries: list[api.Endpoint], seed: int = 1) -> None:
         self.controller = Controller(settings, seed)
@@ -85,7 +85,7 @@
         self.now = end
         return [action for _, action in self.timeline[seen:]]
 
-    def arrive(  # noqa: PLR0913 - each is a field of a request that some test sets by its name
+    def arrive(  # noqa: PLR0913 - each argument is a field that some test sets by name
         self,
         name: str,
         volume: str = "v",
