--- a/garnetlanding/decision/admission.py
+++ b/garnetlanding/decision/admission.py
@@ -7,7 +7,7 @@
 from garnetlanding.decision.placement import choose_cell
 from garnetlanding.decision.requests import Request
 from garnetlanding.decision.state import ControllerState
-from garnetlanding.decision.units import SECOND
+from garnetlanding.decision.time_constants import SECOND
 
 
 class Admission:
--- a/garnetlanding/decision/backoff.py
+++ b/garnetlanding/decision/backoff.py
@@ -6,7 +6,7 @@
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision import tuning
-from garnetlanding.decision.units import NEVER
+from garnetlanding.decision.time_constants import NEVER
 
 
 class PollBackoff:
--- a/garnetlanding/decision/control.py
+++ b/garnetlanding/decision/control.py
@@ -25,7 +25,7 @@
 from garnetlanding.decision.endpoints import apply_update
 from garnetlanding.decision.retries import Retries
 from garnetlanding.decision.state import ControllerState
-from garnetlanding.decision.units import NEVER
+from garnetlanding.decision.time_constants import NEVER
 from garnetlanding.decision.weight_control import run_weight_controller
 
 
--- a/garnetlanding/decision/endpoints.py
+++ b/garnetlanding/decision/endpoints.py
@@ -9,7 +9,7 @@
 from garnetlanding.decision.fair_queue import CellQueue
 from garnetlanding.decision.placement import newest_up_endpoints
 from garnetlanding.decision.state import ControllerState
-from garnetlanding.decision.units import LONG_AGO
+from garnetlanding.decision.time_constants import LONG_AGO
 
 
 def apply_update(state: ControllerState, update: api.EndpointListUpdate) -> None:
--- a/garnetlanding/decision/estimators.py
+++ b/garnetlanding/decision/estimators.py
@@ -5,7 +5,7 @@
 from collections import deque
 
 from garnetlanding.decision import tuning
-from garnetlanding.decision.units import LONG_AGO, SECOND
+from garnetlanding.decision.time_constants import LONG_AGO, SECOND
 
 
 class SlidingWindowSum:
--- a/garnetlanding/decision/fair_queue.py
+++ b/garnetlanding/decision/fair_queue.py
@@ -12,7 +12,7 @@
 from garnetlanding.decision.backend_health import BackendHealth
 from garnetlanding.decision.estimators import EwmaRate
 from garnetlanding.decision.requests import Request
-from garnetlanding.decision.units import NEVER
+from garnetlanding.decision.time_constants import NEVER
 
 
 @dataclass(slots=True, eq=False)
--- a/garnetlanding/decision/state.py
+++ b/garnetlanding/decision/state.py
@@ -10,13 +10,13 @@
 from garnetlanding.decision.backend_health import BackendHealth
 from garnetlanding.decision.budgets import Budgets
 from garnetlanding.decision.cell_registry import CellRegistry
+from garnetlanding.decision.derived_settings import DerivedSettings
 from garnetlanding.decision.estimators import ResponseStatistics
 from garnetlanding.decision.fair_queue import CellQueue
-from garnetlanding.decision.parameters import DerivedSettings
 from garnetlanding.decision.request_table import RequestTable
 from garnetlanding.decision.requests import Request
+from garnetlanding.decision.time_constants import NEVER
 from garnetlanding.decision.timer_queue import TimerQueue
-from garnetlanding.decision.units import NEVER
 from garnetlanding.decision.volume_registry import VolumeRegistry
 
 WAKE_TOKEN = "look"
--- a/garnetlanding/decision/token_bucket.py
+++ b/garnetlanding/decision/token_bucket.py
@@ -5,7 +5,7 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision import tuning
 from garnetlanding.decision.estimators import SlidingWindowSum
-from garnetlanding.decision.units import SECOND
+from garnetlanding.decision.time_constants import SECOND
 
 
 class TokenBucket:
--- a/garnetlanding/decision/tuning.py
+++ b/garnetlanding/decision/tuning.py
@@ -7,7 +7,7 @@
 
 from typing import Final
 
-from garnetlanding.decision.units import SECOND
+from garnetlanding.decision.time_constants import SECOND
 
 MIN_DIVISOR: Final = 1e-9
 """Lower bound of rates and sizes that are used as divisors."""
--- a/garnetlanding/decision/volume.py
+++ b/garnetlanding/decision/volume.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from garnetlanding.decision import interface as api
+from garnetlanding.decision.time_constants import NEVER
 from garnetlanding.decision.token_bucket import TokenBucket
-from garnetlanding.decision.units import NEVER
 
 UNLIMITED = 1e12
 """Rate (units per second) and burst (units) of a plan without a limit."""
--- a/garnetlanding/decision/warmup.py
+++ b/garnetlanding/decision/warmup.py
@@ -9,7 +9,7 @@
 from garnetlanding.decision.backend_health import BackendHealth
 from garnetlanding.decision.fair_queue import CellQueue
 from garnetlanding.decision.state import ControllerState
-from garnetlanding.decision.units import NEVER, SECOND
+from garnetlanding.decision.time_constants import NEVER, SECOND
 
 
 @dataclass(slots=True, frozen=True)
--- a/garnetlanding/peers/demand.py
+++ b/garnetlanding/peers/demand.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, replace
 
 from garnetlanding.decision.estimators import EwmaRate, SlidingWindowSum
-from garnetlanding.decision.units import SECOND
+from garnetlanding.decision.time_constants import SECOND
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.name_tag import name_tag
 
