--- a/garnetlanding/decision/admission.py
+++ b/garnetlanding/decision/admission.py
@@ -30,7 +30,7 @@
         self._schedule_deadlines(request)
         if self._rate_limit_makes_late(request):
             self.reject_or_fail(request)
-        elif request.traffic_class.in_order and arrival.key:
+        elif request.class_spec.in_order and arrival.key:
             ordered_keys = state.requests.ordered_keys
             ordered_keys.setdefault(arrival.key, OrderedKeyQueue()).waiting.append(request)
             self._admit_next_of_key(arrival.key)
@@ -117,7 +117,7 @@
         if request.answered and not request.in_flight():
             requests = self._state.requests
             requests.by_id.pop(request.id, None)
-            if request.traffic_class.in_order and request.arrival.key in requests.ordered_keys:
+            if request.class_spec.in_order and request.arrival.key in requests.ordered_keys:
                 self._admit_next_of_key(request.arrival.key)
 
     def _admit_next_of_key(self, key: str) -> None:
--- a/garnetlanding/decision/attempt_rules.py
+++ b/garnetlanding/decision/attempt_rules.py
@@ -18,7 +18,7 @@
         return True
     if request.in_flight() and not state.settings.parallel_attempts:
         return False
-    return _repetition_is_harmless(state.now, request.traffic_class, may_have_run, health.endpoint)
+    return _repetition_is_harmless(state.now, request.class_spec, may_have_run, health.endpoint)
 
 
 def _retry_budget_allows(state: ControllerState) -> bool:
@@ -27,25 +27,25 @@
 
 
 def _repetition_is_harmless(
-    now: int, traffic_class: api.ClassSpec, may_have_run: list[Attempt], endpoint: api.Endpoint
+    now: int, class_spec: api.ClassSpec, may_have_run: list[Attempt], endpoint: api.Endpoint
 ) -> bool:
     """Return whether a backend would drop a duplicate of these attempts, or execute it without harm."""
-    if traffic_class.effect is not Effect.KEYED:
-        return traffic_class.effect is Effect.SAFE
-    if now >= min(attempt.sent_at for attempt in may_have_run) + traffic_class.deduplication_window_us:
+    if class_spec.effect is not Effect.KEYED:
+        return class_spec.effect is Effect.SAFE
+    if now >= min(attempt.sent_at for attempt in may_have_run) + class_spec.deduplication_window_us:
         return False
-    if traffic_class.deduplication_scope is DeduplicationScope.ZONE:
+    if class_spec.deduplication_scope is DeduplicationScope.ZONE:
         return all(attempt.health.endpoint.zone == endpoint.zone for attempt in may_have_run)
-    if traffic_class.deduplication_scope is DeduplicationScope.CELL:
+    if class_spec.deduplication_scope is DeduplicationScope.CELL:
         return all(attempt.cell == endpoint.cell for attempt in may_have_run)
     return True
 
 
 def rejection_is_harmless(request: Request) -> bool:
     """Return whether the client may retry the request after a rejection without a duplicate effect."""
-    traffic_class = request.traffic_class
-    if traffic_class.effect is Effect.SAFE:
+    class_spec = request.class_spec
+    if class_spec.effect is Effect.SAFE:
         return True
-    if traffic_class.effect is Effect.KEYED and traffic_class.deduplication_scope is DeduplicationScope.ALL:
+    if class_spec.effect is Effect.KEYED and class_spec.deduplication_scope is DeduplicationScope.ALL:
         return True
     return not request.attempts_that_may_have_run()
--- a/garnetlanding/decision/dispatch.py
+++ b/garnetlanding/decision/dispatch.py
@@ -70,7 +70,7 @@
         the latency objective.
         """
         derived = self._state.derived_settings
-        objective = request.traffic_class.latency_objective_us
+        objective = request.class_spec.latency_objective_us
         relative_weight = min(1.0, request.priority_weight / derived.highest_priority_weight)
         slow = tuning.SLOW_LATENCY_FRACTION
         fraction = derived.tightest_objective_us / objective * (slow + (1 - slow) * relative_weight)
--- a/garnetlanding/decision/load_shedding.py
+++ b/garnetlanding/decision/load_shedding.py
@@ -67,7 +67,7 @@
     """Return the request as a candidate; one that cannot be in time has the value of a late response."""
     weight = request.priority_weight
     if forecast.earliest_completion(request) > request.objective_at:
-        weight *= request.traffic_class.late_value_fraction
+        weight *= request.class_spec.late_value_fraction
     return weight, -request.start_tag, -request.sequence, request
 
 
--- a/garnetlanding/decision/request_table.py
+++ b/garnetlanding/decision/request_table.py
@@ -23,7 +23,7 @@
     def add(
         self,
         arrival: api.Arrival,
-        traffic_class: api.ClassSpec,
+        class_spec: api.ClassSpec,
         plan: api.PlanSpec,
         volume: Volume,
         now: int,
@@ -40,13 +40,13 @@
         self._arrivals += 1
         request = Request(
             arrival=arrival,
-            traffic_class=traffic_class,
+            class_spec=class_spec,
             volume=volume,
             units=arrival.units,
             sequence=self._arrivals,
-            objective_at=first_attempt_at + traffic_class.latency_objective_us,
+            objective_at=first_attempt_at + class_spec.latency_objective_us,
             answer_by=arrival.deadline_us - tuning.ANSWER_MARGIN_TICKS * tick_us,
-            priority_weight=traffic_class.priority_weight * plan.price,
+            priority_weight=class_spec.priority_weight * plan.price,
         )
         self.by_id[arrival.request] = request
         return request
--- a/garnetlanding/decision/requests.py
+++ b/garnetlanding/decision/requests.py
@@ -37,7 +37,7 @@
     """A request, from its arrival until its final answer and the end of its last attempt."""
 
     arrival: api.Arrival
-    traffic_class: api.ClassSpec
+    class_spec: api.ClassSpec
     volume: Volume
     units: float
     sequence: int  # number of its arrival
--- a/garnetlanding/decision/retries.py
+++ b/garnetlanding/decision/retries.py
@@ -47,7 +47,7 @@
         """Schedule a retry after a pause, or end the request if it would be late or has no attempt left."""
         state = self._state
         attempts = len(request.attempts)
-        retry_at = state.now + retry_pause(request.traffic_class.latency_objective_us, attempts, state.rng)
+        retry_at = state.now + retry_pause(request.class_spec.latency_objective_us, attempts, state.rng)
         is_late = retry_at + request.attempts[-1].health.latency_us > request.answer_by
         if is_late or attempts >= state.settings.max_attempts:
             self._admission.reject_or_fail(request)
--- a/garnetlanding/decision/state.py
+++ b/garnetlanding/decision/state.py
@@ -101,10 +101,10 @@
     def new_request(self, arrival: api.Arrival) -> Request:
         """Create the request of an arrival, and its volume if this is the volume's first request."""
         settings = self.settings
-        traffic_class = settings.classes[arrival.request_class]
+        class_spec = settings.classes[arrival.request_class]
         plan = settings.plans[arrival.plan]
         volume = self.volumes.get_or_add(arrival, plan, self.now, settings)
-        return self.requests.add(arrival, traffic_class, plan, volume, self.now, settings.tick_us)
+        return self.requests.add(arrival, class_spec, plan, volume, self.now, settings.tick_us)
 
     def dequeue_unsent(self, request: Request) -> None:
         """Remove a request from its queue without sending it, if it is in one."""
--- a/garnetlanding/decision/tuning.py
+++ b/garnetlanding/decision/tuning.py
@@ -27,7 +27,7 @@
 SHARED_STATISTICS_GAIN = 0.1  # relative step per response of the statistics over all backends
 
 # Backend health.
-UNRESPONSIVE_OBJECTIVES = 2.0  # tightest objectives without a response; live backends pause for less
+UNRESPONSIVE_OBJECTIVES = 2.0  # tightest objectives without a response; healthy backends pause for less
 CRASH_CONNECT_FAILURES = (
     3  # consecutive ones by which an unresponsive backend counts as crashed; one may be chance
 )
