--- a/garnetlanding/decision/attempt_rules.py
+++ b/garnetlanding/decision/attempt_rules.py
@@ -1,4 +1,4 @@
-"""Rules: whether a request may be attempted at a backend now, and whether it may be rejected."""
+"""Decides whether a request may be attempted at a backend now, and whether it may be rejected."""
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.backend_health import BackendHealth
--- a/garnetlanding/decision/backoff.py
+++ b/garnetlanding/decision/backoff.py
@@ -1,4 +1,4 @@
-"""Backoff with jitter before polls of the endpoint list that follow a failure, and before retries."""
+"""Decides the backoff before a poll of the endpoint list that follows a failure, and before a retry."""
 
 from __future__ import annotations
 
--- a/garnetlanding/decision/concurrency.py
+++ b/garnetlanding/decision/concurrency.py
@@ -1,4 +1,4 @@
-"""The concurrency limit: how many attempts of this instance may be in flight at a backend."""
+"""Decides the concurrency limit: how many attempts of this instance may be in flight at a backend."""
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision import tuning
--- a/garnetlanding/decision/control.py
+++ b/garnetlanding/decision/control.py
@@ -1,4 +1,4 @@
-"""The Controller of one instance, an implementation of C-SFQ(D): passes each event to its handler.
+"""Decides which handler gets an event, and in which order: the Controller of one instance, C-SFQ(D).
 
 The Controller is a pure state machine: events in, actions out (interface.py), no clock and no I/O. It
 implements start-time fair queueing with adaptive weights and concurrency limits. The decisions are made in
--- a/garnetlanding/decision/dispatch.py
+++ b/garnetlanding/decision/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: chooses which queued request is sent next, and when."""
+"""Decides which queued request is sent next, and when."""
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision import tuning
--- a/garnetlanding/decision/load_shedding.py
+++ b/garnetlanding/decision/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: ends queued requests so that the others meet their latency objectives.
+"""Decides which queued requests are shed so that the others meet their latency objectives.
 
 Requests are visited in dispatch order. While a request is forecast to miss its latency objective, the one of
 the lowest priority weight among it and its predecessors is shed.
--- a/garnetlanding/decision/placement.py
+++ b/garnetlanding/decision/placement.py
@@ -1,4 +1,4 @@
-"""Placement: which backend serves a cell, and in which cell a new object is created."""
+"""Decides which backend serves a cell, and in which cell a new object is created."""
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision import tuning
--- a/garnetlanding/decision/retries.py
+++ b/garnetlanding/decision/retries.py
@@ -1,10 +1,10 @@
-"""Retries and hedges: whether a request gets another attempt, and after which delay."""
+"""Decides whether a request gets another attempt, a retry or a hedge, and after which delay."""
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.admission import Admission
 from garnetlanding.decision.backoff import retry_pause
 from garnetlanding.decision.requests import MAY_STILL_RUN, Attempt, Request
-from garnetlanding.decision.result_recorder import record_result
+from garnetlanding.decision.learning import record_result
 from garnetlanding.decision.state import ControllerState
 
 
@@ -40,7 +40,7 @@
             request.volume.usage_percent = result.usage_percent
         ordered_keys = state.requests.ordered_keys
         if result.outcome in MAY_STILL_RUN and request.arrival.key in ordered_keys:
-            pause_us = state.settings.ordered_key_pause_us + state.settings.tick_us
+            pause_us = state.settings.ordered_key_rest_us + state.settings.tick_us
             ordered_keys[request.arrival.key].blocked_until = state.now + pause_us
 
     def _retry(self, request: Request) -> None:
--- a/garnetlanding/decision/warmup.py
+++ b/garnetlanding/decision/warmup.py
@@ -1,4 +1,4 @@
-"""Slow start: how much this instance may send to a backend that has just started."""
+"""Decides how much this instance may send to a backend that has just started: slow start."""
 
 from __future__ import annotations
 
--- a/garnetlanding/decision/weight_control.py
+++ b/garnetlanding/decision/weight_control.py
@@ -1,4 +1,4 @@
-"""Weight controller: lowers the weight of volumes that exceed the rate of their plan, and the reverse."""
+"""Decides the weights of volumes: lower for those that exceed their plan's rate, and the reverse."""
 
 from __future__ import annotations
 
--- a/garnetlanding/emulator/fleet_config.py
+++ b/garnetlanding/emulator/fleet_config.py
@@ -85,7 +85,7 @@
         warmup_units=config.warmup_units,
         overload_multiple=config.overload_multiple,
         overload_window_us=config.overload_window_us,
-        ordered_key_pause_us=0,
+        ordered_key_rest_us=0,
         retry_budget_ratio=0.0,
         retry_budget_floor=0.0,
         retry_budget_window_us=0,
--- a/garnetlanding/wire.py
+++ b/garnetlanding/wire.py
@@ -193,7 +193,7 @@
         warmup_units=get("FamilyInfo.ColdBears", number, default=0.0),
         overload_multiple=get("Rules.FallMultiple", number, default=1.0),
         overload_window_us=get("Rules.FallUs", integer, default=0),
-        ordered_key_pause_us=get("Rules.TurnGapUs", integer, default=0),
+        ordered_key_rest_us=get("Rules.TurnGapUs", integer, default=0),
         retry_budget_ratio=get("Rules.FurtherRatio", number, default=0.0),
         retry_budget_floor=get("Rules.FreeResends", number, default=0.0),
         retry_budget_window_us=get("Rules.RatioSpanUs", integer, default=0),
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -1299,7 +1299,7 @@
         f"cold units: {s.warmup_units!r}",
         f"fall multiple: {s.overload_multiple!r}",
         f"fall time: {s.overload_window_us}",
-        f"rest between ordered: {s.ordered_key_pause_us}",
+        f"rest between ordered: {s.ordered_key_rest_us}",
         f"budget share: {s.retry_budget_ratio!r}",
         f"budget free: {s.retry_budget_floor!r}",
         f"budget span: {s.retry_budget_window_us}",
