--- a/garnetlanding/decision/retries.py
+++ b/garnetlanding/decision/retries.py
@@ -3,8 +3,8 @@
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.admission import Admission
 from garnetlanding.decision.backoff import retry_pause
-from garnetlanding.decision.requests import MAY_STILL_RUN, Attempt, Request
 from garnetlanding.decision.learning import record_result
+from garnetlanding.decision.requests import MAY_STILL_RUN, Attempt, Request
 from garnetlanding.decision.state import ControllerState
 
 
