--- a/garnetlanding/decision/request_table.py
+++ b/garnetlanding/decision/request_table.py
@@ -1,4 +1,4 @@
-"""The requests of one instance, and the queues of keys whose requests are executed in order."""
+"""The table of the unfinished requests of one instance."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RequestTable:
-    """Owns all requests that have no final answer or an attempt in flight, by identifier."""
+    """Owns the requests that have no final answer yet or have an attempt in flight, and the ordered keys."""
 
     __slots__ = ("_arrivals", "_longest_timeout_us", "by_id", "ordered_keys")
 
@@ -23,7 +23,7 @@
     def add(
         self,
         arrival: api.Arrival,
-        traffic_class: api.ClassSpec,
+        class_spec: api.ClassSpec,
         plan: api.PlanSpec,
         volume: Volume,
         now: int,
@@ -31,8 +31,8 @@
     ) -> Request:
         """Create the request of an arrival.
 
-        A client's retry has the latency objective of its first attempt. When that arrived follows from the
-        longest timeout that any client has given for the class.
+        The latency objective of a client's retry counts from the client's first attempt. The time of that
+        attempt is derived from the deadline and the longest timeout that clients have used for the class.
         """
         timeout_us = max(self._longest_timeout_us.get(arrival.request_class, 0), arrival.deadline_us - now)
         self._longest_timeout_us[arrival.request_class] = timeout_us
@@ -40,13 +40,13 @@
         self._arrivals += 1
         request = Request(
             arrival=arrival,
-            traffic_class=traffic_class,
+            class_spec=class_spec,
             volume=volume,
             units=arrival.units,
             sequence=self._arrivals,
-            objective_at=first_attempt_at + traffic_class.latency_objective_us,
+            objective_at=first_attempt_at + class_spec.latency_objective_us,
             answer_by=arrival.deadline_us - tuning.ANSWER_MARGIN_TICKS * tick_us,
-            priority_weight=traffic_class.priority_weight * plan.price,
+            priority_weight=class_spec.priority_weight * plan.price,
         )
         self.by_id[arrival.request] = request
         return request
