--- a/garnetlanding/peers/peer_credit.py
+++ b/garnetlanding/peers/peer_credit.py
@@ -1,4 +1,4 @@
-"""How far the claims of each peer are trusted. No clock; times are microseconds."""
+"""The credit of peers: how far their claims are trusted. No clock; times are in microseconds."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Credit:
-    """The credit of a peer at the moment when it was lowered last."""
+    """A peer's credit just after it was last lowered."""
 
-    value: float  # 0 to 1
+    value: float  # from 0 to 1
     at: int
 
 
 class CreditTable:
-    """The credit of each peer: lowered by refuted claims, and recovering linearly with time."""
+    """The credit of each peer: lowered by refuted claims, recovering linearly over time."""
 
     def __init__(self, limits: PeerLimits) -> None:
         self._limits = limits
-        self._lowered: dict[int, Credit] = {}  # by peer; one without an entry has full credit
+        self._lowered: dict[int, Credit] = {}  # by peer; a peer without an entry has full credit
 
     def of(self, peer: int, now: int) -> float:
-        """Return a peer's credit, 0 to 1."""
+        """Return a peer's credit, from 0 to 1."""
         lowered = self._lowered.get(peer)
         if lowered is None:
             return FULL_CREDIT
--- a/garnetlanding/peers/suspicions.py
+++ b/garnetlanding/peers/suspicions.py
@@ -1,6 +1,7 @@
-"""Which backends are suspected on the claims of peers: evidence with an age, never a decision.
+"""Suspects backends on the claims of peers.
 
-A claim is a peer's statement about a backend. Its states at the instance that received it:
+A claim is a peer's statement about a backend, based on evidence of a known age; peers send no decisions. The
+states of a claim at the instance that received it:
 
 =========  ==========================================  ===================  ==================================
 state      condition                                   counts against the   next states
@@ -8,20 +9,21 @@
 =========  ==========================================  ===================  ==================================
 valid      received, and not older than `evidence_us`  with the peer's      refuted, withdrawn, expired
                                                        credit
-refuted    this instance has observed the contrary     no                   valid (repeated with later
-           since                                                            evidence), withdrawn, expired
-withdrawn  the peer's last message does not repeat it  no                   valid (claimed once more)
-expired    its greatest possible age has been reached  no                   none: it is forgotten
+refuted    this instance has since observed the        no                   valid (repeated with later
+           contrary                                                         evidence), withdrawn, expired
+withdrawn  the peer's last message does not repeat it  no                   valid (claimed again)
+expired    its evidence may be older than              no                   none: it is removed
+           `evidence_us`
 =========  ==========================================  ===================  ==================================
 
-A peer loses credit if it repeats a claim as of later than the refutation, with some grace, or claims it once
-more after withdrawing it.
+A peer loses credit if it repeats a claim with evidence that is later than the refutation by more than
+`refutation_grace_us`, or if it withdraws a refuted claim and makes it again.
 
-A backend is suspected while the credits of its valid claims add up to `suspicion_credit`, and while it is
-among the set fraction of listed backends with the most credit against them. The suspicion ends with the last
-of those claims, at the latest (docs/design/fleet-verdicts.md).
+A backend is suspected while the credits of the peers with valid claims about it add up to `suspicion_credit`,
+and while it is among the `max_suspected_fraction` of listed backends with the most credit against them. A
+suspicion ends at the latest when the last of those claims expires (docs/design/fleet-verdicts.md).
 
-No clock and no socket. Times are microseconds of this instance's clock.
+Sans-IO: no clock and no sockets. Times are in microseconds of this instance's clock.
 """
 
 from __future__ import annotations
@@ -42,13 +44,13 @@
     """The last claim of one peer about one backend."""
 
     kind: EvidenceKind
-    count: int  # of the events that it rests on
+    count: int  # of the events observed
     latest_at: int  # the latest time at which the peer may have observed it
     expires_at: int  # the earliest such time, plus the greatest age at which evidence counts
-    refuted_at: int | None = None  # when this instance first observed the contrary of it or of the one before
+    refuted_at: int | None = None  # when this instance first observed the contrary, kept over repetitions
 
     def first_refuted_at(self, observation: Observation) -> int | None:
-        """Return when this instance first observed the contrary of this claim; None: it has not."""
+        """Return when this instance first observed the contrary of this claim, or None if it has not."""
         if self.refuted_at is not None:
             return self.refuted_at
         contradicted_at = observation.contradicted_at(self.kind)
@@ -59,11 +61,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspicion:
-    """A backend against which enough credit is claimed."""
+    """A backend that peers with sufficient credit claim to be failing."""
 
-    weight: float  # the sum of the credits
+    credit: float  # sum of the credits of the claiming peers
     backend: str
-    until: int
+    until: int  # when the last valid claim expires
 
 
 class SuspicionTable:
@@ -73,13 +75,13 @@
         self.limits = limits
         self.credits = CreditTable(limits)
         self._claims: dict[str, dict[int, PeerClaim]] = {}  # by backend and peer
-        self._withdrawn: dict[tuple[str, int], PeerClaim] = {}  # by backend and peer: the last one withdrawn
+        self._withdrawn: dict[tuple[str, int], PeerClaim] = {}  # the last one withdrawn, by (backend, peer)
 
     def claims_about(self, backend: str) -> Mapping[int, PeerClaim]:
-        """Return the claims about a backend that have been neither withdrawn nor dropped, by peer."""
+        """Return the claims about a backend that are neither withdrawn nor removed, by peer."""
         return self._claims.get(backend, {})
 
-    # Claims received
+    # Receiving claims
 
     def receive(
         self,
@@ -91,8 +93,8 @@
     ) -> Counter[DropReason]:
         """Replace the claims of a peer by those of its message; return how many were dropped, by reason.
 
-        `sent_at` is when this instance sent the last message that the sender had received by then; None: that
-        is not known.
+        `sent_at` is when this instance sent the last message that the sender had received, or None if that is
+        unknown.
         """
         dropped: Counter[DropReason] = Counter()
         claimed: set[str] = set()
@@ -101,7 +103,7 @@
             if observation is None:
                 dropped[DropReason.UNKNOWN_BACKEND] += 1
                 continue
-            claim = self._check(entry, observation, sent_at, now)
+            claim = self._claim_from(entry, observation, sent_at, now)
             if isinstance(claim, DropReason):
                 dropped[claim] += 1
                 continue
@@ -110,14 +112,15 @@
         self._withdraw_all_but(claimed, sender)
         return dropped
 
-    def _check(
+    def _claim_from(
         self, evidence: Evidence, observation: Observation, sent_at: int | None, now: int
     ) -> PeerClaim | DropReason:
-        """Return the claim that a peer's evidence makes, or why it is dropped."""
+        """Return the claim that a peer's evidence makes, or the reason to drop it."""
         if not self._is_same_incarnation(evidence.uptime, uptime_of(observation.endpoint, now)):
             return DropReason.OTHER_INCARNATION
         if sent_at is None:
-            return DropReason.EXPIRED_EVIDENCE  # without an exchange its age has no bound
+            # Without an acknowledgement, the age of the evidence has no upper bound.
+            return DropReason.EXPIRED_EVIDENCE
         age_us = evidence.age_ms * MS
         expires_at = sent_at - age_us + self.limits.evidence_us
         if expires_at <= now:
@@ -125,7 +128,7 @@
         return PeerClaim(evidence.kind, evidence.count, now - age_us, expires_at)
 
     def _is_same_incarnation(self, claimed_uptime: int, known_uptime: int) -> bool:
-        """Return whether two uptimes of a backend (in 0.1 s) can be those of one process."""
+        """Return whether two uptimes of a backend (in units of 0.1 s) can belong to one process."""
         slack = self.limits.uptime_slack_us // UPTIME_UNIT_US
         if MAX_UPTIME in (claimed_uptime, known_uptime):
             shorter = min(claimed_uptime, known_uptime)
@@ -133,7 +136,7 @@
         return abs(claimed_uptime - known_uptime) <= slack
 
     def _withdraw_all_but(self, claimed: set[str], sender: int) -> None:
-        """Withdraw the claims of a peer about all backends but those that it has claimed again."""
+        """Withdraw the claims of a peer that its last message does not repeat."""
         for backend, claims in list(self._claims.items()):
             if backend not in claimed and (claim := claims.pop(sender, None)):
                 self._withdrawn[backend, sender] = claim
@@ -143,14 +146,14 @@
     def _replace_claim(self, claim: PeerClaim, sender: int, observation: Observation, now: int) -> None:
         """Store a claim in place of the peer's last one about the backend.
 
-        Lowers the peer's credit if it repeats what this instance's own traffic has refuted, not if it was
-        merely late to learn of a change.
+        Lowers the peer's credit if the claim repeats what this instance's own traffic has refuted, but not if
+        the peer may only have learned of a change late.
         """
         backend = observation.endpoint.backend
         claims = self._claims.setdefault(backend, {})
         last = claims.get(sender)
         withdrawn = self._withdrawn.pop((backend, sender), None)
-        if withdrawn is not None and self._is_repeated(claim, withdrawn, observation):
+        if withdrawn is not None and self._repeats_refuted(claim, withdrawn, observation):
             self.credits.lower(sender, now)
         if last is not None and last.kind is claim.kind:
             claim.refuted_at = last.first_refuted_at(observation)
@@ -160,16 +163,16 @@
                 claim.refuted_at = None
         claims[sender] = claim
 
-    def _is_repeated(self, claim: PeerClaim, withdrawn: PeerClaim, observation: Observation) -> bool:
-        """Return whether a claim was refuted and withdrawn, and is soon made again, as if never withdrawn."""
+    def _repeats_refuted(self, claim: PeerClaim, withdrawn: PeerClaim, observation: Observation) -> bool:
+        """Return whether a claim repeats a withdrawn one, refuted less than `evidence_us` before it."""
         earliest = max(withdrawn.latest_at, claim.latest_at - self.limits.evidence_us)
         contradicted_at = observation.contradicted_at(withdrawn.kind)
         return contradicted_at is not None and earliest < contradicted_at < claim.latest_at
 
-    # Suspicions that follow
+    # Suspicions
 
     def drop_expired(self, now: int, observations: LocalObservations) -> None:
-        """Forget the claims that have expired, and all about backends that are not listed any more."""
+        """Remove expired claims, and all claims about backends that are no longer listed."""
         for backend in list(self._claims):
             claims = self._claims[backend]
             for peer in [peer for peer, claim in claims.items() if claim.expires_at <= now]:
@@ -185,23 +188,24 @@
             del self._withdrawn[key]
 
     def suspected(self, now: int, observations: LocalObservations) -> dict[str, int]:
-        """Return the backends that are suspected on peers' claims alone, and until when at most.
+        """Return the backends that peers' claims make suspected, and when each suspicion ends at the latest.
 
-        At most a set fraction of the listed backends is suspected: those with the most credit against them.
+        Of the listed backends, at most `max_suspected_fraction` and at least one may be suspected: those with
+        the most credit against them.
         """
         if not self._claims:
-            return {}  # the usual case, at each call of the decision module
+            return {}  # the usual case; this runs at each call of the decision module
         suspicions = [
             suspicion
             for backend in self._claims
             if (suspicion := self._suspicion(backend, now, observations)) is not None
         ]
-        most = max(1, int(self.limits.max_suspected_fraction * len(observations.backends)))
-        heaviest = sorted(suspicions, key=lambda suspicion: (-suspicion.weight, suspicion.backend))[:most]
-        return {suspicion.backend: suspicion.until for suspicion in heaviest}
+        max_suspected = max(1, int(self.limits.max_suspected_fraction * len(observations.backends)))
+        by_credit = sorted(suspicions, key=lambda suspicion: (-suspicion.credit, suspicion.backend))
+        return {suspicion.backend: suspicion.until for suspicion in by_credit[:max_suspected]}
 
     def _suspicion(self, backend: str, now: int, observations: LocalObservations) -> Suspicion | None:
-        """Return the suspicion of a backend that its valid claims amount to, if they do."""
+        """Return the suspicion of a backend, or None if the credit of its valid claims is insufficient."""
         observation = observations.backends.get(backend)
         if observation is None:
             return None
@@ -211,7 +215,7 @@
             is_refuted = contradicted_at is not None and claim.latest_at <= contradicted_at
             if claim.expires_at > now and not is_refuted:
                 valid[peer] = claim
-        weight = sum(self.credits.of(peer, now) for peer in valid)
-        if not valid or weight < self.limits.suspicion_credit:
+        credit = sum(self.credits.of(peer, now) for peer in valid)
+        if not valid or credit < self.limits.suspicion_credit:
             return None
-        return Suspicion(weight, backend, max(claim.expires_at for claim in valid.values()))
+        return Suspicion(credit, backend, max(claim.expires_at for claim in valid.values()))
--- a/tests/peers/test_local_observations.py
+++ b/tests/peers/test_local_observations.py
@@ -1,4 +1,4 @@
-"""Local observations: the evidence that an instance's own traffic yields about its backends."""
+"""Local observations: the evidence about backends that an instance derives from its own traffic."""
 
 from __future__ import annotations
 
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -1,4 +1,4 @@
-"""Suspicions of backends: how long peers' claims count, the credit of peers, and the effect on requests."""
+"""Suspicions of backends: the lifetime of claims, the credit of peers, and the effect on requests."""
 
 from __future__ import annotations
 
@@ -78,14 +78,14 @@
 def test_peer_counts_once_and_loses_credit_when_refuted_repeatedly() -> None:
     observations, table = observations_after(), SuspicionTable(LIMITS)
     now = T0
-    for _ in range(24):  # rounds of six seconds: the backend that is claimed to be unreachable responds
+    for _ in range(24):  # six seconds of rounds: the backend that is claimed to be unreachable responds
         now += 250 * MS
         table.receive(1, [make_evidence()], now, now, observations)
         now += MS
         observations.observe_events(now, [result("n0", SERVED)], OBJECTIVE_US)
     assert table.credits.of(1, now) < LIMITS.suspicion_credit
     table.receive(1, [make_evidence("n1")], now, now, observations)
-    assert not table.suspected(now, observations), "nor do its claims about other backends count"
+    assert not table.suspected(now, observations), "its claims about other backends do not count either"
     table.receive(2, [make_evidence("n1")], now, now, observations)
     assert table.suspected(now, observations)
     table.receive(1, [make_evidence("n1")] * 5, now, now, observations)
@@ -104,7 +104,7 @@
         now += 500 * MS
     assert table.credits.of(1, now) < LIMITS.suspicion_credit
     other, later = SuspicionTable(LIMITS), T0 + 60 * SECOND
-    for _ in range(4):  # a backend that really fails and recovers, at some distance
+    for _ in range(4):  # a backend that really fails and recovers, at longer intervals
         other.receive(1, [make_evidence()], later, later, observations)
         observations.observe_events(later + MS, [result("n0", SERVED)], OBJECTIVE_US)
         other.receive(1, [], later + 2 * MS, later + 2 * MS, observations)
@@ -117,7 +117,7 @@
     for now in range(T0, T0 + 3 * SECOND, 250 * MS):
         table.receive(1, [make_evidence(age_ms=(now - T0) // MS % 1000)], now, now, observations)
     observations.observe_events(now, [result("n0", SERVED)], OBJECTIVE_US)
-    for age in range(250, 1500, 250):  # it repeats its observation with its true age
+    for age in range(250, 1500, 250):  # it repeats its observation with the true age
         table.receive(1, [make_evidence(age_ms=age)], now + age * MS, now + age * MS, observations)
     assert table.credits.of(1, now) == 1
 
@@ -160,7 +160,7 @@
     instances.run(20)
     instances.run(8, *[(1, result("n0", REFUSED))] * 3)
     instances.run(1, *[(0, arrival(f"r{i}", instances.now)) for i in range(3)])
-    assert instances.sends[0] == ["r0"], "one at a time, and never none"
+    assert instances.sends[0] == ["r0"], "one at a time, and at least one"
     instances.run(1, (0, result("n0", SERVED, request="r0")))
     assert instances.sends[0] == ["r0", "r1", "r2"], "a response to its own request ends the suspicion"
     rows = [row.as_json() for row in instances.coordinators[0].suspicion_rows(instances.now)]
@@ -168,8 +168,8 @@
     assert rows[0]["doubted_ms"] is None
 
 
-def test_no_course_of_claims_leads_to_a_suspicion_without_recent_observation() -> None:
-    """Every course of two instances within three steps; with three instances, `benchmarks.verdicts`."""
+def test_no_sequence_of_claims_leads_to_a_suspicion_without_recent_observation() -> None:
+    """Explores all runs of two instances up to three steps; `benchmarks.verdicts` explores those of three."""
     found = explore(Scope(instances=2, steps=3))
     assert found.is_complete
     assert not found.violation
--- a/tests/support/suspicions.py
+++ b/tests/support/suspicions.py
@@ -1,4 +1,4 @@
-"""Instances that exchange suspicions in one process, for the tests of gossip."""
+"""Instances that exchange gossip within one process."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 class GossipingInstances:
-    """Three instances in front of six backends; each message arrives in the receiver's next round."""
+    """Three instances with six backends; each message arrives at the receiver's next step."""
 
     def __init__(self) -> None:
         self.now = T0
