--- a/garnetlanding/peers/__init__.py
+++ b/garnetlanding/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What the instances of a fleet exchange where the settings allow it: short datagrams over UDP."""
+"""The protocols between the instances of a fleet: short UDP datagrams, where the settings allow them."""
--- a/garnetlanding/peers/disable_replication.py
+++ b/garnetlanding/peers/disable_replication.py
@@ -1,7 +1,7 @@
 """Replicates the table of administratively disabled backends to all peers, by gossip.
 
-Each gossip message carries the digest of its sender's table; records go along where the receiver's table
-differs. No clock and no I/O: `FailureDetector` composes and reads the messages.
+Each gossip message carries the digest of its sender's table, and records if the receiver's table differs.
+Sans-IO: no clock and no I/O. `FailureDetector` composes and decodes the messages.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerDigest:
-    """The digest of a peer's table, as last received from an incarnation of it."""
+    """The last digest of a peer's table received, and the incarnation that sent it."""
 
     incarnation: int
     digest: bytes
 
 
 class DisableReplication:
-    """One instance's table of disabled backends, and what it has received of its peers' tables.
+    """One instance's table of disabled backends, and the digests and records received from its peers.
 
-    Records received are collected until the owner of the table has merged and stored them: see
-    `take_received` and `replace_table`.
+    Received records are buffered until the owner of the table merges and stores them (`take_received`,
+    `replace_table`).
     """
 
     def __init__(
@@ -39,13 +39,13 @@
         self._is_enabled = is_enabled
         self._history = history
         self._digests: dict[int, PeerDigest] = {}
-        self._sent: Counter[int] = Counter()  # by peer, how many records it was sent
-        self._received: dict[str, DisableRecord] = {}  # by backend, not taken by the owner yet
+        self._sent: Counter[int] = Counter()  # by peer: the number of records sent to it
+        self._received: dict[str, DisableRecord] = {}  # by backend: records not taken by the owner yet
 
-    # For the owner of the table
+    # Calls by the owner of the table
 
     def replace_table(self, table: DisabledBackends) -> None:
-        """Set the table, which peers are sent from now on."""
+        """Replace the table that is sent to peers."""
         if self._history and table.disabled_names != self.table.disabled_names:
             self._history.disabled_backends_changed(table.disabled_names)
         self.table = table
@@ -59,7 +59,7 @@
     def merge_received(self) -> bool:
         """Merge the records received from peers into the table; return whether it has changed.
 
-        For an owner that stores nothing.
+        For an owner that does not store the table.
         """
         table = DisabledBackends(self.limits, self.table.records.values())
         result = table.merge(self.take_received())
@@ -67,10 +67,10 @@
             self.replace_table(table)
         return bool(result.accepted)
 
-    # Messages of peers
+    # Receiving
 
     def receive(self, sender: int, incarnation: int, digest: bytes, records: Iterable[DisableRecord]) -> None:
-        """Register the digest of a peer's table, and collect the records that are later than known ones."""
+        """Store the digest of a peer's table, and buffer the records that outrank all known ones."""
         self._digests[sender] = PeerDigest(incarnation, digest)
         if self._is_enabled:
             for record in records:
@@ -87,18 +87,18 @@
         if record.backend in self._received or len(self._received) < self.limits.max_disable_records:
             self._received[record.backend] = record
 
-    # Messages to peers
+    # Sending
 
     def latest_first(self) -> list[DisableRecord]:
-        """Return all records of the table, those of the greatest rank first."""
+        """Return all records of the table, in descending rank."""
         return sorted(self.table.records.values(), key=lambda record: record.rank, reverse=True)
 
     def candidates_for(
         self, peer: int, incarnation: int, records: Sequence[DisableRecord]
     ) -> list[DisableRecord]:
-        """Return the records to send to a peer, as many as fit: rotated, to follow those sent last.
+        """Return the records to send to a peer as far as they fit, starting after those sent last.
 
-        None of them where this incarnation of the peer has an equal table already.
+        Returns none if this incarnation of the peer already has an equal table.
         """
         if self._has_equal_table(peer, incarnation):
             return []
@@ -106,13 +106,13 @@
         return [*records[start:], *records[:start]]
 
     def register_sent(self, peer: int, count: int) -> None:
-        """Register that the first `count` candidates are sent to a peer."""
+        """Record that the first `count` candidates are being sent to a peer."""
         self._sent[peer] += count
 
     def _has_equal_table(self, peer: int, incarnation: int) -> bool:
-        """Return whether an incarnation of a peer has an equal table, as far as is known.
+        """Return whether an incarnation of a peer is known to have an equal table.
 
-        A peer that has sent no digest yet is assumed to have an empty table.
+        A peer that has not sent a digest yet is assumed to have an empty table.
         """
         known = self._digests.get(peer, PeerDigest(incarnation, EMPTY_DIGEST))
         return known == PeerDigest(incarnation, self.table.digest)
--- a/garnetlanding/peers/envelope.py
+++ b/garnetlanding/peers/envelope.py
@@ -1,19 +1,19 @@
-"""The envelope of every datagram between instances, version 1.
+"""Encoding of the envelope of every datagram between instances, version 1.
 
 All numbers are big-endian::
 
     version 1 byte | kind 1 | incarnation 6 | number 4 |
         acknowledged incarnation 6 | acknowledged number 4 | count 1 | count 1
-    body, in the form of the kind
+    body, whose encoding depends on the kind
     CRC-32 of everything before it 4 bytes
 
 The bodies are described in lease_message.py (`MessageKind.LEASES` and `BUDGETS`), gossip_message.py and
-membership_message.py; what the two counts mean depends on the kind. An instance that has switched a kind off
-counts such messages and drops them. Leases are always accepted.
+membership_message.py; the meaning of the two counts depends on the kind. An instance counts and drops
+messages of a kind that it has disabled. Leases cannot be disabled.
 
-`incarnation` grows with each start of an instance, `number` with each message of one incarnation to one
+`incarnation` increases with each start of an instance, `number` with each message of one incarnation to one
 receiver. The acknowledged incarnation and number identify the last message that the sender has received from
-the receiver of this one: a lease runs from the moment at which that message was sent.
+the receiver. A lease runs from the time at which that acknowledged message was sent.
 """
 
 from __future__ import annotations
@@ -35,16 +35,16 @@
     """The second byte of a datagram."""
 
     LEASES = 1
-    GOSSIP = 2  # observations of backends, and administratively disabled ones
+    GOSSIP = 2  # evidence about backends, and administratively disabled backends
     MEMBERSHIP = 3
     BUDGETS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A datagram whose checksum is right; its body is not decoded yet."""
+    """A datagram with a valid checksum, whose body is not decoded yet."""
 
-    kind: int  # a `MessageKind`, or one that this version does not know
+    kind: int  # a `MessageKind`, or a value that this version does not know
     incarnation: int
     number: int
     acked_incarnation: int
@@ -54,7 +54,7 @@
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Return the datagram of an envelope, checksum included."""
+    """Encode an envelope into a datagram, including the checksum."""
     header = HEADER.pack(
         VERSION,
         envelope.kind,
@@ -68,7 +68,7 @@
 
 
 def decode_envelope(data: bytes, max_bytes: int) -> Envelope:
-    """Check a datagram and separate its header from its body.
+    """Validate a datagram and decode its header.
 
     Raises MessageError if it is longer than `max_bytes`, truncated, damaged, or of another version.
     """
--- a/garnetlanding/peers/link.py
+++ b/garnetlanding/peers/link.py
@@ -1,7 +1,7 @@
-"""The UDP link between instances: the thin driver of the sans-IO peer protocols.
+"""The UDP link between instances: socket I/O for the sans-IO peer protocols.
 
-Datagrams from unknown senders are counted and dropped. Lost, late and duplicated datagrams are no errors: the
-protocols allow for them.
+Datagrams from unknown senders are counted and dropped. Lost, late and duplicated datagrams are not errors:
+the protocols tolerate them.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from garnetlanding.runtime.scheduler import READ, Scheduler
 from garnetlanding.runtime.stream import parse_address
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # disabled subsystems are not imported at run time
     from garnetlanding.peers.membership_protocol import MembershipProtocol
 
 log = logging.getLogger(__name__)
@@ -26,7 +26,7 @@
 
 
 class PeerLink:
-    """A UDP socket that receives from all peers, and sends to one peer or to all."""
+    """A UDP socket that receives from all peers and sends to one or all of them."""
 
     def __init__(
         self,
@@ -36,11 +36,11 @@
         dropped: Counter[str],
         membership: MembershipProtocol | None = None,
     ) -> None:
-        """Open the link. Raises OSError where the address cannot be bound.
+        """Open the link. Raises OSError if the address cannot be bound.
 
-        `on_message` gets the number of the sender and the datagram. `dropped` counts dropped datagrams by
-        cause; every `drop_report_us` it is logged and cleared. With `membership`, the peers are those that it
-        has discovered instead of those that the setup names.
+        `on_message` is called with the sender's number and the datagram. `dropped` counts dropped datagrams
+        by cause; every `drop_report_us` it is logged and cleared. With `membership`, the peers are the
+        discovered instances rather than those in the setup.
         """
         self.setup = setup
         self.dropped = dropped
@@ -62,7 +62,7 @@
         scheduler.call_at(scheduler.now + self._limits.drop_report_us, self._report_dropped)
 
     def _report_dropped(self) -> None:
-        """Log one line for all datagrams dropped since the last one, and schedule the next."""
+        """Log one line for all datagrams dropped since the last report, and schedule the next report."""
         if self.closed:
             return
         self._scheduler.call_at(self._scheduler.now + self._limits.drop_report_us, self._report_dropped)
@@ -74,9 +74,9 @@
             self.dropped.clear()
 
     def send(self, payload: bytes, recipient: int | None = None) -> None:
-        """Send a datagram to one peer by its number, or to all (None).
+        """Send a datagram to the peer with a number, or to all peers if it is None.
 
-        A datagram that cannot be sent is counted as dropped, as if it had been lost on its way.
+        A datagram that cannot be sent is counted as dropped; the protocols treat it as lost in transit.
         """
         if len(payload) > self._limits.datagram_bytes:
             self.dropped[LinkDropReason.TOO_LONG_TO_SEND.value] += 1
@@ -103,7 +103,7 @@
         return [parse_address(self.setup.routes.get(address, address))]
 
     def close(self) -> None:
-        """Close the link, if it is open; datagrams not received yet are lost."""
+        """Close the link if it is open. Datagrams not received yet are lost."""
         if self.closed:
             return
         self.closed = True
@@ -120,7 +120,7 @@
                 if self.closed or not self._receive_one():
                     break
             else:
-                self._scheduler.sleep(0)  # let other tasks run, however many datagrams arrive
+                self._scheduler.sleep(0)  # yield to other tasks even under a flood of datagrams
 
     def _receive_one(self) -> bool:
         """Receive one datagram; return False if none is available."""
@@ -129,7 +129,7 @@
         except BlockingIOError:
             return False
         except OSError:
-            return True  # an ICMP error that an earlier datagram caused
+            return True  # an ICMP error caused by an earlier datagram
         sender = self._sender(source[:2], data)
         if sender is None:
             self.dropped[LinkDropReason.UNKNOWN_SENDER.value] += 1
@@ -140,7 +140,7 @@
         return True
 
     def _sender(self, source: SocketAddress, data: bytes) -> int | None:
-        """Return the number of the peer that a datagram is from; None: the sender is unknown."""
+        """Return the number of the peer that sent a datagram, or None if the sender is unknown."""
         if self._membership is None:
             return self._peers_by_address.get(source)
         host, port = source
--- a/garnetlanding/peers/receiver.py
+++ b/garnetlanding/peers/receiver.py
@@ -1,4 +1,4 @@
-"""Decodes the datagrams of peers and dispatches each to the protocol of its kind. No clock, no socket."""
+"""Decodes datagrams from peers and dispatches each to its protocol. Sans-IO: no clock and no sockets."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.quota_manager import QuotaManager
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # disabled subsystems are not imported at run time
     from garnetlanding.peers.failure_detector import FailureDetector
     from garnetlanding.peers.membership_protocol import MembershipProtocol
 
 
 class ReceivedMessage(NamedTuple):
-    """Identifies a message that was received."""
+    """Identifies a received message."""
 
     sender: int
     incarnation: int
@@ -26,28 +26,28 @@
 
 
 class MessageReceiver:
-    """Processes the messages of peers, and counts those that are dropped by cause."""
+    """Processes messages from peers, and counts the dropped ones by cause."""
 
     def __init__(
         self,
         limits: PeerLimits,
-        quota: QuotaManager,
+        quota_manager: QuotaManager,
         detector: FailureDetector | None,
         membership: MembershipProtocol | None,
         dropped: Counter[str],
     ) -> None:
-        """Dispatch to these protocols; `detector` and `membership` are None where they are switched off."""
+        """Dispatch to these protocols; `detector` and `membership` are None if disabled."""
         self._limits = limits
-        self._quota = quota
+        self._quota_manager = quota_manager
         self._detector = detector
         self._membership = membership
         self.dropped = dropped
         self.last_received: ReceivedMessage | None = None  # the last message that was not dropped
 
     def receive(self, sender: int, payload: bytes, now: int) -> None:
-        """Process one datagram, or count why it is dropped.
+        """Process one datagram, or count it as dropped, by cause.
 
-        A dropped datagram changes nothing, except that the records of a membership message are merged: they
+        A dropped datagram changes no state, except that the records of a membership message are merged: they
         are valid whoever sent them, and in any order.
         """
         try:
@@ -62,24 +62,26 @@
         self.last_received = ReceivedMessage(sender, envelope.incarnation, envelope.number)
 
     def _dispatch(self, sender: int, envelope: Envelope, now: int) -> DropReason | None:
-        """Process a message by its kind; return why it is dropped, if it is. Raises MessageError."""
+        """Process a message by its kind; return why it was dropped, or None. Raises MessageError."""
         if envelope.kind == MessageKind.MEMBERSHIP and self._membership:
             return self._receive_membership(self._membership, sender, envelope, now)
         if envelope.kind == MessageKind.GOSSIP and self._detector:
             return self._receive_gossip(self._detector, sender, envelope, now)
         if envelope.kind == MessageKind.BUDGETS:
-            if self._quota.budgets is None:
+            if self._quota_manager.budgets is None:
                 return DropReason.OTHER_KIND
-            return self._quota.budgets.receive(sender, lease_message.read(envelope), now)
-        return self._quota.leases.receive(sender, lease_message.read(envelope), now)
+            return self._quota_manager.budgets.receive(sender, lease_message.read(envelope), now)
+        return self._quota_manager.leases.receive(sender, lease_message.read(envelope), now)
 
     def _receive_membership(
         self, membership: MembershipProtocol, sender: int, envelope: Envelope, now: int
     ) -> DropReason | None:
-        # The records are merged first: the sender may be known by its own record alone.
+        # The records are merged first: the sender may be unknown before its own record is merged.
         message = membership.merge(envelope)
-        self._quota.follow_members(membership, now)
-        reason = self._quota.leases.contacts.accept(sender, envelope.incarnation, envelope.number, now)
+        self._quota_manager.follow_members(membership, now)
+        reason = self._quota_manager.leases.contacts.accept(
+            sender, envelope.incarnation, envelope.number, now
+        )
         if reason is None:
             membership.record_contact(sender, message, now)
         return reason
@@ -87,7 +89,7 @@
     def _receive_gossip(
         self, detector: FailureDetector, sender: int, envelope: Envelope, now: int
     ) -> DropReason | None:
-        leases = self._quota.leases
+        leases = self._quota_manager.leases
         reason = leases.contacts.accept(sender, envelope.incarnation, envelope.number, now)
         if reason is not None:
             return reason
--- a/tests/peers/test_disable_replication.py
+++ b/tests/peers/test_disable_replication.py
@@ -1,4 +1,4 @@
-"""Replication of disabled backends to one peer: which records are sent and which are accepted."""
+"""Replication of disabled backends to a peer: the records sent and the records accepted."""
 
 from __future__ import annotations
 
