--- a/garnetlanding/peers/peer_contacts.py
+++ b/garnetlanding/peers/peer_contacts.py
@@ -1,8 +1,8 @@
-"""The message exchange with each peer: message numbers, acknowledgements, and what peers request.
+"""The message exchange with each peer: message numbers, acknowledgements, and requests of quota.
 
 An instance numbers its messages, and each message acknowledges the last one received from its receiver. A
-lease runs from the moment at which the acknowledged message was sent, so those moments are remembered for a
-while. No clock and no socket; times are microseconds of this instance's clock.
+lease runs from the time at which the acknowledged message was sent, so the latest sending times are kept.
+Sans-IO: no clock and no sockets. Times are in microseconds of this instance's clock.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 class MessageId(NamedTuple):
     """Identifies a message of one instance.
 
-    Numbers grow within an incarnation, and incarnations with each start, so identifiers are ordered by time.
+    Numbers increase within an incarnation, and incarnations with each start: identifiers are in time order.
     """
 
     incarnation: int
     number: int
 
 
-NO_MESSAGE = MessageId(0, 0)  # acknowledged, on the wire too, where nothing was received from a peer
+NO_MESSAGE = MessageId(0, 0)  # acknowledged on the wire if nothing was received from the peer
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceIdentity:
-    """Which instance of the fleet this is, and which process of that instance."""
+    """Identifies this instance within the fleet, and its current process."""
 
-    number: int  # 0 to `instances` - 1
+    number: int  # from 0 to `instances` - 1
     instances: int  # the size of the fleet
-    incarnation: int  # greater after each start
+    incarnation: int  # increases with each start
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """The quota of a limit that a peer requested last."""
+    """The quota of a limit that a peer last requested."""
 
     quota: float
     hosts: int
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class PeerContact:
-    """The last message received from a peer, and its requests by the tag of their volume."""
+    """The last message received from a peer, and its requests by volume tag."""
 
     last_message: MessageId
     received_at: int
@@ -58,27 +58,27 @@
     """Numbers the messages of one round."""
 
     def number_at(self, index: int) -> int:
-        """Return the number of the message at an index, from 0, of the sequence to each receiver."""
+        """Return the number of the message at an index, from 0, in the sequence to each receiver."""
         ...
 
 
 class PeerContacts:
-    """The message exchange of one instance with all of its peers."""
+    """The message exchange of one instance with all its peers."""
 
     def __init__(self, limits: PeerLimits, identity: InstanceIdentity, last_number: int = 0) -> None:
-        """Start without any contact. `last_number` is that of the last message sent by this incarnation."""
+        """Start without contacts. `last_number` is the number of the last message this incarnation sent."""
         self._limits = limits
         self._incarnation = identity.incarnation
         self.peers = frozenset(range(identity.instances)) - {identity.number}
         self.by_peer: dict[int, PeerContact] = {}
-        self.sent: dict[int, int] = {}  # by number, when this instance sent each of its latest messages
+        self.sent_times: dict[int, int] = {}  # by message number, for the latest own messages
         self.last_number = last_number
 
     def copy(self) -> PeerContacts:
         """Return a copy that changes independently of the original."""
         new = object.__new__(type(self))
         new.__dict__.update(self.__dict__)
-        new.sent = dict(self.sent)
+        new.sent_times = dict(self.sent_times)
         new.by_peer = {
             peer: PeerContact(contact.last_message, contact.received_at, dict(contact.requests))
             for peer, contact in self.by_peer.items()
@@ -86,9 +86,9 @@
         return new
 
     def accept(self, sender: int, incarnation: int, number: int, now: int) -> DropReason | None:
-        """Register a message of a peer; return why it must be dropped, or None where it is the newest one.
+        """Record a message from a peer; return why it must be dropped, or None if it is the newest one.
 
-        After `stale_us` without a message any one is accepted: the peer may have restarted with its wall
+        After `stale_us` without a message any message is accepted: the peer may have restarted with its wall
         clock set back, and then its incarnation is smaller than before.
         """
         if sender not in self.peers:
@@ -109,27 +109,27 @@
     def sent_at(self, incarnation: int, number: int) -> int | None:
         """Return when this instance sent the message that a peer acknowledges.
 
-        None: too long ago to be remembered, or another incarnation sent it.
+        Returns None if the message is too old to be remembered or was sent by another incarnation.
         """
         if incarnation != self._incarnation:
             return None
-        return self.sent.get(number)
+        return self.sent_times.get(number)
 
     def last_received(self, peer: int) -> MessageId:
-        """Return the last message received from a peer, `NO_MESSAGE` if there is none: it is acknowledged."""
+        """Return the last message received from a peer, to be acknowledged, or `NO_MESSAGE`."""
         contact = self.by_peer.get(peer)
         return NO_MESSAGE if contact is None else contact.last_message
 
     def next_number(self, now: int) -> int:
-        """Allocate the number of a message that is sent now, and remember that time."""
+        """Allocate the number of a message that is sent now, and remember its sending time."""
         self.last_number += 1
-        self.sent[self.last_number] = now
-        while len(self.sent) > self._limits.remembered_messages:
-            del self.sent[next(iter(self.sent))]
+        self.sent_times[self.last_number] = now
+        while len(self.sent_times) > self._limits.remembered_messages:
+            del self.sent_times[next(iter(self.sent_times))]
         return self.last_number
 
     def requesters(self, now: int) -> set[int]:
-        """Return the peers that requested a quota of anything within `stale_us`."""
+        """Return the peers that requested any quota within `stale_us`."""
         return {
             peer
             for peer, contact in self.by_peer.items()
@@ -137,7 +137,7 @@
         }
 
     def requested_quotas(self, volume: int, now: int) -> dict[int, float]:
-        """Return what quota each peer requested of a volume within `stale_us`, ordered by peer."""
+        """Return the quota of a volume that each peer requested within `stale_us`, ordered by peer."""
         quotas: dict[int, float] = {}
         for peer, contact in sorted(self.by_peer.items(), key=lambda item: item[0]):
             request = contact.requests.get(volume)
@@ -147,20 +147,20 @@
 
 
 class RoundNumbering:
-    """Numbers the messages that one round sends to several receivers.
+    """Numbers the messages of one round to several receivers.
 
-    Messages at the same index of their sequences have the same number, so that a round to any number of
-    receivers uses no more numbers than its longest sequence has messages.
+    Messages at the same index of their sequences share a number, so a round uses only as many numbers as its
+    longest sequence has messages, however many receivers it has.
     """
 
     def __init__(self, contacts: PeerContacts, now: int) -> None:
-        """`now` is when the round is sent."""
+        """Start a round that is sent at `now`."""
         self._contacts = contacts
         self._now = now
         self._numbers: list[int] = []
 
     def number_at(self, index: int) -> int:
-        """Return the number of the message at an index, from 0; indexes are first asked for in order."""
+        """Return the number of the message at an index, from 0. New indexes must be used in order."""
         if index == len(self._numbers):
             self._numbers.append(self._contacts.next_number(self._now))
         return self._numbers[index]
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -204,13 +204,13 @@
 
 def lease_from_arrival(self: Leases, sender: int, message: LeaseMessage, now: int) -> DropReason | None:
     is_acked = message.acked_incarnation == self.identity.incarnation
-    self.contacts.sent[message.acked_number] = now if is_acked else 0
+    self.contacts.sent_times[message.acked_number] = now if is_acked else 0
     return real_receive(self, sender, message, now)
 
 
 def lease_doubled(self: Leases, sender: int, message: LeaseMessage, now: int) -> DropReason | None:
-    if message.acked_number in self.contacts.sent:
-        self.contacts.sent[message.acked_number] = now + LIMITS.lease_us
+    if message.acked_number in self.contacts.sent_times:
+        self.contacts.sent_times[message.acked_number] = now + LIMITS.lease_us
     return real_receive(self, sender, message, now)
 
 
--- a/tests/peers/test_peer_contacts.py
+++ b/tests/peers/test_peer_contacts.py
@@ -1,4 +1,4 @@
-"""Message numbers, acknowledgements, and which messages of a peer are accepted."""
+"""Message numbers, acknowledgements, and the acceptance of messages from a peer."""
 
 from __future__ import annotations
 
