--- a/garnetlanding/emulator/group_model.py
+++ b/garnetlanding/emulator/group_model.py
@@ -99,10 +99,10 @@
 def _instance_key(members: Membership) -> object:
     return (
         tuple(sorted(members.table.records.values())),
-        tuple(sorted(members.join.confirmed_by)),
-        members.join.has_sponsor,
-        members.join.has_joined,
-        members.join.bootstrap_at is None,
+        tuple(sorted(members.join_progress.confirmed_by)),
+        members.join_progress.has_sponsor,
+        members.join_progress.has_joined,
+        members.join_progress.bootstrap_at is None,
     )
 
 
--- a/garnetlanding/emulator/group_net.py
+++ b/garnetlanding/emulator/group_net.py
@@ -15,7 +15,7 @@
 from garnetlanding.peers.envelope import decode_envelope, encode_envelope
 from garnetlanding.peers.gossip_schedule import GossipSchedule
 from garnetlanding.peers.limits import MS, SECOND, PeerLimits
-from garnetlanding.peers.membership import FIRST_SEED, Membership
+from garnetlanding.peers.membership import FIRST_SEED_NUMBER, Membership
 from garnetlanding.peers.membership_protocol import MembershipProtocol
 from garnetlanding.peers.peer_contacts import NO_MESSAGE
 
@@ -235,7 +235,7 @@
     def _send_round(self, number: int) -> None:
         instance = self.instances[number]
         instance.protocol.update_joined(self._now)
-        receivers = instance.schedule.round(instance.members.quota_holders - {number}, ())
+        receivers = instance.schedule.next_receivers(instance.members.quota_holders - {number}, ())
         self._send(number, [*receivers, *instance.members.extra_receivers(self._now)])
 
     def _send(self, number: int, receivers: list[int]) -> None:
@@ -244,8 +244,8 @@
         for receiver, envelope in instance.protocol.compose(
             acknowledged, instance.incarnation, UnnumberedMessages()
         ):
-            if receiver >= FIRST_SEED:
-                receiver -= FIRST_SEED  # the first instances are the seeds
+            if receiver >= FIRST_SEED_NUMBER:
+                receiver -= FIRST_SEED_NUMBER  # the first instances are the seeds
             data = encode_envelope(envelope)
             self.result.bytes_sent += len(data)
             if not self._is_lost(number, receiver):
--- a/garnetlanding/lab/byzantine.py
+++ b/garnetlanding/lab/byzantine.py
@@ -50,7 +50,7 @@
         )
         for name in backends
     )
-    fitting, _ = gossip_message.fit(evidence, (), PeerLimits().datagram_bytes)
+    fitting, _ = gossip_message.count_fitting(evidence, (), PeerLimits().datagram_bytes)
     forged = gossip_message.GossipMessage(message.digest, evidence[:fitting])
     return encode_envelope(
         gossip_message.to_envelope(
--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -1,9 +1,9 @@
-"""Wraps the decision module, so that it takes part in what the instances of a fleet decide together.
+"""Wraps the decision module to add the exchange of messages with the other instances of the fleet.
 
-`PeerCoordinator` has the interface of the module. Of the events that it handles, it processes the messages of
-peers itself and passes on the others, together with the events that follow from those messages (quotas,
-suspicions). It adds the instance's own messages to the module's actions. No socket and no clock: it runs on
-the simulator's wire as well as on sockets.
+`PeerCoordinator` implements the module's interface. It processes messages from peers itself and passes all
+other events to the module, together with the events that follow from the messages (quotas, suspicions). It
+adds this instance's messages to the module's actions. Sans-IO: no clock and no sockets, so it runs on the
+simulator's wire as well as on sockets.
 """
 
 from __future__ import annotations
@@ -23,33 +23,33 @@
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.quota_manager import BudgetFactory, QuotaManager
 from garnetlanding.peers.receiver import MessageReceiver, ReceivedMessage
-from garnetlanding.peers.send_round import SendRound
+from garnetlanding.peers.send_round import RoundComposer
 from garnetlanding.peers.status import StatusRow
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # disabled subsystems are not imported at run time
     from garnetlanding.peers.failure_detector import FailureDetector
     from garnetlanding.peers.membership_protocol import MembershipProtocol
     from garnetlanding.peers.shared_budgets import SharedBudgets
 
-SEND_TIMER = "tell"  # the token of the timer of send rounds; it appears on the simulator's wire
-STAGGER_SIGNAL = "say"  # determines the slots of the instances within the first round
+SEND_TIMER = "tell"  # token of the timer for send rounds; appears on the simulator's wire
+STAGGER_SIGNAL = "say"  # rotates the instances' slots within the first round
 
 
 @dataclass(frozen=True, slots=True)
 class PeerSubsystems:
-    """The optional protocols beside leases on volume limits; None: switched off."""
+    """The optional protocols in addition to leases on volume limits; None means disabled."""
 
     detector: FailureDetector | None = None
     membership: MembershipProtocol | None = None
     make_budgets: BudgetFactory | None = None
-    history: PeerHistory | None = None  # records the quotas that the module is notified of
+    history: PeerHistory | None = None  # records the quota updates sent to the module
 
 
 class PeerCoordinator:
     """A decision module that exchanges messages with the other instances of its fleet.
 
-    It stays one class because the order of the steps of `handle` is what keeps quotas from being used twice;
-    the steps themselves, and the state behind them, are in the modules that it calls.
+    It stays one class because the order of the steps in `handle` prevents two instances from using the same
+    quota. The steps and their state are implemented in the modules that it calls.
     """
 
     def __init__(
@@ -62,113 +62,114 @@
         *,
         is_active: bool = True,
     ) -> None:
-        """Wrap a decision module. `incarnation` must be greater at each start of this instance.
+        """Wrap a decision module. `incarnation` must increase with each start of this instance.
 
         `dropped` counts dropped messages by cause. Unless `is_active`, another process of this instance sends
-        for it and uses its quotas, until `activate` is called.
+        its messages and uses its quotas until `activate` is called.
         """
         self.module = module
         self.incarnation = incarnation
         self.limits = limits or PeerLimits()
         self.subsystems = subsystems or PeerSubsystems()
-        self._quota = QuotaManager(
+        self._quota_manager = QuotaManager(
             self.limits, incarnation, module.settings, self.subsystems.make_budgets, is_active=is_active
         )
         detector = self.subsystems.detector
         membership = self.subsystems.membership
-        counter = Counter[str]() if dropped is None else dropped
-        self._receiver = MessageReceiver(self.limits, self._quota, detector, membership, counter)
+        drop_counts = Counter[str]() if dropped is None else dropped
+        self._receiver = MessageReceiver(self.limits, self._quota_manager, detector, membership, drop_counts)
         schedule = GossipSchedule(self.limits, module.settings.instance_id)
-        self._round = SendRound(self.limits, incarnation, schedule, detector, membership)
+        self._round_composer = RoundComposer(self.limits, incarnation, schedule, detector, membership)
         self._next_round_at = 0
 
     # State
 
     @property
     def settings(self) -> api.Settings:
-        """The settings in force, which are the module's."""
+        """The current settings of the module."""
         return self.module.settings
 
     @property
     def leases(self) -> Leases | None:
-        """The leases on volume limits; None until events have been handled."""
-        return self._quota.volumes
+        """The leases on volume limits, or None before the first call of `handle`."""
+        return self._quota_manager.volumes
 
     @property
     def budgets(self) -> SharedBudgets | None:
-        """The shared budgets; None where they are switched off."""
-        return self._quota.budgets
+        """The shared budgets, or None if they are disabled."""
+        return self._quota_manager.budgets
 
     @property
     def dropped(self) -> Counter[str]:
-        """How many messages were dropped, by cause."""
+        """The number of dropped messages, by cause."""
         return self._receiver.dropped
 
     @property
     def last_sent(self) -> int:
-        """The number of the last message sent; 0: none was sent."""
+        """The number of the last message sent, or 0 if there was none."""
         return self.leases.contacts.last_number if self.leases else 0
 
     @property
     def last_received(self) -> ReceivedMessage | None:
-        """The last message that was not dropped; None: there was none."""
+        """The last message received and not dropped, or None if there was none."""
         return self._receiver.last_received
 
     def budget_leases(self) -> BudgetLeases | None:
-        """Return the leases on budgets; None before any events, or while this process is not active."""
-        return self._quota.budget_leases()
+        """Return the leases on budgets, or None before any events and while this process is inactive."""
+        return self._quota_manager.budget_leases()
 
-    # Hand-over between processes of an upgrade, suspension and shutdown
+    # Handover between processes during an upgrade, suspension and shutdown
 
     def activate(self, now: int) -> None:
-        """Start to send and to use quotas, as after a start: the predecessor process has stopped."""
-        self._quota.activate(now)
+        """Start sending and using quotas, as after a start: the predecessor process has stopped."""
+        self._quota_manager.activate(now)
 
     def deactivate(self, now: int) -> None:
         """Stop sending and using quotas: the successor process takes over."""
-        self._quota.deactivate(now)
+        self._quota_manager.deactivate(now)
 
     def set_suspended(self, now: int, *, suspended: bool) -> None:
-        """Stop using quotas while the instance must not act, or use them again, as after a start."""
-        self._quota.set_suspended(now, suspended=suspended)
+        """Stop using quotas while the instance is suspended, or resume using them, as after a start."""
+        self._quota_manager.set_suspended(now, suspended=suspended)
 
     def leave(self, now: int, send: Callable[[bytes, int | None], None]) -> None:
-        """Stop using quotas because this instance terminates, and notify discovered peers.
+        """Stop using quotas before this instance terminates, and notify discovered peers.
 
         `send` is called with each datagram and its recipient.
         """
-        self._quota.deactivate(now)
+        self._quota_manager.deactivate(now)
         membership = self.subsystems.membership
         if membership is None or self.leases is None:
             return
         membership.leave()
         receivers = list(self.leases.contacts.peers)
-        for message in self._round.membership_messages(self.leases, receivers, now):
+        for message in self._round_composer.membership_messages(self.leases, receivers, now):
             send(message.payload, message.recipient)
 
     # The decision module's interface
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
-        """Handle events; return the module's actions, and then the instance's messages to its peers.
+        """Handle events; return the module's actions, followed by this instance's messages to its peers.
 
-        All events of one call reach the module in one call, so that it sends nothing on a quota that has
-        expired or has been granted to a peer by then.
+        All events of one call reach the module in one call, so that it does not use quota that has expired or
+        has already been granted to a peer.
         """
         settings = self.module.settings
-        quota = self._quota
+        quota_manager = self._quota_manager
         own_actions: list[api.Action] = []
-        if quota.follow_settings(settings, now, is_discovered=self.subsystems.membership is not None):
+        if quota_manager.follow_settings(settings, now, is_discovered=self.subsystems.membership is not None):
             own_actions.append(self._schedule_first_round(now, settings))
         module_events = self._receive(now, events)
         if self.subsystems.membership:
-            quota.follow_members(self.subsystems.membership, now)
-        if quota.budgets:
-            quota.budgets.observe_events(now, module_events, settings, quota.instance_count)
+            quota_manager.follow_members(self.subsystems.membership, now)
+        if quota_manager.budgets:
+            instance_count = quota_manager.instance_count
+            quota_manager.budgets.observe_events(now, module_events, settings, instance_count)
         if now >= self._next_round_at:
             own_actions += self._send_round(now, settings)
         if self.subsystems.detector:
             self._add_suspicions(self.subsystems.detector, now, module_events)
-        update = quota.quota_update(now, settings.instances, self.subsystems.history)
+        update = quota_manager.quota_update(now, settings.instances, self.subsystems.history)
         if update is not None:
             module_events.append(update)
         actions = self.module.handle(now, module_events)
@@ -176,7 +177,7 @@
         return actions + own_actions
 
     def _schedule_first_round(self, now: int, settings: api.Settings) -> api.WakeAfter:
-        """Schedule the first round in this instance's slot: instances that start together would collide."""
+        """Schedule the first round in this instance's slot, so that instances do not all send at once."""
         slot = stagger_offset(settings.instance_id, settings.instances, STAGGER_SIGNAL)
         return self._schedule_round(now, 1 + int(self.limits.send_interval_us * slot))
 
@@ -185,15 +186,15 @@
         return api.WakeAfter(delay_us, SEND_TIMER)
 
     def _send_round(self, now: int, settings: api.Settings) -> list[api.Action]:
-        """Schedule the next round, and return that timer and the messages of this round."""
+        """Schedule the next round; return its timer and the messages of this round."""
         actions: list[api.Action] = [self._schedule_round(now, self.limits.send_interval_us)]
-        if settings.may_message_peers and self._quota.is_active:
-            actions += self._round.compose(self._quota, now, self._tightest_objective_us)
+        if settings.may_message_peers and self._quota_manager.is_active:
+            actions += self._round_composer.compose(self._quota_manager, now, self._tightest_objective_us)
         return actions
 
     def _receive(self, now: int, events: list[api.Event]) -> list[api.Event]:
-        """Process the messages of peers and record the demand of requests; return the module's events."""
-        leases = self._quota.leases
+        """Process messages from peers and record demand; return the events for the module."""
+        leases = self._quota_manager.leases
         module_events: list[api.Event] = []
         for event in events:
             if isinstance(event, api.PeerMessage):
@@ -206,7 +207,7 @@
         return module_events
 
     def _add_suspicions(self, detector: FailureDetector, now: int, module_events: list[api.Event]) -> None:
-        """Record what the events show of backends, and add the suspicions if they have changed."""
+        """Record what the events show of backends, and append the suspicions if they have changed."""
         detector.observations.observe_events(now, module_events, self._tightest_objective_us)
         suspicions = detector.changed_suspicions(now)
         if suspicions is not None:
@@ -215,9 +216,9 @@
     def _observe_actions(self, now: int, actions: list[api.Action]) -> None:
         if self.subsystems.detector:
             self.subsystems.detector.observations.observe_actions(now, actions)
-        if self._quota.budgets:
-            # Under the module's present settings: the events may have changed them.
-            self._quota.budgets.observe_actions(now, actions, self.module.settings)
+        if self._quota_manager.budgets:
+            # With the module's current settings: the events may have changed them.
+            self._quota_manager.budgets.observe_actions(now, actions, self.module.settings)
 
     @property
     def _tightest_objective_us(self) -> int:
@@ -226,7 +227,7 @@
     # Tables for operators
 
     def limit_rows(self, now: int) -> Sequence[StatusRow]:
-        """Return one row for each limit and budget: how it is divided, as this instance sees it."""
+        """Return one row per limit and budget: its division as known to this instance."""
         if self.leases is None:
             return []
         rows = operator_tables.limit_rows(self.leases, now)
@@ -235,7 +236,7 @@
         return rows
 
     def member_rows(self, now: int) -> Sequence[StatusRow]:
-        """Return one row for each instance of the fleet, discovered or configured."""
+        """Return one row per instance of the fleet, discovered or configured."""
         if self.leases is None:
             return []
         membership = self.subsystems.membership
@@ -244,14 +245,14 @@
         return operator_tables.member_rows(membership.members, now)
 
     def suspicion_rows(self, now: int) -> Sequence[StatusRow]:
-        """Return one row for each backend: what this instance and its peers have observed of it."""
+        """Return one row per backend: what this instance and its peers have observed of it."""
         detector = self.subsystems.detector
         if self.leases is None or detector is None:
             return []
         return detector.suspicion_rows(now, self._tightest_objective_us)
 
     def disabled_rows(self) -> Sequence[StatusRow]:
-        """Return one row for each backend that operators have disabled or enabled again."""
+        """Return one row per backend that operators have disabled or enabled again."""
         detector = self.subsystems.detector
         if self.leases is None or detector is None:
             return []
--- a/garnetlanding/peers/disabled_backends.py
+++ b/garnetlanding/peers/disabled_backends.py
@@ -1,8 +1,8 @@
-"""The backends that operators have administratively disabled, replicated to all instances of the fleet.
+"""The backends that operators have disabled, replicated to all instances of the fleet.
 
-The table is a last-writer-wins map: for each name it holds the record with the greatest rank (version, then
-the instance that made the change). Merging is commutative, associative and idempotent, so instances that have
-exchanged all records hold equal tables, in whatever order the records arrived. No clock, no I/O.
+The table is a last-writer-wins map: for each name it keeps the record with the greatest rank (version, then
+instance that made the change). Merging is commutative, associative and idempotent, so instances that have
+exchanged all records hold equal tables, in whatever order the records arrived. Sans-IO: no clock and no I/O.
 """
 
 from __future__ import annotations
@@ -15,14 +15,15 @@
 from garnetlanding.peers.errors import PeersError
 from garnetlanding.peers.limits import PeerLimits
 
-DIGEST = 8  # bytes
-EMPTY_DIGEST = bytes(DIGEST)  # digest of an empty table
-# Before the number of an instance: the name of the record that fences it. No backend has such a name.
+DIGEST_BYTES = 8
+EMPTY_DIGEST = bytes(DIGEST_BYTES)  # digest of an empty table
+# With an instance's number appended, the name of the record that fences that instance. No backend has
+# such a name.
 INSTANCE_PREFIX = "head/"
 
 
 class DisabledBackendError(PeersError, ValueError):
-    """A change that the table rejects; `backend` is the name that was to be changed."""
+    """A change that the table rejects; `backend` is the name in the rejected change."""
 
     def __init__(self, message: str, backend: str) -> None:
         super().__init__(message)
@@ -30,7 +31,7 @@
 
 
 class NameTooLongError(DisabledBackendError):
-    """The record of a name longer than `max_bytes` would not fit into a datagram."""
+    """A name is longer than `max_bytes`, so its record would not fit into a datagram."""
 
     def __init__(self, backend: str, max_bytes: int) -> None:
         super().__init__(f"name of more than {max_bytes} bytes", backend)
@@ -38,7 +39,7 @@
 
 
 class DisabledTableFullError(DisabledBackendError):
-    """The table holds `max_records` records already, all of them of disabled backends."""
+    """The table already holds `max_records` records, all of them of disabled backends."""
 
     def __init__(self, backend: str, max_records: int) -> None:
         super().__init__(f"{max_records} servers are out already", backend)
@@ -48,18 +49,18 @@
 class DisableRecord(NamedTuple):
     """The last change of one backend, or of an instance (`INSTANCE_PREFIX`).
 
-    Records are ordered by name. `version` is the wall clock in milliseconds, unless that would have been no
-    greater than a version known before.
+    Records are ordered by name. `version` is the wall clock in milliseconds at the change, or one more than
+    the greatest version known then, if that was greater.
     """
 
     backend: str
     version: int
-    instance: int  # at which the operator made the change
+    instance: int  # where the operator made the change
     disabled: bool  # False: enabled again
 
     @property
     def rank(self) -> tuple[int, int, bool]:
-        """The order among records of one backend: the greatest wins."""
+        """The sort key among records of one backend: the greatest wins."""
         return self.version, self.instance, self.disabled
 
 
@@ -72,7 +73,7 @@
 
 
 class DisabledBackends:
-    """The table of records, bounded in size. Records of enabled backends stay until their room is needed."""
+    """A bounded table of records. Records of enabled backends stay until their space is needed."""
 
     def __init__(self, limits: PeerLimits, records: Iterable[DisableRecord] = ()) -> None:
         self._limits = limits
@@ -83,7 +84,7 @@
 
     @property
     def disabled_names(self) -> frozenset[str]:
-        """The names that are disabled."""
+        """The names of disabled backends and fenced instances."""
         return frozenset(record.backend for record in self.records.values() if record.disabled)
 
     @property
@@ -94,7 +95,7 @@
                 f"{record.backend} {record.version} {record.instance} {record.disabled:d}"
                 for record in sorted(self.records.values())
             )
-            self._digest = blake2b(text.encode(), digest_size=DIGEST).digest() if text else EMPTY_DIGEST
+            self._digest = blake2b(text.encode(), digest_size=DIGEST_BYTES).digest() if text else EMPTY_DIGEST
         return self._digest
 
     @property
@@ -102,10 +103,10 @@
         return max((record.version for record in self.records.values()), default=0)
 
     def set_disabled(self, backend: str, *, disabled: bool, instance: int, wall_ms: int) -> DisableRecord:
-        """Disable or enable a backend as an operator of this instance demands, and return the new record.
+        """Disable or enable a backend at an operator's request, and return the new record.
 
         Its version is greater than any known one, even if the wall clock (`wall_ms`) is behind. Raises
-        NameTooLongError, or DisabledTableFullError.
+        NameTooLongError or DisabledTableFullError.
         """
         if len(backend.encode()) > self._limits.max_name_bytes:
             raise NameTooLongError(backend, self._limits.max_name_bytes)
@@ -116,10 +117,10 @@
         return record
 
     def merge(self, records: Iterable[DisableRecord]) -> MergeResult:
-        """Merge records of peers, and return which ones changed the table.
+        """Merge records from peers, and return which ones changed the table.
 
-        A version far ahead of this instance's clock is accepted, since that clock may be behind. Rejected are
-        only versions so great that an operator could not make a later one.
+        A version far ahead of this instance's clock is accepted, since that clock may be behind. Only a
+        version that leaves no greater one for a later change by an operator is rejected.
         """
         accepted: list[DisableRecord] = []
         rejected = 0
@@ -139,9 +140,9 @@
         return max(self._limits.max_version, self._highest_version + self._limits.max_version_lead)
 
     def _insert(self, record: DisableRecord) -> bool:
-        """Store a record unless a later one is known; return False where there is no room for it.
+        """Store a record unless a later one is known; return False if there is no space for it.
 
-        A full table makes room by dropping the record of an enabled backend that has the lowest rank.
+        A full table first drops the lowest-ranked record of an enabled backend.
         """
         known = self.records.get(record.backend)
         if known is not None and known.rank >= record.rank:
@@ -152,7 +153,7 @@
                 return False
             oldest = min(enabled, key=lambda candidate: candidate.rank)
             if oldest is record:
-                return True  # it would be dropped first
+                return True  # the new record would be the first to be dropped
             del self.records[oldest.backend]
         self.records[record.backend] = record
         self._digest = None
--- a/garnetlanding/peers/failure_detector.py
+++ b/garnetlanding/peers/failure_detector.py
@@ -1,7 +1,7 @@
 """Exchanges gossip about backends with peers, and determines which backends are suspected.
 
-Gossip carries evidence of failures, and the records of administratively disabled backends. No clock and no
-socket; `PeerCoordinator` carries the messages.
+Gossip carries evidence of failures and the records of administratively disabled backends. Sans-IO: no clock
+and no sockets. `PeerCoordinator` sends and receives the messages.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from garnetlanding.peers.disabled_backends import DisableRecord
 from garnetlanding.peers.drop_reasons import DropReason
 from garnetlanding.peers.envelope import Envelope
-from garnetlanding.peers.gossip_message import Evidence, GossipMessage, fit, read, to_envelope
+from garnetlanding.peers.gossip_message import Evidence, GossipMessage, count_fitting, read, to_envelope
 from garnetlanding.peers.history import PeerHistory
 from garnetlanding.peers.limits import MS, PeerLimits
 from garnetlanding.peers.local_observations import LocalObservations
@@ -35,20 +35,20 @@
         share_disabled: bool = True,
         history: PeerHistory | None = None,
     ) -> None:
-        """Start without observations. What is not shared is neither sent nor accepted from peers."""
+        """Start without observations. Data that is not shared is neither sent nor accepted."""
         self.limits = limits
         self._share_evidence = share_evidence
         self._history = history
         self.observations = LocalObservations(limits)
         self.suspicions = SuspicionTable(limits)
         self.disables = DisableReplication(limits, is_enabled=share_disabled, history=history)
-        self._reported: dict[str, int] = {}  # the suspicions that the decision module was last notified of
+        self._reported: dict[str, int] = {}  # the suspicions last passed to the decision module
 
     def receive(self, sender: int, envelope: Envelope, sent_at: int | None, now: int) -> Counter[DropReason]:
-        """Process a peer's message; return how many pieces of its evidence were dropped, by reason.
+        """Process a peer's message; return how many entries of its evidence were dropped, by reason.
 
-        `sent_at` is when this instance sent the message that the envelope acknowledges; None: that is not
-        known. Raises MessageError where the body cannot be decoded.
+        `sent_at` is when this instance sent the message that the envelope acknowledges, or None if that is
+        unknown. Raises MessageError if the body cannot be decoded.
         """
         message = read(envelope)
         self.disables.receive(sender, envelope.incarnation, message.digest, message.records)
@@ -56,7 +56,7 @@
         return self.suspicions.receive(sender, evidence, sent_at, now, self.observations)
 
     def changed_suspicions(self, now: int) -> api.PeerSuspicions | None:
-        """Return the event for the decision module if the suspicions have changed since the last one."""
+        """Return an event for the decision module if the suspicions have changed since the last event."""
         self.suspicions.drop_expired(now, self.observations)
         suspected = self.suspicions.suspected(now, self.observations)
         if suspected == self._reported:
@@ -66,31 +66,35 @@
             self._history.suspicions_changed(suspected)
         return api.PeerSuspicions(suspected)
 
-    def suspicion_rows(self, now: int, tightest_us: int) -> list[SuspicionRow]:
-        """Return, for operators, what is observed and claimed of each listed backend."""
+    def suspicion_rows(self, now: int, tightest_objective_us: int) -> list[SuspicionRow]:
+        """Return the observations and claims about each listed backend, for operators."""
         self.suspicions.drop_expired(now, self.observations)
-        return operator_tables.suspicion_rows(self.suspicions, self.observations, now, tightest_us)
+        return operator_tables.suspicion_rows(self.suspicions, self.observations, now, tightest_objective_us)
 
     def compose(
-        self, last_received: Mapping[int, MessageId], message_id: MessageId, now: int, tightest_us: int
+        self,
+        last_received: Mapping[int, MessageId],
+        message_id: MessageId,
+        now: int,
+        tightest_objective_us: int,
     ) -> dict[int, Envelope]:
-        """Return one message for each receiver: evidence as far as it fits, and records where tables differ.
+        """Return one message per receiver: evidence as far as it fits, and records if the tables differ.
 
-        `last_received` names the receivers, and the last message received from each, which is acknowledged.
-        All messages have the number of `message_id`. `tightest_us` is the tightest latency objective of all
-        classes.
+        `last_received` maps each receiver to the last message received from it, which is acknowledged. All
+        messages are identified by `message_id`. `tightest_objective_us` is the tightest latency objective of
+        all request classes.
         """
-        evidence = self._evidence(now, tightest_us)
+        evidence = self._evidence(now, tightest_objective_us)
         records = self.disables.latest_first()
         return {
             peer: self._compose_for(peer, acknowledged, message_id, evidence, records)
             for peer, acknowledged in last_received.items()
         }
 
-    def _evidence(self, now: int, tightest_us: int) -> list[Evidence]:
+    def _evidence(self, now: int, tightest_objective_us: int) -> list[Evidence]:
         if not self._share_evidence:
             return []
-        by_backend = self.observations.evidence(now, tightest_us)
+        by_backend = self.observations.evidence(now, tightest_objective_us)
         if self._history and by_backend:
             self._history.observations_sent(
                 {name: (entry.kind.label, now - entry.age_ms * MS) for name, entry in by_backend.items()}
@@ -106,7 +110,7 @@
         records: list[DisableRecord],
     ) -> Envelope:
         candidates = self.disables.candidates_for(peer, acknowledged.incarnation, records)
-        fitting = fit(evidence, candidates, self.limits.datagram_bytes)
+        fitting = count_fitting(evidence, candidates, self.limits.datagram_bytes)
         self.disables.register_sent(peer, fitting.records)
         message = GossipMessage(
             self.disables.table.digest,
--- a/garnetlanding/peers/gossip_message.py
+++ b/garnetlanding/peers/gossip_message.py
@@ -1,4 +1,4 @@
-"""The body of gossip about backends (`MessageKind.GOSSIP` of the datagrams in envelope.py).
+"""Encoding of the body of gossip about backends (`MessageKind.GOSSIP` in envelope.py).
 
 All numbers are big-endian::
 
@@ -8,7 +8,7 @@
     each record: version 6 bytes | number of the instance that made the change 2 | disabled 1 |
         length of the name 1 | the backend's name
 
-The first count of the envelope is that of the evidence, the second that of the records.
+The first count of the envelope is the number of evidence entries, the second the number of records.
 """
 
 from __future__ import annotations
@@ -19,30 +19,30 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from garnetlanding.peers.disabled_backends import DIGEST, DisableRecord
+from garnetlanding.peers.disabled_backends import DIGEST_BYTES, DisableRecord
 from garnetlanding.peers.envelope import CHECKSUM, HEADER, Envelope, MessageKind
 from garnetlanding.peers.errors import MessageError, MessageFault
 
 EVIDENCE = struct.Struct(">BIHBH")
-RECORD = struct.Struct(">6sHBB")
+RECORD_HEADER = struct.Struct(">6sHBB")
 VERSION_BYTES = 6
-MAX_UPTIME = 0xFFFF  # in 0.1 s: the uptime is at least that long, or unknown
+MAX_UPTIME = 0xFFFF  # in units of 0.1 s; the uptime is at least that long, or unknown
 MAX_COUNT = 0xFF
 MAX_AGE_MS = 0xFFFF
 
 
 class EvidenceKind(IntEnum):
-    """What an instance has observed of a backend; the values are those of the datagrams."""
+    """A condition of a backend that an instance has observed; the values appear in datagrams."""
 
-    UNREACHABLE = 1  # connections refused, several in a row
-    UNRESPONSIVE = 2  # requests in flight, but no response
+    UNREACHABLE = 1  # several consecutive connections refused
+    UNRESPONSIVE = 2  # requests in flight without a response
     SLOW = 3
-    OVERLOADED = 4  # requests rejected, several in a row
-    RECOVERED = 5  # responds again after it was unreachable or unresponsive
+    OVERLOADED = 4  # several consecutive requests rejected
+    RECOVERED = 5  # responded after being unreachable or unresponsive
 
     @property
     def label(self) -> str:
-        """The name of the kind in operators' answers and in the history."""
+        """The name of the kind in the operator API and in the history."""
         return _LABELS[self]
 
 
@@ -57,52 +57,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """One instance's observation of one backend."""
+    """An instance's observation of one backend."""
 
     kind: EvidenceKind
     backend_tag: int  # `name_tag` of its name
-    uptime: int  # of its process, in 0.1 s; at most MAX_UPTIME
-    count: int  # of the events that it rests on
-    age_ms: int  # of the last of them, rounded up
+    uptime: int  # of its process, in units of 0.1 s; at most MAX_UPTIME
+    count: int  # of the events observed
+    age_ms: int  # of the last of these events, rounded up
 
 
 @dataclass(frozen=True, slots=True)
 class GossipMessage:
-    """The content of one datagram: evidence, and records where the receiver's table differs."""
+    """The content of one datagram: evidence, and records if the receiver's table differs."""
 
     digest: bytes  # of the sender's table of disabled backends
     evidence: tuple[Evidence, ...] = ()
     records: tuple[DisableRecord, ...] = ()
 
 
-class Fit(NamedTuple):
-    """How many pieces of evidence and how many records fit into one datagram."""
+class FittingCounts(NamedTuple):
+    """The numbers of evidence entries and of records that fit into one datagram."""
 
     evidence: int
     records: int
 
 
-def fit(evidence: Sequence[Evidence], records: Sequence[DisableRecord], size: int) -> Fit:
-    """Return how many of each, counted from the first, fit into a datagram of `size` bytes.
+def count_fitting(evidence: Sequence[Evidence], records: Sequence[DisableRecord], size: int) -> FittingCounts:
+    """Return how many leading entries of each sequence fit into a datagram of `size` bytes.
 
     Evidence takes precedence over records.
     """
-    available = size - HEADER.size - CHECKSUM.size - DIGEST
+    available = size - HEADER.size - CHECKSUM.size - DIGEST_BYTES
     evidence_count = min(len(evidence), available // EVIDENCE.size)
     available -= evidence_count * EVIDENCE.size
     record_count = 0
     for record in records:
-        available -= RECORD.size + len(record.backend.encode())
+        available -= RECORD_HEADER.size + len(record.backend.encode())
         if available < 0:
             break
         record_count += 1
-    return Fit(evidence_count, record_count)
+    return FittingCounts(evidence_count, record_count)
 
 
 def to_envelope(
     message: GossipMessage, incarnation: int, number: int, acked_incarnation: int, acked_number: int
 ) -> Envelope:
-    """Return the envelope that carries a message."""
+    """Encode a message into an envelope."""
     evidence = [_encode_evidence(entry) for entry in message.evidence]
     records = [_encode_record(record) for record in message.records]
     return Envelope(
@@ -129,17 +129,17 @@
 def _encode_record(record: DisableRecord) -> bytes:
     name = record.backend.encode()
     version = record.version.to_bytes(VERSION_BYTES, "big")
-    return RECORD.pack(version, record.instance, record.disabled, len(name)) + name
+    return RECORD_HEADER.pack(version, record.instance, record.disabled, len(name)) + name
 
 
 def read(envelope: Envelope) -> GossipMessage:
     """Decode the body of a gossip message. Raises MessageError."""
     evidence_count, record_count = envelope.counts
     body = envelope.body
-    records_at = DIGEST + evidence_count * EVIDENCE.size
+    records_at = DIGEST_BYTES + evidence_count * EVIDENCE.size
     if len(body) < records_at:
         raise MessageError(MessageFault.TRUNCATED, HEADER.size + len(body))
-    evidence = [_read_evidence(body, offset) for offset in range(DIGEST, records_at, EVIDENCE.size)]
+    evidence = [_read_evidence(body, offset) for offset in range(DIGEST_BYTES, records_at, EVIDENCE.size)]
     records: list[DisableRecord] = []
     offset = records_at
     for _ in range(record_count):
@@ -147,7 +147,7 @@
         records.append(record)
     if offset != len(body):
         raise MessageError(MessageFault.TRUNCATED, HEADER.size + offset)
-    return GossipMessage(body[:DIGEST], tuple(evidence), tuple(records))
+    return GossipMessage(body[:DIGEST_BYTES], tuple(evidence), tuple(records))
 
 
 def _read_evidence(body: bytes, offset: int) -> Evidence:
@@ -158,11 +158,11 @@
 
 
 def _read_record(body: bytes, offset: int) -> tuple[DisableRecord, int]:
-    """Return the record at an offset of the body, and the offset after it. Raises MessageError."""
-    if len(body) < offset + RECORD.size:
+    """Decode the record at an offset; return it and the offset after it. Raises MessageError."""
+    if len(body) < offset + RECORD_HEADER.size:
         raise MessageError(MessageFault.TRUNCATED, HEADER.size + offset)
-    version, instance, disabled, length = RECORD.unpack_from(body, offset)
-    name_at = offset + RECORD.size
+    version, instance, disabled, length = RECORD_HEADER.unpack_from(body, offset)
+    name_at = offset + RECORD_HEADER.size
     name = body[name_at : name_at + length]
     if len(name) != length or not name.isascii() or not name or disabled > 1:
         raise MessageError(MessageFault.INVALID_DISABLE_RECORD, HEADER.size + offset)
--- a/garnetlanding/peers/gossip_schedule.py
+++ b/garnetlanding/peers/gossip_schedule.py
@@ -1,4 +1,4 @@
-"""Chooses the receivers of each round, so that the cost of a round does not grow with the fleet."""
+"""Chooses the receivers of each round. The cost of a round does not grow with the size of the fleet."""
 
 from __future__ import annotations
 
@@ -8,18 +8,19 @@
 
 
 class GossipSchedule:
-    """Sends to the peers in rotation, a bounded number in each round."""
+    """Selects peers in rotation, a bounded number per round."""
 
-    def __init__(self, limits: PeerLimits, own_number: int) -> None:
+    def __init__(self, limits: PeerLimits, own_instance: int) -> None:
         self._limits = limits
-        # Instances that start together would otherwise all begin with the same peer.
-        self._next = own_number
+        # Starts at a different peer on each instance: instances that start together would all begin with
+        # the same one otherwise.
+        self._next = own_instance
 
-    def round(self, peers: Collection[int], partners: Iterable[int]) -> list[int]:
+    def next_receivers(self, peers: Collection[int], partners: Iterable[int]) -> list[int]:
         """Return the receivers of the next round, without duplicates.
 
-        They are the next `fanout` peers of the rotation, and up to `max_partners` of the partners, the peers
-        with whom this instance exchanges requests and grants.
+        They are the next `fanout` peers of the rotation and up to `max_partners` of the partners, the peers
+        that this instance exchanges quota requests and grants with.
         """
         ordered = sorted(peers)
         if not ordered:
--- a/garnetlanding/peers/membership_message.py
+++ b/garnetlanding/peers/membership_message.py
@@ -1,4 +1,4 @@
-"""The body of membership messages (`MessageKind.MEMBERSHIP` of the datagrams in envelope.py).
+"""Encoding of the body of membership messages (`MessageKind.MEMBERSHIP` in envelope.py).
 
 All numbers are big-endian::
 
@@ -6,8 +6,8 @@
     each record: instance's number 2 bytes | incarnation 6 | terminated 1 | length of the address 1 |
         the address | port 2
 
-The first record is the sender's own: an instance that nobody knows yet introduces itself by it. The first
-count of the envelope is the number of records; the second is 1 if the sender has joined the group.
+The first record is the sender's own, so that receivers learn of an instance that is unknown to them. The
+first count of the envelope is the number of records; the second is 1 if the sender has joined the group.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from garnetlanding.peers.disabled_backends import DIGEST
+from garnetlanding.peers.disabled_backends import DIGEST_BYTES
 from garnetlanding.peers.envelope import CHECKSUM, HEADER, Envelope, MessageKind
 from garnetlanding.peers.errors import MessageError, MessageFault
 from garnetlanding.peers.membership_table import InstanceRecord
 from garnetlanding.runtime.stream import parse_address
 
-RECORD = struct.Struct(">H6sBB")
+RECORD_HEADER = struct.Struct(">H6sBB")
 PORT = struct.Struct(">H")
 INCARNATION_BYTES = 6
 IPV4_BYTES = 4
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipMessage:
-    """The content of one datagram: the sender's own record first, then some of the others of its table."""
+    """The content of one datagram: the sender's own record, then other records of its table."""
 
     digest: bytes
     records: tuple[InstanceRecord, ...]
@@ -42,11 +42,11 @@
 def paginate(records: Sequence[InstanceRecord], size: int, max_pages: int) -> list[list[InstanceRecord]]:
     """Divide records into up to `max_pages` pages for datagrams of `size` bytes.
 
-    Each page begins with the first record, the sender's own. Records that do not fit are left out.
+    Each page begins with `records[0]`, the sender's own record. Records that do not fit are omitted.
     """
     own = records[0]
     pages = [[own]]
-    capacity = size - HEADER.size - CHECKSUM.size - DIGEST - _encoded_size(own)
+    capacity = size - HEADER.size - CHECKSUM.size - DIGEST_BYTES - _encoded_size(own)
     available = capacity
     for record in records[1:]:
         if _encoded_size(record) > available:
@@ -61,13 +61,13 @@
 
 def _encoded_size(record: InstanceRecord) -> int:
     address_bytes = IPV6_BYTES if record.address.startswith("[") else IPV4_BYTES
-    return RECORD.size + address_bytes + PORT.size
+    return RECORD_HEADER.size + address_bytes + PORT.size
 
 
 def to_envelope(
     message: MembershipMessage, incarnation: int, number: int, acked_incarnation: int, acked_number: int
 ) -> Envelope:
-    """Return the envelope that carries a message."""
+    """Encode a message into an envelope."""
     records = [_encode_record(record) for record in message.records]
     return Envelope(
         MessageKind.MEMBERSHIP,
@@ -84,7 +84,7 @@
     host, port = parse_address(record.address)
     address = ipaddress.ip_address(host).packed
     incarnation = record.incarnation.to_bytes(INCARNATION_BYTES, "big")
-    fixed_fields = RECORD.pack(record.instance, incarnation, record.terminated, len(address))
+    fixed_fields = RECORD_HEADER.pack(record.instance, incarnation, record.terminated, len(address))
     return fixed_fields + address + PORT.pack(port)
 
 
@@ -95,21 +95,21 @@
     body = envelope.body
     record_count, joined = envelope.counts
     records: list[InstanceRecord] = []
-    offset = DIGEST
+    offset = DIGEST_BYTES
     for _ in range(record_count):
         record, offset = _read_record(body, offset)
         records.append(record)
     if offset != len(body) or not records or joined > 1:
         raise MessageError(MessageFault.TRUNCATED, HEADER.size + offset)
-    return MembershipMessage(body[:DIGEST], tuple(records), joined=bool(joined))
+    return MembershipMessage(body[:DIGEST_BYTES], tuple(records), joined=bool(joined))
 
 
 def _read_record(body: bytes, offset: int) -> tuple[InstanceRecord, int]:
-    """Return the record at an offset of the body, and the offset after it. Raises MessageError."""
-    if len(body) < offset + RECORD.size:
+    """Decode the record at an offset; return it and the offset after it. Raises MessageError."""
+    if len(body) < offset + RECORD_HEADER.size:
         raise MessageError(MessageFault.TRUNCATED, HEADER.size + offset)
-    instance, incarnation, terminated, length = RECORD.unpack_from(body, offset)
-    address_at = offset + RECORD.size
+    instance, incarnation, terminated, length = RECORD_HEADER.unpack_from(body, offset)
+    address_at = offset + RECORD_HEADER.size
     port_at = address_at + length
     end = port_at + PORT.size
     if length not in (IPV4_BYTES, IPV6_BYTES) or len(body) < end or terminated > 1:
--- a/garnetlanding/peers/membership_protocol.py
+++ b/garnetlanding/peers/membership_protocol.py
@@ -1,6 +1,6 @@
-"""Exchanges membership records with peers: composes the messages to them and merges those received.
+"""Exchanges membership records with peers: composes outgoing messages and merges received ones.
 
-No clock, no socket; `PeerCoordinator` carries the messages.
+Sans-IO: no clock and no sockets. `PeerCoordinator` sends and receives the messages.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 
 
 class MembershipProtocol:
-    """One instance's side of the exchange of membership records."""
+    """The membership protocol as run by one instance."""
 
     def __init__(self, limits: PeerLimits, members: Membership, history: PeerHistory | None = None) -> None:
         self.limits = limits
         self.members = members
         self._history = history
-        self._dissemination = RecordDissemination(limits, members.table, members.me)
-        self._digests: dict[int, bytes] = {}  # of each peer's table, as last received from it
+        self._dissemination = RecordDissemination(limits, members.table, members.own_instance)
+        self._digests: dict[int, bytes] = {}  # by peer: the last digest received of its table
 
-    # Messages of peers
+    # Receiving
 
     def identify_sender(self, address: str, data: bytes) -> int | None:
-        """Return which instance a datagram from an unknown address is from; None: it cannot be told.
+        """Return the instance that sent a datagram from an unknown address, or None if it is not identified.
 
-        The sender's own record, the first of the message, must name that address.
+        The first record of the message, the sender's own, must contain that address and not be terminated.
         """
         try:
             envelope = decode_envelope(data, self.limits.datagram_bytes)
@@ -55,27 +55,27 @@
         return message
 
     def record_contact(self, sender: int, message: MembershipMessage, now: int) -> None:
-        """Register a message of a peer, after its records were merged."""
+        """Record a message from a peer, after its records were merged."""
         was_member = self.members.joined
         self._digests[sender] = message.digest
         self.members.record_contact(sender, message.digest, now, sender_joined=message.joined)
         self._report_joined(was_member=was_member)
 
-    # What happens at this instance
+    # State changes of this instance
 
     def update_joined(self, now: int) -> None:
-        """Join where time alone allows it: once a round, since the group may begin without any message."""
+        """Join if possible; called once per round because the bootstrap timeout passes without a message."""
         was_member = self.members.joined
         self.members.update_joined(now)
         self._report_joined(was_member=was_member)
 
     def leave(self) -> None:
-        """Mark this instance as terminated; the messages composed from now on say so."""
+        """Mark this instance as terminated, in its table and in all later messages."""
         self.members.leave()
         self._write_history()
 
     def report_fenced(self, reason: FenceReason) -> None:
-        """Log that this instance has been fenced, and write its history."""
+        """Log that this instance has been fenced, and record it in the history."""
         log.warning("instance fenced", extra={"kv": {"reason": reason.value}})
         self._write_history()
 
@@ -90,14 +90,14 @@
         if self._history:
             self._history.members_changed(self.members.quota_holders, self.members.even_quota)
 
-    # Messages to peers
+    # Sending
 
     def compose(
         self, last_received: Mapping[int, MessageId], incarnation: int, numbering: MessageNumbering
     ) -> list[tuple[int, Envelope]]:
-        """Return one message or a few for each receiver, with the receiver.
+        """Return the messages of one round, each with its receiver.
 
-        `last_received` names the receivers, and the last message received from each, which is acknowledged.
+        `last_received` maps each receiver to the last message received from it, which is acknowledged.
         """
         composed: list[tuple[int, Envelope]] = []
         for receiver, acknowledged in last_received.items():
--- a/garnetlanding/peers/operator_tables.py
+++ b/garnetlanding/peers/operator_tables.py
@@ -96,9 +96,9 @@
     """Return the state of an instance as this one sees it."""
     if members.table.records[instance].terminated:
         return MemberState.TERMINATED
-    if instance == members.me:
+    if instance == members.own_instance:
         return MemberState.SELF
-    if members.was_received_within(instance, now, suspect_after_us(members)):
+    if members.has_received_within(instance, now, suspect_after_us(members)):
         return MemberState.UP
     return MemberState.SUSPECT
 
@@ -112,7 +112,7 @@
             incarnation=record.incarnation,
             address=record.address,
             last_received_ms=_last_received_ms(members, record.instance, now),
-            even_quota=members.even_quota if record.instance == members.me else None,
+            even_quota=members.even_quota if record.instance == members.own_instance else None,
         )
         for record in sorted(members.table.records.values())
     ]
--- a/garnetlanding/peers/quota_manager.py
+++ b/garnetlanding/peers/quota_manager.py
@@ -90,7 +90,7 @@
     def follow_members(self, protocol: MembershipProtocol, now: int) -> None:
         """Adopt the present membership: the peers, and whether this instance has joined them or is fenced."""
         members = protocol.members
-        peers = frozenset(members.quota_holders - {members.me})
+        peers = frozenset(members.quota_holders - {members.own_instance})
         self.leases.set_peers(peers)
         if self.budgets:
             self.budgets.leases.set_peers(peers)
--- a/garnetlanding/peers/record_dissemination.py
+++ b/garnetlanding/peers/record_dissemination.py
@@ -1,4 +1,4 @@
-"""Which membership records to send to a peer, and in which order. No clock, no socket."""
+"""Selects and orders the membership records to send to each peer. Sans-IO: no clock and no sockets."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class RecordDissemination:
-    """Orders the records of a table for each receiver, so that those that fit are the most useful ones."""
+    """Orders the records of a table for each receiver: a message may not have room for all of them."""
 
-    def __init__(self, limits: PeerLimits, table: MembershipTable, me: int) -> None:
+    def __init__(self, limits: PeerLimits, table: MembershipTable, own_instance: int) -> None:
         self._limits = limits
         self._table = table
-        self._me = me
-        self._rounds: Counter[int] = Counter()  # by receiver, how often other instances' records were sent
+        self._own_instance = own_instance
+        self._rounds: Counter[int] = Counter()  # by receiver: rounds that included other instances' records
 
     def records_for(self, receiver: int, digest: bytes | None) -> list[InstanceRecord]:
-        """Return the records to send to a receiver, the most important first.
+        """Return the records to send to a receiver, in descending priority.
 
-        The instance's own record is always the first; the others follow where the receiver's table differs
-        (`digest`: as last received from it). Every other time they are ordered by their latest change, so
-        that changes spread fast, and otherwise rotated, so that each record is sent in the end.
+        The instance's own record comes first. The others follow if the receiver's table differs according to
+        `digest`, the last one received from it. Rounds alternate between two orders: latest change first, so
+        that changes spread fast, and a rotation, so that every record is eventually sent.
         """
-        own = self._table.records[self._me]
-        others = self._table.others(self._me)
+        own = self._table.records[self._own_instance]
+        others = self._table.others(self._own_instance)
         if digest == self._table.digest or not others:
             return [own]
         self._rounds[receiver] += 1
@@ -35,4 +35,4 @@
         return [own, *others[start:], *others[:start]]
 
     def _latest_first(self, records: list[InstanceRecord]) -> list[InstanceRecord]:
-        return sorted(records, key=lambda record: self._table.changed_at(record.instance), reverse=True)
+        return sorted(records, key=lambda record: self._table.change_number(record.instance), reverse=True)
--- a/garnetlanding/peers/send_round.py
+++ b/garnetlanding/peers/send_round.py
@@ -1,4 +1,4 @@
-"""Composes the messages that an instance sends to its peers in one round. No clock, no socket."""
+"""Composes the messages that an instance sends to its peers in one round. Sans-IO: no clock, no sockets."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from garnetlanding.peers.peer_contacts import MessageId, RoundNumbering
 from garnetlanding.peers.quota_manager import QuotaManager
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # disabled subsystems are not imported at run time
     from garnetlanding.peers.failure_detector import FailureDetector
     from garnetlanding.peers.membership_protocol import MembershipProtocol
 
 
-class SendRound:
-    """Composes a round: leases on volume limits and budgets, then gossip about backends, then membership."""
+class RoundComposer:
+    """Composes the messages of a round: leases on volume limits and budgets, then gossip, then membership."""
 
     def __init__(
         self,
@@ -31,29 +31,31 @@
         detector: FailureDetector | None,
         membership: MembershipProtocol | None,
     ) -> None:
-        """Compose messages of these protocols; `detector` and `membership` are None where switched off."""
+        """Compose messages of these protocols; `detector` and `membership` are None if disabled."""
         self._limits = limits
         self._incarnation = incarnation
         self._schedule = schedule
         self._detector = detector
         self._membership = membership
 
-    def compose(self, quota: QuotaManager, now: int, objective_us: int) -> list[api.SendPeerMessage]:
-        """Return the messages of a round at `now`, in the order in which they are sent.
+    def compose(
+        self, quota_manager: QuotaManager, now: int, tightest_objective_us: int
+    ) -> list[api.SendPeerMessage]:
+        """Return the messages of a round at `now`, in sending order.
 
-        Quotas granted in these messages are the receivers' from now on, whether the messages arrive or not.
-        `objective_us` is the tightest latency objective, which backends are judged by.
+        Quotas granted in these messages belong to the receivers from now on, even if the messages are lost.
+        `tightest_objective_us` is the tightest latency objective of all request classes.
         """
-        leases = quota.leases
+        leases = quota_manager.leases
         leases_by_kind = {MessageKind.LEASES: leases}
-        if quota.budgets:
-            leases_by_kind[MessageKind.BUDGETS] = quota.budgets.leases
+        if quota_manager.budgets:
+            leases_by_kind[MessageKind.BUDGETS] = quota_manager.budgets.leases
         receivers = self._receivers(leases_by_kind.values(), leases, now)
         messages: list[api.SendPeerMessage] = []
-        for kind, some_leases in leases_by_kind.items():
-            messages += self._lease_messages(some_leases, kind, receivers, now)
+        for kind, leases_of_kind in leases_by_kind.items():
+            messages += self._lease_messages(leases_of_kind, kind, receivers, now)
         if self._detector:
-            messages += self._gossip(self._detector, leases, receivers, now, objective_us)
+            messages += self._gossip(self._detector, leases, receivers, now, tightest_objective_us)
         if self._membership:
             self._membership.update_joined(now)
             extra_receivers = self._membership.members.extra_receivers(now)
@@ -61,9 +63,9 @@
         return messages
 
     def _receivers(self, all_leases: Iterable[Leases], volume_leases: Leases, now: int) -> list[int]:
-        """Return the peers of this round: the next ones in turn, and those that share something with this."""
+        """Return the receivers of this round: the next peers in rotation, and those that share a limit."""
         partners = dict.fromkeys(peer for leases in all_leases for peer in leases.active_peers(now))
-        return self._schedule.round(volume_leases.contacts.peers, partners)
+        return self._schedule.next_receivers(volume_leases.contacts.peers, partners)
 
     def _lease_messages(
         self, leases: Leases, kind: MessageKind, receivers: list[int], now: int
@@ -80,17 +82,22 @@
         return messages
 
     def _gossip(
-        self, detector: FailureDetector, leases: Leases, receivers: list[int], now: int, objective_us: int
+        self,
+        detector: FailureDetector,
+        leases: Leases,
+        receivers: list[int],
+        now: int,
+        tightest_objective_us: int,
     ) -> list[api.SendPeerMessage]:
         last_received = _last_received(leases, receivers)
         message_id = MessageId(self._incarnation, leases.contacts.next_number(now))
-        envelopes = detector.compose(last_received, message_id, now, objective_us)
+        envelopes = detector.compose(last_received, message_id, now, tightest_objective_us)
         return _encode(envelopes.items())
 
     def membership_messages(
         self, leases: Leases, receivers: list[int], now: int
     ) -> list[api.SendPeerMessage]:
-        """Return the membership messages to these receivers; none where membership is not discovered."""
+        """Return the membership messages to these receivers; none if membership is not discovered."""
         if self._membership is None:
             return []
         last_received = _last_received(leases, receivers)
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -57,7 +57,7 @@
 from garnetlanding.peers.failure_detector import FailureDetector
 from garnetlanding.peers.lease_message import LeaseMessage, QuotaRequest
 from garnetlanding.peers.limits import PeerLimits
-from garnetlanding.peers.membership import FIRST_SEED, Membership
+from garnetlanding.peers.membership import FIRST_SEED_NUMBER, Membership
 from garnetlanding.peers.membership_protocol import MembershipProtocol
 from garnetlanding.peers.membership_table import InstanceRecord as Member
 from garnetlanding.peers.name_tag import name_tag
@@ -545,7 +545,7 @@
             )
         )
     bans = [Ban(f"server-{i}", i, 1, True) for i in range(100)]
-    seen, told = gossip_message.fit(EVIDENCE * 20, bans, 1200)
+    seen, told = gossip_message.count_fitting(EVIDENCE * 20, bans, 1200)
     message = gossip_message.GossipMessage(bytes(8), (EVIDENCE * 20)[:seen], tuple(bans[:told]))
     paged.append(encode_envelope(gossip_message.to_envelope(message, 1, 1, 0, 0)))
     text = "".join(f"{len(data)} {hashlib.sha256(data).hexdigest()}\n" for data in paged)
@@ -676,8 +676,8 @@
 
     def tell(self, me: int, to: int | None, data: bytes) -> None:
         assert to is not None
-        if to >= FIRST_SEED:
-            to -= FIRST_SEED
+        if to >= FIRST_SEED_NUMBER:
+            to -= FIRST_SEED_NUMBER
         self.sent.append((self.now, me, to, data))
         if self.rng.random() >= 0.05:
             # Each way has its own delay; few messages overtake others, which makes those too old to count.
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator around the decision module, the UDP link, and both in the daemon."""
+"""The peer coordinator, the UDP link, and both within the daemon."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class SimulatedFleet:
-    """Three instances with their decision modules; a test determines which messages arrive."""
+    """Three instances with their decision modules; the test controls which messages arrive."""
 
     def __init__(self) -> None:
         self.now = T0
@@ -107,7 +107,7 @@
 
 
 def test_volume_with_an_uneven_quota_is_not_forgotten() -> None:
-    """Were it, it would start again with an even quota, although the rest has been granted to a peer."""
+    """A forgotten volume would start again with an even quota, part of which has been granted to a peer."""
     fleet = SimulatedFleet()
     fleet.run(3, loaded=(0, 1))
     fleet.run(70)
@@ -128,7 +128,7 @@
 
 
 def test_another_number_of_instances_begins_anew_without_any_quota() -> None:
-    """What was granted under the old numbering may still be in use."""
+    """Quota granted under the old number of instances may still be in use."""
     fleet = SimulatedFleet()
     fleet.run(4)
     coordinator = fleet.coordinators[0]
@@ -185,18 +185,18 @@
     assert not coordinator.leases.contacts.by_peer
 
 
-def test_link_drops_strangers_and_oversized_datagrams_and_logs_one_line(
+def test_link_drops_datagrams_that_are_oversized_or_from_unknown_senders_and_logs_one_line(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     instance, received = SimulatedInstance(), list[tuple[int, bytes]]()
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2)]
     for bound in sockets:
         bound.bind(("127.0.0.1", 0))
-    peer, stranger = sockets
+    peer, unknown_sender = sockets
     setup = PeerSetup("127.0.0.1:0", {4: f"127.0.0.1:{peer.getsockname()[1]}"})
     link = PeerLink(instance.scheduler, setup, lambda *message: received.append(message), Counter())
     link_address = ("127.0.0.1", int(link.address.rpartition(":")[2]))
-    for sender, text in ((peer, b"one"), (stranger, b"forged"), (peer, bytes(257)), (peer, b"two")):
+    for sender, text in ((peer, b"one"), (unknown_sender, b"forged"), (peer, bytes(257)), (peer, b"two")):
         sender.sendto(text, link_address)
     instance.settle()
     assert received == [(4, b"one"), (4, b"two")]
@@ -210,7 +210,7 @@
         "too long",
         "too long to send",
         "not sent",
-    }, "the causes that operators know from the log"
+    }, "operators match these causes in the log"
     peer.close()
     link.send(b"to a peer that is down")
     link.send(b"again")
@@ -224,11 +224,11 @@
     instance.settle()
     assert link.closed
     assert len(received) == 2
-    stranger.close()
+    unknown_sender.close()
 
 
 def test_link_to_discovered_peers_sends_and_receives_by_their_routes() -> None:
-    """A peer's record names the address that it advertises; a route says where that one is reached."""
+    """A peer's record contains its advertised address; a route maps that to the address to send to."""
     instance, received = SimulatedInstance(), list[tuple[int, bytes]]()
     peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     peer.bind(("127.0.0.1", 0))
@@ -269,7 +269,7 @@
 
 
 class LinkedInstance(SimulatedDaemon):
-    """Instance 0 of three; a test plays the other two by their sockets."""
+    """Instance 0 of three; the test acts as the other two through their sockets."""
 
     def __init__(self, config: dict[str, Any] = LINKED_SETTINGS) -> None:
         self.peer_sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2)]
@@ -286,7 +286,7 @@
         return coordinator
 
     def request(self) -> None:
-        """Receive a request of a volume that is used through two instances, and run for a second."""
+        """Send a request for a volume that two instances serve, and run for a second."""
         self.client().say(read_command(f"r{self.time}").replace(b"hosts=1", b"hosts=2"))
         self.run(SECOND, 50 * MS)
 
--- a/tests/peers/test_disabled_backends.py
+++ b/tests/peers/test_disabled_backends.py
@@ -94,13 +94,13 @@
 
 
 def test_instance_whose_clock_is_behind_merges_records() -> None:
-    """It used to drop every version more than an hour ahead of its clock, and so never disabled a backend."""
+    """An instance that dropped versions an hour ahead of its clock never disabled a backend."""
     replication = DisableReplication(LIMITS)
     replication.replace_table(DisabledBackends(LIMITS))
     state = replicated_disables(replication).merge(
         AdminState(), [DisableRecord("b1", 1_900_000_000_000, 2, True)]
     )
-    assert state.disabled == {"b1"}, "its clock says 1000 ms"
+    assert state.disabled == {"b1"}, "its clock reads 1000 ms"
 
 
 def replicated_disables(replication: DisableReplication) -> ReplicatedDisables:
@@ -119,9 +119,11 @@
     state = file.update(lambda state: replicated.merge(state, [later]))
     assert not state.disabled
     assert state.records == (StoredDisable("b1", 2000, 1, False),)
-    assert replicated.merge(state, [DisableRecord("b1", 1500, 2, True)]) == state, "last week's record"
+    assert replicated.merge(state, [DisableRecord("b1", 1500, 2, True)]) == state, "an outdated record"
     older = decode("n1", encode("n1", AdminState(frozenset({"b2"}), records=state.records)))
-    assert replicated.table(older).disabled_names == {"b2"}, "disabled by a process that had no versions"
+    assert replicated.table(older).disabled_names == {
+        "b2"
+    }, "disabled by an earlier release, which stored no versions"
     with pytest.raises(DisableRejectedError, match="bytes"):
         replicated.set_disabled(state, "x" * 200, disabled=True)
     with pytest.raises(AdminStateError, match="record"):
--- a/tests/peers/test_gossip_message.py
+++ b/tests/peers/test_gossip_message.py
@@ -13,7 +13,7 @@
 from garnetlanding.decision.control import Controller
 from garnetlanding.peers.coordinator import PeerCoordinator
 from garnetlanding.peers.disabled_backends import (
-    DIGEST,
+    DIGEST_BYTES,
     EMPTY_DIGEST,
     DisableRecord,
 )
@@ -26,7 +26,7 @@
     Evidence,
     EvidenceKind,
     GossipMessage,
-    fit,
+    count_fitting,
     read,
     to_envelope,
 )
@@ -61,7 +61,7 @@
 ) -> None:
     evidence = [Evidence(*fields) for fields in evidence_fields]
     records = [DisableRecord(*fields) for fields in record_fields]
-    fitting = fit(evidence, records, LIMITS.datagram_bytes)
+    fitting = count_fitting(evidence, records, LIMITS.datagram_bytes)
     message = GossipMessage(
         b"digest 8", tuple(evidence[: fitting.evidence]), tuple(records[: fitting.records])
     )
@@ -82,7 +82,7 @@
     instances = GossipingInstances()
     instances.run(10)
     valid = to_envelope(GossipMessage(EMPTY_DIGEST, (make_evidence(),)), 1, 999, 0, 0)
-    unknown_kind = valid.body[:DIGEST] + b"\x09" + valid.body[DIGEST + 1 :]
+    unknown_kind = valid.body[:DIGEST_BYTES] + b"\x09" + valid.body[DIGEST_BYTES + 1 :]
     malformed = replace(valid, number=1000, body=unknown_kind)
     instances.run(
         1,
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: merged tables, joining, fencing, suspects, and the even quotas that follow from them."""
+"""Membership: merged tables, joining, fencing, suspects, and the resulting even quotas."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
     first, second = started_instance(2), started_instance(3)
     exchange_records(first, second)
     first.record_contact(3, second.table.digest, 60 * SECOND, sender_joined=False)
-    assert not first.joined, "nothing was received from a seed"
+    assert not first.joined, "no message from a seed was received"
     assert len(first.extra_receivers(0)) == 2, "both seeds are still sent to"
 
 
@@ -95,7 +95,7 @@
     exchange_records(first, second)
     first.record_contact(2, b"", 0, sender_joined=True)
     first.record_contact(1, second.table.digest, LIMITS.bootstrap_us, sender_joined=False)
-    assert first.joined, "an unknown sender proves nothing"
+    assert first.joined, "a message from an unknown sender does not count"
     first, second = started_instance(0), started_instance(1)
     exchange_records(first, second)
     first.merge([InstanceRecord(2, 1, False, address_of(2))])
@@ -123,9 +123,9 @@
     members = started_instance(0)
     members.merge([InstanceRecord(1, 5, False, address_of(1))])
     members.record_contact(1, members.table.digest, 0, sender_joined=False)
-    assert members.join.confirmed_by == {1}
+    assert members.join_progress.confirmed_by == {1}
     members.merge([InstanceRecord(1, 6, False, address_of(1))])
-    assert members.join.confirmed_by == set()
+    assert members.join_progress.confirmed_by == set()
 
 
 def test_terminated_or_replaced_instance_is_fenced_and_its_earlier_incarnation_is_not() -> None:
@@ -161,19 +161,21 @@
 
 
 @given(st.integers(2, 300), st.integers(0, 20), st.integers(0, 500))
-def test_round_has_a_bounded_cost_and_every_peer_has_a_turn(instances: int, partners: int, me: int) -> None:
-    schedule, peers = GossipSchedule(LIMITS, me), set(range(1, instances))
+def test_round_has_a_bounded_cost_and_every_peer_has_a_turn(
+    instances: int, partners: int, own_instance: int
+) -> None:
+    schedule, peers = GossipSchedule(LIMITS, own_instance), set(range(1, instances))
     sent_to: set[int] = set()
     for _ in range(-(-instances // LIMITS.fanout)):
-        receivers = schedule.round(peers, range(1, partners + 1))
+        receivers = schedule.next_receivers(peers, range(1, partners + 1))
         assert len(receivers) <= LIMITS.fanout + LIMITS.max_partners
         assert len(set(receivers)) == len(receivers)
         sent_to |= set(receivers)
     assert sent_to == peers
-    assert schedule.round((), (1,)) == []
+    assert schedule.next_receivers((), (1,)) == []
 
 
-# The sum of the even quotas, simulated and explored
+# The sum of the even quotas, in simulations and state space exploration
 
 SCENARIOS = {
     "six instances": GroupScenario(),
@@ -193,11 +195,11 @@
 
 
 def join_at_once(self: Membership, _now: int) -> None:
-    self.join.has_joined = self.join.has_joined or len(self.table.records) > 1
+    self.join_progress.has_joined = self.join_progress.has_joined or len(self.table.records) > 1
 
 
 def join_after_one_confirmation(self: Membership, now: int) -> None:
-    progress = self.join
+    progress = self.join_progress
     progress.has_joined = progress.has_joined or (
         bool(progress.confirmed_by)
         and (progress.has_sponsor or progress.bootstrap_at is not None and now > progress.bootstrap_at)
@@ -205,15 +207,15 @@
 
 
 def join_without_a_sponsor(self: Membership, _now: int) -> None:
-    progress = self.join
+    progress = self.join_progress
     progress.has_joined = progress.has_joined or (
-        bool(progress.confirmed_by) and progress.confirmed_by >= self.quota_holders - {self.me}
+        bool(progress.confirmed_by) and progress.confirmed_by >= self.quota_holders - {self.own_instance}
     )
 
 
 def responsive_instances(self: Membership) -> set[int]:
     records = self.table.records
-    return {self.me} | {
+    return {self.own_instance} | {
         instance for instance in self.received_at if instance in records and not records[instance].terminated
     }
 
@@ -250,7 +252,7 @@
     raise AssertionError("no seed shows the bug")
 
 
-def test_no_course_of_a_small_group_makes_even_quotas_exceed_the_whole() -> None:
+def test_even_quotas_of_a_small_group_never_exceed_the_whole_in_any_explored_state() -> None:
     found = explore(Scope(moves=6))
     assert found.is_complete
     assert found.states > 2000
@@ -266,11 +268,11 @@
     assert explore(Scope(seeds=1, moves=9)).max_quota_sum > 1.1
 
 
-# With the budgets that the group divides
+# With shared budgets
 
 
 def test_suspended_instance_has_no_quota_until_it_resumes() -> None:
-    """In a group that it has joined, the next message used to restore its quota of the budgets."""
+    """In a group that it had joined, the next message restored its quota of the budgets."""
     protocol = MembershipProtocol(LIMITS, started_instance(0, seeds=1))
     coordinator = PeerCoordinator(
         Controller(SHARED_BUDGET_SETTINGS, 1),
--- a/tests/peers/test_record_dissemination.py
+++ b/tests/peers/test_record_dissemination.py
@@ -1,4 +1,4 @@
-"""Which membership records a peer is sent, and in which order."""
+"""The selection and order of the membership records sent to a peer."""
 
 from __future__ import annotations
 
--- a/tests/support/membership.py
+++ b/tests/support/membership.py
@@ -1,4 +1,4 @@
-"""Instances and settings for the tests of membership and of what is divided by it."""
+"""Instances and settings for tests of membership and of shared budgets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def started_instance(instance: int, incarnation: int = 5, seeds: int = 2) -> Membership:
-    """Return the membership of an instance that has just started and knows only the seeds' addresses."""
+    """Return the membership of a newly started instance that knows only the addresses of the seeds."""
     addresses = [address_of(seed) for seed in range(seeds)]
     return Membership(LIMITS, instance, incarnation, address_of(instance), addresses, 0)
 
