--- a/garnetlanding/peers/errors.py
+++ b/garnetlanding/peers/errors.py
@@ -1,4 +1,4 @@
-"""The errors of this package: what cannot be decoded, and why."""
+"""Exceptions of the peers package, and the reasons for which a datagram cannot be decoded."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class PeersError(Exception):
-    """Base class of every error of the link between instances, or of what they exchange over it."""
+    """Base class of the errors raised by the link between instances and the protocols on it."""
 
 
 class MessageFault(Enum):
-    """What is wrong with a datagram.
+    """Why a datagram cannot be decoded.
 
-    The values are the words by which dropped messages are counted and logged. Operators know
-    them, so they stay.
+    The values are the labels under which dropped messages are counted and logged; operators' tools match
+    them.
     """
 
     TOO_LONG = "too long"
-    TRUNCATED = "torn"  # cut short, damaged, or of a length that contradicts its counts
+    TRUNCATED = "torn"  # incomplete, corrupted, or of a length that does not match its entry counts
     UNKNOWN_VERSION = "other version"
-    UNEXPECTED_KIND = "other kind"  # the body is decoded as one of another kind than the envelope names
+    UNEXPECTED_KIND = "other kind"  # the decoder expects another kind than the envelope states
     INVALID_QUOTA = "no share"
     INVALID_EVIDENCE = "no such verdict"
     INVALID_DISABLE_RECORD = "no ban"
