--- a/garnetlanding/peers/history.py
+++ b/garnetlanding/peers/history.py
@@ -1,4 +1,4 @@
-"""What the peer protocols report to the instance's history, which experiments are checked against."""
+"""The interface through which the peer protocols record state changes for experiments to verify."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 
 class PeerHistory(Protocol):
-    """Records each change of what this instance has concluded. Times are of the monotonic clock, in us."""
+    """Records the state changes of the peer protocols. Times are microseconds of the monotonic clock."""
 
-    def members_changed(self, entitled: Collection[int], even_quota: float) -> None:
-        """Record a new membership: the instances entitled to a quota, and what an even quota is."""
+    def members_changed(self, quota_holders: Collection[int], even_quota: float) -> None:
+        """Record a new membership: the instances that hold a quota, and the size of an even quota."""
 
     def disabled_backends_changed(self, backends: Collection[str]) -> None:
-        """Record that exactly these backends are administratively disabled from now on."""
+        """Record the complete set of backends that are administratively disabled from now on."""
 
     def suspicions_changed(self, suspected: Mapping[str, int]) -> None:
-        """Record that exactly these backends are suspected from now on, each until the time given."""
+        """Record the complete set of suspected backends, and when the suspicion of each expires."""
 
     def observations_sent(self, observations: Mapping[str, tuple[str, int]]) -> None:
-        """Record what peers are told of each backend: the kind of the observation, and its time."""
+        """Record the observation sent to peers about each backend: its kind and its time."""
 
     def volume_quotas_changed(self, quotas: Mapping[str, float], until_us: int) -> None:
-        """Record this instance's quotas of the volumes' limits, which hold until `until_us`."""
+        """Record this instance's quotas of the volume limits, which are valid until `until_us`."""
 
     def budget_quotas_changed(self, quotas: Mapping[str, float], until_us: int) -> None:
-        """Record this instance's quotas of the shared budgets, which hold until `until_us`."""
+        """Record this instance's quotas of the shared budgets, which are valid until `until_us`."""
