--- a/garnetlanding/daemon/peer_link.py
+++ b/garnetlanding/daemon/peer_link.py
@@ -98,7 +98,7 @@
             # The predecessor of an upgrade holds the address and represents this instance until it ends.
             log.warning("peer link not opened", extra={"kv": {"at": setup.listen, "why": problem.strerror}})
             self._retry_scheduled = True
-            instance.scheduler.call_at(instance.scheduler.now + setup.limits.open_retry_us, self._retry)
+            instance.scheduler.call_at(instance.scheduler.now + setup.limits.bind_retry_us, self._retry)
             return
         coordinator.activate(instance.scheduler.now)
         instance.core.send_to_peer = self.link.send
--- a/garnetlanding/emulator/lease_model.py
+++ b/garnetlanding/emulator/lease_model.py
@@ -29,9 +29,9 @@
 # In steps: a lease lasts three, the requests of a message count for three, demand is averaged over one.
 LIMITS = PeerLimits(
     lease_us=3,
-    drift=0.0,
-    stale_us=3,
-    demand_memory_us=1000,
+    max_clock_drift=0.0,
+    peer_timeout_us=3,
+    demand_ttl_us=1000,
     demand_window_us=1,
     quota_steps=4,
     remembered_messages=4,
@@ -126,7 +126,7 @@
     contacts = tuple(
         _contact_key(state, peer, contact)
         for peer, contact in sorted(leases.contacts.by_peer.items())
-        if now - contact.received_at <= LIMITS.stale_us
+        if now - contact.received_at <= LIMITS.peer_timeout_us
     )
     demands = tuple(
         (demand.wanted_quota(now, LIMITS), tuple(sorted(demand.requested_by)))
@@ -156,7 +156,7 @@
         tuple(
             (request.quota, state.now - request.received_at)
             for request in contact.requests.values()
-            if state.now - request.received_at <= LIMITS.stale_us
+            if state.now - request.received_at <= LIMITS.peer_timeout_us
         ),
     )
 
--- a/garnetlanding/peers/demand.py
+++ b/garnetlanding/peers/demand.py
@@ -48,7 +48,7 @@
         in_use_rate = 0.0
         if self.budget and self.budget.in_use:
             in_use_rate = self.budget.in_use * SECOND / self.budget.window_us
-        return min(1.0, limits.headroom * (rate + in_use_rate) / self.limit)
+        return min(1.0, limits.demand_headroom * (rate + in_use_rate) / self.limit)
 
     def locked_quota(self, now: int, longest_window_us: int) -> float:
         """Return the quota of a budget that was spent lately or is in use.
@@ -61,11 +61,11 @@
         return units / self.budget_size
 
     def recent_requesters(self, now: int, limits: PeerLimits) -> list[int]:
-        """Return the peers that have requested a quota within `demand_memory_us`."""
+        """Return the peers that have requested a quota within `demand_ttl_us`."""
         return [
             peer
             for peer, requested_at in self.requested_by.items()
-            if now - requested_at <= limits.demand_memory_us
+            if now - requested_at <= limits.demand_ttl_us
         ]
 
     def known_hosts(self, now: int, limits: PeerLimits) -> list[int]:
@@ -82,7 +82,7 @@
         The decision module may keep requests queued for long after they arrived, and for that time it has to
         be informed of what is granted to others.
         """
-        is_unused = now - self.rate.at > limits.demand_memory_us
+        is_unused = now - self.rate.at > limits.demand_ttl_us
         in_use = self.budget is not None and self.budget.in_use > 0
         return is_unused and quota == 1 / self.hosts and not in_use
 
--- a/garnetlanding/peers/gossip_schedule.py
+++ b/garnetlanding/peers/gossip_schedule.py
@@ -18,8 +18,8 @@
     def round(self, peers: Collection[int], partners: Iterable[int]) -> list[int]:
         """Return the receivers of the next round, without duplicates.
 
-        They are the next `fanout` peers of the rotation, and up to `max_partners` of the partners, the peers
-        with whom this instance exchanges requests and grants.
+        They are the next `fanout` peers of the rotation, and up to `max_lease_peers` of the partners, the
+        peers with whom this instance exchanges requests and grants.
         """
         ordered = sorted(peers)
         if not ordered:
@@ -28,4 +28,4 @@
         chosen = [ordered[(self._next + i) % len(ordered)] for i in range(count)]
         self._next += count
         present_partners = [partner for partner in partners if partner in peers]
-        return list(dict.fromkeys([*chosen, *present_partners[: self._limits.max_partners]]))
+        return list(dict.fromkeys([*chosen, *present_partners[: self._limits.max_lease_peers]]))
--- a/garnetlanding/peers/leases.py
+++ b/garnetlanding/peers/leases.py
@@ -128,7 +128,7 @@
         The receiver's clock may be slower, and what it spends of a budget at the last moment is locked until
         the window has passed.
         """
-        return int((self.limits.lease_us + (self.budget_window_us or 0)) * (1 + self.limits.drift))
+        return int((self.limits.lease_us + (self.budget_window_us or 0)) * (1 + self.limits.max_clock_drift))
 
     def record_demand(
         self, name: str, hosts: int, limit: float, units: float, now: int, window_us: int = 0
@@ -199,7 +199,7 @@
             return {}
         grants: dict[int, float] = {}
         for volume, request in list(contact.requests.items()):
-            if now - request.received_at > self.limits.stale_us:
+            if now - request.received_at > self.limits.peer_timeout_us:
                 del contact.requests[volume]
                 continue
             fraction = self._grantable_fraction(volume, request.hosts, peer, now)
--- a/garnetlanding/peers/link.py
+++ b/garnetlanding/peers/link.py
@@ -116,7 +116,7 @@
                 self._scheduler.wait(self._socket.fileno(), READ)
             except OSError:
                 return
-            for _ in range(self._limits.receive_batch):
+            for _ in range(self._limits.max_receive_batch):
                 if self.closed or not self._receive_one():
                     break
             else:
--- a/garnetlanding/peers/membership.py
+++ b/garnetlanding/peers/membership.py
@@ -155,7 +155,7 @@
             for record in self.table.records.values()
             if record.terminated
             and record.instance != self.me
-            and self.was_received_within(record.instance, now, self.limits.stale_us)
+            and self.was_received_within(record.instance, now, self.limits.peer_timeout_us)
         ]
         return unknown_seeds + still_sending
 
--- a/garnetlanding/peers/operator_tables.py
+++ b/garnetlanding/peers/operator_tables.py
@@ -85,11 +85,11 @@
 def suspect_after_us(members: Membership) -> int:
     """Return the time without a message after which a peer is shown as suspect.
 
-    That is `stale_us` for each of the rounds it takes to send to every peer once.
+    That is `peer_timeout_us` for each of the rounds it takes to send to every peer once.
     """
     peers = max(1, len(members.quota_holders) - 1)
     rounds = -(-peers // members.limits.fanout)
-    return members.limits.stale_us * rounds
+    return members.limits.peer_timeout_us * rounds
 
 
 def member_state(members: Membership, instance: int, now: int) -> MemberState:
--- a/garnetlanding/peers/peer_contacts.py
+++ b/garnetlanding/peers/peer_contacts.py
@@ -88,14 +88,14 @@
     def accept(self, sender: int, incarnation: int, number: int, now: int) -> DropReason | None:
         """Register a message of a peer; return why it must be dropped, or None where it is the newest one.
 
-        After `stale_us` without a message any one is accepted: the peer may have restarted with its wall
-        clock set back, and then its incarnation is smaller than before.
+        After `peer_timeout_us` without a message any one is accepted: the peer may have restarted with its
+        wall clock set back, and then its incarnation is smaller than before.
         """
         if sender not in self.peers:
             return DropReason.UNKNOWN_PEER
         message = MessageId(incarnation, number)
         contact = self.by_peer.get(sender)
-        if contact is not None and now - contact.received_at > self._limits.stale_us:
+        if contact is not None and now - contact.received_at > self._limits.peer_timeout_us:
             contact = None
         if contact is not None and message <= contact.last_message:
             return DropReason.OUTDATED
@@ -129,19 +129,19 @@
         return self.last_number
 
     def requesters(self, now: int) -> set[int]:
-        """Return the peers that requested a quota of anything within `stale_us`."""
+        """Return the peers that requested a quota of anything within `peer_timeout_us`."""
         return {
             peer
             for peer, contact in self.by_peer.items()
-            if contact.requests and now - contact.received_at <= self._limits.stale_us
+            if contact.requests and now - contact.received_at <= self._limits.peer_timeout_us
         }
 
     def requested_quotas(self, volume: int, now: int) -> dict[int, float]:
-        """Return what quota each peer requested of a volume within `stale_us`, ordered by peer."""
+        """Return what quota each peer requested of a volume within `peer_timeout_us`, ordered by peer."""
         quotas: dict[int, float] = {}
         for peer, contact in sorted(self.by_peer.items(), key=lambda item: item[0]):
             request = contact.requests.get(volume)
-            if request is not None and now - request.received_at <= self._limits.stale_us:
+            if request is not None and now - request.received_at <= self._limits.peer_timeout_us:
                 quotas[peer] = request.quota
         return quotas
 
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -434,7 +434,7 @@
     coordinator = instance.daemon.assembly.peer_link.coordinator
     assert coordinator
     assert volume(coordinator).quota == 0.0
-    instance.run(LIMITS.open_retry_us, 100 * MS)
+    instance.run(LIMITS.bind_retry_us, 100 * MS)
     assert instance.daemon.assembly.peer_link.link
     assert instance.daemon.assembly.peer_link.link.address == address
     client.say(command.replace(b"r2", b"r3"))
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -181,7 +181,7 @@
         DropReason.OUTDATED,
     ]
     assert (
-        one.receive(1, LeaseMessage(5, 11), LIMITS.stale_us + 1) is None
+        one.receive(1, LeaseMessage(5, 11), LIMITS.peer_timeout_us + 1) is None
     ), "its clock was set back: accepted later"
 
 
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -115,8 +115,10 @@
     members.record_contact(1, b"", T0, sender_joined=True)
     assert members.extra_receivers(T0) == []
     members.mark_terminated(1)
-    assert members.extra_receivers(T0 + LIMITS.stale_us) == [1], "it has to learn that it is terminated"
-    assert members.extra_receivers(T0 + LIMITS.stale_us + 1) == []
+    assert members.extra_receivers(T0 + LIMITS.peer_timeout_us) == [
+        1
+    ], "it has to learn that it is terminated"
+    assert members.extra_receivers(T0 + LIMITS.peer_timeout_us + 1) == []
 
 
 def test_confirmation_of_an_earlier_incarnation_does_not_count() -> None:
@@ -154,7 +156,7 @@
     members.update_joined(LIMITS.bootstrap_us)
     members.record_contact(1, b"", 0, sender_joined=True)
     limit_us = suspect_after_us(members)
-    assert limit_us == 2 * LIMITS.stale_us
+    assert limit_us == 2 * LIMITS.peer_timeout_us
     assert len(members.quota_holders) == 9
     assert member_state(members, 1, limit_us) is MemberState.UP
     assert member_state(members, 1, limit_us + 1) is MemberState.SUSPECT
@@ -166,7 +168,7 @@
     sent_to: set[int] = set()
     for _ in range(-(-instances // LIMITS.fanout)):
         receivers = schedule.round(peers, range(1, partners + 1))
-        assert len(receivers) <= LIMITS.fanout + LIMITS.max_partners
+        assert len(receivers) <= LIMITS.fanout + LIMITS.max_lease_peers
         assert len(set(receivers)) == len(receivers)
         sent_to |= set(receivers)
     assert sent_to == peers
--- a/tests/peers/test_peer_contacts.py
+++ b/tests/peers/test_peer_contacts.py
@@ -42,6 +42,8 @@
     assert contacts.accept(1, 5, 2, T0) is None
     assert contacts.accept(1, 5, 2, T0) is DropReason.OUTDATED
     assert contacts.accept(1, 4, 9, T0) is DropReason.OUTDATED, "of an earlier incarnation"
-    assert contacts.accept(1, 4, 9, T0 + LIMITS.stale_us) is DropReason.OUTDATED
-    assert contacts.accept(1, 4, 9, T0 + LIMITS.stale_us + 1) is None, "its clock may have been set back"
+    assert contacts.accept(1, 4, 9, T0 + LIMITS.peer_timeout_us) is DropReason.OUTDATED
+    assert (
+        contacts.accept(1, 4, 9, T0 + LIMITS.peer_timeout_us + 1) is None
+    ), "its clock may have been set back"
     assert contacts.last_received(1) == MessageId(4, 9)
--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -46,7 +46,7 @@
 
 
 def lease_alone(self: Leases) -> int:
-    return int(self.limits.lease_us * (1 + self.limits.drift))
+    return int(self.limits.lease_us * (1 + self.limits.max_clock_drift))
 
 
 def nothing_locked(_self: Demand, _now: int, _longest_us: int) -> float:
