--- a/garnetlanding/peers/limits.py
+++ b/garnetlanding/peers/limits.py
@@ -50,9 +50,7 @@
 
     # Budgets
 
-    endpoint_polls_per_s: float = (
-        8.0  # of all instances, that discovery serves; the decision module paces them
-    )
+    endpoint_polls_per_s: float = 8.0  # served by discovery, to all instances; paced by the decision module
     endpoint_poll_window_us: int = 2 * SECOND  # budget window of the polls
     min_endpoint_poll_fraction: float = 0.25  # of the even quota of polls; always available to an instance
 
