--- a/garnetlanding/emulator/lease_model.py
+++ b/garnetlanding/emulator/lease_model.py
@@ -98,7 +98,7 @@
     rate = EwmaRate()
     rate.rate = demand.rate.rate
     rate.at = demand.rate.at
-    return replace(demand, rate=rate, requested_by=dict(demand.requested_by))
+    return replace(demand, rate=rate, last_request_by_peer=dict(demand.last_request_by_peer))
 
 
 def state_key(state: State) -> tuple[object, ...]:
@@ -129,7 +129,7 @@
         if now - contact.received_at <= LIMITS.peer_timeout_us
     )
     demands = tuple(
-        (demand.wanted_quota(now, LIMITS), tuple(sorted(demand.requested_by)))
+        (demand.wanted_quota(now, LIMITS), tuple(sorted(demand.last_request_by_peer)))
         for demand in leases.demands.by_tag.values()
     )
     received = tuple(
--- a/garnetlanding/peers/leases.py
+++ b/garnetlanding/peers/leases.py
@@ -36,7 +36,7 @@
 - of several grants to one peer that have not expired, the greatest counts at the grantor, since the
   receiver may not have received the last one;
 - a receiver adds a grant to its quota only if the grantor is a host of that volume, or if it cannot matter
-  (`quotas.countable_fractions`).
+  (`quotas.guaranteed_fractions`).
 
 The proof, and what it rests on, is in docs/design/fleet-limits.md.
 
@@ -57,7 +57,7 @@
 from garnetlanding.peers.lease_message import LeaseMessage, LeasePage, QuotaRequest
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.peer_contacts import InstanceIdentity, PeerContacts, ReceivedRequest
-from garnetlanding.peers.quotas import countable_fractions, spare_fraction, usable_quota
+from garnetlanding.peers.quotas import guaranteed_fractions, spare_fraction, usable_quota
 
 # `recheck_at` of leases that are suspended: no quota changes by itself. Histories contain the number.
 NEVER_US = 1 << 62
@@ -162,7 +162,7 @@
                 recorded[volume] = ReceivedRequest(request.quota, request.hosts, now)
             demand = self.demands.by_tag.get(volume)
             if demand is not None:
-                demand.requested_by[sender] = now
+                demand.last_request_by_peer[sender] = now
 
     def _record_grants(self, sender: int, grants: dict[int, float], expires_at: int) -> None:
         for volume, fraction in grants.items():
@@ -235,7 +235,7 @@
         # A host of a limit may be an instance that is not discovered yet. Of a budget, all instances are
         # hosts.
         may_have_undiscovered_hosts = self._members_discovered and self.budget_window_us is None
-        received = countable_fractions(
+        received = guaranteed_fractions(
             self.received.fractions(volume, now),
             demand.known_hosts(now, self.limits),
             () if may_have_undiscovered_hosts else self.contacts.peers,
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -245,7 +245,7 @@
 def greatest_fractions(self: Leases, volume: int, now: int) -> float:
     """As if an instance that is no host granted something of the volume."""
     demand = self.demands.by_tag[volume]
-    demand.requested_by = {}
+    demand.last_request_by_peer = {}
     received = sorted(self.received.fractions(volume, now).values(), reverse=True)
     granted = self.granted.total(volume, now) if self.may_use_quotas(now) else 1.0
     return (max(0.0, 1 - granted) + sum(received[: demand.hosts - 1])) / demand.hosts
--- a/tests/peers/test_quotas.py
+++ b/tests/peers/test_quotas.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from garnetlanding.peers.quotas import (
-    countable_fractions,
+    guaranteed_fractions,
     max_min_fair_allocation,
     spare_fraction,
     usable_quota,
@@ -56,7 +56,7 @@
     known_hosts: list[int], other_peers: list[int], hosts: int, expected: list[float]
 ) -> None:
     received = {1: 0.5, 2: 0.25, 3: 0.75}
-    assert countable_fractions(received, known_hosts, other_peers, hosts) == expected
+    assert guaranteed_fractions(received, known_hosts, other_peers, hosts) == expected
 
 
 def test_usable_quota_is_what_is_left_of_the_even_quota_and_what_peers_granted_of_theirs() -> None:
