--- a/garnetlanding/peers/leases.py
+++ b/garnetlanding/peers/leases.py
@@ -1,49 +1,48 @@
-"""Leases on quotas: how the instances of a fleet divide a limit that counts over all of them.
+"""The lease protocol, which divides a limit among the instances of a fleet.
 
-The limit of a volume is shared by its hosts, the instances that the volume's requests come through. Each
-host owns an even quota, 1 / hosts of the limit. It lends fractions of that quota to peers for a bounded
-time; nothing is agreed on beyond that, so there is neither a leader nor a quorum. What all instances share
-beside limits, such as the attempts at a backend that is warming up, is divided in the same way, by a
-`Leases` of its own whose limits are budgets with a window.
+A volume's limit is shared by its hosts, the instances that receive the volume's requests. Each host owns an
+even quota, 1 / hosts of the limit, and grants fractions of it to peers for a bounded time. Nothing else has
+to be agreed on, so the protocol needs neither a leader nor a quorum. Other shared resources, such as the
+attempts at a backend that is warming up, are divided in the same way by a separate `Leases` whose limits are
+budgets with a window.
 
-Roles. Every instance is at once a grantor, of its own even quotas, and a requester of its peers'.
+Roles. Every instance is both a grantor, of its own even quotas, and a requester of its peers' quotas.
 
-States of an instance, which concern all its quotas together:
+States of an instance, which apply to all its quotas:
 
-- suspended (`resumes_at` is None): it neither uses nor grants anything of its own quotas, and the grants that
-  it had received are forgotten;
-- quarantined (until `resumes_at`): it has started or resumed, and what it granted before may still be in use.
-  It neither uses nor grants anything of its own quotas, for as long as a grant counts at its grantor;
-- active: it uses its even quotas, without what it has granted and with what it was granted.
+- suspended (`resumes_at` is None): it neither uses nor grants its own quotas, and has dropped the grants that
+  it had received;
+- quarantined (until `resumes_at`): it has started or resumed, and its earlier grants may still be in use. It
+  neither uses nor grants its own quotas for as long as a grant counts at its grantor;
+- active: it uses its even quotas, minus what it has granted, plus what it was granted.
 
-Messages (lease_message.py). In each round an instance sends some peers one message each, with
+Messages (lease_message.py). In each round an instance sends one message each to some of its peers, with
 
 - requests: the quota that it wants of each volume's limit, and the number of hosts;
-- grants: the fraction of its even quota of each volume that the receiver may use from now on, in place of the
-  grant before.
+- grants: the fraction of its even quota of each volume that the receiver may use from now on, which replaces
+  the previous grant.
 
-Each message acknowledges the last one of its receiver. A grant expires at the receiver `lease_us` after
-that acknowledged message was sent, by the receiver's clock. The grantor counts it from the moment at which
-it composes the grant, which is later, for `lease_us` and the greatest drift between two clocks; of a budget
-also for the longest window, within which what was spent stays locked. So the grantor always uses its quota
-again later than the receiver stops, and a message that is lost, late, duplicated or overtaken leaves a
-quota idle.
+Each message acknowledges the last one received from its receiver. A grant expires at the receiver `lease_us`
+after the acknowledged message was sent, by the receiver's clock. The grantor counts it for longer: it starts
+when it composes the grant, which is later, and adds the greatest clock drift. For a budget it also adds the
+longest window, in which spent units stay locked. The grantor therefore never reuses its quota before the
+receiver stops using it, and a message that is lost, delayed, duplicated or reordered can only leave a quota
+unused.
 
 Invariants:
 
-- the quotas of a limit in use at any moment add up to at most 1 over its hosts;
+- the quotas of a limit that its hosts may use add up to at most 1 at any moment;
 - an instance reduces its own quota before it sends the message that grants it;
-- of several grants to one peer that have not expired, the greatest counts at the grantor, since the
-  receiver may not have received the last one;
-- a receiver adds a grant to its quota only if the grantor is a host of that volume, or if it cannot matter
-  (`quotas.guaranteed_fractions`).
+- of several unexpired grants to one peer, the greatest counts at the grantor, since the receiver may not have
+  received the latest one;
+- a receiver adds a grant to its quota only if the grantor is a host of that volume, or if the fraction is a
+  lower bound of what an unknown host has granted (`quotas.guaranteed_fractions`).
 
-The proof, and what it rests on, is in docs/design/fleet-limits.md.
+docs/design/fleet-limits.md contains the proof and its assumptions.
 
 `Leases` has neither a clock nor a socket. Times are microseconds of this instance's clock; volumes and
-budgets are identified by the `name_tag` of their names. What is needed is estimated in demand.py, the
-arithmetic is in quotas.py, the grants are recorded in grants.py, the exchange of messages in
-peer_contacts.py.
+budgets are identified by the `name_tag` of their names. demand.py estimates the demand, quotas.py computes
+the quotas, grants.py stores the grants, and peer_contacts.py tracks the messages of each peer.
 """
 
 from __future__ import annotations
@@ -59,12 +58,12 @@
 from garnetlanding.peers.peer_contacts import InstanceIdentity, PeerContacts, ReceivedRequest
 from garnetlanding.peers.quotas import guaranteed_fractions, spare_fraction, usable_quota
 
-# `recheck_at` of leases that are suspended: no quota changes by itself. Histories contain the number.
+# `recheck_at` while suspended, when no quota changes by the passage of time. The value is part of histories.
 NEVER_US = 1 << 62
 
 
 class Leases:
-    """One instance's state of the lease protocol: demands, grants made and grants received."""
+    """The state of one instance in the lease protocol: its demands, and the grants it made and received."""
 
     def __init__(
         self,
@@ -74,11 +73,11 @@
         earlier: Leases | None = None,
         budget_window_us: int | None = None,
     ) -> None:
-        """Start in quarantine, until what an earlier incarnation granted has expired.
+        """Start in quarantine, until the grants of an earlier incarnation have expired.
 
-        `earlier` is the state under another number or fleet size of the same incarnation: its demands, and
-        the quotas that the decision module was given last, are taken over. `budget_window_us` is the
-        longest window of the budgets that are divided; None if limits are divided.
+        `earlier` is the state of this incarnation before its number or the fleet size changed. Its demands,
+        and the last quotas reported to the decision module, are kept. `budget_window_us` is the longest
+        window of the budgets that are divided; None if limits are divided.
         """
         self.limits = limits
         self.identity = identity
@@ -91,14 +90,14 @@
         self.received = ReceivedGrants()
         self.granted = GrantLedger()
         self.reported_quotas: dict[int, float] = {} if earlier is None else earlier.reported_quotas
-        self.resumes_at: int | None = now + self._reclaim_after_us  # None: suspended, until `resume`
-        self.recheck_at = now  # the earliest time at which a quota may change without a message or request
+        self.resumes_at: int | None = now + self._reclaim_after_us  # None: suspended until `resume`
+        self.recheck_at = now  # when a quota may next change without a message or request
         self._members_discovered = False
 
     # States
 
     def set_peers(self, peers: frozenset[int]) -> None:
-        """Replace the set of known peers and revoke every grant received from a peer that left."""
+        """Replace the set of known peers, and remove the grants received from peers that left."""
         self._members_discovered = True
         if peers != self.contacts.peers:
             self.received.forget_peers(self.contacts.peers - peers)
@@ -106,27 +105,27 @@
             self.recheck_at = 0
 
     def suspend(self, now: int) -> None:
-        """Use and grant nothing until `resume`."""
+        """Neither use nor grant quotas until `resume`."""
         self.resumes_at = None
         self.received.clear()
         self.recheck_at = now
 
     def resume(self, now: int) -> None:
-        """Use and grant quotas again, after the same quarantine as after a start."""
+        """Use and grant quotas again after a quarantine, as after a start."""
         self.resumes_at = now + self._reclaim_after_us
         self.received.clear()
         self.recheck_at = now
 
     def may_use_quotas(self, now: int) -> bool:
-        """Return whether this instance is active: neither suspended nor in quarantine."""
+        """Return whether this instance is active, that is, neither suspended nor quarantined."""
         return self.resumes_at is not None and now >= self.resumes_at
 
     @property
     def _reclaim_after_us(self) -> int:
-        """The time for which a grant counts as in use at its grantor.
+        """Duration for which a grant counts at its grantor.
 
-        The receiver's clock may be slower, and what it spends of a budget at the last moment is locked until
-        the window has passed.
+        The receiver's clock may be slower, and units of a budget that the receiver spends just before the
+        grant expires stay locked until the window has passed.
         """
         return int((self.limits.lease_us + (self.budget_window_us or 0)) * (1 + self.limits.max_clock_drift))
 
@@ -135,8 +134,8 @@
     ) -> None:
         """Record that `units` of a volume's limit, or of a budget, were requested at this instance.
 
-        `limit` is in units a second, over all `hosts` instances. `window_us` is the window of a budget: that
-        many seconds' worth may be spent within it.
+        `limit` is in units per second, over all `hosts` instances. `window_us` is the window of a budget, in
+        which the instances may spend `limit` times the window's length.
         """
         if self.demands.record(name, hosts, limit, units, now, window_us):
             self.recheck_at = now
@@ -144,7 +143,7 @@
     # Messages
 
     def receive(self, sender: int, message: LeaseMessage, now: int) -> DropReason | None:
-        """Record a peer's requests and grants; return why the message is dropped, or None."""
+        """Record a peer's requests and grants; return why the message was dropped, or None if it was not."""
         reason = self.contacts.accept(sender, message.incarnation, message.number, now)
         if reason is not None:
             return reason
@@ -166,19 +165,19 @@
 
     def _record_grants(self, sender: int, grants: dict[int, float], expires_at: int) -> None:
         for volume, fraction in grants.items():
-            # A grant without a demand here would never be used, and its volume may not even exist.
+            # Without a demand here a grant is never used, and its volume may not exist.
             if volume in self.demands.by_tag:
                 self.received.add(volume, sender, Grant(fraction, expires_at))
 
     def active_peers(self, now: int) -> list[int]:
-        """Return the peers that lately requested something, or that may grant some of what is needed here."""
+        """Return the peers that recently requested a quota, or that may grant one that is needed here."""
         return sorted(self.demands.recent_requesters(now) | self.contacts.requesters(now))
 
     def compose(self, now: int, receivers: Iterable[int] | None = None) -> dict[int, LeasePage]:
-        """Return the requests and grants to send to each receiver now, or to every peer without `receivers`.
+        """Return the requests and grants to send now to each of `receivers`, by default to all peers.
 
-        A receiver with nothing to be sent is left out. What is granted counts as in use from here on, whether
-        the message arrives or not.
+        Receivers for which there is nothing to send are left out. The grants count as in use from now on,
+        whether or not their messages arrive.
         """
         requests = self._compose_requests(now)
         pages: dict[int, LeasePage] = {}
@@ -189,11 +188,11 @@
         return pages
 
     def _compose_requests(self, now: int) -> dict[int, QuotaRequest]:
-        greatest = self.demands.wanted_quotas(now)[: self.limits.max_quota_requests]
-        return {volume: QuotaRequest(quota, self.demands.by_tag[volume].hosts) for quota, volume in greatest}
+        wanted = self.demands.wanted_quotas(now)[: self.limits.max_quota_requests]
+        return {volume: QuotaRequest(quota, self.demands.by_tag[volume].hosts) for quota, volume in wanted}
 
     def _make_grants(self, peer: int, now: int) -> dict[int, float]:
-        """Grant a peer what can be spared of each volume that it requests; return the fractions."""
+        """Grant a peer a fraction of each volume that it requests, where possible; return the fractions."""
         contact = self.contacts.by_peer.get(peer)
         if contact is None or not self.may_use_quotas(now):
             return {}
@@ -212,7 +211,7 @@
     def _grantable_fraction(self, volume: int, hosts: int, peer: int, now: int) -> float:
         """Return the fraction of its even quota that this instance can grant, rounded down to a step.
 
-        What other peers may still use is left out, and what was spent of a budget and is locked.
+        Fractions that other peers may still use are excluded, and so are locked units of a budget.
         """
         demand = self.demands.by_tag.get(volume)
         wanted = 0.0 if demand is None else demand.wanted_quota(now, self.limits)
@@ -232,8 +231,7 @@
         """Return the quota of the limit that this instance may use at this moment."""
         demand = self.demands.by_tag[volume]
         granted = self.granted.total(volume, now) if self.may_use_quotas(now) else 1.0
-        # A host of a limit may be an instance that is not discovered yet. Of a budget, all instances are
-        # hosts.
+        # A host of a limit may not have been discovered yet; the hosts of a budget are all instances.
         may_have_undiscovered_hosts = self._members_discovered and self.budget_window_us is None
         received = guaranteed_fractions(
             self.received.fractions(volume, now),
@@ -244,11 +242,10 @@
         return usable_quota(granted, received, demand.hosts)
 
     def refresh_quotas(self, now: int) -> dict[str, float]:
-        """Compute the usable quotas anew and return, by name, those that have changed since the last call.
+        """Recompute the usable quotas and return, by name, those that have changed since the last call.
 
-        It is called in each event-loop iteration, and returns at once while no quota can have changed. A
-        lease that expired while the process was stopped is noticed here, before the decision module may
-        send.
+        It is called in each event-loop iteration and returns immediately if no quota can have changed. It
+        detects a lease that expired while the process was stopped before the decision module can send.
         """
         if now < self.recheck_at:
             return {}
@@ -259,17 +256,17 @@
                 self.reported_quotas[volume] = quota
                 changed[demand.name] = quota
             if demand.is_idle(quota, now, self.limits):
-                self._forget(volume)
+                self._remove_demand(volume)
         self._drop_expired(now)
         return changed
 
-    def _forget(self, volume: int) -> None:
+    def _remove_demand(self, volume: int) -> None:
         del self.demands.by_tag[volume]
         self.received.forget_volume(volume)
         self.reported_quotas.pop(volume, None)
 
     def _drop_expired(self, now: int) -> None:
-        """Forget grants that have expired, and set `recheck_at` to the next time at which something does."""
+        """Remove expired grants, and set `recheck_at` to the next expiration."""
         expirations = self.received.drop_expired(now) + self.granted.drop_expired(now)
         if self.resumes_at is None:
             expirations.append(NEVER_US)
@@ -278,13 +275,13 @@
         self.recheck_at = min(expirations, default=now + self.limits.lease_us)
 
     def current_quotas(self) -> dict[str, float]:
-        """Return the usable quotas, by name, as last reported. They hold until `recheck_at` at most."""
+        """Return the last reported quotas, by name. They are valid until `recheck_at` at most."""
         return {demand.name: self.reported_quotas[volume] for volume, demand in self.demands.by_tag.items()}
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetLeases:
-    """The leases that divide budgets, and the number of instances that the budgets are divided among."""
+    """The leases that divide budgets, and the number of instances that share the budgets."""
 
     leases: Leases
     hosts: int
