--- a/garnetlanding/peers/lease_message.py
+++ b/garnetlanding/peers/lease_message.py
@@ -1,14 +1,14 @@
-"""The body of messages about leases (`MessageKind.LEASES` and `MessageKind.BUDGETS` of envelope.py).
+"""Encodes and decodes the body of lease messages (`MessageKind.LEASES` and `BUDGETS` of envelope.py).
 
-All numbers are big-endian::
+A body contains all requests, then all grants. Sizes are in bytes, and integers are big-endian::
 
-    each request: volume 4 bytes (`name_tag` of its name) | wanted quota of the plan's rate, in 1/250, 1 |
+    request: volume (`name_tag` of its name) 4 | wanted quota of the plan's rate, in steps of 1/250, 1 |
         hosts 1
-    each grant: volume 4 bytes | fraction of the grantor's own even quota, in 1/250, 1
+    grant: volume 4 | fraction of the grantor's even quota, in steps of 1/250, 1
 
-The counts of the envelope are those of the requests and of the grants. Messages about budgets have the same
-form and are numbered separately: their names are those of budgets, and their quotas are fractions of what the
-whole fleet may spend.
+The envelope contains the number of requests and the number of grants. Messages about budgets have the same
+format and are numbered separately; their names are those of budgets, and their quotas are fractions of what
+the whole fleet may spend.
 """
 
 from __future__ import annotations
@@ -30,22 +30,22 @@
 
 REQUEST = struct.Struct(">IBB")
 GRANT = struct.Struct(">IB")
-QUOTA_STEPS = 250  # quotas and fractions are sent as a whole number of these steps
-MAX_ENTRIES = 255  # requests, or grants, of one message: each count is one byte
-ROUNDING_SLACK = 1e-9  # added before rounding down, since float error may leave a value just below its step
+QUOTA_STEPS = 250  # quotas and fractions are encoded as a number of steps of 1/250
+MAX_ENTRIES = 255  # requests, or grants, in one message: each count is one byte
+ROUNDING_SLACK = 1e-9  # in steps; keeps a float error from rounding a whole step down to the one below
 
 
 class QuotaRequest(NamedTuple):
-    """What an instance wants of one volume's limit."""
+    """A request for a quota of one volume's limit."""
 
-    quota: float  # of the plan's rate, 0 to 1
-    hosts: int  # instances that the volume's requests come through
+    quota: float  # of the plan's rate, from 0 to 1
+    hosts: int  # number of instances that receive the volume's requests
 
 
 class LeasePage(NamedTuple):
-    """The requests and grants of one message, by the tag of their volume.
+    """The requests and grants of one message, by the `name_tag` of their volume.
 
-    A grant is the fraction of the sender's own even quota that the receiver may use.
+    A grant is the fraction of the sender's even quota that the receiver may use.
     """
 
     requests: dict[int, QuotaRequest]
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseMessage:
-    """A decoded message about leases or budgets: the fields of the envelope, and those of a `LeasePage`."""
+    """A message about leases of limits or budgets: fields of the envelope, and those of a `LeasePage`."""
 
     incarnation: int
     number: int
@@ -65,28 +65,27 @@
 
 
 def paginate(requests: dict[int, QuotaRequest], grants: dict[int, float], size: int) -> Iterator[LeasePage]:
-    """Divide requests, then grants, into pages that each fit into a datagram of `size` bytes."""
+    """Divide requests, and then grants, into pages that each fit into a datagram of `size` bytes."""
     capacity = size - HEADER.size - CHECKSUM.size
     page = LeasePage({}, {})
-    used = 0
     for volume, request in requests.items():
-        if used + REQUEST.size > capacity or len(page.requests) >= MAX_ENTRIES:
+        if len(page.requests) >= MAX_ENTRIES or _body_bytes(page) + REQUEST.size > capacity:
             yield page
             page = LeasePage({}, {})
-            used = 0
         page.requests[volume] = request
-        used += REQUEST.size
     for volume, fraction in grants.items():
-        if used + GRANT.size > capacity or len(page.grants) >= MAX_ENTRIES:
+        if len(page.grants) >= MAX_ENTRIES or _body_bytes(page) + GRANT.size > capacity:
             yield page
             page = LeasePage({}, {})
-            used = 0
         page.grants[volume] = fraction
-        used += GRANT.size
-    if used:
+    if page.requests or page.grants:
         yield page
 
 
+def _body_bytes(page: LeasePage) -> int:
+    return len(page.requests) * REQUEST.size + len(page.grants) * GRANT.size
+
+
 def encode(message: LeaseMessage, kind: MessageKind = MessageKind.LEASES) -> bytes:
     """Return the datagram of a message."""
     return encode_envelope(to_envelope(message, kind))
@@ -100,7 +99,7 @@
 def to_envelope(message: LeaseMessage, kind: MessageKind) -> Envelope:
     """Return the envelope that carries a message.
 
-    Requests are rounded up and grants down to a step, so that no more is granted than was meant.
+    Requests are rounded up to a step, and grants down, so that a message never grants more than was recorded.
     """
     parts = [
         REQUEST.pack(volume, _steps_rounded_up(request.quota), request.hosts)
@@ -126,7 +125,7 @@
 
 
 def read(envelope: Envelope) -> LeaseMessage:
-    """Decode the body of an envelope about leases or budgets. Raises MessageError."""
+    """Decode the body of an envelope of kind `LEASES` or `BUDGETS`. Raises MessageError."""
     if envelope.kind not in (MessageKind.LEASES, MessageKind.BUDGETS):
         raise MessageError(MessageFault.UNEXPECTED_KIND, 1)
     request_count, grant_count = envelope.counts
