--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -92,7 +92,7 @@
     @property
     def leases(self) -> Leases | None:
         """The leases on volume limits; None until events have been handled."""
-        return self._quota.volumes
+        return self._quota.volume_leases
 
     @property
     def budgets(self) -> SharedBudgets | None:
@@ -157,11 +157,11 @@
         settings = self.module.settings
         quota = self._quota
         own_actions: list[api.Action] = []
-        if quota.follow_settings(settings, now, is_discovered=self.subsystems.membership is not None):
+        if quota.apply_settings(settings, now, is_discovered=self.subsystems.membership is not None):
             own_actions.append(self._schedule_first_round(now, settings))
         module_events = self._receive(now, events)
         if self.subsystems.membership:
-            quota.follow_members(self.subsystems.membership, now)
+            quota.apply_membership(self.subsystems.membership, now)
         if quota.budgets:
             quota.budgets.observe_events(now, module_events, settings, quota.instance_count)
         if now >= self._next_round_at:
--- a/garnetlanding/peers/receiver.py
+++ b/garnetlanding/peers/receiver.py
@@ -78,7 +78,7 @@
     ) -> DropReason | None:
         # The records are merged first: the sender may be known by its own record alone.
         message = membership.merge(envelope)
-        self._quota.follow_members(membership, now)
+        self._quota.apply_membership(membership, now)
         reason = self._quota.leases.contacts.accept(sender, envelope.incarnation, envelope.number, now)
         if reason is None:
             membership.record_contact(sender, message, now)
