--- a/garnetlanding/peers/shared_budgets.py
+++ b/garnetlanding/peers/shared_budgets.py
@@ -1,9 +1,9 @@
 """Budgets that all instances of the fleet share, and this instance's quotas of them.
 
-A budget bounds what may be spent within a window: units at a backend that is warming up, polls for the
-endpoint list, the retries that need not be earned, and connections at a backend. Requests and spending are
-observed in the events and actions that pass to and from the decision module; leases divide the budgets
-(docs/design/fleet-limits.md). No clock and no socket; times are microseconds.
+A budget bounds the units spent within a window: units sent to a backend that is warming up, polls for the
+endpoint list, retries beyond the earned ones, and connections to a backend. Demand and spending are derived
+from the events that the decision module handles and the actions that it returns; leases divide the budgets
+(docs/design/fleet-limits.md). The module has neither a clock nor a socket; times are microseconds.
 """
 
 from __future__ import annotations
@@ -18,46 +18,52 @@
 from garnetlanding.peers.limits import SECOND, PeerLimits
 from garnetlanding.peers.peer_contacts import InstanceIdentity
 
-CONNECTIONS = api.concurrency_budget("")  # with which the names of budgets of connections begin
+CONNECTION_BUDGET_PREFIX = api.concurrency_budget("")  # of the names of connection budgets
 
 
 @dataclass(frozen=True, slots=True)
 class WarmingBackend:
-    """A backend whose process has just started."""
+    """A backend that is warming up after its process started."""
 
     name: str
-    until: int  # when it stops to count as warming up
+    warmup_ends_at: int
 
 
 class SharedBudgets:
-    """What this instance requests and spends of the shared budgets, and what it may spend."""
+    """The demand, spending and quotas of this instance for the shared budgets."""
 
     def __init__(
-        self, limits: PeerLimits, settings: api.Settings, incarnation: int, now: int, longest_us: int = 0
+        self,
+        limits: PeerLimits,
+        settings: api.Settings,
+        incarnation: int,
+        now: int,
+        extra_window_us: int = 0,
     ) -> None:
         """Start in quarantine.
 
-        `longest_us` is the longest window of a budget that the settings do not contain; 0 if there is none.
+        `extra_window_us` is the longest window of any budget that the settings do not contain; 0 if there is
+        none.
         """
         self._limits = limits
         window_us = max(
             settings.overload_window_us,
             settings.retry_budget_window_us,
             limits.endpoint_poll_window_us,
-            longest_us,
+            extra_window_us,
         )
         identity = InstanceIdentity(settings.instance_id, settings.instances, incarnation)
         self.leases = Leases(limits, identity, now, budget_window_us=window_us)
-        self._warming: dict[int, WarmingBackend] = {}  # by cell
-        self._units: dict[str, float] = {}  # of requests that may be sent to a backend that is warming up
-        self._attempted: set[str] = set()  # requests with an attempt, where retries have a budget
+        self._warming_by_cell: dict[int, WarmingBackend] = {}
+        self._warmup_units: dict[str, float] = {}  # by request that a warming backend may receive
+        self._attempted: set[str] = set()  # requests with an attempt, if retries have a budget
 
-    # Before the decision module handles events
+    # Demand, before the decision module handles events
 
     def observe_events(
         self, now: int, events: Iterable[api.Event], settings: api.Settings, hosts: int
     ) -> None:
-        """Record what is requested of the budgets, before the decision module handles the events.
+        """Record the demand for budgets, before the decision module handles the events.
 
         `hosts` is the number of instances that share the budgets.
         """
@@ -70,11 +76,11 @@
                 case api.Arrival():
                     self._request_warmup(event, now, settings, hosts)
                 case api.ClientLeft():
-                    self._forget(event.request)
+                    self._remove_request(event.request)
                 case api.Result():
                     self._request_retry(event, now, settings, hosts)
                     if event.answered:
-                        self._forget(event.request)
+                        self._remove_request(event.request)
 
     def _request_poll(self, now: int, hosts: int) -> None:
         self.leases.record_demand(
@@ -88,25 +94,25 @@
 
     def _update_warming(self, update: api.EndpointListUpdate, now: int, settings: api.Settings) -> None:
         if update.complete:
-            self._warming.clear()
+            self._warming_by_cell.clear()
         for entry in update.entries:
-            until = entry.started_us + settings.warmup_us
-            known = self._warming.get(entry.cell)
-            if entry.state is api.EndpointState.UP and entry.started_us and now < until:
-                self._warming[entry.cell] = WarmingBackend(entry.backend, until)
+            warmup_ends_at = entry.started_us + settings.warmup_us
+            known = self._warming_by_cell.get(entry.cell)
+            if entry.state is api.EndpointState.UP and entry.started_us and now < warmup_ends_at:
+                self._warming_by_cell[entry.cell] = WarmingBackend(entry.backend, warmup_ends_at)
             elif known is not None and known.name == entry.backend:
-                del self._warming[entry.cell]
+                del self._warming_by_cell[entry.cell]
 
     def _request_warmup(self, arrival: api.Arrival, now: int, settings: api.Settings, hosts: int) -> None:
-        # A new object may also be placed on a backend whose cell is unknown.
+        # Without a cell, the request may place a new object on a backend whose cell is unknown.
         cell = api.UNKNOWN_CELL if arrival.cell is None else arrival.cell
-        backend = self._warming.get(cell)
+        backend = self._warming_by_cell.get(cell)
         if backend is None or not settings.warmup_units:
             return
-        if now >= backend.until:
-            del self._warming[cell]
+        if now >= backend.warmup_ends_at:
+            del self._warming_by_cell[cell]
             return
-        self._units[arrival.request] = arrival.units
+        self._warmup_units[arrival.request] = arrival.units
         self.leases.record_demand(
             api.warmup_budget(backend.name),
             hosts,
@@ -123,14 +129,14 @@
         rate = settings.retry_budget_floor * hosts * SECOND / window_us
         self.leases.record_demand(api.RETRIES, hosts, rate, 1, now, window_us)
 
-    def _forget(self, request: str) -> None:
-        self._units.pop(request, None)
+    def _remove_request(self, request: str) -> None:
+        self._warmup_units.pop(request, None)
         self._attempted.discard(request)
 
-    # After it has handled them
+    # Spending, after the decision module has handled events
 
     def observe_actions(self, now: int, actions: Iterable[api.Action], settings: api.Settings) -> None:
-        """Record what the decision module has spent of the budgets."""
+        """Record the units of budgets that the decision module has spent."""
         for action in actions:
             match action:
                 case api.Send():
@@ -138,11 +144,11 @@
                 case api.Subscribe():
                     self.leases.demands.record_spent(api.ENDPOINT_POLLS, 1, now)
                 case api.Reject() | api.Fail():
-                    self._forget(action.request)
+                    self._remove_request(action.request)
 
     def _spend_attempt(self, attempt: api.Send, now: int, settings: api.Settings) -> None:
         demands = self.leases.demands
-        if units := self._units.get(attempt.request):
+        if units := self._warmup_units.get(attempt.request):
             demands.record_spent(api.warmup_budget(attempt.backend), units, now)
         if settings.retry_budget_window_us:
             if attempt.request in self._attempted:
@@ -152,25 +158,24 @@
     # Quotas
 
     def refresh_quotas(self, now: int, hosts: int) -> dict[str, float] | None:
-        """Compute the quotas anew; return what may be spent of each budget, or None if nothing has changed.
+        """Recompute the quotas; return the quota of each budget, or None if no quota has changed.
 
-        It is a number of connections for a budget of connections, and a multiple of the even quota for
-        others.
+        The unit is connections for connection budgets, and multiples of the even quota for the others.
         """
         if not self.leases.refresh_quotas(now):
             return None
         current = self.leases.current_quotas()
         quotas: dict[str, float] = {}
         for demand in self.leases.demands.by_tag.values():
-            is_counted = demand.name.startswith(CONNECTIONS)
-            quotas[demand.name] = current[demand.name] * (demand.budget_size if is_counted else hosts)
+            is_connections = demand.name.startswith(CONNECTION_BUDGET_PREFIX)
+            quotas[demand.name] = current[demand.name] * (demand.budget_size if is_connections else hosts)
         if api.ENDPOINT_POLLS in quotas:
-            # An instance without any quota would never learn of an endpoint: some polls are always allowed.
+            # Some polls are always allowed, since an instance without a quota could never discover endpoints.
             quotas[api.ENDPOINT_POLLS] = max(
                 self._limits.min_endpoint_poll_fraction, quotas[api.ENDPOINT_POLLS]
             )
         return quotas
 
     def receive(self, sender: int, message: LeaseMessage, now: int) -> DropReason | None:
-        """Record a peer's requests and grants; return why the message is dropped, or None."""
+        """Record a peer's requests and grants; return why the message was dropped, or None if it was not."""
         return self.leases.receive(sender, message, now)
--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -111,11 +111,11 @@
     quotas = budgets.refresh_quotas(later, 3)
     assert quotas
     assert quotas[api.ENDPOINT_POLLS] >= LIMITS.min_endpoint_poll_fraction
-    assert "r1" in budgets._units
+    assert "r1" in budgets._warmup_units
     budgets.observe_events(later, [api.ClientLeft("r1")], SHARED_BUDGET_SETTINGS, 3)
-    assert not budgets._units, "its client has left"
+    assert not budgets._warmup_units, "its client has left"
     budgets.observe_events(later, [replace(arrival, request="r3")], SHARED_BUDGET_SETTINGS, 3)
-    assert "r3" not in budgets._units, "the backend has warmed up"
+    assert "r3" not in budgets._warmup_units, "the backend has warmed up"
 
 
 def test_decision_module_sends_a_warming_backend_what_its_quota_allows() -> None:
