--- a/garnetlanding/peers/connection_quota.py
+++ b/garnetlanding/peers/connection_quota.py
@@ -1,8 +1,8 @@
-"""The quota of connections that this instance may open to each backend.
+"""The quota of connections that this instance may have open to each backend.
 
-The connections that all instances together may have open at a backend are a budget, divided by leases like
-the others (docs/design/fleet-limits.md). A unit of it is in use for as long as its connection is open. No
-clock and no socket.
+The connections that all instances together may open to a backend are a budget, which leases divide like other
+budgets (docs/design/fleet-limits.md). A unit of the budget is in use while its connection is open. The module
+has neither a clock nor a socket.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from garnetlanding.peers.limits import SECOND
 from garnetlanding.peers.name_tag import name_tag
 
-# Added before rounding down to whole connections, since float error may leave a quota just below its number.
+# In connections; keeps a float error from rounding a whole number down to the one below.
 ROUNDING_SLACK = 1e-9
 
 
 class ConnectionQuota:
-    """How many connections this instance may have open at each backend."""
+    """Limits the connections that this instance may have open to each backend."""
 
     def __init__(
         self,
@@ -28,11 +28,11 @@
         now: Callable[[], int],
         budget_leases: Callable[[], BudgetLeases | None],
     ) -> None:
-        """Divide `per_backend` connections at each backend among the instances of the fleet.
+        """Divide `per_backend` connections to each backend among the instances of the fleet.
 
-        An attempt lasts `longest_attempt_us` at most: after that, a connection that was granted to a peer is
-        closed again. `now` returns the present time in microseconds, `budget_leases` the leases that divide
-        the quota, or None while they must not be used.
+        `longest_attempt_us` is the longest duration of an attempt, after which a connection beyond the quota
+        has been closed; it is the window of the budget. `now` returns the current time in microseconds.
+        `budget_leases` returns the leases that divide the budget, or None while they must not be used.
         """
         self.per_backend = per_backend
         self._longest_attempt_us = longest_attempt_us
@@ -40,24 +40,24 @@
         self._budget_leases = budget_leases
 
     def max_connections(self, backend: str) -> int:
-        """Return how many connections this instance may have open at a backend now."""
+        """Return the number of connections that this instance may have open to a backend now."""
         budget = self._budget_leases()
         if budget is None:
             return 0
         demands = budget.leases.demands.by_tag
         tag = name_tag(concurrency_budget(backend))
         if tag not in demands:
-            # What this instance may have granted to peers is only deducted from a quota that is requested.
+            # Earlier grants to peers are deducted only from the quota of a budget that has a demand.
             self._record_demand(budget, backend, 0)
         if tag not in demands:
-            return self.per_backend  # this is the only instance
+            return self.per_backend  # the only instance: the budget is not shared
         quota = budget.leases.usable_quota(tag, self._now())
         return int(quota * self.per_backend + ROUNDING_SLACK)
 
     def set_open(self, backend: str, count: int, *, lacking: bool = False) -> None:
-        """Set how many connections are open at a backend now.
+        """Set the number of connections that are open to a backend now.
 
-        `lacking`: one more was wanted, and the quota did not allow it.
+        `lacking`: another connection was needed, but exceeded the quota.
         """
         budget = self._budget_leases()
         if budget is None:
