--- a/garnetlanding/peers/operator_tables.py
+++ b/garnetlanding/peers/operator_tables.py
@@ -1,6 +1,6 @@
-"""Builds the tables of quotas, members, suspicions and disabled backends for operators (`ops fleet ...`).
+"""Builds the operators' tables of quotas, members, suspicions and disabled backends (`ops fleet ...`).
 
-The rows are the typed ones of status.py, which encodes them. Times are microseconds of this instance's clock.
+status.py defines the rows and their JSON encoding. Times are microseconds of this instance's clock.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     SuspicionRow,
 )
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # a disabled subsystem is not imported
     from garnetlanding.peers.disabled_backends import DisabledBackends
     from garnetlanding.peers.grants import Grant
     from garnetlanding.peers.leases import Leases
@@ -33,7 +33,7 @@
 
 
 def limit_rows(leases: Leases, now: int) -> list[LimitRow]:
-    """Return how each limit, or budget, that is requested here is divided, sorted by name."""
+    """Return one row for each limit or budget that is requested at this instance, sorted by name."""
     demands = sorted(leases.demands.by_tag.items(), key=lambda item: item[1].name)
     return [
         LimitRow(
@@ -53,7 +53,7 @@
 
 
 def peer_rows(leases: Leases, now: int) -> list[PeerRow]:
-    """Return each instance of the fleet, this one included, in the order of their numbers."""
+    """Return one row for each instance of the fleet, including this one, sorted by number."""
     own_number = leases.identity.number
     return [
         _own_row(leases, now) if number == own_number else _peer_row(leases, number, now)
@@ -85,7 +85,7 @@
 def suspect_after_us(members: Membership) -> int:
     """Return the time without a message after which a peer is shown as suspect.
 
-    That is `peer_timeout_us` for each of the rounds it takes to send to every peer once.
+    It is `peer_timeout_us` times the number of rounds in which an instance sends to all of its peers once.
     """
     peers = max(1, len(members.quota_holders) - 1)
     rounds = -(-peers // members.limits.fanout)
@@ -93,7 +93,7 @@
 
 
 def member_state(members: Membership, instance: int, now: int) -> MemberState:
-    """Return the state of an instance as this one sees it."""
+    """Return the state of an instance as observed by this one."""
     if members.table.records[instance].terminated:
         return MemberState.TERMINATED
     if instance == members.me:
@@ -104,7 +104,7 @@
 
 
 def member_rows(members: Membership, now: int) -> list[MemberRow]:
-    """Return one row for each known instance, in the order of their numbers."""
+    """Return one row for each known instance, sorted by number."""
     return [
         MemberRow(
             instance=record.instance,
@@ -124,13 +124,13 @@
 
 
 def suspicion_rows(
-    suspicions: SuspicionTable, observations: LocalObservations, now: int, tightest_us: int
+    suspicions: SuspicionTable, observations: LocalObservations, now: int, tightest_objective_us: int
 ) -> list[SuspicionRow]:
-    """Return one row for each listed backend, by name: what is observed here and claimed by peers.
+    """Return one row for each listed backend, sorted by name: local observations and the claims of peers.
 
-    `tightest_us` is the tightest latency objective of all classes.
+    `tightest_objective_us` is the tightest latency objective of all request classes.
     """
-    evidence = observations.evidence(now, tightest_us)
+    evidence = observations.evidence(now, tightest_objective_us)
     suspected = suspicions.suspected(now, observations)
     rows: list[SuspicionRow] = []
     for backend in sorted(observations.backends):
@@ -163,7 +163,7 @@
 
 
 def disabled_rows(disabled: DisabledBackends) -> list[DisabledBackendRow]:
-    """Return one row for each record of a disabled or enabled backend, by name."""
+    """Return one row for each record of a disabled or enabled backend, sorted by name."""
     return [
         DisabledBackendRow(record.backend, record.disabled, record.instance, record.version)
         for record in sorted(disabled.records.values())
--- a/garnetlanding/peers/status.py
+++ b/garnetlanding/peers/status.py
@@ -1,7 +1,7 @@
-"""The rows of the tables that `ops fleet limits`, `members`, `verdicts` and `bans` show operators.
+"""The rows of the tables that `ops fleet limits`, `members`, `verdicts` and `bans` show.
 
-Operators' scripts read the JSON fields, so those keep their words: the `as_json` of each row is the one place
-where the terms of the code are translated, field by field.
+Operators' scripts depend on the names of the JSON fields. The method `as_json` of each row maps the
+attributes to these names.
 """
 
 from __future__ import annotations
@@ -10,32 +10,32 @@
 from enum import Enum
 from typing import TYPE_CHECKING, Protocol
 
-if TYPE_CHECKING:  # what is off is not imported
+if TYPE_CHECKING:  # a disabled subsystem is not imported
     from garnetlanding.peers.gossip_message import EvidenceKind
 
 
 class MemberState(Enum):
-    """An instance as another one sees it; the values appear in operators' answers."""
+    """The state of an instance as observed by another one. Operators' scripts depend on the values."""
 
     SELF = "me"
     UP = "up"
-    SUSPECT = "suspect"  # nothing was received from it in time
+    SUSPECT = "suspect"  # no message was received from it in time
     TERMINATED = "gone"
 
 
 class StatusRow(Protocol):
-    """One row of such a table."""
+    """One row of a table for operators."""
 
     def as_json(self) -> dict[str, object]:
-        """Return the row's JSON fields, in the order in which they are shown."""
+        """Return the row's JSON fields in display order."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class GrantRow:
-    """A grant that has not expired."""
+    """An unexpired grant."""
 
-    peer: int  # the receiver, or the grantor
+    peer: int  # the receiver of a grant made, or the grantor of a grant received
     fraction: float  # of the grantor's even quota
     expires_in_ms: int
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitRow:
-    """How a volume's limit, or a budget, is divided as far as this instance knows."""
+    """The division of a volume's limit, or of a budget, as known to this instance."""
 
     volume: str
     hosts: int
@@ -69,12 +69,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerRow:
-    """An instance of a fleet whose members are configured."""
+    """An instance of a fleet with configured members."""
 
     instance: int
     is_self: bool
-    incarnation: int | None  # None: nothing received from it yet
-    last_received_ms: int | None  # ago
+    incarnation: int | None  # None: no message received yet
+    last_received_ms: int | None  # time since the last message
     requested_volumes: int
 
     def as_json(self) -> dict[str, object]:
@@ -90,14 +90,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberRow:
-    """An instance of a group that was found from its seeds."""
+    """An instance of a fleet with members that are discovered from seeds."""
 
     instance: int
     state: MemberState
     incarnation: int
     address: str
-    last_received_ms: int | None  # ago; None: nothing received from it yet
-    even_quota: float | None  # of this instance alone, which knows no other one's
+    last_received_ms: int | None  # time since the last message; None: no message received yet
+    even_quota: float | None  # only known for this instance
 
     def as_json(self) -> dict[str, object]:
         """Return the row's JSON fields."""
@@ -113,13 +113,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRow:
-    """What one peer claims of a backend."""
+    """The claim of one peer about a backend."""
 
     peer: int
     kind: EvidenceKind
-    count: int  # of the events that it rests on
-    age_ms: int  # at most
-    credit: float  # of the peer, 0 to 1
+    count: int  # of the observed events
+    age_ms: int  # upper bound
+    credit: float  # of the peer, from 0 to 1
 
     def as_json(self) -> dict[str, object]:
         """Return the row's JSON fields."""
@@ -134,12 +134,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspicionRow:
-    """What this instance and its peers have observed of a backend."""
+    """Observations of a backend by this instance and its peers."""
 
     backend: str
-    observed_kind: EvidenceKind | None  # None: nothing unusual was observed here
+    observed_kind: EvidenceKind | None  # None: this instance has no evidence against it
     observed_age_ms: int | None
-    suspected_for_ms: int | None  # from now on, at most; None: it is not suspected
+    suspected_for_ms: int | None  # upper bound; None: not suspected
     claims: tuple[ClaimRow, ...]
 
     def as_json(self) -> dict[str, object]:
@@ -155,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DisabledBackendRow:
-    """The last record of a backend that operators have disabled or enabled."""
+    """The latest record of a backend that an operator has disabled or enabled."""
 
     backend: str
     disabled: bool
