--- a/garnetlanding/daemon/peer_link.py
+++ b/garnetlanding/daemon/peer_link.py
@@ -66,7 +66,7 @@
         config = self._instance.config
         if config.peers is None or not self._instance.core.settings.may_message_peers:
             return None
-        return config.operator.fleet.place(config.peers) if config.operator.fleet else config.peers
+        return config.operator.fleet.apply_routes(config.peers) if config.operator.fleet else config.peers
 
     def _make_coordinator(self, setup: PeerSetup) -> PeerCoordinator:
         from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
--- a/garnetlanding/peers/setup.py
+++ b/garnetlanding/peers/setup.py
@@ -1,6 +1,6 @@
 """Reads the platform's keys for the link between instances, and the operators' section `[fleet]`.
 
-The keys keep the configuration's words; the fields have the terms of the code.
+Configuration files depend on the names of the keys, which therefore differ from the names of the fields.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSetup:
-    """The addresses of the link between instances."""
+    """The addresses and limits of the link between instances."""
 
     listen: str = ""  # where this instance receives datagrams
-    peers: dict[int, str] = field(default_factory=dict)  # addresses by instance, without this one
-    broadcast: str = ""  # one address that reaches all peers; empty: each has its own
-    routes: dict[str, str] = field(default_factory=dict)  # where an advertised address is reached
+    peers: dict[int, str] = field(default_factory=dict)  # addresses of the other instances, by number
+    broadcast: str = ""  # an address that reaches all peers; empty: each is sent its own datagram
+    routes: dict[str, str] = field(default_factory=dict)  # destinations by advertised address, if they differ
     limits: PeerLimits = field(default_factory=PeerLimits)
 
 
 def read(top: Section, own_number: int) -> PeerSetup | None:
-    """Read `peer_listen`, `peers` and `peers_all`; return None without `peer_listen`.
+    """Read `peer_listen`, `peers` and `peers_all`; return None if `peer_listen` is not set.
 
-    `peers` lists every instance of the tier in the order of their numbers, including `own_number`. Raises
-    ConfigError.
+    `peers` lists the addresses of all instances, including `own_number`, in the order of their numbers.
+    Raises ConfigError.
     """
     if not top.has("peer_listen"):
         return None
@@ -48,18 +48,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSetup:
-    """What instances exchange beside leases on volume limits, and how they discover each other."""
+    """Which protocols the instances use besides leases on volume limits, and how they discover each other."""
 
-    suspicions: bool = True  # key `verdicts`: observations of backends
-    disables: bool = True  # key `bans`: administratively disabled backends
+    suspicions: bool = True  # key `verdicts`: evidence about backends is exchanged
+    disables: bool = True  # key `bans`: records of disabled backends are exchanged
     budgets: bool = False  # budgets are divided by leases
     backend_connections: int = 0  # key `server_connections`: of all instances to one backend; 0: unlimited
-    seeds: tuple[str, ...] = ()  # from which instances are discovered, in place of the platform's `peers`
+    seeds: tuple[str, ...] = ()  # addresses for discovery, which replaces the platform's `peers`
     advertised_address: str = ""  # key `advertise`: where peers reach this instance; empty: `listen`
-    routes: dict[str, str] = field(default_factory=dict)  # where an advertised address is reached
+    routes: dict[str, str] = field(default_factory=dict)  # see `PeerSetup.routes`
 
-    def place(self, platform: PeerSetup) -> PeerSetup:
-        """Return the platform's addresses of the link, with the operators' routes if they name seeds."""
+    def apply_routes(self, platform: PeerSetup) -> PeerSetup:
+        """Return the platform's setup, with the operators' routes if instances are discovered from seeds."""
         return replace(platform, routes=self.routes) if self.seeds else platform
 
 
@@ -107,7 +107,7 @@
 
 
 def _seed_list(section: Section) -> Section:
-    """Return the list of seeds as a section keyed by index, so that an error names the index."""
+    """Return the list of seeds as a section keyed by index, so that errors contain the index."""
     listed = section.raw("seeds") or []
     if not isinstance(listed, list):
         raise section.error("seeds", "expected a list of addresses")
@@ -117,16 +117,16 @@
 def _ip_address(section: Section, key: str) -> str:
     """Return an address whose host is an IP address.
 
-    Datagrams carry the bytes of IP addresses, and resolving a host name would block.
+    Host names are rejected because datagrams contain IP addresses and resolving a name would block.
     """
     text = section.address(key)
     try:
         ipaddress.ip_address(parse_address(text)[0])
     except ValueError as error:
-        raise section.error(key, f"{text!r:.60} names no machine by number") from error
+        raise section.error(key, f"the host of {text!r:.60} is not an IP address") from error
     return text
 
 
 def _checked_key(routes: Section, address: str) -> str:
-    """Return a key of the routes after the same check as its value."""
+    """Return a key of the routes, validated as an IP address like its value."""
     return _ip_address(Section({address: address}, routes.name(address)), address)
