--- a/tests/peers/test_grants.py
+++ b/tests/peers/test_grants.py
@@ -1,4 +1,4 @@
-"""The tables of grants that an instance has made and received."""
+"""Tables of the grants that an instance has made and received."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     assert not ledger.by_volume
 
 
-def test_received_grant_replaces_the_one_before_and_counts_until_it_expires() -> None:
+def test_received_grant_replaces_the_previous_one_and_counts_until_it_expires() -> None:
     received = ReceivedGrants()
     received.add(VOLUME, 1, Grant(0.5, expires_at=10))
     received.add(VOLUME, 1, Grant(0.25, expires_at=20))
@@ -34,7 +34,7 @@
     assert not received.by_volume
 
 
-def test_ledger_does_not_change_when_it_is_queried() -> None:
+def test_query_does_not_change_the_ledger() -> None:
     ledger = GrantLedger()
     ledger.add(VOLUME, 1, Grant(0.5, expires_at=10))
     assert ledger.usable_fraction(VOLUME, 1, now=10) == 0.0
--- a/tests/peers/test_quotas.py
+++ b/tests/peers/test_quotas.py
@@ -21,22 +21,24 @@
     amounts = max_min_fair_allocation(supply, demands)
     assert sum(amounts) == pytest.approx(supply)
     if sum(demands) <= supply:
-        assert all(s >= d - 1e-9 for s, d in zip(amounts, demands, strict=True))
+        assert all(amount >= demand - 1e-9 for amount, demand in zip(amounts, demands, strict=True))
     else:
-        assert all(s == pytest.approx(min(d, max(amounts))) for s, d in zip(amounts, demands, strict=True))
+        greatest = max(amounts)
+        for amount, demand in zip(amounts, demands, strict=True):
+            assert amount == pytest.approx(min(demand, greatest))
 
 
 @pytest.mark.parametrize(
     ("wanted", "requests", "hosts", "expected"),
     [
-        pytest.param(0.0, {1: 1.0}, 2, 1.0, id="all of it to the only peer that requests"),
-        pytest.param(0.5, {1: 1.0}, 2, 0.0, id="nothing while all of it is needed here"),
-        pytest.param(0.9, {1: 0.2}, 2, 0.0, id="nothing to a peer whose even quota is enough"),
-        pytest.param(0.0, {1: 1.0, 2: 1.0}, 3, 0.5, id="half each to two that lack as much"),
-        pytest.param(0.0, {2: 1.0}, 2, 0.0, id="nothing to a peer that requests nothing"),
+        pytest.param(0.0, {1: 1.0}, 2, 1.0, id="all to the only requester"),
+        pytest.param(0.5, {1: 1.0}, 2, 0.0, id="nothing if the instance needs all"),
+        pytest.param(0.9, {1: 0.2}, 2, 0.0, id="nothing to a peer whose even quota suffices"),
+        pytest.param(0.0, {1: 1.0, 2: 1.0}, 3, 0.5, id="half each for equal shortfalls"),
+        pytest.param(0.0, {2: 1.0}, 2, 0.0, id="nothing to a peer without a request"),
     ],
 )
-def test_spare_fraction_is_what_is_not_needed_in_proportion_to_what_peers_lack(
+def test_spare_fraction_is_divided_in_proportion_to_the_shortfalls_of_peers(
     wanted: float, requests: dict[int, float], hosts: int, expected: float
 ) -> None:
     assert spare_fraction(wanted, requests, hosts, peer=1) == pytest.approx(expected)
@@ -45,20 +47,20 @@
 @pytest.mark.parametrize(
     ("known_hosts", "other_peers", "hosts", "expected"),
     [
-        pytest.param([1, 2], [1, 2, 3], 3, [0.5, 0.25], id="just the known hosts, once all are known"),
-        pytest.param([1], [1, 2, 3], 3, [0.5, 0.25], id="the smaller of two that may be the other host"),
-        pytest.param([], [1, 2, 3, 4], 3, [0.0, 0.25], id="the smallest, where no host is known"),
-        pytest.param([1], [], 3, [0.5], id="nothing for a host that may not be discovered yet"),
-        pytest.param([4], [1, 2], 2, [0.0], id="nothing of a host that granted nothing"),
+        pytest.param([1, 2], [1, 2, 3], 3, [0.5, 0.25], id="only the known hosts if all are known"),
+        pytest.param([1], [1, 2, 3], 3, [0.5, 0.25], id="the smaller of two possible hosts"),
+        pytest.param([], [1, 2, 3, 4], 3, [0.0, 0.25], id="the smallest if no host is known"),
+        pytest.param([1], [], 3, [0.5], id="nothing for a host that may be undiscovered"),
+        pytest.param([4], [1, 2], 2, [0.0], id="nothing for a host without a grant"),
     ],
 )
-def test_grants_of_unknown_hosts_count_as_the_smallest_of_the_other_peers(
+def test_unknown_hosts_are_counted_with_the_smallest_fractions_of_the_other_peers(
     known_hosts: list[int], other_peers: list[int], hosts: int, expected: list[float]
 ) -> None:
     received = {1: 0.5, 2: 0.25, 3: 0.75}
     assert guaranteed_fractions(received, known_hosts, other_peers, hosts) == expected
 
 
-def test_usable_quota_is_what_is_left_of_the_even_quota_and_what_peers_granted_of_theirs() -> None:
+def test_usable_quota_is_the_rest_of_the_even_quota_and_the_received_grants() -> None:
     assert usable_quota(0.25, [0.5, 0.75], hosts=4) == 0.5
     assert usable_quota(1.5, [], hosts=2) == 0.0, "never negative"
--- a/tests/support/leases.py
+++ b/tests/support/leases.py
@@ -1,4 +1,4 @@
-"""Strategies for quota lease messages."""
+"""The limits that the tests of leases share."""
 
 from __future__ import annotations
 
