--- a/tests/peers/test_connection_quota.py
+++ b/tests/peers/test_connection_quota.py
@@ -1,4 +1,4 @@
-"""Connection quota of one backend, divided among the instances."""
+"""The connection quota of a backend, divided among instances by leases."""
 
 from __future__ import annotations
 
@@ -14,28 +14,36 @@
 from tests.support.membership import LIMITS
 from tests.support.simulated_instance import LoopbackClient, SimulatedInstance, read_command
 
+PER_BACKEND = 8  # connections of both instances to a backend
+WINDOW_US = 2 * SECOND
+BUDGET = "places:n0"
+ROUNDING_SLACK = 1e-9  # in connections
 
-class TwoInstances:
-    """Leases of two instances that exchange messages, and the connection quota of the first."""
+
+class TwoInstanceFleet:
+    """The leases of two instances that exchange messages, and the connection quota of the first."""
 
     def __init__(self) -> None:
-        self.now, window = T0, 2 * SECOND
+        self.now = T0
         self.instances = [
-            Leases(LIMITS, InstanceIdentity(me, 2, 7), T0 - SECOND, budget_window_us=window)
-            for me in range(2)
+            Leases(LIMITS, InstanceIdentity(number, 2, 7), T0 - SECOND, budget_window_us=WINDOW_US)
+            for number in range(2)
         ]
-        self.quota = ConnectionQuota(8, window, lambda: self.now, lambda: BudgetLeases(self.instances[0], 2))
+        self.quota = ConnectionQuota(
+            PER_BACKEND, WINDOW_US, lambda: self.now, lambda: BudgetLeases(self.instances[0], 2)
+        )
 
     def exchange(self, seconds: float, own: int = 0, peers: int = 0, lacking: bool = False) -> None:
-        """Exchange messages while each instance has so many connections open.
+        """Exchange messages while the first instance has `own` connections open and the second `peers`.
 
-        The first one, where it is `lacking`, wants one more.
+        If `lacking`, the first instance needs another connection.
         """
         for _ in range(int(seconds * 4)):
             self.now += SECOND // 4
             self.quota.set_open("n0", own, lacking=lacking)
-            self.instances[1].record_demand("places:n0", 2, 4.0, 0, self.now, 2 * SECOND)
-            self.instances[1].demands.set_in_use("places:n0", peers)
+            rate = PER_BACKEND * SECOND / WINDOW_US
+            self.instances[1].record_demand(BUDGET, 2, rate, 0, self.now, WINDOW_US)
+            self.instances[1].demands.set_in_use(BUDGET, peers)
             for sender, receiver in ((0, 1), (1, 0)):
                 number = self.instances[sender].contacts.next_number(self.now)
                 for page in self.instances[sender].compose(self.now).values():
@@ -45,33 +53,45 @@
                     )
 
     def peers_quota(self) -> int:
-        return int(self.instances[1].usable_quota(name_tag("places:n0"), self.now) * 8 + 1e-9)
+        quota = self.instances[1].usable_quota(name_tag(BUDGET), self.now)
+        return int(quota * PER_BACKEND + ROUNDING_SLACK)
 
 
-def test_connection_quota_moves_to_the_instance_that_lacks_it_and_never_exceeds_the_whole() -> None:
-    fleet = TwoInstances()
-    assert fleet.quota.max_connections("n0") == 0, "what an earlier incarnation had open may not be closed"
+def test_connection_quota_moves_to_the_instance_that_lacks_connections_within_the_limit() -> None:
+    fleet = TwoInstanceFleet()
+    assert fleet.quota.max_connections("n0") == 0, "connections of an earlier incarnation may still be open"
     fleet.exchange(3)
     assert fleet.quota.max_connections("n0") == 4
     fleet.exchange(3, own=4, lacking=True)
     assert fleet.quota.max_connections("n0") > 5
-    assert fleet.quota.max_connections("n0") + fleet.peers_quota() <= 8
-    busy = TwoInstances()
+    assert fleet.quota.max_connections("n0") + fleet.peers_quota() <= PER_BACKEND
+
+
+def test_connections_that_a_peer_has_open_are_not_granted() -> None:
+    busy = TwoInstanceFleet()
     busy.exchange(3)
     busy.exchange(3, own=4, peers=4, lacking=True)
-    assert busy.quota.max_connections("n0") == 4, "none of those that the other has open"
-    nobody = ConnectionQuota(8, SECOND, lambda: T0, lambda: None)
-    nobody.set_open("n0", 1)
-    assert nobody.max_connections("n0") == 0
+    assert busy.quota.max_connections("n0") == 4, "the peer keeps its open connections"
+
+
+def test_connection_quota_is_zero_without_leases() -> None:
+    without_leases = ConnectionQuota(PER_BACKEND, SECOND, lambda: T0, lambda: None)
+    without_leases.set_open("n0", 1)
+    assert without_leases.max_connections("n0") == 0
+
+
+def test_only_instance_has_the_whole_connection_quota() -> None:
     alone = Leases(LIMITS, InstanceIdentity(0, 1, 7), T0, budget_window_us=SECOND)
-    assert ConnectionQuota(8, SECOND, lambda: T0, lambda: BudgetLeases(alone, 1)).max_connections("n0") == 8
+    quota = ConnectionQuota(PER_BACKEND, SECOND, lambda: T0, lambda: BudgetLeases(alone, 1))
+    assert quota.max_connections("n0") == PER_BACKEND
 
 
 class FixedQuota:
-    """A quota that a test sets."""
+    """A quota that a test sets, with the open connections reported to it."""
 
     def __init__(self) -> None:
-        self.allowed, self.reported = 2, list[tuple[int, bool]]()
+        self.allowed = 2
+        self.reported: list[tuple[int, bool]] = []
 
     def max_connections(self, _backend: str) -> int:
         return self.allowed
@@ -81,20 +101,21 @@
 
 
 def test_pool_opens_no_more_connections_than_the_quota_and_closes_those_beyond_it() -> None:
-    w, quota = SimulatedInstance(), FixedQuota()
-    w.bricks.connections.quota = quota
-    brick = w.server(EmulatedBackend)
-    brick.holds_responses = True
-    w.list(EmulatedEndpoint("n0", brick.address, 0))
-    front = w.front()
-    peers = [LoopbackClient(w, front.address) for _ in range(3)]
-    for i, peer in enumerate(peers):
-        peer.say(read_command(f"r{i}"))
-    assert len(brick.connections) == 2, "the third lacks a connection"
-    assert (2, True) in quota.reported, "the third lacks a connection"
+    instance = SimulatedInstance()
+    quota = FixedQuota()
+    instance.bricks.connections.quota = quota
+    backend = instance.server(EmulatedBackend)
+    backend.holds_responses = True
+    instance.list(EmulatedEndpoint("n0", backend.address, 0))
+    front = instance.front()
+    clients = [LoopbackClient(instance, front.address) for _ in range(3)]
+    for i, client in enumerate(clients):
+        client.say(read_command(f"r{i}"))
+    assert len(backend.connections) == 2, "the third request needs another connection"
+    assert (2, True) in quota.reported, "the third request needs another connection"
     quota.allowed = 1
-    brick.holds_responses = False
-    brick.release()
-    w.run(SECOND)
-    assert len(brick.connections) == 1, "the other was closed as it came free"
-    assert quota.reported[-1][0] == 1, "the other was closed as it came free"
+    backend.holds_responses = False
+    backend.release()
+    instance.run(SECOND)
+    assert len(backend.connections) == 1, "one connection was closed when its request ended"
+    assert quota.reported[-1][0] == 1, "one connection was closed when its request ended"
