--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of a time window that all instances share."""
+"""Budgets that all instances share: simulations, seeded bugs, and demand and spending."""
 
 from __future__ import annotations
 
@@ -20,21 +20,19 @@
 from tests.support.decision_bench import up_endpoint
 from tests.support.membership import LIMITS, SHARED_BUDGET_SETTINGS
 
-# Budgets
-
-BUDGETS = {
-    "three": BudgetScenario(),
-    "eight": BudgetScenario(instances=8),
-    "half is lost": BudgetScenario(loss=0.5),
+SCENARIOS = {
+    "three instances": BudgetScenario(),
+    "eight instances": BudgetScenario(instances=8),
+    "half of the messages lost": BudgetScenario(loss=0.5),
     "many faults": BudgetScenario(faults=12),
-    "late": BudgetScenario(instances=4, late_us=2 * SECOND, faults=8),
+    "delayed messages": BudgetScenario(instances=4, late_us=2 * SECOND, faults=8),
 }
 
 
-@pytest.mark.parametrize("name", BUDGETS)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_all_instances_spend_no_more_than_the_budget_within_any_window(name: str) -> None:
     for seed in range(8):
-        result = BudgetSimulation(replace(BUDGETS[name], seed=seed)).run()
+        result = BudgetSimulation(replace(SCENARIOS[name], seed=seed)).run()
         assert (
             result.greatest_sum <= 1 + 1e-9
         ), f"seed {seed}: {result.greatest_sum} at {result.greatest_sum_at} us"
@@ -45,7 +43,7 @@
     assert BudgetSimulation(calm).run().utilization > 0.75
 
 
-def lease_alone(self: Leases) -> int:
+def reclaim_without_window(self: Leases) -> int:
     return int(self.limits.lease_us * (1 + self.limits.max_clock_drift))
 
 
@@ -57,7 +55,10 @@
     ("target", "name", "replacement"),
     [
         pytest.param(
-            Leases, "_reclaim_after_us", property(lease_alone), id="grants do not outlast the window"
+            Leases,
+            "_reclaim_after_us",
+            property(reclaim_without_window),
+            id="grants do not outlast the window",
         ),
         pytest.param(Demand, "locked_quota", nothing_locked, id="spent units are granted"),
     ],
@@ -66,14 +67,14 @@
     target: object, name: str, replacement: Callable[..., Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(target, name, replacement)
-    nets = [BudgetScenario(shift_us=SECOND), BudgetScenario(window_us=6 * SECOND, shift_us=2 * SECOND)]
+    scenarios = [BudgetScenario(shift_us=SECOND), BudgetScenario(window_us=6 * SECOND, shift_us=2 * SECOND)]
     assert any(
-        BudgetSimulation(replace(nets[seed % 2], seed=seed)).run().greatest_sum > 1 + 1e-9
+        BudgetSimulation(replace(scenarios[seed % 2], seed=seed)).run().greatest_sum > 1 + 1e-9
         for seed in range(60)
     )
 
 
-def test_warmup_budget_is_requested_on_arrival_and_counted_when_spent() -> None:
+def test_budgets_are_requested_by_events_and_spent_by_actions() -> None:
     budgets = SharedBudgets(LIMITS, SHARED_BUDGET_SETTINGS, 1, T0)
     endpoint = replace(up_endpoint("n0", 0), started_us=T0 - SECOND)
     arrival = api.Arrival("r1", "read", "gold", "v", "k", 2, 0, T0 + SECOND, 1)
@@ -89,7 +90,7 @@
     )
     assert budgets.refresh_quotas(T0, 3) == {
         "cold:n0": 0.0
-    }, "a started instance waits for the window of its earlier incarnation"
+    }, "a started instance waits until the window of its earlier incarnation has passed"
     later = T0 + 4 * SECOND
     budgets.observe_events(later, [arrival], SHARED_BUDGET_SETTINGS, 3)
     assert budgets.refresh_quotas(later, 3) == pytest.approx({"cold:n0": 1.0})
@@ -113,13 +114,13 @@
     assert quotas[api.ENDPOINT_POLLS] >= LIMITS.min_endpoint_poll_fraction
     assert "r1" in budgets._warmup_units
     budgets.observe_events(later, [api.ClientLeft("r1")], SHARED_BUDGET_SETTINGS, 3)
-    assert not budgets._warmup_units, "its client has left"
+    assert not budgets._warmup_units, "the client of the request has left"
     budgets.observe_events(later, [replace(arrival, request="r3")], SHARED_BUDGET_SETTINGS, 3)
     assert "r3" not in budgets._warmup_units, "the backend has warmed up"
 
 
-def test_decision_module_sends_a_warming_backend_what_its_quota_allows() -> None:
-    sent = {}
+def test_decision_module_limits_requests_to_a_warming_backend_by_the_quota() -> None:
+    sent: dict[float, int] = {}
     for quota in (0.0, 1.0, 3.0):
         module = Controller(replace(SHARED_BUDGET_SETTINGS, overload_multiple=0.0), 1)
         endpoint = replace(up_endpoint("n0", 0), started_us=T0)
@@ -131,6 +132,6 @@
             api.QuotaUpdate({}, {"cold:n0": quota}),
         ]
         actions = module.handle(T0, updates + arrivals)
-        sent[quota] = sum(isinstance(a, api.Send) for a in actions)
+        sent[quota] = sum(isinstance(action, api.Send) for action in actions)
     assert sent[0.0] == 0
     assert 0 < sent[1.0] <= sent[3.0]
