--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -1,9 +1,9 @@
-"""Leases of a limit shared by all instances: on simulated clocks and networks, with seeded bugs."""
+"""The lease protocol: simulations with faults, exhaustive exploration, and seeded bugs that both detect."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from typing import Any
 
 import pytest
@@ -21,16 +21,16 @@
 from tests.support.leases import LIMITS
 
 TAG = name_tag("v")
-
+FLOAT_TOLERANCE = 1e-9
 
 SCENARIOS = {
-    "two of three": Scenario(),
-    "all of three": Scenario(hosts=3),
-    "two of eight": Scenario(instances=8),
-    "five of five": Scenario(5, 5, 5),
-    "clocks far apart": Scenario(drift=0.0099),
-    "half is lost": Scenario(loss=0.5),
-    "many crashes": Scenario(faults=12),
+    "two hosts of three instances": Scenario(),
+    "three hosts of three instances": Scenario(hosts=3),
+    "two hosts of eight instances": Scenario(instances=8),
+    "five hosts of five instances": Scenario(5, 5, 5),
+    "greatest clock drift": Scenario(drift=0.0099),
+    "half of the messages lost": Scenario(loss=0.5),
+    "many faults": Scenario(faults=12),
 }
 
 
@@ -39,7 +39,7 @@
     for seed in range(12):
         result = Simulation(replace(SCENARIOS[name], seed=seed)).run()
         assert (
-            result.greatest_sum <= 1 + 1e-9
+            result.greatest_sum <= 1 + FLOAT_TOLERANCE
         ), f"seed {seed}: {result.greatest_sum} at {result.greatest_sum_at} us"
 
 
@@ -48,7 +48,7 @@
 
 
 def test_busiest_instance_can_use_nearly_the_whole_limit() -> None:
-    """Fixed quotas let it use 1 / hosts."""
+    """With fixed quotas it could use 1 / hosts of the limit."""
     steady = Simulation(
         Scenario(calm=True, other_demand=0.0, shift_us=60 * SECOND, length_us=60 * SECOND)
     ).run()
@@ -57,18 +57,19 @@
     ).run()
     assert steady.utilization > 0.95
     assert moving.utilization > 0.9
-    assert steady.greatest_sum <= 1 + 1e-9
-    assert moving.greatest_sum <= 1 + 1e-9
+    assert steady.greatest_sum <= 1 + FLOAT_TOLERANCE
+    assert moving.greatest_sum <= 1 + FLOAT_TOLERANCE
 
 
-def fleet_of(instances: int = 3) -> list[Leases]:
-    """Return the leases of instances that all start at the time 0."""
+def make_fleet(instances: int = 3) -> list[Leases]:
+    """Return the leases of instances that all start at time 0."""
     return [Leases(LIMITS, InstanceIdentity(number, instances, 7), 0) for number in range(instances)]
 
 
 def test_quota_change_is_reported_for_a_volume_without_recent_requests() -> None:
-    """Earlier requests may still be queued for tokens, and would be sent on a quota that is granted away."""
-    grantor, requester, bystander = fleet_of()
+    """Requests that are still queued must not be sent on a quota that has been granted to a peer."""
+    fleet = make_fleet()
+    grantor, requester, _ = fleet
     start = LIMITS.lease_us * 2
     grantor.record_demand("v", 2, 40.0, 2, start)
     assert grantor.refresh_quotas(start) == {"v": 0.5}
@@ -76,7 +77,7 @@
     assert grantor.refresh_quotas(later) == {}
     for now in range(later, later + 600_000, 100_000):
         requester.record_demand("v", 2, 40.0, 8, now)
-        exchange([grantor, requester, bystander], now)
+        exchange(fleet, now)
         changed = grantor.refresh_quotas(now)
         assert changed.get("v", 0.5) == grantor.usable_quota(TAG, now)
         if changed:
@@ -84,13 +85,13 @@
     assert changed["v"] < 0.5
 
 
-def exchange(group: list[Leases], now: int, cut_off: tuple[int, ...] = ()) -> None:
-    """Send a message from each instance to every other; those from and to the `cut_off` are lost."""
-    for sender in group:
+def exchange(fleet: list[Leases], now: int, disconnected: tuple[int, ...] = ()) -> None:
+    """Send a message from each instance to each other one, except from and to `disconnected` instances."""
+    for sender in fleet:
         number = sender.contacts.next_number(now)
         for receiver, page in sender.compose(now).items():
-            if sender.identity.number not in cut_off and receiver not in cut_off:
-                group[receiver].receive(
+            if sender.identity.number not in disconnected and receiver not in disconnected:
+                fleet[receiver].receive(
                     sender.identity.number,
                     LeaseMessage(
                         sender.identity.incarnation, number, *sender.contacts.last_received(receiver), *page
@@ -99,95 +100,98 @@
                 )
 
 
-def run_busy(group: list[Leases], start: int, seconds: float, cut_off: tuple[int, ...] = ()) -> int:
-    """Let instance 0 get requests for the whole limit and the others none; return the time after it."""
+def run_with_one_busy_instance(
+    fleet: list[Leases], start: int, seconds: float, disconnected: tuple[int, ...] = ()
+) -> int:
+    """Let instance 0 receive requests for the whole limit and the others none; return the end time."""
     now = start
     for now in range(start, start + int(seconds * SECOND), SECOND // 10):
-        group[0].record_demand("v", 2, 40.0, 4, now)
+        fleet[0].record_demand("v", 2, 40.0, 4, now)
         if now % (SECOND // 5) == 0:
-            exchange(group, now, cut_off)
+            exchange(fleet, now, disconnected)
     return now
 
 
-def test_instance_cut_off_falls_back_to_its_even_quota_and_regains_leases_when_reconnected() -> None:
-    group = fleet_of()
-    now = run_busy(group, 0, 4)
-    assert group[0].usable_quota(TAG, now) == pytest.approx(1.0)
-    now = run_busy(group, now, 2, cut_off=(0,))
-    assert group[0].usable_quota(TAG, now) == 0.5
-    now = run_busy(group, now, 1)
-    assert group[0].usable_quota(TAG, now) == pytest.approx(1.0)
+def test_disconnected_instance_falls_back_to_its_even_quota_and_regains_leases_when_reconnected() -> None:
+    fleet = make_fleet()
+    now = run_with_one_busy_instance(fleet, 0, 4)
+    assert fleet[0].usable_quota(TAG, now) == pytest.approx(1.0)
+    now = run_with_one_busy_instance(fleet, now, 2, disconnected=(0,))
+    assert fleet[0].usable_quota(TAG, now) == 0.5
+    now = run_with_one_busy_instance(fleet, now, 1)
+    assert fleet[0].usable_quota(TAG, now) == pytest.approx(1.0)
 
 
-def test_peer_cut_off_that_is_no_host_costs_nothing_once_the_hosts_are_known() -> None:
-    group = fleet_of()
-    now = run_busy(group, 0, 3, cut_off=(2,))
+def test_disconnected_peer_that_is_no_host_has_no_effect_once_the_hosts_are_known() -> None:
+    fleet = make_fleet()
+    now = run_with_one_busy_instance(fleet, 0, 3, disconnected=(2,))
     assert (
-        group[0].usable_quota(TAG, now) == 0.5
-    ), "instance 2 may be the volume's other host, and send for itself"
-    group[1].record_demand("v", 2, 40.0, 1, now)
-    now = run_busy(group, now, 1, cut_off=(2,))
-    assert group[0].usable_quota(TAG, now) > 0.9, "the other host is instance 1"
-
-
-def test_started_instance_uses_nothing_until_grants_of_its_earlier_incarnation_have_expired() -> None:
-    group = fleet_of()
-    group[1].record_demand("v", 2, 40.0, 1, 0)
-    assert group[1].usable_quota(TAG, 0) == 0.0
-    assert group[1].refresh_quotas(0) == {"v": 0.0}
-    resumes_at = group[1].resumes_at
+        fleet[0].usable_quota(TAG, now) == 0.5
+    ), "instance 2 may be the volume's other host and use its own quota"
+    fleet[1].record_demand("v", 2, 40.0, 1, now)
+    now = run_with_one_busy_instance(fleet, now, 1, disconnected=(2,))
+    assert fleet[0].usable_quota(TAG, now) > 0.9, "instance 1 is known to be the other host"
+
+
+def test_started_instance_uses_no_quota_until_grants_of_its_earlier_incarnation_have_expired() -> None:
+    fleet = make_fleet()
+    fleet[1].record_demand("v", 2, 40.0, 1, 0)
+    assert fleet[1].usable_quota(TAG, 0) == 0.0
+    assert fleet[1].refresh_quotas(0) == {"v": 0.0}
+    resumes_at = fleet[1].resumes_at
     assert resumes_at is not None
-    assert group[1].usable_quota(TAG, resumes_at) == 0.5
-    assert group[1].refresh_quotas(resumes_at) == {"v": 0.5}
+    assert fleet[1].usable_quota(TAG, resumes_at) == 0.5
+    assert fleet[1].refresh_quotas(resumes_at) == {"v": 0.5}
 
 
 def test_changed_number_of_hosts_changes_the_even_quota_of_an_instance_without_contacts() -> None:
-    """It was taken for the quota that the module had anyway, and the module went on with the old one."""
-    one = Leases(LIMITS, InstanceIdentity(0, 3, 7), 0)
-    assert one.resumes_at is not None
-    now = one.resumes_at
-    one.record_demand("v", 2, 40.0, 1, now)
-    assert one.refresh_quotas(now) == {"v": 0.5}
-    one.record_demand("v", 3, 40.0, 1, now + 1)
-    assert one.refresh_quotas(now + 1) == {"v": pytest.approx(1 / 3)}
+    """Guards against an even quota that is not reported, so that the module keeps the previous quota."""
+    leases = Leases(LIMITS, InstanceIdentity(0, 3, 7), 0)
+    assert leases.resumes_at is not None
+    now = leases.resumes_at
+    leases.record_demand("v", 2, 40.0, 1, now)
+    assert leases.refresh_quotas(now) == {"v": 0.5}
+    leases.record_demand("v", 3, 40.0, 1, now + 1)
+    assert leases.refresh_quotas(now + 1) == {"v": pytest.approx(1 / 3)}
 
 
 def test_lease_of_a_stalled_instance_has_expired_before_it_may_send_again() -> None:
-    group = fleet_of()
-    now = run_busy(group, 0, 4)
-    assert group[0].refresh_quotas(now) == {"v": pytest.approx(1.0)}
-    late = now + LIMITS.lease_us + 1
-    group[0].record_demand("v", 2, 40.0, 4, late)
-    assert group[0].refresh_quotas(late) == {"v": 0.5}
+    fleet = make_fleet()
+    now = run_with_one_busy_instance(fleet, 0, 4)
+    assert fleet[0].refresh_quotas(now) == {"v": pytest.approx(1.0)}
+    resumed_at = now + LIMITS.lease_us + 1
+    fleet[0].record_demand("v", 2, 40.0, 4, resumed_at)
+    assert fleet[0].refresh_quotas(resumed_at) == {"v": 0.5}
 
 
-def test_messages_of_unknown_peers_and_requests_beyond_the_bound_are_not_kept() -> None:
-    one = Leases(PeerLimits(max_volumes=5), InstanceIdentity(0, 3, 1), 0)
-    assert [one.receive(sender, LeaseMessage(1, 1), 0) for sender in (0, 3, -1, 2)] == [
+def test_messages_of_unknown_peers_and_requests_beyond_the_maximum_are_not_stored() -> None:
+    leases = Leases(PeerLimits(max_volumes=5), InstanceIdentity(0, 3, 1), 0)
+    assert [leases.receive(sender, LeaseMessage(1, 1), 0) for sender in (0, 3, -1, 2)] == [
         DropReason.UNKNOWN_PEER
     ] * 3 + [None]
-    one.receive(1, LeaseMessage(1, 1, 0, 0, {v: QuotaRequest(1.0, 2) for v in range(30)}), 0)
-    assert len(one.contacts.by_peer[1].requests) == 5
-    one.receive(1, LeaseMessage(1, 2, 1, 1, {}, {v: 1.0 for v in range(30)}), 0)
-    assert not one.received.by_volume, "no grant is kept that was not requested"
+    leases.receive(1, LeaseMessage(1, 1, 0, 0, {volume: QuotaRequest(1.0, 2) for volume in range(30)}), 0)
+    assert len(leases.contacts.by_peer[1].requests) == 5
+    leases.receive(1, LeaseMessage(1, 2, 1, 1, {}, {volume: 1.0 for volume in range(30)}), 0)
+    assert not leases.received.by_volume, "grants without a demand are not stored"
 
 
-def test_restarted_peer_is_accepted_at_once_and_its_earlier_incarnation_no_more() -> None:
-    one = Leases(LIMITS, InstanceIdentity(0, 3, 1), 0)
-    assert [one.receive(1, LeaseMessage(*m), 0) for m in ((5, 9), (6, 1), (5, 10), (6, 1))] == [
+def test_restarted_peer_is_accepted_immediately_and_its_earlier_incarnation_is_rejected() -> None:
+    leases = Leases(LIMITS, InstanceIdentity(0, 3, 1), 0)
+    messages = [LeaseMessage(5, 9), LeaseMessage(6, 1), LeaseMessage(5, 10), LeaseMessage(6, 1)]
+    assert [leases.receive(1, message, 0) for message in messages] == [
         None,
         None,
         DropReason.OUTDATED,
         DropReason.OUTDATED,
     ]
     assert (
-        one.receive(1, LeaseMessage(5, 11), LIMITS.peer_timeout_us + 1) is None
-    ), "its clock was set back: accepted later"
+        leases.receive(1, LeaseMessage(5, 11), LIMITS.peer_timeout_us + 1) is None
+    ), "accepted after the timeout, since the peer's clock may have been set back"
 
 
-def test_drop_reasons_are_counted_by_the_words_that_operators_know() -> None:
-    words = {"no peer", "old", "other kind", "no such server", "other life", "word too old"}
-    assert {reason.value for reason in DropReason} == words
+def test_values_of_drop_reasons_are_those_that_operators_match() -> None:
+    values = {"no peer", "old", "other kind", "no such server", "other life", "word too old"}
+    assert {reason.value for reason in DropReason} == values
 
 
 # Seeded bugs
@@ -243,7 +247,7 @@
 
 
 def greatest_fractions(self: Leases, volume: int, now: int) -> float:
-    """As if an instance that is no host granted something of the volume."""
+    """Count grants of instances that may not be hosts of the volume."""
     demand = self.demands.by_tag[volume]
     demand.last_request_by_peer = {}
     received = sorted(self.received.fractions(volume, now).values(), reverse=True)
@@ -252,7 +256,8 @@
 
 
 def last_grant_only(self: GrantLedger, volume: int, peer: int, now: int) -> float:
-    grants = self.by_volume[volume][peer] = [g for g in self.by_volume[volume][peer] if g.expires_at > now]
+    grants = [grant for grant in self.by_volume[volume][peer] if grant.expires_at > now]
+    self.by_volume[volume][peer] = grants
     return grants[-1].fraction if grants else 0.0
 
 
@@ -299,36 +304,51 @@
     real_record_demand(self, volume, max(2, hosts - 1), limit, units, now)
 
 
-BUGS: dict[str, tuple[object, str, Callable[..., Any] | property]] = {
-    "a lease runs from the arrival of the grant": (Leases, "receive", lease_from_arrival),
-    "a lease is twice as long at the receiver": (Leases, "receive", lease_doubled),
-    "granted quotas are used all the same": (Leases, "usable_quota", granted_quotas_used),
-    "a lease never expires at the receiver": (Leases, "usable_quota", lease_without_end),
-    "a grant is not recorded": (Leases, "_make_grants", grant_not_recorded),
-    "the quotas of all peers count": (Leases, "usable_quota", fractions_of_all_peers),
-    "the greatest quotas count, not the least": (Leases, "usable_quota", greatest_fractions),
-    "only the last grant counts": (GrantLedger, "usable_fraction", last_grant_only),
-    "granted quotas come back before the lease expires": (
+@dataclass(frozen=True, slots=True)
+class SeededBug:
+    """A faulty replacement for an attribute of a class or a module."""
+
+    target: object
+    attribute: str
+    replacement: Callable[..., Any] | property
+
+    def install(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        """Replace the attribute until the test ends."""
+        monkeypatch.setattr(self.target, self.attribute, self.replacement)
+
+
+SEEDED_BUGS: dict[str, SeededBug] = {
+    "a lease runs from the arrival of the grant": SeededBug(Leases, "receive", lease_from_arrival),
+    "a lease is twice as long at the receiver": SeededBug(Leases, "receive", lease_doubled),
+    "granted quotas are still used": SeededBug(Leases, "usable_quota", granted_quotas_used),
+    "a lease never expires at the receiver": SeededBug(Leases, "usable_quota", lease_without_end),
+    "a grant is not recorded": SeededBug(Leases, "_make_grants", grant_not_recorded),
+    "the quotas of all peers count": SeededBug(Leases, "usable_quota", fractions_of_all_peers),
+    "the greatest fractions count instead of the smallest": SeededBug(
+        Leases, "usable_quota", greatest_fractions
+    ),
+    "only the latest grant counts": SeededBug(GrantLedger, "usable_fraction", last_grant_only),
+    "granted quotas are reclaimed before the lease expires": SeededBug(
         Leases,
         "_reclaim_after_us",
         property(quarantine_too_short),
     ),
-    "quotas are rechecked only now and then": (Leases, "refresh_quotas", rechecked_seldom),
-    "the whole quota is granted to each that requests it": (
+    "quotas are rechecked too rarely": SeededBug(Leases, "refresh_quotas", rechecked_seldom),
+    "the whole quota is granted to each requester": SeededBug(
         Leases,
         "_grantable_fraction",
         whole_quota_to_each,
     ),
-    "a started instance uses its quota at once": (Leases, "__init__", no_quarantine),
-    "grants are forgotten": (Leases, "_drop_expired", grants_forgotten),
-    "quotas are rounded up when encoded": (lease_message, "encode", fractions_rounded_up),
-    "grants to a second peer are not counted": (Leases, "usable_quota", one_receiver_counted),
-    "one host too few": (Leases, "record_demand", one_host_too_few),
+    "a started instance uses its quota immediately": SeededBug(Leases, "__init__", no_quarantine),
+    "grants are forgotten": SeededBug(Leases, "_drop_expired", grants_forgotten),
+    "granted fractions are rounded up when encoded": SeededBug(lease_message, "encode", fractions_rounded_up),
+    "grants to a second peer are not counted": SeededBug(Leases, "usable_quota", one_receiver_counted),
+    "the number of hosts is too small by one": SeededBug(Leases, "record_demand", one_host_too_few),
 }
 
 
 def first_violation(seeds: int = 60) -> tuple[int, RunResult] | None:
-    """Return the first run whose quotas exceed the limit, of several scenarios."""
+    """Return the number and result of the first simulation whose quotas exceed the limit, if any."""
     scenarios = [
         Scenario(),
         Scenario(hosts=3),
@@ -337,43 +357,41 @@
     ]
     for seed in range(seeds):
         result = Simulation(replace(scenarios[seed % len(scenarios)], seed=seed)).run()
-        if result.greatest_sum > 1 + 1e-9:
+        if result.greatest_sum > 1 + FLOAT_TOLERANCE:
             return seed + 1, result
     return None
 
 
-@pytest.mark.parametrize("bug", BUGS)
+@pytest.mark.parametrize("bug", SEEDED_BUGS)
 def test_seeded_bug_is_found_by_simulation(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    target, name, replacement = BUGS[bug]
-    monkeypatch.setattr(target, name, replacement)
-    assert first_violation() is not None, "no seed shows it"
+    SEEDED_BUGS[bug].install(monkeypatch)
+    assert first_violation() is not None, "no seed leads to a violation"
 
 
-def test_usable_quotas_never_add_up_to_more_than_the_limit_in_any_course_of_three_instances() -> None:
-    """Every one within three steps, and within two with an instance that starts anew."""
+def test_usable_quotas_never_add_up_to_more_than_the_limit_in_any_history_of_three_instances() -> None:
+    """Explores every history of three steps, and those of two steps with a restart."""
     found = explore(Scope(steps=3, starts=0))
     assert found.is_complete
     assert found.states > 10_000
     assert found.greatest_sum == pytest.approx(1.0)
-    assert (1.0, 0.0) in found.quotas, "some course leaves all of it to one instance"
-    assert explore(Scope(steps=2)).greatest_sum <= 1 + 1e-9
+    assert (1.0, 0.0) in found.quotas, "in some history one instance has the whole limit"
+    assert explore(Scope(steps=2)).greatest_sum <= 1 + FLOAT_TOLERANCE
 
 
 @pytest.mark.parametrize(
     "bug",
     [
         "a lease runs from the arrival of the grant",
-        "granted quotas are used all the same",
+        "granted quotas are still used",
         "a grant is not recorded",
         "the quotas of all peers count",
         "grants are forgotten",
     ],
 )
 def test_seeded_bug_is_found_by_exploration(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    target, name, replacement = BUGS[bug]
-    monkeypatch.setattr(target, name, replacement)
+    SEEDED_BUGS[bug].install(monkeypatch)
     assert explore(Scope(steps=3, starts=0)).greatest_sum > 1.4
 
 
-def test_simulations_without_a_seeded_bug_find_nothing() -> None:
+def test_simulation_without_a_seeded_bug_finds_no_violation() -> None:
     assert first_violation(40) is None
