--- a/garnetlanding/daemon/peer_link.py
+++ b/garnetlanding/daemon/peer_link.py
@@ -66,7 +66,7 @@
         config = self._instance.config
         if config.peers is None or not self._instance.core.settings.may_message_peers:
             return None
-        return config.operator.fleet.place(config.peers) if config.operator.fleet else config.peers
+        return config.operator.fleet.apply_routes(config.peers) if config.operator.fleet else config.peers
 
     def _make_coordinator(self, setup: PeerSetup) -> PeerCoordinator:
         from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
@@ -98,7 +98,7 @@
             # The predecessor of an upgrade holds the address and represents this instance until it ends.
             log.warning("peer link not opened", extra={"kv": {"at": setup.listen, "why": problem.strerror}})
             self._retry_scheduled = True
-            instance.scheduler.call_at(instance.scheduler.now + setup.limits.open_retry_us, self._retry)
+            instance.scheduler.call_at(instance.scheduler.now + setup.limits.bind_retry_us, self._retry)
             return
         coordinator.activate(instance.scheduler.now)
         instance.core.send_to_peer = self.link.send
--- a/garnetlanding/peers/coordinator.py
+++ b/garnetlanding/peers/coordinator.py
@@ -92,7 +92,7 @@
     @property
     def leases(self) -> Leases | None:
         """The leases on volume limits, or None before the first call of `handle`."""
-        return self._quota_manager.volumes
+        return self._quota_manager.volume_leases
 
     @property
     def budgets(self) -> SharedBudgets | None:
@@ -157,11 +157,11 @@
         settings = self.module.settings
         quota_manager = self._quota_manager
         own_actions: list[api.Action] = []
-        if quota_manager.follow_settings(settings, now, is_discovered=self.subsystems.membership is not None):
+        if quota_manager.apply_settings(settings, now, is_discovered=self.subsystems.membership is not None):
             own_actions.append(self._schedule_first_round(now, settings))
         module_events = self._receive(now, events)
         if self.subsystems.membership:
-            quota_manager.follow_members(self.subsystems.membership, now)
+            quota_manager.apply_membership(self.subsystems.membership, now)
         if quota_manager.budgets:
             instance_count = quota_manager.instance_count
             quota_manager.budgets.observe_events(now, module_events, settings, instance_count)
--- a/garnetlanding/peers/receiver.py
+++ b/garnetlanding/peers/receiver.py
@@ -78,7 +78,7 @@
     ) -> DropReason | None:
         # The records are merged first: the sender may be unknown before its own record is merged.
         message = membership.merge(envelope)
-        self._quota_manager.follow_members(membership, now)
+        self._quota_manager.apply_membership(membership, now)
         reason = self._quota_manager.leases.contacts.accept(
             sender, envelope.incarnation, envelope.number, now
         )
