--- a/garnetlanding/daemon/ninep.py
+++ b/garnetlanding/daemon/ninep.py
@@ -4,7 +4,7 @@
 
 from garnetlanding.daemon.instance import Instance
 from garnetlanding.daemon.lifecycle import Subsystem
-from garnetlanding.ninep.client import file_servers
+from garnetlanding.ninep.client import create_upstream
 from garnetlanding.ninep.front import NinepClientProtocol
 from garnetlanding.ninep.setup import NinepSetup
 from garnetlanding.ninep.shared_state import SharedState
@@ -23,7 +23,7 @@
         """Listen for 9P clients."""
         instance = self._instance
         setup = self._setup
-        servers = file_servers(
+        servers = create_upstream(
             instance.scheduler, instance.pool, instance.limits, setup.server_port, setup.server_dialect
         )
         shared = SharedState(
--- a/garnetlanding/emulator/files_linux.py
+++ b/garnetlanding/emulator/files_linux.py
@@ -12,7 +12,7 @@
 from garnetlanding.ninep import errors
 from garnetlanding.ninep.attribute_format import getattr_reply, pack_entry
 from garnetlanding.ninep.errors import Problem
-from garnetlanding.ninep.locks import END, LockOwner, LockRange, byte_span
+from garnetlanding.ninep.locks import UNBOUNDED_END, LockOwner, LockRange, byte_span
 from garnetlanding.ninep.model import Entry, Time, d_type, good_name
 
 PERM = 0o7777
@@ -301,7 +301,7 @@
         if message.type > p9l.LOCK_NONE or start >= SIGNED_END:
             raise DiskError(errors.EINVAL)
         if isinstance(message, p9l.Tgetlock):
-            return self._conflict_reply(message, locks.conflict(file, wanted))
+            return self._conflict_reply(message, locks.find_conflict(file, wanted))
         if message.type == p9l.LOCK_NONE:
             locks.release(file, owner, start, end)
             return p9l.Rlock(p9l.LOCK_DONE)
@@ -319,7 +319,7 @@
         return p9l.Rgetlock(
             p9l.LOCK_WRITE if held.write else p9l.LOCK_READ,
             held.start,
-            0 if held.end == END else held.end - held.start,
+            0 if held.end == UNBOUNDED_END else held.end - held.start,
             held.owner.proc_id,
             held.owner.client_id,
         )
--- a/garnetlanding/ninep/client.py
+++ b/garnetlanding/ninep/client.py
@@ -1,7 +1,7 @@
-"""Sends attempts to file servers: the state machine of one connection, which runs one program after another.
+"""Sends attempts to file servers: the state machine of one connection, which runs one program at a time.
 
-The program of an attempt (`operations.py`) yields a T-message and waits for its R-message, so that one
-message is in flight at a time. Clunks are sent behind it, and nothing waits for their replies.
+The program of an attempt (`operations.py`) yields a T-message and waits for its R-message, so one message is
+in flight at a time. Clunks are sent after the program ends, without waiting for their replies.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from garnetlanding.ninep import codec, codec_linux
 from garnetlanding.ninep.client_dialect import may_change
 from garnetlanding.ninep.operations import Read, ReadDirectory, Work, Write
-from garnetlanding.ninep.session import Session, SessionLimits, Steps, clunk_surplus_fids
+from garnetlanding.ninep.session import Session, SessionLimits, Steps, clunk_unused_fids
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.errors import BackendProtocolError, UnsolicitedResponseError
 from garnetlanding.runtime.protocols import BackendProtocolFactory
@@ -23,18 +23,18 @@
 from garnetlanding.runtime.stream import parse_address
 from garnetlanding.runtime.upstream import Upstream
 
-TAG = 1
-"""The tag of the attempt's one message in flight."""
+ATTEMPT_TAG = 1
+"""Tag of the message that the attempt has in flight."""
 
 CLUNK_TAGS = range(2, 0xFFFF)
-"""The tags of clunks, used in turn."""
+"""Tags of clunks, assigned in rotation."""
 
-OFFERS = {
+OFFERED_VERSIONS = {
     "auto": (codec_linux.VERSION, codec.VERSION),
     codec.VERSION: (codec.VERSION,),
     codec_linux.VERSION: (codec_linux.VERSION,),
 }
-"""The versions to offer a server, the best first, by the setting."""
+"""Versions to offer a server in order of preference, by the value of the `server_dialect` setting."""
 
 
 class NinepBackendProtocol:
@@ -42,15 +42,15 @@
 
     States:
 
-    - idle, from the start and after `done` is called: neither an attempt nor a program;
+    - idle, initially and after `done` was called: there is neither an attempt nor a program;
     - running, from `begin` on: the attempt's program waits for the reply to its message;
-    - cleaning up: the attempt has ended, and the program clunks a file that keeps others out.
+    - cleaning up: the attempt has ended, and the program clunks an exclusive-use file.
 
-    Bytes in the idle state, replies with another tag and what is not a message are a `BackendProtocolError`.
+    Data in the idle state, unexpected tags and malformed messages raise `BackendProtocolError`.
     """
 
     body = None
-    """Of the `BackendProtocol` protocol: no reply is streamed, as msize bounds it."""
+    """Part of `BackendProtocol`: replies are never streamed, because msize limits their size."""
 
     def __init__(
         self,
@@ -68,36 +68,36 @@
         self._framer = codec.Framer(pool, limits.ninep_msize)
         self._attempt: AttemptHandle | None = None
         self._program: Steps[Any] | None = None
-        self._clunks: set[int] = set()  # the tags of those in flight
-        self._next_clunk = CLUNK_TAGS[0]
+        self._clunk_tags: set[int] = set()  # tags of clunks in flight
+        self._next_clunk_tag = CLUNK_TAGS[0]
         self.bytes_may_have_been_sent = False
-        """Whether the server may have begun what the attempt is for."""
+        """Whether the server may have started to execute the attempt's operation."""
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether part of a reply has arrived."""
+        """Whether an incomplete reply has been received."""
         return self._framer.has_partial_message
 
     def begin(self, attempt: AttemptHandle) -> None:
-        """Start the attempt's program. Raises `BackendProtocolError` if the server is to be sent nothing."""
+        """Start the attempt's program. Raises `BackendProtocolError` if nothing may be sent to the server."""
         self._attempt = attempt
         self.bytes_may_have_been_sent = False
         self._program = attempt.operation.program(self._session)
         self._run_program(None)
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Take received bytes. Raises `BackendProtocolError`: the connection cannot be used any more."""
+        """Process received bytes. Raises `BackendProtocolError` if the connection can no longer be used."""
         try:
             for tag, message in self._framer.feed(data):
-                if tag in self._clunks and isinstance(message, codec.Rclunk):
-                    self._clunks.remove(tag)
+                if tag in self._clunk_tags and isinstance(message, codec.Rclunk):
+                    self._clunk_tags.remove(tag)
                 else:
-                    self._take_reply(tag, message)
+                    self._handle_reply(tag, message)
         except codec.FrameError as error:
             raise BackendProtocolError(error) from error
 
     def can_carry(self, attempt: AttemptHandle) -> bool:
-        """Return whether the file that the attempt needs is open on this connection."""
+        """Return whether the file that the attempt needs is already open on this connection."""
         work = attempt.operation
         return (
             isinstance(work, Read | ReadDirectory | Write)
@@ -105,39 +105,41 @@
         )
 
     def close(self) -> None:
-        """Drop what has arrived of a reply."""
+        """Discard a partially received reply."""
         self._framer.close()
 
-    def _take_reply(self, tag: int, message: codec.Message | codec.Malformed) -> None:
+    def _handle_reply(self, tag: int, message: codec.Message | codec.Malformed) -> None:
         if self._program is None:
             raise UnsolicitedResponseError
         if isinstance(message, codec.Malformed):
             raise BackendProtocolError(message.reason)
-        if tag != (codec.NOTAG if isinstance(message, codec.Rversion) else TAG):
-            raise BackendProtocolError(f"answer to tag {tag}")
+        if tag != (codec.NOTAG if isinstance(message, codec.Rversion) else ATTEMPT_TAG):
+            raise BackendProtocolError(f"reply with unexpected tag {tag}")
         self._run_program(message)
 
     def _run_program(self, reply: codec.Message | None) -> None:
-        """Run the program up to its next message, and send that."""
+        """Run the program up to its next message, and send that message."""
         assert self._program
         try:
-            # A generator that has not begun takes None alone, which is what begin() hands over.
+            # A generator that has not started accepts only None, which is what begin() passes.
             message = self._program.send(reply)  # type: ignore[arg-type]
         except StopIteration as end:
             self._end_program(end.value)
             return
-        # Each message of a longer program is new work for the server: it may have begun to drain.
+        # A server that has started to drain must not be sent further messages of the program.
         if self._attempt and self._attempt.address() is None:
-            raise BackendProtocolError("server drains")
-        self._note_exposure(message)
+            raise BackendProtocolError("server is draining")
+        self._record_exposure(message)
         self._framer.table = self._session.table
-        self._write(codec.encode(codec.NOTAG if isinstance(message, codec.Tversion) else TAG, message))
+        self._write(
+            codec.encode(codec.NOTAG if isinstance(message, codec.Tversion) else ATTEMPT_TAG, message)
+        )
 
-    def _note_exposure(self, message: codec.Message) -> None:
-        """Note that the server may run the operation once it has this message.
+    def _record_exposure(self, message: codec.Message) -> None:
+        """Record that the server may execute the operation once it has received this message.
 
-        A program that changes something sends others first; before the one that changes, nothing can have
-        run.
+        The program of a change first sends messages that change nothing; until the changing message is sent,
+        the change cannot have been executed.
         """
         if self._attempt is None or self.bytes_may_have_been_sent:
             return
@@ -150,10 +152,10 @@
             work.trace.unsure += 1
 
     def _end_program(self, result: object) -> None:
-        """End the attempt; the connection is free as soon as no file of it keeps others out.
+        """End the attempt; the connection becomes idle once no exclusive-use file is open on it.
 
-        What the attempt leaves open serves the next one, which another connection might not be allowed to
-        open.
+        An exclusive-use file is clunked first, because the next attempt may run on another connection, which
+        could not open the file.
         """
         attempt = self._attempt
         self._attempt = None
@@ -161,31 +163,31 @@
             work: Work = attempt.operation
             if work.spec.change and self.bytes_may_have_been_sent:
                 work.trace.unsure -= 1
-            if self._session.clunk_before_next:
-                self._program = clunk_surplus_fids(self._session)
+            if self._session.must_clunk_before_next:
+                self._program = clunk_unused_fids(self._session)
                 attempt.finish(Outcome.SERVED, result)
                 self._run_program(None)
                 return
             attempt.finish(Outcome.SERVED, result)
         self._program = None
-        self._clunk_unawaited()
+        self._send_clunks()
         self._done()
 
-    def _clunk_unawaited(self) -> None:
-        fids = self._session.surplus_fids
-        self._session.surplus_fids = []
+    def _send_clunks(self) -> None:
+        fids = self._session.fids_to_clunk
+        self._session.fids_to_clunk = []
         for fid in fids:
-            tag = self._next_clunk
-            self._next_clunk = tag + 1 if tag + 1 in CLUNK_TAGS else CLUNK_TAGS[0]
-            self._clunks.add(tag)
+            tag = self._next_clunk_tag
+            self._next_clunk_tag = tag + 1 if tag + 1 in CLUNK_TAGS else CLUNK_TAGS[0]
+            self._clunk_tags.add(tag)
             self._write(codec.encode(tag, codec.Tclunk(fid)))
 
 
 class NinepBackendProtocolFactory(BackendProtocolFactory):
     """Creates the protocol of each connection to a file server.
 
-    `port` is where the servers listen on the machines that discovery names; 0: at the address it gives.
-    `offered_versions` are the versions to offer them, the best first.
+    `port` is the port of the servers on the machines found by discovery; 0 uses the port from discovery.
+    `offered_versions` lists the protocol versions to offer, in order of preference.
     """
 
     def __init__(
@@ -199,7 +201,7 @@
     def create(
         self, attempt: AttemptHandle, write: Callable[[bytes], None], on_idle: Callable[[], None]
     ) -> NinepBackendProtocol:
-        """Return the protocol of a new connection, which is attached as the attempt's user."""
+        """Return the protocol of a new connection, which attaches as the attempt's user."""
         return NinepBackendProtocol(
             attempt.operation, self._pool, self._limits, self._offered_versions, write, on_idle
         )
@@ -209,18 +211,18 @@
         return f"{parse_address(endpoint)[0]}:{self._port}" if self._port else endpoint
 
     def connection_key(self, attempt: AttemptHandle) -> str:
-        """Return what a connection is attached as: only attempts of the same user and tree may share it."""
+        """Return the identity of the connection: only attempts of the same user and tree may share it."""
         identity = attempt.operation.identity
         return f"{identity.uname}\0{identity.n_uname}\0{identity.aname}"
 
 
-def file_servers(
+def create_upstream(
     scheduler: Scheduler, pool: BufferPool, limits: Limits, port: int, dialect: str = "auto"
 ) -> Upstream:
-    """Return what sends attempts to all file servers over 9P.
+    """Return the upstream that sends attempts to the file servers over 9P.
 
     `port` is as in `NinepBackendProtocolFactory`. `dialect` is the version to offer the servers, or `auto` to
-    offer all, the richer one first.
+    offer all versions, 9P2000.L first.
     """
-    factory = NinepBackendProtocolFactory(pool, limits, port, OFFERS[dialect])
+    factory = NinepBackendProtocolFactory(pool, limits, port, OFFERED_VERSIONS[dialect])
     return Upstream(scheduler, pool, limits, limits.ninep_server_connections, factory)
--- a/garnetlanding/ninep/client_dialect.py
+++ b/garnetlanding/ninep/client_dialect.py
@@ -1,4 +1,4 @@
-"""What a dialect towards file servers has to do: the operations' steps as messages of that dialect."""
+"""The interface of the dialects used with file servers, which translate steps of operations to messages."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 from garnetlanding.ninep.codec import Message, Qid
 from garnetlanding.ninep.errors import OperationFailedError, Problem
 from garnetlanding.ninep.model import Attr, Changes, Entry, Path, Space
-from garnetlanding.ninep.session import REPLACED, Identity, OpenFile, OpenMode, Session, Steps, walk
+from garnetlanding.ninep.session import FILE_REPLACED, Identity, OpenFile, OpenMode, Session, Steps, walk
 
 MIN_LISTING_BYTES = 4096
-"""A 9P2000 directory is asked for at least this: its entries are larger than those of a readdir."""
+"""Minimum size of a 9P2000 directory read, whose entries are larger than those of Rreaddir."""
 
 
 @dataclass(frozen=True, slots=True)
 class NewFile:
-    """What a file to be created is to be.
+    """The attributes of a file to be created, and how to treat an existing one.
 
-    `perm` has the POSIX mode (type and permission bits), `flags` the DM bits of 9P2000, and `gid` is a number
-    or NOGID. Unless `exclusive`, a file that has the name already is opened, and emptied with `truncate`.
+    `perm` has the POSIX mode (type and permission bits), `flags` the DM bits of 9P2000, and `gid` is a
+    numeric group ID or NOGID. Unless `exclusive` is set, an existing file is opened, and emptied if
+    `truncate` is set.
     """
 
     perm: int
@@ -31,18 +32,18 @@
 
 
 class ClientDialect(Protocol):
-    """One dialect towards file servers. Each method but `attach` is part of a program.
+    """A dialect used with file servers. Each method except `attach` is part of a program.
 
-    A fid that is given stands for the file, or for the directory that gets a name. Every method raises
-    OperationFailedError for an error of the server, and for what the dialect cannot express.
+    A `fid` argument refers to the file, or to the directory in which an entry is created. Every method raises
+    OperationFailedError for an error reply and for an operation that the dialect cannot express.
     """
 
     version: str
     table: codec.Table
     lists_attributes: bool
-    """Whether the entries of a directory come with their attributes."""
+    """Whether directory entries include the attributes of the files."""
     rename_replaces: bool
-    """Whether `move` replaces a file that has the new name; else that is an error."""
+    """Whether `rename` replaces an existing file with the new name; otherwise it fails."""
 
     def attach(self, fid: int, identity: Identity) -> Message:
         """Return the message that attaches the identity's tree."""
@@ -55,7 +56,7 @@
     def create(
         self, session: Session, parent: Path, name: str, new_file: NewFile, open_mode: OpenMode
     ) -> Steps[OpenFile]:
-        """Make a regular file and open it."""
+        """Create a regular file and open it."""
         ...
 
     def stat(self, fid: int) -> Steps[Attr]:
@@ -63,62 +64,62 @@
         ...
 
     def change(self, fid: int, qid: Qid, changes: Changes) -> Steps[None]:
-        """Change attributes; with no changes at all, store what was written."""
+        """Change attributes; an empty `changes` flushes written data to stable storage."""
         ...
 
-    def move(self, session: Session, old: Path, new: Path, qid: Qid | None) -> Steps[None]:
-        """Give a file a new name; `qid`, if known, is what it must still have."""
+    def rename(self, session: Session, old: Path, new: Path, qid: Qid | None) -> Steps[None]:
+        """Rename a file; it must still have the qid `qid`, if that is not None."""
         ...
 
-    def entries(
+    def list_entries(
         self, session: Session, path: Path, open_mode: OpenMode, qid: Qid, cookie: int, count: int
     ) -> Steps[list[Entry]]:
-        """Return a directory's entries from `cookie` on, about `count` bytes of them; none at its end."""
+        """Return about `count` bytes of directory entries from `cookie` on; none at the end."""
         ...
 
     def sync(
         self, session: Session, path: Path, qid: Qid, open_mode: OpenMode, data_only: bool
     ) -> Steps[None]:
-        """Store what was written to a file, or its data alone."""
+        """Flush a file, or only its data, to stable storage."""
         ...
 
     def make_directory(self, fid: int, name: str, new_file: NewFile) -> Steps[Qid]:
-        """Make a directory."""
+        """Create a directory."""
         ...
 
     def make_node(self, fid: int, name: str, new_file: NewFile, major: int, minor: int) -> Steps[Qid]:
-        """Make a file of any type, without opening it."""
+        """Create a file of any type without opening it."""
         ...
 
     def symlink(self, fid: int, name: str, target: str, gid: int) -> Steps[Qid]:
-        """Make a symbolic link."""
+        """Create a symbolic link."""
         ...
 
     def read_link(self, fid: int) -> Steps[str]:
-        """Return where a symbolic link leads."""
+        """Return the target of a symbolic link."""
         ...
 
     def link(self, parent: int, fid: int, name: str) -> Steps[None]:
-        """Give a file a further name in the directory of the fid `parent`."""
+        """Create a hard link to a file in the directory of the fid `parent`."""
         ...
 
     def unlink(self, session: Session, parent: Path, name: str, directory: bool) -> Steps[None]:
-        """Remove a name; `directory` says what it has to be the name of."""
+        """Remove a directory entry; `directory` says whether it must be a directory or must not be one."""
         ...
 
     def stat_fs(self, fid: int) -> Steps[Space]:
-        """Return the figures of the file system."""
+        """Return the statistics of the file system."""
         ...
 
 
-def unsupported(what: str, version: str) -> OperationFailedError:
-    """Return the error for what the dialect `version` cannot express."""
-    text = f"operation not supported: {what} cannot be expressed in {version}"
+def unsupported(feature: str, version: str) -> OperationFailedError:
+    """Return the error for a feature that the dialect `version` cannot express."""
+    text = f"operation not supported: {feature} cannot be expressed in {version}"
     return OperationFailedError(Problem(errors.EOPNOTSUPP, text))
 
 
 def check_changeable(changes: Changes) -> None:
-    """Raise OperationFailedError if fields are to change that no wstat may change."""
+    """Raise OperationFailedError if the changes include fields that a wstat cannot change."""
     if changes.unchangeable:
         field_names = ", ".join(changes.unchangeable)
         raise OperationFailedError(Problem(errors.EPERM, f"wstat cannot change {field_names}"))
@@ -127,32 +128,32 @@
 def open_file(
     session: Session, dialect: ClientDialect, path: Path, open_mode: OpenMode, qid: Qid
 ) -> Steps[OpenFile]:
-    """Return the file as an earlier attempt left it open on this connection, or open it anew.
+    """Return the file that an earlier attempt left open on this connection, or open it.
 
-    It stays open for later attempts; it is never truncated or created. Raises OperationFailedError when the
-    name's file is not the one of `qid`.
+    It stays open for later attempts; it is never truncated or created. Raises OperationFailedError if the
+    path names a file with another qid.
     """
     file = session.open_files.get((path, open_mode))
     if file and file.qid.path == qid.path:
         session.open_files.move_to_end((path, open_mode))
         return file
-    # What is open is another file, which had this name then.
-    session.drop_open_file(path, open_mode)
+    # The open file, if any, is another one, which had this path when it was opened.
+    session.release_open_file(path, open_mode)
     fid, _ = yield from walk(session, path, qid)
-    session.surplus_fids.remove(fid)
+    session.fids_to_clunk.remove(fid)
     try:
         file = yield from dialect.open(fid, open_mode, truncate=False)
     except OperationFailedError:
-        session.surplus_fids.append(fid)
+        session.fids_to_clunk.append(fid)
         raise
     if file.qid.path != qid.path:
-        session.surplus_fids.append(fid)
-        raise OperationFailedError(REPLACED)
-    session.keep_open_file(path, open_mode, file)
+        session.fids_to_clunk.append(fid)
+        raise OperationFailedError(FILE_REPLACED)
+    session.retain_open_file(path, open_mode, file)
     return file
 
 
-_CHANGING = (
+_CHANGE_MESSAGES = (
     codec.Tcreate,
     codec.Twrite,
     codec.Tremove,
@@ -171,10 +172,10 @@
 
 
 def may_change(message: Message) -> bool:
-    """Return whether a server that has the complete message may have changed the tree."""
+    """Return whether a server that has received the complete message may have changed the tree."""
     match message:
         case codec.Topen(_, mode):
             return bool(mode & codec.OTRUNC)
         case codec_linux.Tlopen(_, flags):
             return bool(flags & codec_linux.L_TRUNC)
-    return isinstance(message, _CHANGING)
+    return isinstance(message, _CHANGE_MESSAGES)
--- a/garnetlanding/ninep/client_dialect_linux.py
+++ b/garnetlanding/ninep/client_dialect_linux.py
@@ -1,4 +1,4 @@
-"""The messages for a file server that speaks 9P2000.L."""
+"""The dialect used with file servers that support 9P2000.L."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     rename_replaces = True
 
     def attach(self, fid: int, identity: Identity) -> Message:
-        """Attach by name and number."""
+        """Attach by user name and numeric user ID."""
         return codec_linux.Tlattach(fid, codec.NOFID, identity.uname, identity.aname, identity.n_uname)
 
     def open(self, fid: int, open_mode: OpenMode, truncate: bool) -> Steps[OpenFile]:
@@ -40,7 +40,7 @@
     def create(
         self, session: Session, parent: Path, name: str, new_file: NewFile, open_mode: OpenMode
     ) -> Steps[OpenFile]:
-        """Create by Tlcreate, which also opens a file that is there."""
+        """Create by Tlcreate, which also opens an existing file."""
         if new_file.flags & DM_FLAGS:
             raise _special_file_unsupported()
         fid, _ = yield from walk(session, parent, None)
@@ -52,30 +52,30 @@
         mode = posix.S_IFREG | new_file.perm & MODE_BITS
         reply = yield codec_linux.Tlcreate(fid, name, flags, mode, new_file.gid)
         created = expect(reply, codec_linux.Rlcreate)
-        session.surplus_fids.remove(fid)
+        session.fids_to_clunk.remove(fid)
         return OpenFile(fid, created.qid, created.iounit)
 
     def stat(self, fid: int) -> Steps[Attr]:
-        """Ask by Tgetattr."""
+        """Get the attributes by Tgetattr."""
         reply = yield codec_linux.Tgetattr(fid, codec_linux.GETATTR_BASIC)
         return getattr_attr(expect(reply, codec_linux.Rgetattr))
 
-    def change(self, fid: int, qid: Qid, changes: Changes) -> Steps[None]:  # noqa: ARG002 - of ClientDialect
-        """Change by one Tsetattr. A name is not changed here, but by `move`."""
+    def change(self, fid: int, qid: Qid, changes: Changes) -> Steps[None]:  # noqa: ARG002 - part of ClientDialect
+        """Change by one Tsetattr. The name is changed by `rename` instead."""
         check_changeable(changes)
         if changes.flags is not None and changes.flags & DM_FLAGS:
             raise _special_file_unsupported()
         if changes.is_empty:
-            # Only an open file can be synced here.
+            # Tfsync needs an open file.
             file = yield from self.open(fid, OpenMode(codec.OREAD), False)
             expect((yield codec_linux.Tfsync(file.fid, 0)), codec_linux.Rfsync)
             return
         expect((yield _setattr(fid, changes)), codec_linux.Rsetattr)
 
-    def move(self, session: Session, old: Path, new: Path, qid: Qid | None) -> Steps[None]:
+    def rename(self, session: Session, old: Path, new: Path, qid: Qid | None) -> Steps[None]:
         """Rename by Trenameat."""
         if qid is not None:
-            yield from walk(session, old, qid)  # it must still be the file that the client means
+            yield from walk(session, old, qid)  # checks that the path still names the client's file
         source, _ = yield from walk(session, old[:-1], None)
         target = source
         if old[:-1] != new[:-1]:
@@ -83,16 +83,16 @@
         reply = yield codec_linux.Trenameat(source, old[-1], target, new[-1])
         expect(reply, codec_linux.Rrenameat)
 
-    def entries(
+    def list_entries(
         self, session: Session, path: Path, open_mode: OpenMode, qid: Qid, cookie: int, count: int
     ) -> Steps[list[Entry]]:
         """List by one Treaddir."""
         file = yield from open_file(session, self, path, open_mode, qid)
-        asked_bytes = min(count, session.max_data_bytes)
-        reply = yield codec_linux.Treaddir(file.fid, cookie, asked_bytes)
+        requested_bytes = min(count, session.max_data_bytes)
+        reply = yield codec_linux.Treaddir(file.fid, cookie, requested_bytes)
         data = expect(reply, codec_linux.Rreaddir).data
-        if len(data) > asked_bytes:
-            raise BackendProtocolError("more data than asked for")
+        if len(data) > requested_bytes:
+            raise BackendProtocolError("reply has more data than requested")
         try:
             return read_entries(data)
         except ValueError as error:
@@ -101,26 +101,26 @@
     def sync(
         self, session: Session, path: Path, qid: Qid, open_mode: OpenMode, data_only: bool
     ) -> Steps[None]:
-        """Store by Tfsync."""
+        """Flush by Tfsync."""
         file = yield from open_file(session, self, path, open_mode, qid)
         expect((yield codec_linux.Tfsync(file.fid, int(data_only))), codec_linux.Rfsync)
 
     def make_directory(self, fid: int, name: str, new_file: NewFile) -> Steps[Qid]:
-        """Make it by Tmkdir."""
+        """Create by Tmkdir."""
         reply = yield codec_linux.Tmkdir(fid, name, new_file.perm & MODE_BITS, new_file.gid)
         return expect(reply, codec_linux.Rmkdir).qid
 
     def make_node(self, fid: int, name: str, new_file: NewFile, major: int, minor: int) -> Steps[Qid]:
-        """Make it by Tmknod."""
+        """Create by Tmknod."""
         reply = yield codec_linux.Tmknod(fid, name, new_file.perm, major, minor, new_file.gid)
         return expect(reply, codec_linux.Rmknod).qid
 
     def symlink(self, fid: int, name: str, target: str, gid: int) -> Steps[Qid]:
-        """Make it by Tsymlink."""
+        """Create by Tsymlink."""
         return expect((yield codec_linux.Tsymlink(fid, name, target, gid)), codec_linux.Rsymlink).qid
 
     def read_link(self, fid: int) -> Steps[str]:
-        """Read it by Treadlink."""
+        """Read by Treadlink."""
         return expect((yield codec_linux.Treadlink(fid)), codec_linux.Rreadlink).target
 
     def link(self, parent: int, fid: int, name: str) -> Steps[None]:
@@ -134,7 +134,7 @@
         expect((yield codec_linux.Tunlinkat(fid, name, flags)), codec_linux.Runlinkat)
 
     def stat_fs(self, fid: int) -> Steps[Space]:
-        """Ask by Tstatfs."""
+        """Get the statistics by Tstatfs."""
         reply = expect((yield codec_linux.Tstatfs(fid)), codec_linux.Rstatfs)
         return Space(
             reply.type,
@@ -150,7 +150,7 @@
 
 
 def _open_flags(open_mode: OpenMode) -> int:
-    # Who may execute a file may have it read: Linux servers have no OEXEC.
+    # Linux servers have no OEXEC, so a file opened for execution is opened for reading.
     access = codec.OREAD if open_mode.access == codec.OEXEC else open_mode.access
     append = codec_linux.L_APPEND if open_mode.append else 0
     return access | append | open_mode.sync
@@ -161,7 +161,7 @@
 
 
 def _setattr(fid: int, changes: Changes) -> codec_linux.Tsetattr:
-    """Return the Tsetattr of these changes; what is not to change is 0 in it, and not in its mask."""
+    """Return the Tsetattr of these changes; an unchanged field is 0 and not selected by `valid`."""
     valid = 0
     for bits, value in (
         (codec_linux.SET_MODE, changes.perm),
--- a/garnetlanding/ninep/client_dialect_plain.py
+++ b/garnetlanding/ninep/client_dialect_plain.py
@@ -1,4 +1,4 @@
-"""The messages for a file server that speaks 9P2000."""
+"""The dialect used with file servers that support only 9P2000."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     rename_replaces = False
 
     def attach(self, fid: int, identity: Identity) -> Message:
-        """Attach by name, or by the number's digits where there is no name."""
+        """Attach by user name, or by the decimal user ID if there is no name."""
         number = "" if identity.n_uname == codec_linux.NONUNAME else str(identity.n_uname)
         return codec.Tattach(fid, codec.NOFID, identity.uname or number, identity.aname)
 
@@ -45,7 +45,7 @@
     def create(
         self, session: Session, parent: Path, name: str, new_file: NewFile, open_mode: OpenMode
     ) -> Steps[OpenFile]:
-        """Create by Tcreate, which is always exclusive; else a file that is there is opened first."""
+        """Create by Tcreate, which is always exclusive; otherwise try to open an existing file first."""
         _check_open_mode(open_mode)
         if not new_file.exclusive:
             file = yield from self._open_existing(session, (*parent, name), new_file, open_mode)
@@ -54,24 +54,24 @@
         fid, _ = yield from walk(session, parent, None)
         perm = new_file.perm & PERM | new_file.flags & DM_FLAGS
         reply = expect((yield codec.Tcreate(fid, name, perm, open_mode.access)), codec.Rcreate)
-        session.surplus_fids.remove(fid)
+        session.fids_to_clunk.remove(fid)
         return OpenFile(fid, reply.qid, reply.iounit)
 
     def _open_existing(
         self, session: Session, path: Path, new_file: NewFile, open_mode: OpenMode
     ) -> Steps[OpenFile | None]:
-        """Return the opened file, or None when there is none of this name."""
+        """Return the opened file, or None if there is no file of this name."""
         try:
             fid, _ = yield from walk(session, path, None)
         except OperationFailedError as error:
             if error.problem.number != errors.ENOENT:
                 raise
             return None
-        session.surplus_fids.remove(fid)
+        session.fids_to_clunk.remove(fid)
         try:
             return (yield from self.open(fid, open_mode, new_file.truncate))
         except OperationFailedError:
-            session.surplus_fids.append(fid)
+            session.fids_to_clunk.append(fid)
             raise
 
     def stat(self, fid: int) -> Steps[Attr]:
@@ -90,7 +90,7 @@
         if changes.atime is not None and changes.mtime is None:
             raise unsupported("a change of the access time alone", codec.VERSION)
         if changes.perm is not None and changes.flags is None:
-            # A wstat sets the mode as a whole: the bits beside the permissions have to stay as they are.
+            # A wstat sets the whole mode, so the bits other than the permissions have to be preserved.
             attr = yield from self.stat(fid)
             changes = Changes(
                 name=changes.name,
@@ -103,32 +103,32 @@
         packed = pack_changes(changes, bool(qid.type & codec.QTDIR))
         expect((yield codec.Twstat(fid, packed)), codec.Rwstat)
 
-    def move(self, session: Session, old: Path, new: Path, qid: Qid | None) -> Steps[None]:
-        """Rename by Twstat, within a directory only."""
+    def rename(self, session: Session, old: Path, new: Path, qid: Qid | None) -> Steps[None]:
+        """Rename by Twstat, only within a directory."""
         if old[:-1] != new[:-1]:
             raise OperationFailedError(Problem(errors.EXDEV))
         fid, found = yield from walk(session, old, qid)
         yield from self.change(fid, found, Changes(name=new[-1]))
 
-    def entries(
+    def list_entries(
         self, session: Session, path: Path, open_mode: OpenMode, qid: Qid, cookie: int, count: int
     ) -> Steps[list[Entry]]:
-        """List by Tread. A directory can only be read from its start on.
+        """List by Tread, which can only read a directory sequentially from its start.
 
-        On a fid that stands elsewhere, because another attempt opened it, the entries before the cookie,
-        which is a byte offset here, are read again and dropped.
+        A cookie is a byte offset here. If the fid is at another offset, because another attempt has used it
+        or it was just opened, the entries before the cookie are read again and discarded.
         """
         file = yield from open_file(session, self, path, open_mode, qid)
         if file.directory_offset > cookie:
-            session.drop_open_file(path, open_mode)
+            session.release_open_file(path, open_mode)
             file = yield from open_file(session, self, path, open_mode, qid)
         while True:
             start = file.directory_offset
             skip = cookie - start
-            asked_bytes = min(skip or max(count, MIN_LISTING_BYTES), session.max_data_bytes)
-            data = expect((yield codec.Tread(file.fid, start, asked_bytes)), codec.Rread).data
-            if len(data) > asked_bytes:
-                raise BackendProtocolError("more data than asked for")
+            requested_bytes = min(skip or max(count, MIN_LISTING_BYTES), session.max_data_bytes)
+            data = expect((yield codec.Tread(file.fid, start, requested_bytes)), codec.Rread).data
+            if len(data) > requested_bytes:
+                raise BackendProtocolError("reply has more data than requested")
             file.directory_offset = start + len(data)
             if not skip:
                 return _parse_entries(data, start)
@@ -141,15 +141,15 @@
         session: Session,
         path: Path,
         qid: Qid,
-        open_mode: OpenMode,  # noqa: ARG002 - of ClientDialect; a wstat needs no open file
-        data_only: bool,  # noqa: ARG002 - of ClientDialect; a wstat stores all there is
+        open_mode: OpenMode,  # noqa: ARG002 - part of ClientDialect; a wstat needs no open file
+        data_only: bool,  # noqa: ARG002 - part of ClientDialect; a wstat flushes everything
     ) -> Steps[None]:
-        """Store by a Twstat that changes nothing, as stat(5) has it."""
+        """Flush by a Twstat that changes nothing, as specified in stat(5)."""
         fid, found = yield from walk(session, path, qid)
         yield from self.change(fid, found, Changes())
 
     def make_directory(self, fid: int, name: str, new_file: NewFile) -> Steps[Qid]:
-        """Make it by Tcreate."""
+        """Create by Tcreate."""
         perm = DMDIR | new_file.perm & PERM
         return expect((yield codec.Tcreate(fid, name, perm, codec.OREAD)), codec.Rcreate).qid
 
@@ -158,10 +158,10 @@
         fid: int,
         name: str,
         new_file: NewFile,
-        major: int,  # noqa: ARG002 - of ClientDialect; a device is an error here
-        minor: int,  # noqa: ARG002 - the interface of both dialects has it
+        major: int,  # noqa: ARG002 - part of ClientDialect; devices are rejected here
+        minor: int,  # noqa: ARG002 - part of ClientDialect; devices are rejected here
     ) -> Steps[Qid]:
-        """Make a regular file by Tcreate; there are no others in this dialect."""
+        """Create a regular file by Tcreate; this dialect has no other types."""
         if not posix.S_ISREG(new_file.perm):
             raise unsupported("a device or pipe", codec.VERSION)
         perm = new_file.perm & PERM
@@ -170,30 +170,30 @@
     def symlink(self, fid: int, name: str, target: str, gid: int) -> Steps[Qid]:  # noqa: ARG002 - fails
         """Fail: the dialect has no symbolic links."""
         raise unsupported("a symbolic link", codec.VERSION)
-        yield  # makes this a program
+        yield  # makes this method a generator
 
     def read_link(self, fid: int) -> Steps[str]:  # noqa: ARG002 - fails
         """Fail: the dialect has no symbolic links."""
         raise OperationFailedError(Problem(errors.EINVAL, "not a symbolic link"))
-        yield  # makes this a program
+        yield  # makes this method a generator
 
     def link(self, parent: int, fid: int, name: str) -> Steps[None]:  # noqa: ARG002 - fails
         """Fail: the dialect has no links."""
         raise unsupported("a link", codec.VERSION)
-        yield  # makes this a program
+        yield  # makes this method a generator
 
     def unlink(self, session: Session, parent: Path, name: str, directory: bool) -> Steps[None]:
-        """Remove by Tremove, once the type is as expected."""
+        """Remove by Tremove, after checking the type of the file."""
         fid, qid = yield from walk(session, (*parent, name), None)
         if bool(qid.type & codec.QTDIR) != directory:
             raise OperationFailedError(Problem(errors.ENOTDIR if directory else errors.EISDIR))
-        session.surplus_fids.remove(fid)  # a remove clunks it, whatever comes of it
+        session.fids_to_clunk.remove(fid)  # Tremove clunks the fid even if it fails
         expect((yield codec.Tremove(fid)), codec.Rremove)
 
     def stat_fs(self, fid: int) -> Steps[Space]:  # noqa: ARG002 - fails
-        """Fail: the dialect has no figures of a file system."""
+        """Fail: the dialect has no file system statistics."""
         raise unsupported("the room of a file system", codec.VERSION)
-        yield  # makes this a program
+        yield  # makes this method a generator
 
 
 def _check_open_mode(open_mode: OpenMode) -> None:
@@ -204,9 +204,9 @@
 
 
 def _parse_entries(data: bytes, start: int) -> list[Entry]:
-    """Return the entries of stats that begin at the byte offset `start`.
+    """Return the directory entries in `data`, which starts at the byte offset `start` of the directory.
 
-    An entry's cookie is where the next one begins.
+    The cookie of an entry is the offset of the next one.
     """
     reader = Reader(data)
     entries = []
--- a/garnetlanding/ninep/client_session.py
+++ b/garnetlanding/ninep/client_session.py
@@ -1,7 +1,7 @@
-"""One client's session: its fids, and the messages that both dialects have in the same form.
+"""One client's session: its fids, and the handlers of messages that are the same in both dialects.
 
-Each message that needs a file server becomes one request to the core, and whichever server the core picks
-finds the file by its path. What is in other forms in the dialects is in `server_dialect_plain.py` and
+Each message that needs a file server becomes one request to the core. The server that the core selects finds
+the file by its path. Handlers that depend on the dialect are in `server_dialect_plain.py` and
 `server_dialect_linux.py`.
 """
 
@@ -15,7 +15,7 @@
 from garnetlanding.ninep.dispatcher import ReplyWriter, RequestDispatcher
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.fid_table import FidTable, check_offset
-from garnetlanding.ninep.fids import Fid, RequestRejectedError, resolve
+from garnetlanding.ninep.fids import Fid, RequestRejectedError, resolve_walk
 from garnetlanding.ninep.operations import Attach, Read, Remove, Walk, Write
 from garnetlanding.ninep.pending import PendingRequest
 from garnetlanding.ninep.server_dialect import Handlers, ServerDialect
@@ -26,20 +26,20 @@
 
 @dataclass(frozen=True, slots=True)
 class AttachRequest:
-    """An attach, whose dialects name the user in different ways."""
+    """An attach request, independent of how the dialect identifies the user."""
 
     fid: int
     afid: int
     uname: str
     n_uname: int
-    """The user's number; NONUNAME where the dialect has none."""
+    """Numeric user ID; NONUNAME in a dialect without one."""
     aname: str
 
 
 class ClientSession:
-    """The state between a client's Tversion and its next one, or its end.
+    """The session of a client, from one Tversion to the next or to the end of the connection.
 
-    `client` is the connection's number in the shared state, by which locks and changes are its own.
+    `client` is the connection's number in the shared state; it identifies the owner of locks and changes.
     """
 
     def __init__(self, shared: SharedState, client: int, write: Callable[[bytes], None]) -> None:
@@ -47,9 +47,9 @@
         self.client = client
         self._write = write
         self.msize = 0
-        """Agreed bytes of a message; 0 until a version is agreed on."""
+        """Negotiated maximum message size in bytes; 0 until a version has been negotiated."""
         self.dialect: ServerDialect | None = None
-        """None until a version is agreed on."""
+        """None until a version has been negotiated."""
         self.requests = RequestDispatcher(shared, client, ReplyWriter(self.reply, self.reply_problem))
         self.fids = FidTable(shared.limits, self.requests.pending)
         self.handlers: Handlers = {
@@ -62,14 +62,15 @@
         }
 
     @property
-    def max_data(self) -> int:
-        """Bytes that one read or write may carry."""
+    def max_data_bytes(self) -> int:
+        """Maximum number of data bytes in one read or write."""
         return self.msize - READ_OVERHEAD
 
     def reset(self) -> None:
-        """End the session: what is outstanding is aborted, and all fids are clunked (version(5)).
+        """End the session: abort outstanding requests and clunk all fids (version(5)).
 
-        What may have changed something already runs to its end, so that what comes after it stays behind it.
+        A change that a server may already have executed runs to its end, so that later changes still wait for
+        it.
         """
         self.requests.cancel_all()
         fids = self.fids.remove_all()
@@ -86,7 +87,7 @@
         self._write(codec.encode(tag, message))
 
     def reply_problem(self, tag: int, problem: Problem) -> None:
-        """Write an error reply, in 9P2000 before a version is agreed on."""
+        """Write an error reply, in 9P2000 format before a version has been negotiated."""
         if self.dialect:
             self.reply(tag, self.dialect.error_reply(problem, self.msize))
         else:
@@ -95,36 +96,38 @@
     # Fids
 
     def attach(self, tag: int, request: AttachRequest) -> None:
-        """Process an attach, which introduces a user and gives it the root of a tree (attach(5))."""
+        """Process an attach, which introduces a user and binds a fid to the root of a tree (attach(5))."""
         if request.afid != NOFID:
             raise RequestRejectedError(errors.EOPNOTSUPP, "authentication not required")
-        export = self._export(request.aname)
+        export = self._find_export(request.aname)
         self.fids.check_unused(request.fid)
         identity = Identity(request.uname, request.n_uname, export.aname)
         fid = Fid(export, identity, (), Qid(codec.QTDIR, 0, 0))
 
-        def attached(qid: Qid) -> Message:
+        def build_reply(qid: Qid) -> Message:
             fid.qid = qid
             self.fids.by_number[request.fid] = fid
             return codec.Rattach(qid)
 
-        self.requests.submit(tag, PendingRequest(fid, Attach(fid.identity, ()), attached, newfid=request.fid))
+        self.requests.submit(
+            tag, PendingRequest(fid, Attach(fid.identity, ()), build_reply, newfid=request.fid)
+        )
 
-    def _export(self, aname: str) -> Export:
+    def _find_export(self, aname: str) -> Export:
         exports = self.shared.exports
         export = exports.get(aname)
         if not aname and len(exports) == 1:
-            [export] = exports.values()  # what a client attaches that was given no name
+            [export] = exports.values()  # an empty aname selects the only export
         if export is None:
             raise RequestRejectedError(errors.ENOENT, "no such export")
         return export
 
     def reject_authentication(self, _tag: int, _message: Message) -> None:
-        """Process an auth: an error says that no authentication is required (attach(5))."""
+        """Process Tauth with an error, which means that authentication is not required (attach(5))."""
         raise RequestRejectedError(errors.EOPNOTSUPP, "authentication not required")
 
     def _walk(self, tag: int, message: codec.Twalk) -> None:
-        """Process Twalk: newfid is made only when all names were found (walk(5))."""
+        """Process Twalk: newfid is created only if all names were found (walk(5))."""
         fid = self.fids.get(message.fid)
         newfid = message.newfid
         names = message.names
@@ -135,28 +138,28 @@
             self.fids.check_unused(newfid)
         if any(not name or "/" in name or name == "." for name in names):
             raise RequestRejectedError(errors.EINVAL, "bad name in walk")
-        path = resolve(fid.path, names)
+        path = resolve_walk(fid.path, names)
         self.fids.check_path(path)
         if not names:
             self.fids.by_number[newfid] = Fid(fid.export, fid.identity, fid.path, fid.qid)
             self.reply(tag, codec.Rwalk(()))
             return
 
-        def walked(qids: tuple[Qid, ...]) -> Message:
+        def build_reply(qids: tuple[Qid, ...]) -> Message:
             if len(qids) == len(names):
                 self.fids.by_number[newfid] = Fid(fid.export, fid.identity, path, qids[-1])
             return codec.Rwalk(qids)
 
         operation = Walk(fid.identity, fid.path, fid.qid, names)
-        pending = PendingRequest(fid, operation, walked, message.fid, alters_fid=in_place)
+        pending = PendingRequest(fid, operation, build_reply, message.fid, alters_fid=in_place)
         if not in_place:
             pending.newfid = newfid
         self.requests.submit(tag, pending)
 
     def mark_open(self, number: int, fid: Fid, file: OpenFile, open_mode: OpenMode) -> int:
-        """Note that a fid is open now; return the iounit for the client, in bytes.
+        """Mark a fid as open and return the iounit for the client, in bytes.
 
-        Raise RequestRejectedError for an exclusive-use file that is open already.
+        Raises RequestRejectedError for an exclusive-use file that is already open.
         """
         if file.qid.type & QTEXCL:
             identity = (fid.export.name, file.qid.path)
@@ -164,16 +167,16 @@
                 raise RequestRejectedError(errors.EBUSY)
         fid.qid = file.qid
         fid.open_mode = open_mode
-        return min(file.iounit or self.max_data, self.max_data)
+        return min(file.iounit or self.max_data_bytes, self.max_data_bytes)
 
     # Data
 
     def _read(self, tag: int, message: codec.Tread) -> None:
-        """Process Tread: count bytes at offset, or fewer at the end of the file (read(5))."""
+        """Process Tread: read up to count bytes at offset (read(5))."""
         fid, open_mode = self.fids.get_open(message.fid)
         if not open_mode.reads:
             raise RequestRejectedError(errors.EBADF, "fid not open for reading")
-        count = min(message.count, self.max_data)
+        count = min(message.count, self.max_data_bytes)
         if fid.is_dir:
             assert self.dialect
             self.dialect.read_directory(tag, message.fid, fid, message.offset, count)
@@ -183,10 +186,10 @@
             self.reply(tag, codec.Rread(b""))
             return
         operation = Read(fid.identity, fid.path, fid.qid, open_mode, message.offset, count)
-        self.requests.submit(tag, PendingRequest(fid, operation, codec.Rread, message.fid, size=count))
+        self.requests.submit(tag, PendingRequest(fid, operation, codec.Rread, message.fid, data_bytes=count))
 
     def _write_file(self, tag: int, message: codec.Twrite) -> None:
-        """Process Twrite; an append-only file is written at its end, whatever the offset (write(5))."""
+        """Process Twrite; for an append-only file the offset is ignored (write(5))."""
         fid, open_mode = self.fids.get_open(message.fid)
         if not open_mode.writes:
             raise RequestRejectedError(errors.EBADF, "fid not open for writing")
@@ -198,15 +201,17 @@
             self.reply(tag, codec.Rwrite(0))
             return
         operation = Write(fid.identity, fid.path, fid.qid, open_mode, message.offset, data, append)
-        self.requests.submit(tag, PendingRequest(fid, operation, codec.Rwrite, message.fid, size=len(data)))
+        self.requests.submit(
+            tag, PendingRequest(fid, operation, codec.Rwrite, message.fid, data_bytes=len(data))
+        )
 
-    # Flush, and the end of a fid
+    # Flush, clunk and remove
 
     def _flush(self, tag: int, message: codec.Tflush) -> None:
         self.requests.flush(tag, message.oldtag)
 
-    def _release(self, number: int) -> Fid:
-        """Take a fid out of use. What only reads through it is cancelled and answered first."""
+    def _release_fid(self, number: int) -> Fid:
+        """Remove a fid from the table. Reads that use it are cancelled and answered first."""
         self.fids.check_known(number)
         for tag, pending in list(self.requests.pending.items()):
             uses_fid = pending.fid == number and pending.newfid is None
@@ -217,21 +222,21 @@
         return self.fids.by_number.pop(number)
 
     def _clunk(self, tag: int, message: codec.Tclunk) -> None:
-        """Process Tclunk: ends the fid; a file that was opened with ORCLOSE is removed (clunk(5))."""
-        fid = self._release(message.fid)
+        """Process Tclunk: release the fid; a file that was opened with ORCLOSE is removed (clunk(5))."""
+        fid = self._release_fid(message.fid)
         if fid.remove_on_close:
             self._submit_removal(tag, fid, codec.Rclunk())
             return
         pending_requests = self.requests.pending.values()
         if any(pending.fid == message.fid and pending.newfid is None for pending in pending_requests):
-            # Changes through it have not ended: a client takes the reply to a clunk for the last one.
+            # Changes through the fid are outstanding, and clients expect Rclunk to be the last reply for it.
             self.requests.wait_for_changes(tag, fid, codec.Rclunk())
         else:
             self.reply(tag, codec.Rclunk())
 
     def _remove(self, tag: int, message: codec.Tremove) -> None:
-        """Process Tremove: the fid is clunked also when the file cannot be removed (remove(5))."""
-        fid = self._release(message.fid)
+        """Process Tremove: the fid is clunked even if the file cannot be removed (remove(5))."""
+        fid = self._release_fid(message.fid)
         if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
         if not fid.path:
--- a/garnetlanding/ninep/directory_operations.py
+++ b/garnetlanding/ninep/directory_operations.py
@@ -138,4 +138,4 @@
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:
         """Rename it."""
-        yield from dialect.move(session, self.path, self.new, self.qid)
+        yield from dialect.rename(session, self.path, self.new, self.qid)
--- a/garnetlanding/ninep/dispatcher.py
+++ b/garnetlanding/ninep/dispatcher.py
@@ -1,7 +1,7 @@
-"""Hands the requests of one client connection to the core and writes one reply to each tag.
+"""Submits the requests of one client connection to the core and writes one reply for each tag.
 
-A change takes its place in the order of changes first. What exceeds the client's share of the core waits
-here, in order of arrival.
+Changes first wait for the changes that they must not overtake (`order.py`). Requests beyond the client's
+share of the core's capacity are queued here, in order of arrival.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 from garnetlanding.ninep.shared_state import SharedState
 
 NO_TAG = -1
-"""In place of the tag of a request that no client waits for."""
+"""Placeholder tag of a request whose reply no client waits for."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReplyWriter:
-    """Writes to the client: `message` a reply, `problem` an error in the words of the agreed dialect."""
+    """Writes to the client: `message` a reply, `problem` an error reply in the negotiated dialect."""
 
     message: Callable[[int, Message], None]
     problem: Callable[[int, Problem], None]
 
 
 def held_bytes(operation: Work) -> int:
-    """Return the memory that an operation holds while it has no answer, in bytes."""
+    """Return the memory that an operation occupies until it is answered, in bytes."""
     if isinstance(operation, Write):
         return len(operation.data)
     if isinstance(operation, Read | ReadDirectory):
@@ -46,8 +46,8 @@
 class RequestDispatcher:
     """The requests of one client that have no reply yet.
 
-    Invariant: each tag gets one reply, and a flush is answered after the reply to what it flushes, if that
-    gets one.
+    Invariant: each tag gets at most one reply, and a flush is answered after the reply to the request that it
+    flushes, if that request gets one.
     """
 
     def __init__(self, shared: SharedState, client: int, replies: ReplyWriter) -> None:
@@ -58,23 +58,23 @@
         self.pending: dict[int, PendingRequest] = {}
         """By tag."""
         self._flushed: dict[int, PendingRequest] = {}
-        """What is being flushed, by the tag of the flush."""
+        """Requests being flushed, by the tag of the flush."""
         self._queue: deque[tuple[int, PendingRequest]] = deque()
-        """Tags and requests that are not with the core yet, in order of arrival."""
+        """Tags and requests not yet submitted to the core, in order of arrival."""
         self._open_requests = 0
         self.submitted = 0
-        """Requests for the core so far."""
+        """Number of requests accepted so far."""
 
     def uses_tag(self, tag: int) -> bool:
-        """Return whether the tag's message has no reply yet."""
+        """Return whether a message with this tag has no reply yet."""
         return tag in self.pending or tag in self._flushed
 
     # Cancelling
 
     def flush(self, tag: int, oldtag: int) -> None:
-        """Process Tflush: cancel the message that has this tag, and answer at once (flush(5)).
+        """Process Tflush: cancel the message with tag `oldtag` and answer at once (flush(5)).
 
-        What may have changed something cannot be cancelled; its own reply is written first.
+        A change that a server may have executed cannot be cancelled; its own reply is written first.
         """
         old = self.pending.get(oldtag) or self._flushed.get(oldtag)
         if old is None or (oldtag in self.pending and self.cancel(oldtag)):
@@ -84,7 +84,7 @@
         self._flushed[tag] = old
 
     def cancel(self, tag: int) -> bool:
-        """Take a request back as though it had never arrived; return False when that would not be true."""
+        """Cancel a request as if it had never been received; return False if it may have had an effect."""
         pending = self.pending[tag]
         if pending.must_complete:
             return False
@@ -99,9 +99,12 @@
         return True
 
     def cancel_all(self) -> None:
-        """End the session's requests: reads are cancelled, changes that may have run complete unanswered."""
-        # The last first, so that none is submitted because one before it was cancelled. A clunk that waits
-        # may end by the cancelling of another.
+        """End the session's requests: changes that may have been executed complete without a reply.
+
+        All other requests are cancelled.
+        """
+        # In reverse order, so that cancelling a request does not submit one queued behind it. Cancelling a
+        # change may also complete a clunk that waits for it.
         for tag in reversed(list(self.pending)):
             if tag in self.pending and not self.cancel(tag):
                 self.pending.pop(tag).settled = True
@@ -110,7 +113,10 @@
     # Submitting
 
     def submit(self, tag: int, pending: PendingRequest) -> None:
-        """Pass a request on. Raise RequestRejectedError when the client has too many, or may not change."""
+        """Accept a request.
+
+        Raises RequestRejectedError if the client has too many, or for a change in a read-only export.
+        """
         if len(self.pending) >= self._limits.ninep_tags:
             raise RequestRejectedError(errors.EAGAIN, "too many requests in flight")
         if pending.is_change and not pending.target.export.writable:
@@ -124,24 +130,24 @@
             self._admit(tag, pending)
 
     def remove_unanswered(self, fid: Fid) -> None:
-        """Remove the file of a fid that was open to be removed on close, for a client that has left."""
+        """Remove the file of a fid that was opened with ORCLOSE, for a client that has disconnected."""
         operation = Remove(fid.identity, fid.path, fid.qid)
         pending = PendingRequest(fid, operation, lambda _: codec.Rclunk(), settled=True)
         self._enqueue_change(NO_TAG, pending)
 
     def wait_for_changes(self, tag: int, fid: Fid, reply: Message) -> None:
-        """Reply once the changes of the fid's file that are queued or in flight have ended."""
+        """Reply once the queued and in-flight changes of the fid's file have ended."""
         pending = PendingRequest(fid, None, lambda _: reply, must_run=True)
         self.pending[tag] = pending
 
         def start() -> None:
             self._shared.finish_change(self._client, pending.change_ticket, outcome_unknown=False)
-            self._settle(tag, pending, reply)
+            self._complete(tag, pending, reply)
 
         self._enqueue(pending, ((fid.export.name, fid.path),), start)
 
     def _enqueue_change(self, tag: int, pending: PendingRequest) -> None:
-        """Queue a change behind those that it must not overtake. Its deadline counts from now on."""
+        """Queue a change behind those that it must not overtake; the wait counts towards its deadline."""
         operation = pending.operation
         assert operation
         fid = pending.target
@@ -151,7 +157,7 @@
 
         def start() -> None:
             if fid.path != path:
-                # Renamed by a change before it.
+                # An earlier change has renamed the file.
                 pending.operation = operation.under(path, fid.path)
             self._admit(tag, pending)
 
@@ -169,7 +175,7 @@
             start()
 
     def _admit(self, tag: int, pending: PendingRequest) -> None:
-        """Submit a request once the client's share allows it; its deadline does not move meanwhile."""
+        """Submit a request once the client's share allows it; the wait counts towards its deadline."""
         self._shared.admission.record_request(self._client, self._shared.timers.now)
         self._queue.append((tag, pending))
         self._submit_queued()
@@ -190,8 +196,8 @@
         operation = pending.operation
         assert operation
 
-        def answered(answer: Answer) -> None:
-            self._settle(tag, pending, reply_for(operation, answer, pending.build_reply))
+        def on_answer(answer: Answer) -> None:
+            self._complete(tag, pending, reply_for(operation, answer, pending.build_reply))
             self._request_ended()
             if pending.change_ticket:
                 self._shared.finish_change(
@@ -200,14 +206,16 @@
 
         core = self._shared.core
         try:
-            pending.ticket = core.submit(self._spec(pending, operation), self._shared.backend, answered)
-        except InvalidRequestError as error:  # the operator's export and the settings do not go together
-            answered(Served(Problem(errors.EINVAL, str(error))))
+            pending.ticket = core.submit(
+                self._request_spec(pending, operation), self._shared.backend, on_answer
+            )
+        except InvalidRequestError as error:  # the configured export does not match the settings
+            on_answer(Served(Problem(errors.EINVAL, str(error))))
 
-    def _spec(self, pending: PendingRequest, operation: Work) -> RequestSpec:
+    def _request_spec(self, pending: PendingRequest, operation: Work) -> RequestSpec:
         export = pending.target.export
         classes = self._shared.core.settings.classes
-        units = max(1, -(-pending.size // export.unit_bytes))
+        units = max(1, -(-pending.data_bytes // export.unit_bytes))
         return RequestSpec(
             request_class=class_for(operation.op, export.cls, export.change_cls or export.cls, classes),
             plan=export.plan,
@@ -215,19 +223,20 @@
             key="/" + "/".join(operation.path),
             units=float(units),
             cell=export.cell,
-            # One whose deadline passed while it waited still goes to the decision module, which rejects it.
+            # A request whose deadline passed while it was queued is still submitted: the decision module
+            # rejects it.
             timeout_us=max(1, pending.deadline - self._shared.timers.now),
             serving_instances=export.hosts,
             operation=operation,
             is_write=operation.spec.change,
             held_bytes=held_bytes(operation),
-            allow_hedging=False,  # an operation's trace is for one attempt at a time
+            allow_hedging=False,  # an operation's trace covers one attempt at a time
         )
 
     # Replies
 
-    def _settle(self, tag: int, pending: PendingRequest, reply: Message | Problem) -> None:
-        """Write the one reply to a tag, and then those of the flushes that wait for it."""
+    def _complete(self, tag: int, pending: PendingRequest, reply: Message | Problem) -> None:
+        """Write the reply to a tag, followed by the replies to the flushes that wait for it."""
         if pending.settled:
             return
         pending.settled = True
--- a/garnetlanding/ninep/fids.py
+++ b/garnetlanding/ninep/fids.py
@@ -1,4 +1,4 @@
-"""What the fids of a client session stand for. No bytes, no state of a connection."""
+"""The fids of a client session: which file each refers to and how it is open."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class RequestRejectedError(NinepError):
-    """A message asks for what cannot be done, whatever a file server would say; `problem` is the reply."""
+    """A message is rejected without asking a file server; `problem` is the error for the client."""
 
-    def __init__(self, number: int, words: str = "") -> None:
-        self.problem = Problem(number, words)
+    def __init__(self, number: int, text: str = "") -> None:
+        self.problem = Problem(number, text)
         super().__init__(self.problem.text)
 
 
 @dataclass(frozen=True, slots=True)
 class DirectoryPosition:
-    """How far a 9P2000 client has read a directory: the stream's offset, and the entry's cookie there."""
+    """How far a 9P2000 client has read a directory: the byte offset, and the cookie of the entry there."""
 
     offset: int = 0
     cookie: int = 0
@@ -29,31 +29,31 @@
 
 @dataclass(slots=True)
 class Fid:
-    """A path in an export with the qid that the client knows. It binds the client to no file server."""
+    """A path in an export with the qid that the client knows. It is not bound to a file server."""
 
     export: Export
     identity: Identity
     path: Path
     qid: Qid
     open_mode: OpenMode | None = None
-    """How it is open; None until it is."""
+    """The mode in which it is open; None if it is not open."""
     remove_on_close: bool = False
-    """Whether its file is removed when it is clunked (ORCLOSE, open(5))."""
+    """Whether its file is removed when the fid is clunked (ORCLOSE, open(5))."""
     position: DirectoryPosition = DirectoryPosition()
 
     @property
     def is_dir(self) -> bool:
-        """Whether it stands for a directory."""
+        """Whether it refers to a directory."""
         return bool(self.qid.type & QTDIR)
 
     @property
-    def file(self) -> tuple[str, int]:
-        """The file's identity, whatever its name."""
+    def file_id(self) -> tuple[str, int]:
+        """The identity of the file, independent of its path."""
         return self.export.name, self.qid.path
 
 
-def resolve(path: Path, names: Path) -> Path:
-    """Return where a walk ends: `..` goes up, and stays at the root (walk(5))."""
+def resolve_walk(path: Path, names: Path) -> Path:
+    """Return the path at which a walk ends; `..` leads to the parent, and at the root to itself (walk(5))."""
     resolved = list(path)
     for name in names:
         if name != "..":
--- a/garnetlanding/ninep/front.py
+++ b/garnetlanding/ninep/front.py
@@ -1,6 +1,6 @@
-"""The state machine of one 9P client connection: bytes to messages, the agreed version, messages to handlers.
+"""The state machine of one 9P client connection: framing, version negotiation, and dispatch to handlers.
 
-No I/O: the listener feeds it what arrives, and it writes through what its maker was given.
+It does no I/O: the listener feeds it the received bytes, and it writes through a callback.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 class NinepClientProtocol:
     """Implements the listener's `ClientProtocol` for a 9P client.
 
-    A client whose framing is lost, or that sends too many malformed messages, is closed: no tag could be
-    trusted to answer with.
+    The connection is closed if framing is lost or the client sends too many malformed messages, because then
+    no tag can be trusted for a reply.
     """
 
     def __init__(self, shared: SharedState, write: Callable[[bytes], None]) -> None:
         self._shared = shared
         self._limits = shared.limits
         self._framer = codec.Framer(shared.pool, shared.limits.ninep_msize)
-        self.id = shared.join(self)
+        self.id = shared.register_client(self)
         self._session = ClientSession(shared, self.id, write)
         self._handlers: Handlers = {}
         self.is_closing = False
@@ -38,21 +38,21 @@
         self.invalid_messages = 0
         self.requests_received = 0
 
-    # For the driver
+    # Interface to the listener
 
     @property
     def pending_responses(self) -> int:
-        """Number of messages without a reply, without the flushes."""
+        """Number of messages without a reply, not counting flushes."""
         return len(self._session.requests.pending)
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether part of a message has arrived."""
+        """Whether an incomplete message has been received."""
         return self._framer.has_partial_message
 
     @property
     def has_session_state(self) -> bool:
-        """Whether the client has fids, which it would lose by a close."""
+        """Whether the client has fids, which closing the connection would discard."""
         return bool(self._session.fids.by_number)
 
     @property
@@ -62,14 +62,14 @@
 
     @property
     def msize(self) -> int:
-        """Agreed bytes of a message; 0 until a version is agreed on."""
+        """Negotiated maximum message size in bytes; 0 until a version has been negotiated."""
         return self._session.msize
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Take received bytes; process some of the messages that are complete with them.
+        """Buffer received bytes and process complete messages, up to a limit per call.
 
-        One call processes a bounded number, so that one client cannot hold up the event loop. While
-        `has_buffered_input` is set, `feed(b"")` goes on with the rest.
+        The limit keeps one client from blocking the event loop. While `has_buffered_input` is set,
+        `feed(b"")` processes further messages.
         """
         self.has_buffered_input = False
         if self.is_closing:
@@ -90,11 +90,11 @@
             self.close()
 
     def close(self) -> None:
-        """End the session; the client has left, or is to be disconnected."""
+        """End the session, after the client has disconnected or in order to disconnect it."""
         self.is_closing = True
         self._framer.close()
         self._session.reset()
-        self._shared.leave(self.id)
+        self._shared.unregister_client(self.id)
 
     # Messages
 
@@ -125,7 +125,7 @@
         self.requests_received = self._session.requests.submitted
 
     def _negotiate(self, tag: int, message: codec.Tversion) -> None:
-        """Process Tversion, which agrees on the dialect and the largest message (version(5))."""
+        """Process Tversion, which negotiates the dialect and the maximum message size (version(5))."""
         session = self._session
         session.msize = 0
         session.dialect = None
@@ -137,10 +137,10 @@
         msize = min(message.msize, self._limits.ninep_msize)
         dialect = choose_dialect(message.version, session)
         if dialect:
-            self._agree_on(dialect, msize)
+            self._set_dialect(dialect, msize)
         session.reply(tag, codec.Rversion(msize, dialect.version if dialect else _UNKNOWN_VERSION))
 
-    def _agree_on(self, dialect: ServerDialect, msize: int) -> None:
+    def _set_dialect(self, dialect: ServerDialect, msize: int) -> None:
         self._session.dialect = dialect
         self._session.msize = msize
         self._handlers = {**self._session.handlers, **dialect.handlers}
--- a/garnetlanding/ninep/handshake.py
+++ b/garnetlanding/ninep/handshake.py
@@ -1,4 +1,4 @@
-"""The beginning of a connection to a file server: both agree on a version, then the client attaches."""
+"""The handshake of a connection to a file server: version negotiation, then attach."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 }
 
 
-def shake_hands(session: Session) -> Steps[ClientDialect]:
-    """Agree on a version and attach, unless that is done; return the session's dialect.
+def negotiate_and_attach(session: Session) -> Steps[ClientDialect]:
+    """Negotiate a version and attach, unless this has been done; return the session's dialect.
 
-    Raises BackendProtocolError when no offered version suits the server, OperationFailedError when it
-    rejects the attach.
+    Raises BackendProtocolError if the server supports none of the offered versions, OperationFailedError if
+    it rejects the attach.
     """
     if session.version is not None:
         return CLIENT_DIALECTS[session.version]
-    version = yield from _agree_on_version(session)
+    version = yield from _negotiate_version(session)
     dialect = CLIENT_DIALECTS[version]
     session.version = version
     session.table = dialect.table
@@ -32,14 +32,14 @@
     return dialect
 
 
-def _agree_on_version(session: Session) -> Steps[str]:
+def _negotiate_version(session: Session) -> Steps[str]:
     for version in session.offered_versions:
         reply = expect((yield codec.Tversion(session.msize, version)), codec.Rversion)
         if not session.limits.min_msize <= reply.msize <= session.msize:
-            raise BackendProtocolError("msize out of bounds")
+            raise BackendProtocolError("msize in Rversion is out of bounds")
         if reply.version in session.offered_versions:
             session.msize = reply.msize
             return reply.version
         if reply.version != "unknown":
-            raise BackendProtocolError("a version that was not offered")
-    raise BackendProtocolError("no common version")
+            raise BackendProtocolError("Rversion has a version that was not offered")
+    raise BackendProtocolError("server supports none of the offered versions")
--- a/garnetlanding/ninep/operations.py
+++ b/garnetlanding/ninep/operations.py
@@ -21,12 +21,12 @@
 )
 from garnetlanding.ninep.codec import Qid
 from garnetlanding.ninep.errors import OperationFailedError, Problem
-from garnetlanding.ninep.handshake import shake_hands
+from garnetlanding.ninep.handshake import negotiate_and_attach
 from garnetlanding.ninep.model import Attr, Changes, Entry, Path, Space
 from garnetlanding.ninep.operation_table import TABLE, Op, OperationSpec
 from garnetlanding.ninep.session import (
-    NO_FILE,
-    REPLACED,
+    FILE_NOT_FOUND,
+    FILE_REPLACED,
     Identity,
     OpenFile,
     OpenMode,
@@ -99,7 +99,7 @@
         Returns what `steps` returns, or the Problem that the server answered.
         """
         try:
-            dialect = yield from shake_hands(session)
+            dialect = yield from negotiate_and_attach(session)
             return (yield from self.steps(session, dialect))
         except OperationFailedError as error:
             return error.problem
@@ -134,10 +134,10 @@
         _, qids = yield from walk_prefix(session, self.path + self.names)
         depth = len(self.path)
         if depth and self.qid and len(qids) >= depth and qids[depth - 1].path != self.qid.path:
-            raise OperationFailedError(REPLACED)
+            raise OperationFailedError(FILE_REPLACED)
         found = qids[depth:]
         if len(qids) < depth or (not found and self.names):
-            raise OperationFailedError(NO_FILE)
+            raise OperationFailedError(FILE_NOT_FOUND)
         return tuple(found)
 
 
@@ -157,8 +157,8 @@
         """Open it anew, also where it is open already: the server may no longer allow it."""
         fid, _ = yield from walk(session, self.path, self.qid)
         file = yield from dialect.open(fid, self.open_mode, self.truncate)
-        session.surplus_fids.remove(fid)
-        session.keep_open_file(self.path, self.open_mode, file)
+        session.fids_to_clunk.remove(fid)
+        session.retain_open_file(self.path, self.open_mode, file)
         return file
 
 
@@ -184,7 +184,7 @@
         """Return the open file."""
         yield from walk(session, self.path, self.qid)
         file = yield from dialect.create(session, self.path, self.name, self.new, self.open_mode)
-        session.keep_open_file((*self.path, self.name), self.open_mode, file)
+        session.retain_open_file((*self.path, self.name), self.open_mode, file)
         return file
 
 
@@ -228,7 +228,9 @@
         count = max(self.count, MIN_LISTING_BYTES) if self.attributes else self.count
         cookie = self.cookie
         while True:
-            entries = yield from dialect.entries(session, self.path, self.open_mode, self.qid, cookie, count)
+            entries = yield from dialect.list_entries(
+                session, self.path, self.open_mode, self.qid, cookie, count
+            )
             if not self.attributes or dialect.lists_attributes:
                 return entries
             entries = yield from self._with_attributes(session, dialect, entries)
@@ -362,7 +364,7 @@
                 raise
         else:
             raise OperationFailedError(Problem(errors.EEXIST))
-        yield from dialect.move(session, self.path, target, None)
+        yield from dialect.rename(session, self.path, target, None)
 
 
 @dataclass(frozen=True, slots=True)
@@ -388,7 +390,7 @@
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:  # noqa: ARG002 - of Work
         """Remove by Tremove, which both dialects have."""
         fid, _ = yield from walk(session, self.path, self.qid)
-        session.surplus_fids.remove(fid)  # a remove clunks it, whatever comes of it
+        session.fids_to_clunk.remove(fid)  # a remove clunks it, whatever comes of it
         expect((yield codec.Tremove(fid)), codec.Rremove)
 
 
--- a/garnetlanding/ninep/order.py
+++ b/garnetlanding/ninep/order.py
@@ -1,12 +1,13 @@
 """Decides when each change may be sent to a file server: overlapping changes of a client run one at a time.
 
-A file server runs what arrives on two connections in any order, so an instance that spreads attempts over
-connections must hold a change back until the one before it has ended. Two changes overlap when a path of one
-is a path of the other or an ancestor of it: the rename of a directory waits for writes below it.
-
-A change whose attempt may still be running when its request ends (the connection was given up, no end was
-seen) could take effect late, over what came after it. Its paths are paused for a while, for every client of
-the instance.
+A file server executes messages from different connections in any order. An instance that spreads attempts
+over connections must therefore delay a change until earlier overlapping changes have ended. Two changes
+overlap if a path of one equals a path of the other or is an ancestor of it: the rename of a directory waits
+for writes below it.
+
+If an attempt may still be running when its request ends (the connection was closed before the reply arrived),
+the change could take effect late and overwrite later changes. Its paths are then paused for a fixed time, for
+all clients of the instance.
 """
 
 from __future__ import annotations
@@ -17,20 +18,20 @@
 
 Path = tuple[str, ...]
 ExportPath = tuple[str, Path]
-"""The name of an export, and a path in it."""
+"""The name of an export and a path in it."""
 ExportPaths = tuple[ExportPath, ...]
 
 
-def overlap(first: ExportPath, second: ExportPath) -> bool:
-    """Return whether the two paths are the same or one lies below the other."""
+def paths_overlap(first: ExportPath, second: ExportPath) -> bool:
+    """Return whether the paths are equal or one is an ancestor of the other."""
     first_export, first_path = first
     second_export, second_path = second
-    shared = min(len(first_path), len(second_path))
-    return first_export == second_export and first_path[:shared] == second_path[:shared]
+    common_length = min(len(first_path), len(second_path))
+    return first_export == second_export and first_path[:common_length] == second_path[:common_length]
 
 
-def renamed(path: ExportPath, old: ExportPath, new: Path) -> ExportPath:
-    """Return where a path leads once `old` has been renamed to `new` in its export."""
+def path_after_rename(path: ExportPath, old: ExportPath, new: Path) -> ExportPath:
+    """Return the path of the same file after `old` has been renamed to `new` in its export."""
     export, names = path
     old_export, old_names = old
     if export == old_export and names[: len(old_names)] == old_names:
@@ -39,16 +40,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """A change that is queued or in flight, and the paths that it touches."""
+class OrderedChange:
+    """A change that is queued or in flight, and the paths that it affects."""
 
     ticket: int
     client: int
     paths: ExportPaths
 
     def overlaps(self, paths: ExportPaths) -> bool:
-        """Return whether one of its paths overlaps one of these."""
-        return any(overlap(mine, other) for mine in self.paths for other in paths)
+        """Return whether any of its paths overlaps any of `paths`."""
+        return any(paths_overlap(own, other) for own in self.paths for other in paths)
 
 
 class Enqueued(NamedTuple):
@@ -59,48 +60,48 @@
 
 
 class ChangeOrder:
-    """The changes of all clients of one instance, with a per-client ordering by path.
+    """The changes of all clients of one instance; overlapping changes of one client keep their order.
 
-    Times are microseconds and are passed in; no clock is read here.
+    Times are in microseconds and are passed in by the caller.
     """
 
     def __init__(self, pause_us: int, max_pauses: int) -> None:
-        """`pause_us` is how long paths are paused; past `max_pauses` of them the oldest is dropped."""
+        """`pause_us` is the duration of a pause; beyond `max_pauses` paused paths, the oldest are dropped."""
         self._pause_us = pause_us
         self._max_pauses = max_pauses
-        self._queued: dict[int, list[Change]] = {}  # by client, in order of arrival
-        self._in_flight: dict[int, list[Change]] = {}  # by client
-        self._paused_until: OrderedDict[ExportPath, int] = OrderedDict()  # the earliest end first
+        self._queued: dict[int, list[OrderedChange]] = {}  # by client, in order of arrival
+        self._in_flight: dict[int, list[OrderedChange]] = {}  # by client
+        self._paused_until: OrderedDict[ExportPath, int] = OrderedDict()  # ordered by end time
         self._last_ticket = 0
 
     def __len__(self) -> int:
         return sum(map(len, self._queued.values())) + sum(map(len, self._in_flight.values()))
 
     def enqueue(self, client: int, paths: ExportPaths, now: int) -> Enqueued:
-        """Add a change. Where it may not start, `finish` or `expire_pauses` will name its ticket later."""
+        """Add a change. If it may not start yet, a later `finish` or `expire_pauses` returns its ticket."""
         self._last_ticket += 1
-        change = Change(self._last_ticket, client, paths)
+        change = OrderedChange(self._last_ticket, client, paths)
         may_start = self._may_start(change, self._queued.get(client, []), now)
         changes = self._in_flight if may_start else self._queued
         changes.setdefault(client, []).append(change)
         return Enqueued(change.ticket, may_start)
 
-    def _may_start(self, change: Change, queued_before: list[Change], now: int) -> bool:
+    def _may_start(self, change: OrderedChange, queued_before: list[OrderedChange], now: int) -> bool:
         ahead = [*self._in_flight.get(change.client, ()), *queued_before]
         if any(other.overlaps(change.paths) for other in ahead):
             return False
         return not self._is_paused(change, now)
 
-    def _is_paused(self, change: Change, now: int) -> bool:
+    def _is_paused(self, change: OrderedChange, now: int) -> bool:
         return any(
-            until > now and any(overlap(path, mine) for mine in change.paths)
+            until > now and any(paths_overlap(path, own) for own in change.paths)
             for path, until in self._paused_until.items()
         )
 
     def finish(self, client: int, ticket: int, now: int, outcome_unknown: bool) -> list[int]:
         """Remove a change that has ended or was cancelled; return the tickets that may start now.
 
-        `outcome_unknown`: one of its attempts may still be running, so its paths are paused.
+        `outcome_unknown` means that one of its attempts may still be running, so its paths are paused.
         """
         for changes in (self._in_flight, self._queued):
             of_client = changes.get(client, [])
@@ -112,7 +113,7 @@
                 changes.pop(client, None)
         return self._start_queued(client, now)
 
-    def _pause(self, change: Change, now: int) -> None:
+    def _pause(self, change: OrderedChange, now: int) -> None:
         for path in change.paths:
             self._paused_until.pop(path, None)
             self._paused_until[path] = now + self._pause_us
@@ -120,34 +121,34 @@
             self._paused_until.popitem(last=False)
 
     def expire_pauses(self, now: int) -> list[int]:
-        """Forget the pauses that are over; return the tickets that may start since."""
+        """Remove expired pauses; return the tickets that may start now."""
         while self._paused_until and next(iter(self._paused_until.values())) <= now:
             self._paused_until.popitem(last=False)
         return [ticket for client in list(self._queued) for ticket in self._start_queued(client, now)]
 
     def rename(self, old: ExportPath, new: Path) -> None:
-        """Follow a rename that has taken effect, in all that is queued, in flight or paused."""
+        """Update all queued, in-flight and paused paths after a rename."""
         for changes in (self._queued, self._in_flight):
             for of_client in changes.values():
                 of_client[:] = [
-                    replace(change, paths=tuple(renamed(path, old, new) for path in change.paths))
+                    replace(change, paths=tuple(path_after_rename(path, old, new) for path in change.paths))
                     for change in of_client
                 ]
         self._paused_until = OrderedDict(
-            (renamed(path, old, new), until) for path, until in self._paused_until.items()
+            (path_after_rename(path, old, new), until) for path, until in self._paused_until.items()
         )
 
     @property
     def next_expiry(self) -> int | None:
-        """Return when the next pause ends, or None while no queued change could wait for it."""
+        """Return when the next pause ends, or None if no change is queued or no path is paused."""
         if self._paused_until and self._queued:
             return next(iter(self._paused_until.values()))
         return None
 
     def _start_queued(self, client: int, now: int) -> list[int]:
-        """Move the client's changes that may start from the queue to those in flight."""
+        """Start the client's queued changes that may start; return their tickets."""
         started: list[int] = []
-        still_queued: list[Change] = []
+        still_queued: list[OrderedChange] = []
         for change in self._queued.get(client, []):
             if self._may_start(change, still_queued, now):
                 self._in_flight.setdefault(client, []).append(change)
--- a/garnetlanding/ninep/pending.py
+++ b/garnetlanding/ninep/pending.py
@@ -1,4 +1,4 @@
-"""One T-message that waits for its reply."""
+"""A T-message that waits for its reply."""
 
 from __future__ import annotations
 
@@ -11,43 +11,43 @@
 from garnetlanding.ninep.operations import Work
 
 ReplyBuilder = Callable[[Any], Message]
-"""Makes the R-message of an operation's result, and takes the result over into the fid.
+"""Builds the R-message from an operation's result, and updates the fid with the result.
 
-May raise RequestRejectedError where the result cannot be given to the client.
+May raise RequestRejectedError if the result cannot be sent to the client.
 """
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A T-message that waits for its reply, with the operation that it needs at a file server."""
+    """A T-message that waits for its reply, with the operation to be executed by a file server."""
 
     target: Fid
-    """The fid that the operation is about; its path is followed through renames."""
+    """The fid that the operation applies to; its path is updated by renames."""
     operation: Work | None
-    """None for a clunk that only waits for the changes before it."""
+    """None for a clunk that only waits for earlier changes."""
     build_reply: ReplyBuilder
     fid: int | None = None
-    """The number under which the message uses the target; None when it has no number (any more)."""
+    """The number of the target in the fid table; None if it has none or has been released."""
     newfid: int | None = None
-    """A number that is reserved for the fid which the message makes."""
+    """A number that is reserved for the fid that the message creates."""
     alters_fid: bool = False
-    """While it waits, no other message may use its fid."""
-    size: int = 0
-    """Bytes that it reads or writes; its cost is counted by them."""
+    """Whether no other message may use its fid until the reply is written."""
+    data_bytes: int = 0
+    """Number of bytes to read or write, which determines the cost in units."""
     must_run: bool = False
-    """Whether it cannot be cancelled, as the fid is gone already: a flush waits for its end."""
+    """Whether it cannot be cancelled, because its fid has been released; a flush waits for its end."""
     deadline: int = 0
-    """On the event loop's clock, in microseconds."""
+    """Time on the event loop's clock, in microseconds."""
     ticket: str = ""
-    """The core's name for it; empty until it is submitted."""
+    """The core's identifier of the request; empty until it is submitted."""
     change_ticket: int = 0
-    """Its place in the order of changes; 0: none."""
+    """Its ticket in the `ChangeOrder`; 0 if it has none."""
     settled: bool = False
-    """Whether its reply was written, or nobody waits for one any more."""
+    """Whether its reply has been written or is no longer needed."""
     cancelled: bool = False
-    """Whether it need not be submitted any more."""
+    """Whether it must not be submitted any more."""
     flush_tags: list[int] = field(default_factory=list)
-    """Tags of the flushes that are answered right after it."""
+    """Tags of the flushes to be answered immediately after it."""
 
     @property
     def is_change(self) -> bool:
@@ -56,7 +56,7 @@
 
     @property
     def must_complete(self) -> bool:
-        """Whether it may have changed something, so that nobody may say it never arrived."""
+        """Whether it may have had an effect, so that it cannot be cancelled as if never received."""
         if self.must_run:
             return True
         operation = self.operation
--- a/garnetlanding/ninep/server_dialect.py
+++ b/garnetlanding/ninep/server_dialect.py
@@ -1,4 +1,4 @@
-"""What differs between the dialects of clients, as one interface, which imports neither of them."""
+"""The interface of the dialects that clients use; it imports neither implementation."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from garnetlanding.ninep.fids import Fid
 
 Handlers = Mapping[type[Any], Callable[[int, Any], None]]
-"""By type of T-message, what processes it with its tag. A handler may raise RequestRejectedError."""
+"""The handler of each T-message type, called with tag and message. It may raise RequestRejectedError."""
 
 
 class ServerDialect(Protocol):
-    """One dialect on one client connection, from the Tversion that agreed on it to the next."""
+    """A dialect on one client connection, from the Tversion that selected it to the next one."""
 
     version: str
-    """As Tversion and Rversion name it."""
+    """The version string in Tversion and Rversion."""
     table: Table
-    """How its messages are packed."""
+    """The wire formats of its messages."""
     handlers: Handlers
-    """The messages that only this dialect has, or has in this form."""
+    """Handlers of the messages whose form is specific to this dialect."""
     unsupported: Problem
-    """The reply to a message that no handler exists for."""
+    """The error for a message without a handler."""
 
     def read_directory(self, tag: int, number: int, fid: Fid, offset: int, count: int, /) -> None:
-        """Process a Tread of a directory. Raise RequestRejectedError where the dialect has none."""
+        """Process a Tread of a directory. Raises RequestRejectedError if the dialect has no such message."""
 
     def error_reply(self, problem: Problem, msize: int, /) -> Message:
-        """Return the R-message for a problem, within the agreed message size."""
+        """Return the R-message for a problem, no longer than `msize` bytes."""
--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -1,7 +1,7 @@
-"""The messages that only 9P2000.L clients send. Errors are numbers; locks are the instance's (`locks.py`).
+"""Handlers of the messages that only 9P2000.L clients send. The instance itself keeps locks (`locks.py`).
 
-The protocol is described beside the Linux client (Documentation/filesystems/9p). Most messages stand for a
-system call, whose manual page says what is expected.
+The Linux kernel documents the protocol in Documentation/filesystems/9p. Most messages correspond to a system
+call, and their semantics are those of its manual page.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.fid_table import check_offset
 from garnetlanding.ninep.fids import Fid, RequestRejectedError
-from garnetlanding.ninep.locks import END, LockLimitError, LockOwner, LockRange, byte_span
+from garnetlanding.ninep.locks import UNBOUNDED_END, LockLimitError, LockOwner, LockRange, byte_span
 from garnetlanding.ninep.model import Changes, Entry, Space, Time
 from garnetlanding.ninep.operations import (
     Change,
@@ -36,11 +36,11 @@
 
 _PERMISSIONS = 0o7777
 _READLINK_OVERHEAD = codec.HEADER + 2
-"""Bytes of an Rreadlink beside its target."""
+"""Size of an Rreadlink without its target, in bytes."""
 
 
 class LinuxServerDialect:
-    """Implements `ServerDialect` for 9P2000.L, which Linux clients use: its messages follow system calls."""
+    """Implements `ServerDialect` for 9P2000.L, the dialect of Linux clients."""
 
     version = codec_linux.VERSION
     table = codec_linux.LINUX
@@ -73,7 +73,7 @@
         }
 
     def error_reply(self, problem: Problem, _msize: int) -> Message:
-        """Return an Rlerror, which has the error's number in Linux and no text."""
+        """Return an Rlerror, which has the Linux error number and no text."""
         return codec_linux.Rlerror(problem.number)
 
     def _attach(self, tag: int, message: codec_linux.Tlattach) -> None:
@@ -94,7 +94,7 @@
         return open_mode
 
     def _open(self, tag: int, message: codec_linux.Tlopen) -> None:
-        """Process Tlopen: open the file of fid; the flags are those of open(2)."""
+        """Process Tlopen: open the file of fid with the flags of open(2)."""
         number = message.fid
         flags = message.flags
         fid = self._session.fids.get_unopened(number)
@@ -105,14 +105,16 @@
         if flags & codec_linux.L_DIRECTORY and not fid.is_dir:
             raise RequestRejectedError(errors.ENOTDIR)
 
-        def opened(file: OpenFile) -> Message:
+        def build_reply(file: OpenFile) -> Message:
             return codec_linux.Rlopen(file.qid, self._session.mark_open(number, fid, file, open_mode))
 
         operation = Open(fid.identity, fid.path, fid.qid, open_mode, truncate)
-        self._session.requests.submit(tag, PendingRequest(fid, operation, opened, number, alters_fid=True))
+        self._session.requests.submit(
+            tag, PendingRequest(fid, operation, build_reply, number, alters_fid=True)
+        )
 
     def _create(self, tag: int, message: codec_linux.Tlcreate) -> None:
-        """Process Tlcreate: make a file in the directory of fid, which becomes the open fid of that file."""
+        """Process Tlcreate: create a file in the directory of fid, which becomes an open fid of the file."""
         number = message.fid
         self._session.fids.get_unopened(number)
         fid = self._session.fids.get_directory(number, message.name)
@@ -125,16 +127,18 @@
             truncate=bool(message.flags & codec_linux.L_TRUNC),
         )
 
-        def created(file: OpenFile) -> Message:
+        def build_reply(file: OpenFile) -> Message:
             fid.path = path
             fid.qid = file.qid
             return codec_linux.Rlcreate(file.qid, self._session.mark_open(number, fid, file, open_mode))
 
         operation = Create(fid.identity, fid.path, fid.qid, message.name, new, open_mode)
-        self._session.requests.submit(tag, PendingRequest(fid, operation, created, number, alters_fid=True))
+        self._session.requests.submit(
+            tag, PendingRequest(fid, operation, build_reply, number, alters_fid=True)
+        )
 
     def _fsync(self, tag: int, message: codec_linux.Tfsync) -> None:
-        """Process Tfsync: flush what was written through fid to stable storage, as fsync(2)."""
+        """Process Tfsync: flush data written through fid to stable storage, as fsync(2)."""
         fid, open_mode = self._session.fids.get_open(message.fid)
         if not fid.export.writable:
             self._session.reply(tag, codec_linux.Rfsync())  # there is nothing to flush
@@ -145,13 +149,13 @@
     # Attributes
 
     def _getattr(self, tag: int, message: codec_linux.Tgetattr) -> None:
-        """Process Tgetattr, as stat(2). All attributes are given, whatever the request's mask asks for."""
+        """Process Tgetattr, as stat(2). All attributes are returned, regardless of the request mask."""
         fid = self._session.fids.get(message.fid)
         operation = Stat(fid.identity, fid.path, fid.qid)
         self._session.requests.submit(tag, PendingRequest(fid, operation, getattr_reply, message.fid))
 
     def _setattr(self, tag: int, message: codec_linux.Tsetattr) -> None:
-        """Process Tsetattr: set those attributes that `valid` selects."""
+        """Process Tsetattr: set the attributes selected by `valid`."""
         fid = self._session.fids.get(message.fid)
         if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
@@ -159,16 +163,16 @@
             if fid.is_dir:
                 raise RequestRejectedError(errors.EISDIR)
             check_offset(message.size, 0)
-        changes = _read_changes(message, self._session.shared.wall_time())
+        changes = _parse_changes(message, self._session.shared.wall_time())
         if changes.is_empty:
-            # The time of the last change of attributes is the server's own to set.
+            # Only ctime was selected, which the server sets itself.
             self._session.reply(tag, codec_linux.Rsetattr())
             return
         operation = Change(fid.identity, fid.path, fid.qid, changes)
         self._submit(tag, message.fid, fid, operation, lambda _: codec_linux.Rsetattr())
 
     def _statfs(self, tag: int, message: codec_linux.Tstatfs) -> None:
-        """Process Tstatfs: return figures of the file system, as statfs(2)."""
+        """Process Tstatfs: return file system statistics, as statfs(2)."""
         fid = self._session.fids.get(message.fid)
         operation = StatFs(fid.identity, fid.path, fid.qid)
         self._session.requests.submit(tag, PendingRequest(fid, operation, _statfs_reply, message.fid))
@@ -181,58 +185,60 @@
     # Directories and links
 
     def read_directory(self, _tag: int, _number: int, _fid: Fid, _offset: int, _count: int) -> None:
-        """Reject a Tread of a directory: this dialect has Treaddir."""
+        """Reject a Tread of a directory: this dialect uses Treaddir."""
         raise RequestRejectedError(errors.EISDIR)
 
     def _readdir(self, tag: int, message: codec_linux.Treaddir) -> None:
-        """Process Treaddir: offset is 0 or that of the last entry of the previous Rreaddir."""
+        """Process Treaddir: offset is 0 or the offset of the last entry of the previous Rreaddir."""
         fid, open_mode = self._session.fids.get_open(message.fid)
         if not fid.is_dir:
             raise RequestRejectedError(errors.ENOTDIR)
-        count = min(message.count, self._session.max_data)
+        count = min(message.count, self._session.max_data_bytes)
 
-        def answered(entries: list[Entry]) -> Message:
+        def build_reply(entries: list[Entry]) -> Message:
             return codec_linux.Rreaddir(_pack_entries(entries, count))
 
         operation = ReadDirectory(fid.identity, fid.path, fid.qid, open_mode, message.offset, count)
-        self._session.requests.submit(tag, PendingRequest(fid, operation, answered, message.fid, size=count))
+        self._session.requests.submit(
+            tag, PendingRequest(fid, operation, build_reply, message.fid, data_bytes=count)
+        )
 
     def _readlink(self, tag: int, message: codec_linux.Treadlink) -> None:
-        """Process Treadlink: returns the contents of a symbolic link."""
+        """Process Treadlink: return the target of a symbolic link."""
         fid = self._session.fids.get(message.fid)
 
-        def answered(target: str) -> Message:
+        def build_reply(target: str) -> Message:
             if len(target.encode()) + _READLINK_OVERHEAD > self._session.msize:
                 raise RequestRejectedError(errors.ENAMETOOLONG)
             return codec_linux.Rreadlink(target)
 
         operation = ReadLink(fid.identity, fid.path, fid.qid)
-        self._session.requests.submit(tag, PendingRequest(fid, operation, answered, message.fid))
+        self._session.requests.submit(tag, PendingRequest(fid, operation, build_reply, message.fid))
 
-    # Names: what makes, moves or removes them
+    # Creating, renaming and removing directory entries
 
     def _mkdir(self, tag: int, message: codec_linux.Tmkdir) -> None:
-        """Process Tmkdir: makes a directory in the directory dfid."""
+        """Process Tmkdir: create a directory in the directory dfid."""
         fid = self._session.fids.get_directory(message.dfid, message.name)
         new = NewFile(message.mode & _PERMISSIONS, gid=message.gid)
         operation = MakeDirectory(fid.identity, fid.path, fid.qid, message.name, new)
         self._submit(tag, message.dfid, fid, operation, codec_linux.Rmkdir)
 
     def _mknod(self, tag: int, message: codec_linux.Tmknod) -> None:
-        """Process Tmknod: makes a device node, a FIFO or a socket, as mknod(2)."""
+        """Process Tmknod: create a device node, a FIFO or a socket, as mknod(2)."""
         fid = self._session.fids.get_directory(message.dfid, message.name)
         new = NewFile(message.mode, gid=message.gid)
         operation = MakeNode(fid.identity, fid.path, fid.qid, message.name, new, message.major, message.minor)
         self._submit(tag, message.dfid, fid, operation, codec_linux.Rmknod)
 
     def _symlink(self, tag: int, message: codec_linux.Tsymlink) -> None:
-        """Process Tsymlink: makes a symbolic link in the directory dfid."""
+        """Process Tsymlink: create a symbolic link in the directory dfid."""
         fid = self._session.fids.get_directory(message.dfid, message.name)
         operation = Symlink(fid.identity, fid.path, fid.qid, message.name, message.target, message.gid)
         self._submit(tag, message.dfid, fid, operation, codec_linux.Rsymlink)
 
     def _link(self, tag: int, message: codec_linux.Tlink) -> None:
-        """Process Tlink: makes a hard link to fid in the directory dfid; not to a directory (link(2))."""
+        """Process Tlink: create a hard link to fid in the directory dfid; not to a directory (link(2))."""
         directory = self._session.fids.get_directory(message.dfid, message.name)
         fid = self._session.fids.get(message.fid)
         _check_same_tree(directory, fid)
@@ -242,7 +248,7 @@
         self._submit(tag, message.dfid, directory, operation, lambda _: codec_linux.Rlink())
 
     def _unlinkat(self, tag: int, message: codec_linux.Tunlinkat) -> None:
-        """Process Tunlinkat: removes a name from the directory dirfd, as unlinkat(2)."""
+        """Process Tunlinkat: remove a name from the directory dirfd, as unlinkat(2)."""
         fid = self._session.fids.get_directory(message.dirfd, message.name)
         if message.flags & ~codec_linux.AT_REMOVEDIR:
             raise RequestRejectedError(errors.EINVAL)
@@ -250,7 +256,7 @@
         self._submit(tag, message.dirfd, fid, operation, lambda _: codec_linux.Runlinkat())
 
     def _rename(self, tag: int, message: codec_linux.Trename) -> None:
-        """Process Trename: gives the file of fid a name in the directory dfid."""
+        """Process Trename: move the file of fid into the directory dfid under a new name."""
         fid = self._session.fids.get(message.fid)
         directory = self._session.fids.get_directory(message.dfid, message.name)
         _check_same_tree(fid, directory)
@@ -258,7 +264,7 @@
         self._submit_rename(tag, message.fid, fid, operation, codec_linux.Rrename())
 
     def _renameat(self, tag: int, message: codec_linux.Trenameat) -> None:
-        """Process Trenameat: gives a name in one directory up for a name in another, as renameat(2)."""
+        """Process Trenameat: move a file from one directory entry to another, as renameat(2)."""
         directory = self._session.fids.get_directory(message.olddirfid, message.oldname)
         new_directory = self._session.fids.get_directory(message.newdirfid, message.newname)
         _check_same_tree(directory, new_directory)
@@ -274,11 +280,11 @@
         if new[: len(old)] == old and new != old:
             raise RequestRejectedError(errors.EINVAL, "a directory cannot move below itself")
 
-        def renamed(_: object) -> Message:
+        def build_reply(_: object) -> Message:
             self._session.shared.rename(fid.export.name, old, new)
             return reply
 
-        self._session.requests.submit(tag, PendingRequest(fid, operation, renamed, number))
+        self._session.requests.submit(tag, PendingRequest(fid, operation, build_reply, number))
 
     def _submit(
         self, tag: int, number: int, fid: Fid, operation: Work, build_reply: Callable[[Qid], Message]
@@ -290,12 +296,12 @@
     def _lock(self, tag: int, message: codec_linux.Tlock) -> None:
         """Process Tlock: acquire or release a POSIX record lock, as fcntl(2) with F_SETLK.
 
-        A client that would wait (LOCK_BLOCK) gets the same reply as one that would not, and asks again.
+        The LOCK_BLOCK flag makes no difference: the client gets LOCK_BLOCKED at once and has to retry.
         """
-        fid, open_mode, wanted = self._read_lock(message)
+        fid, open_mode, wanted = self._parse_lock_request(message)
         locks = self._session.shared.locks
         if message.type == codec_linux.LOCK_NONE:
-            locks.release(fid.file, wanted.owner, wanted.start, wanted.end)
+            locks.release(fid.file_id, wanted.owner, wanted.start, wanted.end)
             self._session.reply(tag, codec_linux.Rlock(codec_linux.LOCK_DONE))
             return
         _check_lock_type(message.type)
@@ -303,23 +309,23 @@
         if not permitted:
             raise RequestRejectedError(errors.EBADF)
         try:
-            acquired = locks.acquire(fid.file, wanted)
+            acquired = locks.acquire(fid.file_id, wanted)
         except LockLimitError as error:
             raise RequestRejectedError(errors.ENOLCK) from error
         status = codec_linux.LOCK_DONE if acquired else codec_linux.LOCK_BLOCKED
         self._session.reply(tag, codec_linux.Rlock(status))
 
     def _getlock(self, tag: int, message: codec_linux.Tgetlock) -> None:
-        """Process Tgetlock: return a record lock that conflicts, as fcntl(2) with F_GETLK."""
-        fid, _, wanted = self._read_lock(message)
+        """Process Tgetlock: return a conflicting record lock, as fcntl(2) with F_GETLK."""
+        fid, _, wanted = self._parse_lock_request(message)
         _check_lock_type(message.type)
-        conflict = self._session.shared.locks.conflict(fid.file, wanted)
+        conflict = self._session.shared.locks.find_conflict(fid.file_id, wanted)
         self._session.reply(tag, _getlock_reply(message, conflict))
 
-    def _read_lock(
+    def _parse_lock_request(
         self, message: codec_linux.Tlock | codec_linux.Tgetlock
     ) -> tuple[Fid, OpenMode, LockRange]:
-        """Return the open fid that is to be locked, how it is open, and the wanted range."""
+        """Return the fid to be locked, the mode in which it is open, and the requested range."""
         fid, open_mode = self._session.fids.get_open(message.fid)
         if fid.is_dir:
             raise RequestRejectedError(errors.EISDIR)
@@ -343,8 +349,8 @@
         raise RequestRejectedError(errors.EXDEV)
 
 
-def _read_changes(message: codec_linux.Tsetattr, now: Time) -> Changes:
-    """Return what a Tsetattr asks for; `now` is set where it gives no time of its own."""
+def _parse_changes(message: codec_linux.Tsetattr, now: Time) -> Changes:
+    """Return the changes that a Tsetattr requests; `now` replaces a selected time without a value."""
     valid = message.valid
     atime = Time(message.atime_s, message.atime_ns) if valid & codec_linux.SET_ATIME_TO else now
     mtime = Time(message.mtime_s, message.mtime_ns) if valid & codec_linux.SET_MTIME_TO else now
@@ -373,7 +379,7 @@
 
 
 def _pack_entries(entries: list[Entry], count: int) -> bytes:
-    """Return as many whole entries as `count` bytes hold."""
+    """Return as many complete entries as fit in `count` bytes."""
     packed_entries: list[bytes] = []
     remaining = count
     for entry in entries:
@@ -383,7 +389,7 @@
             break
         packed_entries.append(packed)
     if entries and not packed_entries:
-        raise RequestRejectedError(errors.EINVAL)  # not even one fits
+        raise RequestRejectedError(errors.EINVAL)  # `count` is too small for one entry
     return b"".join(packed_entries)
 
 
@@ -395,7 +401,7 @@
     return codec_linux.Rgetlock(
         codec_linux.LOCK_WRITE if conflict.write else codec_linux.LOCK_READ,
         conflict.start,
-        0 if conflict.end == END else conflict.end - conflict.start,
+        0 if conflict.end == UNBOUNDED_END else conflict.end - conflict.start,
         conflict.owner.proc_id,
         conflict.owner.client_id,
     )
--- a/garnetlanding/ninep/server_dialect_plain.py
+++ b/garnetlanding/ninep/server_dialect_plain.py
@@ -1,4 +1,4 @@
-"""The messages that only 9P2000 clients send: attach, open, create, stat, wstat, directories as streams."""
+"""Handlers of the messages that only 9P2000 clients send, and of directory reads by Tread."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 _ACCESS_MASK = 0x03
 _STAT_OVERHEAD = codec.HEADER + 2
-"""Bytes of an Rstat beside its stat."""
+"""Size of an Rstat without its stat, in bytes."""
 _ERROR_OVERHEAD = codec.HEADER + 2
-"""Bytes of an Rerror beside its text."""
+"""Size of an Rerror without its text, in bytes."""
 
 
 class PlainServerDialect:
-    """Implements `ServerDialect` for 9P2000, as section 5 of the Plan 9 manual has it."""
+    """Implements `ServerDialect` for 9P2000, as specified in section 5 of the Plan 9 manual."""
 
     version = codec.VERSION
     table = codec.PLAIN
@@ -45,7 +45,7 @@
         }
 
     def error_reply(self, problem: Problem, msize: int) -> Message:
-        """Return an Rerror; its text is cut rather than exceed the agreed size."""
+        """Return an Rerror, with its text truncated to fit the negotiated message size."""
         text = problem.text.encode()[: msize - _ERROR_OVERHEAD]
         return codec.Rerror(text.decode(errors="ignore"))
 
@@ -76,18 +76,20 @@
         if remove_on_close and not fid.path:
             raise RequestRejectedError(errors.EBUSY, "cannot remove the root")
 
-        def opened(file: OpenFile) -> Message:
+        def build_reply(file: OpenFile) -> Message:
             iounit = self._session.mark_open(number, fid, file, open_mode)
             fid.remove_on_close = remove_on_close
             return codec.Ropen(plain_qid(file.qid), iounit)
 
         operation = Open(fid.identity, fid.path, fid.qid, open_mode, truncate)
-        self._session.requests.submit(tag, PendingRequest(fid, operation, opened, number, alters_fid=True))
+        self._session.requests.submit(
+            tag, PendingRequest(fid, operation, build_reply, number, alters_fid=True)
+        )
 
     def _create(self, tag: int, message: codec.Tcreate) -> None:
-        """Process Tcreate: the directory's fid becomes the new file's, opened in the mode given (open(5))."""
+        """Process Tcreate: the directory's fid becomes an open fid of the new file (open(5))."""
         fid = self._session.fids.get_unopened(message.fid)
-        open_mode = self._open_mode(fid, message.mode & ~OTRUNC)  # a new file is empty anyhow
+        open_mode = self._open_mode(fid, message.mode & ~OTRUNC)  # a new file is empty anyway
         if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
         self._session.fids.get_directory(message.fid, message.name)
@@ -104,7 +106,7 @@
         path = (*fid.path, message.name)
         new = NewFile(message.perm & PERM, message.perm & DM_FLAGS)
 
-        def created(file: OpenFile) -> Message:
+        def build_reply(file: OpenFile) -> Message:
             fid.path = path
             fid.qid = file.qid
             iounit = self._session.mark_open(message.fid, fid, file, open_mode)
@@ -112,7 +114,7 @@
             return codec.Rcreate(plain_qid(file.qid), iounit)
 
         operation = Create(fid.identity, fid.path, fid.qid, message.name, new, open_mode)
-        return PendingRequest(fid, operation, created, message.fid, alters_fid=True)
+        return PendingRequest(fid, operation, build_reply, message.fid, alters_fid=True)
 
     def _directory_creation(self, message: codec.Tcreate, fid: Fid, open_mode: OpenMode) -> PendingRequest:
         if open_mode.access != OREAD:
@@ -120,15 +122,15 @@
         path = (*fid.path, message.name)
         new = NewFile(message.perm & PERM, message.perm & DM_FLAGS)
 
-        def created(qid: Qid) -> Message:
+        def build_reply(qid: Qid) -> Message:
             fid.path = path
             fid.qid = qid
             fid.open_mode = open_mode
             fid.remove_on_close = bool(message.mode & ORCLOSE)
-            return codec.Rcreate(plain_qid(qid), self._session.max_data)
+            return codec.Rcreate(plain_qid(qid), self._session.max_data_bytes)
 
         operation = MakeDirectory(fid.identity, fid.path, fid.qid, message.name, new)
-        return PendingRequest(fid, operation, created, message.fid, alters_fid=True)
+        return PendingRequest(fid, operation, build_reply, message.fid, alters_fid=True)
 
     # Attributes
 
@@ -136,17 +138,17 @@
         """Process Tstat: return the attributes of the file of fid (stat(5))."""
         fid = self._session.fids.get(message.fid)
 
-        def answered(attr: Attr) -> Message:
+        def build_reply(attr: Attr) -> Message:
             stat = pack_stat(fid.path[-1] if fid.path else "/", attr)
             if len(stat) + _STAT_OVERHEAD > self._session.msize:
                 raise RequestRejectedError(errors.ERANGE, "stat does not fit msize")
             return codec.Rstat(stat)
 
         operation = Stat(fid.identity, fid.path, fid.qid)
-        self._session.requests.submit(tag, PendingRequest(fid, operation, answered, message.fid))
+        self._session.requests.submit(tag, PendingRequest(fid, operation, build_reply, message.fid))
 
     def _wstat(self, tag: int, message: codec.Twstat) -> None:
-        """Process Twstat: changes some of a file's attributes, its name among them (stat(5))."""
+        """Process Twstat: change some of a file's attributes, which include its name (stat(5))."""
         fid = self._session.fids.get(message.fid)
         if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
@@ -157,27 +159,27 @@
         changes = _checked_name(fid, _checked_length(fid, _checked_flags(fid, wanted)))
         old = fid.path
 
-        def changed(_: object) -> Message:
+        def build_reply(_: object) -> Message:
             if changes.name is not None:
                 self._session.shared.rename(fid.export.name, old, (*old[:-1], changes.name))
             return codec.Rwstat()
 
         operation = Change(fid.identity, fid.path, fid.qid, changes)
-        self._session.requests.submit(tag, PendingRequest(fid, operation, changed, message.fid))
+        self._session.requests.submit(tag, PendingRequest(fid, operation, build_reply, message.fid))
 
     # Directories
 
     def read_directory(self, tag: int, number: int, fid: Fid, offset: int, count: int) -> None:
-        """Process Tread of a directory: return whole entries only, each as a stat (read(5)).
+        """Process Tread of a directory: return only complete entries, each as a stat (read(5)).
 
-        The offset must be 0 or where the previous read ended.
+        The offset must be 0 or the end of the previous read.
         """
         assert fid.open_mode
         if offset not in (0, fid.position.offset):
             raise RequestRejectedError(errors.EINVAL, "bad offset in directory read")
         cookie = fid.position.cookie if offset else 0
 
-        def answered(entries: list[Entry]) -> Message:
+        def build_reply(entries: list[Entry]) -> Message:
             data, next_cookie = _pack_stats(entries, cookie, count)
             fid.position = DirectoryPosition(offset + len(data), next_cookie)
             return codec.Rread(data)
@@ -185,7 +187,9 @@
         operation = ReadDirectory(
             fid.identity, fid.path, fid.qid, fid.open_mode, cookie, count, attributes=True
         )
-        self._session.requests.submit(tag, PendingRequest(fid, operation, answered, number, size=count))
+        self._session.requests.submit(
+            tag, PendingRequest(fid, operation, build_reply, number, data_bytes=count)
+        )
 
 
 def _checked_flags(fid: Fid, changes: Changes) -> Changes:
@@ -217,7 +221,7 @@
 
 
 def _pack_stats(entries: list[Entry], cookie: int, count: int) -> tuple[bytes, int]:
-    """Return as many whole stats as `count` bytes hold, and the cookie where the next read goes on."""
+    """Return as many complete stats as fit in `count` bytes, and the cookie for the next read."""
     stats: list[bytes] = []
     remaining = count
     for entry in entries:
--- a/garnetlanding/ninep/server_dialects.py
+++ b/garnetlanding/ninep/server_dialects.py
@@ -1,4 +1,4 @@
-"""The dialects that are offered to clients, by the version string of Tversion."""
+"""Selects the dialect of a client connection by the version string of Tversion."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def choose_dialect(version: str, session: ClientSession) -> ServerDialect | None:
-    """Return the dialect for the version that a client proposes, or None where none fits.
+    """Return the dialect for the version that a client proposes, or None if it is not supported.
 
-    A 9P2000 with an unknown suffix after a period gets plain 9P2000 (version(5)).
+    A version 9P2000 with an unknown suffix after a period selects plain 9P2000 (version(5)).
     """
     if version == codec_linux.VERSION:
         return LinuxServerDialect(session)
--- a/garnetlanding/ninep/session.py
+++ b/garnetlanding/ninep/session.py
@@ -1,7 +1,7 @@
-"""One connection to one file server: what is agreed and open on it, and the steps that all programs share.
+"""The state of one connection to a file server, and the message exchanges that all operations share.
 
-A program is a generator: it yields T-messages, is sent the R-messages, and returns a value. An error that the
-server answers ends it with `OperationFailedError`.
+A program is a generator that yields T-messages, receives the R-messages through `send`, and returns a value.
+An error reply from the server ends it with `OperationFailedError`.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 Steps = Generator[Message, Message, T]
 
 ROOT = 0
-"""The fid that stands for the root of the attached tree."""
+"""The fid of the root of the attached tree."""
 
-REPLACED = Problem(errors.ESTALE, "file was replaced by another")
-NO_FILE = Problem(errors.ENOENT)
+FILE_REPLACED = Problem(errors.ESTALE, "file was replaced by another")
+FILE_NOT_FOUND = Problem(errors.ENOENT)
 
 
 @dataclass(frozen=True, slots=True)
 class OpenMode:
-    """How a file is opened, beside what opening does once (truncate, create).
+    """The mode of an open file, without the one-time effects of opening it (truncate, create).
 
-    `access` is OREAD, OWRITE, ORDWR or OEXEC. With `append` the server writes at the file's end (9P2000.L);
-    `sync` has L_DSYNC or L_SYNC.
+    `access` is OREAD, OWRITE, ORDWR or OEXEC. With `append` the server writes at the end of the file
+    (9P2000.L only). `sync` is 0 or a combination of L_DSYNC and L_SYNC.
     """
 
     access: int = codec.OREAD
@@ -54,9 +54,10 @@
 
 @dataclass(slots=True)
 class OpenFile:
-    """A file that is open on the connection; `iounit` is in bytes, 0 where msize alone limits a message.
+    """A file that is open on the connection; `iounit` is in bytes, 0 if only msize limits a message.
 
-    `directory_offset` is the byte offset from which a 9P2000 directory can be read on, and no other.
+    `directory_offset` is the only byte offset, apart from 0, at which the next read of a 9P2000 directory may
+    start.
     """
 
     fid: int
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """The user and the tree of an attach; `n_uname` is the user's number or NONUNAME."""
+    """The user and the tree of an attach; `n_uname` is the numeric user ID or NONUNAME."""
 
     uname: str
     n_uname: int
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionLimits:
-    """Bounds of one session: message sizes in bytes, and how many files are kept open between attempts."""
+    """Limits of one session: message sizes in bytes, and the number of files kept open between attempts."""
 
     max_msize: int
     min_msize: int
@@ -84,10 +85,10 @@
 
 
 class Session:
-    """What one connection has, bound to one user and tree.
+    """The 9P session of one connection, attached to one tree as one user.
 
-    `offered_versions` are those to offer, the best first. `version`, `table` and `root` are set once by the
-    handshake, `msize` is lowered by it; `version` is None until then.
+    `offered_versions` lists the protocol versions to offer, in order of preference. The handshake sets
+    `version`, `table` and `root`, and may lower `msize`; until then `version` is None.
     """
 
     def __init__(self, identity: Identity, limits: SessionLimits, offered_versions: tuple[str, ...]) -> None:
@@ -99,46 +100,47 @@
         self.table = codec.PLAIN
         self.root: Qid | None = None
         self.open_files: OrderedDict[tuple[Path, OpenMode], OpenFile] = OrderedDict()
-        self.surplus_fids: list[int] = []  # to be clunked once the attempt has ended
-        self.clunk_before_next = False  # one of them keeps others out: the next attempt waits for its clunk
+        self.fids_to_clunk: list[int] = []  # clunked once the attempt has ended
+        # One of those fids has an exclusive-use file open, so the next attempt waits for the clunk.
+        self.must_clunk_before_next = False
         self._last_fid = ROOT + 1
 
     @property
     def max_data_bytes(self) -> int:
-        """Return how many bytes one read or write may carry."""
+        """Return the maximum number of data bytes in one read or write."""
         return self.msize - codec.READ_OVERHEAD
 
     def new_fid(self) -> int:
-        """Return a fid that was never used on this connection."""
+        """Return a fid that has not been used on this connection before."""
         self._last_fid += 1
         return self._last_fid
 
-    def keep_open_file(self, path: Path, open_mode: OpenMode, file: OpenFile) -> None:
-        """Leave a file open for the next attempt, unless nobody else may open it meanwhile.
+    def retain_open_file(self, path: Path, open_mode: OpenMode, file: OpenFile) -> None:
+        """Keep a file open for later attempts; beyond the limit, release the least recently used file.
 
-        The file that was used longest ago makes room.
+        An exclusive-use file is not kept, because no other connection could open it in the meantime.
         """
         if file.qid.type & QTEXCL:
-            self.surplus_fids.append(file.fid)
-            self.clunk_before_next = True
+            self.fids_to_clunk.append(file.fid)
+            self.must_clunk_before_next = True
             return
-        self.drop_open_file(path, open_mode)
+        self.release_open_file(path, open_mode)
         self.open_files[path, open_mode] = file
         while len(self.open_files) > self.limits.max_open_files:
             _, oldest = self.open_files.popitem(last=False)
-            self.surplus_fids.append(oldest.fid)
+            self.fids_to_clunk.append(oldest.fid)
 
-    def drop_open_file(self, path: Path, open_mode: OpenMode) -> None:
-        """Have the file clunked, if one is open under this name and mode."""
+    def release_open_file(self, path: Path, open_mode: OpenMode) -> None:
+        """Schedule the clunk of the file that is open under this path and mode, if there is one."""
         file = self.open_files.pop((path, open_mode), None)
         if file:
-            self.surplus_fids.append(file.fid)
+            self.fids_to_clunk.append(file.fid)
 
 
 def expect(reply: Message, cls: type[M]) -> M:
-    """Return the reply if it is of this class.
+    """Return the reply if it is an instance of `cls`.
 
-    Raises OperationFailedError for the server's error, BackendProtocolError for any other message.
+    Raises OperationFailedError for an error reply, BackendProtocolError for any other message.
     """
     if isinstance(reply, cls):
         return reply
@@ -146,29 +148,29 @@
         raise OperationFailedError(errors.from_text(reply.ename))
     if isinstance(reply, codec_linux.Rlerror):
         raise OperationFailedError(errors.from_number(reply.ecode))
-    raise BackendProtocolError(f"{message_name(type(reply))} in place of {message_name(cls)}")
+    raise BackendProtocolError(f"{message_name(type(reply))} received instead of {message_name(cls)}")
 
 
 def walk(session: Session, path: Path, expected: Qid | None) -> Steps[tuple[int, Qid]]:
     """Walk from the root to a new fid, which is clunked once the attempt has ended.
 
-    `expected` is the qid that the client knows of the file: another file may have the name by now. Raises
-    OperationFailedError when no file or another one has it.
+    `expected` is the qid under which the client knows the file; by now the path may name another file. Raises
+    OperationFailedError if the path names no file or a different one.
     """
     fid, qids = yield from walk_prefix(session, path)
     if len(qids) < len(path):
-        raise OperationFailedError(NO_FILE)
+        raise OperationFailedError(FILE_NOT_FOUND)
     assert session.root
     qid = qids[-1] if qids else session.root
     if expected is not None and (qid.path, qid.type & QTDIR) != (expected.path, expected.type & QTDIR):
-        raise OperationFailedError(REPLACED)
+        raise OperationFailedError(FILE_REPLACED)
     return fid, qid
 
 
 def walk_prefix(session: Session, path: Path) -> Steps[tuple[int, list[Qid]]]:
-    """Walk from the root as far as the names exist; the fid is in use only when all were found.
+    """Walk from the root as far as the names exist; the fid is valid only if all of them were found.
 
-    Raises OperationFailedError when already the first name does not exist.
+    Raises OperationFailedError if even the first name does not exist.
     """
     fid = session.new_fid()
     source = ROOT
@@ -183,18 +185,18 @@
                 return fid, qids  # the first name of a later message does not exist
             raise
         if len(found) > len(names):
-            raise BackendProtocolError("more qids than names")
+            raise BackendProtocolError("Rwalk has more qids than the Twalk has names")
         qids += found
         if len(found) < len(names):
             return fid, qids
         if source == ROOT:
-            session.surplus_fids.append(fid)
+            session.fids_to_clunk.append(fid)
         source = fid
     return fid, qids
 
 
-def clunk_surplus_fids(session: Session) -> Steps[None]:
-    """Clunk what the attempts before have left, and wait for it."""
-    while session.surplus_fids:
-        expect((yield codec.Tclunk(session.surplus_fids.pop())), codec.Rclunk)
-    session.clunk_before_next = False
+def clunk_unused_fids(session: Session) -> Steps[None]:
+    """Clunk the fids that earlier attempts left behind, and wait for the replies."""
+    while session.fids_to_clunk:
+        expect((yield codec.Tclunk(session.fids_to_clunk.pop())), codec.Rclunk)
+    session.must_clunk_before_next = False
--- a/garnetlanding/ninep/shared_state.py
+++ b/garnetlanding/ninep/shared_state.py
@@ -1,4 +1,4 @@
-"""What all client connections of one 9P listener share: the order of changes, locks, and the clients."""
+"""The state shared by all client connections of one 9P listener: change order, locks and clients."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ConnectedClient(ClientProtocol, Protocol):
-    """A client connection, whose fids follow renames that any client does."""
+    """A client connection, whose fids are updated after renames by any client."""
 
     @property
     def fids(self) -> dict[int, Fid]:
@@ -30,10 +30,9 @@
 
 
 class SharedState:
-    """One for all connections of a listener.
+    """The state of one listener that all its connections share.
 
-    Its `order`, `admission`, `locks` and `exclusive_use` hold for all of them; `clients` has the connections
-    by the number that `join` gave them.
+    `clients` has the connections by the number that `register_client` assigned to them.
     """
 
     def __init__(
@@ -58,50 +57,50 @@
         self.clients: dict[int, ConnectedClient] = {}
         self.clock: Callable[[], float] = time.time
         self._last_client = 0
-        self._start_calls: dict[int, Callable[[], None]] = {}  # of queued changes, by ticket
-        self._changed_fids: dict[int, Fid] = {}  # of changes that are queued or in flight, by ticket
+        self._start_callbacks: dict[int, Callable[[], None]] = {}  # by ticket of a queued change
+        self._changed_fids: dict[int, Fid] = {}  # by ticket of a queued or in-flight change
         self._timer: Timer | None = None
         self._timer_due = 0
 
-    def join(self, client: ConnectedClient) -> int:
+    def register_client(self, client: ConnectedClient) -> int:
         """Add a connection; return its number."""
         self._last_client += 1
         self.clients[self._last_client] = client
         return self._last_client
 
-    def leave(self, client: int) -> None:
-        """Remove a connection that has closed. Its changes that are still running keep their order."""
+    def unregister_client(self, client: int) -> None:
+        """Remove a closed connection. Its changes that are still running stay in the change order."""
         self.clients.pop(client, None)
-        self.admission.forget(client)
+        self.admission.remove_client(client)
 
     def wall_time(self) -> Time:
-        """Return the time of day, for a setattr that sets a time to "now"."""
+        """Return the wall-clock time, for a setattr that sets a time to the current time."""
         now = self.clock()
         return Time(int(now), int(now % 1 * _NANOSECONDS))
 
-    # Changes, in order
+    # Order of changes
 
     def enqueue_change(
         self, client: int, fid: Fid, paths: ExportPaths, start: Callable[[], None]
     ) -> Enqueued:
-        """Give a change its place in the order; where it may not start at once, `start` is called later."""
+        """Add a change to the order; if it may not start at once, `start` is called later."""
         enqueued = self.order.enqueue(client, paths, self.timers.now)
         self._changed_fids[enqueued.ticket] = fid
         if not enqueued.may_start:
-            self._start_calls[enqueued.ticket] = start
+            self._start_callbacks[enqueued.ticket] = start
             self._set_timer()
         return enqueued
 
     def finish_change(self, client: int, ticket: int, outcome_unknown: bool) -> None:
-        """Start the changes that waited for one that has ended or was cancelled."""
-        self._start_calls.pop(ticket, None)
+        """Remove a change that has ended or was cancelled, and start those that waited for it."""
+        self._start_callbacks.pop(ticket, None)
         self._changed_fids.pop(ticket, None)
         self._start(self.order.finish(client, ticket, self.timers.now, outcome_unknown))
 
     def _start(self, tickets: list[int]) -> None:
         for ticket in tickets:
-            # Starting one of these may have ended another.
-            start = self._start_calls.pop(ticket, None)
+            # Starting one change may have finished another one in the list.
+            start = self._start_callbacks.pop(ticket, None)
             if start:
                 start()
         self._set_timer()
@@ -119,10 +118,10 @@
         self._timer = None
         self._start(self.order.expire_pauses(self.timers.now))
 
-    # Names
+    # Renames
 
     def rename(self, export: str, old: Path, new: Path) -> None:
-        """Follow a rename: every fid on the file, or on something below it, gets the new path."""
+        """Update the path of every fid of the renamed file or of a file below it."""
         self.order.rename((export, old), new)
         fids = [fid for client in self.clients.values() for fid in client.fids.values()]
         distinct = {id(fid): fid for fid in (*fids, *self._changed_fids.values())}
--- a/tests/conform/seeded_faults.py
+++ b/tests/conform/seeded_faults.py
@@ -253,7 +253,9 @@
     "all errors are one": SeededFault(
         files_linux.LinuxDialect, "error", _errors_are_one, p9l.VERSION, "mkdir-existing"
     ),
-    "locks do not exclude": SeededFault(LockTable, "conflict", _locks_overlap, p9l.VERSION, "lock-excludes"),
+    "locks do not exclude": SeededFault(
+        LockTable, "find_conflict", _locks_overlap, p9l.VERSION, "lock-excludes"
+    ),
     "readdir repeats entries": SeededFault(
         files_linux.LinuxDialect, "_readdir", _readdir_repeats, p9l.VERSION, "readdir-any-offset"
     ),
--- a/tests/integration/test_mixed_protocols.py
+++ b/tests/integration/test_mixed_protocols.py
@@ -10,7 +10,7 @@
 from garnetlanding.emulator.discovery import EmulatedEndpoint
 from garnetlanding.emulator.fileserver import FileServer
 from garnetlanding.ninep import codec as p9
-from garnetlanding.ninep.client import file_servers
+from garnetlanding.ninep.client import create_upstream
 from garnetlanding.ninep.front import NinepClientProtocol
 from garnetlanding.ninep.setup import Export
 from garnetlanding.ninep.shared_state import SharedState
@@ -40,7 +40,7 @@
             self.files_up.append(files)
             self.nine_at[brick.address] = files.address
             self.boxes.append(EmulatedEndpoint(f"b{i}", brick.address, 0))
-        nine = file_servers(self.scheduler, self.pool, self.limits, 0)
+        nine = create_upstream(self.scheduler, self.pool, self.limits, 0)
         nine.protocol_factory.resolve_address = lambda endpoint: self.nine_at[endpoint]  # type: ignore[method-assign]  # emulated
         exports = {"": Export("", "v9", "gold", "read", 0, SECOND)}
         front = SharedState(self.core, nine, exports, self.pool, self.limits, self.scheduler)
@@ -143,6 +143,6 @@
 
 def test_9p_server_may_have_its_own_port_on_the_backends_host() -> None:
     instance = SimulatedInstance()
-    upstream = file_servers(instance.scheduler, instance.pool, instance.limits, 564)
+    upstream = create_upstream(instance.scheduler, instance.pool, instance.limits, 564)
     assert upstream.protocol_factory.resolve_address("10.0.0.1:6379") == "10.0.0.1:564"
     assert parse_address("[::1]:564") == ("::1", 564)
--- a/tests/ninep/test_fair_admission.py
+++ b/tests/ninep/test_fair_admission.py
@@ -13,7 +13,7 @@
     limits = [admission.limit_for(client, 50) for client in (1, 4, 9)]
     assert limits == [2, 2, 1], "1 of 5 for one that is new"
     assert admission.limit_for(4, 103) == 8, "the others have not asked for a while"
-    admission.forget(4)
+    admission.remove_client(4)
     assert admission.limit_for(3, 102) == 8
     for client in range(100):
         admission.record_request(client, 200)
--- a/tests/ninep/test_front_model.py
+++ b/tests/ninep/test_front_model.py
@@ -11,7 +11,7 @@
 from garnetlanding.core.ports import Answer, Failed, Rejected, Served
 from garnetlanding.limits import MS, Limits
 from garnetlanding.ninep import codec as p9
-from garnetlanding.ninep.fids import resolve
+from garnetlanding.ninep.fids import resolve_walk
 from garnetlanding.ninep.front import NinepClientProtocol
 from garnetlanding.ninep.model import Attr
 from garnetlanding.ninep.operations import Attach, Open, Read, Stat, Walk
@@ -174,7 +174,7 @@
             case Walk(path=path, names=names), p9.Twalk(_, newfid):
                 qids = (QID,) * (len(names) - short)
                 if not short:
-                    self.fids[newfid] = QID, resolve(path, names), False
+                    self.fids[newfid] = QID, resolve_walk(path, names), False
                 return Served(qids), p9.Rwalk(qids)
             case Open(), p9.Topen(fid):
                 self.fids[fid] = QID, self.fids[fid][1], True
--- a/tests/support/ninep_instance.py
+++ b/tests/support/ninep_instance.py
@@ -12,7 +12,7 @@
 from garnetlanding.emulator.fileserver import FileServer
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux
-from garnetlanding.ninep.client import file_servers
+from garnetlanding.ninep.client import create_upstream
 from garnetlanding.ninep.front import NinepClientProtocol
 from garnetlanding.ninep.operation_table import with_unsafe_variants
 from garnetlanding.ninep.setup import Export
@@ -109,7 +109,7 @@
             EmulatedEndpoint(f"f{i}", s.address, cells[i], extra={"startedAtMs": 0})
             for i, s in enumerate(self.files)
         ]
-        self.nine = file_servers(self.scheduler, self.pool, self.limits, 0, offer)
+        self.nine = create_upstream(self.scheduler, self.pool, self.limits, 0, offer)
         exports = {
             "glossaries": Export(
                 "glossaries", "v", "gold", "read", 0, 1500 * MS, access=access, change_cls="read"
