--- a/benchmarks/ninep_chaos.py
+++ b/benchmarks/ninep_chaos.py
@@ -27,7 +27,7 @@
     logging.disable(logging.WARNING)
     began = time.monotonic()
     try:
-        told, why = chaos.run(seed, steps).outcomes, ""
+        told, why = chaos.run_schedule(seed, steps).outcomes, ""
     except AssertionError as broken:
         told, why = Counter[str](), str(broken).splitlines()[0][:200]
     return seed, why, told, time.monotonic() - began
--- a/tests/conform/test_conformance_suite.py
+++ b/tests/conform/test_conformance_suite.py
@@ -36,8 +36,8 @@
 
 @pytest.mark.parametrize("version", BOTH)
 def test_stand_in_passes_every_case_and_the_instance_gives_the_same_results(version: str) -> None:
-    instance = NinepInstance(access="rw", offer=version, tree={})
-    direct = run_suite(instance, instance.files[0].address, version)
+    instance = NinepInstance(access="rw", server_dialect=version, tree={})
+    direct = run_suite(instance, instance.file_servers[0].address, version)
     assert [result for result in direct if result.outcome != Outcome.PASS] == []
     through = run_suite(instance, instance.listener.address, version)
     assert [
@@ -51,8 +51,8 @@
 def test_suite_detects_each_seeded_fault(fault: str) -> None:
     """A suite that cannot fail proves nothing."""
     seeded = VARIANTS[fault]
-    instance = NinepInstance(access="rw", offer=seeded.version, tree={})
-    address = instance.files[0].address
+    instance = NinepInstance(access="rw", server_dialect=seeded.version, tree={})
+    address = instance.file_servers[0].address
     pattern = f"^{seeded.case}$"
     [sound] = run_suite(instance, address, seeded.version, pattern)
     with broken(fault):
@@ -71,8 +71,8 @@
 
 def test_unresponsive_server_fails_a_case_in_time() -> None:
     instance = NinepInstance(access="rw", tree={})
-    instance.files[0].script.add(Rule(p9.Tread, Fault.STALL, times=None))
-    [result] = run_suite(instance, instance.files[0].address, p9.VERSION, "^read-nothing$")
+    instance.file_servers[0].script.add(Rule(p9.Tread, Fault.STALL, times=None))
+    [result] = run_suite(instance, instance.file_servers[0].address, p9.VERSION, "^read-nothing$")
     assert result.outcome == Outcome.FAIL
     assert "no answer" in result.reason
 
@@ -87,7 +87,14 @@
     capsys: pytest.CaptureFixture[str], tmp_path: pathlib.Path
 ) -> None:
     instance = NinepInstance(access="rw", tree={})
-    quick = ["--address", instance.files[0].address, "--quiet", "0.01", "--only", "^remove-(clunks|file)$"]
+    quick = [
+        "--address",
+        instance.file_servers[0].address,
+        "--quiet",
+        "0.01",
+        "--only",
+        "^remove-(clunks|file)$",
+    ]
     file = tmp_path / "out.json"
     assert run_command(instance, *quick, "--json", str(file)) == 0
     reports = json.loads(file.read_text())
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -709,7 +709,7 @@
     """Through the front, the core and an emulated file server, on a clock that stands still."""
     version, _, _ = DIALECTS[dialect]
     tree = {"sv": {"law": b"plaintiff\tkarande\n" * 3, "empty": b""}, "readme": b"hello"}
-    world = NinepInstance(access="rw", offer=version, tree=tree)
+    world = NinepInstance(access="rw", server_dialect=version, tree=tree)
     peer = world.peer(world.listener.address)
     check(f"{dialect}_session.txt", ninep_transcript(peer, NINEP_SCRIPTS[dialect]))
 
--- a/tests/ninep/test_client_library.py
+++ b/tests/ninep/test_client_library.py
@@ -1,4 +1,4 @@
-"""A second opinion: a client library from the registry, through the head, in both dialects."""
+"""Interoperability with an independent 9P client library (p9fs), in both dialects."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 @pytest.mark.parametrize("version", [p9.VERSION, p9l.VERSION])
-@pytest.mark.parametrize("offer", [p9.VERSION, p9l.VERSION])
-def test_p9fs_client_reads_and_writes_through_the_instance(version: str, offer: str) -> None:
-    instance = NinepInstance(access="rw", offer=offer)
+@pytest.mark.parametrize("server_dialect", [p9.VERSION, p9l.VERSION])
+def test_p9fs_client_reads_and_writes_through_the_instance(version: str, server_dialect: str) -> None:
+    instance = NinepInstance(access="rw", server_dialect=server_dialect)
     port = int(instance.listener.address.rpartition(":")[2])
     data = bytes(range(256)) * 400
 
--- a/tests/ninep/test_front_model.py
+++ b/tests/ninep/test_front_model.py
@@ -1,4 +1,4 @@
-"""The 9P front against a model of a session's states, by random steps."""
+"""Stateful property test: the 9P protocol of a client connection against a model of its session."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class SessionModel(RuleBasedStateMachine):
-    """The model: fids with path and openness, and for each tag in flight what its answer will do."""
+    """The model keeps the path and open state of each fid, and the message of each tag in flight."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -39,7 +39,7 @@
         self.received: list[tuple[int, object]] = []
         clock = SimpleNamespace(now=0)
         shared = SharedState(self.core, None, exports, pool, Limits(), clock)  # type: ignore[arg-type]  # no backends are needed
-        self.machine = NinepClientProtocol(shared, self.write)
+        self.protocol = NinepClientProtocol(shared, self.write)
         self.fids: dict[int, tuple[p9.Qid, tuple[str, ...], bool]] = {}
         self.in_flight: dict[int, tuple[str, p9.Message]] = {}  # tag: ticket and message
         self.disconnected: list[str] = []
@@ -51,27 +51,27 @@
         self.received += self.framer.feed(data)
 
     def send_and_expect(
-        self, tag: int, message: p9.Message, want: p9.Message | None, *before: tuple[int, p9.Message]
+        self, tag: int, message: p9.Message, expected: p9.Message | None, *before: tuple[int, p9.Message]
     ) -> None:
-        """Sends it in two pieces; what must come at once is checked to be all that comes."""
+        """Send the message in two segments, and check that exactly the expected replies arrive at once."""
         data, self.received = p9.encode(tag, message), []
-        self.machine.feed(data[:5])
-        self.machine.feed(data[5:])
-        answers = [*before, *([(tag, want)] if want else [])]
+        self.protocol.feed(data[:5])
+        self.protocol.feed(data[5:])
+        replies = [*before, *([(tag, expected)] if expected else [])]
         assert [
-            (t, m if not isinstance(m, p9.Rerror) or m in dict(answers).values() else p9.Rerror(""))
+            (t, m if not isinstance(m, p9.Rerror) or m in dict(replies).values() else p9.Rerror(""))
             for t, m in self.received
-        ] == answers
+        ] == replies
 
     def request(self, tag: int, message: p9.Message, valid: bool, at_once: p9.Message | None = None) -> None:
-        """A message that is turned away, answered at once, or becomes one item."""
-        items = len(self.core.items)
-        wanted = at_once if valid and tag not in self.in_flight else p9.Rerror("")
+        """Send a message that is rejected, is answered at once, or results in one request to the core."""
+        requests_before = len(self.core.items)
+        expected = at_once if valid and tag not in self.in_flight else p9.Rerror("")
         if valid and tag not in self.in_flight and at_once is None:
-            wanted = None
-        self.send_and_expect(tag, message, wanted)
-        assert len(self.core.items) == items + (wanted is None), "one item, or none"
-        if wanted is None:
+            expected = None
+        self.send_and_expect(tag, message, expected)
+        assert len(self.core.items) == requests_before + (expected is None), "one request, or none"
+        if expected is None:
             self.in_flight[tag] = self.core.last, message
 
     def is_unused(self, fid: int) -> bool:
@@ -140,7 +140,7 @@
 
     @rule(msize=st.sampled_from([4096, 8192]), skipped=st.integers(0, 7))
     def version(self, msize: int, skipped: int) -> None:
-        if skipped:  # or no session would live long enough to get anywhere
+        if skipped:  # rarely reset the session, so that it reaches many states
             return
         self.send_and_expect(p9.NOTAG, p9.Tversion(msize, "9P2000"), p9.Rversion(msize, "9P2000"))
         self.disconnected += [ticket for ticket, _ in self.in_flight.values()]
@@ -153,21 +153,23 @@
 
     def finish(self, tag: int, kind: str) -> None:
         ticket, message = self.in_flight.pop(tag)
-        ask, answered = self.core.items.pop(ticket)
+        spec, on_answer = self.core.items.pop(ticket)
         answer: Answer
-        want: p9.Message
+        expected: p9.Message
         if kind in ("served", "short"):
-            answer, want = self.result_of(ask.operation, message, kind == "short")
+            answer, expected = self.result_and_reply(spec.operation, message, kind == "short")
         elif kind == "refused":
-            answer, want = REJECTED
+            answer, expected = REJECTED
         else:
-            answer, want = Failed("gave up"), p9.Rerror("gave up")
+            answer, expected = Failed("gave up"), p9.Rerror("gave up")
         self.received = []
-        answered(answer)
-        assert self.received == [(tag, want)]
+        on_answer(answer)
+        assert self.received == [(tag, expected)]
 
-    def result_of(self, work: object, message: p9.Message, short: bool) -> tuple[Answer, p9.Message]:
-        match work, message:
+    def result_and_reply(
+        self, operation: object, message: p9.Message, short: bool
+    ) -> tuple[Answer, p9.Message]:
+        match operation, message:
             case Attach(), p9.Tattach(fid):
                 self.fids[fid] = DIR, (), False
                 return Served(DIR), p9.Rattach(DIR)
@@ -178,24 +180,24 @@
                 return Served(qids), p9.Rwalk(qids)
             case Open(), p9.Topen(fid):
                 self.fids[fid] = QID, self.fids[fid][1], True
-                return Served(OpenFile(1, QID, 0)), p9.Ropen(QID, self.machine.msize - 24)
+                return Served(OpenFile(1, QID, 0)), p9.Ropen(QID, self.protocol.msize - 24)
             case Read(count=count), _:
                 data = b"x" * min(count, 10)
                 return Served(data), p9.Rread(data)
             case Stat(path=path), _:
                 attr = Attr(QID, 0o100644)
                 return Served(attr), p9.Rstat(pack_stat(path[-1] if path else "/", attr))
-        raise AssertionError(work)
+        raise AssertionError(operation)
 
     @invariant()
-    def machine_agrees_with_the_model(self) -> None:
-        fids = {f: (at.qid, at.path, at.open_mode is not None) for f, at in self.machine.fids.items()}
+    def protocol_agrees_with_the_model(self) -> None:
+        fids = {f: (at.qid, at.path, at.open_mode is not None) for f, at in self.protocol.fids.items()}
         assert fids == self.fids
-        assert self.machine.pending_responses == len(self.in_flight)
+        assert self.protocol.pending_responses == len(self.in_flight)
         assert sorted(self.core.gone) == sorted(self.disconnected)
 
     def teardown(self) -> None:
-        self.machine.close()
+        self.protocol.close()
         assert sorted(self.core.gone) == sorted(self.disconnected + [t for t, _ in self.in_flight.values()])
 
 
--- a/tests/ninep/test_locks.py
+++ b/tests/ninep/test_locks.py
@@ -8,8 +8,6 @@
 
 from garnetlanding.ninep.locks import ExclusiveUse, LockLimitError, LockOwner, LockRange, LockTable
 
-# Locks.
-
 
 @given(
     st.lists(
@@ -17,28 +15,29 @@
         max_size=40,
     )
 )
-def test_locks_agree_with_a_map_of_single_bytes(steps: list[tuple[int, str, int, int]]) -> None:
-    locks, held = (
-        LockTable(1000),
-        [dict[int, bool]() for _ in range(20)],
-    )  # by byte: owner to whether it writes
-    for who, kind, start, length in steps:
-        owner, span = LockOwner(who, 1, "x"), range(start, start + length)
+def test_locks_agree_with_a_model_of_single_bytes(steps: list[tuple[int, str, int, int]]) -> None:
+    locks = LockTable(1000)
+    held = [dict[int, bool]() for _ in range(20)]  # for each byte: owner -> whether it is a write lock
+    for session, kind, start, length in steps:
+        owner = LockOwner(session, 1, "x")
+        span = range(start, start + length)
         if kind == "u":
             locks.release(("e", 1), owner, start, start + length)
             for byte in span:
-                held[byte].pop(who, None)
+                held[byte].pop(session, None)
             continue
         write = kind == "w"
         blocked = any(
-            other != who and (write or theirs) for byte in span for other, theirs in held[byte].items()
+            other != session and (write or other_writes)
+            for byte in span
+            for other, other_writes in held[byte].items()
         )
         assert locks.acquire(("e", 1), LockRange(owner, 1, write, start, start + length)) is not blocked
         if not blocked:
             for byte in span:
-                held[byte][who] = write
-    for who in range(3):
-        locks.release_session(who)
+                held[byte][session] = write
+    for session in range(3):
+        locks.release_session(session)
     assert locks.count == 0
 
 
--- a/tests/ninep/test_replaced_files.py
+++ b/tests/ninep/test_replaced_files.py
@@ -1,4 +1,4 @@
-"""Files that are no longer what they were when opened."""
+"""Files that have been replaced or removed since the client opened them."""
 
 from __future__ import annotations
 
@@ -6,23 +6,21 @@
 
 from garnetlanding.ninep import codec as p9
 from tests.support.clock import SECOND
-from tests.support.ninep_changes import rw
+from tests.support.ninep_changes import writable_instance
 from tests.support.ninep_instance import NinepClient, error_text, received_messages
 
-# Files that are no longer what they were.
-
 
 @pytest.mark.parametrize("how", ["replaced", "restarted", "removed"])
 def test_path_that_names_another_file_gives_an_error_not_its_bytes(how: str) -> None:
-    """Only the qid's type was compared: after a reset, a read returned the bytes of a new file."""
-    instance, tool = rw()
-    tool.open(5, "readme", mode=p9.ORDWR)
-    tool.walk(6, "readme")
+    """Regression: only the qid type was compared, so a read after a reset returned data of a new file."""
+    instance, client = writable_instance()
+    client.open(5, "readme", mode=p9.ORDWR)
+    client.walk(6, "readme")
     if how == "restarted":
-        instance.files[0].restart(new_qids=True)
+        instance.file_servers[0].restart(new_qids=True)
     else:
         instance.disk.unlink(instance.disk.root, "readme", "root")
-        instance.files[0].restart()
+        instance.file_servers[0].restart()
     if how == "replaced":
         instance.disk.write(
             instance.disk.make(instance.disk.root, "readme", 0o100666, "root"), 0, b"other", "root"
@@ -30,32 +28,32 @@
     instance.settle()
     words = "does not exist" if how == "removed" else "replaced by another"
     for message in (p9.Tread(5, 0, 9), p9.Twrite(5, 0, b"x"), p9.Tstat(6), p9.Topen(6, p9.OREAD)):
-        assert words in error_text(tool.ask(message))
-    assert words in error_text(tool.ask(p9.Tremove(6)))
+        assert words in error_text(client.request(message))
+    assert words in error_text(client.request(p9.Tremove(6)))
     assert ("readme" in instance.disk.root.names) == (how != "removed")
 
 
 def test_file_removed_while_open_stays_readable_where_it_is_open() -> None:
-    instance, tool = rw()
-    tool.open(5, "readme")
-    assert tool.ask(p9.Tread(5, 0, 2)) == p9.Rread(b"he")
+    instance, client = writable_instance()
+    client.open(5, "readme")
+    assert client.request(p9.Tread(5, 0, 2)) == p9.Rread(b"he")
     instance.disk.unlink(instance.disk.root, "readme", "root")
-    assert tool.ask(p9.Tread(5, 2, 9)) == p9.Rread(b"llo")
+    assert client.request(p9.Tread(5, 2, 9)) == p9.Rread(b"llo")
 
 
-def test_two_creates_of_one_file_through_two_servers_let_one_win() -> None:
-    instance, tool = rw(servers=2)
+def test_only_one_of_two_concurrent_creates_succeeds() -> None:
+    instance, client = writable_instance(servers=2)
     other = NinepClient(instance)
-    tool.walk(6)
+    client.walk(6)
     other.walk(6)
-    instance.hold(p9.Tcreate)
-    tool.send(p9.Tcreate(6, "one", 0o644, p9.ORDWR), tag=71)
-    instance.drained(0)
-    instance.list(instance.boxes[1], whole=False)
-    assert isinstance(other.ask(p9.Tcreate(6, "one", 0o644, p9.ORDWR)), p9.Rcreate)
-    instance.files[0].release()
+    instance.withhold_replies(p9.Tcreate)
+    client.send(p9.Tcreate(6, "one", 0o644, p9.ORDWR), tag=71)
+    instance.drain_server(0)
+    instance.list(instance.endpoints[1], whole=False)
+    assert isinstance(other.request(p9.Tcreate(6, "one", 0o644, p9.ORDWR)), p9.Rcreate)
+    instance.file_servers[0].release()
     instance.run(SECOND)
-    assert tool.answers[-1] == (71, p9.Rerror("file already exists"))
+    assert client.replies[-1] == (71, p9.Rerror("file already exists"))
     assert (
         len(received_messages(instance, p9.Tcreate, 0))
         == len(received_messages(instance, p9.Tcreate, 1))
--- a/tests/ninep/test_server_faults.py
+++ b/tests/ninep/test_server_faults.py
@@ -1,4 +1,4 @@
-"""File servers that answer wrongly or refuse."""
+"""File servers that send invalid replies or report errors."""
 
 from __future__ import annotations
 
@@ -11,63 +11,63 @@
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
 from tests.support.clock import SECOND
-from tests.support.ninep_changes import LINUX, PLAIN, number, rw
+from tests.support.ninep_changes import LINUX, PLAIN, error_number, writable_instance
 from tests.support.ninep_instance import NinepClient, NinepInstance, error_text
 
-# Servers that do wrong.
-
 
 @pytest.mark.parametrize(
     "fault",
     [Fault.WRONG_COUNT, Fault.WRONG_TYPE, Fault.WRONG_TAG, Fault.HALF, Fault.RESET_AFTER, Fault.RESET_BEFORE],
 )
 def test_write_with_a_malformed_reply_is_retried_and_stored(fault: Fault) -> None:
-    instance, tool = rw()
-    tool.open(5, "readme", mode=p9.OWRITE)
-    instance.files[0].script.add(Rule(p9.Twrite, fault))
-    tool.send(p9.Twrite(5, 0, b"HELLO"), tag=1)
+    instance, client = writable_instance()
+    client.open(5, "readme", mode=p9.OWRITE)
+    instance.file_servers[0].script.add(Rule(p9.Twrite, fault))
+    client.send(p9.Twrite(5, 0, b"HELLO"), tag=1)
     instance.run(2 * SECOND)
-    assert tool.answers[-1] == (1, p9.Rwrite(5))
+    assert client.replies[-1] == (1, p9.Rwrite(5))
     assert instance.disk.read("readme") == b"HELLO"
 
 
-@pytest.mark.parametrize(("client", "code"), [(PLAIN, "no space left on device"), (LINUX, errors.ENOSPC)])
+@pytest.mark.parametrize(
+    ("client_version", "error"), [(PLAIN, "no space left on device"), (LINUX, errors.ENOSPC)]
+)
 def test_full_disk_and_denied_permission_are_reported_in_the_clients_dialect(
-    client: str, code: object
+    client_version: str, error: object
 ) -> None:
-    instance, tool = rw(client, PLAIN)
-    tool.open(5, "readme", mode=p9.OWRITE)
+    instance, client = writable_instance(client_version, PLAIN)
+    client.open(5, "readme", mode=p9.OWRITE)
     instance.disk.capacity = instance.disk.used
-    reply = tool.ask(p9.Twrite(5, 0, b"x" * 100))
-    assert code == (number(reply) if tool.linux else error_text(reply))
+    reply = client.request(p9.Twrite(5, 0, b"x" * 100))
+    assert error == (error_number(reply) if client.linux else error_text(reply))
     instance.disk.find("sv").mode = stat.S_IFDIR | 0o500
-    tool.walk(7, "sv")
+    client.walk(7, "sv")
     instance.disk.find("sv", "notes").mode = stat.S_IFREG | 0o400
-    denied = tool.ask(
-        p9l.Tlcreate(7, "x", p9l.L_CREATE, 0o644, 0) if tool.linux else p9.Tcreate(7, "x", 0o644, p9.OWRITE)
+    denied = client.request(
+        p9l.Tlcreate(7, "x", p9l.L_CREATE, 0o644, 0) if client.linux else p9.Tcreate(7, "x", 0o644, p9.OWRITE)
     )
-    assert (number(denied) if tool.linux else error_text(denied)) == (
-        errors.EACCES if tool.linux else "permission denied"
+    assert (error_number(denied) if client.linux else error_text(denied)) == (
+        errors.EACCES if client.linux else "permission denied"
     )
 
 
 def test_offsets_beyond_the_servers_range_are_errors() -> None:
-    instance, tool = rw()
-    tool.open(5, "readme", mode=p9.ORDWR)
+    instance, client = writable_instance()
+    client.open(5, "readme", mode=p9.ORDWR)
     for message in (
         p9.Tread(5, 1 << 63, 9),
         p9.Twrite(5, (1 << 64) - 1, b"x"),
         p9.Tread(5, (1 << 63) - 4, 9),
     ):
-        assert error_text(tool.ask(message)) == "illegal offset"
-    assert tool.ask(p9.Tread(5, 1 << 62, 9)) == p9.Rread(b"")
+        assert error_text(client.request(message)) == "illegal offset"
+    assert client.request(p9.Tread(5, 1 << 62, 9)) == p9.Rread(b"")
 
 
 def test_changes_in_a_read_only_export_never_reach_a_server() -> None:
-    instance = NinepInstance(offer=LINUX)
-    tool = NinepClient(instance, version=LINUX)
-    tool.open(5, "readme")
-    received_before = len(instance.files[0].received)
+    instance = NinepInstance(server_dialect=LINUX)
+    client = NinepClient(instance, version=LINUX)
+    client.open(5, "readme")
+    received_before = len(instance.file_servers[0].received)
     for message in (
         p9l.Tlcreate(0, "x", 1, 0, 0),
         p9l.Tmkdir(0, "x", 0, 0),
@@ -77,6 +77,6 @@
         p9l.Tsetattr(5, 1, 0, 0, 0, 0, 0, 0, 0, 0),
         p9l.Tlink(0, 5, "x"),
     ):
-        assert number(tool.ask(message)) == errors.EROFS, message
-    assert tool.ask(p9l.Tfsync(5, 0)) == p9l.Rfsync()
-    assert len(instance.files[0].received) == received_before
+        assert error_number(client.request(message)) == errors.EROFS, message
+    assert client.request(p9l.Tfsync(5, 0)) == p9l.Rfsync()
+    assert len(instance.file_servers[0].received) == received_before
--- a/tests/ninep/test_session_reads.py
+++ b/tests/ninep/test_session_reads.py
@@ -1,4 +1,4 @@
-"""9P on loopback: whole paths through front, core and client, and the hard cases."""
+"""9P reads on loopback through the client protocol, the core and the backend protocol, with edge cases."""
 
 from __future__ import annotations
 
@@ -16,66 +16,68 @@
 
 def test_file_is_walked_opened_read_to_its_end_and_clunked() -> None:
     instance = NinepInstance()
-    tool = NinepClient(instance)
-    tool.open(5, "sv", "law", "terms")
+    client = NinepClient(instance)
+    client.open(5, "sv", "law", "terms")
     got = b""
     while True:
-        reply = tool.ask(p9.Tread(5, len(got), 8192))
+        reply = client.request(p9.Tread(5, len(got), 8192))
         assert isinstance(reply, p9.Rread)
         if not reply.data:
             break
         got += reply.data
     assert got == GLOSSARY
-    assert isinstance(tool.ask(p9.Tstat(5)), p9.Rstat)
-    assert tool.ask(p9.Tclunk(5)) == p9.Rclunk()
+    assert isinstance(client.request(p9.Tstat(5)), p9.Rstat)
+    assert client.request(p9.Tclunk(5)) == p9.Rclunk()
     assert all(len(f) == 1 for f in instance.core.finals)
-    # A file stays open at its server from read to read.
+    # A file stays open at its server between reads.
     assert len(received_messages(instance, p9.Topen)) == 1
 
 
 def test_directory_is_read_in_steps_and_again_from_its_start() -> None:
     instance = NinepInstance()
-    tool = NinepClient(instance)
-    tool.open(5, "sv")
-    whole = tool.ask(p9.Tread(5, 0, 4096))
+    client = NinepClient(instance)
+    client.open(5, "sv")
+    whole = client.request(p9.Tread(5, 0, 4096))
     assert isinstance(whole, p9.Rread)
     assert len(whole.data) > 100
-    first = tool.ask(p9.Tread(5, 0, 90))  # one entry fits: the server's own position must go back
+    first = client.request(
+        p9.Tread(5, 0, 90)
+    )  # one entry fits, so the server has to be read again from an earlier offset
     assert isinstance(first, p9.Rread)
     assert 0 < len(first.data) <= 90
-    rest = tool.ask(p9.Tread(5, len(first.data), 4096))
+    rest = client.request(p9.Tread(5, len(first.data), 4096))
     assert isinstance(rest, p9.Rread)
     assert first.data + rest.data == whole.data
 
 
 def test_attach_without_a_name_gets_the_only_export() -> None:
-    tool = NinepClient(NinepInstance())
-    assert isinstance(tool.ask(p9.Tattach(7, p9.NOFID, "ann", "")), p9.Rattach)
+    client = NinepClient(NinepInstance())
+    assert isinstance(client.request(p9.Tattach(7, p9.NOFID, "ann", "")), p9.Rattach)
 
 
 def test_connection_lost_in_a_later_message_reports_may_have_run() -> None:
     instance = NinepInstance()
-    tool = NinepClient(instance)
-    instance.hold(p9.Topen)
-    tool.ask(p9.Twalk(0, 5, ("readme",)))
-    tool.send(p9.Topen(5, p9.OREAD), tag=2)
-    [conn] = instance.nine._busy.values()
+    client = NinepClient(instance)
+    instance.withhold_replies(p9.Topen)
+    client.request(p9.Twalk(0, 5, ("readme",)))
+    client.send(p9.Topen(5, p9.OREAD), tag=2)
+    [conn] = instance.upstream._busy.values()
     assert conn._stream
     conn._stream.on_flushed = None
-    conn._write(b"")  # a further message, none of it with the kernel yet
-    instance.files[0].close_connections()
+    conn._write(b"")  # a further message, no byte of which has been passed to the kernel
+    instance.file_servers[0].close_connections()
     instance.settle()
     assert instance.core.starts[-1].outcome is Outcome.RESET
 
 
 def test_partial_walk_reports_its_steps_and_creates_no_fid() -> None:
-    tool = NinepClient(NinepInstance())
-    reply = tool.ask(p9.Twalk(0, 5, ("sv", "gone", "terms")))
+    client = NinepClient(NinepInstance())
+    reply = client.request(p9.Twalk(0, 5, ("sv", "gone", "terms")))
     assert isinstance(reply, p9.Rwalk)
     assert len(reply.qids) == 1
-    assert error_text(tool.ask(p9.Tstat(5))) == "unknown fid"
-    assert error_text(tool.ask(p9.Twalk(0, 5, ("gone",)))) == "file does not exist"
-    up = tool.ask(p9.Twalk(0, 5, ("sv", "..", "..", "readme")))
+    assert error_text(client.request(p9.Tstat(5))) == "unknown fid"
+    assert error_text(client.request(p9.Twalk(0, 5, ("gone",)))) == "file does not exist"
+    up = client.request(p9.Twalk(0, 5, ("sv", "..", "..", "readme")))
     assert isinstance(up, p9.Rwalk)
     assert len(up.qids) == 4
 
@@ -101,239 +103,239 @@
 )
 def test_invalid_message_gets_an_error(message: p9.Message, words: str) -> None:
     instance = NinepInstance()
-    assert words in error_text(NinepClient(instance).ask(message))
+    assert words in error_text(NinepClient(instance).request(message))
     assert len(instance.core.starts) == 1, "only the attach needed a server"
 
 
 def test_clunk_cancels_the_read_in_flight_which_is_answered_first() -> None:
     instance = NinepInstance()
-    tool = NinepClient(instance)
-    tool.open(5, "readme")
-    instance.hold(p9.Tread)
-    assert tool.send(p9.Tread(5, 0, 100), tag=2) == []
-    answers = tool.send(p9.Tclunk(5), tag=3)
-    assert answers == [(2, p9.Rerror("fid clunked")), (3, p9.Rclunk())]
-    assert len(instance.files[0].connections) == 0, "the attempt's connection is closed"
-    instance.files[0].release()
+    client = NinepClient(instance)
+    client.open(5, "readme")
+    instance.withhold_replies(p9.Tread)
+    assert client.send(p9.Tread(5, 0, 100), tag=2) == []
+    replies = client.send(p9.Tclunk(5), tag=3)
+    assert replies == [(2, p9.Rerror("fid clunked")), (3, p9.Rclunk())]
+    assert len(instance.file_servers[0].connections) == 0, "the attempt's connection is closed"
+    instance.file_servers[0].release()
     instance.settle()
-    assert len(tool.answers) == 6, "nothing more comes for the tag"
+    assert len(client.replies) == 6, "no further reply arrives for the tag"
 
 
 def test_flush_is_answered_after_the_read_is_cancelled_and_frees_its_tag() -> None:
     instance = NinepInstance()
-    tool = NinepClient(instance)
-    tool.open(5, "readme")
-    instance.hold(p9.Tread)
-    tool.send(p9.Tread(5, 0, 100), tag=2)
-    assert tool.send(p9.Tflush(2), tag=3) == [(3, p9.Rflush())]
-    instance.files[0].release()
-    assert tool.ask(p9.Tread(5, 0, 100), tag=2) == p9.Rread(b"hello")
-    assert tool.ask(p9.Tflush(77)) == p9.Rflush()
+    client = NinepClient(instance)
+    client.open(5, "readme")
+    instance.withhold_replies(p9.Tread)
+    client.send(p9.Tread(5, 0, 100), tag=2)
+    assert client.send(p9.Tflush(2), tag=3) == [(3, p9.Rflush())]
+    instance.file_servers[0].release()
+    assert client.request(p9.Tread(5, 0, 100), tag=2) == p9.Rread(b"hello")
+    assert client.request(p9.Tflush(77)) == p9.Rflush()
 
 
 def test_reply_already_sent_precedes_the_reply_to_its_flush() -> None:
     instance = NinepInstance()
-    tool = NinepClient(instance)
-    tool.open(5, "readme")
-    before = len(tool.answers)
-    tool.say(p9.encode(2, p9.Tread(5, 0, 100)))
-    tool.say(p9.encode(3, p9.Tflush(2)))
-    assert tool.answers[before:] == [(2, p9.Rread(b"hello")), (3, p9.Rflush())]
+    client = NinepClient(instance)
+    client.open(5, "readme")
+    before = len(client.replies)
+    client.say(p9.encode(2, p9.Tread(5, 0, 100)))
+    client.say(p9.encode(3, p9.Tflush(2)))
+    assert client.replies[before:] == [(2, p9.Rread(b"hello")), (3, p9.Rflush())]
 
 
 def test_flushed_walk_leaves_its_new_fid_free() -> None:
     instance = NinepInstance()
-    tool = NinepClient(instance)
-    instance.hold(p9.Twalk)
-    tool.send(p9.Twalk(0, 5, ("sv",)), tag=2)
-    assert error_text(tool.ask(p9.Twalk(0, 5, ("readme",)), tag=4)) == "fid already in use"
-    tool.send(p9.Tflush(2), tag=3)
-    instance.files[0].release()
-    assert isinstance(tool.ask(p9.Twalk(0, 5, ("readme",)), tag=4), p9.Rwalk)
+    client = NinepClient(instance)
+    instance.withhold_replies(p9.Twalk)
+    client.send(p9.Twalk(0, 5, ("sv",)), tag=2)
+    assert error_text(client.request(p9.Twalk(0, 5, ("readme",)), tag=4)) == "fid already in use"
+    client.send(p9.Tflush(2), tag=3)
+    instance.file_servers[0].release()
+    assert isinstance(client.request(p9.Twalk(0, 5, ("readme",)), tag=4), p9.Rwalk)
 
 
 def test_walk_in_flight_survives_the_clunk_of_its_first_fid() -> None:
     instance = NinepInstance()
-    tool = NinepClient(instance)
-    tool.ask(p9.Twalk(0, 4, ()))
-    instance.hold(p9.Twalk)
-    tool.send(p9.Twalk(4, 5, ("sv",)), tag=2)
-    assert tool.ask(p9.Tclunk(4), tag=3) == p9.Rclunk()
-    instance.files[0].release()
+    client = NinepClient(instance)
+    client.request(p9.Twalk(0, 4, ()))
+    instance.withhold_replies(p9.Twalk)
+    client.send(p9.Twalk(4, 5, ("sv",)), tag=2)
+    assert client.request(p9.Tclunk(4), tag=3) == p9.Rclunk()
+    instance.file_servers[0].release()
     instance.settle()
-    assert isinstance(tool.answers[-1][1], p9.Rwalk)
-    assert isinstance(tool.ask(p9.Tstat(5)), p9.Rstat)
+    assert isinstance(client.replies[-1][1], p9.Rwalk)
+    assert isinstance(client.request(p9.Tstat(5)), p9.Rstat)
 
 
 def test_disconnect_cancels_the_clients_attempts() -> None:
     instance = NinepInstance()
-    tool = NinepClient(instance)
-    tool.open(5, "readme")
-    instance.hold(p9.Tread)
-    tool.send(p9.Tread(5, 0, 100), tag=2)
-    tool.close()
+    client = NinepClient(instance)
+    client.open(5, "readme")
+    instance.withhold_replies(p9.Tread)
+    client.send(p9.Tread(5, 0, 100), tag=2)
+    client.close()
     assert instance.core.open_requests == 0
     assert not instance.core._requests
-    assert len(instance.files[0].connections) == 0
+    assert len(instance.file_servers[0].connections) == 0
 
 
 def test_new_version_ends_the_session() -> None:
     instance = NinepInstance()
-    tool = NinepClient(instance)
-    tool.open(5, "readme")
-    instance.hold(p9.Tread)
-    tool.send(p9.Tread(5, 0, 100), tag=2)
-    assert tool.ask(p9.Tversion(4096, "9P2000.u"), p9.NOTAG) == p9.Rversion(4096, "9P2000")
+    client = NinepClient(instance)
+    client.open(5, "readme")
+    instance.withhold_replies(p9.Tread)
+    client.send(p9.Tread(5, 0, 100), tag=2)
+    assert client.request(p9.Tversion(4096, "9P2000.u"), p9.NOTAG) == p9.Rversion(4096, "9P2000")
     assert instance.core.open_requests == 0
-    assert error_text(tool.ask(p9.Tstat(5))) == "unknown fid"
-    assert tool.ask(p9.Tversion(4096, "8P"), p9.NOTAG) == p9.Rversion(4096, "unknown")
-    assert error_text(tool.ask(p9.Tstat(5))) == "no version agreed"
+    assert error_text(client.request(p9.Tstat(5))) == "unknown fid"
+    assert client.request(p9.Tversion(4096, "8P"), p9.NOTAG) == p9.Rversion(4096, "unknown")
+    assert error_text(client.request(p9.Tstat(5))) == "no version agreed"
 
 
 def test_duplicate_tag_is_rejected_and_the_first_continues() -> None:
     instance = NinepInstance()
-    tool = NinepClient(instance)
-    tool.open(5, "readme")
-    instance.hold(p9.Tread)
-    tool.send(p9.Tread(5, 0, 100), tag=2)
-    assert error_text(tool.ask(p9.Tstat(5), tag=2)) == "duplicate tag"
-    before = len(tool.answers)
-    instance.files[0].release()
+    client = NinepClient(instance)
+    client.open(5, "readme")
+    instance.withhold_replies(p9.Tread)
+    client.send(p9.Tread(5, 0, 100), tag=2)
+    assert error_text(client.request(p9.Tstat(5), tag=2)) == "duplicate tag"
+    before = len(client.replies)
+    instance.file_servers[0].release()
     instance.settle()
-    assert tool.answers[before:] == [(2, p9.Rread(b"hello"))]
+    assert client.replies[before:] == [(2, p9.Rread(b"hello"))]
 
 
 def test_fid_that_is_being_opened_rejects_other_messages() -> None:
     instance = NinepInstance()
-    tool = NinepClient(instance)
-    tool.ask(p9.Twalk(0, 5, ("readme",)))
-    instance.hold(p9.Topen)
-    tool.send(p9.Topen(5, p9.OREAD), tag=2)
-    assert "being opened" in error_text(tool.ask(p9.Topen(5, p9.OREAD), tag=3))
-    instance.files[0].release()
+    client = NinepClient(instance)
+    client.request(p9.Twalk(0, 5, ("readme",)))
+    instance.withhold_replies(p9.Topen)
+    client.send(p9.Topen(5, p9.OREAD), tag=2)
+    assert "being opened" in error_text(client.request(p9.Topen(5, p9.OREAD), tag=3))
+    instance.file_servers[0].release()
     instance.settle()
-    assert error_text(tool.ask(p9.Topen(5, p9.OREAD))) == "fid already open"
-    assert error_text(tool.ask(p9.Twalk(5, 6, ("x",)))) == "cannot walk an open fid"
+    assert error_text(client.request(p9.Topen(5, p9.OREAD))) == "fid already open"
+    assert error_text(client.request(p9.Twalk(5, 6, ("x",)))) == "cannot walk an open fid"
 
 
 def test_msize_bounds_reads_stats_and_errors() -> None:
-    tool = NinepClient(NinepInstance(), msize=256)
-    tool.open(5, "sv", "law", "terms")
-    reply = tool.ask(p9.Tread(5, 0, 1 << 20))
+    client = NinepClient(NinepInstance(), msize=256)
+    client.open(5, "sv", "law", "terms")
+    reply = client.request(p9.Tread(5, 0, 1 << 20))
     assert isinstance(reply, p9.Rread)
     assert len(reply.data) == 256 - 24
     long = p9.encode(1, p9.Tattach(9, p9.NOFID, "a", "x" * 400))
-    tool.say(long)
-    assert tool.closed, "over msize, framing can't be trusted"
+    client.say(long)
+    assert client.closed, "a message longer than msize is a framing error"
     raw = NinepClient(NinepInstance(), attach=False)
-    assert error_text(raw.ask(p9.Tversion(100, "9P2000"), p9.NOTAG)) == "msize too small"
+    assert error_text(raw.request(p9.Tversion(100, "9P2000"), p9.NOTAG)) == "msize too small"
 
 
 def test_malformed_body_gets_an_error_and_the_session_continues() -> None:
-    tool = NinepClient(NinepInstance())
+    client = NinepClient(NinepInstance())
     bad = p9.encode(9, p9.Tstat(0))[:-1]
-    tool.say(bytes([len(bad)]) + bad[1:])
-    assert tool.answers[-1] == (9, p9.Rerror("bad Tstat: message cut short"))
-    tool.world.run(tool.world.limits.misuse_pause_us)
-    tool.say(b"\x07\0\0\0\xff\x09\0")
-    tool.world.run(tool.world.limits.misuse_pause_us)
-    assert tool.answers[-1] == (9, p9.Rerror("unknown message type 255"))
-    assert isinstance(tool.ask(p9.Tstat(0)), p9.Rstat)
+    client.say(bytes([len(bad)]) + bad[1:])
+    assert client.replies[-1] == (9, p9.Rerror("bad Tstat: message cut short"))
+    client.world.run(client.world.limits.misuse_pause_us)
+    client.say(b"\x07\0\0\0\xff\x09\0")
+    client.world.run(client.world.limits.misuse_pause_us)
+    assert client.replies[-1] == (9, p9.Rerror("unknown message type 255"))
+    assert isinstance(client.request(p9.Tstat(0)), p9.Rstat)
 
 
 def test_backend_that_drains_within_a_walk_is_sent_no_more_of_it() -> None:
-    """The walk's first part is out when the drain is told; the rest goes to the cell's other server."""
+    """The drain is announced while the first Twalk is in flight; the walk is retried at the other server."""
     instance = NinepInstance(servers=2)
     deep: dict[str, Any] = {"end": b"here"}
     names = tuple(f"n{i}" for i in range(19))
     for name in reversed(names):
         deep = {name: deep}
-    for server in instance.files:
+    for server in instance.file_servers:
         server.tree = deep
-    tool = NinepClient(instance)
-    instance.hold(p9.Twalk)
-    tool.send(p9.Twalk(0, 5, names[:16]), tag=2)
-    instance.files[0].release()
+    client = NinepClient(instance)
+    instance.withhold_replies(p9.Twalk)
+    client.send(p9.Twalk(0, 5, names[:16]), tag=2)
+    instance.file_servers[0].release()
     instance.settle()
-    instance.hold(p9.Twalk)
-    assert tool.send(p9.Twalk(5, 6, (*names[16:], "end")), tag=2) == []
-    instance.drained(0)
-    instance.list(instance.boxes[1], whole=False)
-    instance.files[0].release()  # its half is answered; the second part would be new work
+    instance.withhold_replies(p9.Twalk)
+    assert client.send(p9.Twalk(5, 6, (*names[16:], "end")), tag=2) == []
+    instance.drain_server(0)
+    instance.list(instance.endpoints[1], whole=False)
+    instance.file_servers[0].release()  # the first Twalk is answered; the second must not be sent
     instance.run(200 * MS)
     assert len(received_messages(instance, p9.Twalk, 0)) == 2
     assert len(received_messages(instance, p9.Twalk, 1)) == 2
-    assert isinstance(tool.answers[-1][1], p9.Rwalk)
-    assert len(tool.answers[-1][1].qids) == 4
+    assert isinstance(client.replies[-1][1], p9.Rwalk)
+    assert len(client.replies[-1][1].qids) == 4
     assert [a.outcome.value for a in instance.core.starts[-2:] if a.outcome] == ["reset", "served"]
 
 
 def test_read_continues_at_another_backend_when_its_own_fails() -> None:
     instance = NinepInstance(servers=2)
-    tool = NinepClient(instance)
-    tool.open(5, "sv", "law", "terms")
-    first = tool.ask(p9.Tread(5, 0, 4000))
-    instance.hold(p9.Tread)
-    tool.send(p9.Tread(5, 4000, 4000), tag=2)
-    instance.files[0].listener.stop_accepting()
-    instance.files[0].close_connections()
-    instance.boxes[0].state = "DELETED"
-    instance.list(instance.boxes[0], instance.boxes[1], whole=False)
+    client = NinepClient(instance)
+    client.open(5, "sv", "law", "terms")
+    first = client.request(p9.Tread(5, 0, 4000))
+    instance.withhold_replies(p9.Tread)
+    client.send(p9.Tread(5, 4000, 4000), tag=2)
+    instance.file_servers[0].listener.stop_accepting()
+    instance.file_servers[0].close_connections()
+    instance.endpoints[0].state = "DELETED"
+    instance.list(instance.endpoints[0], instance.endpoints[1], whole=False)
     instance.run(300 * MS)
-    second = tool.answers[-1]
+    second = client.replies[-1]
     assert isinstance(first, p9.Rread)
     assert second == (2, p9.Rread(GLOSSARY[4000:8000]))
-    assert isinstance(tool.ask(p9.Tread(5, 0, 10)), p9.Rread)
+    assert isinstance(client.request(p9.Tread(5, 0, 10)), p9.Rread)
 
 
 def test_rejection_says_when_to_retry() -> None:
     instance = NinepInstance()
-    tool = NinepClient(instance)
-    tool.open(5, "readme")
-    # Nothing serves the cell any more; the controller gives the item up before the client's time.
-    instance.drained(0)
-    assert tool.send(p9.Tread(5, 0, 100), tag=2) == []
+    client = NinepClient(instance)
+    client.open(5, "readme")
+    # No backend serves the cell any more; the controller rejects the request before its deadline.
+    instance.drain_server(0)
+    assert client.send(p9.Tread(5, 0, 100), tag=2) == []
     instance.run(1500 * MS)
-    assert error_text(tool.answers[-1][1]) == "busy; come again after 1000 ms"
+    assert error_text(client.replies[-1][1]) == "busy; come again after 1000 ms"
     assert isinstance(instance.core.finals[-1][0], Rejected)
 
 
 def test_unresponsive_backend_costs_no_more_than_the_deadline() -> None:
     instance = NinepInstance()
-    tool = NinepClient(instance)
-    tool.open(5, "readme")
-    instance.hold(p9.Message)
-    tool.send(p9.Tread(5, 0, 100), tag=2)
+    client = NinepClient(instance)
+    client.open(5, "readme")
+    instance.withhold_replies(p9.Message)
+    client.send(p9.Tread(5, 0, 100), tag=2)
     instance.run(1500 * MS)
-    assert tool.answers[-1][0] == 2
-    assert error_text(tool.answers[-1][1]).startswith("busy")
+    assert client.replies[-1][0] == 2
+    assert error_text(client.replies[-1][1]).startswith("busy")
     assert instance.core.open_requests == 0
-    assert len(instance.files[0].connections) == 0
+    assert len(instance.file_servers[0].connections) == 0
 
 
 def test_fids_and_tags_are_bounded() -> None:
     instance = NinepInstance(ninep_fids=3, ninep_tags=2)
-    tool = NinepClient(instance)
-    assert tool.ask(p9.Twalk(0, 1, ())) == tool.ask(p9.Twalk(0, 2, ())) == p9.Rwalk(())
-    assert error_text(tool.ask(p9.Twalk(0, 3, ()))) == "too many fids"
-    instance.hold(p9.Message)
-    tool.send(p9.Tstat(0), tag=1)
-    tool.send(p9.Tstat(1), tag=2)
-    assert error_text(tool.ask(p9.Tstat(2), tag=3)) == "too many requests in flight"
+    client = NinepClient(instance)
+    assert client.request(p9.Twalk(0, 1, ())) == client.request(p9.Twalk(0, 2, ())) == p9.Rwalk(())
+    assert error_text(client.request(p9.Twalk(0, 3, ()))) == "too many fids"
+    instance.withhold_replies(p9.Message)
+    client.send(p9.Tstat(0), tag=1)
+    client.send(p9.Tstat(1), tag=2)
+    assert error_text(client.request(p9.Tstat(2), tag=3)) == "too many requests in flight"
 
 
 def test_open_files_per_backend_connection_are_bounded() -> None:
     instance = NinepInstance(ninep_keep_open=1)
-    tool = NinepClient(instance)
-    tool.open(5, "readme")
-    tool.open(6, "sv", "notes")
-    conn = instance.files[0].connections[0]
+    client = NinepClient(instance)
+    client.open(5, "readme")
+    client.open(6, "sv", "notes")
+    conn = instance.file_servers[0].connections[0]
     assert len(getattr(conn, "fids")) == 2, "the root and one file"  # noqa: B009
-    assert isinstance(tool.ask(p9.Tread(5, 0, 9)), p9.Rread)
+    assert isinstance(client.request(p9.Tread(5, 0, 9)), p9.Rread)
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "break_protocol",
     [
         lambda conn, _tag: conn.write(b"\0\0\0\0"),
         lambda conn, _tag: conn.write(p9.encode(55, p9.Rread(b""))),
@@ -341,16 +343,18 @@
         lambda conn, tag: conn.write(p9.encode(tag, p9.Rread(b"x" * 101))),
     ],
 )
-def test_connection_to_a_server_that_breaks_the_protocol_is_closed(spoil: Callable[[Any, int], None]) -> None:
+def test_connection_to_a_server_that_breaks_the_protocol_is_closed(
+    break_protocol: Callable[[Any, int], None],
+) -> None:
     instance = NinepInstance()
-    tool = NinepClient(instance)
-    tool.open(5, "readme")
-    instance.hold(p9.Tread)
-    tool.send(p9.Tread(5, 0, 100), tag=2)
-    [(tag, _, conn)] = instance.files[0].held_messages
-    instance.files[0].held_messages = []
-    instance.files[0].holds_reply = None
-    spoil(conn, tag)
+    client = NinepClient(instance)
+    client.open(5, "readme")
+    instance.withhold_replies(p9.Tread)
+    client.send(p9.Tread(5, 0, 100), tag=2)
+    [(tag, _, conn)] = instance.file_servers[0].held_messages
+    instance.file_servers[0].held_messages = []
+    instance.file_servers[0].holds_reply = None
+    break_protocol(conn, tag)
     instance.run(SECOND // 2)
-    assert tool.answers[-1] == (2, p9.Rread(b"hello"))
+    assert client.replies[-1] == (2, p9.Rread(b"hello"))
     assert [a.outcome.value for a in instance.core.starts[-2:] if a.outcome] == ["reset", "served"]
--- a/tests/support/ninep_changes.py
+++ b/tests/support/ninep_changes.py
@@ -1,4 +1,4 @@
-"""Messages and files for the tests of changes over 9P."""
+"""Helpers for tests of changes over 9P."""
 
 from __future__ import annotations
 
@@ -28,20 +28,22 @@
     )
 
 
-def rw(
-    client: str = PLAIN, server: str = PLAIN, servers: int = 1, **more: object
+def writable_instance(
+    client_version: str = PLAIN, server_version: str = PLAIN, servers: int = 1, **more: object
 ) -> tuple[NinepInstance, NinepClient]:
-    instance = NinepInstance(servers, access="rw", offer=server, **more)  # type: ignore[arg-type]  # settings by name
-    return instance, NinepClient(instance, version=client)
+    instance = NinepInstance(servers, access="rw", server_dialect=server_version, **more)  # type: ignore[arg-type]  # settings by name
+    return instance, NinepClient(instance, version=client_version)
 
 
-def create(tool: NinepClient, fid: int, name: str, perm: int = 0o644, mode: int = p9.ORDWR) -> p9.Message:
-    tool.walk(fid)
-    if tool.linux:
-        return tool.ask(p9l.Tlcreate(fid, name, mode | p9l.L_CREATE | p9l.L_EXCL, perm, p9l.NOGID))
-    return tool.ask(p9.Tcreate(fid, name, perm, mode))
+def create_file(
+    client: NinepClient, fid: int, name: str, perm: int = 0o644, mode: int = p9.ORDWR
+) -> p9.Message:
+    client.walk(fid)
+    if client.linux:
+        return client.request(p9l.Tlcreate(fid, name, mode | p9l.L_CREATE | p9l.L_EXCL, perm, p9l.NOGID))
+    return client.request(p9.Tcreate(fid, name, perm, mode))
 
 
-def number(reply: p9.Message) -> int:
+def error_number(reply: p9.Message) -> int:
     assert isinstance(reply, p9l.Rlerror), reply
     return reply.ecode
--- a/tests/support/ninep_instance.py
+++ b/tests/support/ninep_instance.py
@@ -1,4 +1,4 @@
-"""An instance with a 9P front before stand-in file servers, and clients that speak 9P to it."""
+"""A simulated instance with a 9P listener and emulated file servers, and 9P clients that connect to it."""
 
 from __future__ import annotations
 
@@ -32,48 +32,48 @@
 
 
 class NinepClient(LoopbackClient):
-    """A 9P client in either dialect; it keeps every reply with its tag."""
+    """A 9P client for either dialect; it records every reply with its tag."""
 
     def __init__(
         self,
-        world: NinepInstance,
+        instance: NinepInstance,
         msize: int = 8192,
         attach: bool = True,
         version: str = p9.VERSION,
         address: str = "",
     ) -> None:
-        super().__init__(world, address or world.listener.address)
+        super().__init__(instance, address or instance.listener.address)
         self.linux = version == codec_linux.VERSION
-        self._framer = p9.Framer(world.pool, 1 << 20)
-        self.answers: list[tuple[int, p9.Message]] = []
+        self._framer = p9.Framer(instance.pool, 1 << 20)
+        self.replies: list[tuple[int, p9.Message]] = []
         if attach:
-            assert self.ask(p9.Tversion(msize, version), p9.NOTAG) == p9.Rversion(msize, version)
-            hello = (
+            assert self.request(p9.Tversion(msize, version), p9.NOTAG) == p9.Rversion(msize, version)
+            attach_message = (
                 codec_linux.Tlattach(0, p9.NOFID, "ann", "glossaries", 1000)
                 if self.linux
                 else p9.Tattach(0, p9.NOFID, "ann", "glossaries")
             )
-            assert isinstance(self.ask(hello), p9.Rattach)
+            assert isinstance(self.request(attach_message), p9.Rattach)
 
     def _feed(self, data: memoryview) -> None:
-        self.answers += self._framer.feed(data)  # type: ignore[arg-type]  # replies are not malformed here
+        self.replies += self._framer.feed(data)  # type: ignore[arg-type]  # replies are not malformed here
 
     def send(self, message: p9.Message, tag: int = 1) -> list[tuple[int, p9.Message]]:
         """Send a message and return the replies that arrived, with their tags."""
-        before = len(self.answers)
+        before = len(self.replies)
         self._framer.table = codec_linux.LINUX if self.linux else p9.PLAIN
         self.say(p9.encode(tag, message))
-        return self.answers[before:]
+        return self.replies[before:]
 
-    def ask(self, message: p9.Message, tag: int = 1) -> p9.Message:
+    def request(self, message: p9.Message, tag: int = 1) -> p9.Message:
         """Send a message and return its one reply."""
         [(answered, reply)] = self.send(message, tag)
         assert answered == tag
         return reply
 
     def walk(self, fid: int, *names: str) -> None:
-        """Walk from the root to a new fid; every step must succeed."""
-        walked = self.ask(p9.Twalk(0, fid, names))
+        """Walk from the root to a new fid; every name must exist."""
+        walked = self.request(p9.Twalk(0, fid, names))
         assert isinstance(walked, p9.Rwalk)
         assert len(walked.qids) == len(names)
 
@@ -81,20 +81,20 @@
         """Walk to a file and open it."""
         self.walk(fid, *names)
         if self.linux:
-            assert isinstance(self.ask(codec_linux.Tlopen(fid, mode)), codec_linux.Rlopen)
+            assert isinstance(self.request(codec_linux.Tlopen(fid, mode)), codec_linux.Rlopen)
         else:
-            assert isinstance(self.ask(p9.Topen(fid, mode)), p9.Ropen)
+            assert isinstance(self.request(p9.Topen(fid, mode)), p9.Ropen)
 
 
 class NinepInstance(SimulatedInstance):
-    """A 9P front before file servers that share one disk."""
+    """An instance with a 9P listener, and file servers that share one disk."""
 
     def __init__(
         self,
         servers: int = 1,
         cells: tuple[int, ...] = (0, 0),
         access: str = "ro",
-        offer: str = p9.VERSION,
+        server_dialect: str = p9.VERSION,
         tree: Tree | None = None,
         config: api.Settings | None = None,
         **limits: int,
@@ -104,45 +104,47 @@
             **limits,
         )
         self.disk = Disk(FILE_TREE if tree is None else tree, clock=lambda: self.time)
-        self.files = [self.server(FileServer, disk=self.disk) for _ in range(servers)]
-        self.boxes = [
+        self.file_servers = [self.server(FileServer, disk=self.disk) for _ in range(servers)]
+        self.endpoints = [
             EmulatedEndpoint(f"f{i}", s.address, cells[i], extra={"startedAtMs": 0})
-            for i, s in enumerate(self.files)
+            for i, s in enumerate(self.file_servers)
         ]
-        self.nine = create_upstream(self.scheduler, self.pool, self.limits, 0, offer)
+        self.upstream = create_upstream(self.scheduler, self.pool, self.limits, 0, server_dialect)
         exports = {
             "glossaries": Export(
                 "glossaries", "v", "gold", "read", 0, 1500 * MS, access=access, change_cls="read"
             )
         }
-        self.front_9p = SharedState(self.core, self.nine, exports, self.pool, self.limits, self.scheduler)
+        self.shared_state = SharedState(
+            self.core, self.upstream, exports, self.pool, self.limits, self.scheduler
+        )
         self.listener: Listener = Listener(
             self.scheduler,
             "127.0.0.1:0",
             self.pool,
             self.limits,
             64,
-            lambda write: NinepClientProtocol(self.front_9p, write),
+            lambda write: NinepClientProtocol(self.shared_state, write),
         )
-        self.list(self.boxes[0])
+        self.list(self.endpoints[0])
 
-    def drained(self, index: int) -> None:
+    def drain_server(self, index: int) -> None:
         """List the server as draining."""
-        self.boxes[index].state = "DRAINING"
-        self.list(self.boxes[index], whole=False)
+        self.endpoints[index].state = "DRAINING"
+        self.list(self.endpoints[index], whole=False)
 
-    def hold(self, kind: type[p9.Message], server: int = 0) -> None:
-        """Have the server withhold its replies to messages of this kind."""
-        self.files[server].holds_reply = lambda m: isinstance(m, kind)
+    def withhold_replies(self, kind: type[p9.Message], server: int = 0) -> None:
+        """Make the server withhold its replies to messages of this type."""
+        self.file_servers[server].holds_reply = lambda m: isinstance(m, kind)
 
 
-def received_messages(world: NinepInstance, kind: type[p9.Message], server: int = 0) -> list[Any]:
-    """The messages of this kind that the server has received."""
-    return [m for m in world.files[server].received if isinstance(m, kind)]
+def received_messages(instance: NinepInstance, kind: type[p9.Message], server: int = 0) -> list[Any]:
+    """Return the messages of this type that the server has received."""
+    return [m for m in instance.file_servers[server].received if isinstance(m, kind)]
 
 
 def error_text(reply: p9.Message) -> str:
-    """The text of an error reply; any other reply fails the test."""
+    """Return the text of an error reply; any other reply fails the test."""
     assert isinstance(reply, p9.Rerror), reply
     return reply.ename
 
@@ -150,51 +152,57 @@
 class SimulatedTransport:
     """The conformance suite's transport to a simulated instance: waiting advances the simulated clock."""
 
-    def __init__(self, world: SimulatedInstance, address: str) -> None:
-        self._world, self._peer, self._had = world, LoopbackClient(world, address, settle=False), 0
+    def __init__(self, instance: SimulatedInstance, address: str) -> None:
+        self._instance = instance
+        self._connection = LoopbackClient(instance, address, settle=False)
+        self._received_bytes = 0
 
     def send(self, data: bytes) -> None:
-        if self._peer.stream is None:
-            self._world.settle()
-        if self._peer.stream and not self._peer.closed:
-            self._peer.stream.write(data)
+        if self._connection.stream is None:
+            self._instance.settle()
+        if self._connection.stream and not self._connection.closed:
+            self._connection.stream.write(data)
 
     def receive(self, wait_s: float) -> bytes | None:
-        world, peer = self._world, self._peer
-        until = world.time + int(wait_s * SECOND)
+        instance, connection = self._instance, self._connection
+        until = instance.time + int(wait_s * SECOND)
         while True:
-            # What is on its way on loopback mostly needs no waiting for; settling is for the rest.
-            while len(peer.got) == self._had and not peer.closed and world.scheduler.run_iteration(0):
+            # Data on loopback mostly arrives without waiting; settle() covers the rest.
+            while (
+                len(connection.got) == self._received_bytes
+                and not connection.closed
+                and instance.scheduler.run_iteration(0)
+            ):
                 pass
-            if len(peer.got) == self._had and not peer.closed:
-                world.settle()
-            if len(peer.got) > self._had:
-                data, self._had = peer.got[self._had :], len(peer.got)
+            if len(connection.got) == self._received_bytes and not connection.closed:
+                instance.settle()
+            if len(connection.got) > self._received_bytes:
+                data, self._received_bytes = connection.got[self._received_bytes :], len(connection.got)
                 return data
-            if peer.closed:
+            if connection.closed:
                 return b""
-            if world.time >= until:
+            if instance.time >= until:
                 return None
-            world.time = min(until, world.time + 20 * MS)
+            instance.time = min(until, instance.time + 20 * MS)
 
     def close(self) -> None:
-        if self._peer.stream and not self._peer.closed:
-            self._peer.stream.close()
-            self._world.scheduler.run_iteration(0)
+        if self._connection.stream and not self._connection.closed:
+            self._connection.stream.close()
+            self._instance.scheduler.run_iteration(0)
 
 
-def run_beside(world: NinepInstance, body: Callable[[], None]) -> None:
+def run_beside(instance: NinepInstance, blocking_client: Callable[[], None]) -> None:
     """Run a blocking client in a thread of its own while the event loop runs here."""
-    failed: list[BaseException] = []
+    errors: list[BaseException] = []
 
     def run() -> None:
         try:
-            body()
-        except BaseException as problem:  # noqa: BLE001 - told to the test
-            failed.append(problem)
+            blocking_client()
+        except BaseException as error:  # noqa: BLE001 - raised in the test's thread below
+            errors.append(error)
 
     thread = threading.Thread(target=run, daemon=True)
     thread.start()
-    world.run_until(lambda: not thread.is_alive(), "the end of the client's thread")
-    if failed:
-        raise failed[0]
+    instance.run_until(lambda: not thread.is_alive(), "the end of the client's thread")
+    if errors:
+        raise errors[0]
