--- a/garnetlanding/ninep/locks.py
+++ b/garnetlanding/ninep/locks.py
@@ -70,41 +70,41 @@
         self._held: dict[FileId, list[LockRange]] = {}
         self.count = 0
 
-    def find_conflict(self, file: FileId, wanted: LockRange) -> LockRange | None:
+    def find_conflict(self, file: FileId, requested: LockRange) -> LockRange | None:
         """Return the conflicting held range with the lowest start, or None."""
         by_start = sorted(self._held.get(file, ()), key=lambda held: held.start)
-        return next((held for held in by_start if held.conflicts(wanted)), None)
+        return next((held for held in by_start if held.conflicts(requested)), None)
 
-    def acquire(self, file: FileId, wanted: LockRange) -> bool:
+    def acquire(self, file: FileId, requested: LockRange) -> bool:
         """Acquire a lock; return False if a lock of another owner conflicts.
 
         The owner's own locks in that range are replaced, as specified in fcntl(2). Raises LockLimitError if
         there would be too many locks.
         """
-        if self.find_conflict(file, wanted):
+        if self.find_conflict(file, requested):
             return False
-        remaining = self._subtract(file, wanted)
+        remaining = self._subtract(file, requested)
         # Splitting one held range into two and adding the new one increases the count by at most two.
         if self.count - len(self._held.get(file, ())) + len(remaining) + 1 > self._max_locks:
             raise LockLimitError(self._max_locks)
-        self._set(file, [*remaining, wanted])
+        self._set(file, [*remaining, requested])
         return True
 
     def release(self, file: FileId, owner: LockOwner, start: int, end: int) -> None:
         """Release the owner's locks in this range; locks that extend beyond it are shortened or split."""
         self._set(file, self._subtract(file, LockRange(owner, 0, True, start, end)))
 
-    def _subtract(self, file: FileId, cut: LockRange) -> list[LockRange]:
-        """Return the ranges that remain held after the range `cut` is removed from its owner's locks."""
+    def _subtract(self, file: FileId, removed: LockRange) -> list[LockRange]:
+        """Return the ranges that remain held when `removed` is subtracted from its owner's locks."""
         remaining: list[LockRange] = []
         for held in self._held.get(file, ()):
-            if held.owner != cut.owner or not held.overlaps(cut):
+            if held.owner != removed.owner or not held.overlaps(removed):
                 remaining.append(held)
                 continue
-            if held.start < cut.start:
-                remaining.append(replace(held, end=cut.start))
-            if held.end > cut.end:
-                remaining.append(replace(held, start=cut.end))
+            if held.start < removed.start:
+                remaining.append(replace(held, end=removed.start))
+            if held.end > removed.end:
+                remaining.append(replace(held, start=removed.end))
         return remaining
 
     def _set(self, file: FileId, ranges: list[LockRange]) -> None:
--- a/garnetlanding/ninep/order.py
+++ b/garnetlanding/ninep/order.py
@@ -16,7 +16,8 @@
 from dataclasses import dataclass, replace
 from typing import NamedTuple
 
-Path = tuple[str, ...]
+from garnetlanding.ninep.model import Path
+
 ExportPath = tuple[str, Path]
 """The name of an export and a path in it."""
 ExportPaths = tuple[ExportPath, ...]
--- a/garnetlanding/ninep/server_dialect.py
+++ b/garnetlanding/ninep/server_dialect.py
@@ -25,7 +25,7 @@
     unsupported: Problem
     """The error for a message without a handler."""
 
-    def read_directory(self, tag: int, number: int, fid: Fid, offset: int, count: int, /) -> None:
+    def read_directory(self, tag: int, fid_number: int, fid: Fid, offset: int, count: int, /) -> None:
         """Process a Tread of a directory. Raises RequestRejectedError if the dialect has no such message."""
 
     def error_reply(self, problem: Problem, msize: int, /) -> Message:
--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -95,9 +95,9 @@
 
     def _open(self, tag: int, message: codec_linux.Tlopen) -> None:
         """Process Tlopen: open the file of fid with the flags of open(2)."""
-        number = message.fid
+        fid_number = message.fid
         flags = message.flags
-        fid = self._session.fids.get_unopened(number)
+        fid = self._session.fids.get_unopened(fid_number)
         open_mode = self._open_flags(fid, flags)
         truncate = bool(flags & codec_linux.L_TRUNC)
         if fid.is_dir and (open_mode.writes or truncate):
@@ -106,21 +106,21 @@
             raise RequestRejectedError(errors.ENOTDIR)
 
         def build_reply(file: OpenFile) -> Message:
-            return codec_linux.Rlopen(file.qid, self._session.mark_open(number, fid, file, open_mode))
+            return codec_linux.Rlopen(file.qid, self._session.mark_open(fid_number, fid, file, open_mode))
 
         operation = Open(fid.identity, fid.path, fid.qid, open_mode, truncate)
         self._session.requests.submit(
-            tag, PendingRequest(fid, operation, build_reply, number, alters_fid=True)
+            tag, PendingRequest(fid, operation, build_reply, fid_number, alters_fid=True)
         )
 
     def _create(self, tag: int, message: codec_linux.Tlcreate) -> None:
         """Process Tlcreate: create a file in the directory of fid, which becomes an open fid of the file."""
-        number = message.fid
-        self._session.fids.get_unopened(number)
-        fid = self._session.fids.get_directory(number, message.name)
+        fid_number = message.fid
+        self._session.fids.get_unopened(fid_number)
+        fid = self._session.fids.get_directory(fid_number, message.name)
         open_mode = self._open_flags(fid, message.flags)
         path = (*fid.path, message.name)
-        new = NewFile(
+        new_file = NewFile(
             message.mode & _PERMISSIONS,
             gid=message.gid,
             exclusive=bool(message.flags & codec_linux.L_EXCL),
@@ -130,11 +130,11 @@
         def build_reply(file: OpenFile) -> Message:
             fid.path = path
             fid.qid = file.qid
-            return codec_linux.Rlcreate(file.qid, self._session.mark_open(number, fid, file, open_mode))
+            return codec_linux.Rlcreate(file.qid, self._session.mark_open(fid_number, fid, file, open_mode))
 
-        operation = Create(fid.identity, fid.path, fid.qid, message.name, new, open_mode)
+        operation = Create(fid.identity, fid.path, fid.qid, message.name, new_file, open_mode)
         self._session.requests.submit(
-            tag, PendingRequest(fid, operation, build_reply, number, alters_fid=True)
+            tag, PendingRequest(fid, operation, build_reply, fid_number, alters_fid=True)
         )
 
     def _fsync(self, tag: int, message: codec_linux.Tfsync) -> None:
@@ -220,15 +220,17 @@
     def _mkdir(self, tag: int, message: codec_linux.Tmkdir) -> None:
         """Process Tmkdir: create a directory in the directory dfid."""
         fid = self._session.fids.get_directory(message.dfid, message.name)
-        new = NewFile(message.mode & _PERMISSIONS, gid=message.gid)
-        operation = MakeDirectory(fid.identity, fid.path, fid.qid, message.name, new)
+        new_file = NewFile(message.mode & _PERMISSIONS, gid=message.gid)
+        operation = MakeDirectory(fid.identity, fid.path, fid.qid, message.name, new_file)
         self._submit(tag, message.dfid, fid, operation, codec_linux.Rmkdir)
 
     def _mknod(self, tag: int, message: codec_linux.Tmknod) -> None:
         """Process Tmknod: create a device node, a FIFO or a socket, as mknod(2)."""
         fid = self._session.fids.get_directory(message.dfid, message.name)
-        new = NewFile(message.mode, gid=message.gid)
-        operation = MakeNode(fid.identity, fid.path, fid.qid, message.name, new, message.major, message.minor)
+        new_file = NewFile(message.mode, gid=message.gid)
+        operation = MakeNode(
+            fid.identity, fid.path, fid.qid, message.name, new_file, message.major, message.minor
+        )
         self._submit(tag, message.dfid, fid, operation, codec_linux.Rmknod)
 
     def _symlink(self, tag: int, message: codec_linux.Tsymlink) -> None:
@@ -268,28 +270,28 @@
         directory = self._session.fids.get_directory(message.olddirfid, message.oldname)
         new_directory = self._session.fids.get_directory(message.newdirfid, message.newname)
         _check_same_tree(directory, new_directory)
-        old = (*directory.path, message.oldname)
-        operation = Rename(directory.identity, old, None, (*new_directory.path, message.newname))
+        old_path = (*directory.path, message.oldname)
+        operation = Rename(directory.identity, old_path, None, (*new_directory.path, message.newname))
         self._submit_rename(tag, message.olddirfid, directory, operation, codec_linux.Rrenameat())
 
-    def _submit_rename(self, tag: int, number: int, fid: Fid, operation: Rename, reply: Message) -> None:
-        old = operation.path
-        new = operation.new
-        if not old:
+    def _submit_rename(self, tag: int, fid_number: int, fid: Fid, operation: Rename, reply: Message) -> None:
+        old_path = operation.path
+        new_path = operation.new
+        if not old_path:
             raise RequestRejectedError(errors.EBUSY, "cannot rename the root")
-        if new[: len(old)] == old and new != old:
+        if new_path[: len(old_path)] == old_path and new_path != old_path:
             raise RequestRejectedError(errors.EINVAL, "a directory cannot move below itself")
 
         def build_reply(_: object) -> Message:
-            self._session.shared.rename(fid.export.name, old, new)
+            self._session.shared.rename(fid.export.name, old_path, new_path)
             return reply
 
-        self._session.requests.submit(tag, PendingRequest(fid, operation, build_reply, number))
+        self._session.requests.submit(tag, PendingRequest(fid, operation, build_reply, fid_number))
 
     def _submit(
-        self, tag: int, number: int, fid: Fid, operation: Work, build_reply: Callable[[Qid], Message]
+        self, tag: int, fid_number: int, fid: Fid, operation: Work, build_reply: Callable[[Qid], Message]
     ) -> None:
-        self._session.requests.submit(tag, PendingRequest(fid, operation, build_reply, number))
+        self._session.requests.submit(tag, PendingRequest(fid, operation, build_reply, fid_number))
 
     # Locks
 
@@ -298,18 +300,18 @@
 
         The LOCK_BLOCK flag makes no difference: the client gets LOCK_BLOCKED at once and has to retry.
         """
-        fid, open_mode, wanted = self._parse_lock_request(message)
+        fid, open_mode, requested = self._parse_lock_request(message)
         locks = self._session.shared.locks
         if message.type == codec_linux.LOCK_NONE:
-            locks.release(fid.file_id, wanted.owner, wanted.start, wanted.end)
+            locks.release(fid.file_id, requested.owner, requested.start, requested.end)
             self._session.reply(tag, codec_linux.Rlock(codec_linux.LOCK_DONE))
             return
         _check_lock_type(message.type)
-        permitted = open_mode.writes if wanted.write else open_mode.reads
+        permitted = open_mode.writes if requested.write else open_mode.reads
         if not permitted:
             raise RequestRejectedError(errors.EBADF)
         try:
-            acquired = locks.acquire(fid.file_id, wanted)
+            acquired = locks.acquire(fid.file_id, requested)
         except LockLimitError as error:
             raise RequestRejectedError(errors.ENOLCK) from error
         status = codec_linux.LOCK_DONE if acquired else codec_linux.LOCK_BLOCKED
@@ -317,9 +319,9 @@
 
     def _getlock(self, tag: int, message: codec_linux.Tgetlock) -> None:
         """Process Tgetlock: return a conflicting record lock, as fcntl(2) with F_GETLK."""
-        fid, _, wanted = self._parse_lock_request(message)
+        fid, _, requested = self._parse_lock_request(message)
         _check_lock_type(message.type)
-        conflict = self._session.shared.locks.find_conflict(fid.file_id, wanted)
+        conflict = self._session.shared.locks.find_conflict(fid.file_id, requested)
         self._session.reply(tag, _getlock_reply(message, conflict))
 
     def _parse_lock_request(
--- a/garnetlanding/ninep/server_dialect_plain.py
+++ b/garnetlanding/ninep/server_dialect_plain.py
@@ -66,8 +66,8 @@
 
     def _open(self, tag: int, message: codec.Topen) -> None:
         """Process Topen: OTRUNC truncates the file, ORCLOSE removes it when the fid is clunked (open(5))."""
-        number = message.fid
-        fid = self._session.fids.get_unopened(number)
+        fid_number = message.fid
+        fid = self._session.fids.get_unopened(fid_number)
         open_mode = self._open_mode(fid, message.mode)
         truncate = bool(message.mode & OTRUNC)
         remove_on_close = bool(message.mode & ORCLOSE)
@@ -77,13 +77,13 @@
             raise RequestRejectedError(errors.EBUSY, "cannot remove the root")
 
         def build_reply(file: OpenFile) -> Message:
-            iounit = self._session.mark_open(number, fid, file, open_mode)
+            iounit = self._session.mark_open(fid_number, fid, file, open_mode)
             fid.remove_on_close = remove_on_close
             return codec.Ropen(plain_qid(file.qid), iounit)
 
         operation = Open(fid.identity, fid.path, fid.qid, open_mode, truncate)
         self._session.requests.submit(
-            tag, PendingRequest(fid, operation, build_reply, number, alters_fid=True)
+            tag, PendingRequest(fid, operation, build_reply, fid_number, alters_fid=True)
         )
 
     def _create(self, tag: int, message: codec.Tcreate) -> None:
@@ -104,7 +104,7 @@
 
     def _file_creation(self, message: codec.Tcreate, fid: Fid, open_mode: OpenMode) -> PendingRequest:
         path = (*fid.path, message.name)
-        new = NewFile(message.perm & PERM, message.perm & DM_FLAGS)
+        new_file = NewFile(message.perm & PERM, message.perm & DM_FLAGS)
 
         def build_reply(file: OpenFile) -> Message:
             fid.path = path
@@ -113,14 +113,14 @@
             fid.remove_on_close = bool(message.mode & ORCLOSE)
             return codec.Rcreate(plain_qid(file.qid), iounit)
 
-        operation = Create(fid.identity, fid.path, fid.qid, message.name, new, open_mode)
+        operation = Create(fid.identity, fid.path, fid.qid, message.name, new_file, open_mode)
         return PendingRequest(fid, operation, build_reply, message.fid, alters_fid=True)
 
     def _directory_creation(self, message: codec.Tcreate, fid: Fid, open_mode: OpenMode) -> PendingRequest:
         if open_mode.access != OREAD:
             raise RequestRejectedError(errors.EISDIR)
         path = (*fid.path, message.name)
-        new = NewFile(message.perm & PERM, message.perm & DM_FLAGS)
+        new_file = NewFile(message.perm & PERM, message.perm & DM_FLAGS)
 
         def build_reply(qid: Qid) -> Message:
             fid.path = path
@@ -129,7 +129,7 @@
             fid.remove_on_close = bool(message.mode & ORCLOSE)
             return codec.Rcreate(plain_qid(qid), self._session.max_data_bytes)
 
-        operation = MakeDirectory(fid.identity, fid.path, fid.qid, message.name, new)
+        operation = MakeDirectory(fid.identity, fid.path, fid.qid, message.name, new_file)
         return PendingRequest(fid, operation, build_reply, message.fid, alters_fid=True)
 
     # Attributes
@@ -153,15 +153,15 @@
         if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
         try:
-            wanted = raw_changes(parse_stat(message.stat))
+            requested = raw_changes(parse_stat(message.stat))
         except ValueError as error:
             raise RequestRejectedError(errors.EINVAL, f"bad stat: {error}") from error
-        changes = _checked_name(fid, _checked_length(fid, _checked_flags(fid, wanted)))
-        old = fid.path
+        changes = _checked_name(fid, _checked_length(fid, _checked_flags(fid, requested)))
+        old_path = fid.path
 
         def build_reply(_: object) -> Message:
             if changes.name is not None:
-                self._session.shared.rename(fid.export.name, old, (*old[:-1], changes.name))
+                self._session.shared.rename(fid.export.name, old_path, (*old_path[:-1], changes.name))
             return codec.Rwstat()
 
         operation = Change(fid.identity, fid.path, fid.qid, changes)
@@ -169,7 +169,7 @@
 
     # Directories
 
-    def read_directory(self, tag: int, number: int, fid: Fid, offset: int, count: int) -> None:
+    def read_directory(self, tag: int, fid_number: int, fid: Fid, offset: int, count: int) -> None:
         """Process Tread of a directory: return only complete entries, each as a stat (read(5)).
 
         The offset must be 0 or the end of the previous read.
@@ -188,7 +188,7 @@
             fid.identity, fid.path, fid.qid, fid.open_mode, cookie, count, attributes=True
         )
         self._session.requests.submit(
-            tag, PendingRequest(fid, operation, build_reply, number, data_bytes=count)
+            tag, PendingRequest(fid, operation, build_reply, fid_number, data_bytes=count)
         )
 
 
--- a/garnetlanding/ninep/shared_state.py
+++ b/garnetlanding/ninep/shared_state.py
@@ -13,7 +13,7 @@
 from garnetlanding.ninep.fids import Fid
 from garnetlanding.ninep.locks import ExclusiveUse, LockTable
 from garnetlanding.ninep.model import Path, Time
-from garnetlanding.ninep.order import ChangeOrder, Enqueued, ExportPaths
+from garnetlanding.ninep.order import ChangeOrder, Enqueued, ExportPaths, path_after_rename
 from garnetlanding.ninep.setup import Export
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.protocols import ClientProtocol
@@ -122,9 +122,9 @@
 
     def rename(self, export: str, old: Path, new: Path) -> None:
         """Update the path of every fid of the renamed file or of a file below it."""
-        self.order.rename((export, old), new)
+        old_export_path = (export, old)
+        self.order.rename(old_export_path, new)
         fids = [fid for client in self.clients.values() for fid in client.fids.values()]
         distinct = {id(fid): fid for fid in (*fids, *self._changed_fids.values())}
         for fid in distinct.values():
-            if fid.export.name == export and fid.path[: len(old)] == old:
-                fid.path = new + fid.path[len(old) :]
+            _, fid.path = path_after_rename((fid.export.name, fid.path), old_export_path, new)
--- a/tests/ninep/test_session_reads.py
+++ b/tests/ninep/test_session_reads.py
@@ -61,10 +61,10 @@
     instance.withhold_replies(p9.Topen)
     client.request(p9.Twalk(0, 5, ("readme",)))
     client.send(p9.Topen(5, p9.OREAD), tag=2)
-    [conn] = instance.upstream._busy.values()
-    assert conn._stream
-    conn._stream.on_flushed = None
-    conn._write(b"")  # a further message, no byte of which has been passed to the kernel
+    [connection] = instance.upstream._busy.values()
+    assert connection._stream
+    connection._stream.on_flushed = None
+    connection._write(b"")  # a further message, no byte of which has been passed to the kernel
     instance.file_servers[0].close_connections()
     instance.settle()
     assert instance.core.starts[-1].outcome is Outcome.RESET
@@ -329,18 +329,18 @@
     client = NinepClient(instance)
     client.open(5, "readme")
     client.open(6, "sv", "notes")
-    conn = instance.file_servers[0].connections[0]
-    assert len(getattr(conn, "fids")) == 2, "the root and one file"  # noqa: B009
+    connection = instance.file_servers[0].connections[0]
+    assert len(getattr(connection, "fids")) == 2, "the root and one file"  # noqa: B009
     assert isinstance(client.request(p9.Tread(5, 0, 9)), p9.Rread)
 
 
 @pytest.mark.parametrize(
     "break_protocol",
     [
-        lambda conn, _tag: conn.write(b"\0\0\0\0"),
-        lambda conn, _tag: conn.write(p9.encode(55, p9.Rread(b""))),
-        lambda conn, tag: conn.write(p9.encode(tag, p9.Rclunk())),
-        lambda conn, tag: conn.write(p9.encode(tag, p9.Rread(b"x" * 101))),
+        lambda connection, _tag: connection.write(b"\0\0\0\0"),
+        lambda connection, _tag: connection.write(p9.encode(55, p9.Rread(b""))),
+        lambda connection, tag: connection.write(p9.encode(tag, p9.Rclunk())),
+        lambda connection, tag: connection.write(p9.encode(tag, p9.Rread(b"x" * 101))),
     ],
 )
 def test_connection_to_a_server_that_breaks_the_protocol_is_closed(
@@ -351,10 +351,10 @@
     client.open(5, "readme")
     instance.withhold_replies(p9.Tread)
     client.send(p9.Tread(5, 0, 100), tag=2)
-    [(tag, _, conn)] = instance.file_servers[0].held_messages
+    [(tag, _, connection)] = instance.file_servers[0].held_messages
     instance.file_servers[0].held_messages = []
     instance.file_servers[0].holds_reply = None
-    break_protocol(conn, tag)
+    break_protocol(connection, tag)
     instance.run(SECOND // 2)
     assert client.replies[-1] == (2, p9.Rread(b"hello"))
     assert [a.outcome.value for a in instance.core.starts[-2:] if a.outcome] == ["reset", "served"]
