--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -165,7 +165,7 @@
             check_offset(message.size, 0)
         changes = _parse_changes(message, self._session.shared.wall_time())
         if changes.is_empty:
-            # Only ctime was selected, which the server sets itself.
+            # Nothing is selected, or only ctime, which the server sets itself.
             self._session.reply(tag, codec_linux.Rsetattr())
             return
         operation = Change(fid.identity, fid.path, fid.qid, changes)
