--- a/garnetlanding/daemon/admin.py
+++ b/garnetlanding/daemon/admin.py
@@ -25,7 +25,7 @@
 
 
 class PeerAccess:
-    """Implements FleetAccess by the peer link, while this process has one, and by the peer group."""
+    """Implements FleetAccess with the coordinator of the peer link, once there is one, and the peer group."""
 
     def __init__(self, instance: Instance, group: PeerGroup | None, link: PeerLinkManager) -> None:
         self._instance = instance
@@ -54,7 +54,7 @@
         return self._group.forget(instance) if self._group else None
 
 
-class AdminFront(Subsystem):
+class AdminServer(Subsystem):
     """Owns the admin service and its listener."""
 
     name = "admin"
@@ -79,9 +79,9 @@
         self._link = link
 
     def start(self) -> None:
-        """Restore the state that operators left, and listen for operators."""
+        """Restore the stored administrative state, and listen for operators' calls."""
         instance = self._instance
-        # A new process waits this long for discovery's list; then it relies on the cached one.
+        # A new process waits this long for discovery's endpoint list, then becomes ready with the cached one.
         self._endpoints_deadline_us = instance.scheduler.now + instance.limits.ops_endpoints_wait_us
         self.service = AdminService(
             self._managed_instance(),
@@ -129,8 +129,8 @@
     def _listen(self) -> Listener:
         instance = self._instance
         limits = instance.limits
-        # Separate limits: operators are answered however many clients and incomplete calls there are.
-        own_limits = replace(
+        # Separate limits, so that operators are answered however many clients and incomplete calls there are.
+        admin_limits = replace(
             limits,
             new_client_timeout_us=limits.ops_new_client_timeout_us,
             idle_client_timeout_us=limits.ops_new_client_timeout_us,
@@ -141,7 +141,7 @@
             instance.scheduler,
             instance.config.ops,
             instance.pool,
-            own_limits,
+            admin_limits,
             limits.ops_connections,
             lambda write: AdminConnection(self.service, instance.pool, limits, write),
         )
--- a/garnetlanding/daemon/assembly.py
+++ b/garnetlanding/daemon/assembly.py
@@ -4,13 +4,13 @@
 
 1. history: it observes requests, and later subsystems write to it.
 2. peer group and shared connections: audit, backend subset and peer link use the membership.
-3. settings: where history or audit record the version that the instance starts with.
+3. settings, if history or audit record the version that the instance starts with.
 4. audit: it has to wrap the decision module directly, before the peers' coordinator does.
 5. backend subset: it uses the membership.
 6. RESP2 clients: the admin service drains them and limits their number.
-7. admin service, which restores the state that operators left; then the 9P clients.
+7. admin service, which restores the stored administrative state; then the 9P clients.
 8. replication: fencing depends on whether a follower's settings are recent.
-9. telemetry; then the disables received from peers, where there is no admin service.
+9. telemetry; then the disables received from peers, if there is no admin service.
 10. fencing, and last the peer link, whose coordinator is the outermost wrapper of the decision module.
 
 A reload reaches the settings first, because they decide whether a peer link is allowed, then the peer link
@@ -20,9 +20,9 @@
 
 1. admin service: operators' calls in progress are answered.
 2. telemetry: the last requests are exported.
-3. peer link: this instance has used its leased quotas until now, so peers are notified this late.
+3. peer link: this instance uses its leased quotas until now, so it must not notify its peers sooner.
 4. audit: it still records what the link sends at its end.
-5. process registry: until now the other process of an upgrade relies on this one's record.
+5. process registry: until now, the other process of an upgrade relies on this one's record.
 
 `garnetlanding.daemon.optional_subsystems` builds the subsystems that may be off.
 """
@@ -62,12 +62,12 @@
 from garnetlanding.runtime.scheduler import Scheduler
 
 if TYPE_CHECKING:  # a subsystem that is off is not imported
-    from garnetlanding.daemon.admin import AdminFront
+    from garnetlanding.daemon.admin import AdminServer
     from garnetlanding.daemon.audit import AuditRecording
     from garnetlanding.daemon.history import HistoryRecording
 
 
-@dataclass(eq=False, repr=False)  # generating these unused methods would cost time at each start
+@dataclass(eq=False, repr=False)  # generating these methods, which are not used, would slow down each start
 class Assembly:
     """The parts of one instance. A subsystem that is off is None, and absent from the orders."""
 
@@ -75,7 +75,7 @@
     discovery: DiscoveryWatch
     peer_link: PeerLinkManager
     history: HistoryRecording | None
-    admin: AdminFront | None
+    admin: AdminServer | None
     start_order: tuple[Subsystem, ...]
     reload_order: tuple[Subsystem, ...]
     stop_order: tuple[Subsystem, ...]
--- a/garnetlanding/daemon/optional_subsystems.py
+++ b/garnetlanding/daemon/optional_subsystems.py
@@ -1,7 +1,7 @@
 """Builders of the subsystems that the configuration may turn on; each returns None for one that is off.
 
-A builder imports its subsystem's modules only where the subsystem is on: what is off costs neither time nor
-memory.
+A builder imports its subsystem's modules only if the subsystem is on, so that one that is off costs neither
+startup time nor memory.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from garnetlanding.store.setup import StoreRole
 
 if TYPE_CHECKING:  # a subsystem that is off is not imported
-    from garnetlanding.daemon.admin import AdminFront
+    from garnetlanding.daemon.admin import AdminServer
     from garnetlanding.daemon.audit import AuditRecording
     from garnetlanding.daemon.fencing import Fencing
     from garnetlanding.daemon.history import HistoryRecording
@@ -30,7 +30,7 @@
 
 
 def build_history(instance: Instance, clock: Callable[[], int]) -> HistoryRecording | None:
-    """Return the history, or None where the operator's file configures none."""
+    """Return the history, or None if the operator's file configures none."""
     setup = instance.config.operator.history
     if setup is None:
         return None
@@ -40,7 +40,7 @@
 
 
 def build_group(instance: Instance, history: HistoryRecording | None) -> PeerGroup | None:
-    """Return the peer group, or None where the configuration or the operator's file has no peers."""
+    """Return the peer group, or None if the configuration or the operator's file has no peers."""
     setup = instance.config.operator.fleet
     peers = instance.config.peers
     if setup is None or peers is None:
@@ -53,7 +53,7 @@
 def build_shared_connections(
     instance: Instance, group: PeerGroup | None, link: PeerLinkManager
 ) -> SharedConnections | None:
-    """Return the shared connection limit, or None where none is configured."""
+    """Return the shared connection limit, or None if none is configured."""
     setup = instance.config.operator.fleet
     if group is None or setup is None or not setup.backend_connections:
         return None
@@ -63,7 +63,7 @@
 
 
 def build_received_disables(instance: Instance, group: PeerGroup | None) -> ReceivedDisables | None:
-    """Return what applies peers' disables, or None without peers or where the admin service does it."""
+    """Return the subsystem that applies peers' disables, or None without peers or with an admin service."""
     if group is None or instance.config.ops:
         return None
     from garnetlanding.daemon.peer_group import ReceivedDisables
@@ -78,7 +78,7 @@
     group: PeerGroup | None,
     link: PeerLinkManager,
 ) -> AuditRecording | None:
-    """Return the audit, or None where the operator's file configures none."""
+    """Return the audit, or None if the operator's file configures none."""
     setup = instance.config.operator.audit
     if setup is None:
         return None
@@ -88,7 +88,7 @@
 
 
 def build_subset(instance: Instance, group: PeerGroup | None) -> BackendSubset | None:
-    """Return the backend subset, or None where the operator's file sets no size."""
+    """Return the backend subset, or None if the operator's file sets no size."""
     setup = instance.config.operator.choices
     if setup is None or not setup.subset_size:
         return None
@@ -104,19 +104,19 @@
     settings: SettingsManager,
     group: PeerGroup | None,
     link: PeerLinkManager,
-) -> AdminFront | None:
-    """Return the admin service, or None where the configuration has no address for it."""
+) -> AdminServer | None:
+    """Return the admin service, or None if the configuration has no address for it."""
     if not instance.config.ops:
         return None
-    from garnetlanding.daemon.admin import AdminFront
+    from garnetlanding.daemon.admin import AdminServer
     from garnetlanding.daemon.quota_enforcement import QuotaEnforcement
 
     quota = QuotaEnforcement(instance, settings, clients)
-    return AdminFront(instance, clients, discovery, quota, group, link)
+    return AdminServer(instance, clients, discovery, quota, group, link)
 
 
 def build_ninep(instance: Instance) -> NinepClients | None:
-    """Return the 9P clients, or None where the operator's file exports nothing."""
+    """Return the 9P clients, or None if the operator's file exports nothing."""
     setup = instance.config.operator.ninep
     if setup is None:
         return None
@@ -126,7 +126,7 @@
 
 
 def build_replication(instance: Instance) -> StoreReplication | None:
-    """Return the replication of the store, or None where the store is not replicated."""
+    """Return the replication of the store, or None if the store is not replicated."""
     setup = instance.config.operator.store
     if setup.role is StoreRole.ALONE:
         return None
@@ -136,7 +136,7 @@
 
 
 def build_telemetry(instance: Instance) -> TelemetryExport | None:
-    """Return the telemetry export, or None where the operator's file has no collector."""
+    """Return the telemetry export, or None if the operator's file has no collector."""
     collector = instance.config.operator.telemetry
     if collector is None:
         return None
@@ -152,7 +152,7 @@
     replication: StoreReplication | None,
     history: HistoryRecording | None,
 ) -> Fencing | None:
-    """Return the fencing, or None where nothing can fence this instance."""
+    """Return the fencing, or None if nothing can fence this instance."""
     if group is None and not instance.config.operator.store.max_staleness_us:
         return None
     from garnetlanding.daemon.fencing import Fencing
