--- a/garnetlanding/daemon/daemon.py
+++ b/garnetlanding/daemon/daemon.py
@@ -73,7 +73,7 @@
         """Serve until a signal ends the process, and return the exit code."""
         self.catch_signals()
         self.start()
-        # Objects made during start-up live as long as the daemon: exclude them from garbage collection.
+        # Objects created during startup live as long as the daemon: exclude them from garbage collection.
         gc.collect()
         gc.freeze()
         self.scheduler.run()
@@ -81,7 +81,7 @@
         return 0
 
     def start(self) -> None:
-        """Start every subsystem in order. Raises OSError where a file or address is unavailable."""
+        """Start every subsystem in order. Raises OSError if a file or address is unavailable."""
         for subsystem in self.assembly.start_order:
             subsystem.start()
         if self.assembly.history:
@@ -99,14 +99,14 @@
     def shut_down(self) -> None:
         """Shut down gracefully, then stop the event loop.
 
-        The instance continues to serve for a while, since clients without another instance keep using their
-        open connections. Then it finishes the accepted requests and stops its subsystems.
+        The instance continues to serve for a while, since clients that know no other instance keep using
+        their open connections. Then it finishes the accepted requests and stops its subsystems.
         """
         log.info("graceful shutdown begins", extra={"kv": {"open": self.core.open_requests}})
         self._instance.process.stopping = True
-        # Clients can reconnect to a successor at once, so they need not be served here.
-        superseded = self.assembly.peer_link.hand_over
-        shutdown = Shutdown(self.scheduler, self.limits, self.core, self.listeners, superseded)
+        # `hand_over` also tells whether a successor runs, to which clients can reconnect at once.
+        is_superseded = self.assembly.peer_link.hand_over
+        shutdown = Shutdown(self.scheduler, self.limits, self.core, self.listeners, is_superseded)
         try:
             shutdown.run(self.assembly.stop_order)
         finally:
--- a/garnetlanding/daemon/shutdown.py
+++ b/garnetlanding/daemon/shutdown.py
@@ -19,9 +19,9 @@
 
 
 class Shutdown:
-    """Runs the phases of a shutdown, then stops every subsystem, whichever of them fail to stop.
+    """Runs the phases of a shutdown, then stops every subsystem, even after one has failed to stop.
 
-    `superseded` returns whether a successor process has taken over; it is called at each poll.
+    `is_superseded` returns whether a successor process has taken over; it is called at each poll.
     """
 
     def __init__(
@@ -30,25 +30,25 @@
         limits: Limits,
         core: RequestEngine,
         listeners: Iterable[Listener],
-        superseded: Callable[[], bool],
+        is_superseded: Callable[[], bool],
     ) -> None:
         self._scheduler = scheduler
         self._limits = limits
         self._core = core
         self._listeners = list(listeners)
-        self._superseded = superseded
+        self._is_superseded = is_superseded
 
     def run(self, subsystems: Iterable[Subsystem]) -> None:
         """Finish the clients' requests, then stop the subsystems in the order given.
 
-        Raises nothing: a subsystem that fails is logged, and the following ones are still stopped.
+        Raises nothing: a failure to stop is logged, and the remaining subsystems are still stopped.
         """
-        self._stop_one("clients", self._finish_clients)
+        self._stop_and_log_failure("clients", self._finish_clients)
         for subsystem in subsystems:
-            self._stop_one(subsystem.name, subsystem.stop)
+            self._stop_and_log_failure(subsystem.name, subsystem.stop)
 
     @staticmethod
-    def _stop_one(name: str, stop: Callable[[], None]) -> None:
+    def _stop_and_log_failure(name: str, stop: Callable[[], None]) -> None:
         try:
             stop()
         except Exception:
@@ -65,30 +65,29 @@
                 listener.abort_all()
 
     def _run_phases(self, schedule: ShutdownSchedule) -> None:
-        began_us = self._scheduler.now
+        started_us = self._scheduler.now
         phase = Phase.SERVING
         while True:
             phase = schedule.next_phase(
                 phase,
-                self._scheduler.now - began_us,
+                self._scheduler.now - started_us,
                 sum(map(len, self._listeners)),
                 self._core.open_requests,
-                superseded=self._superseded(),
+                superseded=self._is_superseded(),
             )
             if phase is Phase.TERMINATING:
                 return
             if phase >= Phase.DRAINING:
                 self._stop_accepting()
             if phase is Phase.REJECTING:
-                # SIGKILL is near: a request without an answer by then gets none.
+                # SIGKILL follows soon, and a request without an answer by then would never get one.
                 self._core.abort_all("ending")
             self._scheduler.sleep(self._limits.shutdown_poll_us)
 
     def _stop_accepting(self) -> None:
         """Close idle connections, then stop accepting.
 
-        In this order, since connections that the kernel has already queued are accepted into the places of
-        the idle ones.
+        In this order, since connections already in the kernel's accept queue take the places of idle ones.
         """
         for listener in self._listeners:
             listener.close_idle()
--- a/garnetlanding/daemon/shutdown_schedule.py
+++ b/garnetlanding/daemon/shutdown_schedule.py
@@ -1,4 +1,4 @@
-"""The phases of a graceful shutdown and when each begins. No clock and no sockets."""
+"""The phases of a graceful shutdown and when each begins. Pure functions: no clock and no I/O."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 class ShutdownSchedule:
     """When each phase begins at the latest, in microseconds since SIGTERM.
 
-    SIGKILL comes no sooner than the longest deadline plus 0.7 s. The schedule depends on that deadline: one
-    for long deadlines would still be running at SIGKILL where they are short.
+    SIGKILL comes no sooner than the longest deadline plus 0.7 s. The schedule depends on that deadline: a
+    fixed one that suits long deadlines would still be running at SIGKILL if the deadlines are short.
     """
 
     draining_us: int
     rejecting_us: int
     terminating_us: int
-    accepting_us: int  # the SERVING phase lasts at least this long, also without clients
+    accepting_us: int  # the SERVING phase lasts at least this long, even without clients
 
     @classmethod
     def for_deadline(cls, limits: Limits, longest_deadline_us: int) -> ShutdownSchedule:
@@ -37,16 +37,16 @@
         terminating_us = kill_us - limits.shutdown_margin_us
         latest_us = min(limits.shutdown_reject_us, terminating_us - limits.shutdown_margin_us)
         rejecting_us = max(limits.shutdown_accept_us, latest_us)
-        # Half of the time goes to clients that know no other instance, half to the requests then open.
+        # The first half is for clients that know no other instance, the second for requests still open.
         draining_us = max(limits.shutdown_accept_us, min(limits.shutdown_serve_us, rejecting_us // 2))
         return cls(draining_us, rejecting_us, terminating_us, limits.shutdown_accept_us)
 
     def next_phase(
         self, phase: Phase, elapsed_us: int, connections: int, open_requests: int, *, superseded: bool
     ) -> Phase:
-        """Return the phase to be in now, which may be `phase` itself or several phases later.
+        """Return the current phase, given the last one; it may be several phases later.
 
-        `superseded`: a successor process has taken over, so clients need not be served here.
+        `superseded` is whether a successor process has taken over, so that clients need not be served here.
         """
         if phase is Phase.SERVING and self._ends_serving(elapsed_us, connections, superseded=superseded):
             phase = Phase.DRAINING
