--- a/garnetlanding/daemon/peer_group.py
+++ b/garnetlanding/daemon/peer_group.py
@@ -16,7 +16,7 @@
     from garnetlanding.peers.membership_protocol import MembershipProtocol
     from garnetlanding.peers.shared_budgets import SharedBudgets
 
-# Creates the SharedBudgets from the settings, this incarnation and the present time.
+# Creates the SharedBudgets from the settings, this instance's incarnation and the current time.
 SharedBudgetsFactory = Callable[[api.Settings, int, int], "SharedBudgets"]
 
 
@@ -25,8 +25,8 @@
 
     name = "peer group"
     failure_detector: FailureDetector  # set by `start`
-    membership: MembershipProtocol | None = None  # where instances discover each other by gossip
-    make_budgets: SharedBudgetsFactory | None = None  # where quotas are leased between instances
+    membership: MembershipProtocol | None = None  # None unless membership is discovered by gossip
+    make_budgets: SharedBudgetsFactory | None = None  # None unless instances lease quotas from each other
 
     def __init__(
         self, instance: Instance, setup: FleetSetup, peers: PeerSetup, history: HistoryRecording | None
@@ -37,7 +37,7 @@
         self._history = history
 
     def start(self) -> None:
-        """Create the parts that the operator's file turns on."""
+        """Create the components that the operator's file turns on."""
         setup = self._setup
         limits = self._peers.limits
         history = self._history.writer if self._history else None
@@ -70,14 +70,14 @@
         )
 
     def forget(self, peer: int) -> bool | None:
-        """Remove a terminated peer; return None where membership is not discovered by gossip."""
+        """Remove a terminated peer; return None if membership is not discovered by gossip."""
         return self.membership.members.mark_terminated(peer) if self.membership else None
 
 
 class ReceivedDisables(Subsystem):
-    """Applies disables received from peers, where this instance has no admin service.
+    """Applies disables received from peers to an instance without an admin service.
 
-    They are kept in memory only; an admin service would store them.
+    They are kept in memory only; an admin service would also store them.
     """
 
     name = "received disables"
--- a/garnetlanding/daemon/peer_link.py
+++ b/garnetlanding/daemon/peer_link.py
@@ -37,7 +37,7 @@
         self._instance = instance
         self._group = group
         self._history = history
-        self._dropped: Counter[str] = Counter()  # messages of peers, by the reason why they were dropped
+        self._drops_by_reason: Counter[str] = Counter()  # dropped messages of peers
         self._retry_scheduled = False
         self.link: PeerLink | None = None
         self.coordinator: PeerCoordinator | None = None
@@ -46,13 +46,13 @@
         """Open the link if the settings allow one."""
         self.reconcile()
 
-    def reload(self, previous: Config) -> None:  # noqa: ARG002 - the open link has its setup
+    def reload(self, previous: Config) -> None:  # noqa: ARG002 - the open link keeps its setup
         """Open, move or close the link as the new configuration requires."""
         self.reconcile()
 
     def reconcile(self) -> None:
         """Open, move or close the link as the settings and the configuration in force require."""
-        setup = self._wanted_setup()
+        setup = self._desired_setup()
         if self.link and self.link.setup != setup:
             self._close()
         if setup is None or self.link or self._retry_scheduled:
@@ -62,7 +62,7 @@
             self._instance.core.module = self.coordinator
         self._open(setup, self.coordinator)
 
-    def _wanted_setup(self) -> PeerSetup | None:
+    def _desired_setup(self) -> PeerSetup | None:
         config = self._instance.config
         if config.peers is None or not self._instance.core.settings.may_message_peers:
             return None
@@ -81,7 +81,7 @@
                 make_budgets=self._group.make_budgets if self._group else None,
                 history=self._history.writer if self._history else None,
             ),
-            self._dropped,
+            self._drops_by_reason,
             is_active=False,
         )
 
@@ -92,11 +92,15 @@
         membership = self._group.membership if self._group else None
         try:
             self.link = PeerLink(
-                instance.scheduler, setup, instance.core.receive_peer_message, self._dropped, membership
+                instance.scheduler,
+                setup,
+                instance.core.receive_peer_message,
+                self._drops_by_reason,
+                membership,
             )
-        except OSError as problem:
-            # The predecessor of an upgrade holds the address and represents this instance until it ends.
-            log.warning("peer link not opened", extra={"kv": {"at": setup.listen, "why": problem.strerror}})
+        except OSError as error:
+            # During an upgrade, the predecessor holds the address and represents this instance until it ends.
+            log.warning("peer link not opened", extra={"kv": {"at": setup.listen, "why": error.strerror}})
             self._retry_scheduled = True
             instance.scheduler.call_at(instance.scheduler.now + setup.limits.open_retry_us, self._retry)
             return
