--- a/garnetlanding/daemon/process_registration.py
+++ b/garnetlanding/daemon/process_registration.py
@@ -1,6 +1,6 @@
-"""The registration of this process among those of its instance, and the quota that it has for now.
+"""The registration of this process among those of its instance, and its current quota.
 
-`ops/process_quota.py` computes the quota, and `quota_enforcement` applies it to the parts of the instance.
+`ops/process_quota.py` computes the quota, and `quota_enforcement` applies it to the instance's resources.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class ProcessRegistration(Subsystem):
-    """Owns the entry in the process registry, and the fraction (0 to 1) of the capacity to be used here.
+    """Owns this process's entry in the process registry, and its quota: a fraction (0 to 1) of the capacity.
 
     Without an admin service the instance has one process only, whose quota is always 1.
     """
@@ -26,7 +26,7 @@
     def __init__(self, config: Config) -> None:
         self.registry: ProcessRegistry | None = None
         self.quota = 1.0
-        self.stopping = False  # from SIGTERM on, when a predecessor releases everything that it does not use
+        self.stopping = False  # since SIGTERM; a predecessor then releases all capacity that it does not use
         if config.ops:
             from garnetlanding.ops.process_registry import ProcessRegistry
 
--- a/garnetlanding/daemon/quota_enforcement.py
+++ b/garnetlanding/daemon/quota_enforcement.py
@@ -22,16 +22,16 @@
         self._clients = clients
 
     def update(self) -> None:
-        """Adapt the quota to the instance's other process, and free capacity for a successor."""
+        """Adjust the quota to that of the instance's other process, and free capacity for a successor."""
         registry = self._process.registry
         assert registry
         if registry.has_successor:
             self._close_idle_connections()
-        quota = registry.next_quota(self._used(), stopping=self._process.stopping)
+        quota = registry.next_quota(self._utilization(), stopping=self._process.stopping)
         if quota != self._process.quota:
             self._apply(quota)
             self._settings.reapply()
-        # Only now that it is applied: the other process relies on what is published.
+        # Published only after it is applied, since the other process relies on the published quota.
         registry.publish(quota)
 
     def apply_current(self) -> None:
@@ -45,8 +45,8 @@
             int(instance.limits.backend_connections * UPGRADE_QUOTA)
         )
 
-    def _used(self) -> float:
-        """Return the fraction of the instance's limits in use here, by the scarcest of them."""
+    def _utilization(self) -> float:
+        """Return the fraction of the instance's limits that this process uses, for its most used resource."""
         instance = self._instance
         clients = self._clients.listener
         return max(
--- a/garnetlanding/daemon/reload.py
+++ b/garnetlanding/daemon/reload.py
@@ -26,16 +26,16 @@
         self._subsystems = subsystems
 
     def reload(self) -> None:
-        """Apply the configuration, or reject it as a whole where any part of it is invalid.
+        """Apply the configuration, or reject it as a whole if any part of it is invalid.
 
         Open requests are not affected.
         """
         previous = self._instance.config
         try:
             config, for_restart = merge_reloaded(previous, self._load_config())
-        except ConfigError as problem:
-            log.error(  # noqa: TRY400 - the reason names the key; a traceback would add nothing
-                "configuration reload rejected", extra={"kv": {"why": problem}}
+        except ConfigError as error:
+            log.error(  # noqa: TRY400 - the error text names the key; a traceback adds nothing
+                "configuration reload rejected", extra={"kv": {"why": error}}
             )
             return
         self._instance.config = config
--- a/garnetlanding/daemon/settings.py
+++ b/garnetlanding/daemon/settings.py
@@ -1,6 +1,6 @@
 """The settings in force: read from the store, adapted to this process, applied to the engine.
 
-The store holds them in the platform's form. A reload puts them there, except on a follower, which receives
+The store holds them in the platform's format. A reload stores new ones, except on a follower, which receives
 its writer's by replication.
 """
 
@@ -24,18 +24,18 @@
 
 
 def stored_settings(config: Config, store: Store) -> dict[str, Any]:
-    """Return the stored settings in the platform's form, or the configuration's if none are stored yet."""
+    """Return the stored settings in the platform's format, or the configuration's if none are stored."""
     raw: dict[str, Any] = store.get(SETTINGS, config.raw_settings)
     return raw
 
 
 def effective_settings(config: Config, process_quota: float, settings: api.Settings) -> api.Settings:
-    """Return the settings as this process uses them, with its quota of the instance's capacity.
+    """Return the settings that this process applies, with its quota of the instance's capacity.
 
-    Adds the retry budget of the operator's file, and the request classes that 9P exports derive from those of
-    the settings.
+    The result has the retry budget of the operator's file, and the request classes that writable 9P exports
+    derive from those of the settings.
     """
-    # A writer's settings apply to every instance except for the instance's number.
+    # Followers apply their writer's settings, but each keeps its own instance number.
     settings = replace(settings, process_quota=process_quota, instance_id=config.settings.instance_id)
     if config.operator.choices:
         settings = config.operator.choices.with_retry_budget(settings)
@@ -56,7 +56,7 @@
 
     def __init__(self, instance: Instance) -> None:
         self._instance = instance
-        self.version = ""  # of the settings in force: EPOCH.REVISION#CHECKSUM; empty until first recorded
+        self.version = ""  # EPOCH.REVISION#CHECKSUM of the settings in force; empty until first recorded
         self.on_version: list[Callable[[int], None]] = []  # called with the checksum of the settings in force
         self.on_applied: list[Callable[[], None]] = []
         self.on_rejected: list[Callable[[str], None]] = []  # called with the reason
@@ -72,7 +72,7 @@
             self._instance.store.put(SETTINGS, self._instance.config.raw_settings)
 
     def reapply(self) -> None:
-        """Apply the settings in force again, with the present quota of this process."""
+        """Apply the settings in force again, with the current quota of this process."""
         self._apply(stored_settings(self._instance.config, self._instance.store))
 
     def _apply(self, raw: dict[str, Any]) -> None:
@@ -87,12 +87,12 @@
             return
         try:
             self._apply(raw)
-        except ConfigError as problem:
-            log.error(  # noqa: TRY400 - the reason names the key; a traceback would add nothing
-                "settings rejected", extra={"kv": {"why": problem}}
+        except ConfigError as error:
+            log.error(  # noqa: TRY400 - the error text names the key; a traceback adds nothing
+                "settings rejected", extra={"kv": {"why": error}}
             )
             for on_rejected in self.on_rejected:
-                on_rejected(str(problem))
+                on_rejected(str(error))
             return
         log.info("settings applied")
         self._record_version(raw)
