--- a/garnetlanding/__main__.py
+++ b/garnetlanding/__main__.py
@@ -3,7 +3,7 @@
 import sys
 
 if sys.argv[1:2] == ["serve"]:
-    # Before all else: signals may come while the rest is imported, and are heeded once the instance runs.
+    # Before any other import: a signal that arrives during the imports is handled once the instance runs.
     from garnetlanding.runtime.signals import block_handled_signals
 
     block_handled_signals()
--- a/garnetlanding/daemon/audit.py
+++ b/garnetlanding/daemon/audit.py
@@ -1,4 +1,4 @@
-"""The audit of an instance, which records in the operator's folder which versions it acted on."""
+"""The audit of an instance: it records which versions of its inputs the instance acted on."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 class AuditRecording(Subsystem):
     """Owns the audit trail, whose recorder wraps the decision module directly.
 
-    It must start before the peers' coordinator wraps the module too: the recorder then sees exactly the
-    events that the module decides by.
+    It must start before the peers' coordinator wraps the module too, so that the recorder observes exactly
+    the events that reach the module.
     """
 
     name = "audit"
@@ -46,7 +46,7 @@
         self._link = link
 
     def start(self) -> None:
-        """Begin to record. Raises OSError where the audit cannot be written."""
+        """Start recording. Raises OSError if the audit cannot be written."""
         instance = self._instance
         link = self._link
         self.trail = start_audit(
@@ -59,7 +59,7 @@
         )
 
     def _version_sources(self) -> dict[str, Callable[[], str]]:
-        """Return functions that return the version in force of each component, by its name in the records."""
+        """Return, by each component's name in the records, a function that returns its version in force."""
         core = self._instance.core
         sources: dict[str, Callable[[], str]] = {
             "code": lambda: __version__,
--- a/garnetlanding/daemon/clients.py
+++ b/garnetlanding/daemon/clients.py
@@ -28,7 +28,7 @@
         self.accepts_clients: Callable[[], bool] = _always
 
     def start(self) -> None:
-        """Listen; with an admin service, the other process of an upgrade may listen at the same address."""
+        """Listen; with an admin service, the address is shared with the other process of an upgrade."""
         instance = self._instance
         self._listener_context = RespListenerContext(
             engine=instance.core,
@@ -44,7 +44,7 @@
             self._make_protocol,
             shared=bool(instance.config.ops),
         )
-        # Clients may use the descriptors that backend connections do not need, and the other way round.
+        # Clients may use the file descriptors that backend connections do not need, and vice versa.
         backends = instance.backends
         self.listener.capacity_user = backends.capacity
         backends.capacity.owner = self.listener
--- a/garnetlanding/daemon/discovery.py
+++ b/garnetlanding/daemon/discovery.py
@@ -16,7 +16,7 @@
 
 
 class DiscoveryWatch(Subsystem):
-    """Owns the watch of the discovery service, which is open from construction on."""
+    """Owns the watch of the discovery service, which is opened at construction."""
 
     name = "discovery"
 
@@ -24,12 +24,12 @@
         self._instance = instance
         limits = instance.limits
         core = instance.core
-        # Read once: with an offset that varies, a backend's start time would seem to change.
+        # Read once: if the offset varied, a backend's start time would appear to change.
         self._wall_offset_us = time.time_ns() // 1000 - clock()
         cached = newest_listing(instance.store, instance.config.known)
         self._cache(cached)
         version, listing = read_list(cached, self._to_monotonic_us, complete=True, at_start=True)
-        # A separate pool, since clients and backends may use up the shared one.
+        # A separate pool, since clients and backends may exhaust the shared one.
         own_pool = BufferPool(limits.buffer_bytes, limits.discovery_buffers, limits.discovery_buffers)
         callbacks = WatchCallbacks(
             core.update_endpoints, core.endpoint_update_failed, self._cache, self._is_pushed
@@ -47,7 +47,7 @@
         cache_listing(self._instance.store, listing)
 
     def _is_pushed(self) -> bool:
-        """Return whether the settings in force say that discovery pushes lists."""
+        """Return whether discovery pushes endpoint lists, by the settings in force."""
         return not self._instance.core.settings.poll_endpoints
 
     def reload(self, previous: Config) -> None:
--- a/garnetlanding/daemon/fencing.py
+++ b/garnetlanding/daemon/fencing.py
@@ -16,7 +16,7 @@
 class Fencing(Subsystem):
     """Decides for the engine's fence whether the instance may act, and reports changes of the fence.
 
-    `by_operator`: whether operators can fence instances of the group.
+    `by_operator` is whether operators can fence instances of the group.
     """
 
     name = "fencing"
--- a/garnetlanding/daemon/history.py
+++ b/garnetlanding/daemon/history.py
@@ -22,7 +22,7 @@
         self._clock = clock
 
     def start(self) -> None:
-        """Open the file and begin to observe requests."""
+        """Open the file and start observing requests."""
         instance = self._instance
         self.writer = HistoryWriter(self._setup.file, instance.config.name, instance.incarnation, self._clock)
         instance.core.observers.append(self.writer)
@@ -32,10 +32,10 @@
         self.writer.serving()
 
     def settings_applied(self, digest: int) -> None:
-        """Record which version of the settings has come into force."""
+        """Record which version of the settings has taken effect."""
         store = self._instance.store
         self.writer.settings_applied(store.epoch, store.revision, digest, self._instance.scheduler.now)
 
     def fencing_changed(self, *, fenced: bool) -> None:
-        """Record that the instance is fenced, or no longer is."""
+        """Record that the instance has been fenced or unfenced."""
         self.writer.fencing_changed(self._instance.scheduler.now, fenced=fenced)
--- a/garnetlanding/daemon/instance.py
+++ b/garnetlanding/daemon/instance.py
@@ -23,13 +23,13 @@
 
 
 def wall_ms(config: Config) -> int:
-    """Return the wall clock in milliseconds, shifted where an experiment's configuration asks for it."""
+    """Return the wall clock in milliseconds, shifted if an experiment's configuration says so."""
     history = config.operator.history
     shift_s = history.wall_s() if history else 0
     return time.time_ns() // 1_000_000 + shift_s * 1000
 
 
-@dataclass(eq=False, repr=False)  # generating these unused methods would cost time at each start
+@dataclass(eq=False, repr=False)  # generating these methods, which are not used, would slow down each start
 class Instance:
     """The parts that every instance has."""
 
@@ -90,6 +90,6 @@
 
     def wait_for(self, condition: Callable[[], bool], timeout_us: int) -> None:
         """Suspend the current task until `condition` returns true, for at most `timeout_us`."""
-        last_us = self.scheduler.now + timeout_us
-        while not condition() and self.scheduler.now < last_us:
+        deadline_us = self.scheduler.now + timeout_us
+        while not condition() and self.scheduler.now < deadline_us:
             self.scheduler.sleep(self.limits.shutdown_poll_us)
--- a/garnetlanding/daemon/lifecycle.py
+++ b/garnetlanding/daemon/lifecycle.py
@@ -17,13 +17,13 @@
     name: str  # for log lines
 
     def start(self) -> None:
-        """Start operating. Raises OSError where a file or address of the configuration is unavailable."""
+        """Start operating. Raises OSError if a file or address of the configuration is unavailable."""
         return
 
     def reload(self, previous: Config) -> None:  # noqa: ARG002 - for those that override it
-        """Apply the configuration that the instance now has; `previous` is the one that it replaced."""
+        """Apply the instance's present configuration, which has replaced `previous`."""
         return
 
     def stop(self) -> None:
-        """Stop in an orderly way. An exception is logged and keeps no other subsystem from stopping."""
+        """Stop gracefully. An exception is logged and does not keep other subsystems from stopping."""
         return
--- a/garnetlanding/daemon/replication.py
+++ b/garnetlanding/daemon/replication.py
@@ -20,7 +20,7 @@
     def __init__(self, instance: Instance, setup: StoreSetup) -> None:
         self._instance = instance
         self._setup = setup
-        # Of a follower that may only act on recent settings; set by `start`.
+        # Set by `start` on a follower that must not act on stale settings.
         self.staleness_guard: StalenessGuard | None = None
 
     def start(self) -> None:
--- a/garnetlanding/daemon/store_opening.py
+++ b/garnetlanding/daemon/store_opening.py
@@ -12,12 +12,12 @@
 
 
 def open_store(config: Config, scheduler: Scheduler) -> Store:
-    """Open the store, and load its file where it has one; a writer stores the configuration's settings.
+    """Open the store and load its file, if it has one; a writable store gets the configuration's settings.
 
     Raises StoreFileError for a damaged file, and OSError for one that cannot be read or written.
     """
     setup = config.operator.store
-    # Only followers read the log; without any, its entries would only hold memory.
+    # Only followers read the log: without any, its entries would waste memory.
     log_entries = config.limits.store_log_entries if setup.role is StoreRole.WRITER else 0
     store = Store(setup.writer, writable=setup.role is not StoreRole.FOLLOWER, log_entries=log_entries)
     persister = None
@@ -26,7 +26,7 @@
 
         persister = StorePersister(scheduler, store, setup.file, config.limits.store_save_us)
     if store.writable:
-        # Each incarnation of the writer gets a greater epoch, even if the file was lost.
+        # Each incarnation of a writer gets a greater epoch, even if the file was lost.
         store.epoch = max(store.epoch + 1, time.time_ns() // 1_000_000)
         store.put(SETTINGS, config.raw_settings)
     if persister:
--- a/garnetlanding/daemon/subset.py
+++ b/garnetlanding/daemon/subset.py
@@ -1,4 +1,4 @@
-"""The subset of backends to which this instance keeps idle connections, where one is configured."""
+"""The subset of backends to which this instance keeps idle connections open."""
 
 from __future__ import annotations
 
--- a/garnetlanding/daemon/telemetry.py
+++ b/garnetlanding/daemon/telemetry.py
@@ -19,7 +19,7 @@
         self._setup = setup
 
     def start(self) -> None:
-        """Begin to observe requests and to export."""
+        """Start observing requests and exporting."""
         instance = self._instance
         self.exporter = Exporter(
             instance.scheduler,
@@ -29,7 +29,7 @@
             instance.limits,
         )
         instance.core.observers.append(self.exporter)
-        # By metric name, which is part of the interface to collectors.
+        # The keys are metric names, which are part of the interface to collectors.
         self.exporter.gauges = {
             "requests.open": lambda: instance.core.open_requests,
             "clients": lambda: sum(map(len, instance.listeners)),
