--- a/garnetlanding/ops/admin_calls.py
+++ b/garnetlanding/ops/admin_calls.py
@@ -1,16 +1,16 @@
-"""The names of operators' calls, as the command line and the paths of HTTP requests have them."""
+"""The names of operators' calls, as they appear on the command line and in the paths of HTTP requests."""
 
 from __future__ import annotations
 
-# Calls on one backend or one instance: each takes its id or number.
+# Calls that apply to one backend, given its id, or to one instance, given its number.
 BACKEND_CALLS = ("disable", "enable")
 INSTANCE_CALLS = ("fleet/forget", "fleet/shut-out", "fleet/let-in")
 
-# Calls that change nothing; those on the fleet are answered with a table in JSON.
+# Read-only calls; those on the fleet return a table in JSON.
 FLEET_TABLES = ("fleet/limits", "fleet/members", "fleet/verdicts", "fleet/bans")
 READ_CALLS = ("ready", "metrics", *FLEET_TABLES)
 
 
-def name_in_fleet(call: str) -> str:
-    """Return the name of a fleet call without `fleet/`: that of its table, or of its action."""
+def fleet_call_name(call: str) -> str:
+    """Return a fleet call's name without the prefix `fleet/`, which is that of its table or action."""
     return call.partition("/")[2]
--- a/garnetlanding/ops/admin_connection.py
+++ b/garnetlanding/ops/admin_connection.py
@@ -1,4 +1,4 @@
-"""The administrative HTTP front: a state machine for one connection, which carries one call."""
+"""The server side of one admin HTTP connection, which carries a single call."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-# Written out, since the phrases of HTTPStatus differ between Python versions.
+# Not taken from HTTPStatus, whose phrases differ between Python versions.
 REASON_PHRASES = {
     HTTPStatus.OK: "OK",
     HTTPStatus.BAD_REQUEST: "Bad Request",
@@ -31,7 +31,7 @@
 
 
 class AdminConnection:
-    """Reads one request, dispatches it, writes the response and ends (a runtime `ClientProtocol`)."""
+    """Reads one request, dispatches it, writes the response and closes (a runtime `ClientProtocol`)."""
 
     has_buffered_input = False
     has_session_state = False
@@ -54,7 +54,7 @@
         return self._parser.has_partial_message
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Parse received bytes and answer the request once it is complete; bytes after it are ignored."""
+        """Parse received bytes, and respond once the request is complete; bytes after it are ignored."""
         if self.is_closing:
             return
         response = self._read_and_dispatch(data)
@@ -77,12 +77,12 @@
             self.requests_received = 1
             path = self._parser.target.partition("?")[0]
             return self._router.dispatch(self._parser.method, path)
-        except HttpError as problem:
-            return AdminResponse(problem.status, f"{problem}\n")
-        except DisableRejectedError as problem:
-            return AdminResponse(HTTPStatus.BAD_REQUEST, f"{problem}\n")
+        except HttpError as error:
+            return AdminResponse(error.status, f"{error}\n")
+        except DisableRejectedError as error:
+            return AdminResponse(HTTPStatus.BAD_REQUEST, f"{error}\n")
         except Exception:
-            # Operators get a response whatever fails; the log has the cause.
+            # Any other failure also gets a response; the log has its cause.
             log.exception("call failed")
             return AdminResponse(HTTPStatus.INTERNAL_SERVER_ERROR, "failed; the head's log has the cause\n")
 
--- a/garnetlanding/ops/admin_router.py
+++ b/garnetlanding/ops/admin_router.py
@@ -1,7 +1,6 @@
 """Maps the paths of operators' calls to the calls of AdminTarget, and their results to HTTP responses.
 
-Paths and response texts are the operators' interface, which their tools compare: they keep the words of the
-operators' pages.
+Paths and response texts are an interface to operators, whose tools match them.
 
 | method | path                                                | call                       |
 | ------ | --------------------------------------------------- | -------------------------- |
@@ -34,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminResponse:
-    """An HTTP status and the text of the response's body."""
+    """The HTTP status and body text of a response."""
 
     status: int
     text: str
@@ -53,16 +52,16 @@
         self._max_id_bytes = max_id_bytes
 
     def dispatch(self, method: str, path: str) -> AdminResponse:
-        """Carry out a request's call; `path` has no query. Exceptions of the target propagate."""
-        for route in (self._observe, self._show_fleet, self._control_instance, self._control_backend):
+        """Execute the call of a request; `path` has no query. Exceptions of the target propagate."""
+        for route in (self._route_status, self._route_fleet, self._route_instance, self._route_backend):
             response = route(method, path)
             if response is not None:
                 return response
-        return self._control_drain(method, path)
+        return self._route_drain(method, path)
 
     # Each route returns None for a path that it does not handle.
 
-    def _observe(self, method: str, path: str) -> AdminResponse | None:
+    def _route_status(self, method: str, path: str) -> AdminResponse | None:
         if path not in (READY_PATH, METRICS_PATH):
             return None
         if method != "GET":
@@ -73,7 +72,7 @@
             return AdminResponse(HTTPStatus.OK, "ready\n")
         return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, "not ready\n")
 
-    def _show_fleet(self, method: str, path: str) -> AdminResponse | None:
+    def _route_fleet(self, method: str, path: str) -> AdminResponse | None:
         view = FLEET_VIEWS.get(path)
         if view is None:
             return None
@@ -82,7 +81,7 @@
             return NO_SUCH_CALL
         return AdminResponse(HTTPStatus.OK, text) if method == "GET" else ONLY_GET
 
-    def _control_instance(self, method: str, path: str) -> AdminResponse | None:
+    def _route_instance(self, method: str, path: str) -> AdminResponse | None:
         matched = INSTANCE_PATH.fullmatch(path)
         if not matched:
             return None
@@ -105,7 +104,7 @@
                 return self._target.fence(instance)
         return self._target.unfence(instance)
 
-    def _control_backend(self, method: str, path: str) -> AdminResponse | None:
+    def _route_backend(self, method: str, path: str) -> AdminResponse | None:
         matched = BACKEND_PATH.fullmatch(path)
         if not matched:
             return None
@@ -123,7 +122,7 @@
     def _is_valid_id(self, text: str) -> bool:
         return len(text) <= self._max_id_bytes and text.isascii() and text.isprintable() and " " not in text
 
-    def _control_drain(self, method: str, path: str) -> AdminResponse:
+    def _route_drain(self, method: str, path: str) -> AdminResponse:
         if path not in (DRAIN_PATH, RESUME_PATH):
             return NO_SUCH_CALL
         if method != "POST":
