--- a/garnetlanding/ops/admin_state.py
+++ b/garnetlanding/ops/admin_state.py
@@ -1,15 +1,14 @@
-"""The administrative state: what operators have set at this instance, and its form on disk. No I/O.
+"""The administrative state, which operators set at an instance, and its file format. No I/O.
 
-The state outlasts the process. On disk it is one line of JSON and a line with that line's CRC-32 in
+The state survives restarts. The file has one line of JSON and a line with the CRC-32 of that line in
 hexadecimal:
 
     {"version": 1, "name": "n1", "banned": ["b0"], "draining": false, "records": [["b0", 17, 1, true]]}
     6c0d9a1f
 
-`banned` and `draining` are the fields `disabled` and `draining` of AdminState. `records` is left out where
-there are none; an entry is a StoredDisable's name, version, instance and whether it is disabled. During an
-upgrade the predecessor's and the successor's program use the same file, so fields may be added but must never
-change.
+`banned` and `draining` are the fields `disabled` and `draining` of AdminState. `records` is omitted if empty;
+an entry is a StoredDisable's name, version, instance and whether it is disabled. During an upgrade
+the predecessor's and the successor's program use the same file, so fields may be added but must never change.
 """
 
 from __future__ import annotations
@@ -25,11 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredDisable:
-    """The latest decision of any operator of the fleet on one backend, or on one instance.
+    """The latest decision of any of the fleet's operators on one backend, or on one instance.
 
     `name` is the backend's id, or "head/" and the instance's number. `instance` is the number of the instance
-    at which the decision was made. Of two decisions on one name the one with the greater `version` holds; of
-    equal versions, the one with the greater `instance`.
+    at which the decision was made. Of two decisions on one name the one with the greater `version` prevails,
+    and of equal versions the one with the greater `instance`.
     """
 
     name: str
@@ -43,8 +42,8 @@
     """The administrative state of one instance.
 
     `disabled` names the backends that get no new requests until an operator enables them again. `draining`
-    tells whether clients are to leave. `records` are the fleet's decisions, from which `disabled` is derived;
-    empty where operators' decisions stay at the instance at which they are made.
+    is whether clients are being drained. `records` are the fleet's decisions, from which `disabled` is
+    derived; empty if decisions are not replicated.
     """
 
     disabled: frozenset[str] = frozenset()
@@ -76,7 +75,7 @@
         "banned": sorted(state.disabled),
         "draining": state.draining,
     }
-    # Without records the file equals one that is written by a program that does not know of records.
+    # Without records, the file is the same as one written by a program that predates records.
     if state.records:
         fields["records"] = [
             [record.name, record.version, record.instance, record.disabled] for record in state.records
@@ -86,7 +85,7 @@
 
 
 def decode(name: str, data: bytes) -> AdminState:
-    """Decode a state file. Raises AdminStateError where it is damaged, of another version or instance."""
+    """Decode a state file. Raises AdminStateError if it is damaged, or of another version or instance."""
     match fields := json.loads(_checked_body(data)):
         case {"version": int() as version} if version != VERSION:
             raise StateVersionError(version, VERSION)
--- a/garnetlanding/ops/errors.py
+++ b/garnetlanding/ops/errors.py
@@ -1,4 +1,4 @@
-"""The exceptions of the administration subsystem, all under OpsError."""
+"""The exceptions of the administration subsystem, whose base class is OpsError."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StateDamage(Enum):
-    """What is wrong with a damaged state file; the value is the text that operators see in the log."""
+    """The kind of damage to a state file; the value is the text that operators see in the log."""
 
     CHECKSUM = "its checksum does not hold"
     FIELD = "a field is missing or not of its type"
@@ -22,7 +22,7 @@
 
 
 class DamagedStateError(AdminStateError):
-    """The bytes of the state file are not in its form."""
+    """The state file does not conform to its format."""
 
     def __init__(self, damage: StateDamage) -> None:
         super().__init__(f"damaged: {damage.value}")
@@ -48,7 +48,7 @@
 
 
 class DisableRejectedError(OpsError):
-    """An operator's change cannot be replicated to the fleet, and so is not made; the text says why.
+    """An operator's change was not made, because it cannot be replicated to the fleet; the text says why.
 
     `name` is the backend's id, or "head/" and the number of the instance.
     """
@@ -59,7 +59,7 @@
 
 
 class TooManyFencedError(DisableRejectedError):
-    """One more fenced instance would leave too few of the fleet to carry the load."""
+    """Fencing one more instance would leave too few of the fleet to carry the load."""
 
     def __init__(self, name: str, fenced: int, instances: int) -> None:
         super().__init__(f"{fenced} of {instances} heads are out already", name)
@@ -68,7 +68,7 @@
 
 
 class InstanceUnreachableError(OpsError):
-    """An instance gave no answer to a call; the text begins with its address and says why."""
+    """An instance did not respond to a call; the text begins with its address and says why."""
 
     def __init__(self, address: str, reason: object) -> None:
         super().__init__(f"{address}: {reason}")
--- a/garnetlanding/ops/replicated_disables.py
+++ b/garnetlanding/ops/replicated_disables.py
@@ -1,8 +1,8 @@
 """Replicates operators' decisions on backends and instances to the whole fleet.
 
-A decision made here gets a version and enters the table that gossip spreads. Decisions received from peers
-enter this instance's administrative state, and so its file, like its own. The table is a last-writer-wins map
-(garnetlanding.peers.disabled_backends); the state stores its records.
+A decision made here gets a version and is added to the table that gossip disseminates. Decisions received
+from peers are added to this instance's administrative state, and so stored in its file, like its own. The
+table is a last-writer-wins map (garnetlanding.peers.disabled_backends); the state stores its records.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 
 class ReplicatedDisables:
-    """Applies decisions, local or received, to the administrative state by way of the fleet's table.
+    """Applies local and received decisions to the fleet's table, and the result to the administrative state.
 
-    New versions consist of this instance's number, which `instance_number` returns, and of the wall clock in
-    milliseconds, which `wall_ms` returns.
+    A local decision's version consists of the wall clock in milliseconds, which `wall_ms` returns, and of
+    this instance's number, which `instance_number` returns.
     """
 
     def __init__(
@@ -39,28 +39,28 @@
         self._wall_ms = wall_ms
 
     def take_received(self) -> list[DisableRecord]:
-        """Return, once, the peers' records that are later than this instance's."""
+        """Return the peers' records that are later than this instance's, each only once."""
         return self._replication.take_received()
 
     def set_disabled(self, state: AdminState, name: str, *, disabled: bool) -> AdminState:
-        """Return the state after a decision made here.
+        """Return the state after a local decision.
 
-        Raises DisableRejectedError where the name is too long or the table full.
+        Raises DisableRejectedError if the name is too long or the table is full.
         """
         table = self.table(state)
         try:
             table.set_disabled(
                 name, disabled=disabled, instance=self._instance_number(), wall_ms=self._wall_ms()
             )
-        except DisabledBackendError as problem:
-            raise DisableRejectedError(str(problem), name) from problem
+        except DisabledBackendError as error:
+            raise DisableRejectedError(str(error), name) from error
         return self._with_table(state, table)
 
     def set_fenced(self, state: AdminState, instance: int, *, fenced: bool, instances: int) -> AdminState:
-        """Return the state with an instance fenced or unfenced, which is a record of its own.
+        """Return the state with an instance fenced or unfenced, which is stored as a record of its own.
 
-        `instances` is the size of the fleet. Raises TooManyFencedError where more than the allowed fraction
-        of the fleet would be fenced: the others must be able to carry the load.
+        `instances` is the size of the fleet. Raises TooManyFencedError if more than the allowed fraction of
+        the fleet would be fenced: the others must be able to carry the load.
         """
         name = INSTANCE_PREFIX + str(instance)
         others = {other for other in state.disabled if other.startswith(INSTANCE_PREFIX)} - {name}
@@ -69,7 +69,7 @@
         return self.set_disabled(state, name, disabled=fenced)
 
     def merge(self, state: AdminState, records: list[DisableRecord]) -> AdminState:
-        """Return the state after decisions of peers; log how many of them took effect."""
+        """Return the state after decisions of peers; log how many took effect and how many were rejected."""
         table = self.table(state)
         result = table.merge(records)
         if result.accepted or result.rejected:
@@ -79,14 +79,14 @@
         return self._with_table(state, table)
 
     def publish(self, state: AdminState) -> None:
-        """Gossip the table of this state from now on."""
+        """Make the table of this state the one that is gossiped."""
         self._replication.replace_table(self.table(state))
 
     def table(self, state: AdminState) -> DisabledBackends:
         """Return the table of a state's records.
 
         A name whose record is missing or disagrees with `state.disabled` was changed without replication, or
-        by an older program: it counts as decided here and now.
+        by an older program, and gets a record as if it had been decided here and now.
         """
         table = DisabledBackends(self._replication.limits, (_to_gossip(record) for record in state.records))
         for name in sorted(state.disabled ^ table.disabled_names):
--- a/garnetlanding/ops/state_file.py
+++ b/garnetlanding/ops/state_file.py
@@ -1,7 +1,7 @@
-"""The file of the administrative state, replaced as a whole and under a lock, so that no change is lost.
+"""The file of the administrative state, replaced atomically and under a lock, so that no change is lost.
 
-The two processes of an upgrade share the file. Each change is therefore applied to the file's content at that
-moment, and each process checks regularly for changes of the other.
+The two processes of an upgrade share the file. Each change is therefore applied to the file's current
+content, and each process regularly checks for changes made by the other.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class FileStamp(NamedTuple):
-    """Identifies one content of the file: each replacement is another inode."""
+    """Identifies one version of the file's content: each replacement has another inode."""
 
     inode: int
     modified_ns: int
@@ -38,30 +38,30 @@
         self._last_stamp: FileStamp | None = None  # of the content that was last loaded or written
 
     def load(self) -> AdminState:
-        """Return the stored state, or an empty one where there is none.
+        """Return the stored state, or an empty one if there is none.
 
-        An unusable file is logged and counts as empty: the instance must start.
+        An unusable file is logged and treated as empty, since the instance must start.
         """
         self._last_stamp = self._stamp()
         try:
             return decode(self._name, self._path.read_bytes())
         except FileNotFoundError:
             return AdminState()
-        except (OSError, AdminStateError) as problem:
-            log.error(  # noqa: TRY400 - the reason is complete without a traceback
-                "state file rejected", extra={"kv": {"path": self._path, "why": problem}}
+        except (OSError, AdminStateError) as error:
+            log.error(  # noqa: TRY400 - the error text is complete without a traceback
+                "state file rejected", extra={"kv": {"path": self._path, "why": error}}
             )
             return AdminState()
 
     def load_if_changed(self) -> AdminState | None:
-        """Return the stored state where another process has changed it since it was last read or written."""
+        """Return the stored state if another process has changed it since the last read or write."""
         return None if self._stamp() == self._last_stamp else self.load()
 
     def update(self, change: Callable[[AdminState], AdminState]) -> AdminState:
         """Apply a change to the stored state, durably, and return the result.
 
-        Raises OSError where the result cannot be stored, and whatever `change` raises; the file then keeps
-        the old state.
+        Raises OSError if the result cannot be stored, and whatever `change` raises; the file then keeps the
+        old state.
         """
         with self._exclusive_lock():
             old = self.load()
@@ -80,7 +80,7 @@
 
     @contextmanager
     def _exclusive_lock(self) -> Iterator[None]:
-        """Exclude the other process's updates between this process's read and its write.
+        """Block the other process's updates from this process's read until its write.
 
         The lock is on a separate file, since the state file itself is replaced.
         """
