--- a/garnetlanding/ops/process_quota.py
+++ b/garnetlanding/ops/process_quota.py
@@ -1,9 +1,9 @@
-"""The arithmetic by which two processes of one instance divide its capacity during an upgrade. No I/O.
+"""Computes how two processes of one instance divide its capacity during an upgrade. No I/O.
 
 Each process has a quota: the fraction of every limit of the instance (connections, buffers, requests) that
 it may use. It publishes the quota in a record that the others read (`process_record`, `process_registry`).
-Invariant: the quotas in force never add up to more than 1. It holds because a predecessor applies a lower
-quota before it publishes it, and a successor takes no more than its predecessors' published quotas leave.
+Invariant: the quotas in force never add up to more than 1, because a predecessor applies a lower quota before
+it publishes it, and a successor takes no more than its predecessors' published quotas leave.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 from garnetlanding.ops.process_record import ProcessRecord
 
-# A predecessor lowers its quota to this beside a successor, if it uses no more.
+# A predecessor lowers its quota to this once there is a successor, unless it uses more.
 UPGRADE_QUOTA = 0.5
 # A predecessor that uses more keeps this multiple of its use: admitted requests must be able to finish.
 HEADROOM_FACTOR = 1.25
 # A predecessor that is shutting down keeps at least this.
 MIN_SHUTDOWN_QUOTA = 0.125
 
-# What a live process with an unreadable record, perhaps of a later version, counts as: a predecessor (no
-# process starts before 0) that has already lowered its quota.
+# Stands for the record of a live process whose own is unreadable, perhaps of a later version: a predecessor
+# (no process starts before 0) that has already lowered its quota.
 UNREADABLE_RECORD = ProcessRecord(0, UPGRADE_QUOTA)
 
 
@@ -29,7 +29,7 @@
 
     `used` is the fraction of the limits in use here, `stopping` whether this process is shutting down. A
     process without a successor takes everything that its predecessors leave. One with a successor never
-    raises its quota again: it lowers it to UPGRADE_QUOTA, or to what it uses times HEADROOM_FACTOR.
+    raises its quota again: it lowers it to UPGRADE_QUOTA, or to `used` times HEADROOM_FACTOR if that is more.
     """
     others = list(others)
     predecessors_quota = sum(other.quota for other in others if other.started_ns < own.started_ns)
--- a/garnetlanding/ops/process_record.py
+++ b/garnetlanding/ops/process_record.py
@@ -1,8 +1,8 @@
-"""The record that each process of an instance publishes for the others, and its form on disk. No I/O.
+"""The record that each process of an instance publishes for the others, and its file format. No I/O.
 
 A record is RECORD_BYTES long: the CRC-32 of its body in hexadecimal, a space, the body
 `{"version": 1, "name": "n1", "started": 123, "part": 0.5}`, spaces, and a line end. It is always written
-whole, by one write, so that a reader sees the old record, the new one, or a checksum mismatch.
+by a single write, so that a reader sees the old record, the new one, or a checksum mismatch.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessRecord:
-    """The quota that one process uses at most, from 0 to 1, and when the process started.
+    """The quota of one process, from 0 to 1, and when the process started.
 
-    `started_ns` is of the monotonic clock, which all processes of a machine have in common; of two
-    processes, the one with the greater value is the successor.
+    `started_ns` is the monotonic clock, which all processes of a machine share; of two processes, the one
+    with the greater value is the successor.
     """
 
     started_ns: int
@@ -35,7 +35,7 @@
 
 
 def decode(name: str, data: bytes) -> ProcessRecord | None:
-    """Decode a record; return None where it is damaged, or of another version or instance."""
+    """Decode a record; return None if it is damaged, or of another version or instance."""
     checksum, _, padded = data.partition(b" ")
     body = padded.strip()
     if checksum != b"%08x" % zlib.crc32(body):
--- a/garnetlanding/ops/process_registry.py
+++ b/garnetlanding/ops/process_registry.py
@@ -25,7 +25,7 @@
 class ProcessRegistry:
     """Publishes the record of this process, and reads those of the instance's other processes.
 
-    The process is registered from construction to `close`, at first with a quota of 0. Raises OSError where
+    The process is registered from construction to `close`, at first with a quota of 0. Raises OSError if
     the folder cannot be used.
     """
 
@@ -37,13 +37,13 @@
         started_ns = time.monotonic_ns()
         self.record = ProcessRecord(started_ns, 0.0)
         self._path = self._folder / f"{self._prefix}{os.getpid()}-{started_ns}"
-        # Renamed to its final name only once it is locked: an unlocked file of that name would count as one
-        # of a terminated process.
-        unnamed = self._folder / f"{instance_file_name(name, 'new')}-{os.getpid()}-{started_ns}"
-        self._fd = os.open(unnamed, os.O_RDWR | os.O_CREAT, 0o600)
+        # Renamed to its final name only once it is locked: an unlocked file of that name would be taken for
+        # that of a terminated process.
+        temporary_path = self._folder / f"{instance_file_name(name, 'new')}-{os.getpid()}-{started_ns}"
+        self._fd = os.open(temporary_path, os.O_RDWR | os.O_CREAT, 0o600)
         fcntl.flock(self._fd, fcntl.LOCK_EX)
         self._write()
-        unnamed.rename(self._path)
+        temporary_path.rename(self._path)
 
     @property
     def has_successor(self) -> bool:
@@ -54,13 +54,13 @@
         """Read the other processes' records and return the quota that this process may use from now on.
 
         `used` is the fraction of the limits in use here. Call `publish` only after the quota has been
-        applied: a successor takes what the published quotas leave.
+        applied, since a successor takes what the published quotas leave.
         """
         self._others = self._read_others()
         return next_quota(self.record, self._others.values(), used, stopping=stopping)
 
     def publish(self, quota: float) -> None:
-        """Announce to the other processes that this process keeps to `quota`."""
+        """Announce to the other processes that this process stays within `quota`."""
         if quota != self.record.quota:
             self.record = ProcessRecord(self.record.started_ns, quota)
             self._write()
@@ -82,13 +82,13 @@
                 with _opened_for_reading(path) as fd:
                     record = self._read_other(path, fd)
             except OSError:
-                continue  # its process terminated and removed it in the meantime
+                continue  # its process has removed it in the meantime, on termination
             if record is not None:
                 records[path.name] = record
         return records
 
     def _read_other(self, path: Path, fd: int) -> ProcessRecord | None:
-        """Return the record that counts for another process, or None where that process has terminated."""
+        """Return the record to assume for another process, or None if that process has terminated."""
         if _is_unlocked(fd):
             log.warning("record of a terminated process removed", extra={"kv": {"path": path}})
             path.unlink()
