--- a/garnetlanding/ops/admin_service.py
+++ b/garnetlanding/ops/admin_service.py
@@ -1,4 +1,4 @@
-"""Carries out operators' calls. A change is stored before it is confirmed: it outlasts the process."""
+"""Executes operators' calls. A change is stored before it is confirmed, so that it survives a restart."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
     """Implements AdminTarget for one process of an instance.
 
     The stored state is applied at construction. `fleet` gives access to the other instances, and `replicated`
-    replicates decisions on backends to them; without it these decisions stay at this instance.
+    replicates decisions on backends to them; without it, these decisions are local to this instance.
 
-    A change raises OSError where it cannot be stored, and then does not take effect.
+    A change that cannot be stored raises OSError and does not take effect.
     """
 
     def __init__(
@@ -74,11 +74,11 @@
     # Backends
 
     def disable(self, backend: str) -> bool:
-        """Stop sending the backend requests until it is enabled. Return whether it is known."""
+        """Stop sending requests to the backend until it is enabled. Return whether it is known."""
         return self._set_disabled(backend, disabled=True)
 
     def enable(self, backend: str) -> bool:
-        """Resume sending the backend requests. Return whether it is known."""
+        """Resume sending requests to the backend. Return whether it is known."""
         return self._set_disabled(backend, disabled=False)
 
     def _set_disabled(self, backend: str, *, disabled: bool) -> bool:
@@ -97,7 +97,7 @@
     # Clients
 
     def drain(self) -> None:
-        """Begin to drain clients from this instance."""
+        """Start draining clients from this instance."""
         self._change(AdminState.drain)
         log.info("drain started")
 
@@ -118,13 +118,13 @@
     def fence(self, instance: int) -> bool | None:
         """Fence an instance, so that it sends nothing.
 
-        Return whether an instance of this number exists, or None where decisions stay at this instance.
-        Raises TooManyFencedError where too much of the fleet would be fenced.
+        Return whether an instance of this number exists, or None if decisions are not replicated.
+        Raises TooManyFencedError if too large a fraction of the fleet would be fenced.
         """
         return self._set_fenced(instance, fenced=True)
 
     def unfence(self, instance: int) -> bool | None:
-        """Let a fenced instance send again. Return as `fence` does."""
+        """Let a fenced instance send again. Returns the same as `fence`."""
         return self._set_fenced(instance, fenced=False)
 
     def _set_fenced(self, instance: int, *, fenced: bool) -> bool | None:
@@ -144,7 +144,7 @@
         self._apply(self._state_file.update(change))
 
     def _poll(self) -> None:
-        """Apply, at regular intervals, changes made by the other process of an upgrade and by peers."""
+        """Periodically apply changes made by the other process of an upgrade and by peers."""
         self._scheduler.call_at(self._scheduler.now + self._instance.limits.ops_poll_us, self._poll)
         self._instance.refresh_quota()
         changed = self._state_file.load_if_changed()
--- a/garnetlanding/ops/admin_target.py
+++ b/garnetlanding/ops/admin_target.py
@@ -1,4 +1,4 @@
-"""The interface between the administrative HTTP front and the service that carries out its calls."""
+"""The interface between the admin HTTP server and the service that executes its calls."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class AdminTarget(Protocol):
-    """Carries out operators' calls on an instance.
+    """Executes operators' calls on an instance.
 
-    A call on a backend or an instance returns whether that is known here, or None where this instance does
-    not offer the call at all.
+    A call on a backend or an instance returns whether that is known here, or None if this instance does not
+    support the call.
     """
 
     def ready(self) -> bool:
@@ -27,7 +27,7 @@
         """Enable a backend again."""
 
     def drain(self) -> None:
-        """Begin to drain clients from this instance."""
+        """Start draining clients from this instance."""
 
     def resume(self) -> None:
         """End the drain."""
@@ -39,7 +39,7 @@
         """Remove a terminated instance from the membership."""
 
     def fence(self, instance: int) -> bool | None:
-        """Fence an instance. Raises DisableRejectedError where too many would be fenced."""
+        """Fence an instance. Raises DisableRejectedError if too many would be fenced."""
 
     def unfence(self, instance: int) -> bool | None:
-        """Unfence an instance. Raises DisableRejectedError where that cannot be replicated."""
+        """Unfence an instance. Raises DisableRejectedError if that cannot be replicated."""
--- a/garnetlanding/ops/fleet_access.py
+++ b/garnetlanding/ops/fleet_access.py
@@ -1,4 +1,4 @@
-"""The interface through which the administration service reaches the other instances of the fleet."""
+"""The interface through which the admin service accesses the other instances of the fleet."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FleetAccess(Protocol):
-    """What the service needs of the peer subsystem, whose link to the fleet may come and go."""
+    """What the admin service needs of the peer subsystem, whose link may open and close at any time."""
 
     def rows(self, view: FleetView) -> list[dict[str, object]] | None:
         """Return the table's rows, ready for JSON, or None while this instance receives no gossip."""
@@ -24,5 +24,5 @@
     def forget(self, instance: int) -> bool | None:
         """Remove a terminated instance from the membership.
 
-        Return whether it was a member, or None where membership is not discovered by gossip.
+        Return whether it was a member, or None if membership is not discovered by gossip.
         """
--- a/garnetlanding/ops/managed_instance.py
+++ b/garnetlanding/ops/managed_instance.py
@@ -1,4 +1,4 @@
-"""The collaborators through which the administration service observes and controls its own process."""
+"""The objects through which the admin service observes and controls its own process."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ManagedInstance:
-    """The parts of one process that operators' calls act on."""
+    """The components of one process that operators' calls apply to."""
 
     scheduler: Scheduler
     engine: RequestEngine
     clients: Listener
     limits: Limits
     endpoints_known: Callable[[], bool]  # whether the endpoint list is recent enough to route by
-    refresh_quota: Callable[[], None] = _keep_quota  # adapts to the other process of an upgrade
+    refresh_quota: Callable[[], None] = _keep_quota  # adjusts the quota to the other process of an upgrade
