--- a/garnetlanding/cli/admin.py
+++ b/garnetlanding/cli/admin.py
@@ -10,7 +10,7 @@
 
 import click
 
-from garnetlanding.cli.root import EXIT_FAILURE, EXIT_USAGE, commands, print_problem, with_options
+from garnetlanding.cli.root import EXIT_FAILURE, EXIT_USAGE, commands, print_error, with_options
 from garnetlanding.ops.admin_calls import BACKEND_CALLS, INSTANCE_CALLS
 
 CALL_HELP = {
@@ -62,7 +62,7 @@
 
 @ops.group(help="What a head knows of the others, where heads hear each other.")
 def fleet() -> None:
-    """Group the commands for calls about the fleet."""
+    """Group the commands for calls about the instance's fleet."""
 
 
 def _add_command(group: click.Group, call: str, help_text: str) -> None:
@@ -75,10 +75,10 @@
             reply = admin_client.send_call(address, call, target_text, wait_s)
             render = admin_output.as_json if as_json else admin_output.as_text
             click.echo(render(call, reply))
-        except InstanceUnreachableError as problem:
-            return print_problem(EXIT_FAILURE, problem)
-        except ValueError as problem:
-            return print_problem(EXIT_USAGE, problem)
+        except InstanceUnreachableError as error:
+            return print_error(EXIT_FAILURE, error)
+        except ValueError as error:
+            return print_error(EXIT_USAGE, error)
         return 0 if reply.ok else EXIT_FAILURE
 
     command: Callable[..., Any] = run
--- a/garnetlanding/cli/audit.py
+++ b/garnetlanding/cli/audit.py
@@ -8,10 +8,12 @@
 
 import click
 
-from garnetlanding.cli.root import EXIT_USAGE, commands, print_problem
+from garnetlanding.cli.root import EXIT_USAGE, commands, print_error
 
-PLACES = click.argument("places", nargs=-1, required=True, type=click.Path(exists=True))
-AS_JSON = click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
+AUDIT_PATHS_ARGUMENT = click.argument(
+    "paths", metavar="PLACES...", nargs=-1, required=True, type=click.Path(exists=True)
+)
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
 Parameters = ParamSpec("Parameters")
 
 
@@ -22,84 +24,84 @@
     """Group the commands that read audits."""
 
 
-def reading_files(command: Callable[Parameters, int]) -> Callable[Parameters, int]:
-    """Make a command print unreadable files and invalid values as an error, and return exit code 2."""
+def with_file_errors(command: Callable[Parameters, int]) -> Callable[Parameters, int]:
+    """Make a command report an unreadable file or an invalid value on standard error, with exit code 2."""
 
     @wraps(command)
     def run(*args: Parameters.args, **kwargs: Parameters.kwargs) -> int:
         try:
             return command(*args, **kwargs)
-        except (OSError, ValueError) as problem:
-            return print_problem(EXIT_USAGE, f"audit: {problem}")
+        except (OSError, ValueError) as error:
+            return print_error(EXIT_USAGE, f"audit: {error}")
 
     return run
 
 
 @audit.command("show", help="Show which head acted on what, from when to when.")
-@PLACES
+@AUDIT_PATHS_ARGUMENT
 @click.option("--chart", metavar="FILE", help="Draw versions by head over time as PNG.")
-@AS_JSON
-@reading_files
-def audit_show(*, places: tuple[str, ...], chart: str | None, as_json: bool) -> int:
-    """Show every span of every instance in time order."""
+@JSON_OPTION
+@with_file_errors
+def audit_show(*, paths: tuple[str, ...], chart: str | None, as_json: bool) -> int:
+    """Print every span of every instance in time order."""
     from garnetlanding.audit import report
 
-    return report.show(places, as_json, chart)
+    return report.show(paths, as_json, chart)
 
 
 @audit.command("merge", help="Put the audits of many heads into one file: the same for any order of theirs.")
-@PLACES
+@AUDIT_PATHS_ARGUMENT
 @click.option("--out", metavar="FILE", required=True, help="A span a line, by time.")
-@reading_files
-def audit_merge(*, places: tuple[str, ...], out: str) -> int:
+@with_file_errors
+def audit_merge(*, paths: tuple[str, ...], out: str) -> int:
     """Write every span of every instance to one file."""
     from garnetlanding.audit import report
 
-    return report.merge(places, out)
+    return report.merge(paths, out)
 
 
 @audit.command(
     "who",
     help="Ask who acted on what at a time, or on a version. The exit code is 1 where nobody did.",
 )
-@PLACES
+@AUDIT_PATHS_ARGUMENT
 @click.option("--at", "when", metavar="TIME", help="Who acted on what then (2026-12-02T01:30:00Z, or ms).")
 @click.option("--version", metavar="COMPONENT=VERSION", help="Who acted on that (settings=5.2, list=41).")
-@AS_JSON
-@reading_files
-def audit_who(*, places: tuple[str, ...], when: str | None, version: str | None, as_json: bool) -> int:
-    """Show the spans that cover a time or carry a version; return 1 where there are none."""
+@JSON_OPTION
+@with_file_errors
+def audit_who(*, paths: tuple[str, ...], when: str | None, version: str | None, as_json: bool) -> int:
+    """Print the spans that include a time or a version; return 1 if there are none."""
     from garnetlanding.audit import report
 
     if (when is None) == (version is None):
-        return print_problem(EXIT_USAGE, "audit: one of --at and --version")
-    return report.who(places, when, version, as_json)
+        return print_error(EXIT_USAGE, "audit: one of --at and --version")
+    return report.who(paths, when, version, as_json)
 
 
 @audit.command(
     "lag",
     help="Show how each version spread: who had it first, who left the one before last, and why it was late.",
 )
-@PLACES
+@AUDIT_PATHS_ARGUMENT
 @click.option("--component", default="settings", show_default=True, help="settings, list, bans, heads, code.")
-@AS_JSON
-@reading_files
-def audit_lag(*, places: tuple[str, ...], component: str, as_json: bool) -> int:
-    """Show how long each version of a component took to reach every instance."""
+@JSON_OPTION
+@with_file_errors
+def audit_lag(*, paths: tuple[str, ...], component: str, as_json: bool) -> int:
+    """Print how long each version of a component took to reach every instance."""
     from garnetlanding.audit import report
 
-    return report.lag(places, component, as_json)
+    return report.lag(paths, component, as_json)
 
 
 @audit.command(
     "verify", help="Check sums, chains and order. The exit code is 1 where something does not fit."
 )
-@PLACES
+@AUDIT_PATHS_ARGUMENT
 @click.option("--head", "heads", metavar="NAME", multiple=True, help="A head that must have files.")
-@AS_JSON
-@reading_files
-def audit_verify(*, places: tuple[str, ...], heads: tuple[str, ...], as_json: bool) -> int:
-    """Check every file; return 1 where one is damaged or missing."""
+@JSON_OPTION
+@with_file_errors
+def audit_verify(*, paths: tuple[str, ...], heads: tuple[str, ...], as_json: bool) -> int:
+    """Check every file; return 1 if one is damaged or missing."""
     from garnetlanding.audit import report
 
-    return report.verify(places, heads, as_json)
+    return report.verify(paths, heads, as_json)
--- a/garnetlanding/cli/conform.py
+++ b/garnetlanding/cli/conform.py
@@ -4,7 +4,7 @@
 
 import click
 
-from garnetlanding.cli.root import EXIT_USAGE, commands, print_problem, with_options
+from garnetlanding.cli.root import EXIT_USAGE, commands, print_error, with_options
 
 DIALECTS = ("9P2000", "9P2000.L")
 
@@ -17,7 +17,7 @@
 
 @commands.group(help="Check a server against its protocol, case by case.")
 def conform() -> None:
-    """Group the commands for the suites."""
+    """Group the commands that run conformance suites."""
 
 
 attach_options = with_options(
@@ -77,7 +77,7 @@
 @attach_options
 @timing_options
 @case_options
-def conform_9p(  # noqa: PLR0913 - one parameter for each option of the command line
+def conform_9p(  # noqa: PLR0913 - one parameter for each command-line option
     *,
     address: str,
     dialect: str,
@@ -102,5 +102,5 @@
         if list_only:
             return report.list_cases(options, only)
         return report.run(address, options, only, json_file)
-    except UsageError as problem:
-        return print_problem(EXIT_USAGE, problem)
+    except UsageError as error:
+        return print_error(EXIT_USAGE, error)
--- a/garnetlanding/cli/lab.py
+++ b/garnetlanding/cli/lab.py
@@ -4,7 +4,7 @@
 
 import click
 
-from garnetlanding.cli.root import EXIT_FAILURE, EXIT_USAGE, commands, print_problem
+from garnetlanding.cli.root import EXIT_FAILURE, EXIT_USAGE, commands, print_error
 
 RUN_HELP = """Run EXPERIMENT (TOML). The exit code is 0 when every rule held, 1 when one was broken
 or the run could not be carried through, 2 when the file is wrong."""
@@ -12,7 +12,7 @@
 
 @commands.group(help="Experiments on many processes of the program, with faults between them.")
 def lab() -> None:
-    """Group the commands for experiments."""
+    """Group the commands for experiments and their results."""
 
 
 @lab.command("run", help=RUN_HELP)
@@ -31,10 +31,10 @@
 
     try:
         return report.run(experiment, out, seed, as_json)
-    except ConfigError as problem:
-        return print_problem(EXIT_USAGE, problem)
-    except (OSError, report.LabError) as problem:
-        return print_problem(EXIT_FAILURE, f"lab: {problem}")
+    except ConfigError as error:
+        return print_error(EXIT_USAGE, error)
+    except (OSError, report.LabError) as error:
+        return print_error(EXIT_FAILURE, f"lab: {error}")
 
 
 @lab.command("compare", help="Put the results of runs side by side.")
@@ -46,8 +46,8 @@
 
     try:
         return report.compare(folders, as_json)
-    except (OSError, ValueError, report.LabError) as problem:
-        return print_problem(EXIT_USAGE, f"lab: {problem}")
+    except (OSError, ValueError, report.LabError) as error:
+        return print_error(EXIT_USAGE, f"lab: {error}")
 
 
 @lab.command("report", help="Show one run second by second, and write it as series.csv beside its histories.")
@@ -55,10 +55,10 @@
 @click.option("--charts", is_flag=True, help="Draw answers, latency and parts as PNG beside the histories.")
 @click.option("--json", "as_json", is_flag=True, help="As one JSON object.")
 def lab_report(*, folder: str, charts: bool, as_json: bool) -> int:
-    """Show one finished run as a time series; return 2 where its histories cannot be read."""
+    """Print one finished run as a time series; return 2 if its histories cannot be read."""
     from garnetlanding.lab import report
 
     try:
         return report.report(folder, charts, as_json)
-    except (OSError, ValueError, report.LabError) as problem:
-        return print_problem(EXIT_USAGE, f"lab: {problem}")
+    except (OSError, ValueError, report.LabError) as error:
+        return print_error(EXIT_USAGE, f"lab: {error}")
--- a/garnetlanding/cli/root.py
+++ b/garnetlanding/cli/root.py
@@ -8,11 +8,11 @@
 
 import click
 
-EXIT_FAILURE = 1  # the command could not be carried out
+EXIT_FAILURE = 1  # the command failed
 EXIT_USAGE = 2  # wrong usage, or an invalid configuration
 
-# The module of this package that registers each command. Only that of the command that runs is imported, so
-# that `serve` does not hold other commands' options in memory.
+# The module of this package that defines each command. Only the module of the command that runs is imported,
+# so that `serve` does not keep other commands' options in memory.
 COMMAND_MODULES = {
     "audit": "audit",
     "check-config": "serve",
@@ -30,7 +30,7 @@
     """A group that imports a command's module when the command is looked up."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return the names of all commands in alphabetical order, which is that of the help."""
+        """Return the names of all commands in alphabetical order, which the help also uses."""
         return sorted({*COMMAND_MODULES, *super().list_commands(ctx)})
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
@@ -38,7 +38,7 @@
         if cmd_name in COMMAND_MODULES:
             modules = {COMMAND_MODULES[cmd_name]}
         else:
-            modules = set(COMMAND_MODULES.values())  # for click's suggestion of similar names
+            modules = set(COMMAND_MODULES.values())  # so that click can suggest similar names
         for module in modules:
             import_module(f"{__package__}.{module}")
         return super().get_command(ctx, cmd_name)
@@ -64,7 +64,7 @@
     return decorate
 
 
-def print_problem(code: int, problem: object) -> int:
-    """Print a problem on standard error and return `code`, for the command to return."""
-    click.echo(f"garnetlanding: {problem}", err=True)
+def print_error(code: int, error: object) -> int:
+    """Print an error on standard error and return `code`, for the command to return."""
+    click.echo(f"garnetlanding: {error}", err=True)
     return code
