--- a/tests/daemon/test_admin.py
+++ b/tests/daemon/test_admin.py
@@ -1,4 +1,4 @@
-"""The admin service of a daemon: its effect on the daemon's clients."""
+"""The admin service of a daemon, and its effect on the daemon's clients."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
     instance = SimulatedDaemon(ops="127.0.0.1:0")
     assert instance.daemon.assembly.admin
-    operators = instance.daemon.assembly.admin.listener.address
+    admin_address = instance.daemon.assembly.admin.listener.address
     client = instance.client()
     assert client.say(PING) == b"+PONG\r\n"
-    assert instance.peer(operators).say(b"POST /-/drain HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 200 ")
+    assert instance.peer(admin_address).say(b"POST /-/drain HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 200 ")
     assert client.say(PING).startswith(b"-ERR")
-    assert instance.peer(operators).say(b"POST /-/resume HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 200 ")
+    assert instance.peer(admin_address).say(b"POST /-/resume HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 200 ")
     assert client.say(PING) == b"+PONG\r\n"
     instance.daemon.scheduler.close()
--- a/tests/daemon/test_assembly.py
+++ b/tests/daemon/test_assembly.py
@@ -6,14 +6,15 @@
 
 import pytest
 
+from garnetlanding.daemon.lifecycle import Subsystem
 from tests.support.daemon import NINEP, SETTINGS_WITH_PEERS, SimulatedDaemon
 
 
-def names(subsystems: tuple[object, ...]) -> list[str]:
-    return [str(subsystem.name) for subsystem in subsystems]  # type: ignore[attr-defined]  # each has a name
+def names(subsystems: tuple[Subsystem, ...]) -> list[str]:
+    return [subsystem.name for subsystem in subsystems]
 
 
-def test_subsystems_start_reload_and_stop_in_their_orders_with_everything_on(
+def test_all_subsystems_start_reload_and_stop_in_the_defined_orders(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
@@ -71,7 +72,7 @@
     ]
 
 
-def test_only_clients_and_peer_link_start_and_only_the_link_stops_with_everything_off() -> None:
+def test_without_optional_subsystems_only_clients_and_peer_link_start() -> None:
     assembly = SimulatedDaemon().daemon.assembly
     assert names(assembly.start_order) == ["RESP2 clients", "peer link"]
     assert names(assembly.stop_order) == ["peer link", "process registry"]
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -1,4 +1,4 @@
-"""A whole daemon: it starts, serves both protocols, follows its endpoint list and shuts down."""
+"""A complete daemon: it starts, serves both protocols, follows its endpoint list and shuts down."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     assert p9.decode(walked[4], walked[7:]) == p9.Rwalk(
         (instance.file_server.disk.qid(instance.file_server.disk.find("doc")),)
     )
-    assert [type(m) for m in instance.file_server.received] == [
+    assert [type(message) for message in instance.file_server.received] == [
         p9.Tversion,
         codec_linux.Tlattach,
         p9.Twalk,
@@ -75,11 +75,11 @@
     instance.backend.scripted_responses = [None]
     client, late = instance.client(), instance.client()
     client.say(read_command())
-    half = read_command("r2", volume="w")
-    late.say(half[:-8])
+    command = read_command("r2", volume="w")
+    late.say(command[:-8])
     instance.discovery.publish(EmulatedEndpoint("b0", instance.backend.address, 0, "DRAINING"))
     instance.settle()
-    late.say(half[-8:])
+    late.say(command[-8:])
     assert len(instance.backend.received) == 1, "a command completed after the drain began is not sent there"
     instance.backend.release()
     instance.settle()
@@ -90,7 +90,7 @@
 
 
 def test_shutdown_serves_clients_until_draining_and_answers_every_open_request() -> None:
-    """A client whose connection is closed at once has no instance to send to until this one is back."""
+    """Closing connections at once would leave clients without an instance until this one has restarted."""
     instance = SimulatedDaemon(settings=SLOW_SETTINGS)
     instance.backend.scripted_responses = [None]
     busy, idle = instance.client(), instance.client()
@@ -129,7 +129,7 @@
     assert instance.daemon.scheduler._stopped
 
 
-def test_shutdown_without_clients_ends_as_soon_as_accepting_may() -> None:
+def test_shutdown_without_clients_ends_after_the_minimum_time_of_accepting() -> None:
     instance = SimulatedDaemon()
     instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.run(instance.daemon.limits.shutdown_accept_us + 50 * MS)
--- a/tests/daemon/test_fencing.py
+++ b/tests/daemon/test_fencing.py
@@ -1,4 +1,4 @@
-"""The fencing of a daemon: what it does beside the engine's own rejection of requests."""
+"""The fencing of a daemon: its effects in addition to the engine's rejection of requests."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     assert coordinator
     calls: list[set[object]] = []
     monkeypatch.setattr(
-        coordinator, "set_suspended", lambda *args, **named: calls.append({*args, *named.values()})
+        coordinator, "set_suspended", lambda *args, **kwargs: calls.append({*args, *kwargs.values()})
     )
     fence = instance.daemon.core.fence
     for fenced in (True, False):
--- a/tests/daemon/test_graceful_shutdown.py
+++ b/tests/daemon/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: phases, deadlines, and what may not delay it."""
+"""Graceful shutdown: its phases and deadlines, and clients that must not delay it."""
 
 from __future__ import annotations
 
@@ -20,20 +20,18 @@
 from tests.support.daemon import PLATFORM_SETTINGS, SLOW_SETTINGS, SimulatedDaemon, restored_signal_handlers
 from tests.support.simulated_instance import read_command
 
-# The process
-
 
 @given(st.integers(10 * MS, 20 * SECOND))
 def test_schedule_terminates_before_sigkill_for_any_longest_deadline(longest_us: int) -> None:
     limits = Limits()
     schedule = ShutdownSchedule.for_deadline(limits, longest_us)
-    killed = min(longest_us, 3 * SECOND) + 700 * MS
+    sigkill_us = min(longest_us, 3 * SECOND) + 700 * MS
     assert (
         schedule.accepting_us
         <= schedule.draining_us
         <= schedule.rejecting_us
         <= schedule.terminating_us
-        <= killed - 200 * MS
+        <= sigkill_us - 200 * MS
     )
     assert schedule.draining_us >= 400 * MS, "new connections are accepted until then"
     assert longest_us < 3 * SECOND or schedule.rejecting_us == limits.shutdown_reject_us
@@ -46,32 +44,32 @@
         max_size=60,
     )
 )
-def test_phases_never_go_back_and_terminate_in_time(polls: list[tuple[int, int, int, bool]]) -> None:
+def test_phases_only_advance_and_terminate_in_time(polls: list[tuple[int, int, int, bool]]) -> None:
     schedule = ShutdownSchedule.for_deadline(Limits(), SECOND)
-    age, phase = 0, Phase.SERVING
-    for step, connections, open_requests, superseded in polls:
-        age += step + 10 * MS
-        after = schedule.next_phase(phase, age, connections, open_requests, superseded=superseded)
-        assert after >= phase
+    elapsed_us, phase = 0, Phase.SERVING
+    for step_us, connections, open_requests, superseded in polls:
+        elapsed_us += step_us + 10 * MS
+        next_phase = schedule.next_phase(phase, elapsed_us, connections, open_requests, superseded=superseded)
+        assert next_phase >= phase
         assert (
-            after is phase
-            or after is not Phase.TERMINATING
-            or age >= schedule.terminating_us
+            next_phase is phase
+            or next_phase is not Phase.TERMINATING
+            or elapsed_us >= schedule.terminating_us
             or not (connections or open_requests)
         )
-        phase = after
-        assert age < schedule.terminating_us or phase is Phase.TERMINATING
+        phase = next_phase
+        assert elapsed_us < schedule.terminating_us or phase is Phase.TERMINATING
 
 
-def ends_within(instance: SimulatedDaemon, span_us: int) -> bool:
+def shuts_down_within(instance: SimulatedDaemon, timeout_us: int) -> bool:
     instance.daemon.scheduler.spawn(instance.daemon.shut_down)
-    instance.run(span_us, 50 * MS)
+    instance.run(timeout_us, 50 * MS)
     return instance.daemon.scheduler._stopped
 
 
 @pytest.mark.parametrize("longest_us", [400 * MS, 1500 * MS, 4000 * MS], ids=["0.4s", "1.5s", "4s"])
 def test_open_requests_are_rejected_before_sigkill_for_any_longest_deadline(longest_us: int) -> None:
-    """A fixed 3.2 s after SIGTERM was too late: with deadlines of 1.5 s or less SIGKILL came first."""
+    """A fixed 3.2 s after SIGTERM would be too late: with deadlines up to 1.5 s, SIGKILL comes first."""
     instance = SimulatedDaemon(
         settings=PLATFORM_SETTINGS | {"Classes": [PLATFORM_SETTINGS["Classes"][0] | {"GiveUpUs": longest_us}]}
     )
@@ -85,15 +83,15 @@
     assert instance.daemon.scheduler._stopped
 
 
-@pytest.mark.parametrize("left", [read_command()[:-5], QUIT[:3], b""], ids=["read", "quit", "nothing"])
-def test_client_with_an_incomplete_command_does_not_delay_shutdown(left: bytes) -> None:
-    """It once had 2.5 s for the rest of the command, whenever that began."""
+@pytest.mark.parametrize("partial", [read_command()[:-5], QUIT[:3], b""], ids=["read", "quit", "nothing"])
+def test_client_with_an_incomplete_command_does_not_delay_shutdown(partial: bytes) -> None:
+    """Guards against granting such a client 2.5 s for the rest of its command, whenever it began."""
     instance = SimulatedDaemon(settings=SLOW_SETTINGS)
     client = RawClient(instance, instance.daemon.listeners[0].address)
     client.say(read_command())
     instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.run(1400 * MS, 50 * MS)
-    client.say(left)
+    client.say(partial)
     instance.run(2150 * MS, 50 * MS)
     assert instance.daemon.scheduler._stopped
 
@@ -101,16 +99,16 @@
 def test_client_that_reads_nothing_does_not_delay_shutdown() -> None:
     instance = SimulatedDaemon(settings=SLOW_SETTINGS)
     instance.backend.data[b"k"] = b"x" * 60_000
-    client_that_does_not_read = RawClient(instance, instance.daemon.listeners[0].address)
+    client = RawClient(instance, instance.daemon.listeners[0].address)
     [connection] = instance.daemon.listeners[0]._clients
-    n = 0
+    sent = 0
     while connection.stream.flushed:
-        client_that_does_not_read.say(read_command(f"r{n}", d=3000))
-        n += 1
-    assert ends_within(instance, 3600 * MS)
+        client.say(read_command(f"r{sent}", d=3000))
+        sent += 1
+    assert shuts_down_within(instance, 3600 * MS)
 
 
-# The subsystems with everything on, in the order in which they are stopped.
+# The names of all subsystems that are stopped, in their order.
 STOP_ORDER = ["admin", "telemetry", "peer link", "audit", "process registry"]
 
 
@@ -118,20 +116,20 @@
 def test_subsystem_that_fails_to_stop_does_not_keep_the_others_from_stopping(
     failing: str, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The first failure once left the process running until SIGKILL."""
+    """Otherwise the first failure would leave the process running until SIGKILL."""
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
     operator = {"telemetry": {"endpoint": "http://127.0.0.1:9"}, "audit": {"folder": str(tmp_path / "audit")}}
-    instance, ended = SimulatedDaemon(operator, ops="127.0.0.1:0"), []
+    instance, stopped = SimulatedDaemon(operator, ops="127.0.0.1:0"), []
     subsystems = instance.daemon.assembly.stop_order
     assert [subsystem.name for subsystem in subsystems] == STOP_ORDER, "the order in which they are stopped"
     for subsystem in subsystems:
         name = subsystem.name
         monkeypatch.setattr(
-            subsystem, "stop", lambda name=name: 1 / 0 if name == failing else ended.append(name)
+            subsystem, "stop", lambda name=name: 1 / 0 if name == failing else stopped.append(name)
         )
-    assert ends_within(instance, SECOND)
-    assert ended == [name for name in STOP_ORDER if name != failing]
-    assert len(ended) == 4
+    assert shuts_down_within(instance, SECOND)
+    assert stopped == [name for name in STOP_ORDER if name != failing]
+    assert len(stopped) == 4
     assert "subsystem failed to stop" in caplog.text
 
 
@@ -142,14 +140,14 @@
         instance.daemon.catch_signals()
         os.kill(os.getpid(), signal.SIGTERM)
         instance.run(100 * MS)
-        second = instance.server(Discovery)
-        instance.platform_config = instance.platform_config | {"discovery": second.address}
+        new_discovery = instance.server(Discovery)
+        instance.platform_config = instance.platform_config | {"discovery": new_discovery.address}
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
             os.kill(os.getpid(), number)
             instance.run(100 * MS)
             client.say(read_command(f"r{number}"))
         assert client.sock.recv(100) == b"$0\r\n\r\n" * 3
-        assert not second.calls
+        assert not new_discovery.calls
         instance.run(4 * SECOND, 50 * MS)
         assert instance.daemon.scheduler._stopped
 
@@ -161,22 +159,22 @@
     instance = SimulatedDaemon(ops="127.0.0.1:0")
     for file in tmp_path.iterdir():
         os.unlink(file)
-    assert ends_within(instance, 2 * SECOND)
+    assert shuts_down_within(instance, 2 * SECOND)
 
 
 def test_draining_accepts_the_backlog_only_into_the_places_of_idle_clients() -> None:
-    """The whole backlog was once accepted, which left discovery and backends without descriptors."""
-    w = InstanceWithoutBackends(client_connections=3)
-    w.list_backend()
-    idle = [RawClient(w, w.listener.address) for _ in range(3)]
+    """Accepting the whole backlog would leave discovery and backends without file descriptors."""
+    instance = InstanceWithoutBackends(client_connections=3)
+    instance.list_backend()
+    idle = [RawClient(instance, instance.listener.address) for _ in range(3)]
     for n, client in enumerate(idle):
         client.say(read_command(f"i{n}"))
-    waiting = [socket.create_connection(parse_address(w.listener.address)) for _ in range(6)]
+    waiting = [socket.create_connection(parse_address(instance.listener.address)) for _ in range(6)]
     for n, sock in enumerate(waiting):
         sock.sendall(read_command(f"w{n}"))
-    w.listener.close_idle()
-    w.listener.stop_accepting()
-    assert len(w.listener._clients) == 3
-    assert len(w.listener) <= 3 + w.limits.lingering_connections
-    w.settle()
-    assert len(w.backend.received) == 6, "three from idle clients, three from the backlog"
+    instance.listener.close_idle()
+    instance.listener.stop_accepting()
+    assert len(instance.listener._clients) == 3
+    assert len(instance.listener) <= 3 + instance.limits.lingering_connections
+    instance.settle()
+    assert len(instance.backend.received) == 6, "three from idle clients, three from the backlog"
--- a/tests/daemon/test_lazy_imports.py
+++ b/tests/daemon/test_lazy_imports.py
@@ -1,4 +1,4 @@
-"""What is off is not imported: neither a subsystem nor the module that composes it."""
+"""A subsystem that is off is not imported, and neither is the daemon's module that composes it."""
 
 from __future__ import annotations
 
@@ -52,10 +52,10 @@
 FOLLOWER = {"role": "follower", "writer": "n0", "address": "127.0.0.1:9"}
 
 
-def imported(platform: dict[str, Any], operator: dict[str, Any], folder: pathlib.Path) -> set[str]:
+def imported_modules(platform: dict[str, Any], operator: dict[str, Any], folder: pathlib.Path) -> set[str]:
     """Start a daemon in a process of its own and return which optional modules it has imported."""
     arguments = json.dumps([PLATFORM_CONFIG | platform, operator, OPTIONAL])
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", PROGRAM, arguments],
         capture_output=True,
         text=True,
@@ -63,7 +63,7 @@
         env={"TMPDIR": str(folder), "PYTHONPATH": ":".join(sys.path)},
         cwd=folder,
     )
-    return {name.removeprefix("garnetlanding.") for name in json.loads(done.stdout)}
+    return {name.removeprefix("garnetlanding.") for name in json.loads(completed.stdout)}
 
 
 @pytest.mark.parametrize(
@@ -117,4 +117,4 @@
 def test_daemon_imports_only_the_subsystems_that_are_on(
     platform: dict[str, Any], operator: dict[str, Any], expected: set[str], tmp_path: pathlib.Path
 ) -> None:
-    assert imported(platform, operator, tmp_path) == expected
+    assert imported_modules(platform, operator, tmp_path) == expected
--- a/tests/daemon/test_quota_enforcement.py
+++ b/tests/daemon/test_quota_enforcement.py
@@ -1,4 +1,4 @@
-"""The quota of a process beside a successor: applied to every limit, and published only afterwards."""
+"""The quota of a process that has a successor: applied to every limit before it is published."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 
 def quotas_in_force(instance: SimulatedDaemon) -> set[float]:
-    parts = instance.daemon.assembly.instance
+    components = instance.daemon.assembly.instance
     return {
-        parts.process.quota,
-        parts.listeners[0].capacity_quota,
-        parts.backends.capacity.quota,
-        parts.pool.capacity_quota,
-        parts.core.capacity.quota,
-        parts.core.settings.process_quota,
+        components.process.quota,
+        components.listeners[0].capacity_quota,
+        components.backends.capacity.quota,
+        components.pool.capacity_quota,
+        components.core.capacity.quota,
+        components.core.settings.process_quota,
     }
 
 
-def test_quota_beside_a_successor_is_applied_to_every_limit_and_to_the_settings(
+def test_quota_of_a_predecessor_is_applied_to_every_limit_and_to_the_settings(
     instance: SimulatedDaemon, tmp_path: pathlib.Path
 ) -> None:
     registry = instance.daemon.assembly.instance.process.registry
@@ -54,23 +54,24 @@
 ) -> None:
     registry = instance.daemon.assembly.instance.process.registry
     assert registry
-    at_publication: list[tuple[float, set[float]]] = []
+    published: list[tuple[float, set[float]]] = []  # each quota, and those in force at the time
     monkeypatch.setattr(
-        registry, "publish", lambda quota: at_publication.append((quota, quotas_in_force(instance)))
+        registry, "publish", lambda quota: published.append((quota, quotas_in_force(instance)))
     )
     successor = ProcessRegistry(str(tmp_path), "n1")
     instance.run(2 * instance.daemon.limits.ops_poll_us, 10 * MS)
     successor.close()
-    assert (0.5, {0.5}) in at_publication
-    assert all(in_force == {quota} for quota, in_force in at_publication)
+    assert (0.5, {0.5}) in published
+    assert all(in_force == {quota} for quota, in_force in published)
 
 
 def test_idle_clients_beyond_half_of_the_limit_are_disconnected_for_a_successor(
     instance: SimulatedDaemon, tmp_path: pathlib.Path
 ) -> None:
-    parts = instance.daemon.assembly.instance
+    components = instance.daemon.assembly.instance
     clients = [instance.client() for _ in range(4)]
-    parts.config = replace(parts.config, limits=replace(parts.config.limits, client_connections=4))
+    limits = replace(components.config.limits, client_connections=4)
+    components.config = replace(components.config, limits=limits)
     instance.run(2 * instance.daemon.limits.ops_poll_us, 10 * MS)
     assert [client.closed for client in clients] == [False] * 4
     successor = ProcessRegistry(str(tmp_path), "n1")
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -15,21 +15,23 @@
 from tests.support.simulated_instance import read_command
 
 
-def test_reload_switches_to_the_new_discovery_at_once_while_requests_run_on() -> None:
+def test_reload_switches_to_the_new_discovery_at_once_while_requests_continue() -> None:
     instance = SimulatedDaemon()
     instance.backend.scripted_responses = [None]
     client = instance.client()
     client.say(read_command(d=1400))
-    second = instance.server(Discovery)
-    second.endpoints = [
+    new_discovery = instance.server(Discovery)
+    new_discovery.endpoints = [
         EmulatedEndpoint("b0", instance.backend.address, 0),
         EmulatedEndpoint("b1", instance.backend.address, 1),
     ]
-    # The environment still has the old address, which must not override the changed file.
-    instance.platform_config = instance.platform_config | {"discovery": second.address}
+    # The environment variable still has the old address, which must not override the changed file.
+    instance.platform_config = instance.platform_config | {"discovery": new_discovery.address}
     instance.daemon.reload()
     instance.settle()
-    assert second.calls == ["/v1/servers?follow=1&since=0"], "versions of the previous discovery are not used"
+    assert new_discovery.calls == [
+        "/v1/servers?follow=1&since=0"
+    ], "versions of the previous discovery are not used"
     assert not instance.discovery.connections
     assert instance.daemon.core.endpoints.address_of("b1")
     instance.backend.release()
@@ -38,7 +40,7 @@
     assert not client.closed
     instance.daemon.reload()
     instance.settle()
-    assert len(second.calls) == 1, "an unchanged address: the watch continues"
+    assert len(new_discovery.calls) == 1, "the watch continues, since the address is unchanged"
 
 
 def test_reload_applies_new_settings_through_the_store() -> None:
@@ -63,7 +65,7 @@
     ],
     ids=["discovery", "settings", "seed"],
 )
-def test_reload_of_a_faulty_configuration_is_rejected_and_logged(
+def test_reload_of_an_invalid_configuration_is_rejected_and_logged(
     change: dict[str, Any], key: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     instance = SimulatedDaemon()
@@ -71,7 +73,7 @@
     instance.platform_config = instance.platform_config | {"discovery": "127.0.0.1:9"} | change
     instance.daemon.reload()
     instance.settle()
-    [record] = [r for r in caplog.records if "reload rejected" in r.message]
+    [record] = [record for record in caplog.records if "reload rejected" in record.message]
     assert key in str(record.__dict__["kv"]["why"])
     assert instance.daemon.config is before
     assert len(instance.discovery.calls) == calls
@@ -79,15 +81,15 @@
 
 
 def test_sigterm_ends_the_daemon_after_sighup_reloaded_it() -> None:
-    """SIGHUP once had no handler and ended the process; the signal pipe was only read for SIGTERM."""
+    """Without a handler SIGHUP kills the process; the signal pipe must be read for both signals."""
     with restored_signal_handlers():
         instance = SimulatedDaemon()
         instance.daemon.catch_signals()
-        second = instance.server(Discovery)
-        instance.platform_config = instance.platform_config | {"discovery": second.address}
+        new_discovery = instance.server(Discovery)
+        instance.platform_config = instance.platform_config | {"discovery": new_discovery.address}
         os.kill(os.getpid(), signal.SIGHUP)
         instance.settle()
-        assert len(second.calls) == 1
+        assert len(new_discovery.calls) == 1
         assert not instance.daemon.scheduler._stopped
         os.kill(os.getpid(), signal.SIGHUP)
         os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/daemon/test_store_roles.py
+++ b/tests/daemon/test_store_roles.py
@@ -18,7 +18,7 @@
 from tests.support.daemon import PLATFORM_CONFIG, PLATFORM_SETTINGS, SimulatedDaemon
 
 
-def test_follower_applies_settings_of_its_writer_but_for_the_instance_number(
+def test_follower_applies_its_writers_settings_except_the_instance_number(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     instance = SimulatedDaemon({"store": {"role": "follower", "writer": "n0", "address": "127.0.0.1:9"}})
