--- a/tests/ops/conftest.py
+++ b/tests/ops/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the administrative service's tests."""
+"""Fixtures for the tests of the admin service."""
 
 from __future__ import annotations
 
--- a/tests/ops/test_admin_client.py
+++ b/tests/ops/test_admin_client.py
@@ -1,4 +1,4 @@
-"""The ops command: calls, printed answers and exit codes."""
+"""The ops command: calls, printed responses and exit codes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         admin_output.as_text("metrics", admin_client.Reply(200, "app.x:1\n"))
 
 
-def test_exit_code_tells_success_failure_and_wrong_usage_apart(
+def test_exit_code_distinguishes_success_failure_and_wrong_usage(
     instance: AdministeredInstance, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def call(
@@ -45,9 +45,9 @@
     unreachable = cli.main(["ops", "ready", "--address", "127.0.0.1:1", "--wait", "0.2"])
     malformed = cli.main(["ops", "ready", "--address", "nowhere"])
     monkeypatch.setattr(admin_client, "send_call", call)
-    to = ["--address", instance.ops.address]
+    address_option = ["--address", instance.ops.address]
     assert (unreachable, malformed) == (1, 2)
     assert "127.0.0.1:1: " in capsys.readouterr().err
-    assert cli.main(["ops", "disable", "b0", *to]) == 0
-    assert cli.main(["ops", "disable", "b9", *to]) == 1
+    assert cli.main(["ops", "disable", "b0", *address_option]) == 0
+    assert cli.main(["ops", "disable", "b9", *address_option]) == 1
     assert capsys.readouterr().out == "b0 disabled\nno brick b9\n"
--- a/tests/ops/test_admin_connection.py
+++ b/tests/ops/test_admin_connection.py
@@ -1,4 +1,4 @@
-"""The administrative HTTP front: parsing, errors and limits."""
+"""The admin HTTP connection: parsing, errors and limits."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from tests.support.simulated_instance import LoopbackClient, SimulatedInstance, read_command
 
 
-def connection(target: Any = None) -> tuple[AdminConnection, list[bytes]]:
+def make_connection(target: Any = None) -> tuple[AdminConnection, list[bytes]]:
     instance = SimulatedInstance()
     written: list[bytes] = []
     return AdminConnection(target, instance.pool, instance.limits, written.append), written
 
 
 @given(st.lists(st.integers(1, 9), max_size=8))
-def test_call_split_at_any_bytes_gets_one_answer(sizes: list[int]) -> None:
+def test_call_split_at_any_bytes_gets_one_response(sizes: list[int]) -> None:
     call = b"\r\nPOST /-/nothing?x=1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcMORE"
-    machine, written = connection()
-    at = 0
+    connection, written = make_connection()
+    start = 0
     for size in [*sizes, len(call)]:
-        machine.feed(call[at : at + size])
-        at += size
-    assert machine.is_closing, "one call, one answer"
-    assert len(written) == 1, "one call, one answer"
-    assert written[0].startswith(b"HTTP/1.1 404 "), "one call, one answer"
+        connection.feed(call[start : start + size])
+        start += size
+    assert connection.is_closing
+    assert len(written) == 1, "a call gets exactly one response"
+    assert written[0].startswith(b"HTTP/1.1 404 ")
 
 
 @pytest.mark.parametrize(
@@ -74,15 +74,15 @@
     ],
 )
 def test_malformed_or_unknown_call_gets_its_status(call: bytes, status: int) -> None:
-    machine, written = connection()
-    machine.feed(call)
-    assert machine.is_closing
+    connection, written = make_connection()
+    connection.feed(call)
+    assert connection.is_closing
     assert written[0].startswith(b"HTTP/1.1 %d " % status)
 
 
 def test_exception_behind_a_call_is_answered_with_500_and_logged(caplog: pytest.LogCaptureFixture) -> None:
-    machine, written = connection(target=None)
-    machine.feed(b"GET /-/ready HTTP/1.1\r\n\r\n")
+    connection, written = make_connection(target=None)
+    connection.feed(b"GET /-/ready HTTP/1.1\r\n\r\n")
     assert written[0].startswith(b"HTTP/1.1 500 ")
     assert "call failed" in caplog.text
 
--- a/tests/ops/test_admin_service.py
+++ b/tests/ops/test_admin_service.py
@@ -1,4 +1,4 @@
-"""The administrative service: readiness, disabling and enabling backends."""
+"""The admin service: readiness, disabling and enabling backends."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     assert instance.call("/-/ready", "GET")[0] == 503
 
 
-def test_disabled_backend_gets_no_request_until_enabled_whatever_endpoint_lists_say(
+def test_disabled_backend_gets_no_request_until_enabled_regardless_of_endpoint_lists(
     instance: AdministeredInstance,
 ) -> None:
     client = instance.peer(instance.clients.address)
@@ -49,15 +49,17 @@
         client.say(read_command(f"r{i}", volume=f"v{i}", d=1500))
     assert len(instance.backend.received) == 4, "the rest are queued"
     instance.call("/-/bricks/b0/disable")
-    assert [c.got for c in clients[4:]] == [b"-BUSY 1000\r\n"] * 4
+    assert [client.got for client in clients[4:]] == [b"-BUSY 1000\r\n"] * 4
     late = instance.peer(instance.clients.address)
     assert late.say(read_command("late", d=1500)) == b"-BUSY 1000\r\n"
     instance.backend.release()
     instance.settle()
-    assert all(c.got.startswith(b"$") for c in clients[:4]), "attempts in flight may finish"
+    assert all(
+        client.got.startswith(b"$") for client in clients[:4]
+    ), "attempts in flight are allowed to finish"
 
 
-def test_disable_outlasts_the_backends_absence_from_the_list(instance: AdministeredInstance) -> None:
+def test_backend_stays_disabled_while_it_is_absent_from_the_list(instance: AdministeredInstance) -> None:
     instance.call("/-/bricks/b0/disable")
     instance.list(instance.endpoints[1])
     assert instance.metrics()["targets_disabled"] == 0, "only listed backends count"
@@ -69,7 +71,7 @@
     assert instance.core.endpoints.address_of("b0")
 
 
-def test_enabled_backend_warms_up_though_its_listed_start_is_unchanged(
+def test_enabled_backend_warms_up_although_its_listed_start_time_is_unchanged(
     instance: AdministeredInstance,
 ) -> None:
     observed: list[api.Endpoint] = []
@@ -77,7 +79,7 @@
 
     def observe(now: int, events: list[api.Event]) -> list[api.Action]:
         observed.extend(
-            e for event in events if isinstance(event, api.EndpointListUpdate) for e in event.entries
+            entry for event in events if isinstance(event, api.EndpointListUpdate) for entry in event.entries
         )
         return handle(now, events)
 
@@ -91,7 +93,7 @@
     assert enabled.started_us == T0 + SECOND
     instance.list(*instance.endpoints)
     assert (
-        next(e for e in observed[::-1] if e.backend == "b0").started_us == T0 + SECOND
+        next(entry for entry in observed[::-1] if entry.backend == "b0").started_us == T0 + SECOND
     ), "the list does not change it"
 
 
@@ -99,8 +101,8 @@
     instance.backend.holds_responses = True
     client = instance.peer(instance.clients.address)
     client.say(read_command(id="r1"))
-    assert len(instance.backend.received) == 1, "completely written before it is disabled"
+    assert len(instance.backend.received) == 1, "the request is completely written before the disable"
     instance.call("/-/bricks/b0/disable")
     instance.backend.release()
     instance.settle()
-    assert client.got.startswith(b"$"), "attempts in flight may finish"
+    assert client.got.startswith(b"$"), "attempts in flight are allowed to finish"
--- a/tests/ops/test_admin_state.py
+++ b/tests/ops/test_admin_state.py
@@ -1,4 +1,4 @@
-"""Administrative state that outlasts a process."""
+"""Administrative state that survives the process."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from tests.support.daemon import PLATFORM_CONFIG
 
 
-def test_disables_and_drain_outlast_the_process_and_reach_the_other_one(tmp_path: pathlib.Path) -> None:
+def test_disables_and_drain_survive_the_process_and_reach_the_other_one(tmp_path: pathlib.Path) -> None:
     instance = AdministeredInstance(tmp_path)
     instance.call("/-/bricks/b0/disable")
     other = StateFile(str(tmp_path), "n1")
@@ -35,13 +35,13 @@
     assert instance.core.endpoints.disabled == {"b0", "b1"}
     assert not instance.service.accepts_clients
     instance.call("/-/resume")
-    both = AdminState(frozenset({"b0", "b1"}))
-    assert other.load_if_changed() == both, "neither process undoes a change of the other"
+    both_disabled = AdminState(frozenset({"b0", "b1"}))
+    assert other.load_if_changed() == both_disabled, "neither process undoes a change of the other"
     assert other.load_if_changed() is None
 
 
-def state_bytes(**change: Any) -> bytes:
-    body = json.dumps({"version": 1, "name": "n1", "banned": [], "draining": False} | change).encode()
+def state_bytes(**overrides: Any) -> bytes:
+    body = json.dumps({"version": 1, "name": "n1", "banned": [], "draining": False} | overrides).encode()
     return b"%s\n%08x\n" % (body, zlib.crc32(body))
 
 
@@ -82,7 +82,7 @@
     assert decode("n1", stored) == AdminState(frozenset({"b0"}))
 
 
-def test_errors_of_a_state_file_have_what_was_found_and_what_was_expected() -> None:
+def test_errors_of_a_state_file_carry_the_found_and_expected_values() -> None:
     with pytest.raises(StateVersionError) as version:
         decode("n1", state_bytes(version=VERSION + 1))
     assert (version.value.found, version.value.supported) == (VERSION + 1, VERSION)
@@ -94,14 +94,14 @@
     assert damaged.value.damage is StateDamage.RECORD
 
 
-def test_change_that_cannot_be_stored_is_not_made(tmp_path: pathlib.Path) -> None:
+def test_change_that_cannot_be_stored_does_not_take_effect(tmp_path: pathlib.Path) -> None:
     instance = AdministeredInstance(tmp_path)
     (tmp_path / "garnetlanding-n1-operators.json.new").mkdir()
     assert instance.call("/-/bricks/b0/disable")[0] == 500
     assert instance.core.endpoints.address_of("b0"), "only a change that is stored is confirmed"
 
 
-def test_change_is_made_under_the_lock_that_both_processes_take(tmp_path: pathlib.Path) -> None:
+def test_change_holds_the_lock_that_excludes_the_other_process(tmp_path: pathlib.Path) -> None:
     file = StateFile(str(tmp_path), "n1")
     lock_path = tmp_path / "garnetlanding-n1-operators.json.lock"
 
@@ -115,7 +115,7 @@
         fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
 
 
-def test_malformed_ops_address_is_named() -> None:
+def test_error_for_a_malformed_ops_address_names_the_key() -> None:
     with pytest.raises(config.ConfigError, match="key ops"):
         config.read(PLATFORM_CONFIG | {"ops": "nowhere"})
     assert config.read(PLATFORM_CONFIG, env={"RELAY_OPS": "127.0.0.1:1"}).ops == "127.0.0.1:1"
--- a/tests/ops/test_drain.py
+++ b/tests/ops/test_drain.py
@@ -1,4 +1,4 @@
-"""Draining an instance: its clients are served and then disconnected."""
+"""Draining an instance: its clients are served for a while and then disconnected."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
     assert not busy.closed
     instance.backend.release()
     instance.settle()
-    assert busy.got.startswith(b"$"), "after its answer"
-    assert busy.closed, "after its answer"
+    assert busy.got.startswith(b"$"), "the connection is closed after the answer"
+    assert busy.closed, "the connection is closed after the answer"
     instance.backend.holds_responses = False
     instance.call("/-/resume")
     again = instance.peer(instance.clients.address)
--- a/tests/ops/test_metrics.py
+++ b/tests/ops/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics as operators read them."""
+"""Metrics in the text format that operators read."""
 
 from __future__ import annotations
 
