--- a/tests/integration/test_fencing.py
+++ b/tests/integration/test_fencing.py
@@ -1,4 +1,4 @@
-"""Fencing of instances: by an operator, and by staleness among real processes."""
+"""Fencing of instances that are real processes: by an operator, and because their settings are stale."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
         ("let-in", 200),
         ("let-in", 200),
     ]
-    words = [(line["who"], line["out"]) for line in result.lines if line["what"] == "current"]
-    assert ("n1", True) in words
-    assert ("n3", True) in words
-    assert not any(who == "n0" for who, _ in words)
-    last = {line["who"]: line["out"] for line in result.lines if line["what"] == "current"}
-    assert last == {"n1": False, "n3": False}
-    late = result.began_us + 9 * SECOND
+    fence_changes = [(line["who"], line["out"]) for line in result.lines if line["what"] == "current"]
+    assert ("n1", True) in fence_changes
+    assert ("n3", True) in fence_changes
+    assert not any(instance == "n0" for instance, _ in fence_changes)
+    final_state = dict(fence_changes)
+    assert final_state == {"n1": False, "n3": False}
+    after_unfencing_us = result.began_us + 9 * SECOND
     assert any(
         line["what"] == "answered"
         and line["who"] == "n1"
         and line["outcome"] == "served"
-        and line["t"] > late
+        and line["t"] > after_unfencing_us
         for line in result.lines
     )
 
@@ -50,8 +50,10 @@
     assert result.report.is_sound, result.report.violations
     assert result.report.audited_attempts > 500
     assert result.report.outcomes["served"] > 500
-    outs = [line for line in result.lines if line["what"] == "current" and line["out"]]
-    assert {"n1", "n2", "n3"} <= {line["who"] for line in outs}
+    fenced = {line["who"] for line in result.lines if line["what"] == "current" and line["out"]}
+    assert {"n1", "n2", "n3"} <= fenced
     fleet = merge_segments(read_segments([str(tmp_path / "run" / "audit")]).segments, LIMITS)
-    assert [p for p in fleet.problems if ": nothing for" not in p] == []
-    assert any(p.startswith("n3: nothing for") for p in fleet.problems), "it stood still for 3.5 s"
+    assert [problem for problem in fleet.problems if ": nothing for" not in problem] == []
+    assert any(
+        problem.startswith("n3: nothing for") for problem in fleet.problems
+    ), "n3 was stopped for 3.5 s"
--- a/tests/integration/test_choices_of_processes.py
+++ b/tests/integration/test_subsets_and_retry_budgets.py
@@ -1,4 +1,4 @@
-"""Choices of real processes add up."""
+"""Backend subsets and retry budgets of instances that are real processes."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 ROOT = pathlib.Path(__file__).parents[2]
 
 
-# Processes
-
-
 @pytest.mark.parametrize("name", ["subset", "resend-budget"])
-def test_subsets_and_retry_budgets_of_real_processes_add_up(name: str, tmp_path: pathlib.Path) -> None:
-    """Eight heads, of which one joins, one leaves and one is cut off; six whose connections break."""
+def test_subsets_and_retry_budgets_of_real_processes_hold_their_invariants(
+    name: str, tmp_path: pathlib.Path
+) -> None:
+    """`subset` has eight instances: one joins, one leaves, one is partitioned. `resend-budget` has six, whose
+    backend connections are reset.
+    """
     result = run(experiment_file.load(str(ROOT / "experiments" / f"{name}.toml")), tmp_path / "run")
     assert result.report.is_sound, result.report.violations
     assert result.report.outcomes["served"] > 0
     if name == "resend-budget":
-        assert result.report.attempts > result.report.outcomes["served"], "some did run again"
+        assert result.report.attempts > result.report.outcomes["served"], "some requests were retried"
