--- a/tests/integration/test_rolling_upgrade.py
+++ b/tests/integration/test_rolling_upgrade.py
@@ -1,4 +1,4 @@
-"""A rolling upgrade: two daemons of one instance on one clock."""
+"""A rolling upgrade: two daemons of one instance on the same simulated clock."""
 
 from __future__ import annotations
 
@@ -19,16 +19,17 @@
 
 
 class RollingUpgrade(SimulatedInstance):
-    """Two daemons of one instance on this one's clock, before one backend."""
+    """Runs several daemons of one instance, with one backend, on the same simulated clock."""
 
     def __init__(self, folder: pathlib.Path, monkeypatch: pytest.MonkeyPatch) -> None:
         self.daemons: list[Daemon] = []
         super().__init__()
         monkeypatch.setattr("tempfile.gettempdir", lambda: str(folder))
-        self.brick = self.server(EmulatedBackend)
-        probe = self.front()
-        self.address = probe.address
-        probe.stop_accepting()
+        self.backend = self.server(EmulatedBackend)
+        # Finds a free address, which all daemons then share.
+        listener = self.front()
+        self.address = listener.address
+        listener.stop_accepting()
         self.settle()
 
     def start_daemon(self) -> Daemon:
@@ -41,7 +42,7 @@
                     "known": {
                         "generation": 4,
                         "reset": True,
-                        "instances": [EmulatedEndpoint("b0", self.brick.address, 0).entry()],
+                        "instances": [EmulatedEndpoint("b0", self.backend.address, 0).entry()],
                     },
                 }
             ),
@@ -56,13 +57,12 @@
         running = [daemon.scheduler for daemon in self.daemons if not daemon.scheduler._stopped]
         return (*super().schedulers(), *running)
 
-    def call(self, daemon: Daemon, what: str, method: str = "POST") -> str:
+    def call(self, daemon: Daemon, path: str, method: str = "POST") -> str:
+        """Send one call to the daemon's admin service and return the response's status code."""
         assert daemon.assembly.admin is not None
-        return (
-            self.peer(daemon.assembly.admin.listener.address)
-            .say(f"{method} {what} HTTP/1.1\r\n\r\n".encode())
-            .decode()[9:12]
-        )
+        operator = self.peer(daemon.assembly.admin.listener.address)
+        response = operator.say(f"{method} {path} HTTP/1.1\r\n\r\n".encode())
+        return response.decode().split(" ")[1]
 
 
 @pytest.fixture
@@ -79,29 +79,34 @@
         assert client.say(read_command(f"a{i}")).startswith(b"$")
     new = upgrade.start_daemon()
     upgrade.run(300 * MS)
-    assert [d.assembly.instance.process.quota for d in (old, new)] == [0.5, 0.5]
-    assert upgrade.call(new, "/-/ready", "GET") == "503", "no list yet, and discovery is away"
+    assert [daemon.assembly.instance.process.quota for daemon in (old, new)] == [0.5, 0.5]
+    assert upgrade.call(new, "/-/ready", "GET") == "503", "no endpoint list yet, as discovery is unreachable"
     upgrade.run(1300 * MS)
-    assert upgrade.call(new, "/-/ready", "GET") == "200", "with the list it was started with"
-    upgrade.brick.holds_responses = True
+    assert upgrade.call(new, "/-/ready", "GET") == "200", "ready with the configured endpoint list"
+    upgrade.backend.holds_responses = True
     clients[0].say(read_command("busy"))
     old.scheduler.spawn(old.shut_down)
     upgrade.run(100 * MS)
-    assert [c.closed for c in clients] == [False] + [True] * 5, "idle ones have somewhere to go"
-    upgrade.brick.holds_responses = False
-    upgrade.brick.release()
+    assert [client.closed for client in clients] == [
+        False,
+        *[True] * 5,
+    ], "idle clients can reconnect to the successor"
+    upgrade.backend.holds_responses = False
+    upgrade.backend.release()
     upgrade.run(300 * MS)
     assert clients[0].got.endswith(b"$0\r\n\r\n")
     assert clients[0].closed
     assert old.scheduler._stopped
-    late = upgrade.peer(upgrade.address)
-    assert late.say(PING) == b"+PONG\r\n"
+    new_client = upgrade.peer(upgrade.address)
+    assert new_client.say(PING) == b"+PONG\r\n"
     assert len(new.listeners[0]) == 1
     upgrade.run(300 * MS)
     assert new.assembly.instance.process.quota == 1
 
 
-def test_disables_and_drain_hold_in_both_processes_whichever_was_called(upgrade: RollingUpgrade) -> None:
+def test_disables_and_drain_apply_to_both_processes_regardless_of_which_was_called(
+    upgrade: RollingUpgrade,
+) -> None:
     old = upgrade.start_daemon()
     upgrade.call(old, "/-/bricks/b0/disable")
     upgrade.call(old, "/-/drain")
