--- a/tests/support/admin.py
+++ b/tests/support/admin.py
@@ -1,4 +1,4 @@
-"""An instance with its administrative service, for tests."""
+"""An instance with its admin service, for tests."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class AdministeredInstance(SimulatedInstance):
-    """An instance with a RESP listener and an administrative one; two backends, each of one cell.
+    """An instance with a RESP2 listener, an admin listener and two endpoints, b0 of cell 0 and b1 of cell 1.
 
-    Both backends are one emulated server, `backend`.
+    Both endpoints have the address of the same emulated server, `backend`.
     """
 
     def __init__(self, folder: pathlib.Path, **limits: int) -> None:
@@ -64,15 +64,16 @@
         self.list(*self.endpoints)
 
     def call(self, path: str, method: str = "POST") -> tuple[int, str]:
-        """Send one call and return the status and body; check that the instance closes the connection."""
-        peer = self.peer(self.ops.address)
-        answer = peer.say(f"{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode()).decode()
-        head, _, body = answer.partition("\r\n\r\n")
-        assert peer.closed
+        """Send one call and return its status and body; check that the instance closes the connection."""
+        client = self.peer(self.ops.address)
+        response = client.say(f"{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode()).decode()
+        head, _, body = response.partition("\r\n\r\n")
+        assert client.closed
         assert "Connection: close" in head
         assert f"Content-Length: {len(body)}" in head
         return int(head.split(" ")[1]), body
 
     def metrics(self) -> dict[str, int]:
+        """Return the values of the metrics by name, without the prefix `app.`."""
         lines = [line.partition(":") for line in self.call("/-/metrics", "GET")[1].splitlines()]
         return {name.removeprefix("app."): int(value.partition("|")[0]) for name, _, value in lines}
--- a/tests/support/daemon.py
+++ b/tests/support/daemon.py
@@ -1,4 +1,4 @@
-"""Configurations, and a complete in-process daemon on a simulated clock, for tests."""
+"""Configurations for tests, and a complete daemon that runs in the test's process on a simulated clock."""
 
 from __future__ import annotations
 
@@ -63,32 +63,34 @@
 NINEP: dict[str, Any] = {"listen": "127.0.0.1:0", "export": [EXPORT]}
 
 
-# The time until SIGKILL depends on the longest deadline: with this one it is 3.7 s after SIGTERM at least.
+# The time until SIGKILL depends on the longest deadline: with this one it is at least 3.7 s after SIGTERM.
 SLOW_SETTINGS = PLATFORM_SETTINGS | {"Classes": [PLATFORM_SETTINGS["Classes"][0] | {"GiveUpUs": 3_000_000}]}
 
 
 @contextlib.contextmanager
 def restored_signal_handlers() -> Iterator[None]:
-    old = {number: signal.getsignal(number) for number in HANDLED}
+    """Restore the handlers of all signals that the daemon handles."""
+    previous = {number: signal.getsignal(number) for number in HANDLED}
     try:
         yield
     finally:
         signal.set_wakeup_fd(-1)
-        for number, handler in old.items():
+        for number, handler in previous.items():
             signal.signal(number, handler)
 
 
 class SimulatedDaemon(SimulatedInstance):
     """A complete daemon with discovery, a backend and a file server, on the simulated clock.
 
-    `platform_config` is the platform's configuration, which a test may change before it reloads.
+    `overrides` replace keys of the platform's configuration. A test may change `platform_config` before it
+    reloads the daemon.
     """
 
     def __init__(
         self,
         operator: dict[str, Any] | None = None,
         settings: dict[str, Any] = PLATFORM_SETTINGS,
-        **more: Any,
+        **overrides: Any,
     ) -> None:
         super().__init__()
         self.discovery = self.server(Discovery)
@@ -99,7 +101,7 @@
         if operator and "ninep" in operator:
             operator["ninep"] = NINEP | {"server_port": port}
         self.platform_config = (
-            PLATFORM_CONFIG | {"discovery": self.discovery.address, "settings": settings} | more
+            PLATFORM_CONFIG | {"discovery": self.discovery.address, "settings": settings} | overrides
         )
         self.daemon = Daemon(self.load_config(operator), lambda: self.time, self.load_config)
         self.daemon.start()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -37,13 +37,13 @@
     assert "cannot serve" in capsys.readouterr().err
 
 
-def test_unknown_command_gets_a_suggestion_and_serve_loads_no_other_command() -> None:
+def test_unknown_command_gets_a_suggestion_and_serve_imports_no_other_command() -> None:
     unknown = subprocess.run([sys.executable, "-m", "garnetlanding", "op"], capture_output=True, text=True)
     assert unknown.returncode == 2
     assert "Did you mean 'ops'?" in unknown.stderr
     program = (
         "import sys; from garnetlanding import cli; cli.main(['version']);"
-        "print(*sorted(m for m in sys.modules if m.startswith('garnetlanding.cli.')))"
+        "print(*sorted(name for name in sys.modules if name.startswith('garnetlanding.cli.')))"
     )
-    loaded = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
-    assert loaded.stdout.splitlines()[-1] == "garnetlanding.cli.root garnetlanding.cli.serve"
+    completed = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
+    assert completed.stdout.splitlines()[-1] == "garnetlanding.cli.root garnetlanding.cli.serve"
