--- a/tests/support/log_messages.py
+++ b/tests/support/log_messages.py
@@ -1,8 +1,8 @@
-"""The log messages of Python source text: found in its syntax tree, without running it.
+"""Finds the log messages of Python source text by static analysis of its syntax tree.
 
-Found are calls of a logger's methods, and calls of functions that pass one of their parameters on as the
-message of such a call. A message or a level that cannot be read from the source is a `ValueError`: nobody
-could say on a page what such a line means.
+It finds calls of a logger's methods, and calls of functions that pass one of their parameters on as the
+message of such a call. A message or level that is not evident from the source raises `ValueError`, since such
+a message could not be documented.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
+# The level of each logger method that implies one.
 LEVELS = {
     "debug": "debug",
     "info": "info",
@@ -21,7 +22,6 @@
     "critical": "critical",
     "fatal": "critical",
 }
-"""The level of each method of a logger that names one."""
 AT_LEAST_WARNING = frozenset({"warning", "error", "critical"})
 
 Function = ast.FunctionDef | ast.AsyncFunctionDef
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class LogMessage:
-    """One message: its text, its level, the module that emits it, and the names of its fields."""
+    """The text and level of a message, the module that emits it, and the names of its fields."""
 
     text: str
     level: str
@@ -38,13 +38,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Helper:
-    """A function that logs what it gets as its parameter `message`, which is the `place`-th of a call."""
+class _LogFunction:
+    """A function that logs the argument of one of its parameters, which is at `position` in a call."""
 
     name: str
     level: str
-    message: str
-    place: int
+    parameter: str
+    position: int
     fields: frozenset[str]
 
 
@@ -53,36 +53,36 @@
     call: ast.Call
     level: str
     text: ast.expr
-    function: Function | None  # in which the call stands
+    function: Function | None  # the innermost function that contains the call
 
 
 def find_messages(sources: Mapping[str, str]) -> set[LogMessage]:
-    """Return every message of these modules, whose source texts are given by name."""
+    """Return every message of modules, given their source texts by module name."""
     trees = {module: ast.parse(source) for module, source in sources.items()}
     calls = {module: list(_logger_calls(module, tree)) for module, tree in trees.items()}
-    helpers = [
-        helper
-        for module, found in calls.items()
-        for log_call in found
-        if (helper := _as_helper(log_call, trees[module]))
+    log_functions = [
+        log_function
+        for module, module_calls in calls.items()
+        for log_call in module_calls
+        if (log_function := _as_log_function(log_call, trees[module]))
     ]
     messages: set[LogMessage] = set()
     for module, tree in trees.items():
         try:
-            messages |= _messages_of_module(module, tree, calls[module], helpers)
-        except ValueError as problem:
-            raise ValueError(f"{module}: {problem}") from problem
+            messages |= _messages_of_module(module, tree, calls[module], log_functions)
+        except ValueError as error:
+            raise ValueError(f"{module}: {error}") from error
     return messages
 
 
 def _messages_of_module(
-    module: str, tree: ast.Module, calls: Iterable[_LogCall], helpers: Iterable[_Helper]
+    module: str, tree: ast.Module, calls: Iterable[_LogCall], log_functions: Iterable[_LogFunction]
 ) -> set[LogMessage]:
     messages: set[LogMessage] = set()
     for log_call in calls:
-        if _as_helper(log_call, tree) is None:
+        if _as_log_function(log_call, tree) is None:
             messages |= _messages(module, tree, log_call, _field_names(log_call, tree))
-    for log_call, fields in _helper_calls(tree, helpers):
+    for log_call, fields in _log_function_calls(tree, log_functions):
         messages |= _messages(module, tree, log_call, fields | _field_names(log_call, tree))
     return messages
 
@@ -98,12 +98,12 @@
         elif method.attr == "log":
             level = _last_name(call.args[0]).lower() if call.args else ""
             if level not in LEVELS:
-                raise ValueError(f"{module}:{call.lineno}: a level that is not of the logging module")
+                raise ValueError(f"{module}:{call.lineno}: level is not a constant of the logging module")
             yield _LogCall(call, LEVELS[level], _argument(module, call, 1), function)
 
 
 def _logger_names(module: str, tree: ast.Module) -> Iterator[str]:
-    """Yield the names that loggers are bound to; `logging` itself is one, for its functions log too."""
+    """Yield the names that loggers are bound to, and `logging`, whose functions log too."""
     yield "logging"
     bound = 0
     for node in ast.walk(tree):
@@ -113,9 +113,9 @@
                 yield _last_name(target)
         elif isinstance(node, ast.arg) and node.annotation and _last_name(node.annotation) == "Logger":
             yield node.arg
-    made = sum(isinstance(node, ast.Call) and _is_logger(node) for node in ast.walk(tree))
-    if made != bound:
-        raise ValueError(f"{module}: a logger that is bound to no name")
+    created = sum(isinstance(node, ast.Call) and _is_logger(node) for node in ast.walk(tree))
+    if created != bound:
+        raise ValueError(f"{module}: a logger is not bound to a name")
 
 
 def _is_logger(value: ast.expr | None) -> bool:
@@ -123,24 +123,24 @@
 
 
 def _last_name(node: ast.expr) -> str:
-    """Return `c` of `a.b.c`, `c` of `c`, and nothing of any other expression."""
+    """Return `c` for `a.b.c` and for `c`, and an empty text for any other expression."""
     if isinstance(node, ast.Attribute):
         return node.attr
     return node.id if isinstance(node, ast.Name) else ""
 
 
 def _calls(tree: ast.AST, function: Function | None = None) -> Iterator[tuple[ast.Call, Function | None]]:
-    """Yield every call, with the innermost function that it stands in."""
+    """Yield every call, with the innermost function that contains it."""
     for node in ast.iter_child_nodes(tree):
         if isinstance(node, ast.Call):
             yield node, function
         yield from _calls(node, node if isinstance(node, Function) else function)
 
 
-def _argument(module: str, call: ast.Call, place: int) -> ast.expr:
-    if len(call.args) <= place:
-        raise ValueError(f"{module}:{call.lineno}: a log call without a message")
-    return call.args[place]
+def _argument(module: str, call: ast.Call, position: int) -> ast.expr:
+    if len(call.args) <= position:
+        raise ValueError(f"{module}:{call.lineno}: log call has no message")
+    return call.args[position]
 
 
 def _field_names(log_call: _LogCall, tree: ast.Module) -> frozenset[str]:
@@ -157,7 +157,7 @@
 
 
 def _dictionaries(node: ast.expr, scopes: Sequence[ast.AST]) -> Iterator[ast.Dict]:
-    """Yield what the expression may be: a dictionary, or those bound to its name."""
+    """Yield the dictionaries that the expression can evaluate to: itself, or those bound to its name."""
     if isinstance(node, ast.Dict):
         yield node
         return
@@ -165,7 +165,8 @@
         yield from _dictionaries(value, scopes)
 
 
-def _as_helper(log_call: _LogCall, tree: ast.Module) -> _Helper | None:
+def _as_log_function(log_call: _LogCall, tree: ast.Module) -> _LogFunction | None:
+    """Return the function that makes this call, if the message is one of its parameters."""
     function = log_call.function
     if function is None or not isinstance(log_call.text, ast.Name):
         return None
@@ -173,7 +174,7 @@
     if log_call.text.id not in names:
         return None
     positional = [name for name in names if name not in ("self", "cls")]
-    return _Helper(
+    return _LogFunction(
         function.name,
         log_call.level,
         log_call.text.id,
@@ -182,15 +183,17 @@
     )
 
 
-def _helper_calls(tree: ast.Module, helpers: Iterable[_Helper]) -> Iterator[tuple[_LogCall, frozenset[str]]]:
-    by_name = {helper.name: helper for helper in helpers}
+def _log_function_calls(
+    tree: ast.Module, log_functions: Iterable[_LogFunction]
+) -> Iterator[tuple[_LogCall, frozenset[str]]]:
+    by_name = {log_function.name: log_function for log_function in log_functions}
     for call, function in _calls(tree):
-        helper = by_name.get(_last_name(call.func))
-        if helper is None:
+        log_function = by_name.get(_last_name(call.func))
+        if log_function is None:
             continue
-        named = [keyword.value for keyword in call.keywords if keyword.arg == helper.message]
-        text = named[0] if named else call.args[helper.place]
-        yield _LogCall(call, helper.level, text, function), helper.fields
+        named = [keyword.value for keyword in call.keywords if keyword.arg == log_function.parameter]
+        text = named[0] if named else call.args[log_function.position]
+        yield _LogCall(call, log_function.level, text, function), log_function.fields
 
 
 def _messages(module: str, tree: ast.Module, log_call: _LogCall, fields: frozenset[str]) -> set[LogMessage]:
@@ -203,7 +206,7 @@
 
 
 def _texts(node: ast.expr, scopes: Sequence[ast.AST]) -> Iterator[str]:
-    """Yield what the expression may be: constants, conditions between them, names bound to them."""
+    """Yield the texts that the expression can evaluate to: constants, also by conditions and bound names."""
     if isinstance(node, ast.Constant) and isinstance(node.value, str):
         yield node.value
     elif isinstance(node, ast.IfExp):
@@ -215,15 +218,15 @@
 
 
 def _bound_values(node: ast.expr, scopes: Sequence[ast.AST]) -> list[ast.expr]:
-    """Return what is bound to a name in the first of the scopes that binds it."""
+    """Return the values bound to a name in the first scope that binds it."""
     values = next((bound for scope in scopes if (bound := list(_bound_to(node, scope)))), [])
     if not values:
-        raise ValueError(f"line {node.lineno}: a message or its fields that the source does not show")
+        raise ValueError(f"line {node.lineno}: message or fields are not evident from the source")
     return values
 
 
 def _bound_to(name: ast.expr, scope: ast.AST) -> Iterator[ast.expr]:
-    """Yield every value that the scope assigns to the name; nothing for other expressions."""
+    """Yield every value that the scope assigns to the name, and nothing for any other expression."""
     if not isinstance(name, ast.Name):
         return
     for node in ast.walk(scope):
