--- a/garnetlanding/daemon/daemon.py
+++ b/garnetlanding/daemon/daemon.py
@@ -104,7 +104,7 @@
         """
         log.info("graceful shutdown begins", extra={"kv": {"open": self.core.open_requests}})
         self._instance.process.stopping = True
-        # `hand_over` also tells whether a successor runs, to which clients can reconnect at once.
+        # `hand_over` also returns whether a successor runs, to which clients can reconnect at once.
         is_superseded = self.assembly.peer_link.hand_over
         shutdown = Shutdown(self.scheduler, self.limits, self.core, self.listeners, is_superseded)
         try:
--- a/garnetlanding/ops/process_quota.py
+++ b/garnetlanding/ops/process_quota.py
@@ -12,9 +12,9 @@
 
 from garnetlanding.ops.process_record import ProcessRecord
 
-# A predecessor lowers its quota to this once there is a successor, unless it uses more.
+# A predecessor lowers its quota to this once there is a successor, unless it needs more.
 UPGRADE_QUOTA = 0.5
-# A predecessor that uses more keeps this multiple of its use: admitted requests must be able to finish.
+# It needs this multiple of its utilization, so that admitted requests can finish.
 HEADROOM_FACTOR = 1.25
 # A predecessor that is shutting down keeps at least this.
 MIN_SHUTDOWN_QUOTA = 0.125
--- a/tests/integration/test_mixed_protocols.py
+++ b/tests/integration/test_mixed_protocols.py
@@ -134,7 +134,7 @@
     instance = MixedProtocolInstance()
     ninep_client = instance.peer(instance.ninep_listener.address)
     resp_client = instance.peer(instance.resp_listener.address)
-    # Both clients write before the event loop runs. Once both attempts connect, the backends are disabled.
+    # Both clients write before the event loop runs; the backends are disabled while both attempts connect.
     for client, data in ((ninep_client, VERSION_AND_ATTACH), (resp_client, read_command())):
         assert client.stream
         client.stream.write(data)
