--- a/garnetlanding/conform/cases/data.py
+++ b/garnetlanding/conform/cases/data.py
@@ -98,7 +98,7 @@
 def write_full_message(client: Client) -> None:
     """write(5): a write may carry as much data as msize leaves room for."""
     fid = client.create_file("f")
-    data = b"m" * (client.msize - p9.READ_OVERHEAD)
+    data = b"m" * (client.msize - p9.IO_HEADER_BYTES)
     count = client.call(p9.Rwrite, p9.Twrite(fid, 0, data)).count
     check(0 < count <= len(data) and client.read(fid) == data[:count], "other bytes")
 
--- a/garnetlanding/conform/cases/directories.py
+++ b/garnetlanding/conform/cases/directories.py
@@ -95,7 +95,7 @@
 def directory_past_end(client: Client) -> None:
     """read(5): a read behind the last entry returns a count of zero."""
     fid = open_filled_directory(client)
-    count = client.msize - p9.READ_OVERHEAD
+    count = client.msize - p9.IO_HEADER_BYTES
     end = client.read_directory(fid, count)[-1].cookie
     reply = client.request(p9l.Treaddir(fid, end, count) if client.linux else p9.Tread(fid, end, count))
     check(isinstance(reply, p9.Rread | p9l.Rreaddir) and reply.data == b"", "entries behind the last")
--- a/garnetlanding/conform/cases/linux_attributes.py
+++ b/garnetlanding/conform/cases/linux_attributes.py
@@ -59,28 +59,32 @@
 @case("setattr: a smaller size cuts", LINUX_ONLY)
 def setattr_size_cuts(client: Client) -> None:
     """Tsetattr: a smaller size truncates the file."""
-    client.call(p9l.Rsetattr, setattr_message(client.create_file("f", b"0123456789"), p9l.SET_SIZE, size=4))
+    client.call(
+        p9l.Rsetattr, setattr_message(client.create_file("f", b"0123456789"), p9l.SETATTR_SIZE, size=4)
+    )
     check(client.read_file("f") == b"0123", "it was not cut there")
 
 
 @case("setattr: a larger size adds zeros", LINUX_ONLY)
 def setattr_size_adds(client: Client) -> None:
     """Tsetattr: a greater size extends the file, with zeros."""
-    client.call(p9l.Rsetattr, setattr_message(client.create_file("f", b"01"), p9l.SET_SIZE, size=5))
+    client.call(p9l.Rsetattr, setattr_message(client.create_file("f", b"01"), p9l.SETATTR_SIZE, size=5))
     check(client.read_file("f") == b"01\0\0\0", "it reads otherwise")
 
 
 @case("setattr: a directory has no size to set", LINUX_ONLY)
 def setattr_size_of_directory(client: Client) -> None:
     """Tsetattr: the size of a directory cannot be set (truncate(2): EISDIR or EINVAL)."""
-    client.call_failing(setattr_message(client.walk_to(), p9l.SET_SIZE, size=5), errors.EISDIR, errors.EINVAL)
+    client.call_failing(
+        setattr_message(client.walk_to(), p9l.SETATTR_SIZE, size=5), errors.EISDIR, errors.EINVAL
+    )
 
 
 @case("setattr: permissions alone", LINUX_ONLY)
 def setattr_mode(client: Client) -> None:
     """Tsetattr: only the attributes in valid change: permissions alone leave size and type."""
     fid = client.create_file("f", b"kept", 0o600)
-    client.call(p9l.Rsetattr, setattr_message(fid, p9l.SET_MODE, mode=0o640))
+    client.call(p9l.Rsetattr, setattr_message(fid, p9l.SETATTR_MODE, mode=0o640))
     found = client.linux_attributes(fid)
     check(
         stat.S_IMODE(found.mode) == 0o640 and stat.S_ISREG(found.mode) and found.size == 4,
@@ -92,7 +96,7 @@
 def setattr_mtime(client: Client) -> None:
     """Tsetattr: with the bits for mtime and its explicit value the file gets the given time."""
     fid = client.create_file("f")
-    client.call(p9l.Rsetattr, setattr_message(fid, p9l.SET_MTIME | p9l.SET_MTIME_TO, mtime=1234567))
+    client.call(p9l.Rsetattr, setattr_message(fid, p9l.SETATTR_MTIME | p9l.SETATTR_MTIME_SET, mtime=1234567))
     check(client.linux_attributes(fid).mtime_s == 1234567, f"mtime {client.linux_attributes(fid).mtime_s}")
 
 
@@ -100,7 +104,7 @@
 def setattr_two(client: Client) -> None:
     """Tsetattr: several attributes may be valid, and all of them are set."""
     fid = client.create_file("f", b"0123456789", 0o600)
-    client.call(p9l.Rsetattr, setattr_message(fid, p9l.SET_SIZE | p9l.SET_MODE, mode=0o640, size=3))
+    client.call(p9l.Rsetattr, setattr_message(fid, p9l.SETATTR_SIZE | p9l.SETATTR_MODE, mode=0o640, size=3))
     found = client.linux_attributes(fid)
     check((stat.S_IMODE(found.mode), found.size) == (0o640, 3), getattr_text(found))
 
@@ -119,7 +123,7 @@
 def setattr_owner(client: Client) -> None:
     """Tsetattr: only root may give a file to another owner (chown(2): EPERM)."""
     client.call_failing(
-        setattr_message(client.create_file("f"), p9l.SET_UID, uid=client.options.uid + 1),
+        setattr_message(client.create_file("f"), p9l.SETATTR_UID, uid=client.options.uid + 1),
         errors.EPERM,
         errors.EOPNOTSUPP,
     )
@@ -128,7 +132,7 @@
 @case("setattr: the fid must be one", LINUX_ONLY)
 def setattr_unknown_fid(client: Client) -> None:
     """Tsetattr: the fid must be established; an unknown one is the error EBADF."""
-    client.call_failing(setattr_message(client.new_fid(), p9l.SET_MODE), errors.EBADF)
+    client.call_failing(setattr_message(client.new_fid(), p9l.SETATTR_MODE), errors.EBADF)
 
 
 @case("statfs: figures that can be", LINUX_ONLY)
--- a/garnetlanding/conform/cases/linux_locks.py
+++ b/garnetlanding/conform/cases/linux_locks.py
@@ -12,9 +12,9 @@
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
 
-READ = p9l.LOCK_READ
-WRITE = p9l.LOCK_WRITE
-NONE = p9l.LOCK_NONE
+READ = p9l.LOCK_TYPE_READ
+WRITE = p9l.LOCK_TYPE_WRITE
+NONE = p9l.LOCK_TYPE_UNLOCK
 MAX_CHECKS = 20  # quiet periods within which the server must notice that a connection ended
 
 
@@ -43,7 +43,7 @@
 ) -> None:
     """Ask for a lock, which must be granted."""
     status = request_lock(client, fid, kind, start, length, owner)
-    check(status == p9l.LOCK_DONE, "it was not granted")
+    check(status == p9l.LOCK_STATUS_SUCCESS, "it was not granted")
 
 
 def expect_blocked(
@@ -51,7 +51,7 @@
 ) -> None:
     """Ask for a lock, which must not be granted because another owner's is in the way."""
     status = request_lock(client, fid, kind, start, length, owner)
-    check(status == p9l.LOCK_BLOCKED, "it was granted")
+    check(status == p9l.LOCK_STATUS_BLOCKED, "it was granted")
 
 
 def open_on_two_connections(client: Client) -> tuple[int, Client, int]:
@@ -154,7 +154,7 @@
     other.close()
     for _ in range(MAX_CHECKS):
         client.drain_replies()
-        if request_lock(client, fid, WRITE, 0, 5) == p9l.LOCK_DONE:
+        if request_lock(client, fid, WRITE, 0, 5) == p9l.LOCK_STATUS_SUCCESS:
             return
     check(False, "it is still held")
 
--- a/garnetlanding/conform/client.py
+++ b/garnetlanding/conform/client.py
@@ -76,8 +76,8 @@
         fid = self.new_fid()
         source = ROOT
         path = (self.scratch_directory, *names)
-        for start in range(0, len(path), p9.MAX_WALK):
-            step = path[start : start + p9.MAX_WALK]
+        for start in range(0, len(path), p9.MAX_WALK_NAMES):
+            step = path[start : start + p9.MAX_WALK_NAMES]
             walked = self.call(p9.Rwalk, p9.Twalk(source, fid, step))
             check(len(walked.qids) == len(step), f"a walk to {'/'.join(names)} came only part of the way")
             source = fid
@@ -142,7 +142,7 @@
 
     def write(self, fid: int, data: bytes, offset: int = 0) -> None:
         """Write all the data, in as many messages as it takes."""
-        max_count = self.msize - p9.READ_OVERHEAD
+        max_count = self.msize - p9.IO_HEADER_BYTES
         written = 0
         while written < len(data):
             piece = data[written : written + max_count]
@@ -154,7 +154,7 @@
         """Return what is in the file from an offset on, up to the limit in bytes."""
         content = b""
         while len(content) < limit:
-            count = min(limit - len(content), self.msize - p9.READ_OVERHEAD)
+            count = min(limit - len(content), self.msize - p9.IO_HEADER_BYTES)
             data = self.call(p9.Rread, p9.Tread(fid, offset + len(content), count)).data
             if not data:
                 break
@@ -196,7 +196,7 @@
     def set_permissions(self, fid: int, permissions: int) -> None:
         """Change the file's permissions and nothing else."""
         if self.linux:
-            self.call(p9l.Rsetattr, p9l.Tsetattr(fid, p9l.SET_MODE, permissions, 0, 0, 0, 0, 0, 0, 0))
+            self.call(p9l.Rsetattr, p9l.Tsetattr(fid, p9l.SETATTR_MODE, permissions, 0, 0, 0, 0, 0, 0, 0))
             return
         directory_bit = DMDIR if self.attributes(fid).is_dir else 0
         self.call(p9.Rwstat, p9.Twstat(fid, StatChange(mode=permissions | directory_bit).encode()))
@@ -217,7 +217,7 @@
 
         `count` is the number of bytes asked for at a time; 0: as many as a message holds.
         """
-        entries = self.read_directory(fid, count or self.msize - p9.READ_OVERHEAD)
+        entries = self.read_directory(fid, count or self.msize - p9.IO_HEADER_BYTES)
         return [(entry.name, entry.qid) for entry in entries if entry.name not in (".", "..")]
 
     def read_directory(self, fid: int, count: int) -> list[Entry]:
@@ -250,9 +250,9 @@
 def _parse_stats(data: bytes, offset: int) -> list[Entry]:
     """Return the entries of a 9P2000 directory, stats one after another; ValueError when one is malformed."""
     entries = []
-    reader = p9.Reader(data)
-    while reader.left:
-        size = reader.number(2)
-        stat = parse_stat(p9.pack("2", size) + reader.raw(size))
-        entries.append(Entry(stat.name, stat.qid, offset + len(data) - reader.left))
+    reader = p9.FieldReader(data)
+    while reader.remaining:
+        size = reader.read_int(2)
+        stat = parse_stat(p9.pack_field("2", size) + reader.read_bytes(size))
+        entries.append(Entry(stat.name, stat.qid, offset + len(data) - reader.remaining))
     return entries
--- a/garnetlanding/conform/connection.py
+++ b/garnetlanding/conform/connection.py
@@ -49,7 +49,7 @@
         self.closed_by_server = False
         self.replies: list[tuple[int, p9.Message]] = []  # with their tags
         # Until a version is agreed on, errors have the base dialect's form: its table is read as well.
-        table = p9.PLAIN | p9l.LINUX if self.linux else p9.PLAIN
+        table = p9.PLAIN_MESSAGES | p9l.LINUX_MESSAGES if self.linux else p9.PLAIN_MESSAGES
         pool = BufferPool(BUFFER_BYTES, BUFFERS_PER_CHAIN, BUFFER_COUNT)
         self._framer = p9.Framer(pool, MAX_FRAME_BYTES, table)
         self._consumed: set[int] = set()  # positions in `replies` that `wait_reply` has handed out
@@ -121,7 +121,7 @@
             return False
         try:
             for tag, message in self._framer.feed(data):
-                if isinstance(message, p9.Malformed):
+                if isinstance(message, p9.MalformedMessage):
                     raise CaseFailedError(f"an answer that cannot be read: {message.reason}")
                 self.replies.append((tag, message))
         except p9.FrameError as problem:
--- a/garnetlanding/conform/stat_change.py
+++ b/garnetlanding/conform/stat_change.py
@@ -29,7 +29,7 @@
 
     def encode(self) -> bytes:
         """Return the stat as a Twstat carries it."""
-        texts = b"".join(p9.pack("s", text) for text in (self.name, self.uid, self.gid, self.muid))
+        texts = b"".join(p9.pack_field("s", text) for text in (self.name, self.uid, self.gid, self.muid))
         head = STAT_HEAD.pack(
             STAT_HEAD.size - SIZE_FIELD_BYTES + len(texts),
             self.type,
--- a/garnetlanding/emulator/file_connection.py
+++ b/garnetlanding/emulator/file_connection.py
@@ -52,7 +52,7 @@
 class Dialect:
     """The part of the server that differs between the dialects."""
 
-    table: p9.Table
+    table: p9.MessageTable
 
     def reply(self, connection: FileConnection, message: p9.Message) -> p9.Message | None:
         """Run a message that only this dialect has and return the reply; None when it has no such request."""
@@ -89,9 +89,9 @@
         except p9.FrameError:
             self.server.close_connection(self)
 
-    def _receive(self, tag: int, message: p9.Message | p9.Malformed) -> None:
+    def _receive(self, tag: int, message: p9.Message | p9.MalformedMessage) -> None:
         server = self.server
-        if isinstance(message, p9.Malformed):
+        if isinstance(message, p9.MalformedMessage):
             self._send(tag, self._error(Problem(errors.EPROTO, message.reason)))
             return
         server.received.append(message)
@@ -240,7 +240,7 @@
         self.msize = min(message.msize, self.server.msize)
         self.dialect = self.server.dialects[version] if version else None
         self._framer.max_size = self.msize
-        self._framer.table = self.dialect.table if self.dialect else p9.PLAIN
+        self._framer.table = self.dialect.table if self.dialect else p9.PLAIN_MESSAGES
         return p9.Rversion(self.msize, version or "unknown")
 
     def reset(self) -> None:
@@ -326,7 +326,7 @@
         at = self.fid(fid)
         if at.access is None or at.access == p9.OWRITE:
             raise DiskError(errors.EBADF, "fid not open for reading")
-        count = min(count, self.msize - p9.READ_OVERHEAD)
+        count = min(count, self.msize - p9.IO_HEADER_BYTES)
         if at.node.is_dir:
             assert self.dialect
             return self.dialect.read_directory(self, at, offset, count)
--- a/garnetlanding/emulator/files_linux.py
+++ b/garnetlanding/emulator/files_linux.py
@@ -23,7 +23,7 @@
 class LinuxDialect(Dialect):
     """9P2000.L, with errors as POSIX numbers."""
 
-    table = p9l.LINUX
+    table = p9l.LINUX_MESSAGES
 
     def error(self, problem: Problem) -> p9.Message:
         """Return the Rlerror with the problem's number."""
@@ -115,7 +115,7 @@
         at = connection.fid(message.fid)
         disk = connection.server.disk
         self._check_owner(connection, at, message)
-        if message.valid & p9l.SET_SIZE:
+        if message.valid & p9l.SETATTR_SIZE:
             self._check_size(connection, at, message.size)
             disk.truncate(at.node, message.size, at.user)
         self._set_ownership(at.node, message)
@@ -128,13 +128,13 @@
         node = at.node
         valid = message.valid
         owner = at.user in (node.uid, "root", "0")
-        if valid & (p9l.SET_MODE | p9l.SET_GID | p9l.SET_UID) and not owner:
+        if valid & (p9l.SETATTR_MODE | p9l.SETATTR_GID | p9l.SETATTR_UID) and not owner:
             raise DiskError(errors.EPERM)
-        if valid & p9l.SET_UID and str(message.uid) != node.uid and at.user not in ("root", "0"):
+        if valid & p9l.SETATTR_UID and str(message.uid) != node.uid and at.user not in ("root", "0"):
             raise DiskError(errors.EPERM)
-        if valid & (p9l.SET_ATIME_TO | p9l.SET_MTIME_TO) and not owner:
+        if valid & (p9l.SETATTR_ATIME_SET | p9l.SETATTR_MTIME_SET) and not owner:
             raise DiskError(errors.EPERM)
-        if valid & (p9l.SET_ATIME | p9l.SET_MTIME) and not owner:
+        if valid & (p9l.SETATTR_ATIME | p9l.SETATTR_MTIME) and not owner:
             connection.server.disk.need(node, at.user, WRITE)
 
     @staticmethod
@@ -148,28 +148,32 @@
     @staticmethod
     def _set_ownership(node: Inode, message: p9l.Tsetattr) -> None:
         valid = message.valid
-        if valid & p9l.SET_MODE:
+        if valid & p9l.SETATTR_MODE:
             node.mode = stat.S_IFMT(node.mode) | message.mode & PERM
-        if valid & p9l.SET_UID:
+        if valid & p9l.SETATTR_UID:
             node.uid = str(message.uid)
-        if valid & p9l.SET_GID:
+        if valid & p9l.SETATTR_GID:
             node.gid = str(message.gid)
 
     @staticmethod
     def _set_times(connection: FileConnection, node: Inode, message: p9l.Tsetattr) -> None:
         disk = connection.server.disk
         valid = message.valid
-        if valid & p9l.SET_ATIME:
-            node.atime = Time(message.atime_s, message.atime_ns) if valid & p9l.SET_ATIME_TO else disk.now
-        if valid & p9l.SET_MTIME:
-            node.mtime = Time(message.mtime_s, message.mtime_ns) if valid & p9l.SET_MTIME_TO else disk.now
+        if valid & p9l.SETATTR_ATIME:
+            node.atime = (
+                Time(message.atime_s, message.atime_ns) if valid & p9l.SETATTR_ATIME_SET else disk.now
+            )
+        if valid & p9l.SETATTR_MTIME:
+            node.mtime = (
+                Time(message.mtime_s, message.mtime_ns) if valid & p9l.SETATTR_MTIME_SET else disk.now
+            )
 
     def _readdir(self, connection: FileConnection, at: OpenFid, offset: int, count: int) -> p9.Message:
         if at.access is None:
             raise DiskError(errors.EBADF)
         if not at.node.is_dir:
             raise DiskError(errors.ENOTDIR)
-        count = min(count, connection.msize - p9.READ_OVERHEAD)
+        count = min(count, connection.msize - p9.IO_HEADER_BYTES)
         assert at.node.parent
         entries = [
             Entry(".", connection.qid(at.node), 1, 4),
@@ -296,28 +300,28 @@
         start, end = byte_span(message.start, message.length)
         owner = LockOwner(connection.id, message.proc_id, message.client_id)
         file = ("", at.node.number)
-        write = message.type == p9l.LOCK_WRITE
+        write = message.type == p9l.LOCK_TYPE_WRITE
         wanted = LockRange(owner, message.fid, write, start, end)
-        if message.type > p9l.LOCK_NONE or start >= SIGNED_END:
+        if message.type > p9l.LOCK_TYPE_UNLOCK or start >= SIGNED_END:
             raise DiskError(errors.EINVAL)
         if isinstance(message, p9l.Tgetlock):
             return self._conflict_reply(message, locks.conflict(file, wanted))
-        if message.type == p9l.LOCK_NONE:
+        if message.type == p9l.LOCK_TYPE_UNLOCK:
             locks.release(file, owner, start, end)
-            return p9l.Rlock(p9l.LOCK_DONE)
+            return p9l.Rlock(p9l.LOCK_STATUS_SUCCESS)
         if at.access not in ((p9.OWRITE, p9.ORDWR) if write else (p9.OREAD, p9.ORDWR)):
             raise DiskError(errors.EBADF)
-        return p9l.Rlock(p9l.LOCK_DONE if locks.acquire(file, wanted) else p9l.LOCK_BLOCKED)
+        return p9l.Rlock(p9l.LOCK_STATUS_SUCCESS if locks.acquire(file, wanted) else p9l.LOCK_STATUS_BLOCKED)
 
     @staticmethod
     def _conflict_reply(message: p9l.Tgetlock, held: LockRange | None) -> p9.Message:
-        """Describe the lock that a lock would conflict with, or LOCK_NONE."""
+        """Describe the lock that a lock would conflict with, or LOCK_TYPE_UNLOCK."""
         if held is None:
             return p9l.Rgetlock(
-                p9l.LOCK_NONE, message.start, message.length, message.proc_id, message.client_id
+                p9l.LOCK_TYPE_UNLOCK, message.start, message.length, message.proc_id, message.client_id
             )
         return p9l.Rgetlock(
-            p9l.LOCK_WRITE if held.write else p9l.LOCK_READ,
+            p9l.LOCK_TYPE_WRITE if held.write else p9l.LOCK_TYPE_READ,
             held.start,
             0 if held.end == END else held.end - held.start,
             held.owner.proc_id,
--- a/garnetlanding/emulator/files_plain.py
+++ b/garnetlanding/emulator/files_plain.py
@@ -21,7 +21,7 @@
 class PlainDialect(Dialect):
     """9P2000 as the manual's section 5 describes it, with errors as text."""
 
-    table = p9.PLAIN
+    table = p9.PLAIN_MESSAGES
 
     def error(self, problem: Problem) -> p9.Message:
         """Return the Rerror with the problem's text."""
--- a/garnetlanding/ninep/attribute_format.py
+++ b/garnetlanding/ninep/attribute_format.py
@@ -6,7 +6,7 @@
 
 from garnetlanding.ninep import codec_linux
 from garnetlanding.ninep.model import Attr, Entry, Time, d_type, user_number
-from garnetlanding.ninep.wire_format import Reader
+from garnetlanding.ninep.wire_format import FieldReader
 
 ENTRY_HEAD = struct.Struct("<BIQQBH")
 """qid (3), offset of the next entry, type, length of the name; the name follows."""
@@ -77,9 +77,9 @@
 
 def read_entries(data: bytes) -> list[Entry]:
     """Return the entries of an Rreaddir. Raises ValueError when one is cut short."""
-    reader = Reader(data)
+    reader = FieldReader(data)
     entries = []
-    while reader.left:
-        qid, cookie, kind, name = (reader.value(kind) for kind in ENTRY_KINDS)
+    while reader.remaining:
+        qid, cookie, kind, name = (reader.read_field(kind) for kind in ENTRY_KINDS)
         entries.append(Entry(name, qid, cookie, kind))
     return entries
--- a/garnetlanding/ninep/client.py
+++ b/garnetlanding/ninep/client.py
@@ -108,10 +108,10 @@
         """Drop what has arrived of a reply."""
         self._framer.close()
 
-    def _take_reply(self, tag: int, message: codec.Message | codec.Malformed) -> None:
+    def _take_reply(self, tag: int, message: codec.Message | codec.MalformedMessage) -> None:
         if self._program is None:
             raise UnsolicitedResponseError
-        if isinstance(message, codec.Malformed):
+        if isinstance(message, codec.MalformedMessage):
             raise BackendProtocolError(message.reason)
         if tag != (codec.NOTAG if isinstance(message, codec.Rversion) else TAG):
             raise BackendProtocolError(f"answer to tag {tag}")
--- a/garnetlanding/ninep/client_dialect.py
+++ b/garnetlanding/ninep/client_dialect.py
@@ -38,7 +38,7 @@
     """
 
     version: str
-    table: codec.Table
+    table: codec.MessageTable
     lists_attributes: bool
     """Whether the entries of a directory come with their attributes."""
     rename_replaces: bool
--- a/garnetlanding/ninep/client_dialect_linux.py
+++ b/garnetlanding/ninep/client_dialect_linux.py
@@ -21,7 +21,7 @@
     """Implements `ClientDialect` for 9P2000.L; its methods are described there."""
 
     version = codec_linux.VERSION
-    table = codec_linux.LINUX
+    table = codec_linux.LINUX_MESSAGES
     lists_attributes = False
     rename_replaces = True
 
@@ -164,12 +164,12 @@
     """Return the Tsetattr of these changes; what is not to change is 0 in it, and not in its mask."""
     valid = 0
     for bits, value in (
-        (codec_linux.SET_MODE, changes.perm),
-        (codec_linux.SET_UID, changes.uid),
-        (codec_linux.SET_GID, changes.gid),
-        (codec_linux.SET_SIZE, changes.length),
-        (codec_linux.SET_ATIME | codec_linux.SET_ATIME_TO, changes.atime),
-        (codec_linux.SET_MTIME | codec_linux.SET_MTIME_TO, changes.mtime),
+        (codec_linux.SETATTR_MODE, changes.perm),
+        (codec_linux.SETATTR_UID, changes.uid),
+        (codec_linux.SETATTR_GID, changes.gid),
+        (codec_linux.SETATTR_SIZE, changes.length),
+        (codec_linux.SETATTR_ATIME | codec_linux.SETATTR_ATIME_SET, changes.atime),
+        (codec_linux.SETATTR_MTIME | codec_linux.SETATTR_MTIME_SET, changes.mtime),
     ):
         if value is not None:
             valid |= bits
--- a/garnetlanding/ninep/client_dialect_plain.py
+++ b/garnetlanding/ninep/client_dialect_plain.py
@@ -12,7 +12,7 @@
     open_file,
     unsupported,
 )
-from garnetlanding.ninep.codec import Message, Qid, Reader
+from garnetlanding.ninep.codec import FieldReader, Message, Qid
 from garnetlanding.ninep.errors import OperationFailedError, Problem
 from garnetlanding.ninep.model import DM_FLAGS, DMDIR, PERM, Attr, Changes, Entry, Path, Space, d_type
 from garnetlanding.ninep.session import Identity, OpenFile, OpenMode, Session, Steps, expect, walk
@@ -24,7 +24,7 @@
     """Implements `ClientDialect` for 9P2000; its methods are described there."""
 
     version = codec.VERSION
-    table = codec.PLAIN
+    table = codec.PLAIN_MESSAGES
     lists_attributes = True
     rename_replaces = False
 
@@ -208,12 +208,12 @@
 
     An entry's cookie is where the next one begins.
     """
-    reader = Reader(data)
+    reader = FieldReader(data)
     entries = []
     try:
-        while reader.left:
+        while reader.remaining:
             raw = read_stat(reader)
-            cookie = start + len(data) - reader.left
+            cookie = start + len(data) - reader.remaining
             entries.append(Entry(raw.name, raw.qid, cookie, d_type(raw.qid), raw_attr(raw)))
     except ValueError as error:
         raise BackendProtocolError(f"bad directory entry: {error}") from error
--- a/garnetlanding/ninep/client_session.py
+++ b/garnetlanding/ninep/client_session.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from garnetlanding.ninep import codec, errors
-from garnetlanding.ninep.codec import NOFID, QTEXCL, READ_OVERHEAD, Message, Qid
+from garnetlanding.ninep.codec import IO_HEADER_BYTES, NOFID, QTEXCL, Message, Qid
 from garnetlanding.ninep.dispatcher import ReplyWriter, RequestDispatcher
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.fid_table import FidTable, check_offset
@@ -64,7 +64,7 @@
     @property
     def max_data(self) -> int:
         """Bytes that one read or write may carry."""
-        return self.msize - READ_OVERHEAD
+        return self.msize - IO_HEADER_BYTES
 
     def reset(self) -> None:
         """End the session: what is outstanding is aborted, and all fids are clunked (version(5)).
--- a/garnetlanding/ninep/codec.py
+++ b/garnetlanding/ninep/codec.py
@@ -1,6 +1,6 @@
-"""The messages of 9P2000 (Plan 9 manual, section 5) and the framing, as a state machine that is fed bytes.
+"""The messages of 9P2000 (Plan 9 manual, section 5) and the framing, a state machine without I/O.
 
-`codec_linux.py` adds the messages of 9P2000.L; `wire_format.py` packs the fields of both.
+`codec_linux.py` adds the messages of 9P2000.L; `wire_format.py` encodes the fields of both.
 """
 
 from __future__ import annotations
@@ -9,26 +9,26 @@
 from dataclasses import dataclass
 
 from garnetlanding.ninep.errors import NinepError
-from garnetlanding.ninep.wire_format import MAX_WALK as MAX_WALK
-from garnetlanding.ninep.wire_format import Malformed as Malformed
+from garnetlanding.ninep.wire_format import MAX_WALK_NAMES as MAX_WALK_NAMES
+from garnetlanding.ninep.wire_format import FieldReader as FieldReader
+from garnetlanding.ninep.wire_format import MalformedMessage as MalformedMessage
 from garnetlanding.ninep.wire_format import Message as Message
-from garnetlanding.ninep.wire_format import MessageLayout, message_table
+from garnetlanding.ninep.wire_format import MessageLayout, register_messages
+from garnetlanding.ninep.wire_format import MessageTable as MessageTable
 from garnetlanding.ninep.wire_format import Qid as Qid
-from garnetlanding.ninep.wire_format import Reader as Reader
-from garnetlanding.ninep.wire_format import Table as Table
 from garnetlanding.ninep.wire_format import encode as encode
-from garnetlanding.ninep.wire_format import pack as pack
+from garnetlanding.ninep.wire_format import pack_field as pack_field
 from garnetlanding.runtime.buffers import BufferChain, BufferPool
 
 VERSION = "9P2000"
 
 NOTAG = 0xFFFF  # the tag of a Tversion
-NOFID = 0xFFFFFFFF  # no fid, as the afid of an attach without authentication
+NOFID = 0xFFFFFFFF  # means "no fid": the afid of an attach without authentication
 
-HEADER = 7  # bytes: size[4] type[1] tag[2]
-READ_OVERHEAD = 24  # bytes that the protocol keeps free of msize in a read or a write
+HEADER_BYTES = 7  # bytes: size[4] type[1] tag[2]
+IO_HEADER_BYTES = 24  # part of msize that is reserved for the header of an Rread or a Twrite
 
-# Type bits of a qid. QTSYMLINK is 9P2000.L's.
+# Type bits of a qid. QTSYMLINK exists in 9P2000.L only.
 QTDIR = 0x80
 QTAPPEND = 0x40
 QTEXCL = 0x20
@@ -36,7 +36,7 @@
 QTTMP = 0x04
 QTSYMLINK = 0x02
 
-# Modes of open and create: one of four, and flags beside it.
+# Modes of open and create: one of the four access modes, and flags.
 OREAD = 0
 OWRITE = 1
 ORDWR = 2
@@ -46,26 +46,26 @@
 
 
 class FrameError(NinepError, ValueError):
-    """The size field cannot be right, so nothing after it can be read. `size`: what it says, in bytes."""
+    """The size field is invalid, so nothing after it can be decoded; `size` is its value in bytes."""
 
     def __init__(self, size: int) -> None:
         super().__init__(f"message of {size} bytes")
         self.size = size
 
 
-# Fields that several messages have in common. The classes below that add none differ by their type alone.
+# Base classes for messages with the same fields. Subclasses without fields of their own differ by type only.
 
 
 @dataclass(frozen=True, slots=True)
 class FidRequest(Message):
-    """A request about one fid and nothing else."""
+    """A request whose only field is a fid."""
 
     fid: int
 
 
 @dataclass(frozen=True, slots=True)
 class RangeRequest(Message):
-    """A request for at most `count` bytes from `offset` on."""
+    """A request for at most `count` bytes, starting at `offset`."""
 
     fid: int
     offset: int
@@ -74,30 +74,33 @@
 
 @dataclass(frozen=True, slots=True)
 class EmptyReply(Message):
-    """A reply that says only that the request was done."""
+    """A reply without fields: the request succeeded."""
 
 
 @dataclass(frozen=True, slots=True)
 class QidReply(Message):
-    """A reply with the qid of the file that was attached or made."""
+    """A reply with the qid of the file that was attached or created."""
 
     qid: Qid
 
 
 @dataclass(frozen=True, slots=True)
 class OpenReply(Message):
-    """The opened file, and how many bytes one message moves atomically; `iounit` 0: as msize allows."""
+    """The opened file.
+
+    `iounit` is the most bytes that one message transfers atomically, 0 if only msize limits it.
+    """
 
     qid: Qid
     iounit: int
 
 
-# Both dialects
+# Messages of both dialects
 
 
 @dataclass(frozen=True, slots=True)
 class Tversion(Message):
-    """Client to server: offers a dialect and the largest message in bytes; ends any session there was."""
+    """Client to server: proposes a dialect and a maximum message size in bytes; ends any earlier session."""
 
     msize: int
     version: str
@@ -105,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rversion(Message):
-    """Server to client: the agreed msize, at most the offered one, and dialect, or `unknown`."""
+    """Server to client: the agreed msize, at most the proposed one, and the dialect or `unknown`."""
 
     msize: int
     version: str
@@ -120,24 +123,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Rattach(QidReply):
-    """Server to client: the qid of the tree's root."""
+    """Server to client: the qid of the root of the tree."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tflush(Message):
-    """Client to server: the answer to the request with tag `oldtag` is not needed any more."""
+    """Client to server: aborts the request with tag `oldtag`."""
 
     oldtag: int
 
 
 @dataclass(frozen=True, slots=True)
 class Rflush(EmptyReply):
-    """Server to client: the flushed request will not be answered after this."""
+    """Server to client: no reply to the flushed request follows."""
 
 
 @dataclass(frozen=True, slots=True)
 class Twalk(Message):
-    """Client to server: `newfid` is to stand for the file that `names` lead to from `fid`."""
+    """Client to server: binds `newfid` to the file that is reached from `fid` by `names`."""
 
     fid: int
     newfid: int
@@ -146,19 +149,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Rwalk(Message):
-    """Server to client: the qids of the names found; `newfid` is in use only when all were found."""
+    """Server to client: the qids of the names found; `newfid` is bound only if all were found."""
 
     qids: tuple[Qid, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Tread(RangeRequest):
-    """Client to server: asks for bytes of an open file, or for whole stats of an open 9P2000 directory."""
+    """Client to server: reads bytes of an open file, or complete stats of an open 9P2000 directory."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rread(Message):
-    """Server to client: the bytes; fewer than asked for at the end of the file."""
+    """Server to client: the bytes; fewer than requested at the end of the file."""
 
     data: bytes
 
@@ -181,17 +184,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Tclunk(FidRequest):
-    """Client to server: the fid is not needed any more."""
+    """Client to server: releases the fid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rclunk(EmptyReply):
-    """Server to client: the fid is free."""
+    """Server to client: the fid is released."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tremove(FidRequest):
-    """Client to server: removes the file; the fid is free afterwards, even if that fails."""
+    """Client to server: removes the file and releases the fid, even if the removal fails."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -199,12 +202,12 @@
     """Server to client: the file is removed."""
 
 
-# 9P2000 alone
+# Messages of 9P2000 only
 
 
 @dataclass(frozen=True, slots=True)
 class Tauth(Message):
-    """Client to server: begins authentication of `uname` for the tree `aname` on `afid`."""
+    """Client to server: starts the authentication of `uname` for the tree `aname`, on `afid`."""
 
     afid: int
     uname: str
@@ -213,7 +216,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tattach(Message):
-    """Client to server: `fid` is to stand for the root of the tree `aname`, used by `uname`."""
+    """Client to server: binds `fid` to the root of the tree `aname`, for the user `uname`."""
 
     fid: int
     afid: int
@@ -223,14 +226,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Rerror(Message):
-    """Server to client: the request failed, with the error's text."""
+    """Server to client: the request failed; `ename` is the error text."""
 
     ename: str
 
 
 @dataclass(frozen=True, slots=True)
 class Topen(Message):
-    """Client to server: opens the fid's file; `mode` is one of OREAD to OEXEC, with OTRUNC and ORCLOSE."""
+    """Client to server: opens the file; `mode` is one of OREAD to OEXEC, plus the flags OTRUNC, ORCLOSE."""
 
     fid: int
     mode: int
@@ -243,9 +246,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Tcreate(Message):
-    """Client to server: makes `name` in the fid's directory and opens it; the fid then stands for it.
+    """Client to server: creates `name` in the fid's directory, opens it and binds the fid to it.
 
-    `perm` has the permission bits and the DM bits; `mode` is as in Topen.
+    `perm` holds the permission bits and the DM bits; `mode` is as in Topen.
     """
 
     fid: int
@@ -261,19 +264,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Tstat(FidRequest):
-    """Client to server: asks for the file's attributes."""
+    """Client to server: requests the file's attributes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rstat(Message):
-    """Server to client: the attributes, packed as `stat_format.RawStat`."""
+    """Server to client: the attributes, in the encoding of `stat_format.RawStat`."""
 
     stat: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Twstat(Message):
-    """Client to server: changes attributes; a field of all ones, or an empty text, leaves one alone."""
+    """Client to server: changes attributes; a field of all ones or an empty string stays unchanged."""
 
     fid: int
     stat: bytes
@@ -281,10 +284,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Rwstat(EmptyReply):
-    """Server to client: the attributes are changed, all or none."""
+    """Server to client: all the requested attributes are changed."""
 
 
-SHARED = message_table(
+SHARED_MESSAGES = register_messages(
     MessageLayout(100, "Tversion", Tversion, "4s"),
     MessageLayout(101, "Rversion", Rversion, "4s"),
     MessageLayout(103, "Rauth", Rauth, "q"),
@@ -302,9 +305,9 @@
     MessageLayout(122, "Tremove", Tremove, "4"),
     MessageLayout(123, "Rremove", Rremove, ""),
 )
-"""The messages that both dialects have."""
+"""The messages that both dialects have, by message type."""
 
-PLAIN = SHARED | message_table(
+PLAIN_MESSAGES = SHARED_MESSAGES | register_messages(
     MessageLayout(102, "Tauth", Tauth, "4ss"),
     MessageLayout(104, "Tattach", Tattach, "44ss"),
     MessageLayout(107, "Rerror", Rerror, "s"),
@@ -317,56 +320,59 @@
     MessageLayout(126, "Twstat", Twstat, "4n"),
     MessageLayout(127, "Rwstat", Rwstat, ""),
 )
-"""The messages of 9P2000."""
+"""The messages of 9P2000, by message type."""
 
 
-def decode(number: int, body: bytes, table: Table = PLAIN) -> Message | Malformed:
-    """Return the message of type `number` in the dialect of `table`; `body` is what follows the header."""
-    layout = table.get(number)
-    return layout.decode(body) if layout else Malformed(f"unknown message type {number}")
+def decode(
+    message_type: int, body: bytes, table: MessageTable = PLAIN_MESSAGES
+) -> Message | MalformedMessage:
+    """Decode a message in the dialect of `table`; `body` is the part of the frame after the header."""
+    layout = table.get(message_type)
+    return layout.decode(body) if layout else MalformedMessage(f"unknown message type {message_type}")
 
 
 class Framer:
-    """Takes messages off the bytes that are fed in; a message longer than a buffer waits in several.
+    """Splits a byte stream into messages and decodes them; an incomplete message is buffered.
 
-    `max_size` bounds a message in bytes, and with it what waits here; `table` is the dialect. Both hold from
-    the next message on, so that the answer to a message may change them before the next is taken.
+    `max_size` is the maximum size of a message in bytes, which also bounds the buffered data; `table` is the
+    dialect. Changes to either apply from the next message on, so the reply to one message may change them
+    before the next one is decoded.
     """
 
-    def __init__(self, pool: BufferPool, max_size: int, table: Table = PLAIN) -> None:
+    def __init__(self, pool: BufferPool, max_size: int, table: MessageTable = PLAIN_MESSAGES) -> None:
         self._received = BufferChain(pool)
         self.max_size = max_size
         self.table = table
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether bytes are waiting here."""
+        """Whether any bytes are buffered."""
         return bool(self._received.length)
 
     @property
     def has_complete_message(self) -> bool:
-        """Whether the bytes here hold a message to be taken, or a size to be rejected."""
+        """Whether the buffered bytes hold a complete message or an invalid size."""
         if self._received.length < 4:
             return False
         size = int.from_bytes(self._received.peek(4), "little")
-        return size < HEADER or size > self.max_size or self._received.length >= size
+        return size < HEADER_BYTES or size > self.max_size or self._received.length >= size
 
-    def feed(self, data: bytes | memoryview) -> Iterator[tuple[int, Message | Malformed]]:
-        """Yield tag and message, one after another.
+    def feed(self, data: bytes | memoryview) -> Iterator[tuple[int, Message | MalformedMessage]]:
+        """Append the data and yield the tag and message of each complete frame.
 
-        Messages that are not taken off the iterator wait for the next call. Raises FrameError when a size
-        cannot be right.
+        Messages that the caller does not consume stay buffered for the next call. Raises FrameError if a size
+        field is invalid.
         """
         self._received.append(data)
         while self._received.length >= 4:
             size = int.from_bytes(self._received.peek(4), "little")
-            if size < HEADER or size > self.max_size:
+            if size < HEADER_BYTES or size > self.max_size:
                 raise FrameError(size)
             if self._received.length < size:
                 return
             raw = self._received.take(size)
-            yield int.from_bytes(raw[5:7], "little"), decode(raw[4], raw[HEADER:], self.table)
+            yield int.from_bytes(raw[5:7], "little"), decode(raw[4], raw[HEADER_BYTES:], self.table)
 
     def close(self) -> None:
-        """Give the buffers back."""
+        """Return the buffers to the pool."""
         self._received.clear()
--- a/garnetlanding/ninep/codec_linux.py
+++ b/garnetlanding/ninep/codec_linux.py
@@ -1,4 +1,4 @@
-"""The messages of 9P2000.L, as Linux clients send it, beside those that it shares with 9P2000.
+"""The messages of 9P2000.L, the dialect of Linux clients, that it does not share with 9P2000.
 
 Field order and numbers follow the published protocol description of the Linux client (include/net/9p).
 """
@@ -7,17 +7,24 @@
 
 from dataclasses import dataclass
 
-from garnetlanding.ninep.codec import SHARED, EmptyReply, FidRequest, OpenReply, QidReply, RangeRequest
-from garnetlanding.ninep.wire_format import Message, MessageLayout, Qid, message_table
+from garnetlanding.ninep.codec import (
+    SHARED_MESSAGES,
+    EmptyReply,
+    FidRequest,
+    OpenReply,
+    QidReply,
+    RangeRequest,
+)
+from garnetlanding.ninep.wire_format import Message, MessageLayout, Qid, register_messages
 
 VERSION = "9P2000.L"
 
-# In place of a user's or group's number: none given.
+# Numeric user and group id for "not given".
 NONUNAME = 0xFFFFFFFF
 NOGID = 0xFFFFFFFF
 
-# Flags of lopen and lcreate: Linux's open(2), octal as there.
-L_ACCESS = 0o3
+# Flags of lopen and lcreate: the values of open(2) on Linux.
+L_ACCESS_MASK = 0o3
 L_CREATE = 0o100
 L_EXCL = 0o200
 L_TRUNC = 0o1000
@@ -30,47 +37,48 @@
 
 GETATTR_BASIC = 0x7FF  # the attributes of stat(2)
 
-# Which attributes a setattr changes.
-SET_MODE = 1
-SET_UID = 2
-SET_GID = 4
-SET_SIZE = 8
-SET_ATIME = 16
-SET_MTIME = 32
-SET_CTIME = 64
-SET_ATIME_TO = 128  # to the given time
-SET_MTIME_TO = 256
+# Bits of Tsetattr's `valid`: which attributes change.
+SETATTR_MODE = 1
+SETATTR_UID = 2
+SETATTR_GID = 4
+SETATTR_SIZE = 8
+SETATTR_ATIME = 16
+SETATTR_MTIME = 32
+SETATTR_CTIME = 64
+SETATTR_ATIME_SET = 128  # to the given time instead of the server's current time
+SETATTR_MTIME_SET = 256
 
-# Types of a lock.
-LOCK_READ = 0
-LOCK_WRITE = 1
-LOCK_NONE = 2
+# Lock types.
+LOCK_TYPE_READ = 0
+LOCK_TYPE_WRITE = 1
+LOCK_TYPE_UNLOCK = 2
 
-LOCK_BLOCK = 1  # a flag: the client would wait
+LOCK_FLAG_BLOCK = 1  # a flag: the client would block until the lock is granted
 
-# What an Rlock says.
-LOCK_DONE = 0
-LOCK_BLOCKED = 1
-LOCK_ERROR = 2
+# Status of an Rlock.
+LOCK_STATUS_SUCCESS = 0
+LOCK_STATUS_BLOCKED = 1
+LOCK_STATUS_ERROR = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Rlerror(Message):
-    """Server to client: the request failed, with Linux's error number."""
+    """Server to client: the request failed; `ecode` is the Linux errno."""
 
     ecode: int
 
 
 @dataclass(frozen=True, slots=True)
 class Tstatfs(FidRequest):
-    """Client to server: asks for the figures of the file system that holds the fid's file."""
+    """Client to server: requests the statistics of the file system that holds the file."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rstatfs(Message):
-    """Server to client: the file system's figures, as in statfs(2).
+    """Server to client: the file system statistics, as in statfs(2).
 
-    Blocks are of `bsize` bytes; `bavail` are those free for unprivileged users; `namelen` is in bytes.
+    Block counts are in units of `bsize` bytes; `bavail` counts the blocks free for unprivileged users;
+    `namelen` is in bytes.
     """
 
     type: int
@@ -86,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tlopen(Message):
-    """Client to server: opens the fid's file; `flags` are those of open(2), the L_ constants."""
+    """Client to server: opens the file; `flags` are those of open(2), the L_ constants."""
 
     fid: int
     flags: int
@@ -99,9 +107,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Tlcreate(Message):
-    """Client to server: makes the regular file `name` in the fid's directory and opens it.
+    """Client to server: creates the regular file `name` in the fid's directory and opens it.
 
-    The fid then stands for it. `flags` are as in Tlopen, `mode` has the permission bits.
+    The fid is then bound to the new file. `flags` are as in Tlopen; `mode` holds the permission bits.
     """
 
     fid: int
@@ -118,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tsymlink(Message):
-    """Client to server: makes the symbolic link `name` to `target` in the directory `dfid`."""
+    """Client to server: creates the symbolic link `name` to `target` in the directory `dfid`."""
 
     dfid: int
     name: str
@@ -128,12 +136,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Rsymlink(QidReply):
-    """Server to client: the link is made."""
+    """Server to client: the link is created."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tmknod(Message):
-    """Client to server: makes a file of any kind; `mode` has its type, `major` and `minor` are a device's."""
+    """Client to server: creates a file of the type in `mode`; `major` and `minor` are device numbers."""
 
     dfid: int
     name: str
@@ -145,12 +153,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Rmknod(QidReply):
-    """Server to client: the file is made."""
+    """Server to client: the file is created."""
 
 
 @dataclass(frozen=True, slots=True)
 class Trename(Message):
-    """Client to server: the fid's file gets the name `name` in the directory `dfid`."""
+    """Client to server: renames the fid's file to `name` in the directory `dfid`."""
 
     fid: int
     dfid: int
@@ -164,19 +172,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Treadlink(FidRequest):
-    """Client to server: asks where a symbolic link leads."""
+    """Client to server: requests the target of a symbolic link."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rreadlink(Message):
-    """Server to client: the link's text."""
+    """Server to client: the target of the link."""
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class Tgetattr(Message):
-    """Client to server: asks for the attributes whose GETATTR bits are in `request_mask`."""
+    """Client to server: requests the attributes whose GETATTR bits are in `request_mask`."""
 
     fid: int
     request_mask: int
@@ -184,9 +192,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Rgetattr(Message):
-    """Server to client: the attributes; `valid` has the GETATTR bits of those that hold.
+    """Server to client: the attributes; `valid` holds the GETATTR bits of those that are set.
 
-    `size` is in bytes, `blocks` in units of 512 bytes; a time is in seconds (`_s`) and nanoseconds (`_ns`).
+    `size` is in bytes, `blocks` in units of 512 bytes; times are in seconds (`_s`) and nanoseconds (`_ns`).
     """
 
     valid: int
@@ -213,9 +221,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Tsetattr(Message):
-    """Client to server: changes the attributes whose SET bits are in `valid`.
+    """Client to server: changes the attributes whose SETATTR bits are in `valid`.
 
-    Without SET_ATIME_TO or SET_MTIME_TO a time is set to the server's present.
+    Without SETATTR_ATIME_SET or SETATTR_MTIME_SET, a time is set to the server's current time.
     """
 
     fid: int
@@ -237,7 +245,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Txattrwalk(Message):
-    """Client to server: `newfid` is to stand for the extended attribute `name`, or for the list of them."""
+    """Client to server: binds `newfid` to the extended attribute `name`, or to their list if it is empty."""
 
     fid: int
     newfid: int
@@ -246,14 +254,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Rxattrwalk(Message):
-    """Server to client: how many bytes `newfid` will read."""
+    """Server to client: how many bytes can be read from `newfid`."""
 
     size: int
 
 
 @dataclass(frozen=True, slots=True)
 class Txattrcreate(Message):
-    """Client to server: the fid is to take `size` bytes as the new value of the extended attribute."""
+    """Client to server: prepares the fid for writing `size` bytes, the attribute's new value."""
 
     fid: int
     name: str
@@ -263,24 +271,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Rxattrcreate(EmptyReply):
-    """Server to client: the fid takes the value now."""
+    """Server to client: the fid accepts the value."""
 
 
 @dataclass(frozen=True, slots=True)
 class Treaddir(RangeRequest):
-    """Client to server: asks for entries of an open directory; `offset` is the last entry's, 0 at first."""
+    """Client to server: reads entries of an open directory; `offset` is that of the last entry, or 0."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rreaddir(Message):
-    """Server to client: whole entries, see `attribute_format.pack_entry`; none at the directory's end."""
+    """Server to client: complete entries, see `attribute_format.pack_entry`; none at the end."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Tfsync(Message):
-    """Client to server: writes the open file to stable storage; with `datasync` 1 its data alone."""
+    """Client to server: flushes the open file to stable storage; with `datasync` 1 only its data."""
 
     fid: int
     datasync: int
@@ -288,15 +296,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Rfsync(EmptyReply):
-    """Server to client: the file is stored."""
+    """Server to client: the file is on stable storage."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tlock(Message):
     """Client to server: locks or unlocks bytes of an open file, as fcntl(2) does.
 
-    `type` and `flags` are LOCK constants; `length` 0 reaches to the file's end, however far. The owner is the
-    process `proc_id` on the client `client_id`.
+    `type` and `flags` are LOCK constants; a `length` of 0 extends to the end of the file, however large it
+    grows. The owner is the process `proc_id` on the client `client_id`.
     """
 
     fid: int
@@ -310,14 +318,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Rlock(Message):
-    """Server to client: LOCK_DONE, LOCK_BLOCKED or LOCK_ERROR."""
+    """Server to client: the result; `status` is one of the LOCK_STATUS constants."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
 class Tgetlock(Message):
-    """Client to server: asks which lock, if any, is in the way of this one; fields as in Tlock."""
+    """Client to server: requests a lock that conflicts with this one, if any; fields as in Tlock."""
 
     fid: int
     type: int
@@ -329,7 +337,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rgetlock(Message):
-    """Server to client: the lock in the way, or what was asked for with the type LOCK_NONE."""
+    """Server to client: the conflicting lock, or the requested one with the type LOCK_TYPE_UNLOCK."""
 
     type: int
     start: int
@@ -340,7 +348,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tlink(Message):
-    """Client to server: the fid's file gets the further name `name` in the directory `dfid`."""
+    """Client to server: creates the hard link `name` to the fid's file in the directory `dfid`."""
 
     dfid: int
     fid: int
@@ -349,12 +357,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Rlink(EmptyReply):
-    """Server to client: the name is made."""
+    """Server to client: the hard link is created."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tmkdir(Message):
-    """Client to server: makes the directory `name` in the directory `dfid`."""
+    """Client to server: creates the directory `name` in the directory `dfid`."""
 
     dfid: int
     name: str
@@ -364,12 +372,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Rmkdir(QidReply):
-    """Server to client: the directory is made."""
+    """Server to client: the directory is created."""
 
 
 @dataclass(frozen=True, slots=True)
 class Trenameat(Message):
-    """Client to server: moves `oldname` of one directory to `newname` in another, replacing a file there."""
+    """Client to server: moves `oldname` to `newname` in another directory, replacing a file there."""
 
     olddirfid: int
     oldname: str
@@ -384,7 +392,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tunlinkat(Message):
-    """Client to server: removes a name; AT_REMOVEDIR in `flags` exactly when it is a directory's."""
+    """Client to server: removes a name; AT_REMOVEDIR is set in `flags` if and only if it is a directory."""
 
     dirfd: int
     name: str
@@ -398,7 +406,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tlauth(Message):
-    """Client to server: Tauth with the user's number; NONUNAME if there is none."""
+    """Client to server: Tauth with the numeric user id, or NONUNAME."""
 
     afid: int
     uname: str
@@ -408,7 +416,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tlattach(Message):
-    """Client to server: Tattach with the user's number; NONUNAME if there is none."""
+    """Client to server: Tattach with the numeric user id, or NONUNAME."""
 
     fid: int
     afid: int
@@ -417,7 +425,7 @@
     n_uname: int
 
 
-LINUX = SHARED | message_table(
+LINUX_MESSAGES = SHARED_MESSAGES | register_messages(
     MessageLayout(7, "Rlerror", Rlerror, "4"),
     MessageLayout(8, "Tstatfs", Tstatfs, "4"),
     MessageLayout(9, "Rstatfs", Rstatfs, "448888884"),
@@ -460,4 +468,4 @@
     MessageLayout(102, "Tlauth", Tlauth, "4ss4"),
     MessageLayout(104, "Tlattach", Tlattach, "44ss4"),
 )
-"""The messages of 9P2000.L."""
+"""The messages of 9P2000.L, by message type."""
--- a/garnetlanding/ninep/front.py
+++ b/garnetlanding/ninep/front.py
@@ -9,7 +9,7 @@
 
 from garnetlanding.ninep import codec, errors
 from garnetlanding.ninep.client_session import ClientSession
-from garnetlanding.ninep.codec import Malformed, Message
+from garnetlanding.ninep.codec import MalformedMessage, Message
 from garnetlanding.ninep.fids import Fid, RequestRejectedError
 from garnetlanding.ninep.server_dialect import Handlers, ServerDialect
 from garnetlanding.ninep.server_dialects import choose_dialect
@@ -98,7 +98,7 @@
 
     # Messages
 
-    def _process(self, tag: int, message: Message | Malformed) -> None:
+    def _process(self, tag: int, message: Message | MalformedMessage) -> None:
         if isinstance(message, codec.Tversion):
             self._session.reset()
             self._negotiate(tag, message)
@@ -108,13 +108,13 @@
         except RequestRejectedError as rejection:
             self._session.reply_problem(tag, rejection.problem)
 
-    def _handle(self, tag: int, message: Message | Malformed) -> None:
+    def _handle(self, tag: int, message: Message | MalformedMessage) -> None:
         dialect = self._session.dialect
         if dialect is None:
             raise RequestRejectedError(errors.EPROTO, "no version agreed")
         if self._session.requests.uses_tag(tag):
             raise RequestRejectedError(errors.EPROTO, "duplicate tag")
-        if isinstance(message, Malformed):
+        if isinstance(message, MalformedMessage):
             self.invalid_messages += 1
             raise RequestRejectedError(errors.EPROTO, message.reason)
         handler = self._handlers.get(type(message))
@@ -130,7 +130,7 @@
         session.msize = 0
         session.dialect = None
         self._framer.max_size = self._limits.ninep_msize
-        self._framer.table = codec.PLAIN
+        self._framer.table = codec.PLAIN_MESSAGES
         if message.msize < self._limits.ninep_msize_min:
             session.reply(tag, codec.Rerror("msize too small"))
             return
--- a/garnetlanding/ninep/server_dialect.py
+++ b/garnetlanding/ninep/server_dialect.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from garnetlanding.ninep.codec import Message, Table
+from garnetlanding.ninep.codec import Message, MessageTable
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.fids import Fid
 
@@ -18,7 +18,7 @@
 
     version: str
     """As Tversion and Rversion name it."""
-    table: Table
+    table: MessageTable
     """How its messages are packed."""
     handlers: Handlers
     """The messages that only this dialect has, or has in this form."""
--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -35,7 +35,7 @@
 from garnetlanding.ninep.session import OpenFile, OpenMode
 
 _PERMISSIONS = 0o7777
-_READLINK_OVERHEAD = codec.HEADER + 2
+_READLINK_OVERHEAD = codec.HEADER_BYTES + 2
 """Bytes of an Rreadlink beside its target."""
 
 
@@ -43,7 +43,7 @@
     """Implements `ServerDialect` for 9P2000.L, which Linux clients use: its messages follow system calls."""
 
     version = codec_linux.VERSION
-    table = codec_linux.LINUX
+    table = codec_linux.LINUX_MESSAGES
     unsupported = Problem(errors.EOPNOTSUPP)
 
     def __init__(self, session: ClientSession) -> None:
@@ -83,8 +83,8 @@
     # Open and create
 
     def _open_flags(self, fid: Fid, flags: int) -> OpenMode:
-        access = flags & codec_linux.L_ACCESS
-        if access == codec_linux.L_ACCESS:
+        access = flags & codec_linux.L_ACCESS_MASK
+        if access == codec_linux.L_ACCESS_MASK:
             raise RequestRejectedError(errors.EINVAL)
         append = bool(flags & codec_linux.L_APPEND)
         open_mode = OpenMode(access, append, flags & (codec_linux.L_DSYNC | codec_linux.L_SYNC))
@@ -155,7 +155,7 @@
         fid = self._session.fids.get(message.fid)
         if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
-        if message.valid & codec_linux.SET_SIZE:
+        if message.valid & codec_linux.SETATTR_SIZE:
             if fid.is_dir:
                 raise RequestRejectedError(errors.EISDIR)
             check_offset(message.size, 0)
@@ -290,13 +290,13 @@
     def _lock(self, tag: int, message: codec_linux.Tlock) -> None:
         """Process Tlock: acquire or release a POSIX record lock, as fcntl(2) with F_SETLK.
 
-        A client that would wait (LOCK_BLOCK) gets the same reply as one that would not, and asks again.
+        A client that would wait (LOCK_FLAG_BLOCK) gets the same reply as one that would not, and asks again.
         """
         fid, open_mode, wanted = self._read_lock(message)
         locks = self._session.shared.locks
-        if message.type == codec_linux.LOCK_NONE:
+        if message.type == codec_linux.LOCK_TYPE_UNLOCK:
             locks.release(fid.file, wanted.owner, wanted.start, wanted.end)
-            self._session.reply(tag, codec_linux.Rlock(codec_linux.LOCK_DONE))
+            self._session.reply(tag, codec_linux.Rlock(codec_linux.LOCK_STATUS_SUCCESS))
             return
         _check_lock_type(message.type)
         permitted = open_mode.writes if wanted.write else open_mode.reads
@@ -306,7 +306,7 @@
             acquired = locks.acquire(fid.file, wanted)
         except LockLimitError as error:
             raise RequestRejectedError(errors.ENOLCK) from error
-        status = codec_linux.LOCK_DONE if acquired else codec_linux.LOCK_BLOCKED
+        status = codec_linux.LOCK_STATUS_SUCCESS if acquired else codec_linux.LOCK_STATUS_BLOCKED
         self._session.reply(tag, codec_linux.Rlock(status))
 
     def _getlock(self, tag: int, message: codec_linux.Tgetlock) -> None:
@@ -328,12 +328,12 @@
         check_offset(message.start, 0)
         start, end = byte_span(message.start, message.length)
         owner = LockOwner(self._session.client, message.proc_id, message.client_id)
-        write = message.type == codec_linux.LOCK_WRITE
+        write = message.type == codec_linux.LOCK_TYPE_WRITE
         return fid, open_mode, LockRange(owner, message.fid, write, start, end)
 
 
 def _check_lock_type(lock_type: int) -> None:
-    if lock_type not in (codec_linux.LOCK_READ, codec_linux.LOCK_WRITE):
+    if lock_type not in (codec_linux.LOCK_TYPE_READ, codec_linux.LOCK_TYPE_WRITE):
         raise RequestRejectedError(errors.EINVAL)
 
 
@@ -346,15 +346,15 @@
 def _read_changes(message: codec_linux.Tsetattr, now: Time) -> Changes:
     """Return what a Tsetattr asks for; `now` is set where it gives no time of its own."""
     valid = message.valid
-    atime = Time(message.atime_s, message.atime_ns) if valid & codec_linux.SET_ATIME_TO else now
-    mtime = Time(message.mtime_s, message.mtime_ns) if valid & codec_linux.SET_MTIME_TO else now
+    atime = Time(message.atime_s, message.atime_ns) if valid & codec_linux.SETATTR_ATIME_SET else now
+    mtime = Time(message.mtime_s, message.mtime_ns) if valid & codec_linux.SETATTR_MTIME_SET else now
     return Changes(
-        perm=message.mode & _PERMISSIONS if valid & codec_linux.SET_MODE else None,
-        uid=str(message.uid) if valid & codec_linux.SET_UID else None,
-        gid=str(message.gid) if valid & codec_linux.SET_GID else None,
-        length=message.size if valid & codec_linux.SET_SIZE else None,
-        atime=atime if valid & codec_linux.SET_ATIME else None,
-        mtime=mtime if valid & codec_linux.SET_MTIME else None,
+        perm=message.mode & _PERMISSIONS if valid & codec_linux.SETATTR_MODE else None,
+        uid=str(message.uid) if valid & codec_linux.SETATTR_UID else None,
+        gid=str(message.gid) if valid & codec_linux.SETATTR_GID else None,
+        length=message.size if valid & codec_linux.SETATTR_SIZE else None,
+        atime=atime if valid & codec_linux.SETATTR_ATIME else None,
+        mtime=mtime if valid & codec_linux.SETATTR_MTIME else None,
     )
 
 
@@ -390,10 +390,10 @@
 def _getlock_reply(message: codec_linux.Tgetlock, conflict: LockRange | None) -> Message:
     if conflict is None:
         return codec_linux.Rgetlock(
-            codec_linux.LOCK_NONE, message.start, message.length, message.proc_id, message.client_id
+            codec_linux.LOCK_TYPE_UNLOCK, message.start, message.length, message.proc_id, message.client_id
         )
     return codec_linux.Rgetlock(
-        codec_linux.LOCK_WRITE if conflict.write else codec_linux.LOCK_READ,
+        codec_linux.LOCK_TYPE_WRITE if conflict.write else codec_linux.LOCK_TYPE_READ,
         conflict.start,
         0 if conflict.end == END else conflict.end - conflict.start,
         conflict.owner.proc_id,
--- a/garnetlanding/ninep/server_dialect_plain.py
+++ b/garnetlanding/ninep/server_dialect_plain.py
@@ -20,9 +20,9 @@
 from garnetlanding.ninep.stat_format import pack_stat, parse_stat, plain_qid, raw_changes
 
 _ACCESS_MASK = 0x03
-_STAT_OVERHEAD = codec.HEADER + 2
+_STAT_OVERHEAD = codec.HEADER_BYTES + 2
 """Bytes of an Rstat beside its stat."""
-_ERROR_OVERHEAD = codec.HEADER + 2
+_ERROR_OVERHEAD = codec.HEADER_BYTES + 2
 """Bytes of an Rerror beside its text."""
 
 
@@ -30,7 +30,7 @@
     """Implements `ServerDialect` for 9P2000, as section 5 of the Plan 9 manual has it."""
 
     version = codec.VERSION
-    table = codec.PLAIN
+    table = codec.PLAIN_MESSAGES
     unsupported = Problem(errors.EPROTO, "not a request")
 
     def __init__(self, session: ClientSession) -> None:
--- a/garnetlanding/ninep/session.py
+++ b/garnetlanding/ninep/session.py
@@ -12,7 +12,7 @@
 from typing import TypeVar
 
 from garnetlanding.ninep import codec, codec_linux, errors
-from garnetlanding.ninep.codec import MAX_WALK, QTDIR, QTEXCL, Message, Qid
+from garnetlanding.ninep.codec import MAX_WALK_NAMES, QTDIR, QTEXCL, Message, Qid
 from garnetlanding.ninep.errors import OperationFailedError, Problem
 from garnetlanding.ninep.model import Path
 from garnetlanding.ninep.wire_format import message_name
@@ -96,7 +96,7 @@
         self.offered_versions = offered_versions
         self.msize = limits.max_msize
         self.version: str | None = None
-        self.table = codec.PLAIN
+        self.table = codec.PLAIN_MESSAGES
         self.root: Qid | None = None
         self.open_files: OrderedDict[tuple[Path, OpenMode], OpenFile] = OrderedDict()
         self.surplus_fids: list[int] = []  # to be clunked once the attempt has ended
@@ -106,7 +106,7 @@
     @property
     def max_data_bytes(self) -> int:
         """Return how many bytes one read or write may carry."""
-        return self.msize - codec.READ_OVERHEAD
+        return self.msize - codec.IO_HEADER_BYTES
 
     def new_fid(self) -> int:
         """Return a fid that was never used on this connection."""
@@ -173,8 +173,8 @@
     fid = session.new_fid()
     source = ROOT
     qids: list[Qid] = []
-    for start in range(0, max(1, len(path)), MAX_WALK):
-        names = path[start : start + MAX_WALK]
+    for start in range(0, max(1, len(path)), MAX_WALK_NAMES):
+        names = path[start : start + MAX_WALK_NAMES]
         reply = yield codec.Twalk(source, fid, names)
         try:
             found = expect(reply, codec.Rwalk).qids
--- a/garnetlanding/ninep/stat_format.py
+++ b/garnetlanding/ninep/stat_format.py
@@ -8,7 +8,7 @@
 
 from garnetlanding.ninep.codec import QTAPPEND, QTDIR, QTEXCL, QTTMP, Qid
 from garnetlanding.ninep.model import DM_FLAGS, DMDIR, PERM, Attr, Changes, Time
-from garnetlanding.ninep.wire_format import Reader, pack
+from garnetlanding.ninep.wire_format import FieldReader, pack_field
 
 # In a wstat: leave this field, of so many bytes, as it is.
 KEEP1 = 0xFF
@@ -48,7 +48,7 @@
 
 def pack_stat(name: str, attr: Attr) -> bytes:
     """Return a 9P2000 stat with its size in front. Times past 2106 become the last that 32 bits hold."""
-    texts = b"".join(pack("s", text) for text in (name, attr.uid, attr.gid, attr.muid))
+    texts = b"".join(pack_field("s", text) for text in (name, attr.uid, attr.gid, attr.muid))
     qid = plain_qid(attr.qid)
     return (
         STAT_HEAD.pack(
@@ -67,21 +67,21 @@
     )
 
 
-def read_stat(reader: Reader) -> RawStat:
+def read_stat(reader: FieldReader) -> RawStat:
     """Take one stat. Raises ValueError when it is cut short or does not have the size that it states."""
-    size = reader.number(2)
-    left_before = reader.left
-    values = [reader.value(kind) for kind in STAT_KINDS]
-    if left_before - reader.left != size:
+    size = reader.read_int(2)
+    left_before = reader.remaining
+    values = [reader.read_field(kind) for kind in STAT_KINDS]
+    if left_before - reader.remaining != size:
         raise ValueError("stat of another size than it says")
     return RawStat(*values)
 
 
 def parse_stat(data: bytes) -> RawStat:
     """Return the one stat that the bytes hold. Raises ValueError for anything else."""
-    reader = Reader(data)
+    reader = FieldReader(data)
     raw = read_stat(reader)
-    reader.end()
+    reader.expect_end()
     return raw
 
 
@@ -135,7 +135,7 @@
     mode = KEEP4
     if changes.perm is not None:
         mode = changes.perm & PERM | (changes.flags or 0) | (DMDIR if is_dir else 0)
-    texts = b"".join(pack("s", text) for text in (changes.name or "", "", changes.gid or "", ""))
+    texts = b"".join(pack_field("s", text) for text in (changes.name or "", "", changes.gid or "", ""))
     return (
         STAT_HEAD.pack(
             STAT_HEAD.size - 2 + len(texts),
--- a/garnetlanding/ninep/wire_format.py
+++ b/garnetlanding/ninep/wire_format.py
@@ -1,7 +1,7 @@
-"""How fields and messages of 9P are packed: the part that both dialects share.
+"""Encoding and decoding of 9P fields and messages, common to both dialects.
 
-A dialect is a table of `MessageLayout`s, one a message; packing and unpacking both follow it. All integers
-are unsigned and little-endian, and a message begins with `size[4] type[1] tag[2]`.
+A dialect is a table with one `MessageLayout` per message type, which drives both encoding and decoding. All
+integers are unsigned and little-endian; a message starts with `size[4] type[1] tag[2]`.
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 from operator import attrgetter
 from typing import Any
 
-MAX_WALK = 16
-"""The most names, or qids, that one walk may carry."""
+MAX_WALK_NAMES = 16
+"""The maximum number of names in a Twalk, or of qids in an Rwalk."""
 
-QID = struct.Struct("<BIQ")
-COUNTS = {
+QID_STRUCT = struct.Struct("<BIQ")
+LENGTH_PREFIXES = {
     "s": struct.Struct("<H"),
     "n": struct.Struct("<H"),
     "d": struct.Struct("<I"),
     "S": struct.Struct("<H"),
     "Q": struct.Struct("<H"),
 }
-FIXED = {"1": "B", "2": "H", "4": "I", "8": "Q"}
+INTEGER_FORMATS = {"1": "B", "2": "H", "4": "I", "8": "Q"}
 
 
 @dataclass(frozen=True, slots=True)
 class Qid:
-    """The server's identity of a file: two files are the same exactly when their `path`s are.
+    """The server's identity of a file: two files are the same if and only if their `path`s are equal.
 
-    `type` has the QT bits (directory, append-only, ...); `version` grows with each change of the file.
+    `type` holds the QT bits (directory, append-only, ...); `version` increases with each change to the file.
     """
 
     type: int
@@ -38,168 +38,173 @@
 
 
 class Message:
-    """Base of all messages; T-messages go to a server, R-messages come from it."""
+    """Base class of all messages: T-messages are requests to a server, R-messages its replies."""
 
     __slots__ = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Malformed:
-    """A frame that is complete but holds no readable message; its tag can be answered with `reason`."""
+class MalformedMessage:
+    """A complete frame that cannot be decoded; its tag can be answered with `reason` as the error text."""
 
     reason: str
 
 
-def pack(kind: str, value: Any) -> bytes:
-    """Return one field's bytes; `MessageLayout` lists the kinds.
+def pack_field(code: str, value: Any) -> bytes:
+    """Encode one field; `MessageLayout` lists the field codes.
 
-    Raises ValueError or struct.error for a value that its kind cannot hold.
+    Raises ValueError or struct.error for a value that the field cannot hold.
     """
-    match kind:
+    match code:
         case "s":
             raw: bytes = value.encode()
-            return COUNTS["s"].pack(len(raw)) + raw
+            return LENGTH_PREFIXES["s"].pack(len(raw)) + raw
         case "q":
-            return QID.pack(value.type, value.version, value.path)
+            return QID_STRUCT.pack(value.type, value.version, value.path)
         case "d" | "n":
-            return COUNTS[kind].pack(len(value)) + bytes(value)
+            return LENGTH_PREFIXES[code].pack(len(value)) + bytes(value)
         case "S" | "Q":
-            return COUNTS[kind].pack(len(value)) + b"".join(pack(kind.lower(), item) for item in value)
-    return struct.pack("<" + FIXED[kind], value)
+            return LENGTH_PREFIXES[code].pack(len(value)) + b"".join(
+                pack_field(code.lower(), item) for item in value
+            )
+    return struct.pack("<" + INTEGER_FORMATS[code], value)
 
 
-class Reader:
-    """Takes fields off bytes, front to back. Raises ValueError where the bytes do not hold them."""
+class FieldReader:
+    """Decodes fields from bytes in order. Methods raise ValueError if the bytes do not hold the field."""
 
     def __init__(self, data: bytes, position: int = 0) -> None:
         self._data = data
         self._position = position
 
-    def raw(self, count: int) -> bytes:
-        """Take `count` bytes as they are."""
+    def read_bytes(self, count: int) -> bytes:
+        """Consume `count` bytes and return them unchanged."""
         if self._position + count > len(self._data):
             raise ValueError("message cut short")
         self._position += count
         return self._data[self._position - count : self._position]
 
-    def number(self, size: int) -> int:
-        """Take an integer of `size` bytes."""
-        return int.from_bytes(self.raw(size), "little")
+    def read_int(self, size: int) -> int:
+        """Consume an integer of `size` bytes."""
+        return int.from_bytes(self.read_bytes(size), "little")
 
-    def value(self, kind: str) -> Any:
-        """Take one field; `MessageLayout` lists the kinds."""
-        match kind:
+    def read_field(self, code: str) -> Any:
+        """Consume one field; `MessageLayout` lists the field codes."""
+        match code:
             case "s":
-                raw = self.raw(self.number(2))
+                raw = self.read_bytes(self.read_int(2))
                 if b"\0" in raw:
                     raise ValueError("NUL in text")
                 return raw.decode()  # a UnicodeDecodeError is a ValueError
             case "q":
-                return Qid(*QID.unpack(self.raw(QID.size)))
+                return Qid(*QID_STRUCT.unpack(self.read_bytes(QID_STRUCT.size)))
             case "d" | "n":
-                return self.raw(self.number(COUNTS[kind].size))
+                return self.read_bytes(self.read_int(LENGTH_PREFIXES[code].size))
             case "S" | "Q":
-                count = self.number(2)
-                if count > MAX_WALK:
+                count = self.read_int(2)
+                if count > MAX_WALK_NAMES:
                     raise ValueError("too many names in a walk")
-                return tuple(self.value(kind.lower()) for _ in range(count))
-        return self.number(int(kind))
+                return tuple(self.read_field(code.lower()) for _ in range(count))
+        return self.read_int(int(code))
 
     @property
-    def left(self) -> int:
-        """How many bytes have not been taken yet."""
+    def remaining(self) -> int:
+        """The number of bytes not consumed yet."""
         return len(self._data) - self._position
 
-    def end(self) -> None:
-        """Raise ValueError if bytes are left over."""
-        if self.left:
+    def expect_end(self) -> None:
+        """Raise ValueError unless all bytes have been consumed."""
+        if self.remaining:
             raise ValueError("bytes left over")
 
 
 class MessageLayout:
-    """How one message is packed: its leading integers by one struct, the rest field by field.
+    """The encoding of one message type: its leading integers as one struct, the other fields one by one.
 
-    `name` is the message's name in the specification; it stands in error texts, which reach clients. `kinds`
-    has one letter a field, in the order of the class's fields:
+    `name` is the message's name in the specification and appears in error texts sent to clients.
+    `field_codes` has one character per field, in the order of the class's fields:
 
     - `1` `2` `4` `8`: an unsigned integer of that many bytes;
-    - `s`: a UTF-8 text with a two-byte count of bytes;
+    - `s`: a UTF-8 string with a two-byte length prefix;
     - `q`: a qid;
-    - `d`: data with a four-byte count;
-    - `n`: a 9P2000 stat, its own size included, with a two-byte count;
-    - `S` `Q`: a sequence of texts or qids with a two-byte count, at most `MAX_WALK`.
+    - `d`: data with a four-byte length prefix;
+    - `n`: a 9P2000 stat, including its own size field, with a two-byte length prefix;
+    - `S` `Q`: a sequence of strings or qids with a two-byte count, at most `MAX_WALK_NAMES`.
     """
 
     __slots__ = (
-        "number",
+        "message_type",
         "name",
-        "cls",
+        "message_class",
         "_get_values",
-        "_lead_count",
-        "_header",
-        "_lead",
-        "_rest",
-        "_is_single",
+        "_has_one_field",
+        "_leading_count",
+        "_header_struct",
+        "_leading_integers",
+        "_trailing_codes",
     )
 
-    def __init__(self, number: int, name: str, cls: type[Any], kinds: str) -> None:
-        field_names = [field.name for field in fields(cls)]
-        if len(field_names) != len(kinds):
-            raise TypeError(f"{name}: {len(field_names)} fields, {len(kinds)} kinds")
-        self.number = number
+    def __init__(self, message_type: int, name: str, message_class: type[Any], field_codes: str) -> None:
+        field_names = [field.name for field in fields(message_class)]
+        if len(field_names) != len(field_codes):
+            raise TypeError(f"{name}: {len(field_names)} fields, {len(field_codes)} field codes")
+        self.message_type = message_type
         self.name = name
-        self.cls = cls
+        self.message_class = message_class
         self._get_values = attrgetter(*field_names) if field_names else lambda _: ()
-        self._is_single = len(field_names) == 1
-        self._lead_count = next((i for i, kind in enumerate(kinds) if kind not in FIXED), len(kinds))
-        lead = "".join(FIXED[kind] for kind in kinds[: self._lead_count])
-        self._header = struct.Struct("<IBH" + lead)
-        self._lead = struct.Struct("<" + lead)
-        self._rest = kinds[self._lead_count :]
+        self._has_one_field = len(field_names) == 1
+        self._leading_count = next(
+            (i for i, code in enumerate(field_codes) if code not in INTEGER_FORMATS), len(field_codes)
+        )
+        leading_formats = "".join(INTEGER_FORMATS[code] for code in field_codes[: self._leading_count])
+        self._header_struct = struct.Struct("<IBH" + leading_formats)
+        self._leading_integers = struct.Struct("<" + leading_formats)
+        self._trailing_codes = field_codes[self._leading_count :]
 
     def encode(self, tag: int, message: Message) -> bytes:
-        """Return the whole frame. Raises ValueError or struct.error for a value that has no place in it."""
+        """Return the frame. Raises ValueError or struct.error for a value that its field cannot hold."""
         values = self._get_values(message)
-        if self._is_single:
+        if self._has_one_field:
             values = (values,)
-        rest = b"".join(
-            [pack(kind, value) for kind, value in zip(self._rest, values[self._lead_count :], strict=True)]
+        leading, trailing = values[: self._leading_count], values[self._leading_count :]
+        packed = b"".join(
+            [pack_field(code, value) for code, value in zip(self._trailing_codes, trailing, strict=True)]
         )
-        size = self._header.size + len(rest)
-        return self._header.pack(size, self.number, tag, *values[: self._lead_count]) + rest
+        size = self._header_struct.size + len(packed)
+        return self._header_struct.pack(size, self.message_type, tag, *leading) + packed
 
-    def decode(self, body: bytes) -> Message | Malformed:
-        """Return the message of what follows a frame's header."""
-        size = self._lead.size
+    def decode(self, body: bytes) -> Message | MalformedMessage:
+        """Decode the part of a frame that follows its header."""
+        size = self._leading_integers.size
         try:
             if len(body) < size:
                 raise ValueError("message cut short")
-            values = self._lead.unpack_from(body)
-            reader = Reader(body, size)
-            if self._rest:
-                values += tuple([reader.value(kind) for kind in self._rest])
-            reader.end()
+            values = self._leading_integers.unpack_from(body)
+            reader = FieldReader(body, size)
+            if self._trailing_codes:
+                values += tuple([reader.read_field(code) for code in self._trailing_codes])
+            reader.expect_end()
         except ValueError as error:
-            return Malformed(f"bad {self.name}: {error}")
-        message: Message = self.cls(*values)
+            return MalformedMessage(f"bad {self.name}: {error}")
+        message: Message = self.message_class(*values)
         return message
 
 
-Table = dict[int, MessageLayout]
-_LAYOUTS: dict[type[Any], MessageLayout] = {}
+MessageTable = dict[int, MessageLayout]
+_LAYOUT_BY_CLASS: dict[type[Any], MessageLayout] = {}
 
 
-def message_table(*layouts: MessageLayout) -> Table:
-    """Return a dialect's layouts by their numbers; from now on its messages can be encoded."""
-    _LAYOUTS.update({layout.cls: layout for layout in layouts})
-    return {layout.number: layout for layout in layouts}
+def register_messages(*layouts: MessageLayout) -> MessageTable:
+    """Make the messages known to `encode` and return their layouts by message type."""
+    _LAYOUT_BY_CLASS.update({layout.message_class: layout for layout in layouts})
+    return {layout.message_type: layout for layout in layouts}
 
 
 def encode(tag: int, message: Message) -> bytes:
-    """Return the message's whole frame. Raises ValueError or struct.error for a value with no place in it."""
-    return _LAYOUTS[type(message)].encode(tag, message)
+    """Return the message as a frame. Raises ValueError or struct.error if a field cannot hold its value."""
+    return _LAYOUT_BY_CLASS[type(message)].encode(tag, message)
 
 
-def message_name(cls: type[Message]) -> str:
-    """Return a message's name for error texts."""
-    return _LAYOUTS[cls].name
+def message_name(message_class: type[Message]) -> str:
+    """Return the message's name in the specification, for use in error texts."""
+    return _LAYOUT_BY_CLASS[message_class].name
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -461,7 +461,7 @@
 
 QID = p9.Qid(0x80, 0x01020304, 0x1112131415161718)
 FILE = p9.Qid(0, 7, 9)
-MESSAGES: list[p9.Message] = [
+SHARED_SAMPLES: list[p9.Message] = [
     p9.Tversion(65560, "9P2000"),
     p9.Rversion(8192, "unknown"),
     p9.Rauth(QID),
@@ -479,8 +479,8 @@
     p9.Tremove(6),
     p9.Rremove(),
 ]
-PLAIN_MESSAGES: list[p9.Message] = [
-    *MESSAGES,
+PLAIN_SAMPLES: list[p9.Message] = [
+    *SHARED_SAMPLES,
     p9.Tauth(1, "ann", "tree"),
     p9.Tattach(0, p9.NOFID, "ann", "tree"),
     p9.Rerror("file not found"),
@@ -493,8 +493,8 @@
     p9.Twstat(9, b"\x00" * 5),
     p9.Rwstat(),
 ]
-LINUX_MESSAGES: list[p9.Message] = [
-    *MESSAGES,
+LINUX_SAMPLES: list[p9.Message] = [
+    *SHARED_SAMPLES,
     p9l.Rlerror(2),
     p9l.Tstatfs(1),
     p9l.Rstatfs(0x01021997, 4096, 1, 2, 3, 4, 5, 6, 255),
@@ -538,8 +538,8 @@
     p9l.Tlattach(0, p9.NOFID, "ann", "tree", 1000),
 ]
 DIALECTS = {
-    "9p2000": (p9.VERSION, p9.PLAIN, PLAIN_MESSAGES),
-    "9p2000_l": (p9l.VERSION, p9l.LINUX, LINUX_MESSAGES),
+    "9p2000": (p9.VERSION, p9.PLAIN_MESSAGES, PLAIN_SAMPLES),
+    "9p2000_l": (p9l.VERSION, p9l.LINUX_MESSAGES, LINUX_SAMPLES),
 }
 
 
@@ -577,7 +577,7 @@
     lines = []
     for what, (number, body) in MALFORMED.items():
         got = p9.decode(number, body, table)
-        told = f"malformed: {got.reason}" if isinstance(got, p9.Malformed) else "read"
+        told = f"malformed: {got.reason}" if isinstance(got, p9.MalformedMessage) else "read"
         lines.append(f"{what}: {number} {body.hex() or '-'}: {told}")
     for size in (6, 65561):
         with pytest.raises(p9.FrameError) as problem:
--- a/tests/integration/test_mixed_protocols.py
+++ b/tests/integration/test_mixed_protocols.py
@@ -79,7 +79,7 @@
                 raise AssertionError(f"unknown step {step}")
 
 
-def messages(peer: LoopbackClient) -> list[tuple[int, p9.Message | p9.Malformed]]:
+def messages(peer: LoopbackClient) -> list[tuple[int, p9.Message | p9.MalformedMessage]]:
     return list(p9.Framer(peer.world.pool, 1 << 20).feed(peer.got))
 
 
--- a/tests/ninep/random_fault_schedules.py
+++ b/tests/ninep/random_fault_schedules.py
@@ -111,7 +111,7 @@
             else p9.Tattach(0, p9.NOFID, str(self.number), "glossaries")
         )
         self.tool.say(p9.encode(p9.NOTAG, p9.Tversion(8192, self.version)))
-        self.tool._framer.table = p9.PLAIN | p9l.LINUX
+        self.tool._framer.table = p9.PLAIN_MESSAGES | p9l.LINUX_MESSAGES
         self.send(hello, OutstandingRequest("attach"))
 
     @property
--- a/tests/ninep/test_codec.py
+++ b/tests/ninep/test_codec.py
@@ -16,15 +16,15 @@
 from garnetlanding.ninep.wire_format import MessageLayout
 from garnetlanding.runtime.buffers import BufferPool
 
-DIALECTS = {"9P2000": p9.PLAIN, "9P2000.L": p9l.LINUX}
+DIALECTS = {"9P2000": p9.PLAIN_MESSAGES, "9P2000.L": p9l.LINUX_MESSAGES}
 TEXT = st.text(st.characters(exclude_characters="\0", exclude_categories=["Cs"]), max_size=20)
 QIDS = st.builds(p9.Qid, st.integers(0, 255), st.integers(0, 2**32 - 1), st.integers(0, 2**64 - 1))
 
 
 def field_values(layout: MessageLayout) -> list[st.SearchStrategy[object]]:
-    """Return what may stand in each field, by the struct and kinds of its layout."""
-    lead = [{"B": 8, "H": 16, "I": 32, "Q": 64}[c] for c in layout._lead.format[1:]]
-    rest = {
+    """Return a strategy for each field's values, by the struct and field codes of the layout."""
+    leading_bits = [{"B": 8, "H": 16, "I": 32, "Q": 64}[c] for c in layout._leading_integers.format[1:]]
+    values_by_code = {
         "s": TEXT,
         "q": QIDS,
         "d": st.binary(max_size=50),
@@ -32,9 +32,10 @@
         "S": st.lists(TEXT, max_size=16).map(tuple),
         "Q": st.lists(QIDS, max_size=16).map(tuple),
     }
-    ints = {"1": 8, "2": 16, "4": 32, "8": 64}
-    return [st.integers(0, 2**bits - 1) for bits in lead] + [
-        rest[k] if k in rest else st.integers(0, 2 ** ints[k] - 1) for k in layout._rest
+    bits_by_code = {"1": 8, "2": 16, "4": 32, "8": 64}
+    return [st.integers(0, 2**bits - 1) for bits in leading_bits] + [
+        values_by_code[code] if code in values_by_code else st.integers(0, 2 ** bits_by_code[code] - 1)
+        for code in layout._trailing_codes
     ]
 
 
@@ -43,12 +44,13 @@
 def test_every_message_survives_encoding_and_decoding(dialect: str, data: st.DataObject) -> None:
     table = DIALECTS[dialect]
     layout = table[data.draw(st.sampled_from(sorted(table)))]
-    message = layout.cls(*(data.draw(value) for value in field_values(layout)))
+    message = layout.message_class(*(data.draw(value) for value in field_values(layout)))
     raw = p9.encode(77, message)
-    assert struct.unpack("<IBH", raw[:7]) == (len(raw), layout.number, 77)
+    assert struct.unpack("<IBH", raw[:7]) == (len(raw), layout.message_type, 77)
     assert p9.decode(raw[4], raw[7:], table) == message
     for cut in range(7, len(raw), 1 + len(raw) // 8):
-        assert isinstance(p9.decode(raw[4], raw[7:cut], table), p9.Malformed), "a part is not the whole"
+        truncated = p9.decode(raw[4], raw[7:cut], table)
+        assert isinstance(truncated, p9.MalformedMessage), "a truncated message was decoded"
 
 
 @pytest.mark.parametrize("dialect", DIALECTS)
@@ -57,25 +59,25 @@
     dialect: str, data: st.DataObject, body: bytes
 ) -> None:
     table = DIALECTS[dialect]
-    number = data.draw(st.integers(0, 255) | st.sampled_from(sorted(table)))
-    message = p9.decode(number, body, table)
-    if not isinstance(message, p9.Malformed):
-        assert p9.encode(1, message)[7:] == body, "what can be read says all that was there"
+    message_type = data.draw(st.integers(0, 255) | st.sampled_from(sorted(table)))
+    message = p9.decode(message_type, body, table)
+    if not isinstance(message, p9.MalformedMessage):
+        assert p9.encode(1, message)[7:] == body, "a decoded message does not encode to the same bytes"
 
 
 @pytest.mark.parametrize("dialect", DIALECTS)
-@given(pieces=st.lists(st.binary(min_size=1, max_size=300), max_size=20), most=st.integers(7, 400))
+@given(chunks=st.lists(st.binary(min_size=1, max_size=300), max_size=20), max_size=st.integers(7, 400))
 def test_framer_buffers_no_more_than_the_largest_message(
-    dialect: str, pieces: list[bytes], most: int
+    dialect: str, chunks: list[bytes], max_size: int
 ) -> None:
     pool = BufferPool(64, 4, 1 << 12)
-    framer = p9.Framer(pool, most, DIALECTS[dialect])
+    framer = p9.Framer(pool, max_size, DIALECTS[dialect])
     try:
-        for piece in pieces:
-            for tag, message in framer.feed(piece):
+        for chunk in chunks:
+            for tag, message in framer.feed(chunk):
                 assert 0 <= tag <= 0xFFFF
-                assert isinstance(message, p9.Message | p9.Malformed)
-            assert pool.in_use * 64 <= most + 300 + 64
+                assert isinstance(message, p9.Message | p9.MalformedMessage)
+            assert pool.in_use * 64 <= max_size + 300 + 64
     except p9.FrameError:
         pass
     framer.close()
@@ -89,6 +91,6 @@
             parse(data)
 
 
-def test_message_with_a_layout_that_misses_its_fields_is_rejected() -> None:
+def test_layout_with_too_few_field_codes_is_rejected() -> None:
     with pytest.raises(TypeError, match="Tread"):
         MessageLayout(1, "Tread", p9.Tread, "48")
--- a/tests/ninep/test_session_changes.py
+++ b/tests/ninep/test_session_changes.py
@@ -164,7 +164,7 @@
     instance, tool = rw(LINUX, server)
     create(tool, 5, "f", perm=0o640)
     tool.ask(p9.Twrite(5, 0, b"0123456789"))
-    valid = p9l.SET_MODE | p9l.SET_SIZE | p9l.SET_MTIME | p9l.SET_MTIME_TO
+    valid = p9l.SETATTR_MODE | p9l.SETATTR_SIZE | p9l.SETATTR_MTIME | p9l.SETATTR_MTIME_SET
     assert tool.ask(p9l.Tsetattr(5, valid, 0o600, 0, 0, 4, 0, 0, 99, 5)) == p9l.Rsetattr()
     got = tool.ask(p9l.Tgetattr(5, p9l.GETATTR_BASIC))
     assert isinstance(got, p9l.Rgetattr)
@@ -172,7 +172,7 @@
     assert stat.S_ISREG(got.mode)
     assert got.mtime_ns == (5 if server == LINUX else 0)
     assert tool.ask(p9l.Tfsync(5, 0)) == p9l.Rfsync()
-    assert tool.ask(p9l.Tsetattr(5, p9l.SET_CTIME, 0, 0, 0, 0, 0, 0, 0, 0)) == p9l.Rsetattr()
+    assert tool.ask(p9l.Tsetattr(5, p9l.SETATTR_CTIME, 0, 0, 0, 0, 0, 0, 0, 0)) == p9l.Rsetattr()
 
 
 @pytest.mark.parametrize("client", BOTH)
@@ -200,10 +200,10 @@
             if not reply.data:
                 break
             offset += len(reply.data)
-            reader = p9.Reader(reply.data)
-            while reader.left:
-                size = reader.number(2)
-                raw = parse_stat(p9.pack("2", size) + reader.raw(size))
+            reader = p9.FieldReader(reply.data)
+            while reader.remaining:
+                size = reader.read_int(2)
+                raw = parse_stat(p9.pack_field("2", size) + reader.read_bytes(size))
                 got.append(raw.name)
                 sizes.add(raw.length)
     assert got == names
@@ -217,17 +217,19 @@
     tool.open(5, "readme", mode=p9.ORDWR)
     other = NinepClient(instance, version=LINUX)
     other.open(5, "readme", mode=p9.ORDWR)
-    take = p9l.Tlock(5, p9l.LOCK_WRITE, 0, 10, 20, 7, "a")
-    assert tool.ask(take) == p9l.Rlock(p9l.LOCK_DONE)
-    assert other.ask(replace(take, start=25, client_id="b")) == p9l.Rlock(p9l.LOCK_BLOCKED)
-    assert other.ask(p9l.Tgetlock(5, p9l.LOCK_READ, 0, 0, 8, "b")) == p9l.Rgetlock(
-        p9l.LOCK_WRITE, 10, 20, 7, "a"
+    take = p9l.Tlock(5, p9l.LOCK_TYPE_WRITE, 0, 10, 20, 7, "a")
+    assert tool.ask(take) == p9l.Rlock(p9l.LOCK_STATUS_SUCCESS)
+    assert other.ask(replace(take, start=25, client_id="b")) == p9l.Rlock(p9l.LOCK_STATUS_BLOCKED)
+    assert other.ask(p9l.Tgetlock(5, p9l.LOCK_TYPE_READ, 0, 0, 8, "b")) == p9l.Rgetlock(
+        p9l.LOCK_TYPE_WRITE, 10, 20, 7, "a"
     )
-    assert tool.ask(p9l.Tlock(5, p9l.LOCK_NONE, 0, 15, 5, 7, "a")) == p9l.Rlock(p9l.LOCK_DONE)
-    assert other.ask(replace(take, start=15, length=5, client_id="b")) == p9l.Rlock(p9l.LOCK_DONE)
-    assert other.ask(replace(take, start=20, length=5, client_id="b")) == p9l.Rlock(p9l.LOCK_BLOCKED)
+    assert tool.ask(p9l.Tlock(5, p9l.LOCK_TYPE_UNLOCK, 0, 15, 5, 7, "a")) == p9l.Rlock(
+        p9l.LOCK_STATUS_SUCCESS
+    )
+    assert other.ask(replace(take, start=15, length=5, client_id="b")) == p9l.Rlock(p9l.LOCK_STATUS_SUCCESS)
+    assert other.ask(replace(take, start=20, length=5, client_id="b")) == p9l.Rlock(p9l.LOCK_STATUS_BLOCKED)
     tool.close()
     instance.settle()
-    assert other.ask(replace(take, start=20, length=5, client_id="b")) == p9l.Rlock(p9l.LOCK_DONE)
+    assert other.ask(replace(take, start=20, length=5, client_id="b")) == p9l.Rlock(p9l.LOCK_STATUS_SUCCESS)
     other.ask(p9.Tclunk(5))
     assert instance.front_9p.locks.count == 0
--- a/tests/support/ninep_changes.py
+++ b/tests/support/ninep_changes.py
@@ -19,7 +19,7 @@
     uid: str = "",
     atime: int = KEEP4,
 ) -> bytes:
-    texts = b"".join(p9.pack("s", text) for text in (name, uid, gid, ""))
+    texts = b"".join(p9.pack_field("s", text) for text in (name, uid, gid, ""))
     return (
         STAT_HEAD.pack(
             STAT_HEAD.size - 2 + len(texts), 0xFFFF, KEEP4, 0xFF, KEEP4, KEEP8, mode, atime, mtime, length
--- a/tests/support/ninep_instance.py
+++ b/tests/support/ninep_instance.py
@@ -61,7 +61,7 @@
     def send(self, message: p9.Message, tag: int = 1) -> list[tuple[int, p9.Message]]:
         """Send a message and return the replies that arrived, with their tags."""
         before = len(self.answers)
-        self._framer.table = codec_linux.LINUX if self.linux else p9.PLAIN
+        self._framer.table = codec_linux.LINUX_MESSAGES if self.linux else p9.PLAIN_MESSAGES
         self.say(p9.encode(tag, message))
         return self.answers[before:]
 
