--- a/garnetlanding/conform/cases/directories.py
+++ b/garnetlanding/conform/cases/directories.py
@@ -147,7 +147,7 @@
     client.create_directory("d")
     fid = client.walk_to()
     client.open(fid)
-    kinds = {e.name: e.kind for e in client.read_directory(fid, 2000)}
+    kinds = {e.name: e.d_type for e in client.read_directory(fid, 2000)}
     check(kinds.get("f") in (0, 8) and kinds.get("d") in (0, 4), f"{kinds}")
 
 
--- a/garnetlanding/conform/stat_change.py
+++ b/garnetlanding/conform/stat_change.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from garnetlanding.ninep import codec as p9
-from garnetlanding.ninep.stat_format import KEEP4, KEEP8, STAT_HEAD
+from garnetlanding.ninep.stat_format import STAT_FIXED_FIELDS, UNCHANGED_U32, UNCHANGED_U64
 
 KEEP_TYPE = 0xFFFF  # 'leave alone' in the two bytes of the type
 KEEP_QID_TYPE = 0xFF  # and in the one byte of the qid's type
@@ -17,26 +17,26 @@
     """New values of a file's stat; a field that is not given leaves the file's value alone (stat(5))."""
 
     name: str = ""
-    mode: int = KEEP4
-    mtime: int = KEEP4
-    length: int = KEEP8
+    mode: int = UNCHANGED_U32
+    mtime: int = UNCHANGED_U32
+    length: int = UNCHANGED_U64
     gid: str = ""
     uid: str = ""
     muid: str = ""
-    atime: int = KEEP4
+    atime: int = UNCHANGED_U32
     type: int = KEEP_TYPE
-    dev: int = KEEP4
+    dev: int = UNCHANGED_U32
 
     def encode(self) -> bytes:
         """Return the stat as a Twstat carries it."""
         texts = b"".join(p9.pack_field("s", text) for text in (self.name, self.uid, self.gid, self.muid))
-        head = STAT_HEAD.pack(
-            STAT_HEAD.size - SIZE_FIELD_BYTES + len(texts),
+        head = STAT_FIXED_FIELDS.pack(
+            STAT_FIXED_FIELDS.size - SIZE_FIELD_BYTES + len(texts),
             self.type,
             self.dev,
             KEEP_QID_TYPE,
-            KEEP4,
-            KEEP8,
+            UNCHANGED_U32,
+            UNCHANGED_U64,
             self.mode,
             self.atime,
             self.mtime,
--- a/garnetlanding/emulator/disk.py
+++ b/garnetlanding/emulator/disk.py
@@ -13,7 +13,7 @@
 
 from garnetlanding.ninep import errors
 from garnetlanding.ninep.codec import QTAPPEND, QTDIR, QTEXCL, QTSYMLINK, Qid
-from garnetlanding.ninep.model import DMAPPEND, DMEXCL, Attr, Time
+from garnetlanding.ninep.model import DMAPPEND, DMEXCL, Attr, Timestamp
 
 Tree = dict[str, Any]  # folders are maps, files bytes
 ROOT_USER = "root"
@@ -48,9 +48,9 @@
     nlink: int = 1
     version: int = 0
     muid: str = ""
-    atime: Time = Time(0)
-    mtime: Time = Time(0)
-    ctime: Time = Time(0)
+    atime: Timestamp = Timestamp(0)
+    mtime: Timestamp = Timestamp(0)
+    ctime: Timestamp = Timestamp(0)
     cookies: int = 2  # 1 and 2 are `.` and `..`
 
     @property
@@ -102,9 +102,9 @@
                 self.write(self.make(directory, name, stat.S_IFREG | 0o666, ROOT_USER), 0, value, ROOT_USER)
 
     @property
-    def now(self) -> Time:
+    def now(self) -> Timestamp:
         """The clock's time as a stat has it."""
-        return Time(self._clock() // 1_000_000, self._clock() % 1_000_000 * 1000)
+        return Timestamp(self._clock() // 1_000_000, self._clock() % 1_000_000 * 1000)
 
     def _inode(self, mode: int, uid: str, gid: str) -> Inode:
         self._numbers += 1
--- a/garnetlanding/emulator/files_linux.py
+++ b/garnetlanding/emulator/files_linux.py
@@ -13,7 +13,7 @@
 from garnetlanding.ninep.attribute_format import getattr_reply, pack_entry
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.locks import END, LockOwner, LockRange, byte_span
-from garnetlanding.ninep.model import Entry, Time, d_type, good_name
+from garnetlanding.ninep.model import Entry, Timestamp, dirent_type, is_valid_name
 
 PERM = 0o7777
 ACCESS = 3  # the bits of open flags for reading, writing or both; all of them are no access
@@ -77,7 +77,7 @@
         at = connection.fid(fid)
         if not at.node.is_dir:
             raise DiskError(errors.ENOTDIR)
-        if not good_name(name):
+        if not is_valid_name(name):
             raise DiskError(errors.EINVAL)
         connection.server.disk.need(at.node, at.user, SEARCH)
         return at
@@ -161,11 +161,11 @@
         valid = message.valid
         if valid & p9l.SETATTR_ATIME:
             node.atime = (
-                Time(message.atime_s, message.atime_ns) if valid & p9l.SETATTR_ATIME_SET else disk.now
+                Timestamp(message.atime_s, message.atime_ns) if valid & p9l.SETATTR_ATIME_SET else disk.now
             )
         if valid & p9l.SETATTR_MTIME:
             node.mtime = (
-                Time(message.mtime_s, message.mtime_ns) if valid & p9l.SETATTR_MTIME_SET else disk.now
+                Timestamp(message.mtime_s, message.mtime_ns) if valid & p9l.SETATTR_MTIME_SET else disk.now
             )
 
     def _readdir(self, connection: FileConnection, at: OpenFid, offset: int, count: int) -> p9.Message:
@@ -180,7 +180,7 @@
             Entry("..", connection.qid(at.node.parent), 2, 4),
         ]
         entries += [
-            Entry(name, connection.qid(node), cookie, d_type(connection.qid(node)))
+            Entry(name, connection.qid(node), cookie, dirent_type(connection.qid(node)))
             for name, node, cookie in connection.server.disk.entries(at.node)
         ]
         following = [entry for entry in entries if entry.cookie > offset]
--- a/garnetlanding/emulator/files_plain.py
+++ b/garnetlanding/emulator/files_plain.py
@@ -10,8 +10,8 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import errors
 from garnetlanding.ninep.errors import Problem
-from garnetlanding.ninep.model import DM_FLAGS, DMDIR, Changes, Time, good_name
-from garnetlanding.ninep.stat_format import RawStat, pack_stat, parse_stat, raw_changes
+from garnetlanding.ninep.model import DM_FLAGS, DMDIR, AttributeChanges, Timestamp, is_valid_name
+from garnetlanding.ninep.stat_format import RawStat, changes_from_stat, pack_stat, parse_stat
 
 PERM = 0o777
 ACCESS = 3  # the bits of an open mode that tell reading, writing, both and executing apart
@@ -70,7 +70,7 @@
         disk = connection.server.disk
         if not at.node.is_dir:
             raise DiskError(errors.ENOTDIR)
-        if not good_name(message.name):
+        if not is_valid_name(message.name):
             raise DiskError(errors.EINVAL, "illegal name")
         is_dir = bool(message.perm & DMDIR)
         access = message.mode & ACCESS
@@ -97,7 +97,7 @@
             raw = parse_stat(data)
         except ValueError:
             raise DiskError(errors.EINVAL, "bad stat") from None
-        wanted = raw_changes(raw)
+        wanted = changes_from_stat(raw)
         self._check_unchangeable(connection, at, raw, wanted.unchangeable)
         self._check_changes(connection, at, wanted)
         if wanted.name is not None and wanted.name != at.name:
@@ -107,7 +107,7 @@
             connection.server.disk.ran.append(("wstat", at.node.number, wanted))
 
     @staticmethod
-    def _check_changes(connection: FileConnection, at: OpenFid, wanted: Changes) -> None:
+    def _check_changes(connection: FileConnection, at: OpenFid, wanted: AttributeChanges) -> None:
         node = at.node
         owner = at.user in (node.uid, "root")
         if wanted.flags is not None and bool(wanted.flags & DMDIR) != node.is_dir:
@@ -122,7 +122,7 @@
             connection.server.disk.need(node, at.user, WRITE)
 
     @staticmethod
-    def _apply_changes(connection: FileConnection, at: OpenFid, wanted: Changes) -> None:
+    def _apply_changes(connection: FileConnection, at: OpenFid, wanted: AttributeChanges) -> None:
         node = at.node
         if wanted.perm is not None and wanted.flags is not None:
             node.mode = stat.S_IFMT(node.mode) | wanted.perm
@@ -132,7 +132,7 @@
         if wanted.length is not None and not node.is_dir:
             connection.server.disk.truncate(node, wanted.length, at.user)
         if wanted.mtime is not None:
-            node.mtime = Time(wanted.mtime.s)
+            node.mtime = Timestamp(wanted.mtime.seconds)
 
     @staticmethod
     def _check_unchangeable(
@@ -145,7 +145,7 @@
             raise DiskError(errors.EPERM, f"wstat cannot change {', '.join(changed)}")
 
     def _rename(self, connection: FileConnection, at: OpenFid, name: str) -> None:
-        if not good_name(name):
+        if not is_valid_name(name):
             raise DiskError(errors.EINVAL, "illegal name")
         self._may_remove(connection, at)
         assert at.parent
--- a/garnetlanding/ninep/attribute_format.py
+++ b/garnetlanding/ninep/attribute_format.py
@@ -1,48 +1,48 @@
-"""Attributes and directory entries in the forms of 9P2000.L: an Rgetattr, and the data of an Rreaddir."""
+"""Attributes and directory entries in their 9P2000.L encoding: Rgetattr and the data of Rreaddir."""
 
 from __future__ import annotations
 
 import struct
 
 from garnetlanding.ninep import codec_linux
-from garnetlanding.ninep.model import Attr, Entry, Time, d_type, user_number
+from garnetlanding.ninep.model import Attr, Entry, Timestamp, dirent_type, numeric_id
 from garnetlanding.ninep.wire_format import FieldReader
 
-ENTRY_HEAD = struct.Struct("<BIQQBH")
-"""qid (3), offset of the next entry, type, length of the name; the name follows."""
+ENTRY_FIXED_FIELDS = struct.Struct("<BIQQBH")
+"""qid (3 fields), offset of the next entry, type, length of the name; the name follows."""
 
-ENTRY_KINDS = "q81s"
-"""The same fields, as `wire_format.MessageLayout` names their kinds."""
+ENTRY_FIELD_CODES = "q81s"
+"""The same fields and the name, in the codes of `wire_format.MessageLayout`."""
 
 
 def getattr_reply(attr: Attr) -> codec_linux.Rgetattr:
-    """Return the reply with these attributes."""
+    """Return the Rgetattr with these attributes."""
     return codec_linux.Rgetattr(
         attr.valid,
         attr.qid,
         attr.mode,
-        user_number(attr.uid),
-        user_number(attr.gid),
+        numeric_id(attr.uid),
+        numeric_id(attr.gid),
         attr.nlink,
         attr.rdev,
         attr.length,
         attr.blksize,
         attr.blocks,
-        attr.atime.s,
-        attr.atime.ns,
-        attr.mtime.s,
-        attr.mtime.ns,
-        attr.ctime.s,
-        attr.ctime.ns,
-        attr.btime.s,
-        attr.btime.ns,
+        attr.atime.seconds,
+        attr.atime.nanoseconds,
+        attr.mtime.seconds,
+        attr.mtime.nanoseconds,
+        attr.ctime.seconds,
+        attr.ctime.nanoseconds,
+        attr.btime.seconds,
+        attr.btime.nanoseconds,
         attr.gen,
         attr.data_version,
     )
 
 
-def getattr_attr(reply: codec_linux.Rgetattr) -> Attr:
-    """Return the attributes of a reply; the last writer, which 9P2000.L does not have, is the owner."""
+def attr_from_getattr(reply: codec_linux.Rgetattr) -> Attr:
+    """Return the attributes of a reply. 9P2000.L has no last writer (muid): the owner is used."""
     return Attr(
         reply.qid,
         reply.mode,
@@ -51,10 +51,10 @@
         str(reply.gid),
         str(reply.uid),
         reply.size,
-        Time(reply.atime_s, reply.atime_ns),
-        Time(reply.mtime_s, reply.mtime_ns),
-        Time(reply.ctime_s, reply.ctime_ns),
-        Time(reply.btime_s, reply.btime_ns),
+        Timestamp(reply.atime_s, reply.atime_ns),
+        Timestamp(reply.mtime_s, reply.mtime_ns),
+        Timestamp(reply.ctime_s, reply.ctime_ns),
+        Timestamp(reply.btime_s, reply.btime_ns),
         reply.nlink,
         reply.rdev,
         reply.blksize,
@@ -66,20 +66,18 @@
 
 
 def pack_entry(entry: Entry) -> bytes:
-    """Return an entry as an Rreaddir has it."""
-    raw = entry.name.encode()
+    """Encode an entry for the data of an Rreaddir."""
+    name = entry.name.encode()
     qid = entry.qid
-    return (
-        ENTRY_HEAD.pack(qid.type, qid.version, qid.path, entry.cookie, entry.kind or d_type(qid), len(raw))
-        + raw
-    )
+    d_type = entry.d_type or dirent_type(qid)
+    return ENTRY_FIXED_FIELDS.pack(qid.type, qid.version, qid.path, entry.cookie, d_type, len(name)) + name
 
 
 def read_entries(data: bytes) -> list[Entry]:
-    """Return the entries of an Rreaddir. Raises ValueError when one is cut short."""
+    """Decode the data of an Rreaddir. Raises ValueError if an entry is truncated."""
     reader = FieldReader(data)
     entries = []
     while reader.remaining:
-        qid, cookie, kind, name = (reader.read_field(kind) for kind in ENTRY_KINDS)
-        entries.append(Entry(name, qid, cookie, kind))
+        qid, cookie, d_type, name = (reader.read_field(code) for code in ENTRY_FIELD_CODES)
+        entries.append(Entry(name, qid, cookie, d_type))
     return entries
--- a/garnetlanding/ninep/client_dialect.py
+++ b/garnetlanding/ninep/client_dialect.py
@@ -8,7 +8,7 @@
 from garnetlanding.ninep import codec, codec_linux, errors
 from garnetlanding.ninep.codec import Message, Qid
 from garnetlanding.ninep.errors import OperationFailedError, Problem
-from garnetlanding.ninep.model import Attr, Changes, Entry, Path, Space
+from garnetlanding.ninep.model import Attr, AttributeChanges, Entry, FileSystemStats, Path
 from garnetlanding.ninep.session import REPLACED, Identity, OpenFile, OpenMode, Session, Steps, walk
 
 MIN_LISTING_BYTES = 4096
@@ -62,7 +62,7 @@
         """Return the attributes."""
         ...
 
-    def change(self, fid: int, qid: Qid, changes: Changes) -> Steps[None]:
+    def change(self, fid: int, qid: Qid, changes: AttributeChanges) -> Steps[None]:
         """Change attributes; with no changes at all, store what was written."""
         ...
 
@@ -106,7 +106,7 @@
         """Remove a name; `directory` says what it has to be the name of."""
         ...
 
-    def stat_fs(self, fid: int) -> Steps[Space]:
+    def stat_fs(self, fid: int) -> Steps[FileSystemStats]:
         """Return the figures of the file system."""
         ...
 
@@ -117,7 +117,7 @@
     return OperationFailedError(Problem(errors.EOPNOTSUPP, text))
 
 
-def check_changeable(changes: Changes) -> None:
+def check_changeable(changes: AttributeChanges) -> None:
     """Raise OperationFailedError if fields are to change that no wstat may change."""
     if changes.unchangeable:
         field_names = ", ".join(changes.unchangeable)
--- a/garnetlanding/ninep/client_dialect_linux.py
+++ b/garnetlanding/ninep/client_dialect_linux.py
@@ -5,11 +5,20 @@
 import stat as posix
 
 from garnetlanding.ninep import codec, codec_linux
-from garnetlanding.ninep.attribute_format import getattr_attr, read_entries
+from garnetlanding.ninep.attribute_format import attr_from_getattr, read_entries
 from garnetlanding.ninep.client_dialect import NewFile, check_changeable, open_file, unsupported
 from garnetlanding.ninep.codec import Message, Qid
 from garnetlanding.ninep.errors import OperationFailedError
-from garnetlanding.ninep.model import DM_FLAGS, Attr, Changes, Entry, Path, Space, Time, user_number
+from garnetlanding.ninep.model import (
+    DM_FLAGS,
+    Attr,
+    AttributeChanges,
+    Entry,
+    FileSystemStats,
+    Path,
+    Timestamp,
+    numeric_id,
+)
 from garnetlanding.ninep.session import Identity, OpenFile, OpenMode, Session, Steps, expect, walk
 from garnetlanding.runtime.errors import BackendProtocolError
 
@@ -58,9 +67,9 @@
     def stat(self, fid: int) -> Steps[Attr]:
         """Ask by Tgetattr."""
         reply = yield codec_linux.Tgetattr(fid, codec_linux.GETATTR_BASIC)
-        return getattr_attr(expect(reply, codec_linux.Rgetattr))
+        return attr_from_getattr(expect(reply, codec_linux.Rgetattr))
 
-    def change(self, fid: int, qid: Qid, changes: Changes) -> Steps[None]:  # noqa: ARG002 - of ClientDialect
+    def change(self, fid: int, qid: Qid, changes: AttributeChanges) -> Steps[None]:  # noqa: ARG002 - of ClientDialect
         """Change by one Tsetattr. A name is not changed here, but by `move`."""
         check_changeable(changes)
         if changes.flags is not None and changes.flags & DM_FLAGS:
@@ -133,10 +142,10 @@
         flags = codec_linux.AT_REMOVEDIR if directory else 0
         expect((yield codec_linux.Tunlinkat(fid, name, flags)), codec_linux.Runlinkat)
 
-    def stat_fs(self, fid: int) -> Steps[Space]:
+    def stat_fs(self, fid: int) -> Steps[FileSystemStats]:
         """Ask by Tstatfs."""
         reply = expect((yield codec_linux.Tstatfs(fid)), codec_linux.Rstatfs)
-        return Space(
+        return FileSystemStats(
             reply.type,
             reply.bsize,
             reply.blocks,
@@ -160,7 +169,7 @@
     return unsupported("an append-only or exclusive-use file", codec_linux.VERSION)
 
 
-def _setattr(fid: int, changes: Changes) -> codec_linux.Tsetattr:
+def _setattr(fid: int, changes: AttributeChanges) -> codec_linux.Tsetattr:
     """Return the Tsetattr of these changes; what is not to change is 0 in it, and not in its mask."""
     valid = 0
     for bits, value in (
@@ -173,8 +182,8 @@
     ):
         if value is not None:
             valid |= bits
-    atime = changes.atime or Time(0)
-    mtime = changes.mtime or Time(0)
+    atime = changes.atime or Timestamp(0)
+    mtime = changes.mtime or Timestamp(0)
     return codec_linux.Tsetattr(
         fid,
         valid,
@@ -182,10 +191,10 @@
         _user_number(changes.uid),
         _user_number(changes.gid),
         changes.length or 0,
-        atime.s,
-        atime.ns,
-        mtime.s,
-        mtime.ns,
+        atime.seconds,
+        atime.nanoseconds,
+        mtime.seconds,
+        mtime.nanoseconds,
     )
 
 
@@ -194,4 +203,4 @@
         return 0
     if not name.isdigit():
         raise unsupported(f"the user {name!r:.40}, who has no number,", codec_linux.VERSION)
-    return user_number(name)
+    return numeric_id(name)
--- a/garnetlanding/ninep/client_dialect_plain.py
+++ b/garnetlanding/ninep/client_dialect_plain.py
@@ -14,9 +14,19 @@
 )
 from garnetlanding.ninep.codec import FieldReader, Message, Qid
 from garnetlanding.ninep.errors import OperationFailedError, Problem
-from garnetlanding.ninep.model import DM_FLAGS, DMDIR, PERM, Attr, Changes, Entry, Path, Space, d_type
+from garnetlanding.ninep.model import (
+    DM_FLAGS,
+    DMDIR,
+    PERMISSION_BITS,
+    Attr,
+    AttributeChanges,
+    Entry,
+    FileSystemStats,
+    Path,
+    dirent_type,
+)
 from garnetlanding.ninep.session import Identity, OpenFile, OpenMode, Session, Steps, expect, walk
-from garnetlanding.ninep.stat_format import pack_changes, parse_stat, raw_attr, read_stat
+from garnetlanding.ninep.stat_format import attr_from_stat, pack_wstat, parse_stat, read_stat
 from garnetlanding.runtime.errors import BackendProtocolError
 
 
@@ -52,7 +62,7 @@
             if file:
                 return file
         fid, _ = yield from walk(session, parent, None)
-        perm = new_file.perm & PERM | new_file.flags & DM_FLAGS
+        perm = new_file.perm & PERMISSION_BITS | new_file.flags & DM_FLAGS
         reply = expect((yield codec.Tcreate(fid, name, perm, open_mode.access)), codec.Rcreate)
         session.surplus_fids.remove(fid)
         return OpenFile(fid, reply.qid, reply.iounit)
@@ -78,11 +88,11 @@
         """Ask by Tstat."""
         reply = expect((yield codec.Tstat(fid)), codec.Rstat)
         try:
-            return raw_attr(parse_stat(reply.stat))
+            return attr_from_stat(parse_stat(reply.stat))
         except ValueError as error:
             raise BackendProtocolError(f"bad stat: {error}") from error
 
-    def change(self, fid: int, qid: Qid, changes: Changes) -> Steps[None]:
+    def change(self, fid: int, qid: Qid, changes: AttributeChanges) -> Steps[None]:
         """Change by one Twstat, which may also change the name."""
         check_changeable(changes)
         if changes.uid is not None:
@@ -92,7 +102,7 @@
         if changes.perm is not None and changes.flags is None:
             # A wstat sets the mode as a whole: the bits beside the permissions have to stay as they are.
             attr = yield from self.stat(fid)
-            changes = Changes(
+            changes = AttributeChanges(
                 name=changes.name,
                 perm=changes.perm,
                 flags=attr.flags,
@@ -100,7 +110,7 @@
                 length=changes.length,
                 mtime=changes.mtime,
             )
-        packed = pack_changes(changes, bool(qid.type & codec.QTDIR))
+        packed = pack_wstat(changes, bool(qid.type & codec.QTDIR))
         expect((yield codec.Twstat(fid, packed)), codec.Rwstat)
 
     def move(self, session: Session, old: Path, new: Path, qid: Qid | None) -> Steps[None]:
@@ -108,7 +118,7 @@
         if old[:-1] != new[:-1]:
             raise OperationFailedError(Problem(errors.EXDEV))
         fid, found = yield from walk(session, old, qid)
-        yield from self.change(fid, found, Changes(name=new[-1]))
+        yield from self.change(fid, found, AttributeChanges(name=new[-1]))
 
     def entries(
         self, session: Session, path: Path, open_mode: OpenMode, qid: Qid, cookie: int, count: int
@@ -146,11 +156,11 @@
     ) -> Steps[None]:
         """Store by a Twstat that changes nothing, as stat(5) has it."""
         fid, found = yield from walk(session, path, qid)
-        yield from self.change(fid, found, Changes())
+        yield from self.change(fid, found, AttributeChanges())
 
     def make_directory(self, fid: int, name: str, new_file: NewFile) -> Steps[Qid]:
         """Make it by Tcreate."""
-        perm = DMDIR | new_file.perm & PERM
+        perm = DMDIR | new_file.perm & PERMISSION_BITS
         return expect((yield codec.Tcreate(fid, name, perm, codec.OREAD)), codec.Rcreate).qid
 
     def make_node(
@@ -164,7 +174,7 @@
         """Make a regular file by Tcreate; there are no others in this dialect."""
         if not posix.S_ISREG(new_file.perm):
             raise unsupported("a device or pipe", codec.VERSION)
-        perm = new_file.perm & PERM
+        perm = new_file.perm & PERMISSION_BITS
         return expect((yield codec.Tcreate(fid, name, perm, codec.OREAD)), codec.Rcreate).qid
 
     def symlink(self, fid: int, name: str, target: str, gid: int) -> Steps[Qid]:  # noqa: ARG002 - fails
@@ -190,7 +200,7 @@
         session.surplus_fids.remove(fid)  # a remove clunks it, whatever comes of it
         expect((yield codec.Tremove(fid)), codec.Rremove)
 
-    def stat_fs(self, fid: int) -> Steps[Space]:  # noqa: ARG002 - fails
+    def stat_fs(self, fid: int) -> Steps[FileSystemStats]:  # noqa: ARG002 - fails
         """Fail: the dialect has no figures of a file system."""
         raise unsupported("the room of a file system", codec.VERSION)
         yield  # makes this a program
@@ -214,7 +224,7 @@
         while reader.remaining:
             raw = read_stat(reader)
             cookie = start + len(data) - reader.remaining
-            entries.append(Entry(raw.name, raw.qid, cookie, d_type(raw.qid), raw_attr(raw)))
+            entries.append(Entry(raw.name, raw.qid, cookie, dirent_type(raw.qid), attr_from_stat(raw)))
     except ValueError as error:
         raise BackendProtocolError(f"bad directory entry: {error}") from error
     return entries
--- a/garnetlanding/ninep/fid_table.py
+++ b/garnetlanding/ninep/fid_table.py
@@ -8,7 +8,7 @@
 from garnetlanding.ninep import errors
 from garnetlanding.ninep.codec import NOFID
 from garnetlanding.ninep.fids import Fid, RequestRejectedError
-from garnetlanding.ninep.model import Path, good_name
+from garnetlanding.ninep.model import Path, is_valid_name
 from garnetlanding.ninep.pending import PendingRequest
 from garnetlanding.ninep.session import OpenMode
 
@@ -24,7 +24,7 @@
 
 def check_name(name: str) -> None:
     """Raise RequestRejectedError for a name that a file cannot be given."""
-    if not good_name(name):
+    if not is_valid_name(name):
         raise RequestRejectedError(errors.EINVAL, f"illegal name {name!r:.40}")
 
 
--- a/garnetlanding/ninep/model.py
+++ b/garnetlanding/ninep/model.py
@@ -1,8 +1,9 @@
-"""Files as neither dialect alone sees them: attributes, directory entries, changes.
+"""Dialect-independent types for files: attributes, directory entries, attribute changes.
 
-Modes are those of POSIX (type and permission bits), with 9P2000's append-only and exclusive-use bits
-beside them. Users are texts; a number becomes its digits, a name that is no number becomes NOBODY. The forms
-on the wire are those of `stat_format.py` (9P2000) and `attribute_format.py` (9P2000.L).
+Modes are POSIX modes (type and permission bits); 9P2000's append-only and exclusive-use bits are kept in a
+separate field. Users and groups are strings: a numeric id is written in decimal, and a name that is not a
+number becomes NOBODY_ID where a numeric id is needed. `stat_format.py` (9P2000) and `attribute_format.py`
+(9P2000.L) encode these types.
 """
 
 from __future__ import annotations
@@ -13,44 +14,44 @@
 from garnetlanding.ninep.codec import QTDIR, QTSYMLINK, Qid
 
 Path = tuple[str, ...]
-"""The names from an export's root to a file."""
+"""The names on the way from an export's root to a file."""
 
-# Bits of a 9P2000 mode, beside the permissions.
+# Bits of a 9P2000 mode besides the permissions.
 DMDIR = 0x80000000
 DMAPPEND = 0x40000000
 DMEXCL = 0x20000000
 DMTMP = 0x04000000
 DM_FLAGS = DMAPPEND | DMEXCL | DMTMP
 
-PERM = 0o777
-"""The permission bits that both dialects have."""
+PERMISSION_BITS = 0o777
+"""The permission bits that exist in both dialects."""
 
-NOBODY = 65534
-"""The number of a user or group whose name is no number."""
+NOBODY_ID = 65534
+"""The numeric id of a user or group whose name is not a number."""
 
-_NO_NUMBER = 0xFFFFFFFF
-_BAD_NAMES = ("", ".", "..")
+_INVALID_ID = 0xFFFFFFFF
+_RESERVED_NAMES = ("", ".", "..")
 
-# readdir(3)'s types.
-DT_DIRECTORY = 4
-DT_REGULAR = 8
-DT_SYMLINK = 10
+# Values of d_type in readdir(3).
+DT_DIR = 4
+DT_REG = 8
+DT_LNK = 10
 
 
 @dataclass(frozen=True, slots=True)
-class Time:
-    """A time since 1970, in seconds and nanoseconds."""
+class Timestamp:
+    """A time since 1970-01-01 UTC."""
 
-    s: int
-    ns: int = 0
+    seconds: int
+    nanoseconds: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Attr:
     """The attributes of one file.
 
-    `mode` has POSIX's type and permission bits, `flags` DMAPPEND, DMEXCL and DMTMP. `length` is in bytes,
-    `blocks` in units of 512 bytes. `valid` has the GETATTR bits of the attributes that hold.
+    `mode` holds the POSIX type and permission bits, `flags` DMAPPEND, DMEXCL and DMTMP. `length` is in bytes,
+    `blocks` in units of 512 bytes. `valid` holds the GETATTR bits of the attributes that are set.
     """
 
     qid: Qid
@@ -60,10 +61,10 @@
     gid: str = ""
     muid: str = ""
     length: int = 0
-    atime: Time = Time(0)
-    mtime: Time = Time(0)
-    ctime: Time = Time(0)
-    btime: Time = Time(0)
+    atime: Timestamp = Timestamp(0)
+    mtime: Timestamp = Timestamp(0)
+    ctime: Timestamp = Timestamp(0)
+    btime: Timestamp = Timestamp(0)
     nlink: int = 1
     rdev: int = 0
     blksize: int = 4096
@@ -77,22 +78,22 @@
 class Entry:
     """One entry of a directory.
 
-    `cookie` is where the next one begins; `kind` is readdir(3)'s d_type, 0 where it is unknown; `attr` is
-    None where a 9P2000.L server sent the entry.
+    `cookie` is the position of the next entry; `d_type` is as in readdir(3), 0 if unknown; `attr` is None
+    for an entry from a 9P2000.L server.
     """
 
     name: str
     qid: Qid
     cookie: int
-    kind: int = 0
+    d_type: int = 0
     attr: Attr | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Changes:
-    """What a wstat or a setattr changes; None leaves an attribute as it is.
+class AttributeChanges:
+    """The changes of a wstat or a setattr; None leaves an attribute unchanged.
 
-    `unchangeable` names the fields of a wstat that may not change, but are to.
+    `unchangeable` names the fields that a wstat requests to change although the protocol forbids it.
     """
 
     name: str | None = None
@@ -101,19 +102,19 @@
     uid: str | None = None
     gid: str | None = None
     length: int | None = None
-    atime: Time | None = None
-    mtime: Time | None = None
+    atime: Timestamp | None = None
+    mtime: Timestamp | None = None
     unchangeable: tuple[str, ...] = ()
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is to change."""
-        return self == Changes()
+        """Whether no attribute changes."""
+        return self == AttributeChanges()
 
 
 @dataclass(frozen=True, slots=True)
-class Space:
-    """The figures of a file system, with the fields of an Rstatfs."""
+class FileSystemStats:
+    """Statistics of a file system; the fields are those of Rstatfs."""
 
     type: int
     bsize: int
@@ -126,22 +127,22 @@
     namelen: int
 
 
-def user_number(name: str) -> int:
-    """Return the number of a user or group, NOBODY for a name that is no number."""
-    if name.isdigit() and int(name) < _NO_NUMBER:
+def numeric_id(name: str) -> int:
+    """Return the numeric id of a user or group, NOBODY_ID for a name that is not a number."""
+    if name.isdigit() and int(name) < _INVALID_ID:
         return int(name)
-    return NOBODY
+    return NOBODY_ID
 
 
-def good_name(name: str) -> bool:
-    """Return whether a new file, or one that is moved, may have this name."""
-    return name not in _BAD_NAMES and "/" not in name and "\0" not in name
+def is_valid_name(name: str) -> bool:
+    """Return whether a file may be created with this name, or renamed to it."""
+    return name not in _RESERVED_NAMES and "/" not in name and "\0" not in name
 
 
-def d_type(qid: Qid) -> int:
-    """Return readdir(3)'s type of a file of which only the qid is known."""
+def dirent_type(qid: Qid) -> int:
+    """Return the d_type (readdir(3)) that the type bits of a qid imply."""
     if qid.type & QTDIR:
-        return DT_DIRECTORY
+        return DT_DIR
     if qid.type & QTSYMLINK:
-        return DT_SYMLINK
-    return DT_REGULAR
+        return DT_LNK
+    return DT_REG
--- a/garnetlanding/ninep/operations.py
+++ b/garnetlanding/ninep/operations.py
@@ -22,7 +22,7 @@
 from garnetlanding.ninep.codec import Qid
 from garnetlanding.ninep.errors import OperationFailedError, Problem
 from garnetlanding.ninep.handshake import shake_hands
-from garnetlanding.ninep.model import Attr, Changes, Entry, Path, Space
+from garnetlanding.ninep.model import Attr, AttributeChanges, Entry, FileSystemStats, Path
 from garnetlanding.ninep.operation_table import TABLE, Op, OperationSpec
 from garnetlanding.ninep.session import (
     NO_FILE,
@@ -36,7 +36,7 @@
     walk,
     walk_prefix,
 )
-from garnetlanding.ninep.stat_format import STAT_FIXED_BYTES
+from garnetlanding.ninep.stat_format import MIN_STAT_BYTES
 from garnetlanding.runtime.errors import BackendProtocolError
 
 
@@ -263,7 +263,7 @@
                 continue
             complete.append(replace(entry, qid=attr.qid, attr=attr))
             text_bytes = len(entry.name.encode()) + len(attr.uid) + len(attr.gid) + len(attr.muid)
-            bytes_left -= STAT_FIXED_BYTES + text_bytes
+            bytes_left -= MIN_STAT_BYTES + text_bytes
         return complete
 
 
@@ -322,7 +322,7 @@
 class Change(Work):
     """A wstat or setattr. A new name is a rename, which no server does twice to the same end."""
 
-    changes: Changes = Changes()
+    changes: AttributeChanges = AttributeChanges()
 
     @property
     def op(self) -> Op:
@@ -345,7 +345,7 @@
         fid, qid = yield from walk(session, self.path, self.qid)
         if changes.name is None or not dialect.rename_replaces:
             yield from dialect.change(fid, qid, changes)
-        elif changes == Changes(name=changes.name):
+        elif changes == AttributeChanges(name=changes.name):
             yield from self._rename(session, dialect, changes.name)
         else:
             raise unsupported("a new name together with other changes", dialect.version)
@@ -410,7 +410,7 @@
 
     OP = Op.STAT_FS
 
-    def steps(self, session: Session, dialect: ClientDialect) -> Steps[Space]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[FileSystemStats]:
         """Return the figures."""
         fid, _ = yield from walk(session, self.path, self.qid)
         return (yield from dialect.stat_fs(fid))
--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -18,7 +18,7 @@
 from garnetlanding.ninep.fid_table import check_offset
 from garnetlanding.ninep.fids import Fid, RequestRejectedError
 from garnetlanding.ninep.locks import END, LockLimitError, LockOwner, LockRange, byte_span
-from garnetlanding.ninep.model import Changes, Entry, Space, Time
+from garnetlanding.ninep.model import AttributeChanges, Entry, FileSystemStats, Timestamp
 from garnetlanding.ninep.operations import (
     Change,
     Create,
@@ -343,12 +343,12 @@
         raise RequestRejectedError(errors.EXDEV)
 
 
-def _read_changes(message: codec_linux.Tsetattr, now: Time) -> Changes:
+def _read_changes(message: codec_linux.Tsetattr, now: Timestamp) -> AttributeChanges:
     """Return what a Tsetattr asks for; `now` is set where it gives no time of its own."""
     valid = message.valid
-    atime = Time(message.atime_s, message.atime_ns) if valid & codec_linux.SETATTR_ATIME_SET else now
-    mtime = Time(message.mtime_s, message.mtime_ns) if valid & codec_linux.SETATTR_MTIME_SET else now
-    return Changes(
+    atime = Timestamp(message.atime_s, message.atime_ns) if valid & codec_linux.SETATTR_ATIME_SET else now
+    mtime = Timestamp(message.mtime_s, message.mtime_ns) if valid & codec_linux.SETATTR_MTIME_SET else now
+    return AttributeChanges(
         perm=message.mode & _PERMISSIONS if valid & codec_linux.SETATTR_MODE else None,
         uid=str(message.uid) if valid & codec_linux.SETATTR_UID else None,
         gid=str(message.gid) if valid & codec_linux.SETATTR_GID else None,
@@ -358,17 +358,17 @@
     )
 
 
-def _statfs_reply(space: Space) -> Message:
+def _statfs_reply(stats: FileSystemStats) -> Message:
     return codec_linux.Rstatfs(
-        space.type,
-        space.bsize,
-        space.blocks,
-        space.bfree,
-        space.bavail,
-        space.files,
-        space.ffree,
-        space.fsid,
-        space.namelen,
+        stats.type,
+        stats.bsize,
+        stats.blocks,
+        stats.bfree,
+        stats.bavail,
+        stats.files,
+        stats.ffree,
+        stats.fsid,
+        stats.namelen,
     )
 
 
--- a/garnetlanding/ninep/server_dialect_plain.py
+++ b/garnetlanding/ninep/server_dialect_plain.py
@@ -12,12 +12,12 @@
 from garnetlanding.ninep.errors import Problem
 from garnetlanding.ninep.fid_table import check_name, check_offset
 from garnetlanding.ninep.fids import DirectoryPosition, Fid, RequestRejectedError
-from garnetlanding.ninep.model import DM_FLAGS, DMDIR, PERM, Attr, Changes, Entry
+from garnetlanding.ninep.model import DM_FLAGS, DMDIR, PERMISSION_BITS, Attr, AttributeChanges, Entry
 from garnetlanding.ninep.operations import Change, Create, Open, ReadDirectory, Stat
 from garnetlanding.ninep.pending import PendingRequest
 from garnetlanding.ninep.server_dialect import Handlers
 from garnetlanding.ninep.session import OpenFile, OpenMode
-from garnetlanding.ninep.stat_format import pack_stat, parse_stat, plain_qid, raw_changes
+from garnetlanding.ninep.stat_format import changes_from_stat, pack_stat, parse_stat, plain_qid
 
 _ACCESS_MASK = 0x03
 _STAT_OVERHEAD = codec.HEADER_BYTES + 2
@@ -91,7 +91,7 @@
         if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
         self._session.fids.get_directory(message.fid, message.name)
-        if message.perm & ~(DMDIR | DM_FLAGS | PERM):
+        if message.perm & ~(DMDIR | DM_FLAGS | PERMISSION_BITS):
             raise RequestRejectedError(errors.EINVAL, f"unknown kind of file {message.perm:#x}")
         self._session.fids.check_path((*fid.path, message.name))
         if message.perm & DMDIR:
@@ -102,7 +102,7 @@
 
     def _file_creation(self, message: codec.Tcreate, fid: Fid, open_mode: OpenMode) -> PendingRequest:
         path = (*fid.path, message.name)
-        new = NewFile(message.perm & PERM, message.perm & DM_FLAGS)
+        new = NewFile(message.perm & PERMISSION_BITS, message.perm & DM_FLAGS)
 
         def created(file: OpenFile) -> Message:
             fid.path = path
@@ -118,7 +118,7 @@
         if open_mode.access != OREAD:
             raise RequestRejectedError(errors.EISDIR)
         path = (*fid.path, message.name)
-        new = NewFile(message.perm & PERM, message.perm & DM_FLAGS)
+        new = NewFile(message.perm & PERMISSION_BITS, message.perm & DM_FLAGS)
 
         def created(qid: Qid) -> Message:
             fid.path = path
@@ -151,7 +151,7 @@
         if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
         try:
-            wanted = raw_changes(parse_stat(message.stat))
+            wanted = changes_from_stat(parse_stat(message.stat))
         except ValueError as error:
             raise RequestRejectedError(errors.EINVAL, f"bad stat: {error}") from error
         changes = _checked_name(fid, _checked_length(fid, _checked_flags(fid, wanted)))
@@ -188,7 +188,7 @@
         self._session.requests.submit(tag, PendingRequest(fid, operation, answered, number, size=count))
 
 
-def _checked_flags(fid: Fid, changes: Changes) -> Changes:
+def _checked_flags(fid: Fid, changes: AttributeChanges) -> AttributeChanges:
     if changes.flags is None:
         return changes
     if bool(changes.flags & DMDIR) != fid.is_dir:
@@ -196,7 +196,7 @@
     return replace(changes, flags=changes.flags & DM_FLAGS)
 
 
-def _checked_length(fid: Fid, changes: Changes) -> Changes:
+def _checked_length(fid: Fid, changes: AttributeChanges) -> AttributeChanges:
     if changes.length is None:
         return changes
     if fid.is_dir and changes.length:
@@ -205,7 +205,7 @@
     return replace(changes, length=None if fid.is_dir else changes.length)
 
 
-def _checked_name(fid: Fid, changes: Changes) -> Changes:
+def _checked_name(fid: Fid, changes: AttributeChanges) -> AttributeChanges:
     if changes.name is None:
         return changes
     check_name(changes.name)
--- a/garnetlanding/ninep/shared_state.py
+++ b/garnetlanding/ninep/shared_state.py
@@ -12,7 +12,7 @@
 from garnetlanding.ninep.fair_admission import FairAdmission
 from garnetlanding.ninep.fids import Fid
 from garnetlanding.ninep.locks import ExclusiveUse, LockTable
-from garnetlanding.ninep.model import Path, Time
+from garnetlanding.ninep.model import Path, Timestamp
 from garnetlanding.ninep.order import ChangeOrder, Enqueued, ExportPaths
 from garnetlanding.ninep.setup import Export
 from garnetlanding.runtime.buffers import BufferPool
@@ -74,10 +74,10 @@
         self.clients.pop(client, None)
         self.admission.forget(client)
 
-    def wall_time(self) -> Time:
+    def wall_time(self) -> Timestamp:
         """Return the time of day, for a setattr that sets a time to "now"."""
         now = self.clock()
-        return Time(int(now), int(now % 1 * _NANOSECONDS))
+        return Timestamp(int(now), int(now % 1 * _NANOSECONDS))
 
     # Changes, in order
 
--- a/tests/ninep/test_session_changes.py
+++ b/tests/ninep/test_session_changes.py
@@ -45,11 +45,16 @@
         before = instance.disk.attr(node)
         assert tool.ask(p9.Twstat(5, wstat(**change))) == p9.Rwstat()
         after = instance.disk.attr(node)
-        kept = {"mode": after.mode & 0o777, "length": after.length, "mtime": after.mtime.s, "gid": after.gid}
+        kept = {
+            "mode": after.mode & 0o777,
+            "length": after.length,
+            "mtime": after.mtime.seconds,
+            "gid": after.gid,
+        }
         was = {
             "mode": before.mode & 0o777,
             "length": before.length,
-            "mtime": before.mtime.s,
+            "mtime": before.mtime.seconds,
             "gid": before.gid,
         }
         wanted = was | {k: v for k, v in change.items() if k != "name"}
--- a/tests/support/ninep_changes.py
+++ b/tests/support/ninep_changes.py
@@ -4,7 +4,7 @@
 
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
-from garnetlanding.ninep.stat_format import KEEP4, KEEP8, STAT_HEAD
+from garnetlanding.ninep.stat_format import STAT_FIXED_FIELDS, UNCHANGED_U32, UNCHANGED_U64
 from tests.support.ninep_instance import NinepClient, NinepInstance
 
 PLAIN, LINUX = p9.VERSION, p9l.VERSION
@@ -12,17 +12,26 @@
 
 def wstat(
     name: str = "",
-    mode: int = KEEP4,
-    mtime: int = KEEP4,
-    length: int = KEEP8,
+    mode: int = UNCHANGED_U32,
+    mtime: int = UNCHANGED_U32,
+    length: int = UNCHANGED_U64,
     gid: str = "",
     uid: str = "",
-    atime: int = KEEP4,
+    atime: int = UNCHANGED_U32,
 ) -> bytes:
     texts = b"".join(p9.pack_field("s", text) for text in (name, uid, gid, ""))
     return (
-        STAT_HEAD.pack(
-            STAT_HEAD.size - 2 + len(texts), 0xFFFF, KEEP4, 0xFF, KEEP4, KEEP8, mode, atime, mtime, length
+        STAT_FIXED_FIELDS.pack(
+            STAT_FIXED_FIELDS.size - 2 + len(texts),
+            0xFFFF,
+            UNCHANGED_U32,
+            0xFF,
+            UNCHANGED_U32,
+            UNCHANGED_U64,
+            mode,
+            atime,
+            mtime,
+            length,
         )
         + texts
     )
