--- a/garnetlanding/conform/cases/linux_names.py
+++ b/garnetlanding/conform/cases/linux_names.py
@@ -12,7 +12,7 @@
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
 
-NOT_SUPPORTED = errors.from_number(errors.EOPNOTSUPP).text
+NOT_SUPPORTED = errors.reply_from_errno(errors.EOPNOTSUPP).text
 
 
 def create_symlink(client: Client, name: str, target: str) -> p9.Qid:
@@ -34,7 +34,7 @@
 def is_error(client: Client, reply: p9.Message, number: int) -> bool:
     """Return whether the reply is the error with this number."""
     error = client.error_of(reply)
-    return error is not None and error.number == number
+    return error is not None and error.errno == number
 
 
 @case("mkdir: a directory", LINUX_ONLY)
--- a/garnetlanding/conform/connection.py
+++ b/garnetlanding/conform/connection.py
@@ -136,12 +136,12 @@
     # Expectations
 
     @staticmethod
-    def error_of(reply: p9.Message) -> errors.Problem | None:
+    def error_of(reply: p9.Message) -> errors.ErrorReply | None:
         """Return the error that a reply carries in either dialect's form, None for any other reply."""
         if isinstance(reply, p9.Rerror):
-            return errors.from_text(reply.ename)
+            return errors.reply_from_text(reply.ename)
         if isinstance(reply, p9l.Rlerror):
-            return errors.from_number(reply.ecode)
+            return errors.reply_from_errno(reply.ecode)
         return None
 
     def expect(self, kind: type[MessageT], reply: p9.Message) -> MessageT:
@@ -158,13 +158,13 @@
         error = self.error_of(reply)
         if error is None:
             raise CaseFailedError(f"an error expected, found {message_name(type(reply))}")
-        if self.linux and numbers and error.number not in numbers:
+        if self.linux and numbers and error.errno not in numbers:
             expected = ", ".join(map(str, numbers))
-            raise CaseFailedError(f"error {error.number} ({error.text}), expected one of {expected}")
+            raise CaseFailedError(f"error {error.errno} ({error.text}), expected one of {expected}")
 
     def skip_if_unsupported(self, reply: p9.Message) -> p9.Message:
         """Return the reply; when it states that the operation is not supported, end the case as such."""
         error = self.error_of(reply)
-        if error is not None and error.number in (errors.EOPNOTSUPP, errors.ENOSYS):
+        if error is not None and error.errno in (errors.EOPNOTSUPP, errors.ENOSYS):
             raise UnsupportedError(error.text)
         return reply
--- a/garnetlanding/daemon/settings.py
+++ b/garnetlanding/daemon/settings.py
@@ -45,7 +45,7 @@
     from garnetlanding.ninep.operation_table import with_unsafe_variants
 
     return with_unsafe_variants(
-        settings, (export.change_cls for export in ninep.exports.values() if export.writable)
+        settings, (export.change_request_class for export in ninep.exports.values() if export.writable)
     )
 
 
--- a/garnetlanding/emulator/disk.py
+++ b/garnetlanding/emulator/disk.py
@@ -28,7 +28,7 @@
 
     def __init__(self, number: int, words: str = "") -> None:
         super().__init__(number, words)
-        self.problem = errors.Problem(number, words)
+        self.problem = errors.ErrorReply(number, words)
 
 
 @dataclass(eq=False, slots=True)
--- a/garnetlanding/emulator/file_connection.py
+++ b/garnetlanding/emulator/file_connection.py
@@ -18,7 +18,7 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import ErrorReply
 from garnetlanding.ninep.locks import ExclusiveUse, LockTable
 from garnetlanding.runtime.protocols import Write
 
@@ -58,7 +58,7 @@
         """Run a message that only this dialect has and return the reply; None when it has no such request."""
         raise NotImplementedError
 
-    def error(self, problem: Problem) -> p9.Message:
+    def error(self, problem: ErrorReply) -> p9.Message:
         """Return the reply to a request that failed."""
         raise NotImplementedError
 
@@ -92,11 +92,11 @@
     def _receive(self, tag: int, message: p9.Message | p9.MalformedMessage) -> None:
         server = self.server
         if isinstance(message, p9.MalformedMessage):
-            self._send(tag, self._error(Problem(errors.EPROTO, message.reason)))
+            self._send(tag, self._error(ErrorReply(errors.EPROTO, message.reason)))
             return
         server.received.append(message)
         if tag in self._waiting and not isinstance(message, p9.Tversion):
-            self._send(tag, self._error(Problem(errors.EPROTO, "duplicate tag")))
+            self._send(tag, self._error(ErrorReply(errors.EPROTO, "duplicate tag")))
             return
         if server.holds_reply and server.holds_reply(message):
             self._hold(tag, message)
@@ -130,7 +130,7 @@
                 self.run(message)
                 server.close_connection(self)
             case Fault.REFUSE:
-                self._send(tag, self._error(Problem(rule.error_number)))
+                self._send(tag, self._error(ErrorReply(rule.error_number)))
             case _:
                 self._reply_wrongly(tag, message, rule.fault)
 
@@ -184,7 +184,7 @@
         if not self.is_closing:
             self.write(p9.encode(tag, message))
 
-    def _error(self, problem: Problem) -> p9.Message:
+    def _error(self, problem: ErrorReply) -> p9.Message:
         return self.dialect.error(problem) if self.dialect else p9.Rerror(problem.text)
 
     # Messages of both dialects
--- a/garnetlanding/emulator/files_linux.py
+++ b/garnetlanding/emulator/files_linux.py
@@ -11,7 +11,7 @@
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
 from garnetlanding.ninep.attribute_format import getattr_reply, pack_entry
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import ErrorReply
 from garnetlanding.ninep.locks import END, LockOwner, LockRange, byte_span
 from garnetlanding.ninep.model import Entry, Timestamp, dirent_type, is_valid_name
 
@@ -25,9 +25,9 @@
 
     table = p9l.LINUX_MESSAGES
 
-    def error(self, problem: Problem) -> p9.Message:
+    def error(self, problem: ErrorReply) -> p9.Message:
         """Return the Rlerror with the problem's number."""
-        return p9l.Rlerror(problem.number)
+        return p9l.Rlerror(problem.errno)
 
     def reply(self, connection: FileConnection, message: p9.Message) -> p9.Message | None:
         """Serve the messages that only 9P2000.L has, from Tgetattr to Tlock."""
--- a/garnetlanding/emulator/files_plain.py
+++ b/garnetlanding/emulator/files_plain.py
@@ -9,7 +9,7 @@
 from garnetlanding.emulator.file_connection import SIGNED_END, Dialect, FileConnection, OpenFid
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import errors
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import ErrorReply
 from garnetlanding.ninep.model import DM_FLAGS, DMDIR, AttributeChanges, Timestamp, is_valid_name
 from garnetlanding.ninep.stat_format import RawStat, changes_from_stat, pack_stat, parse_stat
 
@@ -23,7 +23,7 @@
 
     table = p9.PLAIN_MESSAGES
 
-    def error(self, problem: Problem) -> p9.Message:
+    def error(self, problem: ErrorReply) -> p9.Message:
         """Return the Rerror with the problem's text."""
         return p9.Rerror(problem.text)
 
--- a/garnetlanding/ninep/__init__.py
+++ b/garnetlanding/ninep/__init__.py
@@ -1,1 +1,1 @@
-"""9P2000, read-only, both ways: a front for editing tools and the client to file servers."""
+"""9P2000 and 9P2000.L: the server side for clients and the client side for file servers."""
--- a/garnetlanding/ninep/client.py
+++ b/garnetlanding/ninep/client.py
@@ -14,7 +14,7 @@
 from garnetlanding.limits import Limits
 from garnetlanding.ninep import codec, codec_linux
 from garnetlanding.ninep.client_dialect import may_change
-from garnetlanding.ninep.operations import Read, ReadDirectory, Work, Write
+from garnetlanding.ninep.operations import Operation, Read, ReadDirectory, Write
 from garnetlanding.ninep.session import Session, SessionLimits, Steps, clunk_surplus_fids
 from garnetlanding.runtime.buffers import BufferPool
 from garnetlanding.runtime.errors import BackendProtocolError, UnsolicitedResponseError
@@ -54,7 +54,7 @@
 
     def __init__(
         self,
-        work: Work,
+        work: Operation,
         pool: BufferPool,
         limits: Limits,
         offered_versions: tuple[str, ...],
@@ -82,7 +82,7 @@
         """Start the attempt's program. Raises `BackendProtocolError` if the server is to be sent nothing."""
         self._attempt = attempt
         self.bytes_may_have_been_sent = False
-        self._program = attempt.operation.program(self._session)
+        self._program = attempt.operation.attempt_steps(self._session)
         self._run_program(None)
 
     def feed(self, data: bytes | memoryview) -> None:
@@ -141,13 +141,13 @@
         """
         if self._attempt is None or self.bytes_may_have_been_sent:
             return
-        work: Work = self._attempt.operation
-        if not work.spec.change:
+        work: Operation = self._attempt.operation
+        if not work.spec.changes_tree:
             self.bytes_may_have_been_sent = True
         elif may_change(message):
             self.bytes_may_have_been_sent = True
-            work.trace.exposed = True
-            work.trace.unsure += 1
+            work.delivery.maybe_delivered = True
+            work.delivery.unresolved_attempts += 1
 
     def _end_program(self, result: object) -> None:
         """End the attempt; the connection is free as soon as no file of it keeps others out.
@@ -158,9 +158,9 @@
         attempt = self._attempt
         self._attempt = None
         if attempt:
-            work: Work = attempt.operation
-            if work.spec.change and self.bytes_may_have_been_sent:
-                work.trace.unsure -= 1
+            work: Operation = attempt.operation
+            if work.spec.changes_tree and self.bytes_may_have_been_sent:
+                work.delivery.unresolved_attempts -= 1
             if self._session.clunk_before_next:
                 self._program = clunk_surplus_fids(self._session)
                 attempt.finish(Outcome.SERVED, result)
--- a/garnetlanding/ninep/client_dialect.py
+++ b/garnetlanding/ninep/client_dialect.py
@@ -7,7 +7,7 @@
 
 from garnetlanding.ninep import codec, codec_linux, errors
 from garnetlanding.ninep.codec import Message, Qid
-from garnetlanding.ninep.errors import OperationFailedError, Problem
+from garnetlanding.ninep.errors import ErrorReply, OperationFailedError
 from garnetlanding.ninep.model import Attr, AttributeChanges, Entry, FileSystemStats, Path
 from garnetlanding.ninep.session import REPLACED, Identity, OpenFile, OpenMode, Session, Steps, walk
 
@@ -114,14 +114,14 @@
 def unsupported(what: str, version: str) -> OperationFailedError:
     """Return the error for what the dialect `version` cannot express."""
     text = f"operation not supported: {what} cannot be expressed in {version}"
-    return OperationFailedError(Problem(errors.EOPNOTSUPP, text))
+    return OperationFailedError(ErrorReply(errors.EOPNOTSUPP, text))
 
 
 def check_changeable(changes: AttributeChanges) -> None:
     """Raise OperationFailedError if fields are to change that no wstat may change."""
     if changes.unchangeable:
         field_names = ", ".join(changes.unchangeable)
-        raise OperationFailedError(Problem(errors.EPERM, f"wstat cannot change {field_names}"))
+        raise OperationFailedError(ErrorReply(errors.EPERM, f"wstat cannot change {field_names}"))
 
 
 def open_file(
--- a/garnetlanding/ninep/client_dialect_plain.py
+++ b/garnetlanding/ninep/client_dialect_plain.py
@@ -13,7 +13,7 @@
     unsupported,
 )
 from garnetlanding.ninep.codec import FieldReader, Message, Qid
-from garnetlanding.ninep.errors import OperationFailedError, Problem
+from garnetlanding.ninep.errors import ErrorReply, OperationFailedError
 from garnetlanding.ninep.model import (
     DM_FLAGS,
     DMDIR,
@@ -74,7 +74,7 @@
         try:
             fid, _ = yield from walk(session, path, None)
         except OperationFailedError as error:
-            if error.problem.number != errors.ENOENT:
+            if error.error_reply.errno != errors.ENOENT:
                 raise
             return None
         session.surplus_fids.remove(fid)
@@ -116,7 +116,7 @@
     def move(self, session: Session, old: Path, new: Path, qid: Qid | None) -> Steps[None]:
         """Rename by Twstat, within a directory only."""
         if old[:-1] != new[:-1]:
-            raise OperationFailedError(Problem(errors.EXDEV))
+            raise OperationFailedError(ErrorReply(errors.EXDEV))
         fid, found = yield from walk(session, old, qid)
         yield from self.change(fid, found, AttributeChanges(name=new[-1]))
 
@@ -143,7 +143,7 @@
             if not skip:
                 return _parse_entries(data, start)
             if not data:
-                changed = Problem(errors.EINVAL, "directory changed; read it again from its start")
+                changed = ErrorReply(errors.EINVAL, "directory changed; read it again from its start")
                 raise OperationFailedError(changed)
 
     def sync(
@@ -184,7 +184,7 @@
 
     def read_link(self, fid: int) -> Steps[str]:  # noqa: ARG002 - fails
         """Fail: the dialect has no symbolic links."""
-        raise OperationFailedError(Problem(errors.EINVAL, "not a symbolic link"))
+        raise OperationFailedError(ErrorReply(errors.EINVAL, "not a symbolic link"))
         yield  # makes this a program
 
     def link(self, parent: int, fid: int, name: str) -> Steps[None]:  # noqa: ARG002 - fails
@@ -196,7 +196,7 @@
         """Remove by Tremove, once the type is as expected."""
         fid, qid = yield from walk(session, (*parent, name), None)
         if bool(qid.type & codec.QTDIR) != directory:
-            raise OperationFailedError(Problem(errors.ENOTDIR if directory else errors.EISDIR))
+            raise OperationFailedError(ErrorReply(errors.ENOTDIR if directory else errors.EISDIR))
         session.surplus_fids.remove(fid)  # a remove clunks it, whatever comes of it
         expect((yield codec.Tremove(fid)), codec.Rremove)
 
--- a/garnetlanding/ninep/client_session.py
+++ b/garnetlanding/ninep/client_session.py
@@ -13,7 +13,7 @@
 from garnetlanding.ninep import codec, errors
 from garnetlanding.ninep.codec import IO_HEADER_BYTES, NOFID, QTEXCL, Message, Qid
 from garnetlanding.ninep.dispatcher import ReplyWriter, RequestDispatcher
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import ErrorReply
 from garnetlanding.ninep.fid_table import FidTable, check_offset
 from garnetlanding.ninep.fids import Fid, RequestRejectedError, resolve
 from garnetlanding.ninep.operations import Attach, Read, Remove, Walk, Write
@@ -85,7 +85,7 @@
         """Write an R-message."""
         self._write(codec.encode(tag, message))
 
-    def reply_problem(self, tag: int, problem: Problem) -> None:
+    def reply_problem(self, tag: int, problem: ErrorReply) -> None:
         """Write an error reply, in 9P2000 before a version is agreed on."""
         if self.dialect:
             self.reply(tag, self.dialect.error_reply(problem, self.msize))
@@ -211,7 +211,7 @@
         for tag, pending in list(self.requests.pending.items()):
             uses_fid = pending.fid == number and pending.newfid is None
             if uses_fid and not pending.is_change and self.requests.cancel(tag):
-                self.reply_problem(tag, Problem(errors.EBADF, "fid clunked"))
+                self.reply_problem(tag, ErrorReply(errors.EBADF, "fid clunked"))
         self.shared.locks.release_fid(self.client, number)
         self.shared.exclusive_use.release_fid(self.client, number)
         return self.fids.by_number.pop(number)
--- a/garnetlanding/ninep/directory_operations.py
+++ b/garnetlanding/ninep/directory_operations.py
@@ -1,125 +1,118 @@
-"""Operations that change names in directories: unlink, make, link, rename. See `operations`."""
+"""Operations that change the names in directories: unlink, create, link, rename. See `operations`."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 
-from garnetlanding.ninep.client_dialect import (
-    ClientDialect,
-    NewFile,
-)
+from garnetlanding.ninep.client_dialect import ClientDialect, NewFile
 from garnetlanding.ninep.codec import Qid
 from garnetlanding.ninep.model import Path
-from garnetlanding.ninep.operation_table import Op
-from garnetlanding.ninep.operations import Work, renamed_path
-from garnetlanding.ninep.session import (
-    Session,
-    Steps,
-    walk,
-)
+from garnetlanding.ninep.operation_table import OperationKind
+from garnetlanding.ninep.operations import Operation, renamed_path
+from garnetlanding.ninep.session import Session, Steps, walk
 
 
 @dataclass(frozen=True, slots=True)
-class _DirectoryWork(Work):
-    """Changes the name `name` in a directory; `path` is the directory, `qid` its own."""
+class _DirectoryOperation(Operation):
+    """Changes the entry `name` of a directory; `path` and `qid` are those of the directory."""
 
     name: str = ""
 
     @property
     def paths(self) -> tuple[Path, ...]:
-        """Return the path of the name."""
+        """Return the path of the entry."""
         return ((*self.path, self.name),)
 
 
 @dataclass(frozen=True, slots=True)
-class Unlink(_DirectoryWork):
-    """Removes a name; `directory` says what it has to be the name of."""
+class Unlink(_DirectoryOperation):
+    """Removes a name; `directory` tells whether it must be that of a directory or must not."""
 
-    OP = Op.REMOVE
+    KIND = OperationKind.REMOVE
     directory: bool = False
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:
-        """Remove it."""
+        """Remove the name."""
         yield from walk(session, self.path, self.qid)
         yield from dialect.unlink(session, self.path, self.name, self.directory)
 
 
 @dataclass(frozen=True, slots=True)
-class MakeDirectory(_DirectoryWork):
-    """Makes a directory."""
+class MakeDirectory(_DirectoryOperation):
+    """Creates a directory."""
 
-    OP = Op.MAKE_DIRECTORY
+    KIND = OperationKind.MAKE_DIRECTORY
     new: NewFile = NewFile(0o755)
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[Qid]:
-        """Return its qid."""
+        """Return the qid of the new file."""
         fid, _ = yield from walk(session, self.path, self.qid)
         return (yield from dialect.make_directory(fid, self.name, self.new))
 
 
 @dataclass(frozen=True, slots=True)
-class MakeNode(_DirectoryWork):
-    """Makes a file of any type, without opening it; `major` and `minor` are a device's numbers."""
+class MakeNode(_DirectoryOperation):
+    """Creates a file of any type without opening it; `major` and `minor` are device numbers."""
 
-    OP = Op.MAKE_NODE
+    KIND = OperationKind.MAKE_NODE
     new: NewFile = NewFile(0o644)
     major: int = 0
     minor: int = 0
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[Qid]:
-        """Return its qid."""
+        """Return the qid of the new file."""
         fid, _ = yield from walk(session, self.path, self.qid)
         return (yield from dialect.make_node(fid, self.name, self.new, self.major, self.minor))
 
 
 @dataclass(frozen=True, slots=True)
-class Symlink(_DirectoryWork):
-    """Makes a symbolic link to `target`."""
+class Symlink(_DirectoryOperation):
+    """Creates a symbolic link to `target`."""
 
-    OP = Op.SYMLINK
+    KIND = OperationKind.SYMLINK
     target: str = ""
     gid: int = 0
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[Qid]:
-        """Return its qid."""
+        """Return the qid of the new file."""
         fid, _ = yield from walk(session, self.path, self.qid)
         return (yield from dialect.symlink(fid, self.name, self.target, self.gid))
 
 
 @dataclass(frozen=True, slots=True)
-class Link(_DirectoryWork):
-    """Gives the file `target` a further name."""
+class Link(_DirectoryOperation):
+    """Creates a hard link to the file `target`."""
 
-    OP = Op.LINK
+    KIND = OperationKind.LINK
     target: Path = ()
     target_qid: Qid | None = None
 
     @property
     def paths(self) -> tuple[Path, ...]:
-        """Return the new name's path and the target's."""
+        """Return the paths of the link and of the target."""
         return ((*self.path, self.name), self.target)
 
-    def under(self, old: Path, new: Path) -> Work:
-        """Return the same request after `old`, a part of either path, has become `new`."""
+    def with_renamed_path(self, old: Path, new: Path) -> Operation:
+        """Return the same request after `old`, a prefix of either path, has been renamed to `new`."""
         return replace(
             self,
             path=renamed_path(self.path, old, new),
             target=renamed_path(self.target, old, new),
-            trace=self.trace,
+            delivery=self.delivery,
         )
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:
-        """Make the name."""
+        """Create the link."""
         fid, _ = yield from walk(session, self.target, self.target_qid)
-        parent, _ = yield from walk(session, self.path, self.qid)
-        yield from dialect.link(parent, fid, self.name)
+        parent_fid, _ = yield from walk(session, self.path, self.qid)
+        yield from dialect.link(parent_fid, fid, self.name)
 
 
 @dataclass(frozen=True, slots=True)
-class Rename(Work):
-    """Gives the file the path `new`; a file there is replaced where the server's dialect can."""
+class Rename(Operation):
+    """Renames the file to the path `new`; a file there is replaced if the server's dialect supports it."""
 
-    OP = Op.RENAME
+    KIND = OperationKind.RENAME
     new: Path = ()
 
     @property
@@ -127,15 +120,15 @@
         """Return the old path and the new one."""
         return (self.path, self.new)
 
-    def under(self, old: Path, new: Path) -> Work:
-        """Return the same request after `old`, a part of either path, has become `new`."""
+    def with_renamed_path(self, old: Path, new: Path) -> Operation:
+        """Return the same request after `old`, a prefix of either path, has been renamed to `new`."""
         return replace(
             self,
             path=renamed_path(self.path, old, new),
             new=renamed_path(self.new, old, new),
-            trace=self.trace,
+            delivery=self.delivery,
         )
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:
-        """Rename it."""
+        """Rename the file."""
         yield from dialect.move(session, self.path, self.new, self.qid)
--- a/garnetlanding/ninep/dispatcher.py
+++ b/garnetlanding/ninep/dispatcher.py
@@ -13,10 +13,10 @@
 from garnetlanding.core.ports import Answer, InvalidRequestError, RequestSpec, Served
 from garnetlanding.ninep import codec, errors
 from garnetlanding.ninep.codec import Message
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import ErrorReply
 from garnetlanding.ninep.fids import Fid, RequestRejectedError
-from garnetlanding.ninep.operation_table import class_for
-from garnetlanding.ninep.operations import Read, ReadDirectory, Remove, Work, Write
+from garnetlanding.ninep.operation_table import request_class_for
+from garnetlanding.ninep.operations import Operation, Read, ReadDirectory, Remove, Write
 from garnetlanding.ninep.order import ExportPaths
 from garnetlanding.ninep.outcome import reply_for
 from garnetlanding.ninep.pending import PendingRequest
@@ -31,10 +31,10 @@
     """Writes to the client: `message` a reply, `problem` an error in the words of the agreed dialect."""
 
     message: Callable[[int, Message], None]
-    problem: Callable[[int, Problem], None]
+    problem: Callable[[int, ErrorReply], None]
 
 
-def held_bytes(operation: Work) -> int:
+def held_bytes(operation: Operation) -> int:
     """Return the memory that an operation holds while it has no answer, in bytes."""
     if isinstance(operation, Write):
         return len(operation.data)
@@ -152,7 +152,7 @@
         def start() -> None:
             if fid.path != path:
                 # Renamed by a change before it.
-                pending.operation = operation.under(path, fid.path)
+                pending.operation = operation.with_renamed_path(path, fid.path)
             self._admit(tag, pending)
 
         self._enqueue(pending, tuple((export.name, changed) for changed in operation.paths), start)
@@ -195,21 +195,28 @@
             self._request_ended()
             if pending.change_ticket:
                 self._shared.finish_change(
-                    self._client, pending.change_ticket, outcome_unknown=operation.trace.unsure > 0
+                    self._client,
+                    pending.change_ticket,
+                    outcome_unknown=operation.delivery.unresolved_attempts > 0,
                 )
 
         core = self._shared.core
         try:
             pending.ticket = core.submit(self._spec(pending, operation), self._shared.backend, answered)
         except InvalidRequestError as error:  # the operator's export and the settings do not go together
-            answered(Served(Problem(errors.EINVAL, str(error))))
+            answered(Served(ErrorReply(errors.EINVAL, str(error))))
 
-    def _spec(self, pending: PendingRequest, operation: Work) -> RequestSpec:
+    def _spec(self, pending: PendingRequest, operation: Operation) -> RequestSpec:
         export = pending.target.export
         classes = self._shared.core.settings.classes
         units = max(1, -(-pending.size // export.unit_bytes))
         return RequestSpec(
-            request_class=class_for(operation.op, export.cls, export.change_cls or export.cls, classes),
+            request_class=request_class_for(
+                operation.kind,
+                export.request_class,
+                export.change_request_class or export.request_class,
+                classes,
+            ),
             plan=export.plan,
             volume=export.volume,
             key="/" + "/".join(operation.path),
@@ -217,22 +224,22 @@
             cell=export.cell,
             # One whose deadline passed while it waited still goes to the decision module, which rejects it.
             timeout_us=max(1, pending.deadline - self._shared.timers.now),
-            serving_instances=export.hosts,
+            serving_instances=export.serving_instances,
             operation=operation,
-            is_write=operation.spec.change,
+            is_write=operation.spec.changes_tree,
             held_bytes=held_bytes(operation),
             allow_hedging=False,  # an operation's trace is for one attempt at a time
         )
 
     # Replies
 
-    def _settle(self, tag: int, pending: PendingRequest, reply: Message | Problem) -> None:
+    def _settle(self, tag: int, pending: PendingRequest, reply: Message | ErrorReply) -> None:
         """Write the one reply to a tag, and then those of the flushes that wait for it."""
         if pending.settled:
             return
         pending.settled = True
         del self.pending[tag]
-        if isinstance(reply, Problem):
+        if isinstance(reply, ErrorReply):
             self._replies.problem(tag, reply)
         else:
             self._replies.message(tag, reply)
--- a/garnetlanding/ninep/errors.py
+++ b/garnetlanding/ninep/errors.py
@@ -1,7 +1,8 @@
-"""Errors of both dialects: numbers of 9P2000.L and texts of 9P2000, by one table; the package's exceptions.
+"""Errors of both dialects, and the exceptions of this package.
 
-A 9P2000 server words its errors as it likes. A text that the table does not have becomes EIO for a 9P2000.L
-client, and stays as it is for a 9P2000 client. Numbers are those of Linux, whatever the instance runs on.
+9P2000.L reports errors as Linux errno values, 9P2000 as text; one table translates between them. The errno
+values are those of Linux on every platform. 9P2000 servers choose their own error texts: one that is not in
+the table is passed on unchanged to a 9P2000 client and becomes EIO for a 9P2000.L client.
 """
 
 from __future__ import annotations
@@ -39,8 +40,8 @@
 ESTALE = 116
 EDQUOT = 122
 
-# The first text of a number is the one sent in 9P2000; the others are understood as well.
-TEXTS: tuple[tuple[int, tuple[str, ...]], ...] = (
+# The first text of an errno is the one sent in 9P2000; the others are recognized in replies of servers.
+ERROR_TEXTS: tuple[tuple[int, tuple[str, ...]], ...] = (
     (EPERM, ("operation not permitted", "not owner", "wstat prohibited")),
     (
         ENOENT,
@@ -91,56 +92,56 @@
     (ESTALE, ("stale file handle", "file was replaced by another", "phase error -- file removed")),
     (EDQUOT, ("disk quota exceeded",)),
 )
-TEXT_OF = {number: texts[0] for number, texts in TEXTS}
-NUMBER_OF = {text: number for number, texts in TEXTS for text in texts}
+TEXT_BY_ERRNO = {errno: texts[0] for errno, texts in ERROR_TEXTS}
+ERRNO_BY_TEXT = {text: errno for errno, texts in ERROR_TEXTS for text in texts}
 
 
 class NinepError(Exception):
-    """Base of this package's exceptions."""
+    """Base class of this package's exceptions."""
 
 
 @dataclass(frozen=True, slots=True)
-class Problem:
-    """What went wrong with one request, as either dialect can tell it: no exception, but a reply's content.
+class ErrorReply:
+    """The content of an error reply, independent of the dialect.
 
-    `words` is the text for a 9P2000 client; empty: the table's.
+    `custom_text` is the text for a 9P2000 client; if empty, the text of the errno in the table is used.
     """
 
-    number: int
-    words: str = ""
+    errno: int
+    custom_text: str = ""
 
     @property
     def text(self) -> str:
-        """The text for a 9P2000 client."""
-        return self.words or TEXT_OF.get(self.number, f"error {self.number}")
+        """The error text for a 9P2000 client."""
+        return self.custom_text or TEXT_BY_ERRNO.get(self.errno, f"error {self.errno}")
 
 
 class OperationFailedError(NinepError):
-    """A file server answered with an error, or its dialect cannot express the operation.
+    """A file server replied with an error, or its dialect cannot express the operation.
 
-    `problem` is passed on to the client: it is an answer, not a fault of the connection.
+    `error_reply` is passed on to the client: it is a valid reply, not a failure of the connection.
     """
 
-    def __init__(self, problem: Problem) -> None:
-        super().__init__(problem.text)
-        self.problem = problem
+    def __init__(self, error_reply: ErrorReply) -> None:
+        super().__init__(error_reply.text)
+        self.error_reply = error_reply
 
 
-def from_text(ename: str) -> Problem:
-    """Return the problem of a 9P2000 error text.
+def reply_from_text(ename: str) -> ErrorReply:
+    """Return the error reply for a 9P2000 error text.
 
-    Servers put a file's name before or behind the text, after a colon: each part is looked up.
+    Servers add a file name before or after the text, separated by a colon, so each part is looked up.
     """
     whole_text = ename.strip()
     for part in (whole_text, *whole_text.split(":")):
-        number = NUMBER_OF.get(part.strip(" '\"").lower())
-        if number is not None:
-            return Problem(number, whole_text)
-    return Problem(EIO, whole_text)
+        errno = ERRNO_BY_TEXT.get(part.strip(" '\"").lower())
+        if errno is not None:
+            return ErrorReply(errno, whole_text)
+    return ErrorReply(EIO, whole_text)
 
 
-def from_number(ecode: int) -> Problem:
-    """Return the problem of a 9P2000.L error number."""
-    if ecode in TEXT_OF:
-        return Problem(ecode)
-    return Problem(ecode, f"error {ecode}")
+def reply_from_errno(ecode: int) -> ErrorReply:
+    """Return the error reply for a 9P2000.L error number."""
+    if ecode in TEXT_BY_ERRNO:
+        return ErrorReply(ecode)
+    return ErrorReply(ecode, f"error {ecode}")
--- a/garnetlanding/ninep/fids.py
+++ b/garnetlanding/ninep/fids.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from garnetlanding.ninep.codec import QTDIR, Qid
-from garnetlanding.ninep.errors import NinepError, Problem
+from garnetlanding.ninep.errors import ErrorReply, NinepError
 from garnetlanding.ninep.model import Path
 from garnetlanding.ninep.session import Identity, OpenMode
 from garnetlanding.ninep.setup import Export
@@ -15,7 +15,7 @@
     """A message asks for what cannot be done, whatever a file server would say; `problem` is the reply."""
 
     def __init__(self, number: int, words: str = "") -> None:
-        self.problem = Problem(number, words)
+        self.problem = ErrorReply(number, words)
         super().__init__(self.problem.text)
 
 
--- a/garnetlanding/ninep/operation_table.py
+++ b/garnetlanding/ninep/operation_table.py
@@ -1,7 +1,7 @@
-"""The operations behind both dialects: what each does to the tree, and whether it may run twice.
+"""The file server operations of both dialects: whether each changes the tree and is idempotent.
 
-Whether one is tried again is the decision module's call. This table only tells it what a repeat would do:
-an operation that may not run twice reaches it under a class whose effect is UNSAFE.
+The decision module decides whether an operation is retried. This table only determines the request class that
+an operation is submitted under: one that is not idempotent gets a class whose effect is UNSAFE.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 
 from garnetlanding.decision import interface as api
 
-UNSAFE_VARIANT = "once"
-"""The name of a class's unsafe variant is CLASS/once."""
+UNSAFE_VARIANT_SUFFIX = "once"
+"""The unsafe variant of the request class CLASS is named CLASS/once."""
 
 
 @dataclass(frozen=True, slots=True)
 class OperationSpec:
-    """What an operation does to the tree.
+    """The effect of an operation on the tree.
 
-    `change`: it changes the tree, or a promise about it. `repeatable`: running it twice leaves what running
-    it once does.
+    `changes_tree`: it changes the tree or, as SYNC, the durability of earlier changes. `idempotent`: running
+    it twice has the same effect as running it once.
     """
 
-    change: bool
-    repeatable: bool
+    changes_tree: bool
+    idempotent: bool
 
 
-_READS = OperationSpec(change=False, repeatable=True)
-_SETS = OperationSpec(change=True, repeatable=True)
-_ONCE = OperationSpec(change=True, repeatable=False)
+_READ_ONLY = OperationSpec(changes_tree=False, idempotent=True)
+_IDEMPOTENT_CHANGE = OperationSpec(changes_tree=True, idempotent=True)
+_NON_IDEMPOTENT_CHANGE = OperationSpec(changes_tree=True, idempotent=False)
 
 
-class Op(Enum):
-    """An operation; the value is its name in error texts to clients."""
+class OperationKind(Enum):
+    """The kinds of operations; the value is the name in error texts sent to clients."""
 
     ATTACH = "attach"
     WALK = "walk"
@@ -59,58 +59,60 @@
     REMOVE = "remove"
 
 
-TABLE: dict[Op, OperationSpec] = {
-    Op.ATTACH: _READS,
-    Op.WALK: _READS,
-    Op.OPEN: _READS,
-    Op.READ: _READS,
-    Op.READ_DIRECTORY: _READS,
-    Op.STAT: _READS,
-    Op.READ_LINK: _READS,
-    Op.STAT_FS: _READS,
-    # Each of these names a place: what a second run writes is there already.
-    Op.WRITE: _SETS,
-    Op.SET_ATTRIBUTES: _SETS,
-    Op.SYNC: _SETS,
-    Op.OPEN_TRUNCATE: _SETS,
-    Op.CREATE: _SETS,  # opens the file that is there
-    # A second run adds again, fails on its own first run, or hits what came in between.
-    Op.APPEND: _ONCE,
-    Op.CREATE_EXCLUSIVE: _ONCE,
-    Op.MAKE_DIRECTORY: _ONCE,
-    Op.MAKE_NODE: _ONCE,
-    Op.SYMLINK: _ONCE,
-    Op.LINK: _ONCE,
-    Op.RENAME: _ONCE,
-    Op.REMOVE: _ONCE,
+OPERATION_SPECS: dict[OperationKind, OperationSpec] = {
+    OperationKind.ATTACH: _READ_ONLY,
+    OperationKind.WALK: _READ_ONLY,
+    OperationKind.OPEN: _READ_ONLY,
+    OperationKind.READ: _READ_ONLY,
+    OperationKind.READ_DIRECTORY: _READ_ONLY,
+    OperationKind.STAT: _READ_ONLY,
+    OperationKind.READ_LINK: _READ_ONLY,
+    OperationKind.STAT_FS: _READ_ONLY,
+    # Each writes fixed values to a fixed place, so a second run writes what is there already.
+    OperationKind.WRITE: _IDEMPOTENT_CHANGE,
+    OperationKind.SET_ATTRIBUTES: _IDEMPOTENT_CHANGE,
+    OperationKind.SYNC: _IDEMPOTENT_CHANGE,
+    OperationKind.OPEN_TRUNCATE: _IDEMPOTENT_CHANGE,
+    OperationKind.CREATE: _IDEMPOTENT_CHANGE,  # opens an existing file
+    # A second run appends again, fails because of the first one, or affects a change made in between.
+    OperationKind.APPEND: _NON_IDEMPOTENT_CHANGE,
+    OperationKind.CREATE_EXCLUSIVE: _NON_IDEMPOTENT_CHANGE,
+    OperationKind.MAKE_DIRECTORY: _NON_IDEMPOTENT_CHANGE,
+    OperationKind.MAKE_NODE: _NON_IDEMPOTENT_CHANGE,
+    OperationKind.SYMLINK: _NON_IDEMPOTENT_CHANGE,
+    OperationKind.LINK: _NON_IDEMPOTENT_CHANGE,
+    OperationKind.RENAME: _NON_IDEMPOTENT_CHANGE,
+    OperationKind.REMOVE: _NON_IDEMPOTENT_CHANGE,
 }
 
 
-def class_for(op: Op, reads: str, changes: str, classes: dict[str, api.ClassSpec]) -> str:
-    """Return the class that an operation is requested under.
+def request_class_for(
+    kind: OperationKind, reads: str, changes: str, classes: dict[str, api.ClassSpec]
+) -> str:
+    """Return the request class of an operation.
 
-    `reads` and `changes` are the classes of an export; an operation that may not run twice gets the unsafe
+    `reads` and `changes` are the classes of an export; an operation that is not idempotent gets the unsafe
     variant of `changes`, unless that class is unsafe itself.
     """
-    spec = TABLE[op]
-    if not spec.change:
+    spec = OPERATION_SPECS[kind]
+    if not spec.changes_tree:
         return reads
-    if spec.repeatable or classes[changes].effect is api.Effect.UNSAFE:
+    if spec.idempotent or classes[changes].effect is api.Effect.UNSAFE:
         return changes
-    return f"{changes}/{UNSAFE_VARIANT}"
+    return f"{changes}/{UNSAFE_VARIANT_SUFFIX}"
 
 
 def with_unsafe_variants(settings: api.Settings, change_classes: Iterable[str]) -> api.Settings:
-    """Return the settings with an unsafe variant of each of these classes that would allow a repeat.
+    """Return the settings with an unsafe variant added for each of these classes that allows retries.
 
-    It has the same priority weight, latency objective and deadline. Classes that the settings do not have, or
-    no longer, are left out.
+    A variant has the same priority weight, latency objective and deadline. Classes that the settings do not,
+    or no longer, contain are ignored.
     """
     variants = {}
     for class_name in change_classes:
         spec = settings.classes.get(class_name)
         if spec and spec.effect is not api.Effect.UNSAFE:
-            variant_name = f"{class_name}/{UNSAFE_VARIANT}"
+            variant_name = f"{class_name}/{UNSAFE_VARIANT_SUFFIX}"
             variants[variant_name] = replace(spec, name=variant_name, effect=api.Effect.UNSAFE)
     if not variants:
         return settings
--- a/garnetlanding/ninep/operations.py
+++ b/garnetlanding/ninep/operations.py
@@ -1,9 +1,9 @@
-"""What an attempt does at a file server: short programs in neutral steps, whatever the server's dialect.
+"""The operations that attempts run at a file server, independent of the server's dialect.
 
-They name files by path from the root of the export, never by the client's fids, so any server that holds
-the data can run them from scratch. Each checks first that the path still names the file that the client
-knows by its qid. What a program leaves behind on the connection is kept in `Session`. Those that change names
-in directories are in `directory_operations`.
+Operations identify files by their path from the root of the export, never by the client's fids, so any server
+that holds the data can run them without earlier state. Each first checks that the path still leads to the
+file that the client knows by its qid. State that stays on the connection between attempts is kept in
+`Session`. Operations that change names in directories are in `directory_operations`.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
     unsupported,
 )
 from garnetlanding.ninep.codec import Qid
-from garnetlanding.ninep.errors import OperationFailedError, Problem
+from garnetlanding.ninep.errors import ErrorReply, OperationFailedError
 from garnetlanding.ninep.handshake import shake_hands
 from garnetlanding.ninep.model import Attr, AttributeChanges, Entry, FileSystemStats, Path
-from garnetlanding.ninep.operation_table import TABLE, Op, OperationSpec
+from garnetlanding.ninep.operation_table import OPERATION_SPECS, OperationKind, OperationSpec
 from garnetlanding.ninep.session import (
     NO_FILE,
     REPLACED,
@@ -41,96 +41,96 @@
 
 
 def renamed_path(path: Path, old: Path, new: Path) -> Path:
-    """Return the path of the same file after `old` has become `new`."""
+    """Return the path of the same file after `old` has been renamed to `new`."""
     if path[: len(old)] != old:
         return path
     return new + path[len(old) :]
 
 
 @dataclass(slots=True)
-class Trace:
-    """What the attempts of one request have done so far: it decides whether a change may have happened.
+class DeliveryState:
+    """What is known about the attempts of one request: whether a change may have been made.
 
-    `exposed`: a server may have the complete message that changes something. `unsure`: the number of attempts
-    of which that is so, and whose end is not known.
+    `maybe_delivered`: a server may have received the complete message that makes the change.
+    `unresolved_attempts`: the number of attempts of which that holds and whose outcome is unknown.
     """
 
-    exposed: bool = False
-    unsure: int = 0
+    maybe_delivered: bool = False
+    unresolved_attempts: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class Operation:
     """One request to a file server.
 
-    `path` is the file that it is about, `qid` what the client knows the file by, None if it does not know it
-    yet. A subclass has either a constant `OP` or its own `op`.
+    `path` leads to the file that it concerns; `qid` is the one that the client knows, None if it knows none
+    yet. A subclass defines either the constant `KIND` or the property `kind`.
     """
 
     identity: Identity
     path: Path
     qid: Qid | None = None
-    trace: Trace = field(default_factory=Trace, compare=False, kw_only=True)
+    delivery: DeliveryState = field(default_factory=DeliveryState, compare=False, kw_only=True)
 
-    OP: ClassVar[Op]
+    KIND: ClassVar[OperationKind]
 
     @property
-    def op(self) -> Op:
-        """Return which operation it is."""
-        return self.OP
+    def kind(self) -> OperationKind:
+        """Return the kind of operation."""
+        return self.KIND
 
     @property
     def spec(self) -> OperationSpec:
-        """Return whether it changes the tree, and may run twice."""
-        return TABLE[self.op]
+        """Return whether it changes the tree and is idempotent."""
+        return OPERATION_SPECS[self.kind]
 
     @property
     def paths(self) -> tuple[Path, ...]:
-        """Return the names that it changes, or relies on while it changes something."""
+        """Return the paths that it changes, or that must not change while it runs."""
         return (self.path,)
 
-    def under(self, old: Path, new: Path) -> Work:
-        """Return the same request after `old`, a part of its path from the root on, has become `new`."""
-        return replace(self, path=renamed_path(self.path, old, new), trace=self.trace)
+    def with_renamed_path(self, old: Path, new: Path) -> Operation:
+        """Return the same request after `old`, a prefix of its path, has been renamed to `new`."""
+        return replace(self, path=renamed_path(self.path, old, new), delivery=self.delivery)
 
-    def program(self, session: Session) -> Steps[Any]:
-        """Run one attempt on the connection, which attaches first if it is new.
+    def attempt_steps(self, session: Session) -> Steps[Any]:
+        """Run one attempt on the connection, after the handshake if it is new.
 
-        Returns what `steps` returns, or the Problem that the server answered.
+        Returns what `steps` returns, or the ErrorReply that the server answered.
         """
         try:
             dialect = yield from shake_hands(session)
             return (yield from self.steps(session, dialect))
         except OperationFailedError as error:
-            return error.problem
+            return error.error_reply
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[Any]:
-        """Do what the request asks for; raises OperationFailedError for an error of the server."""
+        """Run the operation. Raises OperationFailedError for an error reply of the server."""
         raise NotImplementedError
 
 
 @dataclass(frozen=True, slots=True)
-class Attach(Work):
-    """Attaches to the export: the handshake has done that."""
+class Attach(Operation):
+    """Attaches to the export, which the handshake has already done."""
 
-    OP = Op.ATTACH
+    KIND = OperationKind.ATTACH
 
-    def steps(self, session: Session, dialect: ClientDialect) -> Steps[Qid]:  # noqa: ARG002 - of Work
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[Qid]:  # noqa: ARG002 - of Operation
         """Return the root's qid."""
         assert session.root
         return session.root
-        yield  # makes this a program
+        yield  # makes this function a generator
 
 
 @dataclass(frozen=True, slots=True)
-class Walk(Work):
-    """Walks on from the file by these names."""
+class Walk(Operation):
+    """Walks from the file by these names."""
 
-    OP = Op.WALK
+    KIND = OperationKind.WALK
     names: Path = ()
 
-    def steps(self, session: Session, dialect: ClientDialect) -> Steps[tuple[Qid, ...]]:  # noqa: ARG002 - an operation like the others
-        """Return the qids of the names found; it is an error when already the first does not exist."""
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[tuple[Qid, ...]]:  # noqa: ARG002 - of Operation
+        """Return the qids of the names found. It is an error if the first name does not exist."""
         _, qids = yield from walk_prefix(session, self.path + self.names)
         depth = len(self.path)
         if depth and self.qid and len(qids) >= depth and qids[depth - 1].path != self.qid.path:
@@ -142,19 +142,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Open(Work):
+class Open(Operation):
     """Opens the file."""
 
     open_mode: OpenMode = OpenMode()
     truncate: bool = False
 
     @property
-    def op(self) -> Op:
+    def kind(self) -> OperationKind:
         """Return OPEN_TRUNCATE, which changes the file, or OPEN."""
-        return Op.OPEN_TRUNCATE if self.truncate else Op.OPEN
+        return OperationKind.OPEN_TRUNCATE if self.truncate else OperationKind.OPEN
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[OpenFile]:
-        """Open it anew, also where it is open already: the server may no longer allow it."""
+        """Open the file again even if it is already open: the server may no longer permit it."""
         fid, _ = yield from walk(session, self.path, self.qid)
         file = yield from dialect.open(fid, self.open_mode, self.truncate)
         session.surplus_fids.remove(fid)
@@ -163,17 +163,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Create(Work):
-    """Makes and opens the regular file `name`; `path` is the directory, `qid` its own."""
+class Create(Operation):
+    """Creates and opens the regular file `name`; `path` and `qid` are those of the directory."""
 
     name: str = ""
     new: NewFile = NewFile(0o644)
     open_mode: OpenMode = OpenMode()
 
     @property
-    def op(self) -> Op:
-        """Return CREATE_EXCLUSIVE, which may not run twice, or CREATE."""
-        return Op.CREATE_EXCLUSIVE if self.new.exclusive else Op.CREATE
+    def kind(self) -> OperationKind:
+        """Return CREATE_EXCLUSIVE, which is not idempotent, or CREATE."""
+        return OperationKind.CREATE_EXCLUSIVE if self.new.exclusive else OperationKind.CREATE
 
     @property
     def paths(self) -> tuple[Path, ...]:
@@ -189,16 +189,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Read(Work):
-    """Reads at most `count` bytes of an open file from `offset` on."""
+class Read(Operation):
+    """Reads at most `count` bytes of an open file, starting at `offset`."""
 
-    OP = Op.READ
+    KIND = OperationKind.READ
     open_mode: OpenMode = OpenMode()
     offset: int = 0
     count: int = 0
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[bytes]:
-        """Return the bytes of one message; none at the end of the file."""
+        """Return the data of one Rread; it is empty at the end of the file."""
         assert self.qid
         file = yield from open_file(session, dialect, self.path, self.open_mode, self.qid)
         count = min(self.count, session.max_data_bytes)
@@ -210,20 +210,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReadDirectory(Work):
-    """Lists a directory from `cookie` on, about `count` bytes of it.
+class ReadDirectory(Operation):
+    """Lists about `count` bytes of a directory's entries, starting at `cookie`.
 
-    With `attributes`, the entries have them: the client's dialect sends them with the names.
+    With `attributes`, the entries include them, for clients whose dialect sends them with the names.
     """
 
-    OP = Op.READ_DIRECTORY
+    KIND = OperationKind.READ_DIRECTORY
     open_mode: OpenMode = OpenMode()
     cookie: int = 0
     count: int = 0
     attributes: bool = False
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[list[Entry]]:
-        """Return the entries; none at the directory's end."""
+        """Return the entries; the list is empty at the end of the directory."""
         assert self.qid
         count = max(self.count, MIN_LISTING_BYTES) if self.attributes else self.count
         cookie = self.cookie
@@ -234,16 +234,16 @@
             entries = yield from self._with_attributes(session, dialect, entries)
             if not entries or any(entry.attr for entry in entries):
                 return entries
-            # None of these is for a 9P2000 client. An empty answer would be the directory's end to it.
+            # No entry is visible to a 9P2000 client, which would take an empty reply for the directory's end.
             cookie = entries[-1].cookie
 
     def _with_attributes(
         self, session: Session, dialect: ClientDialect, entries: list[Entry]
     ) -> Steps[list[Entry]]:
-        """Ask for the attributes of each entry, as far as `count` bytes of stats go.
+        """Request the attributes of the entries, up to about `count` bytes of encoded stats.
 
-        `.` and `..` are not among a 9P2000 directory's entries, and stay without. A file that no longer
-        exists is called `.`, so that its cookie still counts.
+        `.` and `..` are not listed in a 9P2000 directory and get no attributes. The entry of a file that
+        no longer exists gets the name `.`, so that it is not listed but its cookie still counts.
         """
         bytes_left = self.count
         complete: list[Entry] = []
@@ -257,7 +257,7 @@
                 fid, _ = yield from walk(session, (*self.path, entry.name), None)
                 attr = yield from dialect.stat(fid)
             except OperationFailedError as error:
-                if error.problem.number not in (errors.ENOENT, errors.ESTALE):
+                if error.error_reply.errno not in (errors.ENOENT, errors.ESTALE):
                     raise
                 complete.append(replace(entry, name="."))
                 continue
@@ -268,7 +268,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Write(Work):
+class Write(Operation):
     """Writes to an open file, at `offset` or, with `append`, at its end."""
 
     open_mode: OpenMode = OpenMode(codec.OWRITE)
@@ -277,40 +277,40 @@
     append: bool = False
 
     @property
-    def op(self) -> Op:
-        """Return APPEND, which may not run twice, or WRITE."""
-        return Op.APPEND if self.append else Op.WRITE
+    def kind(self) -> OperationKind:
+        """Return APPEND, which is not idempotent, or WRITE."""
+        return OperationKind.APPEND if self.append else OperationKind.WRITE
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[int]:
-        """Write in as many messages as the server's msize makes necessary.
+        """Write in as many messages as the server's msize requires.
 
-        Returns the bytes written, fewer than there are when the server takes no more.
+        Returns the number of bytes written, which is less than the data if the server accepts no more.
         """
         assert self.qid
         file = yield from open_file(session, dialect, self.path, self.open_mode, self.qid)
-        max_part_bytes = min(session.max_data_bytes, file.iounit or session.max_data_bytes)
+        max_chunk_bytes = min(session.max_data_bytes, file.iounit or session.max_data_bytes)
         written = 0
         while True:
-            part = self.data[written : written + max_part_bytes]
-            reply = yield codec.Twrite(file.fid, self.offset + written, part)
+            chunk = self.data[written : written + max_chunk_bytes]
+            reply = yield codec.Twrite(file.fid, self.offset + written, chunk)
             try:
                 count = expect(reply, codec.Rwrite).count
             except OperationFailedError:
                 if written:
-                    return written  # as write(2): what went before has been written
+                    return written  # a short count as in write(2): the earlier messages were written
                 raise
-            if count > len(part):
+            if count > len(chunk):
                 raise BackendProtocolError("more written than sent")
             written += count
-            if count < len(part) or written == len(self.data):
+            if count < len(chunk) or written == len(self.data):
                 return written
 
 
 @dataclass(frozen=True, slots=True)
-class Stat(Work):
-    """Asks for the file's attributes."""
+class Stat(Operation):
+    """Requests the file's attributes."""
 
-    OP = Op.STAT
+    KIND = OperationKind.STAT
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[Attr]:
         """Return the attributes."""
@@ -319,28 +319,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change(Work):
-    """A wstat or setattr. A new name is a rename, which no server does twice to the same end."""
+class Change(Operation):
+    """A wstat or setattr. With a new name it is a rename, which is not idempotent."""
 
     changes: AttributeChanges = AttributeChanges()
 
     @property
-    def op(self) -> Op:
+    def kind(self) -> OperationKind:
         """Return SYNC, SET_ATTRIBUTES or RENAME, depending on the changes."""
         if self.changes.is_empty:
-            return Op.SYNC
-        return Op.SET_ATTRIBUTES if self.changes.name is None else Op.RENAME
+            return OperationKind.SYNC
+        return OperationKind.SET_ATTRIBUTES if self.changes.name is None else OperationKind.RENAME
 
     @property
     def paths(self) -> tuple[Path, ...]:
-        """Return the path, and the new one of a rename."""
+        """Return the path, and for a rename also the new path."""
         new_name = self.changes.name
         if new_name is None:
             return (self.path,)
         return (self.path, (*self.path[:-1], new_name))
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:
-        """Make the changes; an existing file is never replaced by the new name."""
+        """Make the changes; a rename never replaces an existing file."""
         changes = self.changes
         fid, qid = yield from walk(session, self.path, self.qid)
         if changes.name is None or not dialect.rename_replaces:
@@ -351,66 +351,66 @@
             raise unsupported("a new name together with other changes", dialect.version)
 
     def _rename(self, session: Session, dialect: ClientDialect, new_name: str) -> Steps[None]:
-        """Rename as a wstat does: the dialect's own rename would replace a file that has the name."""
+        """Rename as a wstat does: fail if the name exists, which the dialect's own rename would replace."""
         target = (*self.path[:-1], new_name)
         if target == self.path:
             return
         try:
             yield from walk(session, target, None)
         except OperationFailedError as error:
-            if error.problem.number != errors.ENOENT:
+            if error.error_reply.errno != errors.ENOENT:
                 raise
         else:
-            raise OperationFailedError(Problem(errors.EEXIST))
+            raise OperationFailedError(ErrorReply(errors.EEXIST))
         yield from dialect.move(session, self.path, target, None)
 
 
 @dataclass(frozen=True, slots=True)
-class Sync(Work):
-    """Stores what was written to an open file, or its data alone."""
+class Sync(Operation):
+    """Flushes an open file to stable storage, or only its data."""
 
-    OP = Op.SYNC
+    KIND = OperationKind.SYNC
     open_mode: OpenMode = OpenMode()
     data_only: bool = False
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:
-        """Return once it is stored."""
+        """Return once the file is on stable storage."""
         assert self.qid
         yield from dialect.sync(session, self.path, self.qid, self.open_mode, self.data_only)
 
 
 @dataclass(frozen=True, slots=True)
-class Remove(Work):
-    """Removes the file that a fid of the client stands for."""
+class Remove(Operation):
+    """Removes the file that a fid of the client is bound to."""
 
-    OP = Op.REMOVE
+    KIND = OperationKind.REMOVE
 
-    def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:  # noqa: ARG002 - of Work
-        """Remove by Tremove, which both dialects have."""
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:  # noqa: ARG002 - of Operation
+        """Remove the file with Tremove, which both dialects have."""
         fid, _ = yield from walk(session, self.path, self.qid)
-        session.surplus_fids.remove(fid)  # a remove clunks it, whatever comes of it
+        session.surplus_fids.remove(fid)  # a remove clunks the fid even if it fails
         expect((yield codec.Tremove(fid)), codec.Rremove)
 
 
 @dataclass(frozen=True, slots=True)
-class ReadLink(Work):
-    """Asks where a symbolic link leads."""
+class ReadLink(Operation):
+    """Requests the target of a symbolic link."""
 
-    OP = Op.READ_LINK
+    KIND = OperationKind.READ_LINK
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[str]:
-        """Return the link's text."""
+        """Return the target."""
         fid, _ = yield from walk(session, self.path, self.qid)
         return (yield from dialect.read_link(fid))
 
 
 @dataclass(frozen=True, slots=True)
-class StatFs(Work):
-    """Asks for the figures of the file system."""
+class StatFs(Operation):
+    """Requests the statistics of the file system."""
 
-    OP = Op.STAT_FS
+    KIND = OperationKind.STAT_FS
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[FileSystemStats]:
-        """Return the figures."""
+        """Return the statistics."""
         fid, _ = yield from walk(session, self.path, self.qid)
         return (yield from dialect.stat_fs(fid))
--- a/garnetlanding/ninep/pending.py
+++ b/garnetlanding/ninep/pending.py
@@ -8,7 +8,7 @@
 
 from garnetlanding.ninep.codec import Message
 from garnetlanding.ninep.fids import Fid
-from garnetlanding.ninep.operations import Work
+from garnetlanding.ninep.operations import Operation
 
 ReplyBuilder = Callable[[Any], Message]
 """Makes the R-message of an operation's result, and takes the result over into the fid.
@@ -23,7 +23,7 @@
 
     target: Fid
     """The fid that the operation is about; its path is followed through renames."""
-    operation: Work | None
+    operation: Operation | None
     """None for a clunk that only waits for the changes before it."""
     build_reply: ReplyBuilder
     fid: int | None = None
@@ -52,7 +52,7 @@
     @property
     def is_change(self) -> bool:
         """Whether it changes something at a file server."""
-        return self.operation is not None and self.operation.spec.change
+        return self.operation is not None and self.operation.spec.changes_tree
 
     @property
     def must_complete(self) -> bool:
@@ -60,4 +60,4 @@
         if self.must_run:
             return True
         operation = self.operation
-        return operation is not None and operation.spec.change and operation.trace.exposed
+        return operation is not None and operation.spec.changes_tree and operation.delivery.maybe_delivered
--- a/garnetlanding/ninep/server_dialect.py
+++ b/garnetlanding/ninep/server_dialect.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from garnetlanding.ninep.codec import Message, MessageTable
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import ErrorReply
 from garnetlanding.ninep.fids import Fid
 
 Handlers = Mapping[type[Any], Callable[[int, Any], None]]
@@ -22,11 +22,11 @@
     """How its messages are packed."""
     handlers: Handlers
     """The messages that only this dialect has, or has in this form."""
-    unsupported: Problem
+    unsupported: ErrorReply
     """The reply to a message that no handler exists for."""
 
     def read_directory(self, tag: int, number: int, fid: Fid, offset: int, count: int, /) -> None:
         """Process a Tread of a directory. Raise RequestRejectedError where the dialect has none."""
 
-    def error_reply(self, problem: Problem, msize: int, /) -> Message:
+    def error_reply(self, problem: ErrorReply, msize: int, /) -> Message:
         """Return the R-message for a problem, within the agreed message size."""
--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -14,7 +14,7 @@
 from garnetlanding.ninep.client_session import AttachRequest, ClientSession
 from garnetlanding.ninep.codec import Message, Qid
 from garnetlanding.ninep.directory_operations import Link, MakeDirectory, MakeNode, Rename, Symlink, Unlink
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import ErrorReply
 from garnetlanding.ninep.fid_table import check_offset
 from garnetlanding.ninep.fids import Fid, RequestRejectedError
 from garnetlanding.ninep.locks import END, LockLimitError, LockOwner, LockRange, byte_span
@@ -23,12 +23,12 @@
     Change,
     Create,
     Open,
+    Operation,
     ReadDirectory,
     ReadLink,
     Stat,
     StatFs,
     Sync,
-    Work,
 )
 from garnetlanding.ninep.pending import PendingRequest
 from garnetlanding.ninep.server_dialect import Handlers
@@ -44,7 +44,7 @@
 
     version = codec_linux.VERSION
     table = codec_linux.LINUX_MESSAGES
-    unsupported = Problem(errors.EOPNOTSUPP)
+    unsupported = ErrorReply(errors.EOPNOTSUPP)
 
     def __init__(self, session: ClientSession) -> None:
         self._session = session
@@ -72,9 +72,9 @@
             codec_linux.Trenameat: self._renameat,
         }
 
-    def error_reply(self, problem: Problem, _msize: int) -> Message:
+    def error_reply(self, problem: ErrorReply, _msize: int) -> Message:
         """Return an Rlerror, which has the error's number in Linux and no text."""
-        return codec_linux.Rlerror(problem.number)
+        return codec_linux.Rlerror(problem.errno)
 
     def _attach(self, tag: int, message: codec_linux.Tlattach) -> None:
         request = AttachRequest(message.fid, message.afid, message.uname, message.n_uname, message.aname)
@@ -281,7 +281,7 @@
         self._session.requests.submit(tag, PendingRequest(fid, operation, renamed, number))
 
     def _submit(
-        self, tag: int, number: int, fid: Fid, operation: Work, build_reply: Callable[[Qid], Message]
+        self, tag: int, number: int, fid: Fid, operation: Operation, build_reply: Callable[[Qid], Message]
     ) -> None:
         self._session.requests.submit(tag, PendingRequest(fid, operation, build_reply, number))
 
--- a/garnetlanding/ninep/server_dialect_plain.py
+++ b/garnetlanding/ninep/server_dialect_plain.py
@@ -9,7 +9,7 @@
 from garnetlanding.ninep.client_session import AttachRequest, ClientSession
 from garnetlanding.ninep.codec import ORCLOSE, OREAD, OTRUNC, Message, Qid
 from garnetlanding.ninep.directory_operations import MakeDirectory
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import ErrorReply
 from garnetlanding.ninep.fid_table import check_name, check_offset
 from garnetlanding.ninep.fids import DirectoryPosition, Fid, RequestRejectedError
 from garnetlanding.ninep.model import DM_FLAGS, DMDIR, PERMISSION_BITS, Attr, AttributeChanges, Entry
@@ -31,7 +31,7 @@
 
     version = codec.VERSION
     table = codec.PLAIN_MESSAGES
-    unsupported = Problem(errors.EPROTO, "not a request")
+    unsupported = ErrorReply(errors.EPROTO, "not a request")
 
     def __init__(self, session: ClientSession) -> None:
         self._session = session
@@ -44,7 +44,7 @@
             codec.Twstat: self._wstat,
         }
 
-    def error_reply(self, problem: Problem, msize: int) -> Message:
+    def error_reply(self, problem: ErrorReply, msize: int) -> Message:
         """Return an Rerror; its text is cut rather than exceed the agreed size."""
         text = problem.text.encode()[: msize - _ERROR_OVERHEAD]
         return codec.Rerror(text.decode(errors="ignore"))
--- a/garnetlanding/ninep/session.py
+++ b/garnetlanding/ninep/session.py
@@ -13,7 +13,7 @@
 
 from garnetlanding.ninep import codec, codec_linux, errors
 from garnetlanding.ninep.codec import MAX_WALK_NAMES, QTDIR, QTEXCL, Message, Qid
-from garnetlanding.ninep.errors import OperationFailedError, Problem
+from garnetlanding.ninep.errors import ErrorReply, OperationFailedError
 from garnetlanding.ninep.model import Path
 from garnetlanding.ninep.wire_format import message_name
 from garnetlanding.runtime.errors import BackendProtocolError
@@ -25,8 +25,8 @@
 ROOT = 0
 """The fid that stands for the root of the attached tree."""
 
-REPLACED = Problem(errors.ESTALE, "file was replaced by another")
-NO_FILE = Problem(errors.ENOENT)
+REPLACED = ErrorReply(errors.ESTALE, "file was replaced by another")
+NO_FILE = ErrorReply(errors.ENOENT)
 
 
 @dataclass(frozen=True, slots=True)
@@ -143,9 +143,9 @@
     if isinstance(reply, cls):
         return reply
     if isinstance(reply, codec.Rerror):
-        raise OperationFailedError(errors.from_text(reply.ename))
+        raise OperationFailedError(errors.reply_from_text(reply.ename))
     if isinstance(reply, codec_linux.Rlerror):
-        raise OperationFailedError(errors.from_number(reply.ecode))
+        raise OperationFailedError(errors.reply_from_errno(reply.ecode))
     raise BackendProtocolError(f"{message_name(type(reply))} in place of {message_name(cls)}")
 
 
--- a/garnetlanding/ninep/setup.py
+++ b/garnetlanding/ninep/setup.py
@@ -1,7 +1,8 @@
-"""The `[ninep]` section of an operator's file: the front, its file servers and its exports."""
+"""The `[ninep]` section of the operator's file: the 9P listener, its file servers and its exports."""
 
 from __future__ import annotations
 
+from collections.abc import Collection
 from dataclasses import dataclass
 
 from garnetlanding.config.section import Section
@@ -11,28 +12,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Export:
-    """A tree that clients may attach, and how its requests are queued and accounted for."""
+    """A tree that clients may attach, and how its requests are queued and accounted."""
 
     name: str
     """The aname that clients attach."""
     volume: str
     plan: str
-    cls: str
-    """Request class of operations that only read."""
+    request_class: str
+    """Request class of read-only operations."""
     cell: int
     deadline_us: int
-    hosts: int = 1
-    """How many instances serve the export."""
+    serving_instances: int = 1
+    """Number of instances that serve the export."""
     aname: str = ""
-    """The tree at the file servers."""
+    """The aname that instances attach at the file servers."""
     unit_bytes: int = 65536
-    """A read or write costs one unit for each begun block of this size."""
+    """A read or write costs one unit per block of this size or part of one."""
     access: str = "ro"
-    """Or "rw"."""
-    change_cls: str = ""
-    """Request class of operations that change the tree; empty: as for reads."""
+    """`ro` (read-only) or `rw` (read and write)."""
+    change_request_class: str = ""
+    """Request class of operations that change the tree; empty: that of reads."""
     change_deadline_us: int = 0
-    """0: as for reads."""
+    """0: that of reads."""
 
     @property
     def writable(self) -> bool:
@@ -42,18 +43,18 @@
 
 @dataclass(frozen=True, slots=True)
 class NinepSetup:
-    """The 9P clients and file servers of an instance, as an operator sets them up."""
+    """Operator's settings for the 9P clients and file servers of an instance."""
 
     listen: str
     server_port: int
-    """Port of the file servers; 0: the one that discovery gives."""
+    """Port of the file servers; 0: the one from discovery."""
     exports: dict[str, Export]
     server_dialect: str = "auto"
-    """What file servers are offered; auto: 9P2000.L first."""
+    """Dialect proposed to file servers; `auto`: 9P2000.L, then 9P2000."""
     clients: int = 0
-    """Connections of clients at most; 0: a fifth of those that all clients have."""
+    """Maximum number of client connections; 0: a fifth of the limit for all clients."""
     server_connections: int = 0
-    """Connections to file servers at most; 0: a fifth of those to all backends."""
+    """Maximum number of connections to file servers; 0: a fifth of the limit for all backends."""
 
 
 _DIALECTS = ("auto", "9P2000", "9P2000.L")
@@ -66,13 +67,11 @@
 
 
 def read(data: object, settings: api.Settings) -> NinepSetup:
-    """Return what the section says. Raise ConfigError, which names the faulty key."""
+    """Parse the section. Raises ConfigError, which names the invalid key."""
     section = Section(data, "ninep", _KEYS)
     return NinepSetup(
         exports=_read_exports(section, settings),
-        server_dialect=section.one_of("server_dialect", _DIALECTS)
-        if section.has("server_dialect")
-        else "auto",
+        server_dialect=_choice(section, "server_dialect", _DIALECTS, "auto"),
         listen=section.address("listen"),
         server_port=int(section.number("server_port", 0, 0, 65535)),
         clients=int(section.number("clients", 0, 0, _MAX_CONNECTIONS)),
@@ -95,23 +94,28 @@
 
 
 def _read_export(section: Section, name: str, settings: api.Settings) -> Export:
-    access = section.one_of("access", ("ro", "rw")) if section.has("access") else "ro"
+    access = _choice(section, "access", ("ro", "rw"), "ro")
     for key in ("change_class", "change_deadline_ms"):
         if access == "ro" and section.has(key):
             raise section.error(key, 'nothing changes in an export with access "ro"')
-    cls = section.one_of("class", settings.classes)
+    request_class = section.one_of("class", settings.classes)
     deadline_ms = section.number("deadline_ms", 1, maximum=_MAX_DEADLINE_MS)
     return Export(
         name=name,
         volume=section.text("volume"),
         plan=section.one_of("plan", settings.plans),
-        cls=cls,
+        request_class=request_class,
         cell=int(section.number("cell", 0)),
         deadline_us=int(deadline_ms * MS),
-        hosts=int(section.number("hosts", 1, 1)),
+        serving_instances=int(section.number("hosts", 1, 1)),
         aname=section.text("aname", ""),
         unit_bytes=int(section.number("unit_bytes", 1, 65536)),
         access=access,
-        change_cls=section.one_of("change_class", settings.classes) if section.has("change_class") else cls,
+        change_request_class=_choice(section, "change_class", settings.classes, request_class),
         change_deadline_us=int(section.number("change_deadline_ms", 1, deadline_ms, _MAX_DEADLINE_MS) * MS),
     )
+
+
+def _choice(section: Section, key: str, choices: Collection[str], default: str) -> str:
+    """Return the value of an optional key, which must be one of the choices."""
+    return section.one_of(key, choices) if section.has(key) else default
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -719,7 +719,7 @@
     """What a client hears when the core refuses or fails an item."""
     version, _, _ = DIALECTS[dialect]
     world, core, sink = SimulatedInstance(), FakeRequestEngine(), Sink()
-    export = Export("tree", "v", "gold", "read", 0, 1500 * MS, access="rw", change_cls="write")
+    export = Export("tree", "v", "gold", "read", 0, 1500 * MS, access="rw", change_request_class="write")
     front = NinepSharedState(core, None, {"tree": export}, buffers(), Limits(), world.scheduler)  # type: ignore[arg-type]
     client = NinepClient(front, sink)
     linux = version == p9l.VERSION
@@ -745,8 +745,8 @@
     ask(attach, Rejected(30 * MS + 1))
     ask(attach, Rejected(0))
     ask(attach, Failed("no server"))
-    ask(attach, Served(errors.Problem(errors.ENOENT)))
-    ask(attach, Served(errors.Problem(errors.EIO, "disk on fire")))
+    ask(attach, Served(errors.ErrorReply(errors.ENOENT)))
+    ask(attach, Served(errors.ErrorReply(errors.EIO, "disk on fire")))
     ask(attach, Served(QID))
     ask(p9.Twalk(0, 1, ("a", "b")), Served((QID, FILE)))
     ask(p9.Twalk(0, 2, ("a", "b")), Served((QID,)))
@@ -1339,10 +1339,10 @@
         )
         for key, e in nine.exports.items():
             lines.append(
-                f"export {key}: name {e.name}, volume {e.volume}, plan {e.plan}, class {e.cls}, "
-                f"cell {e.cell}, deadline {e.deadline_us}, hosts {e.hosts}, tree {e.aname!r}, "
+                f"export {key}: name {e.name}, volume {e.volume}, plan {e.plan}, class {e.request_class}, "
+                f"cell {e.cell}, deadline {e.deadline_us}, hosts {e.serving_instances}, tree {e.aname!r}, "
                 f"unit {e.unit_bytes}, access {e.access}, writable {e.writable}, "
-                f"change class {e.change_cls}, change deadline {e.change_deadline_us}"
+                f"change class {e.change_request_class}, change deadline {e.change_deadline_us}"
             )
     if collector := config.operator.telemetry:
         lines.append(
--- a/tests/ninep/random_fault_schedules.py
+++ b/tests/ninep/random_fault_schedules.py
@@ -16,7 +16,7 @@
 from garnetlanding.emulator.faults import Fault, Rule
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
-from garnetlanding.ninep.errors import EEXIST, from_number, from_text
+from garnetlanding.ninep.errors import EEXIST, reply_from_errno, reply_from_text
 from garnetlanding.ninep.model import DMAPPEND
 from tests.support.clock import MS
 from tests.support.ninep_instance import NinepClient, NinepInstance
@@ -316,14 +316,14 @@
 
     def answered(self, client: Client, request: OutstandingRequest, message: p9.Message) -> None:
         problem = (
-            from_text(message.ename)
+            reply_from_text(message.ename)
             if isinstance(message, p9.Rerror)
-            else from_number(message.ecode)
+            else reply_from_errno(message.ecode)
             if isinstance(message, p9l.Rlerror)
             else None
         )
         # A Linux client gets numbers only: with EIO it may have happened.
-        unknown = problem is not None and (UNKNOWN in problem.text or problem.number == 5)
+        unknown = problem is not None and (UNKNOWN in problem.text or problem.errno == 5)
         self.outcomes[
             f"{request.kind} {'ok' if problem is None else 'unknown' if unknown else 'refused'}"
         ] += 1
@@ -347,7 +347,7 @@
                 ), f"bytes that were never written there: {message.data[:24]!r}"
             case "create" | "mkdir" | "append":
                 # Each name is new: who finds it taken has run before.
-                assert problem is None or problem.number != EEXIST, f"{request.kind} {request.name} ran twice"
+                assert problem is None or problem.errno != EEXIST, f"{request.kind} {request.name} ran twice"
                 if problem is None:
                     self.runs_acknowledged[request.name] += 1
             case "flush":
--- a/tests/ninep/test_random_fault_schedules.py
+++ b/tests/ninep/test_random_fault_schedules.py
@@ -7,7 +7,7 @@
 import pytest
 
 from garnetlanding.ninep import dispatcher
-from garnetlanding.ninep.operation_table import TABLE
+from garnetlanding.ninep.operation_table import OPERATION_SPECS
 from garnetlanding.ninep.order import ChangeOrder
 from garnetlanding.ninep.pending import PendingRequest
 from tests.ninep.random_fault_schedules import run
@@ -27,7 +27,9 @@
 
 def repeated(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        dispatcher, "class_for", lambda op, reads, changes, _classes: changes if TABLE[op].change else reads
+        dispatcher,
+        "request_class_for",
+        lambda kind, reads, changes, _classes: changes if OPERATION_SPECS[kind].changes_tree else reads,
     )
 
 
--- a/tests/support/ninep_instance.py
+++ b/tests/support/ninep_instance.py
@@ -112,7 +112,7 @@
         self.nine = file_servers(self.scheduler, self.pool, self.limits, 0, offer)
         exports = {
             "glossaries": Export(
-                "glossaries", "v", "gold", "read", 0, 1500 * MS, access=access, change_cls="read"
+                "glossaries", "v", "gold", "read", 0, 1500 * MS, access=access, change_request_class="read"
             )
         }
         self.front_9p = SharedState(self.core, self.nine, exports, self.pool, self.limits, self.scheduler)
