--- a/garnetlanding/ninep/directory_operations.py
+++ b/garnetlanding/ninep/directory_operations.py
@@ -19,7 +19,7 @@
     name: str = ""
 
     @property
-    def paths(self) -> tuple[Path, ...]:
+    def affected_paths(self) -> tuple[Path, ...]:
         """Return the path of the entry."""
         return ((*self.path, self.name),)
 
@@ -42,12 +42,12 @@
     """Creates a directory."""
 
     KIND = OperationKind.MAKE_DIRECTORY
-    new: NewFile = NewFile(0o755)
+    new_file: NewFile = NewFile(0o755)
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[Qid]:
         """Return the qid of the new file."""
         fid, _ = yield from walk(session, self.path, self.qid)
-        return (yield from dialect.make_directory(fid, self.name, self.new))
+        return (yield from dialect.make_directory(fid, self.name, self.new_file))
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,14 +55,14 @@
     """Creates a file of any type without opening it; `major` and `minor` are device numbers."""
 
     KIND = OperationKind.MAKE_NODE
-    new: NewFile = NewFile(0o644)
+    new_file: NewFile = NewFile(0o644)
     major: int = 0
     minor: int = 0
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[Qid]:
         """Return the qid of the new file."""
         fid, _ = yield from walk(session, self.path, self.qid)
-        return (yield from dialect.make_node(fid, self.name, self.new, self.major, self.minor))
+        return (yield from dialect.make_node(fid, self.name, self.new_file, self.major, self.minor))
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +88,7 @@
     target_qid: Qid | None = None
 
     @property
-    def paths(self) -> tuple[Path, ...]:
+    def affected_paths(self) -> tuple[Path, ...]:
         """Return the paths of the link and of the target."""
         return ((*self.path, self.name), self.target)
 
@@ -113,22 +113,22 @@
     """Renames the file to the path `new`; a file there is replaced if the server's dialect supports it."""
 
     KIND = OperationKind.RENAME
-    new: Path = ()
+    new_path: Path = ()
 
     @property
-    def paths(self) -> tuple[Path, ...]:
+    def affected_paths(self) -> tuple[Path, ...]:
         """Return the old path and the new one."""
-        return (self.path, self.new)
+        return (self.path, self.new_path)
 
     def with_renamed_path(self, old: Path, new: Path) -> Operation:
         """Return the same request after `old`, a prefix of either path, has been renamed to `new`."""
         return replace(
             self,
             path=renamed_path(self.path, old, new),
-            new=renamed_path(self.new, old, new),
+            new_path=renamed_path(self.new_path, old, new),
             delivery=self.delivery,
         )
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[None]:
         """Rename the file."""
-        yield from dialect.move(session, self.path, self.new, self.qid)
+        yield from dialect.move(session, self.path, self.new_path, self.qid)
--- a/garnetlanding/ninep/dispatcher.py
+++ b/garnetlanding/ninep/dispatcher.py
@@ -155,7 +155,7 @@
                 pending.operation = operation.with_renamed_path(path, fid.path)
             self._admit(tag, pending)
 
-        self._enqueue(pending, tuple((export.name, changed) for changed in operation.paths), start)
+        self._enqueue(pending, tuple((export.name, changed) for changed in operation.affected_paths), start)
 
     def _enqueue(
         self,
--- a/garnetlanding/ninep/operations.py
+++ b/garnetlanding/ninep/operations.py
@@ -85,7 +85,7 @@
         return OPERATION_SPECS[self.kind]
 
     @property
-    def paths(self) -> tuple[Path, ...]:
+    def affected_paths(self) -> tuple[Path, ...]:
         """Return the paths that it changes, or that must not change while it runs."""
         return (self.path,)
 
@@ -167,23 +167,23 @@
     """Creates and opens the regular file `name`; `path` and `qid` are those of the directory."""
 
     name: str = ""
-    new: NewFile = NewFile(0o644)
+    new_file: NewFile = NewFile(0o644)
     open_mode: OpenMode = OpenMode()
 
     @property
     def kind(self) -> OperationKind:
         """Return CREATE_EXCLUSIVE, which is not idempotent, or CREATE."""
-        return OperationKind.CREATE_EXCLUSIVE if self.new.exclusive else OperationKind.CREATE
+        return OperationKind.CREATE_EXCLUSIVE if self.new_file.exclusive else OperationKind.CREATE
 
     @property
-    def paths(self) -> tuple[Path, ...]:
+    def affected_paths(self) -> tuple[Path, ...]:
         """Return the new file's path."""
         return ((*self.path, self.name),)
 
     def steps(self, session: Session, dialect: ClientDialect) -> Steps[OpenFile]:
         """Return the open file."""
         yield from walk(session, self.path, self.qid)
-        file = yield from dialect.create(session, self.path, self.name, self.new, self.open_mode)
+        file = yield from dialect.create(session, self.path, self.name, self.new_file, self.open_mode)
         session.keep_open_file((*self.path, self.name), self.open_mode, file)
         return file
 
@@ -205,7 +205,7 @@
         reply = yield codec.Tread(file.fid, self.offset, count)
         data = expect(reply, codec.Rread).data
         if len(data) > count:
-            raise BackendProtocolError("more data than asked for")
+            raise BackendProtocolError("more data than requested")
         return data
 
 
@@ -300,7 +300,7 @@
                     return written  # a short count as in write(2): the earlier messages were written
                 raise
             if count > len(chunk):
-                raise BackendProtocolError("more written than sent")
+                raise BackendProtocolError("write count exceeds the data sent")
             written += count
             if count < len(chunk) or written == len(self.data):
                 return written
@@ -319,7 +319,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change(Operation):
+class ChangeAttributes(Operation):
     """A wstat or setattr. With a new name it is a rename, which is not idempotent."""
 
     changes: AttributeChanges = AttributeChanges()
@@ -332,7 +332,7 @@
         return OperationKind.SET_ATTRIBUTES if self.changes.name is None else OperationKind.RENAME
 
     @property
-    def paths(self) -> tuple[Path, ...]:
+    def affected_paths(self) -> tuple[Path, ...]:
         """Return the path, and for a rename also the new path."""
         new_name = self.changes.name
         if new_name is None:
--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -20,7 +20,7 @@
 from garnetlanding.ninep.locks import END, LockLimitError, LockOwner, LockRange, byte_span
 from garnetlanding.ninep.model import AttributeChanges, Entry, FileSystemStats, Timestamp
 from garnetlanding.ninep.operations import (
-    Change,
+    ChangeAttributes,
     Create,
     Open,
     Operation,
@@ -164,7 +164,7 @@
             # The time of the last change of attributes is the server's own to set.
             self._session.reply(tag, codec_linux.Rsetattr())
             return
-        operation = Change(fid.identity, fid.path, fid.qid, changes)
+        operation = ChangeAttributes(fid.identity, fid.path, fid.qid, changes)
         self._submit(tag, message.fid, fid, operation, lambda _: codec_linux.Rsetattr())
 
     def _statfs(self, tag: int, message: codec_linux.Tstatfs) -> None:
@@ -268,7 +268,7 @@
 
     def _submit_rename(self, tag: int, number: int, fid: Fid, operation: Rename, reply: Message) -> None:
         old = operation.path
-        new = operation.new
+        new = operation.new_path
         if not old:
             raise RequestRejectedError(errors.EBUSY, "cannot rename the root")
         if new[: len(old)] == old and new != old:
--- a/garnetlanding/ninep/server_dialect_plain.py
+++ b/garnetlanding/ninep/server_dialect_plain.py
@@ -13,7 +13,7 @@
 from garnetlanding.ninep.fid_table import check_name, check_offset
 from garnetlanding.ninep.fids import DirectoryPosition, Fid, RequestRejectedError
 from garnetlanding.ninep.model import DM_FLAGS, DMDIR, PERMISSION_BITS, Attr, AttributeChanges, Entry
-from garnetlanding.ninep.operations import Change, Create, Open, ReadDirectory, Stat
+from garnetlanding.ninep.operations import ChangeAttributes, Create, Open, ReadDirectory, Stat
 from garnetlanding.ninep.pending import PendingRequest
 from garnetlanding.ninep.server_dialect import Handlers
 from garnetlanding.ninep.session import OpenFile, OpenMode
@@ -162,7 +162,7 @@
                 self._session.shared.rename(fid.export.name, old, (*old[:-1], changes.name))
             return codec.Rwstat()
 
-        operation = Change(fid.identity, fid.path, fid.qid, changes)
+        operation = ChangeAttributes(fid.identity, fid.path, fid.qid, changes)
         self._session.requests.submit(tag, PendingRequest(fid, operation, changed, message.fid))
 
     # Directories
