--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -1,16 +1,14 @@
-"""Golden files for what the protocol codecs, the HTTP parsers, the simulator's wire and the configuration
-read and write.
+"""Golden tests of the protocol codecs, the HTTP parsers, the simulator protocol and the configuration.
 
-The files under `tests/golden/protocols/` were written by the program before its refactoring; every test
-compares exact bytes with one of them. To write them anew instead of comparing (only when a change of
-behaviour is intended):
+The files under `tests/golden/protocols/` were recorded before the program was refactored; every test
+compares exact bytes with one of them. To record them again, only for an intended change of behaviour:
 
     GOLDEN_WRITE=1 python -m pytest tests/golden/test_golden_protocols.py
 
-Notation in the files: `>` is what was fed and `<` what was written in answer, both as Python bytes literals;
-a run of 64 or more equal bytes stands as `{byte*count}`. 9P messages are in hexadecimal. Parsed values are
-listed field by field under labels that are fixed here, so that a rename in the program changes an import or
-an attribute in this file but no golden file.
+Notation in the files: `>` marks input and `<` output, both as Python bytes literals; a run of 64 or more
+equal bytes is written `{byte*count}`. 9P messages are in hexadecimal. Parsed values are listed field by field
+under labels that are defined here, so a rename in the program changes an import or an attribute in this file
+but no golden file.
 """
 
 from __future__ import annotations
@@ -80,7 +78,7 @@
 
 
 def check(name: str, lines: Iterable[str]) -> None:
-    """Compares the lines with the golden file of that name, byte by byte; writes it under GOLDEN_WRITE=1."""
+    """Compare the lines with the golden file of that name, byte by byte; with GOLDEN_WRITE=1, write it."""
     data = "".join(f"{line}\n" for line in lines).encode()
     path = GOLDEN / name
     if os.environ.get("GOLDEN_WRITE") == "1":
@@ -89,13 +87,13 @@
         return
     expected = path.read_bytes()
     if data != expected:
-        # Line lists give pytest a readable difference; the bytes decide.
+        # Comparing lists of lines gives a readable diff; the assertion below compares the bytes.
         assert data.decode().split("\n") == expected.decode().split("\n")
     assert data == expected
 
 
-def shown(data: bytes) -> str:
-    """Bytes as one line of text from which they can be restored."""
+def format_bytes(data: bytes) -> str:
+    """Return the bytes as one line of text without loss of information."""
     parts, at = [], 0
     for run in LONG_RUN.finditer(data):
         if run.start() > at:
@@ -115,50 +113,50 @@
 
 
 class Sink:
-    """A client's connection that keeps what is written to it."""
+    """A client connection that records what is written to it."""
 
     write_blocked = False
 
     def __init__(self) -> None:
         self.written: list[bytes] = []
-        self.was_cut = False
+        self.aborted = False
 
     def __call__(self, data: bytes) -> None:
         self.written.append(bytes(data))
 
     def when_writable(self, _call: Callable[[], None]) -> None:
-        raise AssertionError("this sink is never blocked")
+        raise AssertionError("this sink is always writable")
 
     def abort(self) -> None:
-        self.was_cut = True
+        self.aborted = True
 
 
 class RespSession:
-    """A scripted client of the RESP front; the core behind it answers when the script says so."""
+    """A scripted client of the RESP front; the script also decides when the core answers."""
 
     def __init__(self) -> None:
-        self.core, self.sink, self.takes = FakeRequestEngine(), Sink(), True
+        self.core, self.sink, self.accepts_commands = FakeRequestEngine(), Sink(), True
         self.lines: list[str] = []
-        self.machine = RespClient(
-            RespListenerContext(self.core, None, buffers(), Limits(), lambda: self.takes),  # type: ignore[arg-type]
+        self.protocol = RespClient(
+            RespListenerContext(self.core, None, buffers(), Limits(), lambda: self.accepts_commands),  # type: ignore[arg-type]
             self.sink,
         )
 
-    def note(self, text: str) -> None:
+    def record(self, text: str) -> None:
         self.lines.append(text)
-        self.lines += [f"< {shown(data)}" for data in self.sink.written]
+        self.lines += [f"< {format_bytes(data)}" for data in self.sink.written]
         self.sink.written.clear()
 
-    def say(self, data: bytes) -> None:
-        self.machine.feed(data)
-        self.note(f"> {shown(data)}")
+    def send(self, data: bytes) -> None:
+        self.protocol.feed(data)
+        self.record(f"> {format_bytes(data)}")
 
     def answer(self, ticket: str, answer: Served | Rejected | Failed, what: str) -> None:
         self.core.items.pop(ticket)[1](answer)
-        self.note(f"core answers {ticket}: {what}")
+        self.record(f"core answers {ticket}: {what}")
 
-    def end(self) -> list[str]:
-        self.note(f"ended: {self.machine.is_closing}, cut: {self.sink.was_cut}, left: {self.core.gone}")
+    def finish(self) -> list[str]:
+        self.record(f"ended: {self.protocol.is_closing}, cut: {self.sink.aborted}, left: {self.core.gone}")
         return self.lines
 
 
@@ -175,51 +173,51 @@
 
 def test_resp_front_session() -> None:
     s = RespSession()
-    s.say(resp.encode_command([b"PING"]) + resp.encode_command([b"ping", b"hello"]))
-    s.say(resp.encode_command([b"HELLO", b"2"]))
-    s.say(
+    s.send(resp.encode_command([b"PING"]) + resp.encode_command([b"ping", b"hello"]))
+    s.send(resp.encode_command([b"HELLO", b"2"]))
+    s.send(
         resp.encode_command([b"CLIENT", b"SETNAME", b"x"])
         + resp.encode_command([b"SELECT", b"0"])
         + b"*0\r\n"
     )
-    s.say(blk_read(1)[:20])
-    s.say(blk_read(1)[20:])
+    s.send(blk_read(1)[:20])
+    s.send(blk_read(1)[20:])
     s.answer("i1", Served(b"value one"), "served")
-    s.say(blk_read(2) + blk_read(3) + blk_read(4) + blk_write(5, b"w" * 65536) + blk_read(6))
+    s.send(blk_read(2) + blk_read(3) + blk_read(4) + blk_write(5, b"w" * 65536) + blk_read(6))
     s.answer("i3", Rejected(1500), "refused, hold off 1500 us")
     s.answer("i4", Rejected(0), "refused")
     s.answer("i5", Failed("no answer\r\nfrom \u00e4 server"), "failed")
     s.answer("i2", Served(b""), "served, empty")
     s.answer("i6", Served(b"L" * 70000), "served, 70000 bytes")
-    s.say(blk_read(7) + blk_read(8) + blk_read(7))
+    s.send(blk_read(7) + blk_read(8) + blk_read(7))
     body = Body(150000)
     body.feed(b"a" * 50000)
     s.answer("i7", Served(body), "served, passed on as it comes")
     body.feed(b"b" * 100000)
-    s.note("more of the value")
+    s.record("more of the value")
     body.end(complete=True)
-    s.note("the value is whole")
+    s.record("the value is whole")
     s.answer("i8", Served(b"\x00\xff\r\n"), "served, binary")
-    s.takes = False
-    s.say(resp.encode_command([b"PING"]))
-    s.say(resp.encode_command([b"QUIT"]) + resp.encode_command([b"PING"]))
-    check("resp_front_session.txt", s.end())
+    s.accepts_commands = False
+    s.send(resp.encode_command([b"PING"]))
+    s.send(resp.encode_command([b"QUIT"]) + resp.encode_command([b"PING"]))
+    check("resp_front_session.txt", s.finish())
 
 
 def test_resp_front_value_cut_short() -> None:
     s = RespSession()
-    s.say(blk_read(1) + blk_read(2) + blk_read(3))
+    s.send(blk_read(1) + blk_read(2) + blk_read(3))
     first, second = Body(100), Body(100)
     s.answer("i2", Served(second), "served, passed on; its turn has not come")
     second.end(complete=False)
-    s.note("the second value is cut short")
+    s.record("the second value is cut short")
     s.answer("i1", Served(first), "served, passed on")
     first.feed(b"begun")
-    s.note("part of the first value")
+    s.record("part of the first value")
     first.end(complete=False)
-    s.note("the first value is cut short")
-    s.machine.close()
-    check("resp_front_cut.txt", s.end())
+    s.record("the first value is cut short")
+    s.protocol.close()
+    check("resp_front_cut.txt", s.finish())
 
 
 BAD_COMMANDS = {
@@ -256,18 +254,18 @@
     lines: list[str] = []
     for what, data in BAD_COMMANDS.items():
         session = RespSession()
-        session.say(data)
-        lines += [f"# {what}", *session.end()]
+        session.send(data)
+        lines += [f"# {what}", *session.finish()]
     session = RespSession()
-    session.say(blk_read(1) + resp.encode_command([b"GET", b"x"]) * 9)
-    lines += ["# too many errors, with a request open", *session.end()]
+    session.send(blk_read(1) + resp.encode_command([b"GET", b"x"]) * 9)
+    lines += ["# too many errors, with a request open", *session.finish()]
     session = RespSession()
-    session.say(blk_read(1) + resp.encode_command([b"PING"]) * 64)
-    lines += ["# too many commands at once", *session.end()]
+    session.send(blk_read(1) + resp.encode_command([b"PING"]) * 64)
+    lines += ["# too many commands at once", *session.finish()]
     check("resp_front_bad.txt", lines)
 
 
-REQUESTS = {
+COMMANDS = {
     "read": [b"BLK.READ", b"piece", b"id", FIELDS],
     "read in lower case, of no shard": [b"blk.read", b"p", b"i", FIELDS.replace(b"shard=0", b"shard=-1")],
     "write": [b"BLK.WRITE", b"piece", b"id", FIELDS, b"\x00body\r\n"],
@@ -284,34 +282,38 @@
 
 def test_resp_requests_and_what_a_backend_is_sent() -> None:
     lines: list[str] = []
-    for what, words in REQUESTS.items():
-        ask = parse_request(words, Limits())
+    for what, words in COMMANDS.items():
+        request = parse_request(words, Limits())
         lines += [
             f"# {what}",
-            f"class {ask.request_class}, plan {ask.plan}, volume {ask.volume}, key {ask.key}, "
-            f"units {ask.units!r}, cell {shown_cell(ask)}, wait {ask.timeout_us} us, "
-            f"hosts {ask.serving_instances}, retry {ask.is_retry}, write {ask.is_write}, "
-            f"size {ask.held_bytes}, copies {ask.allow_hedging}",
+            f"class {request.request_class}, plan {request.plan}, volume {request.volume}, "
+            f"key {request.key}, units {request.units!r}, cell {golden_cell(request)}, "
+            f"wait {request.timeout_us} us, "
+            f"hosts {request.serving_instances}, retry {request.is_retry}, write {request.is_write}, "
+            f"size {request.held_bytes}, copies {request.allow_hedging}",
+        ]
+        lines += [
+            f"left {left} us: {format_bytes(request.operation.encode(left))}"
+            for left in (1, 999_999, 2_500_000)
         ]
-        lines += [f"left {left} us: {shown(ask.operation.encode(left))}" for left in (1, 999_999, 2_500_000)]
     with pytest.raises(InvalidCommandError) as problem:
         parse_request([b"BLK.READ", b"piece", b"id", b""], Limits())
     lines.append(f"no fields: {problem.value}")
     check("resp_requests.txt", lines)
 
 
-def shown_cell(asked: RequestSpec) -> int:
-    """The cell under its fixed label: -1 for a new object."""
-    return -1 if asked.cell is None else asked.cell
+def golden_cell(request: RequestSpec) -> int:
+    """Return the cell as the golden files have it: -1 for a new object."""
+    return -1 if request.cell is None else request.cell
 
 
-class FakeTrial:
-    """One attempt; keeps what the backend's machine says of it."""
+class FakeAttempt:
+    """One attempt; records what the backend protocol reports about it."""
 
     backend, deadline_us = "brick", 1_500_000
 
     def __init__(self, lines: list[str]) -> None:
-        self.operation = parse_request(REQUESTS["read"], Limits()).operation
+        self.operation = parse_request(COMMANDS["read"], Limits()).operation
         self.lines = lines
 
     def address(self) -> str | None:
@@ -344,7 +346,7 @@
         self.lines = lines
 
     def __call__(self, data: bytes) -> None:
-        self.lines.append(f"body {shown(bytes(data))}")
+        self.lines.append(f"body {format_bytes(bytes(data))}")
 
 
 OUTCOME_LABELS = {
@@ -358,7 +360,7 @@
     api.Outcome.NEVER_DISPATCHED: "moot",
 }
 
-ANSWERS = [
+BACKEND_REPLIES = [
     b"*3\r\n$5\r\nvalue\r\n$14\r\nused=37,cost=4\r\n$26\r\ninflight=7,latency_ms=31.5\r\n",
     b"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n",
     b"*3\r\n$1\r\nv\r\n$7\r\nused=-1\r\n$9\r\nunknown=1\r\n",
@@ -383,38 +385,38 @@
 ]
 
 
-class StillClock:
-    """Timers that stand at one moment."""
+class FrozenClock:
+    """A clock that does not advance."""
 
     now = 500_000
 
     def call_at(self, _due: int, _call: Callable[[], None]) -> Any:
-        raise AssertionError("nothing here waits")
+        raise AssertionError("no timer is expected")
 
 
 def test_resp_answers_of_a_backend() -> None:
     lines: list[str] = []
-    for data in ANSWERS:
-        lines.append(f"# {shown(data)}")
-        machine = RespBackendProtocol(
-            StillClock(),
+    for data in BACKEND_REPLIES:
+        lines.append(f"# {format_bytes(data)}")
+        protocol = RespBackendProtocol(
+            FrozenClock(),
             buffers(),
             Limits(),
-            lambda sent: lines.append(f"sent {shown(sent)}"),
+            lambda sent: lines.append(f"sent {format_bytes(sent)}"),
             lambda: lines.append("done"),
         )
-        machine.begin(FakeTrial(lines))
+        protocol.begin(FakeAttempt(lines))
         try:
-            machine.feed(data)
+            protocol.feed(data)
         except BackendProtocolError as fault:
             lines.append(f"fault: {fault}")
-        lines.append(f"midway {machine.has_partial_message}")
-        machine.close()
+        lines.append(f"midway {protocol.has_partial_message}")
+        protocol.close()
     check("resp_answers.txt", lines)
 
 
-def resp_form(value: Any) -> str:
-    """A parsed RESP value under a fixed label."""
+def format_resp_value(value: Any) -> str:
+    """Return a parsed RESP value as the golden files have it."""
     match value:
         case resp.SimpleString(text):
             return f"simple {text!r}"
@@ -423,14 +425,14 @@
         case resp.BulkStart(length):
             return f"begun {length}"
         case resp.BulkChunk(data):
-            return f"piece {shown(data)}"
+            return f"piece {format_bytes(data)}"
         case list():
-            return f"array[{', '.join(map(resp_form, value))}]"
+            return f"array[{', '.join(map(format_resp_value, value))}]"
         case None:
             return "null"
         case int():
             return f"integer {value}"
-    return f"bulk {shown(value)}"
+    return f"bulk {format_bytes(value)}"
 
 
 def test_resp_values() -> None:
@@ -445,9 +447,9 @@
         b"+" + b"x" * 600,
     ):
         decoder = resp.Decoder(buffers(), Limits())
-        lines.append(f"> {shown(data)}")
+        lines.append(f"> {format_bytes(data)}")
         try:
-            lines += [resp_form(value) for value in decoder.feed(data)]
+            lines += [format_resp_value(value) for value in decoder.feed(data)]
         except ProtocolError as problem:
             lines.append(f"problem: {problem}")
         lines.append(f"midway {decoder.has_partial_message}")
@@ -552,7 +554,7 @@
         raw = p9.encode(tag, message)
         numbers.add(raw[4])
         framer = p9.Framer(buffers(), 65560, table)
-        assert list(framer.feed(raw)) == [(tag, message)], "the same message comes back"
+        assert list(framer.feed(raw)) == [(tag, message)], "the decoded message differs"
         assert p9.decode(raw[4], raw[7:], table) == message
         lines.append(f"type {raw[4]:3} {raw.hex()}")
     assert numbers == set(table), "a message of the dialect has no golden bytes"
@@ -587,13 +589,13 @@
 
 
 def ninep_transcript(peer: LoopbackClient, script: Iterable[tuple[int, p9.Message | bytes]]) -> list[str]:
-    """Sends each message under its tag, or raw bytes, and lists what went each way in hexadecimal."""
+    """Send each message with its tag, or raw bytes; return both directions in hexadecimal."""
     lines = []
     for tag, message in script:
         data = message if isinstance(message, bytes) else p9.encode(tag, message)
         answer = peer.say(data)
         if not answer:
-            # After something malformed the connection is not read for a while.
+            # After a malformed message the connection is not read for a while.
             before = len(peer.got)
             peer.world.run(250 * MS, 50 * MS)
             answer = peer.got[before:]
@@ -609,7 +611,7 @@
 NO_TAG = p9.NOTAG
 KEEP_STAT = (
     b"\x2f\x00" + b"\xff" * 39 + b"\x00\x00" * 4
-)  # every field left alone: 2 + 4 + 13 + 4 + 4 + 4 + 8 bytes of ones, four empty texts
+)  # no field changes: 2 + 4 + 13 + 4 + 4 + 4 + 8 bytes of ones, four empty strings
 SHARED_START: list[tuple[int, p9.Message | bytes]] = [
     (1, p9.Tclunk(0)),
     (NO_TAG, p9.Tversion(100, "9P2000")),
@@ -706,7 +708,7 @@
 
 @pytest.mark.parametrize("dialect", DIALECTS)
 def test_ninep_front_session(dialect: str) -> None:
-    """Through the front, the core and an emulated file server, on a clock that stands still."""
+    """Run a session through the front, the core and an emulated file server; the clock does not advance."""
     version, _, _ = DIALECTS[dialect]
     tree = {"sv": {"law": b"plaintiff\tkarande\n" * 3, "empty": b""}, "readme": b"hello"}
     world = NinepInstance(access="rw", offer=version, tree=tree)
@@ -716,7 +718,7 @@
 
 @pytest.mark.parametrize("dialect", DIALECTS)
 def test_ninep_front_refusals(dialect: str) -> None:
-    """What a client hears when the core refuses or fails an item."""
+    """Replies to a client when the core rejects or fails a request."""
     version, _, _ = DIALECTS[dialect]
     world, core, sink = SimulatedInstance(), FakeRequestEngine(), Sink()
     export = Export("tree", "v", "gold", "read", 0, 1500 * MS, access="rw", change_request_class="write")
@@ -725,32 +727,33 @@
     linux = version == p9l.VERSION
     lines: list[str] = []
 
-    def ask(message: p9.Message, answer: Served | Rejected | Failed | None = None) -> None:
+    def send_message(message: p9.Message, answer: Served | Rejected | Failed | None = None) -> None:
         raw = p9.encode(1, message)
         client.feed(raw)
         lines.append(f"> {raw.hex()}")
         if answer is not None:
-            asked, answered = core.items.pop(core.last)
+            request, callback = core.items.pop(core.last)
             lines.append(
-                f"asked class {asked.request_class}, plan {asked.plan}, volume {asked.volume}, "
-                f"key {asked.key}, units {asked.units!r}, cell {shown_cell(asked)}, wait {asked.timeout_us}, "
-                f"hosts {asked.serving_instances}, write {asked.is_write}, size {asked.held_bytes}"
+                f"asked class {request.request_class}, plan {request.plan}, volume {request.volume}, "
+                f"key {request.key}, units {request.units!r}, cell {golden_cell(request)}, "
+                f"wait {request.timeout_us}, hosts {request.serving_instances}, "
+                f"write {request.is_write}, size {request.held_bytes}"
             )
-            answered(answer)
+            callback(answer)
         lines.extend(f"< {data.hex()}" for data in sink.written)
         sink.written.clear()
 
-    ask(p9.Tversion(8192, version))
+    send_message(p9.Tversion(8192, version))
     attach = p9l.Tlattach(0, p9.NOFID, "ann", "tree", 1) if linux else p9.Tattach(0, p9.NOFID, "ann", "tree")
-    ask(attach, Rejected(30 * MS + 1))
-    ask(attach, Rejected(0))
-    ask(attach, Failed("no server"))
-    ask(attach, Served(errors.ErrorReply(errors.ENOENT)))
-    ask(attach, Served(errors.ErrorReply(errors.EIO, "disk on fire")))
-    ask(attach, Served(QID))
-    ask(p9.Twalk(0, 1, ("a", "b")), Served((QID, FILE)))
-    ask(p9.Twalk(0, 2, ("a", "b")), Served((QID,)))
-    ask(p9.Tremove(1), Rejected(2 * MS))
+    send_message(attach, Rejected(30 * MS + 1))
+    send_message(attach, Rejected(0))
+    send_message(attach, Failed("no server"))
+    send_message(attach, Served(errors.ErrorReply(errors.ENOENT)))
+    send_message(attach, Served(errors.ErrorReply(errors.EIO, "disk on fire")))
+    send_message(attach, Served(QID))
+    send_message(p9.Twalk(0, 1, ("a", "b")), Served((QID, FILE)))
+    send_message(p9.Twalk(0, 2, ("a", "b")), Served((QID,)))
+    send_message(p9.Tremove(1), Rejected(2 * MS))
     client.close()
     check(f"{dialect}_refusals.txt", lines)
 
@@ -758,8 +761,8 @@
 # 3. HTTP.
 
 
-class RecordingConn(EmulatedConnection):
-    """Keeps what it is fed and says nothing, or what the server's answer is once a call is whole."""
+class RecordingConnection(EmulatedConnection):
+    """Records the received bytes and sends the server's reply once a call is complete."""
 
     server: RecordingServer
 
@@ -774,7 +777,7 @@
 
 
 class RecordingServer(EmulatedServer):
-    machine = RecordingConn
+    machine = RecordingConnection
     reply = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
@@ -782,8 +785,8 @@
         self.text, self.calls = b"", list[bytes]()
 
     def recorded(self) -> list[str]:
-        """The calls; the address, whose port the system chose, stands as ADDRESS."""
-        return [shown(call.replace(self.address.encode(), b"ADDRESS")) for call in self.calls]
+        """Return the calls with the address, whose port is ephemeral, replaced by ADDRESS."""
+        return [format_bytes(call.replace(self.address.encode(), b"ADDRESS")) for call in self.calls]
 
 
 INSTANCES = [
@@ -798,7 +801,7 @@
 }
 
 
-def entry_form(entry: api.Endpoint) -> str:
+def format_endpoint(entry: api.Endpoint) -> str:
     return (
         f"{entry.backend} cell {entry.cell} zone {entry.zone or '-'} state {STATE_LABELS[entry.state]} "
         f"started {entry.started_us} size {entry.size!r}"
@@ -816,7 +819,7 @@
     callbacks = WatchCallbacks(
         lambda listing: lines.extend(
             [f"whole {listing.complete}, at start {listing.at_start}"]
-            + [f"{entry_form(e)} at {listing.addresses[e.backend] or '-'}" for e in listing.entries]
+            + [f"{format_endpoint(e)} at {listing.addresses[e.backend] or '-'}" for e in listing.entries]
         ),
         lambda failure: lines.append(
             f"failed, queued {failure.kind is api.FailureKind.OVERLOADED}, "
@@ -859,8 +862,8 @@
     check("http_bad_lists.txt", lines)
 
 
-class FakeDesk:
-    """What operators' calls reach."""
+class FakeAdminService:
+    """Stands in for the service that handles the operators' calls."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -957,10 +960,14 @@
     lines: list[str] = []
     for is_ready, knows_fleet in ((True, True), (False, False)):
         for call in calls:
-            desk, sink = FakeDesk(), Sink()
-            desk.is_ready, desk.knows_fleet = is_ready, knows_fleet
-            AdminConnection(desk, buffers(), Limits(), sink).feed(call)
-            lines += [f"> {shown(call)}", *desk.lines, *(f"< {shown(data)}" for data in sink.written)]
+            service, sink = FakeAdminService(), Sink()
+            service.is_ready, service.knows_fleet = is_ready, knows_fleet
+            AdminConnection(service, buffers(), Limits(), sink).feed(call)
+            lines += [
+                f"> {format_bytes(call)}",
+                *service.lines,
+                *(f"< {format_bytes(data)}" for data in sink.written),
+            ]
     check("http_ops.txt", lines)
 
 
@@ -978,7 +985,7 @@
                     heard = b""
                     while b"\r\n\r\n" not in heard:
                         heard += conn.recv(4096)
-                    lines.append(shown(heard.replace(address.encode(), b"ADDRESS")))
+                    lines.append(format_bytes(heard.replace(address.encode(), b"ADDRESS")))
                     conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nyes\n")
 
         server = threading.Thread(target=serve, daemon=True)
@@ -991,7 +998,7 @@
 
 
 def test_http_otlp_calls() -> None:
-    """Spans and metrics as the collector gets them; ids come from a seed, times from fixed clocks."""
+    """Spans and metrics as sent to the collector; ids come from a seed, times from fixed clocks."""
     world = SimulatedInstance()
     server = world.server(RecordingServer)
     exporter = Exporter(
@@ -1005,12 +1012,12 @@
     exporter.gauges = {"clients": lambda: 4}
     began = 60 * SECOND
     for cls, answer in (("read", Served(b"v")), ("read", Rejected(5)), ("write", Failed("x"))):
-        ask = RequestSpec(cls, "gold", "vol-1", "k", 2, 3, SECOND, 1, None)
+        request = RequestSpec(cls, "gold", "vol-1", "k", 2, 3, SECOND, 1, None)
         attempts = [
             AttemptSummary("b0", "reset", began, began + MS),
             AttemptSummary("b1", "served", began + 2 * MS, 0),
         ]
-        exporter.request_ended(ask, answer, began, began + 30 * MS, attempts)
+        exporter.request_ended(request, answer, began, began + 30 * MS, attempts)
     world.run(SECOND, 100 * MS)
     exporter.finish()
     world.settle()
@@ -1050,13 +1057,13 @@
         request = RequestParser(buffers(), Limits())
         done = request.feed(data)
         lines += [
-            f"> {shown(data)}",
+            f"> {format_bytes(data)}",
             f"done {done}, midway {request.has_partial_message}, method {request.method!r}, "
             f"target {request.target!r}",
         ]
     for data in RESPONSE_BYTES:
         response = ResponseParser(buffers(), Limits())
-        lines.append(f"> {shown(data)}")
+        lines.append(f"> {format_bytes(data)}")
         try:
             pieces = list(response.feed(data))
             lines.append(f"body {pieces}, done {response.done}")
@@ -1067,7 +1074,7 @@
     check("http_parsed.txt", lines)
 
 
-# 4. The simulator's wire.
+# 4. The simulator protocol.
 
 FULL_SETTINGS = (
     "Balancers=2 Me=0 TickUs=2000 MembershipMode=pushed Limits.MaxAttempts=3 Limits.ParallelTries=true "
@@ -1088,42 +1095,45 @@
     "Contracts.0.Guaranteed=8 Contracts.0.NeverOver=40 Contracts.0.LimitBurst=20 Contracts.0.WorthFactor=1.5 "
     "Contracts.1.Name=tin Contracts.1.Weight=1 Contracts.1.UsualRate=2"
 )
-TALKING = (
+PEER_SETTINGS = (
     FULL_SETTINGS.replace("MayTell=false", "MayTell=true")
     .replace("Cancel=1", "Cancel=0")
     .replace("Me=0", "Me=1")
 )
-ASKING = FULL_SETTINGS.replace("MembershipMode=pushed", "MembershipMode=on_request")
-FOUR_BRICKS = "\n".join(
+POLLING_SETTINGS = FULL_SETTINGS.replace("MembershipMode=pushed", "MembershipMode=on_request")
+FOUR_BACKENDS = "\n".join(
     f"BRICK std {cell} 10.0.0.{n}:9 1.5 - dc{n} in_service" for n, cell in ((1, 0), (2, 0), (3, 1), (4, 1))
 )
 STATUSES = ("delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused")
 
 
-def accept(name: str, now: int, lane: str = "read", cell: int = 0, more: str = "2 {cell} 1 0 0") -> str:
+def accept_line(name: str, now: int, lane: str = "read", cell: int = 0, more: str = "2 {cell} 1 0 0") -> str:
     return f"ACCEPT {name} {lane} gold key-{name} {now + 1_500_000} vol-{name} " + more.format(cell=cell)
 
 
-def peer_text(number: int) -> str:
-    """What head 0 tells of a volume that comes through both heads."""
-    asks = {name_tag("vol-all"): QuotaRequest(0.5, 2)}
-    return lease_message.encode(LeaseMessage(900, number, requests=asks)).hex()
+def peer_message_hex(number: int) -> str:
+    """Return a message of instance 0 about a volume that both instances serve, in hexadecimal."""
+    requests = {name_tag("vol-all"): QuotaRequest(0.5, 2)}
+    return lease_message.encode(LeaseMessage(900, number, requests=requests)).hex()
 
 
 def wire_dialogue() -> str:
-    """Batches that use every kind of message, each outcome of an attempt, and a defect of the module."""
+    """Return batches with every kind of message, each outcome of an attempt, and a defect of the module."""
     batches = [
         (
             1000,
-            f"SELECT 0\nLAUNCH 42 {FULL_SETTINGS}\nDIRECTORY_UPDATE disk 1 4\n{FOUR_BRICKS}\n"
-            f"SELECT 1\nLAUNCH 43 {TALKING}\nDIRECTORY_UPDATE snapshot 2 4\n{FOUR_BRICKS}\n"
-            f"SELECT 2\nLAUNCH 44 {ASKING}\nDIRECTORY_UPDATE disk 0 0",
+            f"SELECT 0\nLAUNCH 42 {FULL_SETTINGS}\nDIRECTORY_UPDATE disk 1 4\n{FOUR_BACKENDS}\n"
+            f"SELECT 1\nLAUNCH 43 {PEER_SETTINGS}\nDIRECTORY_UPDATE snapshot 2 4\n{FOUR_BACKENDS}\n"
+            f"SELECT 2\nLAUNCH 44 {POLLING_SETTINGS}\nDIRECTORY_UPDATE disk 0 0",
         ),
         (2000, "SELECT 0\nTIMER t\nSELECT 1\nTIMER t\nSELECT 2\nTIMER t"),
-        (3000, "SELECT 2\nDIRECTORY_UPDATE error\n" + accept("a", 3000)),
+        (3000, "SELECT 2\nDIRECTORY_UPDATE error\n" + accept_line("a", 3000)),
         (
             4000,
-            "SELECT 0\n" + accept("order", 4000, "write") + "\n" + accept("once", 4000, "once", more="1.5"),
+            "SELECT 0\n"
+            + accept_line("order", 4000, "write")
+            + "\n"
+            + accept_line("once", 4000, "once", more="1.5"),
         ),
         (
             5000,
@@ -1133,7 +1143,9 @@
     now = 10_000
     for index, status in enumerate(STATUSES):
         name = f"s{index}"
-        batches.append((now, f"SELECT 0\n{accept(name, now)}\nSELECT 1\n{accept(name, now, cell=1)}"))
+        batches.append(
+            (now, f"SELECT 0\n{accept_line(name, now)}\nSELECT 1\n{accept_line(name, now, cell=1)}")
+        )
         batches.append((now + 1000, f"SELECT 0\nOPENED {name} 0\nSELECT 1\nOPENED {name} 0"))
         over = 1 if status == "delivered" else 0
         batches.append(
@@ -1145,21 +1157,24 @@
         )
         now += 30_000
     batches += [
-        (now, f"SELECT 0\n{accept('gone', now)}"),
+        (now, f"SELECT 0\n{accept_line('gone', now)}"),
         (now + 1000, "SELECT 0\nLEFT gone"),
         (now + 2000, "SELECT 0\nPROBED 10.0.0.2:9 delivered 700 inflight:1\nPROBED 10.0.0.4:9 dial_failed"),
-        (now + 3000, f"SELECT 1\nPEER 0 00ff\nPEER 0 -\nPEER 0 {peer_text(1)}\nSELECT 0\nPEER 1 0102"),
-        (now + 3100, "SELECT 1\n" + accept("shared", now, more="2 1 2 1 1").replace("vol-shared", "vol-all")),
+        (now + 3000, f"SELECT 1\nPEER 0 00ff\nPEER 0 -\nPEER 0 {peer_message_hex(1)}\nSELECT 0\nPEER 1 0102"),
+        (
+            now + 3100,
+            "SELECT 1\n" + accept_line("shared", now, more="2 1 2 1 1").replace("vol-shared", "vol-all"),
+        ),
         (
             now + 4000,
             "SELECT 0\nDIRECTORY_UPDATE diff 3 3\nBRICK std 0 10.0.0.1:9 1 0 dc1 terminating\n"
             "BRICK - 1 10.0.0.3:9 - - - terminated\nBRICK big 2 10.0.0.5:9 2 5000 dc5 in_service",
         ),
-        (now + 5000, "SELECT 0\n" + "\n".join(accept(f"burst{i}", now + 5000) for i in range(12))),
-        (now + 40_000, f"SELECT 1\nPEER 0 {peer_text(2)}\nTIMER tell"),
+        (now + 5000, "SELECT 0\n" + "\n".join(accept_line(f"burst{i}", now + 5000) for i in range(12))),
+        (now + 40_000, f"SELECT 1\nPEER 0 {peer_message_hex(2)}\nTIMER tell"),
         (now + 400_000, "SELECT 0\nTIMER look\nSELECT 1\nTIMER tell\nSELECT 2\nTIMER look"),
         (now + 1_600_000, "SELECT 0\nTIMER t\nSELECT 1\nTIMER t\nSELECT 2\nTIMER t"),
-        (now + 1_700_000, "SELECT 1\n" + accept("defect", now, "no-such-class")),
+        (now + 1_700_000, "SELECT 1\n" + accept_line("defect", now, "no-such-class")),
         (now + 1_800_000, "SELECT 1\nTIMER t"),
         (now + 1_900_000, f"SELECT 0\nDESTROY\nLAUNCH 45 {FULL_SETTINGS}\nSELECT 1\nDESTROY"),
         (now + 2_000_000, "SELECT 3\nLAUNCH 46 " + FULL_SETTINGS.replace("Balancers=2", "Balancers=0")),
@@ -1195,13 +1210,13 @@
         "JOURNAL_LINE",
         "BAIL_OUT",
     ):
-        assert f"\n{word} ".encode() in out, f"the dialogue draws no {word}"
-    # Line ends are part of what is compared: the text is split at the newline alone.
+        assert f"\n{word} ".encode() in out, f"the dialogue produces no {word}"
+    # Line ends are compared as well, so the text is split at newlines only.
     check("wire_dialogue.txt", [*out.decode().split("\n"), *(f"> {s}" for s in wire_dialogue().split("\n"))])
 
 
 def test_wire_actions() -> None:
-    """One line for each kind of action, also for those that no dialogue draws."""
+    """One line for each kind of action, including those that the dialogue does not produce."""
     actions: list[api.Action] = [
         api.Send("r1", "10.0.0.1:9"),
         api.Send("r1", "10.0.0.1:9", 5000),
@@ -1219,11 +1234,13 @@
     check("wire_actions.txt", wire.write_actions(actions))
 
 
-START = f"BATCH 1000\nSELECT 0\nLAUNCH 42 {FULL_SETTINGS}\nDIRECTORY_UPDATE disk 1 4\n{FOUR_BRICKS}\nEND\n"
+LAUNCH_BATCH = (
+    f"BATCH 1000\nSELECT 0\nLAUNCH 42 {FULL_SETTINGS}\nDIRECTORY_UPDATE disk 1 4\n{FOUR_BACKENDS}\nEND\n"
+)
 
 
 def batch(line: str) -> str:
-    return f"{START}BATCH 2000\nSELECT 0\n{line}\nEND\n"
+    return f"{LAUNCH_BATCH}BATCH 2000\nSELECT 0\n{line}\nEND\n"
 
 
 BAD_WIRE = {
@@ -1231,11 +1248,11 @@
     "no clock": "BATCH\nEND\n",
     "bad clock": "BATCH soon\nEND\n",
     "nothing selected": "BATCH 1\nTIMER t\nEND\n",
-    "unknown instance": START + "BATCH 2\nSELECT 7\nTIMER t\nEND\n",
+    "unknown instance": LAUNCH_BATCH + "BATCH 2\nSELECT 7\nTIMER t\nEND\n",
     "bad instance": "BATCH 1\nSELECT x\nEND\n",
     "no seed": "BATCH 1\nSELECT 0\nLAUNCH\nEND\n",
     "no settings": "BATCH 1\nSELECT 0\nLAUNCH 1\nEND\n",
-    "ended inside a batch": START + "BATCH 2\nSELECT 0\n",
+    "ended inside a batch": LAUNCH_BATCH + "BATCH 2\nSELECT 0\n",
     "ended inside a list": "BATCH 1\nSELECT 0\nLAUNCH 1 " + FULL_SETTINGS + "\nDIRECTORY_UPDATE diff 1 2\n",
     "unknown message": batch("JUMP"),
     "kind of list": batch("DIRECTORY_UPDATE rumour 1 0"),
@@ -1255,12 +1272,12 @@
     "peer": batch("PEER one 00"),
     "payload": batch("PEER 1 zz"),
     "timer": batch("TIMER"),
-    "setting missing": START.replace("Me=0 ", ""),
-    "setting unreadable": START.replace("Me=0 ", "Me=zero "),
-    "setting not finite": START.replace("Weight=4.0", "Weight=nan"),
-    "setting of a class": START.replace("Effect=free", "Effect=magic"),
-    "class missing": START.replace("Classes.count=3", "Classes.count=4"),
-    "plan missing": START.replace("Contracts.count=2", "Contracts.count=3"),
+    "setting missing": LAUNCH_BATCH.replace("Me=0 ", ""),
+    "setting unreadable": LAUNCH_BATCH.replace("Me=0 ", "Me=zero "),
+    "setting not finite": LAUNCH_BATCH.replace("Weight=4.0", "Weight=nan"),
+    "setting of a class": LAUNCH_BATCH.replace("Effect=free", "Effect=magic"),
+    "class missing": LAUNCH_BATCH.replace("Classes.count=3", "Classes.count=4"),
+    "plan missing": LAUNCH_BATCH.replace("Contracts.count=2", "Contracts.count=3"),
 }
 
 
@@ -1286,7 +1303,7 @@
 }
 
 
-def settings_form(s: api.Settings) -> list[str]:
+def format_settings(s: api.Settings) -> list[str]:
     lines = [
         f"heads: {s.instances}",
         f"this head: {s.instance_id}",
@@ -1330,7 +1347,7 @@
     return lines
 
 
-def operator_form(config: Config) -> list[str]:
+def format_operator_settings(config: Config) -> list[str]:
     lines = []
     if nine := config.operator.ninep:
         lines.append(
@@ -1377,7 +1394,7 @@
     return lines
 
 
-def config_form(config: Config) -> list[str]:
+def format_config(config: Config) -> list[str]:
     lim = config.limits
     lines = [
         f"name: {config.name}",
@@ -1389,7 +1406,7 @@
         f"known: {json.dumps(config.known, sort_keys=True)}",
         f"settings as given: {json.dumps(config.raw_settings, sort_keys=True)}",
         *(f"pair {k}={v}" for k, v in flatten_settings(config.raw_settings).items()),
-        *settings_form(config.settings),
+        *format_settings(config.settings),
         f"limit of clients: {lim.client_connections}",
         f"limit of idle clients: {lim.idle_clients}",
         f"limit of brick connections: {lim.backend_connections}, kept {lim.reserved_backend_connections}",
@@ -1403,7 +1420,7 @@
         f"time of an idle brick connection: {lim.backend_idle_us}",
         f"time to connect: {lim.connect_timeout_us}",
         f"all limits, sorted by value: {sorted(astuple(lim))}",
-        *operator_form(config),
+        *format_operator_settings(config),
     ]
     if peers := config.peers:
         lines.append(
@@ -1414,8 +1431,8 @@
     return lines
 
 
-def nested(text: str) -> dict[str, Any]:
-    """The simulator's pairs as the JSON form that a head gets."""
+def nested_settings(text: str) -> dict[str, Any]:
+    """Return the simulator's key=value pairs in the JSON form of an instance's settings."""
     top: dict[str, Any] = {}
     for path, _, value in (pair.partition("=") for pair in text.split(" ")):
         *folders, last = path.split(".")
@@ -1440,8 +1457,11 @@
     "peers_all": "127.0.0.1:7999",
     "limits": {"cores": 2.0, "memory_mb": 512, "sockets": 4096},
     "known": {"generation": 3, "reset": True, "instances": INSTANCES},
-    "settings": nested(TALKING)
-    | {"Limits": nested(TALKING)["Limits"] | {"ConnIdleUs": 30_000_000, "DialTimeoutUs": 123_000}},
+    "settings": nested_settings(PEER_SETTINGS)
+    | {
+        "Limits": nested_settings(PEER_SETTINGS)["Limits"]
+        | {"ConnIdleUs": 30_000_000, "DialTimeoutUs": 123_000}
+    },
 }
 FULL_OPERATOR = """
 [ninep]
@@ -1539,15 +1559,15 @@
 
 @pytest.mark.parametrize("name", CONFIGS)
 def test_configuration(name: str) -> None:
-    check(f"config_{name}.txt", config_form(CONFIGS[name]()))
+    check(f"config_{name}.txt", format_config(CONFIGS[name]()))
 
 
 def test_settings_of_the_wire() -> None:
-    check("config_wire_settings.txt", settings_form(wire.read_settings(FULL_SETTINGS)))
+    check("config_wire_settings.txt", format_settings(wire.read_settings(FULL_SETTINGS)))
 
 
-def platform(path: str, value: object) -> Callable[[], object]:
-    """Reads the full platform configuration with one value changed; None takes the key out."""
+def with_platform_value(path: str, value: object) -> Callable[[], object]:
+    """Return a call that reads the platform configuration with one value changed; None removes the key."""
 
     def run() -> object:
         data = copy.deepcopy(FULL_PLATFORM)
@@ -1564,8 +1584,8 @@
     return run
 
 
-def operator(old: str, new: str) -> Callable[[], object]:
-    """Reads the full operator's file with one text replaced."""
+def with_operator_text(old: str, new: str) -> Callable[[], object]:
+    """Return a call that reads the operator's file with one text replaced."""
     assert old in FULL_OPERATOR
     return lambda: read_config(FULL_PLATFORM, tomllib.loads(FULL_OPERATOR.replace(old, new, 1)))
 
@@ -1574,43 +1594,43 @@
     "no object": lambda: read_config([]),
     "no path": lambda: load_config(None, None, {}),
     "no file": lambda: load_config("/nonexistent/config.json", None, {}),
-    "no name": platform("name", None),
-    "no listen": platform("listen", None),
-    "bad listen": platform("listen", "nowhere"),
-    "bad port": platform("discovery", "127.0.0.1:99999"),
-    "bad ops": platform("ops", 7),
-    "bad seed": platform("seed", "xyz"),
-    "bad known": platform("known", {"instances": 3}),
-    "bad peer": platform("peers", ["here", "127.0.0.1:7947"]),
-    "peers no list": platform("peers", "127.0.0.1:7946"),
-    "no settings": platform("settings", None),
-    "few sockets": platform("limits.sockets", 10),
-    "memory is text": platform("limits.memory_mb", "much"),
-    "no tick": platform("settings.TickUs", None),
-    "bad credit": platform("settings.Classes.0.Credit", "high"),
-    "bad effect": platform("settings.Classes.1.Effect", "magic"),
-    "bad weight": platform("settings.Contracts.0.Weight", "inf"),
-    "unknown section": operator("[audit]", "[auditing]"),
-    "unknown key": operator("server_port", "server_prot"),
-    "unknown class": operator('class = "read"', 'class = "raed"'),
-    "unknown access": operator('access = "rw"', 'access = "wr"'),
-    "change without rw": operator('access = "rw"', 'access = "ro"'),
-    "export twice": operator('name = "two"', 'name = "one"'),
-    "unknown dialect": operator("9P2000.L", "9P3000"),
-    "too many 9P clients": operator("clients = 160", "clients = 99999"),
-    "deadline": operator("deadline_ms = 1200", "deadline_ms = 0"),
-    "endpoint": operator("http://127", "https://127"),
-    "store role": operator('role = "follower"', 'role = "leader"'),
-    "store writer": operator('writer = "n1"', 'writer = "n0"'),
-    "store current": operator("current_s = 5", "current_s = 0.1"),
-    "wall file": operator("[fleet]", 'wall_file = "/nonexistent/wall"\n[fleet]'),
-    "fleet flag": operator("verdicts = false", "verdicts = 0"),
-    "fleet budgets": operator("budgets = true", "budgets = false"),
-    "fleet seed": operator('"10.0.1.11:7946"', '"head.example:7946"'),
-    "fleet advertise": operator('seeds = ["10.0.1.10:7946", "10.0.1.11:7946"]', ""),
-    "subset": operator("subset = 20", "subset = 2.5"),
-    "audit sync": operator("sync = true", 'sync = "yes"'),
-    "audit age": operator("age_days = 7", "age_days = 0"),
+    "no name": with_platform_value("name", None),
+    "no listen": with_platform_value("listen", None),
+    "bad listen": with_platform_value("listen", "nowhere"),
+    "bad port": with_platform_value("discovery", "127.0.0.1:99999"),
+    "bad ops": with_platform_value("ops", 7),
+    "bad seed": with_platform_value("seed", "xyz"),
+    "bad known": with_platform_value("known", {"instances": 3}),
+    "bad peer": with_platform_value("peers", ["here", "127.0.0.1:7947"]),
+    "peers no list": with_platform_value("peers", "127.0.0.1:7946"),
+    "no settings": with_platform_value("settings", None),
+    "few sockets": with_platform_value("limits.sockets", 10),
+    "memory is text": with_platform_value("limits.memory_mb", "much"),
+    "no tick": with_platform_value("settings.TickUs", None),
+    "bad credit": with_platform_value("settings.Classes.0.Credit", "high"),
+    "bad effect": with_platform_value("settings.Classes.1.Effect", "magic"),
+    "bad weight": with_platform_value("settings.Contracts.0.Weight", "inf"),
+    "unknown section": with_operator_text("[audit]", "[auditing]"),
+    "unknown key": with_operator_text("server_port", "server_prot"),
+    "unknown class": with_operator_text('class = "read"', 'class = "raed"'),
+    "unknown access": with_operator_text('access = "rw"', 'access = "wr"'),
+    "change without rw": with_operator_text('access = "rw"', 'access = "ro"'),
+    "export twice": with_operator_text('name = "two"', 'name = "one"'),
+    "unknown dialect": with_operator_text("9P2000.L", "9P3000"),
+    "too many 9P clients": with_operator_text("clients = 160", "clients = 99999"),
+    "deadline": with_operator_text("deadline_ms = 1200", "deadline_ms = 0"),
+    "endpoint": with_operator_text("http://127", "https://127"),
+    "store role": with_operator_text('role = "follower"', 'role = "leader"'),
+    "store writer": with_operator_text('writer = "n1"', 'writer = "n0"'),
+    "store current": with_operator_text("current_s = 5", "current_s = 0.1"),
+    "wall file": with_operator_text("[fleet]", 'wall_file = "/nonexistent/wall"\n[fleet]'),
+    "fleet flag": with_operator_text("verdicts = false", "verdicts = 0"),
+    "fleet budgets": with_operator_text("budgets = true", "budgets = false"),
+    "fleet seed": with_operator_text('"10.0.1.11:7946"', '"head.example:7946"'),
+    "fleet advertise": with_operator_text('seeds = ["10.0.1.10:7946", "10.0.1.11:7946"]', ""),
+    "subset": with_operator_text("subset = 20", "subset = 2.5"),
+    "audit sync": with_operator_text("sync = true", 'sync = "yes"'),
+    "audit age": with_operator_text("age_days = 7", "age_days = 0"),
 }
 
 
