--- a/garnetlanding/config/platform.py
+++ b/garnetlanding/config/platform.py
@@ -100,8 +100,8 @@
     By default 9P gets a fifth of the client connections, and as many server connections as a fifth of the
     backend connections.
     """
-    clients = ninep.clients or limits.client_connections // NINEP_DIVISOR
-    servers = ninep.server_connections or limits.backend_connections // NINEP_DIVISOR
+    clients = ninep.max_clients or limits.client_connections // NINEP_DIVISOR
+    servers = ninep.max_server_connections or limits.backend_connections // NINEP_DIVISOR
     remaining = limits.client_connections - clients - servers
     required = limits.client_connections // NINEP_DIVISOR
     if remaining < required:
--- a/garnetlanding/conform/client.py
+++ b/garnetlanding/conform/client.py
@@ -13,7 +13,7 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep.attribute_format import read_entries
-from garnetlanding.ninep.model import DMDIR, Entry
+from garnetlanding.ninep.model import DMDIR, DirectoryEntry
 from garnetlanding.ninep.stat_format import RawStat, parse_stat
 
 ROOT = 0  # the fid of the tree's root
@@ -220,9 +220,9 @@
         entries = self.read_directory(fid, count or self.msize - p9.IO_HEADER_BYTES)
         return [(entry.name, entry.qid) for entry in entries if entry.name not in (".", "..")]
 
-    def read_directory(self, fid: int, count: int) -> list[Entry]:
+    def read_directory(self, fid: int, count: int) -> list[DirectoryEntry]:
         """Return all entries of an open directory, read `count` bytes at a time."""
-        entries: list[Entry] = []
+        entries: list[DirectoryEntry] = []
         offset = 0
         while True:
             data = self._read_directory_bytes(fid, offset, count)
@@ -239,7 +239,7 @@
             return self.call(p9l.Rreaddir, p9l.Treaddir(fid, offset, count)).data
         return self.call(p9.Rread, p9.Tread(fid, offset, count)).data
 
-    def parse_directory(self, data: bytes, offset: int) -> list[Entry]:
+    def parse_directory(self, data: bytes, offset: int) -> list[DirectoryEntry]:
         """Return the entries in the data of one reply, which was read at this offset."""
         try:
             return read_entries(data) if self.linux else _parse_stats(data, offset)
@@ -247,12 +247,12 @@
             raise CaseFailedError(f"directory entries that cannot be read: {problem}") from problem
 
 
-def _parse_stats(data: bytes, offset: int) -> list[Entry]:
+def _parse_stats(data: bytes, offset: int) -> list[DirectoryEntry]:
     """Return the entries of a 9P2000 directory, stats one after another; ValueError when one is malformed."""
     entries = []
     reader = p9.FieldReader(data)
     while reader.remaining:
         size = reader.read_int(2)
         stat = parse_stat(p9.pack_field("2", size) + reader.read_bytes(size))
-        entries.append(Entry(stat.name, stat.qid, offset + len(data) - reader.remaining))
+        entries.append(DirectoryEntry(stat.name, stat.qid, offset + len(data) - reader.remaining))
     return entries
--- a/garnetlanding/emulator/disk.py
+++ b/garnetlanding/emulator/disk.py
@@ -13,7 +13,7 @@
 
 from garnetlanding.ninep import errors
 from garnetlanding.ninep.codec import QTAPPEND, QTDIR, QTEXCL, QTSYMLINK, Qid
-from garnetlanding.ninep.model import DMAPPEND, DMEXCL, Attr, Timestamp
+from garnetlanding.ninep.model import DMAPPEND, DMEXCL, FileAttributes, Timestamp
 
 Tree = dict[str, Any]  # folders are maps, files bytes
 ROOT_USER = "root"
@@ -142,10 +142,10 @@
         kind |= (QTAPPEND if node.flags & DMAPPEND else 0) | (QTEXCL if node.flags & DMEXCL else 0)
         return Qid(kind, node.version & 0xFFFFFFFF, node.number + salt)
 
-    def attr(self, node: Inode, salt: int = 0) -> Attr:
+    def attr(self, node: Inode, salt: int = 0) -> FileAttributes:
         """Return an inode's attributes, as Tstat and Tgetattr report them."""
         length = len(node.target.encode()) if node.is_link else len(node.data)
-        return Attr(
+        return FileAttributes(
             self.qid(node, salt),
             node.mode,
             node.flags,
--- a/garnetlanding/emulator/files_linux.py
+++ b/garnetlanding/emulator/files_linux.py
@@ -13,7 +13,7 @@
 from garnetlanding.ninep.attribute_format import getattr_reply, pack_entry
 from garnetlanding.ninep.errors import ErrorReply
 from garnetlanding.ninep.locks import END, LockOwner, LockRange, byte_span
-from garnetlanding.ninep.model import Entry, Timestamp, dirent_type, is_valid_name
+from garnetlanding.ninep.model import DirectoryEntry, Timestamp, dirent_type, is_valid_name
 
 PERM = 0o7777
 ACCESS = 3  # the bits of open flags for reading, writing or both; all of them are no access
@@ -176,11 +176,11 @@
         count = min(count, connection.msize - p9.IO_HEADER_BYTES)
         assert at.node.parent
         entries = [
-            Entry(".", connection.qid(at.node), 1, 4),
-            Entry("..", connection.qid(at.node.parent), 2, 4),
+            DirectoryEntry(".", connection.qid(at.node), 1, 4),
+            DirectoryEntry("..", connection.qid(at.node.parent), 2, 4),
         ]
         entries += [
-            Entry(name, connection.qid(node), cookie, dirent_type(connection.qid(node)))
+            DirectoryEntry(name, connection.qid(node), cookie, dirent_type(connection.qid(node)))
             for name, node, cookie in connection.server.disk.entries(at.node)
         ]
         following = [entry for entry in entries if entry.cookie > offset]
--- a/garnetlanding/ninep/attribute_format.py
+++ b/garnetlanding/ninep/attribute_format.py
@@ -5,7 +5,7 @@
 import struct
 
 from garnetlanding.ninep import codec_linux
-from garnetlanding.ninep.model import Attr, Entry, Timestamp, dirent_type, numeric_id
+from garnetlanding.ninep.model import DirectoryEntry, FileAttributes, Timestamp, dirent_type, numeric_id
 from garnetlanding.ninep.wire_format import FieldReader
 
 ENTRY_FIXED_FIELDS = struct.Struct("<BIQQBH")
@@ -15,7 +15,7 @@
 """The same fields and the name, in the codes of `wire_format.MessageLayout`."""
 
 
-def getattr_reply(attr: Attr) -> codec_linux.Rgetattr:
+def getattr_reply(attr: FileAttributes) -> codec_linux.Rgetattr:
     """Return the Rgetattr with these attributes."""
     return codec_linux.Rgetattr(
         attr.valid,
@@ -41,9 +41,9 @@
     )
 
 
-def attr_from_getattr(reply: codec_linux.Rgetattr) -> Attr:
+def attr_from_getattr(reply: codec_linux.Rgetattr) -> FileAttributes:
     """Return the attributes of a reply. 9P2000.L has no last writer (muid): the owner is used."""
-    return Attr(
+    return FileAttributes(
         reply.qid,
         reply.mode,
         0,
@@ -65,7 +65,7 @@
     )
 
 
-def pack_entry(entry: Entry) -> bytes:
+def pack_entry(entry: DirectoryEntry) -> bytes:
     """Encode an entry for the data of an Rreaddir."""
     name = entry.name.encode()
     qid = entry.qid
@@ -73,11 +73,11 @@
     return ENTRY_FIXED_FIELDS.pack(qid.type, qid.version, qid.path, entry.cookie, d_type, len(name)) + name
 
 
-def read_entries(data: bytes) -> list[Entry]:
+def read_entries(data: bytes) -> list[DirectoryEntry]:
     """Decode the data of an Rreaddir. Raises ValueError if an entry is truncated."""
     reader = FieldReader(data)
     entries = []
     while reader.remaining:
         qid, cookie, d_type, name = (reader.read_field(code) for code in ENTRY_FIELD_CODES)
-        entries.append(Entry(name, qid, cookie, d_type))
+        entries.append(DirectoryEntry(name, qid, cookie, d_type))
     return entries
--- a/garnetlanding/ninep/client_dialect.py
+++ b/garnetlanding/ninep/client_dialect.py
@@ -8,7 +8,7 @@
 from garnetlanding.ninep import codec, codec_linux, errors
 from garnetlanding.ninep.codec import Message, Qid
 from garnetlanding.ninep.errors import ErrorReply, OperationFailedError
-from garnetlanding.ninep.model import Attr, AttributeChanges, Entry, FileSystemStats, Path
+from garnetlanding.ninep.model import AttributeChanges, DirectoryEntry, FileAttributes, FileSystemStats, Path
 from garnetlanding.ninep.session import REPLACED, Identity, OpenFile, OpenMode, Session, Steps, walk
 
 MIN_LISTING_BYTES = 4096
@@ -58,7 +58,7 @@
         """Make a regular file and open it."""
         ...
 
-    def stat(self, fid: int) -> Steps[Attr]:
+    def stat(self, fid: int) -> Steps[FileAttributes]:
         """Return the attributes."""
         ...
 
@@ -72,7 +72,7 @@
 
     def entries(
         self, session: Session, path: Path, open_mode: OpenMode, qid: Qid, cookie: int, count: int
-    ) -> Steps[list[Entry]]:
+    ) -> Steps[list[DirectoryEntry]]:
         """Return a directory's entries from `cookie` on, about `count` bytes of them; none at its end."""
         ...
 
--- a/garnetlanding/ninep/client_dialect_linux.py
+++ b/garnetlanding/ninep/client_dialect_linux.py
@@ -11,9 +11,9 @@
 from garnetlanding.ninep.errors import OperationFailedError
 from garnetlanding.ninep.model import (
     DM_FLAGS,
-    Attr,
     AttributeChanges,
-    Entry,
+    DirectoryEntry,
+    FileAttributes,
     FileSystemStats,
     Path,
     Timestamp,
@@ -64,7 +64,7 @@
         session.surplus_fids.remove(fid)
         return OpenFile(fid, created.qid, created.iounit)
 
-    def stat(self, fid: int) -> Steps[Attr]:
+    def stat(self, fid: int) -> Steps[FileAttributes]:
         """Ask by Tgetattr."""
         reply = yield codec_linux.Tgetattr(fid, codec_linux.GETATTR_BASIC)
         return attr_from_getattr(expect(reply, codec_linux.Rgetattr))
@@ -94,7 +94,7 @@
 
     def entries(
         self, session: Session, path: Path, open_mode: OpenMode, qid: Qid, cookie: int, count: int
-    ) -> Steps[list[Entry]]:
+    ) -> Steps[list[DirectoryEntry]]:
         """List by one Treaddir."""
         file = yield from open_file(session, self, path, open_mode, qid)
         asked_bytes = min(count, session.max_data_bytes)
--- a/garnetlanding/ninep/client_dialect_plain.py
+++ b/garnetlanding/ninep/client_dialect_plain.py
@@ -18,9 +18,9 @@
     DM_FLAGS,
     DMDIR,
     PERMISSION_BITS,
-    Attr,
     AttributeChanges,
-    Entry,
+    DirectoryEntry,
+    FileAttributes,
     FileSystemStats,
     Path,
     dirent_type,
@@ -84,7 +84,7 @@
             session.surplus_fids.append(fid)
             raise
 
-    def stat(self, fid: int) -> Steps[Attr]:
+    def stat(self, fid: int) -> Steps[FileAttributes]:
         """Ask by Tstat."""
         reply = expect((yield codec.Tstat(fid)), codec.Rstat)
         try:
@@ -122,7 +122,7 @@
 
     def entries(
         self, session: Session, path: Path, open_mode: OpenMode, qid: Qid, cookie: int, count: int
-    ) -> Steps[list[Entry]]:
+    ) -> Steps[list[DirectoryEntry]]:
         """List by Tread. A directory can only be read from its start on.
 
         On a fid that stands elsewhere, because another attempt opened it, the entries before the cookie,
@@ -213,7 +213,7 @@
         raise unsupported("a synchronous open", codec.VERSION)
 
 
-def _parse_entries(data: bytes, start: int) -> list[Entry]:
+def _parse_entries(data: bytes, start: int) -> list[DirectoryEntry]:
     """Return the entries of stats that begin at the byte offset `start`.
 
     An entry's cookie is where the next one begins.
@@ -224,7 +224,9 @@
         while reader.remaining:
             raw = read_stat(reader)
             cookie = start + len(data) - reader.remaining
-            entries.append(Entry(raw.name, raw.qid, cookie, dirent_type(raw.qid), attr_from_stat(raw)))
+            entries.append(
+                DirectoryEntry(raw.name, raw.qid, cookie, dirent_type(raw.qid), attr_from_stat(raw))
+            )
     except ValueError as error:
         raise BackendProtocolError(f"bad directory entry: {error}") from error
     return entries
--- a/garnetlanding/ninep/model.py
+++ b/garnetlanding/ninep/model.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attr:
+class FileAttributes:
     """The attributes of one file.
 
     `mode` holds the POSIX type and permission bits, `flags` DMAPPEND, DMEXCL and DMTMP. `length` is in bytes,
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class DirectoryEntry:
     """One entry of a directory.
 
     `cookie` is the position of the next entry; `d_type` is as in readdir(3), 0 if unknown; `attr` is None
@@ -86,7 +86,7 @@
     qid: Qid
     cookie: int
     d_type: int = 0
-    attr: Attr | None = None
+    attr: FileAttributes | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/garnetlanding/ninep/operations.py
+++ b/garnetlanding/ninep/operations.py
@@ -22,7 +22,7 @@
 from garnetlanding.ninep.codec import Qid
 from garnetlanding.ninep.errors import ErrorReply, OperationFailedError
 from garnetlanding.ninep.handshake import shake_hands
-from garnetlanding.ninep.model import Attr, AttributeChanges, Entry, FileSystemStats, Path
+from garnetlanding.ninep.model import AttributeChanges, DirectoryEntry, FileAttributes, FileSystemStats, Path
 from garnetlanding.ninep.operation_table import OPERATION_SPECS, OperationKind, OperationSpec
 from garnetlanding.ninep.session import (
     NO_FILE,
@@ -222,7 +222,7 @@
     count: int = 0
     attributes: bool = False
 
-    def steps(self, session: Session, dialect: ClientDialect) -> Steps[list[Entry]]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[list[DirectoryEntry]]:
         """Return the entries; the list is empty at the end of the directory."""
         assert self.qid
         count = max(self.count, MIN_LISTING_BYTES) if self.attributes else self.count
@@ -238,15 +238,15 @@
             cookie = entries[-1].cookie
 
     def _with_attributes(
-        self, session: Session, dialect: ClientDialect, entries: list[Entry]
-    ) -> Steps[list[Entry]]:
+        self, session: Session, dialect: ClientDialect, entries: list[DirectoryEntry]
+    ) -> Steps[list[DirectoryEntry]]:
         """Request the attributes of the entries, up to about `count` bytes of encoded stats.
 
         `.` and `..` are not listed in a 9P2000 directory and get no attributes. The entry of a file that
         no longer exists gets the name `.`, so that it is not listed but its cookie still counts.
         """
         bytes_left = self.count
-        complete: list[Entry] = []
+        complete: list[DirectoryEntry] = []
         for entry in entries:
             if entry.name in (".", ".."):
                 complete.append(entry)
@@ -312,7 +312,7 @@
 
     KIND = OperationKind.STAT
 
-    def steps(self, session: Session, dialect: ClientDialect) -> Steps[Attr]:
+    def steps(self, session: Session, dialect: ClientDialect) -> Steps[FileAttributes]:
         """Return the attributes."""
         fid, _ = yield from walk(session, self.path, self.qid)
         return (yield from dialect.stat(fid))
--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -18,7 +18,7 @@
 from garnetlanding.ninep.fid_table import check_offset
 from garnetlanding.ninep.fids import Fid, RequestRejectedError
 from garnetlanding.ninep.locks import END, LockLimitError, LockOwner, LockRange, byte_span
-from garnetlanding.ninep.model import AttributeChanges, Entry, FileSystemStats, Timestamp
+from garnetlanding.ninep.model import AttributeChanges, DirectoryEntry, FileSystemStats, Timestamp
 from garnetlanding.ninep.operations import (
     ChangeAttributes,
     Create,
@@ -191,7 +191,7 @@
             raise RequestRejectedError(errors.ENOTDIR)
         count = min(message.count, self._session.max_data)
 
-        def answered(entries: list[Entry]) -> Message:
+        def answered(entries: list[DirectoryEntry]) -> Message:
             return codec_linux.Rreaddir(_pack_entries(entries, count))
 
         operation = ReadDirectory(fid.identity, fid.path, fid.qid, open_mode, message.offset, count)
@@ -372,7 +372,7 @@
     )
 
 
-def _pack_entries(entries: list[Entry], count: int) -> bytes:
+def _pack_entries(entries: list[DirectoryEntry], count: int) -> bytes:
     """Return as many whole entries as `count` bytes hold."""
     packed_entries: list[bytes] = []
     remaining = count
--- a/garnetlanding/ninep/server_dialect_plain.py
+++ b/garnetlanding/ninep/server_dialect_plain.py
@@ -12,7 +12,14 @@
 from garnetlanding.ninep.errors import ErrorReply
 from garnetlanding.ninep.fid_table import check_name, check_offset
 from garnetlanding.ninep.fids import DirectoryPosition, Fid, RequestRejectedError
-from garnetlanding.ninep.model import DM_FLAGS, DMDIR, PERMISSION_BITS, Attr, AttributeChanges, Entry
+from garnetlanding.ninep.model import (
+    DM_FLAGS,
+    DMDIR,
+    PERMISSION_BITS,
+    AttributeChanges,
+    DirectoryEntry,
+    FileAttributes,
+)
 from garnetlanding.ninep.operations import ChangeAttributes, Create, Open, ReadDirectory, Stat
 from garnetlanding.ninep.pending import PendingRequest
 from garnetlanding.ninep.server_dialect import Handlers
@@ -136,7 +143,7 @@
         """Process Tstat: return the attributes of the file of fid (stat(5))."""
         fid = self._session.fids.get(message.fid)
 
-        def answered(attr: Attr) -> Message:
+        def answered(attr: FileAttributes) -> Message:
             stat = pack_stat(fid.path[-1] if fid.path else "/", attr)
             if len(stat) + _STAT_OVERHEAD > self._session.msize:
                 raise RequestRejectedError(errors.ERANGE, "stat does not fit msize")
@@ -177,7 +184,7 @@
             raise RequestRejectedError(errors.EINVAL, "bad offset in directory read")
         cookie = fid.position.cookie if offset else 0
 
-        def answered(entries: list[Entry]) -> Message:
+        def answered(entries: list[DirectoryEntry]) -> Message:
             data, next_cookie = _pack_stats(entries, cookie, count)
             fid.position = DirectoryPosition(offset + len(data), next_cookie)
             return codec.Rread(data)
@@ -216,7 +223,7 @@
     return changes
 
 
-def _pack_stats(entries: list[Entry], cookie: int, count: int) -> tuple[bytes, int]:
+def _pack_stats(entries: list[DirectoryEntry], cookie: int, count: int) -> tuple[bytes, int]:
     """Return as many whole stats as `count` bytes hold, and the cookie where the next read goes on."""
     stats: list[bytes] = []
     remaining = count
--- a/garnetlanding/ninep/setup.py
+++ b/garnetlanding/ninep/setup.py
@@ -51,9 +51,9 @@
     exports: dict[str, Export]
     server_dialect: str = "auto"
     """Dialect proposed to file servers; `auto`: 9P2000.L, then 9P2000."""
-    clients: int = 0
+    max_clients: int = 0
     """Maximum number of client connections; 0: a fifth of the limit for all clients."""
-    server_connections: int = 0
+    max_server_connections: int = 0
     """Maximum number of connections to file servers; 0: a fifth of the limit for all backends."""
 
 
@@ -74,8 +74,8 @@
         server_dialect=_choice(section, "server_dialect", _DIALECTS, "auto"),
         listen=section.address("listen"),
         server_port=int(section.number("server_port", 0, 0, 65535)),
-        clients=int(section.number("clients", 0, 0, _MAX_CONNECTIONS)),
-        server_connections=int(section.number("server_connections", 0, 0, _MAX_CONNECTIONS)),
+        max_clients=int(section.number("clients", 0, 0, _MAX_CONNECTIONS)),
+        max_server_connections=int(section.number("server_connections", 0, 0, _MAX_CONNECTIONS)),
     )
 
 
--- a/garnetlanding/ninep/stat_format.py
+++ b/garnetlanding/ninep/stat_format.py
@@ -7,7 +7,14 @@
 from dataclasses import dataclass, replace
 
 from garnetlanding.ninep.codec import QTAPPEND, QTDIR, QTEXCL, QTTMP, Qid
-from garnetlanding.ninep.model import DM_FLAGS, DMDIR, PERMISSION_BITS, Attr, AttributeChanges, Timestamp
+from garnetlanding.ninep.model import (
+    DM_FLAGS,
+    DMDIR,
+    PERMISSION_BITS,
+    AttributeChanges,
+    FileAttributes,
+    Timestamp,
+)
 from garnetlanding.ninep.wire_format import FieldReader, pack_field
 
 # Values of integer fields that a wstat leaves unchanged, by field size.
@@ -46,7 +53,7 @@
     muid: str
 
 
-def pack_stat(name: str, attr: Attr) -> bytes:
+def pack_stat(name: str, attr: FileAttributes) -> bytes:
     """Encode a 9P2000 stat, including its size field. Times after 2106 are clamped to the 32-bit maximum."""
     strings = b"".join(pack_field("s", text) for text in (name, attr.uid, attr.gid, attr.muid))
     qid = plain_qid(attr.qid)
@@ -85,11 +92,11 @@
     return raw
 
 
-def attr_from_stat(raw: RawStat) -> Attr:
+def attr_from_stat(raw: RawStat) -> FileAttributes:
     """Return the attributes of a stat; those that 9P2000 does not have are derived from the others."""
     file_type = stat.S_IFDIR if raw.mode & DMDIR else stat.S_IFREG
     mtime = Timestamp(raw.mtime)
-    return Attr(
+    return FileAttributes(
         raw.qid,
         file_type | raw.mode & PERMISSION_BITS,
         raw.mode & DM_FLAGS,
@@ -153,7 +160,7 @@
     )
 
 
-def plain_mode(attr: Attr) -> int:
+def plain_mode(attr: FileAttributes) -> int:
     """Return the mode field of a 9P2000 stat: permissions and DM bits."""
     return attr.mode & PERMISSION_BITS | attr.flags | (DMDIR if stat.S_ISDIR(attr.mode) else 0)
 
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -1352,7 +1352,7 @@
     if nine := config.operator.ninep:
         lines.append(
             f"9P: listen {nine.listen}, server port {nine.server_port}, dialect {nine.server_dialect}, "
-            f"clients {nine.clients}, server connections {nine.server_connections}"
+            f"clients {nine.max_clients}, server connections {nine.max_server_connections}"
         )
         for key, e in nine.exports.items():
             lines.append(
--- a/tests/ninep/test_front_model.py
+++ b/tests/ninep/test_front_model.py
@@ -13,7 +13,7 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep.fids import resolve
 from garnetlanding.ninep.front import NinepClientProtocol
-from garnetlanding.ninep.model import Attr
+from garnetlanding.ninep.model import FileAttributes
 from garnetlanding.ninep.operations import Attach, Open, Read, Stat, Walk
 from garnetlanding.ninep.session import OpenFile
 from garnetlanding.ninep.setup import Export
@@ -183,7 +183,7 @@
                 data = b"x" * min(count, 10)
                 return Served(data), p9.Rread(data)
             case Stat(path=path), _:
-                attr = Attr(QID, 0o100644)
+                attr = FileAttributes(QID, 0o100644)
                 return Served(attr), p9.Rstat(pack_stat(path[-1] if path else "/", attr))
         raise AssertionError(work)
 
