--- a/garnetlanding/ninep/codec_linux.py
+++ b/garnetlanding/ninep/codec_linux.py
@@ -245,7 +245,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Txattrwalk(Message):
-    """Client to server: binds `newfid` to the extended attribute `name`, or to their list if it is empty."""
+    """Client to server: binds `newfid` to the extended attribute `name`; an empty name means their list."""
 
     fid: int
     newfid: int
--- a/garnetlanding/ninep/dispatcher.py
+++ b/garnetlanding/ninep/dispatcher.py
@@ -228,7 +228,7 @@
             operation=operation,
             is_write=operation.spec.changes_tree,
             held_bytes=held_bytes(operation),
-            allow_hedging=False,  # an operation's trace is for one attempt at a time
+            allow_hedging=False,  # an operation's delivery state covers one attempt at a time
         )
 
     # Replies
--- a/garnetlanding/ninep/stat_format.py
+++ b/garnetlanding/ninep/stat_format.py
@@ -78,7 +78,7 @@
     """Consume one stat. Raises ValueError if it is truncated or its size field is wrong."""
     size = reader.read_int(2)
     left_before = reader.remaining
-    values = [reader.read_field(kind) for kind in STAT_FIELD_CODES]
+    values = [reader.read_field(code) for code in STAT_FIELD_CODES]
     if left_before - reader.remaining != size:
         raise ValueError("stat of another size than it says")
     return RawStat(*values)
