--- a/garnetlanding/emulator/file_connection.py
+++ b/garnetlanding/emulator/file_connection.py
@@ -18,7 +18,7 @@
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import ErrorReply
 from garnetlanding.ninep.locks import ExclusiveUse, LockTable
 from garnetlanding.runtime.protocols import Write
 
@@ -52,13 +52,13 @@
 class Dialect:
     """The part of the server that differs between the dialects."""
 
-    table: p9.Table
+    table: p9.MessageTable
 
     def reply(self, connection: FileConnection, message: p9.Message) -> p9.Message | None:
         """Run a message that only this dialect has and return the reply; None when it has no such request."""
         raise NotImplementedError
 
-    def error(self, problem: Problem) -> p9.Message:
+    def error(self, problem: ErrorReply) -> p9.Message:
         """Return the reply to a request that failed."""
         raise NotImplementedError
 
@@ -89,14 +89,14 @@
         except p9.FrameError:
             self.server.close_connection(self)
 
-    def _receive(self, tag: int, message: p9.Message | p9.Malformed) -> None:
+    def _receive(self, tag: int, message: p9.Message | p9.MalformedMessage) -> None:
         server = self.server
-        if isinstance(message, p9.Malformed):
-            self._send(tag, self._error(Problem(errors.EPROTO, message.reason)))
+        if isinstance(message, p9.MalformedMessage):
+            self._send(tag, self._error(ErrorReply(errors.EPROTO, message.reason)))
             return
         server.received.append(message)
         if tag in self._waiting and not isinstance(message, p9.Tversion):
-            self._send(tag, self._error(Problem(errors.EPROTO, "duplicate tag")))
+            self._send(tag, self._error(ErrorReply(errors.EPROTO, "duplicate tag")))
             return
         if server.holds_reply and server.holds_reply(message):
             self._hold(tag, message)
@@ -130,7 +130,7 @@
                 self.run(message)
                 server.close_connection(self)
             case Fault.REFUSE:
-                self._send(tag, self._error(Problem(rule.error_number)))
+                self._send(tag, self._error(ErrorReply(rule.error_number)))
             case _:
                 self._reply_wrongly(tag, message, rule.fault)
 
@@ -184,7 +184,7 @@
         if not self.is_closing:
             self.write(p9.encode(tag, message))
 
-    def _error(self, problem: Problem) -> p9.Message:
+    def _error(self, problem: ErrorReply) -> p9.Message:
         return self.dialect.error(problem) if self.dialect else p9.Rerror(problem.text)
 
     # Messages of both dialects
@@ -240,7 +240,7 @@
         self.msize = min(message.msize, self.server.msize)
         self.dialect = self.server.dialects[version] if version else None
         self._framer.max_size = self.msize
-        self._framer.table = self.dialect.table if self.dialect else p9.PLAIN
+        self._framer.table = self.dialect.table if self.dialect else p9.PLAIN_MESSAGES
         return p9.Rversion(self.msize, version or "unknown")
 
     def reset(self) -> None:
@@ -326,7 +326,7 @@
         at = self.fid(fid)
         if at.access is None or at.access == p9.OWRITE:
             raise DiskError(errors.EBADF, "fid not open for reading")
-        count = min(count, self.msize - p9.READ_OVERHEAD)
+        count = min(count, self.msize - p9.IO_HEADER_BYTES)
         if at.node.is_dir:
             assert self.dialect
             return self.dialect.read_directory(self, at, offset, count)
--- a/garnetlanding/ninep/client_dialect.py
+++ b/garnetlanding/ninep/client_dialect.py
@@ -7,8 +7,8 @@
 
 from garnetlanding.ninep import codec, codec_linux, errors
 from garnetlanding.ninep.codec import Message, Qid
-from garnetlanding.ninep.errors import OperationFailedError, Problem
-from garnetlanding.ninep.model import Attr, Changes, Entry, Path, Space
+from garnetlanding.ninep.errors import ErrorReply, OperationFailedError
+from garnetlanding.ninep.model import AttributeChanges, DirectoryEntry, FileAttributes, FileSystemStats, Path
 from garnetlanding.ninep.session import FILE_REPLACED, Identity, OpenFile, OpenMode, Session, Steps, walk
 
 MIN_LISTING_BYTES = 4096
@@ -39,7 +39,7 @@
     """
 
     version: str
-    table: codec.Table
+    table: codec.MessageTable
     lists_attributes: bool
     """Whether directory entries include the attributes of the files."""
     rename_replaces: bool
@@ -59,11 +59,11 @@
         """Create a regular file and open it."""
         ...
 
-    def stat(self, fid: int) -> Steps[Attr]:
+    def stat(self, fid: int) -> Steps[FileAttributes]:
         """Return the attributes."""
         ...
 
-    def change(self, fid: int, qid: Qid, changes: Changes) -> Steps[None]:
+    def change(self, fid: int, qid: Qid, changes: AttributeChanges) -> Steps[None]:
         """Change attributes; an empty `changes` flushes written data to stable storage."""
         ...
 
@@ -73,7 +73,7 @@
 
     def list_entries(
         self, session: Session, path: Path, open_mode: OpenMode, qid: Qid, cookie: int, count: int
-    ) -> Steps[list[Entry]]:
+    ) -> Steps[list[DirectoryEntry]]:
         """Return about `count` bytes of directory entries from `cookie` on; none at the end."""
         ...
 
@@ -107,7 +107,7 @@
         """Remove a directory entry; `directory` says whether it must be a directory or must not be one."""
         ...
 
-    def stat_fs(self, fid: int) -> Steps[Space]:
+    def stat_fs(self, fid: int) -> Steps[FileSystemStats]:
         """Return the statistics of the file system."""
         ...
 
@@ -115,14 +115,14 @@
 def unsupported(feature: str, version: str) -> OperationFailedError:
     """Return the error for a feature that the dialect `version` cannot express."""
     text = f"operation not supported: {feature} cannot be expressed in {version}"
-    return OperationFailedError(Problem(errors.EOPNOTSUPP, text))
+    return OperationFailedError(ErrorReply(errors.EOPNOTSUPP, text))
 
 
-def check_changeable(changes: Changes) -> None:
+def check_changeable(changes: AttributeChanges) -> None:
     """Raise OperationFailedError if the changes include fields that a wstat cannot change."""
     if changes.unchangeable:
         field_names = ", ".join(changes.unchangeable)
-        raise OperationFailedError(Problem(errors.EPERM, f"wstat cannot change {field_names}"))
+        raise OperationFailedError(ErrorReply(errors.EPERM, f"wstat cannot change {field_names}"))
 
 
 def open_file(
--- a/garnetlanding/ninep/client_dialect_linux.py
+++ b/garnetlanding/ninep/client_dialect_linux.py
@@ -5,11 +5,20 @@
 import stat as posix
 
 from garnetlanding.ninep import codec, codec_linux
-from garnetlanding.ninep.attribute_format import getattr_attr, read_entries
+from garnetlanding.ninep.attribute_format import attr_from_getattr, read_entries
 from garnetlanding.ninep.client_dialect import NewFile, check_changeable, open_file, unsupported
 from garnetlanding.ninep.codec import Message, Qid
 from garnetlanding.ninep.errors import OperationFailedError
-from garnetlanding.ninep.model import DM_FLAGS, Attr, Changes, Entry, Path, Space, Time, user_number
+from garnetlanding.ninep.model import (
+    DM_FLAGS,
+    AttributeChanges,
+    DirectoryEntry,
+    FileAttributes,
+    FileSystemStats,
+    Path,
+    Timestamp,
+    numeric_id,
+)
 from garnetlanding.ninep.session import Identity, OpenFile, OpenMode, Session, Steps, expect, walk
 from garnetlanding.runtime.errors import BackendProtocolError
 
@@ -21,7 +30,7 @@
     """Implements `ClientDialect` for 9P2000.L; its methods are described there."""
 
     version = codec_linux.VERSION
-    table = codec_linux.LINUX
+    table = codec_linux.LINUX_MESSAGES
     lists_attributes = False
     rename_replaces = True
 
@@ -55,12 +64,12 @@
         session.fids_to_clunk.remove(fid)
         return OpenFile(fid, created.qid, created.iounit)
 
-    def stat(self, fid: int) -> Steps[Attr]:
+    def stat(self, fid: int) -> Steps[FileAttributes]:
         """Get the attributes by Tgetattr."""
         reply = yield codec_linux.Tgetattr(fid, codec_linux.GETATTR_BASIC)
-        return getattr_attr(expect(reply, codec_linux.Rgetattr))
+        return attr_from_getattr(expect(reply, codec_linux.Rgetattr))
 
-    def change(self, fid: int, qid: Qid, changes: Changes) -> Steps[None]:  # noqa: ARG002 - part of ClientDialect
+    def change(self, fid: int, qid: Qid, changes: AttributeChanges) -> Steps[None]:  # noqa: ARG002 - part of ClientDialect
         """Change by one Tsetattr. The name is changed by `rename` instead."""
         check_changeable(changes)
         if changes.flags is not None and changes.flags & DM_FLAGS:
@@ -85,7 +94,7 @@
 
     def list_entries(
         self, session: Session, path: Path, open_mode: OpenMode, qid: Qid, cookie: int, count: int
-    ) -> Steps[list[Entry]]:
+    ) -> Steps[list[DirectoryEntry]]:
         """List by one Treaddir."""
         file = yield from open_file(session, self, path, open_mode, qid)
         requested_bytes = min(count, session.max_data_bytes)
@@ -133,10 +142,10 @@
         flags = codec_linux.AT_REMOVEDIR if directory else 0
         expect((yield codec_linux.Tunlinkat(fid, name, flags)), codec_linux.Runlinkat)
 
-    def stat_fs(self, fid: int) -> Steps[Space]:
+    def stat_fs(self, fid: int) -> Steps[FileSystemStats]:
         """Get the statistics by Tstatfs."""
         reply = expect((yield codec_linux.Tstatfs(fid)), codec_linux.Rstatfs)
-        return Space(
+        return FileSystemStats(
             reply.type,
             reply.bsize,
             reply.blocks,
@@ -160,21 +169,21 @@
     return unsupported("an append-only or exclusive-use file", codec_linux.VERSION)
 
 
-def _setattr(fid: int, changes: Changes) -> codec_linux.Tsetattr:
+def _setattr(fid: int, changes: AttributeChanges) -> codec_linux.Tsetattr:
     """Return the Tsetattr of these changes; an unchanged field is 0 and not selected by `valid`."""
     valid = 0
     for bits, value in (
-        (codec_linux.SET_MODE, changes.perm),
-        (codec_linux.SET_UID, changes.uid),
-        (codec_linux.SET_GID, changes.gid),
-        (codec_linux.SET_SIZE, changes.length),
-        (codec_linux.SET_ATIME | codec_linux.SET_ATIME_TO, changes.atime),
-        (codec_linux.SET_MTIME | codec_linux.SET_MTIME_TO, changes.mtime),
+        (codec_linux.SETATTR_MODE, changes.perm),
+        (codec_linux.SETATTR_UID, changes.uid),
+        (codec_linux.SETATTR_GID, changes.gid),
+        (codec_linux.SETATTR_SIZE, changes.length),
+        (codec_linux.SETATTR_ATIME | codec_linux.SETATTR_ATIME_SET, changes.atime),
+        (codec_linux.SETATTR_MTIME | codec_linux.SETATTR_MTIME_SET, changes.mtime),
     ):
         if value is not None:
             valid |= bits
-    atime = changes.atime or Time(0)
-    mtime = changes.mtime or Time(0)
+    atime = changes.atime or Timestamp(0)
+    mtime = changes.mtime or Timestamp(0)
     return codec_linux.Tsetattr(
         fid,
         valid,
@@ -182,10 +191,10 @@
         _user_number(changes.uid),
         _user_number(changes.gid),
         changes.length or 0,
-        atime.s,
-        atime.ns,
-        mtime.s,
-        mtime.ns,
+        atime.seconds,
+        atime.nanoseconds,
+        mtime.seconds,
+        mtime.nanoseconds,
     )
 
 
@@ -194,4 +203,4 @@
         return 0
     if not name.isdigit():
         raise unsupported(f"the user {name!r:.40}, who has no number,", codec_linux.VERSION)
-    return user_number(name)
+    return numeric_id(name)
--- a/garnetlanding/ninep/client_dialect_plain.py
+++ b/garnetlanding/ninep/client_dialect_plain.py
@@ -12,11 +12,21 @@
     open_file,
     unsupported,
 )
-from garnetlanding.ninep.codec import Message, Qid, Reader
-from garnetlanding.ninep.errors import OperationFailedError, Problem
-from garnetlanding.ninep.model import DM_FLAGS, DMDIR, PERM, Attr, Changes, Entry, Path, Space, d_type
+from garnetlanding.ninep.codec import FieldReader, Message, Qid
+from garnetlanding.ninep.errors import ErrorReply, OperationFailedError
+from garnetlanding.ninep.model import (
+    DM_FLAGS,
+    DMDIR,
+    PERMISSION_BITS,
+    AttributeChanges,
+    DirectoryEntry,
+    FileAttributes,
+    FileSystemStats,
+    Path,
+    dirent_type,
+)
 from garnetlanding.ninep.session import Identity, OpenFile, OpenMode, Session, Steps, expect, walk
-from garnetlanding.ninep.stat_format import pack_changes, parse_stat, raw_attr, read_stat
+from garnetlanding.ninep.stat_format import attr_from_stat, pack_wstat, parse_stat, read_stat
 from garnetlanding.runtime.errors import BackendProtocolError
 
 
@@ -24,7 +34,7 @@
     """Implements `ClientDialect` for 9P2000; its methods are described there."""
 
     version = codec.VERSION
-    table = codec.PLAIN
+    table = codec.PLAIN_MESSAGES
     lists_attributes = True
     rename_replaces = False
 
@@ -52,7 +62,7 @@
             if file:
                 return file
         fid, _ = yield from walk(session, parent, None)
-        perm = new_file.perm & PERM | new_file.flags & DM_FLAGS
+        perm = new_file.perm & PERMISSION_BITS | new_file.flags & DM_FLAGS
         reply = expect((yield codec.Tcreate(fid, name, perm, open_mode.access)), codec.Rcreate)
         session.fids_to_clunk.remove(fid)
         return OpenFile(fid, reply.qid, reply.iounit)
@@ -64,7 +74,7 @@
         try:
             fid, _ = yield from walk(session, path, None)
         except OperationFailedError as error:
-            if error.problem.number != errors.ENOENT:
+            if error.error_reply.errno != errors.ENOENT:
                 raise
             return None
         session.fids_to_clunk.remove(fid)
@@ -74,15 +84,15 @@
             session.fids_to_clunk.append(fid)
             raise
 
-    def stat(self, fid: int) -> Steps[Attr]:
+    def stat(self, fid: int) -> Steps[FileAttributes]:
         """Ask by Tstat."""
         reply = expect((yield codec.Tstat(fid)), codec.Rstat)
         try:
-            return raw_attr(parse_stat(reply.stat))
+            return attr_from_stat(parse_stat(reply.stat))
         except ValueError as error:
             raise BackendProtocolError(f"bad stat: {error}") from error
 
-    def change(self, fid: int, qid: Qid, changes: Changes) -> Steps[None]:
+    def change(self, fid: int, qid: Qid, changes: AttributeChanges) -> Steps[None]:
         """Change by one Twstat, which may also change the name."""
         check_changeable(changes)
         if changes.uid is not None:
@@ -92,7 +102,7 @@
         if changes.perm is not None and changes.flags is None:
             # A wstat sets the whole mode, so the bits other than the permissions have to be preserved.
             attr = yield from self.stat(fid)
-            changes = Changes(
+            changes = AttributeChanges(
                 name=changes.name,
                 perm=changes.perm,
                 flags=attr.flags,
@@ -100,19 +110,19 @@
                 length=changes.length,
                 mtime=changes.mtime,
             )
-        packed = pack_changes(changes, bool(qid.type & codec.QTDIR))
+        packed = pack_wstat(changes, bool(qid.type & codec.QTDIR))
         expect((yield codec.Twstat(fid, packed)), codec.Rwstat)
 
     def rename(self, session: Session, old: Path, new: Path, qid: Qid | None) -> Steps[None]:
         """Rename by Twstat, only within a directory."""
         if old[:-1] != new[:-1]:
-            raise OperationFailedError(Problem(errors.EXDEV))
+            raise OperationFailedError(ErrorReply(errors.EXDEV))
         fid, found = yield from walk(session, old, qid)
-        yield from self.change(fid, found, Changes(name=new[-1]))
+        yield from self.change(fid, found, AttributeChanges(name=new[-1]))
 
     def list_entries(
         self, session: Session, path: Path, open_mode: OpenMode, qid: Qid, cookie: int, count: int
-    ) -> Steps[list[Entry]]:
+    ) -> Steps[list[DirectoryEntry]]:
         """List by Tread, which can only read a directory sequentially from its start.
 
         A cookie is a byte offset here. If the fid is at another offset, because another attempt has used it
@@ -133,7 +143,7 @@
             if not skip:
                 return _parse_entries(data, start)
             if not data:
-                changed = Problem(errors.EINVAL, "directory changed; read it again from its start")
+                changed = ErrorReply(errors.EINVAL, "directory changed; read it again from its start")
                 raise OperationFailedError(changed)
 
     def sync(
@@ -146,11 +156,11 @@
     ) -> Steps[None]:
         """Flush by a Twstat that changes nothing, as specified in stat(5)."""
         fid, found = yield from walk(session, path, qid)
-        yield from self.change(fid, found, Changes())
+        yield from self.change(fid, found, AttributeChanges())
 
     def make_directory(self, fid: int, name: str, new_file: NewFile) -> Steps[Qid]:
         """Create by Tcreate."""
-        perm = DMDIR | new_file.perm & PERM
+        perm = DMDIR | new_file.perm & PERMISSION_BITS
         return expect((yield codec.Tcreate(fid, name, perm, codec.OREAD)), codec.Rcreate).qid
 
     def make_node(
@@ -164,7 +174,7 @@
         """Create a regular file by Tcreate; this dialect has no other types."""
         if not posix.S_ISREG(new_file.perm):
             raise unsupported("a device or pipe", codec.VERSION)
-        perm = new_file.perm & PERM
+        perm = new_file.perm & PERMISSION_BITS
         return expect((yield codec.Tcreate(fid, name, perm, codec.OREAD)), codec.Rcreate).qid
 
     def symlink(self, fid: int, name: str, target: str, gid: int) -> Steps[Qid]:  # noqa: ARG002 - fails
@@ -174,7 +184,7 @@
 
     def read_link(self, fid: int) -> Steps[str]:  # noqa: ARG002 - fails
         """Fail: the dialect has no symbolic links."""
-        raise OperationFailedError(Problem(errors.EINVAL, "not a symbolic link"))
+        raise OperationFailedError(ErrorReply(errors.EINVAL, "not a symbolic link"))
         yield  # makes this method a generator
 
     def link(self, parent: int, fid: int, name: str) -> Steps[None]:  # noqa: ARG002 - fails
@@ -186,11 +196,11 @@
         """Remove by Tremove, after checking the type of the file."""
         fid, qid = yield from walk(session, (*parent, name), None)
         if bool(qid.type & codec.QTDIR) != directory:
-            raise OperationFailedError(Problem(errors.ENOTDIR if directory else errors.EISDIR))
+            raise OperationFailedError(ErrorReply(errors.ENOTDIR if directory else errors.EISDIR))
         session.fids_to_clunk.remove(fid)  # Tremove clunks the fid even if it fails
         expect((yield codec.Tremove(fid)), codec.Rremove)
 
-    def stat_fs(self, fid: int) -> Steps[Space]:  # noqa: ARG002 - fails
+    def stat_fs(self, fid: int) -> Steps[FileSystemStats]:  # noqa: ARG002 - fails
         """Fail: the dialect has no file system statistics."""
         raise unsupported("the room of a file system", codec.VERSION)
         yield  # makes this method a generator
@@ -203,18 +213,20 @@
         raise unsupported("a synchronous open", codec.VERSION)
 
 
-def _parse_entries(data: bytes, start: int) -> list[Entry]:
+def _parse_entries(data: bytes, start: int) -> list[DirectoryEntry]:
     """Return the directory entries in `data`, which starts at the byte offset `start` of the directory.
 
     The cookie of an entry is the offset of the next one.
     """
-    reader = Reader(data)
+    reader = FieldReader(data)
     entries = []
     try:
-        while reader.left:
+        while reader.remaining:
             raw = read_stat(reader)
-            cookie = start + len(data) - reader.left
-            entries.append(Entry(raw.name, raw.qid, cookie, d_type(raw.qid), raw_attr(raw)))
+            cookie = start + len(data) - reader.remaining
+            entries.append(
+                DirectoryEntry(raw.name, raw.qid, cookie, dirent_type(raw.qid), attr_from_stat(raw))
+            )
     except ValueError as error:
         raise BackendProtocolError(f"bad directory entry: {error}") from error
     return entries
--- a/garnetlanding/ninep/fids.py
+++ b/garnetlanding/ninep/fids.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from garnetlanding.ninep.codec import QTDIR, Qid
-from garnetlanding.ninep.errors import NinepError, Problem
+from garnetlanding.ninep.errors import ErrorReply, NinepError
 from garnetlanding.ninep.model import Path
 from garnetlanding.ninep.session import Identity, OpenMode
 from garnetlanding.ninep.setup import Export
@@ -15,7 +15,7 @@
     """A message is rejected without asking a file server; `problem` is the error for the client."""
 
     def __init__(self, number: int, text: str = "") -> None:
-        self.problem = Problem(number, text)
+        self.problem = ErrorReply(number, text)
         super().__init__(self.problem.text)
 
 
--- a/garnetlanding/ninep/server_dialect.py
+++ b/garnetlanding/ninep/server_dialect.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from garnetlanding.ninep.codec import Message, Table
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.codec import Message, MessageTable
+from garnetlanding.ninep.errors import ErrorReply
 from garnetlanding.ninep.fids import Fid
 
 Handlers = Mapping[type[Any], Callable[[int, Any], None]]
@@ -18,15 +18,15 @@
 
     version: str
     """The version string in Tversion and Rversion."""
-    table: Table
+    table: MessageTable
     """The wire formats of its messages."""
     handlers: Handlers
     """Handlers of the messages whose form is specific to this dialect."""
-    unsupported: Problem
+    unsupported: ErrorReply
     """The error for a message without a handler."""
 
     def read_directory(self, tag: int, fid_number: int, fid: Fid, offset: int, count: int, /) -> None:
         """Process a Tread of a directory. Raises RequestRejectedError if the dialect has no such message."""
 
-    def error_reply(self, problem: Problem, msize: int, /) -> Message:
+    def error_reply(self, problem: ErrorReply, msize: int, /) -> Message:
         """Return the R-message for a problem, no longer than `msize` bytes."""
--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -14,28 +14,28 @@
 from garnetlanding.ninep.client_session import AttachRequest, ClientSession
 from garnetlanding.ninep.codec import Message, Qid
 from garnetlanding.ninep.directory_operations import Link, MakeDirectory, MakeNode, Rename, Symlink, Unlink
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import ErrorReply
 from garnetlanding.ninep.fid_table import check_offset
 from garnetlanding.ninep.fids import Fid, RequestRejectedError
 from garnetlanding.ninep.locks import UNBOUNDED_END, LockLimitError, LockOwner, LockRange, byte_span
-from garnetlanding.ninep.model import Changes, Entry, Space, Time
+from garnetlanding.ninep.model import AttributeChanges, DirectoryEntry, FileSystemStats, Timestamp
 from garnetlanding.ninep.operations import (
-    Change,
+    ChangeAttributes,
     Create,
     Open,
+    Operation,
     ReadDirectory,
     ReadLink,
     Stat,
     StatFs,
     Sync,
-    Work,
 )
 from garnetlanding.ninep.pending import PendingRequest
 from garnetlanding.ninep.server_dialect import Handlers
 from garnetlanding.ninep.session import OpenFile, OpenMode
 
 _PERMISSIONS = 0o7777
-_READLINK_OVERHEAD = codec.HEADER + 2
+_READLINK_OVERHEAD = codec.HEADER_BYTES + 2
 """Size of an Rreadlink without its target, in bytes."""
 
 
@@ -43,8 +43,8 @@
     """Implements `ServerDialect` for 9P2000.L, the dialect of Linux clients."""
 
     version = codec_linux.VERSION
-    table = codec_linux.LINUX
-    unsupported = Problem(errors.EOPNOTSUPP)
+    table = codec_linux.LINUX_MESSAGES
+    unsupported = ErrorReply(errors.EOPNOTSUPP)
 
     def __init__(self, session: ClientSession) -> None:
         self._session = session
@@ -72,9 +72,9 @@
             codec_linux.Trenameat: self._renameat,
         }
 
-    def error_reply(self, problem: Problem, _msize: int) -> Message:
+    def error_reply(self, problem: ErrorReply, _msize: int) -> Message:
         """Return an Rlerror, which has the Linux error number and no text."""
-        return codec_linux.Rlerror(problem.number)
+        return codec_linux.Rlerror(problem.errno)
 
     def _attach(self, tag: int, message: codec_linux.Tlattach) -> None:
         request = AttachRequest(message.fid, message.afid, message.uname, message.n_uname, message.aname)
@@ -83,8 +83,8 @@
     # Open and create
 
     def _open_flags(self, fid: Fid, flags: int) -> OpenMode:
-        access = flags & codec_linux.L_ACCESS
-        if access == codec_linux.L_ACCESS:
+        access = flags & codec_linux.L_ACCESS_MASK
+        if access == codec_linux.L_ACCESS_MASK:
             raise RequestRejectedError(errors.EINVAL)
         append = bool(flags & codec_linux.L_APPEND)
         open_mode = OpenMode(access, append, flags & (codec_linux.L_DSYNC | codec_linux.L_SYNC))
@@ -159,7 +159,7 @@
         fid = self._session.fids.get(message.fid)
         if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
-        if message.valid & codec_linux.SET_SIZE:
+        if message.valid & codec_linux.SETATTR_SIZE:
             if fid.is_dir:
                 raise RequestRejectedError(errors.EISDIR)
             check_offset(message.size, 0)
@@ -168,7 +168,7 @@
             # Nothing is selected, or only ctime, which the server sets itself.
             self._session.reply(tag, codec_linux.Rsetattr())
             return
-        operation = Change(fid.identity, fid.path, fid.qid, changes)
+        operation = ChangeAttributes(fid.identity, fid.path, fid.qid, changes)
         self._submit(tag, message.fid, fid, operation, lambda _: codec_linux.Rsetattr())
 
     def _statfs(self, tag: int, message: codec_linux.Tstatfs) -> None:
@@ -195,7 +195,7 @@
             raise RequestRejectedError(errors.ENOTDIR)
         count = min(message.count, self._session.max_data_bytes)
 
-        def build_reply(entries: list[Entry]) -> Message:
+        def build_reply(entries: list[DirectoryEntry]) -> Message:
             return codec_linux.Rreaddir(_pack_entries(entries, count))
 
         operation = ReadDirectory(fid.identity, fid.path, fid.qid, open_mode, message.offset, count)
@@ -276,7 +276,7 @@
 
     def _submit_rename(self, tag: int, fid_number: int, fid: Fid, operation: Rename, reply: Message) -> None:
         old_path = operation.path
-        new_path = operation.new
+        new_path = operation.new_path
         if not old_path:
             raise RequestRejectedError(errors.EBUSY, "cannot rename the root")
         if new_path[: len(old_path)] == old_path and new_path != old_path:
@@ -289,7 +289,7 @@
         self._session.requests.submit(tag, PendingRequest(fid, operation, build_reply, fid_number))
 
     def _submit(
-        self, tag: int, fid_number: int, fid: Fid, operation: Work, build_reply: Callable[[Qid], Message]
+        self, tag: int, fid_number: int, fid: Fid, operation: Operation, build_reply: Callable[[Qid], Message]
     ) -> None:
         self._session.requests.submit(tag, PendingRequest(fid, operation, build_reply, fid_number))
 
@@ -302,9 +302,9 @@
         """
         fid, open_mode, requested = self._parse_lock_request(message)
         locks = self._session.shared.locks
-        if message.type == codec_linux.LOCK_NONE:
+        if message.type == codec_linux.LOCK_TYPE_UNLOCK:
             locks.release(fid.file_id, requested.owner, requested.start, requested.end)
-            self._session.reply(tag, codec_linux.Rlock(codec_linux.LOCK_DONE))
+            self._session.reply(tag, codec_linux.Rlock(codec_linux.LOCK_STATUS_SUCCESS))
             return
         _check_lock_type(message.type)
         permitted = open_mode.writes if requested.write else open_mode.reads
@@ -314,7 +314,7 @@
             acquired = locks.acquire(fid.file_id, requested)
         except LockLimitError as error:
             raise RequestRejectedError(errors.ENOLCK) from error
-        status = codec_linux.LOCK_DONE if acquired else codec_linux.LOCK_BLOCKED
+        status = codec_linux.LOCK_STATUS_SUCCESS if acquired else codec_linux.LOCK_STATUS_BLOCKED
         self._session.reply(tag, codec_linux.Rlock(status))
 
     def _getlock(self, tag: int, message: codec_linux.Tgetlock) -> None:
@@ -336,12 +336,12 @@
         check_offset(message.start, 0)
         start, end = byte_span(message.start, message.length)
         owner = LockOwner(self._session.client, message.proc_id, message.client_id)
-        write = message.type == codec_linux.LOCK_WRITE
+        write = message.type == codec_linux.LOCK_TYPE_WRITE
         return fid, open_mode, LockRange(owner, message.fid, write, start, end)
 
 
 def _check_lock_type(lock_type: int) -> None:
-    if lock_type not in (codec_linux.LOCK_READ, codec_linux.LOCK_WRITE):
+    if lock_type not in (codec_linux.LOCK_TYPE_READ, codec_linux.LOCK_TYPE_WRITE):
         raise RequestRejectedError(errors.EINVAL)
 
 
@@ -351,36 +351,36 @@
         raise RequestRejectedError(errors.EXDEV)
 
 
-def _parse_changes(message: codec_linux.Tsetattr, now: Time) -> Changes:
+def _parse_changes(message: codec_linux.Tsetattr, now: Timestamp) -> AttributeChanges:
     """Return the changes that a Tsetattr requests; `now` replaces a selected time without a value."""
     valid = message.valid
-    atime = Time(message.atime_s, message.atime_ns) if valid & codec_linux.SET_ATIME_TO else now
-    mtime = Time(message.mtime_s, message.mtime_ns) if valid & codec_linux.SET_MTIME_TO else now
-    return Changes(
-        perm=message.mode & _PERMISSIONS if valid & codec_linux.SET_MODE else None,
-        uid=str(message.uid) if valid & codec_linux.SET_UID else None,
-        gid=str(message.gid) if valid & codec_linux.SET_GID else None,
-        length=message.size if valid & codec_linux.SET_SIZE else None,
-        atime=atime if valid & codec_linux.SET_ATIME else None,
-        mtime=mtime if valid & codec_linux.SET_MTIME else None,
+    atime = Timestamp(message.atime_s, message.atime_ns) if valid & codec_linux.SETATTR_ATIME_SET else now
+    mtime = Timestamp(message.mtime_s, message.mtime_ns) if valid & codec_linux.SETATTR_MTIME_SET else now
+    return AttributeChanges(
+        perm=message.mode & _PERMISSIONS if valid & codec_linux.SETATTR_MODE else None,
+        uid=str(message.uid) if valid & codec_linux.SETATTR_UID else None,
+        gid=str(message.gid) if valid & codec_linux.SETATTR_GID else None,
+        length=message.size if valid & codec_linux.SETATTR_SIZE else None,
+        atime=atime if valid & codec_linux.SETATTR_ATIME else None,
+        mtime=mtime if valid & codec_linux.SETATTR_MTIME else None,
     )
 
 
-def _statfs_reply(space: Space) -> Message:
+def _statfs_reply(stats: FileSystemStats) -> Message:
     return codec_linux.Rstatfs(
-        space.type,
-        space.bsize,
-        space.blocks,
-        space.bfree,
-        space.bavail,
-        space.files,
-        space.ffree,
-        space.fsid,
-        space.namelen,
+        stats.type,
+        stats.bsize,
+        stats.blocks,
+        stats.bfree,
+        stats.bavail,
+        stats.files,
+        stats.ffree,
+        stats.fsid,
+        stats.namelen,
     )
 
 
-def _pack_entries(entries: list[Entry], count: int) -> bytes:
+def _pack_entries(entries: list[DirectoryEntry], count: int) -> bytes:
     """Return as many complete entries as fit in `count` bytes."""
     packed_entries: list[bytes] = []
     remaining = count
@@ -398,10 +398,10 @@
 def _getlock_reply(message: codec_linux.Tgetlock, conflict: LockRange | None) -> Message:
     if conflict is None:
         return codec_linux.Rgetlock(
-            codec_linux.LOCK_NONE, message.start, message.length, message.proc_id, message.client_id
+            codec_linux.LOCK_TYPE_UNLOCK, message.start, message.length, message.proc_id, message.client_id
         )
     return codec_linux.Rgetlock(
-        codec_linux.LOCK_WRITE if conflict.write else codec_linux.LOCK_READ,
+        codec_linux.LOCK_TYPE_WRITE if conflict.write else codec_linux.LOCK_TYPE_READ,
         conflict.start,
         0 if conflict.end == UNBOUNDED_END else conflict.end - conflict.start,
         conflict.owner.proc_id,
--- a/garnetlanding/ninep/server_dialect_plain.py
+++ b/garnetlanding/ninep/server_dialect_plain.py
@@ -9,20 +9,27 @@
 from garnetlanding.ninep.client_session import AttachRequest, ClientSession
 from garnetlanding.ninep.codec import ORCLOSE, OREAD, OTRUNC, Message, Qid
 from garnetlanding.ninep.directory_operations import MakeDirectory
-from garnetlanding.ninep.errors import Problem
+from garnetlanding.ninep.errors import ErrorReply
 from garnetlanding.ninep.fid_table import check_name, check_offset
 from garnetlanding.ninep.fids import DirectoryPosition, Fid, RequestRejectedError
-from garnetlanding.ninep.model import DM_FLAGS, DMDIR, PERM, Attr, Changes, Entry
-from garnetlanding.ninep.operations import Change, Create, Open, ReadDirectory, Stat
+from garnetlanding.ninep.model import (
+    DM_FLAGS,
+    DMDIR,
+    PERMISSION_BITS,
+    AttributeChanges,
+    DirectoryEntry,
+    FileAttributes,
+)
+from garnetlanding.ninep.operations import ChangeAttributes, Create, Open, ReadDirectory, Stat
 from garnetlanding.ninep.pending import PendingRequest
 from garnetlanding.ninep.server_dialect import Handlers
 from garnetlanding.ninep.session import OpenFile, OpenMode
-from garnetlanding.ninep.stat_format import pack_stat, parse_stat, plain_qid, raw_changes
+from garnetlanding.ninep.stat_format import changes_from_stat, pack_stat, parse_stat, plain_qid
 
 _ACCESS_MASK = 0x03
-_STAT_OVERHEAD = codec.HEADER + 2
+_STAT_OVERHEAD = codec.HEADER_BYTES + 2
 """Size of an Rstat without its stat, in bytes."""
-_ERROR_OVERHEAD = codec.HEADER + 2
+_ERROR_OVERHEAD = codec.HEADER_BYTES + 2
 """Size of an Rerror without its text, in bytes."""
 
 
@@ -30,8 +37,8 @@
     """Implements `ServerDialect` for 9P2000, as specified in section 5 of the Plan 9 manual."""
 
     version = codec.VERSION
-    table = codec.PLAIN
-    unsupported = Problem(errors.EPROTO, "not a request")
+    table = codec.PLAIN_MESSAGES
+    unsupported = ErrorReply(errors.EPROTO, "not a request")
 
     def __init__(self, session: ClientSession) -> None:
         self._session = session
@@ -44,7 +51,7 @@
             codec.Twstat: self._wstat,
         }
 
-    def error_reply(self, problem: Problem, msize: int) -> Message:
+    def error_reply(self, problem: ErrorReply, msize: int) -> Message:
         """Return an Rerror, with its text truncated to fit the negotiated message size."""
         text = problem.text.encode()[: msize - _ERROR_OVERHEAD]
         return codec.Rerror(text.decode(errors="ignore"))
@@ -93,7 +100,7 @@
         if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
         self._session.fids.get_directory(message.fid, message.name)
-        if message.perm & ~(DMDIR | DM_FLAGS | PERM):
+        if message.perm & ~(DMDIR | DM_FLAGS | PERMISSION_BITS):
             raise RequestRejectedError(errors.EINVAL, f"unknown kind of file {message.perm:#x}")
         self._session.fids.check_path((*fid.path, message.name))
         if message.perm & DMDIR:
@@ -104,7 +111,7 @@
 
     def _file_creation(self, message: codec.Tcreate, fid: Fid, open_mode: OpenMode) -> PendingRequest:
         path = (*fid.path, message.name)
-        new_file = NewFile(message.perm & PERM, message.perm & DM_FLAGS)
+        new_file = NewFile(message.perm & PERMISSION_BITS, message.perm & DM_FLAGS)
 
         def build_reply(file: OpenFile) -> Message:
             fid.path = path
@@ -120,7 +127,7 @@
         if open_mode.access != OREAD:
             raise RequestRejectedError(errors.EISDIR)
         path = (*fid.path, message.name)
-        new_file = NewFile(message.perm & PERM, message.perm & DM_FLAGS)
+        new_file = NewFile(message.perm & PERMISSION_BITS, message.perm & DM_FLAGS)
 
         def build_reply(qid: Qid) -> Message:
             fid.path = path
@@ -138,7 +145,7 @@
         """Process Tstat: return the attributes of the file of fid (stat(5))."""
         fid = self._session.fids.get(message.fid)
 
-        def build_reply(attr: Attr) -> Message:
+        def build_reply(attr: FileAttributes) -> Message:
             stat = pack_stat(fid.path[-1] if fid.path else "/", attr)
             if len(stat) + _STAT_OVERHEAD > self._session.msize:
                 raise RequestRejectedError(errors.ERANGE, "stat does not fit msize")
@@ -153,7 +160,7 @@
         if not fid.export.writable:
             raise RequestRejectedError(errors.EROFS)
         try:
-            requested = raw_changes(parse_stat(message.stat))
+            requested = changes_from_stat(parse_stat(message.stat))
         except ValueError as error:
             raise RequestRejectedError(errors.EINVAL, f"bad stat: {error}") from error
         changes = _checked_name(fid, _checked_length(fid, _checked_flags(fid, requested)))
@@ -164,7 +171,7 @@
                 self._session.shared.rename(fid.export.name, old_path, (*old_path[:-1], changes.name))
             return codec.Rwstat()
 
-        operation = Change(fid.identity, fid.path, fid.qid, changes)
+        operation = ChangeAttributes(fid.identity, fid.path, fid.qid, changes)
         self._session.requests.submit(tag, PendingRequest(fid, operation, build_reply, message.fid))
 
     # Directories
@@ -179,7 +186,7 @@
             raise RequestRejectedError(errors.EINVAL, "bad offset in directory read")
         cookie = fid.position.cookie if offset else 0
 
-        def build_reply(entries: list[Entry]) -> Message:
+        def build_reply(entries: list[DirectoryEntry]) -> Message:
             data, next_cookie = _pack_stats(entries, cookie, count)
             fid.position = DirectoryPosition(offset + len(data), next_cookie)
             return codec.Rread(data)
@@ -192,7 +199,7 @@
         )
 
 
-def _checked_flags(fid: Fid, changes: Changes) -> Changes:
+def _checked_flags(fid: Fid, changes: AttributeChanges) -> AttributeChanges:
     if changes.flags is None:
         return changes
     if bool(changes.flags & DMDIR) != fid.is_dir:
@@ -200,7 +207,7 @@
     return replace(changes, flags=changes.flags & DM_FLAGS)
 
 
-def _checked_length(fid: Fid, changes: Changes) -> Changes:
+def _checked_length(fid: Fid, changes: AttributeChanges) -> AttributeChanges:
     if changes.length is None:
         return changes
     if fid.is_dir and changes.length:
@@ -209,7 +216,7 @@
     return replace(changes, length=None if fid.is_dir else changes.length)
 
 
-def _checked_name(fid: Fid, changes: Changes) -> Changes:
+def _checked_name(fid: Fid, changes: AttributeChanges) -> AttributeChanges:
     if changes.name is None:
         return changes
     check_name(changes.name)
@@ -220,7 +227,7 @@
     return changes
 
 
-def _pack_stats(entries: list[Entry], cookie: int, count: int) -> tuple[bytes, int]:
+def _pack_stats(entries: list[DirectoryEntry], cookie: int, count: int) -> tuple[bytes, int]:
     """Return as many complete stats as fit in `count` bytes, and the cookie for the next read."""
     stats: list[bytes] = []
     remaining = count
--- a/garnetlanding/ninep/session.py
+++ b/garnetlanding/ninep/session.py
@@ -12,8 +12,8 @@
 from typing import TypeVar
 
 from garnetlanding.ninep import codec, codec_linux, errors
-from garnetlanding.ninep.codec import MAX_WALK, QTDIR, QTEXCL, Message, Qid
-from garnetlanding.ninep.errors import OperationFailedError, Problem
+from garnetlanding.ninep.codec import MAX_WALK_NAMES, QTDIR, QTEXCL, Message, Qid
+from garnetlanding.ninep.errors import ErrorReply, OperationFailedError
 from garnetlanding.ninep.model import Path
 from garnetlanding.ninep.wire_format import message_name
 from garnetlanding.runtime.errors import BackendProtocolError
@@ -25,8 +25,8 @@
 ROOT = 0
 """The fid of the root of the attached tree."""
 
-FILE_REPLACED = Problem(errors.ESTALE, "file was replaced by another")
-FILE_NOT_FOUND = Problem(errors.ENOENT)
+FILE_REPLACED = ErrorReply(errors.ESTALE, "file was replaced by another")
+FILE_NOT_FOUND = ErrorReply(errors.ENOENT)
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
         self.offered_versions = offered_versions
         self.msize = limits.max_msize
         self.version: str | None = None
-        self.table = codec.PLAIN
+        self.table = codec.PLAIN_MESSAGES
         self.root: Qid | None = None
         self.open_files: OrderedDict[tuple[Path, OpenMode], OpenFile] = OrderedDict()
         self.fids_to_clunk: list[int] = []  # clunked once the attempt has ended
@@ -108,7 +108,7 @@
     @property
     def max_data_bytes(self) -> int:
         """Return the maximum number of data bytes in one read or write."""
-        return self.msize - codec.READ_OVERHEAD
+        return self.msize - codec.IO_HEADER_BYTES
 
     def new_fid(self) -> int:
         """Return a fid that has not been used on this connection before."""
@@ -145,9 +145,9 @@
     if isinstance(reply, cls):
         return reply
     if isinstance(reply, codec.Rerror):
-        raise OperationFailedError(errors.from_text(reply.ename))
+        raise OperationFailedError(errors.reply_from_text(reply.ename))
     if isinstance(reply, codec_linux.Rlerror):
-        raise OperationFailedError(errors.from_number(reply.ecode))
+        raise OperationFailedError(errors.reply_from_errno(reply.ecode))
     raise BackendProtocolError(f"{message_name(type(reply))} received instead of {message_name(cls)}")
 
 
@@ -175,8 +175,8 @@
     fid = session.new_fid()
     source = ROOT
     qids: list[Qid] = []
-    for start in range(0, max(1, len(path)), MAX_WALK):
-        names = path[start : start + MAX_WALK]
+    for start in range(0, max(1, len(path)), MAX_WALK_NAMES):
+        names = path[start : start + MAX_WALK_NAMES]
         reply = yield codec.Twalk(source, fid, names)
         try:
             found = expect(reply, codec.Rwalk).qids
--- a/tests/integration/test_mixed_protocols.py
+++ b/tests/integration/test_mixed_protocols.py
@@ -82,7 +82,7 @@
                 raise AssertionError(f"unknown step {step}")
 
 
-def decode_messages(client: LoopbackClient) -> list[tuple[int, p9.Message | p9.Malformed]]:
+def decode_messages(client: LoopbackClient) -> list[tuple[int, p9.Message | p9.MalformedMessage]]:
     return list(p9.Framer(client.world.pool, 1 << 20).feed(client.got))
 
 
--- a/tests/ninep/random_fault_schedules.py
+++ b/tests/ninep/random_fault_schedules.py
@@ -16,7 +16,7 @@
 from garnetlanding.emulator.faults import Fault, Rule
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
-from garnetlanding.ninep.errors import EEXIST, from_number, from_text
+from garnetlanding.ninep.errors import EEXIST, reply_from_errno, reply_from_text
 from garnetlanding.ninep.model import DMAPPEND
 from tests.support.clock import MS
 from tests.support.ninep_instance import NinepClient, NinepInstance
@@ -113,7 +113,7 @@
             else p9.Tattach(0, p9.NOFID, str(self.number), "glossaries")
         )
         self.connection.say(p9.encode(p9.NOTAG, p9.Tversion(8192, self.version)))
-        self.connection._framer.table = p9.PLAIN | p9l.LINUX
+        self.connection._framer.table = p9.PLAIN_MESSAGES | p9l.LINUX_MESSAGES
         self.send(attach_message, OutstandingRequest("attach"))
 
     @property
@@ -326,14 +326,14 @@
 
     def handle_reply(self, client: Client, request: OutstandingRequest, message: p9.Message) -> None:
         problem = (
-            from_text(message.ename)
+            reply_from_text(message.ename)
             if isinstance(message, p9.Rerror)
-            else from_number(message.ecode)
+            else reply_from_errno(message.ecode)
             if isinstance(message, p9l.Rlerror)
             else None
         )
         # A Linux client gets only error numbers: after EIO the outcome is unknown.
-        unknown = problem is not None and (UNKNOWN_OUTCOME_TEXT in problem.text or problem.number == 5)
+        unknown = problem is not None and (UNKNOWN_OUTCOME_TEXT in problem.text or problem.errno == 5)
         self.outcomes[
             f"{request.kind} {'ok' if problem is None else 'unknown' if unknown else 'refused'}"
         ] += 1
@@ -357,7 +357,7 @@
                 ), f"bytes that were never written there: {message.data[:24]!r}"
             case "create" | "mkdir" | "append":
                 # Each name is unique, so EEXIST means that the operation was executed twice.
-                assert problem is None or problem.number != EEXIST, f"{request.kind} {request.name} ran twice"
+                assert problem is None or problem.errno != EEXIST, f"{request.kind} {request.name} ran twice"
                 if problem is None:
                     self.runs_acknowledged[request.name] += 1
             case "flush":
--- a/tests/ninep/test_random_fault_schedules.py
+++ b/tests/ninep/test_random_fault_schedules.py
@@ -10,7 +10,7 @@
 import pytest
 
 from garnetlanding.ninep import dispatcher
-from garnetlanding.ninep.operation_table import TABLE
+from garnetlanding.ninep.operation_table import OPERATION_SPECS
 from garnetlanding.ninep.order import ChangeOrder
 from garnetlanding.ninep.pending import PendingRequest
 from tests.ninep.random_fault_schedules import run_schedule
@@ -30,7 +30,9 @@
 
 def retry_unsafe_changes(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        dispatcher, "class_for", lambda op, reads, changes, _classes: changes if TABLE[op].change else reads
+        dispatcher,
+        "request_class_for",
+        lambda kind, reads, changes, _classes: changes if OPERATION_SPECS[kind].changes_tree else reads,
     )
 
 
--- a/tests/ninep/test_session_changes.py
+++ b/tests/ninep/test_session_changes.py
@@ -45,11 +45,16 @@
         before = instance.disk.attr(node)
         assert client.request(p9.Twstat(5, wstat(**change))) == p9.Rwstat()
         after = instance.disk.attr(node)
-        kept = {"mode": after.mode & 0o777, "length": after.length, "mtime": after.mtime.s, "gid": after.gid}
+        kept = {
+            "mode": after.mode & 0o777,
+            "length": after.length,
+            "mtime": after.mtime.seconds,
+            "gid": after.gid,
+        }
         was = {
             "mode": before.mode & 0o777,
             "length": before.length,
-            "mtime": before.mtime.s,
+            "mtime": before.mtime.seconds,
             "gid": before.gid,
         }
         wanted = was | {k: v for k, v in change.items() if k != "name"}
@@ -164,7 +169,7 @@
     instance, client = writable_instance(LINUX, server_version)
     create_file(client, 5, "f", perm=0o640)
     client.request(p9.Twrite(5, 0, b"0123456789"))
-    valid = p9l.SET_MODE | p9l.SET_SIZE | p9l.SET_MTIME | p9l.SET_MTIME_TO
+    valid = p9l.SETATTR_MODE | p9l.SETATTR_SIZE | p9l.SETATTR_MTIME | p9l.SETATTR_MTIME_SET
     assert client.request(p9l.Tsetattr(5, valid, 0o600, 0, 0, 4, 0, 0, 99, 5)) == p9l.Rsetattr()
     got = client.request(p9l.Tgetattr(5, p9l.GETATTR_BASIC))
     assert isinstance(got, p9l.Rgetattr)
@@ -172,7 +177,7 @@
     assert stat.S_ISREG(got.mode)
     assert got.mtime_ns == (5 if server_version == LINUX else 0)
     assert client.request(p9l.Tfsync(5, 0)) == p9l.Rfsync()
-    assert client.request(p9l.Tsetattr(5, p9l.SET_CTIME, 0, 0, 0, 0, 0, 0, 0, 0)) == p9l.Rsetattr()
+    assert client.request(p9l.Tsetattr(5, p9l.SETATTR_CTIME, 0, 0, 0, 0, 0, 0, 0, 0)) == p9l.Rsetattr()
 
 
 @pytest.mark.parametrize("client_version", BOTH)
@@ -202,10 +207,10 @@
             if not reply.data:
                 break
             offset += len(reply.data)
-            reader = p9.Reader(reply.data)
-            while reader.left:
-                size = reader.number(2)
-                raw = parse_stat(p9.pack("2", size) + reader.raw(size))
+            reader = p9.FieldReader(reply.data)
+            while reader.remaining:
+                size = reader.read_int(2)
+                raw = parse_stat(p9.pack_field("2", size) + reader.read_bytes(size))
                 got.append(raw.name)
                 sizes.add(raw.length)
     assert got == names
@@ -219,17 +224,25 @@
     client.open(5, "readme", mode=p9.ORDWR)
     other = NinepClient(instance, version=LINUX)
     other.open(5, "readme", mode=p9.ORDWR)
-    take = p9l.Tlock(5, p9l.LOCK_WRITE, 0, 10, 20, 7, "a")
-    assert client.request(take) == p9l.Rlock(p9l.LOCK_DONE)
-    assert other.request(replace(take, start=25, client_id="b")) == p9l.Rlock(p9l.LOCK_BLOCKED)
-    assert other.request(p9l.Tgetlock(5, p9l.LOCK_READ, 0, 0, 8, "b")) == p9l.Rgetlock(
-        p9l.LOCK_WRITE, 10, 20, 7, "a"
+    take = p9l.Tlock(5, p9l.LOCK_TYPE_WRITE, 0, 10, 20, 7, "a")
+    assert client.request(take) == p9l.Rlock(p9l.LOCK_STATUS_SUCCESS)
+    assert other.request(replace(take, start=25, client_id="b")) == p9l.Rlock(p9l.LOCK_STATUS_BLOCKED)
+    assert other.request(p9l.Tgetlock(5, p9l.LOCK_TYPE_READ, 0, 0, 8, "b")) == p9l.Rgetlock(
+        p9l.LOCK_TYPE_WRITE, 10, 20, 7, "a"
+    )
+    assert client.request(p9l.Tlock(5, p9l.LOCK_TYPE_UNLOCK, 0, 15, 5, 7, "a")) == p9l.Rlock(
+        p9l.LOCK_STATUS_SUCCESS
+    )
+    assert other.request(replace(take, start=15, length=5, client_id="b")) == p9l.Rlock(
+        p9l.LOCK_STATUS_SUCCESS
+    )
+    assert other.request(replace(take, start=20, length=5, client_id="b")) == p9l.Rlock(
+        p9l.LOCK_STATUS_BLOCKED
     )
-    assert client.request(p9l.Tlock(5, p9l.LOCK_NONE, 0, 15, 5, 7, "a")) == p9l.Rlock(p9l.LOCK_DONE)
-    assert other.request(replace(take, start=15, length=5, client_id="b")) == p9l.Rlock(p9l.LOCK_DONE)
-    assert other.request(replace(take, start=20, length=5, client_id="b")) == p9l.Rlock(p9l.LOCK_BLOCKED)
     client.close()
     instance.settle()
-    assert other.request(replace(take, start=20, length=5, client_id="b")) == p9l.Rlock(p9l.LOCK_DONE)
+    assert other.request(replace(take, start=20, length=5, client_id="b")) == p9l.Rlock(
+        p9l.LOCK_STATUS_SUCCESS
+    )
     other.request(p9.Tclunk(5))
     assert instance.shared_state.locks.count == 0
--- a/tests/support/ninep_instance.py
+++ b/tests/support/ninep_instance.py
@@ -61,7 +61,7 @@
     def send(self, message: p9.Message, tag: int = 1) -> list[tuple[int, p9.Message]]:
         """Send a message and return the replies that arrived, with their tags."""
         before = len(self.replies)
-        self._framer.table = codec_linux.LINUX if self.linux else p9.PLAIN
+        self._framer.table = codec_linux.LINUX_MESSAGES if self.linux else p9.PLAIN_MESSAGES
         self.say(p9.encode(tag, message))
         return self.replies[before:]
 
@@ -112,7 +112,7 @@
         self.upstream = create_upstream(self.scheduler, self.pool, self.limits, 0, server_dialect)
         exports = {
             "glossaries": Export(
-                "glossaries", "v", "gold", "read", 0, 1500 * MS, access=access, change_cls="read"
+                "glossaries", "v", "gold", "read", 0, 1500 * MS, access=access, change_request_class="read"
             )
         }
         self.shared_state = SharedState(
