--- a/garnetlanding/daemon/settings.py
+++ b/garnetlanding/daemon/settings.py
@@ -17,7 +17,7 @@
 from garnetlanding.daemon.instance import Instance
 from garnetlanding.daemon.lifecycle import Subsystem
 from garnetlanding.decision import interface as api
-from garnetlanding.store.cached_endpoints import SETTINGS
+from garnetlanding.store.cached_endpoints import SETTINGS_KEY
 from garnetlanding.store.store import Entry, Store
 
 log = logging.getLogger(__name__)
@@ -25,7 +25,7 @@
 
 def stored_settings(config: Config, store: Store) -> dict[str, Any]:
     """Return the stored settings in the platform's form, or the configuration's if none are stored yet."""
-    raw: dict[str, Any] = store.get(SETTINGS, config.raw_settings)
+    raw: dict[str, Any] = store.get(SETTINGS_KEY, config.raw_settings)
     return raw
 
 
@@ -69,7 +69,7 @@
     def reload(self, previous: Config) -> None:  # noqa: ARG002 - the store detects whether they differ
         """Store the new settings, unless this instance follows a writer."""
         if self._instance.store.writable:
-            self._instance.store.put(SETTINGS, self._instance.config.raw_settings)
+            self._instance.store.put(SETTINGS_KEY, self._instance.config.raw_settings)
 
     def reapply(self) -> None:
         """Apply the settings in force again, with the present quota of this process."""
@@ -82,8 +82,8 @@
 
     def _store_changed(self, entry: Entry | None) -> None:
         """Apply settings that a reload or the writer has put into the store."""
-        raw = self._instance.store.get(SETTINGS)
-        if raw is None or (entry and entry.key != SETTINGS):
+        raw = self._instance.store.get(SETTINGS_KEY)
+        if raw is None or (entry and entry.key != SETTINGS_KEY):
             return
         try:
             self._apply(raw)
--- a/garnetlanding/daemon/store_opening.py
+++ b/garnetlanding/daemon/store_opening.py
@@ -6,7 +6,7 @@
 
 from garnetlanding.config import Config
 from garnetlanding.runtime.scheduler import Scheduler
-from garnetlanding.store.cached_endpoints import SETTINGS
+from garnetlanding.store.cached_endpoints import SETTINGS_KEY
 from garnetlanding.store.setup import StoreRole
 from garnetlanding.store.store import Store
 
@@ -28,7 +28,7 @@
     if store.writable:
         # Each incarnation of the writer gets a greater epoch, even if the file was lost.
         store.epoch = max(store.epoch + 1, time.time_ns() // 1_000_000)
-        store.put(SETTINGS, config.raw_settings)
+        store.put(SETTINGS_KEY, config.raw_settings)
     if persister:
         persister.save()
     return store
--- a/garnetlanding/store/cached_endpoints.py
+++ b/garnetlanding/store/cached_endpoints.py
@@ -1,6 +1,7 @@
-"""The entries of an instance's store: the settings in force, and the endpoint list as discovery sent it.
+"""Keys of the store: the current settings, and the endpoint list as discovery sent it.
 
-An instance starts with the cached endpoint list while discovery is unreachable. The keys are stored data:
+An instance starts with the cached endpoint list while discovery is unreachable. The keys are part of the
+stored format:
 
 * `config/settings`: the settings object, in the form of the platform's file;
 * `list/generation`: the version that discovery gave the list;
@@ -14,8 +15,8 @@
 
 from garnetlanding.store.store import Store
 
-SETTINGS = "config/settings"
-GENERATION = "list/generation"
+SETTINGS_KEY = "config/settings"
+GENERATION_KEY = "list/generation"
 ENDPOINT_PREFIX = "list/servers/"
 
 DELETED = "DELETED"
@@ -75,13 +76,13 @@
             store.put(key, None)
     for key, entry in entries.items():
         store.put(key, None if entry.is_deleted else entry.json)
-    store.put(GENERATION, received.generation)
+    store.put(GENERATION_KEY, received.generation)
 
 
 def cached_listing(store: Store) -> JsonObject:
     """Return the stored endpoint list, complete, in discovery's form."""
     return {
-        "generation": store.get(GENERATION, 0),
+        "generation": store.get(GENERATION_KEY, 0),
         "reset": True,
         "instances": list(store.with_prefix(ENDPOINT_PREFIX).values()),
     }
--- a/garnetlanding/store/errors.py
+++ b/garnetlanding/store/errors.py
@@ -6,11 +6,11 @@
 
 
 class StoreError(Exception):
-    """Base class of everything that the store and its replication raise."""
+    """Base class of the exceptions of the store and its replication."""
 
 
 class ReadOnlyStoreError(StoreError):
-    """A write to a follower's copy; only the store of the writer, named by `writer`, can be written."""
+    """A write to a read-only copy; only the instance named by `writer` accepts writes."""
 
     def __init__(self, writer: str) -> None:
         super().__init__(f"{writer} is the writer")
@@ -18,7 +18,7 @@
 
 
 class LogGapError(StoreError):
-    """A message does not follow on the copy's revision, so that the follower needs a snapshot.
+    """A message does not continue from the copy's revision, so the follower needs a snapshot.
 
     `epoch` and `revision` are those of the message.
     """
@@ -36,14 +36,14 @@
 
     @classmethod
     def not_caught_up(cls, epoch: int, revision: int, copy_revision: int) -> LogGapError:
-        """Return the error of a copy that differs from the revision which the writer has sent in full."""
+        """Return the error of a copy whose revision differs from the one that the writer has sent."""
         return cls(f"the writer is at {revision}, this store at {copy_revision}", epoch, revision)
 
 
 class WriterRejectedError(StoreError):
-    """A process that claims to be the writer is not, or no longer.
+    """A peer claims to be the writer but is not, or is no longer.
 
-    `writer` and `epoch` are what the process claims.
+    `writer` and `epoch` are those that the peer claims.
     """
 
     def __init__(self, text: str, writer: str, epoch: int) -> None:
@@ -52,8 +52,8 @@
         self.epoch = epoch
 
     @classmethod
-    def this_is_the_writer(cls, writer: str, epoch: int) -> WriterRejectedError:
-        """Return the error of a second writer, found by the store of the first."""
+    def second_writer(cls, writer: str, epoch: int) -> WriterRejectedError:
+        """Return the error of a peer that claims to be the writer, detected by the writer itself."""
         return cls(f"{writer} claims to be the writer, which is this store", writer, epoch)
 
     @classmethod
--- a/garnetlanding/store/follower.py
+++ b/garnetlanding/store/follower.py
@@ -1,4 +1,4 @@
-"""The driver of replication: a task that keeps a follower connected to its writer."""
+"""The task that keeps a follower connected to its writer."""
 
 from __future__ import annotations
 
@@ -64,8 +64,8 @@
 class Follower:
     """Keeps a copy connected to its writer: resumes by revision, or with a snapshot after a gap.
 
-    It runs as a task of the scheduler from its construction on and never ends. `connected` says whether the
-    writer has sent something on the present connection.
+    It runs as a scheduler task from its construction on and never ends. `connected` is whether the writer has
+    sent any data on the current connection.
     """
 
     def __init__(
@@ -95,8 +95,8 @@
             self.connected = False
             self._log_disconnect(problem)
             has_gap = isinstance(problem, LogGapError)
-            # The snapshot that closes a gap is requested without a pause, but only once: a gap right after a
-            # snapshot is a fault that another snapshot may not mend.
+            # After a gap, request a snapshot without delay, but only once: if a gap follows the snapshot,
+            # another one may not help either.
             if with_snapshot or not has_gap:
                 self._scheduler.sleep(self._retry_us)
             with_snapshot = has_gap
--- a/garnetlanding/store/follower_machine.py
+++ b/garnetlanding/store/follower_machine.py
@@ -54,7 +54,7 @@
     def _handle(self, fields: JsonObject) -> None:
         message = decode_writer_message(fields)
         if isinstance(message, WriterIdentity):
-            self._store.accept_writer(message.name, message.epoch)
+            self._store.check_writer(message.name, message.epoch)
             self._writer_epoch = message.epoch
             return
         if self._writer_epoch is None:
--- a/garnetlanding/store/persister.py
+++ b/garnetlanding/store/persister.py
@@ -36,15 +36,15 @@
 
 
 def save_snapshot(path: str, snapshot: Snapshot) -> None:
-    """Write a snapshot to the file, atomically and durably. Raises OSError; the old file is kept then."""
+    """Write a snapshot to the file, atomically and durably. Raises OSError, and then keeps the old file."""
     text = json.dumps({"epoch": snapshot.epoch, "revision": snapshot.revision, "values": snapshot.values})
     write_atomically(path, text.encode())
 
 
 class StorePersister:
-    """Restores a store from its file at the construction, and saves it shortly after each change.
+    """Restores a store from its file on construction, and saves it shortly after each change.
 
-    Changes within `save_delay_us` of the first one are saved together. Only the construction raises
+    Changes within `save_delay_us` of the first one are saved together. Only the constructor raises
     StoreFileError.
     """
 
--- a/garnetlanding/store/replication_codec.py
+++ b/garnetlanding/store/replication_codec.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowRequest:
-    """The follower's copy is at this revision of this epoch; the writer is to send what follows."""
+    """The follower's copy is at this revision of this epoch, and requests all later changes."""
 
     epoch: int
     revision: int
--- a/garnetlanding/store/setup.py
+++ b/garnetlanding/store/setup.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSetup:
-    """An instance's role in replication, and what the role needs."""
+    """An instance's role in replication, and the settings of that role."""
 
     role: StoreRole = StoreRole.ALONE
     writer: str = ""  # the writer's name
@@ -44,7 +44,7 @@
         raise section.error("writer", f"{writer!r:.40} does not go with the role {role} of {name!r:.40}")
     staleness_s = section.number("current_s", 0, 0, MAX_STALENESS_S)
     if staleness_s and role is not StoreRole.FOLLOWER:
-        raise section.error("current_s", "only of a follower")
+        raise section.error("current_s", "only allowed for a follower")
     if staleness_s and staleness_s < MIN_STALENESS_S:
         raise section.error("current_s", f"at least {MIN_STALENESS_S:g}, or 0")
     return StoreSetup(
--- a/garnetlanding/store/staleness_guard.py
+++ b/garnetlanding/store/staleness_guard.py
@@ -1,7 +1,7 @@
-"""A follower's proof, by its own clock, that its copy is fresh enough (docs/design/stragglers.md).
+"""Bounds the staleness of a follower's copy by the follower's own clock (docs/design/stragglers.md).
 
 A reply of the writer proves freshness as of the moment at which the query was sent, not of the reply's
-arrival, because the reply may have been delayed for any time. No clock and no I/O: callers pass the time in
+arrival, because the reply may have been delayed indefinitely. No clock and no I/O: callers pass the time in
 microseconds of one monotonic clock.
 """
 
@@ -11,17 +11,17 @@
 class StalenessGuard:
     """Decides until when this instance may act on its copy.
 
-    `max_staleness_us` is the maximum age of a change that an acting instance may not have yet. `drift` is an
+    `max_staleness_us` is the maximum age of a change that the copy may lack while it is used. `drift` is an
     upper bound of the rate difference between this clock and the writer's, as a fraction; it shortens the
     validity of a reply. A follower is stale until the first reply.
     """
 
     def __init__(self, max_staleness_us: int, drift: float, now: int) -> None:
         self.max_staleness_us = max_staleness_us
-        self.current_until = now
+        self.fresh_until = now
         self._validity_us = int(max_staleness_us / (1 + drift))
         self._sent_at: dict[int, int] = {}  # when each query that may still be answered in time was sent
-        self._number = 0
+        self._last_number = 0
 
     @property
     def query_interval_us(self) -> int:
@@ -30,17 +30,17 @@
 
     def next_query(self, now: int) -> int:
         """Record a query that is sent now; return its number."""
-        self._number += 1
+        self._last_number += 1
         self._sent_at = {number: at for number, at in self._sent_at.items() if at > now - self._validity_us}
-        self._sent_at[self._number] = now
-        return self._number
+        self._sent_at[self._last_number] = now
+        return self._last_number
 
     def reply_received(self, number: int) -> None:
         """Extend the validity of the copy by a reply; the changes before the reply must have been applied."""
         sent_at = self._sent_at.get(number)
         if sent_at is not None:
-            self.current_until = max(self.current_until, sent_at + self._validity_us)
+            self.fresh_until = max(self.fresh_until, sent_at + self._validity_us)
 
     def is_current(self, now: int) -> bool:
-        """Return whether the copy is provably fresh enough."""
-        return now < self.current_until
+        """Return whether the copy is known to be fresh enough."""
+        return now < self.fresh_until
--- a/garnetlanding/store/store.py
+++ b/garnetlanding/store/store.py
@@ -5,8 +5,8 @@
 
 Invariants:
 
-* `epoch` identifies one incarnation of the writer. It grows with each start of the writer and never falls in
-  a copy. Revisions of different epochs cannot be compared.
+* `epoch` identifies one incarnation of the writer. It increases with each start of the writer and never
+  decreases in a copy. Revisions of different epochs cannot be compared.
 * Within an epoch, `revision` is the number of changes made so far. Entry `n` takes a store from revision
   `n - 1` to `n`; a copy applies entries without gaps or repeats, so equal (epoch, revision) means equal
   values.
@@ -74,7 +74,7 @@
         return {key: value for key, value in self._values.items() if key.startswith(prefix)}
 
     def snapshot(self) -> Snapshot:
-        """Return a copy of the present values, which later changes do not affect."""
+        """Return a copy of the current values, which later changes do not affect."""
         return Snapshot(self.epoch, self.revision, dict(self._values))
 
     def entries_since(self, revision: int) -> list[Entry] | None:
@@ -92,19 +92,19 @@
     def put(self, key: str, value: Any) -> None:
         """Set a key, or delete it if `value` is None. Raises ReadOnlyStoreError on a copy.
 
-        Setting the present value again is no change and takes no revision.
+        Setting a key to its current value has no effect and uses no revision.
         """
         if not self.writable:
             raise ReadOnlyStoreError(self.writer)
         if self._values.get(key) != value:
             self._append(Entry(self.revision + 1, key, value))
 
-    # Copying
+    # Replication
 
-    def accept_writer(self, name: str, epoch: int) -> None:
+    def check_writer(self, name: str, epoch: int) -> None:
         """Check that a peer is the configured writer in the newest epoch. Raises WriterRejectedError."""
         if self.writable:
-            raise WriterRejectedError.this_is_the_writer(name, epoch)
+            raise WriterRejectedError.second_writer(name, epoch)
         if name != self.writer:
             raise WriterRejectedError.not_configured(name, epoch, self.writer)
         if epoch < self.epoch:
--- a/garnetlanding/store/writer_machine.py
+++ b/garnetlanding/store/writer_machine.py
@@ -27,13 +27,13 @@
 
 
 class WriterMachine:
-    """Sends one follower the changes that it lacks, then each change as it is made, and heartbeats.
+    """Sends one follower its missing changes, then each new change, and heartbeats.
 
     Implements the listener's ClientProtocol. `write` sends bytes on the connection. A line that violates the
-    protocol ends the connection; the reason is logged and not sent to the follower.
+    protocol closes the connection; the reason is logged, not sent to the follower.
     """
 
-    has_buffered_input = False  # all that is fed is processed at once
+    has_buffered_input = False  # input is processed as it is fed
 
     def __init__(
         self, store: Store, scheduler: Scheduler, limits: Limits, write: Callable[[bytes], None]
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -12,7 +12,7 @@
 from garnetlanding import config
 from garnetlanding.daemon import Daemon
 from garnetlanding.decision.interface import Effect
-from garnetlanding.store.cached_endpoints import SETTINGS as SETTINGS_KEY
+from garnetlanding.store.cached_endpoints import SETTINGS_KEY
 from garnetlanding.store.setup import StoreSetup
 from tests.support.clock import MS, SECOND, T0
 from tests.support.daemon import EXPORT, NINEP, PLATFORM_CONFIG, PLATFORM_SETTINGS
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -9,7 +9,7 @@
 import pytest
 
 from garnetlanding.emulator.discovery import Discovery, EmulatedEndpoint
-from garnetlanding.store.cached_endpoints import SETTINGS as SETTINGS_KEY
+from garnetlanding.store.cached_endpoints import SETTINGS_KEY
 from tests.support.clock import MS, SECOND
 from tests.support.daemon import PLATFORM_SETTINGS, SimulatedDaemon, restored_signal_handlers
 from tests.support.simulated_instance import read_command
--- a/tests/daemon/test_store_roles.py
+++ b/tests/daemon/test_store_roles.py
@@ -10,8 +10,7 @@
 from garnetlanding import config
 from garnetlanding.daemon import Daemon
 from garnetlanding.emulator.discovery import EmulatedEndpoint
-from garnetlanding.store.cached_endpoints import ENDPOINT_PREFIX
-from garnetlanding.store.cached_endpoints import SETTINGS as SETTINGS_KEY
+from garnetlanding.store.cached_endpoints import ENDPOINT_PREFIX, SETTINGS_KEY
 from garnetlanding.store.persister import load_snapshot
 from garnetlanding.store.store import Entry, Snapshot
 from tests.support.clock import MS, SECOND, T0
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -264,7 +264,7 @@
         for at in range(0, len(committed), size):
             reader.feed(committed[at : at + size])
         assert copy.snapshot() == store.snapshot() == Snapshot(EPOCH, 10, STORE_VALUES)
-        assert guard.current_until == world.time + int(SECOND / 1.01)
+        assert guard.fresh_until == world.time + int(SECOND / 1.01)
 
 
 @pytest.mark.parametrize("name", sorted(STREAMS))
--- a/tests/store/test_persister.py
+++ b/tests/store/test_persister.py
@@ -32,15 +32,15 @@
     def full(_fd: int) -> None:
         raise OSError("disk full")
 
-    world = SimulatedInstance()
+    instance = SimulatedInstance()
     path = str(tmp_path / "store.json")
     store = Store("w", writable=True, log_entries=5)
-    StorePersister(world.scheduler, store, path, 100 * MS)
+    StorePersister(instance.scheduler, store, path, 100 * MS)
     store.put("a", 1)
-    world.run(100 * MS)
+    instance.run(100 * MS)
     monkeypatch.setattr("os.fsync", full)
     store.put("a", 2)
-    world.run(100 * MS)
+    instance.run(100 * MS)
     assert load_snapshot(path) == Snapshot(0, 1, {"a": 1})
     assert "store not saved" in caplog.text
 
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -1,4 +1,4 @@
-"""Replication through restarts, partitions and illegitimate writers."""
+"""Replication across restarts, partitions and invalid writers."""
 
 from __future__ import annotations
 
@@ -163,7 +163,7 @@
     ],
     ids=["not-json", "not-an-object", "entry-before-identity", "unknown-message", "line-too-long"],
 )
-def test_follower_machine_raises_on_a_stream_that_breaks_the_protocol(lines: bytes, reason: str) -> None:
+def test_follower_machine_raises_on_a_protocol_violation(lines: bytes, reason: str) -> None:
     machine = FollowerMachine(Store("w", writable=False, log_entries=4), SimulatedInstance().limits)
     assert json.loads(machine.follow_request(with_snapshot=True)) == {"follow": [0, -1]}
     with pytest.raises(ReplicationProtocolError, match=reason) as error:
@@ -191,7 +191,7 @@
     ],
     ids=["stale-epoch", "log-gap", "protocol", "timeout", "no-buffer", "closed", "refused"],
 )
-def test_disconnect_reason_is_written_out_for_operators(problem: Exception, text: str) -> None:
+def test_disconnect_reason_is_described_for_operators(problem: Exception, text: str) -> None:
     assert describe_disconnect(problem) == text
 
 
@@ -205,7 +205,7 @@
 def connection_attempts(
     problem: Exception, stagger: float, monkeypatch: pytest.MonkeyPatch
 ) -> list[tuple[int, bool]]:
-    """Return when a follower connected, in percent of the retry time, and whether it wanted a snapshot."""
+    """Return when a follower connected, in percent of the retry time, and whether it requested a snapshot."""
     instance = SimulatedInstance()
     started_at, retry_us = instance.time, instance.limits.store_retry_us
     attempts: list[tuple[int, bool]] = []
--- a/tests/store/test_staleness_guard.py
+++ b/tests/store/test_staleness_guard.py
@@ -1,4 +1,4 @@
-"""The staleness guard: no follower acts on a copy that is too old."""
+"""The staleness guard: a follower does not use a copy that is too old."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 DRIFT = 0.01
 
 
-def max_acted_staleness(seed: int, guard_type: type[StalenessGuard]) -> float:
-    """Return the age of the oldest missing change at which a follower acted, in multiples of the bound.
+def max_staleness_in_use(seed: int, guard_type: type[StalenessGuard]) -> float:
+    """Return the maximum age of a missing change while the copy was in use, in multiples of the bound.
 
     The writer makes a change each second. The follower's clock drifts, its queries and replies are delayed or
     lost, and it is paused at times.
@@ -48,8 +48,8 @@
     return max_staleness
 
 
-def test_guarded_instance_never_acts_on_a_copy_staler_than_its_bound() -> None:
-    max_staleness = max(max_acted_staleness(seed, StalenessGuard) for seed in range(300))
+def test_a_copy_staler_than_the_bound_is_never_used() -> None:
+    max_staleness = max(max_staleness_in_use(seed, StalenessGuard) for seed in range(300))
     assert 0.5 < max_staleness < 1.0
 
 
@@ -63,47 +63,47 @@
         return super().is_current(now)
 
     def reply_received(self, _number: int) -> None:
-        self.current_until = self.now + self._validity_us
+        self.fresh_until = self.now + self._validity_us
 
 
 class AnyReplyForTheLastQuery(StalenessGuard):
     """A faulty guard: a reply to any query counts as the reply to the newest."""
 
     def reply_received(self, _number: int) -> None:
-        super().reply_received(self._number)
+        super().reply_received(self._last_number)
 
 
 class NeverStale(StalenessGuard):
-    """A faulty guard: once fresh, the copy stays so for good."""
+    """A faulty guard: once fresh, the copy counts as fresh forever."""
 
     def is_current(self, _now: int) -> bool:
-        return self.current_until > 0
+        return self.fresh_until > 0
 
 
 @pytest.mark.parametrize("broken_guard", [ValidFromReceipt, AnyReplyForTheLastQuery, NeverStale])
 def test_broken_guard_exceeds_the_bound(broken_guard: type[StalenessGuard]) -> None:
-    assert any(max_acted_staleness(seed, broken_guard) >= 1.0 for seed in range(60))
+    assert any(max_staleness_in_use(seed, broken_guard) >= 1.0 for seed in range(60))
 
 
-def test_a_reply_is_valid_from_its_query_on_and_for_less_than_the_bound_by_the_drift() -> None:
+def test_validity_starts_at_the_query_and_is_shortened_by_the_clock_drift() -> None:
     guard = StalenessGuard(SECOND, DRIFT, now=0)
     assert not guard.is_current(0), "a follower is stale until the first reply"
     guard.reply_received(guard.next_query(100))
-    assert guard.current_until == 100 + int(SECOND / (1 + DRIFT))
-    assert guard.is_current(guard.current_until - 1)
-    assert not guard.is_current(guard.current_until)
+    assert guard.fresh_until == 100 + int(SECOND / (1 + DRIFT))
+    assert guard.is_current(guard.fresh_until - 1)
+    assert not guard.is_current(guard.fresh_until)
 
 
 def test_a_late_reply_to_an_older_query_does_not_shorten_the_validity() -> None:
     guard = StalenessGuard(SECOND, DRIFT, now=0)
     older, newer = guard.next_query(0), guard.next_query(SECOND // 4)
     guard.reply_received(newer)
-    current_until = guard.current_until
+    fresh_until = guard.fresh_until
     guard.reply_received(older)
-    assert guard.current_until == current_until
+    assert guard.fresh_until == fresh_until
 
 
-def test_queries_that_can_prove_nothing_any_more_are_forgotten() -> None:
+def test_queries_too_old_to_prove_freshness_are_discarded() -> None:
     guard = StalenessGuard(SECOND, DRIFT, now=0)
     for number in range(1000):
         guard.next_query(number * guard.query_interval_us)
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -57,9 +57,9 @@
         copy.apply(4, Entry(1, "a", 1))
     for name, epoch in (("x", 9), ("w", 2)):
         with pytest.raises(WriterRejectedError):
-            copy.accept_writer(name, epoch)
+            copy.check_writer(name, epoch)
     with pytest.raises(WriterRejectedError):
-        Store("w", writable=True, log_entries=5).accept_writer("w", 9)
+        Store("w", writable=True, log_entries=5).check_writer("w", 9)
 
 
 def test_store_errors_carry_their_subject_and_share_one_base(tmp_path: pathlib.Path) -> None:
@@ -67,7 +67,7 @@
     with pytest.raises(LogGapError) as gap:
         copy.apply(4, Entry(7, "a", 1))
     with pytest.raises(WriterRejectedError) as stale:
-        copy.accept_writer("w", 2)
+        copy.check_writer("w", 2)
     with pytest.raises(ReadOnlyStoreError) as not_writer:
         copy.put("a", 1)
     path = tmp_path / "store.json"
