--- a/garnetlanding/config/operator.py
+++ b/garnetlanding/config/operator.py
@@ -1,7 +1,6 @@
-"""The operator's file (TOML): which optional subsystems it enables, and their settings.
+"""The operator's file (TOML): the optional subsystems that it enables, and their settings.
 
-A subsystem that the file does not configure must not be imported, so each reader is imported where it is
-used.
+Each reader is imported where it is used, so that a subsystem that is not configured is not imported.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
     from garnetlanding.peers.setup import FleetSetup
     from garnetlanding.telemetry.setup import TelemetrySetup
 
-SECTIONS = "ninep telemetry store history fleet choices audit"
+SECTION_NAMES = "ninep telemetry store history fleet choices audit"
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +42,7 @@
     `settings` are the platform's, whose classes and plans the sections may refer to; `name` is this
     instance's. Raises ConfigError for the first faulty section, in the order of the fields.
     """
-    top = Section(data, "", SECTIONS)
+    top = Section(data, "", SECTION_NAMES)
     return OperatorConfig(
         ninep=_read_ninep(top.raw("ninep"), settings) if top.has("ninep") else None,
         telemetry=_read_telemetry(top.raw("telemetry")) if top.has("telemetry") else None,
--- a/garnetlanding/config/platform.py
+++ b/garnetlanding/config/platform.py
@@ -32,11 +32,11 @@
 PATH_VARIABLE = "RELAY_CONFIG"
 """The environment variable with the path of the platform's file."""
 
-EMPTY_LIST: dict[str, Any] = {"generation": 0, "reset": True, "instances": []}
+EMPTY_LISTING: dict[str, Any] = {"generation": 0, "reset": True, "instances": []}
 """The default of the configured endpoint list: empty, and older than any other."""
 
-NINEP_DIVISOR = 5
-"""By default a fifth of the connections is for 9P, and at least a fifth is left to other clients."""
+NINEP_CONNECTION_DIVISOR = 5
+"""By default a fifth of the connections is reserved for 9P; at least a fifth must remain for others."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,16 +46,14 @@
     name: str
     listen: str  # HOST:PORT for RESP2 clients
     discovery: str  # HOST:PORT
-    file_discovery: str  # from the file, without an override: a reload compares this
+    file_discovery: str  # from the file, without an override, for comparison on reload
     seed: int
     settings: api.Settings
     raw_settings: dict[str, Any]  # in the form of the file, in which the store replicates them
     limits: Limits
-    known: dict[str, Any] = field(
-        default_factory=dict
-    )  # the endpoint list to start with, as discovery has it
+    configured_listing: dict[str, Any] = field(default_factory=dict)  # initial endpoints, in discovery's form
     operator: OperatorConfig = field(default_factory=OperatorConfig)
-    ops: str = ""  # HOST:PORT of the admin service; empty: off
+    ops: str = ""  # HOST:PORT of the admin service, which is off if empty
     peers: PeerSetup | None = None  # the link to other instances; None if the settings forbid it
 
 
@@ -70,27 +68,27 @@
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Flatten nested JSON into the simulator's pairs `a.b.0.c=text`, so that one parser reads both."""
+    """Flatten nested JSON into pairs `a.b.0.c=text`, the simulator's form, so that one parser reads both."""
     if isinstance(value, dict):
         items = value.items()
     elif isinstance(value, list) and value and all(isinstance(v, dict) for v in value):
         items = {"count": len(value), **{str(i): v for i, v in enumerate(value)}}.items()
     else:
-        return {path: _plain(value)}
+        return {path: _setting_text(value)}
     pairs: dict[str, str] = {}
     for key, inner in items:
         pairs |= flatten(inner, f"{path}.{key}" if path else str(key))
     return pairs
 
 
-def _plain(value: object) -> str:
+def _setting_text(value: object) -> str:
     match value:
         case None:
             return "-"
         case bool():
             return "true" if value else "false"
         case list():
-            return ",".join(_plain(v) for v in value)
+            return ",".join(_setting_text(v) for v in value)
     return str(value)
 
 
@@ -100,10 +98,10 @@
     By default 9P gets a fifth of the client connections, and as many server connections as a fifth of the
     backend connections.
     """
-    clients = ninep.clients or limits.client_connections // NINEP_DIVISOR
-    servers = ninep.server_connections or limits.backend_connections // NINEP_DIVISOR
+    clients = ninep.clients or limits.client_connections // NINEP_CONNECTION_DIVISOR
+    servers = ninep.server_connections or limits.backend_connections // NINEP_CONNECTION_DIVISOR
     remaining = limits.client_connections - clients - servers
-    required = limits.client_connections // NINEP_DIVISOR
+    required = limits.client_connections // NINEP_CONNECTION_DIVISOR
     if remaining < required:
         raise ConfigError.at_key(
             "ninep.clients",
@@ -120,9 +118,9 @@
 
 def _read_limits(top: Section, flat_settings: Mapping[str, str]) -> Limits:
     """Return the limits that fit the configured memory, descriptors and connection times."""
-    given = Section(top.raw("limits") or {}, "limits")
-    sockets = int(given.number("sockets", 128, 1024))
-    memory_mb = given.number("memory_mb", 32, 192)
+    section = Section(top.raw("limits") or {}, "limits")
+    sockets = int(section.number("sockets", 128, 1024))
+    memory_mb = section.number("memory_mb", 32, 192)
     base = Limits().fit(int(memory_mb * (1 << 20)), sockets, has_admin_service=bool(top.raw("ops")))
     connect_timeout_us = int(float(flat_settings.get("Limits.DialTimeoutUs", 0)))
     server_idle_us = int(float(flat_settings.get("Limits.ConnIdleUs", 0)))
@@ -150,18 +148,18 @@
         raise top.error("seed", f"not hexadecimal: {text!r:.40}") from problem
 
 
-def _read_known(top: Section) -> dict[str, Any]:
-    known: dict[str, Any] = top.raw("known") or EMPTY_LIST
+def _read_configured_listing(top: Section) -> dict[str, Any]:
+    listing: dict[str, Any] = top.raw("known") or EMPTY_LISTING
     try:
-        read_list(known, lambda us: us)
+        read_list(listing, lambda us: us)
     except ListError as problem:
         raise top.error("known", problem) from problem
-    return known
+    return listing
 
 
 def _read_peers(top: Section, settings: api.Settings) -> PeerSetup | None:
     if not settings.may_message_peers:
-        return None  # and do not import the package
+        return None  # without importing the package
     from garnetlanding.peers import setup
 
     return setup.read(top, settings.instance_id)
@@ -181,7 +179,7 @@
     raw_settings = Section(top.raw("settings"), "settings").data
     settings = read_settings(raw_settings)
     seed = _read_seed(top)
-    known = _read_known(top)
+    configured_listing = _read_configured_listing(top)
     limits = _read_limits(top, flatten(raw_settings))
     subsystems = read_operator({} if operator is None else operator, settings, top.text("name"))
     if subsystems.ninep:
@@ -196,7 +194,7 @@
         settings=settings,
         raw_settings=raw_settings,
         limits=limits,
-        known=known,
+        configured_listing=configured_listing,
         operator=subsystems,
         ops=top.address("ops") if top.raw("ops") is not None else "",
         peers=peers,
@@ -220,16 +218,16 @@
 def merge_reloaded(old: Config, new: Config) -> tuple[Config, list[str]]:
     """Return the configuration after a reload, and the changed keys that only a restart applies.
 
-    A changed discovery address in the file takes precedence over the environment, which is as old as the
-    process.
+    A changed discovery address in the file takes precedence over the environment, which is fixed at the
+    start of the process.
     """
-    has_moved = new.file_discovery != old.file_discovery
-    discovery = new.file_discovery if has_moved else old.discovery
+    discovery_changed = new.file_discovery != old.file_discovery
+    discovery = new.file_discovery if discovery_changed else old.discovery
     try:
         parse_address(discovery)
     except (ValueError, AttributeError) as problem:
         raise ConfigError.at_key("discovery", problem) from problem
-    for_restart = [key for key, value in RESTART_ONLY.items() if value(old) != value(new)]
+    restart_keys = [key for key, value in RESTART_ONLY.items() if value(old) != value(new)]
     merged = replace(
         old,
         discovery=discovery,
@@ -238,12 +236,12 @@
         raw_settings=new.raw_settings,
         peers=new.peers,
     )
-    return merged, for_restart
+    return merged, restart_keys
 
 
 def _parse(path: str, parse: Callable[[str], Any], file_format: str) -> Any:
     try:
-        # Not by pathlib, which nothing else of an instance with platform settings alone imports.
+        # pathlib is avoided: an instance without an operator's file does not import it otherwise.
         with open(path, encoding="utf-8") as file:  # noqa: PTH123 - see above
             return parse(file.read())
     except OSError as problem:
--- a/garnetlanding/config/section.py
+++ b/garnetlanding/config/section.py
@@ -53,13 +53,13 @@
     Every accessor raises ConfigError for a value that it does not accept.
     """
 
-    def __init__(self, value: object, path: str, known: str = "") -> None:
-        """Check that `value` is a table with no keys but `known`, a list separated by spaces; empty: any."""
+    def __init__(self, value: object, path: str, allowed_keys: str = "") -> None:
+        """Check that `value` is a table with only `allowed_keys`, separated by spaces; empty: any keys."""
         if not isinstance(value, dict):
             raise ConfigError.at_key(path, "missing or not a table")
         self.data: dict[str, Any] = value
         self._path = path
-        unknown = sorted(set(value) - set(known.split())) if known else []
+        unknown = sorted(set(value) - set(allowed_keys.split())) if allowed_keys else []
         if unknown:
             raise self.error(unknown[0], "not known here")
 
@@ -80,7 +80,7 @@
         return self.data.get(key)
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return a text; without a `default` the key is required and must not be empty."""
+        """Return a text; without a `default` it is required and must not be empty."""
         value = self.data.get(key, default)
         if not isinstance(value, str) or (not value and default is None):
             raise self.error(key, "missing or not text")
--- a/garnetlanding/daemon/discovery.py
+++ b/garnetlanding/daemon/discovery.py
@@ -26,7 +26,7 @@
         core = instance.core
         # Read once: with an offset that varies, a backend's start time would seem to change.
         self._wall_offset_us = time.time_ns() // 1000 - clock()
-        cached = newest_listing(instance.store, instance.config.known)
+        cached = newest_listing(instance.store, instance.config.configured_listing)
         self._cache(cached)
         version, listing = read_list(cached, self._to_monotonic_us, complete=True, at_start=True)
         # A separate pool, since clients and backends may use up the shared one.
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -20,28 +20,30 @@
 ROOT = pathlib.Path(__file__).parents[2]
 
 
-def one_export(**change: Any) -> dict[str, Any]:
+def operator_with_export(**change: Any) -> dict[str, Any]:
     return {"ninep": NINEP | {"export": [EXPORT | change]}}
 
 
 def test_platform_configuration_is_read_with_fitted_limits() -> None:
-    c = config.read(PLATFORM_CONFIG)
-    assert (c.name, c.seed, c.settings.max_attempts) == ("n1", 0x8C1F30D27A5BE964, 4)
-    assert c.settings.may_cancel
-    assert c.settings.poll_endpoints
-    assert c.settings.classes["read"].latency_objective_us == 300_000
-    assert (c.limits.backend_idle_us, c.limits.connect_timeout_us) == (16 * SECOND, 300 * MS)
+    parsed = config.read(PLATFORM_CONFIG)
+    assert (parsed.name, parsed.seed, parsed.settings.max_attempts) == ("n1", 0x8C1F30D27A5BE964, 4)
+    assert parsed.settings.may_cancel
+    assert parsed.settings.poll_endpoints
+    assert parsed.settings.classes["read"].latency_objective_us == 300_000
+    assert (parsed.limits.backend_idle_us, parsed.limits.connect_timeout_us) == (16 * SECOND, 300 * MS)
     assert (
-        c.limits.client_connections,
-        c.limits.backend_connections,
-        c.limits.reserved_backend_connections,
+        parsed.limits.client_connections,
+        parsed.limits.backend_connections,
+        parsed.limits.reserved_backend_connections,
     ) == (822, 341, 170)
-    both = config.read(PLATFORM_CONFIG, {"ninep": NINEP}).limits
+    with_ninep = config.read(PLATFORM_CONFIG, {"ninep": NINEP}).limits
     assert (
-        both.client_connections + both.ninep_client_connections + both.ninep_server_connections
-        == c.limits.client_connections
+        with_ninep.client_connections
+        + with_ninep.ninep_client_connections
+        + with_ninep.ninep_server_connections
+        == parsed.limits.client_connections
     )
-    assert c.operator == config.OperatorConfig(
+    assert parsed.operator == config.OperatorConfig(
         store=StoreSetup(writer="n1")
     ), "every optional subsystem is off"
 
@@ -84,17 +86,17 @@
         ({"ninep": NINEP | {"listen": "x"}}, "key ninep.listen"),
         ({"ninep": NINEP | {"server_port": 70000}}, "key ninep.server_port"),
         ({"ninep": NINEP | {"export": [EXPORT, EXPORT]}}, "key ninep.export.1.name"),
-        (one_export(plan="x"), "ninep.export.0.plan"),
+        (operator_with_export(plan="x"), "ninep.export.0.plan"),
         (
             {"ninep": NINEP | {"clients": 700}},
             "key ninep.clients: 700 and 68 server connections leave 54 of 822",
         ),
         ({"ninep": NINEP | {"server_dialect": "9P3"}}, "key ninep.server_dialect"),
-        (one_export(access="rwx"), "ninep.export.0.access"),
-        (one_export(change_class="read"), "ninep.export.0.change_class: nothing changes"),
-        (one_export(access="rw", change_class="x"), "ninep.export.0.change_class"),
-        (one_export(access="rw", change_deadline_ms=0), "ninep.export.0.change_deadline_ms"),
-        (one_export(unit_bytes=0), "ninep.export.0.unit_bytes"),
+        (operator_with_export(access="rwx"), "ninep.export.0.access"),
+        (operator_with_export(change_class="read"), "ninep.export.0.change_class: nothing changes"),
+        (operator_with_export(access="rw", change_class="x"), "ninep.export.0.change_class"),
+        (operator_with_export(access="rw", change_deadline_ms=0), "ninep.export.0.change_deadline_ms"),
+        (operator_with_export(unit_bytes=0), "ninep.export.0.unit_bytes"),
         ({"telemetry": {"endpoint": "https://x:1"}}, "key telemetry.endpoint"),
         ({"telemetry": {"endpoint": "http://x"}}, "key telemetry.endpoint"),
         ({"store": {"role": "leader"}}, "key store.role"),
@@ -131,7 +133,7 @@
     assert (faulty.value.key, faulty.value.file) == ("seed", None)
     assert isinstance(faulty.value.__cause__, ValueError)
     with pytest.raises(config.ConfigError) as nested:
-        config.read(PLATFORM_CONFIG, one_export(plan="x"))
+        config.read(PLATFORM_CONFIG, operator_with_export(plan="x"))
     assert nested.value.key == "ninep.export.0.plan"
     missing = str(tmp_path / "missing.json")
     with pytest.raises(config.ConfigError) as unreadable:
@@ -152,17 +154,17 @@
         + small.open_requests * small.request_bytes
         + small.record_bytes * (small.store_log_entries + small.telemetry_queue)
     ) <= 32 << 20
-    busy = (
+    reserved_uses = (
         small.lingering_connections + small.ops_lingering_connections + 8
     )  # standard streams, listeners, signals, discovery
-    assert busy <= small.reserved_sockets
+    assert reserved_uses <= small.reserved_sockets
     assert small.open_requests >= small.client_connections
     assert small.unsent_bytes > 2 * small.value_bytes
     with pytest.raises(config.ConfigError, match="limits.memory_mb"):
         config.read(PLATFORM_CONFIG | {"limits": {"memory_mb": 31, "sockets": 256}})
 
 
-def test_delivered_operator_file_is_valid() -> None:
+def test_deployed_operator_file_is_valid() -> None:
     text = (ROOT / "deploy/operator.toml").read_text().replace("#[", "[")
     lines = [line[1:] if line[:1] == "#" and " = " in line else line for line in text.splitlines()]
     settings = PLATFORM_SETTINGS | {
@@ -171,37 +173,37 @@
         ],
         "Contracts": [PLATFORM_SETTINGS["Contracts"][0] | {"Name": "standard"}],
     }
-    parsed = tomllib.loads("\n".join(lines))
-    c = config.read(PLATFORM_CONFIG | {"name": "n2", "settings": settings}, parsed)
-    assert c.operator.ninep
-    assert c.operator.telemetry
-    assert c.operator.store.role == "follower"
+    toml = tomllib.loads("\n".join(lines))
+    parsed = config.read(PLATFORM_CONFIG | {"name": "n2", "settings": settings}, toml)
+    assert parsed.operator.ninep
+    assert parsed.operator.telemetry
+    assert parsed.operator.store.role == "follower"
 
 
 def test_example_configurations_are_valid_and_match_the_example_servers() -> None:
-    c = config.load(str(ROOT / "example/config.json"), str(ROOT / "example/operator.toml"), env={})
-    assert c.operator.ninep
-    assert c.operator.ninep.server_port == int(example.FILES.rpartition(":")[2])
-    assert c.discovery == example.DISCOVERY
+    parsed = config.load(str(ROOT / "example/config.json"), str(ROOT / "example/operator.toml"), env={})
+    assert parsed.operator.ninep
+    assert parsed.operator.ninep.server_port == int(example.FILES.rpartition(":")[2])
+    assert parsed.discovery == example.DISCOVERY
     pair = [config.load(str(ROOT / f"example/pushed-{me}.json"), env={}) for me in (0, 1)]
-    assert [c.settings.instance_id for c in pair] == [0, 1]
-    assert not any(c.settings.poll_endpoints for c in pair)
-    for c, other in zip(pair, reversed(pair), strict=True):
-        assert c.peers
+    assert [parsed.settings.instance_id for parsed in pair] == [0, 1]
+    assert not any(parsed.settings.poll_endpoints for parsed in pair)
+    for parsed, other in zip(pair, reversed(pair), strict=True):
+        assert parsed.peers
         assert other.peers
-        assert list(c.peers.peers.values()) == [other.peers.listen]
-        assert c.discovery == example.DISCOVERY
+        assert list(parsed.peers.peers.values()) == [other.peers.listen]
+        assert parsed.discovery == example.DISCOVERY
 
 
 def test_writable_export_derives_a_class_whose_requests_are_not_repeated() -> None:
-    operator = one_export(access="rw", change_deadline_ms=2000)
+    operator = operator_with_export(access="rw", change_deadline_ms=2000)
     daemon = Daemon(config.read(PLATFORM_CONFIG, operator), lambda: T0)
     derived = daemon.core.settings.classes["read/once"]
     assert derived.effect is Effect.UNSAFE
     assert derived.priority_weight == daemon.core.settings.classes["read"].priority_weight
     assert (
         "read/once"
-        not in Daemon(config.read(PLATFORM_CONFIG, one_export()), lambda: T0).core.settings.classes
+        not in Daemon(config.read(PLATFORM_CONFIG, operator_with_export()), lambda: T0).core.settings.classes
     )
     daemon.store.put(SETTINGS_KEY, PLATFORM_SETTINGS)
     daemon.core.run_iteration()
@@ -210,10 +212,10 @@
 
 def test_environment_variables_override_keys_of_the_file() -> None:
     env = {"RELAY_DISCOVERY": "10.0.0.9:1", "RELAY_NAME": "", "UNRELATED": "x"}
-    c = config.read(PLATFORM_CONFIG, env=env)
-    assert c.discovery == "10.0.0.9:1"
-    assert c.file_discovery == PLATFORM_CONFIG["discovery"], "a reload compares the file's own address"
-    assert c.name == PLATFORM_CONFIG["name"], "an empty variable overrides nothing"
+    parsed = config.read(PLATFORM_CONFIG, env=env)
+    assert parsed.discovery == "10.0.0.9:1"
+    assert parsed.file_discovery == PLATFORM_CONFIG["discovery"], "a reload compares the file's own address"
+    assert parsed.name == PLATFORM_CONFIG["name"], "an empty variable overrides nothing"
 
 
 def test_the_path_of_the_file_comes_from_the_environment_if_none_is_given() -> None:
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -1386,7 +1386,7 @@
         f"discovery of the file: {config.file_discovery}",
         f"ops: {config.ops or '-'}",
         f"seed: {config.seed}",
-        f"known: {json.dumps(config.known, sort_keys=True)}",
+        f"known: {json.dumps(config.configured_listing, sort_keys=True)}",
         f"settings as given: {json.dumps(config.raw_settings, sort_keys=True)}",
         *(f"pair {k}={v}" for k, v in flatten_settings(config.raw_settings).items()),
         *settings_form(config.settings),
