--- a/garnetlanding/daemon/instance.py
+++ b/garnetlanding/daemon/instance.py
@@ -25,7 +25,7 @@
 def wall_ms(config: Config) -> int:
     """Return the wall clock in milliseconds, shifted where an experiment's configuration asks for it."""
     history = config.operator.history
-    shift_s = history.wall_s() if history else 0
+    shift_s = history.wall_offset_s() if history else 0
     return time.time_ns() // 1_000_000 + shift_s * 1000
 
 
--- a/garnetlanding/history/__init__.py
+++ b/garnetlanding/history/__init__.py
@@ -1,1 +1,1 @@
-"""The history of an instance: a file of what it did and when, which experiments check. Not for production."""
+"""An instance's history: a file of timestamped events, which experiments check. Not for production."""
--- a/garnetlanding/history/setup.py
+++ b/garnetlanding/history/setup.py
@@ -10,21 +10,21 @@
 
 @dataclass(frozen=True, slots=True)
 class HistorySetup:
-    """Where the history is written, and by how much an experiment shifts the wall clock."""
+    """Where the history is written, and the offset that an experiment applies to the wall clock."""
 
     file: str
-    wall_file: str = ""
-    """A file with the seconds to add to the wall clock; empty: the clock is not shifted."""
+    wall_offset_file: str = ""
+    """A file with the seconds to add to the wall clock; empty: no offset."""
 
-    def wall_s(self) -> int:
+    def wall_offset_s(self) -> int:
         """Return the seconds to add to the wall clock.
 
         The file is read at each call, since an experiment may step the clock while a process runs. Raises
         `OSError` or `ValueError`.
         """
-        if not self.wall_file:
+        if not self.wall_offset_file:
             return 0
-        return int(Path(self.wall_file).read_text(encoding="ascii"))
+        return int(Path(self.wall_offset_file).read_text(encoding="ascii"))
 
 
 def read(data: object) -> HistorySetup:
@@ -32,7 +32,7 @@
     section = Section(data, "history", "file wall_file")
     setup = HistorySetup(section.text("file"), section.text("wall_file", ""))
     try:
-        setup.wall_s()
+        setup.wall_offset_s()
     except (OSError, ValueError) as error:
         raise section.error("wall_file", error) from error
     return setup
--- a/garnetlanding/history/writer.py
+++ b/garnetlanding/history/writer.py
@@ -4,11 +4,11 @@
 event-loop iteration: a process that is delayed within an iteration receives messages that were sent after the
 iteration began, and its lines must not appear to precede them.
 
-Each line is written to the file before the method returns, so that SIGKILL loses none. This costs a system
-call for each request, which is why a history is not for production.
+Each line is written to the file before the method returns, so that SIGKILL loses none. This costs one system
+call per request, so a history is not for production.
 
 The kinds and keys of the lines are a stored format, which `garnetlanding.lab` reads and the operators' pages
-describe. They are written out here, one method for each kind, independently of names in the code.
+describe. They are literals here, one method for each kind, so that they do not depend on names in the code.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     Implements the request engine's `Observer` and the peer protocols' `PeerHistory`. `clock` returns the
     machine's monotonic time in microseconds; times passed to methods are of the same clock.
 
-    The constructor writes the first line, after the lines of earlier incarnations, and raises `OSError` where
+    The constructor writes the first line, after the lines of earlier incarnations, and raises `OSError` if
     the file cannot be written. The file stays open until the process ends.
     """
 
@@ -80,7 +80,7 @@
     # The peer protocols
 
     def members_changed(self, entitled: Collection[int], even_quota: float) -> None:
-        """Record which instances are entitled to quotas, and the quota of each if they are divided evenly."""
+        """Record which instances are entitled to quotas, and the quota of each under an even split."""
         self._write("heads", {"entitled": sorted(entitled), "even": even_quota})
 
     def disabled_backends_changed(self, backends: Collection[str]) -> None:
--- a/garnetlanding/telemetry/collector_client.py
+++ b/garnetlanding/telemetry/collector_client.py
@@ -21,6 +21,7 @@
 
 _MISSING_STATUS = 0
 """What ResponseParser returns for a status line without a status."""
+
 RETRYABLE_STATUSES = frozenset(
     {
         _MISSING_STATUS,
@@ -30,14 +31,17 @@
         HTTPStatus.GATEWAY_TIMEOUT,
     }
 )
-"""The statuses that OTLP/HTTP defines as retryable, and a missing one."""
+"""The statuses that OTLP/HTTP defines as retryable, and a missing status."""
 
 _NS_PER_SECOND = 1e9
+
 _BACKOFF_JITTER = (0.5, 1.5)
 """The range of the random factor that is applied to each backoff."""
+
 _BACKOFF_MULTIPLIER = 2
-_DELAY_DIGITS = 9
-"""How many digits of a Retry-After are read; the delay is limited to far less anyway."""
+
+_MAX_DELAY_DIGITS = 9
+"""Maximum number of digits of a Retry-After that are parsed; the delay has a much lower limit."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +58,7 @@
     The header is a number of seconds or a date (RFC 9110, 10.2.3); `now_s` is the wall clock in seconds.
     """
     if text.isdigit():
-        return int(text[:_DELAY_DIGITS]) * SECOND
+        return int(text[:_MAX_DELAY_DIGITS]) * SECOND
     try:
         retry_at_s = email.utils.parsedate_to_datetime(text).timestamp()
     except ValueError:
--- a/garnetlanding/telemetry/collector_connection.py
+++ b/garnetlanding/telemetry/collector_connection.py
@@ -15,11 +15,10 @@
 from garnetlanding.telemetry.setup import TelemetrySetup
 
 POST_ERRORS = (OSError, DeadlineExceededError, StreamClosedError, HttpError, BufferPoolExhaustedError)
-"""The errors of a POST that got no response."""
+"""The errors of a POST without a response."""
 
-# Texts of HttpError, which are logged.
-_RESPONSE_RESET = "reset, which is no end"
-_RESPONSE_TOO_LONG = "answer too long"
+_RESPONSE_RESET = "connection reset before the end of the response"
+_RESPONSE_TOO_LONG = "response too long"
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,14 +31,14 @@
 
     @property
     def is_success(self) -> bool:
-        """Whether the status is one of success."""
+        """Whether the status is in the 2xx range."""
         return HTTPStatus.OK <= self.status < HTTPStatus.MULTIPLE_CHOICES
 
 
 class CollectorConnection:
     """Connects when a request is posted, and keeps the connection for the next one.
 
-    After an error of a POST, call `close`.
+    After a failed `post`, call `close`.
     """
 
     def __init__(self, scheduler: Scheduler, setup: TelemetrySetup, pool: BufferPool, limits: Limits) -> None:
--- a/garnetlanding/telemetry/ended_request.py
+++ b/garnetlanding/telemetry/ended_request.py
@@ -1,4 +1,4 @@
-"""The record of an ended request that telemetry queues until it is exported."""
+"""A completed request, queued until telemetry exports it."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from garnetlanding.core.ports import Answer, AttemptSummary, Failed, Rejected, RequestSpec
 
 SERVED = "served"
-"""The outcome of a request or an attempt that succeeded; any other goes into a span's status."""
+"""The outcome of a request or attempt that succeeded; any other sets the span's status to an error."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndedRequest:
-    """One request as the engine reported it. Times are of the monotonic clock, in microseconds."""
+    """One request, as reported by the request engine. Times are of the monotonic clock, in microseconds."""
 
     request: RequestSpec
     outcome: str
--- a/garnetlanding/telemetry/exporter.py
+++ b/garnetlanding/telemetry/exporter.py
@@ -1,6 +1,6 @@
 """Exports ended requests to a collector over OTLP/HTTP, as spans and as metrics.
 
-Requests are not delayed: an ended request is appended to a bounded queue, or counted as dropped if the queue
+Requests are not delayed: each is appended to a bounded queue when it ends, or counted as dropped if the queue
 is full. A separate task encodes and posts the queue in small batches.
 """
 
@@ -69,7 +69,7 @@
         self.dropped = 0
         self.gauges: dict[str, Gauge] = {}
         self._finishing = False
-        self._asleep = False
+        self._is_sleeping = False
         self._task = scheduler.spawn(self._run)
 
     def request_ended(
@@ -96,14 +96,14 @@
     def finish(self) -> None:
         """Start a final export without waiting for the interval to pass."""
         self._finishing = True
-        if self._asleep:
+        if self._is_sleeping:
             self._scheduler.wake(self._task)
 
     def _run(self) -> None:
         while not self._finishing:
-            self._asleep = True
+            self._is_sleeping = True
             self._scheduler.sleep(self._interval_us)
-            self._asleep = False
+            self._is_sleeping = False
             self._export()
 
     def _export(self) -> None:
@@ -114,7 +114,7 @@
         while self._queue:
             if not self._export_batch():
                 break
-            self._scheduler.sleep(0)  # let pending requests run first
+            self._scheduler.sleep(0)  # yield to pending requests
         interval = otlp.Interval(self._start_ns, self._wall_ns())
         metrics = self._metrics.encode(self.dropped, self.gauges, interval)
         self._post(_METRICS_PATH, otlp.encode_metrics(self._resource, metrics))
--- a/garnetlanding/telemetry/request_spans.py
+++ b/garnetlanding/telemetry/request_spans.py
@@ -1,4 +1,4 @@
-"""Turns ended requests into OTLP spans: one for the request, and one below it for each attempt."""
+"""Turns ended requests into OTLP spans: one for the request, with a child span for each attempt."""
 
 from __future__ import annotations
 
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -1355,7 +1355,7 @@
         f"current {store.max_staleness_us}, drift {store.drift!r}"
     )
     if history := config.operator.history:
-        lines.append(f"history: file {history.file}, wall file {history.wall_file!r}")
+        lines.append(f"history: file {history.file}, wall file {history.wall_offset_file!r}")
     if fleet := config.operator.fleet:
         lines.append(
             f"fleet: verdicts {fleet.suspicions}, bans {fleet.disables}, budgets {fleet.budgets}, "
--- a/tests/history/test_history.py
+++ b/tests/history/test_history.py
@@ -1,4 +1,4 @@
-"""The history of a daemon: when its lines are written."""
+"""The timestamps of a daemon's history."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from tests.support.daemon import SimulatedDaemon
 
 
-def test_a_line_has_the_time_at_which_it_is_written(tmp_path: pathlib.Path) -> None:
-    """With the iteration's time, a delayed process would seem to receive messages before they were sent."""
+def test_a_line_is_stamped_with_the_time_of_the_write(tmp_path: pathlib.Path) -> None:
+    """With the iteration's time, a delayed process would appear to receive messages before they were sent."""
     file = tmp_path / "n1.history"
     instance = SimulatedDaemon({"history": {"file": str(file)}})
     instance.time += 7 * MS
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -17,7 +17,7 @@
 from tests.support.simulated_instance import SimulatedInstance
 
 REQUEST = RequestSpec("read", "gold", "vol-1", "k", 2, 3, SECOND, 1, None)
-BEGAN = 60 * SECOND
+BEGAN_US = 60 * SECOND
 
 
 class CollectorConnection(EmulatedConnection):
@@ -73,11 +73,11 @@
             self.exporter.request_ended(
                 REQUEST,
                 Served(b"v"),
-                BEGAN,
-                BEGAN + 30 * MS,
+                BEGAN_US,
+                BEGAN_US + 30 * MS,
                 [
-                    AttemptSummary("b0", "reset", BEGAN, BEGAN + MS),
-                    AttemptSummary("b1", "served", BEGAN + 2 * MS, BEGAN + 30 * MS),
+                    AttemptSummary("b0", "reset", BEGAN_US, BEGAN_US + MS),
+                    AttemptSummary("b1", "served", BEGAN_US + 2 * MS, BEGAN_US + 30 * MS),
                 ],
             )
 
@@ -88,7 +88,7 @@
 def test_ended_requests_are_posted_as_spans_and_metrics() -> None:
     instance = ExportingInstance()
     instance.end_requests()
-    instance.exporter.request_ended(REQUEST, Rejected(0), BEGAN, BEGAN + 20 * SECOND, [])
+    instance.exporter.request_ended(REQUEST, Rejected(0), BEGAN_US, BEGAN_US + 20 * SECOND, [])
     instance.exporter.gauges = {"clients": lambda: 4}
     instance.run(SECOND, 100 * MS)
     assert instance.paths() == ["/otlp/v1/traces", "/otlp/v1/metrics"]
@@ -103,7 +103,7 @@
     assert "parentSpanId" not in request
     duration_ns = int(request["endTimeUnixNano"]) - int(request["startTimeUnixNano"])
     assert duration_ns == 30 * 10**6
-    assert int(request["startTimeUnixNano"]) == instance.wall_ns + (BEGAN - 50 * SECOND) * 1000
+    assert int(request["startTimeUnixNano"]) == instance.wall_ns + (BEGAN_US - 50 * SECOND) * 1000
     assert first["status"] == {"code": 2, "message": "reset"}
     assert "status" not in second
     [scope] = instance.collector.calls[1][1]["resourceMetrics"][0]["scopeMetrics"]
@@ -129,7 +129,7 @@
     histogram = Histogram((1.0, 2.0))
     for value in (1.0, 1.1, 9.0):
         histogram.add(value)
-    assert histogram.counts == [1, 1, 1], "a bucket holds its own bound"
+    assert histogram.counts == [1, 1, 1], "a bucket includes its upper bound"
 
 
 @pytest.mark.parametrize("status", [429, 502, 503, 504])
@@ -162,7 +162,7 @@
     assert instance.exporter.dropped == 2
 
 
-def test_an_unreachable_or_unresponsive_collector_costs_no_more_than_a_bounded_queue() -> None:
+def test_the_queue_stays_bounded_while_the_collector_is_unreachable_or_unresponsive() -> None:
     instance = ExportingInstance(telemetry_attempts=2, telemetry_queue=100, telemetry_batch=40)
     instance.collector.responses = [None]
     instance.end_requests(101)
@@ -192,7 +192,7 @@
     [
         pytest.param("5", 5 * SECOND, id="seconds"),
         pytest.param("", None, id="empty"),
-        pytest.param("soon", None, id="neither"),
+        pytest.param("soon", None, id="invalid"),
         pytest.param("Thu, 01 Jan 1970 00:01:40 GMT", 90 * SECOND, id="future date"),
         pytest.param("Thu, 01 Jan 1970 00:00:01 GMT", 0, id="past date"),
     ],
