--- a/garnetlanding/limits.py
+++ b/garnetlanding/limits.py
@@ -1,4 +1,4 @@
-"""Every size, count and time limit of an instance, determined at the start and passed down.
+"""All size, count and time limits of an instance, determined at the start and passed as one object.
 
 Names end in their unit: `_us` microseconds, `_bytes` bytes; the others are counts.
 """
@@ -18,19 +18,18 @@
     `fit` returns those for another machine.
     """
 
-    program_bytes: int = 20 << 20  # memory of the program without requests and buffers
-    request_bytes: int = 6 << 10  # of an open request in engine and decision module, without its value
-    record_bytes: int = 1 << 10  # of an entry of a log or a queue
+    program_bytes: int = 20 << 20  # the process without requests and buffers
+    request_bytes: int = 6 << 10  # per open request, in engine and decision module, without its value
+    record_bytes: int = 1 << 10  # per entry of a log or a queue
 
-    # Descriptors. Backend connections get at most a third of them, and a sixth is reserved for these. The
-    # rest is for client connections, and so is the third while backends do not need it: many clients send
-    # few requests or none.
+    # Descriptors. Backend connections may use a third of them, of which half, a sixth, is reserved. Client
+    # connections may use everything that is not reserved, since many clients send few requests or none.
     reserved_sockets: int = 32  # listeners, discovery, signals, telemetry, followers, files, lingering closes
     successor_sockets: int = 24  # with an admin service: for the start of a successor process
     client_connections: int = 822
     backend_connections: int = 341
     reserved_backend_connections: int = 170
-    idle_clients: int = 170  # client connections that may stay idle; more are closed
+    idle_clients: int = 170  # idle client connections beyond this number are closed
     connections_per_backend: int = 48
     backlog: int = 512
     accepts_per_iteration: int = 32  # connections accepted in one iteration of the event loop
@@ -39,14 +38,14 @@
     buffer_bytes: int = 8192
     pool_free_max: int = 256  # free buffers kept for reuse
     pool_max: int = 4096  # buffers in use at once, over all connections
-    pool_reserved: int = 16  # of these, reserved for this process, so that admin service and discovery work
+    pool_reserved: int = 16  # of these, reserved for the process itself: admin service and discovery
     unsent_bytes: int = 4 << 20  # unsent output of a connection whose peer reads slowly
 
     # RESP2.
     line_bytes: int = 512
     value_bytes: int = 65536  # of a client
     reply_bytes: int = 4 << 20  # of a backend
-    stream_threshold_bytes: int = 65536  # a longer value of a backend is streamed to the client
+    stream_threshold_bytes: int = 65536  # longer backend values are streamed to the client
     # Unsent output of the client at which reading a streamed value from its backend pauses.
     stream_window_bytes: int = 32 << 10
     stream_stall_us: int = (
@@ -58,9 +57,9 @@
     pipelined_commands: int = (
         64  # unanswered commands of one client connection; a client that exceeds it is disconnected
     )
-    bad_commands: int = 8  # of one connection, which is then closed
+    max_invalid_commands: int = 8  # per connection, which is then closed
 
-    max_usage_percent: int = 100_000  # the greatest plausible usage of a plan's rate
+    max_usage_percent: int = 100_000  # usage of a plan's rate above this is implausible
 
     # 9P.
     ninep_client_connections: int = 108  # of clients
@@ -74,7 +73,7 @@
     ninep_active_us: int = 100 * MS  # a client counts as active for this long after a request
     ninep_path_bytes: int = 4096
     ninep_path_names: int = 64
-    ninep_keep_open: int = 16  # files kept open on one server connection
+    ninep_keep_open: int = 16  # files cached open on one server connection
     ninep_locks: int = 4096  # byte ranges locked by all clients
     ninep_lock_owner_bytes: int = 128
     # Delay before the next change of a file after an attempt that may still be running at a server.
@@ -97,7 +96,9 @@
     accept_pause_us: int = 10 * MS  # before accepting again after a failure
     disconnect_check_us: int = 50 * MS  # interval of checks for the disconnect of a client that is not read
     read_bytes_per_iteration: int = 64 << 10  # of one client
-    misuse_pause_us: int = 200 * MS  # a connection is not read for this long after a bad command
+    invalid_command_pause_us: int = (
+        200 * MS
+    )  # a connection is not read for this long after an invalid command
     # Lingering close: input is read on until a limit, as unread input would reset the connection and the
     # client could lose the last response.
     linger_us: int = 500 * MS
@@ -118,43 +119,43 @@
     # An instance must know a change 6 s after discovery had it and was reachable (docs/design/endings.md).
     discovery_answer_us: int = 2500 * MS  # includes connecting; discovery itself fails queued calls after 2 s
     discovery_silence_us: int = 2800 * MS  # a watch sends a complete line at least every 2 s
-    discovery_queued_us: int = 500 * MS  # a call that is rejected after this long has been queued in vain
-    discovery_buffers: int = 32  # reserved for discovery, as clients and backends may use up the others
-    # If lists are pushed, an agent on the instance's machine has every change at once and responds at once:
-    # retry soon after any failure.
+    discovery_queued_us: int = 500 * MS  # a call rejected after this long was queued first
+    discovery_buffers: int = 32  # reserved for discovery; clients and backends may exhaust the others
+    # With pushed lists, an agent on the same machine receives changes and responds without delay, so a failed
+    # call is retried soon.
     agent_answer_us: int = 300 * MS
     agent_retry_us: int = 50 * MS
     http_line_bytes: int = 8192
     http_headers: int = 64
-    http_body_bytes: int = 64 << 10  # of a request to the admin service; it is ignored, but must be read
+    http_body_bytes: int = 64 << 10  # of a request to the admin service; read and discarded
     list_line_bytes: int = 1 << 20
 
     # The store.
-    store_log_entries: int = 1024  # a follower that lacks more entries gets a snapshot
+    store_log_entries: int = 1024  # a follower that misses more entries gets a snapshot
     store_line_bytes: int = 1 << 20
     store_followers: int = 16
     store_heartbeat_us: int = SECOND
-    store_silence_us: int = 3 * SECOND  # a writer that sends nothing for this long is unreachable
+    store_silence_us: int = 3 * SECOND  # without data for this long, the writer counts as unreachable
     store_save_us: int = 200 * MS  # changes within this time are saved together
     store_retry_us: int = SECOND
 
     # Telemetry.
     telemetry_queue: int = 4096
-    telemetry_batch: int = 64  # small, because encoding a batch blocks the event loop
+    telemetry_batch: int = 64  # small, as encoding a batch blocks the event loop
     telemetry_attempts: int = 4
     telemetry_backoff_us: int = 500 * MS  # before the second attempt; doubles with each further one
     telemetry_backoff_max_us: int = 30 * SECOND
     telemetry_flush_us: int = SECOND  # for the last export before the process ends
     telemetry_answer_us: int = 5 * SECOND
 
-    # Admin service. Connections without a complete call are closed after `ops_new_client_timeout_us` if
-    # others wait, so that even with a full backlog the last caller gets its answer within a second.
+    # Admin service. While others wait, connections without a complete call are closed after
+    # `ops_new_client_timeout_us`, so that with a full backlog the last caller is answered within a second.
     ops_connections: int = 12
     ops_lingering_connections: int = 4  # as `lingering_connections`, of the admin service
     ops_new_client_timeout_us: int = 20 * MS
     ops_poll_us: int = 100 * MS  # interval of reading the process quota of the other process of an upgrade
-    ops_endpoints_wait_us: int = 1500 * MS  # a new process then uses the cached endpoint list
-    ops_flush_us: int = 200 * MS  # at the end, to answer calls that have been received
+    ops_endpoints_wait_us: int = 1500 * MS  # then a new process uses the cached endpoint list
+    ops_flush_us: int = 200 * MS  # at shutdown, to answer calls already received
     drain_serve_us: int = (
         1500 * MS
     )  # a drained instance serves open connections for this long; 2 s are allowed
@@ -163,7 +164,7 @@
 
     # Graceful shutdown. After SIGTERM clients open new connections for up to 0.4 s, and send requests on open
     # ones until these are closed. SIGKILL follows 0.7 s after the longest deadline at the earliest.
-    shutdown_deadline_us: int = 3 * SECOND  # the longest deadline that the shutdown takes into account
+    shutdown_deadline_us: int = 3 * SECOND  # longest request deadline that the shutdown allows for
     shutdown_kill_us: int = 700 * MS  # from the longest deadline to SIGKILL
     shutdown_margin_us: int = (
         250 * MS
@@ -176,9 +177,10 @@
     def fit(self, memory_bytes: int, sockets: int, *, has_admin_service: bool = False) -> Limits:
         """Return these limits, fitted to a machine's memory and to its number of descriptors.
 
-        Of the memory without the program, a quarter each is for buffers, for the values of open requests and
-        for the requests; logs and queues get a sixteenth each. With an admin service a successor process may
-        start beside this one: what it needs to start is reserved, and the two divide the rest.
+        Of the memory without the program, buffers, values of open requests and the requests themselves get a
+        quarter each; the store's log and the telemetry queue get a sixteenth each. With an admin service a
+        successor process may run at the same time: what it needs to start is reserved, and the
+        two processes divide the rest.
         """
         processes = 2 if has_admin_service else 1
         free_bytes = max(memory_bytes - processes * self.program_bytes, memory_bytes // 8)
--- a/garnetlanding/ninep/front.py
+++ b/garnetlanding/ninep/front.py
@@ -79,7 +79,7 @@
             for tag, message in self._framer.feed(data):
                 self.messages_received += 1
                 self._process(tag, message)
-                if self.invalid_messages >= self._limits.bad_commands:
+                if self.invalid_messages >= self._limits.max_invalid_commands:
                     self.close()
                     return
                 remaining -= 1
--- a/garnetlanding/resp/front.py
+++ b/garnetlanding/resp/front.py
@@ -205,7 +205,7 @@
         """Reply to an invalid command with an error, and close the connection after too many of them."""
         self.invalid_messages += 1
         self._set_reply(pending, codec.encode_error("ERR " + reason))
-        if self.invalid_messages >= self._limits.bad_commands:
+        if self.invalid_messages >= self._limits.max_invalid_commands:
             self._close_with_error("too many errors")
 
     def _close_with_error(self, reason: str) -> None:
--- a/garnetlanding/runtime/client_connection.py
+++ b/garnetlanding/runtime/client_connection.py
@@ -231,7 +231,7 @@
     def _pause(self) -> None:
         """Pause reading, so that a faulty client cannot keep the event loop busy."""
         self.closing.apply(CloseEvent.INVALID_MESSAGE)
-        until = self._scheduler.now + self._listener.limits.misuse_pause_us
+        until = self._scheduler.now + self._listener.limits.invalid_command_pause_us
         while self._scheduler.now < until:
             self._wait()
         self.closing.apply(CloseEvent.PAUSE_ENDED)
--- a/garnetlanding/wire.py
+++ b/garnetlanding/wire.py
@@ -1,8 +1,8 @@
-"""The simulator's wire: reads lines as settings and events, writes actions as lines. Decides nothing.
+"""The simulator's wire format: parses lines into settings and events, and formats actions as lines.
 
-The mapping between the wire's words and the program's names is in this module alone, field by field. A line
-holds the name of a message and its fields, separated by single blanks. A field that is `-` or empty is
-absent; fields after the known ones are ignored. Batches and their framing are read by wirehost.py.
+Only this module maps names of the wire to names of the program. A line holds the name of a message and its
+fields, separated by single spaces. A field that is `-` or empty is absent; fields after the known ones are
+ignored. wirehost.py reads batches and their framing.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class ListKind(Enum):
-    """The kind of an endpoint list; the values are the wire's words."""
+    """The kind of an endpoint list; the values are those of the wire."""
 
     CHANGES = "diff"
     COMPLETE = "snapshot"
@@ -57,7 +57,7 @@
 
 
 class WireError(ValueError):
-    """Input that cannot be read. `field` is the name of the field or the path of the setting, if known."""
+    """Invalid input. `field` is the name of the field or the path of the setting, if known."""
 
     def __init__(self, message: str, field: str = "") -> None:
         super().__init__(message)
@@ -113,7 +113,7 @@
 
 
 class MessageFields:
-    """The fields of one line, which are taken one after another in the order of the wire."""
+    """The fields of one line, taken in order."""
 
     def __init__(self, parts: list[str]) -> None:
         """`parts`: the message's name and its fields."""
@@ -147,7 +147,7 @@
 
 
 class _SettingsReader:
-    """Settings by path, as texts."""
+    """Converts settings, which are given as texts by path."""
 
     def __init__(self, pairs: Mapping[str, str]) -> None:
         self._pairs = pairs
@@ -280,15 +280,15 @@
 
 
 def _cell(text: str) -> int | None:
-    """Parse the cell of a request; a negative number stands for a new object. Raises ValueError."""
+    """Parse the cell of a request; a negative number denotes a new object. Raises ValueError."""
     cell = integer(text)
     return None if cell < 0 else cell
 
 
 def _usage_percent(text: str) -> int | None:
-    """Parse a usage figure: 1 plus the percentage, or 0 if it is unknown. Raises ValueError."""
-    figure = integer(text)
-    return None if figure <= 0 else figure - 1
+    """Parse a usage field: 1 plus the percentage, or 0 if it is unknown. Raises ValueError."""
+    value = integer(text)
+    return None if value <= 0 else value - 1
 
 
 def _arrival(fields: MessageFields) -> api.Event:
--- a/garnetlanding/wirehost.py
+++ b/garnetlanding/wirehost.py
@@ -1,10 +1,10 @@
-"""Runs the decision modules of several instances on the simulator's wire: batches in, replies out.
+"""Runs the decision modules of several instances for the simulator: reads batches, writes replies.
 
 A batch holds the events of one point in time: `BATCH clock`, then `SELECT instance` before the lines of each
-instance, and `END`. The reply names each instance that acts, `SOURCE instance`, before its actions, and ends
-with `FINISHED`. Nothing is decided here. On input that cannot be read, the program prints one line to the
-standard error and exits with code 2; an exception of the decision module is reported on the wire, `BAIL_OUT
-text`.
+instance, and `END`. The reply has `SOURCE instance` before the actions of each instance that has any, and
+ends with `FINISHED`. Only the decision modules make decisions. On invalid input, the program prints one line
+to the standard error and exits with code 2; an exception of a decision module is reported to the simulator,
+`BAIL_OUT text`.
 """
 
 from __future__ import annotations
@@ -63,15 +63,15 @@
 
     now: int  # microseconds
     events: dict[int, list[api.Event]] = field(default_factory=dict)
-    defects: dict[int, str] = field(default_factory=dict)  # exceptions of the decision module, as text
+    failures: dict[int, str] = field(default_factory=dict)  # texts of the decision module's exceptions
 
     def add(self, instance: int, event: api.Event) -> None:
         """Add an event for an instance."""
         self.events.setdefault(instance, []).append(event)
 
-    def add_defect(self, instance: int, defect: Exception) -> None:
+    def add_failure(self, instance: int, error: Exception) -> None:
         """Record an exception, which is reported in place of the instance's actions."""
-        self.defects[instance] = f"{type(defect).__name__}: {defect}"
+        self.failures[instance] = f"{type(error).__name__}: {error}"
 
 
 class SimulatorAdapter:
@@ -99,7 +99,7 @@
             yield line.rstrip("\r\n")
 
     def _read_batch(self, first: str, lines: Iterator[str]) -> Batch:
-        """Read the rest of a batch whose first line is given; start and stop instances as it says."""
+        """Read the rest of a batch whose first line is given; start and stop instances accordingly."""
         parts = first.split(" ")
         if parts[0] != "BATCH":
             raise MissingBatchError(parts[0])
@@ -123,7 +123,7 @@
         name = parts[0]
         if name == "LAUNCH":
             self._launch(batch, instance, line)
-        elif instance not in self._modules and instance not in batch.defects:
+        elif instance not in self._modules and instance not in batch.failures:
             raise UnknownInstanceError(instance)
         elif name == "DESTROY":
             self._modules.pop(instance, None)
@@ -142,35 +142,35 @@
         try:
             controller = Controller(settings, seed)
             self._modules[instance] = controller
-            if settings.may_message_peers:  # a subsystem that is off is not imported
+            if settings.may_message_peers:  # a disabled subsystem is not imported
                 from garnetlanding.peers.coordinator import PeerCoordinator
 
                 self._modules[instance] = PeerCoordinator(controller, incarnation=batch.now)
-        except Exception as defect:
-            batch.add_defect(instance, defect)
+        except Exception as error:
+            batch.add_failure(instance, error)
 
     def _handle(self, batch: Batch) -> list[str]:
-        """Pass the events to the instances; return the lines of the reply without its end."""
+        """Pass the events to the instances; return the lines of the reply, without `FINISHED`."""
         reply: list[str] = []
         for instance, events in batch.events.items():
-            lines = self._act(batch, instance, events)
+            lines = self._run_instance(batch, instance, events)
             if lines:
                 reply.append(f"SOURCE {instance}")
                 reply.extend(lines)
         return reply
 
-    def _act(self, batch: Batch, instance: int, events: list[api.Event]) -> list[str]:
+    def _run_instance(self, batch: Batch, instance: int, events: list[api.Event]) -> list[str]:
         """Return the lines of an instance's actions, or the line that reports its exception."""
-        if instance not in batch.defects:
+        if instance not in batch.failures:
             try:
                 return wire.write_actions(self._modules[instance].handle(batch.now, events))
-            except Exception as defect:
-                batch.add_defect(instance, defect)
-        return ["BAIL_OUT " + " ".join(batch.defects[instance].split())]
+            except Exception as error:
+                batch.add_failure(instance, error)
+        return ["BAIL_OUT " + " ".join(batch.failures[instance].split())]
 
 
 def _read_list(header: str, lines: Iterator[str]) -> api.EndpointListUpdate | api.EndpointListFailure:
-    """Read the entries of an endpoint list whose first line is given."""
+    """Read the entries of the endpoint list that `header` begins."""
     kind, count = wire.read_list_header(header)
     entries = []
     for _ in range(count):
--- a/tests/ninep/test_session_reads.py
+++ b/tests/ninep/test_session_reads.py
@@ -234,9 +234,9 @@
     bad = p9.encode(9, p9.Tstat(0))[:-1]
     tool.say(bytes([len(bad)]) + bad[1:])
     assert tool.answers[-1] == (9, p9.Rerror("bad Tstat: message cut short"))
-    tool.world.run(tool.world.limits.misuse_pause_us)
+    tool.world.run(tool.world.limits.invalid_command_pause_us)
     tool.say(b"\x07\0\0\0\xff\x09\0")
-    tool.world.run(tool.world.limits.misuse_pause_us)
+    tool.world.run(tool.world.limits.invalid_command_pause_us)
     assert tool.answers[-1] == (9, p9.Rerror("unknown message type 255"))
     assert isinstance(tool.ask(p9.Tstat(0)), p9.Rstat)
 
--- a/tests/resp/test_front.py
+++ b/tests/resp/test_front.py
@@ -69,7 +69,7 @@
     assert reply.startswith(b"-ERR")
     assert error_text.encode() in reply
     assert peer.say(PING) == b"", "reading pauses, so that a client cannot repeat the command at full speed"
-    instance.run(instance.limits.misuse_pause_us)
+    instance.run(instance.limits.invalid_command_pause_us)
     assert peer.got == reply + b"+PONG\r\n", "the connection stays open"
 
 
@@ -178,10 +178,10 @@
     peer = instance.peer(instance.front().address)
     assert peer.say(codec.encode_command([b"CLIENT", b"INFO"])) == b"+OK\r\n"
     assert peer.say(codec.encode_command([b"HELLO", b"3"])) == b"-ERR unknown command\r\n"
-    instance.run(instance.limits.misuse_pause_us)
+    instance.run(instance.limits.invalid_command_pause_us)
     assert peer.say(b"*0\r\n" + codec.encode_command([b"ping", b"a"])) == b"$1\r\na\r\n"
     assert peer.say(codec.encode_command([b"BLK.READ", b"k"])).startswith(b"-ERR wrong number")
-    instance.run(instance.limits.misuse_pause_us)
+    instance.run(instance.limits.invalid_command_pause_us)
     assert peer.say(codec.encode_command([b"QUIT"])) == b"+OK\r\n"
     assert peer.closed
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: framing, restarts, bad input, faults, and the README's example."""
+"""The simulator adapter: framing, restarts, invalid input, exceptions, and the README's example."""
 
 from __future__ import annotations
 
@@ -18,42 +18,42 @@
     "Classes.0.GiveUpUs=1500000 Classes.0.Effect=free "
     "Contracts.count=1 Contracts.0.Name=gold Contracts.0.Weight=1.0 Contracts.0.UsualRate=2.0"
 )
-START = (
+LAUNCH_BATCH = (
     f"BATCH 1000\nSELECT 3\nLAUNCH 42 {SETTINGS}\nDIRECTORY_UPDATE disk 1 1\n"
     "BRICK std 0 10.0.0.1:9 1 - dc in_service\nEND\n"
 )
-ASK = "BATCH 2000\nSELECT 3\nACCEPT a read gold k 1502000 v 2 0 1 0 0 extra\nEND\n"
+ARRIVAL_BATCH = "BATCH 2000\nSELECT 3\nACCEPT a read gold k 1502000 v 2 0 1 0 0 extra\nEND\n"
 
 
-def talk(text: str) -> list[str]:
+def run_adapter(text: str) -> list[str]:
     out = io.StringIO()
     wirehost.SimulatorAdapter().run(io.StringIO(text), out)
     return out.getvalue().splitlines()
 
 
 def test_each_batch_gets_a_reply_and_an_arrival_is_delivered() -> None:
-    lines = talk("BATCH 1\nEND\n" + START + ASK)
+    lines = run_adapter("BATCH 1\nEND\n" + LAUNCH_BATCH + ARRIVAL_BATCH)
     assert lines.count("FINISHED") == 3
     assert lines[0] == "FINISHED"
     assert "DELIVER a 0 10.0.0.1:9" in lines
 
 
-def test_restart_within_a_batch_forgets_the_earlier_incarnation() -> None:
-    again = START.replace("SELECT 3\n", "SELECT 3\nDESTROY\n").replace("BATCH 1000", "BATCH 3000")
-    late = "BATCH 4000\nSELECT 3\nREPLY a 0 10.0.0.1:9 delivered 900 1 0 0 -\nEND\n"
-    assert talk(START + ASK + again + late)[-1] == "FINISHED"
+def test_restart_within_a_batch_discards_the_previous_incarnation() -> None:
+    restart = LAUNCH_BATCH.replace("SELECT 3\n", "SELECT 3\nDESTROY\n").replace("BATCH 1000", "BATCH 3000")
+    late_reply = "BATCH 4000\nSELECT 3\nREPLY a 0 10.0.0.1:9 delivered 900 1 0 0 -\nEND\n"
+    assert run_adapter(LAUNCH_BATCH + ARRIVAL_BATCH + restart + late_reply)[-1] == "FINISHED"
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "pattern"),
     [
         ("HELLO\n", "line 1.*BATCH"),
-        (START.replace("Me=0", "Me=zero"), "line 3.*setting Me"),
-        (START + "BATCH 5\nSELECT 4\nLEFT a\nEND\n", "HostId"),
-        (START + "BATCH 5\nSELECT 3\nLEFT\nEND\n", "line 9.*Ticket"),
-        (START + ASK.replace(" 1502000 ", " soon "), "line 9.*NotAfterUs"),
-        (START + "BATCH 5\nSELECT 3\n", "ended inside"),
-        (START.replace("in_service", "asleep"), "line 5.*Phase"),
+        (LAUNCH_BATCH.replace("Me=0", "Me=zero"), "line 3.*setting Me"),
+        (LAUNCH_BATCH + "BATCH 5\nSELECT 4\nLEFT a\nEND\n", "HostId"),
+        (LAUNCH_BATCH + "BATCH 5\nSELECT 3\nLEFT\nEND\n", "line 9.*Ticket"),
+        (LAUNCH_BATCH + ARRIVAL_BATCH.replace(" 1502000 ", " soon "), "line 9.*NotAfterUs"),
+        (LAUNCH_BATCH + "BATCH 5\nSELECT 3\n", "ended inside"),
+        (LAUNCH_BATCH.replace("in_service", "asleep"), "line 5.*Phase"),
     ],
     ids=[
         "no batch",
@@ -62,17 +62,17 @@
         "field missing",
         "field not a number",
         "input ends in a batch",
-        "unknown word",
+        "unknown endpoint state",
     ],
 )
 def test_malformed_input_exits_with_code_2_and_one_line(
-    text: str, words: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+    text: str, pattern: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr("sys.stdin", io.StringIO(text))
     assert wirehost.main() == 2
-    err = capsys.readouterr().err
-    assert err.count("\n") == 1
-    assert re.search(words, err)
+    stderr = capsys.readouterr().err
+    assert stderr.count("\n") == 1
+    assert re.search(pattern, stderr)
 
 
 def test_exception_of_the_decision_module_is_reported_as_bail_out(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -80,7 +80,7 @@
         raise RuntimeError("tags ran\nbackwards")
 
     monkeypatch.setattr(Controller, "handle", broken)
-    assert "BAIL_OUT RuntimeError: tags ran backwards" in talk(START)
+    assert "BAIL_OUT RuntimeError: tags ran backwards" in run_adapter(LAUNCH_BATCH)
 
 
 def test_settings_with_numbers_that_are_not_finite_are_rejected() -> None:
@@ -88,7 +88,7 @@
         wire.read_settings(SETTINGS.replace("Weight=1.0", "Weight=nan"))
 
 
-def test_readme_example_prints_what_it_says(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_example_prints_the_documented_output(capsys: pytest.CaptureFixture[str]) -> None:
     readme = pathlib.Path(__file__).parents[1].joinpath("README.md").read_text()
     code = readme.split("```python\n")[1].split("```")[0]
     exec(code, {})
