--- a/garnetlanding/config/platform.py
+++ b/garnetlanding/config/platform.py
@@ -53,14 +53,14 @@
     limits: Limits
     configured_listing: dict[str, Any] = field(default_factory=dict)  # initial endpoints, in discovery's form
     operator: OperatorConfig = field(default_factory=OperatorConfig)
-    ops: str = ""  # HOST:PORT of the admin service, which is off if empty
+    admin_address: str = ""  # HOST:PORT of the admin service, which is off if empty
     peers: PeerSetup | None = None  # the link to other instances; None if the settings forbid it
 
 
 RESTART_ONLY: dict[str, Callable[[Config], object]] = {
     "name": lambda config: config.name,
     "listen": lambda config: config.listen,
-    "ops": lambda config: config.ops,
+    "ops": lambda config: config.admin_address,
     "limits": lambda config: config.limits,
     "operator": lambda config: config.operator,
 }
@@ -135,7 +135,7 @@
 def read_settings(raw: dict[str, Any]) -> api.Settings:
     """Validate settings in the platform's form, from a file or the store. Raises ConfigError."""
     try:
-        return wire.settings_from(flatten(raw))
+        return wire.build_settings(flatten(raw))
     except wire.WireError as problem:
         raise ConfigError.at_key("settings", problem) from problem
 
@@ -196,7 +196,7 @@
         limits=limits,
         configured_listing=configured_listing,
         operator=subsystems,
-        ops=top.address("ops") if top.raw("ops") is not None else "",
+        admin_address=top.address("ops") if top.raw("ops") is not None else "",
         peers=peers,
     )
 
--- a/garnetlanding/config/section.py
+++ b/garnetlanding/config/section.py
@@ -63,13 +63,13 @@
         if unknown:
             raise self.error(unknown[0], "not known here")
 
-    def name(self, key: str) -> str:
+    def key_path(self, key: str) -> str:
         """Return the dotted path of a key of this table."""
         return f"{self._path}.{key}" if self._path else key
 
     def error(self, key: str, problem: object) -> ConfigError:
         """Return the error of one key of this table, for the caller to raise."""
-        return ConfigError.at_key(self.name(key), problem)
+        return ConfigError.at_key(self.key_path(key), problem)
 
     def has(self, key: str) -> bool:
         """Return whether the table has the key, with any value."""
--- a/garnetlanding/daemon/admin.py
+++ b/garnetlanding/daemon/admin.py
@@ -139,7 +139,7 @@
         )
         return Listener(
             instance.scheduler,
-            instance.config.ops,
+            instance.config.admin_address,
             instance.pool,
             own_limits,
             limits.ops_connections,
--- a/garnetlanding/daemon/clients.py
+++ b/garnetlanding/daemon/clients.py
@@ -42,7 +42,7 @@
             instance.config.listen,
             instance.limits.client_connections,
             self._make_protocol,
-            shared=bool(instance.config.ops),
+            shared=bool(instance.config.admin_address),
         )
         # Clients may use the descriptors that backend connections do not need, and the other way round.
         backends = instance.backends
--- a/garnetlanding/daemon/optional_subsystems.py
+++ b/garnetlanding/daemon/optional_subsystems.py
@@ -64,7 +64,7 @@
 
 def build_received_disables(instance: Instance, group: PeerGroup | None) -> ReceivedDisables | None:
     """Return what applies peers' disables, or None without peers or where the admin service does it."""
-    if group is None or instance.config.ops:
+    if group is None or instance.config.admin_address:
         return None
     from garnetlanding.daemon.peer_group import ReceivedDisables
 
@@ -106,7 +106,7 @@
     link: PeerLinkManager,
 ) -> AdminFront | None:
     """Return the admin service, or None where the configuration has no address for it."""
-    if not instance.config.ops:
+    if not instance.config.admin_address:
         return None
     from garnetlanding.daemon.admin import AdminFront
     from garnetlanding.daemon.quota_enforcement import QuotaEnforcement
@@ -128,7 +128,7 @@
 def build_replication(instance: Instance) -> StoreReplication | None:
     """Return the replication of the store, or None where the store is not replicated."""
     setup = instance.config.operator.store
-    if setup.role is StoreRole.ALONE:
+    if setup.role is StoreRole.STANDALONE:
         return None
     from garnetlanding.daemon.replication import StoreReplication
 
--- a/garnetlanding/daemon/process_registration.py
+++ b/garnetlanding/daemon/process_registration.py
@@ -27,7 +27,7 @@
         self.registry: ProcessRegistry | None = None
         self.quota = 1.0
         self.stopping = False  # from SIGTERM on, when a predecessor releases everything that it does not use
-        if config.ops:
+        if config.admin_address:
             from garnetlanding.ops.process_registry import ProcessRegistry
 
             self.registry = ProcessRegistry(tempfile.gettempdir(), config.name)
--- a/garnetlanding/daemon/replication.py
+++ b/garnetlanding/daemon/replication.py
@@ -50,7 +50,9 @@
         if setup.max_staleness_us:
             from garnetlanding.store.staleness_guard import StalenessGuard
 
-            self.staleness_guard = StalenessGuard(setup.max_staleness_us, setup.drift, instance.scheduler.now)
+            self.staleness_guard = StalenessGuard(
+                setup.max_staleness_us, setup.max_clock_drift, instance.scheduler.now
+            )
         settings = instance.core.settings
         offset = stagger_offset(settings.instance_id, settings.instances, "store")
         options = FollowerOptions(setup.address, offset)
--- a/garnetlanding/ninep/setup.py
+++ b/garnetlanding/ninep/setup.py
@@ -86,7 +86,7 @@
         raise section.error("export", "missing or empty")
     exports: dict[str, Export] = {}
     for index, value in enumerate(listed):
-        export = Section(value, section.name(f"export.{index}"), _EXPORT_KEYS)
+        export = Section(value, section.key_path(f"export.{index}"), _EXPORT_KEYS)
         name = export.text("name")
         if name in exports:
             raise export.error("name", f"{name!r:.40} is there twice")
--- a/garnetlanding/peers/setup.py
+++ b/garnetlanding/peers/setup.py
@@ -72,7 +72,7 @@
     budgets = _flag(section, "budgets", default=default.budgets)
     backend_connections = _backend_connections(section, budgets=budgets)
     seeds = _seed_list(section)
-    routes = Section(section.raw("routes") or {}, section.name("routes"))
+    routes = Section(section.raw("routes") or {}, section.key_path("routes"))
     for key in ("advertise", "routes"):
         if section.has(key) and not seeds.data:
             raise section.error(key, "only with seeds")
@@ -111,7 +111,7 @@
     listed = section.raw("seeds") or []
     if not isinstance(listed, list):
         raise section.error("seeds", "expected a list of addresses")
-    return Section({str(i): address for i, address in enumerate(listed)}, section.name("seeds"))
+    return Section({str(i): address for i, address in enumerate(listed)}, section.key_path("seeds"))
 
 
 def _ip_address(section: Section, key: str) -> str:
@@ -129,4 +129,4 @@
 
 def _checked_key(routes: Section, address: str) -> str:
     """Return a key of the routes, validated as an IP address like its value."""
-    return _ip_address(Section({address: address}, routes.name(address)), address)
+    return _ip_address(Section({address: address}, routes.key_path(address)), address)
--- a/garnetlanding/store/setup.py
+++ b/garnetlanding/store/setup.py
@@ -14,7 +14,7 @@
 class StoreRole(StrEnum):
     """An instance's role in replication; the values are those of the section's key `role`."""
 
-    ALONE = "alone"  # without replication
+    STANDALONE = "alone"  # without replication
     WRITER = "writer"
     FOLLOWER = "follower"
 
@@ -23,21 +23,19 @@
 class StoreSetup:
     """An instance's role in replication, and the settings of that role."""
 
-    role: StoreRole = StoreRole.ALONE
+    role: StoreRole = StoreRole.STANDALONE
     writer: str = ""  # the writer's name
     address: str = ""  # HOST:PORT where the writer listens for followers
     file: str = ""  # path of the file that the store is saved in; empty: it is not saved
     max_staleness_us: int = 0  # a follower whose copy may be older is fenced; 0: no limit
-    drift: float = (
-        0.01  # upper bound of the rate difference between this clock and the writer's, as a fraction
-    )
+    max_clock_drift: float = 0.01  # upper bound of the relative rate difference to the writer's clock
 
 
 def read(data: object, name: str) -> StoreSetup:
     """Read and check the section; `name` is this instance's own name. Raises ConfigError."""
     section = Section(data, "store", "role writer address file current_s")
     role = StoreRole(section.one_of("role", [known.value for known in StoreRole]))
-    if role is StoreRole.ALONE:
+    if role is StoreRole.STANDALONE:
         return StoreSetup(role, name, file=section.text("file", ""))
     writer = section.text("writer")
     if (writer == name) != (role is StoreRole.WRITER):
--- a/garnetlanding/store/staleness_guard.py
+++ b/garnetlanding/store/staleness_guard.py
@@ -11,15 +11,15 @@
 class StalenessGuard:
     """Decides until when this instance may act on its copy.
 
-    `max_staleness_us` is the maximum age of a change that the copy may lack while it is used. `drift` is an
-    upper bound of the rate difference between this clock and the writer's, as a fraction; it shortens the
-    validity of a reply. A follower is stale until the first reply.
+    `max_staleness_us` is the maximum age of a change that the copy may lack while it is used.
+    `max_clock_drift` is an upper bound of the rate difference between this clock and the writer's, as a
+    fraction; it shortens the validity of a reply. A follower is stale until the first reply.
     """
 
-    def __init__(self, max_staleness_us: int, drift: float, now: int) -> None:
+    def __init__(self, max_staleness_us: int, max_clock_drift: float, now: int) -> None:
         self.max_staleness_us = max_staleness_us
         self.fresh_until = now
-        self._validity_us = int(max_staleness_us / (1 + drift))
+        self._validity_us = int(max_staleness_us / (1 + max_clock_drift))
         self._sent_at: dict[int, int] = {}  # when each query that may still be answered in time was sent
         self._last_number = 0
 
--- a/garnetlanding/wire.py
+++ b/garnetlanding/wire.py
@@ -167,10 +167,10 @@
 
 def read_settings(text: str) -> api.Settings:
     """Parse settings from the `path=value` pairs of a line. Raises WireError."""
-    return settings_from(dict(pair.partition("=")[::2] for pair in text.split(" ") if pair))
+    return build_settings(dict(pair.partition("=")[::2] for pair in text.split(" ") if pair))
 
 
-def settings_from(pairs: Mapping[str, str]) -> api.Settings:
+def build_settings(pairs: Mapping[str, str]) -> api.Settings:
     """Build settings from texts by path; unknown paths are ignored. Raises WireError."""
     get = _SettingsReader(pairs).get
     class_specs = [_class_spec(get, f"Classes.{index}.") for index in range(get("Classes.count", integer))]
--- a/tests/config/test_section.py
+++ b/tests/config/test_section.py
@@ -22,7 +22,9 @@
         pytest.param(lambda s: s.text("list", ""), "list", "missing or not text", id="text-of-wrong-type"),
         pytest.param(lambda s: s.one_of("text", ["b", "a"]), "text", "'t' is none of a, b", id="no-choice"),
         pytest.param(lambda s: s.address("text"), "text", "", id="no-address"),
-        pytest.param(lambda s: Section(s.raw("count"), s.name("count")), "count", "not a table", id="table"),
+        pytest.param(
+            lambda s: Section(s.raw("count"), s.key_path("count")), "count", "not a table", id="table"
+        ),
     ],
 )
 def test_a_value_that_is_not_accepted_raises_an_error_with_its_whole_key(
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -1352,7 +1352,7 @@
     store = config.operator.store
     lines.append(
         f"store: role {store.role}, writer {store.writer!r}, address {store.address!r}, file {store.file!r}, "
-        f"current {store.max_staleness_us}, drift {store.drift!r}"
+        f"current {store.max_staleness_us}, drift {store.max_clock_drift!r}"
     )
     if history := config.operator.history:
         lines.append(f"history: file {history.file}, wall file {history.wall_offset_file!r}")
@@ -1384,7 +1384,7 @@
         f"listen: {config.listen}",
         f"discovery: {config.discovery}",
         f"discovery of the file: {config.file_discovery}",
-        f"ops: {config.ops or '-'}",
+        f"ops: {config.admin_address or '-'}",
         f"seed: {config.seed}",
         f"known: {json.dumps(config.configured_listing, sort_keys=True)}",
         f"settings as given: {json.dumps(config.raw_settings, sort_keys=True)}",
--- a/tests/ops/test_admin_state.py
+++ b/tests/ops/test_admin_state.py
@@ -118,5 +118,5 @@
 def test_malformed_ops_address_is_named() -> None:
     with pytest.raises(config.ConfigError, match="key ops"):
         config.read(PLATFORM_CONFIG | {"ops": "nowhere"})
-    assert config.read(PLATFORM_CONFIG, env={"RELAY_OPS": "127.0.0.1:1"}).ops == "127.0.0.1:1"
-    assert config.read(PLATFORM_CONFIG).ops == ""
+    assert config.read(PLATFORM_CONFIG, env={"RELAY_OPS": "127.0.0.1:1"}).admin_address == "127.0.0.1:1"
+    assert config.read(PLATFORM_CONFIG).admin_address == ""
