--- a/garnetlanding/limits.py
+++ b/garnetlanding/limits.py
@@ -116,7 +116,7 @@
     partial_reply_us: int = 100 * MS  # for the rest of a backend's reply after its first byte
 
     # Discovery.
-    # An instance must know a change 6 s after discovery had it and was reachable (docs/design/endings.md).
+    # An instance must receive a change within 6 s if discovery is reachable (docs/design/endings.md).
     discovery_answer_us: int = 2500 * MS  # includes connecting; discovery itself fails queued calls after 2 s
     discovery_silence_us: int = 2800 * MS  # a watch sends a complete line at least every 2 s
     discovery_queued_us: int = 500 * MS  # a call rejected after this long was queued first
--- a/garnetlanding/telemetry/request_spans.py
+++ b/garnetlanding/telemetry/request_spans.py
@@ -17,7 +17,7 @@
 class SpanBuilder:
     """Builds spans with random ids, and converts their times from the monotonic to the wall clock.
 
-    `wall_offset_ns` is added to monotonic times. It stays the same for the life of the process, so that the
+    `wall_offset_ns` is added to monotonic times. It is constant for the lifetime of the process, so that the
     spans of a trace remain consistent when the wall clock is stepped.
     """
 
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -127,7 +127,7 @@
     assert pair.is_in_sync()
     assert pair.copy.epoch == 11
     pair.partition()
-    pair.store = Store("w", writable=True, log_entries=4, epoch=10)  # the old process, which is still running
+    pair.store = Store("w", writable=True, log_entries=4, epoch=10)  # the previous process, still running
     pair.store.put("a", 9)
     pair.serve(pair.listener.address)
     pair.run(2 * pair.limits.store_retry_us, 100 * MS)
--- a/tests/test_simulated_instance.py
+++ b/tests/test_simulated_instance.py
@@ -1,4 +1,4 @@
-"""The tests' own support: a simulated instance settles by what the kernel has delivered."""
+"""Test support: a simulated instance settles once the kernel has delivered all traffic."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.support.loopback import TcpSocket, TcpState, traffic_in_transit, undelivered
 from tests.support.simulated_instance import SimulatedInstance, read_command
 
-LONG_VALUE = b"v" * (8 << 20)  # more than the kernel holds for one connection
+LONG_VALUE = b"v" * (8 << 20)  # more than the kernel buffers for one connection
 AT_REST = TcpSocket(
     local=("127.0.0.1", 1),
     remote=("127.0.0.1", 2),
@@ -28,7 +28,7 @@
 )
 
 
-def test_settle_ends_once_a_long_value_has_reached_its_client() -> None:
+def test_settle_returns_once_a_long_value_has_reached_its_client() -> None:
     instance = SimulatedInstance(unsent_bytes=2 * len(LONG_VALUE), reply_bytes=2 * len(LONG_VALUE))
     backend = instance.server(EmulatedBackend)
     backend.scripted_responses = [b"*3\r\n" + codec.encode_bulk(LONG_VALUE) + b"$-1\r\n$-1\r\n"]
@@ -43,16 +43,19 @@
     [
         pytest.param({}, {}, False, id="at rest"),
         pytest.param({"bytes_sent": 101}, {}, True, id="a byte sent and not received"),
-        pytest.param({"bytes_not_sent": 5}, {}, True, id="held back for a receiver that has read everything"),
-        pytest.param({"bytes_not_sent": 5}, {"unread": 9}, False, id="held back for one that does not read"),
+        pytest.param({"bytes_not_sent": 5}, {}, True, id="unsent, receiver has read everything"),
+        pytest.param({"bytes_not_sent": 5}, {"unread": 9}, False, id="unsent, receiver does not read"),
         pytest.param(
             {"bytes_not_sent": 5, "segments_unacknowledged": 1},
             {"unread": 9},
             True,
-            id="held back until an acknowledgement",
+            id="unsent until an acknowledgement",
         ),
         pytest.param(
-            {"segments_unacknowledged": 1, "writable": False}, {"unread": 9}, True, id="full until then"
+            {"segments_unacknowledged": 1, "writable": False},
+            {"unread": 9},
+            True,
+            id="send buffer full until an acknowledgement",
         ),
         pytest.param({"segments_unacknowledged": 1}, {}, False, id="received and not acknowledged"),
         pytest.param({"state": TcpState.FIN_WAIT_1}, {}, True, id="end sent and not received"),
@@ -61,7 +64,7 @@
         ),
     ],
 )
-def test_in_transit_is_what_the_kernel_will_deliver_without_the_receiver(
+def test_in_transit_is_traffic_that_the_kernel_delivers_without_the_receiver(
     sender: dict[str, object], receiver: dict[str, object], in_transit: bool
 ) -> None:
     sending = replace(AT_REST, **sender)  # type: ignore[arg-type]  # fields by name
