--- a/garnetlanding/daemon/admin.py
+++ b/garnetlanding/daemon/admin.py
@@ -139,7 +139,7 @@
         )
         return Listener(
             instance.scheduler,
-            instance.config.ops,
+            instance.config.admin_address,
             instance.pool,
             admin_limits,
             limits.ops_connections,
--- a/tests/ninep/test_session_reads.py
+++ b/tests/ninep/test_session_reads.py
@@ -236,9 +236,9 @@
     bad = p9.encode(9, p9.Tstat(0))[:-1]
     client.say(bytes([len(bad)]) + bad[1:])
     assert client.replies[-1] == (9, p9.Rerror("bad Tstat: message cut short"))
-    client.world.run(client.world.limits.misuse_pause_us)
+    client.world.run(client.world.limits.invalid_command_pause_us)
     client.say(b"\x07\0\0\0\xff\x09\0")
-    client.world.run(client.world.limits.misuse_pause_us)
+    client.world.run(client.world.limits.invalid_command_pause_us)
     assert client.replies[-1] == (9, p9.Rerror("unknown message type 255"))
     assert isinstance(client.request(p9.Tstat(0)), p9.Rstat)
 
--- a/tests/ops/test_admin_state.py
+++ b/tests/ops/test_admin_state.py
@@ -118,5 +118,5 @@
 def test_error_for_a_malformed_ops_address_names_the_key() -> None:
     with pytest.raises(config.ConfigError, match="key ops"):
         config.read(PLATFORM_CONFIG | {"ops": "nowhere"})
-    assert config.read(PLATFORM_CONFIG, env={"RELAY_OPS": "127.0.0.1:1"}).ops == "127.0.0.1:1"
-    assert config.read(PLATFORM_CONFIG).ops == ""
+    assert config.read(PLATFORM_CONFIG, env={"RELAY_OPS": "127.0.0.1:1"}).admin_address == "127.0.0.1:1"
+    assert config.read(PLATFORM_CONFIG).admin_address == ""
