--- a/garnetlanding/audit/__init__.py
+++ b/garnetlanding/audit/__init__.py
@@ -1,4 +1,5 @@
-"""Which versions each instance acted on, from when to when.
+"""Audit of the versions that each instance used, and when.
 
-Recorded where a version changes, kept in segment files, and read together over many instances.
+An instance records each change of a version in segment files. The report commands merge the files of many
+instances.
 """
--- a/garnetlanding/audit/audited_module.py
+++ b/garnetlanding/audit/audited_module.py
@@ -1,4 +1,4 @@
-"""The decision module with the audit in front: versions are recorded before the module decides by them."""
+"""Wrapper around the decision module that records versions before the module uses them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AuditedModule:
-    """A `DecisionModule` that lets the recorder observe, then passes the events on unchanged."""
+    """A `DecisionModule` that calls the recorder, then forwards the events unchanged."""
 
     def __init__(self, module: DecisionModule, recorder: Recorder) -> None:
         self.module = module
@@ -16,10 +16,10 @@
 
     @property
     def settings(self) -> api.Settings:
-        """Settings of the module behind."""
+        """Settings of the wrapped module."""
         return self.module.settings
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
-        """Return the actions of the module behind; `now` is monotonic time in microseconds."""
+        """Return the actions of the wrapped module; `now` is monotonic time in microseconds."""
         self.recorder.observe(now)
         return self.module.handle(now, events)
--- a/garnetlanding/audit/errors.py
+++ b/garnetlanding/audit/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the audit; all of them are `AuditError`, and a command prints their text as it is."""
+"""Errors of the audit. All derive from `AuditError`, whose text the commands print unchanged."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class AuditError(ValueError):
-    """Audit files, or a question about them, that cannot be processed; the text is meant for an operator."""
+    """Audit files or a query that cannot be processed; the text is shown to an operator."""
 
 
 class CorruptSegmentError(AuditError):
-    """A segment with bytes that are present but cannot be decoded.
+    """A segment that cannot be decoded, other than a torn tail where one is allowed.
 
-    `file` is the segment's file name and `offset` the byte offset at which decoding failed. `intact` holds
-    the records before that offset; it is `None` where the header itself could not be decoded.
+    `file` is the segment's file name and `offset` the byte offset at which decoding failed. `intact` contains
+    the records before that offset; it is `None` if the header could not be decoded.
     """
 
     def __init__(self, file: str, offset: int, reason: str) -> None:
@@ -24,12 +24,12 @@
 
 
 class NoRecordsError(AuditError):
-    """No audit segment was found; the text names the places searched."""
+    """No audit segment was found; the text names the paths searched."""
 
 
 class InvalidQueryError(AuditError):
-    """A question that cannot be parsed, such as a version without its component."""
+    """A query that cannot be parsed, such as a version without its component."""
 
 
 class ChartUnavailableError(AuditError):
-    """A chart was asked for and the plotting library is not installed."""
+    """A chart was requested but the plotting library is not installed."""
--- a/garnetlanding/audit/limits.py
+++ b/garnetlanding/audit/limits.py
@@ -17,15 +17,15 @@
     checkpoint_us: int = 10 * SECOND
     """Interval between records while no version changes."""
     segment_bytes: int = 1 << 20
-    """Size from which on a new segment is begun."""
+    """Size at which the writer starts a new segment."""
     total_bytes: int = 64 << 20
-    """Size of all segments of an instance; beyond it the oldest are deleted."""
+    """Maximum total size of an instance's segments; the oldest are deleted to stay below it."""
     age_us: int = 30 * 24 * 3600 * SECOND
-    """Age by the wall clock from which on a segment is deleted, counted from its last record."""
+    """Maximum age of a segment by the wall clock, counted from its last record."""
     record_bytes: int = 64 << 10
-    """Size beyond which a record is corrupt."""
+    """Length above which a record that cannot be decoded is corrupt rather than cut short."""
     gap_checkpoints: float = 2.5
-    """Checkpoint intervals without a record after which an instance counts as having stalled."""
+    """Number of checkpoint intervals without a record after which an instance is considered stalled."""
 
 
 LIMITS = AuditLimits()
--- a/garnetlanding/audit/segment_files.py
+++ b/garnetlanding/audit/segment_files.py
@@ -1,7 +1,7 @@
-"""Names of segment files, and the listing of a folder of them.
+"""Names segment files and lists those in a folder.
 
-A file is called `garnetlanding-INSTANCE-audit-INCARNATION.NUMBER`, where the instance's name is
-percent-encoded and the number has eight digits.
+A file is named `garnetlanding-INSTANCE-audit-INCARNATION.NUMBER`. The instance's name is percent-encoded, and
+the number has eight digits.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SegmentFile:
-    """A segment that exists on disk."""
+    """A segment file on disk."""
 
     position: SegmentPosition
     path: str
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class InstanceFiles:
-    """All segments of one instance in one folder, by incarnation, each incarnation's in writing order."""
+    """The segments of one instance in one folder, by incarnation; each list is in writing order."""
 
     by_incarnation: dict[int, list[SegmentFile]] = field(default_factory=dict)
 
@@ -39,17 +39,17 @@
 
 
 def segment_path(folder: str, incarnation: Incarnation, number: int) -> str:
-    """Return the path of a segment of that incarnation."""
+    """Return the path of a segment of an incarnation."""
     stem = instance_file_name(incarnation.instance, _PURPOSE)
     return os.path.join(folder, f"{stem}-{incarnation.number}.{number:08}")
 
 
 def list_segments(folder: str) -> dict[str, InstanceFiles]:
-    """Return the segments in a folder by the part of their names that encodes the instance.
+    """Return the segments in a folder, by the part of their file names that encodes the instance.
 
-    Files with other names are passed over. Raises `OSError` where the folder cannot be listed.
+    Files with other names are ignored. Raises `OSError` if the folder cannot be listed.
     """
-    found: dict[str, InstanceFiles] = {}
+    by_stem: dict[str, InstanceFiles] = {}
     for name in sorted(os.listdir(folder)):
         match = _SEGMENT_NAME.fullmatch(name)
         if match is None:
@@ -57,9 +57,9 @@
         stem = match[1]
         incarnation = int(match[2])
         number = int(match[3])
-        of_incarnation = found.setdefault(stem, InstanceFiles()).by_incarnation.setdefault(incarnation, [])
-        of_incarnation.append(SegmentFile(SegmentPosition(incarnation, number), os.path.join(folder, name)))
-    return found
+        file = SegmentFile(SegmentPosition(incarnation, number), os.path.join(folder, name))
+        by_stem.setdefault(stem, InstanceFiles()).by_incarnation.setdefault(incarnation, []).append(file)
+    return by_stem
 
 
 def list_instance_segments(folder: str, instance: str) -> InstanceFiles:
--- a/garnetlanding/audit/segment_writer.py
+++ b/garnetlanding/audit/segment_writer.py
@@ -1,8 +1,8 @@
 """Writes an instance's audit records to segment files.
 
-Segments are only appended to. One that has grown long is followed by a new one, and the oldest are deleted
-by size and age. Each incarnation has segments of its own, because two processes of one instance run side by
-side during an upgrade.
+Segments are append-only. A segment that reaches its size limit is followed by a new one, and the oldest are
+deleted by total size and age. Each incarnation writes its own segments, because two processes of one instance
+run concurrently during an upgrade.
 """
 
 from __future__ import annotations
@@ -16,6 +16,7 @@
 
 from garnetlanding.audit import segments
 from garnetlanding.audit.errors import CorruptSegmentError
+from garnetlanding.audit.limits import SECOND
 from garnetlanding.audit.records import (
     Incarnation,
     Payload,
@@ -33,17 +34,20 @@
 
 log = logging.getLogger(__name__)
 
+_MS_PER_SECOND = 1000
+_NS_PER_MS = 1_000_000
+
 
 def _system_wall_ms() -> int:
-    return time.time_ns() // 1_000_000
+    return time.time_ns() // _NS_PER_MS
 
 
 class SegmentWriter:
     """Appends the records of one incarnation; a context manager that closes its file.
 
-    Creating it writes the start record and leaves the files of earlier incarnations as they are; it raises
-    `OSError` where the first segment cannot be created. A later failure to write ends the recording: it is
-    logged once, and the instance goes on serving.
+    The constructor writes the start record and does not modify the files of earlier incarnations. It raises
+    `OSError` if the first segment cannot be created. A later write failure stops the recording: it is logged
+    once, and the instance continues to serve requests.
 
     `now` is monotonic time in microseconds, `wall_ms` reads the wall clock in milliseconds.
     """
@@ -66,9 +70,9 @@
         self._descriptor: int | None = None
         self._failed = False
         os.makedirs(self._folder, exist_ok=True)
-        previous, previous_end = self._previous_incarnation()
+        previous, previous_tail_error = self._previous_incarnation()
         self._open_next_segment()
-        self.write(start_record(now, previous, previous_end, self._limits.checkpoint_us))
+        self.write(start_record(now, previous, previous_tail_error, self._limits.checkpoint_us))
 
     def __enter__(self) -> SegmentWriter:
         return self
@@ -79,7 +83,7 @@
         self.close()
 
     def write(self, payload: Payload) -> None:
-        """Append a record, in a new segment where the present one is long enough. Never raises `OSError`."""
+        """Append a record, in a new segment if the current one is full. Never raises `OSError`."""
         if self._failed:
             return
         try:
@@ -94,31 +98,31 @@
             )
 
     def close(self) -> None:
-        """Close the present segment; calling it again does nothing."""
+        """Close the current segment; calling this again does nothing."""
         descriptor = self._descriptor
         self._descriptor = None
         if descriptor is not None:
             os.close(descriptor)
 
     def _previous_incarnation(self) -> tuple[int, str]:
-        """Return the number of the incarnation before this one, and what is wrong with the end of its files.
+        """Return the number of the incarnation before this one, and the damage at the end of its files.
 
-        The number is 0 where no earlier incarnation has left files; the text is empty where they end well.
+        The number is 0 if no other incarnation has files; the text is empty if there is no damage.
         """
         by_incarnation = list_instance_segments(self._folder, self._incarnation.instance).by_incarnation
         others = [number for number in by_incarnation if number != self._incarnation.number]
         if not others:
             return 0, ""
         previous = max(others)
-        return previous, self._fault_at_end(by_incarnation[previous][-1])
+        return previous, self._tail_error(by_incarnation[previous][-1])
 
-    def _fault_at_end(self, last: SegmentFile) -> str:
+    def _tail_error(self, last: SegmentFile) -> str:
         try:
             with open(last.path, "rb") as file:
-                found = segments.read_segment(os.path.basename(last.path), file.read(), True, self._limits)
+                segment = segments.read_segment(os.path.basename(last.path), file.read(), True, self._limits)
         except (OSError, CorruptSegmentError) as error:
             return str(error)
-        return "" if found.torn_at is None else f"cut short at offset {found.torn_at}"
+        return "" if segment.torn_at is None else f"cut short at offset {segment.torn_at}"
 
     def _open_next_segment(self) -> None:
         self.close()
@@ -128,22 +132,22 @@
         header = segments.encode_header(
             self._incarnation.instance, self._incarnation.number, self._number, self._last_hash
         )
-        self._write_whole(header)
+        self._write_fully(header)
         self._size = len(header)
 
     def _append(self, payload: Payload) -> None:
         data, record_hash = segments.encode_record(self._last_hash, {**payload, "wall": self._wall_ms()})
-        descriptor = self._write_whole(data)
+        descriptor = self._write_fully(data)
         if self._sync:
             os.fsync(descriptor)
         self._last_hash = record_hash
         self._size += len(data)
 
-    def _write_whole(self, data: bytes) -> int:
+    def _write_fully(self, data: bytes) -> int:
         """Write in one system call, and return the descriptor written to.
 
-        Raises `OSError` where the disk took only a part: what stands there is a torn tail, and nothing may be
-        written behind it.
+        Raises `OSError` on a partial write: the file then ends in a torn tail, and nothing may be written
+        after it.
         """
         if self._descriptor is None:
             raise OSError(errno.EBADF, os.strerror(errno.EBADF))
@@ -152,20 +156,21 @@
         return self._descriptor
 
     def _delete_old_segments(self) -> None:
-        """Delete the oldest segments beyond the limits of size and age, and record up to which.
+        """Delete the oldest segments beyond the limits of size and age, and record the last one deleted.
 
-        An earlier record that said so was deleted with the segment that held it, so the newest says it all.
+        The record includes all earlier deletions, because earlier records of this kind may have been deleted
+        with their segments.
         """
-        found = list(list_instance_segments(self._folder, self._incarnation.instance).in_writing_order())
-        sizes = {file.path: os.path.getsize(file.path) for file in found}
-        total = sum(sizes.values())
-        oldest_s = self._wall_ms() / 1000 - self._limits.age_us / 1e6
+        files = list(list_instance_segments(self._folder, self._incarnation.instance).in_writing_order())
+        sizes = {file.path: os.path.getsize(file.path) for file in files}
+        total_bytes = sum(sizes.values())
+        oldest_s = self._wall_ms() / _MS_PER_SECOND - self._limits.age_us / SECOND
         last_deleted: SegmentPosition | None = None
-        for file in found[:-1]:
-            if total <= self._limits.total_bytes and os.path.getmtime(file.path) >= oldest_s:
+        for file in files[:-1]:
+            if total_bytes <= self._limits.total_bytes and os.path.getmtime(file.path) >= oldest_s:
                 break
             os.unlink(file.path)
-            total -= sizes[file.path]
+            total_bytes -= sizes[file.path]
             last_deleted = file.position
         if last_deleted is not None:
             self._append(dropped_record(last_deleted))
--- a/garnetlanding/audit/segments.py
+++ b/garnetlanding/audit/segments.py
@@ -1,4 +1,4 @@
-"""The on-disk format of audit segments, encoded and decoded as bytes; no file is touched here.
+"""Encodes and decodes the on-disk format of audit segments. This module does no I/O.
 
 A segment is eight magic bytes and a sequence of frames (docs/design/audit.md)::
 
@@ -7,12 +7,13 @@
     header  = JSON {"head": instance, "life": incarnation, "segment": number, "before": hash, hexadecimal}
     record  = hash (16 bytes) | payload, a JSON object
 
-A record's hash is BLAKE2b over the hash before it and its own payload, so that a record that was taken out or
-exchanged breaks the chain. The header carries the hash of the last record of the segment before, which is 16
-zero bytes for the first segment of an incarnation.
+A record's hash is BLAKE2b over the previous record's hash and its own payload, so that removing or replacing
+a record breaks the chain. The header contains the hash of the last record of the previous segment, which is
+16 zero bytes for the first segment of an incarnation.
 
-A frame that the file ends within is a torn tail: a process or its machine stopped while writing it. It may
-stand only at the end of an incarnation's last segment. Everything else that cannot be decoded is corruption.
+A frame that is cut short by the end of the file is a torn tail: the process or its machine stopped while
+writing it. A torn tail is valid only at the end of an incarnation's last segment. Anything else that cannot
+be decoded is corruption.
 """
 
 from __future__ import annotations
@@ -29,43 +30,44 @@
 from garnetlanding.audit.segment import HASH_BYTES, Segment
 
 MAGIC = b"GLAUDIT1"
-"""Stands for the hash of the record before an incarnation's first one."""
+"""First bytes of every segment."""
 
 _FRAME_PREFIX = struct.Struct(">II")
 
 
 def encode_header(instance: str, incarnation: int, number: int, previous_hash: bytes) -> bytes:
-    """Return the first bytes of a segment: magic and header."""
+    """Return the magic bytes and the header of a segment."""
     header = {"head": instance, "life": incarnation, "segment": number, "before": previous_hash.hex()}
-    return MAGIC + _frame(json.dumps(header, sort_keys=True).encode())
+    return MAGIC + _encode_frame(json.dumps(header, sort_keys=True).encode())
 
 
 def encode_record(previous_hash: bytes, payload: Payload) -> tuple[bytes, bytes]:
-    """Return a record's bytes, and its hash for the record after it."""
-    text = json.dumps(payload, sort_keys=True, separators=(",", ":")).encode()
-    record_hash = _chained_hash(previous_hash, text)
-    return _frame(record_hash + text), record_hash
+    """Return a record's bytes, and its hash for encoding the next record."""
+    payload_json = json.dumps(payload, sort_keys=True, separators=(",", ":")).encode()
+    record_hash = _chained_hash(previous_hash, payload_json)
+    return _encode_frame(record_hash + payload_json), record_hash
 
 
 def read_segment(file: str, data: bytes, is_last: bool, limits: AuditLimits = LIMITS) -> Segment:
     """Decode the contents of a segment file.
 
-    `file` is the name used in errors. Only where `is_last` says that no segment of the incarnation follows
-    may a record be cut short. Raises `CorruptSegmentError`, which carries what precedes the corruption.
+    `file` is the name used in errors. `is_last` means that no segment of the incarnation follows; only then
+    may the last record be cut short. Raises `CorruptSegmentError`, which contains the records before the
+    corruption.
     """
     return _Decoder(file, data, is_last, limits).decode()
 
 
-def _chained_hash(previous_hash: bytes, text: bytes) -> bytes:
-    return blake2b(previous_hash + text, digest_size=HASH_BYTES).digest()
+def _chained_hash(previous_hash: bytes, payload_json: bytes) -> bytes:
+    return blake2b(previous_hash + payload_json, digest_size=HASH_BYTES).digest()
 
 
-def _frame(body: bytes) -> bytes:
+def _encode_frame(body: bytes) -> bytes:
     return _FRAME_PREFIX.pack(len(body), crc32c(body)) + body
 
 
 class _Decoder:
-    """Decodes one segment; `_offset` is where the next frame begins."""
+    """Decodes one segment; `_offset` is the offset of the next frame."""
 
     def __init__(self, file: str, data: bytes, is_last: bool, limits: AuditLimits) -> None:
         self._file = file
@@ -78,9 +80,9 @@
         if not self._data.startswith(MAGIC):
             raise self._corrupt(0, "not a segment of an audit")
         self._offset = len(MAGIC)
-        segment = self._header()
+        segment = self._decode_header()
         try:
-            self._records(segment)
+            self._decode_records(segment)
         except CorruptSegmentError as error:
             error.intact = segment
             raise
@@ -89,9 +91,9 @@
     def _corrupt(self, offset: int, reason: str) -> CorruptSegmentError:
         return CorruptSegmentError(self._file, offset, reason)
 
-    def _header(self) -> Segment:
+    def _decode_header(self) -> Segment:
         begin = self._offset
-        body = self._next_frame()
+        body = self._read_frame()
         if body is None:
             raise self._corrupt(begin, "the header is cut short")
         try:
@@ -103,41 +105,41 @@
                 previous_hash=bytes.fromhex(header["before"]),
             )
         except (ValueError, KeyError, TypeError) as error:
-            raise self._corrupt(begin, "the header makes no sense") from error
+            raise self._corrupt(begin, "the header has missing or invalid fields") from error
         segment.last_hash = segment.previous_hash
         return segment
 
-    def _records(self, segment: Segment) -> None:
-        """Decode records into the segment one by one, so that those before a corruption are kept."""
+    def _decode_records(self, segment: Segment) -> None:
+        """Append each record as it is decoded, so that the records before a corruption are kept."""
         while self._offset < len(self._data):
             begin = self._offset
-            body = self._next_frame()
+            body = self._read_frame()
             if body is None:
                 if not self._is_last:
                     raise self._corrupt(begin, "cut short, and another segment follows")
                 segment.torn_at = begin
                 return
             record_hash = body[:HASH_BYTES]
-            text = body[HASH_BYTES:]
-            if len(record_hash) < HASH_BYTES or _chained_hash(segment.last_hash, text) != record_hash:
+            payload_json = body[HASH_BYTES:]
+            if len(record_hash) < HASH_BYTES or _chained_hash(segment.last_hash, payload_json) != record_hash:
                 raise self._corrupt(begin, "does not follow on the record before it")
-            segment.records.append(self._payload(begin, text))
+            segment.records.append(self._decode_payload(begin, payload_json))
             segment.last_hash = record_hash
 
-    def _payload(self, begin: int, text: bytes) -> Payload:
+    def _decode_payload(self, begin: int, payload_json: bytes) -> Payload:
         try:
-            payload = json.loads(text)
+            payload = json.loads(payload_json)
         except ValueError as error:
-            raise self._corrupt(begin, "no JSON") from error
+            raise self._corrupt(begin, "the record is not valid JSON") from error
         if not isinstance(payload, dict):
-            raise self._corrupt(begin, "no record")
+            raise self._corrupt(begin, "the record is not a JSON object")
         return payload
 
-    def _next_frame(self) -> bytes | None:
-        """Return the body of the frame at the offset and step over it; `None` where the file ends within it.
+    def _read_frame(self) -> bytes | None:
+        """Return the body of the frame at the offset and advance past it; `None` if the file ends within it.
 
-        A wrong length looks like a file that ends too early. It is told apart by what follows: where a whole
-        frame can be found anywhere behind, the file goes on, and the length is what is corrupt.
+        A corrupt length can look like a file that ends too early. The two are distinguished by searching for
+        a complete frame at any later offset: if there is one, the length is corrupt.
         """
         begin = self._offset
         if len(self._data) < begin + _FRAME_PREFIX.size:
@@ -152,14 +154,14 @@
             raise self._corrupt(begin, f"a length of {length}")
         if end <= len(self._data):
             raise self._corrupt(begin, "the sum does not hold")
-        if any(self._whole_record_at(later) for later in self._later_offsets(begin)):
+        if any(self._has_frame_at(offset) for offset in self._later_offsets(begin)):
             raise self._corrupt(begin, "does not read, and records stand behind it")
         return None
 
     def _later_offsets(self, begin: int) -> range:
         return range(begin + 1, len(self._data) - _FRAME_PREFIX.size)
 
-    def _whole_record_at(self, offset: int) -> bool:
+    def _has_frame_at(self, offset: int) -> bool:
         length, checksum = _FRAME_PREFIX.unpack_from(self._data, offset)
         begin = offset + _FRAME_PREFIX.size
         end = begin + length
--- a/garnetlanding/audit/setup.py
+++ b/garnetlanding/audit/setup.py
@@ -13,16 +13,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditSetup:
-    """Where and how an instance's audit is written."""
+    """Configuration of an instance's audit."""
 
     folder: str
     sync: bool = False
-    """Whether each record waits for the disk."""
+    """Whether each record is flushed to disk with fsync."""
     limits: AuditLimits = LIMITS
 
 
 def read(data: object) -> AuditSetup:
-    """Read the section. Raises `ConfigError`, which names the key."""
+    """Parse the section. Raises `ConfigError`, which names the invalid key."""
     section = Section(data, "audit", "folder sync checkpoint_s segment_kb total_mb age_days")
     sync = _read_sync(section)
     folder = section.text("folder")
--- a/garnetlanding/audit/wall_time.py
+++ b/garnetlanding/audit/wall_time.py
@@ -1,4 +1,4 @@
-"""Wall times as text, for people and in JSON."""
+"""Formats and parses wall times."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 def parse_wall_ms(text: str) -> int:
-    """Return the milliseconds since 1970 of an ISO 8601 time, or of such milliseconds as text.
+    """Parse an ISO 8601 time or a number of milliseconds; return the milliseconds since 1970.
 
-    A time without a zone is in UTC. Raises `InvalidQueryError`.
+    A time without a time zone is taken as UTC. Raises `InvalidQueryError`.
     """
     if text.isdigit():
         return int(text)
