--- a/garnetlanding/audit/assembly.py
+++ b/garnetlanding/audit/assembly.py
@@ -1,4 +1,4 @@
-"""Assembles the audit of one instance: recorder, segment files, place in front of the decision module."""
+"""Assembles the audit of one instance: recorder, segment writer and wrapper of the decision module."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class PeerMessages(Protocol):
-    """Numbers of the messages that the instance exchanges with its peers."""
+    """IDs of the messages that the instance exchanges with its peers."""
 
     @property
     def last_received(self) -> Sequence[int] | None:
-        """Sender, incarnation and number of the last message processed; None: there was none."""
+        """Sender, incarnation and number of the last message processed; `None` if there was none."""
         ...
 
     @property
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditTrail:
-    """The running audit of an instance, as its daemon holds it."""
+    """The running audit of an instance; the daemon's handle to it."""
 
     recorder: Recorder
     writer: SegmentWriter
@@ -40,7 +40,7 @@
         self.recorder.change_rejected(now, component, reason)
 
     def stop(self, now: int) -> None:
-        """Record that the process ends in order, and close the file whatever becomes of the record."""
+        """Record a graceful shutdown, and close the file even if writing the record fails."""
         with self.writer:
             self.recorder.end(now)
 
@@ -53,11 +53,11 @@
     peer_messages: Callable[[], PeerMessages | None],
     wall_ms: Callable[[], int],
 ) -> AuditTrail:
-    """Start recording and put the recorder in front of the engine's decision module.
+    """Start recording and wrap the engine's decision module.
 
-    `sources` gives each component's version in force; `peer_messages` returns `None` while the instance has
-    no link to peers. Raises `OSError`: an instance whose audit cannot be written does not start, so that
-    nobody finds out only when the audit is needed.
+    `sources` maps each component to a function that returns its current version. `peer_messages` returns
+    `None` while the instance has no link to peers. Raises `OSError`: an instance whose audit cannot be
+    written does not start, because otherwise the failure could go unnoticed until the audit is needed.
     """
     writer = SegmentWriter(setup, incarnation, engine.now, wall_ms)
 
@@ -65,7 +65,7 @@
         messages = peer_messages()
         return InstanceState(
             number=engine.settings.instance_id,
-            requests_taken=engine.metrics.accepted,
+            requests_accepted=engine.metrics.accepted,
             requests_answered=engine.metrics.accepted - engine.open_requests,
             last_sent=messages.last_sent if messages else 0,
             last_received=decode_message_id(messages.last_received or ()) if messages else None,
--- a/garnetlanding/audit/chart.py
+++ b/garnetlanding/audit/chart.py
@@ -1,4 +1,4 @@
-"""Draws which settings each instance acted on over time."""
+"""Draws a chart of the settings version that each instance used over time."""
 
 from __future__ import annotations
 
@@ -10,20 +10,21 @@
 from garnetlanding.audit.wall_time import format_wall_ms
 
 _COLORS = 10
-"""Colours of the plotting library's cycle."""
+"""Number of colors in the plotting library's color cycle."""
 _FENCED_ALPHA = 0.35
 _MS_PER_SECOND = 1000
 
 
 def draw_chart(timeline: FleetTimeline, path: pathlib.Path) -> None:
-    """Write a PNG with a row for each instance and a colour for each version of the settings.
+    """Write a PNG with one row per instance and one color per settings version.
 
-    Raises `ChartUnavailableError` without matplotlib, which only the extra `lab` installs, and `OSError`.
+    Raises `ChartUnavailableError` if matplotlib is not installed (the extra `lab` installs it), and
+    `OSError`.
     """
     try:
         import matplotlib
     except ImportError as error:
-        raise ChartUnavailableError(f"charts need the extra `lab`: {error}") from error
+        raise ChartUnavailableError(f"charts require the extra `lab`: {error}") from error
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
@@ -38,12 +39,12 @@
             (span.end_wall_ms - span.start_wall_ms) / _MS_PER_SECOND,
             left=(span.start_wall_ms - first_ms) / _MS_PER_SECOND,
             color=f"C{color}",
-            alpha=1.0 if span.is_acting else _FENCED_ALPHA,
+            alpha=_FENCED_ALPHA if span.is_fenced else 1.0,
             edgecolor="white",
         )
     axes.set_yticks(range(len(instances)), instances)
     axes.set_xlabel(
-        f"s after {format_wall_ms(first_ms)}; a colour a revision of the settings, pale: does not act"
+        f"seconds since {format_wall_ms(first_ms)}; one color per settings revision, pale: instance is fenced"
     )
     figure.tight_layout()
     figure.savefig(path, dpi=110)
--- a/garnetlanding/audit/lag.py
+++ b/garnetlanding/audit/lag.py
@@ -1,4 +1,4 @@
-"""How long versions took to spread, and why the last instance was late."""
+"""Propagation delay of each version, and why the last instance was late to switch to it."""
 
 from __future__ import annotations
 
@@ -6,61 +6,61 @@
 from enum import StrEnum
 
 from garnetlanding.audit.limits import MS
-from garnetlanding.audit.records import FENCED, FENCED_BY_OPERATOR
-from garnetlanding.audit.timeline import FleetTimeline, Span, SpanEnd, acting, is_replicated_version
+from garnetlanding.audit.records import FENCE_REASON, FENCED_BY_OPERATOR
+from garnetlanding.audit.timeline import FleetTimeline, Span, SpanEnd, is_replicated_version, unfenced
 
 
 class LagReason(StrEnum):
-    """Why an instance acted on the version before to the last, with the words reported for it."""
+    """Why an instance was the last to stop using the previous version; values are printed in reports."""
 
     REJECTED = "refused the change"
     STALLED = "stood still"
     CRASHED = "crashed"
-    ENDED_IN_ORDER = "ended in order"
+    SHUT_DOWN = "ended in order"
     FENCED_BY_OPERATOR = "was shut out"
     FENCED_AS_STALE = "could not show that it was current, and stopped"
-    STILL_ACTING = "acts on it still"
+    STILL_IN_USE = "acts on it still"
     LAST_NOTIFIED = "heard of it last"
 
 
 @dataclass(frozen=True, slots=True)
-class LastHolder:
-    """The instance that left the version before last."""
+class SlowestInstance:
+    """The last instance to stop using the previous version."""
 
     instance: str
     left_wall_ms: int
-    """When it left it, by the wall clock of the instance that had the new version first."""
+    """When it stopped, by the wall clock of the first instance to use the new version."""
     reason: LagReason
 
 
 @dataclass(frozen=True, slots=True)
 class Lag:
-    """How one version of a component spread."""
+    """Propagation of one version of a component."""
 
     component: str
     version: str
     first_instance: str
-    """The instance that acted on it first."""
+    """The first instance to use it."""
     start_wall_ms: int
-    """When it began to."""
-    instances: int
-    """How many instances came to act on it."""
-    last_holder: LastHolder | None
-    """`None` where nobody acted on the version before any more when this one appeared."""
+    """When that instance began to use it."""
+    instance_count: int
+    """How many instances used it."""
+    slowest_instance: SlowestInstance | None
+    """`None` if no instance used the previous version any more when this one appeared."""
 
     @property
     def end_wall_ms(self) -> int:
-        """When the version before was left by all."""
-        return self.start_wall_ms if self.last_holder is None else self.last_holder.left_wall_ms
+        """When no instance used the previous version any more."""
+        return self.start_wall_ms if self.slowest_instance is None else self.slowest_instance.left_wall_ms
 
 
-def lags(timeline: FleetTimeline, component: str) -> list[Lag]:
+def find_lags(timeline: FleetTimeline, component: str) -> list[Lag]:
     """Return a lag for each version of a component after the first one.
 
-    Versions come in the order in which instances first acted on them. A fenced instance does not act,
-    whatever versions it holds.
+    Versions are in the order in which they were first used. A fenced instance is ignored, because it does not
+    act on the versions that it has.
     """
-    first_spans = _first_spans(timeline, component)
+    first_spans = _first_span_by_version(timeline, component)
     order = list(first_spans)
     return [
         _lag(timeline, component, previous, first_spans[version])
@@ -68,10 +68,10 @@
     ]
 
 
-def _first_spans(timeline: FleetTimeline, component: str) -> dict[str, Span]:
-    """Return the span of the instance that acted first on each version, in that order."""
+def _first_span_by_version(timeline: FleetTimeline, component: str) -> dict[str, Span]:
+    """Return the earliest span of each version, in the order in which the versions were first used."""
     first_spans: dict[str, Span] = {}
-    for span in sorted(acting(timeline.spans), key=lambda span: (span.start_us, span.instance)):
+    for span in sorted(unfenced(timeline.spans), key=lambda span: (span.start_us, span.instance)):
         version = span.version(component)
         if is_replicated_version(component, version):
             first_spans.setdefault(version, span)
@@ -80,51 +80,53 @@
 
 def _lag(timeline: FleetTimeline, component: str, previous: str, first: Span) -> Lag:
     version = first.version(component)
-    holders = acting(timeline.with_version(component, version))
+    spans = unfenced(timeline.with_version(component, version))
     return Lag(
         component=component,
         version=version,
         first_instance=first.instance,
         start_wall_ms=first.start_wall_ms,
-        instances=len({span.instance for span in holders}),
-        last_holder=_last_holder(timeline, component, previous, first),
+        instance_count=len({span.instance for span in spans}),
+        slowest_instance=_slowest_instance(timeline, component, previous, first),
     )
 
 
-def _last_holder(timeline: FleetTimeline, component: str, previous: str, first: Span) -> LastHolder | None:
-    """Return who left the previous version last, of those that still acted on it when `first` began."""
+def _slowest_instance(
+    timeline: FleetTimeline, component: str, previous: str, first: Span
+) -> SlowestInstance | None:
+    """Return the last instance to stop using `previous`, of those that still used it when `first` began."""
     late = [
-        span for span in acting(timeline.with_version(component, previous)) if span.end_us >= first.start_us
+        span for span in unfenced(timeline.with_version(component, previous)) if span.end_us >= first.start_us
     ]
     if not late:
         return None
     last = max(late, key=lambda span: (span.end_us, span.instance))
     left_wall_ms = first.start_wall_ms + (last.end_us - first.start_us) // MS
-    return LastHolder(last.instance, left_wall_ms, _reason(timeline, last))
+    return SlowestInstance(last.instance, left_wall_ms, _lag_reason(timeline, last))
 
 
-def _reason(timeline: FleetTimeline, span: Span) -> LagReason:
-    """Return what an instance's own records say of why it acted on a version to the last."""
-    if _rejected_about_then(timeline, span):
+def _lag_reason(timeline: FleetTimeline, span: Span) -> LagReason:
+    """Return why the instance of the span was the last to stop using its version, by its own records."""
+    if _rejected_change_near_end(timeline, span):
         return LagReason.REJECTED
     if span.stalled:
         return LagReason.STALLED
     if span.end == SpanEnd.CRASHED:
         return LagReason.CRASHED
-    if span.end == SpanEnd.ENDED_IN_ORDER:
-        return LagReason.ENDED_IN_ORDER
-    fenced = _fenced_after(timeline, span)
-    if fenced == FENCED_BY_OPERATOR:
+    if span.end == SpanEnd.SHUT_DOWN:
+        return LagReason.SHUT_DOWN
+    fence_reason = _next_fence_reason(timeline, span)
+    if fence_reason == FENCED_BY_OPERATOR:
         return LagReason.FENCED_BY_OPERATOR
-    if fenced:
+    if fence_reason:
         return LagReason.FENCED_AS_STALE
-    if span.end == SpanEnd.HOLDS:
-        return LagReason.STILL_ACTING
+    if span.end == SpanEnd.OPEN:
+        return LagReason.STILL_IN_USE
     return LagReason.LAST_NOTIFIED
 
 
-def _rejected_about_then(timeline: FleetTimeline, span: Span) -> bool:
-    """Whether the instance rejected a change no farther from the span's end than the span is long."""
+def _rejected_change_near_end(timeline: FleetTimeline, span: Span) -> bool:
+    """Whether the instance rejected a change within one span duration of the span's end."""
     duration_ms = span.end_wall_ms - span.start_wall_ms
     return any(
         change.instance == span.instance and abs(change.wall_ms - span.end_wall_ms) <= duration_ms
@@ -132,9 +134,9 @@
     )
 
 
-def _fenced_after(timeline: FleetTimeline, span: Span) -> str:
-    """Return why the instance was fenced in its next span; empty where it was not, or there is none."""
+def _next_fence_reason(timeline: FleetTimeline, span: Span) -> str:
+    """Return why the incarnation was fenced in its next span; empty if it was not or no span follows."""
     later = [other for other in timeline.spans if other.owner == span.owner and other.start_us >= span.end_us]
     if not later:
         return ""
-    return min(later, key=lambda other: other.start_us).versions.get(FENCED, "")
+    return min(later, key=lambda other: other.start_us).versions.get(FENCE_REASON, "")
--- a/garnetlanding/audit/merged_file.py
+++ b/garnetlanding/audit/merged_file.py
@@ -1,6 +1,6 @@
-"""The file that `audit merge --out` writes: a span a line as JSON, by time, then a line for each problem.
+"""Writes the file of `audit merge --out`: JSON lines, one per span in time order, then one per problem.
 
-Its keys are a stored format and follow no name of the code.
+The keys are a stored format and do not change with the names in the code.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def write_merged_file(timeline: FleetTimeline, path: str) -> None:
-    """Write the file anew. Raises `OSError`."""
+    """Write the file, replacing its contents. Raises `OSError`."""
     with open(path, "w", encoding="utf-8") as file:
         for span in timeline.spans:
             file.write(json.dumps(encode_span(span), sort_keys=True) + "\n")
@@ -22,7 +22,7 @@
 
 
 def encode_span(span: Span) -> dict[str, Any]:
-    """Return a span by the file's keys."""
+    """Return the stored form of a span."""
     return {
         "head": span.instance,
         "life": span.incarnation,
@@ -35,8 +35,8 @@
         "changed": span.changed,
         "heard": encode_message_id(span.last_received),
         "said": span.last_sent,
-        "first": span.first_request,
-        "taken": span.requests_taken,
+        "first": span.requests_accepted_before,
+        "taken": span.requests_accepted,
         "how": span.end.value,
         "stalled": span.stalled,
     }
--- a/garnetlanding/audit/merging.py
+++ b/garnetlanding/audit/merging.py
@@ -1,4 +1,7 @@
-"""Merges the records of many instances into one timeline; the same for any order of the files. No I/O."""
+"""Merges the records of many instances into one timeline.
+
+The result does not depend on the order of the files. This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -6,13 +9,12 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from garnetlanding.audit.consistency import find_contradictions, mark_crashes
-from garnetlanding.audit.limits import AuditLimits
+from garnetlanding.audit.limits import SECOND, AuditLimits
 from garnetlanding.audit.records import Incarnation, RecordKind, RecordView, SegmentPosition
 from garnetlanding.audit.segment import Segment
 from garnetlanding.audit.timeline import FleetTimeline, RejectedChange, Span, SpanEnd
 
 _NOTHING_DROPPED = SegmentPosition(0, 0)
-_US_PER_SECOND = 1e6
 
 _SegmentsByIncarnation = Mapping[Incarnation, Sequence[Segment]]
 
@@ -20,7 +22,7 @@
 def merge_segments(
     segments: Iterable[Segment], limits: AuditLimits, expected_instances: Sequence[str] = ()
 ) -> FleetTimeline:
-    """Return the timeline of all segments; an expected instance without any segment is a problem."""
+    """Return the timeline of all segments, with a problem for each expected instance that has none."""
     by_incarnation: dict[Incarnation, list[Segment]] = defaultdict(list)
     for segment in segments:
         by_incarnation[Incarnation(segment.instance, segment.incarnation)].append(segment)
@@ -46,14 +48,14 @@
 
 
 def _last_dropped(segments: Iterable[Segment]) -> SegmentPosition:
-    """Return the last segment that the instance deleted for size or age."""
+    """Return the position of the last segment that the instance deleted because of size or age."""
     records = (RecordView(payload) for segment in segments for payload in segment.records)
     dropped = (record.dropped_up_to for record in records if record.kind == RecordKind.DROPPED)
     return max(dropped, default=_NOTHING_DROPPED)
 
 
 class _IncarnationMerger:
-    """Turns the records of one incarnation into spans of the timeline, and names what does not fit."""
+    """Adds the spans of one incarnation to the timeline, and the problems found in its records."""
 
     def __init__(
         self,
@@ -72,7 +74,7 @@
         self._span: Span | None = None
 
     def merge(self) -> None:
-        """Read the segments in the order in which they were written."""
+        """Process the segments in the order in which they were written."""
         previous: Segment | None = None
         for segment in sorted(self._by_incarnation[self._incarnation], key=lambda segment: segment.number):
             self._check_sequence(previous, segment)
@@ -80,11 +82,11 @@
                 self._add(RecordView(payload))
             previous = segment
 
-    def _problem(self, text: str) -> None:
+    def _report_problem(self, text: str) -> None:
         self._timeline.problems.append(f"{self._incarnation.instance}: {text}")
 
     def _check_sequence(self, previous: Segment | None, segment: Segment) -> None:
-        """Name segments missing before this one, one that does not continue the chain, and a torn tail."""
+        """Report segments missing before this one, a broken hash chain and a torn tail."""
         number = self._incarnation.number
         expected = previous.number + 1 if previous else 1
         missing = [
@@ -93,14 +95,14 @@
             if SegmentPosition(number, position) > self._dropped
         ]
         if missing:
-            self._problem(f"segments {missing[0]} to {missing[-1]} of life {number} are missing")
+            self._report_problem(f"segments {missing[0]} to {missing[-1]} of life {number} are missing")
         elif previous and segment.number == expected and segment.previous_hash != previous.last_hash:
-            self._problem(
+            self._report_problem(
                 f"segment {segment.number} of life {number} does not follow on the one before: "
-                "exchanged, or cut"
+                "replaced or truncated"
             )
         if segment.torn_at is not None:
-            self._problem(
+            self._report_problem(
                 f"life {number} was cut short at offset {segment.torn_at} of segment {segment.number}"
             )
 
@@ -117,13 +119,13 @@
                 if kind == RecordKind.CHANGE:
                     self._begin_span(record)
                 elif kind == RecordKind.END:
-                    self._end_span(SpanEnd.ENDED_IN_ORDER)
+                    self._end_span(SpanEnd.SHUT_DOWN)
 
     def _add_start(self, record: RecordView) -> None:
         self._checkpoint_us = record.checkpoint_us
         previous = Incarnation(self._incarnation.instance, record.previous_incarnation)
         if previous.number > self._dropped.incarnation and previous not in self._by_incarnation:
-            self._problem(f"the files of life {previous.number} are missing")
+            self._report_problem(f"the files of life {previous.number} are missing")
 
     def _add_rejection(self, record: RecordView) -> None:
         self._timeline.rejected.append(
@@ -136,9 +138,10 @@
         )
 
     def _extend_span(self, record: RecordView) -> None:
-        """Let the present span last until this record, unless the instance recorded nothing for too long.
+        """Extend the current span to this record, unless the gap before the record is too long.
 
-        A gap says nothing of what was in between: nothing was decided, or nothing could be written.
+        Which versions were in use during such a gap is unknown: the instance made no decisions, or it could
+        not write records.
         """
         span = self._span
         if span is None:
@@ -146,14 +149,15 @@
         wall_ms = record.wall_ms
         gap_us = record.monotonic_us - span.end_us
         if gap_us > self._checkpoint_us * self._limits.gap_checkpoints:
-            self._problem(f"nothing for {gap_us / _US_PER_SECOND:.1f} s before {wall_ms}: it stood still")
+            self._report_problem(f"nothing for {gap_us / SECOND:.1f} s before {wall_ms}: it stood still")
             span.stalled = True
         else:
             span.end_wall_ms = max(span.end_wall_ms, wall_ms)
             span.end_us = record.monotonic_us
         if wall_ms < span.start_wall_ms:
-            self._problem(f"its clock went back by {span.start_wall_ms - wall_ms} ms or more at {wall_ms}")
-        span.requests_taken = record.requests_taken - span.first_request
+            step_back_ms = span.start_wall_ms - wall_ms
+            self._report_problem(f"its wall clock went back by {step_back_ms} ms or more at {wall_ms}")
+        span.requests_accepted = record.requests_accepted - span.requests_accepted_before
 
     def _begin_span(self, record: RecordView) -> None:
         self._end_span(SpanEnd.CHANGED)
@@ -170,7 +174,7 @@
             changed=record.changed,
             last_received=state.last_received,
             last_sent=state.last_sent,
-            first_request=state.requests_taken,
+            requests_accepted_before=state.requests_accepted,
         )
         self._timeline.spans.append(self._span)
 
--- a/garnetlanding/audit/recorder.py
+++ b/garnetlanding/audit/recorder.py
@@ -1,7 +1,7 @@
-"""Records which versions an instance acts on: each change, and at intervals that they still hold.
+"""Records which versions an instance uses: each change, and a checkpoint at intervals without one.
 
-No I/O and no clock of its own. Each event-loop iteration is decided under the versions of the last record
-before it, because whoever calls the decision module calls `Recorder.observe` first.
+This module does no I/O and reads no clock. In each event-loop iteration the decision module uses the versions
+of the last record before it, because `Recorder.observe` is always called before the module.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 )
 
 VersionSource = Callable[[], str]
-"""Returns the version of one component that is in force now; empty where there is none."""
+"""Returns the current version of one component; empty if it has none."""
 
 
 class Recorder:
-    """Turns versions and the instance's state into records; knows nothing of files.
+    """Builds records from the versions and the instance's state.
 
-    `sources` gives the version of each component by the component's name, `read_state` the state that goes
-    into a record, and `write` takes each record. `versions` are those of the last record.
+    `sources` maps each component's name to the function that returns its version. `read_state` returns the
+    state to put into a record, and `write` receives each record. `versions` are those of the last record.
     """
 
     def __init__(
@@ -42,10 +42,10 @@
         self._write = write
         self.versions: dict[str, str] = {}
         self._next_checkpoint = 0
-        self._rejections: dict[str, str] = {}
+        self._last_rejection_reasons: dict[str, str] = {}
 
     def observe(self, now: int) -> None:
-        """Record the versions if they changed or a checkpoint is due; called before anything is decided."""
+        """Record the versions if they changed or a checkpoint is due; call this before each decision."""
         versions = {name: source() for name, source in self._sources.items()}
         changed = [name for name, version in versions.items() if self.versions.get(name) != version]
         if not changed and now < self._next_checkpoint:
@@ -59,13 +59,13 @@
         )
 
     def change_rejected(self, now: int, component: str, reason: str) -> None:
-        """Record that a new version was received and rejected; repetitions of one reason are left out."""
-        if self._rejections.get(component) == reason:
+        """Record that a new version was received and rejected, unless the last reason was the same."""
+        if self._last_rejection_reasons.get(component) == reason:
             return
-        self._rejections[component] = reason
+        self._last_rejection_reasons[component] = reason
         record = state_record(RecordKind.REJECTED, now, self.versions, self._read_state())
         self._write(record | rejection_fields(component, reason))
 
     def end(self, now: int) -> None:
-        """Record that the process ends in order."""
+        """Record a graceful shutdown of the process."""
         self._write(state_record(RecordKind.END, now, self.versions, self._read_state()))
--- a/garnetlanding/audit/records.py
+++ b/garnetlanding/audit/records.py
@@ -1,8 +1,8 @@
-"""The payload of an audit record: the one place where its stored keys and values are named.
+"""Payloads of audit records: the only module that defines their stored keys and values.
 
 A record is a JSON object (docs/design/audit.md). Every record has `kind` and `wall`, the writer's wall
-clock in milliseconds; the keys of the other kinds are those of the builders below. The keys are a stored
-format: they never follow the names that the code uses for the same things.
+clock in milliseconds; the other keys of each kind are set by the functions below. The keys are a stored
+format and do not change with the names in the code.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 SETTINGS = "settings"
 """Component whose versions are `EPOCH.REVISION#DIGEST`."""
-FENCED = "out"
-"""Component whose version says why the instance is fenced, and is empty while it is not."""
+FENCE_REASON = "out"
+"""Component whose version is the reason why the instance is fenced; empty while it is not fenced."""
 FENCED_BY_OPERATOR = "shut out"
-"""Version of `FENCED` where an operator fenced the instance; otherwise it could not show to be current."""
+"""Version of `FENCE_REASON` if an operator fenced the instance; any other text: it may not be up to date."""
 
 
 class RecordKind(StrEnum):
-    """What a record says, with the word stored for it."""
+    """Kind of a record; values are stored."""
 
     START = "start"
     CHANGE = "change"
@@ -34,14 +34,14 @@
 
 
 class Incarnation(NamedTuple):
-    """One run of the program under an instance's name. A later run has a greater number."""
+    """One run of the program under an instance's name; a later run has a greater number."""
 
     instance: str
     number: int
 
 
 class SegmentPosition(NamedTuple):
-    """The place of a segment among all those of its instance."""
+    """The position of a segment among all segments of its instance."""
 
     incarnation: int
     segment: int
@@ -58,16 +58,16 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceState:
-    """What each record says of its instance beside the versions."""
+    """State of the instance that its records contain in addition to the versions."""
 
     number: int
     """The instance's number in the fleet."""
-    requests_taken: int
+    requests_accepted: int
     """Requests accepted since the process started."""
     requests_answered: int
     """Requests answered since the process started."""
     last_sent: int
-    """Number of the last message sent to peers; 0 where none was sent."""
+    """Number of the last message sent to peers; 0 if none was sent."""
     last_received: MessageId | None
     """The last peer message processed."""
 
@@ -80,39 +80,40 @@
 
 
 def decode_message_id(stored: Sequence[int]) -> MessageId | None:
-    """Return the message that a record names, if it names one."""
+    """Return the message ID that a record contains, or `None` if it contains none."""
     if len(stored) != 3:
         return None
     return MessageId(*stored)
 
 
-def start_record(now: int, previous: int, previous_end: str, checkpoint_us: int) -> Payload:
+def start_record(now: int, previous: int, previous_tail_error: str, checkpoint_us: int) -> Payload:
     """Return the first record of an incarnation.
 
-    `now` is monotonic time in microseconds. `previous` is the number of the incarnation before this one (0:
-    no files of one were found), and `previous_end` says what is wrong with the end of its files, if anything.
+    `now` is monotonic time in microseconds. `previous` is the number of the incarnation before this one; 0
+    means that no files of one were found. `previous_tail_error` describes the damage at the end of its files,
+    or is empty.
     """
     return {
         "kind": RecordKind.START.value,
         "t": now,
         "follows": previous,
-        "torn": previous_end,
+        "torn": previous_tail_error,
         "checkpoint_us": checkpoint_us,
     }
 
 
 def dropped_record(last: SegmentPosition) -> Payload:
-    """Return the record of old segments having been deleted, up to and including `last`."""
+    """Return the record that old segments were deleted, up to and including `last`."""
     return {"kind": RecordKind.DROPPED.value, "up_to": [last.incarnation, last.segment]}
 
 
 def state_record(kind: RecordKind, now: int, versions: Mapping[str, str], state: InstanceState) -> Payload:
-    """Return what every record of a running instance says; `now` is monotonic time in microseconds."""
+    """Return the fields of every record of a running instance; `now` is monotonic time in microseconds."""
     return {
         "kind": kind.value,
         "t": now,
         "vector": versions,
-        "taken": state.requests_taken,
+        "taken": state.requests_accepted,
         "answered": state.requests_answered,
         "me": state.number,
         "said": state.last_sent,
@@ -120,20 +121,20 @@
 
 
 def observation_fields(changed: Sequence[str], last_received: MessageId | None) -> Payload:
-    """Return what change and checkpoint records say beside their state."""
+    """Return the additional fields of change and checkpoint records."""
     return {"changed": list(changed), "heard": encode_message_id(last_received)}
 
 
 def rejection_fields(component: str, reason: str) -> Payload:
-    """Return what the record of a rejected change says beside its state."""
+    """Return the additional fields of the record of a rejected change."""
     return {"component": component, "why": reason}
 
 
 class RecordView:
-    """A stored record, read by the code's names.
+    """Typed access to a stored record.
 
-    Keys are looked up when they are asked for: the kinds have different ones, and a reader asks only for
-    those of the kind at hand. A missing key raises `KeyError`.
+    Keys are looked up when a property is read, because each kind has different keys. A missing key raises
+    `KeyError`.
     """
 
     __slots__ = ("_payload",)
@@ -143,7 +144,7 @@
 
     @property
     def kind(self) -> str:
-        """One of `RecordKind`, or the word of a kind that this version does not know."""
+        """A value of `RecordKind`, or the stored text of a kind that this version does not know."""
         return str(self._payload["kind"])
 
     @property
@@ -158,27 +159,27 @@
 
     @property
     def versions(self) -> dict[str, str]:
-        """The version in force of each component."""
+        """The version of each component."""
         return dict(self._payload["vector"])
 
     @property
     def changed(self) -> list[str]:
-        """Components whose version differs from the record before."""
+        """Components whose version differs from the previous record."""
         return list(self._payload["changed"])
 
     @property
     def state(self) -> InstanceState:
-        """State of the instance at a change. `requests_answered` is not read back and is 0."""
+        """State of the instance in a change record. `requests_answered` is not decoded and is 0."""
         return InstanceState(
             number=self._payload["me"],
-            requests_taken=self._payload["taken"],
+            requests_accepted=self._payload["taken"],
             requests_answered=0,
             last_sent=self._payload["said"],
             last_received=decode_message_id(self._payload["heard"]),
         )
 
     @property
-    def requests_taken(self) -> int:
+    def requests_accepted(self) -> int:
         """Requests accepted since the process started."""
         return int(self._payload["taken"])
 
@@ -194,12 +195,12 @@
 
     @property
     def previous_incarnation(self) -> int:
-        """Incarnation before the one that starts here; 0: none had left files."""
+        """Incarnation before the one that starts with this record; 0 if no files of one were found."""
         return int(self._payload["follows"])
 
     @property
     def checkpoint_us(self) -> int:
-        """Interval between checkpoints from here on, microseconds."""
+        """Interval between the checkpoints that follow, microseconds."""
         return int(self._payload["checkpoint_us"])
 
     @property
--- a/garnetlanding/audit/rendering.py
+++ b/garnetlanding/audit/rendering.py
@@ -1,7 +1,7 @@
 """Renders rows as a table or as JSON.
 
-A row maps column names to values. Column names, which are also JSON keys, are a format that operators'
-scripts read; they follow no name of the code.
+A row maps column names to values. Column names are also JSON keys, which operators' scripts read; they do not
+change with the names in the code.
 """
 
 from __future__ import annotations
@@ -22,14 +22,15 @@
 Row = dict[str, Any]
 
 TABLE_COLUMNS = 140
-"""Width of a table that goes to no terminal, in characters."""
+"""Width of a table if standard output is not a terminal, in characters."""
 _DIGEST_CHARACTERS = 8
-"""Characters that a table shows of the digest of members."""
+"""Number of characters of the digest of members that a table shows."""
 _NO_MESSAGE = "-"
+_MS_PER_SECOND = 1000
 
 
 def span_row(span: Span) -> Row:
-    """Return a span as a row, with a column for each component's version."""
+    """Return the row of a span, with a column for each component's version."""
     return {
         "head": span.instance,
         "from": format_wall_ms(span.start_wall_ms),
@@ -37,22 +38,22 @@
         "how": span.end.value,
         **span.versions,
         "changed": ",".join(span.changed),
-        "by": _cause(span.last_received),
-        "taken": span.requests_taken,
+        "by": _format_message_id(span.last_received),
+        "taken": span.requests_accepted,
     }
 
 
 def lag_row(lag: Lag) -> Row:
-    """Return a lag as a row."""
-    holder = lag.last_holder
+    """Return the row of a lag."""
+    slowest = lag.slowest_instance
     return {
         "version": lag.version,
         "first": lag.first_instance,
         "at": format_wall_ms(lag.start_wall_ms),
-        "heads": lag.instances,
-        "last to leave the one before": "" if holder is None else holder.instance,
-        "why": "" if holder is None else holder.reason.value,
-        "after s": round((lag.end_wall_ms - lag.start_wall_ms) / 1000, 3),
+        "heads": lag.instance_count,
+        "last to leave the one before": "" if slowest is None else slowest.instance,
+        "why": "" if slowest is None else slowest.reason.value,
+        "after s": round((lag.end_wall_ms - lag.start_wall_ms) / _MS_PER_SECOND, 3),
     }
 
 
@@ -68,12 +69,12 @@
 
 
 def print_problems(problems: Iterable[str]) -> None:
-    """Print a line for each problem to standard output."""
+    """Print one line per problem to standard output."""
     for problem in problems:
         print(f"problem: {problem}")
 
 
-def _cause(message: MessageId | None) -> str:
+def _format_message_id(message: MessageId | None) -> str:
     if message is None:
         return _NO_MESSAGE
     return f"message {message.number} of head {message.sender}"
@@ -85,12 +86,12 @@
     for column in columns:
         table.add_column(column, overflow="fold")
     for row in rows:
-        table.add_row(*(_shortened(column, str(row.get(column, ""))) for column in columns))
+        table.add_row(*(_abbreviate(column, str(row.get(column, ""))) for column in columns))
     return table
 
 
-def _shortened(column: str, text: str) -> str:
-    """Return what a table shows: times without the day, versions without digests. JSON has all of it."""
+def _abbreviate(column: str, text: str) -> str:
+    """Return the text that a table shows: times without the date, versions without digests."""
     match column:
         case "from" | "until":
             return text.partition("T")[2]
--- a/garnetlanding/audit/segment_reader.py
+++ b/garnetlanding/audit/segment_reader.py
@@ -14,36 +14,36 @@
 
 
 @dataclass(slots=True)
-class SegmentsRead:
-    """What was read, and what could not be: of a corrupt file, the records before the corruption are kept."""
+class ReadResult:
+    """Segments and problems found; a corrupt file contributes the records before the corruption."""
 
     segments: list[Segment] = field(default_factory=list)
     problems: list[str] = field(default_factory=list)
 
-    def add(self, other: SegmentsRead) -> None:
-        """Append what was read elsewhere."""
+    def add(self, other: ReadResult) -> None:
+        """Append the segments and problems of another result."""
         self.segments += other.segments
         self.problems += other.problems
 
 
-def read_segments(places: Iterable[str]) -> SegmentsRead:
-    """Read every segment in these folders, or in the folders of these files. Raises `OSError`."""
-    found = SegmentsRead()
-    folders = {place if os.path.isdir(place) else os.path.dirname(place) or "." for place in places}
+def read_segments(paths: Iterable[str]) -> ReadResult:
+    """Read every segment in the given folders and in the folders of the given files. Raises `OSError`."""
+    result = ReadResult()
+    folders = {path if os.path.isdir(path) else os.path.dirname(path) or "." for path in paths}
     for folder in sorted(folders):
         for _, instance_files in sorted(list_segments(folder).items()):
             for files in instance_files.by_incarnation.values():
                 for file in files:
-                    _read_file(file, file is files[-1], found)
-    return found
+                    _read_file(file, file is files[-1], result)
+    return result
 
 
-def _read_file(file: SegmentFile, is_last: bool, found: SegmentsRead) -> None:
+def _read_file(file: SegmentFile, is_last: bool, result: ReadResult) -> None:
     with open(file.path, "rb") as opened:
         data = opened.read()
     try:
-        found.segments.append(read_segment(os.path.basename(file.path), data, is_last, LIMITS))
+        result.segments.append(read_segment(os.path.basename(file.path), data, is_last, LIMITS))
     except CorruptSegmentError as error:
-        found.problems.append(str(error))
+        result.problems.append(str(error))
         if error.intact is not None:
-            found.segments.append(error.intact)
+            result.segments.append(error.intact)
--- a/garnetlanding/audit/timeline.py
+++ b/garnetlanding/audit/timeline.py
@@ -1,8 +1,8 @@
-"""Who acted on which versions from when to when, and questions about it.
+"""Timeline of the versions that each instance of a fleet used, and queries on it.
 
-A fleet's timeline is what `merging` makes of the records of all instances. Wall times are in milliseconds and
-those of the instance's own clock, which may be wrong; the order of events follows from monotonic times, which
-instances on one machine have in common, and from the messages between instances.
+`merging` builds the timeline from the records of all instances. Wall times are in milliseconds by the
+instance's own clock, which may be wrong. The order of events is derived from monotonic times, which are
+comparable between instances on one machine, and from the messages between instances.
 """
 
 from __future__ import annotations
@@ -11,27 +11,27 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from garnetlanding.audit.records import FENCED, SETTINGS, Incarnation, MessageId
+from garnetlanding.audit.records import FENCE_REASON, SETTINGS, Incarnation, MessageId
 
 UNREPLICATED_REVISION = "0.0"
-"""Settings version of an instance's own file, before it received any from the writer."""
+"""Revision of settings that come from the instance's own file, before it received any from the writer."""
 
 
 class SpanEnd(StrEnum):
-    """How a span ended, with the word reported for it."""
+    """How a span ended; values are printed in reports."""
 
-    HOLDS = "holds"
+    OPEN = "holds"
     CHANGED = "changed"
-    ENDED_IN_ORDER = "ended in order"
+    SHUT_DOWN = "ended in order"
     CRASHED = "crashed"
 
 
 @dataclass(slots=True)
 class Span:
-    """The time in which one incarnation acted on one set of versions.
+    """The time during which one incarnation used one set of versions.
 
-    It lasts until it was last known to hold: until the record of the next change, or the incarnation's last
-    record.
+    It ends when the versions were last known to be in use: at the record of the next change, or at the
+    incarnation's last record.
     """
 
     instance: str
@@ -41,7 +41,7 @@
     start_wall_ms: int
     end_wall_ms: int
     start_us: int
-    """By the machine's monotonic clock."""
+    """Monotonic clock of the machine."""
     end_us: int
     versions: dict[str, str]
     """The version of each component."""
@@ -50,35 +50,35 @@
     last_received: MessageId | None
     """The last peer message that the instance had processed when the span began."""
     last_sent: int
-    """Number of the last message that the instance had sent by then."""
-    first_request: int
-    """Requests that the instance had accepted when the span began."""
-    requests_taken: int = 0
-    """Requests that it accepted within the span."""
-    end: SpanEnd = SpanEnd.HOLDS
+    """Number of the last message that the instance had sent when the span began."""
+    requests_accepted_before: int
+    """Requests that the process had accepted when the span began."""
+    requests_accepted: int = 0
+    """Requests accepted during the span."""
+    end: SpanEnd = SpanEnd.OPEN
     stalled: bool = False
-    """Whether nothing was recorded for long before the end."""
+    """Whether nothing was then recorded for longer than `AuditLimits.gap_checkpoints` allows."""
 
     @property
     def owner(self) -> Incarnation:
-        """Instance and incarnation together."""
+        """The incarnation whose span this is."""
         return Incarnation(self.instance, self.incarnation)
 
     @property
-    def is_acting(self) -> bool:
-        """Whether the instance was not fenced."""
-        return not self.versions.get(FENCED)
+    def is_fenced(self) -> bool:
+        """Whether the instance was fenced."""
+        return bool(self.versions.get(FENCE_REASON))
 
     def version(self, component: str) -> str:
-        """Return a component's version without its digest; empty where it has none."""
-        full = self.versions.get(component, "")
-        return full.rpartition("#")[0] or full
+        """Return a component's version without its digest; empty if the component has no version."""
+        with_digest = self.versions.get(component, "")
+        return with_digest.rpartition("#")[0] or with_digest
 
     def covers(self, wall_ms: int) -> bool:
-        """Whether the span holds at a time of the instance's wall clock."""
+        """Whether the span includes a time of the instance's wall clock."""
         if wall_ms < self.start_wall_ms:
             return False
-        return wall_ms < self.end_wall_ms or self.end == SpanEnd.HOLDS
+        return wall_ms < self.end_wall_ms or self.end == SpanEnd.OPEN
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,43 +93,44 @@
 
 @dataclass(slots=True)
 class FleetTimeline:
-    """All spans of all instances in the order of their wall times, and what does not fit."""
+    """The spans of all instances in the order of their wall times, and the problems found."""
 
     spans: list[Span] = field(default_factory=list)
     problems: list[str] = field(default_factory=list)
-    """Files that are missing, records that contradict each other, instances that stalled."""
+    """Descriptions of missing files, contradicting records and stalled instances."""
     rejected: list[RejectedChange] = field(default_factory=list)
 
     def at(self, wall_ms: int) -> list[Span]:
-        """Return who acted on what at a time, each instance by its own wall clock."""
+        """Return the spans that include a time, each by its instance's own wall clock."""
         return [span for span in self.spans if span.covers(wall_ms)]
 
     def with_version(self, component: str, version: str) -> list[Span]:
-        """Return the spans under a version of a component, given without its digest."""
+        """Return the spans with this version of a component, given without its digest."""
         return [span for span in self.spans if span.version(component) == version]
 
 
-def acting(spans: Iterable[Span]) -> list[Span]:
+def unfenced(spans: Iterable[Span]) -> list[Span]:
     """Return the spans in which the instance was not fenced."""
-    return [span for span in spans if span.is_acting]
+    return [span for span in spans if not span.is_fenced]
 
 
 def is_replicated_version(component: str, version: str) -> bool:
-    """Whether a version is comparable between instances: neither absent nor of an instance's own file."""
+    """Whether a version can be compared between instances: not empty, and not from an instance's own file."""
     return bool(version) and (component, version) != (SETTINGS, UNREPLICATED_REVISION)
 
 
-def happened_before(one: Span, other: Span) -> bool | None:
-    """Whether one span began before another; `None` where the two are concurrent.
+def happened_before(first: Span, second: Span) -> bool | None:
+    """Whether `first` began before `second`; `None` if the two are concurrent.
 
-    Within an incarnation the monotonic clock decides. Between instances only a message does: one that the
-    first sent after its span began and the other had received when its own did.
+    Spans of one incarnation are ordered by the monotonic clock. Spans of different incarnations are ordered
+    only by a message that one instance sent after its span began and that the other had received when its
+    own span began.
     """
-    if one.owner == other.owner:
-        return one.start_us <= other.start_us
-    if _had_received_from(one, other):
+    if first.owner == second.owner:
+        return first.start_us <= second.start_us
+    if _had_received_from(first, second):
         return True
-    if _had_received_from(other, one):
+    if _had_received_from(second, first):
         return False
     return None
 
--- a/tests/audit/test_commands.py
+++ b/tests/audit/test_commands.py
@@ -1,4 +1,4 @@
-"""The audit commands and the audit's configuration section."""
+"""Tests of the audit commands and of the configuration section `[audit]`."""
 
 from __future__ import annotations
 
@@ -11,21 +11,19 @@
 from garnetlanding.audit.segment_files import list_segments
 from garnetlanding.audit.setup import read as read_setup
 from garnetlanding.audit.wall_time import parse_wall_ms
-from tests.support.audit import opened
+from tests.support.audit import open_writer
 from tests.support.clock import SECOND
 
-# The command line
-
 
 def test_commands_answer_from_the_files_that_an_instance_wrote(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    audit = opened(tmp_path, wall=1_700_000_000_000)
-    for t, version in ((1, "1.1#a"), (2, "1.2#b")):
-        audit.write(
+    writer = open_writer(tmp_path, wall_ms=1_700_000_000_000)
+    for at_s, version in ((1, "1.1#a"), (2, "1.2#b")):
+        writer.write(
             {
                 "kind": "change",
-                "t": t * SECOND,
+                "t": at_s * SECOND,
                 "vector": {"settings": version, "out": ""},
                 "changed": ["settings"],
                 "heard": [],
@@ -34,21 +32,21 @@
                 "taken": 0,
             }
         )
-    audit.close()
-    place = str(tmp_path)
-    assert cli.main(["audit", "verify", place]) == 0
-    assert cli.main(["audit", "verify", place, "--head", "n5", "--json"]) == 1
-    assert cli.main(["audit", "who", place, "--version", "settings=1.2", "--json"]) == 0
-    assert cli.main(["audit", "who", place, "--version", "settings=9.9"]) == 1
-    assert cli.main(["audit", "who", place]) == cli.main(["audit", "who", place, "--version", "x"]) == 2
-    assert cli.main(["audit", "who", place, "--at", "2023-11-14T22:13:20Z"]) == 0
-    assert cli.main(["audit", "who", place, "--at", "yesterday"]) == 2
+    writer.close()
+    folder = str(tmp_path)
+    assert cli.main(["audit", "verify", folder]) == 0
+    assert cli.main(["audit", "verify", folder, "--head", "n5", "--json"]) == 1
+    assert cli.main(["audit", "who", folder, "--version", "settings=1.2", "--json"]) == 0
+    assert cli.main(["audit", "who", folder, "--version", "settings=9.9"]) == 1
+    assert cli.main(["audit", "who", folder]) == cli.main(["audit", "who", folder, "--version", "x"]) == 2
+    assert cli.main(["audit", "who", folder, "--at", "2023-11-14T22:13:20Z"]) == 0
+    assert cli.main(["audit", "who", folder, "--at", "yesterday"]) == 2
     assert (
-        cli.main(["audit", "lag", place])
-        == cli.main(["audit", "show", place, "--chart", str(tmp_path / "c.png")])
+        cli.main(["audit", "lag", folder])
+        == cli.main(["audit", "show", folder, "--chart", str(tmp_path / "c.png")])
         == 0
     )
-    assert cli.main(["audit", "merge", place, "--out", str(tmp_path / "all")]) == 0
+    assert cli.main(["audit", "merge", folder, "--out", str(tmp_path / "all")]) == 0
     empty = tmp_path / "empty"
     empty.mkdir()
     assert cli.main(["audit", "show", str(empty)]) == 2
@@ -59,7 +57,7 @@
     assert len((tmp_path / "all").read_text().splitlines()) == 2
     assert (tmp_path / "c.png").stat().st_size > 1000
     assert parse_wall_ms("2023-11-14T22:13:20") == 1_700_000_000_000
-    assert list_segments(place)
+    assert list_segments(folder)
 
 
 @pytest.mark.parametrize(
