--- a/garnetlanding/audit/chart.py
+++ b/garnetlanding/audit/chart.py
@@ -5,6 +5,7 @@
 import pathlib
 
 from garnetlanding.audit.errors import ChartUnavailableError
+from garnetlanding.audit.limits import MS_PER_SECOND
 from garnetlanding.audit.records import SETTINGS
 from garnetlanding.audit.timeline import FleetTimeline
 from garnetlanding.audit.wall_time import format_wall_ms
@@ -12,7 +13,6 @@
 _COLORS = 10
 """Number of colors in the plotting library's color cycle."""
 _FENCED_ALPHA = 0.35
-_MS_PER_SECOND = 1000
 
 
 def draw_chart(timeline: FleetTimeline, path: pathlib.Path) -> None:
@@ -36,8 +36,8 @@
         color = versions.index(span.versions.get(SETTINGS, "")) % _COLORS
         axes.barh(
             instances.index(span.instance),
-            (span.end_wall_ms - span.start_wall_ms) / _MS_PER_SECOND,
-            left=(span.start_wall_ms - first_ms) / _MS_PER_SECOND,
+            (span.end_wall_ms - span.start_wall_ms) / MS_PER_SECOND,
+            left=(span.start_wall_ms - first_ms) / MS_PER_SECOND,
             color=f"C{color}",
             alpha=_FENCED_ALPHA if span.is_fenced else 1.0,
             edgecolor="white",
--- a/garnetlanding/audit/limits.py
+++ b/garnetlanding/audit/limits.py
@@ -1,4 +1,4 @@
-"""Every size, count and time limit of the audit."""
+"""Every size, count and time limit of the audit, and units of time."""
 
 from __future__ import annotations
 
@@ -8,6 +8,8 @@
 """A millisecond in microseconds."""
 SECOND = 1_000_000
 """A second in microseconds."""
+MS_PER_SECOND = 1_000
+"""Milliseconds in a second, for wall times."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/garnetlanding/audit/rendering.py
+++ b/garnetlanding/audit/rendering.py
@@ -15,6 +15,7 @@
 from rich.table import Table
 
 from garnetlanding.audit.lag import Lag
+from garnetlanding.audit.limits import MS_PER_SECOND
 from garnetlanding.audit.records import MessageId
 from garnetlanding.audit.timeline import Span
 from garnetlanding.audit.wall_time import format_wall_ms
@@ -26,7 +27,6 @@
 _DIGEST_CHARACTERS = 8
 """Number of characters of the digest of members that a table shows."""
 _NO_MESSAGE = "-"
-_MS_PER_SECOND = 1000
 
 
 def span_row(span: Span) -> Row:
@@ -53,7 +53,7 @@
         "heads": lag.instance_count,
         "last to leave the one before": "" if slowest is None else slowest.instance,
         "why": "" if slowest is None else slowest.reason.value,
-        "after s": round((lag.end_wall_ms - lag.start_wall_ms) / _MS_PER_SECOND, 3),
+        "after s": round((lag.end_wall_ms - lag.start_wall_ms) / MS_PER_SECOND, 3),
     }
 
 
@@ -91,7 +91,10 @@
 
 
 def _abbreviate(column: str, text: str) -> str:
-    """Return the text that a table shows: times without the date, versions without digests."""
+    """Return the text that a table shows: times without the date, versions without digests.
+
+    JSON output is not abbreviated.
+    """
     match column:
         case "from" | "until":
             return text.partition("T")[2]
--- a/garnetlanding/audit/segment_writer.py
+++ b/garnetlanding/audit/segment_writer.py
@@ -16,7 +16,7 @@
 
 from garnetlanding.audit import segments
 from garnetlanding.audit.errors import CorruptSegmentError
-from garnetlanding.audit.limits import SECOND
+from garnetlanding.audit.limits import MS_PER_SECOND, SECOND
 from garnetlanding.audit.records import (
     Incarnation,
     Payload,
@@ -34,7 +34,6 @@
 
 log = logging.getLogger(__name__)
 
-_MS_PER_SECOND = 1000
 _NS_PER_MS = 1_000_000
 
 
@@ -164,7 +163,7 @@
         files = list(list_instance_segments(self._folder, self._incarnation.instance).in_writing_order())
         sizes = {file.path: os.path.getsize(file.path) for file in files}
         total_bytes = sum(sizes.values())
-        oldest_s = self._wall_ms() / _MS_PER_SECOND - self._limits.age_us / SECOND
+        oldest_s = self._wall_ms() / MS_PER_SECOND - self._limits.age_us / SECOND
         last_deleted: SegmentPosition | None = None
         for file in files[:-1]:
             if total_bytes <= self._limits.total_bytes and os.path.getmtime(file.path) >= oldest_s:
--- a/garnetlanding/audit/wall_time.py
+++ b/garnetlanding/audit/wall_time.py
@@ -5,13 +5,12 @@
 from datetime import UTC, datetime
 
 from garnetlanding.audit.errors import InvalidQueryError
-
-_MS_PER_SECOND = 1000
+from garnetlanding.audit.limits import MS_PER_SECOND
 
 
 def format_wall_ms(wall_ms: int) -> str:
     """Return an ISO 8601 time in UTC with milliseconds, such as `2026-12-02T01:30:00.000Z`."""
-    time = datetime.fromtimestamp(wall_ms / _MS_PER_SECOND, UTC)
+    time = datetime.fromtimestamp(wall_ms / MS_PER_SECOND, UTC)
     return time.isoformat(timespec="milliseconds").replace("+00:00", "Z")
 
 
@@ -28,4 +27,4 @@
         raise InvalidQueryError(str(error)) from error
     if time.tzinfo is None:
         time = time.replace(tzinfo=UTC)
-    return int(time.timestamp() * _MS_PER_SECOND)
+    return int(time.timestamp() * MS_PER_SECOND)
