--- a/garnetlanding/lab/invariant.py
+++ b/garnetlanding/lab/invariant.py
@@ -1,4 +1,4 @@
-"""What an invariant of a run is, and what it is checked on."""
+"""The base class of a run's invariants, and the recorded run that they check."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 @dataclass(frozen=True)
 class RecordedRun:
-    """A finished run that is being checked, and the report that the check fills.
+    """A finished run to check, and the report that the check fills.
 
-    `lines` are those of all histories by time; `folder` is None where only they are to be checked.
+    `lines` holds the lines of all histories, by time; `folder` is None if only the histories are checked.
     """
 
     experiment: Experiment
@@ -32,7 +32,7 @@
 
     @cached_property
     def settings(self) -> dict[str, Any]:
-        """The settings that every instance started with, in the platform's form."""
+        """The initial settings of every instance, in the platform's form."""
         return deep_merge(DEFAULT_SETTINGS, self.experiment.settings)
 
     def lines_of(self, *kinds: LineKind) -> Iterator[Line]:
@@ -40,28 +40,28 @@
         return (line for line in self.lines if line["what"] in kinds)
 
     def instances_that_left(self) -> set[int]:
-        """Return the instances that a fault ends for good."""
+        """Return the instances that a fault terminates for good."""
         return self.experiment.instances_affected_by(FaultKind.LEAVE)
 
 
 class Invariant(ABC):
-    """One rule that every run must keep, checked from what the run left behind.
+    """One rule that must hold in every run, checked on the files that the run recorded.
 
-    Only invariants of `invariants.FILE_INVARIANTS` read files.
+    Only the invariants in `invariants.FILE_INVARIANTS` read files themselves.
     """
 
     name: ClassVar[str]
-    """What the rule is called, in the field's terms."""
+    """The rule's unique name."""
     label: ClassVar[str]
-    """What texts of its violations begin with, in result.json and on the command line."""
+    """The prefix of its violations' texts, in result.json and on the command line."""
     statement: ClassVar[str]
-    """What it asserts, in one sentence."""
+    """The assertion, in one sentence."""
     shown_by: ClassVar[str]
-    """The test that shows it fail: file below tests/lab and function, as `FILE::FUNCTION`."""
+    """The test that shows a violation being detected: `FILE::FUNCTION`, with a file of tests/lab."""
 
     @abstractmethod
     def violations(self, run: RecordedRun) -> Iterable[str]:
-        """Yield the detail of each violation, and add to `run.report` what was measured on the way."""
+        """Yield the detail of each violation, and add measurements to `run.report`."""
 
     def check(self, run: RecordedRun) -> None:
         """Add the violations to the run's report."""
--- a/garnetlanding/lab/invariants.py
+++ b/garnetlanding/lab/invariants.py
@@ -1,4 +1,4 @@
-"""The invariants that every run must keep, in the order in which violations are reported."""
+"""The invariants that must hold in every run, in the order in which violations are reported."""
 
 from __future__ import annotations
 
@@ -55,10 +55,10 @@
     SettingsStaleness(),
     FencedSendsNothing(),
 )
-"""Those that are checked on the histories alone."""
+"""The invariants that are checked on the histories alone."""
 
 FILE_INVARIANTS: tuple[Invariant, ...] = (AuditAgrees(), NoDefectLogged())
-"""Those that read other files of the run's folder as well."""
+"""The invariants that also read other files of the run's folder."""
 
 
 def check(
@@ -67,9 +67,9 @@
     lines: list[Line],
     folder: pathlib.Path | None = None,
 ) -> InvariantReport:
-    """Check a run by its histories and, if the folder is given, by the audit and the logs in it.
+    """Check a run by its histories and, if a folder is given, by the audit and the logs in it.
 
-    Without a folder there is no I/O; with one, raises OSError where it cannot be read.
+    Without a folder there is no I/O; with one, raises OSError if it cannot be read.
     """
     run = RecordedRun(experiment, requests, lines, InvariantReport(requests=len(requests)), folder)
     _measure(run)
@@ -82,7 +82,7 @@
 
 
 def _measure(run: RecordedRun) -> None:
-    """Count what the invariants, or only the reader of the report, need."""
+    """Add the counts that several invariants, or only the report's reader, need."""
     report = run.report
     report.attempts = sum(1 for _ in run.lines_of(LineKind.EXECUTED))
     for line in run.lines_of(LineKind.STARTED):
--- a/garnetlanding/lab/log_invariants.py
+++ b/garnetlanding/lab/log_invariants.py
@@ -1,4 +1,4 @@
-"""What must hold of the instances' logs."""
+"""The invariant of the instances' logs."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class NoDefectLogged(Invariant):
-    """No instance caught an exception that it did not expect.
+    """No instance caught an unexpected exception.
 
-    Such a one costs the instance what it was working on, and shows in no history.
+    Such an exception aborts the task that raised it and is recorded only in the log, not in a history.
     """
 
     name = "no defect logged"
     label = "defect"
-    statement = "No log of an instance holds a traceback."
+    statement = "No log of an instance contains a traceback."
     shown_by = "test_log_invariants.py::test_traceback_in_a_log_is_a_violation"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
-        """Yield the line of each traceback, cut short."""
+        """Yield the line of each traceback, truncated."""
         if run.folder is None:
             return
         for log in sorted(run.folder.glob("n*.log")):
--- a/garnetlanding/lab/peer_invariants.py
+++ b/garnetlanding/lab/peer_invariants.py
@@ -1,4 +1,4 @@
-"""What must hold between instances: suspicions, disabled backends, membership."""
+"""Invariants between instances: suspicions, disabled backends, membership."""
 
 from __future__ import annotations
 
@@ -14,10 +14,9 @@
 
 
 class SuspicionEvidence(Invariant):
-    """A suspicion has recent evidence of another instance, and few backends are suspected at once.
+    """A suspicion is based on recent evidence of another instance, and few backends are suspected at once.
 
-    A byzantine instance has observed nothing: its claims are not in its history, so with one no evidence is
-    asked for.
+    No evidence is required in runs with a byzantine instance: its forged claims are not in its history.
     """
 
     name = "suspicion evidence"
@@ -29,11 +28,11 @@
     shown_by = "test_peer_invariants.py::test_suspicion_without_recent_evidence_is_a_violation"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
-        """Yield unfounded and too many suspicions, and count them."""
+        """Yield suspicions without evidence and too many at once, and count all suspicions."""
         needs_evidence = not run.experiment.faults_of(FaultKind.BYZANTINE)
-        struck = {f"b{fault.backend}" for fault in run.experiment.faults_of(*BACKEND_FAULTS)}
+        faulty = {f"b{fault.backend}" for fault in run.experiment.faults_of(*BACKEND_FAULTS)}
         suspected_max = max(1, run.experiment.backends // 3)
-        observed_us: dict[tuple[str, str], int] = {}  # by instance and backend, the latest that it sent
+        observed_us: dict[tuple[str, str], int] = {}  # by instance and backend, the latest observation sent
         suspected: dict[str, set[str]] = defaultdict(set)
         for line in run.lines_of(LineKind.OBSERVATIONS_SENT, LineKind.STARTED, LineKind.SUSPICIONS_CHANGED):
             instance = line["who"]
@@ -46,11 +45,11 @@
             new = set(line["servers"]) - suspected[instance]
             suspected[instance] = set(line["servers"])
             run.report.suspicions += len(new)
-            run.report.suspicions_unfounded += len(new - struck)
+            run.report.suspicions_unfounded += len(new - faulty)
             if needs_evidence:
                 yield from self._without_evidence(line, observed_us)
             if len(line["servers"]) > suspected_max:
-                yield f"{instance} doubts {len(line['servers'])} servers at once"
+                yield f"{instance} suspects {len(line['servers'])} backends at once"
 
     @staticmethod
     def _without_evidence(line: Line, observed_us: dict[tuple[str, str], int]) -> Iterator[str]:
@@ -65,11 +64,11 @@
                 default=0,
             )
             if until_us > latest_us + evidence_us:
-                yield f"{line['who']} believes of {backend} what nobody has seen in time"
+                yield f"{line['who']} suspects {backend} without recent evidence from a peer"
 
 
 class DisabledBackendsConverge(Invariant):
-    """Disabled backends are the same everywhere at the end, and one that is disabled everywhere is idle."""
+    """All instances end with the same disabled backends, and one that all have disabled is sent nothing."""
 
     name = "disabled backends converge"
     label = "bans"
@@ -80,11 +79,11 @@
     shown_by = "test_peer_invariants.py::test_request_at_a_disabled_backend_is_a_violation"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
-        """Yield requests at disabled backends, and a difference at the end."""
+        """Yield requests to disabled backends, and a difference at the end."""
         if not run.experiment.peer_links or not run.experiment.faults_of(*BACKEND_CALLS):
             return
         disabled: dict[str, set[str]] = {f"n{number}": set() for number in range(run.experiment.instances)}
-        since_us: dict[str, int] = {}  # by backend, since when every instance has it disabled
+        since_us: dict[str, int] = {}  # by backend, when the last instance disabled it
         for line in run.lines_of(LineKind.DISABLED_CHANGED, LineKind.EXECUTED):
             if line["what"] == LineKind.DISABLED_CHANGED:
                 disabled[line["who"]] = set(line["out"])
@@ -93,57 +92,57 @@
                 continue
             backend = f"b{line['brick']}"
             if backend in since_us and line["t"] > since_us[backend] + LIMITS.dispatch_latency_us:
-                yield f"{line['id']} ran at {backend}, which all heads had out"
+                yield f"{line['id']} was executed at {backend}, which every instance had disabled"
         if len({frozenset(backends) for backends in disabled.values()}) > 1:
             listed = {instance: sorted(backends) for instance, backends in disabled.items()}
-            yield f"heads differ at the end: {listed}"
+            yield f"instances differ at the end: {listed}"
 
 
 @dataclass(slots=True)
 class _MembershipHistory:
-    """By instance, its even quota of shared limits and the peers that it knows, as last noted."""
+    """By instance, its even quota of shared limits and the members it knows, as last recorded."""
 
     even_quota: dict[str, float] = field(default_factory=dict)
     known: dict[str, set[int]] = field(default_factory=dict)
 
 
 class MembershipConverges(Invariant):
-    """Instances that find each other know the same members at the end, and share at most the whole.
+    """Instances that discover each other end with the same members; their even quotas never exceed the whole.
 
-    The even quotas of instances that were killed count on, until they start again.
+    The even quota of a killed instance counts until the instance starts again.
     """
 
     name = "membership converges"
     label = "heads"
     statement = (
-        "Even shares never add up to more than the whole; at the end every running instance knows just the "
-        "running ones, and of two with one number at most one uses its share."
+        "Even quotas never add up to more than the whole; at the end every running instance knows exactly "
+        "the running ones, and of two instances with one number at most one uses its quota."
     )
     shown_by = "test_peer_invariants.py::test_diverging_membership_is_a_violation"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
-        """Yield an exceeded sum, a number used twice, and wrong members at the end."""
+        """Yield an exceeded sum, an instance number used twice, and wrong members at the end."""
         if not run.experiment.seed_instances:
             return
         history = self._replay(run)
         if run.report.even_quota_sum_max > 1 + LIMITS.quota_tolerance:
-            yield f"even parts add up to {run.report.even_quota_sum_max:.3f}"
+            yield f"even quotas add up to {run.report.even_quota_sum_max:.3f}"
         duplicates = {
             fault.instance: fault.claimed_instance
             for fault in run.experiment.faults_of(FaultKind.DUPLICATE_IDENTITY)
         }
         for instance, claimed in duplicates.items():
             if history.even_quota[f"n{instance}"] and history.even_quota[f"n{claimed}"]:
-                yield f"n{instance} and n{claimed} both use the part of one number"
+                yield f"n{instance} and n{claimed} both use the quota of one instance number"
         running = set(range(run.experiment.instances)) - run.instances_that_left() - set(duplicates)
         for instance in sorted(running):
             known = history.known.get(f"n{instance}")
             if known != running:
-                yield f"n{instance} knows {sorted(known or ())} at the end, there are {sorted(running)}"
+                yield f"n{instance} knows {sorted(known or ())} at the end, {sorted(running)} are running"
 
     @staticmethod
     def _replay(run: RecordedRun) -> _MembershipHistory:
-        """Return what stood when the clients had ended; after that the lab ends every instance."""
+        """Return the state at the clients' last line; after that the lab terminates every instance."""
         history = _MembershipHistory()
         end_us = max((line["t"] for line in run.lines if line["who"] == "clients"), default=0)
         for line in run.lines_of(LineKind.STARTED, LineKind.MEMBERS_CHANGED):
--- a/garnetlanding/lab/quota_invariants.py
+++ b/garnetlanding/lab/quota_invariants.py
@@ -1,4 +1,4 @@
-"""What must hold of limits that all instances share: quotas, warming backends, connections."""
+"""Invariants of limits that all instances share: quotas, warming backends, connections."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _QuotaOwner:
-    """Whose quota it is: one incarnation's of one instance, of one volume's limit."""
+    """The owner of a quota: one incarnation of an instance, for one volume's limit."""
 
     instance: str
     volume: str
@@ -27,21 +27,21 @@
 @dataclass(frozen=True, slots=True)
 class _RecordedQuota:
     quota: float
-    end_us: int  # the instance looks at it again before it sends anything later
+    end_us: int  # the instance computes it anew before it sends anything later
 
 
-class QuotaShareTable:
-    """The quotas that the instances believe their own, as their histories say, up to a line."""
+class QuotaTable:
+    """The quotas that the instances hold according to their histories, up to the last line processed."""
 
     def __init__(self, experiment: Experiment) -> None:
         self._experiment = experiment
         self._upgraded = {f"n{number}" for number in experiment.instances_affected_by(FaultKind.UPGRADE)}
         self._quotas: dict[_QuotaOwner, _RecordedQuota] = {}
 
-    def forget(self, instance: str) -> None:
-        """Forget what an instance held that starts again.
+    def remove_instance(self, instance: str) -> None:
+        """Drop the quotas of an instance that restarts.
 
-        The two processes of an upgrade hold theirs side by side.
+        Those of an upgraded instance are kept: its two processes hold quotas at the same time.
         """
         if instance in self._upgraded:
             return
@@ -57,28 +57,28 @@
     def total(self, volume: str, now_us: int) -> float:
         """Return the sum of a volume's quotas in force.
 
-        An instance without a noted quota has had no request of the volume, so it has sent nothing. One whose
-        quota has expired computes it anew before it sends.
+        An instance without a recorded quota has received no request of the volume, so it has sent nothing.
+        One whose quota has expired computes it anew before it sends.
         """
         entitled = {f"n{number}" for number in volume_instances(self._experiment, int(volume, 16))}
         return sum(
-            noted.quota
-            for owner, noted in self._quotas.items()
-            if owner.instance in entitled and owner.volume == volume and noted.end_us > now_us
+            recorded.quota
+            for owner, recorded in self._quotas.items()
+            if owner.instance in entitled and owner.volume == volume and recorded.end_us > now_us
         )
 
 
 def measure_quota_sums(run: RecordedRun) -> None:
-    """Measure the greatest sums of one volume's quotas, apart for times beside a duplicate identity."""
+    """Measure the greatest sum of one volume's quotas, separately for times beside a duplicate identity."""
     first_us = first_request_us(run.lines)
     duplicates_us = [fault.start_us for fault in run.experiment.faults_of(FaultKind.DUPLICATE_IDENTITY)]
-    table = QuotaShareTable(run.experiment)
+    table = QuotaTable(run.experiment)
     for line in run.lines_of(LineKind.STARTED, LineKind.VOLUME_QUOTAS):
         if line["what"] == LineKind.STARTED:
-            table.forget(line["who"])
+            table.remove_instance(line["who"])
             continue
         elapsed_us = line["t"] - first_us
-        # Until the earlier of two with one number has received from the later, both use its quota.
+        # Two instances with one number both use its quota until the earlier has received from the later.
         is_beside_duplicate = any(
             start_us <= elapsed_us < start_us + LIMITS.duplicate_detection_us for start_us in duplicates_us
         )
@@ -92,20 +92,19 @@
 
 
 class DuplicateQuotaSum(Invariant):
-    """A duplicate identity adds at most one even quota before it is noticed."""
+    """A duplicate identity adds at most one even quota before it is detected."""
 
     name = "quota sum beside a duplicate identity"
     label = "parts"
-    statement = (
-        "Beside a duplicate identity a volume's quota shares exceed the whole by one even share at most."
-    )
+    statement = "Beside a duplicate identity a volume's quotas exceed the whole by one even quota at most."
     shown_by = "test_quota_invariants.py::test_quota_sum_beside_a_duplicate_identity_is_bounded"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
         """Yield an exceeded sum."""
         allowed = 1 + 1 / run.experiment.workload.instances_per_volume + LIMITS.quota_tolerance
         if run.report.duplicate_quota_sum_max > allowed:
-            yield f"beside a twin a volume's add up to {run.report.duplicate_quota_sum_max:.3f}"
+            total = run.report.duplicate_quota_sum_max
+            yield f"beside a duplicate identity the quotas of a volume add up to {total:.3f}"
 
 
 class QuotaSum(Invariant):
@@ -113,34 +112,34 @@
 
     name = "quota sum"
     label = "parts"
-    statement = "At no time do the quota shares of one volume add up to more than the whole."
+    statement = "At no time do the quotas of one volume add up to more than the whole."
     shown_by = "test_quota_invariants.py::test_quotas_above_the_whole_are_a_violation"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
         """Yield an exceeded sum."""
         if run.report.quota_sum_max > 1 + LIMITS.quota_tolerance:
-            yield f"a volume's add up to {run.report.quota_sum_max:.3f}"
+            yield f"the quotas of a volume add up to {run.report.quota_sum_max:.3f}"
 
 
 class WarmingLoad(Invariant):
-    """A backend that has just come back cold is sent, in any window, no more than it bears."""
+    """A backend that has just come back cold is sent no more load within a window than it can take."""
 
     name = "load of a warming backend"
     label = "budgets"
-    statement = "All instances together send a cold backend no more within a window than it bears."
+    statement = "All instances together send a cold backend no more within a window than it can take."
     shown_by = "test_quota_invariants.py::test_overloaded_warming_backend_is_a_violation"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
         """Yield an overload, and measure the greatest load."""
         self._measure(run)
-        # Where nothing is learnt of a backend's usual load, what it bears in any case is all it may be sent.
+        # With a FallMultiple of 0 the limit is ColdBears alone, whatever the backend's usual load.
         is_exact = run.settings["Rules"]["FallMultiple"] < LIMITS.quota_tolerance
         if is_exact and run.report.warming_load_max > 1:
-            yield f"a cold brick was sent {run.report.warming_load_max:.2f} of what it bears"
+            yield f"a cold backend was sent {run.report.warming_load_max:.2f} of the load it can take"
 
     @staticmethod
     def _measure(run: RecordedRun) -> None:
-        bears_units = run.settings["FamilyInfo"]["ColdBears"]
+        limit_units = run.settings["FamilyInfo"]["ColdBears"]
         rules = run.settings["Rules"]
         window_us = rules["FallUs"] - LIMITS.dispatch_latency_us
         restarted = {fault.backend for fault in run.experiment.faults_of(FaultKind.RESTART)}
@@ -159,22 +158,22 @@
                 times_us.append(line["t"])
                 while times_us[0] <= line["t"] - window_us:
                     times_us.popleft()
-                load = len(times_us) * run.experiment.workload.units / bears_units
+                load = len(times_us) * run.experiment.workload.units / limit_units
                 run.report.warming_load_max = max(run.report.warming_load_max, load)
 
 
 class BackendConnectionLimit(Invariant):
-    """All instances together keep to the limit of connections at one backend."""
+    """All instances together stay within the limit of connections at one backend."""
 
     name = "backend connection limit"
     label = "places"
-    statement = "No backend ever has more connections at once than all instances together may have there."
+    statement = "No backend ever has more concurrent connections than the limit of all instances together."
     shown_by = "test_quota_invariants.py::test_too_many_connections_at_a_backend_are_a_violation"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
-        """Yield an excess, and measure the greatest number."""
+        """Yield an exceeded limit, and measure the greatest number."""
         run.report.backend_connections_max = max(
             (line["count"] for line in run.lines_of(LineKind.CONNECTIONS_OPEN)), default=0
         )
         if 0 < run.experiment.backend_connections < run.report.backend_connections_max:
-            yield f"a brick had {run.report.backend_connections_max} connections at once"
+            yield f"a backend had {run.report.backend_connections_max} concurrent connections"
--- a/garnetlanding/lab/request_invariants.py
+++ b/garnetlanding/lab/request_invariants.py
@@ -1,4 +1,4 @@
-"""What must hold of each request: one answer, a bounded number of attempts, and within its volume's limit."""
+"""Invariants of requests: exactly one response, bounded attempts and retries, and the volume's rate limit."""
 
 from __future__ import annotations
 
@@ -12,47 +12,49 @@
 from garnetlanding.lab.permitted_losses import may_be_lost, ready_times
 
 ANSWERED = frozenset({Outcome.SERVED, Outcome.REJECTED, Outcome.FAILED})
-"""The outcomes for which an answer came that the protocol has."""
+"""The outcomes with a valid response."""
 
 
 class SingleResponse(Invariant):
-    """Nothing follows an answer on its connection."""
+    """Nothing follows the response to a request on its connection."""
 
     name = "single response"
     label = "one answer"
-    statement = "A client reads no further answer behind the one to its request."
+    statement = "A client receives no further response after the one to its request."
     shown_by = "test_request_invariants.py::test_second_response_on_a_connection_is_a_violation"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
-        """Yield each surplus of answers."""
+        """Yield each request with surplus responses."""
         for line in run.lines_of(LineKind.SURPLUS_ANSWERS):
-            yield f"{line['count']} more behind that of {line['id']}"
+            yield f"{line['count']} more after that to {line['id']}"
 
 
 class EveryRequestAnswered(Invariant):
-    """Every request has one outcome, and an answer unless a fault excuses it."""
+    """Every request has one outcome, and a response unless a fault explains its absence."""
 
     name = "every request answered"
     label = "one answer"
-    statement = "Every request gets exactly one answer, unless a fault struck its instance or its connection."
+    statement = (
+        "Every request gets exactly one response, unless a fault affected its instance or its connection."
+    )
     shown_by = "test_request_invariants.py::test_request_without_exactly_one_answer_is_a_violation"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
-        """Yield requests with several or no answers, and count the outcomes."""
+        """Yield requests with several outcomes or without a response, and count the outcomes."""
         outcomes: dict[str, list[str]] = defaultdict(list)
         for line in run.lines_of(LineKind.ENDED):
             outcomes[line["id"]].append(line["outcome"])
         ready = ready_times(run)
         requests = {request.id: request for request in run.requests}
         for name, request in requests.items():
-            noted = outcomes[name]
-            outcome = noted[0] if noted else Outcome.NOT_RECORDED.value
+            recorded = outcomes[name]
+            outcome = recorded[0] if recorded else Outcome.NOT_RECORDED.value
             run.report.outcomes[outcome] += 1
-            if len(noted) > 1:
-                yield f"{name} has {len(noted)}"
+            if len(recorded) > 1:
+                yield f"{name} has {len(recorded)} outcomes"
                 continue
-            is_ready = ready.get(request.instance, [])
-            if outcome not in ANSWERED and not may_be_lost(run.experiment, request, is_ready):
+            ready_us = ready.get(request.instance, [])
+            if outcome not in ANSWERED and not may_be_lost(run.experiment, request, ready_us):
                 yield f"{name} at n{request.instance} after {request.start_us} us: {outcome}"
 
 
@@ -61,19 +63,19 @@
 
     name = "attempt limit"
     label = "attempts"
-    statement = "No request reaches backends more often than MaxAttempts allows."
+    statement = "No request is executed by backends more often than MaxAttempts allows."
     shown_by = "test_request_invariants.py::test_too_many_attempts_of_a_request_are_a_violation"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
-        """Yield the requests with too many attempts."""
+        """Yield each request with too many attempts."""
         allowed = run.experiment.settings.get("Limits", {}).get("MaxAttempts", 3)
         for name, attempts in Counter(line["id"] for line in run.lines_of(LineKind.EXECUTED)).items():
             if attempts > allowed:
-                yield f"{name} ran {attempts} times, {allowed} are allowed"
+                yield f"{name} was executed {attempts} times, {allowed} are allowed"
 
 
 class ServedWasExecuted(Invariant):
-    """What a client was served, a backend has executed."""
+    """Every served request was executed by a backend."""
 
     name = "served was executed"
     label = "served"
@@ -81,17 +83,18 @@
     shown_by = "test_request_invariants.py::test_served_request_that_no_backend_executed_is_a_violation"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
-        """Yield the requests that were served from nowhere, by name."""
+        """Yield the served requests that no backend executed, by name."""
         executed = {line["id"] for line in run.lines_of(LineKind.EXECUTED)}
         served = {line["id"] for line in run.lines_of(LineKind.ENDED) if line["outcome"] == Outcome.SERVED}
         for name in sorted(served - executed):
-            yield f"{name} was, and no brick ran it"
+            yield f"{name} was not executed by any backend"
 
 
 class RateLimit(Invariant):
-    """Each volume's token bucket, replayed over all instances, is not overdrawn.
+    """Each volume's token bucket, replayed over the requests of all instances, never goes below zero.
 
-    It is full at first, fills at the limit's rate, and the first attempt of each request takes its units.
+    The bucket is full at first and refills at the limit's rate; the first attempt of each request takes the
+    request's units.
     """
 
     name = "rate limit"
@@ -100,7 +103,7 @@
     shown_by = "test_request_invariants.py::test_exceeded_rate_limit_is_a_violation"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
-        """Yield an overdraft, and measure it and how much of the limits was used."""
+        """Yield an exceeded limit; measure the overshoot and the used fraction of the limits."""
         plan = run.settings["Contracts"][0]
         rate = float(plan.get("NeverOver", 0))
         burst = float(plan.get("LimitBurst", 0))
@@ -110,14 +113,14 @@
         sent = self._replay(run, rate, burst)
         available = workload.volumes * (burst + rate * run.experiment.duration_us / SECOND)
         run.report.limit_use = sent / available
-        # What an instance sends in one iteration of its loop reaches its backend within this time; two
-        # requests may change places on the way.
+        # A request reaches its backend within dispatch_latency_us of the event-loop iteration that sends it,
+        # and two requests may be reordered on the way.
         if run.report.limit_overshoot_units > workload.units + rate * LIMITS.dispatch_latency_us / SECOND:
-            yield f"a volume's store fell {run.report.limit_overshoot_units:.1f} units below 0"
+            yield f"a volume's token bucket fell {run.report.limit_overshoot_units:.1f} units below 0"
 
     @staticmethod
     def _replay(run: RecordedRun, rate: float, burst: float) -> int:
-        """Return the units sent of all volumes; measure the overshoot."""
+        """Return the units sent over all volumes; measure the overshoot."""
         units = run.experiment.workload.units
         executed: set[str] = set()
         level: dict[str, float] = {}
@@ -137,7 +140,7 @@
 
 
 class RetryBudget(Invariant):
-    """Retries over all instances stay within the sum of their budgets."""
+    """The retries of all instances stay within the sum of their retry budgets."""
 
     name = "retry budget"
     label = "attempts"
@@ -158,4 +161,4 @@
         retries = sum(count - 1 for count in attempts.values())
         allowed = share * run.report.requests + free * sum(run.report.incarnations.values()) * windows
         if retries > allowed:
-            yield f"{retries} further ones, the budgets allow {allowed:.0f}"
+            yield f"{retries} retries, the budgets allow {allowed:.0f}"
--- a/garnetlanding/lab/settings_invariants.py
+++ b/garnetlanding/lab/settings_invariants.py
@@ -1,4 +1,4 @@
-"""What must hold of settings: replication, staleness, fencing, and what the audit says of them."""
+"""Invariants of settings: replication, staleness, fencing, and agreement with the audit."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from garnetlanding.lab.limits import LIMITS, SECOND
 
 AUDIT_FOLDER = "audit"
-"""Where instances record, below a run's folder."""
+"""The folder of the instances' audit, in a run's folder."""
 
 WRITER = "n0"
 """The instance that writes the settings store."""
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class SettingsVersion:
-    """A version of the settings, ordered as the writer made them."""
+    """A version of the settings, in the order in which the writer created them."""
 
     epoch: int
     revision: int
@@ -36,7 +36,7 @@
 
 
 _OWN_FILE = SettingsVersion(0, 0)
-"""The version of an instance's own file, in force before it has received from the writer."""
+"""The version of an instance's own file, in force until it has received settings from the writer."""
 
 
 def _version(line: Line) -> SettingsVersion:
@@ -44,10 +44,9 @@
 
 
 def _dispatched_at(line: Line) -> Iterator[int]:
-    """Yield when each attempt of an answered request was sent, without those that never were.
+    """Yield the dispatch time of each attempt of an answered request, skipping attempts never dispatched.
 
-    A fenced instance records an attempt that its decision module asks for, and ends it before anything is
-    sent.
+    A fenced instance records an attempt that its decision module requests, but ends it before sending.
     """
     for _, outcome, sent_us in line["attempts"]:
         if outcome != Outcome.NEVER_DISPATCHED.value:
@@ -55,7 +54,7 @@
 
 
 class SettingsReplicated(Invariant):
-    """Every instance ends with the writer's settings, and a version is the same text everywhere."""
+    """Every instance ends with the writer's settings, and a version has the same text everywhere."""
 
     name = "settings replicated"
     label = "settings"
@@ -73,24 +72,24 @@
             digest = line["digest"]
             latest[line["who"]] = digest
             if version != _OWN_FILE and digests.setdefault(version, digest) != digest:
-                yield f"{line['who']} has another text of revision {version}"
+                yield f"{line['who']} has a different text of version {version}"
         if WRITER not in latest:
             return
         left = {f"n{number}" for number in run.instances_that_left()}
         for instance, digest in sorted(latest.items()):
             if instance not in left and digest != latest[WRITER]:
-                yield f"{instance} has not the writer's at the end"
+                yield f"{instance} does not have the writer's settings at the end"
 
 
 class SettingsStaleness(Invariant):
-    """No attempt is sent on settings that were superseded longer ago than the limit.
+    """No attempt is sent under settings that were superseded longer ago than the limit.
 
-    One iteration of the event loop is granted on top.
+    The tolerance is one event-loop iteration.
     """
 
     name = "settings staleness"
     label = "current"
-    statement = "No follower sends on settings that the writer had replaced for longer than the limit."
+    statement = "No follower sends under settings that the writer replaced longer ago than the limit."
     shown_by = "test_settings_invariants.py::test_attempt_on_stale_settings_is_a_violation"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
@@ -115,11 +114,12 @@
             run.report.settings_age_max_us
             > run.experiment.staleness_limit_s * SECOND + LIMITS.dispatch_latency_us
         ):
-            yield f"a head sent on settings that were {run.report.settings_age_max_us / SECOND:.2f} s old"
+            age_s = run.report.settings_age_max_us / SECOND
+            yield f"an instance sent under settings that were superseded {age_s:.2f} s before"
 
 
 def _superseded_us(made_us: dict[SettingsVersion, int], used: SettingsVersion, sent_us: int) -> int:
-    """Return when the first later version was made; the time of sending when there was none yet."""
+    """Return when the first later version was created; the time of sending if there was none yet."""
     return min(
         (at_us for version, at_us in made_us.items() if version > used and at_us <= sent_us),
         default=sent_us,
@@ -127,7 +127,7 @@
 
 
 class FencedSendsNothing(Invariant):
-    """A fenced instance sends nothing from when it has noted it until it acts again."""
+    """An instance sends nothing from when it records that it is fenced until it is unfenced."""
 
     name = "fenced sends nothing"
     label = "out"
@@ -143,7 +143,7 @@
             for sent_us in _dispatched_at(line):
                 states = [is_fenced for at_us, is_fenced in changes[line["who"]] if at_us <= sent_us]
                 if states and states[-1]:
-                    yield f"{line['id']} was sent by {line['who']}, which was out"
+                    yield f"{line['id']} was sent by {line['who']}, which was fenced"
 
 
 _Changes = list[tuple[int, str]]
@@ -151,18 +151,18 @@
 
 
 class AuditAgrees(Invariant):
-    """The audit names the settings under which each attempt of each instance was sent.
+    """The audit gives the settings under which each attempt of each instance was sent.
 
-    Reads the audit's folder, unlike the invariants of histories alone.
+    Reads the audit folder, in addition to the histories.
     """
 
     name = "audit agrees"
     label = "audit"
-    statement = "The audit is readable, and names for each attempt the settings that the history names."
+    statement = "The audit is readable, and for each attempt it gives the same settings as the history."
     shown_by = "test_settings_invariants.py::test_attempt_that_the_audit_does_not_know_is_a_violation"
 
     def violations(self, run: RecordedRun) -> Iterator[str]:
-        """Yield what cannot be read and each attempt on which the two disagree; count the attempts."""
+        """Yield read errors and each attempt on which audit and history disagree; count the attempts."""
         if run.folder is None or not run.experiment.audit:
             return
         read = read_segments([str(run.folder / AUDIT_FOLDER)])
@@ -199,6 +199,6 @@
 
 
 def _version_at(changes: _Changes, at_us: int) -> str:
-    """Return the version in force at a time; empty before the first."""
+    """Return the version in force at a time; an empty string before the first."""
     index = bisect_right([changed_us for changed_us, _ in changes], at_us)
     return changes[index - 1][1] if index else ""
--- a/tests/lab/test_invariants.py
+++ b/tests/lab/test_invariants.py
@@ -1,4 +1,4 @@
-"""The list of invariants: each says what it asserts and which test shows it fail."""
+"""The list of invariants: each has a name, a statement and a test that shows a violation."""
 
 from __future__ import annotations
 
--- a/tests/lab/test_peer_invariants.py
+++ b/tests/lab/test_peer_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants between instances: each test shows that one finds its violation and nothing else."""
+"""Invariants between instances: each test shows that one detects its violation and nothing else."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     observed = {"t": 5, "what": "seen", "who": "n1", "servers": {"b0": ["dead", 5]}}
     suspected = {"t": 9, "what": "doubted", "who": "n0", "servers": {"b0": 5 + 2 * SECOND}}
     assert not violations_with(observed, suspected)
-    assert "nobody has seen in time" in violations_with(suspected)
+    assert "n0 suspects b0 without recent evidence" in violations_with(suspected)
     both = suspected | {"servers": dict.fromkeys(("b0", "b1"), 5)}
-    assert "doubts 2 servers" in violations_with(observed, both)
+    assert "suspects 2 backends" in violations_with(observed, both)
 
 
 def test_request_at_a_disabled_backend_is_a_violation() -> None:
@@ -30,7 +30,7 @@
         return violations(disabling, [], lines)
 
     assert found(*disabled) == ""
-    assert "which all heads had out" in found(*disabled, executed)
+    assert "which every instance had disabled" in found(*disabled, executed)
     assert "differ at the end" in found(disabled[0], executed)
     assert "which" not in found(disabled[0], executed)
 
@@ -44,10 +44,10 @@
     assert violations(grouped, [], [*members, end]) == ""
     alone = members[1] | {"entitled": [1]}
     assert violations(grouped, [], [members[0], alone, end]) == (
-        "heads: n1 knows [1] at the end, there are [0, 1]"
+        "heads: n1 knows [1] at the end, [0, 1] are running"
     )
-    greedy = members[1] | {"even": 1.0}
-    assert violations(grouped, [], [members[0], greedy, end]) == "heads: even parts add up to 1.500"
+    whole = members[1] | {"even": 1.0}
+    assert violations(grouped, [], [members[0], whole, end]) == "heads: even quotas add up to 1.500"
     after_the_end = alone | {"t": 10}
     assert violations(grouped, [], [*members, end, after_the_end]) == ""
 
@@ -59,5 +59,8 @@
     members = [
         {"t": 5, "who": f"n{number}", "what": "heads", "even": 0.5, "entitled": [0]} for number in (0, 1)
     ]
-    assert violations(grouped, [], [*members, end]) == "heads: n1 and n0 both use the part of one number"
+    assert (
+        violations(grouped, [], [*members, end])
+        == "heads: n1 and n0 both use the quota of one instance number"
+    )
     assert violations(grouped, [], [members[0], members[1] | {"even": 0.0}, end]) == ""
--- a/tests/lab/test_quota_invariants.py
+++ b/tests/lab/test_quota_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of shared limits: each test shows that one finds its violation and nothing else."""
+"""Invariants of shared limits: each test shows that one detects its violation and nothing else."""
 
 from __future__ import annotations
 
@@ -28,15 +28,17 @@
     assert not violations_with(QUOTAS[0])
     assert not violations_with(
         QUOTAS[0] | {"until": 9}, QUOTAS[1]
-    ), "that instance looks again before it sends"
+    ), "an instance with an expired quota computes it anew before it sends"
 
 
 def test_quota_sum_beside_a_duplicate_identity_is_bounded() -> None:
     duplicate = fault(FaultKind.DUPLICATE_IDENTITY, 0, 4, instance=2, claimed_instance=1)
     doubled = replace(BASELINE, faults=(duplicate,))
     assert violations(doubled, [], QUOTAS) == "", "an even quota is a half"
-    greedy = [line | {"parts": {volume_name(0): 0.8}} for line in QUOTAS]
-    assert violations(doubled, [], greedy) == "parts: beside a twin a volume's add up to 1.600"
+    excessive = [line | {"parts": {volume_name(0): 0.8}} for line in QUOTAS]
+    assert violations(doubled, [], excessive) == (
+        "parts: beside a duplicate identity the quotas of a volume add up to 1.600"
+    )
 
 
 def test_overloaded_warming_backend_is_a_violation() -> None:
@@ -50,7 +52,7 @@
     ]
     assert violations(warming, [], [down, back, *executed[:2]]) == ""
     assert violations(warming, [], [down, back, *executed]) == (
-        "budgets: a cold brick was sent 1.50 of what it bears"
+        "budgets: a cold backend was sent 1.50 of the load it can take"
     )
     elsewhere = [line | {"brick": 0} for line in executed]
     assert violations(warming, [], [down, back, *elsewhere]) == "", "the other backend is warm"
@@ -61,5 +63,5 @@
     opened = {"t": 5 * SECOND, "who": "bricks", "what": "open", "brick": 0, "count": 4}
     assert violations(limited, [], [opened]) == ""
     assert violations(limited, [], [opened, opened | {"count": 5}]) == (
-        "places: a brick had 5 connections at once"
+        "places: a backend had 5 concurrent connections"
     )
--- a/tests/lab/test_request_invariants.py
+++ b/tests/lab/test_request_invariants.py
@@ -23,13 +23,13 @@
 ANSWERED = {"t": 9, "who": "clients", "what": "answer", "id": FIRST.id, "outcome": "served"}
 
 
-def test_sound_history_has_no_violation() -> None:
+def test_valid_history_has_no_violation() -> None:
     assert invariants.check(LOW_RATE, REQUESTS, VALID_HISTORY).passed
 
 
 def test_second_response_on_a_connection_is_a_violation() -> None:
     extra = {"t": 9, "who": "clients", "what": "extra", "id": FIRST.id, "count": 1}
-    assert violations_with(extra) == f"one answer: 1 more behind that of {FIRST.id}"
+    assert violations_with(extra) == f"one answer: 1 more after that to {FIRST.id}"
 
 
 def test_request_without_exactly_one_answer_is_a_violation() -> None:
@@ -39,23 +39,23 @@
     assert len(invariants.check(LOW_RATE, REQUESTS, lost).violations) >= len(REQUESTS)
 
 
-def test_lost_request_of_a_killed_instance_is_excused_until_it_is_back() -> None:
+def test_lost_request_of_a_killed_instance_is_permitted_until_it_is_ready_again() -> None:
     lost = answered(REQUESTS, "lost")
     kills = tuple(fault(FaultKind.KILL, 0, 4, instance=number) for number in range(3))
     killed = replace(LOW_RATE, faults=kills)
     restarted = replace(LOW_RATE, faults=tuple(replace(kill, end_us=SECOND) for kill in kills))
     back = [{"t": SECOND + 9, "who": f"n{number}", "what": "up"} for number in range(3)]
-    assert "one answer" in violations(restarted, REQUESTS, lost + back), "came back"
-    assert "one answer" not in violations(restarted, REQUESTS, lost), "has not yet"
+    assert "one answer" in violations(restarted, REQUESTS, lost + back), "ready again"
+    assert "one answer" not in violations(restarted, REQUESTS, lost), "not yet ready"
     assert "one answer" not in violations(killed, REQUESTS, lost)
 
 
 def test_too_many_attempts_of_a_request_are_a_violation() -> None:
-    assert "ran 4 times" in violations_with(*[EXECUTED] * 3)
+    assert "executed 4 times" in violations_with(*[EXECUTED] * 3)
 
 
 def test_served_request_that_no_backend_executed_is_a_violation() -> None:
-    assert "no brick ran it" in violations_with(without=1)
+    assert f"served: {FIRST.id} was not executed by any backend" in violations_with(without=1)
 
 
 def test_exceeded_rate_limit_is_a_violation() -> None:
@@ -71,5 +71,5 @@
     assert violations(budgeted, REQUESTS, VALID_HISTORY) == ""
     retried = [EXECUTED | {"id": request.id, "volume": request.volume} for request in REQUESTS[:9]]
     assert violations(budgeted, REQUESTS, [*VALID_HISTORY, *retried]) == (
-        "attempts: 9 further ones, the budgets allow 1"
+        "attempts: 9 retries, the budgets allow 1"
     )
--- a/tests/lab/test_settings_invariants.py
+++ b/tests/lab/test_settings_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of settings, fencing and audit: each test shows that one finds its violation."""
+"""Invariants of settings, fencing and audit: each test shows that one detects its violation."""
 
 from __future__ import annotations
 
@@ -43,10 +43,11 @@
     stored = replace(BASELINE, store=True)
     assert violations(stored, [], [settings("n0", 1, 1), settings("n1", 1, 2)]) == ""
     assert violations(stored, [], [settings("n0", 1, 1), settings("n1", 1, 2, digest=8)]) == (
-        "settings: n1 has another text of revision (1, 1) settings: n1 has not the writer's at the end"
+        "settings: n1 has a different text of version (1, 1) "
+        "settings: n1 does not have the writer's settings at the end"
     )
     late = [settings("n1", 1, 1), settings("n0", 1, 1), settings("n0", 2, 2, digest=8)]
-    assert violations(stored, [], late) == "settings: n1 has not the writer's at the end"
+    assert violations(stored, [], late) == "settings: n1 does not have the writer's settings at the end"
 
 
 def test_attempt_on_stale_settings_is_a_violation() -> None:
@@ -54,7 +55,7 @@
     lines = [settings("n0", 1, 1), settings("n1", 1, 2), settings("n0", 2, SECOND)]
     assert violations(followed, [], [*lines, sent("n1", 2 * SECOND)]) == ""
     assert violations(followed, [], [*lines, sent("n1", 3 * SECOND)]) == (
-        "current: a head sent on settings that were 2.00 s old"
+        "current: an instance sent under settings that were superseded 2.00 s before"
     )
     never_dispatched = sent("n1", 3 * SECOND, Outcome.NEVER_DISPATCHED)
     assert violations(followed, [], [*lines, never_dispatched]) == ""
@@ -68,7 +69,7 @@
     assert violations(BASELINE, [], [fenced, unfenced, sent("n1", 9), sent("n1", 4), sent("n0", 6)]) == ""
     for outcome in set(Outcome) - {Outcome.NEVER_DISPATCHED}:
         lines = [fenced, unfenced, sent("n1", 6, outcome)]
-        assert violations(BASELINE, [], lines) == "out: r was sent by n1, which was out"
+        assert violations(BASELINE, [], lines) == "out: r was sent by n1, which was fenced"
 
 
 def test_attempt_that_a_fenced_instance_records_and_never_dispatches_is_no_violation() -> None:
--- a/tests/support/run_histories.py
+++ b/tests/support/run_histories.py
@@ -1,4 +1,4 @@
-"""Histories of runs that never were, for the tests of the invariants."""
+"""Synthetic run histories for the tests of the invariants."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from tests.support.lab import BASELINE
 
 LOW_RATE = replace(BASELINE, workload=replace(BASELINE.workload, requests_per_s=30.0))
-"""So few requests that every volume's limit is kept."""
+"""A request rate low enough to stay within every volume's limit."""
 
 
 def answered(requests: Sequence[Request], outcome: str = "served") -> list[dict[str, Any]]:
     """Return a history in which each request is executed once and then has this outcome."""
     lines: list[dict[str, Any]] = []
     for request in requests:
-        about = {"t": request.start_us, "id": request.id, "volume": request.volume}
-        lines.append(about | {"who": "bricks", "what": "ran"})
+        subject = {"t": request.start_us, "id": request.id, "volume": request.volume}
+        lines.append(subject | {"who": "bricks", "what": "ran"})
         lines.append(
             {
                 "t": request.start_us + 1,
@@ -35,11 +35,11 @@
 
 REQUESTS = draw_requests(LOW_RATE)
 VALID_HISTORY = answered(REQUESTS)
-"""A history of MODERATE in which every invariant holds."""
+"""A history of LOW_RATE in which every invariant holds."""
 
 
 def violations_with(*lines: dict[str, Any], without: int = 0) -> str:
-    """Return the violations of SOUND without its first lines and with these at its end."""
+    """Return the violations of VALID_HISTORY without its first `without` lines and with these appended."""
     return violations(LOW_RATE, REQUESTS, [*VALID_HISTORY[without:], *lines])
 
 
