--- a/garnetlanding/lab/__init__.py
+++ b/garnetlanding/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on many processes of the program under faults. Nothing of the head imports it."""
+"""Fault-injection experiments on many processes of the program. No module of an instance imports this."""
--- a/garnetlanding/lab/byzantine.py
+++ b/garnetlanding/lab/byzantine.py
@@ -1,4 +1,4 @@
-"""Falsifies an instance's messages on their way to its peers. No I/O."""
+"""Forges an instance's messages on their way to its peers. No I/O."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def falsify(datagram: bytes, backends: Sequence[str], behaviour: ByzantineBehaviour) -> bytes:
-    """Return the same message with false content.
+    """Return the message with forged content.
 
-    `backends` are the names of all of them. A message of another kind than the behaviour is about, or one
-    that cannot be decoded, is returned as it is.
+    `backends` are the names of all backends. A message that the behaviour does not concern, or that cannot be
+    decoded, is returned unchanged.
     """
     try:
         envelope = decode_envelope(datagram, PeerLimits().datagram_bytes)
--- a/garnetlanding/lab/charts.py
+++ b/garnetlanding/lab/charts.py
@@ -1,4 +1,4 @@
-"""Charts of a run, by matplotlib (of the tools that CI has, not of those that an instance needs)."""
+"""Charts of a run, drawn by matplotlib. For experiments only; an instance does not need the library."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 _LATENCY_STYLES = ((0.5, "-"), (0.99, "--"))
 _LATENCY_COLOUR = "#2a4f8f"
 _DPI = 120
-_TIME_LABEL = "seconds after the clients began"
+_TIME_LABEL = "seconds after the clients started"
 
 
 def draw(folder: pathlib.Path, rows: Sequence[SecondSummary], quotas: QuotaSeries) -> list[pathlib.Path]:
-    """Draw answers and latency by second, with the faults, and the quotas of each limited volume.
+    """Draw responses and latency per second, with the faults, and the quotas of each limited volume.
 
-    Returns the files. Raises ImportError where matplotlib is not there.
+    Returns the paths of the charts. Raises ImportError if matplotlib is not installed.
     """
     import matplotlib
 
@@ -40,25 +40,25 @@
 
 
 def _plot_outcomes(axis: Any, rows: Sequence[SecondSummary]) -> int:
-    """Stack the outcomes of each second; return the greatest height."""
+    """Stack the outcomes of each second; return the height of the tallest bar."""
     numbers = [row.number for row in rows]
-    floor = [0] * len(rows)
+    bottom = [0] * len(rows)
     for outcome in OUTCOMES:
         counts = [row.outcomes[outcome] for row in rows]
         if any(counts):
             axis.bar(
                 numbers,
                 counts,
-                bottom=floor,
+                bottom=bottom,
                 color=COLOURS[outcome],
                 label=outcome.value,
                 width=1,
                 align="edge",
             )
-            floor = [below + count for below, count in zip(floor, counts, strict=True)]
-    axis.set_ylabel("answers a second")
+            bottom = [below + count for below, count in zip(bottom, counts, strict=True)]
+    axis.set_ylabel("responses per second")
     axis.legend(loc="upper right", fontsize=8)
-    return max(floor)
+    return max(bottom)
 
 
 def _plot_latency(axis: Any, rows: Sequence[SecondSummary]) -> None:
@@ -69,7 +69,7 @@
             style,
             where="post",
             color=_LATENCY_COLOUR,
-            label=f"served, {fraction:.0%} within",
+            label=f"served, p{fraction * 100:g}",
         )
     axis.set_ylabel("ms")
     axis.set_xlabel(_TIME_LABEL)
@@ -77,7 +77,7 @@
 
 
 def _mark_faults(axis: Any, rows: Sequence[SecondSummary], top: int) -> None:
-    """Draw a line and a label for each fault; those of one second stand side by side."""
+    """Draw a line and a label for each fault; labels of the same second are placed side by side."""
     for row in rows:
         for index, fault in enumerate(row.faults):
             axis.axvline(row.number, color="black", linewidth=0.6)
@@ -100,7 +100,7 @@
     for axis, volume in zip(axes[:, 0], volumes, strict=True):
         _plot_volume_quotas(axis, volume, quotas, end_s)
     axes[-1, 0].set_xlabel(_TIME_LABEL)
-    axes[0, 0].set_title("part of each volume's limit that a head believes its own", fontsize=9)
+    axes[0, 0].set_title("quota of each volume's limit, as each instance records it", fontsize=9)
     return _save(pyplot, figure, path)
 
 
--- a/garnetlanding/lab/clients.py
+++ b/garnetlanding/lab/clients.py
@@ -1,7 +1,7 @@
-"""The clients of an experiment, in a process of their own: python -m garnetlanding.lab.clients PLAN HISTORY.
+"""The clients of an experiment, in a separate process: python -m garnetlanding.lab.clients PLAN HISTORY.
 
-Open loop: each request is sent at its time, whatever became of those before it, on a connection that nobody
-else uses at that moment. Each answer that comes is written down, so that a second one shows.
+The load is open-loop: each request is sent at its scheduled time, whether or not earlier ones have completed,
+on a connection with no other request in flight. Every response is recorded, so a surplus one is detected.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 from garnetlanding.runtime.stream import Stream
 
 _PROCESS = "clients"
-"""The process that the history's lines name."""
+"""The process name in the history's lines."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientPlan:
-    """What the clients are to do; times are microseconds of the machine's monotonic clock."""
+    """The requests that the clients send; times are microseconds of the machine's monotonic clock."""
 
-    instances: list[str]  # their addresses
-    began_us: int  # from which the requests' times count
+    instances: list[str]  # the address of each
+    began_us: int  # the requests' start times are relative to it
     requests: list[Request]
 
     @classmethod
@@ -48,7 +48,7 @@
 
 
 class ClientConnection:
-    """One connection to an instance; `answers` are those read and not yet taken, in order."""
+    """One connection to an instance; `answers` holds the responses read and not yet consumed, in order."""
 
     def __init__(self, stream: Stream, decoder: codec.Decoder) -> None:
         self.stream = stream
@@ -56,15 +56,15 @@
         self.answers: list[codec.Value] = []
 
     def read(self, deadline_us: int) -> bool:
-        """Read once; return False at the connection's end. Raises DeadlineExceededError or OSError."""
+        """Read once; return False at end of stream. Raises DeadlineExceededError or OSError."""
         return self.stream.read(lambda data: self.answers.extend(self._decoder.feed(data)), deadline_us)
 
 
 class Clients:
-    """Sends every request of a plan at its time and notes its outcome in a history."""
+    """Sends every request of a plan at its time and records its outcome in a history."""
 
     def __init__(self, plan: ClientPlan, history: int) -> None:
-        """`history` is the descriptor of the open history file."""
+        """Take the plan and the file descriptor of the open history."""
         self.scheduler = Scheduler()
         self._limits = Limits()
         self._pool = BufferPool(self._limits.buffer_bytes, self._limits.pool_free_max, self._limits.pool_max)
@@ -109,7 +109,7 @@
         self._unfinished -= 1
 
     def _outcome(self, request: Request, deadline_us: int) -> Outcome:
-        """Send the request until an answer comes or a fresh connection is lost; return its outcome."""
+        """Send the request until a response arrives or a new connection is lost; return its outcome."""
         idle = self._idle.setdefault(request.instance, [])
         while True:
             connection = idle.pop() if idle else None
@@ -119,7 +119,8 @@
             if self._exchange(connection, request, deadline_us):
                 break
             if not is_reused:
-                return Outcome.LOST  # on one that crossed the instance's close the request is sent once more
+                # Only a reused connection is retried: the instance may have closed it while it was idle.
+                return Outcome.LOST
         answer = connection.answers.pop(0)
         if connection.answers:
             self._record(LineKind.SURPLUS_ANSWERS, request, count=len(connection.answers))
@@ -135,7 +136,7 @@
         return ClientConnection(stream, codec.Decoder(self._pool, self._limits))
 
     def _exchange(self, connection: ClientConnection, request: Request, deadline_us: int) -> bool:
-        """Send the request; return whether an answer came before the connection ended."""
+        """Send the request; return whether a response arrived before the connection ended."""
         attributes = (
             f"c=read,t=gold,d={request.client_timeout_us // 1000},volume={request.volume},"
             f"units={request.units},shard={request.cell},hosts={request.instances_per_volume}"
@@ -152,7 +153,7 @@
 
 
 def _outcome_of(answer: codec.Value, request: Request) -> Outcome:
-    """Return the outcome that an answer means."""
+    """Return the outcome that a response stands for."""
     match answer:
         case bytes():
             return Outcome.SERVED if answer == request.id.encode() else Outcome.MISMATCHED
@@ -162,7 +163,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Carry out the plan in the first file and append the history to the second."""
+    """Execute the plan in the first file and append the history to the second."""
     plan_path, history_path = arguments
     with open(plan_path, encoding="utf-8") as file:
         plan = ClientPlan.decode(json.load(file))
--- a/garnetlanding/lab/datagram_proxy.py
+++ b/garnetlanding/lab/datagram_proxy.py
@@ -1,7 +1,7 @@
-"""The links between instances: each datagram passes here and fares as the network fault model says.
+"""A UDP proxy between instances: the network fault model decides whether and when each datagram is delivered.
 
-For each pair of instances there are two sockets: one stands for the second towards the first, one for the
-first towards the second. So each instance sees the other at one address, as `addresses_seen_by` names it.
+Each pair of instances has two sockets: one represents the second to the first, the other the first to the
+second. So each instance sees the other at a single address, which `addresses_seen_by` returns.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class DatagramProxy:
-    """Carries all datagrams between instances. A context manager, which closes its sockets."""
+    """Forwards all datagrams between instances. A context manager that closes its sockets."""
 
     def __init__(
         self,
@@ -37,10 +37,10 @@
         instances: list[tuple[str, int]],
         backends: list[str],
     ) -> None:
-        """Open the sockets at `host`.
+        """Open the sockets on `host`.
 
-        `instances` are the addresses at which each listens for peers; `backends` are the names that false
-        messages are about.
+        `instances` holds the address at which each instance listens for peers; `backends` holds the backend
+        names that forged messages refer to.
         """
         self._scheduler = scheduler
         self._clock = clock
@@ -58,7 +58,7 @@
             scheduler.spawn(partial(self._forward, sender, receiver))
 
     def addresses_seen_by(self, instance: int) -> list[str]:
-        """Return each instance's address as this one reaches it; its own is where it listens."""
+        """Return each instance's address as this one reaches it; its own is its listen address."""
         addresses = []
         for peer, own in enumerate(self._instances):
             host, port = own if peer == instance else self._sockets[instance, peer].getsockname()
@@ -66,7 +66,7 @@
         return addresses
 
     def _forward(self, sender: int, receiver: int) -> None:
-        """Pass on what one instance sends to another, for as long as the run lasts."""
+        """Forward the datagrams of one instance to another for the duration of the run."""
         sock = self._sockets[sender, receiver]
         while True:
             self._scheduler.wait(sock.fileno(), READ)
@@ -86,7 +86,7 @@
                 )
 
     def _deliver(self, sender: int, receiver: int, datagram: bytes) -> None:
-        with contextlib.suppress(OSError):  # an instance that is down: as on any network
+        with contextlib.suppress(OSError):  # the instance is down: the datagram is lost, as on any network
             self._sockets[receiver, sender].sendto(datagram, self._instances[receiver])
 
     def __enter__(self) -> DatagramProxy:
--- a/garnetlanding/lab/environment.py
+++ b/garnetlanding/lab/environment.py
@@ -1,4 +1,4 @@
-"""What surrounds the instances of an experiment: discovery for each, and backends that work at a rate."""
+"""The environment of an experiment's instances: a discovery service for each, and rate-limited backends."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from garnetlanding.runtime.scheduler import Scheduler
 
 _READ_COMMAND = b"BLK.READ"
-_READ_ARGUMENT_COUNT = 4  # the command, the block, the request's id, and its attributes
+_READ_ARGUMENT_COUNT = 4  # the command, the block, the request id and its attributes
 
 
 class LabBackend(EmulatedBackend):
-    """A backend that serves one request after the other, at a rate.
+    """A backend that serves requests one at a time, at a fixed rate.
 
-    It answers with the block's name, so that a client knows its own answer.
+    It responds with the block's name, so that a client can tell whether the response is to its own request.
     """
 
     def __init__(self, *args: Any, record: EventRecorder, number: int, **kwargs: Any) -> None:
@@ -36,7 +36,7 @@
         self.number = number
         self._is_responsive = True
         self._free_at_us = 0
-        self._connections_max = 0  # at once, so far
+        self._connections_max = 0  # the most concurrent connections so far
 
     def _make(self, write: Write) -> EmulatedConnection:
         connection = super()._make(write)
@@ -46,7 +46,7 @@
         return connection
 
     def command(self, words: list[bytes], connection: EmulatedBackendConnection) -> None:
-        """Execute one command: note it, and answer once the work is done."""
+        """Execute one command: record it, and respond once the work is done."""
         if words[0].upper() != _READ_COMMAND or len(words) != _READ_ARGUMENT_COUNT:
             connection.write(b"-SYNTAX\r\n")
             return
@@ -67,27 +67,30 @@
         self.scheduler.call_at(self._free_at_us, send_answer)
 
     def stop_answering(self) -> None:
-        """Take requests from now on and answer none."""
+        """Accept requests without responding, from now on."""
         self._is_responsive = False
 
     def resume_answering(self) -> None:
-        """Answer requests again; those taken meanwhile stay unanswered."""
+        """Respond to new requests again; those accepted in the meantime stay without a response."""
         self._is_responsive = True
 
     def refuse_connections(self) -> None:
-        """Close all connections and refuse new ones; the endpoint list goes on naming it."""
+        """Close all connections and refuse new ones; the backend stays in the endpoint list."""
         self.listener.stop_accepting()
         self.close_connections()
 
     def accept_connections(self) -> None:
-        """Listen again, at the same address."""
+        """Listen again on the same address."""
         self.listener = Listener(
             self.scheduler, self.address, self.pool, self.limits, LIMITS.backend_connections_max, self._make
         )
 
 
 class LabEnvironment:
-    """The backends and the discoveries of an experiment; `pool` and `limits` serve its other connections."""
+    """An experiment's backends and discovery services.
+
+    `pool` and `limits` are shared by the lab's other connections.
+    """
 
     def __init__(
         self,
@@ -97,7 +100,7 @@
         record: EventRecorder,
         route: Callable[[int, LabBackend], str],
     ) -> None:
-        """Start all; `route` returns the address at which an instance reaches a backend."""
+        """Start everything; `route` returns the address at which an instance reaches a backend."""
         self.limits = Limits()
         self.pool = BufferPool(self.limits.buffer_bytes, self.limits.pool_free_max, self.limits.pool_max)
         self.backends = [
@@ -107,7 +110,7 @@
         self.discoveries = [
             Discovery(scheduler, self.pool, self.limits, f"{host}:0") for _ in range(experiment.instances)
         ]
-        # One more, to which an instance may be moved.
+        # The target of faults that move an instance to another discovery service.
         self.spare_discovery = Discovery(scheduler, self.pool, self.limits, f"{host}:0")
         for instance, discovery in enumerate(self.discoveries):
             discovery.endpoints = [
@@ -122,7 +125,7 @@
         scheduler.spawn(self._send_heartbeats)
 
     def restart(self, backend: LabBackend) -> None:
-        """Bring a backend back as a new, cold process; the endpoint list says since when it runs."""
+        """Bring a backend back as a new, cold process; the endpoint list publishes its start time."""
         backend.accept_connections()
         for discovery in [*self.discoveries, self.spare_discovery]:
             endpoint = discovery.endpoints[backend.number]
--- a/garnetlanding/lab/environment_history.py
+++ b/garnetlanding/lab/environment_history.py
@@ -1,4 +1,4 @@
-"""The history of what surrounds the instances: backends, faults and operators' calls."""
+"""The history of the instances' environment: backends, faults and operator calls."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 FILE_NAME = "bricks.history"
 PROCESS = "bricks"
-"""The process that its lines name."""
+"""The process name in its lines."""
 
 
 class EventRecorder(Protocol):
-    """Appends one line of a kind, with these fields by their stored keys."""
+    """Appends one line of the given kind; the keyword arguments are the stored keys."""
 
     def __call__(self, kind: LineKind, /, **fields: Any) -> None:
         """Append the line."""
 
 
 class EnvironmentHistory:
-    """The open history file. A context manager; lines are written as a whole, at once."""
+    """The open history file, a context manager. Each line is written in a single call, unbuffered."""
 
     def __init__(self, folder: pathlib.Path) -> None:
-        """Open the file in the run's folder, behind what it holds. Raises OSError."""
+        """Open the file in the run's folder for appending. Raises OSError."""
         path = folder / FILE_NAME
         self._descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
 
     def record(self, kind: LineKind, /, **fields: Any) -> None:
-        """Append a line of this kind at the present time."""
+        """Append a line of the given kind, with the current time."""
         os.write(self._descriptor, encode_line(monotonic_us(), PROCESS, kind, fields))
 
     def __enter__(self) -> EnvironmentHistory:
--- a/garnetlanding/lab/errors.py
+++ b/garnetlanding/lab/errors.py
@@ -6,21 +6,21 @@
 
 
 class LabError(Exception):
-    """The experiment could not be carried through or shown; what its histories hold proves nothing."""
+    """The experiment could not be completed or reported; its histories allow no conclusion."""
 
 
 class FolderNotEmptyError(LabError):
-    """A run was given a `folder` that already holds files: its histories would be mixed with others."""
+    """The run's `folder` already contains files: histories of two runs would be mixed."""
 
     def __init__(self, folder: pathlib.Path) -> None:
-        super().__init__(f"{folder} is not empty: its histories would be mixed")
+        super().__init__(f"{folder} is not empty: histories of two runs would be mixed")
         self.folder = folder
 
 
 class ProcessFailedError(LabError):
-    """A process ended before its time, or was not ready or done in time.
+    """A process exited prematurely, or was not ready or finished in time.
 
-    `process` is its name, the stem of its log file; `exit_code` is None where it still ran.
+    `process` is its name, the stem of its log file; `exit_code` is None if it was still running.
     """
 
     def __init__(self, text: str, process: str, exit_code: int | None = None) -> None:
@@ -30,15 +30,15 @@
 
 
 class InterruptedRunError(LabError):
-    """A signal, number `signal_number`, asked the lab to end; all that it had started has been ended."""
+    """Signal `signal_number` interrupted the lab; every process that it had started has been terminated."""
 
     def __init__(self, signal_name: str, signal_number: int) -> None:
-        super().__init__(f"ended by {signal_name}")
+        super().__init__(f"interrupted by {signal_name}")
         self.signal_number = signal_number
 
 
 class MissingResultError(LabError):
-    """A `folder` holds no finished run, or none that answers what was asked of it."""
+    """A `folder` contains no finished run, or the run lacks the requested data."""
 
     def __init__(self, folder: str, reason: str) -> None:
         super().__init__(f"{folder}: {reason}")
@@ -50,7 +50,7 @@
 
 
 class CorruptHistoryError(LabError, ValueError):
-    """A line that cannot be decoded; `file` and `line_number`, from 1, say where it stands."""
+    """A line cannot be decoded; `file` and `line_number`, counted from 1, give its position."""
 
     def __init__(self, file: pathlib.Path, line_number: int, excerpt: bytes) -> None:
         super().__init__(f"{file} line {line_number}: cannot read {excerpt!r}")
--- a/garnetlanding/lab/experiment.py
+++ b/garnetlanding/lab/experiment.py
@@ -1,4 +1,4 @@
-"""What an experiment is: how many processes run, what clients ask of them, and which faults strike."""
+"""The definition of an experiment: its processes, its workload and its faults."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """What clients ask for: open loop, drawn from the experiment's seed."""
+    """The clients' open-loop load, drawn from the experiment's seed."""
 
     volumes: int = 4
     requests_per_s: float = 60.0  # over all volumes
     units: int = 2  # of each request
-    instances_per_volume: int = 2  # that a volume's requests come through
-    busiest_fraction: float = 1.0  # of a volume's requests that comes through its busiest instance
-    shift_interval_us: int = 0  # so often another instance becomes the busiest; 0: never
-    client_timeout_us: int = 1_500_000  # that a client waits for its answer
+    instances_per_volume: int = 2  # how many instances receive a volume's requests
+    busiest_fraction: float = 1.0  # of a volume's requests, sent to its busiest instance
+    shift_interval_us: int = 0  # how often another instance becomes the busiest; 0: never
+    client_timeout_us: int = 1_500_000  # how long a client waits for its response
 
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """One experiment; with the same seed its requests and its faults are the same each time."""
+    """One experiment; the same seed yields the same requests and faults."""
 
     name: str
     seed: int
@@ -34,12 +34,14 @@
     settings: dict[str, Any] = field(default_factory=dict)  # merged over `instance_config.DEFAULT_SETTINGS`
     faults: tuple[Fault, ...] = ()
     peer_links: bool = True  # instances exchange suspicions and disabled backends
-    seed_instances: int = 0  # instances find each other from the first so many; 0: each is given all
-    quota_leases: bool = False  # shared limits move between instances by leases
-    backend_connections: int = 0  # of all instances at one backend; 0: each instance for itself
-    choices: dict[str, Any] = field(default_factory=dict)  # the operator's section of that name
-    audit: bool = False  # instances record what they act on; compared with their histories
-    staleness_limit_s: float = 0.0  # a follower that cannot show that it is so current is suspended
+    seed_instances: int = 0  # instances discover each other from this many seeds; 0: each is given all peers
+    quota_leases: bool = False  # instances exchange quotas of shared limits by leases
+    backend_connections: int = 0  # limit of all instances together at one backend; 0: no shared limit
+    choices: dict[str, Any] = field(default_factory=dict)  # the section of that name in the operators' file
+    audit: bool = False  # instances write an audit, which is compared with their histories
+    staleness_limit_s: float = (
+        0.0  # a follower that cannot show its settings are newer is fenced; 0: no limit
+    )
     store: bool = False  # n0 is the writer of a settings store that the others follow
 
     def faults_of(self, *kinds: FaultKind) -> list[Fault]:
@@ -47,5 +49,5 @@
         return [fault for fault in self.faults if fault.kind in kinds]
 
     def instances_affected_by(self, *kinds: FaultKind) -> set[int]:
-        """Return the numbers of the instances that a fault of these kinds is about."""
+        """Return the numbers of the instances that faults of these kinds target."""
         return {fault.instance for fault in self.faults_of(*kinds) if fault.instance is not None}
--- a/garnetlanding/lab/experiment_file.py
+++ b/garnetlanding/lab/experiment_file.py
@@ -1,6 +1,6 @@
-"""Reads an experiment's file (TOML), checked as a whole before anything is started.
+"""Reads an experiment file (TOML) and validates it as a whole before anything is started.
 
-The keys of the file are the operators' words. Every function raises ConfigError, which names the key.
+The keys are an external format. Every function raises ConfigError, which names the invalid key.
 """
 
 from __future__ import annotations
@@ -98,7 +98,7 @@
 
 
 def _read_flags(top: Section) -> dict[str, bool]:
-    """Return the top-level keys that are true or false, by their name in the file."""
+    """Return the boolean top-level keys, by their name in the file."""
     flags = _FLAG_DEFAULTS | {key: top.raw(key) for key in _FLAG_DEFAULTS if top.has(key)}
     for key, value in flags.items():
         if not isinstance(value, bool):
@@ -107,7 +107,7 @@
 
 
 def _read_choices(top: Section) -> dict[str, Any]:
-    """Return that section, checked as an instance would, before any is started."""
+    """Return the section `choices`, validated as an instance validates it."""
     if not top.has("choices"):
         return {}
     choices_setup.read(top.raw("choices"))
@@ -140,7 +140,7 @@
         self._kind = FaultKind(section.one_of("kind", [kind.value for kind in FaultKind]))
 
     def read(self, duration_us: int) -> Fault:
-        """Return the fault, whose times lie within the experiment's."""
+        """Return the fault; its times lie within the experiment's duration."""
         section = self._section
         kind = self._kind
         start_us, end_us = self._times(duration_us)
@@ -186,7 +186,7 @@
         return start_us, end_us
 
     def _how(self) -> ProcessEnd | ByzantineBehaviour:
-        """Return how the fault shows: of false messages what they claim, else how a predecessor ends."""
+        """Return the key `how`: the claim of forged messages, or how an upgrade ends the predecessor."""
         values: type[ByzantineBehaviour] | type[ProcessEnd] = ProcessEnd
         default: ProcessEnd | ByzantineBehaviour = ProcessEnd.TERMINATE
         if self._kind is FaultKind.BYZANTINE:
@@ -209,7 +209,7 @@
             return None
         instance = self._instance_or_all("who")
         if instance is None:
-            raise self._section.error("who", "which head?")
+            raise self._section.error("who", "must name an instance")
         return instance
 
     def _backend(self) -> int | None:
--- a/garnetlanding/lab/fault_injector.py
+++ b/garnetlanding/lab/fault_injector.py
@@ -1,4 +1,4 @@
-"""Lets the faults of an experiment happen, each at its time, and notes them in the history."""
+"""Injects the faults of an experiment, each at its time, and records them in the history."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One thing that a fault does, at a time after the clients began; `noted` is its word in the history."""
+    """One action of a fault, at a time after the clients' start; the history names it `recorded_kind`."""
 
     at_us: int
-    noted: str
-    act: Action
+    recorded_kind: str
+    action: Action
 
 
 def _no_action() -> None:
-    """Do nothing: links look at the time themselves."""
+    """Do nothing: the fault models of links check the time themselves."""
 
 
 class FaultInjector:
-    """Schedules what faults do to processes and backends; those of links are only noted."""
+    """Schedules the faults of processes and backends; link faults are only recorded."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         call: Callable[[Fault], None],
         record: EventRecorder,
     ) -> None:
-        """`call` makes an operator's call, in a task of its own."""
+        """Take the targets of faults; `call` makes an operator call and runs in a separate task."""
         self._scheduler = scheduler
         self._environment = environment
         self._instances = instances
@@ -63,12 +63,12 @@
         self._record = record
 
     def schedule(self, fault: Fault, began_us: int) -> None:
-        """Schedule every step of a fault; the clients begin at `began_us`."""
+        """Schedule every step of a fault; the clients start at `began_us`."""
         for step in self.steps(fault):
             self._scheduler.call_at(began_us + step.at_us, self._recording_action(fault, step))
 
     def steps(self, fault: Fault) -> Iterator[Step]:
-        """Yield what a fault does, by time."""
+        """Yield the steps of a fault, by time."""
         if fault.kind in BACKEND_FAULTS:
             return self._backend_steps(fault)
         if fault.instance is not None and fault.kind in INSTANCE_FAULTS - {FaultKind.BYZANTINE}:
@@ -77,8 +77,8 @@
 
     def _recording_action(self, fault: Fault, step: Step) -> Action:
         def apply_step() -> None:
-            self._record(LineKind.FAULT, kind=step.noted, which=fault.recorded_subject)
-            step.act()
+            self._record(LineKind.FAULT, kind=step.recorded_kind, which=fault.recorded_subject)
+            step.action()
 
         return apply_step
 
--- a/garnetlanding/lab/faults.py
+++ b/garnetlanding/lab/faults.py
@@ -1,4 +1,4 @@
-"""The faults that an experiment injects: their kinds, as experiment files and histories name them."""
+"""The faults that an experiment injects, and their names in experiment files and histories."""
 
 from __future__ import annotations
 
@@ -7,52 +7,52 @@
 
 
 class FaultKind(Enum):
-    """What happens; the value is the word of experiment files and of histories.
+    """The kind of a fault; the value is its name in experiment files and histories.
 
-    The order is that in which an error message lists them.
+    An error message lists the kinds in this order.
     """
 
-    # Of an instance's process. Until its end: started again, resumed, started again.
+    # Process faults: at the end, a killed or terminated instance is restarted and a stopped one is resumed.
     KILL = "kill"
     STOP = "stop"
     TERMINATE = "term"
-    # Of the datagrams between two instances.
+    # Network faults: they affect the datagrams between two instances.
     PARTITION = "cut"
     LOSS = "loss"
     DELAY = "delay"
     DUPLICATE = "double"
     REORDER = "reorder"
     FLOOD = "flood"
-    # Of a backend: takes requests and answers none; refuses connections; the same, and comes back cold, as
-    # the endpoint list then says.
+    # Backend faults: it accepts requests without responding; refuses connections; refuses connections and
+    # then comes back cold, with a new start time in the endpoint list.
     UNRESPONSIVE = "silent"
     DOWN = "down"
     RESTART = "restart"
-    # An operator's call at one instance, at one time.
+    # Operator calls at one instance, at one time.
     DISABLE = "disable"
     ENABLE = "enable"
     DRAIN = "drain"
     RESUME = "resume"
     FENCE = "shut-out"
     UNFENCE = "let-in"
-    # An instance sends false peer messages.
+    # An instance sends forged peer messages.
     BYZANTINE = "lie"
-    # A successor process starts; at the fault's end the predecessor is told to end.
+    # A successor process starts; at the fault's end the predecessor is told to exit.
     UPGRADE = "upgrade"
-    # SIGHUP: alone; with another discovery in the configuration; with another weight in it.
+    # SIGHUP: with an unchanged configuration; with another discovery address; with another priority weight.
     RELOAD = "reload"
     MOVE_DISCOVERY = "move"
     CHANGE_SETTINGS = "settings"
-    # Of connections: late, in small pieces, held up, torn down.
+    # Stream faults: data is delayed, forwarded in small pieces or held back; connections are reset.
     LAG = "lag"
     TRICKLE = "trickle"
     FREEZE = "freeze"
     RESET = "reset"
-    # An instance starts only then; starts under another's number; ends for good.
+    # An instance starts late; starts late with another one's number; exits for good.
     JOIN = "join"
     DUPLICATE_IDENTITY = "twin"
     LEAVE = "leave"
-    # A running instance's wall clock steps.
+    # The wall clock of a running instance steps.
     CLOCK_STEP = "clock"
 
 
@@ -76,13 +76,13 @@
 LATE_STARTS = frozenset({FaultKind.JOIN, FaultKind.DUPLICATE_IDENTITY})
 MEMBERSHIP_CHANGES = LATE_STARTS | {FaultKind.LEAVE}
 INSTANTANEOUS = OPERATOR_CALLS | RELOADS | MEMBERSHIP_CHANGES | {FaultKind.CLOCK_STEP}
-"""Kinds that have a start and no end."""
+"""Kinds that have a start time and no end time."""
 INSTANCE_FAULTS = PROCESS_FAULTS | INSTANTANEOUS | {FaultKind.BYZANTINE, FaultKind.UPGRADE}
-"""Kinds that concern one instance."""
+"""Kinds that target a single instance."""
 
 
 class LinkKind(Enum):
-    """Which of an instance's connections a stream fault strikes; the value is the file's word."""
+    """Which of an instance's connections a stream fault affects; the value is that of experiment files."""
 
     BACKEND = "brick"
     DISCOVERY = "discovery"
@@ -91,7 +91,7 @@
 
 
 class ByzantineBehaviour(Enum):
-    """What an instance's false messages claim; the value is the file's word."""
+    """What an instance's forged messages claim; the value is that of experiment files."""
 
     ALL_BACKENDS_UNREACHABLE = "dead"
     ALL_BACKENDS_HEALTHY = "well"
@@ -99,7 +99,7 @@
 
 
 class ProcessEnd(Enum):
-    """How the predecessor of an upgrade is told to end; the value is the file's word."""
+    """The signal that ends the predecessor of an upgrade; the value is that of experiment files."""
 
     KILL = "kill"
     STOP = "stop"
@@ -108,9 +108,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault, from `start_us` up to `end_us`, in microseconds after the clients begin.
+    """One fault, active from `start_us` until `end_us`, in microseconds after the clients started.
 
-    `instance`, `backend`, `sender` and `receiver` are None where the fault concerns all of them, or none.
+    `instance`, `backend`, `sender` and `receiver` are None if the fault applies to all of them, or to none.
     """
 
     kind: FaultKind
@@ -118,29 +118,29 @@
     end_us: int
     instance: int | None = None
     backend: int | None = None
-    peer: int | None = None  # that an operator's call at `instance` is about
+    peer: int | None = None  # the subject of an operator call at `instance`
     link: LinkKind | None = None  # of a stream fault
     predecessor_end: ProcessEnd = ProcessEnd.TERMINATE  # of an upgrade
     behaviour: ByzantineBehaviour = ByzantineBehaviour.ALL_BACKENDS_UNREACHABLE
-    wall_offset_s: int = 0  # of a clock step, or of an instance that is started again
+    wall_offset_s: int = 0  # of a clock step, or of a restarted instance
     claimed_instance: int | None = None  # the number under which a duplicate identity starts
-    at_successor: bool = False  # an operator's call goes to the second process of an upgrade
+    at_successor: bool = False  # an operator call goes to the successor of an upgrade
     sender: int | None = None
     receiver: int | None = None
-    probability: float = 1.0  # that a network fault strikes a datagram
-    weight: float = 1.0  # of the plan, in changed settings
-    span_us: int = 0  # a delay; of a duplicate, how long after the first copy it comes
+    probability: float = 1.0  # that a network fault affects a datagram
+    weight: float = 1.0  # the plan's priority weight in changed settings
+    span_us: int = 0  # the delay; of a duplicate, its delay after the first copy
 
     def is_active(self, now_us: int) -> bool:
-        """Return whether that time lies within the fault's."""
+        """Return whether the fault is active at that time."""
         return self.start_us <= now_us < self.end_us
 
     def applies_to(self, sender: int, receiver: int, now_us: int) -> bool:
-        """Return whether a datagram on that link may be struck at that time."""
+        """Return whether the fault may affect a datagram on that link at that time."""
         return self.is_active(now_us) and self.sender in (None, sender) and self.receiver in (None, receiver)
 
     @property
     def recorded_subject(self) -> int:
-        """The number that histories name this fault's subject by: -1 for all, and for links between peers."""
+        """The number of the affected backend or instance in histories: -1 for all, and for peer links."""
         subject = self.backend if self.kind in BACKEND_FAULTS else self.instance
         return -1 if subject is None else subject
--- a/garnetlanding/lab/history.py
+++ b/garnetlanding/lab/history.py
@@ -1,4 +1,4 @@
-"""Reads the histories of an experiment's processes, in the order of their common clock."""
+"""Reads the histories of an experiment's processes, ordered by their common monotonic clock."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 from garnetlanding.lab.errors import CorruptHistoryError
 
 Line = dict[str, Any]
-"""A line as `garnetlanding.history.writer` and the lab's own processes write it, by its stored keys.
+"""A line by its stored keys, as written by `garnetlanding.history.writer` and the lab's own processes.
 
-Every line has `t`, monotonic microseconds, `who`, the process that wrote it, and `what`, a LineKind.
+Every line has `t`, the monotonic time in microseconds, `who`, the process that wrote it, and `what`, a
+LineKind.
 """
 
 _EXCERPT_BYTES = 40
@@ -21,49 +22,49 @@
 
 
 class LineKind(StrEnum):
-    """What a line records; the value is its stored form, and the comment names the fields that it brings."""
+    """What a line records; the value is its stored form, and the comment lists the line's other fields."""
 
     # Written by the clients.
     SENT = "asked"  # a client sends a request: id
-    ENDED = "answer"  # a request has its outcome at its client: id outcome took
-    SURPLUS_ANSWERS = "extra"  # more answers came behind the one: id count
+    ENDED = "answer"  # a client has the outcome of a request: id outcome took
+    SURPLUS_ANSWERS = "extra"  # more responses than one arrived: id count
     # Written by the environment.
     EXECUTED = "ran"  # a request reaches a backend: id brick volume
-    CONNECTIONS_OPEN = "open"  # a backend has more connections at once than before: brick count
-    CONNECTIONS_LEFT = "kept"  # a backend has these connections at the end: brick count
+    CONNECTIONS_OPEN = "open"  # a backend has a new maximum of concurrent connections: brick count
+    CONNECTIONS_LEFT = "kept"  # the connections that a backend has at the end: brick count
     FAULT = "fault"  # a step of a fault happens: kind which
-    OPERATOR_CALL = "called"  # an operator's call was answered, or not: kind which brick status
+    OPERATOR_CALL = "called"  # an operator call completed or failed: kind which brick status
     # Written by the instances (`garnetlanding.history.writer`).
     STARTED = "start"  # an incarnation starts: life
-    READY = "up"  # all parts of an instance have started: life
+    READY = "up"  # all components of an instance have started: life
     SETTINGS_APPLIED = "settings"  # settings are in force: epoch revision digest at
-    FENCING_CHANGED = "current"  # an instance is fenced, or no longer: out at
-    REQUEST_ENDED = "answered"  # an instance has answered a request: id attempts
+    FENCING_CHANGED = "current"  # an instance was fenced or unfenced: out at
+    REQUEST_ENDED = "answered"  # an instance has responded to a request: id attempts
     MEMBERS_CHANGED = "heads"  # the members that share limits changed: entitled even
-    DISABLED_CHANGED = "bans"  # exactly these backends are disabled: out
-    SUSPICIONS_CHANGED = "doubted"  # exactly these backends are suspected: servers
-    OBSERVATIONS_SENT = "seen"  # an instance sends its peers what it observed: servers
-    VOLUME_QUOTAS = "parts"  # quotas of volumes' limits: parts until
-    BUDGET_QUOTAS = "shares"  # quotas of other common limits: parts until
+    DISABLED_CHANGED = "bans"  # the complete set of disabled backends: out
+    SUSPICIONS_CHANGED = "doubted"  # the complete set of suspected backends: servers
+    OBSERVATIONS_SENT = "seen"  # an instance sends its own observations to its peers: servers
+    VOLUME_QUOTAS = "parts"  # quotas of volume limits: parts until
+    BUDGET_QUOTAS = "shares"  # quotas of other shared limits: parts until
 
 
 def encode_line(now_us: int, process: str, kind: LineKind, fields: dict[str, Any]) -> bytes:
-    """Return a line in its stored form, with its end."""
+    """Return a line in its stored form, including the line feed."""
     line = {"t": now_us, "who": process, "what": kind.value, **fields}
     return json.dumps(line, separators=(",", ":")).encode() + b"\n"
 
 
 def read(paths: list[pathlib.Path]) -> list[Line]:
-    """Return all lines by time.
+    """Return the lines of all files, by time.
 
-    A last line without an end was cut off by the end of its process and is left out. Anything else that
-    cannot be decoded raises `CorruptHistoryError`, because a check of half a history would pass for one of
-    all. Raises `OSError` for a file that cannot be read.
+    A last line without a line feed is skipped: its process ended while writing it. Any other line that cannot
+    be decoded raises `CorruptHistoryError`, because a check of an incomplete history could pass wrongly.
+    Raises `OSError` for a file that cannot be read.
     """
     lines: list[Line] = []
     for path in paths:
-        *ended, _ = path.read_bytes().split(b"\n")
-        lines += [_decode(path, number, text) for number, text in enumerate(ended, 1)]
+        *complete, _ = path.read_bytes().split(b"\n")
+        lines += [_decode(path, number, text) for number, text in enumerate(complete, 1)]
     return sorted(lines, key=lambda line: line["t"])
 
 
--- a/garnetlanding/lab/instance_config.py
+++ b/garnetlanding/lab/instance_config.py
@@ -1,4 +1,4 @@
-"""The configuration of each instance of an experiment, in the platform's and in the operators' form."""
+"""The configuration files of an experiment's instances: the platform's (JSON) and the operators' (TOML)."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     "Rules": {"ColdFrom": 0.2, "ColdUs": 14_000_000, "FallMultiple": 2.0, "FallUs": 2_000_000},
     "FamilyInfo": {"ColdBears": 10.0, "Largest": 8, "ShareWorth": 0.4, "IdleWorth": 0.08},
 }
-"""The settings of an experiment, under what its file says of them."""
+"""The settings of every experiment; the experiment's own settings override them."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,19 +61,19 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorOptions:
-    """What the operators' file of one instance says beside the experiment."""
+    """The values of one instance's operators' file that do not come from the experiment."""
 
     history: str  # path
-    wall_file: str  # path of a file that says how far the instance's wall clock is off
-    seeds: list[str]  # the instances from which it finds the others
-    routes: dict[str, str]  # by a peer's own address, the one through which it is reached
-    store: str  # where the store's writer listens, or is reached
+    wall_file: str  # path of the file with the offset of the instance's wall clock
+    seeds: list[str]  # addresses of the instances from which it discovers the others
+    routes: dict[str, str]  # by a peer's own address, the address through which it is reached
+    store: str  # the address of the store's writer, as this instance listens on or reaches it
     is_writer: bool
-    audit: str  # path of the audit's folder
+    audit: str  # path of the audit folder
 
 
 def deep_merge(base: dict[str, Any], override: dict[str, Any]) -> dict[str, Any]:
-    """Return the base with the other's values in place of its own, table by table."""
+    """Return the base with the override's values in place of its own, merging nested tables."""
     result = dict(base)
     for key, value in override.items():
         replaced = base.get(key)
@@ -87,7 +87,7 @@
 def platform_configuration(
     experiment: Experiment, instance: int, addresses: InstanceAddresses
 ) -> dict[str, Any]:
-    """Return the platform's configuration of one instance; a duplicate identity has the number it claims."""
+    """Return the platform's configuration of one instance; a duplicate identity gets the number it claims."""
     number: int | None = instance
     for fault in experiment.faults_of(FaultKind.DUPLICATE_IDENTITY):
         if fault.instance == instance:
--- a/garnetlanding/lab/instances.py
+++ b/garnetlanding/lab/instances.py
@@ -29,7 +29,7 @@
 """The last octet of the first instance's address."""
 
 _STARTS = LATE_STARTS | {FaultKind.KILL, FaultKind.TERMINATE}
-"""Faults at whose start or end an instance's process is started."""
+"""Faults that start an instance's process, at their start or end."""
 
 _END_SIGNALS = {
     ProcessEnd.KILL: signal.SIGKILL,
@@ -46,7 +46,7 @@
 
     @property
     def environment_host(self) -> str:
-        """The host of everything but the instances."""
+        """The host of all other processes than the instances."""
         return f"{self.network}.1"
 
     def host(self, instance: int) -> str:
@@ -54,26 +54,26 @@
         return f"{self.network}.{_FIRST_HOST + instance}"
 
     def listen(self, instance: int) -> str:
-        """Return where an instance listens for clients."""
+        """Return the address on which an instance listens for clients."""
         return f"{self.host(instance)}:{LIMITS.client_port}"
 
     def ops(self, instance: int, is_successor: bool = False) -> str:
-        """Return where an instance listens for operators; an upgrade's successor has a port of its own."""
+        """Return the address on which an instance listens for operators; a successor uses another port."""
         return f"{self.host(instance)}:{LIMITS.ops_port + is_successor}"
 
     def peer_listen(self, instance: int) -> str:
-        """Return where an instance listens for its peers."""
+        """Return the address on which an instance listens for its peers."""
         return f"{self.host(instance)}:{LIMITS.peer_port}"
 
     @property
     def store(self) -> str:
-        """Where the store's writer listens."""
+        """The address on which the store's writer listens."""
         return f"{self.host(STORE_WRITER)}:{LIMITS.store_port}"
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceDependencies:
-    """What instances are connected to."""
+    """The services and proxies that instances connect to."""
 
     environment: LabEnvironment
     peer_links: DatagramProxy
@@ -81,19 +81,19 @@
 
 
 def replace_file(path: pathlib.Path, text: str) -> None:
-    """Replace a file as a whole: an instance may be reading it."""
-    new = path.with_suffix(".new")
-    new.write_text(text)
-    new.replace(path)
+    """Replace a file atomically: an instance may be reading it."""
+    replacement = path.with_suffix(".new")
+    replacement.write_text(text)
+    replacement.replace(path)
 
 
 def _successor_name(instance: int) -> str:
-    """Return the name of the files of an upgrade's second process."""
+    """Return the common name of the files of an upgrade's successor process."""
     return f"n{instance}-newer"
 
 
 class InstanceProcesses:
-    """The processes of all instances. A context manager, which ends every one of them, whatever happened."""
+    """The processes of all instances. A context manager that terminates every one of them on exit."""
 
     def __init__(
         self,
@@ -103,22 +103,22 @@
         addresses: AddressBlock,
         dependencies: InstanceDependencies,
     ) -> None:
-        """Take what instances need; `start` starts them."""
+        """Take the dependencies of instances; `start` starts them."""
         self._scheduler = scheduler
         self._experiment = experiment
         self._folder = folder
         self._addresses = addresses
         self._dependencies = dependencies
         self._current: list[Process] = []  # by instance
-        self._successors: dict[int, Process] = {}  # of upgrades that are under way, by instance
-        self._prepared_successors: dict[int, Process] = {}  # of upgrades to come, by instance
-        self._predecessors: list[Process] = []  # whose instances go on in their successors
+        self._successors: dict[int, Process] = {}  # of upgrades in progress, by instance
+        self._prepared_successors: dict[int, Process] = {}  # of future upgrades, by instance
+        self._predecessors: list[Process] = []  # replaced by their successors
         self._discovery_addresses: dict[int, str] = {}
         self._store_addresses: dict[int, str] = {}
-        self.late_starters = experiment.instances_affected_by(*LATE_STARTS)  # those that a fault starts
+        self.late_starters = experiment.instances_affected_by(*LATE_STARTS)  # started by a fault
 
     def start(self) -> None:
-        """Write every instance's files and start those that are there from the first."""
+        """Write every instance's files and start all instances but the late starters."""
         (self._folder / TEMPORARY_FOLDER).mkdir()
         for instance in range(self._experiment.instances):
             name = self._write_files(instance, self._discovery_address(instance))
@@ -130,7 +130,7 @@
         (self._folder / "pids.json").write_text(json.dumps(pids))
 
     def _prepare(self, fault: Fault, instance: int) -> None:
-        """Prepare the start of the process that a fault starts: an experiment's times are no machine's."""
+        """Preload the process that a fault starts, so that its start time does not depend on the machine."""
         if fault.kind is FaultKind.UPGRADE:
             successor = self._launch(_successor_name(instance), start_now=False)
             successor.prepare_start()
@@ -140,50 +140,50 @@
 
     @property
     def are_prepared(self) -> bool:
-        """Return whether every start that the experiment's faults ask for may come."""
+        """Whether every process that the experiment's faults start is loaded."""
         return all(process.is_prepared for process in [*self._current, *self._prepared_successors.values()])
 
     def process(self, instance: int) -> Process:
-        """Return an instance's process; of the two of an upgrade the one that goes on."""
+        """Return an instance's current process; the predecessor while an upgrade is in progress."""
         return self._current[instance]
 
     def exit_codes(self) -> list[int | None]:
-        """Return every instance's exit code; None for one that runs."""
+        """Return every instance's exit code; None for a running one."""
         return [process.exit_code for process in self._current]
 
     def usage(self) -> dict[str, ProcessUsage]:
-        """Return what the instances that run have used, by name."""
+        """Return the resource usage of the running instances, by name."""
         usage = {f"n{instance}": process.usage() for instance, process in enumerate(self._current)}
         return {name: used for name, used in usage.items() if used}
 
     def set_wall_offset(self, instance: int, offset_s: int) -> None:
-        """Put an instance's wall clock so many seconds off the machine's."""
+        """Set the offset of an instance's wall clock from the machine's."""
         replace_file(self._folder / f"n{instance}.wall", str(offset_s))
 
     def set_weight(self, instance: int, weight: float) -> None:
-        """Change the weight of the plan in an instance's configuration, for its next reload."""
+        """Change the plan's priority weight in an instance's configuration, for its next reload."""
         path = self._folder / f"n{instance}.json"
         configuration = json.loads(path.read_text())
         configuration["settings"]["Contracts"][0]["Weight"] = weight
         replace_file(path, json.dumps(configuration, indent=1))
 
     def move_to_spare_discovery(self, instance: int) -> None:
-        """Name another discovery in an instance's configuration, for its next reload."""
+        """Set the spare discovery service in an instance's configuration, for its next reload."""
         self._write_files(instance, self._dependencies.environment.spare_discovery.address)
 
     def start_successor(self, instance: int) -> None:
-        """Start the second process of an upgrade."""
+        """Start the successor process of an upgrade."""
         name = self._write_files(instance, self._discovery_address(instance), is_successor=True)
         successor = self._prepared_successors.pop(instance, None) or self._launch(name, start_now=False)
         successor.start()
         self._successors[instance] = successor
 
     def end_predecessor(self, instance: int, how: ProcessEnd) -> None:
-        """Tell the first process of an upgrade to end; from now on the instance is the second."""
+        """Signal the predecessor of an upgrade to exit; the successor becomes the current process."""
         predecessor = self._current[instance]
         predecessor.send_signal(_END_SIGNALS[how])
         if how is ProcessEnd.STOP:
-            # As whoever supervises it would, once it has not ended in time.
+            # A supervisor would kill a process that does not exit in time.
             self._scheduler.call_at(
                 self._scheduler.now + LIMITS.supervisor_kill_us,
                 lambda: predecessor.send_signal(signal.SIGKILL),
@@ -192,7 +192,7 @@
         self._current[instance] = self._successors.pop(instance)
 
     def _write_files(self, instance: int, discovery: str, is_successor: bool = False) -> str:
-        """Write an instance's files; return the name that they have in common."""
+        """Write an instance's files; return their common name."""
         name = _successor_name(instance) if is_successor else f"n{instance}"
         addresses = self._addresses
         configuration = platform_configuration(
@@ -228,7 +228,7 @@
         )
 
     def _discovery_address(self, instance: int) -> str:
-        """Return where an instance finds discovery: one address for all its processes."""
+        """Return the address at which all processes of an instance reach discovery."""
         if instance not in self._discovery_addresses:
             own = self._dependencies.environment.discoveries[instance].address
             link = StreamLink(LinkKind.DISCOVERY, instance)
@@ -236,7 +236,7 @@
         return self._discovery_addresses[instance]
 
     def _store_address(self, instance: int) -> str:
-        """Return where an instance reaches the store's writer: one address for all its processes."""
+        """Return the address at which all processes of an instance reach the store's writer."""
         if not self._experiment.store or instance == STORE_WRITER:
             return self._addresses.store
         if instance not in self._store_addresses:
@@ -270,7 +270,7 @@
         for process in processes:
             process.discard_prepared()
         for process in processes:
-            process.send_signal(signal.SIGCONT)  # one that is stopped has to go on to end
+            process.send_signal(signal.SIGCONT)  # a stopped process handles SIGTERM only once resumed
         for process in processes:
             process.send_signal(signal.SIGTERM)
         for process in processes:
--- a/garnetlanding/lab/latency.py
+++ b/garnetlanding/lab/latency.py
@@ -1,6 +1,6 @@
-"""How long served requests took: HDR histograms, which add up over runs without losing their tails.
+"""Latencies of served requests as HDR histograms, which can be merged over runs without losing the tail.
 
-For experiments alone: needs the extra `lab`, and no instance imports it.
+For experiments only: needs the extra `lab`, and no instance imports it.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 
 def histogram(lines: Iterable[Line]) -> Any:
-    """Return an HdrHistogram of the microseconds that each served request took at its client.
+    """Return an HdrHistogram of the served requests' latencies at the client, in microseconds.
 
-    Raises ImportError where the library is not installed.
+    Raises ImportError if the library is not installed.
     """
     from hdrh.histogram import HdrHistogram
 
@@ -30,14 +30,14 @@
 
 
 def percentiles_ms(latencies: Any) -> dict[str, float]:
-    """Return a histogram's percentiles and greatest value in milliseconds, and how many it counts."""
+    """Return a histogram's percentiles and maximum in milliseconds, and its number of values."""
     if not latencies.get_total_count():
         return {}
-    shown = {
+    percentiles = {
         f"p{percentile:g}": round(latencies.get_value_at_percentile(percentile) / 1000, 1)
         for percentile in PERCENTILES
     }
-    return shown | {
+    return percentiles | {
         "max": round(latencies.get_max_value() / 1000, 1),
         "count": latencies.get_total_count(),
     }
--- a/garnetlanding/lab/network_faults.py
+++ b/garnetlanding/lab/network_faults.py
@@ -1,4 +1,4 @@
-"""What becomes of a datagram between two instances: decided from the experiment's faults and seed, no I/O."""
+"""Delivery of datagrams between instances: decided by the experiment's faults and seed. No I/O."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from garnetlanding.lab.limits import LIMITS
 
 ARRIVED = "arrived"
-"""The key of `fates` that counts datagrams that came through."""
+"""The key of `counts` for datagrams that were delivered."""
 
 
 class NetworkFaultModel:
-    """Decides each datagram's fate.
+    """Decides whether and when each datagram is delivered.
 
-    The same datagrams in the same order fare the same each time, because each link has a random source of its
-    own. `fates` counts what happened, by the words of result.json.
+    The result is deterministic for the datagrams of one link in their order, because each link has a random
+    generator of its own. `counts` counts deliveries and applied faults by their names in result.json.
     """
 
     def __init__(self, experiment: Experiment) -> None:
@@ -31,7 +31,7 @@
         self.counts: Counter[str] = Counter()
 
     def byzantine_behaviour(self, sender: int, now_us: int) -> ByzantineBehaviour | None:
-        """Return what that instance's messages falsely claim at that time; None when they are true."""
+        """Return how that instance's messages are forged at that time; None if they are not."""
         for fault in self._byzantine:
             if fault.instance == sender and fault.is_active(now_us):
                 self.counts[fault.kind.value] += 1
@@ -39,7 +39,7 @@
         return None
 
     def delays_us(self, sender: int, receiver: int, now_us: int) -> list[int]:
-        """Return after how many microseconds each copy of a datagram arrives; empty when it is lost."""
+        """Return the delay of each copy of a datagram; an empty list if it is lost."""
         rng = self._random[sender, receiver]
         delays = [0]
         for fault in self._network:
@@ -54,7 +54,7 @@
 
 
 def _apply_fault(delays: list[int], fault: Fault, rng: random.Random) -> list[int]:
-    """Return the copies' delays once the fault has struck them all."""
+    """Return the delays of all copies after the fault has been applied."""
     match fault.kind:
         case FaultKind.DELAY:
             return [delay + int(fault.span_us * rng.uniform(0.5, 1.5)) for delay in delays]
@@ -64,5 +64,5 @@
             return delays * LIMITS.flood_copies
         case FaultKind.REORDER:
             return [delay + (fault.span_us or LIMITS.reorder_delay_us) for delay in delays]
-        case _:  # a partition or a loss
+        case _:  # partition or loss
             return []
--- a/garnetlanding/lab/operator_call.py
+++ b/garnetlanding/lab/operator_call.py
@@ -1,4 +1,4 @@
-"""An operator's call at one instance of an experiment, over its administrative HTTP interface."""
+"""Operator calls to an instance of an experiment, over its administrative HTTP interface."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from garnetlanding.runtime.stream import Stream
 
 NO_STATUS = 0
-"""What the history notes as the status of a call that had no answer."""
+"""The recorded status of a call without a response."""
 _NO_SUBJECT = -1
-"""What the history notes as the subject of a call about no backend and no peer."""
+"""The recorded subject of a call that concerns no backend and no peer."""
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorCalls:
-    """Makes the calls that faults ask for; `send` may only be called in a task."""
+    """Makes the calls of faults; `send` must run in a scheduler task."""
 
     scheduler: Scheduler
     environment: LabEnvironment
@@ -32,7 +32,7 @@
     record: EventRecorder
 
     def send(self, fault: Fault) -> None:
-        """Make one call and note the answer's status, or that there was none."""
+        """Make one call and record the response's status, or that there was none."""
         subject = fault.peer if fault.kind in PEER_CALLS else fault.backend
         method, path = _method_and_path(fault)
         assert fault.instance is not None
@@ -50,7 +50,7 @@
         )
 
     def _exchange(self, address: str, request: bytes, answer: bytearray) -> None:
-        """Send a request and read into `answer` until the other end closes."""
+        """Send a request and read the response into `answer` until the peer closes the connection."""
         deadline_us = self.scheduler.now + LIMITS.operator_call_timeout_s * SECOND
         stream = Stream.connect(
             self.scheduler, address, self.environment.pool, self.environment.limits, deadline_us
--- a/garnetlanding/lab/outcomes.py
+++ b/garnetlanding/lab/outcomes.py
@@ -1,4 +1,4 @@
-"""How a request ends at its client."""
+"""The outcome of a request at its client."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class Outcome(StrEnum):
-    """One outcome of a request; the value is the word of histories and of result.json."""
+    """One outcome of a request; the value is its name in histories and result.json."""
 
     SERVED = "served"
     REJECTED = "refused"
     FAILED = "failed"
-    LOST = "lost"  # the connection ended before an answer came
+    LOST = "lost"  # the connection ended before a response arrived
     TIMED_OUT = "none"
-    MALFORMED = "spoilt"  # the answer does not follow the protocol
-    MISMATCHED = "other's"  # the answer is that of another request
-    NOT_RECORDED = "never noted"  # the clients' history does not end it
+    MALFORMED = "spoilt"  # the response violates the protocol
+    MISMATCHED = "other's"  # the response belongs to another request
+    NOT_RECORDED = "never noted"  # the clients' history has no outcome of it
--- a/garnetlanding/lab/permitted_losses.py
+++ b/garnetlanding/lab/permitted_losses.py
@@ -1,4 +1,4 @@
-"""Which requests may stay without an answer, because a fault struck their instance or their connection."""
+"""Which requests may go without a response because a fault affected their instance or their connection."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 from garnetlanding.lab.workload import Request
 
 ReadyTimes = dict[int, list[int]]
-"""By instance, when each of its processes could be used, in microseconds after the clients began."""
+"""By instance, when each of its processes became ready, in microseconds after the clients started."""
 
 
 def ready_times(run: RecordedRun) -> ReadyTimes:
-    """Return when the processes of each instance could be used.
+    """Return when the processes of each instance became ready.
 
-    A request is sent at its time or later, so the clients began no later than the earliest says.
+    The clients' start is estimated from the requests: a request is sent at its scheduled time or later, so
+    the smallest difference between the two times is an upper bound.
     """
     start_us = {request.id: request.start_us for request in run.requests}
     sent = (line for line in run.lines_of(LineKind.SENT) if line["id"] in start_us)
@@ -31,7 +32,7 @@
 
 
 def may_be_lost(experiment: Experiment, request: Request, ready: Sequence[int]) -> bool:
-    """Return whether a request may stay without an answer; `ready` is when its instance could be used."""
+    """Return whether a request may go without a response; `ready` holds when its instance became ready."""
     start_us = request.start_us
     end_us = request.start_us + request.client_timeout_us + LIMITS.process_transition_us
     own_faults = [fault for fault in experiment.faults if fault.instance == request.instance]
@@ -43,13 +44,13 @@
 
 
 def _makes_unavailable(fault: Fault, start_us: int, end_us: int, ready: Sequence[int]) -> bool:
-    """Return whether the fault takes the instance, or a predecessor's connections, away between the times."""
+    """Return whether the fault takes the instance or a predecessor's connections down in that interval."""
     if fault.kind is FaultKind.LEAVE:
         return fault.start_us < end_us
     if fault.kind in LATE_STARTS:
         return start_us < min((time for time in ready if time >= fault.start_us), default=end_us)
     if fault.kind is FaultKind.UPGRADE:
-        # Connections to a predecessor that was killed or does not run are lost.
+        # A predecessor that is killed or stopped loses its connections; one that terminates drains them.
         return fault.predecessor_end is not ProcessEnd.TERMINATE and fault.end_us < end_us
     if fault.kind in PROCESS_FAULTS:
         recovered_us = _recovery_us(fault, ready)
@@ -58,9 +59,9 @@
 
 
 def _recovery_us(fault: Fault, ready: Sequence[int]) -> int | None:
-    """Return when the instance is back; None when it never was.
+    """Return when the instance is available again; None if it never was.
 
-    One that is started again is back once its own history says so, however long the machine took.
+    A restarted instance is available once its own history records that it is ready, however long that took.
     """
     if fault.kind is FaultKind.STOP:
         return fault.end_us + LIMITS.process_transition_us
--- a/garnetlanding/lab/processes.py
+++ b/garnetlanding/lab/processes.py
@@ -1,4 +1,4 @@
-"""The processes of an experiment: started here, signalled and ended by their own ids, whatever happens."""
+"""The processes of an experiment, which are signalled and terminated by their own process ids."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 SOURCE_ROOT = pathlib.Path(__file__).parent.parent.parent
 TEMPORARY_FOLDER = "tmp"
-"""Beside a process's log: where it keeps what outlasts it."""
+"""A process's TMPDIR, in the folder of its log: files that outlive the process."""
 
-_CPU_USER_FIELD = 11  # of /proc/PID/stat, behind the command's name
+_CPU_USER_FIELD = 11  # of /proc/PID/stat, counted after the command's name
 _CPU_SYSTEM_FIELD = 12
 _RESIDENT_PAGES_FIELD = 1  # of /proc/PID/statm
 _MEGABYTE = 1 << 20
@@ -26,21 +26,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """What a process has used since its start, as the kernel counts it."""
+    """The resources that a process has used since its start, as counted by the kernel."""
 
     cpu_s: float
     memory_mb: float
 
     def encode(self) -> dict[str, float]:
-        """Return it in the form of result.json."""
+        """Return the usage in the form of result.json."""
         return {"cpu_s": self.cpu_s, "memory_mb": self.memory_mb}
 
 
 class Standby:
-    """A process that loads its program and waits until it is told to run it."""
+    """A process that loads its program and waits for the command to run it."""
 
     def __init__(self, child: subprocess.Popen[bytes], control: socket.socket) -> None:
-        """`control` is connected to the standard input of the child."""
+        """Take the child and a socket that is connected to its standard input."""
         self._child = child
         self._control = control
         control.setblocking(False)
@@ -48,7 +48,7 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Return whether it waits for its start; one that has failed counts, as its start will show that."""
+        """Whether the program is loaded; also true after a failure, which the start then reveals."""
         if not self._is_loaded:
             with contextlib.suppress(BlockingIOError):
                 self._control.recv(len(standby.LOADED))
@@ -56,23 +56,23 @@
         return self._is_loaded
 
     def run(self) -> subprocess.Popen[bytes]:
-        """Have it run its program, once it is loaded; return the process."""
-        with self._control, contextlib.suppress(OSError):  # of one that has failed
+        """Let the child run its program as soon as it is loaded; return the process."""
+        with self._control, contextlib.suppress(OSError):  # the child may have failed already
             self._control.sendall(standby.START)
         return self._child
 
     def discard(self) -> None:
-        """End it without having run its program."""
+        """Kill the child without running its program."""
         self._control.close()
         self._child.kill()
         self._child.wait()
 
 
 class Process:
-    """One process that can be started again; its output is appended to its log file."""
+    """A process that can be restarted; its output is appended to its log file."""
 
     def __init__(self, arguments: list[str], log: pathlib.Path, start_now: bool = True) -> None:
-        """Take the arguments of `python -m`, and start the process unless it is to be started later."""
+        """Take the arguments of `python -m`, and start the process if `start_now`."""
         self._arguments = arguments
         self._log = log
         self._child: subprocess.Popen[bytes] | None = None
@@ -81,7 +81,7 @@
             self.start()
 
     def prepare_start(self) -> None:
-        """Load the program for one later start, which then takes no time even on a busy machine."""
+        """Preload the program for one later start, which is then immediate even on a busy machine."""
         control, child_end = socket.socketpair()
         with child_end:
             child = self._spawn(["garnetlanding.lab.standby", *self._arguments], child_end.fileno())
@@ -89,16 +89,16 @@
 
     @property
     def is_prepared(self) -> bool:
-        """Return whether every start that was prepared may come."""
-        return all(waiting.is_loaded for waiting in self._standbys)
+        """Whether every prepared standby has loaded its program."""
+        return all(prepared.is_loaded for prepared in self._standbys)
 
     def discard_prepared(self) -> None:
-        """End what was prepared for starts that did not come."""
+        """Kill the standbys of starts that did not take place."""
         while self._standbys:
             self._standbys.pop().discard()
 
     def start(self) -> None:
-        """Start the process; one that still runs is killed first."""
+        """Start the process, after killing it if it is still running."""
         self.kill()
         if self._standbys:
             self._child = self._standbys.pop(0).run()
@@ -106,7 +106,7 @@
             self._child = self._spawn(self._arguments, subprocess.DEVNULL)
 
     def _spawn(self, arguments: list[str], stdin: int) -> subprocess.Popen[bytes]:
-        # Only what the program itself needs: an address in the environment would override the file's.
+        # These variables are removed because an address in the environment would override the file's.
         environment = {name: value for name, value in os.environ.items() if not name.startswith("RELAY_")}
         environment["PYTHONPATH"] = str(SOURCE_ROOT)
         environment["TMPDIR"] = str(self._log.parent / TEMPORARY_FOLDER)
@@ -121,16 +121,16 @@
 
     @property
     def pid(self) -> int:
-        """Its process id; 0 before its first start."""
+        """The process id; 0 before the first start."""
         return self._child.pid if self._child else 0
 
     @property
     def exit_code(self) -> int | None:
-        """None while it runs; 0 before its first start."""
+        """The exit code; None while the process runs, 0 before the first start."""
         return self._child.poll() if self._child else 0
 
     def usage(self) -> ProcessUsage | None:
-        """Return what it has used; None where it does not run."""
+        """Return the resource usage; None if the process is not running."""
         try:
             stat = pathlib.Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
             memory = pathlib.Path(f"/proc/{self.pid}/statm").read_text().split()
@@ -144,12 +144,12 @@
         )
 
     def send_signal(self, number: int) -> None:
-        """Send a signal, if it runs."""
+        """Send a signal if the process is running."""
         if self._child and self._child.poll() is None:
             self._child.send_signal(number)
 
     def terminate(self) -> None:
-        """End it by SIGTERM, and by SIGKILL where it takes too long; wait for its end."""
+        """Send SIGTERM, then SIGKILL if the process does not exit in time; wait for its exit."""
         if self._child and self._child.poll() is None:
             self._child.terminate()
             with contextlib.suppress(subprocess.TimeoutExpired):
@@ -157,7 +157,7 @@
         self.kill()
 
     def kill(self) -> None:
-        """End it by SIGKILL if it still runs; wait for its end."""
+        """Send SIGKILL if the process is still running; wait for its exit."""
         if self._child is None:
             return
         if self._child.poll() is None:
--- a/garnetlanding/lab/report.py
+++ b/garnetlanding/lab/report.py
@@ -1,4 +1,4 @@
-"""The lab's results for people and programs: progress, tables, JSON."""
+"""The output of the lab's commands: progress, tables, JSON."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 __all__ = ["LabError", "compare", "report", "run"]
 
-_EXIT_PASSED = 0  # exit code
-_EXIT_VIOLATED = 1  # exit code: an invariant did not hold
+_EXIT_PASSED = 0
+_EXIT_VIOLATED = 1  # an invariant did not hold
 _COLUMNS = (
     "asked",
     "served",
@@ -65,7 +65,7 @@
 def compare(folders: Sequence[str], as_json: bool) -> int:
     """Print the results of finished runs side by side; return the exit code.
 
-    Raises MissingResultError for a folder without a result, ValueError for one that is no JSON.
+    Raises MissingResultError for a folder without a result, ValueError for a result that is not valid JSON.
     """
     results: list[tuple[str, dict[str, Any]]] = []
     for folder in folders:
@@ -81,10 +81,10 @@
 
 
 def report(folder: str, charts: bool, as_json: bool) -> int:
-    """Print one run second by second; write `series.csv` and, if asked to, charts beside its histories.
+    """Print one run second by second; write `series.csv` and, on request, charts to the run's folder.
 
-    Raises MissingResultError for a folder without histories, CorruptHistoryError for one that cannot be read,
-    MissingDependencyError where a library of the extra `lab` is not installed.
+    Raises MissingResultError for a folder without histories, CorruptHistoryError for a history that cannot be
+    decoded, MissingDependencyError if a library of the extra `lab` is not installed.
     """
     run_folder = pathlib.Path(folder)
     lines = history.read(sorted(run_folder.glob("*.history")))
@@ -92,7 +92,7 @@
         raise MissingResultError(folder, "no histories")
     series = _RunSeries.of(lines)
     if not series.table:
-        raise MissingResultError(folder, "nothing was answered")
+        raise MissingResultError(folder, "no request has an outcome")
     series_path = run_folder / "series.csv"
     _write_csv(series_path, series.table)
     try:
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _RunSeries:
-    """A run second by second."""
+    """A run's measurements, second by second."""
 
     rows: list[time_series.SecondSummary]
     table: list[dict[str, object]]  # the rows, encoded
@@ -154,7 +154,7 @@
 
 
 def _print_results(results: Sequence[tuple[str, dict[str, Any]]]) -> None:
-    """Print one row for each run, by its name."""
+    """Print one row for each run, labelled with its name."""
     table = Table("run", *_COLUMNS)
     for name, encoded in results:
         table.add_row(name, *_result_cells(encoded))
@@ -162,7 +162,7 @@
 
 
 def _result_cells(encoded: dict[str, Any]) -> list[str]:
-    """Return the cells of one run; a column that is no key of the result is an outcome."""
+    """Return the cells of one run; a column that is not a key of the result is an outcome."""
     return [
         str(encoded[column]) if column in encoded else str(encoded["outcomes"].get(column, 0))
         for column in _COLUMNS
--- a/garnetlanding/lab/result.py
+++ b/garnetlanding/lab/result.py
@@ -15,21 +15,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """A run that was carried through."""
+    """A completed run."""
 
     experiment: Experiment
     report: InvariantReport
     lines: list[Line]  # of all histories, by time
-    began_us: int  # when the clients did, on the clock of the histories
-    network_counts: dict[
-        str, int
-    ]  # how often each network fault struck a datagram, and connections passed on
+    began_us: int  # when the clients started, on the histories' clock
+    network_counts: dict[str, int]  # datagrams by applied fault and delivered, and proxied connections
     usage: dict[str, ProcessUsage]  # of each instance's last process, by name
     folder: pathlib.Path
 
 
 def encode_result(result: RunResult) -> dict[str, object]:
-    """Return a result in the form of result.json, which is also that of `lab run --json`."""
+    """Return a result in the form of result.json and `lab run --json`."""
     report = result.report
     return {
         "name": result.experiment.name,
--- a/garnetlanding/lab/run.py
+++ b/garnetlanding/lab/run.py
@@ -1,4 +1,4 @@
-"""Runs an experiment: starts what it names, lets its faults happen, ends all, and checks the histories."""
+"""Runs an experiment: starts its processes, injects its faults, ends them and checks the histories."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
 from garnetlanding.runtime.stream import Stream
 
 Progress = Callable[[float], None]
-"""Receives how much of a run is done, from 0 to 1."""
+"""Receives the completed fraction of a run."""
 
 _OCTET = 256
-_FIRST_NETWORK = 64  # the second octet of the addresses
+_FIRST_NETWORK = 64  # the least second octet of a run's addresses
 _NETWORKS = 64
 
 
 def run(experiment: Experiment, folder: pathlib.Path, progress: Progress | None = None) -> RunResult:
-    """Carry an experiment out and write its result into the folder, which must be new or empty.
+    """Run an experiment and write its result to the folder, which must be new or empty.
 
-    Raises LabError where it could not be carried through, OSError where the folder cannot be written.
+    Raises LabError if the run cannot be completed, OSError if the folder cannot be written.
     """
     folder.mkdir(parents=True, exist_ok=True)
     if any(folder.iterdir()):
@@ -58,18 +58,18 @@
 
 
 def _ignore_progress(done: float) -> None:
-    """Take the place of a progress display that is not wanted."""
+    """Stand in for the progress callback if the caller passes none."""
 
 
 @contextlib.contextmanager
 def _signals_raise_interrupted_error() -> Iterator[None]:
-    """Let SIGTERM and SIGHUP end a run as Ctrl-C does: by default they would leave its processes behind."""
+    """Raise InterruptedRunError on SIGTERM and SIGHUP, whose default action would leave processes running."""
 
     def interrupt(number: int, _: object) -> None:
         raise InterruptedRunError(signal.Signals(number).name, number)
 
     if threading.current_thread() is not threading.main_thread():
-        yield  # signals are the main thread's
+        yield  # only the main thread can install signal handlers
         return
     previous_handlers = {
         number: signal.signal(number, interrupt) for number in (signal.SIGTERM, signal.SIGHUP)
@@ -93,13 +93,13 @@
 
 
 def _address_block() -> AddressBlock:
-    """Return addresses of the loopback range, one block for each process that runs experiments."""
+    """Return a block of loopback addresses derived from the process id, so that concurrent labs differ."""
     pid = os.getpid()
     return AddressBlock(f"127.{_FIRST_NETWORK + pid // _OCTET % _NETWORKS}.{pid % _OCTET}")
 
 
 class _Execution:
-    """One run under way. All that it opens is entered into `resources`, whose owner ends it."""
+    """One run in progress. Its resources are entered into `resources`, which the owner closes."""
 
     def __init__(self, experiment: Experiment, folder: pathlib.Path, resources: contextlib.ExitStack) -> None:
         self._experiment = experiment
@@ -140,7 +140,7 @@
         )
 
     def run(self, requests: list[Request], progress: Progress) -> int:
-        """Run the experiment to its end; return when the clients began."""
+        """Run the experiment to its end; return when the clients started."""
         self._instances.start()
         clients = self._prepare_clients()
         self._wait_until_ready()
@@ -158,11 +158,11 @@
         return began_us
 
     def usage(self) -> dict[str, ProcessUsage]:
-        """Return what each instance's process has used."""
+        """Return the resource usage of each instance's process."""
         return self._instances.usage()
 
     def network_counts(self) -> dict[str, int]:
-        """Return how often each network fault struck, and how many connections were passed on."""
+        """Return the datagram counts of the network fault model, and the number of proxied connections."""
         return {**self._network_faults.counts, "connections": self._streams.accepted}
 
     def _schedule_faults(self, began_us: int) -> None:
@@ -176,37 +176,37 @@
             self._scheduler.call_at(began_us + reset_us, self._streams.reset)
 
     def _wait_until_ready(self) -> None:
-        """Run until every instance that is there from the first has answered PING."""
-        waiting = set(range(self._experiment.instances)) - self._instances.late_starters
+        """Run until every instance but the late starters has responded to PING."""
+        not_ready = set(range(self._experiment.instances)) - self._instances.late_starters
         deadline_us = self._scheduler.now + LIMITS.ready_timeout_s * SECOND
-        for instance in sorted(waiting):
-            self._scheduler.spawn(partial(self._ping_until_answered, instance, waiting, deadline_us))
-        while waiting:
+        for instance in sorted(not_ready):
+            self._scheduler.spawn(partial(self._ping_until_answered, instance, not_ready, deadline_us))
+        while not_ready:
             self._scheduler.run_iteration(LIMITS.iteration_wait_ms)
             for instance, exit_code in enumerate(self._instances.exit_codes()):
                 if exit_code is not None and instance not in self._instances.late_starters:
                     name = f"n{instance}"
-                    text = f"{name} ended with code {exit_code}: see {name}.log"
+                    text = f"{name} exited with code {exit_code}: see {name}.log"
                     raise ProcessFailedError(text, name, exit_code)
             if self._scheduler.now > deadline_us:
-                name = f"n{min(waiting)}"
+                name = f"n{min(not_ready)}"
                 text = f"{name} is not ready after {LIMITS.ready_timeout_s} s: see {name}.log"
                 raise ProcessFailedError(text, name)
 
     def _wait_until_prepared(self, clients: Process) -> None:
-        """Run until every process that is started later has loaded its program.
+        """Run until every process that starts later has loaded its program.
 
-        Otherwise the experiment's time would go on while a busy machine loads it.
+        Otherwise the load time on a busy machine would be part of the experiment.
         """
         deadline_us = self._scheduler.now + LIMITS.ready_timeout_s * SECOND
         while not (clients.is_prepared and self._instances.are_prepared):
             self._scheduler.run_iteration(LIMITS.iteration_wait_ms)
             if self._scheduler.now > deadline_us:
-                text = f"the processes to be started later are not loaded after {LIMITS.ready_timeout_s} s"
+                text = f"the standby processes are not loaded after {LIMITS.ready_timeout_s} s"
                 raise ProcessFailedError(text, "standby")
 
-    def _ping_until_answered(self, instance: int, waiting: set[int], deadline_us: int) -> None:
-        while instance in waiting and self._scheduler.now < deadline_us:
+    def _ping_until_answered(self, instance: int, not_ready: set[int], deadline_us: int) -> None:
+        while instance in not_ready and self._scheduler.now < deadline_us:
             try:
                 stream = Stream.connect(
                     self._scheduler,
@@ -221,7 +221,7 @@
             stream.write(b"PING\r\n")
             try:
                 with contextlib.suppress(DeadlineExceededError):
-                    stream.read(lambda _: waiting.discard(instance), self._scheduler.now + SECOND)
+                    stream.read(lambda _: not_ready.discard(instance), self._scheduler.now + SECOND)
             finally:
                 stream.close()
 
@@ -230,7 +230,7 @@
         return self._folder / "plan.json"
 
     def _prepare_clients(self) -> Process:
-        """Return the clients' process, which is loaded and yet to be started."""
+        """Return the clients' process, preloaded but not started."""
         clients = Process(
             ["garnetlanding.lab.clients", str(self._plan_path), str(self._folder / "clients.history")],
             self._folder / "clients.log",
@@ -242,7 +242,7 @@
         return clients
 
     def _write_plan(self, requests: list[Request], began_us: int) -> None:
-        """Write what the clients are to do."""
+        """Write the clients' plan."""
         addresses = [
             self._streams.open_link(StreamLink(LinkKind.CLIENT, instance), self._addresses.listen(instance))
             for instance in range(self._experiment.instances)
@@ -267,7 +267,7 @@
             elapsed_us = max(0, self._scheduler.now - began_us)
             progress(min(1.0, elapsed_us / experiment.duration_us))
             if self._scheduler.now > last_us:
-                raise ProcessFailedError("the clients did not come to an end", "clients")
+                raise ProcessFailedError("the clients did not finish in time", "clients")
         if clients.exit_code:
-            text = f"the clients ended with code {clients.exit_code}: see clients.log"
+            text = f"the clients exited with code {clients.exit_code}: see clients.log"
             raise ProcessFailedError(text, "clients", clients.exit_code)
--- a/garnetlanding/lab/run_clock.py
+++ b/garnetlanding/lab/run_clock.py
@@ -1,11 +1,11 @@
-"""Time since the clients of a run began, by which its faults are timed."""
+"""The time since the clients of a run started, by which faults are timed."""
 
 from __future__ import annotations
 
 from garnetlanding.runtime.scheduler import Scheduler
 
 BEFORE_START_US = -1
-"""The elapsed time before the clients begin; no fault is active then."""
+"""The elapsed time before the clients start; no fault is active then."""
 
 
 class RunClock:
@@ -16,7 +16,7 @@
         self.began_us: int | None = None
 
     def elapsed_us(self) -> int:
-        """Return the microseconds since the clients began; negative before."""
+        """Return the microseconds since the clients started; negative before."""
         if self.began_us is None:
             return BEFORE_START_US
         return self._scheduler.now - self.began_us
--- a/garnetlanding/lab/standby.py
+++ b/garnetlanding/lab/standby.py
@@ -1,9 +1,9 @@
-"""A program that is loaded before it is wanted: python -m garnetlanding.lab.standby MODULE [ARGUMENT...].
+"""Preloads a module and runs it on command: python -m garnetlanding.lab.standby MODULE [ARGUMENT...].
 
-An interpreter takes seconds to load its modules on a busy machine, and meanwhile an experiment goes on
-without the process that it has just started. A standby loads them first and says so on its standard input, a
-socket. Told there to start, it runs the module as `python -m` would; at the socket's end it ends without
-having run it.
+On a busy machine an interpreter takes seconds to import its modules, and an experiment would go on meanwhile
+without the process that it has just started. A standby imports them in advance and reports this on its
+standard input, a socket. On the start command from there it runs the module as `python -m` would; if the
+socket is closed, it exits without running it.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 import garnetlanding
 
 LOADED = b"l"
-"""What a standby writes once its modules are loaded."""
+"""Written by a standby once its modules are loaded."""
 
 START = b"s"
-"""What it is told to run its module."""
+"""The command to run the module."""
 
 _STDIN = 0
 _COMMAND_MODULE = "garnetlanding.cli.serve"
@@ -28,10 +28,10 @@
 
 
 def _load(module: str) -> None:
-    """Import what the module will import, which for an instance depends on its configuration."""
+    """Import what the module will import; for an instance all that any configuration may need."""
     if module != garnetlanding.__name__:
         importlib.import_module(module)
-        del sys.modules[module]  # it runs under the name __main__, and its own module is not wanted
+        del sys.modules[module]  # it will run as __main__, which runpy imports anew
         return
     for found in pkgutil.walk_packages(garnetlanding.__path__, f"{module}."):
         if found.name.split(".")[1] not in _NOT_USED_BY_INSTANCES:
@@ -40,15 +40,15 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Load the module, wait for the start and run it with the arguments behind its name."""
+    """Load the module, wait for the start command and run the module with the remaining arguments."""
     module = arguments[0]
     _load(module)
     os.write(_STDIN, LOADED)
     if os.read(_STDIN, len(START)) != START:
         return
-    nothing = os.open(os.devnull, os.O_RDONLY)
-    os.dup2(nothing, _STDIN)
-    os.close(nothing)
+    null_device = os.open(os.devnull, os.O_RDONLY)
+    os.dup2(null_device, _STDIN)
+    os.close(null_device)
     sys.argv[1:] = arguments[1:]
     runpy.run_module(module, run_name="__main__", alter_sys=True)
 
--- a/garnetlanding/lab/stream_faults.py
+++ b/garnetlanding/lab/stream_faults.py
@@ -1,4 +1,4 @@
-"""What becomes of a connection between two processes of an experiment: decided from its faults, no I/O."""
+"""Stream faults: decides how connections between an experiment's processes are disturbed. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamLink:
-    """The connections of one instance that a stream fault can name; `backend` for those to backends."""
+    """The connections of one instance that a stream fault can target; `backend` if they are to a backend."""
 
     kind: LinkKind
     instance: int
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardingSchedule:
-    """How received bytes are passed on.
+    """How received bytes are forwarded.
 
-    Not before `hold_us` from now; in pieces of `piece_bytes`, each `interval_us` after the one before. None:
-    all at once.
+    Not before `hold_us` from now, in pieces of `piece_bytes` at intervals of `interval_us`. If `piece_bytes`
+    is None, all bytes are forwarded at once.
     """
 
     hold_us: int = 0
@@ -31,23 +31,23 @@
 
 
 class StreamFaultModel:
-    """Decides, at any time after the clients began, how a connection on a link fares."""
+    """Decides at any time after the clients' start how a connection on a link is disturbed."""
 
     def __init__(self, experiment: Experiment, trickle_bytes: int) -> None:
-        """Take the experiment's stream faults; a trickle passes on `trickle_bytes` at a time."""
+        """Take the experiment's stream faults; a trickle forwards `trickle_bytes` at a time."""
         self._faults = experiment.faults_of(*STREAM_FAULTS)
         self._trickle_bytes = trickle_bytes
 
     def affects(self, kind: LinkKind) -> bool:
-        """Return whether any fault is about links of that kind; the others need no proxy."""
+        """Return whether any fault targets links of that kind; the others need no proxy."""
         return any(fault.link is kind for fault in self._faults)
 
     def is_reset(self, link: StreamLink, now_us: int) -> bool:
-        """Return whether a connection is reset as soon as it is made."""
+        """Return whether connections on the link are reset at that time, also those just accepted."""
         return any(fault.kind is FaultKind.RESET for fault in self._active_on(link, now_us))
 
     def forwarding_schedule(self, link: StreamLink, now_us: int) -> ForwardingSchedule:
-        """Return how bytes received at that time are passed on."""
+        """Return how bytes received at that time are forwarded."""
         hold_us = 0
         piece_bytes = None
         interval_us = 0
--- a/garnetlanding/lab/stream_proxy.py
+++ b/garnetlanding/lab/stream_proxy.py
@@ -1,4 +1,4 @@
-"""The connections between processes of an experiment: each that a fault may strike passes here."""
+"""A TCP proxy for the connections between an experiment's processes that stream faults may affect."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from garnetlanding.runtime.scheduler import READ, WRITE, Scheduler
 from garnetlanding.runtime.stream import parse_address
 
-_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with no time: close sends a reset
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: close sends RST
 
 
 def _new_socket() -> socket.socket:
@@ -23,7 +23,7 @@
 
 
 class _ProxiedConnection:
-    """One accepted connection and the one to its target."""
+    """An accepted connection and the matching connection to the target."""
 
     def __init__(self, downstream: socket.socket, upstream: socket.socket) -> None:
         self.downstream = downstream
@@ -41,22 +41,22 @@
 
 
 class StreamProxy:
-    """Carries connections as the stream fault model says. A context manager, which closes its sockets."""
+    """Forwards connections as the stream fault model decides. A context manager that closes its sockets."""
 
     def __init__(self, scheduler: Scheduler, host: str, clock: RunClock, faults: StreamFaultModel) -> None:
-        """Listen at `host`, on a port for each link that is opened."""
+        """Listen on `host`, with one port for each opened link."""
         self._scheduler = scheduler
         self._host = host
         self._clock = clock
         self._faults = faults
         self._listeners: list[socket.socket] = []
         self._connections: dict[StreamLink, set[_ProxiedConnection]] = {}
-        self.accepted = 0  # connections so far that were passed on
+        self.accepted = 0  # number of connections forwarded so far
 
     def open_link(self, link: StreamLink, target: str) -> str:
-        """Return the address that stands for `target` on that link.
+        """Return the address that represents `target` on that link.
 
-        That is the target's own where no fault concerns such links.
+        It is the target's own address if no fault targets such links.
         """
         if not self._faults.affects(link.kind):
             return target
@@ -69,7 +69,7 @@
         return "{}:{}".format(*listener.getsockname())
 
     def reset(self) -> None:
-        """Reset every connection on the links that a fault resets now."""
+        """Reset every connection on the links that a fault currently resets."""
         for link, connections in self._connections.items():
             if self._faults.is_reset(link, self._clock.elapsed_us()):
                 for connection in list(connections):
@@ -95,7 +95,7 @@
             self._scheduler.spawn(partial(self._connect, link, connection, target))
 
     def _connect(self, link: StreamLink, connection: _ProxiedConnection, target: tuple[str, int]) -> None:
-        """Connect to the target and carry both directions."""
+        """Connect to the target and forward both directions."""
         downstream = connection.downstream
         upstream = connection.upstream
         try:
@@ -112,12 +112,12 @@
     def _forward(
         self, link: StreamLink, connection: _ProxiedConnection, source: socket.socket, sink: socket.socket
     ) -> None:
-        """Carry one direction, in order; its end is passed on once all before it has been."""
+        """Forward one direction in order, including its end of stream."""
         try:
             while self._forward_once(link, source, sink):
                 pass
             sink.shutdown(socket.SHUT_WR)
-        except (OSError, ValueError):  # closed meanwhile: it has no descriptor any more
+        except (OSError, ValueError):  # ValueError: the socket was closed meanwhile
             self._end(link, connection, reset=True)
             return
         connection.open_directions -= 1
@@ -125,22 +125,22 @@
             self._end(link, connection, reset=False)
 
     def _forward_once(self, link: StreamLink, source: socket.socket, sink: socket.socket) -> bool:
-        """Pass on what can be read next; return False at the end of the stream."""
+        """Forward the next bytes received; return False at end of stream."""
         self._scheduler.wait(source.fileno(), READ)
         try:
             data = source.recv(LIMITS.stream_read_bytes)
         except BlockingIOError:
             return True
-        forwarding_schedule = self._faults.forwarding_schedule(link, self._clock.elapsed_us())
-        if forwarding_schedule.hold_us:
-            self._scheduler.sleep(forwarding_schedule.hold_us)
+        schedule = self._faults.forwarding_schedule(link, self._clock.elapsed_us())
+        if schedule.hold_us:
+            self._scheduler.sleep(schedule.hold_us)
         if not data:
             return False
-        piece_bytes = forwarding_schedule.piece_bytes or len(data)
+        piece_bytes = schedule.piece_bytes or len(data)
         for offset in range(0, len(data), piece_bytes):
             self._send(sink, data[offset : offset + piece_bytes])
-            if forwarding_schedule.interval_us:
-                self._scheduler.sleep(forwarding_schedule.interval_us)
+            if schedule.interval_us:
+                self._scheduler.sleep(schedule.interval_us)
         return True
 
     def _send(self, sink: socket.socket, data: bytes) -> None:
--- a/garnetlanding/lab/time_series.py
+++ b/garnetlanding/lab/time_series.py
@@ -1,4 +1,4 @@
-"""A run's measurements second by second, from its histories alone. No I/O."""
+"""A run's measurements second by second, computed from its histories alone. No I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaChange:
-    """From `at_s` on, in seconds after the start, an instance believes `quota` its own."""
+    """A new quota of an instance, from `at_s` seconds after the start on."""
 
     at_s: float
     quota: float
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class QuotaOwner:
-    """Whose quota of which volume's limit."""
+    """The instance that holds a quota, and the volume whose limit it belongs to."""
 
     volume: str
     instance: str
@@ -35,13 +35,13 @@
 
 @dataclass(slots=True)
 class SecondSummary:
-    """What was answered in one second after the clients began, by outcome, and how long the served took."""
+    """One second after the clients' start: outcomes, latencies of served requests, attempts and faults."""
 
     number: int
     outcomes: Counter[str] = field(default_factory=Counter)
-    latencies_us: list[int] = field(default_factory=list)  # of those served
+    latencies_us: list[int] = field(default_factory=list)  # of served requests
     attempts: int = 0
-    suspected: int = 0  # backends, over all instances, at the second's end
+    suspected: int = 0  # suspected backends, summed over all instances, at the end of the second
     faults: list[str] = field(default_factory=list)
 
     def encode(self) -> dict[str, object]:
@@ -58,7 +58,7 @@
 
 
 def percentile_ms(values_us: Sequence[int], fraction: float) -> float | None:
-    """Return, in milliseconds, the least value that `fraction` of them do not exceed; None of no values."""
+    """Return in milliseconds the value at a percentile, given as a fraction; None without values."""
     if not values_us:
         return None
     ordered = sorted(values_us)
@@ -67,12 +67,12 @@
 
 
 def first_request_us(lines: Iterable[Line]) -> int:
-    """Return when the first request was sent; 0 where none was."""
+    """Return when the first request was sent; 0 if none was."""
     return min((line["t"] for line in lines if line["what"] == LineKind.SENT), default=0)
 
 
 def summarize_by_second(lines: Sequence[Line], start_us: int) -> list[SecondSummary]:
-    """Return every second from the start to the last answer, in order; what came before counts to none."""
+    """Return every second from the start to the last outcome, in order; lines outside are ignored."""
     summaries: dict[int, SecondSummary] = {}
     suspected: dict[str, int] = {}  # by instance, how many backends
     last_us = max((line["t"] for line in lines if line["what"] == LineKind.ENDED), default=start_us)
@@ -87,7 +87,7 @@
 
 
 def _count(line: Line, summary: SecondSummary, suspected: dict[str, int]) -> None:
-    """Add one line to its second and to what each instance suspects."""
+    """Add one line to its second's summary and to each instance's number of suspected backends."""
     match line["what"]:
         case LineKind.ENDED:
             summary.outcomes[line["outcome"]] += 1
@@ -105,7 +105,7 @@
 
 
 def quota_changes(lines: Iterable[Line], start_us: int) -> QuotaSeries:
-    """Return the quotas that each instance believed its own, by volume and instance."""
+    """Return the changes of each instance's recorded quota, by volume and instance."""
     series: QuotaSeries = defaultdict(list)
     for line in lines:
         if line["what"] != LineKind.VOLUME_QUOTAS:
--- a/garnetlanding/lab/workload.py
+++ b/garnetlanding/lab/workload.py
@@ -1,4 +1,4 @@
-"""The requests of an experiment's clients, drawn ahead from its seed: the same each time."""
+"""The requests of an experiment's clients, drawn in advance from its seed and thus reproducible."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request: when it is sent, to which instance, and what it asks for."""
+    """One request: when and to which instance it is sent, and its attributes."""
 
-    start_us: int  # after the clients begin
+    start_us: int  # after the clients' start
     id: str
     instance: int
     volume: str
@@ -25,7 +25,7 @@
 
 
 def encode_request(request: Request) -> dict[str, Any]:
-    """Return a request in the form of plan.json, which the process of the clients reads."""
+    """Return a request in the form of plan.json, which the clients' process reads."""
     return {
         "at_us": request.start_us,
         "id": request.id,
@@ -39,7 +39,7 @@
 
 
 def decode_request(fields: dict[str, Any]) -> Request:
-    """Return the request that `encode_request` wrote."""
+    """Return the request that `encode_request` encoded."""
     return Request(
         start_us=fields["at_us"],
         id=fields["id"],
@@ -53,19 +53,19 @@
 
 
 def volume_name(number: int) -> str:
-    """Return the name of a volume: its number, in 16 hexadecimal digits."""
+    """Return the name of a volume: its number in 16 hexadecimal digits."""
     return f"{number:016x}"
 
 
 def volume_instances(experiment: Experiment, volume: int) -> list[int]:
-    """Return the instances that a volume's requests come through."""
+    """Return the instances that receive a volume's requests."""
     return [
         (volume + offset) % experiment.instances for offset in range(experiment.workload.instances_per_volume)
     ]
 
 
 def busiest_instance(experiment: Experiment, volume: int, now_us: int) -> int:
-    """Return the instance that most of a volume's requests come through at that time."""
+    """Return the instance that receives most of a volume's requests at that time."""
     instances = volume_instances(experiment, volume)
     shift_interval_us = experiment.workload.shift_interval_us
     if not shift_interval_us:
--- a/tests/lab/test_experiment.py
+++ b/tests/lab/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files and the lab's command line."""
+"""Experiment files and the command line of the lab."""
 
 from __future__ import annotations
 
@@ -13,11 +13,9 @@
 from garnetlanding.lab.experiment_file import load, read
 from tests.support.lab import ROOT
 
-# Files
-
 
 def with_fault(**table: Any) -> dict[str, Any]:
-    """Return a change of the file: one table of a fault, between 1 and 2 s unless it says otherwise."""
+    """Return a change of the file: one fault table, between 1 and 2 s unless overridden."""
     return {"fault": [{"at_s": 1, "until_s": 2} | table]}
 
 
@@ -30,7 +28,9 @@
         pytest.param({"load": {"rate": 0}}, "key load.rate", id="no requests"),
         pytest.param({"load": {"hosts": 4}}, "key load.hosts", id="more instances per volume than all"),
         pytest.param({"fault": [{"kind": "rain"}]}, "key fault.0.kind", id="unknown kind of fault"),
-        pytest.param(with_fault(kind="kill"), "key fault.0.who: which head", id="kill of no instance"),
+        pytest.param(
+            with_fault(kind="kill"), "key fault.0.who: must name an instance", id="kill of no instance"
+        ),
         pytest.param(
             with_fault(kind="kill", who="n3"),
             "key fault.0.who: 'n3' is none of",
--- a/tests/lab/test_network_faults.py
+++ b/tests/lab/test_network_faults.py
@@ -1,4 +1,4 @@
-"""Decisions of a run that follow from its seed: network faults, streams, load."""
+"""The reproducible decisions of a run: network faults, stream faults and load."""
 
 from __future__ import annotations
 
@@ -11,17 +11,15 @@
 from garnetlanding.lab.workload import draw_requests, volume_name
 from tests.support.lab import BASELINE, fault
 
-# Decisions
-
 
 def test_same_seed_gives_the_same_requests_and_network_faults() -> None:
     half = dict(probability=0.5, span_us=9)
-    storm = replace(
+    faulty = replace(
         BASELINE, faults=(fault(FaultKind.LOSS, 0, 4, **half), fault(FaultKind.DUPLICATE, 0, 4, **half))
     )
-    assert draw_requests(storm) == draw_requests(storm) != draw_requests(replace(storm, seed=6))
-    one = NetworkFaultModel(storm)
-    two = NetworkFaultModel(storm)
+    assert draw_requests(faulty) == draw_requests(faulty) != draw_requests(replace(faulty, seed=6))
+    one = NetworkFaultModel(faulty)
+    two = NetworkFaultModel(faulty)
     delays = [one.delays_us(0, 1, n) for n in range(200)]
     assert delays == [two.delays_us(0, 1, n) for n in range(200)]
     assert {len(f) for f in delays} == {0, 1, 2}
--- a/tests/lab/test_results.py
+++ b/tests/lab/test_results.py
@@ -1,4 +1,4 @@
-"""A run's results: counts by second, latencies, histories."""
+"""The results of a run: counts by second, latencies, histories."""
 
 from __future__ import annotations
 
