--- a/garnetlanding/lab/stream_proxy.py
+++ b/garnetlanding/lab/stream_proxy.py
@@ -117,7 +117,7 @@
             while self._forward_once(link, source, sink):
                 pass
             sink.shutdown(socket.SHUT_WR)
-        except (OSError, ValueError):  # ValueError: the socket was closed meanwhile
+        except (OSError, ValueError):  # ValueError: closed meanwhile, without a descriptor
             self._end(link, connection, reset=True)
             return
         connection.open_directions -= 1
