--- a/garnetlanding/lab/byzantine.py
+++ b/garnetlanding/lab/byzantine.py
@@ -1,4 +1,4 @@
-"""Falsifies an instance's messages on their way to its peers. No I/O."""
+"""Forges an instance's messages on their way to its peers. No I/O."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 
 def falsify(datagram: bytes, backends: Sequence[str], behaviour: ByzantineBehaviour) -> bytes:
-    """Return the same message with false content.
+    """Return the message with forged content.
 
-    `backends` are the names of all of them. A message of another kind than the behaviour is about, or one
-    that cannot be decoded, is returned as it is.
+    `backends` are the names of all backends. A message that the behaviour does not concern, or that cannot be
+    decoded, is returned unchanged.
     """
     try:
         envelope = decode_envelope(datagram, PeerLimits().datagram_bytes)
-        if behaviour is ByzantineBehaviour.WANTS_EVERY_QUOTA:
-            return _demand_everything(envelope) if envelope.kind == MessageKind.LEASES else datagram
+        if behaviour is ByzantineBehaviour.CLAIMS_EVERY_QUOTA:
+            return _claim_every_quota(envelope) if envelope.kind == MessageKind.LEASES else datagram
         if envelope.kind != MessageKind.GOSSIP:
             return datagram
-        if behaviour is ByzantineBehaviour.ALL_WELL:
+        if behaviour is ByzantineBehaviour.ALL_BACKENDS_HEALTHY:
             return _report_unreachable(envelope, ())
         return _report_unreachable(envelope, backends)
     except MessageError:
         return datagram
 
 
-def _demand_everything(envelope: Envelope) -> bytes:
+def _claim_every_quota(envelope: Envelope) -> bytes:
     leases = lease_message.read(envelope)
     requests = {volume: request._replace(quota=1.0) for volume, request in leases.requests.items()}
     return lease_message.encode(replace(leases, requests=requests, grants={}))
--- a/garnetlanding/lab/experiment_file.py
+++ b/garnetlanding/lab/experiment_file.py
@@ -1,6 +1,6 @@
-"""Reads an experiment's file (TOML), checked as a whole before anything is started.
+"""Reads an experiment file (TOML) and validates it as a whole before anything is started.
 
-The keys of the file are the operators' words. Every function raises ConfigError, which names the key.
+The keys are an external format. Every function raises ConfigError, which names the invalid key.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
     BACKEND_CALLS,
     BACKEND_FAULTS,
     INSTANCE_FAULTS,
-    MOMENTARY,
+    INSTANTANEOUS,
     NETWORK_FAULTS,
     PEER_CALLS,
     STREAM_FAULTS,
@@ -42,16 +42,16 @@
     try:
         with open(path, "rb") as file:
             return read(tomllib.load(file))
-    except OSError as problem:
-        raise ConfigError(f"cannot read {path}: {problem.strerror}") from problem
-    except (ValueError, UnicodeDecodeError) as problem:
-        raise ConfigError(f"{path}: {problem}") from problem
+    except OSError as error:
+        raise ConfigError(f"cannot read {path}: {error.strerror}") from error
+    except (ValueError, UnicodeDecodeError) as error:
+        raise ConfigError(f"{path}: {error}") from error
 
 
 def read(data: object) -> Experiment:
     """Return the experiment that a file's parsed content describes."""
     top = Section(data, "", _TOP_KEYS)
-    instances = int(top.number("heads", 1, 3, LIMITS.instances))
+    instances = int(top.number("heads", 1, 3, LIMITS.instances_max))
     backends = int(top.number("bricks", 1, 2, 64))
     duration_us = int(top.number("length_s", 0.5, 6, 3600) * SECOND)
     workload = _read_workload(top, instances)
@@ -61,7 +61,7 @@
     seed_instances = int(top.number("group", 0, 0, instances))
     if (seed_instances or flags["budgets"]) and not flags["fleet"]:
         raise ConfigError(f"key {'group' if seed_instances else 'budgets'}: only with fleet = true")
-    backend_connections = int(top.number("server_connections", 0, 0, LIMITS.backend_connections))
+    backend_connections = int(top.number("server_connections", 0, 0, LIMITS.backend_connections_max))
     if backend_connections and not flags["budgets"]:
         raise ConfigError("key server_connections: only with budgets = true")
     return Experiment(
@@ -92,13 +92,13 @@
         units=int(section.number("units", 1, 2, 8)),
         instances_per_volume=int(section.number("hosts", 1, min(2, instances), instances)),
         busiest_fraction=section.number("lead", 0, 1, 1),
-        shift_us=int(section.number("shift_s", 0, 0) * SECOND),
-        patience_us=int(section.number("wait_s", 0.05, 1.5, 60) * SECOND),
+        shift_interval_us=int(section.number("shift_s", 0, 0) * SECOND),
+        client_timeout_us=int(section.number("wait_s", 0.05, 1.5, 60) * SECOND),
     )
 
 
 def _read_flags(top: Section) -> dict[str, bool]:
-    """Return the top-level keys that are true or false, by their name in the file."""
+    """Return the boolean top-level keys, by their name in the file."""
     flags = _FLAG_DEFAULTS | {key: top.raw(key) for key in _FLAG_DEFAULTS if top.has(key)}
     for key, value in flags.items():
         if not isinstance(value, bool):
@@ -107,7 +107,7 @@
 
 
 def _read_choices(top: Section) -> dict[str, Any]:
-    """Return that section, checked as an instance would, before any is started."""
+    """Return the section `choices`, validated as an instance validates it."""
     if not top.has("choices"):
         return {}
     choices_setup.read(top.raw("choices"))
@@ -140,7 +140,7 @@
         self._kind = FaultKind(section.one_of("kind", [kind.value for kind in FaultKind]))
 
     def read(self, duration_us: int) -> Fault:
-        """Return the fault, whose times lie within the experiment's."""
+        """Return the fault; its times lie within the experiment's duration."""
         section = self._section
         kind = self._kind
         start_us, end_us = self._times(duration_us)
@@ -161,7 +161,9 @@
             peer=peer,
             link=link,
             predecessor_end=how if isinstance(how, ProcessEnd) else ProcessEnd.TERMINATE,
-            behaviour=how if isinstance(how, ByzantineBehaviour) else ByzantineBehaviour.ALL_BACKENDS_DEAD,
+            behaviour=how
+            if isinstance(how, ByzantineBehaviour)
+            else ByzantineBehaviour.ALL_BACKENDS_UNREACHABLE,
             wall_offset_s=wall_offset_s,
             claimed_instance=self._instance_or_all("as") if kind is FaultKind.DUPLICATE_IDENTITY else None,
             at_successor=at_successor,
@@ -177,19 +179,19 @@
         section = self._section
         start_us = int(section.number("at_s", 0, maximum=duration_us / SECOND) * SECOND)
         end_us = int(section.number("until_s", 0, duration_us / SECOND) * SECOND)
-        if self._kind in MOMENTARY and section.has("until_s"):
+        if self._kind in INSTANTANEOUS and section.has("until_s"):
             raise section.error("until_s", f"{self._kind.value} has one time, at_s")
         if end_us <= start_us:
             raise section.error("until_s", "not after at_s")
         return start_us, end_us
 
     def _how(self) -> ProcessEnd | ByzantineBehaviour:
-        """Return how the fault shows: of false messages what they claim, else how a predecessor ends."""
+        """Return the key `how`: the claim of forged messages, or how an upgrade ends the predecessor."""
         values: type[ByzantineBehaviour] | type[ProcessEnd] = ProcessEnd
         default: ProcessEnd | ByzantineBehaviour = ProcessEnd.TERMINATE
         if self._kind is FaultKind.BYZANTINE:
             values = ByzantineBehaviour
-            default = ByzantineBehaviour.ALL_BACKENDS_DEAD
+            default = ByzantineBehaviour.ALL_BACKENDS_UNREACHABLE
         if not self._section.has("how"):
             return default
         return values(self._section.one_of("how", [value.value for value in values]))
@@ -207,7 +209,7 @@
             return None
         instance = self._instance_or_all("who")
         if instance is None:
-            raise self._section.error("who", "which head?")
+            raise self._section.error("who", "must name an instance")
         return instance
 
     def _backend(self) -> int | None:
--- a/garnetlanding/lab/fault_injector.py
+++ b/garnetlanding/lab/fault_injector.py
@@ -1,4 +1,4 @@
-"""Lets the faults of an experiment happen, each at its time, and notes them in the history."""
+"""Injects the faults of an experiment, each at its time, and records them in the history."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from garnetlanding.lab.environment import LabEnvironment
-from garnetlanding.lab.environment_history import Note
+from garnetlanding.lab.environment_history import EventRecorder
 from garnetlanding.lab.faults import (
     BACKEND_FAULTS,
     INSTANCE_FAULTS,
@@ -33,19 +33,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One thing that a fault does, at a time after the clients began; `noted` is its word in the history."""
+    """One action of a fault, at a time after the clients' start; the history names it `recorded_kind`."""
 
     at_us: int
-    noted: str
-    act: Action
+    recorded_kind: str
+    action: Action
 
 
-def _nothing() -> None:
-    """Do nothing: links look at the time themselves."""
+def _no_action() -> None:
+    """Do nothing: the fault models of links check the time themselves."""
 
 
 class FaultInjector:
-    """Schedules what faults do to processes and backends; those of links are only noted."""
+    """Schedules the faults of processes and backends; link faults are only recorded."""
 
     def __init__(
         self,
@@ -53,34 +53,34 @@
         environment: LabEnvironment,
         instances: InstanceProcesses,
         call: Callable[[Fault], None],
-        note: Note,
+        record: EventRecorder,
     ) -> None:
-        """`call` makes an operator's call, in a task of its own."""
+        """Take the targets of faults; `call` makes an operator call and runs in a separate task."""
         self._scheduler = scheduler
         self._environment = environment
         self._instances = instances
         self._call = call
-        self._note = note
+        self._record = record
 
     def schedule(self, fault: Fault, began_us: int) -> None:
-        """Schedule every step of a fault; the clients begin at `began_us`."""
+        """Schedule every step of a fault; the clients start at `began_us`."""
         for step in self.steps(fault):
-            self._scheduler.call_at(began_us + step.at_us, self._noted(fault, step))
+            self._scheduler.call_at(began_us + step.at_us, self._recording_action(fault, step))
 
     def steps(self, fault: Fault) -> Iterator[Step]:
-        """Yield what a fault does, by time."""
+        """Yield the steps of a fault, by time."""
         if fault.kind in BACKEND_FAULTS:
             return self._backend_steps(fault)
         if fault.instance is not None and fault.kind in INSTANCE_FAULTS - {FaultKind.BYZANTINE}:
             return self._instance_steps(fault, fault.instance)
         return self._link_steps(fault)
 
-    def _noted(self, fault: Fault, step: Step) -> Action:
-        def happen() -> None:
-            self._note(LineKind.FAULT, kind=step.noted, which=fault.noted_subject)
-            step.act()
+    def _recording_action(self, fault: Fault, step: Step) -> Action:
+        def apply_step() -> None:
+            self._record(LineKind.FAULT, kind=step.recorded_kind, which=fault.recorded_subject)
+            step.action()
 
-        return happen
+        return apply_step
 
     def _backend_steps(self, fault: Fault) -> Iterator[Step]:
         assert fault.backend is not None
@@ -97,8 +97,8 @@
                 yield Step(fault.end_us, "up", lambda: self._environment.restart(backend))
 
     def _link_steps(self, fault: Fault) -> Iterator[Step]:
-        yield Step(fault.start_us, fault.kind.value, _nothing)
-        yield Step(fault.end_us, f"{fault.kind.value} over", _nothing)
+        yield Step(fault.start_us, fault.kind.value, _no_action)
+        yield Step(fault.end_us, f"{fault.kind.value} over", _no_action)
 
     def _instance_steps(self, fault: Fault, instance: int) -> Iterator[Step]:
         if fault.kind in PROCESS_FAULTS:
@@ -111,7 +111,7 @@
                 lambda: self._instances.end_predecessor(instance, fault.predecessor_end),
             )
         else:
-            yield Step(fault.start_us, fault.kind.value, self._momentary_action(fault, instance))
+            yield Step(fault.start_us, fault.kind.value, self._instantaneous_action(fault, instance))
 
     def _process_steps(self, fault: Fault, instance: int) -> Iterator[Step]:
         number = _PROCESS_SIGNALS[fault.kind]
@@ -121,7 +121,7 @@
         else:
             yield Step(fault.end_us, "start", lambda: self._restart(fault, instance))
 
-    def _momentary_action(self, fault: Fault, instance: int) -> Action:
+    def _instantaneous_action(self, fault: Fault, instance: int) -> Action:
         if fault.kind in OPERATOR_CALLS:
             return lambda: self._start_call(fault)
         if fault.kind in RELOADS:
--- a/garnetlanding/lab/result.py
+++ b/garnetlanding/lab/result.py
@@ -15,24 +15,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """A run that was carried through."""
+    """A completed run."""
 
     experiment: Experiment
     report: InvariantReport
     lines: list[Line]  # of all histories, by time
-    began_us: int  # when the clients did, on the clock of the histories
-    fates: dict[str, int]  # how often each network fault struck a datagram, and connections passed on
+    began_us: int  # when the clients started, on the histories' clock
+    network_counts: dict[str, int]  # datagrams by applied fault and delivered, and proxied connections
     usage: dict[str, ProcessUsage]  # of each instance's last process, by name
     folder: pathlib.Path
 
 
 def encode_result(result: RunResult) -> dict[str, object]:
-    """Return a result in the form of result.json, which is also that of `lab run --json`."""
+    """Return a result in the form of result.json and `lab run --json`."""
     report = result.report
     return {
         "name": result.experiment.name,
         "seed": result.experiment.seed,
-        "sound": report.is_sound,
+        "sound": report.passed,
         "asked": report.requests,
         "outcomes": dict(report.outcomes),
         "attempts": report.attempts,
@@ -48,7 +48,7 @@
         "lives": report.incarnations,
         "doubts": report.suspicions,
         "doubts_unfounded": report.suspicions_unfounded,
-        "links": result.fates,
+        "links": result.network_counts,
         "costs": {name: used.encode() for name, used in result.usage.items()},
         "broken": [str(violation) for violation in report.violations],
     }
--- a/garnetlanding/lab/workload.py
+++ b/garnetlanding/lab/workload.py
@@ -1,4 +1,4 @@
-"""The requests of an experiment's clients, drawn ahead from its seed: the same each time."""
+"""The requests of an experiment's clients, drawn in advance from its seed and thus reproducible."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request: when it is sent, to which instance, and what it asks for."""
+    """One request: when and to which instance it is sent, and its attributes."""
 
-    start_us: int  # after the clients begin
+    start_us: int  # after the clients' start
     id: str
     instance: int
     volume: str
     cell: int
     units: int
     instances_per_volume: int
-    patience_us: int
+    client_timeout_us: int
 
 
 def encode_request(request: Request) -> dict[str, Any]:
-    """Return a request in the form of plan.json, which the process of the clients reads."""
+    """Return a request in the form of plan.json, which the clients' process reads."""
     return {
         "at_us": request.start_us,
         "id": request.id,
@@ -34,12 +34,12 @@
         "cell": request.cell,
         "units": request.units,
         "hosts": request.instances_per_volume,
-        "wait_us": request.patience_us,
+        "wait_us": request.client_timeout_us,
     }
 
 
 def decode_request(fields: dict[str, Any]) -> Request:
-    """Return the request that `encode_request` wrote."""
+    """Return the request that `encode_request` encoded."""
     return Request(
         start_us=fields["at_us"],
         id=fields["id"],
@@ -48,29 +48,29 @@
         cell=fields["cell"],
         units=fields["units"],
         instances_per_volume=fields["hosts"],
-        patience_us=fields["wait_us"],
+        client_timeout_us=fields["wait_us"],
     )
 
 
 def volume_name(number: int) -> str:
-    """Return the name of a volume: its number, in 16 hexadecimal digits."""
+    """Return the name of a volume: its number in 16 hexadecimal digits."""
     return f"{number:016x}"
 
 
 def volume_instances(experiment: Experiment, volume: int) -> list[int]:
-    """Return the instances that a volume's requests come through."""
+    """Return the instances that receive a volume's requests."""
     return [
         (volume + offset) % experiment.instances for offset in range(experiment.workload.instances_per_volume)
     ]
 
 
 def busiest_instance(experiment: Experiment, volume: int, now_us: int) -> int:
-    """Return the instance that most of a volume's requests come through at that time."""
+    """Return the instance that receives most of a volume's requests at that time."""
     instances = volume_instances(experiment, volume)
-    shift_us = experiment.workload.shift_us
-    if not shift_us:
+    shift_interval_us = experiment.workload.shift_interval_us
+    if not shift_interval_us:
         return instances[0]
-    return instances[now_us // shift_us % len(instances)]
+    return instances[now_us // shift_interval_us % len(instances)]
 
 
 def draw_requests(experiment: Experiment) -> list[Request]:
@@ -93,7 +93,7 @@
                 cell=volume % experiment.backends,
                 units=workload.units,
                 instances_per_volume=workload.instances_per_volume,
-                patience_us=workload.patience_us,
+                client_timeout_us=workload.client_timeout_us,
             )
         )
 
--- a/tests/integration/test_subsets_and_retry_budgets.py
+++ b/tests/integration/test_subsets_and_retry_budgets.py
@@ -20,7 +20,7 @@
     backend connections are reset.
     """
     result = run(experiment_file.load(str(ROOT / "experiments" / f"{name}.toml")), tmp_path / "run")
-    assert result.report.is_sound, result.report.violations
+    assert result.report.passed, result.report.violations
     assert result.report.outcomes["served"] > 0
     if name == "resend-budget":
         assert result.report.attempts > result.report.outcomes["served"], "some requests were retried"
--- a/tests/lab/test_quota_invariants.py
+++ b/tests/lab/test_quota_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of shared limits: each test shows that one finds its violation and nothing else."""
+"""Invariants of shared limits: each test shows that one detects its violation and nothing else."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from garnetlanding.lab.faults import FaultKind
 from garnetlanding.lab.limits import SECOND
 from garnetlanding.lab.workload import volume_name
-from tests.support.lab import CALM, fault
+from tests.support.lab import BASELINE, fault
 from tests.support.run_histories import violations, violations_with
 
 QUOTAS = [
@@ -28,21 +28,23 @@
     assert not violations_with(QUOTAS[0])
     assert not violations_with(
         QUOTAS[0] | {"until": 9}, QUOTAS[1]
-    ), "that instance looks again before it sends"
+    ), "an instance with an expired quota computes it anew before it sends"
 
 
 def test_quota_sum_beside_a_duplicate_identity_is_bounded() -> None:
     duplicate = fault(FaultKind.DUPLICATE_IDENTITY, 0, 4, instance=2, claimed_instance=1)
-    doubled = replace(CALM, faults=(duplicate,))
+    doubled = replace(BASELINE, faults=(duplicate,))
     assert violations(doubled, [], QUOTAS) == "", "an even quota is a half"
-    greedy = [line | {"parts": {volume_name(0): 0.8}} for line in QUOTAS]
-    assert violations(doubled, [], greedy) == "parts: beside a twin a volume's add up to 1.600"
+    excessive = [line | {"parts": {volume_name(0): 0.8}} for line in QUOTAS]
+    assert violations(doubled, [], excessive) == (
+        "parts: beside a duplicate identity the quotas of a volume add up to 1.600"
+    )
 
 
 def test_overloaded_warming_backend_is_a_violation() -> None:
     restart = fault(FaultKind.RESTART, 0, 1, backend=1)
     settings = {"Rules": {"FallMultiple": 0.0}, "FamilyInfo": {"ColdBears": 4.0}}
-    warming = replace(CALM, faults=(restart,), settings=settings)
+    warming = replace(BASELINE, faults=(restart,), settings=settings)
     down = {"t": 1, "who": "bricks", "what": "fault", "kind": "down", "which": 1}
     back = down | {"t": 2, "kind": "up"}
     executed = [
@@ -50,16 +52,16 @@
     ]
     assert violations(warming, [], [down, back, *executed[:2]]) == ""
     assert violations(warming, [], [down, back, *executed]) == (
-        "budgets: a cold brick was sent 1.50 of what it bears"
+        "budgets: a cold backend was sent 1.50 of the load it can take"
     )
     elsewhere = [line | {"brick": 0} for line in executed]
     assert violations(warming, [], [down, back, *elsewhere]) == "", "the other backend is warm"
 
 
 def test_too_many_connections_at_a_backend_are_a_violation() -> None:
-    limited = replace(CALM, backend_connections=4)
+    limited = replace(BASELINE, backend_connections=4)
     opened = {"t": 5 * SECOND, "who": "bricks", "what": "open", "brick": 0, "count": 4}
     assert violations(limited, [], [opened]) == ""
     assert violations(limited, [], [opened, opened | {"count": 5}]) == (
-        "places: a brick had 5 connections at once"
+        "places: a backend had 5 concurrent connections"
     )
--- a/tests/support/run_histories.py
+++ b/tests/support/run_histories.py
@@ -1,4 +1,4 @@
-"""Histories of runs that never were, for the tests of the invariants."""
+"""Synthetic run histories for the tests of the invariants."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from garnetlanding.lab import invariants
 from garnetlanding.lab.experiment import Experiment
 from garnetlanding.lab.workload import Request, draw_requests
-from tests.support.lab import CALM
+from tests.support.lab import BASELINE
 
-MODERATE = replace(CALM, workload=replace(CALM.workload, requests_per_s=30.0))
-"""So few requests that every volume's limit is kept."""
+LOW_RATE = replace(BASELINE, workload=replace(BASELINE.workload, requests_per_s=30.0))
+"""A request rate low enough to stay within every volume's limit."""
 
 
 def answered(requests: Sequence[Request], outcome: str = "served") -> list[dict[str, Any]]:
     """Return a history in which each request is executed once and then has this outcome."""
     lines: list[dict[str, Any]] = []
     for request in requests:
-        about = {"t": request.start_us, "id": request.id, "volume": request.volume}
-        lines.append(about | {"who": "bricks", "what": "ran"})
+        subject = {"t": request.start_us, "id": request.id, "volume": request.volume}
+        lines.append(subject | {"who": "bricks", "what": "ran"})
         lines.append(
             {
                 "t": request.start_us + 1,
@@ -33,14 +33,14 @@
     return lines
 
 
-REQUESTS = draw_requests(MODERATE)
-SOUND = answered(REQUESTS)
-"""A history of MODERATE in which every invariant holds."""
+REQUESTS = draw_requests(LOW_RATE)
+VALID_HISTORY = answered(REQUESTS)
+"""A history of LOW_RATE in which every invariant holds."""
 
 
 def violations_with(*lines: dict[str, Any], without: int = 0) -> str:
-    """Return the violations of SOUND without its first lines and with these at its end."""
-    return violations(MODERATE, REQUESTS, [*SOUND[without:], *lines])
+    """Return the violations of VALID_HISTORY without its first `without` lines and with these appended."""
+    return violations(LOW_RATE, REQUESTS, [*VALID_HISTORY[without:], *lines])
 
 
 def violations(experiment: Experiment, requests: list[Request], lines: Sequence[dict[str, Any]]) -> str:
