--- a/benchmarks/ninep_cost.py
+++ b/benchmarks/ninep_cost.py
@@ -156,7 +156,7 @@
         before, began = cpu_s(pid), time.monotonic()
         for _ in range(count):
             client.request(message)
-            client.forget_replies()
+            client.clear_replies()
         out[f"{what} cpu us"] = (cpu_s(pid) - before) / count * 1e6
         out[f"{what} us"] = (time.monotonic() - began) / count * 1e6
     client.close()
@@ -176,7 +176,7 @@
     while due < end:
         time.sleep(max(0.0, due - time.monotonic()))
         client.request(p9.Tread(1, len(took) * BLOCK % FILE, BLOCK))
-        client.forget_replies()
+        client.clear_replies()
         took.append((time.monotonic() - due) * 1e3)
         due += 0.02
     pipe.send(took)
@@ -195,8 +195,8 @@
             batch.append(tag)
         client.send_bytes(b"".join(p9.encode(t, p9.Tread(1, 0, BLOCK)) for t in batch))
         for t in batch:
-            client.wait_reply(t)
-        client.forget_replies()
+            client.wait_for_reply(t)
+        client.clear_replies()
 
 
 def slow_reader(address: str, seconds: float) -> None:
--- a/garnetlanding/conform/__init__.py
+++ b/garnetlanding/conform/__init__.py
@@ -1,7 +1,7 @@
-"""Conformance suite of 9P: checks case by case that a server, or an instance before one, keeps the protocol.
+"""9P conformance suite: tests that a server, or an instance in front of one, follows the protocol.
 
-`cases/` has the cases, which `registry` knows by name; `suite` runs them, each on a connection of its own;
-`report` is what the command line calls. A case is written with `client` (files and sessions), which is built
-on `connection` (messages, tags and replies) over a `transport`. `errors` has the exceptions, under
-ConformanceError; `descriptions` has the texts of protocol values as results show them.
+`cases/` holds the test cases, which `registry` indexes by name; `suite` runs each on its own connection;
+`report` is the entry point of the command line. Cases use `client` (sessions and files), which is built on
+`connection` (messages, tags and replies) over a `transport`. `errors` defines the exceptions, all derived
+from ConformanceError; `descriptions` formats protocol values for the results.
 """
--- a/garnetlanding/conform/cases/creates.py
+++ b/garnetlanding/conform/cases/creates.py
@@ -14,7 +14,7 @@
 
 def expect_bad_name(client: Client, name: str) -> None:
     """Fail unless creating this name is an error."""
-    client.call_failing(client.create_message(client.walk_to(), name))
+    client.call_expecting_error(client.create_message(client.walk_to(), name))
 
 
 def create_with_mode(client: Client, name: str, mode: int) -> tuple[int, p9.Qid]:
@@ -71,19 +71,19 @@
 def create_existing(client: Client) -> None:
     """open(5): a create of a name that exists is an error, and the existing file is left alone."""
     client.create_file("f", b"first")
-    client.call_failing(client.create_message(client.walk_to(), "f"), errors.EEXIST)
+    client.call_expecting_error(client.create_message(client.walk_to(), "f"), errors.EEXIST)
     check(client.read_file("f") == b"first", "it changed")
 
 
 @case("open(5): of two who create one name, one does")
 def create_race(client: Client) -> None:
     """open(5): a create is atomic: of two clients that create one name exactly one succeeds."""
-    other = client.connect_again()
+    other = client.connect_second_client()
     mine = client.walk_to()
     theirs = other.walk_to()
     tag = client.send(client.create_message(mine, "f"))
     their_tag = other.send(other.create_message(theirs, "f"))
-    replies = [client.wait_reply(tag), other.wait_reply(their_tag)]
+    replies = [client.wait_for_reply(tag), other.wait_for_reply(their_tag)]
     check(sum(client.error_of(reply) is None for reply in replies) == 1, "both, or neither, did")
     other.close()
 
@@ -92,7 +92,7 @@
 def create_in_file(client: Client) -> None:
     """open(5): the fid of a create must represent a directory."""
     client.create_file("f")
-    client.call_failing(client.create_message(client.walk_to("f"), "g"), errors.ENOTDIR)
+    client.call_expecting_error(client.create_message(client.walk_to("f"), "g"), errors.ENOTDIR)
 
 
 @case("open(5): `.` is not created")
@@ -158,14 +158,14 @@
 def create_for_reading(client: Client) -> None:
     """open(5): a create opens the file by its mode: with OREAD it cannot be written."""
     fid = client.create_file("f", access=p9.OREAD)
-    client.call_failing(p9.Twrite(fid, 0, b"x"), errors.EBADF)
+    client.call_expecting_error(p9.Twrite(fid, 0, b"x"), errors.EBADF)
 
 
 @case("open(5): created for writing, it is not read")
 def create_for_writing(client: Client) -> None:
     """open(5): a create opens the file by its mode: with OWRITE it cannot be read."""
     fid = client.create_file("f", b"x", access=p9.OWRITE)
-    client.call_failing(p9.Tread(fid, 0, 1), errors.EBADF)
+    client.call_expecting_error(p9.Tread(fid, 0, 1), errors.EBADF)
 
 
 @case("open(5): created without permission to write, it is written through the new fid")
@@ -180,7 +180,7 @@
     """open(5): it is an error if the fid of a create has already been opened."""
     fid = client.walk_to()
     client.open(fid)
-    client.call_failing(client.create_message(fid, "f"))
+    client.call_expecting_error(client.create_message(fid, "f"))
 
 
 @case("open(5): creating needs permission to write the directory")
@@ -218,7 +218,7 @@
 @case("open(5): a directory is not created for writing", PLAIN_ONLY)
 def create_directory_for_writing(client: Client) -> None:
     """open(5): a directory must be created with OREAD, for it cannot be written."""
-    client.call_failing(p9.Tcreate(client.walk_to(), "d", DMDIR | 0o755, p9.ORDWR))
+    client.call_expecting_error(p9.Tcreate(client.walk_to(), "d", DMDIR | 0o755, p9.ORDWR))
     check(not client.exists("d"), "it was created")
 
 
@@ -261,8 +261,8 @@
 def exclusive_use(client: Client) -> None:
     """open(5): a file created with DMEXCL may be open by one client at a time."""
     create_with_mode(client, "lock", DMEXCL)
-    other = client.connect_again()
-    other.call_failing(other.open_message(other.walk_to("lock")))
+    other = client.connect_second_client()
+    other.call_expecting_error(other.open_message(other.walk_to("lock")))
     other.close()
 
 
@@ -271,9 +271,9 @@
     """open(5): an exclusive-use file may be opened again once its fid is clunked."""
     fid, _ = create_with_mode(client, "lock", DMEXCL)
     client.clunk(fid)
-    other = client.connect_again()
+    other = client.connect_second_client()
     other.open(other.walk_to("lock"))
-    client.call_failing(client.open_message(client.walk_to("lock")))
+    client.call_expecting_error(client.open_message(client.walk_to("lock")))
     other.close()
 
 
@@ -311,4 +311,4 @@
     """Tlcreate: with O_EXCL in its flags a name that exists is the error EEXIST, as by open(2)."""
     client.create_file("f")
     flags = p9.ORDWR | p9l.L_CREATE | p9l.L_EXCL
-    client.call_failing(p9l.Tlcreate(client.walk_to(), "f", flags, 0o644, p9l.NOGID), errors.EEXIST)
+    client.call_expecting_error(p9l.Tlcreate(client.walk_to(), "f", flags, 0o644, p9l.NOGID), errors.EEXIST)
--- a/garnetlanding/conform/cases/data.py
+++ b/garnetlanding/conform/cases/data.py
@@ -115,7 +115,7 @@
 def write_seen_elsewhere(client: Client) -> None:
     """write(5): what Rwrite has confirmed is seen by reads on any other connection."""
     fid = client.create_file("f", b"first")
-    other = client.connect_again()
+    other = client.connect_second_client()
     other_fid = other.walk_to("f")
     other.open(other_fid)
     check(other.read(other_fid) == b"first", "other bytes at first")
@@ -129,19 +129,19 @@
     """write(5): directories may not be written."""
     fid = client.walk_to()
     client.open(fid)
-    client.call_failing(p9.Twrite(fid, 0, b"x"))
+    client.call_expecting_error(p9.Twrite(fid, 0, b"x"))
 
 
 @case("read(5): the fid must be one")
 def read_unknown_fid(client: Client) -> None:
     """read(5): the fid must be established; an unknown one is an error."""
-    client.call_failing(p9.Tread(client.new_fid(), 0, 1), errors.EBADF)
+    client.call_expecting_error(p9.Tread(client.new_fid(), 0, 1), errors.EBADF)
 
 
 @case("write(5): the fid must be one")
 def write_unknown_fid(client: Client) -> None:
     """write(5): the fid must be established; an unknown one is an error."""
-    client.call_failing(p9.Twrite(client.new_fid(), 0, b"x"), errors.EBADF)
+    client.call_expecting_error(p9.Twrite(client.new_fid(), 0, b"x"), errors.EBADF)
 
 
 @case("read(5): an offset that is no file's end reads nothing, or is an error")
@@ -187,7 +187,7 @@
         client.send(p9.Tread(fid, offset, 40), tag)
     for tag, offset in tags.items():
         check(
-            client.expect(p9.Rread, client.wait_reply(tag)).data == TEXT[offset : offset + 40],
+            client.expect(p9.Rread, client.wait_for_reply(tag)).data == TEXT[offset : offset + 40],
             f"other bytes at {offset}",
         )
 
@@ -199,7 +199,7 @@
     for index in range(30):
         client.send(p9.Twrite(fid, index * 10, b"%010d" % index), 200 + index)
     for index in range(30):
-        check(client.expect(p9.Rwrite, client.wait_reply(200 + index)).count == 10, "another count")
+        check(client.expect(p9.Rwrite, client.wait_for_reply(200 + index)).count == 10, "another count")
     check(client.read(fid) == b"".join(b"%010d" % index for index in range(30)), "other bytes")
 
 
@@ -211,7 +211,7 @@
         client.send(p9.Tread(fid, 0, 10), 300 + index)
     for index in range(8):
         check(
-            client.expect(p9.Rread, client.wait_reply(300 + index)).data == b"%04d" % index,
+            client.expect(p9.Rread, client.wait_for_reply(300 + index)).data == b"%04d" % index,
             "another file's bytes",
         )
 
--- a/garnetlanding/conform/cases/directories.py
+++ b/garnetlanding/conform/cases/directories.py
@@ -154,13 +154,13 @@
 @case("readdir: the fid must be open", LINUX_ONLY)
 def readdir_unopened(client: Client) -> None:
     """Treaddir: the fid must be an open directory; one that is not open is the error EBADF."""
-    client.call_failing(p9l.Treaddir(client.walk_to(), 0, 1000), errors.EBADF)
+    client.call_expecting_error(p9l.Treaddir(client.walk_to(), 0, 1000), errors.EBADF)
 
 
 @case("readdir: only directories are listed", LINUX_ONLY)
 def readdir_of_file(client: Client) -> None:
     """Treaddir: the fid must be an open directory; a file is the error ENOTDIR."""
-    client.call_failing(p9l.Treaddir(client.create_file("f"), 0, 1000), errors.ENOTDIR)
+    client.call_expecting_error(p9l.Treaddir(client.create_file("f"), 0, 1000), errors.ENOTDIR)
 
 
 @case("read(5): in 9P2000.L a directory is not read as a file", LINUX_ONLY)
@@ -168,4 +168,4 @@
     """Treaddir: it replaces Tread for directories; a Tread of one is the error EISDIR."""
     fid = client.walk_to()
     client.open(fid)
-    client.call_failing(p9.Tread(fid, 0, 1000), errors.EISDIR)
+    client.call_expecting_error(p9.Tread(fid, 0, 1000), errors.EISDIR)
--- a/garnetlanding/conform/cases/framing.py
+++ b/garnetlanding/conform/cases/framing.py
@@ -15,7 +15,7 @@
     """Fail unless the reply to the tag is an error or the server closes the connection."""
     client.drain_replies()
     check(
-        client.closed_by_server or any(client.error_of(reply) for reply in client.replies_to(tag)),
+        client.server_closed or any(client.error_of(reply) for reply in client.replies_to(tag)),
         "neither an error nor an end came",
     )
 
@@ -25,7 +25,7 @@
     """intro(5): the size field alone delimits a message, so it may arrive byte by byte."""
     for byte in p9.encode(7, p9.Twalk(ROOT, client.new_fid(), ())):
         client.send_bytes(bytes([byte]))
-    client.expect(p9.Rwalk, client.wait_reply(7))
+    client.expect(p9.Rwalk, client.wait_for_reply(7))
 
 
 @case("intro(5): messages may come close behind each other")
@@ -36,14 +36,14 @@
         b"".join(p9.encode(10 + index, p9.Twalk(ROOT, fid, ())) for index, fid in enumerate(fids))
     )
     for index in range(5):
-        client.expect(p9.Rwalk, client.wait_reply(10 + index))
+        client.expect(p9.Rwalk, client.wait_for_reply(10 + index))
 
 
 @case("intro(5): an unknown type is answered with an error, and the connection goes on")
 def unknown_type(client: Client) -> None:
     """intro(5): a request that cannot be done is answered with an error; only the listed types exist."""
     client.send_bytes(struct.pack("<IBH", 7, 255, 9))
-    client.expect_error(client.wait_reply(9))
+    client.expect_error(client.wait_for_reply(9))
     client.call(p9.Rwalk, p9.Twalk(ROOT, client.new_fid(), ()))
 
 
@@ -110,7 +110,8 @@
         client.send(p9.Tread(fid, 0, 4), tag)
     for tag in reversed(tags):
         check(
-            client.expect(p9.Rread, client.wait_reply(tag)).data == b"data", f"another answer for tag {tag}"
+            client.expect(p9.Rread, client.wait_for_reply(tag)).data == b"data",
+            f"another answer for tag {tag}",
         )
     client.drain_replies()
     check(all(len(client.replies_to(tag)) == 1 for tag in tags), "a tag was answered more than once")
@@ -120,5 +121,5 @@
 def error_leaves_session(client: Client) -> None:
     """error(5): Rerror tells that one request failed; neither the connection nor other fids suffer."""
     fid = client.create_file("f", b"data")
-    client.call_failing(p9.Tread(client.new_fid(), 0, 4), errors.EBADF)
+    client.call_expecting_error(p9.Tread(client.new_fid(), 0, 4), errors.EBADF)
     check(client.read(fid) == b"data", "the file reads otherwise")
--- a/garnetlanding/conform/cases/linux_attributes.py
+++ b/garnetlanding/conform/cases/linux_attributes.py
@@ -53,7 +53,7 @@
 @case("getattr: the fid must be one", LINUX_ONLY)
 def getattr_unknown_fid(client: Client) -> None:
     """Tgetattr: the fid must be established; an unknown one is the error EBADF."""
-    client.call_failing(p9l.Tgetattr(client.new_fid(), p9l.GETATTR_BASIC), errors.EBADF)
+    client.call_expecting_error(p9l.Tgetattr(client.new_fid(), p9l.GETATTR_BASIC), errors.EBADF)
 
 
 @case("setattr: a smaller size cuts", LINUX_ONLY)
@@ -75,7 +75,7 @@
 @case("setattr: a directory has no size to set", LINUX_ONLY)
 def setattr_size_of_directory(client: Client) -> None:
     """Tsetattr: the size of a directory cannot be set (truncate(2): EISDIR or EINVAL)."""
-    client.call_failing(
+    client.call_expecting_error(
         setattr_message(client.walk_to(), p9l.SETATTR_SIZE, size=5), errors.EISDIR, errors.EINVAL
     )
 
@@ -122,7 +122,7 @@
 @case("setattr: who is not root does not give files away", LINUX_ONLY)
 def setattr_owner(client: Client) -> None:
     """Tsetattr: only root may give a file to another owner (chown(2): EPERM)."""
-    client.call_failing(
+    client.call_expecting_error(
         setattr_message(client.create_file("f"), p9l.SETATTR_UID, uid=client.options.uid + 1),
         errors.EPERM,
         errors.EOPNOTSUPP,
@@ -132,7 +132,7 @@
 @case("setattr: the fid must be one", LINUX_ONLY)
 def setattr_unknown_fid(client: Client) -> None:
     """Tsetattr: the fid must be established; an unknown one is the error EBADF."""
-    client.call_failing(setattr_message(client.new_fid(), p9l.SETATTR_MODE), errors.EBADF)
+    client.call_expecting_error(setattr_message(client.new_fid(), p9l.SETATTR_MODE), errors.EBADF)
 
 
 @case("statfs: figures that can be", LINUX_ONLY)
@@ -159,7 +159,7 @@
 def fsync_unopened(client: Client) -> None:
     """Tfsync: the fid must be open (EBADF)."""
     client.create_file("f")
-    client.call_failing(p9l.Tfsync(client.walk_to("f"), 0), errors.EBADF)
+    client.call_expecting_error(p9l.Tfsync(client.walk_to("f"), 0), errors.EBADF)
 
 
 @case("xattrwalk: attributes, or 'not supported'", LINUX_ONLY)
--- a/garnetlanding/conform/cases/linux_locks.py
+++ b/garnetlanding/conform/cases/linux_locks.py
@@ -57,7 +57,7 @@
 def open_on_two_connections(client: Client) -> tuple[int, Client, int]:
     """Create a file; return its open fid, a second client, and that one's open fid of the file."""
     fid = client.create_file("f", b"0123456789")
-    other = client.connect_again()
+    other = client.connect_second_client()
     other_fid = other.walk_to("f")
     other.open(other_fid, p9.ORDWR)
     return fid, other, other_fid
--- a/garnetlanding/conform/cases/linux_names.py
+++ b/garnetlanding/conform/cases/linux_names.py
@@ -59,21 +59,21 @@
     client.create_file("f")
     client.create_directory("d")
     for name in ("f", "d"):
-        client.call_failing(p9l.Tmkdir(client.walk_to(), name, 0o755, p9l.NOGID), errors.EEXIST)
+        client.call_expecting_error(p9l.Tmkdir(client.walk_to(), name, 0o755, p9l.NOGID), errors.EEXIST)
 
 
 @case("mkdir(2): in a directory only", LINUX_ONLY)
 def mkdir_in_file(client: Client) -> None:
     """Tmkdir: dfid must be a directory; a file is the error ENOTDIR, as by mkdir(2)."""
     client.create_file("f")
-    client.call_failing(p9l.Tmkdir(client.walk_to("f"), "d", 0o755, p9l.NOGID), errors.ENOTDIR)
+    client.call_expecting_error(p9l.Tmkdir(client.walk_to("f"), "d", 0o755, p9l.NOGID), errors.ENOTDIR)
 
 
 @case("mkdir(2): names that are none", LINUX_ONLY)
 def mkdir_bad_names(client: Client) -> None:
     """Tmkdir: the name is one path element: neither empty nor `.` nor `..`, and without slash."""
     for name in ("", ".", "..", "a/b"):
-        client.call_failing(p9l.Tmkdir(client.walk_to(), name, 0o755, p9l.NOGID))
+        client.call_expecting_error(p9l.Tmkdir(client.walk_to(), name, 0o755, p9l.NOGID))
 
 
 @case("unlinkat: a file", LINUX_ONLY)
@@ -88,7 +88,7 @@
 def unlinkat_directory(client: Client) -> None:
     """Tunlinkat: a directory is removed only with AT_REMOVEDIR in the flags, as by unlinkat(2)."""
     client.create_directory("d")
-    client.call_failing(p9l.Tunlinkat(client.walk_to(), "d", 0), errors.EISDIR, errors.EPERM)
+    client.call_expecting_error(p9l.Tunlinkat(client.walk_to(), "d", 0), errors.EISDIR, errors.EPERM)
     client.call(p9l.Runlinkat, p9l.Tunlinkat(client.walk_to(), "d", p9l.AT_REMOVEDIR))
     check(not client.exists("d"), "it is still there")
 
@@ -97,7 +97,7 @@
 def unlinkat_file_as_directory(client: Client) -> None:
     """Tunlinkat: with AT_REMOVEDIR a file is the error ENOTDIR, as by unlinkat(2)."""
     client.create_file("f")
-    client.call_failing(p9l.Tunlinkat(client.walk_to(), "f", p9l.AT_REMOVEDIR), errors.ENOTDIR)
+    client.call_expecting_error(p9l.Tunlinkat(client.walk_to(), "f", p9l.AT_REMOVEDIR), errors.ENOTDIR)
     check(client.exists("f"), "it is gone")
 
 
@@ -106,7 +106,7 @@
     """Tunlinkat: a directory that is not empty is the error ENOTEMPTY or EEXIST, as by rmdir(2)."""
     client.create_directory("d")
     client.create_file("f", b"", 0o644, "d")
-    client.call_failing(
+    client.call_expecting_error(
         p9l.Tunlinkat(client.walk_to(), "d", p9l.AT_REMOVEDIR), errors.ENOTEMPTY, errors.EEXIST
     )
     check(client.exists("d", "f"), "what was in it is gone")
@@ -115,14 +115,14 @@
 @case("unlinkat(2): a name that is not there", LINUX_ONLY)
 def unlinkat_missing(client: Client) -> None:
     """Tunlinkat: a name that does not exist is the error ENOENT, as by unlinkat(2)."""
-    client.call_failing(p9l.Tunlinkat(client.walk_to(), "gone", 0), errors.ENOENT)
+    client.call_expecting_error(p9l.Tunlinkat(client.walk_to(), "gone", 0), errors.ENOENT)
 
 
 @case("unlinkat(2): unknown flags", LINUX_ONLY)
 def unlinkat_flags(client: Client) -> None:
     """Tunlinkat: flags other than AT_REMOVEDIR are the error EINVAL, as by unlinkat(2)."""
     client.create_file("f")
-    client.call_failing(p9l.Tunlinkat(client.walk_to(), "f", 0x1000), errors.EINVAL)
+    client.call_expecting_error(p9l.Tunlinkat(client.walk_to(), "f", 0x1000), errors.EINVAL)
     check(client.exists("f"), "it is gone")
 
 
@@ -181,7 +181,7 @@
     client.create_directory("d")
     client.create_file("f", b"kept")
     fid = client.walk_to()
-    client.call_failing(p9l.Trenameat(fid, "d", fid, "f"), errors.ENOTDIR, errors.EEXIST)
+    client.call_expecting_error(p9l.Trenameat(fid, "d", fid, "f"), errors.ENOTDIR, errors.EEXIST)
     check(client.read_file("f") == b"kept" and client.exists("d"), "it did")
 
 
@@ -189,7 +189,7 @@
 def renameat_below_itself(client: Client) -> None:
     """Trenameat: a directory cannot move to a place below itself (rename(2): EINVAL)."""
     client.create_directory("d")
-    client.call_failing(p9l.Trenameat(client.walk_to(), "d", client.walk_to("d"), "e"), errors.EINVAL)
+    client.call_expecting_error(p9l.Trenameat(client.walk_to(), "d", client.walk_to("d"), "e"), errors.EINVAL)
     check(client.exists("d"), "it is gone")
 
 
@@ -197,7 +197,7 @@
 def renameat_missing(client: Client) -> None:
     """Trenameat: an old name that does not exist is the error ENOENT, as by rename(2)."""
     fid = client.walk_to()
-    client.call_failing(p9l.Trenameat(fid, "gone", fid, "g"), errors.ENOENT)
+    client.call_expecting_error(p9l.Trenameat(fid, "gone", fid, "g"), errors.ENOENT)
 
 
 @case("rename: a directory takes along what is in it, also for fids", LINUX_ONLY)
@@ -231,7 +231,7 @@
 def symlink_existing(client: Client) -> None:
     """Tsymlink: a name that exists is the error EEXIST, as by symlink(2)."""
     create_symlink(client, "link", "f")
-    client.call_failing(p9l.Tsymlink(client.walk_to(), "link", "g", p9l.NOGID), errors.EEXIST)
+    client.call_expecting_error(p9l.Tsymlink(client.walk_to(), "link", "g", p9l.NOGID), errors.EEXIST)
 
 
 @case("symlink: removing it leaves its target", LINUX_ONLY)
@@ -247,7 +247,7 @@
 def readlink_of_file(client: Client) -> None:
     """Treadlink: the fid must represent a symbolic link; another file is the error EINVAL."""
     client.create_file("f")
-    client.call_failing(p9l.Treadlink(client.walk_to("f")), errors.EINVAL)
+    client.call_expecting_error(p9l.Treadlink(client.walk_to("f")), errors.EINVAL)
 
 
 @case("link: a further name for the same file", LINUX_ONLY)
@@ -292,7 +292,7 @@
 def link_directory(client: Client) -> None:
     """Tlink: a directory gets no further entries (link(2): EPERM)."""
     client.create_directory("d")
-    client.call_failing(p9l.Tlink(client.walk_to(), client.walk_to("d"), "e"), errors.EPERM)
+    client.call_expecting_error(p9l.Tlink(client.walk_to(), client.walk_to("d"), "e"), errors.EPERM)
 
 
 @case("mknod: a regular file", LINUX_ONLY)
--- a/garnetlanding/conform/cases/opens.py
+++ b/garnetlanding/conform/cases/opens.py
@@ -39,7 +39,7 @@
 @case("open(5): a file open for reading is not written")
 def open_for_reading_not_written(client: Client) -> None:
     """write(5): the fid must be open for writing; OREAD permits none."""
-    client.call_failing(p9.Twrite(create_and_open(client), 0, b"x"), EBADF)
+    client.call_expecting_error(p9.Twrite(create_and_open(client), 0, b"x"), EBADF)
     check(client.read_file("f") == b"0123456789", "it was written")
 
 
@@ -53,7 +53,7 @@
 @case("open(5): a file open for writing is not read")
 def open_for_writing_not_read(client: Client) -> None:
     """read(5): the fid must be open for reading; OWRITE permits none."""
-    client.call_failing(p9.Tread(create_and_open(client, p9.OWRITE), 0, 4), EBADF)
+    client.call_expecting_error(p9.Tread(create_and_open(client, p9.OWRITE), 0, 4), EBADF)
 
 
 @case("open(5): a file open for both is read and written")
@@ -68,13 +68,13 @@
 def open_twice(client: Client) -> None:
     """open(5): it is an error if the fid has already been opened."""
     fid = create_and_open(client)
-    client.call_failing(client.open_message(fid), EBADF, errors.EINVAL, errors.EBUSY)
+    client.call_expecting_error(client.open_message(fid), EBADF, errors.EINVAL, errors.EBUSY)
 
 
 @case("open(5): the fid must be one")
 def open_unknown_fid(client: Client) -> None:
     """open(5): the fid must be established; an unknown one is an error."""
-    client.call_failing(client.open_message(client.new_fid()), EBADF)
+    client.call_expecting_error(client.open_message(client.new_fid()), EBADF)
 
 
 @case("open(5): the qid is the file's")
@@ -100,7 +100,7 @@
 def open_read_denied(client: Client) -> None:
     """open(5): an open for reading needs permission to read the file."""
     client.set_permissions(client.create_file("f", b"x"), 0o200)
-    client.call_failing(client.open_message(client.walk_to("f")), errors.EACCES)
+    client.call_expecting_error(client.open_message(client.walk_to("f")), errors.EACCES)
 
 
 @case("open(5): writing needs permission to write")
@@ -108,14 +108,16 @@
     """open(5): an open for writing, alone or with reading, needs permission to write the file."""
     client.set_permissions(client.create_file("f", b"x"), 0o400)
     for access in (p9.OWRITE, p9.ORDWR):
-        client.call_failing(client.open_message(client.walk_to("f"), access), errors.EACCES)
+        client.call_expecting_error(client.open_message(client.walk_to("f"), access), errors.EACCES)
 
 
 @case("open(5): truncating needs permission to write, also when open for reading")
 def open_truncate_denied(client: Client) -> None:
     """open(5): OTRUNC needs permission to write the file, even when it is opened for reading."""
     client.set_permissions(client.create_file("f", b"x"), 0o400)
-    client.call_failing(client.open_message(client.walk_to("f"), p9.OREAD, truncate=True), errors.EACCES)
+    client.call_expecting_error(
+        client.open_message(client.walk_to("f"), p9.OREAD, truncate=True), errors.EACCES
+    )
     check(client.read_file("f") == b"x", "it was truncated")
 
 
@@ -123,13 +125,13 @@
 def open_directory_for_writing(client: Client) -> None:
     """open(5): it is illegal to open a directory for writing."""
     for access in (p9.OWRITE, p9.ORDWR):
-        client.call_failing(client.open_message(client.walk_to(), access), errors.EISDIR)
+        client.call_expecting_error(client.open_message(client.walk_to(), access), errors.EISDIR)
 
 
 @case("open(5): a directory is not truncated")
 def open_directory_truncate(client: Client) -> None:
     """open(5): it is illegal to truncate a directory."""
-    client.call_failing(client.open_message(client.walk_to(), p9.OREAD, truncate=True), errors.EISDIR)
+    client.call_expecting_error(client.open_message(client.walk_to(), p9.OREAD, truncate=True), errors.EISDIR)
 
 
 @case("open(5): a directory can be opened for reading")
@@ -165,14 +167,14 @@
 def unopened_not_read(client: Client) -> None:
     """read(5): the fid must have been opened before it is read."""
     client.create_file("f", b"x")
-    client.call_failing(p9.Tread(client.walk_to("f"), 0, 4), EBADF, errors.EINVAL)
+    client.call_expecting_error(p9.Tread(client.walk_to("f"), 0, 4), EBADF, errors.EINVAL)
 
 
 @case("write(5): a fid that is not open is not written")
 def unopened_not_written(client: Client) -> None:
     """write(5): the fid must have been opened before it is written."""
     client.create_file("f", b"x")
-    client.call_failing(p9.Twrite(client.walk_to("f"), 0, b"y"), EBADF, errors.EINVAL)
+    client.call_expecting_error(p9.Twrite(client.walk_to("f"), 0, b"y"), EBADF, errors.EINVAL)
 
 
 @case("open(5): two fids of one file see one content")
@@ -198,14 +200,14 @@
     fid = client.walk_to("f")
     client.open(fid, p9.OEXEC)
     check(client.read(fid) == b"run", "it reads otherwise")
-    client.call_failing(p9.Twrite(fid, 0, b"x"))
+    client.call_expecting_error(p9.Twrite(fid, 0, b"x"))
 
 
 @case("open(5): execution needs permission to execute", PLAIN_ONLY)
 def open_execute_denied(client: Client) -> None:
     """open(5): OEXEC needs permission to execute the file."""
     client.create_file("f", b"run", 0o600)
-    client.call_failing(client.open_message(client.walk_to("f"), p9.OEXEC))
+    client.call_expecting_error(client.open_message(client.walk_to("f"), p9.OEXEC))
 
 
 @case("open(5): ORCLOSE removes the file when the fid is clunked", PLAIN_ONLY)
@@ -223,7 +225,7 @@
 def orclose_removes_at_end(client: Client) -> None:
     """open(5): the end of the connection clunks the fid, so ORCLOSE removes the file then as well."""
     client.create_file("f")
-    other = client.connect_again()
+    other = client.connect_second_client()
     other.call(p9.Ropen, p9.Topen(other.walk_to("f"), p9.OREAD | p9.ORCLOSE))
     other.close()
     expect_removed_in_time(client, "f")
@@ -243,21 +245,21 @@
 def open_mode_unknown(client: Client) -> None:
     """open(5): mode bits other than those listed are reserved and must be zero."""
     client.create_file("f")
-    client.call_failing(p9.Topen(client.walk_to("f"), 0x08))
+    client.call_expecting_error(p9.Topen(client.walk_to("f"), 0x08))
 
 
 @case("open(2): the access mode 3 is none", LINUX_ONLY)
 def lopen_access_invalid(client: Client) -> None:
     """Tlopen: its flags are those of open(2), where the access mode 3 is not one of the three."""
     client.create_file("f")
-    client.call_failing(p9l.Tlopen(client.walk_to("f"), 3), errors.EINVAL)
+    client.call_expecting_error(p9l.Tlopen(client.walk_to("f"), 3), errors.EINVAL)
 
 
 @case("open(2): O_DIRECTORY opens directories only", LINUX_ONLY)
 def lopen_directory_flag(client: Client) -> None:
     """Tlopen: with O_DIRECTORY the open fails with ENOTDIR unless the file is a directory."""
     client.create_file("f")
-    client.call_failing(p9l.Tlopen(client.walk_to("f"), p9l.L_DIRECTORY), errors.ENOTDIR)
+    client.call_expecting_error(p9l.Tlopen(client.walk_to("f"), p9l.L_DIRECTORY), errors.ENOTDIR)
     client.call(p9l.Rlopen, p9l.Tlopen(client.walk_to(), p9l.L_DIRECTORY))
 
 
@@ -282,4 +284,4 @@
             client.request(p9l.Tsymlink(client.walk_to(), "link", "target", p9l.NOGID))
         ),
     )
-    client.call_failing(p9l.Tlopen(client.walk_to("link"), 0), errors.ELOOP)
+    client.call_expecting_error(p9l.Tlopen(client.walk_to("link"), 0), errors.ELOOP)
--- a/garnetlanding/conform/cases/removes.py
+++ b/garnetlanding/conform/cases/removes.py
@@ -31,7 +31,7 @@
     """remove(5): a remove clunks the fid."""
     fid = client.create_file("f")
     client.remove(fid)
-    client.call_failing(p9.Tclunk(fid), EBADF)
+    client.call_expecting_error(p9.Tclunk(fid), EBADF)
 
 
 @case("remove(5): the fid is clunked also when the remove fails")
@@ -41,7 +41,7 @@
     client.create_file("f", b"", 0o644, "d")
     fid = client.walk_to("d")
     client.expect_error(client.request(p9.Tremove(fid)), errors.ENOTEMPTY, errors.EEXIST)
-    client.call_failing(p9.Tclunk(fid), EBADF)
+    client.call_expecting_error(p9.Tclunk(fid), EBADF)
 
 
 @case("remove(5): a directory with something in it stays")
@@ -64,7 +64,7 @@
 @case("remove(5): the fid must be one")
 def remove_unknown_fid(client: Client) -> None:
     """remove(5): the fid must be established; an unknown one is an error."""
-    client.call_failing(p9.Tremove(client.new_fid()), EBADF)
+    client.call_expecting_error(p9.Tremove(client.new_fid()), EBADF)
 
 
 @case("remove(5): removing needs permission to write the directory")
@@ -148,7 +148,7 @@
     """clunk(5): after a clunk the fid is no longer in use and may be used again."""
     fid = client.walk_to()
     client.clunk(fid)
-    client.call_failing(p9.Tread(fid, 0, 1), EBADF)
+    client.call_expecting_error(p9.Tread(fid, 0, 1), EBADF)
     client.call(p9.Rwalk, p9.Twalk(ROOT, fid, ()))
 
 
@@ -157,13 +157,13 @@
     """clunk(5): after a clunk the fid is unknown, so a second one is an error."""
     fid = client.walk_to()
     client.clunk(fid)
-    client.call_failing(p9.Tclunk(fid), EBADF)
+    client.call_expecting_error(p9.Tclunk(fid), EBADF)
 
 
 @case("clunk(5): the fid must be one")
 def clunk_unknown_fid(client: Client) -> None:
     """clunk(5): the fid must be established; an unknown one is an error."""
-    client.call_failing(p9.Tclunk(client.new_fid()), EBADF)
+    client.call_expecting_error(p9.Tclunk(client.new_fid()), EBADF)
 
 
 @case("clunk(5): what is written stays written")
@@ -193,7 +193,7 @@
     for tag in tags:
         client.send(p9.Tread(fid, 0, 4), tag)
     client.send(p9.Tclunk(fid), 60)
-    client.expect(p9.Rclunk, client.wait_reply(60))
+    client.expect(p9.Rclunk, client.wait_for_reply(60))
     client.drain_replies()
     for tag in tags:
         replies = client.replies_to(tag)
@@ -208,6 +208,6 @@
     fid = client.create_file("f", b"....")
     client.send(p9.Twrite(fid, 0, b"done"), 50)
     client.send(p9.Tclunk(fid), 51)
-    client.expect(p9.Rwrite, client.wait_reply(50))
-    client.expect(p9.Rclunk, client.wait_reply(51))
+    client.expect(p9.Rwrite, client.wait_for_reply(50))
+    client.expect(p9.Rclunk, client.wait_for_reply(51))
     check(client.read_file("f") == b"done", "it was not")
--- a/garnetlanding/conform/cases/sessions.py
+++ b/garnetlanding/conform/cases/sessions.py
@@ -71,7 +71,7 @@
     client.send(p9.Tstat(ROOT) if not client.linux else p9l.Tgetattr(ROOT, 0), 5)
     client.drain_replies()
     check(
-        client.closed_by_server or all(client.error_of(reply) for reply in client.replies_to(5)),
+        client.server_closed or all(client.error_of(reply) for reply in client.replies_to(5)),
         "served before a version was agreed on",
     )
 
@@ -81,7 +81,7 @@
     """version(5): Tversion starts a new session: all fids of the old one are clunked."""
     fid = client.walk_to()
     client.negotiate()
-    client.call_failing(p9.Tclunk(fid), errors.EBADF)
+    client.call_expecting_error(p9.Tclunk(fid), errors.EBADF)
     client.attach()
 
 
@@ -161,9 +161,9 @@
 @case("attach(5): fids belong to their connection")
 def fids_are_per_connection(client: Client) -> None:
     """intro(5): fids belong to the connection; the same number on another one means nothing there."""
-    other = client.connect_again()
+    other = client.connect_second_client()
     fid = client.walk_to()
-    other.call_failing(p9.Tclunk(fid), errors.EBADF)
+    other.call_expecting_error(p9.Tclunk(fid), errors.EBADF)
     other.close()
 
 
@@ -171,14 +171,14 @@
 def other_dialects_messages(client: Client) -> None:
     """intro(5): message types beyond the agreed version's are errors and have no effect."""
     client.send(p9l.Tmkdir(client.walk_to(), "linux", 0o755, 0), 9)
-    client.expect_error(client.wait_reply(9))
+    client.expect_error(client.wait_for_reply(9))
     check(not client.exists("linux"), "it was done")
 
 
 @case("clunk(5): when a connection ends its fids are clunked, and its files stay")
 def end_keeps_files(client: Client) -> None:
     """clunk(5): clunking, also by the end of a connection, ends the fid and not its file."""
-    other = client.connect_again()
+    other = client.connect_second_client()
     other.create_file("kept", b"kept")
     other.close()
     check(client.read_file("kept") == b"kept", "the file is another")
--- a/garnetlanding/conform/cases/stats.py
+++ b/garnetlanding/conform/cases/stats.py
@@ -68,7 +68,7 @@
 @case("stat(5): the fid must be one", PLAIN_ONLY)
 def stat_unknown_fid(client: Client) -> None:
     """stat(5): the fid must be established; an unknown one is an error."""
-    client.call_failing(p9.Tstat(client.new_fid()))
+    client.call_expecting_error(p9.Tstat(client.new_fid()))
 
 
 @case("stat(5): the owner is who created it", PLAIN_ONLY)
@@ -225,14 +225,14 @@
     good = StatChange(length=0).encode()
     for bad in (good[:-1], b"\x05\0" + good[2:], good + b"x", b""):
         client.send(p9.Twstat(fid, bad), 70)
-        client.expect_error(client.wait_reply(70))
+        client.expect_error(client.wait_for_reply(70))
     check(client.read_file("f") == b"x", "it was done")
 
 
 @case("stat(5): the fid must be one", PLAIN_ONLY)
 def wstat_unknown_fid(client: Client) -> None:
     """stat(5): the fid of a wstat must be established; an unknown one is an error."""
-    client.call_failing(p9.Twstat(client.new_fid(), StatChange().encode()))
+    client.call_expecting_error(p9.Twstat(client.new_fid(), StatChange().encode()))
 
 
 @case("stat(5): only the owner changes permissions, also through an open fid", PLAIN_ONLY)
--- a/garnetlanding/conform/cases/walks.py
+++ b/garnetlanding/conform/cases/walks.py
@@ -61,7 +61,7 @@
 @case("walk(5): an error when the first name is missing")
 def walk_first_missing(client: Client) -> None:
     """walk(5): if the first element cannot be walked for any reason, Rerror is returned."""
-    client.call_failing(p9.Twalk(client.walk_to(), client.new_fid(), ("gone",)), ENOENT)
+    client.call_expecting_error(p9.Twalk(client.walk_to(), client.new_fid(), ("gone",)), ENOENT)
 
 
 @case("walk(5): after a failed walk newfid is not in use")
@@ -70,8 +70,8 @@
     client.create_file("f")
     fid = client.walk_to()
     newfid = client.new_fid()
-    client.call_failing(p9.Twalk(fid, newfid, ("gone",)), ENOENT)
-    client.call_failing(p9.Tclunk(newfid), EBADF)
+    client.call_expecting_error(p9.Twalk(fid, newfid, ("gone",)), ENOENT)
+    client.call_expecting_error(p9.Tclunk(newfid), EBADF)
     client.expect(p9.Rwalk, request_walk(client, fid, newfid, "f"))
 
 
@@ -83,7 +83,7 @@
     newfid = client.new_fid()
     reply = client.expect(p9.Rwalk, request_walk(client, fid, newfid, "d", "gone", "further"))
     check(len(reply.qids) == 1, f"{len(reply.qids)} qids")
-    client.call_failing(p9.Tclunk(newfid), EBADF)
+    client.call_expecting_error(p9.Tclunk(newfid), EBADF)
 
 
 @case("walk(5): a partial walk leaves fid where it was, also when newfid is the same")
@@ -104,7 +104,9 @@
     newfid = client.new_fid()
     reply = client.expect(p9.Rwalk, request_walk(client, fid, newfid, "f", "below"))
     check(len(reply.qids) == 1, f"{len(reply.qids)} qids")
-    client.call_failing(p9.Twalk(client.walk_to("f"), client.new_fid(), ("below",)), errors.ENOTDIR, ENOENT)
+    client.call_expecting_error(
+        p9.Twalk(client.walk_to("f"), client.new_fid(), ("below",)), errors.ENOTDIR, ENOENT
+    )
 
 
 @case("walk(5): `..` leads to the parent")
@@ -159,7 +161,7 @@
     client.send(p9.Twalk(client.walk_to(), client.new_fid(), ("x",) * 17), 9)
     client.drain_replies()
     check(
-        client.closed_by_server or all(client.error_of(reply) for reply in client.replies_to(9)),
+        client.server_closed or all(client.error_of(reply) for reply in client.replies_to(9)),
         "it was served",
     )
 
@@ -168,19 +170,19 @@
 def walk_newfid_in_use(client: Client) -> None:
     """walk(5): newfid must not be in use unless it is the same as fid."""
     client.create_file("f")
-    client.call_failing(p9.Twalk(client.walk_to(), client.walk_to(), ("f",)))
+    client.call_expecting_error(p9.Twalk(client.walk_to(), client.walk_to(), ("f",)))
 
 
 @case("walk(5): the fid must be one")
 def walk_unknown_fid(client: Client) -> None:
     """walk(5): the fid must be one that an earlier attach or walk has established."""
-    client.call_failing(p9.Twalk(client.new_fid(), client.new_fid(), ()), EBADF)
+    client.call_expecting_error(p9.Twalk(client.new_fid(), client.new_fid(), ()), EBADF)
 
 
 @case("walk(5): NOFID is no newfid")
 def walk_to_nofid(client: Client) -> None:
     """attach(5): NOFID is no valid fid, so a walk cannot establish it either."""
-    client.call_failing(p9.Twalk(client.walk_to(), p9.NOFID, ()))
+    client.call_expecting_error(p9.Twalk(client.walk_to(), p9.NOFID, ()))
 
 
 @case("walk(5): the fid must not be open")
@@ -188,7 +190,7 @@
     """walk(5): the fid must not have been opened for I/O by an open or a create."""
     fid = client.walk_to()
     client.open(fid)
-    client.call_failing(p9.Twalk(fid, client.new_fid(), ()))
+    client.call_expecting_error(p9.Twalk(fid, client.new_fid(), ()))
 
 
 @case("walk(5): a name has no slash")
@@ -196,13 +198,13 @@
     """intro(5): a name is one path element: the slash separates elements and is illegal in one."""
     client.create_directory("d")
     client.create_file("f", b"", 0o644, "d")
-    client.call_failing(p9.Twalk(client.walk_to(), client.new_fid(), ("d/f",)))
+    client.call_expecting_error(p9.Twalk(client.walk_to(), client.new_fid(), ("d/f",)))
 
 
 @case("walk(5): a name is not empty")
 def walk_empty_name(client: Client) -> None:
     """intro(5): a name has at least one character; the empty string names no file."""
-    client.call_failing(p9.Twalk(client.walk_to(), client.new_fid(), ("",)))
+    client.call_expecting_error(p9.Twalk(client.walk_to(), client.new_fid(), ("",)))
 
 
 @case("intro(5): a file's qid path does not change")
--- a/garnetlanding/conform/descriptions.py
+++ b/garnetlanding/conform/descriptions.py
@@ -1,7 +1,7 @@
-"""Texts of protocol values as the results show them, written out field by field.
+"""Text forms of protocol values in the results, written out field by field.
 
-Results are compared from run to run and read by programs: their texts must not follow a renamed class or
-field of the code.
+Results are compared between runs and read by programs, so the texts must not change when a class or field is
+renamed in the code.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileAttributes:
-    """The attributes of a file that both dialects have; `length` in bytes, `mtime` in seconds."""
+    """File attributes that exist in both dialects; `length` in bytes, `mtime` in seconds since the epoch."""
 
     qid: p9.Qid
     is_dir: bool
@@ -25,24 +25,24 @@
     mtime: int
 
 
-def _fields(type_name: str, /, **values: object) -> str:
+def _format_fields(type_name: str, /, **values: object) -> str:
     return f"{type_name}({', '.join(f'{key}={value}' for key, value in values.items())})"
 
 
 def qid_text(qid: p9.Qid) -> str:
-    """Return a qid's text."""
-    return _fields("Qid", type=qid.type, version=qid.version, path=qid.path)
+    """Return the text of a qid."""
+    return _format_fields("Qid", type=qid.type, version=qid.version, path=qid.path)
 
 
 def qids_text(qids: Iterable[p9.Qid]) -> str:
-    """Return the text of a walk's qids, in the form of a Python tuple."""
+    """Return the text of the qids of a walk, formatted as a Python tuple."""
     texts = [qid_text(qid) for qid in qids]
     return f"({texts[0]},)" if len(texts) == 1 else f"({', '.join(texts)})"
 
 
 def attributes_text(attributes: FileAttributes) -> str:
-    """Return the text of a file's attributes."""
-    return _fields(
+    """Return the text of file attributes; its type name 'Facts' is part of the output format."""
+    return _format_fields(
         "Facts",
         qid=qid_text(attributes.qid),
         is_dir=attributes.is_dir,
@@ -54,7 +54,7 @@
 
 def stat_text(stat: RawStat) -> str:
     """Return the text of a 9P2000 stat."""
-    return _fields(
+    return _format_fields(
         "RawStat",
         type=stat.type,
         dev=stat.dev,
@@ -72,7 +72,7 @@
 
 def getattr_text(reply: p9l.Rgetattr) -> str:
     """Return the text of an Rgetattr."""
-    return _fields(
+    return _format_fields(
         "Rgetattr",
         valid=reply.valid,
         qid=qid_text(reply.qid),
@@ -99,7 +99,7 @@
 
 def statfs_text(reply: p9l.Rstatfs) -> str:
     """Return the text of an Rstatfs."""
-    return _fields(
+    return _format_fields(
         "Rstatfs",
         type=reply.type,
         bsize=reply.bsize,
@@ -115,7 +115,7 @@
 
 def getlock_text(reply: p9l.Rgetlock) -> str:
     """Return the text of an Rgetlock."""
-    return _fields(
+    return _format_fields(
         "Rgetlock",
         type=reply.type,
         start=reply.start,
--- a/garnetlanding/conform/errors.py
+++ b/garnetlanding/conform/errors.py
@@ -4,39 +4,39 @@
 
 
 class ConformanceError(Exception):
-    """Base class of everything that the suite raises."""
+    """Base class of the suite's exceptions."""
 
 
 class CaseFailedError(ConformanceError):
-    """The server did not do what the rule of the running case asks."""
+    """The server broke the rule that the running case checks."""
 
 
 class UnsupportedError(ConformanceError):
-    """The server states that it does not have an operation that the rule leaves optional."""
+    """The server reports that it does not implement an optional operation."""
 
 
 class UsageError(ConformanceError, ValueError):
-    """An argument of the command names something that does not exist or cannot be read.
+    """A command-line argument is invalid.
 
-    `argument` is the option as it is written on the command line; the text begins with it, followed by the
-    value where one is given.
+    `argument` is the option as written on the command line. The error message begins with it, followed by
+    the value if one is given.
     """
 
     def __init__(self, argument: str, reason: object, value: str = "") -> None:
-        place = f"{argument} {value}" if value else argument
-        super().__init__(f"{place}: {reason}")
+        prefix = f"{argument} {value}" if value else argument
+        super().__init__(f"{prefix}: {reason}")
         self.argument = argument
 
 
 class DuplicateCaseError(ConformanceError, ValueError):
-    """Two case functions give the same name, kept in `name`."""
+    """Two case functions yield the same case name, which is kept in `name`."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"two cases are named {name}")
         self.name = name
 
 
-def check(holds: bool, reason: str) -> None:
-    """Raise CaseFailedError with the reason unless the condition holds."""
-    if not holds:
+def check(condition: bool, reason: str) -> None:
+    """Raise CaseFailedError with the reason if the condition is false."""
+    if not condition:
         raise CaseFailedError(reason)
--- a/garnetlanding/conform/registry.py
+++ b/garnetlanding/conform/registry.py
@@ -1,4 +1,4 @@
-"""The cases by name, as the modules of `cases` register them, and their choice by dialect and pattern."""
+"""Registry of the cases that the modules of `cases` define, and their selection by dialect and name."""
 
 from __future__ import annotations
 
@@ -36,11 +36,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One case: its name in the results, what it checks, and the function that does so.
+    """A case: its name in the results, the rule that it checks and the function that checks it.
 
-    `rule` begins with the manual page or the message whose description is checked. The body raises
-    CaseFailedError when the server breaks the rule, and UnsupportedError when it need not keep it. A case
-    `without_session` negotiates and attaches itself and has no scratch directory.
+    `rule` begins with the manual page or message that specifies it. `body` raises CaseFailedError if the
+    server breaks the rule, and UnsupportedError if the server lacks the optional operation. A case
+    `without_session` starts on a bare connection: it negotiates and attaches itself, and it has no scratch
+    directory.
     """
 
     name: str
@@ -58,8 +59,8 @@
 ) -> Callable[[CaseBody], CaseBody]:
     """Return a decorator that registers a function as a case.
 
-    The function's name, with dashes, is the case's name in the results and on the command line: renaming
-    the function renames the case for its users. Raises DuplicateCaseError.
+    The case is named after the function, with dashes for underscores, in the results and on the command
+    line, so renaming the function renames the case for its users. Raises DuplicateCaseError.
     """
 
     def register(body: CaseBody) -> CaseBody:
@@ -73,8 +74,8 @@
 
 
 def select_cases(version: str, pattern: str = "") -> list[Case]:
-    """Return a dialect's cases whose names match. Raises re.error for an invalid pattern."""
+    """Return the cases of the dialect whose names match. Raises re.error for an invalid pattern."""
     for module in MODULES:
         import_module(f"garnetlanding.conform.cases.{module}")
-    wanted = re.compile(pattern)
-    return [case for case in CASES.values() if version in case.versions and wanted.search(case.name)]
+    name_pattern = re.compile(pattern)
+    return [case for case in CASES.values() if version in case.versions and name_pattern.search(case.name)]
--- a/garnetlanding/conform/report.py
+++ b/garnetlanding/conform/report.py
@@ -1,4 +1,4 @@
-"""Runs the suite for the command line: progress while it runs, a table at the end, JSON on request."""
+"""Runs the suite for the command line: a progress bar, a table of the results, and optionally JSON."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 from garnetlanding.conform.transport import SocketTransport
 from garnetlanding.runtime.stream import parse_address
 
-STDOUT = "-"  # in place of the JSON file's path
-NAME_WIDTH = 40  # characters of a case's name in the progress line
+STDOUT = "-"  # as the path of the JSON file
+NAME_WIDTH = 40  # characters of the case name in the progress bar
 COLOURS = {
     Outcome.PASS: "green",
     Outcome.FAIL: "bold red",
     Outcome.UNSUPPORTED: "yellow",
-    Outcome.BROKEN: "red",
+    Outcome.ERROR: "red",
 }
 
 
 def list_cases(options: list[Options], only: str) -> int:
-    """Print the cases of the dialects whose names match, and return 0. Raises UsageError."""
+    """Print the cases of the dialects whose names match and return exit code 0. Raises UsageError."""
     console = Console()
     table = Table("case", "dialects", "rule", box=None, header_style="bold")
     cases: dict[str, Case] = {}
@@ -48,37 +48,37 @@
 
 
 def run(address: str, options: list[Options], only: str, json_file: str | None) -> int:
-    """Run the suite with each of the options in turn and report the results.
+    """Run the suite once for each element of `options` and report the results.
 
-    Returns the exit code: 0 when no case failed or could not be run, else 1. Raises UsageError.
+    Returns the exit code: 1 if a case failed or could not run, else 0. Raises UsageError.
     """
     try:
         parse_address(address)
-    except ValueError as problem:
-        raise UsageError("--address", problem) from problem
-    plan = [(dialect, _select(dialect.version, only)) for dialect in options]
-    total = sum(len(cases) for _, cases in plan)
+    except ValueError as error:
+        raise UsageError("--address", error) from error
+    selected = [(dialect, _select(dialect.version, only)) for dialect in options]
+    total = sum(len(cases) for _, cases in selected)
     if not total:
-        raise UsageError("--only", "no case has such a name", repr(only))
+        raise UsageError("--only", "no case name matches", repr(only))
     console = Console(stderr=json_file == STDOUT)
     documents: list[dict[str, Any]] = []
     all_results: list[Result] = []
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn())
     with Progress(*columns, console=console, transient=True) as progress:
         task = progress.add_task("conform", total=total)
-        for dialect, cases in plan:
+        for dialect, cases in selected:
             results = _run_dialect(address, dialect, cases, partial(progress.update, task))
             documents.append(as_json(results, dialect, address))
             all_results += results
-            _show(console, dialect, results)
+            _print_results(console, dialect, results)
     if json_file:
-        _write(json_file, documents)
-    failed = any(result.outcome in (Outcome.FAIL, Outcome.BROKEN) for result in all_results)
+        _write_json(json_file, documents)
+    failed = any(result.outcome in (Outcome.FAIL, Outcome.ERROR) for result in all_results)
     return 1 if failed else 0
 
 
 def as_json(results: list[Result], options: Options, target: str) -> dict[str, Any]:
-    """Return the report of one dialect; its keys are read by programs and stay as they are."""
+    """Return the JSON report of one dialect; its keys are a stable interface for programs."""
     return {
         "target": target,
         "options": {
@@ -90,7 +90,7 @@
             "wait_s": options.reply_timeout_s,
             "quiet_s": options.quiet_period_s,
         },
-        "counts": {outcome.value: count for outcome, count in _count(results).items()},
+        "counts": {outcome.value: count for outcome, count in _count_outcomes(results).items()},
         "results": [
             {
                 "name": result.name,
@@ -107,14 +107,14 @@
 def _select(version: str, only: str) -> list[Case]:
     try:
         return select_cases(version, only)
-    except re.error as problem:
-        raise UsageError("--only", problem, repr(only)) from problem
+    except re.error as error:
+        raise UsageError("--only", error, repr(only)) from error
 
 
 def _run_dialect(
     address: str, options: Options, cases: list[Case], update: Callable[..., None]
 ) -> list[Result]:
-    """Run the cases, advancing the progress line with each."""
+    """Run the cases, updating the progress bar after each."""
     label = f"conform-{os.getpid()}"
     connect = partial(SocketTransport, address, options.reply_timeout_s)
     results = []
@@ -125,19 +125,19 @@
     return results
 
 
-def _count(results: list[Result]) -> dict[Outcome, int]:
-    """Return how many results have each outcome, in the order in which outcomes are reported."""
+def _count_outcomes(results: list[Result]) -> dict[Outcome, int]:
+    """Return the number of results by outcome, in the order of the report."""
     counter = Counter(result.outcome for result in results)
     return {outcome: counter[outcome] for outcome in Outcome}
 
 
-def _show(console: Console, options: Options, results: list[Result]) -> None:
-    """Print the results that are not a pass, and a line with the counts and times."""
+def _print_results(console: Console, options: Options, results: list[Result]) -> None:
+    """Print a table of the cases that did not pass, and a line with the counts and durations."""
     table = Table(
         "verdict",
         "case",
         "rule",
-        "what was seen",
+        "reason",
         box=None,
         header_style="bold",
         title=options.version,
@@ -151,19 +151,19 @@
         console.print(table)
     counts = ", ".join(
         f"{count} {outcome.value}"
-        for outcome, count in _count(results).items()
+        for outcome, count in _count_outcomes(results).items()
         if count or outcome is Outcome.PASS
     )
     total_s = sum(result.duration_s for result in results)
     slowest = max(results, key=lambda result: result.duration_s)
     console.print(
         f"{options.version}: {counts}; {total_s:.1f} s, "
-        f"the longest {slowest.name} {slowest.duration_s:.2f} s",
+        f"slowest {slowest.name} {slowest.duration_s:.2f} s",
         highlight=False,
     )
 
 
-def _write(path: str, documents: list[dict[str, Any]]) -> None:
+def _write_json(path: str, documents: list[dict[str, Any]]) -> None:
     text = json.dumps(documents, indent=1) + "\n"
     if path == STDOUT:
         sys.stdout.write(text)
@@ -171,5 +171,5 @@
     try:
         with open(path, "w", encoding="utf-8") as file:
             file.write(text)
-    except OSError as problem:
-        raise UsageError("--json", problem.strerror, path) from problem
+    except OSError as error:
+        raise UsageError("--json", error.strerror, path) from error
--- a/garnetlanding/conform/suite.py
+++ b/garnetlanding/conform/suite.py
@@ -1,4 +1,4 @@
-"""Runs cases against a server, each on a connection and in a scratch directory of its own."""
+"""Runs cases against a server, each on its own connection and in its own scratch directory."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 class Outcome(Enum):
-    """What became of a case; the values are those of the JSON report and the table."""
+    """The outcome of a case; the values appear in the JSON report and in the table."""
 
     PASS = "pass"
     FAIL = "fail"
-    UNSUPPORTED = "unsupported"  # the server states that it lacks an optional operation
-    BROKEN = "broken"  # the case could not be run: no connection, or no scratch directory
+    UNSUPPORTED = "unsupported"  # the server reports that it lacks an optional operation
+    ERROR = "broken"  # the case could not run: no connection, no session or no scratch directory
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """The outcome of one case. `reason` is empty for a pass; `duration_s` covers preparation and cleaning."""
+    """The result of one case. `reason` is empty for a pass; `duration_s` includes setup and cleanup."""
 
     name: str
     rule: str
@@ -48,8 +48,8 @@
 ) -> Iterator[Result]:
     """Run the cases in order and yield the result of each.
 
-    Each works in a directory named after `label` and its position, which is removed again as far as the
-    server lets it. `clock` returns seconds.
+    Each case uses a directory named after `label` and its position, which is removed afterwards if the
+    server allows it. `clock` returns seconds.
     """
     for position, case in enumerate(cases):
         started_at = clock()
@@ -62,15 +62,15 @@
 ) -> tuple[Outcome, str]:
     try:
         client = Client(connect, options)
-    except OSError as problem:
-        return Outcome.BROKEN, f"cannot connect: {problem}"
+    except OSError as error:
+        return Outcome.ERROR, f"cannot connect: {error}"
     if case.without_session:
         return _run_body(case, client)
     try:
-        _prepare(client, scratch_directory)
-    except ConformanceError as problem:
+        _set_up(client, scratch_directory)
+    except ConformanceError as error:
         client.close()
-        return Outcome.BROKEN, f"no directory to work in: {problem}"
+        return Outcome.ERROR, f"cannot create the scratch directory: {error}"
     try:
         return _run_body(case, client)
     finally:
@@ -78,7 +78,7 @@
 
 
 def _run_body(case: Case, client: Client) -> tuple[Outcome, str]:
-    """Run the case's function, which is done with the client then."""
+    """Run the function of the case and close the client."""
     try:
         case.body(client)
     except CaseFailedError as failure:
@@ -90,8 +90,8 @@
     return Outcome.PASS, ""
 
 
-def _prepare(client: Client, scratch_directory: str) -> None:
-    """Begin a session and create the scratch directory at the top of the tree."""
+def _set_up(client: Client, scratch_directory: str) -> None:
+    """Start a session and create the scratch directory in the root of the tree."""
     client.negotiate()
     client.attach()
     client.scratch_directory = scratch_directory
@@ -108,7 +108,7 @@
 def _remove_scratch_directory(
     connect: Callable[[], Transport], options: Options, scratch_directory: str
 ) -> None:
-    """Remove what the case left, as far as possible: leftovers of a failed case harm no other case."""
+    """Remove the scratch directory if possible; files left behind do not affect other cases."""
     try:
         client = Client(connect, options)
     except OSError:
@@ -119,19 +119,19 @@
         client.scratch_directory = scratch_directory
         _remove_tree(client)
     except (ConformanceError, OSError):
-        pass  # what is left stays
+        pass  # the remaining files stay
     finally:
         client.close()
 
 
 def _remove_tree(client: Client, *path: str) -> None:
-    """Remove the file or directory at the path with everything below; by default the scratch directory."""
+    """Remove the file or directory at the path recursively; an empty path is the scratch directory."""
     fid = client.walk_to(*path)
     if client.attributes(fid).is_dir:
         client.set_permissions(fid, SCRATCH_PERMISSIONS)
-        opened = client.walk_to(*path)
-        client.open(opened)
-        for name, _ in client.list_directory(opened):
+        open_fid = client.walk_to(*path)
+        client.open(open_fid)
+        for name, _ in client.list_directory(open_fid):
             _remove_tree(client, *path, name)
-        client.clunk(opened)
+        client.clunk(open_fid)
     client.remove(fid)
--- a/garnetlanding/conform/transport.py
+++ b/garnetlanding/conform/transport.py
@@ -1,4 +1,4 @@
-"""How the suite reaches a server: a plain socket. Tests put simulated transports in its place."""
+"""Transports that connect the suite to a server: a TCP socket, which tests replace by a simulated one."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from garnetlanding.runtime.stream import parse_address
 
-READ_BYTES = 65536
+RECEIVE_BYTES = 65536
 MIN_TIMEOUT_S = 0.001  # a socket timeout of zero would mean non-blocking
 
 
@@ -16,10 +16,10 @@
     """A connected byte stream with a blocking read."""
 
     def send(self, data: bytes) -> None:
-        """Send all the bytes; a connection that is closed is noticed by the next `receive`."""
+        """Send all the bytes; a closed connection is reported by the next `receive`."""
 
     def receive(self, wait_s: float) -> bytes | None:
-        """Return the bytes that arrived, b"" at the end of the stream, None after `wait_s` without any."""
+        """Return the bytes that arrived, b"" at the end of the stream, None if `wait_s` pass without any."""
 
     def close(self) -> None:
         """Close the connection."""
@@ -33,15 +33,15 @@
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def send(self, data: bytes) -> None:
-        """Send all the bytes; a failure shows as the end of the stream when a reply is read."""
+        """Send all the bytes; a failure is reported by the next `receive` as the end of the stream."""
         with contextlib.suppress(OSError):
             self._socket.sendall(data)
 
     def receive(self, wait_s: float) -> bytes | None:
-        """Return the bytes that arrived, b"" at the end of the stream, None after `wait_s` without any."""
+        """Return the bytes that arrived, b"" at the end of the stream, None if `wait_s` pass without any."""
         self._socket.settimeout(max(MIN_TIMEOUT_S, wait_s))
         try:
-            return self._socket.recv(READ_BYTES)
+            return self._socket.recv(RECEIVE_BYTES)
         except TimeoutError:
             return None
         except OSError:
--- a/tests/conform/test_conformance_suite.py
+++ b/tests/conform/test_conformance_suite.py
@@ -66,7 +66,7 @@
 
     results = list(suite.run(select_cases(p9.VERSION, "^walk-"), connect, Options()))
     assert results
-    assert {result.outcome for result in results} == {Outcome.BROKEN}
+    assert {result.outcome for result in results} == {Outcome.ERROR}
 
 
 def test_unresponsive_server_fails_a_case_in_time() -> None:
@@ -74,7 +74,7 @@
     instance.file_servers[0].script.add(Rule(p9.Tread, Fault.STALL, times=None))
     [result] = run_suite(instance, instance.file_servers[0].address, p9.VERSION, "^read-nothing$")
     assert result.outcome == Outcome.FAIL
-    assert "no answer" in result.reason
+    assert "no reply" in result.reason
 
 
 def run_command(instance: NinepInstance, *arguments: str) -> int:
