--- a/garnetlanding/conform/cases/__init__.py
+++ b/garnetlanding/conform/cases/__init__.py
@@ -1,1 +1,1 @@
-"""The cases, one module a subject. Each function marked with `case` is one, and its name is the case's."""
+"""The test cases, one module for each subject: each function decorated with `case` is a case of its name."""
--- a/garnetlanding/conform/cases/flushes.py
+++ b/garnetlanding/conform/cases/flushes.py
@@ -1,4 +1,4 @@
-"""Flush: what it takes back, in which order it is answered, which tags are free."""
+"""Cases for flush: cancelled requests, the order of replies and the reuse of tags."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
     return [tag for tag, _ in client.replies if tag in tags]
 
 
-@case("flush(5): a tag that nobody waits for is flushed all the same")
+@case("flush(5): a flush of a tag without a request is answered with Rflush")
 def flush_unknown_tag(client: Client) -> None:
     """flush(5): a flush is always answered with Rflush, also if its oldtag is not outstanding."""
     client.call(p9.Rflush, p9.Tflush(0x1234))
 
 
-@case("flush(5): what has been answered can be flushed")
+@case("flush(5): a flush of a completed request is answered with Rflush")
 def flush_answered(client: Client) -> None:
-    """flush(5): a flush of a request that has been answered is answered with Rflush."""
+    """flush(5): a flush of a request that has already been replied to is answered with Rflush."""
     fid = client.create_file("f", b"x")
     client.call(p9.Rread, p9.Tread(fid, 0, 1), 40)
     client.call(p9.Rflush, p9.Tflush(40))
 
 
-@case("flush(5): nothing comes for the old tag after Rflush")
+@case("flush(5): no reply to the flushed request follows Rflush")
 def flush_is_last(client: Client) -> None:
     """flush(5): a reply to the old request may come before Rflush and never after it."""
     fid = client.create_file("f", b"x" * 1000)
@@ -37,11 +37,11 @@
         client.send(p9.Tflush(tag), tag + 100)
     client.drain_replies()
     for tag in range(40, 50):
-        seen = reply_order(client, tag, tag + 100)
-        check(seen in ([tag, tag + 100], [tag + 100]), f"answers in the order {seen}")
+        order = reply_order(client, tag, tag + 100)
+        check(order in ([tag, tag + 100], [tag + 100]), f"replies in the order {order}")
 
 
-@case("flush(5): the old tag is free after Rflush")
+@case("flush(5): the flushed tag may be reused after Rflush")
 def flush_frees_tag(client: Client) -> None:
     """flush(5): once Rflush is received the old tag may be used again."""
     fid = client.create_file("f", b"0123")
@@ -51,10 +51,13 @@
     client.send(p9.Tread(fid, 2, 2), 40)
     client.drain_replies()
     replies = client.replies_to(40)[before:]
-    check(len(replies) == 1 and client.expect(p9.Rread, replies[0]).data == b"23", "another answer")
+    check(
+        len(replies) == 1 and client.expect(p9.Rread, replies[0]).data == b"23",
+        "unexpected replies to the reused tag",
+    )
 
 
-@case("flush(5): a flush can be flushed; both are answered, the earlier first")
+@case("flush(5): a flush can be flushed; replies come in the order of the flushes")
 def flush_of_flush(client: Client) -> None:
     """flush(5): a flush may itself be flushed; replies come in the order of the flushes."""
     fid = client.create_file("f", b"x")
@@ -62,11 +65,11 @@
     client.send(p9.Tflush(40), 41)
     client.send(p9.Tflush(41), 42)
     client.drain_replies()
-    seen = reply_order(client, 41, 42)
-    check(seen in ([41, 42], [42]), f"answers in the order {seen}")
+    order = reply_order(client, 41, 42)
+    check(order in ([41, 42], [42]), f"replies in the order {order}")
 
 
-@case("flush(5): several flushes of one tag are answered in their order")
+@case("flush(5): several flushes of one tag are answered in the order sent")
 def flush_twice(client: Client) -> None:
     """flush(5): several flushes of one tag must be answered in the order in which they were sent."""
     fid = client.create_file("f", b"x")
@@ -74,15 +77,13 @@
     for tag in (41, 42, 43):
         client.send(p9.Tflush(40), tag)
     client.drain_replies()
-    check(
-        reply_order(client, 41, 42, 43) == [41, 42, 43],
-        f"answers in the order {reply_order(client, 41, 42, 43)}",
-    )
+    order = reply_order(client, 41, 42, 43)
+    check(order == [41, 42, 43], f"replies in the order {order}")
 
 
-@case("flush(5): a write that was answered was done, one that was not may be")
+@case("flush(5): a write with a reply was done; a write flushed without one may have been")
 def flush_of_write(client: Client) -> None:
-    """flush(5): a request that was answered before Rflush has been done; any other may have been."""
+    """flush(5): a request replied to before Rflush has been executed; any other may have been."""
     fid = client.create_file("f", b"....")
     client.send(p9.Twrite(fid, 0, b"done"), 40)
     client.send(p9.Tflush(40), 41)
@@ -90,12 +91,12 @@
     client.drain_replies()
     content = client.read(fid)
     answered = any(isinstance(reply, p9.Rwrite) for reply in client.replies_to(40))
-    check(content == b"done" if answered else content in (b"....", b"done"), "other bytes")
+    check(content == b"done" if answered else content in (b"....", b"done"), "unexpected data")
 
 
-@case("flush(5): a walk that was flushed without an answer made no fid")
+@case("flush(5): a walk that was flushed without a reply established no fid")
 def flush_of_walk(client: Client) -> None:
-    """flush(5): a client that sees Rflush without Rwalk takes it that the walk did not happen."""
+    """flush(5): a client that receives Rflush and no Rwalk may assume that the walk did not happen."""
     client.create_file("f", b"x")
     fid = client.walk_to()
     newfid = client.new_fid()
@@ -109,12 +110,12 @@
         client.call(p9.Rwalk, p9.Twalk(fid, newfid, ("f",)))
 
 
-@case("flush(5): others are not touched")
+@case("flush(5): a flush does not affect other requests")
 def flush_leaves_others(client: Client) -> None:
-    """flush(5): a flush concerns the request with oldtag and no other."""
+    """flush(5): a flush affects only the request with oldtag."""
     fid = client.create_file("f", b"0123456789")
     client.send(p9.Tread(fid, 0, 5), 40)
     client.send(p9.Tread(fid, 5, 5), 41)
     client.send(p9.Tflush(40), 42)
-    check(client.expect(p9.Rread, client.wait_for_reply(41)).data == b"56789", "other bytes")
+    check(client.expect(p9.Rread, client.wait_for_reply(41)).data == b"56789", "unexpected data")
     client.expect(p9.Rflush, client.wait_for_reply(42))
--- a/garnetlanding/conform/cases/framing.py
+++ b/garnetlanding/conform/cases/framing.py
@@ -1,4 +1,4 @@
-"""Bytes: how messages are framed, and what cannot be read."""
+"""Cases for message framing and malformed messages."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     client.drain_replies()
     check(
         client.server_closed or any(client.error_of(reply) for reply in client.replies_to(tag)),
-        "neither an error nor an end came",
+        "the server neither replied with an error nor closed the connection",
     )
 
 
-@case("intro(5): a message may come in any number of pieces")
+@case("intro(5): a message may arrive in any number of segments")
 def message_byte_by_byte(client: Client) -> None:
     """intro(5): the size field alone delimits a message, so it may arrive byte by byte."""
     for byte in p9.encode(7, p9.Twalk(ROOT, client.new_fid(), ())):
@@ -28,7 +28,7 @@
     client.expect(p9.Rwalk, client.wait_for_reply(7))
 
 
-@case("intro(5): messages may come close behind each other")
+@case("intro(5): several messages may arrive in one segment")
 def messages_in_one_piece(client: Client) -> None:
     """intro(5): the next message begins where the size of the one before ends, without any gap."""
     fids = [client.new_fid() for _ in range(5)]
@@ -39,15 +39,15 @@
         client.expect(p9.Rwalk, client.wait_for_reply(10 + index))
 
 
-@case("intro(5): an unknown type is answered with an error, and the connection goes on")
+@case("intro(5): an unknown message type is an error and the connection stays open")
 def unknown_type(client: Client) -> None:
-    """intro(5): a request that cannot be done is answered with an error; only the listed types exist."""
+    """intro(5): a request that cannot be served is answered with an error; only the listed types exist."""
     client.send_bytes(struct.pack("<IBH", 7, 255, 9))
     client.expect_error(client.wait_for_reply(9))
     client.call(p9.Rwalk, p9.Twalk(ROOT, client.new_fid(), ()))
 
 
-@case("intro(5): a body cut short is answered with an error, or ends the connection")
+@case("intro(5): a truncated message body is an error or closes the connection")
 def body_cut_short(client: Client) -> None:
     """intro(5): a message consists of all the fields of its type; a shorter body is no message."""
     whole = p9.encode(9, p9.Twalk(ROOT, client.new_fid(), ("x",)))
@@ -55,22 +55,22 @@
     expect_error_or_close(client, 9)
 
 
-@case("intro(5): bytes behind the last field are answered with an error, or end the connection")
+@case("intro(5): trailing bytes after the last field are an error or close the connection")
 def bytes_left_over(client: Client) -> None:
-    """intro(5): the size of a message is the sum of its fields, so no bytes may follow the last one."""
+    """intro(5): the size of a message is the sum of its fields, so no bytes may follow the last field."""
     whole = p9.encode(9, p9.Tclunk(client.walk_to()))
     client.send_bytes(struct.pack("<I", len(whole) + 3) + whole[4:] + b"\0\0\0")
     expect_error_or_close(client, 9)
 
 
-@case("intro(5): a size below that of a header cannot be right: the connection ends")
+@case("intro(5): a size smaller than the header is an error or closes the connection")
 def size_below_header(client: Client) -> None:
     """intro(5): the size counts itself, the type and the tag, so it is never less than seven."""
     client.send_bytes(struct.pack("<IBH", 3, 120, 9))
     expect_error_or_close(client, 9)
 
 
-@case("version(5): a message over the agreed msize is not taken")
+@case("version(5): a message longer than the negotiated msize is rejected")
 def size_over_msize(client: Client) -> None:
     """version(5): no message of the session may be longer than the msize of Rversion."""
     fid = client.create_file("f")
@@ -78,7 +78,7 @@
     expect_error_or_close(client, 9)
 
 
-@case("intro(5): text is UTF-8")
+@case("intro(5): strings are UTF-8")
 def text_not_utf8(client: Client) -> None:
     """intro(5): a string is sent as a length and that many bytes of UTF-8."""
     body = struct.pack("<IIHH", ROOT, client.new_fid(), 1, 2) + b"\xff\xfe"
@@ -86,7 +86,7 @@
     expect_error_or_close(client, 9)
 
 
-@case("intro(5): text holds no NUL")
+@case("intro(5): strings contain no NUL")
 def text_with_nul(client: Client) -> None:
     """intro(5): the NUL character is illegal in text strings, and so in the names of a walk."""
     body = struct.pack("<IIHH", ROOT, client.new_fid(), 1, 3) + b"a\0b"
@@ -96,12 +96,12 @@
 
 @case("intro(5): a client sends T-messages only")
 def answer_sent_by_client(client: Client) -> None:
-    """intro(5): clients send T-messages and servers R-messages; an Rclunk from a client is neither."""
+    """intro(5): clients send T-messages and servers R-messages; an Rclunk from a client is invalid."""
     client.send_bytes(p9.encode(9, p9.Rclunk()))
     expect_error_or_close(client, 9)
 
 
-@case("intro(5): the answer carries the tag of its message, whatever the order")
+@case("intro(5): a reply has the tag of its request, in whatever order replies arrive")
 def tags_are_echoed(client: Client) -> None:
     """intro(5): a reply has the tag of its request; replies may come in any order, one for each."""
     fid = client.create_file("f", b"data")
@@ -111,15 +111,15 @@
     for tag in reversed(tags):
         check(
             client.expect(p9.Rread, client.wait_for_reply(tag)).data == b"data",
-            f"another answer for tag {tag}",
+            f"unexpected data in the reply to tag {tag}",
         )
     client.drain_replies()
-    check(all(len(client.replies_to(tag)) == 1 for tag in tags), "a tag was answered more than once")
+    check(all(len(client.replies_to(tag)) == 1 for tag in tags), "a tag received more than one reply")
 
 
-@case("intro(5): after an error the connection and its fids stand")
+@case("intro(5): after an error the connection and its fids remain valid")
 def error_leaves_session(client: Client) -> None:
-    """error(5): Rerror tells that one request failed; neither the connection nor other fids suffer."""
+    """error(5): Rerror reports the failure of one request; the connection and other fids are unaffected."""
     fid = client.create_file("f", b"data")
     client.call_expecting_error(p9.Tread(client.new_fid(), 0, 4), errors.EBADF)
-    check(client.read(fid) == b"data", "the file reads otherwise")
+    check(client.read(fid) == b"data", "unexpected file content")
--- a/garnetlanding/conform/cases/walks.py
+++ b/garnetlanding/conform/cases/walks.py
@@ -1,4 +1,4 @@
-"""Walks: names, partial walks, clones, `..`."""
+"""Cases for walks: names, partial walks, clones and `..`."""
 
 from __future__ import annotations
 
@@ -14,57 +14,57 @@
 
 
 def request_walk(client: Client, fid: int, newfid: int, *names: str) -> p9.Message:
-    """Send a Twalk and return its reply, whatever it is."""
+    """Send a Twalk and return its reply, which may be an error."""
     return client.request(p9.Twalk(fid, newfid, names))
 
 
-@case("walk(5): one qid for each name")
+@case("walk(5): a walk returns one qid for each name")
 def walk_to_file(client: Client) -> None:
-    """walk(5): a successful walk returns as many qids as names, one for each element of the path."""
+    """walk(5): a successful walk returns one qid for each element of the path."""
     client.create_directory("d")
     client.create_file("f", b"", 0o644, "d")
     qids = client.call(p9.Rwalk, p9.Twalk(client.walk_to(), client.new_fid(), ("d", "f"))).qids
     check(len(qids) == 2 and bool(qids[0].type & p9.QTDIR) and not qids[1].type & p9.QTDIR, qids_text(qids))
 
 
-@case("walk(5): without names newfid stands for the same file")
+@case("walk(5): a walk without names clones the fid")
 def walk_clone(client: Client) -> None:
     """walk(5): with zero names newfid represents the same file as fid, and no qids are returned."""
     client.create_file("f", b"clone")
     fid = client.walk_to("f")
-    copy = client.new_fid()
-    check(client.call(p9.Rwalk, p9.Twalk(fid, copy, ())).qids == (), "qids for no names")
-    check(client.attributes(copy).qid == client.attributes(fid).qid, "the clone is another file")
+    clone = client.new_fid()
+    check(client.call(p9.Rwalk, p9.Twalk(fid, clone, ())).qids == (), "a walk without names returned qids")
+    check(client.attributes(clone).qid == client.attributes(fid).qid, "the clone represents another file")
     client.clunk(fid)
-    client.open(copy)
-    check(client.read(copy) == b"clone", "the clone reads otherwise")
+    client.open(clone)
+    check(client.read(clone) == b"clone", "unexpected file content through the clone")
 
 
-@case("walk(5): newfid may be fid itself, also without names")
+@case("walk(5): newfid may equal fid, also without names")
 def walk_clone_onto_itself(client: Client) -> None:
-    """walk(5): newfid may be equal to fid; without names nothing changes then."""
+    """walk(5): newfid may be equal to fid; without names the walk has no effect."""
     fid = client.walk_to()
     client.expect(p9.Rwalk, request_walk(client, fid, fid))
     client.attributes(fid)
 
 
-@case("walk(5): with newfid the same, the fid moves")
+@case("walk(5): if newfid equals fid, the fid moves to the file reached")
 def walk_moves_fid(client: Client) -> None:
     """walk(5): if newfid is equal to fid, the fid represents the file that the walk reached."""
     client.create_file("f", b"moved")
     fid = client.walk_to()
     client.expect(p9.Rwalk, request_walk(client, fid, fid, "f"))
     client.open(fid)
-    check(client.read(fid) == b"moved", "it stands elsewhere")
+    check(client.read(fid) == b"moved", "the fid represents another file")
 
 
-@case("walk(5): an error when the first name is missing")
+@case("walk(5): a missing first name is an error")
 def walk_first_missing(client: Client) -> None:
     """walk(5): if the first element cannot be walked for any reason, Rerror is returned."""
     client.call_expecting_error(p9.Twalk(client.walk_to(), client.new_fid(), ("gone",)), ENOENT)
 
 
-@case("walk(5): after a failed walk newfid is not in use")
+@case("walk(5): a failed walk does not establish newfid")
 def walk_failed_newfid_free(client: Client) -> None:
     """walk(5): newfid is not affected by a walk that fails, and may be used again."""
     client.create_file("f")
@@ -75,9 +75,9 @@
     client.expect(p9.Rwalk, request_walk(client, fid, newfid, "f"))
 
 
-@case("walk(5): as many qids as names were found, when not the first is missing")
+@case("walk(5): a walk that fails after the first name returns the qids reached")
 def walk_partial(client: Client) -> None:
-    """walk(5): if a later element fails, Rwalk has the qids of the elements before it, and no newfid."""
+    """walk(5): if a later element fails, Rwalk has the qids of those before it and newfid stays unused."""
     client.create_directory("d")
     fid = client.walk_to()
     newfid = client.new_fid()
@@ -86,9 +86,9 @@
     client.call_expecting_error(p9.Tclunk(newfid), EBADF)
 
 
-@case("walk(5): a partial walk leaves fid where it was, also when newfid is the same")
+@case("walk(5): a partial walk does not move fid, even if newfid is the same")
 def walk_partial_fid_stays(client: Client) -> None:
-    """walk(5): fid is not affected by a walk that does not reach its end, even if newfid is the same."""
+    """walk(5): a walk that does not reach its last name does not affect fid, even if newfid is the same."""
     client.create_directory("d")
     client.create_file("here")
     fid = client.walk_to()
@@ -96,9 +96,9 @@
     client.expect(p9.Rwalk, request_walk(client, fid, client.new_fid(), "here"))
 
 
-@case("walk(5): only directories are walked through")
+@case("walk(5): names are looked up in directories only")
 def walk_through_file(client: Client) -> None:
-    """walk(5): names are looked up in directories only; a file ends the walk where it stands."""
+    """walk(5): names are looked up in directories only; a walk stops at any other file."""
     client.create_file("f")
     fid = client.walk_to()
     newfid = client.new_fid()
@@ -109,38 +109,39 @@
     )
 
 
-@case("walk(5): `..` leads to the parent")
+@case("walk(5): `..` is the parent directory")
 def walk_dotdot(client: Client) -> None:
     """walk(5): the name `..` represents the parent directory."""
     client.create_directory("d")
     qids = client.call(p9.Rwalk, p9.Twalk(client.walk_to("d"), client.new_fid(), ("..",))).qids
-    check(qids[0].path == client.attributes(client.walk_to()).qid.path, "it leads elsewhere")
+    check(qids[0].path == client.attributes(client.walk_to()).qid.path, "the walk reached another file")
 
 
-@case("walk(5): `..` may stand between other names")
+@case("walk(5): `..` may appear between other names")
 def walk_dotdot_between(client: Client) -> None:
-    """walk(5): `..` is a name as any other and may stand anywhere in a walk."""
+    """walk(5): `..` may appear at any position in a walk."""
     client.create_directory("d")
     client.create_file("f")
     qids = client.call(p9.Rwalk, p9.Twalk(client.walk_to(), client.new_fid(), ("d", "..", "f"))).qids
     check(
         len(qids) == 3 and qids[2].path == client.attributes(client.walk_to("f")).qid.path,
-        "it leads elsewhere",
+        "the walk reached another file",
     )
 
 
-@case("walk(5): `..` in the root stays there")
+@case("walk(5): `..` in the root is the root")
 def walk_dotdot_at_root(client: Client) -> None:
     """walk(5): a walk of `..` in the root of the server's tree is the same as one with no names."""
     fid = client.new_fid()
     qids = client.call(p9.Rwalk, p9.Twalk(ROOT, fid, ("..", "..", client.scratch_directory))).qids
     check(len(qids) == 3 and qids[0].path == qids[1].path, qids_text(qids))
     check(
-        client.attributes(fid).qid.path == client.attributes(client.walk_to()).qid.path, "it leads elsewhere"
+        client.attributes(fid).qid.path == client.attributes(client.walk_to()).qid.path,
+        "the walk reached another file",
     )
 
 
-@case("walk(5): sixteen names in one walk")
+@case("walk(5): a walk may have sixteen names")
 def walk_sixteen_names(client: Client) -> None:
     """walk(5): a walk may have up to MAXWELEM names, which is sixteen."""
     names: list[str] = []
@@ -152,17 +153,17 @@
     qids = client.call(p9.Rwalk, p9.Twalk(client.walk_to(), fid, (*names, "leaf"))).qids
     check(len(qids) == 16, f"{len(qids)} qids")
     client.open(fid)
-    check(client.read(fid) == b"deep", "another file")
+    check(client.read(fid) == b"deep", "unexpected file content")
 
 
-@case("walk(5): no more than sixteen names")
+@case("walk(5): a walk has at most sixteen names")
 def walk_seventeen_names(client: Client) -> None:
     """walk(5): a maximum of sixteen names may be in one walk message."""
     client.send(p9.Twalk(client.walk_to(), client.new_fid(), ("x",) * 17), 9)
     client.drain_replies()
     check(
         client.server_closed or all(client.error_of(reply) for reply in client.replies_to(9)),
-        "it was served",
+        "a walk of seventeen names was served",
     )
 
 
@@ -173,19 +174,19 @@
     client.call_expecting_error(p9.Twalk(client.walk_to(), client.walk_to(), ("f",)))
 
 
-@case("walk(5): the fid must be one")
+@case("walk(5): an unknown fid is an error")
 def walk_unknown_fid(client: Client) -> None:
     """walk(5): the fid must be one that an earlier attach or walk has established."""
     client.call_expecting_error(p9.Twalk(client.new_fid(), client.new_fid(), ()), EBADF)
 
 
-@case("walk(5): NOFID is no newfid")
+@case("walk(5): NOFID is not a valid newfid")
 def walk_to_nofid(client: Client) -> None:
-    """attach(5): NOFID is no valid fid, so a walk cannot establish it either."""
+    """attach(5): NOFID is not a valid fid, so a walk cannot establish it either."""
     client.call_expecting_error(p9.Twalk(client.walk_to(), p9.NOFID, ()))
 
 
-@case("walk(5): the fid must not be open")
+@case("walk(5): an open fid cannot be walked")
 def walk_open_fid(client: Client) -> None:
     """walk(5): the fid must not have been opened for I/O by an open or a create."""
     fid = client.walk_to()
@@ -193,7 +194,7 @@
     client.call_expecting_error(p9.Twalk(fid, client.new_fid(), ()))
 
 
-@case("walk(5): a name has no slash")
+@case("walk(5): a name must not contain a slash")
 def walk_name_with_slash(client: Client) -> None:
     """intro(5): a name is one path element: the slash separates elements and is illegal in one."""
     client.create_directory("d")
@@ -201,45 +202,45 @@
     client.call_expecting_error(p9.Twalk(client.walk_to(), client.new_fid(), ("d/f",)))
 
 
-@case("walk(5): a name is not empty")
+@case("walk(5): a name must not be empty")
 def walk_empty_name(client: Client) -> None:
     """intro(5): a name has at least one character; the empty string names no file."""
     client.call_expecting_error(p9.Twalk(client.walk_to(), client.new_fid(), ("",)))
 
 
-@case("intro(5): a file's qid path does not change")
+@case("intro(5): the qid path of a file does not change")
 def qid_stays(client: Client) -> None:
     """intro(5): the path of a qid is unique to its file among all files; a write does not change it."""
     fid = client.create_file("f")
     before = client.attributes(client.walk_to("f")).qid
     client.write(fid, b"changed")
-    check(client.attributes(client.walk_to("f")).qid.path == before.path, "a write gave it another path")
+    check(client.attributes(client.walk_to("f")).qid.path == before.path, "a write changed the qid path")
 
 
-@case("intro(5): two files have two qid paths")
+@case("intro(5): different files have different qid paths")
 def qid_differs(client: Client) -> None:
     """intro(5): two files are the same if and only if their qids' paths are the same."""
     client.create_file("f")
     client.create_file("g")
     check(
         client.attributes(client.walk_to("f")).qid.path != client.attributes(client.walk_to("g")).qid.path,
-        "one path for both",
+        "two files have the same qid path",
     )
 
 
-@case("walk(5): names are told apart by case and by every byte")
+@case("walk(5): names match byte by byte and are case-sensitive")
 def walk_names_exact(client: Client) -> None:
-    """walk(5): a name is found when a file has exactly that name: each byte counts, case included."""
+    """walk(5): a name matches a file of exactly that name, compared by bytes and case-sensitively."""
     client.create_file("Name")
     check(
         not client.exists("name") and not client.exists("Name ") and client.exists("Name"),
-        "names are not exact",
+        "a name matched a file with a different name",
     )
 
 
-@case("walk(5): a file without search permission on the way is not reached")
+@case("walk(5): walking through a directory requires search permission")
 def walk_needs_search(client: Client) -> None:
-    """walk(5): the user must have permission to search a directory to walk through it."""
+    """walk(5): walking through a directory requires search permission on it."""
     client.create_directory("d")
     client.create_file("f", b"", 0o644, "d")
     fid = client.walk_to("d")
@@ -247,4 +248,4 @@
     reply = request_walk(client, client.walk_to(), client.new_fid(), "d", "f")
     found = isinstance(reply, p9.Rwalk) and len(reply.qids) == 2
     client.set_permissions(fid, 0o755)
-    check(not found, "it was reached")
+    check(not found, "the walk succeeded without search permission")
