--- a/tests/conform/seeded_faults.py
+++ b/tests/conform/seeded_faults.py
@@ -1,4 +1,4 @@
-"""File servers that are wrong in one point each; the conformance suite must see every one of them."""
+"""Faults seeded into the emulated file server one at a time, each to be detected by the suite."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from garnetlanding.ninep.locks import LockTable
 
 
-def _partial_walk_makes_fid(real: Any) -> Any:
+def _partial_walk_establishes_newfid(real: Any) -> Any:
     def walk(self: FileConnection, fid: int, newfid: int, names: tuple[str, ...]) -> p9.Message:
         reply = real(self, fid, newfid, names)
         if isinstance(reply, p9.Rwalk) and len(reply.qids) < len(names):
@@ -38,7 +38,7 @@
     return walk
 
 
-def _read_gives_more(real: Any) -> Any:
+def _read_exceeds_count(real: Any) -> Any:
     return lambda self, fid, offset, count: real(self, fid, offset, count + 1 if count else 0)
 
 
@@ -60,7 +60,7 @@
     return clunk
 
 
-def _orclose_forgotten(real: Any) -> Any:
+def _orclose_ignored(real: Any) -> Any:
     def clunk(self: FileConnection, fid: int, removed: bool = False) -> None:
         if fid in self.fids:
             self.fids[fid].remove_on_close = False
@@ -69,11 +69,11 @@
     return clunk
 
 
-def _truncate_forgotten(real: Any) -> Any:
+def _truncate_ignored(real: Any) -> Any:
     return lambda self, fid, at, access, _truncate: real(self, fid, at, access, False)
 
 
-def _permissions_forgotten(_real: Any) -> Any:
+def _permissions_ignored(_real: Any) -> Any:
     return lambda _self, _node, _user, _want: None
 
 
@@ -103,11 +103,11 @@
     return write
 
 
-def _exclusive_forgotten(_real: Any) -> Any:
+def _exclusive_use_ignored(_real: Any) -> Any:
     return lambda _self, _fid, _node: None
 
 
-def _full_directory_removed(real: Any) -> Any:
+def _nonempty_directory_removed(real: Any) -> Any:
     def unlink(self: Disk, at: Inode, name: str, user: str) -> None:
         self.child(at, name).names.clear()
         real(self, at, name, user)
@@ -115,7 +115,7 @@
     return unlink
 
 
-def _wstat_in_two_halves(real: Any) -> Any:
+def _wstat_not_atomic(real: Any) -> Any:
     def wstat(self: Any, conn: FileConnection, at: OpenFid, data: bytes) -> None:
         raw = stat_format.parse_stat(data)
         if raw.length < 1 << 32 and not at.node.is_dir:
@@ -125,7 +125,7 @@
     return wstat
 
 
-def _stat_cut(real: Any) -> Any:
+def _stat_halves_length(real: Any) -> Any:
     return lambda name, attr: real(name, replace(attr, length=attr.length // 2))
 
 
@@ -137,7 +137,7 @@
     return read_dir
 
 
-def _rename_by_fid_leaves_fid(_real: Any) -> Any:
+def _rename_does_not_update_fids(_real: Any) -> Any:
     return lambda _self, _parent, _name, _to, _new, _node: None
 
 
@@ -150,11 +150,11 @@
     return rename
 
 
-def _errors_are_one(_real: Any) -> Any:
+def _all_errors_same_number(_real: Any) -> Any:
     return lambda _self, _problem: p9l.Rlerror(5)
 
 
-def _locks_overlap(_real: Any) -> Any:
+def _lock_conflicts_ignored(_real: Any) -> Any:
     return lambda _self, _file, _wanted: None
 
 
@@ -162,14 +162,14 @@
     return lambda self, conn, at, offset, count: real(self, conn, at, max(0, offset - 1), count)
 
 
-def _unlink_ignores_flag(_real: Any) -> Any:
+def _unlinkat_ignores_flags(_real: Any) -> Any:
     def unlink(conn: FileConnection, at: OpenFid, name: str, _flags: int) -> None:
         conn.server.disk.unlink(at.node, name, at.user)
 
     return staticmethod(unlink)
 
 
-def _flush_answers_twice(real: Any) -> Any:
+def _flush_sends_extra_replies(real: Any) -> Any:
     def shared(self: FileConnection, message: p9.Message) -> p9.Message | None:
         if isinstance(message, p9.Tflush):
             self._send(message.oldtag, p9.Rread(b""))
@@ -181,10 +181,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SeededFault:
-    """One way in which a file server is wrong.
+    """A fault in the emulated file server.
 
-    `replace` makes the faulty method from the real one, which is `method` of `owner` (a class or a module).
-    `case` is a case that must fail then, in the dialect `version`.
+    `replace` takes the real function, the attribute `method` of `owner` (a class or module), and returns the
+    faulty one. With the fault the case `case` must fail in the dialect `version`.
     """
 
     owner: Any
@@ -194,84 +194,80 @@
     case: str
 
 
-VARIANTS: dict[str, SeededFault] = {
-    "a partial walk makes a fid": SeededFault(
-        FileConnection, "_walk", _partial_walk_makes_fid, p9.VERSION, "walk-partial"
+SEEDED_FAULTS: dict[str, SeededFault] = {
+    "partial-walk-establishes-newfid": SeededFault(
+        FileConnection, "_walk", _partial_walk_establishes_newfid, p9.VERSION, "walk-partial"
     ),
-    "a fid in use is taken over": SeededFault(
+    "newfid-in-use-is-replaced": SeededFault(
         FileConnection, "_walk", _walk_ignores_newfid_in_use, p9.VERSION, "walk-newfid-in-use"
     ),
-    "a read gives more than asked for": SeededFault(
-        FileConnection, "_read", _read_gives_more, p9.VERSION, "read-no-more-than-asked"
+    "read-exceeds-count": SeededFault(
+        FileConnection, "_read", _read_exceeds_count, p9.VERSION, "read-no-more-than-asked"
     ),
-    "a file open for writing is read": SeededFault(
+    "read-ignores-open-mode": SeededFault(
         FileConnection, "_read", _read_ignores_access, p9l.VERSION, "open-for-writing-not-read"
     ),
-    "a remove keeps its fid": SeededFault(
-        FileConnection, "clunk", _remove_keeps_fid, p9.VERSION, "remove-clunks"
+    "remove-keeps-fid": SeededFault(FileConnection, "clunk", _remove_keeps_fid, p9.VERSION, "remove-clunks"),
+    "orclose-ignored": SeededFault(
+        FileConnection, "clunk", _orclose_ignored, p9.VERSION, "orclose-removes-at-clunk"
     ),
-    "ORCLOSE is forgotten": SeededFault(
-        FileConnection, "clunk", _orclose_forgotten, p9.VERSION, "orclose-removes-at-clunk"
+    "truncation-ignored": SeededFault(
+        FileConnection, "open", _truncate_ignored, p9l.VERSION, "open-truncates"
     ),
-    "truncation is forgotten": SeededFault(
-        FileConnection, "open", _truncate_forgotten, p9l.VERSION, "open-truncates"
-    ),
-    "permissions are not looked at": SeededFault(
-        Disk, "need", _permissions_forgotten, p9.VERSION, "open-read-denied"
-    ),
-    "qid paths are shared": SeededFault(Disk, "qid", _qid_reused, p9l.VERSION, "qid-differs"),
-    "msize is raised": SeededFault(
+    "permissions-ignored": SeededFault(Disk, "need", _permissions_ignored, p9.VERSION, "open-read-denied"),
+    "qid-paths-not-unique": SeededFault(Disk, "qid", _qid_reused, p9l.VERSION, "qid-differs"),
+    "msize-raised": SeededFault(
         FileConnection, "_version", _version_raises_msize, p9.VERSION, "version-msize-not-raised"
     ),
-    "a new version keeps the old fids": SeededFault(
+    "version-keeps-fids": SeededFault(
         FileConnection, "reset", _version_keeps_fids, p9.VERSION, "version-drops-fids"
     ),
-    "append-only files are written anywhere": SeededFault(
+    "append-only-ignored": SeededFault(
         FileConnection, "_write", _append_at_offset, p9.VERSION, "append-only"
     ),
-    "exclusive use is not kept": SeededFault(
-        FileConnection, "exclude", _exclusive_forgotten, p9.VERSION, "exclusive-use"
+    "exclusive-use-ignored": SeededFault(
+        FileConnection, "exclude", _exclusive_use_ignored, p9.VERSION, "exclusive-use"
     ),
-    "a full directory is removed": SeededFault(
-        Disk, "unlink", _full_directory_removed, p9l.VERSION, "remove-full-directory"
+    "nonempty-directory-removed": SeededFault(
+        Disk, "unlink", _nonempty_directory_removed, p9l.VERSION, "remove-full-directory"
     ),
-    "a wstat is done by halves": SeededFault(
-        files_plain.PlainDialect, "_wstat", _wstat_in_two_halves, p9.VERSION, "wstat-all-or-nothing"
+    "wstat-not-atomic": SeededFault(
+        files_plain.PlainDialect, "_wstat", _wstat_not_atomic, p9.VERSION, "wstat-all-or-nothing"
     ),
-    "a stat tells half the length": SeededFault(
-        files_plain, "pack_stat", _stat_cut, p9.VERSION, "stat-fields"
+    "stat-halves-length": SeededFault(
+        files_plain, "pack_stat", _stat_halves_length, p9.VERSION, "stat-fields"
     ),
-    "a directory is read from anywhere": SeededFault(
+    "directory-seek-allowed": SeededFault(
         files_plain, "read_dir", _directory_seek_allowed, p9.VERSION, "directory-seek"
     ),
-    "a rename leaves its fids behind": SeededFault(
-        FileServer, "renamed", _rename_by_fid_leaves_fid, p9.VERSION, "wstat-name"
+    "rename-does-not-update-fids": SeededFault(
+        FileServer, "renamed", _rename_does_not_update_fids, p9.VERSION, "wstat-name"
     ),
-    "a rename does not replace": SeededFault(
+    "rename-does-not-replace": SeededFault(
         Disk, "rename", _rename_does_not_replace, p9l.VERSION, "renameat-replaces"
     ),
-    "all errors are one": SeededFault(
-        files_linux.LinuxDialect, "error", _errors_are_one, p9l.VERSION, "mkdir-existing"
+    "all-errors-same-number": SeededFault(
+        files_linux.LinuxDialect, "error", _all_errors_same_number, p9l.VERSION, "mkdir-existing"
     ),
-    "locks do not exclude": SeededFault(
-        LockTable, "find_conflict", _locks_overlap, p9l.VERSION, "lock-excludes"
+    "lock-conflicts-ignored": SeededFault(
+        LockTable, "find_conflict", _lock_conflicts_ignored, p9l.VERSION, "lock-excludes"
     ),
-    "readdir repeats entries": SeededFault(
+    "readdir-repeats-entries": SeededFault(
         files_linux.LinuxDialect, "_readdir", _readdir_repeats, p9l.VERSION, "readdir-any-offset"
     ),
-    "unlinkat ignores its flag": SeededFault(
-        files_linux.LinuxDialect, "_unlink", _unlink_ignores_flag, p9l.VERSION, "unlinkat-directory"
+    "unlinkat-ignores-flags": SeededFault(
+        files_linux.LinuxDialect, "_unlink", _unlinkat_ignores_flags, p9l.VERSION, "unlinkat-directory"
     ),
-    "a flushed request is answered": SeededFault(
-        FileConnection, "_shared", _flush_answers_twice, p9l.VERSION, "flush-is-last"
+    "flush-sends-extra-replies": SeededFault(
+        FileConnection, "_shared", _flush_sends_extra_replies, p9l.VERSION, "flush-is-last"
     ),
 }
 
 
 @contextmanager
-def broken(name: str) -> Iterator[None]:
-    """Give all file servers the named fault for the time of the block."""
-    fault = VARIANTS[name]
+def seeded_fault(name: str) -> Iterator[None]:
+    """Apply the named fault to all file servers within the block."""
+    fault = SEEDED_FAULTS[name]
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(fault.owner, fault.method, fault.replace(getattr(fault.owner, fault.method)))
         yield
--- a/tests/conform/test_conformance_suite.py
+++ b/tests/conform/test_conformance_suite.py
@@ -1,4 +1,4 @@
-"""The suite gives the same results on the emulated server and through an instance, and it can fail."""
+"""Tests that an emulated server and an instance in front of it pass the suite, and that it detects faults."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from garnetlanding.emulator.faults import Fault, Rule
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
-from tests.conform.seeded_faults import VARIANTS, broken
+from tests.conform.seeded_faults import SEEDED_FAULTS, seeded_fault
 from tests.support.ninep_instance import NinepInstance, SimulatedTransport, run_beside
 
-BOTH = [p9.VERSION, p9l.VERSION]
+BOTH_DIALECTS = [p9.VERSION, p9l.VERSION]
 
 
 def run_suite(instance: NinepInstance, address: str, version: str, pattern: str = "") -> list[Result]:
@@ -34,33 +34,35 @@
     )
 
 
-@pytest.mark.parametrize("version", BOTH)
-def test_stand_in_passes_every_case_and_the_instance_gives_the_same_results(version: str) -> None:
+@pytest.mark.parametrize("version", BOTH_DIALECTS)
+def test_emulated_server_and_instance_pass_every_case(version: str) -> None:
     instance = NinepInstance(access="rw", server_dialect=version, tree={})
-    direct = run_suite(instance, instance.file_servers[0].address, version)
-    assert [result for result in direct if result.outcome != Outcome.PASS] == []
-    through = run_suite(instance, instance.listener.address, version)
+    direct_results = run_suite(instance, instance.file_servers[0].address, version)
+    assert [result for result in direct_results if result.outcome != Outcome.PASS] == []
+    instance_results = run_suite(instance, instance.listener.address, version)
     assert [
-        (result.name, result.outcome, result.reason) for result in through if result.outcome != Outcome.PASS
+        (result.name, result.outcome, result.reason)
+        for result in instance_results
+        if result.outcome != Outcome.PASS
     ] == []
-    assert len(direct) == len(through) > 150, "each case cleans up"
-    assert not instance.disk.root.names, "each case cleans up"
+    assert len(direct_results) == len(instance_results) > 150
+    assert not instance.disk.root.names, "each case removes its scratch directory"
 
 
-@pytest.mark.parametrize("fault", VARIANTS)
+@pytest.mark.parametrize("fault", SEEDED_FAULTS)
 def test_suite_detects_each_seeded_fault(fault: str) -> None:
-    """A suite that cannot fail proves nothing."""
-    seeded = VARIANTS[fault]
+    """Guards against cases that pass whatever the server does."""
+    seeded = SEEDED_FAULTS[fault]
     instance = NinepInstance(access="rw", server_dialect=seeded.version, tree={})
     address = instance.file_servers[0].address
     pattern = f"^{seeded.case}$"
-    [sound] = run_suite(instance, address, seeded.version, pattern)
-    with broken(fault):
+    [correct] = run_suite(instance, address, seeded.version, pattern)
+    with seeded_fault(fault):
         [faulty] = run_suite(instance, address, seeded.version, pattern)
-    assert (sound.outcome, faulty.outcome) == (Outcome.PASS, Outcome.FAIL), faulty.reason
+    assert (correct.outcome, faulty.outcome) == (Outcome.PASS, Outcome.FAIL), faulty.reason
 
 
-def test_unreachable_server_makes_each_case_an_error() -> None:
+def test_unreachable_server_gives_each_case_outcome_error() -> None:
     def connect() -> SimulatedTransport:
         raise OSError("refused")
 
@@ -69,7 +71,7 @@
     assert {result.outcome for result in results} == {Outcome.ERROR}
 
 
-def test_unresponsive_server_fails_a_case_in_time() -> None:
+def test_case_fails_after_timeout_if_server_does_not_reply() -> None:
     instance = NinepInstance(access="rw", tree={})
     instance.file_servers[0].script.add(Rule(p9.Tread, Fault.STALL, times=None))
     [result] = run_suite(instance, instance.file_servers[0].address, p9.VERSION, "^read-nothing$")
@@ -78,16 +80,16 @@
 
 
 def run_command(instance: NinepInstance, *arguments: str) -> int:
-    code: list[int] = []
-    run_beside(instance, lambda: code.append(cli.main(["conform", "9p", *arguments])))
-    return code[0]
+    exit_codes: list[int] = []
+    run_beside(instance, lambda: exit_codes.append(cli.main(["conform", "9p", *arguments])))
+    return exit_codes[0]
 
 
 def test_command_reports_results_as_table_json_and_exit_code(
     capsys: pytest.CaptureFixture[str], tmp_path: pathlib.Path
 ) -> None:
     instance = NinepInstance(access="rw", tree={})
-    quick = [
+    arguments = [
         "--address",
         instance.file_servers[0].address,
         "--quiet",
@@ -95,15 +97,15 @@
         "--only",
         "^remove-(clunks|file)$",
     ]
-    file = tmp_path / "out.json"
-    assert run_command(instance, *quick, "--json", str(file)) == 0
-    reports = json.loads(file.read_text())
-    assert [run["counts"]["pass"] for run in reports] == [2, 2]
+    json_file = tmp_path / "out.json"
+    assert run_command(instance, *arguments, "--json", str(json_file)) == 0
+    reports = json.loads(json_file.read_text())
+    assert [report["counts"]["pass"] for report in reports] == [2, 2]
     assert "9P2000.L: 2 pass" in capsys.readouterr().out
-    with broken("a remove keeps its fid"):
-        assert run_command(instance, *quick, "--dialect", "9P2000") == 1
+    with seeded_fault("remove-keeps-fid"):
+        assert run_command(instance, *arguments, "--dialect", "9P2000") == 1
     assert "remove-clunks" in capsys.readouterr().out
-    assert run_command(instance, *quick, "--json", str(tmp_path / "no" / "out.json")) == 2
+    assert run_command(instance, *arguments, "--json", str(tmp_path / "no" / "out.json")) == 2
 
 
 @pytest.mark.parametrize(
--- a/tests/conform/test_descriptions.py
+++ b/tests/conform/test_descriptions.py
@@ -1,4 +1,4 @@
-"""The texts of protocol values in results, character by character: programs compare them from run to run."""
+"""Tests the exact text of protocol values in results, which programs compare between runs."""
 
 from __future__ import annotations
 
@@ -55,5 +55,5 @@
 
 
 @pytest.mark.parametrize(("text", "expected"), CASES.values(), ids=CASES)
-def test_value_in_a_result_is_written_out(text: str, expected: str) -> None:
+def test_protocol_value_has_exact_text(text: str, expected: str) -> None:
     assert text == expected
