--- a/tests/conform/seeded_faults.py
+++ b/tests/conform/seeded_faults.py
@@ -44,9 +44,9 @@
 
 def _read_ignores_access(real: Any) -> Any:
     def read(self: FileConnection, fid: int, offset: int, count: int) -> p9.Message:
-        at = self.fids.get(fid)
-        if at and at.access == p9.OWRITE:
-            return p9.Rread(bytes(at.node.data[offset : offset + count]))
+        open_fid = self.fids.get(fid)
+        if open_fid and open_fid.access == p9.OWRITE:
+            return p9.Rread(bytes(open_fid.node.data[offset : offset + count]))
         return real(self, fid, offset, count)  # type: ignore[no-any-return]  # the real method is untyped here
 
     return read
