--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -14,7 +14,7 @@
 
 import click
 
-from garnetlanding.emulator.fleet import FleetFault, Tally, play
+from garnetlanding.emulator.fleet import FleetFault, FleetTotals, simulate_fleet
 
 FAULTS = (FleetFault.HERD, FleetFault.ZONE, FleetFault.JOIN)
 
@@ -27,7 +27,7 @@
         raise click.BadParameter(f"not whole numbers with commas between: {text!r}") from None
 
 
-def row(fault: FleetFault, instances: int, tallies: list[Tally]) -> str:
+def row(fault: FleetFault, instances: int, tallies: list[FleetTotals]) -> str:
     """Return the table's line for days that differ in their seed alone: means, and the greatest peaks."""
     days = len(tallies)
     cells = (
@@ -43,7 +43,7 @@
     return f"| {' | '.join(cells)} |"
 
 
-def day_record(fault: FleetFault, instances: int, seed: int, tally: Tally) -> dict[str, object]:
+def day_record(fault: FleetFault, instances: int, seed: int, tally: FleetTotals) -> dict[str, object]:
     """Return a day's figures under the names that the JSON file has for them."""
     return {
         "kind": fault.value,
@@ -74,7 +74,9 @@
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for fault in FAULTS:
         for instances in numbers(heads):
-            tallies = [play(fault.value, instances, seed, backends=bricks) for seed in numbers(seeds)]
+            tallies = [
+                simulate_fleet(fault.value, instances, seed, backends=bricks) for seed in numbers(seeds)
+            ]
             for seed, tally in zip(numbers(seeds), tallies, strict=True):
                 if tally.unanswered or tally.answered_twice:
                     raise click.ClickException(
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -15,7 +15,7 @@
 from rich.progress import track
 
 from garnetlanding.emulator.lease_model import Scope, explore
-from garnetlanding.emulator.lease_net import SECOND, Scenario, Simulation
+from garnetlanding.emulator.lease_simulation import SECOND, Scenario, Simulation
 
 RESULTS = pathlib.Path(__file__).parent / "results" / "leases.md"
 FAULTS = {
@@ -53,7 +53,7 @@
         count = seeds // 20 if scenario.instances >= LARGE else seeds
         results = [Simulation(replace(scenario, seed=seed)).run() for seed in track(range(count), name)]
         states = len(set().union(*(result.states for result in results)))
-        greatest = max(result.greatest_sum for result in results)
+        greatest = max(result.max_sum for result in results)
         seconds = scenario.length_us / SECOND
         size = sum(result.bytes for result in results) / count / scenario.instances / seconds
         rows.append(f"| {name} | {count} | {greatest:.4f} | {states} | {size:.0f} |")
@@ -83,8 +83,8 @@
         found = explore(scope)
         name = f"{scope.hosts} hosts{'' if found.is_complete else ', given up'}"
         rows.append(
-            f"| {name} | {scope.steps} | {scope.starts} | {found.states} | {found.moves} "
-            f"| {found.greatest_sum:.4f} |"
+            f"| {name} | {scope.steps} | {scope.starts} | {found.states} | {found.transitions} "
+            f"| {found.max_sum:.4f} |"
         )
     return rows
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -11,9 +11,9 @@
 
 from rich.progress import track
 
-from garnetlanding.emulator.budget_net import BudgetScenario, BudgetSimulation
+from garnetlanding.emulator.budget_simulation import BudgetScenario, BudgetSimulation
 from garnetlanding.emulator.group_model import Scope, explore
-from garnetlanding.emulator.group_net import GroupResult, GroupScenario, GroupSimulation
+from garnetlanding.emulator.group_simulation import GroupResult, GroupScenario, GroupSimulation
 from garnetlanding.peers.limits import SECOND
 
 RESULTS = pathlib.Path(__file__).parent / "results" / "members.md"
@@ -40,10 +40,10 @@
 }
 ALONE = BudgetScenario(calm=True, other_demand=0.0, shift_us=60 * SECOND, length_us=30 * SECOND)
 SCOPES = [
-    Scope(moves=9),
-    Scope(moves=10, restarts=0),
-    Scope(seeds=1, moves=13),
-    Scope(instances=4, moves=7, restarts=0),
+    Scope(max_depth=9),
+    Scope(max_depth=10, restarts=0),
+    Scope(seeds=1, max_depth=13),
+    Scope(instances=4, max_depth=7, restarts=0),
 ]
 
 
@@ -89,7 +89,7 @@
     ]
     for name, budget in BUDGETS.items():
         results = [BudgetSimulation(replace(budget, seed=seed)).run() for seed in track(range(seeds), name)]
-        lines.append(f"| {name} | {seeds} | {max(result.greatest_sum for result in results):.4f} |")
+        lines.append(f"| {name} | {seeds} | {max(result.max_sum for result in results):.4f} |")
     utilization = sum(BudgetSimulation(replace(ALONE, seed=seed)).run().utilization for seed in range(5)) / 5
     note = f"One of three instances alone spends {utilization:.3f} of a budget; an even quota is 0.333."
     return [*lines, "", note]
@@ -106,7 +106,7 @@
         found = explore(scope)
         lines.append(
             f"| {scope.instances} instances, {scope.seeds} seeds{'' if found.is_complete else ', given up'} "
-            f"| {scope.moves} | {scope.restarts} | {found.states} | {found.moves} "
+            f"| {scope.max_depth} | {scope.restarts} | {found.states} | {found.transitions} "
             f"| {found.max_quota_sum:.4f} | {found.max_joined} |"
         )
     return lines
--- a/benchmarks/verdicts.py
+++ b/benchmarks/verdicts.py
@@ -11,7 +11,13 @@
 from dataclasses import dataclass, replace
 
 from garnetlanding.emulator.suspicion_model import Scope, explore
-from garnetlanding.emulator.suspicion_net import SECOND, Failure, Scenario, Simulation, avoided_after
+from garnetlanding.emulator.suspicion_simulation import (
+    SECOND,
+    Failure,
+    Scenario,
+    Simulation,
+    time_to_avoidance_us,
+)
 
 SCOPES = (Scope(instances=2, steps=4), Scope(instances=3, steps=2))
 INSTANCES = (4, 8, 16, 32, 64, 100)
@@ -62,13 +68,13 @@
         scenario = Scenario(seed=seed, instances=instances, gossip=gossip)
         result = Simulation(scenario).run()
         totals.attempts += len(result.attempts)
-        totals.avoided_after_us += avoided_after(scenario, result)
+        totals.avoided_after_us += time_to_avoidance_us(scenario, result)
         totals.served_fraction += result.served / result.requested
         totals.bytes += result.bytes
         totals.suspected += len(result.suspected)
         zone_loss = replace(scenario, failing=scenario.backends // 3, failure=Failure.REFUSING)
-        aftermath = Simulation(zone_loss).run().aftermath
-        totals.served_fraction_after_zone_loss += aftermath.served / aftermath.requested
+        after_failure = Simulation(zone_loss).run().after_failure
+        totals.served_fraction_after_zone_loss += after_failure.served / after_failure.requested
     return totals
 
 
@@ -101,8 +107,8 @@
             f"{scope.instances} instances{'' if found.is_complete else ', given up'}",
             str(scope.steps),
             str(found.states),
-            str(found.moves),
-            str(found.suspicious),
+            str(found.transitions),
+            str(found.suspicious_states),
             found.violation or "none",
         ]
 
--- a/garnetlanding/emulator/budget_net.py
+++ b/garnetlanding/emulator/budget_simulation.py
@@ -1,7 +1,7 @@
-"""A simulation of budgets with a window, on the clocks and the network of lease_net.py.
+"""Simulates budgets that instances share within a time window, on the network of lease_simulation.py.
 
-Each instance spends what its quota allows as soon as it is requested. What all instances spent within any
-window is added up.
+Each instance spends units on request as far as its quota allows. The units that all instances spent within
+any window are added up.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from garnetlanding.emulator.lease_net import SECOND, RunResult, Scenario, Simulation
+from garnetlanding.emulator.lease_simulation import SECOND, RunResult, Scenario, Simulation
 from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.name_tag import name_tag
 
@@ -29,7 +29,7 @@
 class BudgetSimulation(Simulation):
     """One run of a scenario.
 
-    In the result, `greatest_sum` is the greatest fraction of the budget that was spent within any window, and
+    In the result, `max_sum` is the greatest fraction of the budget that was spent within any window, and
     `utilization` the mean fraction.
     """
 
@@ -46,7 +46,7 @@
     def run(self) -> RunResult:
         """Run the scenario to its end."""
         super().run()
-        self.result.greatest_sum = self._most_spent / BUDGET
+        self.result.max_sum = self._most_spent / BUDGET
         self.result.utilization = self._sum / (self.scenario.length_us / self.scenario.step_us) / BUDGET
         return self.result
 
@@ -70,7 +70,7 @@
         return self.now // self.scenario.shift_us % self.scenario.instances
 
     def _rate(self, number: int) -> float:
-        """Return the units a second that are requested at an instance."""
+        """Return how many units a second are requested at an instance."""
         demand = 2 if number == self._busiest() else self.scenario.other_demand
         return BUDGET / (self.window_us / SECOND) * demand
 
@@ -83,8 +83,8 @@
             leases.demands.record_spent(NAME, 1, now)
             self._spent_at.append(self.now)
 
-    def _add_up(self) -> None:
-        # By the slowest clock, a window lasts shorter than by the fastest: by twice the drift.
+    def _record_quota_sum(self) -> None:
+        # The slowest and the fastest clock differ by twice the drift in how long a window lasts.
         window_us = self.window_us * (1 - 2 * self.scenario.drift)
         while self._spent_at and self._spent_at[0] <= self.now - window_us:
             self._spent_at.popleft()
@@ -92,4 +92,4 @@
         self._sum += total / self.scenario.instances
         if total > self._most_spent:
             self._most_spent = total
-            self.result.greatest_sum_at = self.now
+            self.result.max_sum_at = self.now
--- a/garnetlanding/emulator/fleet_config.py
+++ b/garnetlanding/emulator/fleet_config.py
@@ -1,4 +1,4 @@
-"""What a simulated day of a fleet is made of: its sizes, its load, its fault, and the instances' settings."""
+"""The parameters of a simulated fleet: sizes, load, fault, and the settings of the instances."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class FleetFault(Enum):
-    """The fault that a simulated day is about."""
+    """The main fault of a simulated run."""
 
     HERD = "herd"  # discovery is overloaded, backends are replaced, most instances are killed and start again
     ZONE = "zone"  # backends fail together and start again together
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """One simulated day. Times are microseconds, rates units a second, shares between 0 and 1.
+    """The parameters of a run. Times are microseconds, rates units a second, shares between 0 and 1.
 
     Of `affected_share` of the backends, JOIN and HERD replace all and ZONE loses half.
     """
@@ -37,13 +37,13 @@
     instances: int = 40
     backends: int = 60  # one a cell
     seed: int = 1
-    length_us: int = 24 * SECOND  # of the load; what is still open may end after it
+    length_us: int = 24 * SECOND  # of the load; requests still in flight may end later
 
     volumes_per_backend: int = 5
     load: float = 1.0  # offered load as a multiple of the plans' usual rates
 
     service_rate: float = 18.0  # of a backend that is warm
-    queue_limit: int = 60  # requests that a backend has accepted and not served
+    queue_limit: int = 60  # requests that a backend has accepted and not yet served
     connection_limit: int = 200  # of a backend; each instance that has sent to it keeps one
     warmup_initial_fraction: float = 0.2
     warmup_us: int = 14 * SECOND
@@ -55,13 +55,13 @@
     push_delay_us: int = 3 * SECOND
     list_calls_per_s: float = 100.0  # that discovery answers
     overloaded_list_calls_per_s: float = 6.0  # the same under HERD, once the watches have ended
-    list_call_timeout_us: int = 2 * SECOND  # a call that waited longer fails, and takes its time all the same
+    list_call_timeout_us: int = 2 * SECOND  # a call that waited longer fails, and still takes its time
 
     fault_at_us: int = 7 * SECOND
     affected_share: float = 0.6  # of the backends
     replacement_spread_us: int = 7 * SECOND  # from the first replaced backend to the last
-    absence_us: int = 3 * SECOND  # from a backend's end to the start of the one in its place
-    discovery_outage_us: int = 0  # after the fault watches end, and calls fail for this long
+    absence_us: int = 3 * SECOND  # from a backend's stop to the start of its replacement
+    discovery_outage_us: int = 0  # from the fault on: watches end, and calls fail for this long
     unresponsive_share: float = 0.0  # of the backends, which accept work and never respond after the fault
 
 
--- a/garnetlanding/emulator/fleet_discovery.py
+++ b/garnetlanding/emulator/fleet_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of a simulated fleet: it answers one call after another and sends changes to those that watch."""
+"""Discovery of a simulated fleet, which answers calls one by one and sends changes to watching instances."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from garnetlanding.emulator.fleet_clock import EventQueue
 from garnetlanding.emulator.fleet_config import SECOND, FleetConfig, FleetFault
 from garnetlanding.emulator.fleet_instances import SimulatedInstance
-from garnetlanding.emulator.fleet_tally import Tally
+from garnetlanding.emulator.fleet_totals import FleetTotals
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,13 +25,15 @@
 
 
 class SimulatedDiscovery:
-    """A discovery of a fixed capacity. An answered call is followed by a watch, until `end_watches`."""
+    """A discovery of limited capacity. Each answered call starts a watch, which lasts until `end_watches`."""
 
-    def __init__(self, config: FleetConfig, clock: EventQueue, backends: BackendPool, tally: Tally) -> None:
+    def __init__(
+        self, config: FleetConfig, clock: EventQueue, backends: BackendPool, totals: FleetTotals
+    ) -> None:
         self._config = config
         self._clock = clock
         self._backends = backends
-        self._tally = tally
+        self._totals = totals
         self._calls: deque[ListCall] = deque()
         self._is_busy = False
         self._calls_per_s = config.list_calls_per_s
@@ -44,11 +46,11 @@
             self._begin_next()
 
     def forget(self, instance: SimulatedInstance) -> None:
-        """End the watch of an instance that is gone."""
+        """End the watch of an instance that has stopped."""
         self._watching.pop(instance.number, None)
 
     def publish(self, instances: Sequence[SimulatedInstance], *changed: api.Endpoint) -> None:
-        """Send changed entries: late to all instances where lists are pushed, at once to those that watch."""
+        """Send changed entries at once to watching instances; if lists are pushed, to all after a delay."""
         update = api.EndpointListUpdate(changed)
         if self._config.pushed_lists:
             at_us = self._clock.now + self._config.push_delay_us
@@ -75,8 +77,8 @@
         call = self._calls.popleft()
         instance = call.instance
         has_timed_out = self._clock.now - call.called_at_us > self._config.list_call_timeout_us
-        if self._is_out() or has_timed_out:
-            self._tally.list_calls_failed += 1
+        if self._is_unavailable() or has_timed_out:
+            self._totals.list_calls_failed += 1
             kind = api.FailureKind.OVERLOADED if has_timed_out else api.FailureKind.ERROR
             instance.receive_in(call.incarnation, api.EndpointListFailure(kind))
         elif instance.incarnation == call.incarnation:
@@ -84,6 +86,6 @@
             instance.receive(api.EndpointListUpdate(self._backends.endpoints(), complete=True))
         self._begin_next()
 
-    def _is_out(self) -> bool:
+    def _is_unavailable(self) -> bool:
         begins_us = self._config.fault_at_us
         return begins_us <= self._clock.now < begins_us + self._config.discovery_outage_us
--- a/garnetlanding/emulator/fleet_faults.py
+++ b/garnetlanding/emulator/fleet_faults.py
@@ -1,4 +1,4 @@
-"""The faults of a simulated day: who fails, drawn before it begins, and what happens when."""
+"""The faults of a simulated run: draws which processes fail before the run, and schedules the failures."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class FaultSchedule:
-    """Schedules the day's fault on the fleet's clock."""
+    """Schedules the run's faults on the fleet's clock."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         self._instances = instances
 
     def schedule(self) -> None:
-        """Draw who fails and schedule it."""
+        """Draw which processes fail and schedule their failures."""
         config = self._config
         match config.fault:
             case FleetFault.HERD:
@@ -79,7 +79,7 @@
         count = int(config.affected_share / 2 * config.backends)
         lost = [f"b{cell}" for cell in self._rng.sample(range(config.backends), count)]
 
-        def lose() -> None:
+        def stop_lost() -> None:
             for name in lost:
                 self._backends.by_name[name].is_up = False
 
@@ -88,7 +88,7 @@
                 backend = self._backends.start(name, self._backends.by_name[name].cell)
                 self._publish(backend.endpoint())
 
-        self._clock.schedule(config.fault_at_us, lose)
+        self._clock.schedule(config.fault_at_us, stop_lost)
         self._clock.schedule(config.fault_at_us + config.absence_us, restart)
 
     def _schedule_replacements(self) -> None:
--- a/garnetlanding/emulator/fleet_instances.py
+++ b/garnetlanding/emulator/fleet_instances.py
@@ -1,4 +1,4 @@
-"""The instances of a simulated fleet: a real Controller each, and what is done about its actions."""
+"""The instances of a simulated fleet, each with a real Controller whose actions are carried out."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from garnetlanding.emulator.fleet_backends import BackendPool
 from garnetlanding.emulator.fleet_clock import EventQueue
 from garnetlanding.emulator.fleet_config import READ, WRITE, FleetConfig, instance_settings
-from garnetlanding.emulator.fleet_tally import Tally
+from garnetlanding.emulator.fleet_totals import FleetTotals
 
 
 class DecisionModule(Protocol):
     """The part of a Controller that an instance uses."""
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
-        """Return what to do about the events."""
+        """Return the actions that follow from the events."""
 
 
-class EndpointSource(Protocol):
+class EndpointDiscovery(Protocol):
     """Discovery, as an instance sees it."""
 
     def call(self, instance: SimulatedInstance) -> None:
@@ -29,14 +29,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class FleetContext:
     """What all instances of a fleet share."""
 
     config: FleetConfig
     clock: EventQueue
     backends: BackendPool
-    discovery: EndpointSource
-    tally: Tally
+    discovery: EndpointDiscovery
+    totals: FleetTotals
     make_controller: Callable[[api.Settings, int], DecisionModule]
 
 
@@ -46,7 +46,7 @@
 
     arrival: api.Arrival
     arrived_at_us: int
-    value: float  # when served in time
+    value: float  # if served within the latency objective
     in_flight: int | None = None  # the number of the attempt that is in flight
     attempts: int = 0
     is_answered: bool = False
@@ -55,14 +55,14 @@
 class SimulatedInstance:
     """One instance, over all its incarnations. Events for an earlier incarnation are dropped."""
 
-    def __init__(self, number: int, surroundings: Surroundings) -> None:
+    def __init__(self, number: int, context: FleetContext) -> None:
         self.number = number
         self.incarnation = 0
         self.requests: dict[str, SimulatedRequest] = {}
         self._controller: DecisionModule | None = None
-        self._surroundings = surroundings
-        self._clock = surroundings.clock
-        self._tally = surroundings.tally
+        self._context = context
+        self._clock = context.clock
+        self._totals = context.totals
 
     @property
     def is_running(self) -> bool:
@@ -70,18 +70,18 @@
         return self._controller is not None
 
     def start(self, cached_endpoints: tuple[api.Endpoint, ...]) -> None:
-        """Begin an incarnation that knows these endpoints from before."""
-        config = self._surroundings.config
+        """Start a new incarnation with a cached endpoint list."""
+        config = self._context.config
         self.incarnation += 1
         self.requests = {}
-        self._controller = self._surroundings.make_controller(
+        self._controller = self._context.make_controller(
             instance_settings(config, self.number),
             config.seed * 1000 + self.number * 10 + self.incarnation,
         )
         self.receive(api.EndpointListUpdate(cached_endpoints, complete=True, at_start=True))
 
     def kill(self) -> None:
-        """End the process; what it had open is lost."""
+        """End the process; its open requests are lost."""
         self._controller = None
         self.incarnation += 1
         self.requests = {}
@@ -113,8 +113,8 @@
                 fire = partial(self.receive_in, self.incarnation, api.TimerFired("look"))
                 self._clock.schedule(self._clock.now + action.span_us, fire)
             case api.Subscribe():
-                self._tally.list_calls += 1
-                self._surroundings.discovery.call(self)
+                self._totals.list_calls += 1
+                self._context.discovery.call(self)
             case api.Cancel():
                 self._cancel(action)
 
@@ -123,7 +123,7 @@
         attempt = request.attempts
         request.in_flight = attempt
         request.attempts += 1
-        response = self._surroundings.backends.submit(self.number, send.backend, request.arrival.units)
+        response = self._context.backends.submit(self.number, send.backend, request.arrival.units)
         if response.at_us is not None:
             self._schedule_result(response.at_us, request, attempt, response.outcome)
         self._schedule_result(request.arrival.deadline_us, request, attempt, api.Outcome.TIMEOUT)
@@ -149,7 +149,7 @@
     def _end_attempt(
         self, request: SimulatedRequest, attempt: int, outcome: api.Outcome, duration_us: int
     ) -> None:
-        """Report an attempt's result, unless it was cancelled or has ended before."""
+        """Report an attempt's result, unless it was cancelled or has already ended."""
         if outcome is not api.Outcome.CANCELLED:
             if request.in_flight != attempt:
                 return
@@ -160,13 +160,13 @@
         self.receive(result)
 
     def _value_share(self, request: SimulatedRequest) -> float:
-        """Return the share of its value that a request answered now earns."""
+        """Return the share of its value that a request earns if it is answered now."""
         request_class = WRITE if request.arrival.is_write else READ
         if self._clock.now - request.arrived_at_us <= request_class.latency_objective_us:
             return 1.0
         return request_class.late_value_fraction
 
     def _answer(self, request: SimulatedRequest, value_share: float) -> None:
-        self._tally.answered_twice += request.is_answered
+        self._totals.answered_twice += request.is_answered
         request.is_answered = True
-        self._tally.earned_value += request.value * value_share
+        self._totals.earned_value += request.value * value_share
--- a/garnetlanding/emulator/fleet_load.py
+++ b/garnetlanding/emulator/fleet_load.py
@@ -1,4 +1,4 @@
-"""The load of a simulated fleet: volumes whose requests arrive at random, drawn before the day begins."""
+"""The load of a simulated fleet: volumes whose requests arrive at random, drawn before the run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from garnetlanding.emulator.fleet_clock import EventQueue
 from garnetlanding.emulator.fleet_config import PLANS, READ, SECOND, WRITE, FleetConfig
 from garnetlanding.emulator.fleet_instances import SimulatedInstance
-from garnetlanding.emulator.fleet_tally import Tally
+from garnetlanding.emulator.fleet_totals import FleetTotals
 
 UNITS = (1, 1, 2, 3, 4)  # of a request, each as likely
 MEAN_UNITS = 2.2
@@ -38,16 +38,16 @@
     at_us: int
     instance: int
     units: int
-    cell: int | None  # None: of a write, which the instance places
+    cell: int | None  # None for a write, whose cell the instance chooses
 
     @property
     def is_write(self) -> bool:
-        """Whether the request writes; the instance then chooses the cell."""
+        """Whether the request is a write."""
         return self.cell is None
 
 
 def planned_requests(config: FleetConfig, rng: random.Random) -> Iterator[PlannedRequest]:
-    """Yield the requests of the day, one volume after another."""
+    """Yield the requests of the run, one volume after another."""
     for number in range(config.backends * config.volumes_per_backend):
         plan = PLANS[rng.choice(sorted(PLANS))]
         hosts = rng.sample(range(config.instances), min(config.instances, rng.randint(1, MAX_HOSTS)))
@@ -71,21 +71,23 @@
     config: FleetConfig,
     clock: EventQueue,
     rng: random.Random,
-    tally: Tally,
+    totals: FleetTotals,
     instances: Sequence[SimulatedInstance],
 ) -> None:
-    """Draw the day's requests and schedule their arrival."""
+    """Draw the run's requests and schedule their arrival."""
     for planned in planned_requests(config, rng):
-        arrive = partial(_arrive, planned, clock, tally, instances[planned.instance])
+        arrive = partial(_arrive, planned, clock, totals, instances[planned.instance])
         clock.schedule(planned.at_us, arrive)
 
 
-def _arrive(planned: PlannedRequest, clock: EventQueue, tally: Tally, instance: SimulatedInstance) -> None:
-    """Send the request; one to an instance that does not run is lost, and counts as requested."""
+def _arrive(
+    planned: PlannedRequest, clock: EventQueue, totals: FleetTotals, instance: SimulatedInstance
+) -> None:
+    """Send a request. One to a stopped instance is lost, but its value counts as requested."""
     volume = planned.volume
     request_class = WRITE if planned.is_write else READ
     value = request_class.priority_weight * volume.plan.price * planned.units
-    tally.requested_value += value
+    totals.requested_value += value
     if not instance.is_running:
         return
     arrival = api.Arrival(
--- a/garnetlanding/emulator/fleet_tally.py
+++ b/garnetlanding/emulator/fleet_totals.py
@@ -1,4 +1,4 @@
-"""What a simulated day of a fleet came to."""
+"""The results of a simulated run of a fleet."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class FleetTotals:
     """Sums over all instances."""
 
     requested_value: float = 0.0  # priority weight times price and units, as if all were served in time
@@ -15,7 +15,7 @@
     list_calls_failed: int = 0
     handshakes: int = 0
     max_queue: int = 0  # at any backend
-    max_warmup_load: float = 0.0  # sent to a warming backend in any window, by what it bears; 1 is the limit
+    max_warmup_load: float = 0.0  # of a backend in warm-up in any window, relative to its limit
     unanswered: int = 0
     answered_twice: int = 0
 
--- a/garnetlanding/emulator/group_model.py
+++ b/garnetlanding/emulator/group_model.py
@@ -1,9 +1,9 @@
-"""Explores, breadth first, every state that a small group of instances can reach within a number of moves.
+"""Model checking of membership: every state that a small group of instances reaches in some transitions.
 
 Instances start, send, receive messages (at any later moment, or never), crash, restart, and leave. In each
 state the even quotas of all running instances are added up.
 
-Time does not pass: what depends on it (forming a new group) may happen at any moment.
+The model has no clock: an action that depends on time (forming a new group) may happen at any moment.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from garnetlanding.emulator.walk import Walk
+from garnetlanding.emulator.state_search import StateSearch
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.membership import Membership
 from garnetlanding.peers.membership_table import InstanceRecord
@@ -28,7 +28,7 @@
 
     instances: int = 3
     seeds: int = 2  # the first instances
-    moves: int = 8
+    max_depth: int = 8  # transitions from the initial state
     restarts: int = 1  # of instances that crashed or left
     max_states: int = 300_000  # after which the exploration is given up
 
@@ -65,11 +65,11 @@
 
 
 @dataclass(slots=True)
-class Explored:
+class ExplorationResult:
     """The result of an exploration."""
 
     states: int = 0
-    moves: int = 0
+    transitions: int = 0
     max_quota_sum: float = 0.0
     max_joined: int = 0  # members at a time
     is_complete: bool = True
@@ -106,8 +106,8 @@
     )
 
 
-def moves(state: State, scope: Scope) -> Iterator[State]:
-    """Yield every state that is one move away."""
+def transitions(state: State, scope: Scope) -> Iterator[State]:
+    """Yield every state that is one transition away."""
     for number, members in enumerate(state.instances):
         if members is None:
             if state.restarts < scope.restarts:
@@ -142,13 +142,13 @@
 
 
 def _may_stop(state: State, number: int, scope: Scope) -> bool:
-    """Return whether an instance may stop: operators keep at least one seed running."""
+    """Return whether an instance may stop: at least one seed has to keep running."""
     others = [members for i, members in enumerate(state.instances) if i != number]
     return number >= scope.seeds or any(members is not None for members in others[: scope.seeds - 1])
 
 
 def _leaves(state: State, number: int, members: Membership, scope: Scope) -> Iterator[State]:
-    """Yield the state in which an instance has left, with its last message in transit to all."""
+    """Yield the state in which an instance has left, with its last message in transit to all it knows."""
     last = copy.deepcopy(members)
     last.leave()
     message = TableMessage(tuple(last.table.records.values()), last.table.digest, joined=False)
@@ -175,20 +175,24 @@
         yield replace(state.with_instance(delivery.receiver, updated), deliveries=others)
 
 
-def explore(scope: Scope) -> Explored:
+def explore(scope: Scope) -> ExplorationResult:
     """Explore all states; stop at the first one whose even quotas add up to more than 1."""
     instances = tuple(new_instance(scope, number, 1) for number in range(scope.instances))
-    found = Explored()
-    walk = Walk(
-        State(instances, (), 0), key, lambda state: moves(state, scope), scope.max_states, scope.moves
+    result = ExplorationResult()
+    search = StateSearch(
+        State(instances, (), 0),
+        key,
+        lambda state: transitions(state, scope),
+        scope.max_states,
+        scope.max_depth,
     )
-    for state in walk:
+    for state in search:
         running = [members for members in state.instances if members is not None]
-        found.max_quota_sum = max(found.max_quota_sum, sum(members.even_quota for members in running))
-        found.max_joined = max(found.max_joined, sum(members.joined for members in running))
-        if found.max_quota_sum > 1 + ROUNDING_SLACK:
+        result.max_quota_sum = max(result.max_quota_sum, sum(members.even_quota for members in running))
+        result.max_joined = max(result.max_joined, sum(members.joined for members in running))
+        if result.max_quota_sum > 1 + ROUNDING_SLACK:
             break
-    found.states = walk.states
-    found.moves = walk.moves
-    found.is_complete = walk.is_complete
-    return found
+    result.states = search.states
+    result.transitions = search.transitions
+    result.is_complete = search.is_complete
+    return result
--- a/garnetlanding/emulator/group_net.py
+++ b/garnetlanding/emulator/group_simulation.py
@@ -1,4 +1,4 @@
-"""Simulates instances that discover each other, on one network.
+"""Simulates the membership of instances that discover each other on one network.
 
 Instances join, leave, crash and restart, links are partitioned, messages are lost and delayed. The same seed
 gives the same run. At each step the even quotas of all running instances are added up. Times are
@@ -19,8 +19,8 @@
 from garnetlanding.peers.membership_protocol import MembershipProtocol
 from garnetlanding.peers.peer_contacts import NO_MESSAGE
 
-CLOCK_KEPT_RATE = 0.8  # of starts; before the others the wall clock was set back: a smaller incarnation
-PARTITION_RATE = 0.4  # of events at a running instance: its links are cut; otherwise it stops
+CLOCK_KEPT_RATE = 0.8  # of starts; the others have a smaller incarnation, as if the clock was set back
+PARTITION_RATE = 0.4  # of events at a running instance, which cut its links; the others stop it
 CUT_BOTH_WAYS_RATE = 0.5  # of links that are cut
 GRACEFUL_RATE = 0.5  # of instances that stop; the others crash
 
@@ -77,7 +77,7 @@
 
 
 class Start(NamedTuple):
-    """A start that not all running instances know of yet."""
+    """A start of an instance that some running instances do not know of yet."""
 
     at: int
     instance: int
@@ -147,7 +147,7 @@
         for self._now in range(0, scenario.length_us, scenario.step_us):
             self._process_events()
             self._deliver()
-            # Operators know by then which instances will not restart; the second time, all are known.
+            # Operators mark instances that will not restart; the second time all stopped ones are covered.
             if self._now in (self._calm_from, scenario.length_us - scenario.calm_us // 2):
                 self._mark_crashed_terminated()
             if self._now % self.limits.send_interval_us < scenario.step_us:
--- a/garnetlanding/emulator/lease_model.py
+++ b/garnetlanding/emulator/lease_model.py
@@ -1,11 +1,11 @@
-"""Model checking of the lease protocol: all histories of a few instances up to a horizon, breadth first.
-
-Time goes in steps, the same for all instances (lease_net.py simulates clocks that drift apart). In each step
-each instance receives any subset of the messages in transit to it, may get a request for the volume, may
-restart, and sends. A message arrives in a later step, or never: the next one on the same link replaces it. So
-a stalled instance is one whose messages all get lost and that receives none. Within a step instances do not
-interact, so a single order of them covers all. In each state the quotas that the volume's hosts would use if
-they sent now are added up.
+"""Model checking of the lease protocol: all histories of a few instances up to a number of steps.
+
+All instances share one clock that counts steps (lease_simulation.py simulates clocks that drift apart). In
+each step each instance receives any subset of the messages in transit to it, may get a request for the
+volume, may restart, and sends. A message arrives in a later step, or is lost when the next one on the same
+link replaces it. A stalled instance is thus one whose messages are all lost and that receives none. Within a
+step instances do not interact, so one order of them covers all. In each state the quotas that the volume's
+hosts would use if they sent now are added up.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 
 from garnetlanding.decision.estimators import EwmaRate
-from garnetlanding.emulator.walk import Walk
+from garnetlanding.emulator.state_search import StateSearch
 from garnetlanding.peers.demand import Demand, DemandTable
 from garnetlanding.peers.lease_message import LeaseMessage
 from garnetlanding.peers.leases import Leases
@@ -26,7 +26,7 @@
 VOLUME_TAG = name_tag(VOLUME)
 LIMIT = 40.0
 ROUNDING_SLACK = 1e-9
-# In steps: a lease lasts three, the requests of a message count for three, demand is averaged over one.
+# Times are in steps.
 LIMITS = PeerLimits(
     lease_us=3,
     max_clock_drift=0.0,
@@ -46,7 +46,7 @@
     hosts: int = 2
     steps: int = 4
     starts: int = 1
-    max_states: int = 2_000_000  # after which exploring is given up
+    max_states: int = 2_000_000  # after which the exploration is given up
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,28 +61,28 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """The instances and messages before instance `turn` acts in step `now`."""
+    """The instances and messages in step `now`, before instance `next_instance` acts."""
 
     now: int
-    turn: int
+    next_instance: int
     instances: tuple[Leases, ...]
     in_transit: tuple[SentMessage, ...]
     starts: int
 
 
 @dataclass(slots=True)
-class Explored:
+class ExplorationResult:
     """The result of an exploration."""
 
     states: int = 0
-    moves: int = 0
-    greatest_sum: float = 0.0  # of quotas
+    transitions: int = 0
+    max_sum: float = 0.0  # of the hosts' quotas
     is_complete: bool = True  # every state within the scope was reached
     quotas: set[tuple[float, ...]] = field(default_factory=set)  # of the hosts, in each state
 
 
 def clone(leases: Leases) -> Leases:
-    """Return an independent copy; what is never changed in place is shared with the original."""
+    """Return an independent copy that shares only immutable parts with the original."""
     new = object.__new__(type(leases))
     new.__dict__.update(leases.__dict__)
     new.contacts = leases.contacts.copy()
@@ -104,12 +104,11 @@
 def state_key(state: State) -> tuple[object, ...]:
     """Return a key that is equal for states with the same future.
 
-    Times are relative to now, the number of a message is replaced by its age, and what has expired is left
-    out.
+    Times are relative to now, a message's number is replaced by its age, and expired entries are omitted.
     """
     instances = tuple(_instance_key(state, number) for number in range(len(state.instances)))
     in_transit = tuple(sorted(_message_key(state, message) for message in state.in_transit))
-    return (state.now, state.turn, instances, in_transit, state.starts)
+    return (state.now, state.next_instance, instances, in_transit, state.starts)
 
 
 def _sent_ago(state: State, number: int, incarnation: int, message: int) -> int | None:
@@ -163,7 +162,7 @@
 
 def _message_key(state: State, message: SentMessage) -> tuple[int, int, object]:
     content = message.content
-    rest = (
+    contents = (
         state.now - message.sent_at,
         content.incarnation == state.instances[message.sender].identity.incarnation,
         _sent_ago(state, message.sender, content.incarnation, content.number),
@@ -171,7 +170,8 @@
         tuple(content.requests.values()),
         tuple(content.grants.values()),
     )
-    return (message.sender, message.receiver, rest)  # unique, since a link has one message at most
+    # Sorting never compares the contents: a link holds one message at most.
+    return (message.sender, message.receiver, contents)
 
 
 def usable_quotas(state: State, scope: Scope) -> tuple[float, ...]:
@@ -185,38 +185,38 @@
     return tuple(quotas)
 
 
-def moves(state: State, scope: Scope, kind: type[Leases]) -> Iterator[State]:
+def transitions(state: State, scope: Scope, lease_class: type[Leases]) -> Iterator[State]:
     """Yield every state that the next instance's action may lead to.
 
-    After the last instance the next step begins.
+    The step ends after the last instance.
     """
-    number = state.turn
+    number = state.next_instance
     is_last = number + 1 == scope.instances
     now = state.now + 1 if is_last else state.now
-    turn = 0 if is_last else number + 1
-    # An instance that acted earlier in this step may have sent just now: its next message would replace that.
+    next_instance = 0 if is_last else number + 1
+    # Includes messages that earlier instances sent in this step: the next one on a link replaces the last.
     arriving = [
         message
         for message in state.in_transit
         if message.receiver == number and (message.sent_at < state.now or message.sender < number)
     ]
-    for pick in range(1 << len(arriving)):
-        received = [message for index, message in enumerate(arriving) if pick >> index & 1]
+    for subset in range(1 << len(arriving)):  # a bit for each message that arrives
+        received = [message for index, message in enumerate(arriving) if subset >> index & 1]
         leases = clone(state.instances[number])
         for message in received:
             leases.receive(message.sender, message.content, state.now)
         leases.refresh_quotas(state.now)
         others = tuple(message for message in state.in_transit if message not in received)
-        for variant, starts in _requested_or_started(state, scope, leases, kind):
+        for variant, starts in _requested_or_started(state, scope, leases, lease_class):
             new, in_transit = _send(variant, state.now, others)
             instances = (*state.instances[:number], new, *state.instances[number + 1 :])
-            yield State(now, turn, instances, in_transit, starts)
+            yield State(now, next_instance, instances, in_transit, starts)
 
 
 def _requested_or_started(
-    state: State, scope: Scope, leases: Leases, kind: type[Leases]
+    state: State, scope: Scope, leases: Leases, lease_class: type[Leases]
 ) -> Iterator[tuple[Leases, int]]:
-    """Yield an instance unchanged, with a request, and restarted, each with the restarts until then."""
+    """Yield an instance unchanged, with a request, and restarted, each with the number of restarts so far."""
     yield leases, state.starts
     if leases.identity.number < scope.hosts:
         requested = clone(leases)
@@ -225,7 +225,7 @@
         yield requested, state.starts
     if state.starts < scope.starts:
         identity = replace(leases.identity, incarnation=leases.identity.incarnation + 1)
-        yield kind(LIMITS, identity, state.now), state.starts + 1
+        yield lease_class(LIMITS, identity, state.now), state.starts + 1
 
 
 def _send(
@@ -250,27 +250,27 @@
     return new, (*others, *sent)
 
 
-def explore(scope: Scope, kind: type[Leases] = Leases) -> Explored:
-    """Explore a scope; end at the first state whose quotas add up to more than 1."""
-    # They start one lease ago: nothing that an earlier incarnation granted is in use any more.
+def explore(scope: Scope, lease_class: type[Leases] = Leases) -> ExplorationResult:
+    """Explore a scope; stop at the first state whose quotas add up to more than 1."""
+    # Started a whole lease earlier, so no grant of an earlier incarnation is still in use.
     instances = tuple(
-        kind(LIMITS, InstanceIdentity(number, scope.instances, 1), -LIMITS.lease_us)
+        lease_class(LIMITS, InstanceIdentity(number, scope.instances, 1), -LIMITS.lease_us)
         for number in range(scope.instances)
     )
-    found = Explored()
-    walk = Walk(
+    result = ExplorationResult()
+    search = StateSearch(
         State(0, 0, instances, (), 0),
         state_key,
-        lambda state: moves(state, scope, kind) if state.now < scope.steps else (),
+        lambda state: transitions(state, scope, lease_class) if state.now < scope.steps else (),
         scope.max_states,
     )
-    for state in walk:
+    for state in search:
         quotas = usable_quotas(state, scope)
-        found.quotas.add(quotas)
-        found.greatest_sum = max(found.greatest_sum, sum(quotas))
-        if found.greatest_sum > 1 + ROUNDING_SLACK:
+        result.quotas.add(quotas)
+        result.max_sum = max(result.max_sum, sum(quotas))
+        if result.max_sum > 1 + ROUNDING_SLACK:
             break
-    found.states = walk.states
-    found.moves = walk.moves
-    found.is_complete = walk.is_complete
-    return found
+    result.states = search.states
+    result.transitions = search.transitions
+    result.is_complete = search.is_complete
+    return result
--- a/garnetlanding/emulator/lease_net.py
+++ b/garnetlanding/emulator/lease_simulation.py
@@ -1,6 +1,6 @@
-"""A simulation of many instances' leases on a faulty network, with clocks that drift apart.
+"""Simulates the leases of many instances on a faulty network, with clocks that drift apart.
 
-Messages are lost, late, duplicated and overtaken; links are cut; instances crash and stall. The same seed
+Messages are lost, delayed, duplicated and reordered; links are cut; instances crash and stall. The same seed
 gives the same run. At each step the quotas that the volume's hosts may use are added up, as the decision
 module of each would use them if it sent at that moment.
 """
@@ -28,7 +28,7 @@
 LIMIT = 40.0  # units a second
 REQUEST_UNITS = 2
 BUSIEST_DEMAND = 1.5  # of the limit
-LATE_FRACTION = 0.1  # of the messages take up to `late_us`
+LATE_FRACTION = 0.1  # of the messages, which take up to `late_us`
 FIRST_INCARNATION = 1000
 
 
@@ -53,7 +53,7 @@
 
 
 class FaultKind(StrEnum):
-    """What is wrong with an instance for some time."""
+    """What goes wrong with an instance for a time."""
 
     CRASH = "crash"
     STALL = "stall"
@@ -68,7 +68,7 @@
     at: int
     kind: FaultKind
     instance: int
-    length_us: int
+    length_us: int  # how long it lasts
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -101,10 +101,10 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """What a run has shown."""
+    """The result of a run."""
 
-    greatest_sum: float = 0.0  # of the hosts' quotas
-    greatest_sum_at: int = 0
+    max_sum: float = 0.0  # of the hosts' quotas
+    max_sum_at: int = 0
     utilization: float = 0.0  # mean quota of the busiest instance
     messages: int = 0
     bytes: int = 0
@@ -138,9 +138,9 @@
         return sorted(faults)
 
     def _make_clock(self) -> Callable[[int], int]:
-        pace = 1 + self.rng.uniform(-self.scenario.drift, self.scenario.drift)
+        rate = 1 + self.rng.uniform(-self.scenario.drift, self.scenario.drift)
         offset = self.rng.randrange(1, 1000) * SECOND
-        return lambda now: offset + int(now * pace)
+        return lambda now: offset + int(now * rate)
 
     def _start(self, number: int, clock: Callable[[int], int], down_until: int) -> Instance:
         """Return a restarted instance, which begins once it is up again."""
@@ -166,7 +166,7 @@
             for number in self.rng.sample(range(scenario.instances), scenario.instances):
                 if self.instances[number].is_running(self.now):
                     self._run_iteration(number)
-                    self._add_up()
+                    self._record_quota_sum()
             busiest_quotas += self.instances[busiest].quota
         self.result.utilization = busiest_quotas / len(steps)
         return self.result
@@ -199,7 +199,7 @@
             if self.now >= receiver.down_until:
                 receiver.inbox.append(datagram)
 
-    def _add_up(self) -> None:
+    def _record_quota_sum(self) -> None:
         """Add up the quotas of the running hosts; those that are down or stalled send nothing."""
         quotas: list[float] = []
         for host in self.instances[: self.scenario.hosts]:
@@ -207,9 +207,9 @@
                 self._update_quota(host)
                 quotas.append(host.quota)
         self.result.states.add(tuple(round(quota, 2) for quota in quotas))
-        if sum(quotas) > self.result.greatest_sum:
-            self.result.greatest_sum = sum(quotas)
-            self.result.greatest_sum_at = self.now
+        if sum(quotas) > self.result.max_sum:
+            self.result.max_sum = sum(quotas)
+            self.result.max_sum_at = self.now
 
     def _run_iteration(self, number: int) -> None:
         """Run one event-loop iteration of an instance."""
@@ -232,13 +232,13 @@
         instance.inbox.clear()
 
     def _update_quota(self, instance: Instance) -> None:
-        """Refresh the quota, as happens before the decision module may send."""
+        """Refresh the quota, as an instance does before its decision module may send."""
         now = instance.clock(self.now)
         leases = instance.leases
         instance.quota = leases.refresh_quotas(now).get(VOLUME, instance.quota)
         if VOLUME_TAG not in leases.demands.by_tag:
-            # The first request would create the demand, and the decision module would be told the quota
-            # with it.
+            # The first request creates the demand, and its quota then reaches the decision module: read
+            # the quota from a temporary demand.
             leases.demands.by_tag[VOLUME_TAG] = Demand(VOLUME, self.scenario.hosts, LIMIT)
             instance.quota = leases.usable_quota(VOLUME_TAG, now)
             del leases.demands.by_tag[VOLUME_TAG]
@@ -261,16 +261,16 @@
     def _send(self, sender: int, receiver: int, payload: bytes) -> None:
         self.result.messages += 1
         self.result.bytes += len(payload)
-        if self._cut_until.get((sender, receiver), 0) > self.now or self._occurs(self.scenario.loss):
+        if self._cut_until.get((sender, receiver), 0) > self.now or self._is_drawn(self.scenario.loss):
             return
-        copies = 2 if self._occurs(self.scenario.duplicated) else 1
+        copies = 2 if self._is_drawn(self.scenario.duplicated) else 1
         for _ in range(copies):
             delay_us = self.rng.randrange(self.scenario.delay_us // 10, 2 * self.scenario.delay_us)
-            if self._occurs(LATE_FRACTION):
+            if self._is_drawn(LATE_FRACTION):
                 delay_us = self.rng.randrange(self.scenario.late_us)
             self._datagrams += 1
             arrives_at = self.now + delay_us
             heapq.heappush(self._in_transit, Datagram(arrives_at, self._datagrams, sender, receiver, payload))
 
-    def _occurs(self, probability: float) -> bool:
+    def _is_drawn(self, probability: float) -> bool:
         return not self.scenario.calm and self.rng.random() < probability
--- a/garnetlanding/emulator/walk.py
+++ b/garnetlanding/emulator/state_search.py
@@ -1,4 +1,4 @@
-"""Every state that a model can reach, breadth first, each once."""
+"""Breadth-first search of the states that a model can reach."""
 
 from __future__ import annotations
 
@@ -8,29 +8,28 @@
 S = TypeVar("S")
 
 
-class Walk(Generic[S]):
-    """Yield the reachable states; count them and the moves that led to them.
+class StateSearch(Generic[S]):
+    """Yields each reachable state once. States with equal keys count as one.
 
-    `states` and `moves` are the counts so far; `is_complete` is False once the walk was given up. States with
-    equal keys count as one.
+    `states` and `transitions` are the counts so far; `is_complete` is False once `max_states` was reached.
     """
 
     def __init__(
         self,
         start: S,
         key: Callable[[S], object],
-        moves: Callable[[S], Iterable[S]],
+        transitions: Callable[[S], Iterable[S]],
         max_states: int,
         max_depth: int | None = None,
     ) -> None:
-        """`max_states`: it gives up after these. `max_depth`: moves in succession, None: any number."""
+        """`max_states`: the search stops there. `max_depth`: transitions from the start, None: unlimited."""
         self._start = start
         self._key = key
-        self._moves = moves
+        self._transitions = transitions
         self._max_states = max_states
         self._max_depth = max_depth
         self.states = 0
-        self.moves = 0
+        self.transitions = 0
         self.is_complete = True
 
     def __iter__(self) -> Iterator[S]:
@@ -47,8 +46,8 @@
                     return
                 if self._max_depth is not None and depth >= self._max_depth:
                     continue
-                for new in self._moves(state):
-                    self.moves += 1
+                for new in self._transitions(state):
+                    self.transitions += 1
                     fingerprint = hash(self._key(new))
                     if fingerprint not in seen:
                         seen.add(fingerprint)
--- a/garnetlanding/emulator/suspicion_model.py
+++ b/garnetlanding/emulator/suspicion_model.py
@@ -1,9 +1,9 @@
-"""Explores, breadth first, every state that instances' claims about one backend can reach in some steps.
+"""Model checking of the suspicion protocol for one backend: every state reachable in a few steps.
 
-In each step each instance, in turn, receives any of the messages in transit to it; the backend serves one
-request of it, or refuses several, or gets none; and the instance sends its claims. A message arrives in a
-later step, or never: the next one on the same link replaces it. In each state, what an instance suspects is
-checked against what the others have observed.
+In each step each instance, in turn, receives any subset of the messages in transit to it; the backend serves
+one of its requests, refuses several, or gets none; then the instance sends its claims. A message arrives in a
+later step, or is lost when the next one on the same link replaces it. In each state, the suspicions of every
+instance are checked against the observations of the others.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.interface import Outcome
-from garnetlanding.emulator.walk import Walk
+from garnetlanding.emulator.state_search import StateSearch
 from garnetlanding.peers.gossip_message import Evidence
 from garnetlanding.peers.limits import PeerLimits
 from garnetlanding.peers.local_observations import LocalObservations
@@ -50,11 +50,11 @@
     suspicions: SuspicionTable = field(default_factory=lambda: SuspicionTable(LIMITS))
     # By peer: when it sent the last message received from it.
     received: dict[int, int] = field(default_factory=dict)
-    observed_at: int | None = None  # when it last observed a refused connection, or a recovery
+    observed_at: int | None = None  # its last observation of a refused connection or a recovery
     served_at: int | None = None
 
     def is_suspicious(self, now: int) -> bool:
-        """Return whether it suspects the backend on its peers' claims."""
+        """Return whether it suspects the backend because of its peers' claims."""
         return bool(self.suspicions.suspected(now, self.observations))
 
 
@@ -71,21 +71,21 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """The state before the step of instance `turn` at `now`."""
+    """The state at `now`, before the step of instance `next_instance`."""
 
     now: int
-    turn: int
+    next_instance: int
     instances: tuple[Instance, ...]
     in_transit: tuple[SentMessage, ...]
 
 
 @dataclass(slots=True)
-class Explored:
+class ExplorationResult:
     """The result of an exploration."""
 
     states: int = 0
-    moves: int = 0
-    suspicious: int = 0  # states in which some instance suspects the backend
+    transitions: int = 0
+    suspicious_states: int = 0  # states in which some instance suspects the backend
     violation: str | None = None  # of the first invariant that did not hold; None: all held
     is_complete: bool = True  # all states within the scope were explored
 
@@ -107,7 +107,7 @@
         for message in state.in_transit
     )
     instances = tuple(_instance_key(state, instance) for instance in state.instances)
-    return (state.now, state.turn, instances, tuple(in_transit))
+    return (state.now, state.next_instance, instances, tuple(in_transit))
 
 
 def _instance_key(state: State, instance: Instance) -> object:
@@ -130,7 +130,7 @@
     )
 
 
-def violation(state: State) -> str | None:
+def find_violation(state: State) -> str | None:
     """Describe a suspicion that violates an invariant; None where all invariants hold."""
     for number, instance in enumerate(state.instances):
         if not instance.is_suspicious(state.now):
@@ -149,18 +149,18 @@
     return None
 
 
-def moves(state: State, scope: Scope) -> Iterator[State]:
+def transitions(state: State, scope: Scope) -> Iterator[State]:
     """Yield every state that the step of the next instance can lead to."""
-    number = state.turn
+    number = state.next_instance
     is_last = number + 1 == scope.instances
-    # Messages sent in this step by earlier instances too: the next message on their link would replace them.
+    # Includes messages that earlier instances sent in this step: the next one on a link replaces the last.
     arriving = [
         message
         for message in state.in_transit
         if message.receiver == number and (message.sent_at < state.now or message.sender < number)
     ]
-    for pick in range(1 << len(arriving)):
-        received = [message for index, message in enumerate(arriving) if pick >> index & 1]
+    for subset in range(1 << len(arriving)):  # a bit for each message that arrives
+        received = [message for index, message in enumerate(arriving) if subset >> index & 1]
         others = [m for m in state.in_transit if m not in received and m.sender != number]
         for outcome in (None, Outcome.SERVED, Outcome.UNREACHABLE):
             instance = copy.deepcopy(state.instances[number])
@@ -190,11 +190,11 @@
     if outcome is Outcome.SERVED:
         instance.served_at = now
         if instance.observations.backends[BACKEND].refused.count:
-            instance.observed_at = now  # that it has recovered
+            instance.observed_at = now  # a recovery
         results = [api.Result("r", 0, BACKEND, outcome, OBJECTIVE_US // 2, True)]
     else:
         instance.observed_at = now
-        # As many in a row as evidence takes.
+        # The consecutive refusals that count as evidence.
         results = [api.Result("r", 0, BACKEND, outcome, 1, False)] * LIMITS.refused_streak
     instance.observations.observe_events(now, results, OBJECTIVE_US)
 
@@ -208,21 +208,21 @@
     ]
 
 
-def explore(scope: Scope) -> Explored:
+def explore(scope: Scope) -> ExplorationResult:
     """Explore a scope; stop at the first state in which an invariant does not hold."""
-    found = Explored()
-    walk = Walk(
+    result = ExplorationResult()
+    search = StateSearch(
         State(STEP_US, 0, tuple(Instance() for _ in range(scope.instances)), ()),
         state_key,
-        lambda state: moves(state, scope) if state.now <= scope.steps * STEP_US else (),
+        lambda state: transitions(state, scope) if state.now <= scope.steps * STEP_US else (),
         scope.max_states,
     )
-    for state in walk:
-        found.suspicious += any(instance.is_suspicious(state.now) for instance in state.instances)
-        found.violation = violation(state)
-        if found.violation:
+    for state in search:
+        result.suspicious_states += any(instance.is_suspicious(state.now) for instance in state.instances)
+        result.violation = find_violation(state)
+        if result.violation:
             break
-    found.states = walk.states
-    found.moves = walk.moves
-    found.is_complete = walk.is_complete and not found.violation
-    return found
+    result.states = search.states
+    result.transitions = search.transitions
+    result.is_complete = search.is_complete and not result.violation
+    return result
--- a/garnetlanding/emulator/suspicion_net.py
+++ b/garnetlanding/emulator/suspicion_simulation.py
@@ -1,7 +1,7 @@
-"""Simulates a fleet of decision modules in front of backends, some of which fail for a time.
+"""Simulates the decision modules of several instances in front of backends, some of which fail for a time.
 
-The instances run on one simulated clock and network; the same seed gives the same run. What the fleet sends
-to the failed backends is recorded, with gossip about backends and without.
+The instances run on one simulated clock and network; the same seed gives the same run. The attempts at failed
+backends are recorded, so that runs with and without gossip about backends can be compared.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 SECOND = 1_000_000
 READ = api.ClassSpec("read", 2.0, 0.2, 200 * MS, SECOND, api.Effect.SAFE)
 PLAN = api.PlanSpec("plan", 1.0, 40.0, 40.0)
-AFTERMATH_US = 10 * SECOND  # after the failure, for which requests are counted separately
+AFTER_FAILURE_US = 10 * SECOND  # the period from the failure in which requests are counted separately
 
 
 class Failure(Enum):
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Aftermath:
+class RequestCounts:
     """Requests in the `AFTERMATH_US` after the failure."""
 
     requested: int = 0
@@ -77,12 +77,14 @@
     """The result of a run."""
 
     attempts: list[Attempt] = field(default_factory=list)  # at backends that have failed
-    before: Counter[int] = field(default_factory=Counter)  # by instance, within a second before the failure
+    attempts_before_failure: Counter[int] = field(
+        default_factory=Counter
+    )  # by instance, within a second before the failure
     served: int = 0
     requested: int = 0
     bytes: int = 0  # of messages between instances
     suspected: set[tuple[int, str]] = field(default_factory=set)  # instance and backend, before the failure
-    aftermath: Aftermath = field(default_factory=Aftermath)
+    after_failure: RequestCounts = field(default_factory=RequestCounts)
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -200,9 +202,9 @@
         is_served = isinstance(event, api.Result) and event.outcome is Outcome.SERVED
         self.result.requested += is_request
         self.result.served += is_served
-        if 0 <= delivery.at - self.scenario.fails_at < AFTERMATH_US:
-            self.result.aftermath.requested += is_request
-            self.result.aftermath.served += is_served
+        if 0 <= delivery.at - self.scenario.fails_at < AFTER_FAILURE_US:
+            self.result.after_failure.requested += is_request
+            self.result.after_failure.served += is_served
 
     def _act(self, now: int, instance: int, action: api.Action) -> None:
         match action:
@@ -222,7 +224,7 @@
         self._attempts[instance, attempt.request] += 1
         has_failed = scenario.has_failed(attempt.backend, now)
         if attempt.backend == "n0" and scenario.fails_at - SECOND <= now < scenario.fails_at:
-            self.result.before[instance] += 1
+            self.result.attempts_before_failure[instance] += 1
         if has_failed:
             self.result.attempts.append(Attempt(now, instance))
         duration_us = int(scenario.serve_us * self.rng.uniform(0.5, 2))
@@ -238,14 +240,14 @@
         self._deliver(now + duration_us, instance, result)
 
 
-def avoided_after(
+def time_to_avoidance_us(
     scenario: Scenario, result: RunResult, fraction: float = 0.1, window_us: int = 500 * MS
 ) -> int:
-    """Return how long after the failure the whole fleet avoided the backend, in microseconds.
+    """Return how long after the failure all instances avoided the backend, in microseconds.
 
-    That is when it last sent it at least `fraction` of its usual requests within a window.
+    This is the last time when they sent it at least `fraction` of its usual requests within a window.
     """
-    usual = result.before.total() * window_us / SECOND
+    usual = result.attempts_before_failure.total() * window_us / SECOND
     times = [attempt.at - scenario.fails_at for attempt in result.attempts]
     last = 0
     for index, when in enumerate(times):
--- a/tests/golden/test_decision_digest.py
+++ b/tests/golden/test_decision_digest.py
@@ -250,7 +250,7 @@
     monkeypatch.setattr(
         fleet, "Controller", lambda settings, seed: RecordedController(record, change(settings), seed)
     )
-    tally = fleet.play(kind, instances, seed=7, **options)
+    tally = fleet.simulate_fleet(kind, instances, seed=7, **options)
     values = f"{tally.requested_value!r} {tally.earned_value!r}"
     record.write("=", f"tally {values} {tally.list_calls} {tally.list_calls_failed}")
     assert_matches_golden("fleet-" + name, record)
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -43,7 +43,7 @@
 from garnetlanding.core.ports import Answer, AttemptSummary, Failed, Rejected, RequestSpec, Served
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
-from garnetlanding.emulator import budget_net, group_net, lease_net, suspicion_net
+from garnetlanding.emulator import budget_simulation, group_simulation, lease_simulation, suspicion_simulation
 from garnetlanding.emulator.base import EmulatedConnection, EmulatedServer
 from garnetlanding.history.writer import HistoryWriter
 from garnetlanding.lab.history import CorruptHistoryError
@@ -574,10 +574,10 @@
         self._posted = 0
 
     def start(self, me: int) -> None:
-        net, address = suspicion_net.Scenario(instances=HEADS), group_net.address
+        net, address = suspicion_simulation.Scenario(instances=HEADS), group_simulation.address
         plan = api.PlanSpec("plan", 1.0, 40.0, 40.0, limit_rate=60.0, limit_burst=60.0)
         s = replace(
-            suspicion_net.settings(net, me),
+            suspicion_simulation.settings(net, me),
             plans={"plan": plan},
             warmup_us=4 * SECOND,
             retry_budget_ratio=0.2,
@@ -752,16 +752,18 @@
     text = ""
     for seed in (1, 2):
         text += "leases " + seen_text(
-            lease_net.Simulation(lease_net.Scenario(seed, length_us=6 * SECOND)).run()
+            lease_simulation.Simulation(lease_simulation.Scenario(seed, length_us=6 * SECOND)).run()
         )
-        net = budget_net.BudgetScenario(seed, length_us=6 * SECOND)
-        text += "budgets " + seen_text(budget_net.BudgetSimulation(net).run())
-        text += "group " + seen_text(group_net.GroupSimulation(group_net.GroupScenario(seed)).run())
-    for failure in suspicion_net.Failure:
-        verdicts = suspicion_net.Scenario(
+        net = budget_simulation.BudgetScenario(seed, length_us=6 * SECOND)
+        text += "budgets " + seen_text(budget_simulation.BudgetSimulation(net).run())
+        text += "group " + seen_text(
+            group_simulation.GroupSimulation(group_simulation.GroupScenario(seed)).run()
+        )
+    for failure in suspicion_simulation.Failure:
+        verdicts = suspicion_simulation.Scenario(
             failure=failure, fails_at=2 * SECOND, recovers_at=4 * SECOND, length_us=5 * SECOND
         )
-        text += f"verdicts {failure.value} " + seen_text(suspicion_net.Simulation(verdicts).run())
+        text += f"verdicts {failure.value} " + seen_text(suspicion_simulation.Simulation(verdicts).run())
     golden("nets.txt", text.encode())
 
 
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -9,7 +9,7 @@
 import pytest
 
 from garnetlanding.emulator.lease_model import Scope, explore
-from garnetlanding.emulator.lease_net import SECOND, RunResult, Scenario, Simulation
+from garnetlanding.emulator.lease_simulation import SECOND, RunResult, Scenario, Simulation
 from garnetlanding.peers import lease_message
 from garnetlanding.peers.drop_reasons import DropReason
 from garnetlanding.peers.grants import Grant, GrantLedger
@@ -39,8 +39,8 @@
     for seed in range(12):
         result = Simulation(replace(SCENARIOS[name], seed=seed)).run()
         assert (
-            result.greatest_sum <= 1 + FLOAT_TOLERANCE
-        ), f"seed {seed}: {result.greatest_sum} at {result.greatest_sum_at} us"
+            result.max_sum <= 1 + FLOAT_TOLERANCE
+        ), f"seed {seed}: {result.max_sum} at {result.max_sum_at} us"
 
 
 def test_simulation_with_the_same_seed_gives_the_same_result() -> None:
@@ -57,8 +57,8 @@
     ).run()
     assert steady.utilization > 0.95
     assert moving.utilization > 0.9
-    assert steady.greatest_sum <= 1 + FLOAT_TOLERANCE
-    assert moving.greatest_sum <= 1 + FLOAT_TOLERANCE
+    assert steady.max_sum <= 1 + FLOAT_TOLERANCE
+    assert moving.max_sum <= 1 + FLOAT_TOLERANCE
 
 
 def make_fleet(instances: int = 3) -> list[Leases]:
@@ -357,7 +357,7 @@
     ]
     for seed in range(seeds):
         result = Simulation(replace(scenarios[seed % len(scenarios)], seed=seed)).run()
-        if result.greatest_sum > 1 + FLOAT_TOLERANCE:
+        if result.max_sum > 1 + FLOAT_TOLERANCE:
             return seed + 1, result
     return None
 
@@ -373,9 +373,9 @@
     found = explore(Scope(steps=3, starts=0))
     assert found.is_complete
     assert found.states > 10_000
-    assert found.greatest_sum == pytest.approx(1.0)
+    assert found.max_sum == pytest.approx(1.0)
     assert (1.0, 0.0) in found.quotas, "in some history one instance has the whole limit"
-    assert explore(Scope(steps=2)).greatest_sum <= 1 + FLOAT_TOLERANCE
+    assert explore(Scope(steps=2)).max_sum <= 1 + FLOAT_TOLERANCE
 
 
 @pytest.mark.parametrize(
@@ -390,7 +390,7 @@
 )
 def test_seeded_bug_is_found_by_exploration(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
     SEEDED_BUGS[bug].install(monkeypatch)
-    assert explore(Scope(steps=3, starts=0)).greatest_sum > 1.4
+    assert explore(Scope(steps=3, starts=0)).max_sum > 1.4
 
 
 def test_simulation_without_a_seeded_bug_finds_no_violation() -> None:
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -12,7 +12,7 @@
 
 from garnetlanding.decision.control import Controller
 from garnetlanding.emulator.group_model import Scope, explore
-from garnetlanding.emulator.group_net import GroupScenario, GroupSimulation
+from garnetlanding.emulator.group_simulation import GroupScenario, GroupSimulation
 from garnetlanding.peers.coordinator import PeerCoordinator, PeerSubsystems
 from garnetlanding.peers.gossip_schedule import GossipSchedule
 from garnetlanding.peers.limits import SECOND
@@ -255,19 +255,19 @@
 
 
 def test_even_quotas_of_a_small_group_never_exceed_the_whole_in_any_explored_state() -> None:
-    found = explore(Scope(moves=6))
+    found = explore(Scope(max_depth=6))
     assert found.is_complete
     assert found.states > 2000
     assert found.max_quota_sum == pytest.approx(1.0)
     assert found.max_joined == 2
-    assert explore(Scope(seeds=1, moves=8)).max_quota_sum <= 1 + 1e-9
+    assert explore(Scope(seeds=1, max_depth=8)).max_quota_sum <= 1 + 1e-9
 
 
 @pytest.mark.parametrize("bug", ["a newcomer uses its quota at once", "only responsive instances count"])
 def test_seeded_bug_in_membership_is_found_by_exploration(bug: str, monkeypatch: pytest.MonkeyPatch) -> None:
     name, replacement = SEEDED_BUGS[bug]
     monkeypatch.setattr(Membership, name, replacement)
-    assert explore(Scope(seeds=1, moves=9)).max_quota_sum > 1.1
+    assert explore(Scope(seeds=1, max_depth=9)).max_quota_sum > 1.1
 
 
 # With shared budgets
--- a/tests/peers/test_shared_budgets.py
+++ b/tests/peers/test_shared_budgets.py
@@ -10,7 +10,7 @@
 
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
-from garnetlanding.emulator.budget_net import BudgetScenario, BudgetSimulation
+from garnetlanding.emulator.budget_simulation import BudgetScenario, BudgetSimulation
 from garnetlanding.peers.demand import Demand
 from garnetlanding.peers.leases import Leases
 from garnetlanding.peers.limits import SECOND
@@ -33,9 +33,7 @@
 def test_all_instances_spend_no_more_than_the_budget_within_any_window(name: str) -> None:
     for seed in range(8):
         result = BudgetSimulation(replace(SCENARIOS[name], seed=seed)).run()
-        assert (
-            result.greatest_sum <= 1 + 1e-9
-        ), f"seed {seed}: {result.greatest_sum} at {result.greatest_sum_at} us"
+        assert result.max_sum <= 1 + 1e-9, f"seed {seed}: {result.max_sum} at {result.max_sum_at} us"
 
 
 def test_single_busy_instance_can_spend_most_of_the_budget() -> None:
@@ -69,7 +67,7 @@
     monkeypatch.setattr(target, name, replacement)
     scenarios = [BudgetScenario(shift_us=SECOND), BudgetScenario(window_us=6 * SECOND, shift_us=2 * SECOND)]
     assert any(
-        BudgetSimulation(replace(scenarios[seed % 2], seed=seed)).run().greatest_sum > 1 + 1e-9
+        BudgetSimulation(replace(scenarios[seed % 2], seed=seed)).run().max_sum > 1 + 1e-9
         for seed in range(60)
     )
 
--- a/tests/peers/test_suspicions.py
+++ b/tests/peers/test_suspicions.py
@@ -10,7 +10,7 @@
 from garnetlanding import config
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.interface import Outcome
-from garnetlanding.emulator import suspicion_net
+from garnetlanding.emulator import suspicion_simulation
 from garnetlanding.emulator.suspicion_model import Scope, explore
 from garnetlanding.peers.drop_reasons import DropReason
 from garnetlanding.peers.gossip_message import (
@@ -174,7 +174,7 @@
     assert found.is_complete
     assert not found.violation
     assert found.states > 5000
-    assert found.suspicious > 500
+    assert found.suspicious_states > 500
 
 
 def claim_from_arrival(
@@ -231,9 +231,12 @@
 
 
 def test_simulated_fleet_suspects_no_healthy_backend_and_is_reproducible() -> None:
-    scenario = suspicion_net.Scenario(length_us=9 * SECOND)
-    first, second = suspicion_net.Simulation(scenario).run(), suspicion_net.Simulation(scenario).run()
+    scenario = suspicion_simulation.Scenario(length_us=9 * SECOND)
+    first, second = (
+        suspicion_simulation.Simulation(scenario).run(),
+        suspicion_simulation.Simulation(scenario).run(),
+    )
     assert first == second
     assert first.attempts
     assert not first.suspected
-    assert suspicion_net.Simulation(replace(scenario, gossip=False)).run().bytes == 0 < first.bytes
+    assert suspicion_simulation.Simulation(replace(scenario, gossip=False)).run().bytes == 0 < first.bytes
