--- a/garnetlanding/emulator/__init__.py
+++ b/garnetlanding/emulator/__init__.py
@@ -1,4 +1,5 @@
-"""Stand-ins for the systems around an instance, on loopback: backends, file servers, discovery.
+"""Emulated backends, file servers and discovery on loopback, and simulations of many instances.
 
-They run on the instance's own runtime, so tests move them with a fake clock. No instance imports them.
+The emulated servers use the runtime of the instances, so tests drive them with a fake clock. Production code
+does not import this package.
 """
--- a/garnetlanding/emulator/base.py
+++ b/garnetlanding/emulator/base.py
@@ -1,4 +1,4 @@
-"""What every emulated server shares: a listener and connections that record what they receive."""
+"""The base classes of the emulated servers: a listener and its connections."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class EmulatedConnection:
-    """One connection of an emulated server; a subclass says what to do with bytes.
+    """One connection of an emulated server; a subclass handles the received bytes.
 
     The attributes besides `server` and `write` are those of the runtime's `ClientProtocol`.
     """
@@ -25,26 +25,26 @@
         self.has_session_state = False
         self.pending_responses = 0
         self.invalid_messages = 0
-        # Clients of an emulated server may take their time: they count as ones that have made a request.
+        # Exempts clients of an emulated server from the timeout for the first request.
         self.messages_received = 1
         self.requests_received = 1
         self.has_partial_message = False
         self.has_buffered_input = False
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Take in bytes of the client."""
+        """Handle bytes from the client."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Note that the connection has ended."""
+        """Handle the end of the connection."""
         self.is_closing = True
-        self.server.forget(self)
+        self.server.discard_connection(self)
 
 
 class EmulatedServer:
-    """A listener, on a free port unless given an address; a subclass names its connections' class."""
+    """A listener, by default on a free port; a subclass sets the class of its connections."""
 
-    machine: type[EmulatedConnection]
+    connection_class: type[EmulatedConnection]
 
     def __init__(
         self, scheduler: Scheduler, pool: BufferPool, limits: Limits, address: str = FREE_PORT
@@ -53,26 +53,26 @@
         self.pool = pool
         self.limits = limits
         self.connections: list[EmulatedConnection] = []
-        self.accepted = 0  # connections so far
+        self.accepted_connections = 0  # since the start, open or not
         self.listener = Listener(scheduler, address, pool, limits, MAX_CONNECTIONS, self._make)
         self.address = self.listener.address
 
     def _make(self, write: Write) -> EmulatedConnection:
-        self.accepted += 1
-        self.connections.append(self.machine(self, write))
+        self.accepted_connections += 1
+        self.connections.append(self.connection_class(self, write))
         return self.connections[-1]
 
-    def forget(self, connection: EmulatedConnection) -> None:
-        """Drop a connection that has ended."""
+    def discard_connection(self, connection: EmulatedConnection) -> None:
+        """Remove a connection that has ended."""
         self.connections.remove(connection)
 
     def close_connection(self, connection: EmulatedConnection) -> None:
-        """End one connection, with whatever is unanswered on it."""
+        """Close one connection without answering its pending requests."""
         for client in self.listener.connections:
             if client.protocol is connection:
                 client.stream.close()
 
     def close_connections(self) -> None:
-        """End every connection, as a dying process does."""
+        """Close every connection, as the end of a process does."""
         for client in self.listener.connections:
             client.stream.close()
--- a/garnetlanding/emulator/discovery.py
+++ b/garnetlanding/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: a list of endpoints, and watches on it."""
+"""An emulated discovery: an HTTP server with an endpoint list and watches on it."""
 
 from __future__ import annotations
 
@@ -13,41 +13,41 @@
 
 
 class DiscoveryConnection(EmulatedConnection):
-    """A connection that asks for the list, and may go on to watch it."""
+    """A connection that requests the list and may then watch it."""
 
     server: Discovery
 
     def __init__(self, server: Discovery, write: Write) -> None:
         super().__init__(server, write)
-        self._text = b""
+        self._buffer = b""
         self.is_watching = False
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Answer every request that is whole with these bytes."""
-        self._text += bytes(data)
-        while END_OF_HEADERS in self._text:
-            request, _, self._text = self._text.partition(END_OF_HEADERS)
+        """Answer every request that these bytes complete."""
+        self._buffer += bytes(data)
+        while END_OF_HEADERS in self._buffer:
+            request, _, self._buffer = self._buffer.partition(END_OF_HEADERS)
             self.is_watching = b"follow=1" in request
             self.server.calls.append(request.split(b" ")[1].decode())
             self.server.answer(self)
 
     def send_line(self, text: bytes) -> None:
-        """Send one line of a watch, as an HTTP chunk of its own."""
+        """Send one line of a watch as an HTTP chunk."""
         self.write(b"%x\r\n%b\r\n" % (len(text) + 1, text + b"\n"))
 
 
 @dataclass
 class EmulatedEndpoint:
-    """One backend in the list."""
+    """An entry of the endpoint list: one backend."""
 
     name: str
     address: str
     cell: int
     state: str = "SERVING"
-    extra: dict[str, Any] = field(default_factory=dict)  # fields of its entry to add or replace
+    extra: dict[str, Any] = field(default_factory=dict)  # fields to add to the entry or replace in it
 
     def entry(self) -> dict[str, Any]:
-        """Return its entry as discovery sends it."""
+        """Return the entry as discovery sends it."""
         return {
             "instanceId": self.name,
             "hostPort": self.address,
@@ -62,27 +62,27 @@
 
 
 class Discovery(EmulatedServer):
-    """A discovery whose list a test sets in `endpoints` and whose changes it publishes."""
+    """An emulated discovery. Tests set its list in `endpoints` and publish changes."""
 
-    machine = DiscoveryConnection
+    connection_class = DiscoveryConnection
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
-        self.version = 1
+        self.generation = 1
         self.endpoints: list[EmulatedEndpoint] = []
         self.calls: list[str] = []  # the path of every request
         self.is_down = False  # every request is answered with 503
 
-    def listing(self, endpoints: list[EmulatedEndpoint], whole: bool) -> dict[str, Any]:
-        """Return a whole list, or a change of it, as discovery sends it."""
+    def listing(self, endpoints: list[EmulatedEndpoint], complete: bool) -> dict[str, Any]:
+        """Return the body of a complete list or of an incremental change."""
         return {
-            "generation": self.version,
-            "reset": whole,
+            "generation": self.generation,
+            "reset": complete,
             "instances": [endpoint.entry() for endpoint in endpoints],
         }
 
     def answer(self, connection: DiscoveryConnection) -> None:
-        """Send the whole list; on a watch, as its first line."""
+        """Send the complete list; on a watch, as its first line."""
         body = json.dumps(self.listing(self.endpoints, True)).encode()
         if self.is_down:
             connection.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -93,15 +93,15 @@
             connection.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
     def publish(self, *endpoints: EmulatedEndpoint) -> None:
-        """Send the endpoints that changed to every watch."""
-        self.version += 1
-        self._send_to_watches(json.dumps(self.listing(list(endpoints), False)).encode())
+        """Send the changed endpoints to every watch."""
+        self.generation += 1
+        self._send_to_watching(json.dumps(self.listing(list(endpoints), False)).encode())
 
     def send_heartbeat(self) -> None:
-        """Send an empty line to every watch: nothing has changed, and it stands."""
-        self._send_to_watches(b"")
+        """Send an empty line to every watch, to show that the connection is alive."""
+        self._send_to_watching(b"")
 
-    def _send_to_watches(self, text: bytes) -> None:
+    def _send_to_watching(self, text: bytes) -> None:
         for connection in self.connections:
             if isinstance(connection, DiscoveryConnection) and connection.is_watching:
                 connection.send_line(text)
--- a/garnetlanding/emulator/disk.py
+++ b/garnetlanding/emulator/disk.py
@@ -1,7 +1,7 @@
-"""The tree behind emulated file servers: inodes with names, owners, permissions and a bounded size.
+"""The in-memory file system of emulated file servers, with permissions and a limited capacity.
 
-Several servers may share one disk, as replicas of shared storage do. What changed the tree is recorded in
-`ran`, so that a checker can count how often each operation took effect.
+Several servers may share one disk, as replicas of shared storage do. Every change is recorded in `changes`,
+so that a checker can count how often each operation took effect.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from garnetlanding.ninep.codec import QTAPPEND, QTDIR, QTEXCL, QTSYMLINK, Qid
 from garnetlanding.ninep.model import DMAPPEND, DMEXCL, Attr, Time
 
-Tree = dict[str, Any]  # folders are maps, files bytes
+Tree = dict[str, Any]  # by name: a dict for a directory, bytes for a file
 ROOT_USER = "root"
 BLOCK = 512  # bytes
 READ = 4  # permissions, as in a mode's three bits
@@ -24,16 +24,16 @@
 
 
 class DiskError(Exception):
-    """A request on the tree that fails; `problem` has the POSIX error number and the 9P2000 text."""
+    """A failed operation; `problem` has the POSIX error number and the 9P2000 text."""
 
-    def __init__(self, number: int, words: str = "") -> None:
-        super().__init__(number, words)
-        self.problem = errors.Problem(number, words)
+    def __init__(self, number: int, text: str = "") -> None:
+        super().__init__(number, text)
+        self.problem = errors.Problem(number, text)
 
 
 @dataclass(eq=False, slots=True)
 class Inode:
-    """A file, directory, symbolic link or device: what a stat message reports, and its contents."""
+    """A file, directory, symbolic link or device: its attributes and contents."""
 
     number: int
     mode: int  # as in POSIX
@@ -41,7 +41,7 @@
     gid: str
     flags: int = 0  # DMAPPEND, DMEXCL
     data: bytearray = field(default_factory=bytearray)
-    names: dict[str, tuple[Inode, int]] = field(default_factory=dict)  # with the cookie of each
+    names: dict[str, tuple[Inode, int]] = field(default_factory=dict)  # of a directory: inode and cookie
     parent: Inode | None = None  # of a directory
     target: str = ""
     rdev: int = 0
@@ -51,7 +51,7 @@
     atime: Time = Time(0)
     mtime: Time = Time(0)
     ctime: Time = Time(0)
-    cookies: int = 2  # 1 and 2 are `.` and `..`
+    last_cookie: int = 2  # of a directory's entries; 1 and 2 are `.` and `..`
 
     @property
     def is_dir(self) -> bool:
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InodeExtras:
-    """What only some new inodes have: flags are 9P2000's, target a Tsymlink's, rdev a Tmknod's."""
+    """Optional attributes of a new inode: 9P2000 flags, the target of a Tsymlink, the rdev of a Tmknod."""
 
     gid: str = ""  # empty: the user's
     flags: int = 0  # DMAPPEND, DMEXCL
@@ -78,21 +78,21 @@
 
 
 class Disk:
-    """The tree, its clock and its capacity in bytes; every operation that cannot be done raises DiskError."""
+    """A tree of inodes with a clock and a capacity in bytes; a failed operation raises DiskError."""
 
     def __init__(
         self, tree: Tree | None = None, capacity: int = 1 << 30, clock: Callable[[], int] = lambda: 0
     ) -> None:
-        """`clock`: microseconds."""
+        """`clock` returns microseconds."""
         self.capacity = capacity
         self._clock = clock
-        self._numbers = 0
+        self._last_number = 0
         self.used = 0
-        self.ran: list[tuple[Any, ...]] = []
+        self.changes: list[tuple[Any, ...]] = []
         self.root = self._inode(stat.S_IFDIR | 0o777, ROOT_USER, ROOT_USER)
         self.root.parent = self.root
         self._fill(self.root, tree or {})
-        self.ran.clear()
+        self.changes.clear()
 
     def _fill(self, directory: Inode, tree: Tree) -> None:
         for name, value in tree.items():
@@ -103,19 +103,19 @@
 
     @property
     def now(self) -> Time:
-        """The clock's time as a stat has it."""
+        """The clock's time in the form of file attributes."""
         return Time(self._clock() // 1_000_000, self._clock() % 1_000_000 * 1000)
 
     def _inode(self, mode: int, uid: str, gid: str) -> Inode:
-        self._numbers += 1
-        node = Inode(self._numbers, mode, uid, gid, muid=uid)
+        self._last_number += 1
+        node = Inode(self._last_number, mode, uid, gid, muid=uid)
         node.atime = node.mtime = node.ctime = self.now
         return node
 
     # Reading
 
     def child(self, directory: Inode, name: str) -> Inode:
-        """Return the inode of a name in a directory, as one step of Twalk does."""
+        """Return the inode with this name in a directory, for one step of Twalk."""
         if not directory.is_dir:
             raise DiskError(errors.ENOTDIR)
         if name == "..":
@@ -126,7 +126,7 @@
         return directory.names[name][0]
 
     def find(self, *path: str) -> Inode:
-        """Return the inode at a path from the root, without checks of permissions."""
+        """Return the inode at a path from the root, without permission checks."""
         directory = self.root
         for name in path:
             directory = self.child(directory, name)
@@ -136,17 +136,17 @@
         """Return the contents of the file at a path."""
         return bytes(self.find(*path).data)
 
-    def qid(self, node: Inode, salt: int = 0) -> Qid:
-        """Return an inode's qid; `salt` is added to its path."""
+    def qid(self, node: Inode, qid_offset: int = 0) -> Qid:
+        """Return an inode's qid; `qid_offset` is added to its path."""
         kind = (QTDIR if node.is_dir else 0) | (QTSYMLINK if node.is_link else 0)
         kind |= (QTAPPEND if node.flags & DMAPPEND else 0) | (QTEXCL if node.flags & DMEXCL else 0)
-        return Qid(kind, node.version & 0xFFFFFFFF, node.number + salt)
+        return Qid(kind, node.version & 0xFFFFFFFF, node.number + qid_offset)
 
-    def attr(self, node: Inode, salt: int = 0) -> Attr:
+    def attr(self, node: Inode, qid_offset: int = 0) -> Attr:
         """Return an inode's attributes, as Tstat and Tgetattr report them."""
         length = len(node.target.encode()) if node.is_link else len(node.data)
         return Attr(
-            self.qid(node, salt),
+            self.qid(node, qid_offset),
             node.mode,
             node.flags,
             node.uid,
@@ -162,12 +162,12 @@
         )
 
     def entries(self, directory: Inode) -> Iterator[tuple[str, Inode, int]]:
-        """Names in the order they came, each with its cookie."""
+        """Yield name, inode and cookie of each entry, in order of creation."""
         for name, (node, cookie) in directory.names.items():
             yield name, node, cookie
 
-    def allows(self, node: Inode, user: str, want: int) -> bool:
-        """Return whether the user has the permissions `want`: READ, WRITE and SEARCH."""
+    def allows(self, node: Inode, user: str, permissions: int) -> bool:
+        """Return whether the user has all these permissions, a combination of READ, WRITE and SEARCH."""
         if user == ROOT_USER:
             return True
         if user == node.uid:
@@ -176,29 +176,29 @@
             shift = 3
         else:
             shift = 0
-        return node.mode >> shift & want == want
+        return node.mode >> shift & permissions == permissions
 
-    def need(self, node: Inode, user: str, want: int) -> None:
+    def check_permission(self, node: Inode, user: str, permissions: int) -> None:
         """Raise EACCES unless the user has these permissions."""
-        if not self.allows(node, user, want):
+        if not self.allows(node, user, permissions):
             raise DiskError(errors.EACCES)
 
     # Changes
 
     def touch(self, node: Inode, user: str) -> None:
-        """Note a change of an inode's contents by a user: version, times and muid."""
+        """Update version, times and muid of an inode whose contents a user has changed."""
         node.version += 1
         node.mtime = node.ctime = self.now
         node.muid = user
 
-    def _check_capacity(self, more: int) -> None:
-        if self.used + more > self.capacity:
+    def _check_capacity(self, added_bytes: int) -> None:
+        if self.used + added_bytes > self.capacity:
             raise DiskError(errors.ENOSPC)
 
     def make(
         self, directory: Inode, name: str, mode: int, user: str, extras: InodeExtras = NO_EXTRAS
     ) -> Inode:
-        """Make an inode in a directory, for Tcreate, Tlcreate, Tmkdir, Tmknod and Tsymlink."""
+        """Create an inode in a directory, for Tcreate, Tlcreate, Tmkdir, Tmknod and Tsymlink."""
         if name in directory.names:
             raise DiskError(errors.EEXIST)
         self._check_capacity(BLOCK)
@@ -210,14 +210,14 @@
             node.parent = directory
             node.nlink = 2
             directory.nlink += 1
-        self._attach(directory, name, node, user)
+        self._add_name(directory, name, node, user)
         self.used += BLOCK
-        self.ran.append(("make", name, node.number))
+        self.changes.append(("make", name, node.number))
         return node
 
-    def _attach(self, directory: Inode, name: str, node: Inode, user: str) -> None:
-        directory.cookies += 1
-        directory.names[name] = node, directory.cookies
+    def _add_name(self, directory: Inode, name: str, node: Inode, user: str) -> None:
+        directory.last_cookie += 1
+        directory.names[name] = node, directory.last_cookie
         self.touch(directory, user)
 
     def write(self, node: Inode, offset: int, data: bytes, user: str) -> int:
@@ -228,33 +228,33 @@
         self._grow(node, end)
         node.data[offset:end] = data
         self.touch(node, user)
-        self.ran.append(("write", node.number, offset, bytes(data)))
+        self.changes.append(("write", node.number, offset, bytes(data)))
         return len(data)
 
     def _grow(self, node: Inode, end: int) -> None:
-        more = max(0, end - len(node.data))
-        self._check_capacity(more)
-        node.data.extend(bytes(more))
-        self.used += more
+        added_bytes = max(0, end - len(node.data))
+        self._check_capacity(added_bytes)
+        node.data.extend(bytes(added_bytes))
+        self.used += added_bytes
 
     def truncate(self, node: Inode, length: int, user: str) -> None:
-        """Cut or extend a file to a length in bytes, for Twstat, Tsetattr and opening with truncation."""
+        """Set the length of a file in bytes, for Twstat, Tsetattr and opening with truncation."""
         if length > len(node.data):
             self._grow(node, length)
         self.used -= len(node.data) - length
         del node.data[length:]
         self.touch(node, user)
-        self.ran.append(("truncate", node.number, length))
+        self.changes.append(("truncate", node.number, length))
 
     def unlink(self, directory: Inode, name: str, user: str) -> None:
         """Remove a name from a directory, for Tremove and Tunlinkat; a directory must be empty."""
         node = self.child(directory, name)
         if node.names:
             raise DiskError(errors.ENOTEMPTY)
-        self._detach(directory, name, node, user)
-        self.ran.append(("unlink", name, node.number))
+        self._remove_name(directory, name, node, user)
+        self.changes.append(("unlink", name, node.number))
 
-    def _detach(self, directory: Inode, name: str, node: Inode, user: str) -> None:
+    def _remove_name(self, directory: Inode, name: str, node: Inode, user: str) -> None:
         del directory.names[name]
         directory.nlink -= node.is_dir
         node.nlink -= 2 if node.is_dir else 1
@@ -264,36 +264,38 @@
         self.touch(directory, user)
 
     def link(self, directory: Inode, name: str, node: Inode, user: str) -> None:
-        """Give an inode one more name, for Tlink."""
+        """Add a name to an inode, for Tlink."""
         if name in directory.names:
             raise DiskError(errors.EEXIST)
         node.nlink += 1
-        self._attach(directory, name, node, user)
-        self.ran.append(("link", name, node.number))
+        self._add_name(directory, name, node, user)
+        self.changes.append(("link", name, node.number))
 
-    def rename(self, directory: Inode, name: str, to: Inode, new: str, user: str, replace: bool) -> None:
-        """Move a name to another directory or name, for Twstat, Trename and Trenameat.
+    def rename(
+        self, directory: Inode, name: str, new_directory: Inode, new_name: str, user: str, replace: bool
+    ) -> None:
+        """Move an entry to another directory or name, for Twstat, Trename and Trenameat.
 
-        With `replace` a file that has the new name is removed, or an empty directory by a directory. A
-        directory does not go below itself.
+        With `replace`, a file may replace a file, and a directory an empty directory. A directory cannot be
+        moved below itself.
         """
         node = self.child(directory, name)
-        self._check_not_below(node, to)
-        if new in to.names:
-            old = to.names[new][0]
-            if old is node:
+        self._check_not_below(node, new_directory)
+        if new_name in new_directory.names:
+            replaced = new_directory.names[new_name][0]
+            if replaced is node:
                 return
-            self._check_replaceable(old, node, replace)
-            self._detach(to, new, old, user)
+            self._check_replaceable(replaced, node, replace)
+            self._remove_name(new_directory, new_name, replaced, user)
         del directory.names[name]
         if node.is_dir:
             directory.nlink -= 1
-            to.nlink += 1
-            node.parent = to
+            new_directory.nlink += 1
+            node.parent = new_directory
         self.touch(directory, user)
-        self._attach(to, new, node, user)
+        self._add_name(new_directory, new_name, node, user)
         node.ctime = self.now
-        self.ran.append(("rename", name, new, node.number))
+        self.changes.append(("rename", name, new_name, node.number))
 
     @staticmethod
     def _check_not_below(node: Inode, directory: Inode) -> None:
--- a/garnetlanding/emulator/file_connection.py
+++ b/garnetlanding/emulator/file_connection.py
@@ -1,8 +1,8 @@
-"""The emulated file server and its connections, apart from what differs between the dialects.
+"""The emulated 9P file server and its connections, without the parts specific to a dialect.
 
-Written from the manual (Plan 9, section 5) and the description of 9P2000.L, apart from the instance's front:
-tests compare the two. The dialects are in `files_plain.py` and `files_linux.py`, and `fileserver.py` puts all
-together.
+Written from the manual (Plan 9, section 5) and the description of 9P2000.L, independently of the 9P server of
+the instances: tests compare the two. The dialects are in `files_plain.py` and `files_linux.py`, and
+`fileserver.py` combines the parts.
 """
 
 from __future__ import annotations
@@ -27,15 +27,16 @@
 MAX_FRAME_BYTES = 1 << 17  # until a Tversion has agreed on an msize
 MAX_LOCKS = 1024
 SIGNED_END = 1 << 63  # offsets are signed numbers of 64 bits
-NEW_QIDS_SALT = 1 << 40
+NEW_QIDS_OFFSET = 1 << 40
 
 
 @dataclass(eq=False, slots=True)
-class OpenFid:
-    """What a fid stands for; `parent` and `name` are where it was found, `parent` is None at the root.
+class FidState:
+    """The file that a fid refers to, and how it is open.
 
-    `access` is None until it is open. The next read of a 9P2000 directory is at `directory_offset` and takes
-    its stats from `listing`, the rest of those that the last read from the start found.
+    `parent` and `name` say where the walk found the file; `parent` is None for the root. `access` is None
+    until the fid is open. The next read of a 9P2000 directory must be at `directory_offset`; `listing` holds
+    the stats that are still unread since the last read at offset 0.
     """
 
     node: Inode
@@ -50,20 +51,23 @@
 
 
 class Dialect:
-    """The part of the server that differs between the dialects."""
+    """The part of the server that is specific to a dialect."""
 
     table: p9.Table
 
     def reply(self, connection: FileConnection, message: p9.Message) -> p9.Message | None:
-        """Run a message that only this dialect has and return the reply; None when it has no such request."""
+        """Execute a message that only this dialect has and return the reply; None if it is no request."""
         raise NotImplementedError
 
     def error(self, problem: Problem) -> p9.Message:
         """Return the reply to a request that failed."""
         raise NotImplementedError
 
-    def read_directory(self, connection: FileConnection, at: OpenFid, offset: int, count: int) -> p9.Message:  # noqa: ARG002 - 9P2000's
+    def read_directory(
+        self, connection: FileConnection, fid_state: FidState, offset: int, count: int
+    ) -> p9.Message:
         """Serve a Tread of a directory, which only 9P2000 has."""
+        del connection, fid_state, offset, count  # used by the 9P2000 dialect
         raise DiskError(errors.EISDIR)
 
 
@@ -77,12 +81,12 @@
         self.msize = 0
         self.dialect: Dialect | None = None
         self._framer = p9.Framer(server.pool, MAX_FRAME_BYTES)
-        self.fids: dict[int, OpenFid] = {}
+        self.fids: dict[int, FidState] = {}
         self.id = server.next_id()
-        self._waiting: dict[int, p9.Message] = {}  # held or slow, by tag
+        self._pending: dict[int, p9.Message] = {}  # by tag; held or slow
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Take in bytes of the client."""
+        """Handle bytes from the client."""
         try:
             for tag, message in self._framer.feed(data):
                 self._receive(tag, message)
@@ -95,7 +99,7 @@
             self._send(tag, self._error(Problem(errors.EPROTO, message.reason)))
             return
         server.received.append(message)
-        if tag in self._waiting and not isinstance(message, p9.Tversion):
+        if tag in self._pending and not isinstance(message, p9.Tversion):
             self._send(tag, self._error(Problem(errors.EPROTO, "duplicate tag")))
             return
         if server.holds_reply and server.holds_reply(message):
@@ -108,7 +112,7 @@
             self._inject_fault(tag, message, rule)
 
     def _hold(self, tag: int, message: p9.Message) -> None:
-        self._waiting[tag] = message
+        self._pending[tag] = message
         self.server.held_messages.append((tag, message, self))
 
     def _inject_fault(self, tag: int, message: p9.Message, rule: Rule) -> None:
@@ -117,12 +121,12 @@
             case Fault.STALL:
                 self._hold(tag, message)
             case Fault.SLOW:
-                self._waiting[tag] = message
-                slow_fids = self._copy_fids()
-                server.later(rule.delay_us, lambda: self._answer_slowly(tag, message, slow_fids))
+                self._pending[tag] = message
+                fids_at_arrival = self._copy_fids()
+                server.call_later(rule.delay_us, lambda: self._answer_slowly(tag, message, fids_at_arrival))
             case Fault.LATE:
                 fids = self._copy_fids()
-                server.later(rule.delay_us, lambda: self._run_late(message, fids))
+                server.call_later(rule.delay_us, lambda: self._run_late(message, fids))
                 server.close_connection(self)
             case Fault.RESET_BEFORE:
                 server.close_connection(self)
@@ -132,9 +136,9 @@
             case Fault.REFUSE:
                 self._send(tag, self._error(Problem(rule.error_number)))
             case _:
-                self._reply_wrongly(tag, message, rule.fault)
+                self._send_faulty_reply(tag, message, rule.fault)
 
-    def _reply_wrongly(self, tag: int, message: p9.Message, fault: Fault) -> None:
+    def _send_faulty_reply(self, tag: int, message: p9.Message, fault: Fault) -> None:
         reply = self.run(message)
         match fault:
             case Fault.HALF:
@@ -145,24 +149,24 @@
             case Fault.WRONG_TYPE:
                 self._send(tag, p9.Rclunk() if isinstance(reply, p9.Rflush) else p9.Rflush())
             case Fault.WRONG_COUNT:
-                self._send(tag, self._miscount(message, reply))
+                self._send(tag, self._with_wrong_count(message, reply))
 
-    def _copy_fids(self) -> dict[int, OpenFid]:
-        return {fid: replace(at) for fid, at in self.fids.items()}
+    def _copy_fids(self) -> dict[int, FidState]:
+        return {fid: replace(fid_state) for fid, fid_state in self.fids.items()}
 
-    def _answer_slowly(self, tag: int, message: p9.Message, fids: dict[int, OpenFid]) -> None:
+    def _answer_slowly(self, tag: int, message: p9.Message, fids: dict[int, FidState]) -> None:
         if self.is_closing:
             self._run_late(message, fids)
         else:
             self.answer(tag, message)
 
-    def _run_late(self, message: p9.Message, fids: dict[int, OpenFid]) -> None:
-        """Run a message with the fids as they were when it was received."""
+    def _run_late(self, message: p9.Message, fids: dict[int, FidState]) -> None:
+        """Execute a message with the fids as they were when it was received."""
         self.fids = fids
         self.run(message)
 
     @staticmethod
-    def _miscount(message: p9.Message, reply: p9.Message) -> p9.Message:
+    def _with_wrong_count(message: p9.Message, reply: p9.Message) -> p9.Message:
         match message, reply:
             case ((p9.Tread(count=count) | p9l.Treaddir(count=count)), p9.Rread(_)):
                 return p9.Rread(b"\xff" * (count + 1))
@@ -175,9 +179,9 @@
         return reply
 
     def answer(self, tag: int, message: p9.Message) -> None:
-        """Run a message and reply, unless the connection has ended or its client has flushed the message."""
-        held = self._waiting.pop(tag, None)
-        if not self.is_closing and (held is message or held is None):
+        """Execute a message and reply, unless the connection has ended or the message was flushed."""
+        pending = self._pending.pop(tag, None)
+        if not self.is_closing and (pending is message or pending is None):
             self._send(tag, self.run(message))
 
     def _send(self, tag: int, message: p9.Message) -> None:
@@ -190,20 +194,20 @@
     # Messages of both dialects
 
     def run(self, message: p9.Message) -> p9.Message:
-        """Run a message of either dialect and return the reply, which is an error if it fails."""
+        """Execute a message of either dialect and return the reply, an error if it fails."""
         try:
             if isinstance(message, p9.Tversion):
                 return self._version(message)
             if self.dialect is None:
                 raise DiskError(errors.EPROTO, "no version agreed")
-            reply = self._shared(message) or self.dialect.reply(self, message)
+            reply = self._run_shared(message) or self.dialect.reply(self, message)
             if reply is None:
                 raise DiskError(errors.EOPNOTSUPP, "not a request")
             return reply
         except DiskError as error:
             return self._error(error.problem)
 
-    def _shared(self, message: p9.Message) -> p9.Message | None:
+    def _run_shared(self, message: p9.Message) -> p9.Message | None:
         match message:
             case p9.Tflush(oldtag):
                 self._flush(oldtag)
@@ -224,9 +228,9 @@
                 self.clunk(fid)
                 return p9.Rclunk()
             case p9.Tremove(fid):
-                at = self.fid(fid)
+                fid_state = self.fid(fid)
                 self.clunk(fid, removed=True)
-                self.remove(at)
+                self.remove(fid_state)
                 return p9.Rremove()
         return None
 
@@ -245,7 +249,7 @@
 
     def reset(self) -> None:
         """End the session, as a Tversion does: release its fids and locks; pending messages get no reply."""
-        self._waiting.clear()
+        self._pending.clear()
         for fid in list(self.fids):
             self.clunk(fid)
         self.server.locks.release_session(self.id)
@@ -257,30 +261,30 @@
             self.reset()
 
     def _flush(self, oldtag: int) -> None:
-        self._waiting.pop(oldtag, None)
+        self._pending.pop(oldtag, None)
 
-    def fid(self, fid: int) -> OpenFid:
-        """Return what the fid stands for."""
+    def fid(self, fid: int) -> FidState:
+        """Return the state of a fid."""
         if fid not in self.fids:
             raise DiskError(errors.EBADF, "unknown fid")
         return self.fids[fid]
 
-    def unopened(self, fid: int) -> OpenFid:
-        """Return what the fid stands for, which must not be open."""
-        at = self.fid(fid)
-        if at.access is not None:
+    def unopened(self, fid: int) -> FidState:
+        """Return the state of a fid that must not be open."""
+        fid_state = self.fid(fid)
+        if fid_state.access is not None:
             raise DiskError(errors.EBADF, "fid already open")
-        return at
+        return fid_state
 
-    def new_fid(self, fid: int, at: OpenFid) -> None:
-        """Have an unused fid stand for a file."""
+    def new_fid(self, fid: int, fid_state: FidState) -> None:
+        """Set the state of an unused fid."""
         if fid in self.fids or fid == p9.NOFID:
             raise DiskError(errors.EBADF, "fid already in use")
-        self.fids[fid] = at
+        self.fids[fid] = fid_state
 
     def qid(self, node: Inode) -> p9.Qid:
         """Return the file's qid on this server."""
-        return self.server.disk.qid(node, self.server.salt)
+        return self.server.disk.qid(node, self.server.qid_offset)
 
     def _attach(self, fid: int, afid: int, uname: str, n_uname: int, aname: str) -> p9.Message:
         if afid != p9.NOFID:
@@ -288,18 +292,18 @@
         if self.server.aname is not None and aname != self.server.aname:
             raise DiskError(errors.ENOENT, "no such export")
         user = str(n_uname) if n_uname != p9l.NONUNAME else uname
-        self.new_fid(fid, OpenFid(self.server.disk.root, user))
+        self.new_fid(fid, FidState(self.server.disk.root, user))
         return p9.Rattach(self.qid(self.server.disk.root))
 
     def _walk(self, fid: int, newfid: int, names: tuple[str, ...]) -> p9.Message:
-        at = self.fid(fid)
-        if at.access is not None:
+        fid_state = self.fid(fid)
+        if fid_state.access is not None:
             raise DiskError(errors.EBADF, "cannot walk an open fid")
         if newfid != fid and (newfid in self.fids or newfid == p9.NOFID):
             raise DiskError(errors.EBADF, "fid already in use")
         if any(not name or name == "." or "/" in name for name in names):
             raise DiskError(errors.EINVAL, "bad name in walk")
-        to = replace(at)
+        to = replace(fid_state)
         qids: list[p9.Qid] = []
         for name in names:
             try:
@@ -313,88 +317,88 @@
             self.fids[newfid] = to
         return p9.Rwalk(tuple(qids))
 
-    def _walk_step(self, at: OpenFid, name: str) -> OpenFid:
+    def _walk_step(self, fid_state: FidState, name: str) -> FidState:
         disk = self.server.disk
-        if at.node.is_dir:
-            disk.need(at.node, at.user, SEARCH)
-        child = disk.child(at.node, name)
+        if fid_state.node.is_dir:
+            disk.check_permission(fid_state.node, fid_state.user, SEARCH)
+        child = disk.child(fid_state.node, name)
         if name == "..":
-            return self.server.place(child, at.user)
-        return OpenFid(child, at.user, at.node, name)
+            return self.server.fid_state_of_directory(child, fid_state.user)
+        return FidState(child, fid_state.user, fid_state.node, name)
 
     def _read(self, fid: int, offset: int, count: int) -> p9.Message:
-        at = self.fid(fid)
-        if at.access is None or at.access == p9.OWRITE:
+        fid_state = self.fid(fid)
+        if fid_state.access is None or fid_state.access == p9.OWRITE:
             raise DiskError(errors.EBADF, "fid not open for reading")
         count = min(count, self.msize - p9.READ_OVERHEAD)
-        if at.node.is_dir:
+        if fid_state.node.is_dir:
             assert self.dialect
-            return self.dialect.read_directory(self, at, offset, count)
+            return self.dialect.read_directory(self, fid_state, offset, count)
         if offset + count > SIGNED_END:
             raise DiskError(errors.EINVAL, "illegal offset")
-        return p9.Rread(bytes(at.node.data[offset : offset + count]))
+        return p9.Rread(bytes(fid_state.node.data[offset : offset + count]))
 
     def _write(self, fid: int, offset: int, data: bytes) -> p9.Message:
-        at = self.fid(fid)
-        if at.access not in (p9.OWRITE, p9.ORDWR):
+        fid_state = self.fid(fid)
+        if fid_state.access not in (p9.OWRITE, p9.ORDWR):
             raise DiskError(errors.EBADF, "fid not open for writing")
-        if at.append or self.qid(at.node).type & p9.QTAPPEND:
-            offset = len(at.node.data)
+        if fid_state.append or self.qid(fid_state.node).type & p9.QTAPPEND:
+            offset = len(fid_state.node.data)
         elif offset + len(data) > SIGNED_END:
             raise DiskError(errors.EINVAL, "illegal offset")
-        return p9.Rwrite(self.server.disk.write(at.node, offset, data, at.user) if data else 0)
+        return p9.Rwrite(self.server.disk.write(fid_state.node, offset, data, fid_state.user) if data else 0)
 
-    def open(self, fid: int, at: OpenFid, access: int, truncate: bool) -> p9.Qid:
+    def open(self, fid: int, fid_state: FidState, access: int, truncate: bool) -> p9.Qid:
         """Open a file, for Topen, Tlopen and Tlcreate, and return its qid."""
         disk = self.server.disk
-        node = at.node
-        writes = access in (p9.OWRITE, p9.ORDWR)
-        if node.is_dir and (writes or truncate):
+        node = fid_state.node
+        is_writing = access in (p9.OWRITE, p9.ORDWR)
+        if node.is_dir and (is_writing or truncate):
             raise DiskError(errors.EISDIR)
-        want = (
+        permissions = (
             (READ if access in (p9.OREAD, p9.ORDWR) else 0)
-            | (WRITE if writes or truncate else 0)
+            | (WRITE if is_writing or truncate else 0)
             | (SEARCH if access == p9.OEXEC else 0)
         )
-        disk.need(node, at.user, want)
-        self.exclude(fid, node)
+        disk.check_permission(node, fid_state.user, permissions)
+        self.acquire_exclusive_use(fid, node)
         if truncate and not self.qid(node).type & p9.QTAPPEND:
-            disk.truncate(node, 0, at.user)
-        at.access = access
+            disk.truncate(node, 0, fid_state.user)
+        fid_state.access = access
         return self.qid(node)
 
-    def exclude(self, fid: int, node: Inode) -> None:
-        """Take an exclusive-use file for this fid; raises DiskError when another has it open."""
+    def acquire_exclusive_use(self, fid: int, node: Inode) -> None:
+        """Acquire an exclusive-use file for this fid; raises DiskError if another fid has it open."""
         if self.qid(node).type & p9.QTEXCL and not self.server.exclusive_use.acquire(
             ("", node.number), self.id, fid
         ):
             raise DiskError(errors.EBUSY)
 
     def clunk(self, fid: int, removed: bool = False) -> None:
-        """Release a fid, for Tclunk and Tremove; with `removed`, its file is being removed already."""
-        at = self.fid(fid)
+        """Release a fid, for Tclunk and Tremove; with `removed`, the caller removes its file."""
+        fid_state = self.fid(fid)
         del self.fids[fid]
         self.server.locks.release_fid(self.id, fid)
         self.server.exclusive_use.release_fid(self.id, fid)
-        if at.remove_on_close and not removed:
+        if fid_state.remove_on_close and not removed:
             with contextlib.suppress(DiskError):  # a clunk does not fail
-                self.remove(at)
+                self.remove(fid_state)
 
-    def remove(self, at: OpenFid) -> None:
+    def remove(self, fid_state: FidState) -> None:
         """Remove the file from the directory where it was found, for Tremove and ORCLOSE."""
-        if at.parent is None:
+        if fid_state.parent is None:
             raise DiskError(errors.EBUSY, "cannot remove the root")
         disk = self.server.disk
-        if at.parent.names.get(at.name, (None,))[0] is not at.node:
+        if fid_state.parent.names.get(fid_state.name, (None,))[0] is not fid_state.node:
             raise DiskError(errors.ENOENT)
-        disk.need(at.parent, at.user, WRITE)
-        disk.unlink(at.parent, at.name, at.user)
+        disk.check_permission(fid_state.parent, fid_state.user, WRITE)
+        disk.unlink(fid_state.parent, fid_state.name, fid_state.user)
 
 
 class BaseFileServer(EmulatedServer):
-    """A file server that is given its dialects, by version; it has one disk and any number of connections."""
+    """A file server with one disk and any number of connections; `dialects` are keyed by version."""
 
-    machine = FileConnection
+    connection_class = FileConnection
 
     def __init__(
         self,
@@ -408,8 +412,8 @@
         self.disk = disk or Disk(tree)
         self.dialects = dialects
         self.msize = DEFAULT_MSIZE
-        self.aname: str | None = None  # the one tree that may be attached; None: any name
-        self.salt = 0  # added to every qid's path
+        self.aname: str | None = None  # the only name that may be attached; None: any
+        self.qid_offset = 0  # added to every qid's path
         self.received: list[p9.Message] = []  # every message, in order
         self.holds_reply: Callable[[p9.Message], bool] | None = None
         self.held_messages: list[tuple[int, p9.Message, FileConnection]] = []
@@ -424,9 +428,9 @@
         return self._ids
 
     def version_for(self, wanted: str) -> str:
-        """Return the version that a Tversion's offer gets, empty if none fits.
+        """Return the version that answers a Tversion's offer, empty if none fits.
 
-        An unknown suffix gets what stands before it (version(5)).
+        An unknown suffix after a dot is ignored (version(5)).
         """
         if wanted in self.dialects:
             return wanted
@@ -435,7 +439,7 @@
 
     @property
     def tree(self) -> Tree:
-        """Raise: the tree can be set, but is read from the disk."""
+        """Raise AttributeError: the tree can only be set."""
         raise AttributeError("the tree is on the disk")
 
     @tree.setter
@@ -443,35 +447,37 @@
         self.disk = Disk(tree)
 
     def release(self) -> None:
-        """Reply to the messages that were held, and hold none any more."""
-        held = self.held_messages
+        """Answer the held messages and stop holding messages."""
+        pending = self.held_messages
         self.held_messages = []
         self.holds_reply = None
-        for tag, message, connection in held:
+        for tag, message, connection in pending:
             connection.answer(tag, message)
 
-    def later(self, delay_us: int, call: Callable[[], Any]) -> None:
-        """Call something after a delay in microseconds."""
+    def call_later(self, delay_us: int, call: Callable[[], Any]) -> None:
+        """Schedule a call after a delay in microseconds."""
         self.scheduler.call_at(self.scheduler.now + delay_us, call)
 
     def restart(self, new_qids: bool = False) -> None:
-        """End every connection; with `new_qids`, every file has a new qid, as if it were replaced."""
+        """Close every connection; with `new_qids`, every file gets a new qid, as if it were replaced."""
         self.held_messages.clear()
-        self.salt += NEW_QIDS_SALT * new_qids
+        self.qid_offset += NEW_QIDS_OFFSET * new_qids
         self.close_connections()
 
-    def place(self, node: Inode, user: str) -> OpenFid:
-        """Return a fid for a directory at its own place in the tree."""
+    def fid_state_of_directory(self, node: Inode, user: str) -> FidState:
+        """Return the fid state of a directory, with its parent and name in the tree."""
         if node is self.disk.root or node.parent is None:
-            return OpenFid(node, user)
+            return FidState(node, user)
         name = next((name for name, (child, _) in node.parent.names.items() if child is node), "")
-        return OpenFid(node, user, node.parent, name)
+        return FidState(node, user, node.parent, name)
 
-    def renamed(self, parent: Inode, name: str, to: Inode, new: str, node: Inode) -> None:
-        """Have every fid of a renamed file follow it."""
+    def update_renamed_fids(
+        self, parent: Inode, name: str, new_parent: Inode, new_name: str, node: Inode
+    ) -> None:
+        """Update parent and name in every fid of a renamed file."""
         for connection in self.connections:
             if isinstance(connection, FileConnection):
-                for at in connection.fids.values():
-                    if at.node is node and at.parent is parent and at.name == name:
-                        at.parent = to
-                        at.name = new
+                for fid_state in connection.fids.values():
+                    if fid_state.node is node and fid_state.parent is parent and fid_state.name == name:
+                        fid_state.parent = new_parent
+                        fid_state.name = new_name
--- a/garnetlanding/emulator/files_linux.py
+++ b/garnetlanding/emulator/files_linux.py
@@ -1,4 +1,4 @@
-"""The emulated file server's part that only 9P2000.L has."""
+"""The 9P2000.L dialect of the emulated file server."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from garnetlanding.emulator.disk import BLOCK, SEARCH, WRITE, DiskError, Inode, InodeExtras
-from garnetlanding.emulator.file_connection import SIGNED_END, Dialect, FileConnection, OpenFid
+from garnetlanding.emulator.file_connection import SIGNED_END, Dialect, FidState, FileConnection
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
 from garnetlanding.ninep import errors
@@ -16,7 +16,7 @@
 from garnetlanding.ninep.model import Entry, Time, d_type, good_name
 
 PERM = 0o7777
-ACCESS = 3  # the bits of open flags for reading, writing or both; all of them are no access
+ACCESS = 3  # the bits of open flags for reading, writing or both; both bits set is invalid
 FS_MAGIC = 0x01021997  # of 9P, as statfs(2) reports it
 
 
@@ -34,14 +34,14 @@
         return (
             self._serve_file(connection, message)
             or self._serve_names(connection, message)
-            or self._serve_others(connection, message)
+            or self._serve_other(connection, message)
         )
 
     def _serve_file(self, connection: FileConnection, message: p9.Message) -> p9.Message | None:
         disk = connection.server.disk
         match message:
             case p9l.Tgetattr(fid, _):
-                return getattr_reply(disk.attr(connection.fid(fid).node, connection.server.salt))
+                return getattr_reply(disk.attr(connection.fid(fid).node, connection.server.qid_offset))
             case p9l.Tsetattr():
                 self._setattr(connection, message)
                 return p9l.Rsetattr()
@@ -58,14 +58,14 @@
         return None
 
     def _open(self, connection: FileConnection, fid: int, flags: int) -> p9.Message:
-        at = connection.unopened(fid)
+        fid_state = connection.unopened(fid)
         self._check_flags(flags)
-        if at.node.is_link:
+        if fid_state.node.is_link:
             raise DiskError(errors.ELOOP)
-        if flags & p9l.L_DIRECTORY and not at.node.is_dir:
+        if flags & p9l.L_DIRECTORY and not fid_state.node.is_dir:
             raise DiskError(errors.ENOTDIR)
-        qid = connection.open(fid, at, flags & ACCESS, bool(flags & p9l.L_TRUNC))
-        at.append = bool(flags & p9l.L_APPEND)
+        qid = connection.open(fid, fid_state, flags & ACCESS, bool(flags & p9l.L_TRUNC))
+        fid_state.append = bool(flags & p9l.L_APPEND)
         return p9l.Rlopen(qid, 0)
 
     @staticmethod
@@ -73,77 +73,79 @@
         if flags & ACCESS == ACCESS:
             raise DiskError(errors.EINVAL)
 
-    def _parent(self, connection: FileConnection, fid: int, name: str) -> OpenFid:
-        at = connection.fid(fid)
-        if not at.node.is_dir:
+    def _searchable_directory(self, connection: FileConnection, fid: int, name: str) -> FidState:
+        fid_state = connection.fid(fid)
+        if not fid_state.node.is_dir:
             raise DiskError(errors.ENOTDIR)
         if not good_name(name):
             raise DiskError(errors.EINVAL)
-        connection.server.disk.need(at.node, at.user, SEARCH)
-        return at
+        connection.server.disk.check_permission(fid_state.node, fid_state.user, SEARCH)
+        return fid_state
 
-    def _writable(self, connection: FileConnection, fid: int, name: str) -> OpenFid:
-        at = self._parent(connection, fid, name)
-        connection.server.disk.need(at.node, at.user, WRITE)
-        return at
+    def _writable_directory(self, connection: FileConnection, fid: int, name: str) -> FidState:
+        fid_state = self._searchable_directory(connection, fid, name)
+        connection.server.disk.check_permission(fid_state.node, fid_state.user, WRITE)
+        return fid_state
 
     def _create(self, connection: FileConnection, message: p9l.Tlcreate) -> p9.Message:
         connection.unopened(message.fid)
-        at = self._parent(connection, message.fid, message.name)
+        fid_state = self._searchable_directory(connection, message.fid, message.name)
         disk = connection.server.disk
         self._check_flags(message.flags)
-        if message.name in at.node.names:
+        if message.name in fid_state.node.names:
             if message.flags & p9l.L_EXCL:
                 raise DiskError(errors.EEXIST)
-            node = at.node.names[message.name][0]
-            to = OpenFid(node, at.user, at.node, message.name)
-            connection.open(message.fid, to, message.flags & ACCESS, bool(message.flags & p9l.L_TRUNC))
+            node = fid_state.node.names[message.name][0]
+            target = FidState(node, fid_state.user, fid_state.node, message.name)
+            connection.open(message.fid, target, message.flags & ACCESS, bool(message.flags & p9l.L_TRUNC))
         else:
-            disk.need(at.node, at.user, WRITE)
+            disk.check_permission(fid_state.node, fid_state.user, WRITE)
             mode = stat.S_IFREG | message.mode & PERM
-            node = disk.make(at.node, message.name, mode, at.user, self._group(message.gid, at))
-            to = OpenFid(node, at.user, at.node, message.name, message.flags & ACCESS)
-        to.append = bool(message.flags & p9l.L_APPEND)
-        connection.fids[message.fid] = to
+            node = disk.make(
+                fid_state.node, message.name, mode, fid_state.user, self._group(message.gid, fid_state)
+            )
+            target = FidState(node, fid_state.user, fid_state.node, message.name, message.flags & ACCESS)
+        target.append = bool(message.flags & p9l.L_APPEND)
+        connection.fids[message.fid] = target
         return p9l.Rlcreate(connection.qid(node), 0)
 
     @staticmethod
-    def _group(gid: int, at: OpenFid) -> InodeExtras:
-        return InodeExtras(gid=at.user if gid == p9l.NOGID else str(gid))
+    def _group(gid: int, fid_state: FidState) -> InodeExtras:
+        return InodeExtras(gid=fid_state.user if gid == p9l.NOGID else str(gid))
 
     def _setattr(self, connection: FileConnection, message: p9l.Tsetattr) -> None:
-        at = connection.fid(message.fid)
+        fid_state = connection.fid(message.fid)
         disk = connection.server.disk
-        self._check_owner(connection, at, message)
+        self._check_owner(connection, fid_state, message)
         if message.valid & p9l.SET_SIZE:
-            self._check_size(connection, at, message.size)
-            disk.truncate(at.node, message.size, at.user)
-        self._set_ownership(at.node, message)
-        self._set_times(connection, at.node, message)
-        at.node.ctime = disk.now
-        disk.ran.append(("setattr", at.node.number, message.valid))
+            self._check_size(connection, fid_state, message.size)
+            disk.truncate(fid_state.node, message.size, fid_state.user)
+        self._set_ownership(fid_state.node, message)
+        self._set_times(connection, fid_state.node, message)
+        fid_state.node.ctime = disk.now
+        disk.changes.append(("setattr", fid_state.node.number, message.valid))
 
     @staticmethod
-    def _check_owner(connection: FileConnection, at: OpenFid, message: p9l.Tsetattr) -> None:
-        node = at.node
+    def _check_owner(connection: FileConnection, fid_state: FidState, message: p9l.Tsetattr) -> None:
+        node = fid_state.node
         valid = message.valid
-        owner = at.user in (node.uid, "root", "0")
-        if valid & (p9l.SET_MODE | p9l.SET_GID | p9l.SET_UID) and not owner:
+        is_owner = fid_state.user in (node.uid, "root", "0")
+        if valid & (p9l.SET_MODE | p9l.SET_GID | p9l.SET_UID) and not is_owner:
             raise DiskError(errors.EPERM)
-        if valid & p9l.SET_UID and str(message.uid) != node.uid and at.user not in ("root", "0"):
+        if valid & p9l.SET_UID and str(message.uid) != node.uid and fid_state.user not in ("root", "0"):
             raise DiskError(errors.EPERM)
-        if valid & (p9l.SET_ATIME_TO | p9l.SET_MTIME_TO) and not owner:
+        if valid & (p9l.SET_ATIME_TO | p9l.SET_MTIME_TO) and not is_owner:
             raise DiskError(errors.EPERM)
-        if valid & (p9l.SET_ATIME | p9l.SET_MTIME) and not owner:
-            connection.server.disk.need(node, at.user, WRITE)
+        if valid & (p9l.SET_ATIME | p9l.SET_MTIME) and not is_owner:
+            connection.server.disk.check_permission(node, fid_state.user, WRITE)
 
     @staticmethod
-    def _check_size(connection: FileConnection, at: OpenFid, size: int) -> None:
-        if at.node.is_dir:
+    def _check_size(connection: FileConnection, fid_state: FidState, size: int) -> None:
+        if fid_state.node.is_dir:
             raise DiskError(errors.EISDIR)
         if size > SIGNED_END:
             raise DiskError(errors.EINVAL)
-        connection.server.disk.need(at.node, at.user, WRITE)
+        connection.server.disk.check_permission(fid_state.node, fid_state.user, WRITE)
 
     @staticmethod
     def _set_ownership(node: Inode, message: p9l.Tsetattr) -> None:
@@ -164,20 +166,22 @@
         if valid & p9l.SET_MTIME:
             node.mtime = Time(message.mtime_s, message.mtime_ns) if valid & p9l.SET_MTIME_TO else disk.now
 
-    def _readdir(self, connection: FileConnection, at: OpenFid, offset: int, count: int) -> p9.Message:
-        if at.access is None:
+    def _readdir(
+        self, connection: FileConnection, fid_state: FidState, offset: int, count: int
+    ) -> p9.Message:
+        if fid_state.access is None:
             raise DiskError(errors.EBADF)
-        if not at.node.is_dir:
+        if not fid_state.node.is_dir:
             raise DiskError(errors.ENOTDIR)
         count = min(count, connection.msize - p9.READ_OVERHEAD)
-        assert at.node.parent
+        assert fid_state.node.parent
         entries = [
-            Entry(".", connection.qid(at.node), 1, 4),
-            Entry("..", connection.qid(at.node.parent), 2, 4),
+            Entry(".", connection.qid(fid_state.node), 1, 4),
+            Entry("..", connection.qid(fid_state.node.parent), 2, 4),
         ]
         entries += [
             Entry(name, connection.qid(node), cookie, d_type(connection.qid(node)))
-            for name, node, cookie in connection.server.disk.entries(at.node)
+            for name, node, cookie in connection.server.disk.entries(fid_state.node)
         ]
         following = [entry for entry in entries if entry.cookie > offset]
         packed_entries: list[bytes] = []
@@ -203,75 +207,81 @@
             case p9l.Tlink():
                 return self._make_link(connection, message)
             case p9l.Tunlinkat(dfid, name, flags):
-                self._unlink(connection, self._writable(connection, dfid, name), name, flags)
+                self._unlink(connection, self._writable_directory(connection, dfid, name), name, flags)
                 return p9l.Runlinkat()
             case p9l.Trename():
                 return self._rename_fid(connection, message)
             case p9l.Trenameat(olddfid, oldname, newdfid, newname):
-                old = self._writable(connection, olddfid, oldname)
-                to = self._writable(connection, newdfid, newname)
-                self._rename(connection, old.node, oldname, to, newname)
+                old = self._writable_directory(connection, olddfid, oldname)
+                target = self._writable_directory(connection, newdfid, newname)
+                self._rename(connection, old.node, oldname, target, newname)
                 return p9l.Rrenameat()
         return None
 
     def _make_directory(self, connection: FileConnection, message: p9l.Tmkdir) -> p9.Message:
-        at = self._writable(connection, message.dfid, message.name)
+        fid_state = self._writable_directory(connection, message.dfid, message.name)
         mode = stat.S_IFDIR | message.mode & PERM
-        node = connection.server.disk.make(at.node, message.name, mode, at.user, self._group(message.gid, at))
+        node = connection.server.disk.make(
+            fid_state.node, message.name, mode, fid_state.user, self._group(message.gid, fid_state)
+        )
         return p9l.Rmkdir(connection.qid(node))
 
     def _make_node(self, connection: FileConnection, message: p9l.Tmknod) -> p9.Message:
-        at = self._writable(connection, message.dfid, message.name)
-        extras = replace(self._group(message.gid, at), rdev=message.major << 8 | message.minor)
-        node = connection.server.disk.make(at.node, message.name, message.mode, at.user, extras)
+        fid_state = self._writable_directory(connection, message.dfid, message.name)
+        extras = replace(self._group(message.gid, fid_state), rdev=message.major << 8 | message.minor)
+        node = connection.server.disk.make(fid_state.node, message.name, message.mode, fid_state.user, extras)
         return p9l.Rmknod(connection.qid(node))
 
     def _make_symlink(self, connection: FileConnection, message: p9l.Tsymlink) -> p9.Message:
-        at = self._writable(connection, message.dfid, message.name)
-        extras = replace(self._group(message.gid, at), target=message.target)
-        node = connection.server.disk.make(at.node, message.name, stat.S_IFLNK | 0o777, at.user, extras)
+        fid_state = self._writable_directory(connection, message.dfid, message.name)
+        extras = replace(self._group(message.gid, fid_state), target=message.target)
+        node = connection.server.disk.make(
+            fid_state.node, message.name, stat.S_IFLNK | 0o777, fid_state.user, extras
+        )
         return p9l.Rsymlink(connection.qid(node))
 
     def _make_link(self, connection: FileConnection, message: p9l.Tlink) -> p9.Message:
-        at = self._writable(connection, message.dfid, message.name)
-        to = connection.fid(message.fid)
-        if to.node.is_dir:
+        fid_state = self._writable_directory(connection, message.dfid, message.name)
+        target = connection.fid(message.fid)
+        if target.node.is_dir:
             raise DiskError(errors.EPERM)
-        connection.server.disk.link(at.node, message.name, to.node, at.user)
+        connection.server.disk.link(fid_state.node, message.name, target.node, fid_state.user)
         return p9l.Rlink()
 
     def _rename_fid(self, connection: FileConnection, message: p9l.Trename) -> p9.Message:
-        at = connection.fid(message.fid)
-        to = self._writable(connection, message.dfid, message.name)
-        if at.parent is None:
+        fid_state = connection.fid(message.fid)
+        target = self._writable_directory(connection, message.dfid, message.name)
+        if fid_state.parent is None:
             raise DiskError(errors.EBUSY)
-        self._rename(connection, at.parent, at.name, to, message.name)
+        self._rename(connection, fid_state.parent, fid_state.name, target, message.name)
         return p9l.Rrename()
 
     @staticmethod
-    def _unlink(connection: FileConnection, at: OpenFid, name: str, flags: int) -> None:
+    def _unlink(connection: FileConnection, fid_state: FidState, name: str, flags: int) -> None:
         if flags & ~p9l.AT_REMOVEDIR:
             raise DiskError(errors.EINVAL)
-        is_dir = connection.server.disk.child(at.node, name).is_dir
+        is_dir = connection.server.disk.child(fid_state.node, name).is_dir
         if is_dir != bool(flags):
             raise DiskError(errors.EISDIR if is_dir else errors.ENOTDIR)
-        connection.server.disk.unlink(at.node, name, at.user)
+        connection.server.disk.unlink(fid_state.node, name, fid_state.user)
 
     @staticmethod
-    def _rename(connection: FileConnection, parent: Inode, name: str, to: OpenFid, new: str) -> None:
+    def _rename(
+        connection: FileConnection, parent: Inode, name: str, target: FidState, new_name: str
+    ) -> None:
         disk = connection.server.disk
-        disk.need(parent, to.user, WRITE)
+        disk.check_permission(parent, target.user, WRITE)
         node = disk.child(parent, name)
-        disk.rename(parent, name, to.node, new, to.user, replace=True)
-        connection.server.renamed(parent, name, to.node, new, node)
+        disk.rename(parent, name, target.node, new_name, target.user, replace=True)
+        connection.server.update_renamed_fids(parent, name, target.node, new_name, node)
 
-    def _serve_others(self, connection: FileConnection, message: p9.Message) -> p9.Message | None:
+    def _serve_other(self, connection: FileConnection, message: p9.Message) -> p9.Message | None:
         match message:
             case p9l.Treadlink(fid):
-                at = connection.fid(fid)
-                if not at.node.is_link:
+                fid_state = connection.fid(fid)
+                if not fid_state.node.is_link:
                     raise DiskError(errors.EINVAL)
-                return p9l.Rreadlink(at.node.target)
+                return p9l.Rreadlink(fid_state.node.target)
             case p9l.Tstatfs(fid):
                 connection.fid(fid)
                 disk = connection.server.disk
@@ -287,15 +297,15 @@
         return None
 
     def _lock(self, connection: FileConnection, message: p9l.Tlock | p9l.Tgetlock) -> p9.Message:
-        at = connection.fid(message.fid)
+        fid_state = connection.fid(message.fid)
         locks = connection.server.locks
-        if at.access is None:
+        if fid_state.access is None:
             raise DiskError(errors.EBADF)
-        if at.node.is_dir:
+        if fid_state.node.is_dir:
             raise DiskError(errors.EISDIR)
         start, end = byte_span(message.start, message.length)
         owner = LockOwner(connection.id, message.proc_id, message.client_id)
-        file = ("", at.node.number)
+        file = ("", fid_state.node.number)
         write = message.type == p9l.LOCK_WRITE
         wanted = LockRange(owner, message.fid, write, start, end)
         if message.type > p9l.LOCK_NONE or start >= SIGNED_END:
@@ -305,13 +315,13 @@
         if message.type == p9l.LOCK_NONE:
             locks.release(file, owner, start, end)
             return p9l.Rlock(p9l.LOCK_DONE)
-        if at.access not in ((p9.OWRITE, p9.ORDWR) if write else (p9.OREAD, p9.ORDWR)):
+        if fid_state.access not in ((p9.OWRITE, p9.ORDWR) if write else (p9.OREAD, p9.ORDWR)):
             raise DiskError(errors.EBADF)
         return p9l.Rlock(p9l.LOCK_DONE if locks.acquire(file, wanted) else p9l.LOCK_BLOCKED)
 
     @staticmethod
     def _conflict_reply(message: p9l.Tgetlock, held: LockRange | None) -> p9.Message:
-        """Describe the lock that a lock would conflict with, or LOCK_NONE."""
+        """Return the reply that describes the conflicting lock, or LOCK_NONE."""
         if held is None:
             return p9l.Rgetlock(
                 p9l.LOCK_NONE, message.start, message.length, message.proc_id, message.client_id
--- a/garnetlanding/emulator/fileserver.py
+++ b/garnetlanding/emulator/fileserver.py
@@ -1,4 +1,4 @@
-"""A 9P file server in both dialects, on a disk of its own or one shared with others."""
+"""An emulated 9P file server in both dialects, on a disk of its own or a shared one."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FileServer(BaseFileServer):
-    """A file server that accepts these versions of 9P."""
+    """A file server that accepts the given versions of 9P."""
 
     def __init__(self, *args: Any, versions: tuple[str, ...] = tuple(_DIALECTS), **kwargs: Any) -> None:
         dialects = {version: _DIALECTS[version] for version in versions}
--- a/tests/conform/seeded_faults.py
+++ b/tests/conform/seeded_faults.py
@@ -11,7 +11,7 @@
 
 from garnetlanding.emulator import files_linux, files_plain
 from garnetlanding.emulator.disk import Disk, DiskError, Inode
-from garnetlanding.emulator.file_connection import FileConnection, OpenFid
+from garnetlanding.emulator.file_connection import FidState, FileConnection
 from garnetlanding.emulator.fileserver import FileServer
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
@@ -116,7 +116,7 @@
 
 
 def _wstat_in_two_halves(real: Any) -> Any:
-    def wstat(self: Any, conn: FileConnection, at: OpenFid, data: bytes) -> None:
+    def wstat(self: Any, conn: FileConnection, at: FidState, data: bytes) -> None:
         raw = stat_format.parse_stat(data)
         if raw.length < 1 << 32 and not at.node.is_dir:
             conn.server.disk.truncate(at.node, raw.length, at.user)
@@ -130,7 +130,7 @@
 
 
 def _directory_seek_allowed(real: Any) -> Any:
-    def read_dir(conn: FileConnection, at: OpenFid, offset: int, count: int) -> p9.Message:
+    def read_dir(conn: FileConnection, at: FidState, offset: int, count: int) -> p9.Message:
         at.directory_offset = offset
         return real(conn, at, offset, count)  # type: ignore[no-any-return]  # the real method is untyped here
 
@@ -163,7 +163,7 @@
 
 
 def _unlink_ignores_flag(_real: Any) -> Any:
-    def unlink(conn: FileConnection, at: OpenFid, name: str, _flags: int) -> None:
+    def unlink(conn: FileConnection, at: FidState, name: str, _flags: int) -> None:
         conn.server.disk.unlink(at.node, name, at.user)
 
     return staticmethod(unlink)
@@ -217,7 +217,7 @@
         FileConnection, "open", _truncate_forgotten, p9l.VERSION, "open-truncates"
     ),
     "permissions are not looked at": SeededFault(
-        Disk, "need", _permissions_forgotten, p9.VERSION, "open-read-denied"
+        Disk, "check_permission", _permissions_forgotten, p9.VERSION, "open-read-denied"
     ),
     "qid paths are shared": SeededFault(Disk, "qid", _qid_reused, p9l.VERSION, "qid-differs"),
     "msize is raised": SeededFault(
@@ -230,7 +230,7 @@
         FileConnection, "_write", _append_at_offset, p9.VERSION, "append-only"
     ),
     "exclusive use is not kept": SeededFault(
-        FileConnection, "exclude", _exclusive_forgotten, p9.VERSION, "exclusive-use"
+        FileConnection, "acquire_exclusive_use", _exclusive_forgotten, p9.VERSION, "exclusive-use"
     ),
     "a full directory is removed": SeededFault(
         Disk, "unlink", _full_directory_removed, p9l.VERSION, "remove-full-directory"
@@ -242,10 +242,10 @@
         files_plain, "pack_stat", _stat_cut, p9.VERSION, "stat-fields"
     ),
     "a directory is read from anywhere": SeededFault(
-        files_plain, "read_dir", _directory_seek_allowed, p9.VERSION, "directory-seek"
+        files_plain, "read_directory_stats", _directory_seek_allowed, p9.VERSION, "directory-seek"
     ),
     "a rename leaves its fids behind": SeededFault(
-        FileServer, "renamed", _rename_by_fid_leaves_fid, p9.VERSION, "wstat-name"
+        FileServer, "update_renamed_fids", _rename_by_fid_leaves_fid, p9.VERSION, "wstat-name"
     ),
     "a rename does not replace": SeededFault(
         Disk, "rename", _rename_does_not_replace, p9l.VERSION, "renameat-replaces"
@@ -263,7 +263,7 @@
         files_linux.LinuxDialect, "_unlink", _unlink_ignores_flag, p9l.VERSION, "unlinkat-directory"
     ),
     "a flushed request is answered": SeededFault(
-        FileConnection, "_shared", _flush_answers_twice, p9l.VERSION, "flush-is-last"
+        FileConnection, "_run_shared", _flush_answers_twice, p9l.VERSION, "flush-is-last"
     ),
 }
 
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -110,10 +110,10 @@
 
 def test_changes_to_an_older_list_are_rejected_and_the_complete_list_is_requested() -> None:
     instance = WatchedDiscovery()
-    instance.discovery.version = 6
+    instance.discovery.generation = 6
     instance.discovery.publish(EmulatedEndpoint("b0", "127.0.0.1:9", 0, "DRAINING"))
     instance.settle()
-    instance.discovery.version = 3
+    instance.discovery.generation = 3
     instance.discovery.publish(EmulatedEndpoint("b0", "127.0.0.1:9", 0))
     instance.settle()
     assert instance.received == ["b0:up", "b0:draining", "failed"]
@@ -269,7 +269,7 @@
     list of the old one was accepted as if it came from the new one."""
     instance = WatchedDiscovery()
     other = instance.server(Discovery)
-    other.version, other.endpoints = 9, [EmulatedEndpoint("b7", "127.0.0.1:9", 7)]
+    other.generation, other.endpoints = 9, [EmulatedEndpoint("b7", "127.0.0.1:9", 7)]
     old = instance.discovery
     instance.watch.subscribe()
     instance.scheduler.run_iteration(0)  # the call begins to connect
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -774,7 +774,7 @@
 
 
 class RecordingServer(EmulatedServer):
-    machine = RecordingConn
+    connection_class = RecordingConn
     reply = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -786,7 +786,7 @@
 
 
 class CollectorServer(EmulatedServer):
-    machine = CollectorConn
+    connection_class = CollectorConn
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
--- a/tests/ninep/random_fault_schedules.py
+++ b/tests/ninep/random_fault_schedules.py
@@ -296,7 +296,7 @@
         )
         for server in self.instance.file_servers:  # it takes effect at the server that gets the message
             server.script.add(rule)
-            server.script.rules[:] = [r for r in server.script.rules if not r.is_used_up][-3:]
+            server.script.rules[:] = [r for r in server.script.rules if not r.is_exhausted][-3:]
 
     def disturb_server(self, _client: Client) -> None:
         instance = self.instance
@@ -371,7 +371,7 @@
         node = self.instance.disk.find(f"f{block_index[0]}")
         return any(
             r[0] == "write" and r[1] == node.number and r[2] == block_index[1] * BLOCK_BYTES and r[3] == data
-            for r in self.instance.disk.ran
+            for r in self.instance.disk.changes
         )
 
     def outcome_unknown(self, request: OutstandingRequest) -> None:
@@ -398,7 +398,7 @@
             assert (
                 contents in block.possible_contents
             ), f"file {f}, block {b}: {contents[:24]!r}, possible {[m[:24] for m in block.possible_contents]}"
-        made = Counter(r[1] for r in self.instance.disk.ran if r[0] == "make")
+        made = Counter(r[1] for r in self.instance.disk.changes if r[0] == "make")
         assert all(count == 1 for name, count in made.items() if name != "log"), made.most_common(3)
         assert all(
             made[name] == 1 for name, n in self.runs_acknowledged.items() if n and not name.startswith("t")
--- a/tests/ninep/test_change_order.py
+++ b/tests/ninep/test_change_order.py
@@ -20,7 +20,7 @@
         client.say(p9.encode(tag, p9.Twrite(5, 0, data)))
     instance.run(2 * SECOND)
     assert [m for t, m in client.replies[-3:]] == [p9.Rwrite(5)] * 3
-    assert [r[3] for r in instance.disk.ran if r[0] == "write"] == [b"first", b"secnd", b"third"]
+    assert [r[3] for r in instance.disk.changes if r[0] == "write"] == [b"first", b"secnd", b"third"]
 
 
 def test_delayed_first_attempt_does_not_undo_a_later_change() -> None:
@@ -65,7 +65,7 @@
     client.send(p9.Tcreate(6, "once", 0o644, p9.ORDWR), tag=1)
     instance.run(2 * SECOND)
     assert error_text(client.replies[-1][1]).startswith(words)
-    assert len([r for r in instance.disk.ran if r[0] == "make"]) == ran
+    assert len([r for r in instance.disk.changes if r[0] == "make"]) == ran
     assert (
         len(received_messages(instance, p9.Tcreate, 0)) + len(received_messages(instance, p9.Tcreate, 1)) == 1
     )
--- a/tests/ninep/test_replaced_files.py
+++ b/tests/ninep/test_replaced_files.py
@@ -59,4 +59,4 @@
         == len(received_messages(instance, p9.Tcreate, 1))
         == 1
     )
-    assert len([r for r in instance.disk.ran if r[0] == "make"]) == 1
+    assert len([r for r in instance.disk.changes if r[0] == "make"]) == 1
--- a/tests/resp/test_backend_protocol.py
+++ b/tests/resp/test_backend_protocol.py
@@ -128,7 +128,7 @@
     assert instance.core.starts[0].outcome is Outcome.RESET
     instance.run(100 * MS)
     assert peer.got == codec.encode_bulk(b"value")
-    assert len(backend.received) == backend.accepted == 2
+    assert len(backend.received) == backend.accepted_connections == 2
 
 
 def test_a_reply_that_trickles_without_an_end_is_reset() -> None:
--- a/tests/runtime/test_attempt_ends.py
+++ b/tests/runtime/test_attempt_ends.py
@@ -30,7 +30,7 @@
     client.sock.recv(100)
     client.say(read_command("r2"))
     assert client.sock.recv(100) == b"$0\r\n\r\n"
-    assert instance.backend.accepted == 2
+    assert instance.backend.accepted_connections == 2
 
 
 @pytest.mark.parametrize(
--- a/tests/runtime/test_upstream.py
+++ b/tests/runtime/test_upstream.py
@@ -35,7 +35,7 @@
     instance.settle()
     assert instance.client.say(read_command("r2")) == b"$0\r\n\r\n"
     assert instance.outcomes() == ["served", "served"]
-    assert instance.backend.accepted == 2
+    assert instance.backend.accepted_connections == 2
 
 
 def test_refused_connection_reports_that_the_request_never_ran() -> None:
--- a/tests/telemetry/test_exporter.py
+++ b/tests/telemetry/test_exporter.py
@@ -36,7 +36,7 @@
 
 
 class Collector(EmulatedServer):
-    machine = CollectorConnection
+    connection_class = CollectorConnection
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
