--- a/garnetlanding/emulator/backend.py
+++ b/garnetlanding/emulator/backend.py
@@ -22,10 +22,10 @@
         self._decoder = resp.Decoder(server.pool, server.limits, commands_only=True)
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Run every command that these bytes complete."""
+        """Execute every command that these bytes complete."""
         for arguments in self._decoder.feed(data):
             assert isinstance(arguments, list)
-            self.server.command([word for word in arguments if isinstance(word, bytes)], self)
+            self.server.command([argument for argument in arguments if isinstance(argument, bytes)], self)
 
 
 class EmulatedBackend(EmulatedServer):
--- a/garnetlanding/emulator/fleet_faults.py
+++ b/garnetlanding/emulator/fleet_faults.py
@@ -1,4 +1,4 @@
-"""The faults of a simulated run: draws which processes fail before the run, and schedules the failures."""
+"""The faults of a simulated fleet: draws before the run which processes fail, and schedules the failures."""
 
 from __future__ import annotations
 
--- a/garnetlanding/emulator/fleet_load.py
+++ b/garnetlanding/emulator/fleet_load.py
@@ -47,7 +47,7 @@
 
 
 def planned_requests(config: FleetConfig, rng: random.Random) -> Iterator[PlannedRequest]:
-    """Yield the requests of the run, one volume after another."""
+    """Yield the requests of the run, volume by volume."""
     for number in range(config.backends * config.volumes_per_backend):
         plan = PLANS[rng.choice(sorted(PLANS))]
         hosts = rng.sample(range(config.instances), min(config.instances, rng.randint(1, MAX_HOSTS)))
--- a/garnetlanding/emulator/suspicion_simulation.py
+++ b/garnetlanding/emulator/suspicion_simulation.py
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Requests in the `AFTERMATH_US` after the failure."""
+    """Requests within `AFTER_FAILURE_US` after the failure."""
 
     requested: int = 0
     served: int = 0
@@ -77,9 +77,8 @@
     """The result of a run."""
 
     attempts: list[Attempt] = field(default_factory=list)  # at backends that have failed
-    attempts_before_failure: Counter[int] = field(
-        default_factory=Counter
-    )  # by instance, within a second before the failure
+    # At the first failing backend, by instance, within the last second before the failure.
+    attempts_before_failure: Counter[int] = field(default_factory=Counter)
     served: int = 0
     requested: int = 0
     bytes: int = 0  # of messages between instances
--- a/tests/emulator/test_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -65,7 +65,7 @@
 
 
 def test_backends_with_few_connections_leave_the_fleet_half_its_value() -> None:
-    """Instances beyond its connection limit are refused on every attempt; the other instances are not."""
+    """A backend at its connection limit refuses further instances on every attempt, but serves the others."""
     unlimited, limited = simulate_runs("zone"), simulate_runs("zone", connection_limit=12)
     assert served(limited) > 0.5 * served(unlimited)
     assert all(totals.unanswered == totals.answered_twice == 0 for totals in limited)
