--- a/tests/conform/seeded_faults.py
+++ b/tests/conform/seeded_faults.py
@@ -11,7 +11,7 @@
 
 from garnetlanding.emulator import files_linux, files_plain
 from garnetlanding.emulator.disk import Disk, DiskError, Inode
-from garnetlanding.emulator.file_connection import FileConnection, OpenFid
+from garnetlanding.emulator.file_connection import FidState, FileConnection
 from garnetlanding.emulator.fileserver import FileServer
 from garnetlanding.ninep import codec as p9
 from garnetlanding.ninep import codec_linux as p9l
@@ -116,7 +116,7 @@
 
 
 def _wstat_not_atomic(real: Any) -> Any:
-    def wstat(self: Any, conn: FileConnection, at: OpenFid, data: bytes) -> None:
+    def wstat(self: Any, conn: FileConnection, at: FidState, data: bytes) -> None:
         raw = stat_format.parse_stat(data)
         if raw.length < 1 << 32 and not at.node.is_dir:
             conn.server.disk.truncate(at.node, raw.length, at.user)
@@ -130,7 +130,7 @@
 
 
 def _directory_seek_allowed(real: Any) -> Any:
-    def read_dir(conn: FileConnection, at: OpenFid, offset: int, count: int) -> p9.Message:
+    def read_dir(conn: FileConnection, at: FidState, offset: int, count: int) -> p9.Message:
         at.directory_offset = offset
         return real(conn, at, offset, count)  # type: ignore[no-any-return]  # the real method is untyped here
 
@@ -163,7 +163,7 @@
 
 
 def _unlinkat_ignores_flags(_real: Any) -> Any:
-    def unlink(conn: FileConnection, at: OpenFid, name: str, _flags: int) -> None:
+    def unlink(conn: FileConnection, at: FidState, name: str, _flags: int) -> None:
         conn.server.disk.unlink(at.node, name, at.user)
 
     return staticmethod(unlink)
@@ -214,7 +214,9 @@
     "truncation-ignored": SeededFault(
         FileConnection, "open", _truncate_ignored, p9l.VERSION, "open-truncates"
     ),
-    "permissions-ignored": SeededFault(Disk, "need", _permissions_ignored, p9.VERSION, "open-read-denied"),
+    "permissions-ignored": SeededFault(
+        Disk, "check_permission", _permissions_ignored, p9.VERSION, "open-read-denied"
+    ),
     "qid-paths-not-unique": SeededFault(Disk, "qid", _qid_reused, p9l.VERSION, "qid-differs"),
     "msize-raised": SeededFault(
         FileConnection, "_version", _version_raises_msize, p9.VERSION, "version-msize-not-raised"
@@ -226,7 +228,7 @@
         FileConnection, "_write", _append_at_offset, p9.VERSION, "append-only"
     ),
     "exclusive-use-ignored": SeededFault(
-        FileConnection, "exclude", _exclusive_use_ignored, p9.VERSION, "exclusive-use"
+        FileConnection, "acquire_exclusive_use", _exclusive_use_ignored, p9.VERSION, "exclusive-use"
     ),
     "nonempty-directory-removed": SeededFault(
         Disk, "unlink", _nonempty_directory_removed, p9l.VERSION, "remove-full-directory"
@@ -238,10 +240,10 @@
         files_plain, "pack_stat", _stat_halves_length, p9.VERSION, "stat-fields"
     ),
     "directory-seek-allowed": SeededFault(
-        files_plain, "read_dir", _directory_seek_allowed, p9.VERSION, "directory-seek"
+        files_plain, "read_directory_stats", _directory_seek_allowed, p9.VERSION, "directory-seek"
     ),
     "rename-does-not-update-fids": SeededFault(
-        FileServer, "renamed", _rename_does_not_update_fids, p9.VERSION, "wstat-name"
+        FileServer, "update_renamed_fids", _rename_does_not_update_fids, p9.VERSION, "wstat-name"
     ),
     "rename-does-not-replace": SeededFault(
         Disk, "rename", _rename_does_not_replace, p9l.VERSION, "renameat-replaces"
@@ -259,7 +261,7 @@
         files_linux.LinuxDialect, "_unlink", _unlinkat_ignores_flags, p9l.VERSION, "unlinkat-directory"
     ),
     "flush-sends-extra-replies": SeededFault(
-        FileConnection, "_shared", _flush_sends_extra_replies, p9l.VERSION, "flush-is-last"
+        FileConnection, "_run_shared", _flush_sends_extra_replies, p9l.VERSION, "flush-is-last"
     ),
 }
 
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -777,7 +777,7 @@
 
 
 class RecordingServer(EmulatedServer):
-    machine = RecordingConnection
+    connection_class = RecordingConnection
     reply = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -42,7 +42,7 @@
 from garnetlanding.core.ports import Answer, AttemptSummary, Failed, Rejected, RequestSpec, Served
 from garnetlanding.decision import interface as api
 from garnetlanding.decision.control import Controller
-from garnetlanding.emulator import budget_net, group_net, lease_net, suspicion_net
+from garnetlanding.emulator import budget_simulation, group_simulation, lease_simulation, suspicion_simulation
 from garnetlanding.emulator.base import EmulatedConnection, EmulatedServer
 from garnetlanding.history.writer import HistoryWriter
 from garnetlanding.lab.history import CorruptHistoryError
@@ -632,10 +632,10 @@
         self._events_scheduled = 0
 
     def start(self, instance: int) -> None:
-        scenario, address = suspicion_net.Scenario(instances=INSTANCES), group_net.address
+        scenario, address = suspicion_simulation.Scenario(instances=INSTANCES), group_simulation.address
         plan = api.PlanSpec("plan", 1.0, 40.0, 40.0, limit_rate=60.0, limit_burst=60.0)
         settings = replace(
-            suspicion_net.settings(scenario, instance),
+            suspicion_simulation.settings(scenario, instance),
             plans={"plan": plan},
             warmup_us=4 * SECOND,
             retry_budget_ratio=0.2,
@@ -817,16 +817,20 @@
     text = ""
     for seed in (1, 2):
         text += "leases " + result_line(
-            lease_net.Simulation(lease_net.Scenario(seed, length_us=6 * SECOND)).run()
+            lease_simulation.Simulation(lease_simulation.Scenario(seed, length_us=6 * SECOND)).run()
         )
-        scenario = budget_net.BudgetScenario(seed, length_us=6 * SECOND)
-        text += "budgets " + result_line(budget_net.BudgetSimulation(scenario).run())
-        text += "group " + result_line(group_net.GroupSimulation(group_net.GroupScenario(seed)).run())
-    for failure in suspicion_net.Failure:
-        suspicion_scenario = suspicion_net.Scenario(
+        scenario = budget_simulation.BudgetScenario(seed, length_us=6 * SECOND)
+        text += "budgets " + result_line(budget_simulation.BudgetSimulation(scenario).run())
+        text += "group " + result_line(
+            group_simulation.GroupSimulation(group_simulation.GroupScenario(seed)).run()
+        )
+    for failure in suspicion_simulation.Failure:
+        suspicion_scenario = suspicion_simulation.Scenario(
             failure=failure, fails_at=2 * SECOND, recovers_at=4 * SECOND, length_us=5 * SECOND
         )
-        text += f"verdicts {failure.value} " + result_line(suspicion_net.Simulation(suspicion_scenario).run())
+        text += f"verdicts {failure.value} " + result_line(
+            suspicion_simulation.Simulation(suspicion_scenario).run()
+        )
     golden("nets.txt", text.encode())
 
 
@@ -849,7 +853,7 @@
 
 
 class CollectorServer(EmulatedServer):
-    machine = CollectorConnection
+    connection_class = CollectorConnection
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
