--- a/garnetlanding/ninep/client.py
+++ b/garnetlanding/ninep/client.py
@@ -1,7 +1,7 @@
-"""Sends attempts to file servers: the state machine of one connection, which runs one program at a time.
+"""Sends attempts to file servers: the state machine of one connection, one message exchange at a time.
 
-The program of an attempt (`operations.py`) yields a T-message and waits for its R-message, so one message is
-in flight at a time. Clunks are sent after the program ends, without waiting for their replies.
+The exchange of an attempt (`operations.py`) yields a T-message and waits for its R-message, so one message is
+in flight at a time. Clunks are sent after the exchange ends, without waiting for their replies.
 """
 
 from __future__ import annotations
@@ -42,9 +42,9 @@
 
     States:
 
-    - idle, initially and after `done` was called: there is neither an attempt nor a program;
-    - running, from `begin` on: the attempt's program waits for the reply to its message;
-    - cleaning up: the attempt has ended, and the program clunks an exclusive-use file.
+    - idle, initially and after `done` was called: there is neither an attempt nor an exchange;
+    - running, from `begin` on: the attempt's exchange waits for the reply to its message;
+    - cleaning up: the attempt has ended, and the exchange clunks an exclusive-use file.
 
     Data in the idle state, unexpected tags and malformed messages raise `BackendProtocolError`.
     """
@@ -67,7 +67,7 @@
         self._session = Session(work.identity, session_limits, offered_versions)
         self._framer = codec.Framer(pool, limits.ninep_msize)
         self._attempt: AttemptHandle | None = None
-        self._program: Steps[Any] | None = None
+        self._exchange: Steps[Any] | None = None
         self._clunk_tags: set[int] = set()  # tags of clunks in flight
         self._next_clunk_tag = CLUNK_TAGS[0]
         self.bytes_may_have_been_sent = False
@@ -79,11 +79,11 @@
         return self._framer.has_partial_message
 
     def begin(self, attempt: AttemptHandle) -> None:
-        """Start the attempt's program. Raises `BackendProtocolError` if nothing may be sent to the server."""
+        """Start the exchange. Raises `BackendProtocolError` if nothing may be sent to the server."""
         self._attempt = attempt
         self.bytes_may_have_been_sent = False
-        self._program = attempt.operation.attempt_steps(self._session)
-        self._run_program(None)
+        self._exchange = attempt.operation.attempt_steps(self._session)
+        self._advance_exchange(None)
 
     def feed(self, data: bytes | memoryview) -> None:
         """Process received bytes. Raises `BackendProtocolError` if the connection can no longer be used."""
@@ -109,24 +109,24 @@
         self._framer.close()
 
     def _handle_reply(self, tag: int, message: codec.Message | codec.MalformedMessage) -> None:
-        if self._program is None:
+        if self._exchange is None:
             raise UnsolicitedResponseError
         if isinstance(message, codec.MalformedMessage):
             raise BackendProtocolError(message.reason)
         if tag != (codec.NOTAG if isinstance(message, codec.Rversion) else ATTEMPT_TAG):
             raise BackendProtocolError(f"reply with unexpected tag {tag}")
-        self._run_program(message)
+        self._advance_exchange(message)
 
-    def _run_program(self, reply: codec.Message | None) -> None:
-        """Run the program up to its next message, and send that message."""
-        assert self._program
+    def _advance_exchange(self, reply: codec.Message | None) -> None:
+        """Run the exchange up to its next message, and send that message."""
+        assert self._exchange
         try:
             # A generator that has not started accepts only None, which is what begin() passes.
-            message = self._program.send(reply)  # type: ignore[arg-type]
+            message = self._exchange.send(reply)  # type: ignore[arg-type]
         except StopIteration as end:
-            self._end_program(end.value)
+            self._end_exchange(end.value)
             return
-        # A server that has started to drain must not be sent further messages of the program.
+        # A server that has started to drain must not be sent further messages of the exchange.
         if self._attempt and self._attempt.address() is None:
             raise BackendProtocolError("server is draining")
         self._record_exposure(message)
@@ -138,7 +138,7 @@
     def _record_exposure(self, message: codec.Message) -> None:
         """Record that the server may execute the operation once it has received this message.
 
-        The program of a change first sends messages that change nothing; until the changing message is sent,
+        The exchange of a change first sends messages that change nothing; until the changing message is sent,
         the change cannot have been executed.
         """
         if self._attempt is None or self.bytes_may_have_been_sent:
@@ -151,7 +151,7 @@
             work.delivery.maybe_delivered = True
             work.delivery.unresolved_attempts += 1
 
-    def _end_program(self, result: object) -> None:
+    def _end_exchange(self, result: object) -> None:
         """End the attempt; the connection becomes idle once no exclusive-use file is open on it.
 
         An exclusive-use file is clunked first, because the next attempt may run on another connection, which
@@ -164,12 +164,12 @@
             if work.spec.changes_tree and self.bytes_may_have_been_sent:
                 work.delivery.unresolved_attempts -= 1
             if self._session.must_clunk_before_next:
-                self._program = clunk_unused_fids(self._session)
+                self._exchange = clunk_unused_fids(self._session)
                 attempt.finish(Outcome.SERVED, result)
-                self._run_program(None)
+                self._advance_exchange(None)
                 return
             attempt.finish(Outcome.SERVED, result)
-        self._program = None
+        self._exchange = None
         self._send_clunks()
         self._done()
 
--- a/garnetlanding/ninep/client_dialect.py
+++ b/garnetlanding/ninep/client_dialect.py
@@ -32,7 +32,7 @@
 
 
 class ClientDialect(Protocol):
-    """A dialect used with file servers. Each method except `attach` is part of a program.
+    """A dialect used with file servers. Each method except `attach` is part of a message exchange.
 
     A `fid` argument refers to the file, or to the directory in which an entry is created. Every method raises
     OperationFailedError for an error reply and for an operation that the dialect cannot express.
--- a/garnetlanding/ninep/client_session.py
+++ b/garnetlanding/ninep/client_session.py
@@ -50,7 +50,7 @@
         """Negotiated maximum message size in bytes; 0 until a version has been negotiated."""
         self.dialect: ServerDialect | None = None
         """None until a version has been negotiated."""
-        self.requests = RequestDispatcher(shared, client, ReplyWriter(self.reply, self.reply_problem))
+        self.requests = RequestDispatcher(shared, client, ReplyWriter(self.reply, self.reply_error))
         self.fids = FidTable(shared.limits, self.requests.pending)
         self.handlers: Handlers = {
             codec.Tflush: self._flush,
@@ -86,12 +86,12 @@
         """Write an R-message."""
         self._write(codec.encode(tag, message))
 
-    def reply_problem(self, tag: int, problem: ErrorReply) -> None:
+    def reply_error(self, tag: int, error: ErrorReply) -> None:
         """Write an error reply, in 9P2000 format before a version has been negotiated."""
         if self.dialect:
-            self.reply(tag, self.dialect.error_reply(problem, self.msize))
+            self.reply(tag, self.dialect.error_reply(error, self.msize))
         else:
-            self.reply(tag, codec.Rerror(problem.text))
+            self.reply(tag, codec.Rerror(error.text))
 
     # Fids
 
@@ -216,7 +216,7 @@
         for tag, pending in list(self.requests.pending.items()):
             uses_fid = pending.fid == number and pending.newfid is None
             if uses_fid and not pending.is_change and self.requests.cancel(tag):
-                self.reply_problem(tag, ErrorReply(errors.EBADF, "fid clunked"))
+                self.reply_error(tag, ErrorReply(errors.EBADF, "fid clunked"))
         self.shared.locks.release_fid(self.client, number)
         self.shared.exclusive_use.release_fid(self.client, number)
         return self.fids.by_number.pop(number)
--- a/garnetlanding/ninep/dispatcher.py
+++ b/garnetlanding/ninep/dispatcher.py
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyWriter:
-    """Writes to the client: `message` a reply, `problem` an error reply in the negotiated dialect."""
+    """Writes to the client: `message` a reply, `error_reply` an error reply in the negotiated dialect."""
 
     message: Callable[[int, Message], None]
-    problem: Callable[[int, ErrorReply], None]
+    error_reply: Callable[[int, ErrorReply], None]
 
 
 def held_bytes(operation: Operation) -> int:
@@ -249,7 +249,7 @@
         pending.settled = True
         del self.pending[tag]
         if isinstance(reply, ErrorReply):
-            self._replies.problem(tag, reply)
+            self._replies.error_reply(tag, reply)
         else:
             self._replies.message(tag, reply)
         for flush_tag in pending.flush_tags:
--- a/garnetlanding/ninep/fids.py
+++ b/garnetlanding/ninep/fids.py
@@ -12,11 +12,11 @@
 
 
 class RequestRejectedError(NinepError):
-    """A message is rejected without asking a file server; `problem` is the error for the client."""
+    """A message is rejected without asking a file server; `error_reply` is the reply to the client."""
 
     def __init__(self, number: int, text: str = "") -> None:
-        self.problem = ErrorReply(number, text)
-        super().__init__(self.problem.text)
+        self.error_reply = ErrorReply(number, text)
+        super().__init__(self.error_reply.text)
 
 
 @dataclass(frozen=True, slots=True)
--- a/garnetlanding/ninep/front.py
+++ b/garnetlanding/ninep/front.py
@@ -106,7 +106,7 @@
         try:
             self._handle(tag, message)
         except RequestRejectedError as rejection:
-            self._session.reply_problem(tag, rejection.problem)
+            self._session.reply_error(tag, rejection.error_reply)
 
     def _handle(self, tag: int, message: Message | MalformedMessage) -> None:
         dialect = self._session.dialect
@@ -119,7 +119,7 @@
             raise RequestRejectedError(errors.EPROTO, message.reason)
         handler = self._handlers.get(type(message))
         if handler is None:
-            self._session.reply_problem(tag, dialect.unsupported)
+            self._session.reply_error(tag, dialect.unsupported)
             return
         handler(tag, message)
         self.requests_received = self._session.requests.submitted
--- a/garnetlanding/ninep/outcome.py
+++ b/garnetlanding/ninep/outcome.py
@@ -44,7 +44,7 @@
     try:
         return build_reply(value)
     except RequestRejectedError as rejection:
-        return rejection.problem
+        return rejection.error_reply
 
 
 def _busy_reply(retry_after_us: int | None) -> ErrorReply:
--- a/garnetlanding/ninep/server_dialect.py
+++ b/garnetlanding/ninep/server_dialect.py
@@ -28,5 +28,5 @@
     def read_directory(self, tag: int, fid_number: int, fid: Fid, offset: int, count: int, /) -> None:
         """Process a Tread of a directory. Raises RequestRejectedError if the dialect has no such message."""
 
-    def error_reply(self, problem: ErrorReply, msize: int, /) -> Message:
-        """Return the R-message for a problem, no longer than `msize` bytes."""
+    def error_reply(self, error: ErrorReply, msize: int, /) -> Message:
+        """Return the R-message of an error reply, no longer than `msize` bytes."""
--- a/garnetlanding/ninep/server_dialect_linux.py
+++ b/garnetlanding/ninep/server_dialect_linux.py
@@ -72,9 +72,9 @@
             codec_linux.Trenameat: self._renameat,
         }
 
-    def error_reply(self, problem: ErrorReply, _msize: int) -> Message:
+    def error_reply(self, error: ErrorReply, _msize: int) -> Message:
         """Return an Rlerror, which has the Linux error number and no text."""
-        return codec_linux.Rlerror(problem.errno)
+        return codec_linux.Rlerror(error.errno)
 
     def _attach(self, tag: int, message: codec_linux.Tlattach) -> None:
         request = AttachRequest(message.fid, message.afid, message.uname, message.n_uname, message.aname)
--- a/garnetlanding/ninep/server_dialect_plain.py
+++ b/garnetlanding/ninep/server_dialect_plain.py
@@ -51,9 +51,9 @@
             codec.Twstat: self._wstat,
         }
 
-    def error_reply(self, problem: ErrorReply, msize: int) -> Message:
+    def error_reply(self, error: ErrorReply, msize: int) -> Message:
         """Return an Rerror, with its text truncated to fit the negotiated message size."""
-        text = problem.text.encode()[: msize - _ERROR_OVERHEAD]
+        text = error.text.encode()[: msize - _ERROR_OVERHEAD]
         return codec.Rerror(text.decode(errors="ignore"))
 
     def _attach(self, tag: int, message: codec.Tattach) -> None:
--- a/garnetlanding/ninep/session.py
+++ b/garnetlanding/ninep/session.py
@@ -1,6 +1,6 @@
 """The state of one connection to a file server, and the message exchanges that all operations share.
 
-A program is a generator that yields T-messages, receives the R-messages through `send`, and returns a value.
+An exchange is a generator that yields T-messages, receives R-messages through `send`, and returns a value.
 An error reply from the server ends it with `OperationFailedError`.
 """
 
