--- a/garnetlanding/decision/tuning.py
+++ b/garnetlanding/decision/tuning.py
@@ -28,9 +28,7 @@
 
 # Backend health.
 UNRESPONSIVE_OBJECTIVES = 2.0  # tightest objectives without a response; healthy backends pause for less
-CRASH_CONNECT_FAILURES = (
-    3  # consecutive ones by which an unresponsive backend counts as crashed; one may be chance
-)
+CRASH_CONNECT_FAILURES = 3  # consecutive, until a backend counts as crashed; one may be chance
 FULL_QUEUE_REJECTIONS = 3  # consecutive, until the queue of a backend counts as full
 FULL_QUEUE_LATENCY_OBJECTIVES = 2  # assumed latency of a backend whose queue is full, in tightest objectives
 FAULT_PRIOR_PROBABILITY = 0.01  # that a backend is faulty, as opposed to a timeout by a lost response
--- a/tests/decision/test_fair_queueing.py
+++ b/tests/decision/test_fair_queueing.py
@@ -25,9 +25,12 @@
 def finish_oldest(bench: DecisionBench, count: int) -> list[str]:
     """Finish the oldest attempts one by one; return the order in which queued requests are sent."""
     sent_order = []
+    finished = set()
     for _ in range(count):
         oldest = next(send.request for send in bench.sends() if send.request in bench.state.requests.by_id)
         sent_order += sent_requests(bench.finish_attempt(oldest, duration_us=5 * MS))
+        finished.add(oldest)
+    assert len(finished) == count, "an answered request was still open"
     return sent_order
 
 
