--- a/garnetlanding/peers/connection_quota.py
+++ b/garnetlanding/peers/connection_quota.py
@@ -54,15 +54,15 @@
         quota = budget.leases.usable_quota(tag, self._now())
         return int(quota * self.per_backend + ROUNDING_SLACK)
 
-    def set_open(self, backend: str, count: int, *, lacking: bool = False) -> None:
+    def set_open(self, backend: str, count: int, *, denied_by_quota: bool = False) -> None:
         """Set the number of connections that are open to a backend now.
 
-        `lacking`: another connection was needed, but exceeded the quota.
+        `denied_by_quota`: another connection was needed, but exceeded the quota.
         """
         budget = self._budget_leases()
         if budget is None:
             return
-        self._record_demand(budget, backend, float(lacking))
+        self._record_demand(budget, backend, float(denied_by_quota))
         budget.leases.demands.set_in_use(concurrency_budget_name(backend), count)
 
     def _record_demand(self, budget: BudgetLeases, backend: str, units: float) -> None:
--- a/garnetlanding/runtime/connection_capacity.py
+++ b/garnetlanding/runtime/connection_capacity.py
@@ -26,8 +26,8 @@
     def max_connections(self, backend: str) -> int:
         """Return how many connections to the backend this instance may have open at present."""
 
-    def set_open(self, backend: str, count: int, *, lacking: bool = False) -> None:
-        """Report the number of open connections; `lacking` if one more was needed and the quota denied it."""
+    def set_open(self, backend: str, count: int, *, denied_by_quota: bool = False) -> None:
+        """Report the number of open connections, and whether the quota denied one more that was needed."""
 
 
 class UpstreamCapacity:
--- a/garnetlanding/runtime/upstream.py
+++ b/garnetlanding/runtime/upstream.py
@@ -84,7 +84,7 @@
         quota = self.connections.quota
         if quota and open_count >= quota.max_connections(backend):
             # The quota is exhausted, so the outcome must not count against the backend.
-            quota.set_open(backend, open_count, lacking=True)
+            quota.set_open(backend, open_count, denied_by_quota=True)
             return Outcome.NEVER_DISPATCHED
         if open_count >= self.limits.connections_per_backend:
             return Outcome.UNREACHABLE
--- a/tests/peers/test_connection_quota.py
+++ b/tests/peers/test_connection_quota.py
@@ -33,14 +33,14 @@
             PER_BACKEND, WINDOW_US, lambda: self.now, lambda: BudgetLeases(self.instances[0], 2)
         )
 
-    def exchange(self, seconds: float, own: int = 0, peers: int = 0, lacking: bool = False) -> None:
+    def exchange(self, seconds: float, own: int = 0, peers: int = 0, denied_by_quota: bool = False) -> None:
         """Exchange messages while the first instance has `own` connections open and the second `peers`.
 
-        If `lacking`, the first instance needs another connection.
+        If `denied_by_quota`, the first instance needs another connection.
         """
         for _ in range(int(seconds * 4)):
             self.now += SECOND // 4
-            self.quota.set_open("n0", own, lacking=lacking)
+            self.quota.set_open("n0", own, denied_by_quota=denied_by_quota)
             rate = PER_BACKEND * SECOND / WINDOW_US
             self.instances[1].record_demand(BUDGET, 2, rate, 0, self.now, WINDOW_US)
             self.instances[1].demands.set_in_use(BUDGET, peers)
@@ -62,7 +62,7 @@
     assert fleet.quota.max_connections("n0") == 0, "connections of an earlier incarnation may still be open"
     fleet.exchange(3)
     assert fleet.quota.max_connections("n0") == 4
-    fleet.exchange(3, own=4, lacking=True)
+    fleet.exchange(3, own=4, denied_by_quota=True)
     assert fleet.quota.max_connections("n0") > 5
     assert fleet.quota.max_connections("n0") + fleet.peers_quota() <= PER_BACKEND
 
@@ -70,7 +70,7 @@
 def test_connections_that_a_peer_has_open_are_not_granted() -> None:
     busy = TwoInstanceFleet()
     busy.exchange(3)
-    busy.exchange(3, own=4, peers=4, lacking=True)
+    busy.exchange(3, own=4, peers=4, denied_by_quota=True)
     assert busy.quota.max_connections("n0") == 4, "the peer keeps its open connections"
 
 
@@ -96,8 +96,8 @@
     def max_connections(self, _backend: str) -> int:
         return self.allowed
 
-    def set_open(self, _backend: str, count: int, *, lacking: bool = False) -> None:
-        self.reported.append((count, lacking))
+    def set_open(self, _backend: str, count: int, *, denied_by_quota: bool = False) -> None:
+        self.reported.append((count, denied_by_quota))
 
 
 def test_pool_opens_no_more_connections_than_the_quota_and_closes_those_beyond_it() -> None:
