--- a/garnetlanding/lab/byzantine.py
+++ b/garnetlanding/lab/byzantine.py
@@ -33,13 +33,13 @@
 
 
 def _demand_everything(envelope: Envelope) -> bytes:
-    leases = lease_message.read(envelope)
+    leases = lease_message.from_envelope(envelope)
     requests = {volume: request._replace(quota=1.0) for volume, request in leases.requests.items()}
     return lease_message.encode(replace(leases, requests=requests, grants={}))
 
 
 def _report_unreachable(envelope: Envelope, backends: Sequence[str]) -> bytes:
-    message = gossip_message.read(envelope)
+    message = gossip_message.from_envelope(envelope)
     evidence = tuple(
         gossip_message.Evidence(
             gossip_message.EvidenceKind.UNREACHABLE,
--- a/garnetlanding/peers/failure_detector.py
+++ b/garnetlanding/peers/failure_detector.py
@@ -15,7 +15,13 @@
 from garnetlanding.peers.disabled_backends import DisableRecord
 from garnetlanding.peers.drop_reasons import DropReason
 from garnetlanding.peers.envelope import Envelope
-from garnetlanding.peers.gossip_message import Evidence, GossipMessage, count_fitting, read, to_envelope
+from garnetlanding.peers.gossip_message import (
+    Evidence,
+    GossipMessage,
+    count_fitting,
+    from_envelope,
+    to_envelope,
+)
 from garnetlanding.peers.history import PeerHistory
 from garnetlanding.peers.limits import MS, PeerLimits
 from garnetlanding.peers.local_observations import LocalObservations
@@ -50,7 +56,7 @@
         `sent_at` is when this instance sent the message that the envelope acknowledges, or None if that is
         unknown. Raises MessageError if the body cannot be decoded.
         """
-        message = read(envelope)
+        message = from_envelope(envelope)
         self.disables.receive(sender, envelope.incarnation, message.digest, message.records)
         evidence = message.evidence if self._share_evidence else ()
         return self.suspicions.receive(sender, evidence, sent_at, now, self.observations)
--- a/garnetlanding/peers/gossip_message.py
+++ b/garnetlanding/peers/gossip_message.py
@@ -132,7 +132,7 @@
     return RECORD_HEADER.pack(version, record.instance, record.disabled, len(name)) + name
 
 
-def read(envelope: Envelope) -> GossipMessage:
+def from_envelope(envelope: Envelope) -> GossipMessage:
     """Decode the body of a gossip message. Raises MessageError."""
     evidence_count, record_count = envelope.counts
     body = envelope.body
--- a/garnetlanding/peers/lease_message.py
+++ b/garnetlanding/peers/lease_message.py
@@ -93,7 +93,7 @@
 
 def decode(data: bytes, max_bytes: int) -> LeaseMessage:
     """Decode a datagram of at most `max_bytes`. Raises MessageError."""
-    return read(decode_envelope(data, max_bytes))
+    return from_envelope(decode_envelope(data, max_bytes))
 
 
 def to_envelope(message: LeaseMessage, kind: MessageKind) -> Envelope:
@@ -124,7 +124,7 @@
     return min(QUOTA_STEPS, -int(-quota * QUOTA_STEPS // 1))
 
 
-def read(envelope: Envelope) -> LeaseMessage:
+def from_envelope(envelope: Envelope) -> LeaseMessage:
     """Decode the body of an envelope of kind `LEASES` or `BUDGETS`. Raises MessageError."""
     if envelope.kind not in (MessageKind.LEASES, MessageKind.BUDGETS):
         raise MessageError(MessageFault.UNEXPECTED_KIND, 1)
--- a/garnetlanding/peers/membership_message.py
+++ b/garnetlanding/peers/membership_message.py
@@ -88,7 +88,7 @@
     return fixed_fields + address + PORT.pack(port)
 
 
-def read(envelope: Envelope) -> MembershipMessage:
+def from_envelope(envelope: Envelope) -> MembershipMessage:
     """Decode the body of a membership message. Raises MessageError."""
     if envelope.kind != MessageKind.MEMBERSHIP:
         raise MessageError(MessageFault.UNEXPECTED_KIND, 1)
--- a/garnetlanding/peers/membership_protocol.py
+++ b/garnetlanding/peers/membership_protocol.py
@@ -40,14 +40,14 @@
         """
         try:
             envelope = decode_envelope(data, self.limits.datagram_bytes)
-            own = membership_message.read(envelope).records[0]
+            own = membership_message.from_envelope(envelope).records[0]
         except MessageError:
             return None
         return own.instance if own.address == address and not own.terminated else None
 
     def merge(self, envelope: Envelope) -> MembershipMessage:
         """Decode a message and merge its records. Raises MessageError."""
-        message = membership_message.read(envelope)
+        message = membership_message.from_envelope(envelope)
         digest_before = self.members.table.digest
         self.members.merge(message.records)
         if self.members.table.digest != digest_before:
--- a/garnetlanding/peers/receiver.py
+++ b/garnetlanding/peers/receiver.py
@@ -70,8 +70,8 @@
         if envelope.kind == MessageKind.BUDGETS:
             if self._quota_manager.budgets is None:
                 return DropReason.OTHER_KIND
-            return self._quota_manager.budgets.receive(sender, lease_message.read(envelope), now)
-        return self._quota_manager.leases.receive(sender, lease_message.read(envelope), now)
+            return self._quota_manager.budgets.receive(sender, lease_message.from_envelope(envelope), now)
+        return self._quota_manager.leases.receive(sender, lease_message.from_envelope(envelope), now)
 
     def _receive_membership(
         self, membership: MembershipProtocol, sender: int, envelope: Envelope, now: int
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -507,9 +507,11 @@
     """Decode a datagram by the kind of its envelope, as `PeerCoordinator` does."""
     envelope = decode_envelope(data, PEER_LIMITS.datagram_bytes)
     if envelope.kind == MessageKind.MEMBERSHIP:
-        return membership_message.read(envelope)
+        return membership_message.from_envelope(envelope)
     return (
-        gossip_message.read(envelope) if envelope.kind == MessageKind.GOSSIP else lease_message.read(envelope)
+        gossip_message.from_envelope(envelope)
+        if envelope.kind == MessageKind.GOSSIP
+        else lease_message.from_envelope(envelope)
     )
 
 
--- a/tests/peers/test_gossip_message.py
+++ b/tests/peers/test_gossip_message.py
@@ -27,7 +27,7 @@
     EvidenceKind,
     GossipMessage,
     count_fitting,
-    read,
+    from_envelope,
     to_envelope,
 )
 from tests.support.clock import T0
@@ -70,12 +70,12 @@
     all_fit = fitting == (len(evidence), len(records))
     assert all_fit or len(data) > 200 - 40 * (fitting.records < len(records))
     envelope = decode_envelope(data, LIMITS.datagram_bytes)
-    assert read(envelope) == message
+    assert from_envelope(envelope) == message
     assert (envelope.incarnation, envelope.number) == (9, 8)
     assert (envelope.acked_incarnation, envelope.acked_number) == (7, 6)
     for body in (envelope.body[:-1], envelope.body + b"x"):
         with pytest.raises(MessageError):
-            read(replace(envelope, body=body))
+            from_envelope(replace(envelope, body=body))
 
 
 def test_forged_gossip_is_counted_by_cause() -> None:
@@ -98,5 +98,5 @@
 
 def test_counts_and_ages_beyond_the_greatest_encodable_ones_are_sent_as_those() -> None:
     evidence = replace(make_evidence(), count=MAX_COUNT + 1, age_ms=MAX_AGE_MS + 1)
-    decoded = read(to_envelope(GossipMessage(EMPTY_DIGEST, (evidence,)), 1, 1, 0, 0))
+    decoded = from_envelope(to_envelope(GossipMessage(EMPTY_DIGEST, (evidence,)), 1, 1, 0, 0))
     assert decoded.evidence == (replace(evidence, count=MAX_COUNT, age_ms=MAX_AGE_MS),)
--- a/tests/peers/test_membership_message.py
+++ b/tests/peers/test_membership_message.py
@@ -31,7 +31,7 @@
         message = membership_message.MembershipMessage(digest, tuple(page), joined)
         data = encode_envelope(membership_message.to_envelope(message, 1, 2, 3, 4))
         assert len(data) <= LIMITS.datagram_bytes
-        assert membership_message.read(decode_envelope(data, LIMITS.datagram_bytes)) == message
+        assert membership_message.from_envelope(decode_envelope(data, LIMITS.datagram_bytes)) == message
     assert len(membership_message.paginate(records * 9, LIMITS.datagram_bytes, 2)) <= 2
 
 
@@ -39,7 +39,7 @@
 def test_arbitrary_membership_body_is_decoded_whole_or_rejected(body: bytes, counts: tuple[int, int]) -> None:
     envelope = Envelope(MessageKind.MEMBERSHIP, 1, 1, 0, 0, counts, body)
     try:
-        message = membership_message.read(envelope)
+        message = membership_message.from_envelope(envelope)
     except MessageError:
         return
     assert len(message.records) == counts[0] > 0
--- a/tests/peers/test_membership_protocol.py
+++ b/tests/peers/test_membership_protocol.py
@@ -43,7 +43,9 @@
     for receiver, envelope in composed:
         assert (envelope.acked_incarnation, envelope.acked_number) == last_received[receiver]
         assert envelope.incarnation == 7
-        message = membership_message.read(decode_envelope(encode_envelope(envelope), LIMITS.datagram_bytes))
+        message = membership_message.from_envelope(
+            decode_envelope(encode_envelope(envelope), LIMITS.datagram_bytes)
+        )
         assert message.records[0] == members.table.records[0]
     numbers = [envelope.number for _, envelope in composed]
     assert numbers == [11, 12, 13] * 2
