--- a/garnetlanding/core/engine.py
+++ b/garnetlanding/core/engine.py
@@ -10,7 +10,7 @@
 import logging
 from collections.abc import Callable
 
-from garnetlanding.core.admission import Capacity, validate
+from garnetlanding.core.admission_checks import Capacity, validate
 from garnetlanding.core.dispatcher import AttemptDispatcher, DispatcherDependencies
 from garnetlanding.core.endpoint_registry import EndpointRegistry
 from garnetlanding.core.event_feed import EventFeed
--- a/garnetlanding/core/request_table.py
+++ b/garnetlanding/core/request_table.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Iterator
 
-from garnetlanding.core.admission import Capacity
+from garnetlanding.core.admission_checks import Capacity
 from garnetlanding.core.body import Body
 from garnetlanding.core.event_feed import EventFeed
 from garnetlanding.core.metrics import RequestMetrics
--- a/tests/core/test_admission_checks.py
+++ b/tests/core/test_admission_checks.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from garnetlanding.core.admission import Capacity, validate
+from garnetlanding.core.admission_checks import Capacity, validate
 from garnetlanding.core.ports import InvalidRequestError, RequestDefect, RequestSpec
 from garnetlanding.limits import Limits
 from tests.support.clock import SECOND
