--- a/garnetlanding/decision/derived_settings.py
+++ b/garnetlanding/decision/derived_settings.py
@@ -21,7 +21,7 @@
         """Compute the values for these settings."""
         classes = settings.classes.values()
         tightest_objective_us = min(spec.latency_objective_us for spec in classes)
-        highest_price = max(plan.price for plan in settings.plans.values())
-        highest_priority_weight = max(spec.priority_weight for spec in classes) * highest_price
+        highest_weight_factor = max(plan.priority_weight_factor for plan in settings.plans.values())
+        highest_priority_weight = max(spec.priority_weight for spec in classes) * highest_weight_factor
         contention = max(0.0, 1 - tuning.CONCURRENCY_FLOOR / max(1, settings.instances))
         return cls(tightest_objective_us, highest_priority_weight, contention)
--- a/garnetlanding/decision/interface.py
+++ b/garnetlanding/decision/interface.py
@@ -110,7 +110,7 @@
     reserve_rate: float
     limit_rate: float = 0.0  # 0: no limit
     limit_burst: float = 0.0  # units; 0: no limit
-    price: float = 1.0  # factor on the class's priority weight
+    priority_weight_factor: float = 1.0  # factor on the class's priority weight
 
 
 @dataclass(slots=True, frozen=True)
@@ -134,7 +134,7 @@
     warmup_units: float  # that a warming backend can always serve per overload window, for all instances
     overload_multiple: float  # a backend fails above this multiple of the usual load in an overload window
     overload_window_us: int
-    ordered_key_rest_us: int  # pause of a key after an attempt that the backend may still be executing
+    ordered_key_pause_us: int  # pause of a key after an attempt that the backend may still be executing
     retry_budget_ratio: float  # retries that one arrival earns
     retry_budget_floor: float  # retries per window that need no arrivals, for all instances together
     retry_budget_window_us: int  # 0: no budget
--- a/garnetlanding/decision/request_table.py
+++ b/garnetlanding/decision/request_table.py
@@ -46,7 +46,7 @@
             sequence=self._arrivals,
             objective_at=first_attempt_at + class_spec.latency_objective_us,
             answer_by=arrival.deadline_us - tuning.ANSWER_MARGIN_TICKS * tick_us,
-            priority_weight=class_spec.priority_weight * plan.price,
+            priority_weight=class_spec.priority_weight * plan.priority_weight_factor,
         )
         self.by_id[arrival.request] = request
         return request
--- a/garnetlanding/decision/retries.py
+++ b/garnetlanding/decision/retries.py
@@ -40,7 +40,7 @@
             request.volume.usage_percent = result.usage_percent
         ordered_keys = state.requests.ordered_keys
         if result.outcome in MAY_STILL_RUN and request.arrival.key in ordered_keys:
-            pause_us = state.settings.ordered_key_rest_us + state.settings.tick_us
+            pause_us = state.settings.ordered_key_pause_us + state.settings.tick_us
             ordered_keys[request.arrival.key].blocked_until = state.now + pause_us
 
     def _retry(self, request: Request) -> None:
--- a/garnetlanding/emulator/fleet_config.py
+++ b/garnetlanding/emulator/fleet_config.py
@@ -13,8 +13,8 @@
 READ = api.ClassSpec("read", 2.0, 0.15, 550 * MS, 2640 * MS, api.Effect.SAFE)
 WRITE = api.ClassSpec("write", 2.0, 0.2, 880 * MS, 4400 * MS, api.Effect.SAFE)
 PLANS = {
-    "standard": api.PlanSpec("standard", 1.0, 1.2, 0.6, price=0.72),
-    "priority": api.PlanSpec("priority", 1.0, 1.9, 2.3, price=1.2),
+    "standard": api.PlanSpec("standard", 1.0, 1.2, 0.6, priority_weight_factor=0.72),
+    "priority": api.PlanSpec("priority", 1.0, 1.9, 2.3, priority_weight_factor=1.2),
 }
 
 
@@ -85,7 +85,7 @@
         warmup_units=config.warmup_units,
         overload_multiple=config.overload_multiple,
         overload_window_us=config.overload_window_us,
-        ordered_key_rest_us=0,
+        ordered_key_pause_us=0,
         retry_budget_ratio=0.0,
         retry_budget_floor=0.0,
         retry_budget_window_us=0,
--- a/garnetlanding/emulator/fleet_load.py
+++ b/garnetlanding/emulator/fleet_load.py
@@ -84,7 +84,7 @@
     """Send the request; one to an instance that does not run is lost, and counts as requested."""
     volume = planned.volume
     request_class = WRITE if planned.is_write else READ
-    value = request_class.priority_weight * volume.plan.price * planned.units
+    value = request_class.priority_weight * volume.plan.priority_weight_factor * planned.units
     tally.requested_value += value
     if not instance.is_running:
         return
--- a/garnetlanding/emulator/fleet_tally.py
+++ b/garnetlanding/emulator/fleet_tally.py
@@ -9,7 +9,9 @@
 class Tally:
     """Sums over all instances."""
 
-    requested_value: float = 0.0  # priority weight times price and units, as if all were served in time
+    requested_value: float = (
+        0.0  # class priority weight times plan factor and units, as if all were served in time
+    )
     earned_value: float = 0.0
     list_calls: int = 0
     list_calls_failed: int = 0
--- a/garnetlanding/emulator/suspicion_net.py
+++ b/garnetlanding/emulator/suspicion_net.py
@@ -115,7 +115,7 @@
         warmup_units=10.0,
         overload_multiple=2.0,
         overload_window_us=2 * SECOND,
-        ordered_key_rest_us=SECOND,
+        ordered_key_pause_us=SECOND,
         retry_budget_ratio=0.0,
         retry_budget_floor=0.0,
         retry_budget_window_us=0,
--- a/garnetlanding/wire.py
+++ b/garnetlanding/wire.py
@@ -193,7 +193,7 @@
         warmup_units=get("FamilyInfo.ColdBears", number, default=0.0),
         overload_multiple=get("Rules.FallMultiple", number, default=1.0),
         overload_window_us=get("Rules.FallUs", integer, default=0),
-        ordered_key_rest_us=get("Rules.TurnGapUs", integer, default=0),
+        ordered_key_pause_us=get("Rules.TurnGapUs", integer, default=0),
         retry_budget_ratio=get("Rules.FurtherRatio", number, default=0.0),
         retry_budget_floor=get("Rules.FreeResends", number, default=0.0),
         retry_budget_window_us=get("Rules.RatioSpanUs", integer, default=0),
@@ -229,7 +229,7 @@
         reserve_rate=get(prefix + "Guaranteed", number, default=0.0),
         limit_rate=get(prefix + "NeverOver", number, default=0.0),
         limit_burst=get(prefix + "LimitBurst", number, default=0.0),
-        price=get(prefix + "WorthFactor", number, default=1.0),
+        priority_weight_factor=get(prefix + "WorthFactor", number, default=1.0),
     )
 
 
--- a/tests/decision/test_decision_rules.py
+++ b/tests/decision/test_decision_rules.py
@@ -112,7 +112,7 @@
 
 
 def test_ordered_key_waits_for_attempts_in_flight_and_then_pauses() -> None:
-    bench = bench_with_one_backend(ordered_key_rest_us=200 * MS)
+    bench = bench_with_one_backend(ordered_key_pause_us=200 * MS)
     bench.arrive("a", request_class="ordered", key="k")
     bench.arrive("b", request_class="ordered", key="k")
     bench.arrive("other", request_class="ordered", key="k2")
@@ -127,7 +127,7 @@
 
 
 def test_ordered_key_waits_for_an_attempt_in_flight_of_a_request_that_was_answered_before() -> None:
-    bench = bench_with_one_backend(ordered_key_rest_us=200 * MS, may_cancel=False)
+    bench = bench_with_one_backend(ordered_key_pause_us=200 * MS, may_cancel=False)
     bench.arrive("a", request_class="ordered", key="k")
     bench.deliver(api.ClientLeft("a"))  # needs no answer, but its attempt is not cancelled
     bench.arrive("b", request_class="ordered", key="k")
@@ -204,7 +204,7 @@
         instances=rng.choice([1, 3]),
         parallel_attempts=rng.random() < 0.5,
         may_cancel=rng.random() < 0.5,
-        ordered_key_rest_us=200 * MS,
+        ordered_key_pause_us=200 * MS,
         poll_endpoints=rng.random() < 0.5,
         retry_budget_floor=rng.choice([1.0, 3.0]),
         retry_budget_ratio=0.15,
--- a/tests/golden/test_decision_digest.py
+++ b/tests/golden/test_decision_digest.py
@@ -59,7 +59,7 @@
 def format_plan(plan: api.PlanSpec) -> str:
     return (
         f"({plan.name} {plan.weight!r} {plan.usual_rate!r} {plan.reserve_rate!r} {plan.limit_rate!r} "
-        f"{plan.limit_burst!r} {plan.price!r})"
+        f"{plan.limit_burst!r} {plan.priority_weight_factor!r})"
     )
 
 
@@ -274,7 +274,7 @@
     api.ClassSpec("turn", 1.0, 0.2, 600 * MS, 3000 * MS, api.Effect.SAFE, in_order=True),
 )
 PLANS = (
-    api.PlanSpec("gold", 4.0, 10.0, 8.0, price=1.5),
+    api.PlanSpec("gold", 4.0, 10.0, 8.0, priority_weight_factor=1.5),
     api.PlanSpec("tin", 1.0, 2.0, 1.0),
     api.PlanSpec("capped", 1.0, 4.0, 2.0, limit_rate=6.0, limit_burst=24.0),
 )
@@ -296,7 +296,7 @@
     warmup_units=9.0,
     overload_multiple=2.0,
     overload_window_us=2 * SECOND,
-    ordered_key_rest_us=20 * MS,
+    ordered_key_pause_us=20 * MS,
     retry_budget_ratio=0.2,
     retry_budget_floor=4.0,
     retry_budget_window_us=5 * SECOND,
@@ -579,7 +579,7 @@
             )
         if rng.random() < 0.2:
             del plans["gold"]  # put back as the last plan, at another price
-            plans["gold"] = replace(BASE_SETTINGS.plans["gold"], price=0.2)
+            plans["gold"] = replace(BASE_SETTINGS.plans["gold"], priority_weight_factor=0.2)
         self.settings = replace(self.settings, plans=plans, process_quota=rng.choice((0.5, 1.0, 1.0)))
         return api.NewSettings(self.settings)
 
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -1320,7 +1320,7 @@
         f"cold units: {s.warmup_units!r}",
         f"fall multiple: {s.overload_multiple!r}",
         f"fall time: {s.overload_window_us}",
-        f"rest between ordered: {s.ordered_key_rest_us}",
+        f"rest between ordered: {s.ordered_key_pause_us}",
         f"budget share: {s.retry_budget_ratio!r}",
         f"budget free: {s.retry_budget_floor!r}",
         f"budget span: {s.retry_budget_window_us}",
@@ -1342,7 +1342,7 @@
     for key, p in s.plans.items():
         lines.append(
             f"plan {key}: name {p.name}, weight {p.weight!r}, usual {p.usual_rate!r}, "
-            f"reserve {p.reserve_rate!r}, limit {p.limit_rate!r}, burst {p.limit_burst!r}, price {p.price!r}"
+            f"reserve {p.reserve_rate!r}, limit {p.limit_rate!r}, burst {p.limit_burst!r}, price {p.priority_weight_factor!r}"
         )
     return lines
 
--- a/tests/support/decision_bench.py
+++ b/tests/support/decision_bench.py
@@ -35,7 +35,7 @@
         warmup_units=9.0,
         overload_multiple=2.0,
         overload_window_us=2 * SECOND,
-        ordered_key_rest_us=0,
+        ordered_key_pause_us=0,
         retry_budget_ratio=0.0,
         retry_budget_floor=0.0,
         retry_budget_window_us=0,
