--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: each module is a command, and writes its table to `results/` or to standard output."""
+"""Benchmarks: each module is a command that writes a table to `results/` or to standard output."""
--- a/benchmarks/costs.py
+++ b/benchmarks/costs.py
@@ -1,4 +1,4 @@
-"""What the fleet's parts cost a head: CPU and memory of real processes, as ratios of one run's, and bytes.
+"""CPU, memory and messages that the optional subsystems cost per instance, measured on real processes.
 
 python -m benchmarks.costs [SEEDS]        writes benchmarks/results/costs.md
 """
@@ -42,18 +42,18 @@
 
 
 def main(seeds: int) -> None:
-    """Run every variant with so many seeds, and write the table."""
+    """Run every variant with the given number of seeds, and write the table."""
     cpu: dict[str, float] = dict.fromkeys(VARIANTS, 0.0)
     memory, messages = dict(cpu), dict(cpu)
     for seed in range(1, seeds + 1):
-        for name, more in VARIANTS.items():
+        for name, changes in VARIANTS.items():
             with tempfile.TemporaryDirectory() as folder:
-                found = run(replace(BASE, seed=seed, **more), pathlib.Path(folder) / "run")
-            costs = list(found.usage.values())
+                result = run(replace(BASE, seed=seed, **changes), pathlib.Path(folder) / "run")
+            costs = list(result.usage.values())
             cpu[name] += sum(used.cpu_s for used in costs) / len(costs) / seeds
             memory[name] += sum(used.memory_mb for used in costs) / len(costs) / seeds
             messages[name] += (
-                found.fates.get("arrived", 0) / BASE.instances / (BASE.duration_us / SECOND) / seeds
+                result.fates.get("arrived", 0) / BASE.instances / (BASE.duration_us / SECOND) / seeds
             )
     first = next(iter(VARIANTS))
     lines = [
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,10 +1,10 @@
-"""The three faults of a large fleet by number of instances: value served, and sums over all instances.
+"""The three faults of a large fleet by number of instances: value served, and totals over all instances.
 
     python -m benchmarks.fleet [--heads 4,10,40,100] [--seeds 1,2,3] [--json FILE]
 
-Writes a table to standard output. Days are drawn by seed on a fake clock, so that the figures are the same
-on every machine; compare two versions of the module by running each on the same seeds. Load, backends and
-volumes stay the same whatever the number of instances: the more there are, the less each one sees.
+Writes a table to standard output. Days are generated from a seed and simulated, so the figures are the same
+on every machine; compare two versions of the decision module by running each with the same seeds. Load,
+backends and volumes are the same for any number of instances: the more instances, the less each one sees.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 FAULTS = (FleetFault.HERD, FleetFault.ZONE, FleetFault.JOIN)
 
 
-def numbers(text: str) -> list[int]:
-    """Return the whole numbers of a list with commas, or raise `click.BadParameter`."""
+def parse_integers(text: str) -> list[int]:
+    """Parse integers separated by commas. Raises `click.BadParameter`."""
     try:
         return [int(part) for part in text.split(",")]
     except ValueError:
-        raise click.BadParameter(f"not whole numbers with commas between: {text!r}") from None
+        raise click.BadParameter(f"not integers separated by commas: {text!r}") from None
 
 
 def row(fault: FleetFault, instances: int, tallies: list[Tally]) -> str:
-    """Return the table's line for days that differ in their seed alone: means, and the greatest peaks."""
+    """Return the table row of days that differ only in their seed: means, and maxima of the peaks."""
     days = len(tallies)
     cells = (
         fault.value,
@@ -44,7 +44,7 @@
 
 
 def day_record(fault: FleetFault, instances: int, seed: int, tally: Tally) -> dict[str, object]:
-    """Return a day's figures under the names that the JSON file has for them."""
+    """Return the figures of a day under their names in the JSON file."""
     return {
         "kind": fault.value,
         "heads": instances,
@@ -63,22 +63,24 @@
 
 
 @click.command()
-@click.option("--heads", default="4,10,40,100", show_default=True, help="How many heads, day by day.")
-@click.option("--seeds", default="1,2,3", show_default=True, help="Days of each kind.")
+@click.option("--heads", default="4,10,40,100", show_default=True, help="Numbers of instances to simulate.")
+@click.option("--seeds", default="1,2,3", show_default=True, help="Seeds, one day each.")
 @click.option("--bricks", default=60, show_default=True, type=click.IntRange(4, 500))
-@click.option("--json", "json_file", type=click.File("w"), help="Write every day's figures there too.")
+@click.option(
+    "--json", "json_file", type=click.File("w"), help="Also write the figures of every day to this file."
+)
 def main(heads: str, seeds: str, bricks: int, json_file: TextIO | None) -> None:
-    """Play the days and print the table."""
+    """Simulate the days and print the table."""
     days = []
     print("| kind | heads | worth served | list calls | failed | handshakes | cold peak | worst queue |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for fault in FAULTS:
-        for instances in numbers(heads):
-            tallies = [play(fault.value, instances, seed, backends=bricks) for seed in numbers(seeds)]
-            for seed, tally in zip(numbers(seeds), tallies, strict=True):
+        for instances in parse_integers(heads):
+            tallies = [play(fault.value, instances, seed, backends=bricks) for seed in parse_integers(seeds)]
+            for seed, tally in zip(parse_integers(seeds), tallies, strict=True):
                 if tally.unanswered or tally.answered_twice:
                     raise click.ClickException(
-                        f"{fault.value} {instances} {seed}: a rule was broken: {tally}"
+                        f"{fault.value} {instances} {seed}: an invariant was violated: {tally}"
                     )
                 days.append(day_record(fault, instances, seed, tally))
             print(row(fault, instances, tallies), flush=True)
--- a/benchmarks/lab_runs.py
+++ b/benchmarks/lab_runs.py
@@ -1,8 +1,8 @@
-"""Every experiment of `experiments/` with several seeds, on real processes: a table of what was found.
+"""Every experiment of `experiments/` with several seeds, on real processes: a table of the results.
 
     python -m benchmarks.lab_runs [SEEDS [JOBS [EXPERIMENT ...]]]
 
-With names, these alone are run, and the rows of the others stay as they were recorded.
+If experiments are named, only these are run, and the recorded rows of the others stay.
 """
 
 from __future__ import annotations
@@ -60,16 +60,16 @@
     return f"| {' | '.join(map(str, cells))} |"
 
 
-def play(path: pathlib.Path, seed: int) -> InvariantReport | None:
-    """Run one experiment; return None where it could not be carried through.
+def run_experiment(path: pathlib.Path, seed: int) -> InvariantReport | None:
+    """Run one experiment; return None if it could not be completed.
 
-    Its folder stays where something was wrong.
+    Its folder is kept if it failed or violated an invariant.
     """
     folder = pathlib.Path(tempfile.mkdtemp(prefix="lab-"))
     try:
         report = run(replace(load(str(path)), seed=seed), folder / "run").report
-    except LabError as problem:
-        print(f"{path.stem}, seed {seed}: {problem}; see {folder}", file=sys.stderr)
+    except LabError as error:
+        print(f"{path.stem}, seed {seed}: {error}; see {folder}", file=sys.stderr)
         return None
     if report.is_sound:
         shutil.rmtree(folder)
@@ -79,33 +79,35 @@
     return report
 
 
-def recorded() -> dict[str, str]:
-    """Return the rows that stand in the results, by experiment."""
+def recorded_rows() -> dict[str, str]:
+    """Return the recorded rows, by experiment."""
     lines = RESULTS.read_text().splitlines() if RESULTS.exists() else []
     rows = [line for line in lines if line.startswith("| ") and line not in HEADER.splitlines()]
     return {line.split(" | ")[0].strip("| "): line for line in rows}
 
 
 def main(seeds: int, jobs: int, only: list[str]) -> int:
-    """Run all experiments, or those named, and write the table; return 1 where an invariant was violated."""
-    rows, broken = recorded() if only else {}, 0
+    """Run the experiments and write the table; return 1 if one failed or violated an invariant."""
+    rows, failures = recorded_rows() if only else {}, 0
     files = [path for path in sorted((ROOT / "experiments").glob("*.toml")) if not only or path.stem in only]
     with Progress() as bar, ProcessPoolExecutor(jobs) as pool:
         task = bar.add_task("experiments", total=len(files) * seeds)
-        runs = {path: [pool.submit(play, path, seed) for seed in range(1, seeds + 1)] for path in files}
+        runs = {
+            path: [pool.submit(run_experiment, path, seed) for seed in range(1, seeds + 1)] for path in files
+        }
         for path, futures in runs.items():
             reports: list[InvariantReport] = []
             for future in futures:
                 result = future.result()
-                broken += 1 if result is None else len(result.violations)
+                failures += 1 if result is None else len(result.violations)
                 reports += [result] if result else []
                 bar.advance(task)
             if reports:
                 rows[path.stem] = row(path.stem, reports)
                 print(rows[path.stem], flush=True)
-    page = ["# Real processes under faults", "", HEADER, *(rows[name] for name in sorted(rows))]
-    RESULTS.write_text("\n".join(page) + "\n")
-    return 1 if broken else 0
+    lines = ["# Real processes under faults", "", HEADER, *(rows[name] for name in sorted(rows))]
+    RESULTS.write_text("\n".join(lines) + "\n")
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/ninep_codec.py
+++ b/benchmarks/ninep_codec.py
@@ -27,7 +27,7 @@
 @click.option("--base", default="e28e9fc", show_default=True, help="The revision to compare with.")
 @click.option("--count", default=5000, show_default=True, help="Messages of each kind, three times.")
 def main(base: str, count: int) -> None:
-    """Encode and decode each message in both, in turn; the best of three."""
+    """Encode and decode each message with both codecs; take the best of three runs."""
     source = subprocess.run(
         ["git", "show", f"{base}:garnetlanding/ninep/codec.py"],
         cwd=ROOT,
@@ -49,11 +49,11 @@
         for module in (old, codec):
             message = getattr(module, name)(*fields)
 
-            def both(module: types.ModuleType = module, message: object = message) -> None:
+            def round_trip(module: types.ModuleType = module, message: object = message) -> None:
                 raw = module.encode(3, message)
                 module.decode(raw[4], raw[7:])
 
-            best.append(min(timeit.repeat(both, number=count, repeat=3)) / count * 1e6)
+            best.append(min(timeit.repeat(round_trip, number=count, repeat=3)) / count * 1e6)
         lines.append(f"| {name} | {best[0]:.1f} | {best[1]:.1f} | {best[1] / best[0]:.2f} |")
     RESULTS.write_text("\n".join(lines) + "\n")
     print("\n".join(lines))
--- a/benchmarks/ninep_cost.py
+++ b/benchmarks/ninep_cost.py
@@ -1,7 +1,7 @@
-"""What 9P costs a head: `python -m benchmarks.ninep_cost`, with results/ninep-cost.{md,json,png} beside it.
+"""The cost of 9P in an instance: `python -m benchmarks.ninep_cost` writes results/ninep-cost.{md,json,png}.
 
-Emulated file servers, a head and the clients are processes of their own on loopback. CPU is the head's own,
-from /proc; latency is seen by the clients. Figures compare within one run; the machine's noise is in them.
+Emulated file servers, an instance and the clients are separate processes on loopback. CPU time is that of
+the instance, from /proc; latency is measured by the clients. Compare only figures of one run.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 VOLUMES = ("a", "b", "c")  # one export each: the steady clients', the flooding client's, the slow reader's
 
 
-def servers(pipe: multiprocessing.connection.Connection) -> None:
+def run_servers(pipe: multiprocessing.connection.Connection) -> None:
     """Run discovery and a file server; their addresses go to the pipe."""
     scheduler, limits = Scheduler(), Limits()
     pool = BufferPool(limits.buffer_bytes, limits.pool_free_max, 1 << 16)
@@ -55,18 +55,18 @@
     files.disk.root.mode |= 0o777
     discovery.endpoints.append(EmulatedEndpoint("f0", files.address, 0))
 
-    def beat() -> None:
+    def send_heartbeats() -> None:
         while True:
             scheduler.sleep(2_000_000)
             discovery.send_heartbeat()
 
-    scheduler.spawn(beat)
+    scheduler.spawn(send_heartbeats)
     pipe.send((discovery.address, files.address))
     scheduler.run()
 
 
 def free_port() -> int:
-    """Return a port that nobody listens on."""
+    """Return a port on which nothing listens."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
@@ -89,7 +89,7 @@
     return config_path, operator_path, listen
 
 
-def wait_until_it_listens(address: str) -> None:
+def wait_until_listening(address: str) -> None:
     """Wait until connections are accepted there, for ten seconds at most."""
     for _ in range(200):
         try:
@@ -108,7 +108,7 @@
         command += ["--operator", str(operator_path), "--log-level", "error"]
         process = subprocess.Popen(command, cwd=ROOT)
         try:
-            wait_until_it_listens(listen)
+            wait_until_listening(listen)
             yield process.pid, listen
         finally:
             process.send_signal(signal.SIGTERM)
@@ -127,7 +127,7 @@
     return int(next(line for line in status.splitlines() if line.startswith("VmRSS")).split()[1])
 
 
-def attached(address: str, aname: str, version: str = p9.VERSION) -> Client:
+def attach_client(address: str, aname: str, version: str = p9.VERSION) -> Client:
     """Return a client that has attached to an export."""
     client = Client(lambda: SocketTransport(address, 10.0), Options(version, aname, reply_timeout_s=20.0))
     client.negotiate()
@@ -135,7 +135,7 @@
     return client
 
 
-def opened(client: Client, fid: int, name: str, mode: int) -> None:
+def open_file(client: Client, fid: int, name: str, mode: int) -> None:
     """Open a file of the root directory."""
     client.call(p9.Rwalk, p9.Twalk(0, fid, (name,)))
     client.open(fid, mode)
@@ -146,30 +146,30 @@
     return sorted(values)[min(len(values) - 1, int(len(values) * share))]
 
 
-def cost_each(address: str, pid: int, version: str, count: int) -> dict[str, float]:
+def cost_per_request(address: str, pid: int, version: str, count: int) -> dict[str, float]:
     """Measure the CPU of the instance for one read and one write of 4 KiB, one at a time."""
-    client = attached(address, "a", version)
-    opened(client, 1, "data", p9.ORDWR)
-    out = {}
+    client = attach_client(address, "a", version)
+    open_file(client, 1, "data", p9.ORDWR)
+    costs = {}
     for what, message in (("read", p9.Tread(1, 0, BLOCK)), ("write", p9.Twrite(1, 0, b"y" * BLOCK))):
         client.request(message)
-        before, began = cpu_s(pid), time.monotonic()
+        cpu_before, started = cpu_s(pid), time.monotonic()
         for _ in range(count):
             client.request(message)
             client.forget_replies()
-        out[f"{what} cpu us"] = (cpu_s(pid) - before) / count * 1e6
-        out[f"{what} us"] = (time.monotonic() - began) / count * 1e6
+        costs[f"{what} cpu us"] = (cpu_s(pid) - cpu_before) / count * 1e6
+        costs[f"{what} us"] = (time.monotonic() - started) / count * 1e6
     client.close()
-    return out
+    return costs
 
 
 def steady(address: str, seconds: float, pipe: multiprocessing.connection.Connection) -> None:
     """Read 4 KiB every 20 ms and send the latencies to the pipe, in milliseconds.
 
-    Each counts from when it was due: a late answer does not hide those behind it.
+    Each latency counts from the scheduled time, so that a late reply does not hide the delay of later reads.
     """
-    client = attached(address, "a")
-    opened(client, 1, "data", p9.OREAD)
+    client = attach_client(address, "a")
+    open_file(client, 1, "data", p9.OREAD)
     took: list[float] = []
     due = time.monotonic() + 0.1 + os.getpid() % 20 / 1000
     end = due + seconds
@@ -183,9 +183,9 @@
 
 
 def flood(address: str, seconds: float) -> None:
-    """Keep as many reads in flight as the instance takes."""
-    client = attached(address, "b")
-    opened(client, 1, "data", p9.OREAD)
+    """Keep as many reads in flight as the instance accepts."""
+    client = attach_client(address, "b")
+    open_file(client, 1, "data", p9.OREAD)
     end = time.monotonic() + seconds
     tag = 0
     while time.monotonic() < end:
@@ -200,9 +200,9 @@
 
 
 def slow_reader(address: str, seconds: float) -> None:
-    """Ask for a lot and read one answer's worth now and then."""
-    client = attached(address, "c")
-    opened(client, 1, "data", p9.OREAD)
+    """Send reads all the time, but receive about one reply in eight."""
+    client = attach_client(address, "c")
+    open_file(client, 1, "data", p9.OREAD)
     sock = client.transport._socket  # type: ignore[attr-defined]
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     end, tag = time.monotonic() + seconds, 0
@@ -243,12 +243,12 @@
     return took
 
 
-def crowd(address: str, pid: int, clients: int, fids: int) -> tuple[dict[str, float], list[Client]]:
-    """Attach many clients; return the memory that each costs, and the clients."""
+def attach_many(address: str, pid: int, clients: int, fids: int) -> tuple[dict[str, float], list[Client]]:
+    """Attach many clients; return the memory used per client, and the clients."""
     before = rss_kb(pid)
     held = []
     for _ in range(clients):
-        client = attached(address, "a")
+        client = attach_client(address, "a")
         for fid in range(1, fids):
             client.call(p9.Rwalk, p9.Twalk(0, fid, (f"f{fid}",)))
         held.append(client)
@@ -285,10 +285,10 @@
 @click.option("--rounds", default=5, show_default=True, help="How often each latency is measured, in turn.")
 @click.option("--clients", default=500, show_default=True, help="Idle clients held beside the last one.")
 def main(seconds: float, count: int, rounds: int, clients: int) -> None:
-    """Measure and keep the results."""
+    """Measure, and write and print the results."""
     console = Console()
     mine, theirs = multiprocessing.Pipe()
-    process = multiprocessing.Process(target=servers, args=(theirs,), daemon=True)
+    process = multiprocessing.Process(target=run_servers, args=(theirs,), daemon=True)
     process.start()
     discovery, _ = mine.recv()
     results: dict[str, dict[str, float]] = {}
@@ -296,25 +296,25 @@
     with running_instance(discovery) as (pid, address), console.status("measuring") as status:
         for version in (p9.VERSION, p9l.VERSION):
             status.update(f"cost, {version}")
-            results[f"one client, {version}"] = cost_each(address, pid, version, count)
+            results[f"one client, {version}"] = cost_per_request(address, pid, version, count)
         for turn in range(rounds):
-            # In turn, and compared turn by turn: the machine's own noise drifts.
+            # Interleaved, and compared within each round, because the noise of the machine varies over time.
             for name, beside in (("alone", ()), ("slow reader", (slow_reader,)), ("flood", (flood,))):
                 status.update(f"latency, {name}, round {turn + 1} of {rounds}")
                 series.setdefault(name, []).append(latency(address, seconds, *beside))
         status.update(f"{clients} clients")
-        figures, held = crowd(address, pid, clients, 20)
+        figures, held = attach_many(address, pid, clients, 20)
         series[f"{clients} idle clients"] = [latency(address, seconds) for _ in range(rounds)]
         results[f"{clients} clients with 20 fids"] = figures
         for client in held:
             client.close()
     process.terminate()
     results |= latency_results(series)
-    keep(results, series)
+    write_results(results, series)
     show(console, results)
 
 
-def keep(results: dict[str, dict[str, float]], series: dict[str, list[list[float]]]) -> None:
+def write_results(results: dict[str, dict[str, float]], series: dict[str, list[list[float]]]) -> None:
     """Write the results as JSON, a table and a chart."""
     import matplotlib
 
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -1,4 +1,4 @@
-"""Ways to give heads subsets of servers, side by side; and the loop of the weight's step.
+"""Compares algorithms that assign subsets of servers to instances; simulates the weight controller.
 
 python -m benchmarks.subsets        writes benchmarks/results/subsets.md and subsets.png
 """
@@ -17,78 +17,81 @@
 from garnetlanding.decision.tuning import MAX_WEIGHT_FACTOR, WEIGHT_EXPONENT, WEIGHT_INTERVAL_US
 
 RESULTS = pathlib.Path(__file__).parent / "results"
-Way = Callable[[Sequence[int], Sequence[str], int], dict[int, set[str]]]
+Algorithm = Callable[[Sequence[int], Sequence[str], int], dict[int, set[str]]]
 
 
-def at_random(heads: Sequence[int], servers: Sequence[str], k: int) -> dict[int, set[str]]:
+def at_random(instances: Sequence[int], servers: Sequence[str], k: int) -> dict[int, set[str]]:
     """Draw each subset at random."""
-    return {head: set(random.Random(head).sample(list(servers), k)) for head in heads}
+    return {instance: set(random.Random(instance).sample(list(servers), k)) for instance in instances}
 
 
-def in_rounds(heads: Sequence[int], servers: Sequence[str], k: int) -> dict[int, set[str]]:
+def in_shuffled_rounds(instances: Sequence[int], servers: Sequence[str], k: int) -> dict[int, set[str]]:
     """Deterministic subsets in shuffled rounds (Site Reliability Engineering, chapter 20)."""
     each, found = max(1, len(servers) // k), {}
-    for i, head in enumerate(heads):
+    for i, instance in enumerate(instances):
         shuffled = list(servers)
         random.Random(i // each).shuffle(shuffled)
-        found[head] = set(shuffled[i % each * k : i % each * k + k])
+        found[instance] = set(shuffled[i % each * k : i % each * k + k])
     return found
 
 
-def by_weight(heads: Sequence[int], servers: Sequence[str], k: int) -> dict[int, set[str]]:
+def by_weight(instances: Sequence[int], servers: Sequence[str], k: int) -> dict[int, set[str]]:
     """Give each instance the servers of the highest rendezvous weight."""
-    return {head: set(sorted(servers, key=lambda s: weight(head, s), reverse=True)[:k]) for head in heads}
+    return {
+        instance: set(sorted(servers, key=lambda s: weight(instance, s), reverse=True)[:k])
+        for instance in instances
+    }
 
 
-def on_a_ring(heads: Sequence[int], servers: Sequence[str], k: int) -> dict[int, set[str]]:
+def on_hash_ring(instances: Sequence[int], servers: Sequence[str], k: int) -> dict[int, set[str]]:
     """Consistent hashing with bounded loads, 1.25 of the mean."""
     points = sorted((weight(i, s), s) for s in servers for i in range(20))
-    keys, most = [key for key, _ in points], math.ceil(1.25 * len(heads) * k / len(servers))
+    keys, most = [key for key, _ in points], math.ceil(1.25 * len(instances) * k / len(servers))
     load, found = Counter[str](), {}
-    for head in heads:
+    for instance in instances:
         mine: set[str] = set()
-        at = bisect(keys, weight(head, "ring"))
+        at = bisect(keys, weight(instance, "ring"))
         for step in range(len(points)):
             server = points[(at + step) % len(points)][1]
             if len(mine) < k and server not in mine and load[server] < most:
                 mine.add(server)
                 load[server] += 1
-        found[head] = mine
+        found[instance] = mine
     return found
 
 
-def with_quotas(heads: Sequence[int], servers: Sequence[str], k: int) -> dict[int, set[str]]:
+def with_quotas(instances: Sequence[int], servers: Sequence[str], k: int) -> dict[int, set[str]]:
     """Give each instance the highest weights within quotas, as the load balancer does."""
-    return assign_subsets(heads, dict.fromkeys(servers, ""), k)
+    return assign_subsets(instances, dict.fromkeys(servers, ""), k)
 
 
-WAYS: dict[str, Way] = {
+ALGORITHMS: dict[str, Algorithm] = {
     "random": at_random,
-    "shuffled rounds": in_rounds,
+    "shuffled rounds": in_shuffled_rounds,
     "highest weight": by_weight,
-    "ring, bounded loads": on_a_ring,
+    "ring, bounded loads": on_hash_ring,
     "highest weight with quotas": with_quotas,
 }
 SIZES = [(10, 30, 6), (100, 100, 20), (200, 120, 20), (1000, 120, 20), (10_000, 60, 20)]
 
 
-def moved(before: dict[int, set[str]], after: dict[int, set[str]]) -> int:
-    """Return how many pairs are new."""
-    return sum(len(servers - before.get(head, set())) for head, servers in after.items())
+def new_pairs(before: dict[int, set[str]], after: dict[int, set[str]]) -> int:
+    """Return the number of new pairs of an instance and a server."""
+    return sum(len(servers - before.get(instance, set())) for instance, servers in after.items())
 
 
-def row(name: str, way: Way, heads: int, servers: int, k: int) -> tuple[str, float]:
-    """Return the table's line of one way, and the most instances at a server over their mean."""
+def row(name: str, algorithm: Algorithm, heads: int, servers: int, k: int) -> tuple[str, float]:
+    """Return the table row of one algorithm, and the most instances at a server over their mean."""
     names = [f"s{i}" for i in range(servers)]
     numbers = list(range(heads))
     began = time.perf_counter()
-    now = way(numbers, names, k)
+    now = algorithm(numbers, names, k)
     took = time.perf_counter() - began
     per = Counter(server for some in now.values() for server in some)
     loads = [per[name] for name in names]
-    joined = moved(now, way([*numbers, heads], names, k))
-    more = moved(now, way(numbers, [*names, f"s{servers}"], k))
-    fewer = moved(now, way(numbers, [n for n in names if n != "s3"], k))
+    joined = new_pairs(now, algorithm([*numbers, heads], names, k))
+    more = new_pairs(now, algorithm(numbers, [*names, f"s{servers}"], k))
+    fewer = new_pairs(now, algorithm(numbers, [n for n in names if n != "s3"], k))
     least = (k, heads * k // (servers + 1), per["s3"])
     jain = sum(loads) ** 2 / (len(loads) * sum(load * load for load in loads))
     return (
@@ -98,11 +101,13 @@
     )
 
 
-def steered(gain: float, delay_s: float, heads: int, seconds: int = 120) -> tuple[float, float]:
+def simulate_weight_controller(
+    gain: float, delay_s: float, heads: int, seconds: int = 120
+) -> tuple[float, float]:
     """Return the overshoot and the settling time of a volume that gets twice its plan's rate.
 
     The overshoot is of the logarithm, over the first error; the time is in seconds, until it stays within a
-    tenth. Every instance steps on the same late figure, each at its own time.
+    tenth. Every instance adjusts its weight by the same delayed figure, each at its own time.
     """
     every, step, most = WEIGHT_INTERVAL_US / 1e6, 0.1, math.log(MAX_WEIGHT_FACTOR)
     weights = [math.log(2.0)] * heads
@@ -122,7 +127,7 @@
 
 
 def draw(spread: dict[str, list[tuple[int, float]]]) -> None:
-    """Draw how unevenly each way loads the servers, by the number of instances."""
+    """Draw how unevenly each algorithm loads the servers, by number of instances."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -140,7 +145,7 @@
 
 
 def main() -> None:
-    """Compare all ways, print the tables and write them to `RESULTS`."""
+    """Compare all algorithms, print the tables and write them to `RESULTS`."""
     lines = [
         "# Subsets, and the weight's step",
         "",
@@ -152,8 +157,8 @@
     ]
     spread: dict[str, list[tuple[int, float]]] = {}
     for heads, servers, k in SIZES:
-        for name, way in WAYS.items():
-            line, most = row(name, way, heads, servers, k)
+        for name, algorithm in ALGORITHMS.items():
+            line, most = row(name, algorithm, heads, servers, k)
             lines.append(line)
             spread.setdefault(name, []).append((heads, most))
             print(line, flush=True)
@@ -170,7 +175,7 @@
         for heads in (1, 3, 10, 100):
             cells = []
             for gain in (1.0, 0.5, 0.25):
-                over, settled = steered(gain, delay, heads)
+                over, settled = simulate_weight_controller(gain, delay, heads)
                 cells.append(f"{over:.2f}, {'-' if settled > 110 else f'{settled:.0f}'}")
             lines.append(f"| {delay} s | {heads} | " + " | ".join(cells) + " |")
     (RESULTS / "subsets.md").write_text("\n".join(lines) + "\n")
--- a/example/__init__.py
+++ b/example/__init__.py
@@ -1,1 +1,1 @@
-"""An example to try the load balancer with: emulated servers, and a toy client."""
+"""An example setup of the load balancer: emulated servers and an example client."""
--- a/example/client.py
+++ b/example/client.py
@@ -1,8 +1,8 @@
-"""A toy client: writes and reads a piece of data over RESP2, then reads a glossary over 9P.
+"""An example client: writes and reads a piece of data over RESP2, then reads a glossary over 9P.
 
     python -m example.client [ADDRESS]
 
-With the address of an instance, it speaks RESP2 with that one alone.
+With the address of an instance, it only uses RESP2, with that instance.
 """
 
 from __future__ import annotations
