--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings, fixtures and case names that all tests share."""
+"""Hypothesis settings, fixtures and test ids for all tests."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 from tests.support.simulated_instance import SimulatedInstance
 
-LONGEST_ID = 40  # characters of one value in the name of a parametrized case
+MAX_ID_CHARS = 40  # of one value in the id of a parametrized test
 
-# Hypothesis draws the same examples every time: the same code gives the same result.
+# Derandomized: Hypothesis generates the same examples in every run.
 settings.register_profile("ci", derandomize=True, deadline=None, max_examples=60, database=None)
 settings.load_profile("ci")
 
@@ -37,18 +37,18 @@
 
 
 def pytest_make_parametrize_id(val: object) -> str | None:
-    """Name each case of a parametrized test by its values, in a bounded number of printable characters."""
+    """Build the id of a parametrized test from its values, in a bounded number of printable characters."""
     name = case_name(val)
-    if name is None or (isinstance(val, str | bytes) and len(name) <= LONGEST_ID):
-        return None  # pytest's own name of a short text or number is readable
+    if name is None or (isinstance(val, str | bytes) and len(name) <= MAX_ID_CHARS):
+        return None  # pytest's own id of a short text or a number is readable
     printable = name.encode("unicode_escape").decode("ascii")
-    if len(printable) <= LONGEST_ID:
+    if len(printable) <= MAX_ID_CHARS:
         return printable
-    return f"{printable[:LONGEST_ID]}...{len(name)}"
+    return f"{printable[:MAX_ID_CHARS]}...{len(name)}"
 
 
 @pytest.fixture(autouse=True)
 def _close_simulated_instance() -> Iterator[None]:
-    """Release the sockets of the instance that a test leaves open."""
+    """Close the instance that a test has left open, and with it its sockets."""
     yield
     SimulatedInstance.close_open()
--- a/tests/support/source_modules.py
+++ b/tests/support/source_modules.py
@@ -1,4 +1,4 @@
-"""The package's modules and which of them import one another, read from their source."""
+"""The modules of the package and their import graph, from their source code."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def module_files() -> dict[str, Path]:
-    """Return the package's modules by dotted name, without the package's own name in front."""
+    """Return the source files by dotted module name, relative to the package."""
     root = ROOT / PACKAGE
     files = {}
     for path in sorted(root.rglob("*.py")):
@@ -24,7 +24,7 @@
 
 
 def imports(name: str) -> Iterator[str]:
-    """Yield every module of the package that this one imports, at any place in its text."""
+    """Yield every module of the package that this one imports, also within functions."""
     for node in ast.walk(ast.parse(MODULES[name].read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name.removeprefix(PACKAGE + ".") for alias in node.names)
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The structure that docs/architecture.md describes: modules that exist, layers, no circles, lazy parts."""
+"""The structure that docs/architecture.md describes: modules, layers, no import cycles, lazy imports."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 PAGE = ROOT / "docs" / "architecture.md"
 
-# What a package may import of the others; the rest may import anything that makes no circle.
+# The packages that each inner package may import; the others may import anything without a cycle.
 LAYERS = {
     "decision": {"decision"},
     "core": {"core", "decision", "limits"},
 }
-# Actions by which the decision module decides on a request.
+# The actions that decide on a request.
 DECIDING_ACTIONS = {"Send", "Reject", "Fail", "Cancel"}
-# Not part of a running instance: stand-ins, experiments and suites.
+# Not part of a running instance: emulators, experiments and the conformance suite.
 OUTSIDE = {"emulator", "lab", "conform"}
 OFF_BY_DEFAULT = (
     "audit",
@@ -38,18 +38,18 @@
 )
 
 
-def test_no_modules_import_one_another_in_a_circle() -> None:
-    after = {name: reachable(name) for name in MODULES}
-    circles = {
-        frozenset(other for other in after[name] if name in after[other])
+def test_imports_have_no_cycles() -> None:
+    reachable_from = {name: reachable(name) for name in MODULES}
+    cycles = {
+        frozenset(other for other in reachable_from[name] if name in reachable_from[other])
         for name in MODULES
-        if name in after[name]
+        if name in reachable_from[name]
     }
-    assert circles == set()
+    assert cycles == set()
 
 
 @pytest.mark.parametrize("package", LAYERS)
-def test_inner_packages_import_only_what_lies_further_in(package: str) -> None:
+def test_inner_packages_import_only_permitted_layers(package: str) -> None:
     inner = [name for name in MODULES if name.split(".")[0] == package]
     assert inner
     outward = {
@@ -58,7 +58,7 @@
     assert not outward
 
 
-def test_an_instance_imports_no_stand_ins_and_no_experiments() -> None:
+def test_instance_imports_neither_emulators_nor_experiments() -> None:
     wrong = {
         (name, other)
         for name in MODULES
@@ -104,14 +104,14 @@
 
 
 def policy_files() -> list[str]:
-    """Return the files that the deploy file names as those that decide."""
+    """Return the files that the deployment file lists as policy files."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     names: list[str] = deploy["policy"]
     return names
 
 
 def constructed_actions(source: str) -> set[str]:
-    """Return which of the deciding actions a module constructs, under whatever name it imports them."""
+    """Return the deciding actions that a module constructs, also under other imported names."""
     tree = ast.parse(source)
     names = {action: action for action in DECIDING_ACTIONS}
     for node in ast.walk(tree):
@@ -123,7 +123,7 @@
     return found & DECIDING_ACTIONS
 
 
-def test_every_policy_file_exists_and_says_what_it_decides() -> None:
+def test_every_policy_file_documents_what_it_decides() -> None:
     for name in policy_files():
         docstring = ast.get_docstring(ast.parse((ROOT / name).read_text())) or ""
         assert docstring.startswith("Decides "), f"{name} does not say what it decides"
@@ -132,7 +132,7 @@
 def test_no_module_outside_the_policy_files_decides_on_a_request() -> None:
     policy = {ROOT / name for name in policy_files()}
     found = set().union(*(constructed_actions(path.read_text()) for path in policy))
-    assert found == DECIDING_ACTIONS, "the check finds what the policy files construct"
+    assert found == DECIDING_ACTIONS, "the check must find the actions that the policy files construct"
     deciding = {
         name: actions
         for name, path in MODULES.items()
