--- a/tests/choices/test_subset_tracker.py
+++ b/tests/choices/test_subset_tracker.py
@@ -31,18 +31,18 @@
 def test_idle_connections_outside_the_subset_are_closed() -> None:
     instance = SimulatedInstance()
     backends = [instance.server(EmulatedBackend), instance.server(EmulatedBackend)]
-    instance.list(
+    instance.list_endpoints(
         EmulatedEndpoint("n0", backends[0].address, 0), EmulatedEndpoint("n1", backends[1].address, 1)
     )
-    sweeper = instance.bricks.sweeper
+    sweeper = instance.resp_upstream.sweeper
     sweeper.backend_subset, sweeper.outside_subset_idle_us = lambda: frozenset({"n1"}), SECOND
-    peer = LoopbackClient(instance, instance.front().address)
-    assert all(peer.say(read_command(f"r{cell}", cell=cell)).startswith(b"$") for cell in (0, 1))
+    peer = LoopbackClient(instance, instance.start_resp_listener().address)
+    assert all(peer.send_bytes(read_command(f"r{cell}", cell=cell)).startswith(b"$") for cell in (0, 1))
     assert [len(backend.connections) for backend in backends] == [1, 1]
     instance.run(3 * SECOND)
     open_connections = [len(backend.connections) for backend in backends]
     assert open_connections == [0, 1], "the next request to n0 opens a new connection"
-    assert peer.say(read_command("r2")).startswith(b"$")
+    assert peer.send_bytes(read_command("r2")).startswith(b"$")
 
 
 @pytest.mark.parametrize(
--- a/tests/core/test_client_departures.py
+++ b/tests/core/test_client_departures.py
@@ -36,7 +36,7 @@
     client's FIN was not detected."""
     instance = InstanceWithoutBackends()
     client = RawClient(instance, instance.listener.address)
-    client.say(read_command(d=1400) + busy_with)
+    client.send_bytes(read_command(d=1400) + busy_with)
     DISCONNECTS[how](client)
     instance.run(100 * MS)
     instance.list_backend()
@@ -51,7 +51,7 @@
     instance.list_backend()
     instance.backend.scripted_responses = [b"-BUSY\r\n"]
     client = RawClient(instance, instance.listener.address)
-    client.say(read_command(d=1400) + BAD)
+    client.send_bytes(read_command(d=1400) + BAD)
     assert len(instance.backend.received) == 1
     DISCONNECTS[how](client)
     instance.run(SECOND)
@@ -66,8 +66,8 @@
     instance.list_backend()
     client = RawClient(instance, instance.listener.address)
     delay_connects(instance, monkeypatch)
-    client.say(read_command(d=1400))
-    assert instance.core.starts
+    client.send_bytes(read_command(d=1400))
+    assert instance.core.started_attempts
     client.close()
     instance.run(SECOND)
     assert not instance.backend.received
@@ -77,7 +77,7 @@
     instance = InstanceWithoutBackends()
     clients = [RawClient(instance, instance.listener.address) for _ in range(40)]
     for n, client in enumerate(clients):
-        client.say(read_command(f"r{n}", d=1400, volume=f"v{n}") + (BAD if n % 2 else QUIT))
+        client.send_bytes(read_command(f"r{n}", d=1400, volume=f"v{n}") + (BAD if n % 2 else QUIT))
     for client in clients:
         client.close()
     instance.list_backend()
@@ -100,14 +100,14 @@
         RawClient(instance, instance.listener.address),
         RawClient(instance, instance.listener.address),
     )
-    leaving.say(read_command("r1", d=1400))
-    staying.say(read_command("r2", d=1400))
+    leaving.send_bytes(read_command("r1", d=1400))
+    staying.send_bytes(read_command("r2", d=1400))
     with pytest.raises(BufferPoolExhaustedError):
         exhaust(instance.pool)
     leaving.close()
     instance.settle()
     assert instance.core.open_requests == 1
-    staying.say(read_command("r3")[:-9])
+    staying.send_bytes(read_command("r3")[:-9])
     assert staying.read().startswith(b"-ERR out of buffers\r\n-ERR out of buffers\r\n")
     assert instance.core.open_requests == 0
 
@@ -119,18 +119,19 @@
     client = NinepClient(instance)
     client.open(1, "sv", "law", "terms")
     before = len(received_messages(instance, p9.Tread))
-    started_before = len(instance.core.starts)
+    started_before = len(instance.core.started_attempts)
     assert client.stream
     client.stream.write(b"".join(p9.encode(10 + n, p9.Tread(1, n * 64, 64)) for n in range(60)))
     instance.run_until(
-        lambda: len(instance.core.starts) > started_before, "an attempt for the first of 60 messages"
+        lambda: len(instance.core.started_attempts) > started_before,
+        "an attempt for the first of 60 messages",
     )
     assert client.stream
     client.stream.close()
-    started = len(instance.core.starts)
+    started = len(instance.core.started_attempts)
     instance.settle()
     assert (
-        len(instance.core.starts) <= started + instance.limits.ninep_messages_per_iteration
+        len(instance.core.started_attempts) <= started + instance.limits.ninep_messages_per_iteration
     ), "those of the iteration in which it disconnected"
     assert (
         len(received_messages(instance, p9.Tread)) - before
@@ -141,7 +142,7 @@
 def test_a_client_that_floods_does_not_starve_others() -> None:
     """Regression: a client that sent without a pause was read without one, and no other client was served."""
     instance = SimulatedInstance(read_bytes_per_iteration=16 << 10)
-    front = instance.front()
+    front = instance.start_resp_listener()
     flood = RawClient(instance, front.address)
     [connection] = front._clients
     sent = 0
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -88,33 +88,33 @@
     prepare: Callable[[], ScriptedInstance],
 ) -> None:
     instance = prepare()
-    started, ended = len(instance.core.starts), len(instance.outcomes())
+    started, ended = len(instance.core.started_attempts), len(instance.outcomes())
     instance.send()
     assert instance.outcomes()[ended:] == [Outcome.NEVER_DISPATCHED]
-    assert len(instance.core.starts) == started
+    assert len(instance.core.started_attempts) == started
 
 
 def test_an_attempt_past_its_own_deadline_ends_as_never_dispatched() -> None:
     instance = ScriptedInstance()
     instance.send(deadline_us=instance.time)
     assert instance.outcomes() == [Outcome.NEVER_DISPATCHED]
-    assert not instance.core.starts
+    assert not instance.core.started_attempts
     instance.send(deadline_us=instance.time + MS)
-    assert len(instance.core.starts) == 1
+    assert len(instance.core.started_attempts) == 1
 
 
 def test_an_attempt_at_a_backend_that_was_never_listed_ends_as_never_dispatched() -> None:
     instance = ScriptedInstance()
     instance.perform(api.Send(instance.ticket, "unknown"))
     assert instance.outcomes() == [Outcome.NEVER_DISPATCHED]
-    assert not instance.core.starts
+    assert not instance.core.started_attempts
 
 
 def test_actions_for_an_unknown_request_or_attempt_have_no_effect(caplog: pytest.LogCaptureFixture) -> None:
     instance = ScriptedInstance()
     instance.perform(api.Send("unknown", "n0"), api.Cancel("unknown", 0), api.Cancel(instance.ticket, 0))
     assert not instance.outcomes()
-    assert not instance.core.starts
+    assert not instance.core.started_attempts
     assert "action failed" not in caplog.text
 
 
--- a/tests/core/test_request_engine.py
+++ b/tests/core/test_request_engine.py
@@ -42,7 +42,7 @@
         instance.run(2 * SECOND, 100 * MS)
         instance.finish_oldest(Outcome.RESET)
     assert instance.answers == {"a": Rejected(SECOND)}, "not delayed until the deadline"
-    assert [attempt.number for attempt in instance.core.starts] == [0, 1, 2, 3]
+    assert [attempt.number for attempt in instance.core.started_attempts] == [0, 1, 2, 3]
 
 
 def start_hedged(instance: EngineInstance, **options: Any) -> None:
@@ -50,7 +50,7 @@
     # The latency objective of writes is later than the hedging delay.
     instance.submit("a", request_class="write", **options)
     instance.run(300 * MS)
-    assert [attempt.number for attempt in instance.core.starts] == [0, 1]
+    assert [attempt.number for attempt in instance.core.started_attempts] == [0, 1]
     assert len(instance.transport.in_flight) == 2
 
 
@@ -196,7 +196,7 @@
     instance.run(110 * MS)
     assert [attempt.backend for attempt in instance.transport.stopped] == ["n0"]
     assert ticket not in instance.core._requests
-    assert instance.core.starts[0].outcome is Outcome.TIMEOUT
+    assert instance.core.started_attempts[0].outcome is Outcome.TIMEOUT
     assert isinstance(instance.answers["a"], Failed)
 
 
@@ -232,10 +232,10 @@
     )
     instance.submit("a", timeout_us=300 * MS)
     instance.run(50 * MS)
-    assert instance.core.starts[0].outcome is Outcome.TIMEOUT
+    assert instance.core.started_attempts[0].outcome is Outcome.TIMEOUT
     assert "a" not in instance.answers
     instance.run(60 * MS)
-    assert len(instance.core.starts) == 2, "the second attempt starts after the first has timed out"
+    assert len(instance.core.started_attempts) == 2, "the second attempt starts after the first has timed out"
 
 
 STEPS = st.lists(
--- a/tests/core/test_streamed_bodies.py
+++ b/tests/core/test_streamed_bodies.py
@@ -34,8 +34,8 @@
     def __init__(self) -> None:
         super().__init__(None, stream_window_bytes=16 * KIB, stream_threshold_bytes=4 * KIB)
         self.backend = self.server(EmulatedBackend)
-        self.list(EmulatedEndpoint("b0", self.backend.address, 0))
-        self.listener: Listener = self.front()
+        self.list_endpoints(EmulatedEndpoint("b0", self.backend.address, 0))
+        self.listener: Listener = self.start_resp_listener()
         self.max_unsent_bytes = 0
         self.scheduler.iteration_hooks.append(self._measure_unsent)
 
@@ -46,9 +46,9 @@
 
     def client_with_response_in_progress(self, value: bytes, bytes_sent: int) -> LoopbackClient:
         """Return a client whose value is being streamed, after `bytes_sent` bytes of the response."""
-        client = self.peer(self.listener.address)
+        client = self.connect(self.listener.address)
         self.backend.scripted_responses = [response(value)[:bytes_sent]]
-        client.say(read_command(d=1000))
+        client.send_bytes(read_command(d=1000))
         return client
 
     def client_that_does_not_read(self) -> LoopbackClient:
@@ -57,7 +57,7 @@
         The kernel's socket buffers are fixed at a small size: otherwise they grow until they hold the whole
         value, and the listener never has to wait for the client.
         """
-        client = self.peer(self.listener.address)
+        client = self.connect(self.listener.address)
         assert client.stream
         self.stop_polling(client.stream._sock)
         fix_kernel_buffers(client.stream._sock, KERNEL_BUFFER_BYTES)
@@ -92,32 +92,32 @@
 ) -> None:
     value = bytes(range(256)) * 256
     client = instance.client_with_response_in_progress(value, 30_000)
-    assert client.got.startswith(b"$65536\r\n")
-    assert 20_000 < len(client.got) < 30_000
-    assert len(instance.core.finals[0]) == 1, "answered, and open until its last byte"
+    assert client.received.startswith(b"$65536\r\n")
+    assert 20_000 < len(client.received) < 30_000
+    assert len(instance.core.final_answers[0]) == 1, "answered, and open until its last byte"
     assert instance.core.open_requests == 1, "answered, and open until its last byte"
-    assert [a.outcome for a in instance.core.starts] == [api.Outcome.SERVED]
+    assert [a.outcome for a in instance.core.started_attempts] == [api.Outcome.SERVED]
     [conn] = instance.backend.connections
     conn.write(response(value)[30_000:])
     instance.settle()
-    assert client.got == codec.encode_bulk(value)
+    assert client.received == codec.encode_bulk(value)
     assert instance.core.open_requests == 0
     assert instance.core.metrics.success["read"] == 1
-    assert client.say(read_command("r2")) == b"$0\r\n\r\n", "both connections are reused"
+    assert client.send_bytes(read_command("r2")) == b"$0\r\n\r\n", "both connections are reused"
     assert len(instance.backend.connections) == 1, "both connections are reused"
 
 
 def test_the_result_reports_the_time_to_the_first_byte_not_to_the_last(instance: StreamingInstance) -> None:
     instance.backend.scripted_responses = [None]
-    client = instance.peer(instance.listener.address)
-    client.say(read_command(d=1000))
+    client = instance.connect(instance.listener.address)
+    client.send_bytes(read_command(d=1000))
     instance.run(40 * MS)
     [(_, conn)] = instance.backend.held_commands
     for piece in (b"*3\r\n$1000\r\n", b"x" * 1000, b"\r\n$-1\r\n$-1\r\n"):
         conn.write(piece)
         instance.run(30 * MS)
-    assert client.got == codec.encode_bulk(b"x" * 1000)
-    assert instance.core.starts[0].duration_us == 40 * MS
+    assert client.received == codec.encode_bulk(b"x" * 1000)
+    assert instance.core.started_attempts[0].duration_us == 40 * MS
 
 
 def test_a_backend_reset_after_1_of_4_mib_closes_the_clients_connection_without_a_retry(
@@ -127,8 +127,8 @@
     instance.backend.close_connections()
     instance.settle()
     assert client.closed
-    assert MIB - 100 <= len(client.got) <= MIB
-    assert len(instance.core.starts) == 1
+    assert MIB - 100 <= len(client.received) <= MIB
+    assert len(instance.core.started_attempts) == 1
     assert instance.core.metrics.error["read"] == 1
     assert instance.core.open_requests == 0
 
@@ -162,11 +162,13 @@
     for i, other in enumerate(others):
         assert other.stream
         other.stream.write(read_command(f"s{i}", d=1400))
-    instance.run_until(lambda: all(len(o.got) > 4 * MIB for o in others), "the values of eight other clients")
+    instance.run_until(
+        lambda: all(len(o.received) > 4 * MIB for o in others), "the values of eight other clients"
+    )
     assert (
         instance.max_unsent_bytes <= instance.limits.stream_window_bytes + 2 * instance.pool.buffer_bytes
     ), "one client's unsent bytes are bounded"
-    assert len(stalled.got) < 4 * MIB
+    assert len(stalled.received) < 4 * MIB
     assert not stalled.closed
     instance.run(instance.limits.write_stall_us + SECOND, step_us=100 * MS)
     assert len(instance.listener) == len(others), "the stalled client is closed after the stall limit"
@@ -182,29 +184,31 @@
 
 def test_a_streamed_value_keeps_its_place_among_pipelined_answers(instance: StreamingInstance) -> None:
     value = b"v" * (200 * KIB)
-    client = instance.peer(instance.listener.address)
+    client = instance.connect(instance.listener.address)
     instance.backend.scripted_responses = [None, response(value), response(b"last")]
-    client.say(b"".join(read_command(f"r{i}", volume=f"v{i}") for i in range(3)))
-    assert client.got == b""
+    client.send_bytes(b"".join(read_command(f"r{i}", volume=f"v{i}") for i in range(3)))
+    assert client.received == b""
     instance.backend.data[b"k"] = b"first"
     instance.backend.release()
     instance.settle()
-    assert client.got == codec.encode_bulk(b"first") + codec.encode_bulk(value) + codec.encode_bulk(b"last")
+    assert client.received == codec.encode_bulk(b"first") + codec.encode_bulk(value) + codec.encode_bulk(
+        b"last"
+    )
 
 
 def test_a_value_cut_short_before_streaming_is_an_error_and_the_connection_stays(
     instance: StreamingInstance,
 ) -> None:
-    client = instance.peer(instance.listener.address)
+    client = instance.connect(instance.listener.address)
     instance.backend.scripted_responses = [None, response(b"v" * (200 * KIB))[:30_000]]
-    client.say(read_command("r0") + read_command("r1", volume="v1"))
-    for conns in list(instance.bricks.connections._open.values()):
+    client.send_bytes(read_command("r0") + read_command("r1", volume="v1"))
+    for conns in list(instance.resp_upstream.connections._open.values()):
         for conn in [c for c in conns if c.protocol.body]:
             conn.close()
     instance.settle()
     instance.backend.release()
     instance.settle()
-    assert client.got == b"$0\r\n\r\n-ERR cut short\r\n"
+    assert client.received == b"$0\r\n\r\n-ERR cut short\r\n"
     assert not client.closed
 
 
--- a/tests/daemon/test_admin.py
+++ b/tests/daemon/test_admin.py
@@ -19,9 +19,17 @@
     assert instance.daemon.assembly.admin
     admin_address = instance.daemon.assembly.admin.listener.address
     client = instance.client()
-    assert client.say(PING) == b"+PONG\r\n"
-    assert instance.peer(admin_address).say(b"POST /-/drain HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 200 ")
-    assert client.say(PING).startswith(b"-ERR")
-    assert instance.peer(admin_address).say(b"POST /-/resume HTTP/1.1\r\n\r\n").startswith(b"HTTP/1.1 200 ")
-    assert client.say(PING) == b"+PONG\r\n"
+    assert client.send_bytes(PING) == b"+PONG\r\n"
+    assert (
+        instance.connect(admin_address)
+        .send_bytes(b"POST /-/drain HTTP/1.1\r\n\r\n")
+        .startswith(b"HTTP/1.1 200 ")
+    )
+    assert client.send_bytes(PING).startswith(b"-ERR")
+    assert (
+        instance.connect(admin_address)
+        .send_bytes(b"POST /-/resume HTTP/1.1\r\n\r\n")
+        .startswith(b"HTTP/1.1 200 ")
+    )
+    assert client.send_bytes(PING) == b"+PONG\r\n"
     instance.daemon.scheduler.close()
--- a/tests/daemon/test_daemon.py
+++ b/tests/daemon/test_daemon.py
@@ -16,11 +16,11 @@
 
 def test_daemon_serves_resp_and_9p_clients_and_follows_the_endpoint_list() -> None:
     instance = SimulatedDaemon({"ninep": True})
-    assert instance.client().say(read_command()) == b"$0\r\n\r\n"
+    assert instance.client().send_bytes(read_command()) == b"$0\r\n\r\n"
     ninep_client = instance.client(1)
-    ninep_client.say(p9.encode(p9.NOTAG, p9.Tversion(8192, "9P2000")))
-    ninep_client.say(p9.encode(1, p9.Tattach(0, p9.NOFID, "ann", "x")))
-    walked = ninep_client.say(p9.encode(1, p9.Twalk(0, 1, ("doc",))))
+    ninep_client.send_bytes(p9.encode(p9.NOTAG, p9.Tversion(8192, "9P2000")))
+    ninep_client.send_bytes(p9.encode(1, p9.Tattach(0, p9.NOFID, "ann", "x")))
+    walked = ninep_client.send_bytes(p9.encode(1, p9.Twalk(0, 1, ("doc",))))
     assert p9.decode(walked[4], walked[7:]) == p9.Rwalk(
         (instance.file_server.disk.qid(instance.file_server.disk.find("doc")),)
     )
@@ -36,7 +36,7 @@
         EmulatedEndpoint("b1", other.address, 0),
     )
     instance.settle()
-    instance.client().say(read_command("r2"))
+    instance.client().send_bytes(read_command("r2"))
     assert len(other.received) == 1
     assert set(instance.daemon.store.with_prefix(ENDPOINT_PREFIX)) == {
         ENDPOINT_PREFIX + "b0",
@@ -65,7 +65,7 @@
         EmulatedEndpoint("b1", other.address, 0),
     )
     instance.settle()
-    instance.client().say(read_command("r2"))
+    instance.client().send_bytes(read_command("r2"))
     assert len(other.received) == 1
     assert not instance.backend.received
 
@@ -74,18 +74,18 @@
     instance = SimulatedDaemon(settings=PLATFORM_SETTINGS | {"MembershipMode": "pushed"})
     instance.backend.scripted_responses = [None]
     client, late = instance.client(), instance.client()
-    client.say(read_command())
+    client.send_bytes(read_command())
     command = read_command("r2", volume="w")
-    late.say(command[:-8])
+    late.send_bytes(command[:-8])
     instance.discovery.publish(EmulatedEndpoint("b0", instance.backend.address, 0, "DRAINING"))
     instance.settle()
-    late.say(command[-8:])
+    late.send_bytes(command[-8:])
     assert len(instance.backend.received) == 1, "a command completed after the drain began is not sent there"
     instance.backend.release()
     instance.settle()
-    assert client.got == b"$0\r\n\r\n", "the attempt in flight is answered"
+    assert client.received == b"$0\r\n\r\n", "the attempt in flight is answered"
     instance.run(SECOND, 50 * MS)
-    assert late.got.startswith(b"-BUSY")
+    assert late.received.startswith(b"-BUSY")
     assert len(instance.backend.received) == 1
 
 
@@ -94,24 +94,24 @@
     instance = SimulatedDaemon(settings=SLOW_SETTINGS)
     instance.backend.scripted_responses = [None]
     busy, idle = instance.client(), instance.client()
-    busy.say(read_command(d=3000))
+    busy.send_bytes(read_command(d=3000))
     instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.run(300 * MS)
     late = instance.client()
-    assert late.say(read_command("r2", d=3000, volume="w")) == b"$0\r\n\r\n"
+    assert late.send_bytes(read_command("r2", d=3000, volume="w")) == b"$0\r\n\r\n"
     assert not idle.closed
     instance.run(instance.daemon.limits.shutdown_serve_us - 350 * MS)
-    assert idle.say(read_command("r3", d=3000, volume="w")) == b"$0\r\n\r\n"
+    assert idle.send_bytes(read_command("r3", d=3000, volume="w")) == b"$0\r\n\r\n"
     assert not late.closed
     instance.run(100 * MS)
     assert late.closed
     assert idle.closed
     assert not busy.closed
-    assert instance.peer(instance.daemon.listeners[0].address).closed, "no longer accepting"
+    assert instance.connect(instance.daemon.listeners[0].address).closed, "no longer accepting"
     instance.backend.release()
     instance.settle()
     instance.run(50 * MS)
-    assert busy.got == b"$0\r\n\r\n"
+    assert busy.received == b"$0\r\n\r\n"
     assert busy.closed
     assert instance.daemon.scheduler._stopped
 
@@ -122,9 +122,9 @@
     slow = instance.client()
     instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.run(SECOND)
-    slow.say(read_command(d=60_000))
+    slow.send_bytes(read_command(d=60_000))
     instance.run(instance.daemon.limits.shutdown_reject_us - SECOND + 50 * MS)
-    assert slow.got == b"-ERR ending\r\n"
+    assert slow.received == b"-ERR ending\r\n"
     assert slow.closed
     assert instance.daemon.scheduler._stopped
 
--- a/tests/daemon/test_graceful_shutdown.py
+++ b/tests/daemon/test_graceful_shutdown.py
@@ -77,7 +77,7 @@
     client = RawClient(instance, instance.daemon.listeners[0].address)
     instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.run(400 * MS)
-    client.say(read_command(d=60_000))
+    client.send_bytes(read_command(d=60_000))
     instance.run(min(longest_us, 3 * SECOND) + 700 * MS - 400 * MS - 100 * MS)
     assert client.read() == b"-ERR ending\r\n"
     assert instance.daemon.scheduler._stopped
@@ -88,10 +88,10 @@
     """Guards against granting such a client 2.5 s for the rest of its command, whenever it began."""
     instance = SimulatedDaemon(settings=SLOW_SETTINGS)
     client = RawClient(instance, instance.daemon.listeners[0].address)
-    client.say(read_command())
+    client.send_bytes(read_command())
     instance.daemon.scheduler.spawn(instance.daemon.shut_down)
     instance.run(1400 * MS, 50 * MS)
-    client.say(partial)
+    client.send_bytes(partial)
     instance.run(2150 * MS, 50 * MS)
     assert instance.daemon.scheduler._stopped
 
@@ -103,7 +103,7 @@
     [connection] = instance.daemon.listeners[0]._clients
     sent = 0
     while connection.stream.flushed:
-        client.say(read_command(f"r{sent}", d=3000))
+        client.send_bytes(read_command(f"r{sent}", d=3000))
         sent += 1
     assert shuts_down_within(instance, 3600 * MS)
 
@@ -145,7 +145,7 @@
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
             os.kill(os.getpid(), number)
             instance.run(100 * MS)
-            client.say(read_command(f"r{number}"))
+            client.send_bytes(read_command(f"r{number}"))
         assert client.sock.recv(100) == b"$0\r\n\r\n" * 3
         assert not new_discovery.calls
         instance.run(4 * SECOND, 50 * MS)
@@ -168,7 +168,7 @@
     instance.list_backend()
     idle = [RawClient(instance, instance.listener.address) for _ in range(3)]
     for n, client in enumerate(idle):
-        client.say(read_command(f"i{n}"))
+        client.send_bytes(read_command(f"i{n}"))
     waiting = [socket.create_connection(parse_address(instance.listener.address)) for _ in range(6)]
     for n, sock in enumerate(waiting):
         sock.sendall(read_command(f"w{n}"))
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -19,7 +19,7 @@
     instance = SimulatedDaemon()
     instance.backend.scripted_responses = [None]
     client = instance.client()
-    client.say(read_command(d=1400))
+    client.send_bytes(read_command(d=1400))
     new_discovery = instance.server(Discovery)
     new_discovery.endpoints = [
         EmulatedEndpoint("b0", instance.backend.address, 0),
@@ -36,7 +36,7 @@
     assert instance.daemon.core.endpoints.address_of("b1")
     instance.backend.release()
     instance.settle()
-    assert client.got == b"$0\r\n\r\n"
+    assert client.received == b"$0\r\n\r\n"
     assert not client.closed
     instance.daemon.reload()
     instance.settle()
@@ -51,8 +51,8 @@
     }
     instance.daemon.reload()
     instance.settle()
-    assert instance.client().say(read_command(cls="scan")) == b"$0\r\n\r\n"
-    assert instance.client().say(read_command()) == b"-ERR unknown class\r\n"
+    assert instance.client().send_bytes(read_command(cls="scan")) == b"$0\r\n\r\n"
+    assert instance.client().send_bytes(read_command()) == b"-ERR unknown class\r\n"
     assert instance.daemon.store.get(SETTINGS_KEY)["Classes"][0]["Name"] == "scan"
 
 
@@ -77,7 +77,7 @@
     assert key in str(record.__dict__["kv"]["why"])
     assert instance.daemon.config is before
     assert len(instance.discovery.calls) == calls
-    assert instance.client().say(read_command()) == b"$0\r\n\r\n"
+    assert instance.client().send_bytes(read_command()) == b"$0\r\n\r\n"
 
 
 def test_sigterm_ends_the_daemon_after_sighup_reloaded_it() -> None:
--- a/tests/daemon/test_store_roles.py
+++ b/tests/daemon/test_store_roles.py
@@ -63,6 +63,6 @@
 
 def test_writer_sends_a_snapshot_to_followers_on_its_own_listener() -> None:
     instance = SimulatedDaemon({"store": {"role": "writer", "writer": "n1", "address": "127.0.0.1:0"}})
-    lines = instance.client(1).say(b'{"follow": [0, -1]}\n').split(b"\n")
+    lines = instance.client(1).send_bytes(b'{"follow": [0, -1]}\n').split(b"\n")
     assert json.loads(lines[0])["writer"][0] == "n1"
     assert "config/settings" in json.loads(lines[1])["snapshot"][1]
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -60,7 +60,7 @@
         )
         runtime = WatchRuntime(self.scheduler, self.pool, self.limits, lambda us: us)
         self.watch = self.core.endpoint_subscription = Watch(runtime, callbacks, self.discovery.address)
-        self.list(*self.discovery.endpoints)
+        self.list_endpoints(*self.discovery.endpoints)
 
 
 def test_a_watch_starts_at_the_cached_version_and_delivers_changes() -> None:
--- a/tests/golden/test_golden_protocols.py
+++ b/tests/golden/test_golden_protocols.py
@@ -152,11 +152,13 @@
         self.record(f"> {format_bytes(data)}")
 
     def answer(self, ticket: str, answer: Served | Rejected | Failed, what: str) -> None:
-        self.core.items.pop(ticket)[1](answer)
+        self.core.open_requests.pop(ticket)[1](answer)
         self.record(f"core answers {ticket}: {what}")
 
     def finish(self) -> list[str]:
-        self.record(f"ended: {self.protocol.is_closing}, cut: {self.sink.aborted}, left: {self.core.gone}")
+        self.record(
+            f"ended: {self.protocol.is_closing}, cut: {self.sink.aborted}, left: {self.core.disconnected}"
+        )
         return self.lines
 
 
@@ -593,12 +595,12 @@
     lines = []
     for tag, message in script:
         data = message if isinstance(message, bytes) else p9.encode(tag, message)
-        answer = peer.say(data)
+        answer = peer.send_bytes(data)
         if not answer:
             # After a malformed message the connection is not read for a while.
-            before = len(peer.got)
-            peer.world.run(250 * MS, 50 * MS)
-            answer = peer.got[before:]
+            before = len(peer.received)
+            peer.instance.run(250 * MS, 50 * MS)
+            answer = peer.received[before:]
         lines += [f"> {data.hex()}", f"< {answer.hex() or '-'}"]
     lines.append(f"closed {peer.closed}")
     return lines
@@ -712,7 +714,7 @@
     version, _, _ = DIALECTS[dialect]
     tree = {"sv": {"law": b"plaintiff\tkarande\n" * 3, "empty": b""}, "readme": b"hello"}
     world = NinepInstance(access="rw", server_dialect=version, tree=tree)
-    peer = world.peer(world.listener.address)
+    peer = world.connect(world.listener.address)
     check(f"{dialect}_session.txt", ninep_transcript(peer, NINEP_SCRIPTS[dialect]))
 
 
@@ -732,7 +734,7 @@
         client.feed(raw)
         lines.append(f"> {raw.hex()}")
         if answer is not None:
-            request, callback = core.items.pop(core.last)
+            request, callback = core.open_requests.pop(core.last_ticket)
             lines.append(
                 f"asked class {request.request_class}, plan {request.plan}, volume {request.volume}, "
                 f"key {request.key}, units {request.units!r}, cell {golden_cell(request)}, "
@@ -1342,7 +1344,8 @@
     for key, p in s.plans.items():
         lines.append(
             f"plan {key}: name {p.name}, weight {p.weight!r}, usual {p.usual_rate!r}, "
-            f"reserve {p.reserve_rate!r}, limit {p.limit_rate!r}, burst {p.limit_burst!r}, price {p.priority_weight_factor!r}"
+            f"reserve {p.reserve_rate!r}, limit {p.limit_rate!r}, burst {p.limit_burst!r}, "
+            f"price {p.priority_weight_factor!r}"
         )
     return lines
 
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -355,7 +355,7 @@
         peer_listen="127.0.0.1:0",
         peers=["127.0.0.1:9", "127.0.0.1:9", "127.0.0.1:9"],
     )
-    instance.client().say(read_command())
+    instance.client().send_bytes(read_command())
     for fenced in (True, False):
         for callback in instance.daemon.core.fence.on_change:
             callback(fenced)
--- a/tests/golden/test_golden_storage.py
+++ b/tests/golden/test_golden_storage.py
@@ -587,7 +587,7 @@
             self.limits,
             self.limits.client_connections,
             lambda write: RespClientProtocol(
-                RespListenerContext(self.core, self.bricks, self.pool, self.limits), write
+                RespListenerContext(self.core, self.resp_upstream, self.pool, self.limits), write
             ),
         )
         peers = DisableReplication(PeerLimits())
@@ -602,7 +602,9 @@
             endpoints_known=lambda: True,
         )
         self.service = AdminService(instance, StateFile(str(folder), "n1"), access, shared)
-        self.list(EmulatedEndpoint("b0", "127.0.0.1:1", 0), EmulatedEndpoint("b1", "127.0.0.1:1", 1))
+        self.list_endpoints(
+            EmulatedEndpoint("b0", "127.0.0.1:1", 0), EmulatedEndpoint("b1", "127.0.0.1:1", 1)
+        )
         self.core.metrics = RequestMetrics(["read", "write", "save.big"])
         for request_class, answer in (("read", Served(b"")), ("read", Failed("x")), ("save.big", Rejected())):
             self.core.metrics.record(request_class, answer)
--- a/tests/integration/test_mixed_protocols.py
+++ b/tests/integration/test_mixed_protocols.py
@@ -55,12 +55,12 @@
             64,
             lambda write: NinepClientProtocol(shared, write),
         )
-        self.resp_listener = self.front()
-        self.list(*self.endpoints)
+        self.resp_listener = self.start_resp_listener()
+        self.list_endpoints(*self.endpoints)
 
     def set_endpoint_state(self, index: int, state: str) -> None:
         self.endpoints[index].state = state
-        self.list(self.endpoints[index], whole=False)
+        self.list_endpoints(self.endpoints[index], complete=False)
 
     def inject_fault(self, step: str) -> None:
         """Apply a fault, or end one, to the first server of each protocol."""
@@ -83,30 +83,30 @@
 
 
 def decode_messages(client: LoopbackClient) -> list[tuple[int, p9.Message | p9.MalformedMessage]]:
-    return list(p9.Framer(client.world.pool, 1 << 20).feed(client.got))
+    return list(p9.Framer(client.instance.pool, 1 << 20).feed(client.received))
 
 
 @given(STEPS)
 def test_every_accepted_request_of_either_protocol_ends_exactly_once(steps: list[str]) -> None:
     instance = MixedProtocolInstance()
-    ninep_client = instance.peer(instance.ninep_listener.address)
-    resp_client = instance.peer(instance.resp_listener.address)
-    ninep_client.say(VERSION_AND_ATTACH)
+    ninep_client = instance.connect(instance.ninep_listener.address)
+    resp_client = instance.connect(instance.resp_listener.address)
+    ninep_client.send_bytes(VERSION_AND_ATTACH)
     sent, tags, flushed, disconnected = 0, [1], set(), 0
     for n, step in enumerate(steps):
         match step:
             case "read":
                 sent += 1
-                resp_client.say(read_command(f"r{n}", d=1000))
+                resp_client.send_bytes(read_command(f"r{n}", d=1000))
             case "walk":
                 tags.append(100 + n)
-                ninep_client.say(p9.encode(100 + n, p9.Twalk(0, 100 + n, ("doc",))))
+                ninep_client.send_bytes(p9.encode(100 + n, p9.Twalk(0, 100 + n, ("doc",))))
             case "flush":
-                ninep_client.say(p9.encode(90, p9.Tflush(tags[-1])))
+                ninep_client.send_bytes(p9.encode(90, p9.Tflush(tags[-1])))
                 flushed.add(tags[-1])
             case "leave":
-                other = instance.peer(instance.resp_listener.address)
-                other.say(read_command(f"x{n}"))
+                other = instance.connect(instance.resp_listener.address)
+                other.send_bytes(read_command(f"x{n}"))
                 disconnected += 1
                 other.close()
             case "pass":
@@ -119,10 +119,10 @@
     # CheckedRequestEngine asserts at most four attempts, never two at once, and none to a drained server.
     assert instance.core.open_requests == 0
     assert not instance.core._requests
-    assert all(len(finals) <= 1 for finals in instance.core.finals)
-    unanswered = sum(not finals for finals in instance.core.finals)
+    assert all(len(finals) <= 1 for finals in instance.core.final_answers)
+    unanswered = sum(not finals for finals in instance.core.final_answers)
     assert unanswered <= disconnected + len(flushed), "only disconnected clients and flushed requests"
-    got = resp_client.got
+    got = resp_client.received
     assert got.count(b"\r\n$4\r\n") + got.count(b"$0\r\n") + got.count(b"-") == sent
     answered = [tag for tag, _ in decode_messages(ninep_client) if tag not in (90, p9.NOTAG)]
     assert len(answered) == len(set(answered)), "at most one reply for each tag"
@@ -132,18 +132,18 @@
 
 def test_drain_while_both_protocols_connect_stops_both() -> None:
     instance = MixedProtocolInstance()
-    ninep_client = instance.peer(instance.ninep_listener.address)
-    resp_client = instance.peer(instance.resp_listener.address)
+    ninep_client = instance.connect(instance.ninep_listener.address)
+    resp_client = instance.connect(instance.resp_listener.address)
     # Both clients write before the event loop runs; the backends are disabled while both attempts connect.
     for client, data in ((ninep_client, VERSION_AND_ATTACH), (resp_client, read_command())):
         assert client.stream
         client.stream.write(data)
-    instance.run_until(lambda: len(instance.core.starts) == 2, "an attempt of each protocol")
+    instance.run_until(lambda: len(instance.core.started_attempts) == 2, "an attempt of each protocol")
     instance.core.endpoints.set_disabled(frozenset({"b0", "b1"}), instance.time)
     instance.settle()
     assert not any(backend.received for backend in instance.backend_servers)
     assert not any(file_server.received for file_server in instance.file_servers)
-    assert {attempt.outcome for attempt in instance.core.starts} == {Outcome.UNREACHABLE}
+    assert {attempt.outcome for attempt in instance.core.started_attempts} == {Outcome.UNREACHABLE}
 
 
 def test_9p_server_may_have_its_own_port_on_the_backends_host() -> None:
--- a/tests/integration/test_rolling_upgrade.py
+++ b/tests/integration/test_rolling_upgrade.py
@@ -27,7 +27,7 @@
         monkeypatch.setattr("tempfile.gettempdir", lambda: str(folder))
         self.backend = self.server(EmulatedBackend)
         # Finds a free address, which all daemons then share.
-        listener = self.front()
+        listener = self.start_resp_listener()
         self.address = listener.address
         listener.stop_accepting()
         self.settle()
@@ -60,8 +60,8 @@
     def call(self, daemon: Daemon, path: str, method: str = "POST") -> str:
         """Send one call to the daemon's admin service and return the response's status code."""
         assert daemon.assembly.admin is not None
-        operator = self.peer(daemon.assembly.admin.listener.address)
-        response = operator.say(f"{method} {path} HTTP/1.1\r\n\r\n".encode())
+        operator = self.connect(daemon.assembly.admin.listener.address)
+        response = operator.send_bytes(f"{method} {path} HTTP/1.1\r\n\r\n".encode())
         return response.decode().split(" ")[1]
 
 
@@ -74,9 +74,9 @@
     old = upgrade.start_daemon()
     upgrade.run(2 * SECOND)
     assert upgrade.call(old, "/-/ready", "GET") == "200"
-    clients = [upgrade.peer(upgrade.address) for _ in range(6)]
+    clients = [upgrade.connect(upgrade.address) for _ in range(6)]
     for i, client in enumerate(clients):
-        assert client.say(read_command(f"a{i}")).startswith(b"$")
+        assert client.send_bytes(read_command(f"a{i}")).startswith(b"$")
     new = upgrade.start_daemon()
     upgrade.run(300 * MS)
     assert [daemon.assembly.instance.process.quota for daemon in (old, new)] == [0.5, 0.5]
@@ -84,7 +84,7 @@
     upgrade.run(1300 * MS)
     assert upgrade.call(new, "/-/ready", "GET") == "200", "ready with the configured endpoint list"
     upgrade.backend.holds_responses = True
-    clients[0].say(read_command("busy"))
+    clients[0].send_bytes(read_command("busy"))
     old.scheduler.spawn(old.shut_down)
     upgrade.run(100 * MS)
     assert [client.closed for client in clients] == [
@@ -94,11 +94,11 @@
     upgrade.backend.holds_responses = False
     upgrade.backend.release()
     upgrade.run(300 * MS)
-    assert clients[0].got.endswith(b"$0\r\n\r\n")
+    assert clients[0].received.endswith(b"$0\r\n\r\n")
     assert clients[0].closed
     assert old.scheduler._stopped
-    new_client = upgrade.peer(upgrade.address)
-    assert new_client.say(PING) == b"+PONG\r\n"
+    new_client = upgrade.connect(upgrade.address)
+    assert new_client.send_bytes(PING) == b"+PONG\r\n"
     assert len(new.listeners[0]) == 1
     upgrade.run(300 * MS)
     assert new.assembly.instance.process.quota == 1
@@ -124,7 +124,7 @@
 
 def test_new_process_that_fails_to_start_leaves_the_old_one_serving(upgrade: RollingUpgrade) -> None:
     old = upgrade.start_daemon()
-    client = upgrade.peer(upgrade.address)
+    client = upgrade.connect(upgrade.address)
     broken = Daemon(
         config.read(PLATFORM_CONFIG | {"listen": "192.0.2.1:1", "ops": "127.0.0.1:0"}),
         clock=lambda: upgrade.time,
@@ -134,6 +134,6 @@
     assert broken.assembly.instance.process.registry
     broken.assembly.instance.process.registry.close()
     upgrade.run(300 * MS)
-    assert client.say(PING) == b"+PONG\r\n"
+    assert client.send_bytes(PING) == b"+PONG\r\n"
     assert upgrade.call(old, "/-/ready", "GET") in ("200", "503")
-    assert LoopbackClient(upgrade, upgrade.address).say(PING) == b"+PONG\r\n"
+    assert LoopbackClient(upgrade, upgrade.address).send_bytes(PING) == b"+PONG\r\n"
--- a/tests/ninep/random_fault_schedules.py
+++ b/tests/ninep/random_fault_schedules.py
@@ -112,7 +112,7 @@
             if self.linux
             else p9.Tattach(0, p9.NOFID, str(self.number), "glossaries")
         )
-        self.connection.say(p9.encode(p9.NOTAG, p9.Tversion(8192, self.version)))
+        self.connection.send_bytes(p9.encode(p9.NOTAG, p9.Tversion(8192, self.version)))
         self.connection._framer.table = p9.PLAIN_MESSAGES | p9l.LINUX_MESSAGES
         self.send(attach_message, OutstandingRequest("attach"))
 
@@ -156,7 +156,7 @@
         )
         disk = self.instance.disk
         disk.make(disk.root, "log", 0o100666, "root", InodeExtras(flags=DMAPPEND))
-        self.instance.list(*self.instance.endpoints[:1])
+        self.instance.list_endpoints(*self.instance.endpoints[:1])
         self.blocks: dict[tuple[int, int], Block] = {
             (f, b): Block() for f in range(FILE_COUNT) for b in range(BLOCKS_PER_FILE)
         }
@@ -310,7 +310,7 @@
                 instance.endpoints[at].state = (
                     "DRAINING" if instance.endpoints[at].state == "SERVING" else "SERVING"
                 )
-                instance.list(*instance.endpoints)
+                instance.list_endpoints(*instance.endpoints)
             case 3:
                 instance.disk.capacity = instance.disk.used if instance.disk.capacity > 1 << 29 else 1 << 30
 
@@ -386,7 +386,7 @@
         for box in self.instance.endpoints:
             box.state = "SERVING"
         self.instance.disk.capacity = 1 << 30
-        self.instance.list(*self.instance.endpoints)
+        self.instance.list_endpoints(*self.instance.endpoints)
         self.wait(5_000 * MS)
         for client in self.clients:
             client.receive()
--- a/tests/ninep/test_change_order.py
+++ b/tests/ninep/test_change_order.py
@@ -17,7 +17,7 @@
     client.open(5, "readme", mode=p9.OWRITE)
     instance.file_servers[0].script.add(Rule(p9.Twrite, Fault.RESET_BEFORE))
     for tag, data in ((1, b"first"), (2, b"secnd"), (3, b"third")):
-        client.say(p9.encode(tag, p9.Twrite(5, 0, data)))
+        client.send_bytes(p9.encode(tag, p9.Twrite(5, 0, data)))
     instance.run(2 * SECOND)
     assert [m for t, m in client.replies[-3:]] == [p9.Rwrite(5)] * 3
     assert [r[3] for r in instance.disk.ran if r[0] == "write"] == [b"first", b"secnd", b"third"]
@@ -43,7 +43,7 @@
     instance, client = writable_instance()
     client.open(5, "sv", "notes", mode=p9.OWRITE)
     client.walk(6, "sv")
-    client.say(p9.encode(1, p9.Twstat(6, wstat(name="se"))) + p9.encode(2, p9.Twrite(5, 0, b"DRAFT")))
+    client.send_bytes(p9.encode(1, p9.Twstat(6, wstat(name="se"))) + p9.encode(2, p9.Twrite(5, 0, b"DRAFT")))
     instance.run(SECOND)
     assert client.replies[-2:] == [(1, p9.Rwstat()), (2, p9.Rwrite(5))]
     assert instance.disk.read("se", "notes") == b"DRAFT"
@@ -101,7 +101,7 @@
     big.send(p9.Twrite(5, 0, data), tag=1)
     sent = len(received_messages(instance, p9.Twrite, 0))
     instance.drain_server(0)
-    instance.list(instance.endpoints[1], whole=False)
+    instance.list_endpoints(instance.endpoints[1], complete=False)
     instance.file_servers[0].release()
     instance.run(2 * SECOND)
     assert big.replies[-1] == (1, p9.Rwrite(len(data)))
@@ -113,7 +113,7 @@
     instance, client = writable_instance(servers=2)
     client.walk(5, "readme")
     instance.drain_server(0)
-    instance.list(instance.endpoints[1], whole=False)
+    instance.list_endpoints(instance.endpoints[1], complete=False)
     before = len(instance.file_servers[0].received)
     assert isinstance(client.request(p9.Topen(5, p9.ORDWR)), p9.Ropen)
     assert client.request(p9.Twrite(5, 0, b"HELLO")) == p9.Rwrite(5)
@@ -128,7 +128,7 @@
     instance.withhold_replies(p9.Twalk)
     client.send(p9.Topen(5, p9.OWRITE | p9.OTRUNC), tag=1)
     instance.drain_server(0)
-    instance.list(instance.endpoints[1], whole=False)
+    instance.list_endpoints(instance.endpoints[1], complete=False)
     instance.file_servers[0].release()
     instance.run(SECOND)
     assert isinstance(client.replies[-1][1], p9.Ropen)
--- a/tests/ninep/test_flush_clunk_disconnect.py
+++ b/tests/ninep/test_flush_clunk_disconnect.py
@@ -127,7 +127,7 @@
     protocol.feed(b"")
     assert not protocol.has_buffered_input
     assert protocol.messages_received == 14
-    client.say(b"".join(p9.encode(tag, p9.Tread(5, 0, 9)) for tag in range(50, 80)))
+    client.send_bytes(b"".join(p9.encode(tag, p9.Tread(5, 0, 9)) for tag in range(50, 80)))
     instance.settle()
     assert sorted(tag for tag, _ in client.replies if 50 <= tag < 80) == list(range(50, 80))
 
@@ -140,9 +140,9 @@
     other.open(5, "readme")
     instance.file_servers[0].script.add(Rule(p9.Tread, Fault.SLOW, times=None, delay_us=10 * MS))
     instance.run(200 * MS)
-    client.say(b"".join(p9.encode(tag, p9.Tread(5, 0, 9)) for tag in range(10, 40)))
+    client.send_bytes(b"".join(p9.encode(tag, p9.Tread(5, 0, 9)) for tag in range(10, 40)))
     assert instance.core.open_requests == 3
-    client.say(p9.encode(99, p9.Tflush(39)))
+    client.send_bytes(p9.encode(99, p9.Tflush(39)))
     assert client.replies[-1] == (99, p9.Rflush()), "a queued request can also be flushed"
     other.send(p9.Tread(5, 0, 9), tag=1)
     assert instance.core.open_requests == 4
@@ -150,7 +150,7 @@
     assert instance.core.open_requests == 1, "with another active client it gets an equal share"
     instance.run(800 * MS)
     assert sorted(tag for tag, _ in client.replies if 10 <= tag < 40) == list(range(10, 39))
-    client.say(b"".join(p9.encode(tag, p9.Tread(5, 0, 9)) for tag in range(10, 40)))
+    client.send_bytes(b"".join(p9.encode(tag, p9.Tread(5, 0, 9)) for tag in range(10, 40)))
     client.close()
     instance.run(SECOND)
     assert instance.core.open_requests == 0
--- a/tests/ninep/test_front_model.py
+++ b/tests/ninep/test_front_model.py
@@ -65,14 +65,14 @@
 
     def request(self, tag: int, message: p9.Message, valid: bool, at_once: p9.Message | None = None) -> None:
         """Send a message that is rejected, is answered at once, or results in one request to the core."""
-        requests_before = len(self.core.items)
+        requests_before = len(self.core.open_requests)
         expected = at_once if valid and tag not in self.in_flight else p9.Rerror("")
         if valid and tag not in self.in_flight and at_once is None:
             expected = None
         self.send_and_expect(tag, message, expected)
-        assert len(self.core.items) == requests_before + (expected is None), "one request, or none"
+        assert len(self.core.open_requests) == requests_before + (expected is None), "one request, or none"
         if expected is None:
-            self.in_flight[tag] = self.core.last, message
+            self.in_flight[tag] = self.core.last_ticket, message
 
     def is_unused(self, fid: int) -> bool:
         return fid not in self.fids and all(
@@ -153,7 +153,7 @@
 
     def finish(self, tag: int, kind: str) -> None:
         ticket, message = self.in_flight.pop(tag)
-        spec, on_answer = self.core.items.pop(ticket)
+        spec, on_answer = self.core.open_requests.pop(ticket)
         answer: Answer
         expected: p9.Message
         if kind in ("served", "short"):
@@ -194,11 +194,13 @@
         fids = {f: (at.qid, at.path, at.open_mode is not None) for f, at in self.protocol.fids.items()}
         assert fids == self.fids
         assert self.protocol.pending_responses == len(self.in_flight)
-        assert sorted(self.core.gone) == sorted(self.disconnected)
+        assert sorted(self.core.disconnected) == sorted(self.disconnected)
 
     def teardown(self) -> None:
         self.protocol.close()
-        assert sorted(self.core.gone) == sorted(self.disconnected + [t for t, _ in self.in_flight.values()])
+        assert sorted(self.core.disconnected) == sorted(
+            self.disconnected + [t for t, _ in self.in_flight.values()]
+        )
 
 
 TestSessionModel = SessionModel.TestCase
--- a/tests/ninep/test_replaced_files.py
+++ b/tests/ninep/test_replaced_files.py
@@ -49,7 +49,7 @@
     instance.withhold_replies(p9.Tcreate)
     client.send(p9.Tcreate(6, "one", 0o644, p9.ORDWR), tag=71)
     instance.drain_server(0)
-    instance.list(instance.endpoints[1], whole=False)
+    instance.list_endpoints(instance.endpoints[1], complete=False)
     assert isinstance(other.request(p9.Tcreate(6, "one", 0o644, p9.ORDWR)), p9.Rcreate)
     instance.file_servers[0].release()
     instance.run(SECOND)
--- a/tests/ninep/test_session_reads.py
+++ b/tests/ninep/test_session_reads.py
@@ -28,7 +28,7 @@
     assert got == GLOSSARY
     assert isinstance(client.request(p9.Tstat(5)), p9.Rstat)
     assert client.request(p9.Tclunk(5)) == p9.Rclunk()
-    assert all(len(f) == 1 for f in instance.core.finals)
+    assert all(len(f) == 1 for f in instance.core.final_answers)
     # A file stays open at its server between reads.
     assert len(received_messages(instance, p9.Topen)) == 1
 
@@ -67,7 +67,7 @@
     connection._write(b"")  # a further message, no byte of which has been passed to the kernel
     instance.file_servers[0].close_connections()
     instance.settle()
-    assert instance.core.starts[-1].outcome is Outcome.RESET
+    assert instance.core.started_attempts[-1].outcome is Outcome.RESET
 
 
 def test_partial_walk_reports_its_steps_and_creates_no_fid() -> None:
@@ -104,7 +104,7 @@
 def test_invalid_message_gets_an_error(message: p9.Message, words: str) -> None:
     instance = NinepInstance()
     assert words in error_text(NinepClient(instance).request(message))
-    assert len(instance.core.starts) == 1, "only the attach needed a server"
+    assert len(instance.core.started_attempts) == 1, "only the attach needed a server"
 
 
 def test_clunk_cancels_the_read_in_flight_which_is_answered_first() -> None:
@@ -138,8 +138,8 @@
     client = NinepClient(instance)
     client.open(5, "readme")
     before = len(client.replies)
-    client.say(p9.encode(2, p9.Tread(5, 0, 100)))
-    client.say(p9.encode(3, p9.Tflush(2)))
+    client.send_bytes(p9.encode(2, p9.Tread(5, 0, 100)))
+    client.send_bytes(p9.encode(3, p9.Tflush(2)))
     assert client.replies[before:] == [(2, p9.Rread(b"hello")), (3, p9.Rflush())]
 
 
@@ -225,7 +225,7 @@
     assert isinstance(reply, p9.Rread)
     assert len(reply.data) == 256 - 24
     long = p9.encode(1, p9.Tattach(9, p9.NOFID, "a", "x" * 400))
-    client.say(long)
+    client.send_bytes(long)
     assert client.closed, "a message longer than msize is a framing error"
     raw = NinepClient(NinepInstance(), attach=False)
     assert error_text(raw.request(p9.Tversion(100, "9P2000"), p9.NOTAG)) == "msize too small"
@@ -234,11 +234,11 @@
 def test_malformed_body_gets_an_error_and_the_session_continues() -> None:
     client = NinepClient(NinepInstance())
     bad = p9.encode(9, p9.Tstat(0))[:-1]
-    client.say(bytes([len(bad)]) + bad[1:])
+    client.send_bytes(bytes([len(bad)]) + bad[1:])
     assert client.replies[-1] == (9, p9.Rerror("bad Tstat: message cut short"))
-    client.world.run(client.world.limits.invalid_command_pause_us)
-    client.say(b"\x07\0\0\0\xff\x09\0")
-    client.world.run(client.world.limits.invalid_command_pause_us)
+    client.instance.run(client.instance.limits.invalid_command_pause_us)
+    client.send_bytes(b"\x07\0\0\0\xff\x09\0")
+    client.instance.run(client.instance.limits.invalid_command_pause_us)
     assert client.replies[-1] == (9, p9.Rerror("unknown message type 255"))
     assert isinstance(client.request(p9.Tstat(0)), p9.Rstat)
 
@@ -260,14 +260,14 @@
     instance.withhold_replies(p9.Twalk)
     assert client.send(p9.Twalk(5, 6, (*names[16:], "end")), tag=2) == []
     instance.drain_server(0)
-    instance.list(instance.endpoints[1], whole=False)
+    instance.list_endpoints(instance.endpoints[1], complete=False)
     instance.file_servers[0].release()  # the first Twalk is answered; the second must not be sent
     instance.run(200 * MS)
     assert len(received_messages(instance, p9.Twalk, 0)) == 2
     assert len(received_messages(instance, p9.Twalk, 1)) == 2
     assert isinstance(client.replies[-1][1], p9.Rwalk)
     assert len(client.replies[-1][1].qids) == 4
-    assert [a.outcome.value for a in instance.core.starts[-2:] if a.outcome] == ["reset", "served"]
+    assert [a.outcome.value for a in instance.core.started_attempts[-2:] if a.outcome] == ["reset", "served"]
 
 
 def test_read_continues_at_another_backend_when_its_own_fails() -> None:
@@ -280,7 +280,7 @@
     instance.file_servers[0].listener.stop_accepting()
     instance.file_servers[0].close_connections()
     instance.endpoints[0].state = "DELETED"
-    instance.list(instance.endpoints[0], instance.endpoints[1], whole=False)
+    instance.list_endpoints(instance.endpoints[0], instance.endpoints[1], complete=False)
     instance.run(300 * MS)
     second = client.replies[-1]
     assert isinstance(first, p9.Rread)
@@ -297,7 +297,7 @@
     assert client.send(p9.Tread(5, 0, 100), tag=2) == []
     instance.run(1500 * MS)
     assert error_text(client.replies[-1][1]) == "busy; come again after 1000 ms"
-    assert isinstance(instance.core.finals[-1][0], Rejected)
+    assert isinstance(instance.core.final_answers[-1][0], Rejected)
 
 
 def test_unresponsive_backend_costs_no_more_than_the_deadline() -> None:
@@ -357,4 +357,4 @@
     break_protocol(connection, tag)
     instance.run(SECOND // 2)
     assert client.replies[-1] == (2, p9.Rread(b"hello"))
-    assert [a.outcome.value for a in instance.core.starts[-2:] if a.outcome] == ["reset", "served"]
+    assert [a.outcome.value for a in instance.core.started_attempts[-2:] if a.outcome] == ["reset", "served"]
--- a/tests/ops/test_admin_connection.py
+++ b/tests/ops/test_admin_connection.py
@@ -91,9 +91,9 @@
     tmp_path: pathlib.Path,
 ) -> None:
     instance = AdministeredInstance(tmp_path, client_connections=4, new_client_timeout_us=20 * MS)
-    clients = [instance.peer(instance.clients.address) for _ in range(4)]
+    clients = [instance.connect(instance.clients.address) for _ in range(4)]
     for i, client in enumerate(clients):
-        client.say(read_command(id=f"r{i}"))
+        client.send_bytes(read_command(id=f"r{i}"))
     for _ in range(200):
         LoopbackClient(instance, instance.ops.address, settle=False)
     instance.settle()
@@ -103,4 +103,4 @@
     assert late.stream
     late.stream.write(b"GET /-/ready HTTP/1.1\r\n\r\n")
     instance.run(900 * MS)
-    assert late.got.startswith(b"HTTP/1.1 200 ")
+    assert late.received.startswith(b"HTTP/1.1 200 ")
--- a/tests/ops/test_metrics.py
+++ b/tests/ops/test_metrics.py
@@ -30,14 +30,16 @@
     seed: int, tmp_path: pathlib.Path
 ) -> None:
     instance, rng = AdministeredInstance(tmp_path), random.Random(seed)
-    peers, sent = [instance.peer(instance.clients.address) for _ in range(6)], 0
+    peers, sent = [instance.connect(instance.clients.address) for _ in range(6)], 0
     for _ in range(60):
         match rng.randrange(6):
             case 0 | 1 | 2:
                 peer = rng.choice(peers)
                 if peer.stream and not peer.closed:
                     sent += 1
-                    peer.say(read_command(id=f"r{sent}", d=rng.choice((50, 400)), cell=rng.randrange(3)))
+                    peer.send_bytes(
+                        read_command(id=f"r{sent}", d=rng.choice((50, 400)), cell=rng.randrange(3))
+                    )
             case 3:
                 instance.backend.holds_responses = not instance.backend.holds_responses
                 if not instance.backend.holds_responses:
@@ -47,7 +49,7 @@
             case 5:
                 closed = rng.randrange(len(peers))
                 peers[closed].close()
-                peers[closed] = instance.peer(instance.clients.address)
+                peers[closed] = instance.connect(instance.clients.address)
         shown, metrics = instance.metrics(), instance.core.metrics
         assert metrics.accepted == sent == metrics.ended + shown["concurrent"]
         assert shown["dispatches"] == len(instance.backend.received) == metrics.dispatches
--- a/tests/peers/test_connection_quota.py
+++ b/tests/peers/test_connection_quota.py
@@ -103,14 +103,14 @@
 def test_pool_opens_no_more_connections_than_the_quota_and_closes_those_beyond_it() -> None:
     instance = SimulatedInstance()
     quota = FixedQuota()
-    instance.bricks.connections.quota = quota
+    instance.resp_upstream.connections.quota = quota
     backend = instance.server(EmulatedBackend)
     backend.holds_responses = True
-    instance.list(EmulatedEndpoint("n0", backend.address, 0))
-    front = instance.front()
+    instance.list_endpoints(EmulatedEndpoint("n0", backend.address, 0))
+    front = instance.start_resp_listener()
     clients = [LoopbackClient(instance, front.address) for _ in range(3)]
     for i, client in enumerate(clients):
-        client.say(read_command(f"r{i}"))
+        client.send_bytes(read_command(f"r{i}"))
     assert len(backend.connections) == 2, "the third request needs another connection"
     assert (2, True) in quota.reported, "the third request needs another connection"
     quota.allowed = 1
--- a/tests/peers/test_coordinator.py
+++ b/tests/peers/test_coordinator.py
@@ -287,7 +287,7 @@
 
     def request(self) -> None:
         """Send a request for a volume that two instances serve, and run for a second."""
-        self.client().say(read_command(f"r{self.time}").replace(b"hosts=1", b"hosts=2"))
+        self.client().send_bytes(read_command(f"r{self.time}").replace(b"hosts=1", b"hosts=2"))
         self.run(SECOND, 50 * MS)
 
     def received(self) -> list[list[LeaseMessage]]:
@@ -370,7 +370,7 @@
             settings=settings, ops="127.0.0.1:0", peer_listen="127.0.0.1:0", peers=["127.0.0.1:9"] * 3
         )
         assert instance.daemon.assembly.admin is not None
-        response = instance.peer(instance.daemon.assembly.admin.listener.address).say(
+        response = instance.connect(instance.daemon.assembly.admin.listener.address).send_bytes(
             b"GET /-/fleet/members HTTP/1.1\r\nHost: x\r\n\r\n"
         )
         assert response.startswith(b"HTTP/1.1 " + status)
@@ -389,7 +389,7 @@
     assert link.closed
     assert instance.daemon.assembly.peer_link.link is None
     assert instance.received() == [[], []]
-    assert instance.client().say(read_command()) == b"$0\r\n\r\n"
+    assert instance.client().send_bytes(read_command()) == b"$0\r\n\r\n"
     instance.platform_config = instance.platform_config | {"settings": LINKED_SETTINGS}
     instance.daemon.reload()
     instance.request()
@@ -424,12 +424,12 @@
     instance = SimulatedDaemon(settings=LINKED_SETTINGS, peer_listen=address, peers=["127.0.0.1:9"] * 3)
     assert instance.daemon.assembly.peer_link.link is None
     assert "peer link not opened" in caplog.text
-    assert instance.client().say(read_command()) == b"$0\r\n\r\n"
+    assert instance.client().send_bytes(read_command()) == b"$0\r\n\r\n"
     predecessor.close()
     client = instance.client()
     command = read_command("r2").replace(b"hosts=1", b"hosts=2")
     assert (
-        client.say(command).startswith(b"-BUSY") or not instance.backend.received[1:]
+        client.send_bytes(command).startswith(b"-BUSY") or not instance.backend.received[1:]
     ), "the predecessor has this instance's quota"
     coordinator = instance.daemon.assembly.peer_link.coordinator
     assert coordinator
@@ -437,10 +437,10 @@
     instance.run(LIMITS.bind_retry_us, 100 * MS)
     assert instance.daemon.assembly.peer_link.link
     assert instance.daemon.assembly.peer_link.link.address == address
-    client.say(command.replace(b"r2", b"r3"))
+    client.send_bytes(command.replace(b"r2", b"r3"))
     assert volume(coordinator).quota == 0.0, "the predecessor may have granted it to a peer"
     instance.run(2 * LIMITS.lease_us, 100 * MS)
-    client.say(command.replace(b"r2", b"r4"))
+    client.send_bytes(command.replace(b"r2", b"r4"))
     instance.run(100 * MS)
     assert volume(coordinator).quota == 0.5
 
--- a/tests/resp/test_backend_protocol.py
+++ b/tests/resp/test_backend_protocol.py
@@ -120,30 +120,30 @@
     """An incomplete reply must not hold the attempt forever, because the rest may never arrive."""
     instance = SimulatedInstance()
     backend = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    instance.list_endpoints(EmulatedEndpoint("b0", backend.address, 0))
     backend.data[b"k"], backend.scripted_responses = b"value", [malformed]
-    peer = instance.peer(instance.front().address)
-    peer.say(read_command())
+    peer = instance.connect(instance.start_resp_listener().address)
+    peer.send_bytes(read_command())
     instance.run(instance.limits.partial_reply_us)
-    assert instance.core.starts[0].outcome is Outcome.RESET
+    assert instance.core.started_attempts[0].outcome is Outcome.RESET
     instance.run(100 * MS)
-    assert peer.got == codec.encode_bulk(b"value")
+    assert peer.received == codec.encode_bulk(b"value")
     assert len(backend.received) == backend.accepted == 2
 
 
 def test_a_reply_that_trickles_without_an_end_is_reset() -> None:
     instance = SimulatedInstance()
     backend = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    instance.list_endpoints(EmulatedEndpoint("b0", backend.address, 0))
     backend.scripted_responses = [b"*3\r\n$60000\r\n"]
-    instance.peer(instance.front().address).say(read_command())
+    instance.connect(instance.start_resp_listener().address).send_bytes(read_command())
     for _ in range(instance.limits.partial_reply_us // (10 * MS)):
-        assert instance.core.starts[0].outcome is None
+        assert instance.core.started_attempts[0].outcome is None
         instance.run(10 * MS)
         for conn in list(backend.connections):
             conn.write(b"x")
         instance.settle()
-    assert instance.core.starts[0].outcome is Outcome.RESET
+    assert instance.core.started_attempts[0].outcome is Outcome.RESET
 
 
 @pytest.mark.parametrize("surplus", [b"noise", b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", b"\r\n"])
@@ -151,10 +151,10 @@
     """Regression: the reply was discarded with its connection, and the request was executed a second time."""
     instance = SimulatedInstance()
     backend = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    instance.list_endpoints(EmulatedEndpoint("b0", backend.address, 0))
     backend.scripted_responses = [b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n" + surplus]
-    peer = instance.peer(instance.front().address)
-    assert peer.say(read_command()) == codec.encode_bulk(b"value")
+    peer = instance.connect(instance.start_resp_listener().address)
+    assert peer.send_bytes(read_command()) == codec.encode_bulk(b"value")
     assert not backend.connections
     assert len(backend.received) == 1
 
@@ -162,12 +162,12 @@
 def test_a_value_longer_than_many_buffers_is_served_complete() -> None:
     instance = SimulatedInstance(buffer_bytes=512)
     backend = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", backend.address, 0))
-    peer = instance.peer(instance.front().address)
+    instance.list_endpoints(EmulatedEndpoint("b0", backend.address, 0))
+    peer = instance.connect(instance.start_resp_listener().address)
     body = bytes(range(256)) * 256
-    assert peer.say(read_command(verb="BLK.WRITE", body=body)) == b"$2\r\nOK\r\n"
-    assert peer.say(read_command("r2")) == codec.encode_bulk(body)
+    assert peer.send_bytes(read_command(verb="BLK.WRITE", body=body)) == b"$2\r\nOK\r\n"
+    assert peer.send_bytes(read_command("r2")) == codec.encode_bulk(body)
     # Longer than the protocol specifies; such a request was once executed four times and never served.
     backend.data[b"k"] = body * 6
-    assert peer.say(read_command("r3")) == codec.encode_bulk(body * 6)
+    assert peer.send_bytes(read_command("r3")) == codec.encode_bulk(body * 6)
     assert len(backend.received) == 3
--- a/tests/resp/test_client_connections.py
+++ b/tests/resp/test_client_connections.py
@@ -13,28 +13,28 @@
 def test_the_attempt_of_a_client_that_closes_is_stopped() -> None:
     instance = SimulatedInstance()
     backend = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    instance.list_endpoints(EmulatedEndpoint("b0", backend.address, 0))
     backend.scripted_responses = [None]
-    peer = instance.peer(instance.front().address)
-    peer.say(read_command())
+    peer = instance.connect(instance.start_resp_listener().address)
+    peer.send_bytes(read_command())
     assert len(backend.held_commands) == 1
     peer.close()
     assert instance.core.open_requests == 0
     assert not backend.connections
-    assert instance.core.finals == [[]]
+    assert instance.core.final_answers == [[]]
 
 
 def test_a_client_that_stalls_in_sending_or_reading_is_closed() -> None:
     instance = SimulatedInstance(buffer_bytes=512, unsent_bytes=20_000)
     backend = instance.server(EmulatedBackend)
     backend.data[b"k"] = b"x" * 60_000
-    instance.list(EmulatedEndpoint("b0", backend.address, 0))
-    front = instance.front()
-    incomplete = instance.peer(front.address)
-    incomplete.say(read_command()[:-5])
+    instance.list_endpoints(EmulatedEndpoint("b0", backend.address, 0))
+    front = instance.start_resp_listener()
+    incomplete = instance.connect(front.address)
+    incomplete.send_bytes(read_command()[:-5])
     instance.run(instance.limits.command_timeout_us + MS, step_us=500 * MS)
     assert incomplete.closed
-    client_that_does_not_read = instance.peer(front.address)
+    client_that_does_not_read = instance.connect(front.address)
     assert client_that_does_not_read.stream
     instance.stop_polling(client_that_does_not_read.stream._sock)  # stops reading
     client_that_does_not_read.stream.write(b"".join(read_command(f"r{i}") for i in range(400)))
@@ -45,53 +45,53 @@
 def test_at_the_limit_the_longest_idle_connection_is_evicted() -> None:
     instance = SimulatedInstance(client_connections=2)
     backend = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", backend.address, 0))
-    front = instance.front()
-    busy, idle = instance.peer(front.address), instance.peer(front.address)
-    idle.say(read_command())
+    instance.list_endpoints(EmulatedEndpoint("b0", backend.address, 0))
+    front = instance.start_resp_listener()
+    busy, idle = instance.connect(front.address), instance.connect(front.address)
+    idle.send_bytes(read_command())
     backend.scripted_responses = [None]
-    busy.say(read_command("r2", d=1400))
-    third = instance.peer(front.address)
-    assert third.say(PING) == b"", "a client that has sent a request may be idle for a moment"
+    busy.send_bytes(read_command("r2", d=1400))
+    third = instance.connect(front.address)
+    assert third.send_bytes(PING) == b"", "a client that has sent a request may be idle for a moment"
     assert not idle.closed, "a client that has sent a request may be idle for a moment"
     instance.run(instance.limits.idle_client_timeout_us, step_us=100 * MS)
-    assert third.got == b"+PONG\r\n"
+    assert third.received == b"+PONG\r\n"
     assert idle.closed
 
 
 def test_clients_that_only_ping_are_evicted_before_those_with_requests() -> None:
     """Regression: hundreds of clients stayed connected after a PING, and no other was accepted for 2 s."""
     instance = SimulatedInstance(client_connections=2, idle_client_timeout_us=100 * MS)
-    instance.list()
-    front = instance.front()
-    requester, pinger = instance.peer(front.address), instance.peer(front.address)
-    requester.say(read_command(d=0))
-    pinger.say(PING)
-    late = instance.peer(front.address)
-    assert late.say(PING) == b""
+    instance.list_endpoints()
+    front = instance.start_resp_listener()
+    requester, pinger = instance.connect(front.address), instance.connect(front.address)
+    requester.send_bytes(read_command(d=0))
+    pinger.send_bytes(PING)
+    late = instance.connect(front.address)
+    assert late.send_bytes(PING) == b""
     instance.run(instance.limits.new_client_timeout_us)
-    assert late.got == b"+PONG\r\n"
+    assert late.received == b"+PONG\r\n"
     assert pinger.closed
     assert not requester.closed
 
 
 def test_silent_clients_are_evicted_sooner_unless_their_request_waits_unread() -> None:
     instance = SimulatedInstance(client_connections=2)
-    front = instance.front()
-    silent, late = instance.peer(front.address), instance.peer(front.address)
+    front = instance.start_resp_listener()
+    silent, late = instance.connect(front.address), instance.connect(front.address)
     late_connection = instance.accepted_end(front, late)
     instance.stop_polling(late_connection.stream._sock)
-    late.say(PING)
-    third = instance.peer(front.address)
-    assert third.say(PING) == b""
+    late.send_bytes(PING)
+    third = instance.connect(front.address)
+    assert third.send_bytes(PING) == b""
     instance.run(instance.limits.new_client_timeout_us)
-    assert third.got == b"+PONG\r\n"
+    assert third.received == b"+PONG\r\n"
     assert silent.closed
     assert not late.closed
-    third.say(PING[:5])
-    fourth = instance.peer(front.address)
+    third.send_bytes(PING[:5])
+    fourth = instance.connect(front.address)
     instance.run(instance.limits.new_client_timeout_us)
-    assert fourth.say(PING) == b"+PONG\r\n", "a partial command delays the eviction only briefly"
+    assert fourth.send_bytes(PING) == b"+PONG\r\n", "a partial command delays the eviction only briefly"
     assert third.closed, "a partial command delays the eviction only briefly"
 
 
@@ -99,13 +99,13 @@
     """Regression: clients that stayed connected after one request used up the limit for all others."""
     instance = SimulatedInstance(idle_clients=2)
     backend = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", backend.address, 0))
-    front = instance.front()
-    peers = [instance.peer(front.address) for _ in range(5)]
+    instance.list_endpoints(EmulatedEndpoint("b0", backend.address, 0))
+    front = instance.start_resp_listener()
+    peers = [instance.connect(front.address) for _ in range(5)]
     for i, peer in enumerate(peers):
-        peer.say(read_command(f"r{i}"))
+        peer.send_bytes(read_command(f"r{i}"))
     instance.run(instance.limits.idle_client_timeout_us - MS, 100 * MS)
-    peers[0].say(read_command("again"))
+    peers[0].send_bytes(read_command("again"))
     assert len(front) == 5
     instance.run(instance.limits.client_sweep_us + MS)
     assert len(front) == 2, "the one just used stays open"
@@ -122,15 +122,19 @@
     backends = [instance.server(EmulatedBackend) for _ in range(4)]
     for backend in backends:
         backend.scripted_responses = [None]
-    instance.list(*(EmulatedEndpoint(f"b{i}", backend.address, i) for i, backend in enumerate(backends)))
-    front = instance.front()
-    front.capacity_user, instance.bricks.capacity.owner = instance.bricks.capacity, front
-    busy, idle, late = (instance.peer(front.address) for _ in range(3))
-    idle.say(PING)
+    instance.list_endpoints(
+        *(EmulatedEndpoint(f"b{i}", backend.address, i) for i, backend in enumerate(backends))
+    )
+    front = instance.start_resp_listener()
+    front.capacity_user, instance.resp_upstream.capacity.owner = instance.resp_upstream.capacity, front
+    busy, idle, late = (instance.connect(front.address) for _ in range(3))
+    idle.send_bytes(PING)
     for i in range(3):
-        busy.say(read_command(f"r{i}", cell=i, d=10_000))
-    assert instance.bricks.capacity.open_count == 2, "two connections on each side: the limit is reached"
+        busy.send_bytes(read_command(f"r{i}", cell=i, d=10_000))
+    assert (
+        instance.resp_upstream.capacity.open_count == 2
+    ), "two connections on each side: the limit is reached"
     assert len(front) == 3, "two connections on each side: the limit is reached"
     instance.run(400 * MS)
     assert late.closed or idle.closed, "a client without a request was evicted for a backend"
-    assert instance.bricks.capacity.open_count == 3
+    assert instance.resp_upstream.capacity.open_count == 3
--- a/tests/resp/test_codec.py
+++ b/tests/resp/test_codec.py
@@ -78,7 +78,7 @@
 )
 def test_lost_framing_gets_an_error_reply_and_a_close(data: bytes) -> None:
     instance = SimulatedInstance()
-    peer = instance.peer(instance.front().address)
-    assert peer.say(b"*1\r\n$4\r\nPING\r\n" + data).startswith(b"+PONG\r\n-ERR Protocol error")
+    peer = instance.connect(instance.start_resp_listener().address)
+    assert peer.send_bytes(b"*1\r\n$4\r\nPING\r\n" + data).startswith(b"+PONG\r\n-ERR Protocol error")
     assert peer.closed
     assert instance.core.open_requests == 0
--- a/tests/resp/test_front.py
+++ b/tests/resp/test_front.py
@@ -63,14 +63,16 @@
     replacement: tuple[str, str], error_text: str
 ) -> None:
     instance = SimulatedInstance(make_settings(cells=9))
-    peer = instance.peer(instance.front().address)
+    peer = instance.connect(instance.start_resp_listener().address)
     args = "c=read,t=gold,d=1000,volume=v,units=2,shard=0,hosts=1".replace(*replacement).encode()
-    reply = peer.say(codec.encode_command([b"BLK.READ", b"k", b"id", args]))
+    reply = peer.send_bytes(codec.encode_command([b"BLK.READ", b"k", b"id", args]))
     assert reply.startswith(b"-ERR")
     assert error_text.encode() in reply
-    assert peer.say(PING) == b"", "reading pauses, so that a client cannot repeat the command at full speed"
+    assert (
+        peer.send_bytes(PING) == b""
+    ), "reading pauses, so that a client cannot repeat the command at full speed"
     instance.run(instance.limits.invalid_command_pause_us)
-    assert peer.got == reply + b"+PONG\r\n", "the connection stays open"
+    assert peer.received == reply + b"+PONG\r\n", "the connection stays open"
 
 
 @pytest.mark.parametrize(
@@ -85,37 +87,37 @@
 def test_a_duplicate_of_an_open_id_is_rejected_and_the_first_is_served() -> None:
     instance = SimulatedInstance()
     backend = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    instance.list_endpoints(EmulatedEndpoint("b0", backend.address, 0))
     backend.scripted_responses = [None]
-    front = instance.front()
-    first, second = instance.peer(front.address), instance.peer(front.address)
-    first.say(read_command("r1"))
-    assert second.say(read_command("r1", volume="w")).startswith(b"-ERR id: of a request that is open")
+    front = instance.start_resp_listener()
+    first, second = instance.connect(front.address), instance.connect(front.address)
+    first.send_bytes(read_command("r1"))
+    assert second.send_bytes(read_command("r1", volume="w")).startswith(b"-ERR id: of a request that is open")
     backend.release()
     instance.settle()
-    assert first.got == b"$0\r\n\r\n"
+    assert first.received == b"$0\r\n\r\n"
     assert len(backend.received) == 1
-    assert first.say(read_command("r1")) == b"$0\r\n\r\n", "the id is free again"
+    assert first.send_bytes(read_command("r1")) == b"$0\r\n\r\n", "the id is free again"
 
 
 def test_too_many_commands_or_errors_end_the_connection() -> None:
     """Regression: the commands were queued without a limit, and the event loop had time for nothing else."""
     instance = SimulatedInstance(pipelined_commands=4)
     backend = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    instance.list_endpoints(EmulatedEndpoint("b0", backend.address, 0))
     backend.scripted_responses = [None] * 9
-    front = instance.front()
-    pipelining, invalid = instance.peer(front.address), instance.peer(front.address)
-    pipelining.say(b"".join(read_command(f"r{i}") for i in range(300)))
-    assert pipelining.got == b"-ERR too many commands at once\r\n" * 5
+    front = instance.start_resp_listener()
+    pipelining, invalid = instance.connect(front.address), instance.connect(front.address)
+    pipelining.send_bytes(b"".join(read_command(f"r{i}") for i in range(300)))
+    assert pipelining.received == b"-ERR too many commands at once\r\n" * 5
     assert pipelining.closed
     instance.run(instance.limits.linger_us)
     assert instance.core.open_requests == 0
     assert not backend.connections
-    assert all(len(f) == 1 for f in instance.core.finals)
-    invalid.say(codec.encode_command([b"NO"]) * 300)
+    assert all(len(f) == 1 for f in instance.core.final_answers)
+    invalid.send_bytes(codec.encode_command([b"NO"]) * 300)
     instance.run(instance.limits.linger_us)
-    assert invalid.got == b"-ERR unknown command\r\n" * 8 + b"-ERR too many errors\r\n"
+    assert invalid.received == b"-ERR unknown command\r\n" * 8 + b"-ERR too many errors\r\n"
     assert invalid.closed
     assert len(front) == 0
 
@@ -123,50 +125,50 @@
 def test_lost_framing_gets_its_error_at_once_whatever_is_open() -> None:
     instance = SimulatedInstance()
     backend = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    instance.list_endpoints(EmulatedEndpoint("b0", backend.address, 0))
     backend.scripted_responses = [None]
-    peer = instance.peer(instance.front().address)
-    peer.say(read_command(d=1400) + b"?\r\n")
-    assert peer.got.count(b"-ERR Protocol error") == 2
+    peer = instance.connect(instance.start_resp_listener().address)
+    peer.send_bytes(read_command(d=1400) + b"?\r\n")
+    assert peer.received.count(b"-ERR Protocol error") == 2
     assert instance.core.open_requests == 0
 
 
 def test_input_after_the_final_error_is_drained_within_a_limit() -> None:
     """Closing a socket with unread input resets the connection, and the client may lose the error reply."""
     instance = SimulatedInstance(linger_bytes=1000)
-    front = instance.front()
-    peer = instance.peer(front.address)
-    peer.stays = True
-    assert peer.say(b"*1\r\n$60000000\r\n") == b"-ERR Protocol error: length over the limit\r\n"
+    front = instance.start_resp_listener()
+    peer = instance.connect(front.address)
+    peer.keeps_open = True
+    assert peer.send_bytes(b"*1\r\n$60000000\r\n") == b"-ERR Protocol error: length over the limit\r\n"
     assert len(front) == 1
-    peer.say(b"x" * 900)
+    peer.send_bytes(b"x" * 900)
     assert len(front) == 1
-    peer.say(b"x" * 200)
+    peer.send_bytes(b"x" * 200)
     assert len(front) == 0, "the amount of discarded input is limited"
 
 
 def test_silent_and_incomplete_clients_time_out_but_no_open_request_does() -> None:
     instance = SimulatedInstance(command_timeout_us=SECOND)
     backend = instance.server(EmulatedBackend)
-    instance.list(EmulatedEndpoint("b0", backend.address, 0))
+    instance.list_endpoints(EmulatedEndpoint("b0", backend.address, 0))
     backend.scripted_responses = [None]
-    front = instance.front()
-    silent, incomplete, trickling, established, busy = (instance.peer(front.address) for _ in range(5))
-    incomplete.say(read_command("h")[:-5])
-    established.say(PING)
-    busy.say(read_command("b", d=1400) + b"*1")
+    front = instance.start_resp_listener()
+    silent, incomplete, trickling, established, busy = (instance.connect(front.address) for _ in range(5))
+    incomplete.send_bytes(read_command("h")[:-5])
+    established.send_bytes(PING)
+    busy.send_bytes(read_command("b", d=1400) + b"*1")
     for i in range(12):
-        trickling.say(b"*1\r\n$4\r\nPING"[i : i + 1])
+        trickling.send_bytes(b"*1\r\n$4\r\nPING"[i : i + 1])
         instance.run(100 * MS)
     assert silent.closed
     assert incomplete.closed
     assert trickling.closed
     assert not established.closed
-    assert busy.got == b""
+    assert busy.received == b""
     assert not busy.closed
     instance.run(200 * MS)
-    assert busy.got.startswith(b"-BUSY"), "the reply to an open request is still sent"
-    established.say(PING[:9])
+    assert busy.received.startswith(b"-BUSY"), "the reply to an open request is still sent"
+    established.send_bytes(PING[:9])
     instance.run(990 * MS)
     assert not established.closed, "an established connection has the whole time for each command"
     instance.run(10 * MS)
@@ -175,14 +177,14 @@
 
 def test_connection_commands_get_their_fixed_replies() -> None:
     instance = SimulatedInstance()
-    peer = instance.peer(instance.front().address)
-    assert peer.say(codec.encode_command([b"CLIENT", b"INFO"])) == b"+OK\r\n"
-    assert peer.say(codec.encode_command([b"HELLO", b"3"])) == b"-ERR unknown command\r\n"
+    peer = instance.connect(instance.start_resp_listener().address)
+    assert peer.send_bytes(codec.encode_command([b"CLIENT", b"INFO"])) == b"+OK\r\n"
+    assert peer.send_bytes(codec.encode_command([b"HELLO", b"3"])) == b"-ERR unknown command\r\n"
     instance.run(instance.limits.invalid_command_pause_us)
-    assert peer.say(b"*0\r\n" + codec.encode_command([b"ping", b"a"])) == b"$1\r\na\r\n"
-    assert peer.say(codec.encode_command([b"BLK.READ", b"k"])).startswith(b"-ERR wrong number")
+    assert peer.send_bytes(b"*0\r\n" + codec.encode_command([b"ping", b"a"])) == b"$1\r\na\r\n"
+    assert peer.send_bytes(codec.encode_command([b"BLK.READ", b"k"])).startswith(b"-ERR wrong number")
     instance.run(instance.limits.invalid_command_pause_us)
-    assert peer.say(codec.encode_command([b"QUIT"])) == b"+OK\r\n"
+    assert peer.send_bytes(codec.encode_command([b"QUIT"])) == b"+OK\r\n"
     assert peer.closed
 
 
--- a/tests/resp/test_front_model.py
+++ b/tests/resp/test_front_model.py
@@ -52,11 +52,13 @@
         self.expected.append(("", b"+PONG\r\n"))
         self.feed(b"*1\r\n$4\r\nPING\r\n", 1 << 20)
 
-    @precondition(lambda self: not self.closed and bool(self.engine.items))
+    @precondition(lambda self: not self.closed and bool(self.engine.open_requests))
     @rule(data=st.data(), answer=st.sampled_from([Served(b"v"), Rejected(250_000), Failed("gave up")]))
     def answer(self, data: st.DataObject, answer: Answer) -> None:
         self.feed_rest()
-        request, on_answer = self.engine.items.pop(data.draw(st.sampled_from(sorted(self.engine.items))))
+        request, on_answer = self.engine.open_requests.pop(
+            data.draw(st.sampled_from(sorted(self.engine.open_requests)))
+        )
         name = request.operation.request_id.decode()
         on_answer(answer)
         index = [command for command, _ in self.expected].index(name)
@@ -68,7 +70,9 @@
     def disconnect(self) -> None:
         self.feed_rest()
         self.protocol.close()  # may be called more than once
-        assert sorted(self.engine.gone) == sorted(self.engine.items), "each open request is reported once"
+        assert sorted(self.engine.disconnected) == sorted(
+            self.engine.open_requests
+        ), "each open request is reported once"
         self.closed = True
 
     @precondition(lambda self: not self.closed)
@@ -80,7 +84,7 @@
         self.expected = [(name, error if reply is None else reply) for name, reply in commands]
         self.protocol.feed(b"?\r\n" + read_command("never"))
         assert self.protocol.is_closing
-        assert not self.engine.items
+        assert not self.engine.open_requests
         self.closed = True
 
     @invariant()
--- a/tests/runtime/test_attempt_ends.py
+++ b/tests/runtime/test_attempt_ends.py
@@ -21,14 +21,14 @@
     instance = InstanceWithoutBackends()
     instance.list_backend()
     client = RawClient(instance, instance.listener.address)
-    client.say(read_command("r1"))
-    [[idle]] = instance.bricks.connections._idle.values()
+    client.send_bytes(read_command("r1"))
+    [[idle]] = instance.resp_upstream.connections._idle.values()
     assert idle._stream
     instance.stop_polling(idle._stream._sock)
     instance.backend.connections[0].write(b"*3\r\n$5\r\nwrong\r\n$-1\r\n$-1\r\n")
     instance.settle()
     client.sock.recv(100)
-    client.say(read_command("r2"))
+    client.send_bytes(read_command("r2"))
     assert client.sock.recv(100) == b"$0\r\n\r\n"
     assert instance.backend.accepted == 2
 
@@ -47,14 +47,14 @@
     )
     backend = instance.server(EmulatedBackend)
     backend.scripted_responses = [None]
-    instance.list(EmulatedEndpoint("b0", backend.address, 0))
-    client = RawClient(instance, instance.front().address)
-    client.say(read_command(d=1500))
+    instance.list_endpoints(EmulatedEndpoint("b0", backend.address, 0))
+    client = RawClient(instance, instance.start_resp_listener().address)
+    client.send_bytes(read_command(d=1500))
     instance.run(200 * MS)
     delay_connects(instance, monkeypatch)
     backend.close_connections()
     instance.run(1200 * MS)
-    assert len(instance.core.starts) >= 2, "the decision module retries within the window"
+    assert len(instance.core.started_attempts) >= 2, "the decision module retries within the window"
     assert len(backend.received) == 1 + retries
 
 
--- a/tests/runtime/test_connection_close.py
+++ b/tests/runtime/test_connection_close.py
@@ -38,7 +38,7 @@
     instance.list_backend()
     instance.backend.data[b"k"] = b"x" * 30_000
     client = RawClient(instance, instance.listener.address)
-    client.say(read_command())
+    client.send_bytes(read_command())
     instance.run(3 * SECOND, 100 * MS)
     [connection] = instance.listener._clients
     hide_unread_data(monkeypatch)
@@ -59,7 +59,7 @@
     instance = InstanceWithoutBackends()
     instance.list_backend()
     client = RawClient(instance, instance.listener.address)
-    client.say(read_command())
+    client.send_bytes(read_command())
     instance.run(3 * SECOND, 100 * MS)
     client.sock.sendall(read_command("r2"))
     instance.listener.evict_down_to(0)
@@ -71,13 +71,13 @@
 
 def test_clients_that_ignore_the_close_hold_few_descriptors_for_a_bounded_time() -> None:
     instance = SimulatedInstance(client_connections=6, lingering_connections=2)
-    front = instance.front()
+    front = instance.start_resp_listener()
     staying = [RawClient(instance, front.address) for _ in range(6)]
     instance.run(instance.limits.new_client_timeout_us)
     new = [RawClient(instance, front.address) for _ in range(4)]
     instance.run(20 * MS, 10 * MS)
     for client in new:
-        client.say(PING)
+        client.send_bytes(PING)
     assert [client.sock.recv(16) for client in new] == [
         b"+PONG\r\n"
     ] * 4, "lingering connections do not count towards the limit"
--- a/tests/runtime/test_listener.py
+++ b/tests/runtime/test_listener.py
@@ -12,19 +12,19 @@
     instance = InstanceWithBackend()
     instance.backend.data = {b"k1": b"one", b"k2": b"two"}
     instance.backend.scripted_responses = [None]
-    instance.client.say(read_command("r1", key="k1"))
-    assert instance.client.say(read_command("r2", key="k2")) == b""
+    instance.client.send_bytes(read_command("r1", key="k1"))
+    assert instance.client.send_bytes(read_command("r2", key="k2")) == b""
     instance.backend.release()
     instance.settle()
-    assert instance.client.got == codec.encode_bulk(b"one") + codec.encode_bulk(b"two")
+    assert instance.client.received == codec.encode_bulk(b"one") + codec.encode_bulk(b"two")
 
 
 def test_shutdown_closes_idle_clients_and_waits_for_busy_ones() -> None:
     instance = InstanceWithBackend()
-    front = instance.front()
-    idle, busy = instance.peer(front.address), instance.peer(front.address)
+    front = instance.start_resp_listener()
+    idle, busy = instance.connect(front.address), instance.connect(front.address)
     instance.backend.scripted_responses = [None]
-    busy.say(read_command())
+    busy.send_bytes(read_command())
     front.stop_accepting()
     front.close_idle()
     instance.settle()
@@ -36,7 +36,7 @@
     assert not busy.closed
     instance.backend.release()
     instance.settle()
-    assert busy.got == b"$0\r\n\r\n"
+    assert busy.received == b"$0\r\n\r\n"
     assert busy.closed
     assert len(front) == 0
     late = LoopbackClient(instance, front.address)
--- a/tests/runtime/test_upstream.py
+++ b/tests/runtime/test_upstream.py
@@ -16,24 +16,24 @@
 def test_idle_connections_are_reused_and_closed_before_the_backend_closes_them() -> None:
     instance = InstanceWithBackend()
     for i in range(3):
-        instance.client.say(read_command(f"r{i}"))
+        instance.client.send_bytes(read_command(f"r{i}"))
     assert len(instance.backend.connections) == 1
     instance.run(instance.limits.backend_idle_us + instance.limits.sweep_us, step_us=500 * MS)
     assert not instance.backend.connections
-    assert instance.bricks.capacity.open_count == 0
-    assert instance.client.say(read_command("again")) == b"$0\r\n\r\n"
+    assert instance.resp_upstream.capacity.open_count == 0
+    assert instance.client.send_bytes(read_command("again")) == b"$0\r\n\r\n"
 
 
 def test_connection_closed_after_its_reply_is_not_reused() -> None:
     """The next request is sent in the iteration that received the reply, before the close is noticed."""
     instance = InstanceWithBackend()
-    instance.client.say(read_command("r1"))
-    [[idle]] = instance.bricks.connections._idle.values()
+    instance.client.send_bytes(read_command("r1"))
+    [[idle]] = instance.resp_upstream.connections._idle.values()
     assert idle._stream
     instance.stop_polling(idle._stream._sock)
     instance.backend.close_connections()
     instance.settle()
-    assert instance.client.say(read_command("r2")) == b"$0\r\n\r\n"
+    assert instance.client.send_bytes(read_command("r2")) == b"$0\r\n\r\n"
     assert instance.outcomes() == ["served", "served"]
     assert instance.backend.accepted == 2
 
@@ -41,10 +41,10 @@
 def test_refused_connection_reports_that_the_request_never_ran() -> None:
     instance = InstanceWithBackend()
     instance.backend.listener.stop_accepting()
-    instance.client.say(read_command(d=400))
+    instance.client.send_bytes(read_command(d=400))
     assert instance.outcomes() == [Outcome.UNREACHABLE.value]
     instance.run(400 * MS)
-    assert instance.client.got.startswith(b"-BUSY ")
+    assert instance.client.received.startswith(b"-BUSY ")
 
 
 def test_connect_that_never_completes_times_out() -> None:
@@ -55,9 +55,9 @@
     instance.settle()
     instance.stop_polling(full.listener._sock)
     for _ in range(3):
-        instance.peer(full.address)
-    instance.list(EmulatedEndpoint("b0", full.address, 0))
-    instance.client.say(read_command(d=400))
+        instance.connect(full.address)
+    instance.list_endpoints(EmulatedEndpoint("b0", full.address, 0))
+    instance.client.send_bytes(read_command(d=400))
     assert instance.outcomes() == ["out"]
     instance.run(instance.limits.connect_timeout_us)
     assert instance.outcomes()[0] == Outcome.UNREACHABLE.value
@@ -67,16 +67,16 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     instance = InstanceWithBackend()
-    start = instance.bricks.start
+    start = instance.resp_upstream.start
 
     def start_and_stop(attempt: AttemptHandle) -> None:
         start(attempt)
-        instance.bricks.stop(attempt)
+        instance.resp_upstream.stop(attempt)
         attempt.finish(Outcome.CANCELLED)
 
-    instance.bricks.start = start_and_stop  # type: ignore[method-assign]  # wraps the method for one attempt
-    instance.client.say(read_command())
-    assert instance.bricks.capacity.open_count == 0
+    instance.resp_upstream.start = start_and_stop  # type: ignore[method-assign]  # wraps the method for one attempt
+    instance.client.send_bytes(read_command())
+    assert instance.resp_upstream.capacity.open_count == 0
     assert not instance.backend.received
     assert "task failed" not in caplog.text
 
@@ -84,7 +84,7 @@
 def test_reset_after_the_last_byte_was_sent_reports_that_the_request_may_have_run() -> None:
     instance = InstanceWithBackend()
     instance.backend.scripted_responses = [None]
-    instance.client.say(read_command())
+    instance.client.send_bytes(read_command())
     instance.backend.close_connections()
     instance.settle()
     assert instance.outcomes() == [Outcome.RESET.value]
@@ -92,11 +92,11 @@
 
 def test_reset_before_the_last_byte_was_sent_reports_that_the_request_never_ran() -> None:
     instance = InstanceWithBackend(buffer_bytes=4096, unsent_bytes=1 << 24, value_bytes=1 << 23)
-    instance.client.say(read_command())
+    instance.client.send_bytes(read_command())
     backend_side = next(iter(instance.backend.listener._clients))
     instance.stop_polling(backend_side.stream._sock)  # the backend reads nothing more
     body = b"x" * (7 << 20)  # more than the kernel buffers
-    instance.client.say(read_command("big", verb="BLK.WRITE", d=1400, body=body))
+    instance.client.send_bytes(read_command("big", verb="BLK.WRITE", d=1400, body=body))
     assert instance.outcomes() == ["served", "out"]
     backend_side.stream.close()
     instance.settle()
@@ -106,41 +106,41 @@
 def test_timeout_closes_the_connection_before_anything_else_is_sent() -> None:
     instance = InstanceWithBackend()
     instance.backend.scripted_responses = [None]
-    instance.client.say(read_command(d=300))
+    instance.client.send_bytes(read_command(d=300))
     instance.run(300 * MS)
     assert not instance.backend.connections
-    assert instance.client.got.startswith(b"-BUSY")
-    assert instance.client.say(read_command("next")) == b"$0\r\n\r\n"
+    assert instance.client.received.startswith(b"-BUSY")
+    assert instance.client.send_bytes(read_command("next")) == b"$0\r\n\r\n"
 
 
 @pytest.mark.parametrize("noise", [b"+OK\r\n+OK\r\n", b"?"])
 def test_protocol_violation_closes_the_backend_connection(noise: bytes) -> None:
     instance = InstanceWithBackend()
-    instance.client.say(read_command())
+    instance.client.send_bytes(read_command())
     instance.backend.connections[0].write(noise)
     instance.settle()
     assert not instance.backend.connections
-    assert instance.client.say(read_command("next")) == b"$0\r\n\r\n"
+    assert instance.client.send_bytes(read_command("next")) == b"$0\r\n\r\n"
 
 
 def test_connections_are_bounded_per_backend_and_in_total() -> None:
     instance = InstanceWithBackend(connections_per_backend=2, backend_connections=3)
     other = instance.server(EmulatedBackend)
-    instance.list(
+    instance.list_endpoints(
         EmulatedEndpoint("b0", instance.backend.address, 0), EmulatedEndpoint("b1", other.address, 1)
     )
     instance.backend.scripted_responses = [None] * 9
-    instance.client.say(b"".join(read_command(f"r{i}", volume=f"v{i}") for i in range(3)))
+    instance.client.send_bytes(b"".join(read_command(f"r{i}", volume=f"v{i}") for i in range(3)))
     assert instance.outcomes().count("out") == 2
     assert Outcome.UNREACHABLE.value in instance.outcomes()
-    instance.client.say(read_command("o", cell=1))
-    assert instance.bricks.capacity.open_count == 3
+    instance.client.send_bytes(read_command("o", cell=1))
+    assert instance.resp_upstream.capacity.open_count == 3
     assert len(other.connections) == 1
     third = instance.server(EmulatedBackend)
-    instance.list(
+    instance.list_endpoints(
         EmulatedEndpoint("b0", instance.backend.address, 0), EmulatedEndpoint("b2", third.address, 2)
     )
-    instance.client.say(read_command("p", cell=2))
+    instance.client.send_bytes(read_command("p", cell=2))
     assert len(third.connections) == 1, "the longest-idle connection was closed to make room"
     assert not other.connections, "the longest-idle connection was closed to make room"
 
@@ -150,11 +150,11 @@
     moved = instance.server(EmulatedBackend)
     assert instance.client.stream
     instance.client.stream.write(read_command(d=900))
-    instance.run_until(lambda: bool(instance.core.starts), "the first attempt")
+    instance.run_until(lambda: bool(instance.core.started_attempts), "the first attempt")
     instance.core.endpoints._addresses["b0"] = moved.address
     instance.settle()
     assert not instance.backend.received
     assert instance.outcomes() == [Outcome.UNREACHABLE.value]
     instance.run(200 * MS)
     assert len(moved.received) == 1
-    assert instance.client.got == b"$0\r\n\r\n"
+    assert instance.client.received == b"$0\r\n\r\n"
--- a/tests/store/test_replication.py
+++ b/tests/store/test_replication.py
@@ -173,8 +173,8 @@
 
 def test_writer_closes_a_connection_that_does_not_start_with_a_follow_request() -> None:
     pair = ReplicationPair()
-    peer = pair.peer(pair.listener.address)
-    peer.say(b"GET / HTTP/1.1\r\n\r\n")
+    peer = pair.connect(pair.listener.address)
+    peer.send_bytes(b"GET / HTTP/1.1\r\n\r\n")
     assert peer.closed
 
 
--- a/tests/support/admin.py
+++ b/tests/support/admin.py
@@ -37,7 +37,11 @@
             self.limits.client_connections,
             lambda write: RespClientProtocol(
                 RespListenerContext(
-                    self.core, self.bricks, self.pool, self.limits, lambda: self.service.accepts_clients
+                    self.core,
+                    self.resp_upstream,
+                    self.pool,
+                    self.limits,
+                    lambda: self.service.accepts_clients,
                 ),
                 write,
             ),
@@ -61,12 +65,12 @@
             self.limits.ops_connections,
             lambda write: AdminConnection(self.service, self.pool, self.limits, write),
         )
-        self.list(*self.endpoints)
+        self.list_endpoints(*self.endpoints)
 
     def call(self, path: str, method: str = "POST") -> tuple[int, str]:
-        """Send one call and return its status and body; check that the instance closes the connection."""
-        client = self.peer(self.ops.address)
-        response = client.say(f"{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode()).decode()
+        """Send one admin request and return its status and body; check that the connection is then closed."""
+        client = self.connect(self.ops.address)
+        response = client.send_bytes(f"{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode()).decode()
         head, _, body = response.partition("\r\n\r\n")
         assert client.closed
         assert "Connection: close" in head
--- a/tests/support/client_disconnects.py
+++ b/tests/support/client_disconnects.py
@@ -29,7 +29,7 @@
         self.sock.setblocking(False)
         instance.settle()
 
-    def say(self, data: bytes) -> None:
+    def send_bytes(self, data: bytes) -> None:
         self.sock.sendall(data)
         self.instance.settle()
 
@@ -62,11 +62,11 @@
     def __init__(self, **limits: int) -> None:
         super().__init__(make_settings(parallel_attempts=False, max_attempts=4, instances=1), **limits)
         self.backend = self.server(EmulatedBackend)
-        self.listener = self.front()
-        self.list()
+        self.listener = self.start_resp_listener()
+        self.list_endpoints()
 
     def list_backend(self) -> None:
-        self.list(EmulatedEndpoint("b0", self.backend.address, 0), whole=False)
+        self.list_endpoints(EmulatedEndpoint("b0", self.backend.address, 0), complete=False)
 
 
 def delay_connects(instance: SimulatedInstance, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/support/daemon.py
+++ b/tests/support/daemon.py
@@ -116,4 +116,4 @@
         return (*super().schedulers(), self.daemon.scheduler)
 
     def client(self, listener_index: int = 0) -> LoopbackClient:
-        return self.peer(self.daemon.listeners[listener_index].address)
+        return self.connect(self.daemon.listeners[listener_index].address)
--- a/tests/support/decision_bench.py
+++ b/tests/support/decision_bench.py
@@ -16,7 +16,7 @@
 
 
 def make_settings(**changes: object) -> api.Settings:
-    """Settings of three instances, two classes and two plans, with `changes` applied."""
+    """Return the settings of three instances, two classes and two plans, with `changes` applied."""
     base: dict[str, object] = dict(
         instances=3,
         instance_id=0,
@@ -47,7 +47,7 @@
 
 
 def up_endpoint(backend: str, cell: int, started: int = 0, zone: str = "z") -> api.Endpoint:
-    """An endpoint that is UP; `started` is its start in microseconds, 0 if unknown."""
+    """Return an endpoint that is UP; `started` is its start in microseconds, 0 if unknown."""
     return api.Endpoint(backend, cell, zone, api.EndpointState.UP, started)
 
 
@@ -118,7 +118,7 @@
         return self.deliver(api.Result(name, attempt, "", outcome, duration_us, answered, usage_percent))
 
     def sends(self, name: str | None = None) -> list[api.Send]:
-        """All Send actions so far, of one request or of all."""
+        """Return all Send actions so far, of one request or of all."""
         return [
             action
             for _, action in self.timeline
@@ -126,7 +126,7 @@
         ]
 
     def final_answers(self, name: str) -> list[api.Reject | api.Fail]:
-        """The rejections and failures of a request so far."""
+        """Return the rejections and failures of a request so far."""
         return [
             action
             for _, action in self.timeline
@@ -135,5 +135,5 @@
 
 
 def sent_requests(actions: list[api.Action]) -> list[str]:
-    """The requests that these actions send, in their order."""
+    """Return the requests that these actions send, in their order."""
     return [action.request for action in actions if isinstance(action, api.Send)]
--- a/tests/support/leases.py
+++ b/tests/support/leases.py
@@ -1,4 +1,4 @@
-"""The limits that the tests of leases share."""
+"""The peer limits of the lease tests."""
 
 from __future__ import annotations
 
--- a/tests/support/ninep_instance.py
+++ b/tests/support/ninep_instance.py
@@ -62,7 +62,7 @@
         """Send a message and return the replies that arrived, with their tags."""
         before = len(self.replies)
         self._framer.table = codec_linux.LINUX_MESSAGES if self.linux else p9.PLAIN_MESSAGES
-        self.say(p9.encode(tag, message))
+        self.send_bytes(p9.encode(tag, message))
         return self.replies[before:]
 
     def request(self, message: p9.Message, tag: int = 1) -> p9.Message:
@@ -106,8 +106,8 @@
         self.disk = Disk(FILE_TREE if tree is None else tree, clock=lambda: self.time)
         self.file_servers = [self.server(FileServer, disk=self.disk) for _ in range(servers)]
         self.endpoints = [
-            EmulatedEndpoint(f"f{i}", s.address, cells[i], extra={"startedAtMs": 0})
-            for i, s in enumerate(self.file_servers)
+            EmulatedEndpoint(f"f{i}", server.address, cells[i], extra={"startedAtMs": 0})
+            for i, server in enumerate(self.file_servers)
         ]
         self.upstream = create_upstream(self.scheduler, self.pool, self.limits, 0, server_dialect)
         exports = {
@@ -126,21 +126,21 @@
             64,
             lambda write: NinepClientProtocol(self.shared_state, write),
         )
-        self.list(self.endpoints[0])
+        self.list_endpoints(self.endpoints[0])
 
     def drain_server(self, index: int) -> None:
         """List the server as draining."""
         self.endpoints[index].state = "DRAINING"
-        self.list(self.endpoints[index], whole=False)
+        self.list_endpoints(self.endpoints[index], complete=False)
 
     def withhold_replies(self, kind: type[p9.Message], server: int = 0) -> None:
         """Make the server withhold its replies to messages of this type."""
-        self.file_servers[server].holds_reply = lambda m: isinstance(m, kind)
+        self.file_servers[server].holds_reply = lambda message: isinstance(message, kind)
 
 
 def received_messages(instance: NinepInstance, kind: type[p9.Message], server: int = 0) -> list[Any]:
     """Return the messages of this type that the server has received."""
-    return [m for m in instance.file_servers[server].received if isinstance(m, kind)]
+    return [message for message in instance.file_servers[server].received if isinstance(message, kind)]
 
 
 def error_text(reply: p9.Message) -> str:
@@ -169,15 +169,18 @@
         while True:
             # Data on loopback mostly arrives without waiting; settle() covers the rest.
             while (
-                len(connection.got) == self._received_bytes
+                len(connection.received) == self._received_bytes
                 and not connection.closed
                 and instance.scheduler.run_iteration(0)
             ):
                 pass
-            if len(connection.got) == self._received_bytes and not connection.closed:
+            if len(connection.received) == self._received_bytes and not connection.closed:
                 instance.settle()
-            if len(connection.got) > self._received_bytes:
-                data, self._received_bytes = connection.got[self._received_bytes :], len(connection.got)
+            if len(connection.received) > self._received_bytes:
+                data, self._received_bytes = (
+                    connection.received[self._received_bytes :],
+                    len(connection.received),
+                )
                 return data
             if connection.closed:
                 return b""
--- a/tests/support/run_histories.py
+++ b/tests/support/run_histories.py
@@ -1,4 +1,4 @@
-"""Histories of runs that never were, for the tests of the invariants."""
+"""Synthetic run histories for the invariant tests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.support.lab import CALM
 
 MODERATE = replace(CALM, workload=replace(CALM.workload, requests_per_s=30.0))
-"""So few requests that every volume's limit is kept."""
+"""An experiment with so few requests that no volume exceeds its limit."""
 
 
 def answered(requests: Sequence[Request], outcome: str = "served") -> list[dict[str, Any]]:
--- a/tests/support/runtime.py
+++ b/tests/support/runtime.py
@@ -14,9 +14,9 @@
     def __init__(self, **limits: int) -> None:
         super().__init__(make_settings(parallel_attempts=False, max_attempts=4, instances=1), **limits)
         self.backend = self.server(EmulatedBackend)
-        self.list(EmulatedEndpoint("b0", self.backend.address, 0))
-        self.client = self.peer(self.front().address)
+        self.list_endpoints(EmulatedEndpoint("b0", self.backend.address, 0))
+        self.client = self.connect(self.start_resp_listener().address)
 
     def outcomes(self) -> list[str]:
         """Return the outcomes of all attempts so far, "out" for those in flight."""
-        return [attempt.outcome.value if attempt.outcome else "out" for attempt in self.core.starts]
+        return [attempt.outcome.value if attempt.outcome else "out" for attempt in self.core.started_attempts]
--- a/tests/support/simulated_instance.py
+++ b/tests/support/simulated_instance.py
@@ -42,24 +42,26 @@
 S = TypeVar("S", bound=EmulatedServer)
 
 
-class CheckedBackend:
-    """A backend that checks the rules when an attempt starts, whatever the protocol behind it."""
+class CheckedTransport:
+    """A backend transport that checks the engine's rules at each attempt's start, then passes it on."""
 
-    def __init__(self, inner: BackendTransport, core: CheckedRequestEngine) -> None:
-        self.inner, self.core = inner, core
+    def __init__(self, inner: BackendTransport, engine: CheckedRequestEngine) -> None:
+        self.inner, self.engine = inner, engine
 
     def start(self, attempt: AttemptHandle) -> None:
         assert isinstance(attempt, Attempt)
         attempts = attempt.request.attempts
-        out = [a for a in attempts if a.outcome is None]
-        assert len(out) <= (
-            2 if self.core.settings.parallel_attempts and attempt.request.spec.allow_hedging else 1
+        in_flight = [sibling for sibling in attempts if sibling.outcome is None]
+        assert len(in_flight) <= (
+            2 if self.engine.settings.parallel_attempts and attempt.request.spec.allow_hedging else 1
         )
-        assert out[-1] is attempt
-        assert len(attempts) <= self.core.settings.max_attempts
+        assert in_flight[-1] is attempt
+        assert len(attempts) <= self.engine.settings.max_attempts
         assert attempt.request.answer is None, "sent after the final answer"
-        assert self.core.endpoints.address_of(attempt.backend), "sent to a server that drains or is gone"
-        self.core.starts.append(attempt)
+        assert self.engine.endpoints.address_of(
+            attempt.backend
+        ), "sent to a backend that is draining or not listed"
+        self.engine.started_attempts.append(attempt)
         self.inner.start(attempt)
 
     def stop(self, attempt: AttemptHandle) -> None:
@@ -69,45 +71,46 @@
 class CheckedRequestEngine(RequestEngine):
     """A request engine that fails the test when it breaks a rule, such as a second final answer."""
 
-    starts: list[Attempt]
-    finals: list[list[Answer]]
+    started_attempts: list[Attempt]
+    final_answers: list[list[Answer]]
+    """The final answers of each request, in the order of submission; at most one each."""
 
-    def submit(self, ask: RequestSpec, backend: BackendTransport, answered: AnswerCallback) -> str:
-        finals: list[Answer] = []
-        self.finals.append(finals)
+    def submit(self, spec: RequestSpec, transport: BackendTransport, on_answer: AnswerCallback) -> str:
+        answers: list[Answer] = []
+        self.final_answers.append(answers)
 
-        def once(answer: Answer) -> None:
-            finals.append(answer)
-            assert len(finals) == 1, "two final answers"
-            answered(answer)
+        def check_and_answer(answer: Answer) -> None:
+            answers.append(answer)
+            assert len(answers) == 1, "two final answers"
+            on_answer(answer)
 
-        return super().submit(ask, CheckedBackend(backend, self), once)
+        return super().submit(spec, CheckedTransport(transport, self), check_and_answer)
 
 
 class FakeRequestEngine:
-    """Stands in for the engine behind a front: records requests, and the test answers them."""
+    """A fake engine for the tests of a protocol front: it records requests, and the test answers them."""
 
     def __init__(self) -> None:
-        self.items: dict[str, tuple[RequestSpec, AnswerCallback]] = {}
-        self.gone: list[str] = []
-        self.last, self._count = "", 0
+        self.open_requests: dict[str, tuple[RequestSpec, AnswerCallback]] = {}
+        self.disconnected: list[str] = []
+        self.last_ticket, self._count = "", 0
         self.settings = make_settings()
 
-    def submit(self, ask: RequestSpec, _backend: BackendTransport, answered: AnswerCallback) -> str:
+    def submit(self, spec: RequestSpec, _transport: BackendTransport, on_answer: AnswerCallback) -> str:
         self._count += 1
-        self.last = f"i{self._count}"
-        self.items[self.last] = ask, answered
-        return self.last
+        self.last_ticket = f"i{self._count}"
+        self.open_requests[self.last_ticket] = spec, on_answer
+        return self.last_ticket
 
     def client_disconnected(self, ticket: str) -> None:
-        self.gone.append(ticket)
+        self.disconnected.append(ticket)
 
-    def abort(self, ticket: str, why: str) -> None:
-        self.items.pop(ticket)[1](Failed(why))
+    def abort(self, ticket: str, reason: str) -> None:
+        self.open_requests.pop(ticket)[1](Failed(reason))
 
 
 class SimulatedInstance:
-    """An instance's parts on a clock that only the test advances. One is open at a time."""
+    """The components of an instance on a simulated clock. Only one instance is open at a time."""
 
     _open: SimulatedInstance | None = None
 
@@ -123,9 +126,9 @@
             self.scheduler,
             self.limits,
         )
-        self.core.starts, self.core.finals = [], []
+        self.core.started_attempts, self.core.final_answers = [], []
         self.scheduler.iteration_hooks.append(self.core.run_iteration)
-        self.bricks = create_resp_upstream(self.scheduler, self.pool, self.limits)
+        self.resp_upstream = create_resp_upstream(self.scheduler, self.pool, self.limits)
 
     @classmethod
     def close_open(cls) -> None:
@@ -134,13 +137,13 @@
             SimulatedInstance._open.scheduler.close()
             SimulatedInstance._open = None
 
-    def server(self, kind: type[S], **more: Any) -> S:
-        """Start a stand-in server of this kind on the simulated clock."""
-        return kind(self.scheduler, self.pool, self.limits, **more)
+    def server(self, server_type: type[S], **options: Any) -> S:
+        """Start an emulated server of this type on the simulated clock."""
+        return server_type(self.scheduler, self.pool, self.limits, **options)
 
-    def front(self) -> Listener:
+    def start_resp_listener(self) -> Listener:
         """Start a listener for RESP clients."""
-        context = resp_front.RespListenerContext(self.core, self.bricks, self.pool, self.limits)
+        context = resp_front.RespListenerContext(self.core, self.resp_upstream, self.pool, self.limits)
         return Listener(
             self.scheduler,
             "127.0.0.1:0",
@@ -150,20 +153,20 @@
             lambda write: resp_front.RespClientProtocol(context, write),
         )
 
-    def list(self, *boxes: EmulatedEndpoint, whole: bool = True) -> None:
-        """Deliver an endpoint list, or a change to it where `whole` is false."""
-        data = {"generation": 1, "reset": whole, "instances": [b.entry() for b in boxes]}
-        self.core.update_endpoints(read_list(data, lambda us: us, at_start=whole)[1])
+    def list_endpoints(self, *endpoints: EmulatedEndpoint, complete: bool = True) -> None:
+        """Deliver an endpoint list, or changes of it if `complete` is false."""
+        data = {"generation": 1, "reset": complete, "instances": [endpoint.entry() for endpoint in endpoints]}
+        self.core.update_endpoints(read_list(data, lambda us: us, at_start=complete)[1])
         self.settle()
 
     def schedulers(self) -> tuple[Scheduler, ...]:
         """Return every event loop that runs on this clock and is not stopped."""
         return (self.scheduler,)
 
-    def run_iteration(self, longest_wait_ms: float) -> bool:
-        """Run each event loop once, the first of which may wait; return whether anything happened."""
+    def run_iteration(self, max_wait_ms: float) -> bool:
+        """Run one iteration of each event loop; only the first may wait. Return whether anything happened."""
         first, *others = self.schedulers()
-        happened = [first.run_iteration(longest_wait_ms), *(other.run_iteration(0) for other in others)]
+        happened = [first.run_iteration(max_wait_ms), *(other.run_iteration(0) for other in others)]
         return any(happened)
 
     def settle(self) -> None:
@@ -185,7 +188,7 @@
         wait_until(condition, event, lambda: self.run_iteration(DELIVERY_WAIT_MS))
 
     def run(self, span_us: int, step_us: int = 10 * MS) -> None:
-        """Let simulated time pass in steps; sockets are quiet after each."""
+        """Advance the simulated clock in steps, and settle after each."""
         end = self.time + span_us
         self.settle()
         while self.time < end:
@@ -199,60 +202,64 @@
 
     @staticmethod
     def accepted_end(listener: Listener, client: LoopbackClient) -> ClientConnection:
-        """Return the listener's end of a client's connection."""
+        """Return the listener's connection to this client."""
         assert client.stream
         address = client.stream._sock.getsockname()
-        [accepted] = [one for one in listener._clients if one.stream._sock.getpeername() == address]
+        [accepted] = [
+            connection for connection in listener._clients if connection.stream._sock.getpeername() == address
+        ]
         return accepted
 
-    def peer(self, address: str) -> LoopbackClient:
+    def connect(self, address: str) -> LoopbackClient:
         """Connect a client."""
         return LoopbackClient(self, address)
 
 
 class LoopbackClient:
-    """A client's end of a connection: the bytes received, and whether the other side has closed."""
+    """A client connection; records the bytes received, and whether the connection is closed."""
 
-    def __init__(self, world: SimulatedInstance, address: str, settle: bool = True) -> None:
-        self.world, self.got, self.closed = world, b"", False
-        self.stays = False  # goes on sending when the other side has no more to say
+    def __init__(self, instance: SimulatedInstance, address: str, settle: bool = True) -> None:
+        self.instance, self.received, self.closed = instance, b"", False
+        self.keeps_open = False  # whether its sending direction stays open after the other side has closed
         self.stream: Stream | None = None
-        world.scheduler.spawn(lambda: self._run(address))
+        instance.scheduler.spawn(lambda: self._run(address))
         if settle:
-            world.settle()
+            instance.settle()
 
     def _run(self, address: str) -> None:
-        w = self.world
+        instance = self.instance
         try:
-            self.stream = Stream.connect(w.scheduler, address, w.pool, w.limits, w.time + SECOND)
+            self.stream = Stream.connect(
+                instance.scheduler, address, instance.pool, instance.limits, instance.time + SECOND
+            )
             while self.stream.read(self._feed):
                 pass
         except OSError:
             pass
         finally:
             self.closed = True
-            if self.stream and not self.stays:
+            if self.stream and not self.keeps_open:
                 self.stream.close()
 
     def _feed(self, data: memoryview) -> None:
-        self.got += bytes(data)
+        self.received += bytes(data)
 
-    def say(self, data: bytes) -> bytes:
-        """Send bytes and return what was received in reply once nothing moves any more."""
+    def send_bytes(self, data: bytes) -> bytes:
+        """Send bytes, settle, and return the bytes received in the meantime."""
         assert self.stream
-        before = len(self.got)
+        before = len(self.received)
         self.stream.write(data)
-        self.world.settle()
-        return self.got[before:]
+        self.instance.settle()
+        return self.received[before:]
 
     def close(self) -> None:
         """Close the connection, and let the instance notice."""
         assert self.stream
         self.stream.close()
-        self.world.settle()
+        self.instance.settle()
 
 
-def read_command(  # noqa: PLR0913 - each is a field of the command that some test sets by its name
+def read_command(  # noqa: PLR0913 - each argument is a field that some test sets by name
     id: str = "r1",
     cls: str = "read",
     d: int = 1000,
--- a/tests/test_simulated_instance.py
+++ b/tests/test_simulated_instance.py
@@ -32,9 +32,9 @@
     instance = SimulatedInstance(unsent_bytes=2 * len(LONG_VALUE), reply_bytes=2 * len(LONG_VALUE))
     backend = instance.server(EmulatedBackend)
     backend.scripted_responses = [b"*3\r\n" + codec.encode_bulk(LONG_VALUE) + b"$-1\r\n$-1\r\n"]
-    instance.list(EmulatedEndpoint("b0", backend.address, 0))
-    client = instance.peer(instance.front().address)
-    assert client.say(read_command()) == codec.encode_bulk(LONG_VALUE)
+    instance.list_endpoints(EmulatedEndpoint("b0", backend.address, 0))
+    client = instance.connect(instance.start_resp_listener().address)
+    assert client.send_bytes(read_command()) == codec.encode_bulk(LONG_VALUE)
     assert not traffic_in_transit()
 
 
