--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -80,29 +80,29 @@
     return sum(len(servers - before.get(instance, set())) for instance, servers in after.items())
 
 
-def row(name: str, algorithm: Algorithm, heads: int, servers: int, k: int) -> tuple[str, float]:
+def row(name: str, algorithm: Algorithm, instances: int, servers: int, k: int) -> tuple[str, float]:
     """Return the table row of one algorithm, and the most instances at a server over their mean."""
     names = [f"s{i}" for i in range(servers)]
-    numbers = list(range(heads))
+    numbers = list(range(instances))
     began = time.perf_counter()
     now = algorithm(numbers, names, k)
     took = time.perf_counter() - began
     per = Counter(server for some in now.values() for server in some)
     loads = [per[name] for name in names]
-    joined = new_pairs(now, algorithm([*numbers, heads], names, k))
+    joined = new_pairs(now, algorithm([*numbers, instances], names, k))
     more = new_pairs(now, algorithm(numbers, [*names, f"s{servers}"], k))
     fewer = new_pairs(now, algorithm(numbers, [n for n in names if n != "s3"], k))
-    least = (k, heads * k // (servers + 1), per["s3"])
+    least = (k, instances * k // (servers + 1), per["s3"])
     jain = sum(loads) ** 2 / (len(loads) * sum(load * load for load in loads))
     return (
-        f"| {heads} x {servers}, {k} each | {name} | {min(loads)} to {max(loads)} | {jain:.4f} "
+        f"| {instances} x {servers}, {k} each | {name} | {min(loads)} to {max(loads)} | {jain:.4f} "
         f"| {joined} ({least[0]}) | {more} ({least[1]}) | {fewer} ({least[2]}) | {took * 1000:.0f} |",
         max(loads) / (sum(loads) / len(loads)),
     )
 
 
 def simulate_weight_controller(
-    gain: float, delay_s: float, heads: int, seconds: int = 120
+    gain: float, delay_s: float, instances: int, seconds: int = 120
 ) -> tuple[float, float]:
     """Return the overshoot and the settling time of a volume that gets twice its plan's rate.
 
@@ -110,15 +110,15 @@
     tenth. Every instance adjusts its weight by the same delayed figure, each at its own time.
     """
     every, step, most = WEIGHT_INTERVAL_US / 1e6, 0.1, math.log(MAX_WEIGHT_FACTOR)
-    weights = [math.log(2.0)] * heads
+    weights = [math.log(2.0)] * instances
     past: list[float] = []
     worst, settled = 0.0, 0.0
     for tick in range(int(seconds / step)):
         now = tick * step
-        past.append(sum(weights) / heads)  # what the volume gets follows its weights at all heads
+        past.append(sum(weights) / instances)  # what the volume gets follows its weights at all instances
         seen = past[max(0, len(past) - 1 - int(delay_s / step))]
-        for i in range(heads):
-            if int(now / every + i / heads) != int((now - step) / every + i / heads):
+        for i in range(instances):
+            if int(now / every + i / instances) != int((now - step) / every + i / instances):
                 weights[i] = min(most, max(-most, weights[i] - gain * seen))
         worst = max(worst, -past[-1] / math.log(2.0))
         if abs(past[-1]) > 0.1 * math.log(2.0):
