--- a/garnetlanding/emulator/fleet_load.py
+++ b/garnetlanding/emulator/fleet_load.py
@@ -86,7 +86,7 @@
     """Send a request. One to a stopped instance is lost, but its value counts as requested."""
     volume = planned.volume
     request_class = WRITE if planned.is_write else READ
-    value = request_class.priority_weight * volume.plan.price * planned.units
+    value = request_class.priority_weight * volume.plan.priority_weight_factor * planned.units
     totals.requested_value += value
     if not instance.is_running:
         return
--- a/tests/golden/test_golden_records.py
+++ b/tests/golden/test_golden_records.py
@@ -355,7 +355,7 @@
         peer_listen="127.0.0.1:0",
         peers=["127.0.0.1:9", "127.0.0.1:9", "127.0.0.1:9"],
     )
-    instance.client().say(read_command())
+    instance.client().send_bytes(read_command())
     for fenced in (True, False):
         for callback in instance.daemon.core.fence.on_change:
             callback(fenced)
@@ -507,9 +507,11 @@
     """Decode a datagram by the kind of its envelope, as `PeerCoordinator` does."""
     envelope = decode_envelope(data, PEER_LIMITS.datagram_bytes)
     if envelope.kind == MessageKind.MEMBERSHIP:
-        return membership_message.read(envelope)
+        return membership_message.from_envelope(envelope)
     return (
-        gossip_message.read(envelope) if envelope.kind == MessageKind.GOSSIP else lease_message.read(envelope)
+        gossip_message.from_envelope(envelope)
+        if envelope.kind == MessageKind.GOSSIP
+        else lease_message.from_envelope(envelope)
     )
 
 
