--- a/garnetlanding/history/writer.py
+++ b/garnetlanding/history/writer.py
@@ -1,8 +1,8 @@
 """Writes an instance's history: one JSON object per line, each with the machine's monotonic time.
 
-Experiments compare the lines of all processes. The time is therefore read for each line instead of once per
-event-loop iteration: a process that is delayed within an iteration receives messages that were sent after the
-iteration began, and its lines must not appear to precede them.
+Experiments compare the times of lines from all processes, so the clock is read for each line. The start of
+the event-loop iteration would be too early: a process that is delayed within an iteration receives messages
+that were sent after the iteration began, and its lines would appear to precede theirs.
 
 Each line is written to the file before the method returns, so that SIGKILL loses none. This costs one system
 call per request, so a history is not for production.
