--- a/garnetlanding/peers/membership_protocol.py
+++ b/garnetlanding/peers/membership_protocol.py
@@ -64,7 +64,10 @@
     # State changes of this instance
 
     def update_joined(self, now: int) -> None:
-        """Join if possible; called once per round because the bootstrap timeout passes without a message."""
+        """Join the group if possible.
+
+        Called in each round, not only on messages: none arrives when the bootstrap timeout ends.
+        """
         was_member = self.members.joined
         self.members.update_joined(now)
         self._report_joined(was_member=was_member)
