--- a/garnetlanding/decision/dispatch.py
+++ b/garnetlanding/decision/dispatch.py
@@ -82,7 +82,9 @@
         queue.dequeue_sent(request)
         if request.attempts:
             state.budgets.retries.record_retry(state.now)
-            request.attempts[-1].release_slot()  # to the new attempt; the response counts as lost
+            # A request holds one slot at most. If the last attempt is still in flight, its response counts as
+            # lost: its backend gets the slot back, and the new attempt occupies one of its own backend.
+            request.attempts[-1].release_slot()
         else:
             request.volume.limit.level -= request.units
         request.attempts.append(Attempt(health, queue.cell, state.now))
