--- a/garnetlanding/lab/quota_invariants.py
+++ b/garnetlanding/lab/quota_invariants.py
@@ -69,7 +69,10 @@
 
 
 def measure_quota_sums(run: RecordedRun) -> None:
-    """Measure the greatest sum of one volume's quotas, separately for times beside a duplicate identity."""
+    """Measure the greatest sum that the quotas of any one volume reach.
+
+    The time from the start of a duplicate identity until it must have been detected has a maximum of its own.
+    """
     first_us = first_request_us(run.lines)
     duplicates_us = [fault.start_us for fault in run.experiment.faults_of(FaultKind.DUPLICATE_IDENTITY)]
     table = QuotaTable(run.experiment)
