--- a/garnetlanding/telemetry/exporter.py
+++ b/garnetlanding/telemetry/exporter.py
@@ -38,10 +38,13 @@
 
 
 class Exporter:
-    """Observes the request engine (`Observer`), and exports at intervals from a separate task.
+    """Exports ended requests as spans and metrics, and gauges.
 
-    `dropped` counts requests that were not exported as spans. `gauges` are read at each export, by their
-    names without the prefix `garnetlanding.`. `wall_ns` returns the wall clock in nanoseconds.
+    Implements the engine's `Observer`, which queues ended requests; a separate task exports at intervals.
+
+    `dropped` counts the requests that were not exported as spans. `gauges` maps the name of each gauge,
+    without the prefix `garnetlanding.`, to the function that reads it at each export. `wall_ns` returns the
+    wall clock in nanoseconds.
     """
 
     def __init__(
