--- a/garnetlanding/store/replication_codec.py
+++ b/garnetlanding/store/replication_codec.py
@@ -118,7 +118,7 @@
 
 
 def decode_revision_query(fields: JsonObject) -> RevisionQuery | None:
-    """Decode a later line of a follower; return None if it is not a revision query."""
+    """Decode any line of a follower after its first; return None if it is not a revision query."""
     match fields:
         case {"ask": int() as number}:
             return RevisionQuery(number)
