--- a/garnetlanding/lab/instance_config.py
+++ b/garnetlanding/lab/instance_config.py
@@ -67,7 +67,7 @@
     wall_file: str  # path of the file with the offset of the instance's wall clock
     seeds: list[str]  # addresses of the instances from which it discovers the others
     routes: dict[str, str]  # by a peer's own address, the address through which it is reached
-    store: str  # the address of the store's writer, as this instance listens on or reaches it
+    store: str  # writer: the address it listens on; follower: the address at which it reaches the writer
     is_writer: bool
     audit: str  # path of the audit folder
 
