--- a/garnetlanding/daemon/shutdown_schedule.py
+++ b/garnetlanding/daemon/shutdown_schedule.py
@@ -21,8 +21,9 @@
 class ShutdownSchedule:
     """When each phase begins at the latest, in microseconds since SIGTERM.
 
-    SIGKILL comes no sooner than the longest deadline plus 0.7 s. The schedule depends on that deadline: a
-    fixed one that suits long deadlines would still be running at SIGKILL if the deadlines are short.
+    SIGKILL follows 0.7 s after the longest request deadline at the earliest, so the schedule is derived from
+    that deadline. A fixed schedule with enough time for long deadlines would not be complete at SIGKILL when
+    the deadlines are short.
     """
 
     draining_us: int
