--- a/garnetlanding/config/platform.py
+++ b/garnetlanding/config/platform.py
@@ -93,10 +93,11 @@
 
 
 def _reserve_ninep_connections(limits: Limits, ninep: NinepSetup) -> Limits:
-    """Return the limits with 9P's connections deducted from those of the other clients.
+    """Return the limits with the connections of 9P deducted from the client connections.
 
-    By default 9P gets a fifth of the client connections, and as many server connections as a fifth of the
-    backend connections.
+    9P needs connections to its clients and to its servers; both are deducted. The defaults are a fifth of
+    the client connections for its clients, and a number equal to a fifth of the backend connections for its
+    servers.
     """
     clients = ninep.max_clients or limits.client_connections // NINEP_CONNECTION_DIVISOR
     servers = ninep.max_server_connections or limits.backend_connections // NINEP_CONNECTION_DIVISOR
