--- a/garnetlanding/discovery/watch.py
+++ b/garnetlanding/discovery/watch.py
@@ -125,7 +125,8 @@
             stream = Stream.connect(
                 self._scheduler, self._address, self._runtime.pool, self._limits, deadline.expires_at
             )
-            # If superseded while it connected, its response is outdated or from another discovery service.
+            # A call that was superseded while it connected is not read: its response would be outdated, or
+            # come from another discovery service.
             if self._state.is_newest(call):
                 self._stream = stream
                 self._read(stream, parser, deadline)
