--- a/garnetlanding/emulator/fleet_discovery.py
+++ b/garnetlanding/emulator/fleet_discovery.py
@@ -60,7 +60,7 @@
             self._watching[number].receive(update)
 
     def end_watches(self) -> None:
-        """End every watch; under HERD this also leaves discovery overloaded."""
+        """End every watch; under HERD discovery is also overloaded from then on and answers fewer calls."""
         if self._config.fault is FleetFault.HERD:
             self._calls_per_s = self._config.overloaded_list_calls_per_s
         ended = self._watching
