--- a/garnetlanding/store/staleness_guard.py
+++ b/garnetlanding/store/staleness_guard.py
@@ -9,11 +9,11 @@
 
 
 class StalenessGuard:
-    """Decides until when this instance may act on its copy.
+    """Decides until when a follower may use its copy of the store. Until the first reply it may not.
 
-    `max_staleness_us` is the maximum age of a change that the copy may lack while it is used.
-    `max_clock_drift` is an upper bound of the rate difference between this clock and the writer's, as a
-    fraction; it shortens the validity of a reply. A follower is stale until the first reply.
+    While the copy is used, it lacks no change that is older than `max_staleness_us`. `max_clock_drift` is an
+    upper bound of the difference in rate between this clock and the writer's, as a fraction; a reply is valid
+    for a shorter time to allow for it.
     """
 
     def __init__(self, max_staleness_us: int, max_clock_drift: float, now: int) -> None:
