--- a/garnetlanding/choices/subsets.py
+++ b/garnetlanding/choices/subsets.py
@@ -79,7 +79,8 @@
 
 class _Matching(NamedTuple):
     accepted: dict[str, list[int]]  # the instances that each backend has accepted
-    unmatched: list[int]  # instances that all backends have rejected, once for each backend that they lack
+    # Instances that all backends have rejected. An instance is listed once per backend it still lacks.
+    unmatched: list[int]
 
 
 def _deferred_acceptance(
