--- a/garnetlanding/core/body.py
+++ b/garnetlanding/core/body.py
@@ -61,7 +61,7 @@
         return not self.ended and (self._sink is None or self._sink.write_blocked)
 
     def feed(self, data: bytes) -> None:
-        """Accept the next bytes from the producer: write them to the sink, or buffer them without one."""
+        """Write the next bytes from the producer to the sink, or buffer them until a sink is attached."""
         if self.ended:
             return
         if self._sink is None:
