--- a/garnetlanding/runtime/scheduler.py
+++ b/garnetlanding/runtime/scheduler.py
@@ -269,7 +269,7 @@
 
     @staticmethod
     def _call_logging_errors(callback: Callable[[], None]) -> None:
-        """Call back and log an exception instead of raising it, as for tasks."""
+        """Call the callback; log an exception that it raises, so that the loop continues, as for tasks."""
         try:
             callback()
         except Exception:
