--- a/garnetlanding/emulator/lease_model.py
+++ b/garnetlanding/emulator/lease_model.py
@@ -231,7 +231,10 @@
 def _send(
     leases: Leases, now: int, in_transit: tuple[SentMessage, ...]
 ) -> tuple[Leases, tuple[SentMessage, ...]]:
-    """Return the instance after it has sent, and the messages that are in transit then."""
+    """Let the instance send; return its new state and all messages that are then in transit.
+
+    A new message replaces the one that the instance has in transit to the same peer.
+    """
     new = clone(leases)
     pages = new.compose(now)
     number = new.contacts.next_number(now)
